--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -5,8 +5,8 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use linnetreach::interface::{
-    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery, Outcome,
-    QueryId, ResendBudget,
+    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
+    Outcome, QueryId, ResendBudget,
 };
 use linnetreach::{Action, Event, Gateway, Settings};
 
@@ -28,7 +28,14 @@
 }
 
 fn engine(id: EngineId) -> Engine {
-    Engine { id, zone: id % 10, kind: 0, cell: 0, state: EngineState::Ready, started: None }
+    Engine {
+        id,
+        zone: id % 10,
+        kind: 0,
+        cell: 0,
+        state: EngineState::Ready,
+        started: None,
+    }
 }
 
 fn settings(gateways: u32) -> Settings {
@@ -43,10 +50,17 @@
         gateways: Some(gateways),
         zone: Some(3),
         classes: vec![class],
-        kinds: vec![Kind { cores: Some(64.0), memory_mb: None }],
+        kinds: vec![Kind {
+            cores: Some(64.0),
+            memory_mb: None,
+        }],
         can_cancel: true,
         max_attempts: Some(5),
-        resend_budget: Some(ResendBudget { free: 3.0, share: 0.1, span: 5 * SECOND }),
+        resend_budget: Some(ResendBudget {
+            free: 3.0,
+            share: 0.1,
+            span: 5 * SECOND,
+        }),
         ..Settings::default()
     }
 }
@@ -54,9 +68,18 @@
 impl Loop {
     fn new(engines: u32, gateways: u32) -> Self {
         let mut gateway = Gateway::new(settings(gateways), 7);
-        let list = Event::Engines { scope: ListScope::Whole, engines: (0..engines).map(engine).collect() };
+        let list = Event::Engines {
+            scope: ListScope::Whole,
+            engines: (0..engines).map(engine).collect(),
+        };
         gateway.handle(SECOND, &[list], &mut Vec::new());
-        let mut all = Loop { gateway, now: SECOND, next: 0, out: VecDeque::new(), actions: Vec::new() };
+        let mut all = Loop {
+            gateway,
+            now: SECOND,
+            next: 0,
+            out: VecDeque::new(),
+            actions: Vec::new(),
+        };
         // As it is after some seconds of the same traffic.
         (0..5 * STATEMENTS_PER_SECOND).for_each(|_| all.statement());
         all
@@ -66,8 +89,12 @@
     fn statement(&mut self) {
         self.now += SECOND / STATEMENTS_PER_SECOND;
         self.next += 1;
-        let asked =
-            NewQuery { id: self.next, work: Some(WORK), time_left: 10 * SECOND, ..NewQuery::default() };
+        let asked = NewQuery {
+            id: self.next,
+            work: Some(WORK),
+            time_left: 10 * SECOND,
+            ..NewQuery::default()
+        };
         self.handle(Event::Arrived(asked));
         if self.out.len() >= OUT {
             if let Some((query, engine)) = self.out.pop_front() {
@@ -78,7 +105,10 @@
                     outcome: Outcome::Completed,
                     settled: true,
                     elapsed: WORK,
-                    cost: Some(Cost { work: WORK, memory_mb: 1.0 }),
+                    cost: Some(Cost {
+                        work: WORK,
+                        memory_mb: 1.0,
+                    }),
                     load: Load::default(),
                 }));
             }
@@ -87,13 +117,20 @@
 
     fn patch(&mut self, id: EngineId) {
         let started = Some(self.now);
-        let engines = vec![Engine { started, ..engine(id) }];
-        self.handle(Event::Engines { scope: ListScope::Patch, engines });
+        let engines = vec![Engine {
+            started,
+            ..engine(id)
+        }];
+        self.handle(Event::Engines {
+            scope: ListScope::Patch,
+            engines,
+        });
     }
 
     fn handle(&mut self, event: Event) {
         self.actions.clear();
-        self.gateway.handle(self.now, black_box(&[event]), &mut self.actions);
+        self.gateway
+            .handle(self.now, black_box(&[event]), &mut self.actions);
         let sent = self.actions.iter().filter_map(|action| match action {
             Action::Send { query, engine, .. } => Some((*query, *engine)),
             _ => None,
--- a/cluster/consensus/src/log.rs
+++ b/cluster/consensus/src/log.rs
@@ -17,7 +17,10 @@
     /// Entries that follow a snapshot.
     #[must_use]
     pub fn new(base: Meta, entries: Vec<Entry>) -> Self {
-        Log { base, entries: entries.into() }
+        Log {
+            base,
+            entries: entries.into(),
+        }
     }
 
     /// The last entry that is not here any more.
@@ -29,7 +32,9 @@
     /// The last entry.
     #[must_use]
     pub fn last(&self) -> (Term, Index) {
-        self.entries.back().map_or((self.base.term, self.base.index), |e| (e.term, e.index))
+        self.entries
+            .back()
+            .map_or((self.base.term, self.base.index), |e| (e.term, e.index))
     }
 
     /// The place of the last entry.
@@ -77,7 +82,8 @@
     /// Takes entries away from `from` on.
     pub fn truncate(&mut self, from: Index) {
         let keep = from.saturating_sub(self.base.index + 1);
-        self.entries.truncate(usize::try_from(keep).unwrap_or(usize::MAX));
+        self.entries
+            .truncate(usize::try_from(keep).unwrap_or(usize::MAX));
     }
 
     /// Forgets the entries up to a snapshot that is durable.
@@ -111,10 +117,15 @@
     /// The members as they were at an entry.
     #[must_use]
     pub fn members_at(&self, index: Index) -> Members {
-        let last = self.entries.iter().rev().filter(|e| e.index <= index).find_map(|e| match &e.payload {
-            Payload::Members(m) => Some(m.clone()),
-            _ => None,
-        });
+        let last = self
+            .entries
+            .iter()
+            .rev()
+            .filter(|e| e.index <= index)
+            .find_map(|e| match &e.payload {
+                Payload::Members(m) => Some(m.clone()),
+                _ => None,
+            });
         last.unwrap_or_else(|| self.base.members.clone())
     }
 
--- a/cluster/consensus/src/members.rs
+++ b/cluster/consensus/src/members.rs
@@ -55,7 +55,11 @@
     pub fn first(voters: impl IntoIterator<Item = NodeId>) -> Self {
         let voters: BTreeSet<_> = voters.into_iter().collect();
         let highest = voters.last().copied().unwrap_or(0);
-        Members { voters, learners: BTreeSet::new(), highest }
+        Members {
+            voters,
+            learners: BTreeSet::new(),
+            highest,
+        }
     }
 
     /// How many voters make a majority.
@@ -123,12 +127,17 @@
         let mut stack = vec![(Members::first([1]), 0)];
         while let Some((members, depth)) = stack.pop() {
             let ids = 1..=members.highest + 1;
-            let steps = ids.flat_map(|id| [Change::Add(id), Change::Promote(id), Change::Remove(id)]);
+            let steps =
+                ids.flat_map(|id| [Change::Add(id), Change::Promote(id), Change::Remove(id)]);
             for next in steps.filter_map(|step| members.after(step).ok()) {
                 let before: Vec<_> = members.voters.iter().collect();
                 for set in 0..1u32 << before.len() {
-                    let chosen =
-                        |id: NodeId| before.iter().position(|b| **b == id).is_some_and(|n| set >> n & 1 == 1);
+                    let chosen = |id: NodeId| {
+                        before
+                            .iter()
+                            .position(|b| **b == id)
+                            .is_some_and(|n| set >> n & 1 == 1)
+                    };
                     // A majority before, and all that are not in it: those must be none after.
                     assert!(!(members.is_quorum(chosen) && next.is_quorum(|id| !chosen(id))));
                 }
--- a/cluster/consensus/src/node.rs
+++ b/cluster/consensus/src/node.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    Action, Change, Entry, Hard, Index, Log, Members, Message, Meta, Micros, NodeId, Payload, Rejected, Term,
-    Write,
+    Action, Change, Entry, Hard, Index, Log, Members, Message, Meta, Micros, NodeId, Payload,
+    Rejected, Term, Write,
 };
 
 /// How a node behaves.
@@ -281,7 +281,8 @@
     /// may hold the only log that the others' votes need.
     fn may_stand(&self) -> bool {
         let voter = |m: &Members| m.voters.contains(&self.id);
-        voter(&self.members.1) || (self.members.0 > self.commit && voter(&self.log.members_at(self.commit)))
+        voter(&self.members.1)
+            || (self.members.0 > self.commit && voter(&self.log.members_at(self.commit)))
     }
 
     fn rest(&mut self) {
@@ -298,34 +299,72 @@
             return self.stand(false);
         }
         for to in self.others() {
-            self.out.push(Action::Send(to, Message::PreVote { term, last }));
+            self.out
+                .push(Action::Send(to, Message::PreVote { term, last }));
         }
     }
 
     fn stand(&mut self, transfer: bool) {
-        self.hard = Hard { term: self.hard.term + 1, vote: Some(self.id) };
+        self.hard = Hard {
+            term: self.hard.term + 1,
+            vote: Some(self.id),
+        };
         self.write(None, Vec::new(), true);
         self.state = State::Candidate(BTreeSet::new());
         self.leader = None;
         self.rest();
         let (term, last) = (self.hard.term, self.log.last());
         // Its own vote counts once it is durable, as those of others do: it comes back as a message to itself.
-        self.say(self.id, Message::VoteReply { term, granted: true });
+        self.say(
+            self.id,
+            Message::VoteReply {
+                term,
+                granted: true,
+            },
+        );
         for to in self.others() {
-            self.say(to, Message::Vote { term, last, transfer });
+            self.say(
+                to,
+                Message::Vote {
+                    term,
+                    last,
+                    transfer,
+                },
+            );
         }
     }
 
     fn others(&self) -> Vec<NodeId> {
-        self.members.1.voters.iter().copied().filter(|id| *id != self.id).collect()
+        self.members
+            .1
+            .voters
+            .iter()
+            .copied()
+            .filter(|id| *id != self.id)
+            .collect()
     }
 
     fn lead(&mut self) {
         let last = self.log.last_index();
-        let peer = || Peer { next: last + 1, probing: true, heard: self.now, ..Peer::default() };
-        let peers = self.members.1.all().filter(|id| *id != self.id).map(|id| (id, peer())).collect();
-        let leader =
-            Leader { peers, first: last + 1, beat: self.now + self.config.heartbeat, ..Leader::default() };
+        let peer = || Peer {
+            next: last + 1,
+            probing: true,
+            heard: self.now,
+            ..Peer::default()
+        };
+        let peers = self
+            .members
+            .1
+            .all()
+            .filter(|id| *id != self.id)
+            .map(|id| (id, peer()))
+            .collect();
+        let leader = Leader {
+            peers,
+            first: last + 1,
+            beat: self.now + self.config.heartbeat,
+            ..Leader::default()
+        };
         self.state = State::Leader(Box::new(leader));
         self.leader = Some(self.id);
         self.append(Payload::Blank);
@@ -358,7 +397,12 @@
         }
         self.writing.push_back((self.seq, self.log.last_index()));
         let hard = hard.then_some(self.hard);
-        self.out.push(Action::Write(Write { seq: self.seq, hard, truncate, append }));
+        self.out.push(Action::Write(Write {
+            seq: self.seq,
+            hard,
+            truncate,
+            append,
+        }));
     }
 
     /// Says something that rests on all that was written so far: it leaves once that is durable.
@@ -380,7 +424,9 @@
             self.durable = self.durable.max(last.min(self.log.last_index()));
         }
         while self.held.front().is_some_and(|(s, ..)| *s <= seq) {
-            let Some((_, to, message)) = self.held.pop_front() else { break };
+            let Some((_, to, message)) = self.held.pop_front() else {
+                break;
+            };
             if to == self.id {
                 self.step(to, message);
             } else {
@@ -399,7 +445,9 @@
     /// It was not taken.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), Rejected> {
         let most = self.config.pending_bytes;
-        let State::Leader(l) = &self.state else { return Err(Rejected::NotLeader) };
+        let State::Leader(l) = &self.state else {
+            return Err(Rejected::NotLeader);
+        };
         if l.transfer.is_some() || l.pending > most {
             return Err(Rejected::Busy);
         }
@@ -412,7 +460,9 @@
     ///
     /// It can't be taken, or not now.
     pub fn change(&mut self, change: Change) -> Result<(Term, Index), Rejected> {
-        let State::Leader(l) = &self.state else { return Err(Rejected::NotLeader) };
+        let State::Leader(l) = &self.state else {
+            return Err(Rejected::NotLeader);
+        };
         // Two steps at a time, or one before an entry of this term is agreed on, could make two majorities that
         // share nobody.
         if self.members.0 > self.commit || l.first > self.commit || l.transfer.is_some() {
@@ -421,7 +471,10 @@
         let next = self.members.1.after(change)?;
         if let Change::Promote(id) = change {
             let lacks = |p: &Peer| self.log.last_index().saturating_sub(p.matched);
-            if l.peers.get(&id).is_none_or(|p| lacks(p) > self.config.promote_within) {
+            if l.peers
+                .get(&id)
+                .is_none_or(|p| lacks(p) > self.config.promote_within)
+            {
                 return Err(Rejected::Behind);
             }
         }
@@ -438,7 +491,9 @@
     pub fn transfer(&mut self, to: NodeId) -> Result<(), Rejected> {
         let until = self.now + self.config.election;
         let voter = self.members.1.voters.contains(&to) && to != self.id;
-        let State::Leader(l) = &mut self.state else { return Err(Rejected::NotLeader) };
+        let State::Leader(l) = &mut self.state else {
+            return Err(Rejected::NotLeader);
+        };
         if !voter {
             return Err(Rejected::Unknown);
         }
@@ -449,14 +504,23 @@
 
     fn hand_over(&mut self, to: NodeId) {
         let (term, last) = (self.hard.term, self.log.last_index());
-        let State::Leader(l) = &self.state else { return };
-        if l.transfer.is_some_and(|(t, _)| t == to) && l.peers.get(&to).is_some_and(|p| p.matched == last) {
-            self.out.push(Action::Send(to, Message::TimeoutNow { term }));
+        let State::Leader(l) = &self.state else {
+            return;
+        };
+        if l.transfer.is_some_and(|(t, _)| t == to)
+            && l.peers.get(&to).is_some_and(|p| p.matched == last)
+        {
+            self.out
+                .push(Action::Send(to, Message::TimeoutNow { term }));
         }
     }
 
     fn append(&mut self, payload: Payload) -> (Term, Index) {
-        let entry = Entry { term: self.hard.term, index: self.log.last_index() + 1, payload };
+        let entry = Entry {
+            term: self.hard.term,
+            index: self.log.last_index() + 1,
+            payload,
+        };
         let at = (entry.term, entry.index);
         if let State::Leader(l) = &mut self.state {
             l.pending += entry.payload.bytes();
@@ -479,10 +543,17 @@
     fn belong(&mut self, index: Index, members: Members) {
         self.members = (index, members);
         let (next, now) = (self.log.last_index() + 1, self.now);
-        let State::Leader(l) = &mut self.state else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
         l.peers.retain(|id, _| self.members.1.contains(*id));
         for id in self.members.1.all().filter(|id| *id != self.id) {
-            l.peers.entry(id).or_insert_with(|| Peer { next, probing: true, heard: now, ..Peer::default() });
+            l.peers.entry(id).or_insert_with(|| Peer {
+                next,
+                probing: true,
+                heard: now,
+                ..Peer::default()
+            });
         }
     }
 
@@ -490,11 +561,17 @@
 
     /// Begins a round: every member is asked for a sign of life, which also carries what it lacks.
     fn round(&mut self) {
-        let State::Leader(l) = &mut self.state else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
         l.round += 1;
         l.dirty = false;
         let lost = self.now.saturating_sub(2 * self.config.heartbeat);
-        for p in l.peers.values_mut().filter(|p| !p.in_flight.is_empty() && p.since < lost) {
+        for p in l
+            .peers
+            .values_mut()
+            .filter(|p| !p.in_flight.is_empty() && p.since < lost)
+        {
             // What is out this long was lost, or its answer was: begin anew where it is known to agree.
             p.in_flight.clear();
             (p.probing, p.next) = (true, p.matched + 1);
@@ -510,7 +587,9 @@
 
     /// Sends what was appended since, and nothing where nothing was.
     fn flush(&mut self) {
-        let State::Leader(l) = &mut self.state else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
         if std::mem::take(&mut l.dirty) {
             if l.reads.iter().any(|r| r.round > l.round) {
                 return self.round();
@@ -527,10 +606,18 @@
         let mut any = false;
         loop {
             let (last, base) = (self.log.last_index(), self.log.base().index);
-            let (now, wait, window, bytes) =
-                (self.now, self.config.election, self.config.in_flight, self.config.message_bytes);
-            let State::Leader(l) = &mut self.state else { return any };
-            let Some(p) = l.peers.get_mut(&to) else { return any };
+            let (now, wait, window, bytes) = (
+                self.now,
+                self.config.election,
+                self.config.in_flight,
+                self.config.message_bytes,
+            );
+            let State::Leader(l) = &mut self.state else {
+                return any;
+            };
+            let Some(p) = l.peers.get_mut(&to) else {
+                return any;
+            };
             if p.next <= base {
                 // What it lacks is not here any more. A part that got no answer is sent again.
                 let (offset, again) = match p.snapshot {
@@ -549,7 +636,9 @@
                 return any;
             }
             let entries = self.log.slice(p.next, last, bytes);
-            let Some(end) = entries.last().map(|e| e.index) else { return any };
+            let Some(end) = entries.last().map(|e| e.index) else {
+                return any;
+            };
             if p.in_flight.is_empty() {
                 p.since = now;
             }
@@ -557,7 +646,9 @@
             let probing = p.probing;
             self.send_append(to, entries);
             any = true;
-            let State::Leader(l) = &mut self.state else { return any };
+            let State::Leader(l) = &mut self.state else {
+                return any;
+            };
             if let Some(p) = l.peers.get_mut(&to).filter(|_| !probing) {
                 p.next = end + 1;
             }
@@ -566,27 +657,55 @@
 
     fn send_append(&mut self, to: NodeId, entries: Vec<Entry>) {
         let (term, commit) = (self.hard.term, self.commit);
-        let State::Leader(l) = &self.state else { return };
+        let State::Leader(l) = &self.state else {
+            return;
+        };
         let Some(p) = l.peers.get(&to) else { return };
         // A bare sign of life rests on what it is known to have; while that is looked for, it looks, too.
         let bare = entries.is_empty() && !p.probing;
-        let before = if bare { p.matched } else { p.next.saturating_sub(1) }.max(self.log.base().index);
+        let before = if bare {
+            p.matched
+        } else {
+            p.next.saturating_sub(1)
+        }
+        .max(self.log.base().index);
         let round = l.round;
-        let Some(prev) = self.log.term(before).map(|t| (t, before)) else { return };
-        self.out.push(Action::Send(to, Message::Append { term, prev, entries, commit, round }));
+        let Some(prev) = self.log.term(before).map(|t| (t, before)) else {
+            return;
+        };
+        self.out.push(Action::Send(
+            to,
+            Message::Append {
+                term,
+                prev,
+                entries,
+                commit,
+                round,
+            },
+        ));
     }
 
     /// What a majority has is agreed on, if this leadership made it.
     fn agree(&mut self) {
-        let State::Leader(l) = &mut self.state else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
         let (id, durable) = (self.id, self.durable);
         let mut at: Vec<Index> = (self.members.1.voters.iter())
-            .map(|m| if *m == id { durable } else { l.peers.get(m).map_or(0, |p| p.matched) })
+            .map(|m| {
+                if *m == id {
+                    durable
+                } else {
+                    l.peers.get(m).map_or(0, |p| p.matched)
+                }
+            })
             .collect();
         at.sort_unstable_by(|a, b| b.cmp(a));
         let index = at.get(self.members.1.quorum() - 1).copied().unwrap_or(0);
         if index > self.commit && self.log.term(index) == Some(self.hard.term) {
-            let freed = (self.commit + 1..=index).filter_map(|i| self.log.get(i)).map(|e| e.payload.bytes());
+            let freed = (self.commit + 1..=index)
+                .filter_map(|i| self.log.get(i))
+                .map(|e| e.payload.bytes());
             l.pending = l.pending.saturating_sub(freed.sum());
             // Others hear of it with the next entries, or with the next sign.
             self.commit = index;
@@ -603,8 +722,12 @@
         let to = self.commit.min(self.durable);
         while self.applied < to {
             let end = to.min(self.applied + self.config.apply_batch as u64);
-            let entries: Vec<_> = (self.applied + 1..=end).map_while(|i| self.log.get(i).cloned()).collect();
-            let Some(last) = entries.last().map(|e| e.index) else { return };
+            let entries: Vec<_> = (self.applied + 1..=end)
+                .map_while(|i| self.log.get(i).cloned())
+                .collect();
+            let Some(last) = entries.last().map(|e| e.index) else {
+                return;
+            };
             self.applied = last;
             self.out.push(Action::Apply(entries));
         }
@@ -624,21 +747,31 @@
 
     fn begin_read(&mut self, from: NodeId, ctx: u64) {
         let commit = self.commit;
-        let State::Leader(l) = &mut self.state else { return self.answer_read(from, ctx, None) };
+        let State::Leader(l) = &mut self.state else {
+            return self.answer_read(from, ctx, None);
+        };
         // Until an entry of its own is agreed on, a leader does not know what was agreed on before it.
         let index = commit.max(l.first);
-        l.reads.push(Read { ctx, from, index, round: l.round + 1 });
+        l.reads.push(Read {
+            ctx,
+            from,
+            index,
+            round: l.round + 1,
+        });
         l.dirty = true;
     }
 
     /// Answers the reads whose round a majority has answered: until then this member surely led.
     fn confirm(&mut self) {
         let (id, commit) = (self.id, self.commit);
-        let State::Leader(l) = &mut self.state else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
         let (peers, members) = (&l.peers, &self.members.1);
         let sure = |r: &Read| {
             commit >= r.index
-                && members.is_quorum(|m| m == id || peers.get(&m).is_some_and(|p| p.round >= r.round))
+                && members
+                    .is_quorum(|m| m == id || peers.get(&m).is_some_and(|p| p.round >= r.round))
         };
         let mut ready = Vec::new();
         let round = l.round;
@@ -668,7 +801,11 @@
     pub fn compacted(&mut self, index: Index, term: Term) {
         if index > self.log.base().index && index <= self.applied {
             let members = self.log.members_at(index);
-            self.log.compact(Meta { index, term, members });
+            self.log.compact(Meta {
+                index,
+                term,
+                members,
+            });
         }
     }
 
@@ -676,7 +813,16 @@
     pub fn chunk(&mut self, to: NodeId, meta: Meta, offset: u64, data: Vec<u8>, done: bool) {
         let term = self.hard.term;
         if matches!(self.state, State::Leader(_)) {
-            self.out.push(Action::Send(to, Message::Snapshot { term, meta, offset, data, done }));
+            self.out.push(Action::Send(
+                to,
+                Message::Snapshot {
+                    term,
+                    meta,
+                    offset,
+                    data,
+                    done,
+                },
+            ));
         }
     }
 
@@ -711,9 +857,14 @@
                 let term = if granted { term } else { self.hard.term };
                 self.say(from, Message::PreVoteReply { term, granted });
             }
-            Message::PreVoteReply { term, granted: true } => {
+            Message::PreVoteReply {
+                term,
+                granted: true,
+            } => {
                 let due = term == self.hard.term + 1;
-                let State::PreCandidate(votes) = &mut self.state else { return };
+                let State::PreCandidate(votes) = &mut self.state else {
+                    return;
+                };
                 if due {
                     votes.insert(from);
                     if self.members.1.is_quorum(|id| votes.contains(&id)) {
@@ -721,15 +872,31 @@
                     }
                 }
             }
-            Message::PreVoteReply { term, granted: false } | Message::VoteReply { term, granted: false } => {
+            Message::PreVoteReply {
+                term,
+                granted: false,
+            }
+            | Message::VoteReply {
+                term,
+                granted: false,
+            } => {
                 if term > self.hard.term {
                     self.follow(term, None);
                 }
             }
-            Message::Vote { term, last, transfer } => self.vote(from, term, last, transfer),
-            Message::VoteReply { term, granted: true } => {
+            Message::Vote {
+                term,
+                last,
+                transfer,
+            } => self.vote(from, term, last, transfer),
+            Message::VoteReply {
+                term,
+                granted: true,
+            } => {
                 let due = term == self.hard.term;
-                let State::Candidate(votes) = &mut self.state else { return };
+                let State::Candidate(votes) = &mut self.state else {
+                    return;
+                };
                 if due {
                     votes.insert(from);
                     if self.members.1.is_quorum(|id| votes.contains(&id)) {
@@ -737,22 +904,45 @@
                     }
                 }
             }
-            Message::Append { term, prev, entries, commit, round } => {
+            Message::Append {
+                term,
+                prev,
+                entries,
+                commit,
+                round,
+            } => {
                 if self.hear(from, term) {
                     self.take(from, prev, entries, commit, round);
                 } else {
                     let (term, matched) = (self.hard.term, Err(0));
-                    self.say(from, Message::AppendReply { term, matched, round });
+                    self.say(
+                        from,
+                        Message::AppendReply {
+                            term,
+                            matched,
+                            round,
+                        },
+                    );
                 }
             }
-            Message::AppendReply { term, matched, round } => {
+            Message::AppendReply {
+                term,
+                matched,
+                round,
+            } => {
                 if term > self.hard.term {
                     self.follow(term, None);
                 } else if term == self.hard.term {
                     self.answered(from, matched, round);
                 }
             }
-            Message::Snapshot { term, meta, offset, data, done } => {
+            Message::Snapshot {
+                term,
+                meta,
+                offset,
+                data,
+                done,
+            } => {
                 if self.hear(from, term) {
                     self.take_part(from, meta, offset, data, done);
                 }
@@ -762,8 +952,12 @@
                     return self.follow(term, None);
                 }
                 let now = self.now;
-                let State::Leader(l) = &mut self.state else { return };
-                let Some(p) = l.peers.get_mut(&from) else { return };
+                let State::Leader(l) = &mut self.state else {
+                    return;
+                };
+                let Some(p) = l.peers.get_mut(&from) else {
+                    return;
+                };
                 p.heard = now;
                 match next {
                     Some(offset) if p.snapshot.is_some() => {
@@ -775,7 +969,10 @@
                 }
             }
             Message::Read { ctx } => self.begin_read(from, ctx),
-            Message::ReadReply { ctx, index: Some(index) } => self.out.push(Action::ReadReady { ctx, index }),
+            Message::ReadReply {
+                ctx,
+                index: Some(index),
+            } => self.out.push(Action::ReadReady { ctx, index }),
             Message::ReadReply { ctx, index: None } => self.out.push(Action::ReadFailed { ctx }),
             Message::TimeoutNow { term } => {
                 if term == self.hard.term
@@ -805,7 +1002,8 @@
             self.follow(term, None);
         }
         let free = self.hard.vote.is_none_or(|v| v == from);
-        let granted = term == self.hard.term && free && last >= self.log.last() && self.leader.is_none();
+        let granted =
+            term == self.hard.term && free && last >= self.log.last() && self.leader.is_none();
         if granted && self.hard.vote.is_none() {
             self.hard.vote = Some(from);
             self.write(None, Vec::new(), true);
@@ -829,7 +1027,14 @@
     }
 
     /// Takes a leader's entries, if its log and this one agree up to them.
-    fn take(&mut self, from: NodeId, prev: (Term, Index), entries: Vec<Entry>, commit: Index, round: u64) {
+    fn take(
+        &mut self,
+        from: NodeId,
+        prev: (Term, Index),
+        entries: Vec<Entry>,
+        commit: Index,
+        round: u64,
+    ) {
         let base = self.log.base().index;
         let agrees = prev.1 < base || self.log.term(prev.1) == Some(prev.0);
         let matched = if agrees {
@@ -846,7 +1051,9 @@
                 }
                 let append: Vec<_> = std::iter::once(first).chain(fresh).collect();
                 append.iter().for_each(|e| self.log.push(e.clone()));
-                let named = append.iter().any(|e| matches!(e.payload, Payload::Members(_)));
+                let named = append
+                    .iter()
+                    .any(|e| matches!(e.payload, Payload::Members(_)));
                 if named || cut.is_some_and(|c| c <= self.members.0) {
                     self.members = self.log.members();
                 }
@@ -858,19 +1065,33 @@
             // Not beyond what is here, and before all that this term would have to give up.
             let mut hint = self.log.last_index().min(prev.1.saturating_sub(1));
             let term = self.log.term(hint);
-            while hint > self.commit && term.is_some_and(|t| t > prev.0) && self.log.term(hint) == term {
+            while hint > self.commit
+                && term.is_some_and(|t| t > prev.0)
+                && self.log.term(hint) == term
+            {
                 hint -= 1;
             }
             Err(hint)
         };
         let term = self.hard.term;
-        self.say(from, Message::AppendReply { term, matched, round });
+        self.say(
+            from,
+            Message::AppendReply {
+                term,
+                matched,
+                round,
+            },
+        );
     }
 
     fn answered(&mut self, from: NodeId, matched: Result<Index, Index>, round: u64) {
         let (now, last) = (self.now, self.log.last_index());
-        let State::Leader(l) = &mut self.state else { return };
-        let Some(p) = l.peers.get_mut(&from) else { return };
+        let State::Leader(l) = &mut self.state else {
+            return;
+        };
+        let Some(p) = l.peers.get_mut(&from) else {
+            return;
+        };
         p.heard = now;
         p.round = p.round.max(round);
         match matched {
@@ -913,15 +1134,37 @@
         let term = self.hard.term;
         if meta.index <= self.commit {
             let index = meta.index;
-            return self.say(from, Message::SnapshotReply { term, index, next: None });
+            return self.say(
+                from,
+                Message::SnapshotReply {
+                    term,
+                    index,
+                    next: None,
+                },
+            );
         }
         let known = self.incoming.as_ref().filter(|(m, _)| *m == meta);
-        let Some(expected) = known.map_or(Some(0), |(_, next)| *next) else { return };
+        let Some(expected) = known.map_or(Some(0), |(_, next)| *next) else {
+            return;
+        };
         if offset != expected {
             let index = meta.index;
-            return self.say(from, Message::SnapshotReply { term, index, next: Some(expected) });
+            return self.say(
+                from,
+                Message::SnapshotReply {
+                    term,
+                    index,
+                    next: Some(expected),
+                },
+            );
         }
         self.incoming = Some((meta.clone(), None));
-        self.out.push(Action::StoreChunk { from, meta, offset, data, done });
+        self.out.push(Action::StoreChunk {
+            from,
+            meta,
+            offset,
+            data,
+            done,
+        });
     }
 }
--- a/cluster/consensus/tests/membership_model.rs
+++ b/cluster/consensus/tests/membership_model.rs
@@ -65,7 +65,12 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        vec![State { nodes: vec![Node::default(); NODES], agreed: Vec::new(), changes: 0, broken: false }]
+        vec![State {
+            nodes: vec![Node::default(); NODES],
+            agreed: Vec::new(),
+            changes: 0,
+            broken: false,
+        }]
     }
 
     fn actions(&self, s: &State, out: &mut Vec<Event>) {
@@ -74,11 +79,15 @@
             let most = members(&s.nodes[n]).quorum() as u32;
             let by = (0..1u8 << NODES).filter(|by| by >> n & 1 == 1 && by.count_ones() == most);
             // Elections that fail leave terms out.
-            out.extend(
-                by.flat_map(|by| (s.nodes[n].term + 1..=TERMS).map(move |term| Event::Elect(n, by, term))),
-            );
+            out.extend(by.flat_map(|by| {
+                (s.nodes[n].term + 1..=TERMS).map(move |term| Event::Elect(n, by, term))
+            }));
             if s.nodes[n].leads.is_some() {
-                out.extend((0..NODES).filter(|to| *to != n).map(|to| Event::Replicate(n, to)));
+                out.extend(
+                    (0..NODES)
+                        .filter(|to| *to != n)
+                        .map(|to| Event::Replicate(n, to)),
+                );
                 out.push(Event::Commit(n));
                 out.extend((0..NODES).map(|m| Event::Remove(n, id(m))));
             }
@@ -93,10 +102,13 @@
                 let newest = |node: &Node| (node.log.last().map_or(0, |e| e.0), node.log.len());
                 let mine = newest(&s.nodes[n]);
                 let votes = |m: usize| by >> m & 1 == 1;
-                let willing = |m: usize| m == n || (s.nodes[m].term < term && newest(&s.nodes[m]) <= mine);
+                let willing =
+                    |m: usize| m == n || (s.nodes[m].term < term && newest(&s.nodes[m]) <= mine);
                 let good = voters.voters.contains(&id(n))
                     && voters.is_quorum(|m| votes(m as usize - 1))
-                    && (0..NODES).filter(|m| votes(*m)).all(|m| willing(m) && voters.voters.contains(&id(m)));
+                    && (0..NODES)
+                        .filter(|m| votes(*m))
+                        .all(|m| willing(m) && voters.voters.contains(&id(m)));
                 if !good || s.nodes[n].log.len() >= ENTRIES {
                     return None;
                 }
@@ -139,7 +151,11 @@
                 let leader = &s.nodes[n];
                 let own = leader.leads.is_some_and(|first| leader.commit > first)
                     || *self == Variant::BeforeOwnEntry;
-                let named = leader.log.iter().rposition(|(_, v)| v.is_some()).map_or(0, |at| at + 1);
+                let named = leader
+                    .log
+                    .iter()
+                    .rposition(|(_, v)| v.is_some())
+                    .map_or(0, |at| at + 1);
                 let settled = leader.commit >= named || *self == Variant::ManyAtATime;
                 let next = members(leader).after(Change::Remove(gone)).ok()?;
                 // Steps that are not settled reach a majority of their own only with the third.
@@ -149,7 +165,9 @@
                 }
                 s.changes += 1;
                 let term = leader.term;
-                s.nodes[n].log.push((term, Some(next.voters.into_iter().collect())));
+                s.nodes[n]
+                    .log
+                    .push((term, Some(next.voters.into_iter().collect())));
             }
         }
         (s != *last).then_some(s)
@@ -158,22 +176,41 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("what is agreed on stays", |_, s: &State| !s.broken),
-            Property::sometimes("a step is agreed on", |_, s: &State| s.agreed.iter().any(|e| e.1.is_some())),
+            Property::sometimes("a step is agreed on", |_, s: &State| {
+                s.agreed.iter().any(|e| e.1.is_some())
+            }),
         ]
     }
 }
 
 #[test]
 fn what_is_agreed_on_stays_whoever_leaves() {
-    let checker = Variant::Real.checker().threads(2).target_state_count(3_000_000).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    let checker = Variant::Real
+        .checker()
+        .threads(2)
+        .target_state_count(3_000_000)
+        .spawn_bfs()
+        .join();
+    println!(
+        "{} states, {} of them different",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     checker.assert_properties();
 }
 
 #[test]
 fn rules_that_are_left_out_are_missed() {
     for variant in [Variant::BeforeOwnEntry, Variant::ManyAtATime] {
-        let checker = variant.checker().threads(2).target_state_count(6_000_000).spawn_bfs().join();
-        assert!(checker.discovery("what is agreed on stays").is_some(), "{variant:?} is not caught");
+        let checker = variant
+            .checker()
+            .threads(2)
+            .target_state_count(6_000_000)
+            .spawn_bfs()
+            .join();
+        assert!(
+            checker.discovery("what is agreed on stays").is_some(),
+            "{variant:?} is not caught"
+        );
     }
 }
--- a/cluster/consensus/tests/simulation.rs
+++ b/cluster/consensus/tests/simulation.rs
@@ -1,7 +1,12 @@
 //! Whole clusters in one thread, on injected time, network and disks: loss, delay, reordering, doubling, partitions,
 //! crashes with writes that were not durable yet, pauses, changes of the membership and snapshots. What must never
 //! be is checked after every step. A failure prints its seed; `SEED=n` plays that one alone, `SEEDS=n` more of them.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -33,7 +38,12 @@
         if let Some(from) = write.truncate {
             self.entries.retain(|e| e.index < from);
         }
-        self.entries.extend(write.append.into_iter().filter(|e| e.index > self.base.index));
+        self.entries.extend(
+            write
+                .append
+                .into_iter()
+                .filter(|e| e.index > self.base.index),
+        );
     }
 }
 
@@ -94,7 +104,13 @@
 }
 
 fn config() -> Config {
-    Config { message_bytes: 256, in_flight: 3, promote_within: 3, apply_batch: 4, ..Config::default() }
+    Config {
+        message_bytes: 256,
+        in_flight: 3,
+        promote_within: 3,
+        apply_batch: 4,
+        ..Config::default()
+    }
 }
 
 impl World {
@@ -118,7 +134,10 @@
             changes: 0,
             sabotage,
         };
-        let base = Meta { members: Members::first(1..=count), ..Meta::default() };
+        let base = Meta {
+            members: Members::first(1..=count),
+            ..Meta::default()
+        };
         for id in 1..=count {
             world.join(id, base.clone());
         }
@@ -138,9 +157,21 @@
     }
 
     fn join(&mut self, id: NodeId, base: Meta) {
-        let disk = Disk { base, ..Disk::default() };
-        self.members
-            .insert(id, Member { node: None, disk, state: Vec::new(), paused: 0, starts: 0, tick_at: 0 });
+        let disk = Disk {
+            base,
+            ..Disk::default()
+        };
+        self.members.insert(
+            id,
+            Member {
+                node: None,
+                disk,
+                state: Vec::new(),
+                paused: 0,
+                starts: 0,
+                tick_at: 0,
+            },
+        );
         self.start(id);
     }
 
@@ -149,7 +180,15 @@
         let member = self.members.get_mut(&id).unwrap();
         let disk = &member.disk;
         member.state = disk.state.clone();
-        let node = Node::new(id, config(), seed, disk.hard, disk.base.clone(), disk.entries.clone(), now);
+        let node = Node::new(
+            id,
+            config(),
+            seed,
+            disk.hard,
+            disk.base.clone(),
+            disk.entries.clone(),
+            now,
+        );
         member.starts += 1;
         member.node = Some(node);
         member.tick_at = Micros::MAX;
@@ -160,7 +199,9 @@
     fn wind(&mut self, id: NodeId) {
         let now = self.now;
         let member = self.members.get_mut(&id).unwrap();
-        let Some(next) = member.node.as_ref().map(Node::next_tick) else { return };
+        let Some(next) = member.node.as_ref().map(Node::next_tick) else {
+            return;
+        };
         let at = next.max(now + MS);
         if at < member.tick_at {
             member.tick_at = at;
@@ -206,7 +247,9 @@
             }
             What::Deliver(from, to, message) => {
                 let (now, cut) = (self.now, self.cut.contains(&(from, to)));
-                let Some(member) = self.members.get_mut(&to) else { return };
+                let Some(member) = self.members.get_mut(&to) else {
+                    return;
+                };
                 if cut || member.node.is_none() {
                     return;
                 }
@@ -260,11 +303,21 @@
         let (id, now) = (self.pick(), self.now);
         let what = self.draw(20);
         let name = self.serial;
-        let last = self.acknowledged.values().flatten().max().copied().unwrap_or(0);
+        let last = self
+            .acknowledged
+            .values()
+            .flatten()
+            .max()
+            .copied()
+            .unwrap_or(0);
         let members = self.members.clone_ids();
         let pick = members[self.draw(members.len() as u64) as usize];
-        let Some(member) = self.members.get_mut(&id).filter(|m| m.paused <= now) else { return };
-        let Some(node) = member.node.as_mut() else { return };
+        let Some(member) = self.members.get_mut(&id).filter(|m| m.paused <= now) else {
+            return;
+        };
+        let Some(node) = member.node.as_mut() else {
+            return;
+        };
         match what {
             0..=12 => {
                 let command = name.to_be_bytes().to_vec();
@@ -327,8 +380,11 @@
             }
             5 => {
                 let ids = self.members.clone_ids();
-                let side: BTreeSet<_> =
-                    ids.iter().copied().filter(|_| self.rng.next_u32() % 2 == 0).collect();
+                let side: BTreeSet<_> = ids
+                    .iter()
+                    .copied()
+                    .filter(|_| self.rng.next_u32() % 2 == 0)
+                    .collect();
                 for a in &ids {
                     for b in ids.iter().filter(|b| side.contains(a) != side.contains(b)) {
                         self.cut.insert((*a, *b));
@@ -354,7 +410,9 @@
     fn serve(&mut self, id: NodeId) {
         loop {
             let member = self.members.get_mut(&id).unwrap();
-            let Some(node) = member.node.as_mut() else { return };
+            let Some(node) = member.node.as_mut() else {
+                return;
+            };
             let actions = node.actions();
             if actions.is_empty() {
                 break;
@@ -384,9 +442,16 @@
                 }
             }
             Action::Send(to, message) => {
-                if let Message::VoteReply { term, granted: true } = &message {
+                if let Message::VoteReply {
+                    term,
+                    granted: true,
+                } = &message
+                {
                     let before = self.votes.insert((id, *term), to);
-                    assert!(before.is_none_or(|b| b == to), "{id} votes twice in term {term}");
+                    assert!(
+                        before.is_none_or(|b| b == to),
+                        "{id} votes twice in term {term}"
+                    );
                     // The moment at which a vote that is not kept does harm.
                     if self.draw(4) == 0 {
                         self.after(MS, What::Bounce(id));
@@ -404,7 +469,10 @@
             Action::Apply(entries) => {
                 for entry in entries {
                     let told = (entry.term, entry.payload.clone());
-                    let before = self.agreed.entry(entry.index).or_insert_with(|| told.clone());
+                    let before = self
+                        .agreed
+                        .entry(entry.index)
+                        .or_insert_with(|| told.clone());
                     assert_eq!(*before, told, "entry {} is agreed on twice", entry.index);
                     let member = self.members.get_mut(&id).unwrap();
                     assert!(
@@ -413,7 +481,10 @@
                     );
                     if let Payload::Command(command) = entry.payload {
                         if let Some(place) = self.acknowledged.get_mut(&command) {
-                            assert!(place.is_none_or(|p| p == entry.index), "a command is applied twice");
+                            assert!(
+                                place.is_none_or(|p| p == entry.index),
+                                "a command is applied twice"
+                            );
                             *place = Some(entry.index);
                         }
                         member.state.push((entry.index, command));
@@ -422,7 +493,11 @@
                     if entry.index % 17 == 0 {
                         let node = member.node.as_mut().unwrap();
                         let members = node.log().members_at(entry.index);
-                        let base = Meta { index: entry.index, term: entry.term, members };
+                        let base = Meta {
+                            index: entry.index,
+                            term: entry.term,
+                            members,
+                        };
                         member.disk.state = member.state.clone();
                         member.disk.entries.retain(|e| e.index > base.index);
                         member.disk.base = base;
@@ -440,9 +515,21 @@
                 let from = (offset as usize).min(bytes.len());
                 let to_byte = (from + 100).min(bytes.len());
                 let (meta, data) = (member.disk.base.clone(), bytes[from..to_byte].to_vec());
-                member.node.as_mut().unwrap().chunk(to, meta, from as u64, data, to_byte == bytes.len());
+                member.node.as_mut().unwrap().chunk(
+                    to,
+                    meta,
+                    from as u64,
+                    data,
+                    to_byte == bytes.len(),
+                );
             }
-            Action::StoreChunk { from, meta, offset, data, done } => {
+            Action::StoreChunk {
+                from,
+                meta,
+                offset,
+                data,
+                done,
+            } => {
                 let member = self.members.get_mut(&id).unwrap();
                 member.disk.parts.truncate(offset as usize);
                 member.disk.parts.extend_from_slice(&data);
@@ -450,15 +537,23 @@
                 if done {
                     let parts = std::mem::take(&mut member.disk.parts);
                     let number = |b: &[u8]| u64::from_be_bytes(b.try_into().unwrap());
-                    let state =
-                        parts.chunks(16).map(|c| (number(&c[..8]), c[8..].to_vec())).collect::<Vec<_>>();
-                    assert!(state.iter().all(|(i, _)| *i <= meta.index), "parts of two snapshots");
+                    let state = parts
+                        .chunks(16)
+                        .map(|c| (number(&c[..8]), c[8..].to_vec()))
+                        .collect::<Vec<_>>();
+                    assert!(
+                        state.iter().all(|(i, _)| *i <= meta.index),
+                        "parts of two snapshots"
+                    );
                     // What waits to be written is done first, as on a real disk.
                     let waiting = std::mem::take(&mut member.disk.waiting);
                     waiting.into_iter().for_each(|w| member.disk.write(w));
-                    let follows =
-                        (member.disk.entries.iter()).any(|e| (e.term, e.index) == (meta.term, meta.index));
-                    member.disk.entries.retain(|e| follows && e.index > meta.index);
+                    let follows = (member.disk.entries.iter())
+                        .any(|e| (e.term, e.index) == (meta.term, meta.index));
+                    member
+                        .disk
+                        .entries
+                        .retain(|e| follows && e.index > meta.index);
                     (member.disk.base, member.disk.state) = (meta.clone(), state.clone());
                     member.state = state;
                     self.snapshots += 1;
@@ -479,7 +574,9 @@
     }
 
     fn check(&mut self, id: NodeId) {
-        let Some(node) = &self.members[&id].node else { return };
+        let Some(node) = &self.members[&id].node else {
+            return;
+        };
         if node.role() == Role::Leader {
             let first = *self.leaders.entry(node.term()).or_insert(id);
             assert_eq!(first, id, "two leaders in term {}", node.term());
@@ -487,8 +584,13 @@
             if let Some((index, (term, _))) = self.agreed.range(..).next_back() {
                 let later = self.leaders.keys().next_back() == Some(&node.term());
                 if later && node.term() > *term {
-                    let has = node.log().base().index >= *index || node.log().term(*index) == Some(*term);
-                    assert!(has, "leader {id} of term {} lacks entry {index}", node.term());
+                    let has =
+                        node.log().base().index >= *index || node.log().term(*index) == Some(*term);
+                    assert!(
+                        has,
+                        "leader {id} of term {} lacks entry {index}",
+                        node.term()
+                    );
                 }
             }
         }
@@ -510,8 +612,18 @@
             }
             self.step();
         }
-        let leader = self.leaders.values().next_back().copied().expect("nobody has ever led");
-        let members = self.members[&leader].node.as_ref().unwrap().members().clone();
+        let leader = self
+            .leaders
+            .values()
+            .next_back()
+            .copied()
+            .expect("nobody has ever led");
+        let members = self.members[&leader]
+            .node
+            .as_ref()
+            .unwrap()
+            .members()
+            .clone();
         let most = self.agreed.keys().next_back().copied().unwrap_or(0);
         for id in members.all() {
             let node = self.members[&id].node.as_ref().unwrap();
@@ -554,7 +666,13 @@
     }
     world.settle();
     let commands = world.acknowledged.values().flatten().count() as u64;
-    [commands, world.answered_reads, world.leaders.len() as u64, world.snapshots, world.changes]
+    [
+        commands,
+        world.answered_reads,
+        world.leaders.len() as u64,
+        world.snapshots,
+        world.changes,
+    ]
 }
 
 fn seeds() -> std::ops::Range<u64> {
@@ -574,14 +692,22 @@
         sums.iter_mut().zip(seen).for_each(|(s, n)| *s += n);
     }
     println!("commands, reads, leaderships, snapshots, changes: {sums:?}");
-    assert!(std::env::var("SEED").is_ok() || sums.iter().all(|s| *s > 100), "too little happens: {sums:?}");
+    assert!(
+        std::env::var("SEED").is_ok() || sums.iter().all(|s| *s > 100),
+        "too little happens: {sums:?}"
+    );
 }
 
 /// The checks notice what must not be: each fault on purpose fails some seed.
 #[test]
 fn faults_on_purpose_are_noticed() {
-    for sabotage in [Sabotage::LyingDisk, Sabotage::VoteForgotten, Sabotage::BlindReads] {
-        let noticed = (0..2_000).any(|seed| std::panic::catch_unwind(|| play(seed, sabotage)).is_err());
+    for sabotage in [
+        Sabotage::LyingDisk,
+        Sabotage::VoteForgotten,
+        Sabotage::BlindReads,
+    ] {
+        let noticed =
+            (0..2_000).any(|seed| std::panic::catch_unwind(|| play(seed, sabotage)).is_err());
         assert!(noticed, "a fault on purpose is not noticed");
     }
 }
--- a/cluster/disk/src/disk.rs
+++ b/cluster/disk/src/disk.rs
@@ -133,7 +133,8 @@
     let length = u32::from_le_bytes(*length);
     let body = rest.get(..length as usize).filter(|b| b.len() <= LONGEST)?;
     // Nothing is no record: a file that the machine has lengthened with zeros holds none.
-    (length > 0 && checksum(length, body) == u32::from_le_bytes(*sum)).then_some((body, HEAD + body.len()))
+    (length > 0 && checksum(length, body) == u32::from_le_bytes(*sum))
+        .then_some((body, HEAD + body.len()))
 }
 
 impl<F: Files> Disk<F> {
@@ -143,14 +144,31 @@
     /// # Errors
     ///
     /// The folder is somebody's already, or can't be written.
-    pub fn create(files: F, identity: &Identity, base: &Meta, state: &[u8]) -> Result<(Self, Kept), Failure> {
+    pub fn create(
+        files: F,
+        identity: &Identity,
+        base: &Meta,
+        state: &[u8],
+    ) -> Result<(Self, Kept), Failure> {
         let names = files.list().map_err(Failure::Full)?;
         // What a start that was cut short has left is no more than this.
-        let none = [snapshot_name(0), format!("{}.new", snapshot_name(0)), format!("{IDENTITY}.new")];
+        let none = [
+            snapshot_name(0),
+            format!("{}.new", snapshot_name(0)),
+            format!("{IDENTITY}.new"),
+        ];
         if let Some(other) = names.iter().find(|n| !none.contains(n)) {
-            return Err(Failure::NotOurs(format!("this folder is a member's already: it holds {other}")));
+            return Err(Failure::NotOurs(format!(
+                "this folder is a member's already: it holds {other}"
+            )));
         }
-        let mut disk = Disk { files, hard: Hard::default(), segments: Vec::new(), snapshot: 0, lost: None };
+        let mut disk = Disk {
+            files,
+            hard: Hard::default(),
+            segments: Vec::new(),
+            snapshot: 0,
+            lost: None,
+        };
         disk.keep(base, state)?;
         // Last: without it, nothing here is anybody's.
         disk.aside(IDENTITY, &encode(identity)?)?;
@@ -183,9 +201,15 @@
                 found.member, found.cluster
             )));
         }
-        let mut kept = Kept { born: found.born, ..Kept::default() };
+        let mut kept = Kept {
+            born: found.born,
+            ..Kept::default()
+        };
         // A snapshot has its name only once it is whole: one that is spoilt was whole before.
-        let Some(latest) = names.iter().rev().find(|n| n.starts_with("snapshot-") && !n.ends_with(".new"))
+        let Some(latest) = names
+            .iter()
+            .rev()
+            .find(|n| n.starts_with("snapshot-") && !n.ends_with(".new"))
         else {
             return Err(spoilt("no snapshot".to_owned()));
         };
@@ -195,8 +219,9 @@
             .ok_or_else(|| spoilt(format!("{latest}: no record")))?;
         (kept.base, kept.state) = (snapshot.meta, snapshot.state);
         // What a crash left of others is of no use; what can't go now goes another time.
-        for old in
-            names.iter().filter(|n| (n.starts_with("snapshot-") || n.ends_with(".new")) && *n != latest)
+        for old in names
+            .iter()
+            .filter(|n| (n.starts_with("snapshot-") || n.ends_with(".new")) && *n != latest)
         {
             let _ = files.remove(old);
         }
@@ -207,33 +232,56 @@
             snapshot: kept.base.index,
             lost: None,
         };
-        let logs: Vec<String> = names.into_iter().filter(|n| n.starts_with("log-")).collect();
+        let logs: Vec<String> = names
+            .into_iter()
+            .filter(|n| n.starts_with("log-"))
+            .collect();
         for (n, name) in logs.iter().enumerate() {
-            let number =
-                name.trim_start_matches("log-").parse().map_err(|e| spoilt(format!("{name}: {e}")))?;
+            let number = name
+                .trim_start_matches("log-")
+                .parse()
+                .map_err(|e| spoilt(format!("{name}: {e}")))?;
             let bytes = disk.files.read(name).map_err(|e| io(name, e))?;
-            let good = disk.replay(&bytes, &mut kept).map_err(|e| spoilt(format!("{name}: {e}")))?;
+            let good = disk
+                .replay(&bytes, &mut kept)
+                .map_err(|e| spoilt(format!("{name}: {e}")))?;
             if good < bytes.len() {
                 let rest = bytes.get(good..).unwrap_or_default();
                 // Only the last write of all can have been under way. What is spoilt before a good one, or in an
                 // earlier segment, was durable once.
-                let later = (1..rest.len()).any(|at| rest.get(at..).is_some_and(|r| record(r).is_some()));
+                let later =
+                    (1..rest.len()).any(|at| rest.get(at..).is_some_and(|r| record(r).is_some()));
                 if later || n + 1 < logs.len() {
-                    return Err(spoilt(format!("{name}: a record at {good} is spoilt, and others follow")));
+                    return Err(spoilt(format!(
+                        "{name}: a record at {good} is spoilt, and others follow"
+                    )));
                 }
                 kept.cut = rest.len();
-                disk.files.truncate(name, good as u64).map_err(|e| io(name, e))?;
+                disk.files
+                    .truncate(name, good as u64)
+                    .map_err(|e| io(name, e))?;
                 disk.files.sync(name).map_err(|e| io(name, e))?;
             }
             let last = kept.entries.last().map_or(kept.base.index, |e| e.index);
-            disk.segments.push(Segment { number, bytes: good, last });
+            disk.segments.push(Segment {
+                number,
+                bytes: good,
+                last,
+            });
         }
         kept.hard = disk.hard;
         // A crash between a snapshot of another member and the record that takes the old log away: what has an
         // older term than the snapshot can't follow it.
-        if kept.entries.first().is_some_and(|e| e.term < kept.base.term) {
+        if kept
+            .entries
+            .first()
+            .is_some_and(|e| e.term < kept.base.term)
+        {
             kept.entries.clear();
-            disk.write(&[Write { truncate: Some(0), ..Write::default() }])?;
+            disk.write(&[Write {
+                truncate: Some(0),
+                ..Write::default()
+            }])?;
         }
         Ok((disk, kept))
     }
@@ -242,16 +290,24 @@
     fn replay(&mut self, bytes: &[u8], kept: &mut Kept) -> Result<usize, String> {
         let mut at = 0;
         while let Some((body, size)) = bytes.get(at..).and_then(record) {
-            let record: Record = postcard::from_bytes(body).map_err(|e| format!("record at {at}: {e}"))?;
+            let record: Record =
+                postcard::from_bytes(body).map_err(|e| format!("record at {at}: {e}"))?;
             self.hard = record.hard.unwrap_or(self.hard);
             if let Some(from) = record.truncate {
                 let keep = kept.entries.partition_point(|e| e.index < from);
                 kept.entries.truncate(keep);
             }
-            for entry in record.append.into_iter().filter(|e| e.index > kept.base.index) {
+            for entry in record
+                .append
+                .into_iter()
+                .filter(|e| e.index > kept.base.index)
+            {
                 let next = kept.entries.last().map_or(kept.base.index, |e| e.index) + 1;
                 if entry.index != next {
-                    return Err(format!("record at {at}: entry {} where {next} should be", entry.index));
+                    return Err(format!(
+                        "record at {at}: entry {} where {next} should be",
+                        entry.index
+                    ));
                 }
                 kept.entries.push(entry);
             }
@@ -261,7 +317,9 @@
     }
 
     fn usable(&self) -> Result<(), Failure> {
-        self.lost.as_ref().map_or(Ok(()), |what| Err(Failure::Lost(what.clone())))
+        self.lost
+            .as_ref()
+            .map_or(Ok(()), |what| Err(Failure::Lost(what.clone())))
     }
 
     fn lose(&mut self, what: String) -> Failure {
@@ -285,9 +343,15 @@
         let (mut bytes, mut last, mut hard) = (Vec::new(), segment.last, self.hard);
         for w in writes {
             hard = w.hard.unwrap_or(hard);
-            last = w.truncate.map_or(last, |from| last.min(from.saturating_sub(1)));
+            last = w
+                .truncate
+                .map_or(last, |from| last.min(from.saturating_sub(1)));
             last = w.append.last().map_or(last, |e| e.index);
-            let record = Record { hard: w.hard, truncate: w.truncate, append: w.append.clone() };
+            let record = Record {
+                hard: w.hard,
+                truncate: w.truncate,
+                append: w.append.clone(),
+            };
             bytes.extend(encode(&record)?);
         }
         let file = name(segment.number);
@@ -299,7 +363,9 @@
             });
         }
         // After this, the machine may have dropped what it could not write: a second try could only seem to do it.
-        self.files.sync(&file).map_err(|e| self.lose(format!("{file}: sync: {e}")))?;
+        self.files
+            .sync(&file)
+            .map_err(|e| self.lose(format!("{file}: sync: {e}")))?;
         self.hard = hard;
         if let Some(s) = self.segments.last_mut() {
             (s.bytes, s.last) = (s.bytes + bytes.len(), last);
@@ -310,7 +376,11 @@
     fn begin_segment(&mut self) -> Result<(), Failure> {
         let number = self.segments.last().map_or(1, |s| s.number + 1);
         let last = self.segments.last().map_or(self.snapshot, |s| s.last);
-        let head = encode(&Record { hard: Some(self.hard), truncate: None, append: Vec::new() })?;
+        let head = encode(&Record {
+            hard: Some(self.hard),
+            truncate: None,
+            append: Vec::new(),
+        })?;
         let file = name(number);
         if let Err(e) = self.files.append(&file, &head) {
             return Err(match self.files.remove(&file) {
@@ -318,9 +388,17 @@
                 Err(again) => self.lose(format!("{file}: {e}, and then {again}")),
             });
         }
-        self.files.sync(&file).map_err(|e| self.lose(format!("{file}: sync: {e}")))?;
-        self.files.sync_names().map_err(|e| self.lose(format!("folder: sync: {e}")))?;
-        self.segments.push(Segment { number, bytes: head.len(), last });
+        self.files
+            .sync(&file)
+            .map_err(|e| self.lose(format!("{file}: sync: {e}")))?;
+        self.files
+            .sync_names()
+            .map_err(|e| self.lose(format!("folder: sync: {e}")))?;
+        self.segments.push(Segment {
+            number,
+            bytes: head.len(),
+            last,
+        });
         Ok(())
     }
 
@@ -334,9 +412,15 @@
             let _ = self.files.remove(&new);
             return Err(Failure::Full(e));
         }
-        self.files.sync(&new).map_err(|e| self.lose(format!("{new}: sync: {e}")))?;
-        self.files.rename(&new, name).map_err(|e| self.lose(format!("{new}: rename: {e}")))?;
-        self.files.sync_names().map_err(|e| self.lose(format!("folder: sync: {e}")))
+        self.files
+            .sync(&new)
+            .map_err(|e| self.lose(format!("{new}: sync: {e}")))?;
+        self.files
+            .rename(&new, name)
+            .map_err(|e| self.lose(format!("{new}: rename: {e}")))?;
+        self.files
+            .sync_names()
+            .map_err(|e| self.lose(format!("folder: sync: {e}")))
     }
 
     /// Keeps a snapshot in place of the one before, and lets go of segments that it covers. Entries after it stay.
@@ -348,7 +432,10 @@
         self.usable()?;
         self.aside(
             &snapshot_name(meta.index),
-            &encode(&Snapshot { meta: meta.clone(), state: state.to_vec() })?,
+            &encode(&Snapshot {
+                meta: meta.clone(),
+                state: state.to_vec(),
+            })?,
         )?;
         let before = std::mem::replace(&mut self.snapshot, meta.index);
         // What is no longer needed goes; what can't go is read over at the next start, and goes then.
@@ -372,7 +459,11 @@
     pub fn install(&mut self, meta: &Meta, state: &[u8], follows: &[Entry]) -> Result<(), Failure> {
         self.keep(meta, state)?;
         // From here on the log is what follows the snapshot: the rest is taken away by a record of its own.
-        let write = Write { truncate: Some(0), append: follows.to_vec(), ..Write::default() };
+        let write = Write {
+            truncate: Some(0),
+            append: follows.to_vec(),
+            ..Write::default()
+        };
         self.write(&[write])
     }
 
--- a/cluster/disk/src/files.rs
+++ b/cluster/disk/src/files.rs
@@ -56,16 +56,23 @@
 
     fn file(&mut self, name: &str) -> Result<&mut File> {
         if self.open.as_ref().is_none_or(|(open, _)| open != name) {
-            let file = OpenOptions::new().append(true).create(true).open(self.path.join(name))?;
+            let file = OpenOptions::new()
+                .append(true)
+                .create(true)
+                .open(self.path.join(name))?;
             self.open = Some((name.to_owned(), file));
         }
-        self.open.as_mut().map(|(_, file)| file).ok_or_else(|| std::io::ErrorKind::NotFound.into())
+        self.open
+            .as_mut()
+            .map(|(_, file)| file)
+            .ok_or_else(|| std::io::ErrorKind::NotFound.into())
     }
 }
 
 impl Files for Folder {
     fn list(&self) -> Result<Vec<String>> {
-        let names = std::fs::read_dir(&self.path)?.map(|f| Ok(f?.file_name().to_string_lossy().into_owned()));
+        let names = std::fs::read_dir(&self.path)?
+            .map(|f| Ok(f?.file_name().to_string_lossy().into_owned()));
         names.collect()
     }
 
--- a/cluster/disk/tests/faults.rs
+++ b/cluster/disk/tests/faults.rs
@@ -36,16 +36,25 @@
         Ok(self.files.keys().cloned().collect())
     }
     fn read(&self, name: &str) -> Result<Vec<u8>> {
-        self.files.get(name).cloned().ok_or_else(|| ErrorKind::NotFound.into())
+        self.files
+            .get(name)
+            .cloned()
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         // A crash in the middle leaves a part.
         let works = self.works();
-        let fits =
-            self.room.unwrap_or(usize::MAX).min(if works.is_ok() { usize::MAX } else { bytes.len() / 2 });
+        let fits = self.room.unwrap_or(usize::MAX).min(if works.is_ok() {
+            usize::MAX
+        } else {
+            bytes.len() / 2
+        });
         let part = &bytes[..fits.min(bytes.len())];
         if self.left != Some(0) || works.is_err() {
-            self.files.entry(name.to_owned()).or_default().extend_from_slice(part);
+            self.files
+                .entry(name.to_owned())
+                .or_default()
+                .extend_from_slice(part);
         }
         works?;
         if let Some(room) = &mut self.room {
@@ -81,37 +90,69 @@
     }
     fn remove(&mut self, name: &str) -> Result<()> {
         self.works()?;
-        self.files.remove(name).map(drop).ok_or_else(|| ErrorKind::NotFound.into())
+        self.files
+            .remove(name)
+            .map(drop)
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
 fn me() -> Identity {
-    Identity { cluster: "c".to_owned(), member: 1, born: 9 }
+    Identity {
+        cluster: "c".to_owned(),
+        member: 1,
+        born: 9,
+    }
 }
 
 fn base() -> Meta {
-    Meta { members: Members::first([1, 2, 3]), ..Meta::default() }
+    Meta {
+        members: Members::first([1, 2, 3]),
+        ..Meta::default()
+    }
 }
 
 fn entry(index: u64, term: u64) -> Entry {
-    Entry { term, index, payload: Payload::Command(vec![index as u8; 9]) }
+    Entry {
+        term,
+        index,
+        payload: Payload::Command(vec![index as u8; 9]),
+    }
 }
 
 fn write(term: u64, truncate: Option<u64>, indexes: std::ops::Range<u64>) -> Write {
-    let hard = Some(Hard { term, vote: Some(term % 3 + 1) });
-    Write { seq: 0, hard, truncate, append: indexes.map(|i| entry(i, term)).collect() }
+    let hard = Some(Hard {
+        term,
+        vote: Some(term % 3 + 1),
+    });
+    Write {
+        seq: 0,
+        hard,
+        truncate,
+        append: indexes.map(|i| entry(i, term)).collect(),
+    }
 }
 
 fn fresh() -> Disk<Memory> {
-    Disk::create(Memory::default(), &me(), &base(), &[]).unwrap().0
+    Disk::create(Memory::default(), &me(), &base(), &[])
+        .unwrap()
+        .0
 }
 
 /// Cut at every byte, the log holds exactly the writes that are whole, and takes new ones.
 #[test]
 fn a_cut_file_holds_whole_writes_only() {
-    let writes = [write(1, None, 1..4), write(2, Some(3), 3..6), write(2, None, 6..7), write(3, None, 0..0)];
+    let writes = [
+        write(1, None, 1..4),
+        write(2, Some(3), 3..6),
+        write(2, None, 6..7),
+        write(3, None, 0..0),
+    ];
     let mut disk = fresh();
-    let mut whole = vec![(disk.log_bytes(), Disk::open(disk.into_files(), "c", 1).unwrap().1)];
+    let mut whole = vec![(
+        disk.log_bytes(),
+        Disk::open(disk.into_files(), "c", 1).unwrap().1,
+    )];
     let mut files = fresh().into_files();
     for w in &writes {
         disk = Disk::open(files, "c", 1).unwrap().0;
@@ -120,14 +161,23 @@
         files = disk.into_files();
         whole.push((bytes, Disk::open(files.clone(), "c", 1).unwrap().1));
     }
-    let log = files.files.keys().find(|n| n.starts_with("log-")).unwrap().clone();
+    let log = files
+        .files
+        .keys()
+        .find(|n| n.starts_with("log-"))
+        .unwrap()
+        .clone();
     let all = files.files[&log].clone();
     for cut in 0..=all.len() {
         let mut cut_files = files.clone();
         cut_files.files.insert(log.clone(), all[..cut].to_vec());
         let (mut disk, kept) = Disk::open(cut_files, "c", 1).unwrap();
         let (bytes, expected) = whole.iter().rev().find(|(b, _)| *b <= cut).unwrap();
-        assert_eq!((kept.hard, &kept.entries), (expected.hard, &expected.entries), "cut at {cut}");
+        assert_eq!(
+            (kept.hard, &kept.entries),
+            (expected.hard, &expected.entries),
+            "cut at {cut}"
+        );
         if *bytes > 0 {
             assert_eq!(kept.cut, cut - bytes);
         }
@@ -139,7 +189,10 @@
     for at in 0..whole[2].0 {
         let mut bent = files.clone();
         bent.files.get_mut(&log).unwrap()[at] ^= 4;
-        assert!(matches!(Disk::open(bent, "c", 1), Err(Failure::Spoilt(_))), "bit at {at}");
+        assert!(
+            matches!(Disk::open(bent, "c", 1), Err(Failure::Spoilt(_))),
+            "bit at {at}"
+        );
     }
 }
 
@@ -151,8 +204,14 @@
     let mut files = disk.into_files();
     files.syncs_fail = true;
     let mut disk = Disk::open(files, "c", 1).unwrap().0;
-    assert!(matches!(disk.write(&[write(2, None, 2..3)]), Err(Failure::Lost(_))));
-    assert!(matches!(disk.write(&[write(2, None, 2..3)]), Err(Failure::Lost(_))));
+    assert!(matches!(
+        disk.write(&[write(2, None, 2..3)]),
+        Err(Failure::Lost(_))
+    ));
+    assert!(matches!(
+        disk.write(&[write(2, None, 2..3)]),
+        Err(Failure::Lost(_))
+    ));
     assert!(matches!(disk.keep(&base(), b"x"), Err(Failure::Lost(_))));
 }
 
@@ -170,7 +229,9 @@
         let kept = Disk::open(files.clone(), "c", 1).unwrap().1;
         match full {
             Ok(()) => assert_eq!((kept.hard.term, kept.entries.len()), (2, 8)),
-            Err(Failure::Full(_)) => assert_eq!((kept.hard.term, kept.entries.len(), kept.cut), (1, 2, 0)),
+            Err(Failure::Full(_)) => {
+                assert_eq!((kept.hard.term, kept.entries.len(), kept.cut), (1, 2, 0))
+            }
             Err(e) => panic!("{e}"),
         }
         files.room = None;
@@ -183,17 +244,25 @@
 /// A crash between any two operations of a life with snapshots leaves what was durable, and nothing half done.
 #[test]
 fn a_crash_anywhere_leaves_what_was_durable() {
-    let life = |disk: &mut Disk<Memory>, done: &mut (u64, u64)| -> std::result::Result<(), Failure> {
-        for round in 1..6u64 {
-            let from = (round - 1) * 4 + 1;
-            disk.write(&[write(round, None, from..from + 4)])?;
-            done.0 = from + 3;
-            let members = Members::first([1, 2, 3]);
-            disk.keep(&Meta { index: from + 1, term: round, members }, &[round as u8; 30])?;
-            done.1 = from + 1;
-        }
-        Ok(())
-    };
+    let life =
+        |disk: &mut Disk<Memory>, done: &mut (u64, u64)| -> std::result::Result<(), Failure> {
+            for round in 1..6u64 {
+                let from = (round - 1) * 4 + 1;
+                disk.write(&[write(round, None, from..from + 4)])?;
+                done.0 = from + 3;
+                let members = Members::first([1, 2, 3]);
+                disk.keep(
+                    &Meta {
+                        index: from + 1,
+                        term: round,
+                        members,
+                    },
+                    &[round as u8; 30],
+                )?;
+                done.1 = from + 1;
+            }
+            Ok(())
+        };
     for left in 0..60 {
         let mut files = fresh().into_files();
         files.left = Some(left);
@@ -202,11 +271,19 @@
         let ended = life(&mut disk, &mut done);
         let mut files = disk.into_files();
         files.left = None;
-        let kept = Disk::open(files, "c", 1).unwrap_or_else(|e| panic!("after {left}: {e}")).1;
+        let kept = Disk::open(files, "c", 1)
+            .unwrap_or_else(|e| panic!("after {left}: {e}"))
+            .1;
         let last = kept.entries.last().map_or(kept.base.index, |e| e.index);
-        assert!(last >= done.0 && kept.base.index >= done.1, "after {left}: {last} of {done:?}");
+        assert!(
+            last >= done.0 && kept.base.index >= done.1,
+            "after {left}: {last} of {done:?}"
+        );
         assert_eq!(kept.state.len(), if kept.base.index > 0 { 30 } else { 0 });
-        assert!(kept.entries.first().is_none_or(|e| e.index == kept.base.index + 1));
+        assert!(kept
+            .entries
+            .first()
+            .is_none_or(|e| e.index == kept.base.index + 1));
         assert!(ended.is_err() || left > 20);
     }
 }
@@ -215,16 +292,31 @@
 #[test]
 fn a_folder_is_one_members() {
     let files = fresh().into_files();
-    assert!(matches!(Disk::open(files.clone(), "c", 2), Err(Failure::NotOurs(_))));
-    assert!(matches!(Disk::create(files.clone(), &me(), &base(), &[]), Err(Failure::NotOurs(_))));
+    assert!(matches!(
+        Disk::open(files.clone(), "c", 2),
+        Err(Failure::NotOurs(_))
+    ));
+    assert!(matches!(
+        Disk::create(files.clone(), &me(), &base(), &[]),
+        Err(Failure::NotOurs(_))
+    ));
     // Without its mark it is nobody's, and what it holds is not taken for a new member's.
     let mut disk = Disk::open(files, "c", 1).unwrap().0;
     disk.write(&[write(1, None, 1..2)]).unwrap();
     let mut files = disk.into_files();
     files.files.remove("member").unwrap();
-    assert!(matches!(Disk::open(files.clone(), "c", 1), Err(Failure::NotOurs(_))));
-    assert!(matches!(Disk::create(files, &me(), &base(), &[]), Err(Failure::NotOurs(_))));
-    assert!(matches!(Disk::open(Memory::default(), "c", 1), Err(Failure::NotOurs(_))));
+    assert!(matches!(
+        Disk::open(files.clone(), "c", 1),
+        Err(Failure::NotOurs(_))
+    ));
+    assert!(matches!(
+        Disk::create(files, &me(), &base(), &[]),
+        Err(Failure::NotOurs(_))
+    ));
+    assert!(matches!(
+        Disk::open(Memory::default(), "c", 1),
+        Err(Failure::NotOurs(_))
+    ));
 }
 
 /// On the machine's own files: segments follow each other and go, a snapshot of another member replaces the log.
@@ -233,18 +325,57 @@
     let path = std::env::temp_dir().join(format!("violetgate-disk-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let (mut disk, _) = Disk::create(Folder::new(&path).unwrap(), &me(), &base(), &[]).unwrap();
-    let large = |index| Entry { term: 1, index, payload: Payload::Command(vec![7; 3 << 20]) };
+    let large = |index| Entry {
+        term: 1,
+        index,
+        payload: Payload::Command(vec![7; 3 << 20]),
+    };
     for index in 1..=8 {
-        disk.write(&[Write { append: vec![large(index)], ..Write::default() }]).unwrap();
+        disk.write(&[Write {
+            append: vec![large(index)],
+            ..Write::default()
+        }])
+        .unwrap();
     }
     let before = disk.log_bytes();
-    disk.keep(&Meta { index: 7, term: 1, members: base().members }, b"state").unwrap();
-    assert!(disk.log_bytes() < before / 2, "{} of {before}", disk.log_bytes());
+    disk.keep(
+        &Meta {
+            index: 7,
+            term: 1,
+            members: base().members,
+        },
+        b"state",
+    )
+    .unwrap();
+    assert!(
+        disk.log_bytes() < before / 2,
+        "{} of {before}",
+        disk.log_bytes()
+    );
     let (mut disk, kept) = Disk::open(disk.into_files(), "c", 1).unwrap();
-    assert_eq!((kept.base.index, kept.state, kept.entries.len()), (7, b"state".to_vec(), 1));
-    disk.install(&Meta { index: 90, term: 4, members: base().members }, b"theirs", &[]).unwrap();
-    disk.write(&[Write { append: vec![entry(91, 4)], ..Write::default() }]).unwrap();
+    assert_eq!(
+        (kept.base.index, kept.state, kept.entries.len()),
+        (7, b"state".to_vec(), 1)
+    );
+    disk.install(
+        &Meta {
+            index: 90,
+            term: 4,
+            members: base().members,
+        },
+        b"theirs",
+        &[],
+    )
+    .unwrap();
+    disk.write(&[Write {
+        append: vec![entry(91, 4)],
+        ..Write::default()
+    }])
+    .unwrap();
     let kept = Disk::open(disk.into_files(), "c", 1).unwrap().1;
-    assert_eq!((kept.base.index, kept.state, kept.entries), (90, b"theirs".to_vec(), vec![entry(91, 4)]));
+    assert_eq!(
+        (kept.base.index, kept.state, kept.entries),
+        (90, b"theirs".to_vec(), vec![entry(91, 4)])
+    );
     std::fs::remove_dir_all(&path).unwrap();
 }
--- a/cluster/distribution/src/message.rs
+++ b/cluster/distribution/src/message.rs
@@ -93,7 +93,9 @@
         ours: Revision,
     },
     /// The subscriber's messages break the protocol (a piece out of order, a message too long, questions without end).
-    #[error("the subscriber broke the protocol ({what}): it may be of another version; see its log")]
+    #[error(
+        "the subscriber broke the protocol ({what}): it may be of another version; see its log"
+    )]
     Protocol {
         /// What was wrong.
         what: String,
--- a/cluster/distribution/src/observer/batch.rs
+++ b/cluster/distribution/src/observer/batch.rs
@@ -22,7 +22,11 @@
 
 impl ChangeBatch {
     pub fn message(&self) -> FromObserver {
-        FromObserver::Changes { after: self.after, to: self.to, changes: Arc::clone(&self.changes) }
+        FromObserver::Changes {
+            after: self.after,
+            to: self.to,
+            changes: Arc::clone(&self.changes),
+        }
     }
 }
 
@@ -46,11 +50,20 @@
     if taken.is_empty() {
         return Ok(None);
     }
-    Ok(Some(ChangeBatch { after, to, changes: taken.into(), bytes: size }))
+    Ok(Some(ChangeBatch {
+        after,
+        to,
+        changes: taken.into(),
+        bytes: size,
+    }))
 }
 
 fn entry_change(change: Change) -> EntryChange {
-    EntryChange { revision: change.revision, key: change.key, value: change.value }
+    EntryChange {
+        revision: change.revision,
+        key: change.key,
+        value: change.value,
+    }
 }
 
 fn entry_bytes(key: &str, value: Option<&[u8]>) -> usize {
@@ -84,5 +97,13 @@
         }
     }
     let revision = revision.unwrap_or_default();
-    Ok((FromObserver::SnapshotPiece { revision, after: first_after, entries, last }, size))
+    Ok((
+        FromObserver::SnapshotPiece {
+            revision,
+            after: first_after,
+            entries,
+            last,
+        },
+        size,
+    ))
 }
--- a/cluster/distribution/src/observer/connection.rs
+++ b/cluster/distribution/src/observer/connection.rs
@@ -78,7 +78,11 @@
             name,
             watch: Watch::Off,
             snapshot: None,
-            queue: SendQueue { bytes: 0, reported: 0, taken_at: now },
+            queue: SendQueue {
+                bytes: 0,
+                reported: 0,
+                taken_at: now,
+            },
             follows: false,
             heard_at: now,
             second_began: now,
@@ -101,7 +105,10 @@
 
     /// The revision that this connection waits for the observer to reach.
     pub fn waits_for(&self) -> Option<Revision> {
-        let snapshot = self.snapshot.as_ref().and_then(|request| request.from.as_ref());
+        let snapshot = self
+            .snapshot
+            .as_ref()
+            .and_then(|request| request.from.as_ref());
         match self.watch {
             Watch::Ahead(revision) => Some(revision),
             _ => snapshot.map(|place| place.revision),
--- a/cluster/distribution/src/observer/limits.rs
+++ b/cluster/distribution/src/observer/limits.rs
@@ -35,7 +35,10 @@
     /// When it wants to be told the time again.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
-        self.questions.next_tick().min(self.check_at).min(self.load_at)
+        self.questions
+            .next_tick()
+            .min(self.check_at)
+            .min(self.load_at)
     }
 
     fn close_stalled(&mut self) {
@@ -43,9 +46,19 @@
         let mut ended: Vec<(ConnectionId, Refusal)> = Vec::new();
         for (id, connection) in &self.connections {
             if connection.queue.stalled(self.now, bound, TAKES_WITHIN) {
-                ended.push((*id, Refusal::TooSlow { queued: connection.queue.bytes as u64 }));
+                ended.push((
+                    *id,
+                    Refusal::TooSlow {
+                        queued: connection.queue.bytes as u64,
+                    },
+                ));
             } else if self.now.saturating_sub(connection.heard_at) >= SPEAKS_WITHIN {
-                ended.push((*id, Refusal::Protocol { what: "nothing said for 30 s".to_owned() }));
+                ended.push((
+                    *id,
+                    Refusal::Protocol {
+                        what: "nothing said for 30 s".to_owned(),
+                    },
+                ));
             }
         }
         for (id, refusal) in ended {
@@ -63,7 +76,14 @@
         let (subscribers, capacity) = (self.subscribers(), self.config.capacity);
         let all: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for id in all {
-            self.send(id, FromObserver::Load { subscribers, capacity }, 0);
+            self.send(
+                id,
+                FromObserver::Load {
+                    subscribers,
+                    capacity,
+                },
+                0,
+            );
         }
     }
 }
--- a/cluster/distribution/src/observer/mod.rs
+++ b/cluster/distribution/src/observer/mod.rs
@@ -158,7 +158,8 @@
         self.follow(store);
         let refused = self.refusal_of(hello);
         if refused.is_none() {
-            self.connections.insert(connection, Connection::new(hello.name.clone(), now));
+            self.connections
+                .insert(connection, Connection::new(hello.name.clone(), now));
             if hello.revision > self.revision {
                 self.questions.check_revision(connection, hello.revision);
             }
@@ -176,20 +177,33 @@
             return Some(Refusal::NotASubscriber);
         }
         if hello.version != VERSION {
-            return Some(Refusal::WrongVersion { theirs: hello.version, ours: VERSION });
+            return Some(Refusal::WrongVersion {
+                theirs: hello.version,
+                ours: VERSION,
+            });
         }
         if hello.cluster != self.config.cluster {
             let theirs = hello.cluster.chars().take(LONGEST_NAME).collect();
-            return Some(Refusal::WrongCluster { theirs, ours: self.config.cluster.clone() });
+            return Some(Refusal::WrongCluster {
+                theirs,
+                ours: self.config.cluster.clone(),
+            });
         }
         if hello.observer != self.config.id {
-            return Some(Refusal::WrongObserver { wanted: hello.observer, actual: self.config.id });
+            return Some(Refusal::WrongObserver {
+                wanted: hello.observer,
+                actual: self.config.id,
+            });
         }
         if hello.name.is_empty() || hello.name.len() > LONGEST_NAME {
-            return Some(Refusal::Protocol { what: format!("a name of {} bytes", hello.name.len()) });
+            return Some(Refusal::Protocol {
+                what: format!("a name of {} bytes", hello.name.len()),
+            });
         }
         if self.subscribers() >= self.config.capacity {
-            return Some(Refusal::Full { capacity: self.config.capacity });
+            return Some(Refusal::Full {
+                capacity: self.config.capacity,
+            });
         }
         None
     }
@@ -210,14 +224,23 @@
         self.connections.remove(&id);
         self.questions.forget(id);
         self.snapshots.release(id);
-        self.progress.leave(self.now, id, self.config.capacity as usize);
+        self.progress
+            .leave(self.now, id, self.config.capacity as usize);
     }
 
     /// A message has come.
-    pub fn receive(&mut self, now: Micros, connection: ConnectionId, message: FromSubscriber, store: &Store) {
+    pub fn receive(
+        &mut self,
+        now: Micros,
+        connection: ConnectionId,
+        message: FromSubscriber,
+        store: &Store,
+    ) {
         self.now = now;
         self.follow(store);
-        let Some(known) = self.connections.get_mut(&connection) else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
         if !known.count(now, &message) {
             let what = "messages without end: more than 100 in a second".to_owned();
             return self.close(connection, Refusal::Protocol { what });
@@ -237,7 +260,11 @@
                 }
                 if self.mutated(Mutant::AnswersFromOwnCopy) {
                     let revision = self.revision;
-                    self.send(connection, FromObserver::Confirmed { question, revision }, 0);
+                    self.send(
+                        connection,
+                        FromObserver::Confirmed { question, revision },
+                        0,
+                    );
                 }
                 let earlier = self.mutated(Mutant::AnswersByEarlierRead);
                 self.questions.ask(now, connection, question, earlier);
@@ -246,7 +273,8 @@
                 known.follows = false;
                 self.stop_watching(connection);
                 self.drop_snapshot(connection, store);
-                self.progress.leave(now, connection, self.config.capacity as usize);
+                self.progress
+                    .leave(now, connection, self.config.capacity as usize);
             }
         }
         self.admit_snapshots(store);
@@ -257,7 +285,9 @@
     /// one that lacks changes is sent more only then.
     pub fn queued(&mut self, connection: ConnectionId, bytes: usize, store: &Store) {
         self.follow(store);
-        let Some(known) = self.connections.get_mut(&connection) else { return };
+        let Some(known) = self.connections.get_mut(&connection) else {
+            return;
+        };
         known.queue.report(self.now, bytes);
         self.catch_up(connection, store);
         self.serve_snapshot(connection, store);
@@ -278,10 +308,20 @@
         let revision = self.revision;
         for (connection, asked) in self.questions.ended(now, read, current) {
             if let Some(question) = asked.newest() {
-                self.send(connection, FromObserver::Confirmed { question, revision }, 0);
+                self.send(
+                    connection,
+                    FromObserver::Confirmed { question, revision },
+                    0,
+                );
             }
             if let Some(theirs) = asked.claimed.filter(|theirs| *theirs > revision) {
-                self.close(connection, Refusal::RevisionAhead { theirs, ours: revision });
+                self.close(
+                    connection,
+                    Refusal::RevisionAhead {
+                        theirs,
+                        ours: revision,
+                    },
+                );
             }
         }
         self.begin_read();
@@ -294,7 +334,9 @@
     }
 
     fn send(&mut self, id: ConnectionId, message: FromObserver, bytes: usize) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
         connection.queue.sent(self.now, bytes + SHORT_MESSAGE);
         self.out.push(ObserverAction::Send(id, message));
     }
@@ -315,7 +357,11 @@
     /// How far this observer's subscribers are, summed.
     #[must_use]
     pub fn progress(&self, now: Micros) -> ProgressSummary {
-        let name = |id| self.connections.get(&id).map(|connection: &Connection| connection.name.clone());
+        let name = |id| {
+            self.connections
+                .get(&id)
+                .map(|connection: &Connection| connection.name.clone())
+        };
         self.progress.summary(now, self.revision, name)
     }
 
--- a/cluster/distribution/src/observer/pieces.rs
+++ b/cluster/distribution/src/observer/pieces.rs
@@ -9,14 +9,22 @@
 
 impl Observer {
     /// A subscriber wants a piece. It is sent at once, or in its turn.
-    pub(super) fn request_snapshot(&mut self, id: ConnectionId, from: Option<SnapshotPlace>, store: &Store) {
+    pub(super) fn request_snapshot(
+        &mut self,
+        id: ConnectionId,
+        from: Option<SnapshotPlace>,
+        store: &Store,
+    ) {
         let length = from.as_ref().map_or(0, |place| place.after.len());
         if length > MAX_KEY {
             let what = format!("a snapshot from a key of {length} bytes");
             return self.close(id, Refusal::Protocol { what });
         }
         self.stop_watching(id);
-        let ahead = from.as_ref().map(|place| place.revision).filter(|revision| *revision > self.revision);
+        let ahead = from
+            .as_ref()
+            .map(|place| place.revision)
+            .filter(|revision| *revision > self.revision);
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.snapshot = Some(SnapshotRequest { from });
         }
@@ -28,9 +36,16 @@
 
     /// Answers the request of a connection, if there is one, a slot is free and little enough waits for it.
     pub(super) fn serve_snapshot(&mut self, id: ConnectionId, store: &Store) {
-        let Some(connection) = self.connections.get_mut(&id) else { return };
-        let Some(request) = &connection.snapshot else { return };
-        let ahead = request.from.as_ref().is_some_and(|place| place.revision > self.revision);
+        let Some(connection) = self.connections.get_mut(&id) else {
+            return;
+        };
+        let Some(request) = &connection.snapshot else {
+            return;
+        };
+        let ahead = request
+            .from
+            .as_ref()
+            .is_some_and(|place| place.revision > self.revision);
         if ahead {
             return;
         }
@@ -43,7 +58,9 @@
         if connection.queue.bytes > self.config.queue_bytes {
             return;
         }
-        let Some(request) = connection.snapshot.take() else { return };
+        let Some(request) = connection.snapshot.take() else {
+            return;
+        };
         self.send_piece(id, request.from.as_ref(), store);
     }
 
--- a/cluster/distribution/src/observer/progress.rs
+++ b/cluster/distribution/src/observer/progress.rs
@@ -56,7 +56,8 @@
     /// A subscriber that watches here has reported.
     pub fn report(&mut self, now: Micros, connection: ConnectionId, progress: Progress) {
         self.remove(connection);
-        self.reports.insert(connection, Report { progress, at: now });
+        self.reports
+            .insert(connection, Report { progress, at: now });
         if progress.serving {
             self.serving.insert((progress.applied, connection));
             *self.counts.entry(progress.applied).or_default() += 1;
@@ -65,12 +66,17 @@
 
     /// A subscriber watches here no more. `most` bounds how many of the departed are kept.
     pub fn leave(&mut self, now: Micros, connection: ConnectionId, most: usize) {
-        let Some(report) = self.remove(connection) else { return };
+        let Some(report) = self.remove(connection) else {
+            return;
+        };
         if !report.progress.serving {
             return;
         }
         let until = now.saturating_add(DEPARTED_COUNTS);
-        self.departed.push_back(Departed { applied: report.progress.applied, until });
+        self.departed.push_back(Departed {
+            applied: report.progress.applied,
+            until,
+        });
         if self.departed.len() > most {
             self.departed.pop_front();
         }
@@ -100,9 +106,20 @@
             .map(|(connection, report)| (*connection, report.progress))
             .collect();
         for (connection, progress) in silent {
-            self.report(now, connection, Progress { serving: false, ..progress });
+            self.report(
+                now,
+                connection,
+                Progress {
+                    serving: false,
+                    ..progress
+                },
+            );
         }
-        while self.departed.front().is_some_and(|departed| departed.until <= now) {
+        while self
+            .departed
+            .front()
+            .is_some_and(|departed| departed.until <= now)
+        {
             self.departed.pop_front();
         }
     }
@@ -155,7 +172,9 @@
 
     /// When the first revision after `applied` came; for what is no longer known, the earliest known time.
     fn arrived_after(&self, applied: Revision) -> Micros {
-        let place = self.arrivals.partition_point(|(revision, _)| *revision <= applied);
+        let place = self
+            .arrivals
+            .partition_point(|(revision, _)| *revision <= applied);
         self.arrivals.get(place).map_or(0, |(_, at)| *at)
     }
 }
--- a/cluster/distribution/src/observer/questions.rs
+++ b/cluster/distribution/src/observer/questions.rs
@@ -63,7 +63,13 @@
 
 impl Questions {
     pub fn new(read_every: Micros, now: Micros) -> Self {
-        Questions { read_every, waiting: Batch::new(), running: None, last_read: 0, begin_at: now }
+        Questions {
+            read_every,
+            waiting: Batch::new(),
+            running: None,
+            last_read: 0,
+            begin_at: now,
+        }
     }
 
     /// A question has arrived. Only a mutant has it answered by a read that began `earlier`.
@@ -91,7 +97,11 @@
 
     /// Begins a read for all that waits, if it is time for one.
     pub fn begin(&mut self, now: Micros) -> Option<ReadId> {
-        if self.running.as_ref().is_some_and(|read| now >= read.began.saturating_add(READ_WITHIN)) {
+        if self
+            .running
+            .as_ref()
+            .is_some_and(|read| now >= read.began.saturating_add(READ_WITHIN))
+        {
             self.give_up(now);
         }
         if self.running.is_some() || self.waiting.is_empty() || now < self.begin_at {
@@ -100,13 +110,19 @@
         self.last_read += 1;
         self.begin_at = now.saturating_add(self.read_every);
         let batch = std::mem::take(&mut self.waiting);
-        self.running = Some(RunningRead { id: self.last_read, began: now, batch });
+        self.running = Some(RunningRead {
+            id: self.last_read,
+            began: now,
+            batch,
+        });
         Some(self.last_read)
     }
 
     /// A read has ended: what it confirms. One that was given up confirms nothing any more.
     pub fn ended(&mut self, now: Micros, read: ReadId, current: bool) -> Batch {
-        let Some(running) = self.running.take_if(|running| running.id == read) else { return Batch::new() };
+        let Some(running) = self.running.take_if(|running| running.id == read) else {
+            return Batch::new();
+        };
         if current {
             return running.batch;
         }
@@ -124,7 +140,8 @@
     /// Questions without an answer wait for the next read, before those that came since.
     fn put_back(&mut self, now: Micros, batch: Batch) {
         for (connection, mut old) in batch {
-            old.questions.retain(|(_, at)| now.saturating_sub(*at) < QUESTION_COUNTS);
+            old.questions
+                .retain(|(_, at)| now.saturating_sub(*at) < QUESTION_COUNTS);
             let newer = self.waiting.remove(&connection).unwrap_or_default();
             old.questions.extend(newer.questions);
             old.keep_newest();
@@ -146,6 +163,11 @@
 
     /// Connections that wait, and those whose read runs.
     pub fn sizes(&self) -> (usize, usize) {
-        (self.waiting.len(), self.running.as_ref().map_or(0, |running| running.batch.len()))
+        (
+            self.waiting.len(),
+            self.running
+                .as_ref()
+                .map_or(0, |running| running.batch.len()),
+        )
     }
 }
--- a/cluster/distribution/src/observer/snapshots.rs
+++ b/cluster/distribution/src/observer/snapshots.rs
@@ -56,7 +56,13 @@
         }
         let place = u32::try_from(self.queue.len()).unwrap_or(u32::MAX);
         self.last_ticket += 1;
-        self.queue.insert(self.last_ticket, Waiting { connection, place_sent: place });
+        self.queue.insert(
+            self.last_ticket,
+            Waiting {
+                connection,
+                place_sent: place,
+            },
+        );
         self.tickets.insert(connection, self.last_ticket);
         Some(place)
     }
@@ -82,7 +88,8 @@
 
     /// Takes the slots away from snapshots that nobody goes on with.
     pub fn release_idle(&mut self, now: Micros) {
-        self.under_way.retain(|_, active| now.saturating_sub(*active) < IDLE_FOR);
+        self.under_way
+            .retain(|_, active| now.saturating_sub(*active) < IDLE_FOR);
     }
 
     /// Those whose place in the queue is half of what was sent, or less.
--- a/cluster/distribution/src/observer/watch.rs
+++ b/cluster/distribution/src/observer/watch.rs
@@ -31,13 +31,16 @@
         let bound = self.config.queue_bytes;
         let mut held_back = Vec::new();
         for id in &self.current {
-            let Some(connection) = self.connections.get_mut(id) else { continue };
+            let Some(connection) = self.connections.get_mut(id) else {
+                continue;
+            };
             if connection.queue.bytes > bound {
                 connection.watch = Watch::Behind(self.revision);
                 held_back.push(*id);
             } else {
                 connection.queue.sent(self.now, batch.bytes);
-                self.out.push(super::ObserverAction::Send(*id, batch.message()));
+                self.out
+                    .push(super::ObserverAction::Send(*id, batch.message()));
             }
         }
         if self.mutated(Mutant::SkipsHeldBack) {
@@ -59,7 +62,13 @@
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.watch = Watch::Off;
         }
-        self.send(id, FromObserver::Compacted { first: compacted.first }, 0);
+        self.send(
+            id,
+            FromObserver::Compacted {
+                first: compacted.first,
+            },
+            0,
+        );
     }
 
     /// A subscriber wants all changes after a revision.
@@ -86,8 +95,12 @@
     /// Sends the next changes to one that is behind, as far as little enough waits for it.
     pub(super) fn catch_up(&mut self, id: ConnectionId, store: &Store) {
         loop {
-            let Some(connection) = self.connections.get(&id) else { return };
-            let Watch::Behind(position) = connection.watch else { return };
+            let Some(connection) = self.connections.get(&id) else {
+                return;
+            };
+            let Watch::Behind(position) = connection.watch else {
+                return;
+            };
             if position == self.revision {
                 self.set_watch(id, Watch::Current);
                 self.current.insert(id);
@@ -124,7 +137,10 @@
     }
 
     pub(super) fn forget_ahead(&mut self, id: ConnectionId) {
-        let revision = self.connections.get(&id).and_then(super::Connection::waits_for);
+        let revision = self
+            .connections
+            .get(&id)
+            .and_then(super::Connection::waits_for);
         if let Some(revision) = revision {
             self.ahead.remove(&(revision, id));
         }
--- a/cluster/distribution/src/progress.rs
+++ b/cluster/distribution/src/progress.rs
@@ -79,13 +79,22 @@
 impl FleetProgress {
     /// An observer's report has come.
     pub fn report(&mut self, now: Micros, observer: NodeId, summary: ProgressSummary) {
-        let latest = self.reports.values().map(|(_, report)| report.revision).max().unwrap_or(0);
+        let latest = self
+            .reports
+            .values()
+            .map(|(_, report)| report.revision)
+            .max()
+            .unwrap_or(0);
         if summary.revision > latest {
             push_bounded(&mut self.known, (summary.revision, now));
         }
         self.reports.insert(observer, (now, summary));
         if self.reports.len() > MOST_OBSERVERS {
-            let oldest = self.reports.iter().min_by_key(|(_, (at, _))| *at).map(|(id, _)| *id);
+            let oldest = self
+                .reports
+                .iter()
+                .min_by_key(|(_, (at, _))| *at)
+                .map(|(id, _)| *id);
             oldest.and_then(|id| self.reports.remove(&id));
         }
     }
@@ -117,7 +126,9 @@
             }
         }
         totals.in_force = in_force.unwrap_or(0);
-        totals.laggards.sort_by(|one, other| (one.1, &one.0).cmp(&(other.1, &other.0)));
+        totals
+            .laggards
+            .sort_by(|one, other| (one.1, &one.0).cmp(&(other.1, &other.0)));
         totals.laggards.truncate(LAGGARDS);
         totals
     }
@@ -130,7 +141,14 @@
                 break;
             }
             self.known.pop_front();
-            push_bounded(&mut self.in_force, InForce { revision, known_at, in_force_at: now });
+            push_bounded(
+                &mut self.in_force,
+                InForce {
+                    revision,
+                    known_at,
+                    in_force_at: now,
+                },
+            );
         }
         totals
     }
@@ -150,7 +168,8 @@
         for (sum, number) in self.behind.iter_mut().zip(report.behind) {
             *sum = sum.saturating_add(number);
         }
-        self.laggards.extend(report.laggards.iter().take(LAGGARDS).cloned());
+        self.laggards
+            .extend(report.laggards.iter().take(LAGGARDS).cloned());
     }
 }
 
--- a/cluster/distribution/src/replica.rs
+++ b/cluster/distribution/src/replica.rs
@@ -15,7 +15,10 @@
 
 impl Replica {
     /// A replica of a whole snapshot.
-    pub(crate) fn of_snapshot(revision: Revision, entries: BTreeMap<String, (Revision, Vec<u8>)>) -> Self {
+    pub(crate) fn of_snapshot(
+        revision: Revision,
+        entries: BTreeMap<String, (Revision, Vec<u8>)>,
+    ) -> Self {
         Replica { revision, entries }
     }
 
@@ -26,7 +29,8 @@
         for change in changes.iter().filter(|change| change.revision > held) {
             match &change.value {
                 Some(value) => {
-                    self.entries.insert(change.key.clone(), (change.revision, value.clone()));
+                    self.entries
+                        .insert(change.key.clone(), (change.revision, value.clone()));
                 }
                 None => {
                     self.entries.remove(&change.key);
@@ -43,11 +47,17 @@
     }
 
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])> {
-        self.entries.get(key).map(|(revision, value)| (*revision, value.as_slice()))
+        self.entries
+            .get(key)
+            .map(|(revision, value)| (*revision, value.as_slice()))
     }
 
     fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
-        let from = self.entries.range(prefix.to_owned()..).take_while(|(key, _)| key.starts_with(prefix));
-        from.map(|(key, (revision, value))| (key.clone(), *revision, value.clone())).collect()
+        let from = self
+            .entries
+            .range(prefix.to_owned()..)
+            .take_while(|(key, _)| key.starts_with(prefix));
+        from.map(|(key, (revision, value))| (key.clone(), *revision, value.clone()))
+            .collect()
     }
 }
--- a/cluster/distribution/src/subscriber/directory.rs
+++ b/cluster/distribution/src/subscriber/directory.rs
@@ -79,9 +79,17 @@
     }
 
     /// A connection failed or ended. A full observer did not fail: that only counts as its load.
-    pub fn failed(&mut self, now: Micros, id: NodeId, refusal: Option<&Refusal>, rng: &mut ChaCha8Rng) {
+    pub fn failed(
+        &mut self,
+        now: Micros,
+        id: NodeId,
+        refusal: Option<&Refusal>,
+        rng: &mut ChaCha8Rng,
+    ) {
         let (first, longest) = self.pause;
-        let Some(known) = self.observers.get_mut(&id) else { return };
+        let Some(known) = self.observers.get_mut(&id) else {
+            return;
+        };
         if let Some(refusal) = refusal {
             known.refusal = Some((now, refusal.clone()));
         }
@@ -96,16 +104,33 @@
 
     /// The refusal that was heard last among those still in force.
     pub fn refusal(&self) -> Option<&Refusal> {
-        let refusals = self.observers.values().filter_map(|known| known.refusal.as_ref());
-        refusals.max_by_key(|(at, _)| *at).map(|(_, refusal)| refusal)
+        let refusals = self
+            .observers
+            .values()
+            .filter_map(|known| known.refusal.as_ref());
+        refusals
+            .max_by_key(|(at, _)| *at)
+            .map(|(_, refusal)| refusal)
     }
 
     /// Of two observers that are drawn, the one with less load; none of those `held`.
-    pub fn choose(&self, now: Micros, held: impl Fn(NodeId) -> bool, rng: &mut ChaCha8Rng) -> Option<NodeId> {
+    pub fn choose(
+        &self,
+        now: Micros,
+        held: impl Fn(NodeId) -> bool,
+        rng: &mut ChaCha8Rng,
+    ) -> Option<NodeId> {
         let ready = |(id, known): &(&NodeId, &Known)| !held(**id) && known.not_before <= now;
-        let mut ready: Vec<NodeId> = self.observers.iter().filter(ready).map(|(id, _)| *id).collect();
+        let mut ready: Vec<NodeId> = self
+            .observers
+            .iter()
+            .filter(ready)
+            .map(|(id, _)| *id)
+            .collect();
         let first = take_one(&mut ready, rng)?;
-        let Some(second) = take_one(&mut ready, rng) else { return Some(first) };
+        let Some(second) = take_one(&mut ready, rng) else {
+            return Some(first);
+        };
         match (self.load(now, first), self.load(now, second)) {
             (Some(one), Some(other)) if other < one => Some(second),
             _ => Some(first),
@@ -115,7 +140,10 @@
     /// When the next of those not `held` may be tried.
     pub fn ready_at(&self, held: impl Fn(NodeId) -> bool) -> Micros {
         let others = self.observers.iter().filter(|(id, _)| !held(**id));
-        others.map(|(_, known)| known.not_before).min().unwrap_or(Micros::MAX)
+        others
+            .map(|(_, known)| known.not_before)
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 }
 
--- a/cluster/distribution/src/subscriber/download.rs
+++ b/cluster/distribution/src/subscriber/download.rs
@@ -52,8 +52,14 @@
             return Err(PieceError::OutOfOrder);
         }
         for (key, changed, value) in entries {
-            self.bytes = self.bytes.saturating_add(key.len()).saturating_add(value.len());
-            self.place = Some(SnapshotPlace { revision, after: key.clone() });
+            self.bytes = self
+                .bytes
+                .saturating_add(key.len())
+                .saturating_add(value.len());
+            self.place = Some(SnapshotPlace {
+                revision,
+                after: key.clone(),
+            });
             self.entries.insert(key, (changed, value));
         }
         if self.bytes > LONGEST_SNAPSHOT {
--- a/cluster/distribution/src/subscriber/follow.rs
+++ b/cluster/distribution/src/subscriber/follow.rs
@@ -32,11 +32,19 @@
         if let Some(link) = self.links.get_mut(&observer) {
             link.followed_at = self.now;
         }
-        let place = self.download.as_ref().and_then(|download| download.place().cloned());
+        let place = self
+            .download
+            .as_ref()
+            .and_then(|download| download.place().cloned());
         // Without a piece yet, this observer may have the changes that the one before had not.
         if place.is_none() && self.holds_replica {
             self.download = None;
-            return self.send(observer, FromSubscriber::Watch { after: self.replica.revision() });
+            return self.send(
+                observer,
+                FromSubscriber::Watch {
+                    after: self.replica.revision(),
+                },
+            );
         }
         self.download.get_or_insert_with(Download::default);
         self.send(observer, FromSubscriber::Snapshot { from: place });
@@ -134,7 +142,9 @@
 
     /// An observer broke the protocol: its connection ends, and another one is tried.
     fn protocol_error(&mut self, observer: NodeId, what: &str) {
-        let refusal = Refusal::Protocol { what: what.to_owned() };
+        let refusal = Refusal::Protocol {
+            what: what.to_owned(),
+        };
         self.leave(observer, Some(&refusal));
     }
 }
--- a/cluster/distribution/src/subscriber/link.rs
+++ b/cluster/distribution/src/subscriber/link.rs
@@ -34,12 +34,23 @@
 impl Link {
     pub fn new(now: Micros) -> Self {
         let questions = VecDeque::new();
-        Link { open: false, proved: false, since: now, followed_at: now, questions, unanswered_since: None }
+        Link {
+            open: false,
+            proved: false,
+            since: now,
+            followed_at: now,
+            questions,
+            unanswered_since: None,
+        }
     }
 
     /// A question was sent.
     pub fn asked(&mut self, now: Micros, question: u64, gate: u64) {
-        self.questions.push_back(Sent { question, gate: Some(gate), at: now });
+        self.questions.push_back(Sent {
+            question,
+            gate: Some(gate),
+            at: now,
+        });
         self.unanswered_since = self.unanswered_since.or(Some(now));
         if self.questions.len() > MOST_QUESTIONS {
             self.questions.pop_front();
@@ -48,7 +59,10 @@
 
     /// A question was answered, and with it all before it: the gate's name of it.
     pub fn answered(&mut self, question: u64) -> Option<u64> {
-        let place = self.questions.iter().position(|sent| sent.question == question)?;
+        let place = self
+            .questions
+            .iter()
+            .position(|sent| sent.question == question)?;
         let sent = self.questions.drain(..=place).next_back()?;
         self.unanswered_since = self.questions.front().map(|sent| sent.at);
         sent.gate
@@ -78,6 +92,7 @@
 
     /// Whether a question has waited for this time.
     pub fn overdue(&self, now: Micros, within: Micros) -> bool {
-        self.unanswered_since.is_some_and(|at| now.saturating_sub(at) >= within)
+        self.unanswered_since
+            .is_some_and(|at| now.saturating_sub(at) >= within)
     }
 }
--- a/cluster/distribution/src/subscriber/links.rs
+++ b/cluster/distribution/src/subscriber/links.rs
@@ -30,7 +30,8 @@
         if !self.links.contains_key(&observer) {
             return;
         }
-        self.directory.heard_load(now, observer, welcome.subscribers, welcome.capacity);
+        self.directory
+            .heard_load(now, observer, welcome.subscribers, welcome.capacity);
         if let Some(refusal) = &welcome.refused {
             return self.lost(observer, Some(refusal));
         }
@@ -61,8 +62,11 @@
 
     /// A connection has ended: the reserve is watched at once, and a new one looked for after a pause.
     fn lost(&mut self, observer: NodeId, refusal: Option<&Refusal>) {
-        let Some(link) = self.links.remove(&observer) else { return };
-        self.directory.failed(self.now, observer, refusal, &mut self.rng);
+        let Some(link) = self.links.remove(&observer) else {
+            return;
+        };
+        self.directory
+            .failed(self.now, observer, refusal, &mut self.rng);
         if matches!(refusal, Some(Refusal::RevisionAhead { .. })) {
             self.download = None;
         }
@@ -80,7 +84,11 @@
 
     /// The reserve, or another connection that is open.
     fn open_link(&self) -> Option<NodeId> {
-        let other = self.links.iter().find(|(_, link)| link.open).map(|(id, _)| *id);
+        let other = self
+            .links
+            .iter()
+            .find(|(_, link)| link.open)
+            .map(|(id, _)| *id);
         self.reserve.or(other)
     }
 
@@ -92,7 +100,11 @@
             self.pause = self.pause.saturating_mul(2).clamp(first, longest);
         }
         let holds_another = self.links.values().any(|link| link.open);
-        let pause = if was_open && holds_another { longest } else { self.pause };
+        let pause = if was_open && holds_another {
+            longest
+        } else {
+            self.pause
+        };
         self.connect_at = self.now.saturating_add(draw(&mut self.rng, pause));
     }
 
@@ -119,14 +131,19 @@
     }
 
     fn far_more_load(&self, one: NodeId, other: NodeId) -> bool {
-        let loads = (self.directory.load(self.now, one), self.directory.load(self.now, other));
+        let loads = (
+            self.directory.load(self.now, one),
+            self.directory.load(self.now, other),
+        );
         matches!(loads, (Some(one), Some(other)) if one > other + other / 2 + MARGIN)
     }
 
     /// The watched observer has told of its load: now and then, and at random so that not all move at once, this
     /// subscriber moves to its reserve, or looks for a better one.
     pub(super) fn balance(&mut self) {
-        let (Some(watched), Some(reserve)) = (self.watched, self.reserve) else { return };
+        let (Some(watched), Some(reserve)) = (self.watched, self.reserve) else {
+            return;
+        };
         if self.far_more_load(watched, reserve) && draw(&mut self.rng, MOVES_ONE_IN - 1) == 0 {
             return self.follow(reserve);
         }
@@ -165,9 +182,14 @@
     }
 
     fn end_slow_attempts(&mut self) {
-        let slow = |link: &Link| !link.open && self.now.saturating_sub(link.since) >= CONNECT_WITHIN;
-        let ended: Vec<NodeId> =
-            self.links.iter().filter(|(_, link)| slow(link)).map(|(id, _)| *id).collect();
+        let slow =
+            |link: &Link| !link.open && self.now.saturating_sub(link.since) >= CONNECT_WITHIN;
+        let ended: Vec<NodeId> = self
+            .links
+            .iter()
+            .filter(|(_, link)| slow(link))
+            .map(|(id, _)| *id)
+            .collect();
         for observer in ended {
             self.leave(observer, None);
         }
@@ -192,17 +214,22 @@
     }
 
     pub(super) fn watched_is_overdue(&self) -> bool {
-        self.watched.is_some_and(|watched| self.link_overdue(watched, self.config.answer_within))
+        self.watched
+            .is_some_and(|watched| self.link_overdue(watched, self.config.answer_within))
     }
 
     fn link_overdue(&self, observer: NodeId, within: Micros) -> bool {
-        self.links.get(&observer).is_some_and(|link| link.overdue(self.now, within))
+        self.links
+            .get(&observer)
+            .is_some_and(|link| link.overdue(self.now, within))
     }
 
     /// A time that doubles with each connection given up: where no observer can answer, changing them does not help.
     fn patience(&self, first: Micros) -> Micros {
         let factor = 1_u64.checked_shl(self.given_up.min(16)).unwrap_or(1);
-        first.saturating_mul(factor).min(LONGEST_PATIENCE.max(first))
+        first
+            .saturating_mul(factor)
+            .min(LONGEST_PATIENCE.max(first))
     }
 
     /// Begins a connection to one more observer; whether there was one to try.
@@ -251,7 +278,8 @@
         let within = self.config.answer_within;
         let mut next = Micros::MAX;
         if let Some(at) = since(self.watched) {
-            let silent = at.saturating_add(self.patience(self.config.drain_limit.saturating_mul(2)));
+            let silent =
+                at.saturating_add(self.patience(self.config.drain_limit.saturating_mul(2)));
             next = next.min(silent);
             if self.reserve.is_some() && since(self.reserve).is_none() {
                 next = next.min(at.saturating_add(within));
--- a/cluster/distribution/src/subscriber/mod.rs
+++ b/cluster/distribution/src/subscriber/mod.rs
@@ -139,7 +139,12 @@
                 self.take_changes(observer, after, to, &changes);
             }
             FromObserver::Compacted { first } if watched => self.compacted(observer, first),
-            FromObserver::SnapshotPiece { revision, after, entries, last } if watched => {
+            FromObserver::SnapshotPiece {
+                revision,
+                after,
+                entries,
+                last,
+            } if watched => {
                 self.take_piece(observer, revision, after.as_deref(), entries, last);
             }
             // What was on its way when another observer took over, and places in the queue, change nothing.
@@ -147,9 +152,15 @@
             | FromObserver::Compacted { .. }
             | FromObserver::SnapshotPiece { .. }
             | FromObserver::SnapshotQueued { .. } => {}
-            FromObserver::Confirmed { question, revision } => self.confirmed(observer, question, revision),
-            FromObserver::Load { subscribers, capacity } => {
-                self.directory.heard_load(now, observer, subscribers, capacity);
+            FromObserver::Confirmed { question, revision } => {
+                self.confirmed(observer, question, revision)
+            }
+            FromObserver::Load {
+                subscribers,
+                capacity,
+            } => {
+                self.directory
+                    .heard_load(now, observer, subscribers, capacity);
                 if watched {
                     self.balance();
                 }
@@ -160,7 +171,9 @@
 
     /// An answer counts from the moment of its question, once the revision that it names is applied.
     fn confirmed(&mut self, observer: NodeId, question: u64, revision: u64) {
-        let Some(link) = self.links.get_mut(&observer) else { return };
+        let Some(link) = self.links.get_mut(&observer) else {
+            return;
+        };
         if !std::mem::replace(&mut link.proved, true) {
             self.pause = self.config.pause.0;
         }
@@ -181,12 +194,23 @@
     /// Asks an observer whether its state is current. The answer counts from now.
     fn ask(&mut self, observer: NodeId) {
         let serving = self.may_route(self.now).is_ok();
-        let Some(link) = self.links.get_mut(&observer) else { return };
+        let Some(link) = self.links.get_mut(&observer) else {
+            return;
+        };
         let gate = self.gate.ask(self.now);
         self.last_question += 1;
         link.asked(self.now, self.last_question, gate);
-        let progress = Progress { applied: self.replica.revision(), serving };
-        self.send(observer, FromSubscriber::Confirm { question: self.last_question, progress });
+        let progress = Progress {
+            applied: self.replica.revision(),
+            serving,
+        };
+        self.send(
+            observer,
+            FromSubscriber::Confirm {
+                question: self.last_question,
+                progress,
+            },
+        );
     }
 
     fn send(&mut self, observer: NodeId, message: FromSubscriber) {
--- a/cluster/distribution/tests/bad_input.rs
+++ b/cluster/distribution/tests/bad_input.rs
@@ -7,9 +7,21 @@
 const SECOND: u64 = 1_000_000;
 
 fn put(store: &mut Store, key: &str, bytes: usize) {
-    let op = Op::Put { key: key.to_owned(), value: vec![7; bytes], lease: None };
-    let step = Step::Txn(Txn { then: vec![op], ..Txn::default() });
-    store.apply(&Command { request: None, who: "test".to_owned(), time: 0, step });
+    let op = Op::Put {
+        key: key.to_owned(),
+        value: vec![7; bytes],
+        lease: None,
+    };
+    let step = Step::Txn(Txn {
+        then: vec![op],
+        ..Txn::default()
+    });
+    store.apply(&Command {
+        request: None,
+        who: "test".to_owned(),
+        time: 0,
+        step,
+    });
 }
 
 fn store(revisions: u64) -> Store {
@@ -24,11 +36,24 @@
 
 fn hello(revision: u64) -> SubscriberHello {
     let (cluster, name) = ("c".to_owned(), "front-end".to_owned());
-    SubscriberHello { magic: MAGIC, version: VERSION, cluster, observer: 1, name, revision }
+    SubscriberHello {
+        magic: MAGIC,
+        version: VERSION,
+        cluster,
+        observer: 1,
+        name,
+        revision,
+    }
 }
 
 fn confirm(question: u64) -> FromSubscriber {
-    FromSubscriber::Confirm { question, progress: Progress { applied: 0, serving: true } }
+    FromSubscriber::Confirm {
+        question,
+        progress: Progress {
+            applied: 0,
+            serving: true,
+        },
+    }
 }
 
 type Sent = Vec<(ConnectionId, FromObserver)>;
@@ -51,12 +76,48 @@
 fn a_greeting_that_does_not_fit_is_refused_with_its_reason() {
     let mut observer = Observer::new(config(), 0);
     let bad = [
-        (SubscriberHello { magic: *b"VGCL", ..hello(0) }, "not_a_subscriber"),
-        (SubscriberHello { version: 2, ..hello(0) }, "wrong_version"),
-        (SubscriberHello { cluster: "d".to_owned(), ..hello(0) }, "wrong_cluster"),
-        (SubscriberHello { observer: 2, ..hello(0) }, "wrong_observer"),
-        (SubscriberHello { name: "x".repeat(300), ..hello(0) }, "protocol"),
-        (SubscriberHello { name: String::new(), ..hello(0) }, "protocol"),
+        (
+            SubscriberHello {
+                magic: *b"VGCL",
+                ..hello(0)
+            },
+            "not_a_subscriber",
+        ),
+        (
+            SubscriberHello {
+                version: 2,
+                ..hello(0)
+            },
+            "wrong_version",
+        ),
+        (
+            SubscriberHello {
+                cluster: "d".to_owned(),
+                ..hello(0)
+            },
+            "wrong_cluster",
+        ),
+        (
+            SubscriberHello {
+                observer: 2,
+                ..hello(0)
+            },
+            "wrong_observer",
+        ),
+        (
+            SubscriberHello {
+                name: "x".repeat(300),
+                ..hello(0)
+            },
+            "protocol",
+        ),
+        (
+            SubscriberHello {
+                name: String::new(),
+                ..hello(0)
+            },
+            "protocol",
+        ),
     ];
     for (connection, (hello, code)) in (1..).zip(bad) {
         let welcome = observer.connect(0, connection, &hello, &store(1));
@@ -69,8 +130,18 @@
 fn a_revision_of_the_future_is_refused_only_after_a_read() {
     let (mut observer, old, new) = (Observer::new(config(), 0), store(5), store(11));
     for (connection, revision) in [(1, 10), (2, 12)] {
-        assert_eq!(observer.connect(0, connection, &hello(revision), &old).refused, None);
-        observer.receive(0, connection, FromSubscriber::Watch { after: revision }, &old);
+        assert_eq!(
+            observer
+                .connect(0, connection, &hello(revision), &old)
+                .refused,
+            None
+        );
+        observer.receive(
+            0,
+            connection,
+            FromSubscriber::Watch { after: revision },
+            &old,
+        );
     }
     // The read began before the second one watched: it says nothing of it. The first one's revision comes meanwhile.
     assert_eq!(observer.actions(), vec![ObserverAction::Read(1)]);
@@ -78,12 +149,21 @@
     observer.applied(SECOND, &new);
     let (messages, refusals) = sent(&mut observer);
     assert!(refusals.is_empty());
-    let [(1, FromObserver::Changes { after: 10, to: 11, .. })] = messages.as_slice() else {
+    let [(
+        1,
+        FromObserver::Changes {
+            after: 10, to: 11, ..
+        },
+    )] = messages.as_slice()
+    else {
         panic!("{messages:?}")
     };
     observer.read_ended(SECOND, 1, true, &new);
     observer.read_ended(2 * SECOND, 2, true, &new);
-    let expected = Refusal::RevisionAhead { theirs: 12, ours: 11 };
+    let expected = Refusal::RevisionAhead {
+        theirs: 12,
+        ours: 11,
+    };
     assert_eq!(sent(&mut observer).1, vec![(2, expected)]);
 }
 
@@ -94,19 +174,37 @@
     observer.receive(0, 2, confirm(1), &store);
     (0..10_000).for_each(|question| observer.receive(0, 1, confirm(question), &store));
     let refusals = sent(&mut observer).1;
-    assert!(matches!(refusals.as_slice(), [(1, Refusal::Protocol { .. })]), "{refusals:?}");
+    assert!(
+        matches!(refusals.as_slice(), [(1, Refusal::Protocol { .. })]),
+        "{refusals:?}"
+    );
     observer.read_ended(10, 1, true, &store);
-    assert_eq!(sent(&mut observer).0, vec![(2, FromObserver::Confirmed { question: 1, revision: 1 })]);
+    assert_eq!(
+        sent(&mut observer).0,
+        vec![(
+            2,
+            FromObserver::Confirmed {
+                question: 1,
+                revision: 1
+            }
+        )]
+    );
 }
 
 #[test]
 fn a_snapshot_place_that_no_key_can_have_is_refused() {
     let (mut observer, store) = (Observer::new(config(), 0), store(1));
     observer.connect(0, 1, &hello(0), &store);
-    let from = Some(SnapshotPlace { revision: 1, after: "k".repeat(600) });
+    let from = Some(SnapshotPlace {
+        revision: 1,
+        after: "k".repeat(600),
+    });
     observer.receive(0, 1, FromSubscriber::Snapshot { from }, &store);
     let refusals = sent(&mut observer).1;
-    assert!(matches!(refusals.as_slice(), [(1, Refusal::Protocol { .. })]), "{refusals:?}");
+    assert!(
+        matches!(refusals.as_slice(), [(1, Refusal::Protocol { .. })]),
+        "{refusals:?}"
+    );
 }
 
 #[test]
@@ -119,7 +217,10 @@
         observer.receive(0, connection, FromSubscriber::Watch { after: 1 }, &store);
         observer.receive(0, connection, confirm(1), &store);
     }
-    assert_eq!((full, observer.sizes().subscribers, observer.sizes().current), (6_000, 4_000, 4_000));
+    assert_eq!(
+        (full, observer.sizes().subscribers, observer.sizes().current),
+        (6_000, 4_000, 4_000)
+    );
     observer.actions();
     put(&mut store, "a", 1);
     observer.applied(1, &store);
@@ -130,7 +231,12 @@
         other => panic!("{other:?}"),
     };
     let first = changes(&messages[0].1);
-    assert!(messages.iter().all(|(_, message)| changes(message) == first), "one copy in memory for all");
+    assert!(
+        messages
+            .iter()
+            .all(|(_, message)| changes(message) == first),
+        "one copy in memory for all"
+    );
 }
 
 #[test]
@@ -141,16 +247,24 @@
         observer.connect(now, connection, &hello(connection % 200), &store);
         observer.receive(now, connection, confirm(1), &store);
         let message = match connection % 3 {
-            0 => FromSubscriber::Watch { after: connection % 200 },
+            0 => FromSubscriber::Watch {
+                after: connection % 200,
+            },
             1 => FromSubscriber::Snapshot { from: None },
             _ => FromSubscriber::Snapshot {
-                from: Some(SnapshotPlace { revision: connection % 200, after: "key-0050".to_owned() }),
+                from: Some(SnapshotPlace {
+                    revision: connection % 200,
+                    after: "key-0050".to_owned(),
+                }),
             },
         };
         observer.receive(now, connection, message, &store);
         observer.disconnect(now, connection);
         observer.actions();
-        let sizes = ObserverSizes { departed: 0, ..observer.sizes() };
+        let sizes = ObserverSizes {
+            departed: 0,
+            ..observer.sizes()
+        };
         assert_eq!(sizes, ObserverSizes::default());
         assert!(observer.sizes().departed <= 4_000, "{:?}", observer.sizes());
     }
@@ -158,7 +272,11 @@
 
 #[test]
 fn one_that_takes_nothing_is_held_back_then_closed_and_slows_nobody() {
-    let config = ObserverConfig { queue_bytes: 10_000, piece_bytes: 1_000, ..config() };
+    let config = ObserverConfig {
+        queue_bytes: 10_000,
+        piece_bytes: 1_000,
+        ..config()
+    };
     let (mut observer, mut store) = (Observer::new(config, 0), Store::default());
     for id in 1..=2 {
         observer.connect(0, id, &hello(0), &store);
@@ -173,8 +291,15 @@
         }
         observer.queued(2, 0, &store);
     }
-    assert_eq!(taken[1], 1_000, "the other one is sent every change at once");
-    assert!(taken[0] < 100, "{} changes wait for one that takes nothing", taken[0]);
+    assert_eq!(
+        taken[1], 1_000,
+        "the other one is sent every change at once"
+    );
+    assert!(
+        taken[0] < 100,
+        "{} changes wait for one that takes nothing",
+        taken[0]
+    );
     // It reads again: it goes on from where it stood, and ends up with all.
     let mut to = 0;
     for _ in 0..2_000 {
@@ -191,12 +316,18 @@
     observer.queued(2, 0, &store);
     (1..=12).for_each(|n| observer.tick(n * SECOND, &store));
     let refusals = sent(&mut observer).1;
-    assert!(matches!(refusals.as_slice(), [(1, Refusal::TooSlow { .. })]), "{refusals:?}");
+    assert!(
+        matches!(refusals.as_slice(), [(1, Refusal::TooSlow { .. })]),
+        "{refusals:?}"
+    );
 }
 
 #[test]
 fn snapshots_wait_for_their_turn_and_are_told_their_place() {
-    let config = ObserverConfig { snapshots_at_once: 4, ..config() };
+    let config = ObserverConfig {
+        snapshots_at_once: 4,
+        ..config()
+    };
     let (mut observer, store) = (Observer::new(config, 0), store(10));
     for id in 1..=100 {
         observer.connect(0, id, &hello(0), &store);
@@ -208,13 +339,21 @@
             FromObserver::SnapshotQueued { place } => Some(place),
             _ => None,
         };
-        sent(observer).0.into_iter().filter_map(place).collect::<Vec<u32>>()
+        sent(observer)
+            .0
+            .into_iter()
+            .filter_map(place)
+            .collect::<Vec<u32>>()
     };
     assert_eq!(places(&mut observer), (0..96).collect::<Vec<u32>>());
     (1..=80).for_each(|id| observer.disconnect(1, id));
     observer.tick(SECOND, &store);
     assert_eq!(observer.sizes().snapshots, (4, 16));
-    assert_eq!(places(&mut observer), (0..16).collect::<Vec<u32>>(), "places that changed by much");
+    assert_eq!(
+        places(&mut observer),
+        (0..16).collect::<Vec<u32>>(),
+        "places that changed by much"
+    );
     // Those that hold a slot and ask for nothing more give it up.
     (1..=30).for_each(|n| observer.tick(n * SECOND - 1, &store));
     assert_eq!(observer.sizes().snapshots.1, 0, "all had their turn");
@@ -225,10 +364,20 @@
     let config = SubscriberConfig::default_for("c", "front-end", vec![1]);
     let mut subscriber = Subscriber::new(config, 1, 0);
     subscriber.tick(SECOND);
-    let welcome = ObserverWelcome { refused: None, revision: 2, subscribers: 1, capacity: 10 };
+    let welcome = ObserverWelcome {
+        refused: None,
+        revision: 2,
+        subscribers: 1,
+        capacity: 10,
+    };
     subscriber.connected(SECOND, 1, &welcome);
     let entries = vec![("a".to_owned(), 2, vec![1])];
-    let piece = FromObserver::SnapshotPiece { revision: 2, after: None, entries, last: true };
+    let piece = FromObserver::SnapshotPiece {
+        revision: 2,
+        after: None,
+        entries,
+        last: true,
+    };
     subscriber.receive(SECOND, 1, piece);
     assert_eq!(subscriber.replica().revision(), 2);
     subscriber.actions();
@@ -237,9 +386,16 @@
 
 #[test]
 fn what_an_observer_must_not_send_is_not_taken() {
-    let change = |revision| EntryChange { revision, key: "b".to_owned(), value: Some(vec![1]) };
-    let changes =
-        |after, to, revision| FromObserver::Changes { after, to, changes: vec![change(revision)].into() };
+    let change = |revision| EntryChange {
+        revision,
+        key: "b".to_owned(),
+        value: Some(vec![1]),
+    };
+    let changes = |after, to, revision| FromObserver::Changes {
+        after,
+        to,
+        changes: vec![change(revision)].into(),
+    };
     let piece = |after: Option<&str>, key: &str| FromObserver::SnapshotPiece {
         revision: 9,
         after: after.map(str::to_owned),
@@ -263,8 +419,17 @@
             now += 2 * SECOND;
             subscriber.receive(now, 1, message);
         }
-        assert!(subscriber.actions().contains(&SubscriberAction::Disconnect(1)), "{messages:?}");
-        assert_eq!(subscriber.refusal().map(Refusal::code), Some("protocol"), "{messages:?}");
+        assert!(
+            subscriber
+                .actions()
+                .contains(&SubscriberAction::Disconnect(1)),
+            "{messages:?}"
+        );
+        assert_eq!(
+            subscriber.refusal().map(Refusal::code),
+            Some("protocol"),
+            "{messages:?}"
+        );
         assert_eq!(subscriber.replica(), &before);
     }
 }
--- a/cluster/distribution/tests/basic.rs
+++ b/cluster/distribution/tests/basic.rs
@@ -7,17 +7,37 @@
 const MS: u64 = 1_000;
 
 fn put(store: &mut Store, key: &str, value: &str) {
-    let op = Op::Put { key: key.to_owned(), value: value.as_bytes().to_vec(), lease: None };
-    let txn = Txn { then: vec![op], ..Txn::default() };
-    store.apply(&Command { request: None, who: "test".to_owned(), time: 0, step: Step::Txn(txn) });
+    let op = Op::Put {
+        key: key.to_owned(),
+        value: value.as_bytes().to_vec(),
+        lease: None,
+    };
+    let txn = Txn {
+        then: vec![op],
+        ..Txn::default()
+    };
+    store.apply(&Command {
+        request: None,
+        who: "test".to_owned(),
+        time: 0,
+        step: Step::Txn(txn),
+    });
 }
 
 fn compact(store: &mut Store, to: u64) {
-    store.apply(&Command { request: None, who: "test".to_owned(), time: 0, step: Step::Compact(to) });
+    store.apply(&Command {
+        request: None,
+        who: "test".to_owned(),
+        time: 0,
+        step: Step::Compact(to),
+    });
 }
 
 fn config() -> ObserverConfig {
-    ObserverConfig { piece_bytes: 100, ..ObserverConfig::default_for("c", 1) }
+    ObserverConfig {
+        piece_bytes: 100,
+        ..ObserverConfig::default_for("c", 1)
+    }
 }
 
 /// An observer and a subscriber whose messages arrive at once.
@@ -48,12 +68,17 @@
     /// Carries out all actions of both until there are none.
     fn settle(&mut self) {
         loop {
-            let (from_subscriber, from_observer) = (self.subscriber.actions(), self.observer.actions());
+            let (from_subscriber, from_observer) =
+                (self.subscriber.actions(), self.observer.actions());
             if from_subscriber.is_empty() && from_observer.is_empty() {
                 return;
             }
-            from_subscriber.into_iter().for_each(|action| self.subscriber_action(action));
-            from_observer.into_iter().for_each(|action| self.observer_action(action));
+            from_subscriber
+                .into_iter()
+                .for_each(|action| self.subscriber_action(action));
+            from_observer
+                .into_iter()
+                .for_each(|action| self.observer_action(action));
         }
     }
 
@@ -61,12 +86,15 @@
         match action {
             SubscriberAction::Connect(id, hello) => {
                 self.connection += 1;
-                let welcome = self.observer.connect(self.now, self.connection, &hello, &self.store);
+                let welcome = self
+                    .observer
+                    .connect(self.now, self.connection, &hello, &self.store);
                 self.subscriber.connected(self.now, id, &welcome);
             }
             SubscriberAction::Disconnect(_) => self.observer.disconnect(self.now, self.connection),
             SubscriberAction::Send(_, message) => {
-                self.observer.receive(self.now, self.connection, message, &self.store);
+                self.observer
+                    .receive(self.now, self.connection, message, &self.store);
             }
         }
     }
@@ -78,7 +106,9 @@
                 self.subscriber.receive(self.now, 1, message);
                 self.observer.queued(connection, 0, &self.store);
             }
-            ObserverAction::Close(_, refusal) => self.subscriber.disconnected(self.now, 1, Some(&refusal)),
+            ObserverAction::Close(_, refusal) => {
+                self.subscriber.disconnected(self.now, 1, Some(&refusal))
+            }
             ObserverAction::Read(read) => self.reads.push(read),
         }
     }
@@ -92,7 +122,8 @@
 
     fn answer_reads(&mut self, current: bool) {
         for read in std::mem::take(&mut self.reads) {
-            self.observer.read_ended(self.now, read, current, &self.store);
+            self.observer
+                .read_ended(self.now, read, current, &self.store);
         }
         self.settle();
     }
@@ -105,7 +136,10 @@
 
     fn assert_same(&self) {
         assert_eq!(self.subscriber.replica().revision(), self.store.revision());
-        assert_eq!(self.subscriber.replica().entries_below(""), self.store.entries_below(""));
+        assert_eq!(
+            self.subscriber.replica().entries_below(""),
+            self.store.entries_below("")
+        );
     }
 }
 
@@ -117,7 +151,10 @@
     pair.advance(50 * MS);
     pair.assert_same();
     assert!(pair.pieces > 5, "{} pieces of 100 bytes", pair.pieces);
-    assert!(pair.subscriber.may_route(pair.now).is_err(), "not confirmed yet");
+    assert!(
+        pair.subscriber.may_route(pair.now).is_err(),
+        "not confirmed yet"
+    );
     pair.answer_reads(true);
     pair.advance(20 * MS);
     pair.answer_reads(true);
@@ -163,7 +200,10 @@
     };
     assert_eq!(observer.connect(0, 1, &hello, &store).refused, None);
     let confirm = |question| {
-        let progress = Progress { applied: 0, serving: false };
+        let progress = Progress {
+            applied: 0,
+            serving: false,
+        };
         FromSubscriber::Confirm { question, progress }
     };
     observer.receive(0, 1, confirm(1), &store);
@@ -171,7 +211,15 @@
     observer.receive(5 * MS, 1, confirm(2), &store);
     assert_eq!(observer.actions(), vec![], "one read runs");
     observer.read_ended(30 * MS, 1, true, &store);
-    let answer = |question| ObserverAction::Send(1, FromObserver::Confirmed { question, revision: 0 });
+    let answer = |question| {
+        ObserverAction::Send(
+            1,
+            FromObserver::Confirmed {
+                question,
+                revision: 0,
+            },
+        )
+    };
     assert_eq!(observer.actions(), vec![answer(1), ObserverAction::Read(2)]);
     observer.read_ended(35 * MS, 2, true, &store);
     assert_eq!(observer.actions(), vec![answer(2)]);
@@ -216,14 +264,23 @@
         pair.answer_reads(true);
     });
     let summary = pair.observer.progress(pair.now);
-    assert_eq!((summary.serving, summary.not_serving, summary.least), (1, 0, Some(1)));
+    assert_eq!(
+        (summary.serving, summary.not_serving, summary.least),
+        (1, 0, Some(1))
+    );
     let mut fleet = FleetProgress::default();
     fleet.report(pair.now, 1, summary);
     let totals = fleet.record(pair.now, 1_000 * MS);
-    assert_eq!((totals.observers, totals.serving, totals.in_force), (1, 1, 1));
+    assert_eq!(
+        (totals.observers, totals.serving, totals.in_force),
+        (1, 1, 1)
+    );
     assert_eq!(fleet.in_force().count(), 1);
     let later = fleet.totals(pair.now + 60_000 * MS, 1_000 * MS);
-    assert_eq!((later.silent_observers, later.serving, later.in_force), (1, 0, 0));
+    assert_eq!(
+        (later.silent_observers, later.serving, later.in_force),
+        (1, 0, 0)
+    );
 }
 
 /// A subscriber whose connections to observers 1 and 2 are open; the watched one, and the other.
@@ -232,7 +289,12 @@
     let mut subscriber = Subscriber::new(config, 7, 0);
     subscriber.tick(50 * MS);
     for id in [1, 2] {
-        let welcome = ObserverWelcome { refused: None, revision: 9, subscribers: 1, capacity: 10 };
+        let welcome = ObserverWelcome {
+            refused: None,
+            revision: 9,
+            subscribers: 1,
+            capacity: 10,
+        };
         subscriber.connected(50 * MS, id, &welcome);
     }
     let (watched, reserve) = subscriber.observers();
@@ -241,7 +303,12 @@
 
 fn piece(after: Option<&str>, key: &str, last: bool) -> FromObserver {
     let entries = vec![(key.to_owned(), 5, vec![1])];
-    FromObserver::SnapshotPiece { revision: 9, after: after.map(str::to_owned), entries, last }
+    FromObserver::SnapshotPiece {
+        revision: 9,
+        after: after.map(str::to_owned),
+        entries,
+        last,
+    }
 }
 
 #[test]
@@ -250,12 +317,21 @@
     subscriber.receive(60 * MS, watched, piece(None, "a", false));
     subscriber.actions();
     subscriber.disconnected(70 * MS, watched, None);
-    let from = Some(SnapshotPlace { revision: 9, after: "a".to_owned() });
+    let from = Some(SnapshotPlace {
+        revision: 9,
+        after: "a".to_owned(),
+    });
     let asked = SubscriberAction::Send(reserve, FromSubscriber::Snapshot { from });
     assert!(subscriber.actions().contains(&asked));
     assert_eq!(subscriber.replica().revision(), 0, "not whole yet");
     subscriber.receive(80 * MS, reserve, piece(Some("a"), "b", true));
-    assert_eq!((subscriber.replica().revision(), subscriber.replica().entries_below("").len()), (9, 2));
+    assert_eq!(
+        (
+            subscriber.replica().revision(),
+            subscriber.replica().entries_below("").len()
+        ),
+        (9, 2)
+    );
 }
 
 #[test]
@@ -267,9 +343,20 @@
     let asked = SubscriberAction::Send(watched, FromSubscriber::Snapshot { from: None });
     assert_eq!(subscriber.actions(), vec![asked]);
     let entries = vec![("b".to_owned(), 21, vec![1])];
-    let whole = FromObserver::SnapshotPiece { revision: 21, after: None, entries, last: true };
+    let whole = FromObserver::SnapshotPiece {
+        revision: 21,
+        after: None,
+        entries,
+        last: true,
+    };
     subscriber.receive(80 * MS, watched, whole);
-    assert_eq!((subscriber.replica().revision(), subscriber.replica().entries_below("").len()), (21, 1));
+    assert_eq!(
+        (
+            subscriber.replica().revision(),
+            subscriber.replica().entries_below("").len()
+        ),
+        (21, 1)
+    );
 }
 
 #[test]
@@ -284,7 +371,10 @@
     let before: Vec<u64> = subscriber.actions().iter().filter_map(question).collect();
     subscriber.receive(60 * MS, watched, piece(None, "a", true));
     let after: Vec<u64> = subscriber.actions().iter().filter_map(question).collect();
-    let answer = |question: u64| FromObserver::Confirmed { question, revision: 9 };
+    let answer = |question: u64| FromObserver::Confirmed {
+        question,
+        revision: 9,
+    };
     subscriber.receive(70 * MS, watched, answer(before[0]));
     assert!(subscriber.may_route(70 * MS).is_err());
     subscriber.receive(80 * MS, watched, answer(after[0]));
@@ -304,7 +394,10 @@
     fleet.report(0, 1, summary(7));
     fleet.report(4_000 * MS, 2, summary(9));
     let totals = fleet.totals(4_000 * MS, 2_000 * MS);
-    assert_eq!((totals.observers, totals.silent_observers, totals.serving), (1, 1, 10));
+    assert_eq!(
+        (totals.observers, totals.silent_observers, totals.serving),
+        (1, 1, 10)
+    );
     assert_eq!((totals.in_force, totals.laggards.len()), (7, 1));
     assert_eq!(fleet.totals(5_500 * MS, 2_000 * MS).in_force, 9);
     fleet.forget(1);
--- a/cluster/distribution/tests/hard_cases.rs
+++ b/cluster/distribution/tests/hard_cases.rs
@@ -10,7 +10,11 @@
 /// A fleet in which all are current. Each observer takes as many connections as there are front ends.
 fn fleet(seed: u64, observers: u64, front_ends: usize) -> World {
     let capacity = front_ends as u32;
-    let config = ObserverConfig { piece_bytes: 500, capacity, ..ObserverConfig::default_for("fleet", 1) };
+    let config = ObserverConfig {
+        piece_bytes: 500,
+        capacity,
+        ..ObserverConfig::default_for("fleet", 1)
+    };
     let mut world = World::new(seed, observers, front_ends, config);
     (0..20).for_each(|n| world.put(&[(n, 100)]));
     world.run_for(6 * SECOND);
@@ -34,7 +38,10 @@
 
 /// The busiest observer's connections by the mean of those that live, in percent.
 fn spread(world: &World) -> usize {
-    let live = world.observers.values().filter_map(|process| process.core.as_ref());
+    let live = world
+        .observers
+        .values()
+        .filter_map(|process| process.core.as_ref());
     let counts: Vec<usize> = live.map(|core| core.sizes().subscribers).collect();
     println!("connections by observer: {counts:?}");
     counts.iter().max().unwrap() * counts.len() * 100 / counts.iter().sum::<usize>()
@@ -44,14 +51,25 @@
 fn an_observer_dies_under_1900_subscribers_and_no_gate_shuts() {
     // Each of the four observers has 1,900 connections.
     let mut world = fleet(1, 4, 3_800);
-    let under = world.observers[&1].core.as_ref().unwrap().sizes().subscribers;
-    assert!((1_700..2_100).contains(&under), "{under} under the one that dies");
+    let under = world.observers[&1]
+        .core
+        .as_ref()
+        .unwrap()
+        .sizes()
+        .subscribers;
+    assert!(
+        (1_700..2_100).contains(&under),
+        "{under} under the one that dies"
+    );
     assert!(spread(&world) <= 130);
     let (shut, snapshots) = (world.seen.gates_shut, world.seen.snapshots);
     world.kill_observer(1);
     run_with_changes(&mut world, 10);
     assert_eq!(world.seen.gates_shut, shut, "moments with a gate shut");
-    assert_eq!(world.seen.snapshots, snapshots, "all go on from the revision that they hold");
+    assert_eq!(
+        world.seen.snapshots, snapshots,
+        "all go on from the revision that they hold"
+    );
     assert!(spread(&world) <= 130);
     world.run_for(SECOND);
     assert_current(&world);
@@ -66,7 +84,11 @@
     run_with_changes(&mut world, 10);
     assert_eq!(world.seen.gates_shut, shut, "moments with a gate shut");
     let holds_it = |n: &usize| world.subscribers[*n].core.observers().0 == Some(1);
-    assert_eq!((0..950).filter(holds_it).count(), 0, "still watch the silent one");
+    assert_eq!(
+        (0..950).filter(holds_it).count(),
+        0,
+        "still watch the silent one"
+    );
 }
 
 #[test]
@@ -89,15 +111,24 @@
     let connections = world.seen.connections;
     // A read that was confirmed before the cut may still end.
     world.run_for(2 * SECOND + 100 * MS);
-    let open = world.subscribers.iter().filter(|process| process.core.may_route(world.now).is_ok());
+    let open = world
+        .subscribers
+        .iter()
+        .filter(|process| process.core.may_route(world.now).is_ok());
     assert_eq!(open.count(), 0, "gates open after the drain limit");
     world.run_for(30 * SECOND);
     let tried = world.seen.connections - connections;
     println!("{tried} connections in half a minute without voters");
-    assert!(tried < 8 * 950, "{tried} connections: observers are changed without end");
+    assert!(
+        tried < 8 * 950,
+        "{tried} connections: observers are changed without end"
+    );
     world.cut_upstream.clear();
     world.run_for(3 * SECOND);
-    let shut = world.subscribers.iter().filter(|process| process.core.may_route(world.now).is_err());
+    let shut = world
+        .subscribers
+        .iter()
+        .filter(|process| process.core.may_route(world.now).is_err());
     assert_eq!(shut.count(), 0, "gates shut 3 s after");
 }
 
@@ -111,10 +142,21 @@
     let mut taken = vec![0];
     for _ in 0..8 {
         world.run_for(30 * SECOND);
-        taken.push(world.observers[&1].core.as_ref().unwrap().sizes().subscribers);
+        taken.push(
+            world.observers[&1]
+                .core
+                .as_ref()
+                .unwrap()
+                .sizes()
+                .subscribers,
+        );
     }
     println!("the returned one has, each 30 s: {taken:?}");
-    let most = taken.windows(2).map(|pair| pair[1].saturating_sub(pair[0])).max().unwrap();
+    let most = taken
+        .windows(2)
+        .map(|pair| pair[1].saturating_sub(pair[0]))
+        .max()
+        .unwrap();
     assert!(most < 90, "{most} came within 30 s: {taken:?}");
     assert!(*taken.last().unwrap() > 50, "it fills: {taken:?}");
     assert_eq!(world.seen.gates_shut, shut, "moments with a gate shut");
@@ -126,8 +168,15 @@
     (0..760).for_each(|n| world.restart_subscriber(n));
     world.run_for(3 * SECOND);
     let seen = &world.seen;
-    println!("snapshots at once: {}, queued: {}", seen.most_snapshots, seen.most_snapshots_queued);
-    assert!(seen.most_snapshots <= 64, "{} snapshots at once", seen.most_snapshots);
+    println!(
+        "snapshots at once: {}, queued: {}",
+        seen.most_snapshots, seen.most_snapshots_queued
+    );
+    assert!(
+        seen.most_snapshots <= 64,
+        "{} snapshots at once",
+        seen.most_snapshots
+    );
     assert!(seen.queued > 0, "none waited for its turn");
     assert_current(&world);
 }
--- a/cluster/distribution/tests/model.rs
+++ b/cluster/distribution/tests/model.rs
@@ -21,10 +21,22 @@
 fn store(drained: bool) -> &'static Store {
     static STORES: OnceLock<[Store; 2]> = OnceLock::new();
     let stores = STORES.get_or_init(|| {
-        let op = Op::Put { key: "drain".to_owned(), value: Vec::new(), lease: None };
-        let step = Step::Txn(Txn { then: vec![op], ..Txn::default() });
+        let op = Op::Put {
+            key: "drain".to_owned(),
+            value: Vec::new(),
+            lease: None,
+        };
+        let step = Step::Txn(Txn {
+            then: vec![op],
+            ..Txn::default()
+        });
         let mut after = Store::default();
-        after.apply(&Command { request: None, who: "model".to_owned(), time: 0, step });
+        after.apply(&Command {
+            request: None,
+            who: "model".to_owned(),
+            time: 0,
+            step,
+        });
         [Store::default(), after]
     });
     &stores[usize::from(drained)]
@@ -85,7 +97,8 @@
                 ObserverAction::Close(..) => {}
             }
         }
-        self.observer.queued(CONNECTION, 0, store(self.observer_knows));
+        self.observer
+            .queued(CONNECTION, 0, store(self.observer_knows));
     }
 
     fn arrive(&mut self, message: FromObserver, mutant: Option<Mutant>) {
@@ -111,7 +124,10 @@
     type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
-        let config = ObserverConfig { read_every: 0, ..ObserverConfig::default_for("model", 1) };
+        let config = ObserverConfig {
+            read_every: 0,
+            ..ObserverConfig::default_for("model", 1)
+        };
         let mut observer = Observer::new(config, 0);
         #[cfg(feature = "mutants")]
         observer.set_mutant(self.mutant);
@@ -123,8 +139,18 @@
             name: "front-end".to_owned(),
             revision: 0,
         };
-        assert_eq!(observer.connect(0, CONNECTION, &hello, store(false)).refused, None);
-        observer.receive(0, CONNECTION, FromSubscriber::Watch { after: 0 }, store(false));
+        assert_eq!(
+            observer
+                .connect(0, CONNECTION, &hello, store(false))
+                .refused,
+            None
+        );
+        observer.receive(
+            0,
+            CONNECTION,
+            FromSubscriber::Watch { after: 0 },
+            store(false),
+        );
         vec![State {
             now: 0,
             drained: None,
@@ -140,7 +166,13 @@
     }
 
     fn actions(&self, state: &State, out: &mut Vec<Event>) {
-        out.extend([Event::Tick, Event::Sleep, Event::Drain, Event::ApplyAtObserver, Event::Ask]);
+        out.extend([
+            Event::Tick,
+            Event::Sleep,
+            Event::Drain,
+            Event::ApplyAtObserver,
+            Event::Ask,
+        ]);
         out.extend([Event::ArriveAtObserver, Event::ArriveAtFrontEnd]);
         for n in 0..state.reads.len() {
             out.extend([Event::Vouch(n), Event::EndRead(n), Event::FailRead(n)]);
@@ -170,23 +202,31 @@
             }
             Event::ArriveAtObserver => {
                 let question = s.to_observer.pop_front()?;
-                let progress = Progress { applied: 0, serving: false };
+                let progress = Progress {
+                    applied: 0,
+                    serving: false,
+                };
                 let message = FromSubscriber::Confirm { question, progress };
-                s.observer.receive(s.now, CONNECTION, message, store(s.observer_knows));
+                s.observer
+                    .receive(s.now, CONNECTION, message, store(s.observer_knows));
             }
             Event::Vouch(n) if s.reads[n].vouched.is_none() => {
                 s.reads[n].vouched = Some(s.drained.is_some());
             }
             // It ends once what a majority vouched for is applied at the observer.
             Event::EndRead(n) => {
-                let vouched = s.reads[n].vouched.filter(|drained| !drained || s.observer_knows);
+                let vouched = s.reads[n]
+                    .vouched
+                    .filter(|drained| !drained || s.observer_knows);
                 vouched?;
                 let read = s.reads.remove(n);
-                s.observer.read_ended(s.now, read.id, true, store(s.observer_knows));
+                s.observer
+                    .read_ended(s.now, read.id, true, store(s.observer_knows));
             }
             Event::FailRead(n) => {
                 let read = s.reads.remove(n);
-                s.observer.read_ended(s.now, read.id, false, store(s.observer_knows));
+                s.observer
+                    .read_ended(s.now, read.id, false, store(s.observer_knows));
             }
             Event::ArriveAtFrontEnd => {
                 let message = s.to_front_end.pop_front()?;
@@ -221,7 +261,11 @@
 #[test]
 fn nothing_goes_out_on_old_state_through_an_observer() {
     let checker = Hop { mutant: None }.checker().threads(2).spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} of them different",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
 }
@@ -244,6 +288,15 @@
 }
 
 fn assert_caught(mutant: Mutant) {
-    let checker = Hop { mutant: Some(mutant) }.checker().threads(2).spawn_bfs().join();
-    assert!(checker.discovery(SAFE).is_some(), "{mutant:?} is not caught");
+    let checker = Hop {
+        mutant: Some(mutant),
+    }
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join();
+    assert!(
+        checker.discovery(SAFE).is_some(),
+        "{mutant:?} is not caught"
+    );
 }
--- a/cluster/distribution/tests/simulation.rs
+++ b/cluster/distribution/tests/simulation.rs
@@ -38,11 +38,15 @@
         }
         1..=3 => {
             let key = format!("key-{:03}", world.random(16));
-            world.agree(Step::Txn(Txn { then: vec![Op::Delete(key)], ..Txn::default() }));
+            world.agree(Step::Txn(Txn {
+                then: vec![Op::Delete(key)],
+                ..Txn::default()
+            }));
         }
         _ => {
-            let keys: Vec<(u64, usize)> =
-                (0..=world.random(3)).map(|_| (world.random(16), world.random(60) as usize)).collect();
+            let keys: Vec<(u64, usize)> = (0..=world.random(3))
+                .map(|_| (world.random(16), world.random(60) as usize))
+                .collect();
             world.put(&keys);
         }
     }
@@ -68,7 +72,9 @@
         6 => world.restart_subscriber(n),
         7 => world.cut_upstream.extend([id]),
         8 => world.cut_upstream.clear(),
-        9 => world.cut.extend((0..world.subscribers.len()).step_by(2).map(|n| (n, id))),
+        9 => world
+            .cut
+            .extend((0..world.subscribers.len()).step_by(2).map(|n| (n, id))),
         10 => world.cut.clear(),
         11 => world.subscribers[n].rate = 200 + world.random(5_000),
         12 => world.read_delay = [5 * MS, 30 * MS, 700 * MS][world.random(3) as usize],
@@ -91,7 +97,10 @@
 
 fn world_of(seed: u64) -> (World, u64) {
     let (observers, subscribers) = (3 + seed % 3, 20 + (seed * 7) % 41);
-    (World::new(seed, observers, subscribers as usize, config()), observers)
+    (
+        World::new(seed, observers, subscribers as usize, config()),
+        observers,
+    )
 }
 
 fn play(mut world: World, observers: u64) -> Seen {
@@ -110,7 +119,11 @@
     }
     mend(&mut world, observers);
     world.run_for(10 * SECOND);
-    let late: Vec<String> = world.not_current().into_iter().map(|n| world.describe(n)).collect();
+    let late: Vec<String> = world
+        .not_current()
+        .into_iter()
+        .map(|n| world.describe(n))
+        .collect();
     assert!(late.is_empty(), "not current at the end: {late:?}");
     world.seen
 }
@@ -142,7 +155,10 @@
     std::thread::scope(|scope| (0..THREADS).for_each(|_| drop(scope.spawn(work))));
     let seen = seen.into_inner().unwrap();
     println!("{count} seeds: {seen:?}");
-    assert!(seen.snapshots > 0 && seen.changes > 0 && seen.compacted > 0, "{seen:?}");
+    assert!(
+        seen.snapshots > 0 && seen.changes > 0 && seen.compacted > 0,
+        "{seen:?}"
+    );
     assert!(seen.gates_open > 0 && seen.gates_shut > 0, "{seen:?}");
 }
 
--- a/cluster/distribution/tests/world/check.rs
+++ b/cluster/distribution/tests/world/check.rs
@@ -74,13 +74,22 @@
         let process = &mut self.subscribers[n];
         let revision = process.core.replica().revision();
         if revision != process.last_revision {
-            assert!(revision > process.last_revision, "front end {n} went back to {revision}");
+            assert!(
+                revision > process.last_revision,
+                "front end {n} went back to {revision}"
+            );
             process.last_revision = revision;
             let found = fingerprint(process.core.replica());
-            assert_eq!(found, self.fingerprints[revision as usize], "front end {n} at revision {revision}");
+            assert_eq!(
+                found, self.fingerprints[revision as usize],
+                "front end {n} at revision {revision}"
+            );
         }
         let refusal = self.subscribers[n].core.refusal();
-        assert!(!matches!(refusal, Some(Refusal::Protocol { .. })), "front end {n}: {refusal:?}");
+        assert!(
+            !matches!(refusal, Some(Refusal::Protocol { .. })),
+            "front end {n}: {refusal:?}"
+        );
         self.check_gate(n);
     }
 
@@ -95,7 +104,11 @@
         let limit = self.subscriber_config.drain_limit;
         let known = process.core.replica().revision() as usize;
         if let Some(next) = self.agreed.get(known + 1) {
-            assert!(next + limit > self.now, "front end {n} routes on revision {known}, {next} {}", self.now);
+            assert!(
+                next + limit > self.now,
+                "front end {n} routes on revision {known}, {next} {}",
+                self.now
+            );
         }
     }
 
@@ -107,14 +120,25 @@
             let sizes = core.sizes();
             assert!(sizes.subscribers <= config.capacity as usize, "{sizes:?}");
             assert!(sizes.snapshots.0 <= config.snapshots_at_once, "{sizes:?}");
-            assert!(sizes.snapshots.1 + sizes.current + sizes.ahead <= 2 * sizes.subscribers, "{sizes:?}");
-            assert!(sizes.questions.0.max(sizes.questions.1) <= sizes.subscribers, "{sizes:?}");
+            assert!(
+                sizes.snapshots.1 + sizes.current + sizes.ahead <= 2 * sizes.subscribers,
+                "{sizes:?}"
+            );
+            assert!(
+                sizes.questions.0.max(sizes.questions.1) <= sizes.subscribers,
+                "{sizes:?}"
+            );
             self.seen.most_snapshots = self.seen.most_snapshots.max(sizes.snapshots.0);
-            self.seen.most_snapshots_queued = self.seen.most_snapshots_queued.max(sizes.snapshots.1);
+            self.seen.most_snapshots_queued =
+                self.seen.most_snapshots_queued.max(sizes.snapshots.1);
         }
         // Changes of one batch, or a piece, beyond the bound, and short messages.
         let bound = config.queue_bytes + 2 * config.piece_bytes + (16 << 10);
-        assert!(self.seen.most_waiting <= bound, "{} bytes wait, bound {bound}", self.seen.most_waiting);
+        assert!(
+            self.seen.most_waiting <= bound,
+            "{} bytes wait, bound {bound}",
+            self.seen.most_waiting
+        );
     }
 
     /// How a front end stands, for a failed test.
--- a/cluster/distribution/tests/world/mod.rs
+++ b/cluster/distribution/tests/world/mod.rs
@@ -127,7 +127,11 @@
             agreed: vec![0],
             fingerprints: vec![check::fingerprint(&Store::default())],
             seen: Seen::default(),
-            subscriber_config: SubscriberConfig::default_for(&config.cluster, "front-end", ids.clone()),
+            subscriber_config: SubscriberConfig::default_for(
+                &config.cluster,
+                "front-end",
+                ids.clone(),
+            ),
             observer_config: config,
             #[cfg(feature = "mutants")]
             mutant: None,
@@ -142,7 +146,11 @@
     #[cfg(feature = "mutants")]
     pub fn set_mutant(&mut self, mutant: Mutant) {
         self.mutant = Some(mutant);
-        for core in self.observers.values_mut().filter_map(|process| process.core.as_mut()) {
+        for core in self
+            .observers
+            .values_mut()
+            .filter_map(|process| process.core.as_mut())
+        {
             core.set_mutant(self.mutant);
         }
         for process in &mut self.subscribers {
@@ -167,7 +175,10 @@
 
     /// Starts an observer's process with the store that its disk holds.
     pub fn start_observer(&mut self, id: NodeId) {
-        let config = ObserverConfig { id, ..self.observer_config.clone() };
+        let config = ObserverConfig {
+            id,
+            ..self.observer_config.clone()
+        };
         let process = self.observers.get_mut(&id).unwrap();
         if process.core.is_none() {
             process.core = Some(Observer::new(config, self.now));
@@ -180,7 +191,10 @@
     }
 
     fn new_subscriber(&mut self, n: usize) -> SubscriberProcess {
-        let config = SubscriberConfig { name: format!("front-end-{n}"), ..self.subscriber_config.clone() };
+        let config = SubscriberConfig {
+            name: format!("front-end-{n}"),
+            ..self.subscriber_config.clone()
+        };
         let seed = self.rng.next_u64();
         #[allow(unused_mut)]
         let mut core = Subscriber::new(config, seed, self.now);
@@ -204,18 +218,30 @@
 
     /// A front end's process ends and another one starts in its place.
     pub fn restart_subscriber(&mut self, n: usize) {
-        let connections: Vec<ConnectionId> =
-            self.connections.iter().filter(|(_, c)| c.subscriber == n).map(|(id, _)| *id).collect();
-        connections.into_iter().for_each(|id| self.end_by_subscriber(id));
+        let connections: Vec<ConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.subscriber == n)
+            .map(|(id, _)| *id)
+            .collect();
+        connections
+            .into_iter()
+            .for_each(|id| self.end_by_subscriber(id));
         self.subscribers[n] = self.new_subscriber(n);
         self.after_subscriber(n);
     }
 
     /// An observer's process ends.
     pub fn kill_observer(&mut self, id: NodeId) {
-        let connections: Vec<ConnectionId> =
-            self.connections.iter().filter(|(_, c)| c.observer == id).map(|(id, _)| *id).collect();
-        connections.into_iter().for_each(|id| self.end_by_observer(id, None));
+        let connections: Vec<ConnectionId> = self
+            .connections
+            .iter()
+            .filter(|(_, c)| c.observer == id)
+            .map(|(id, _)| *id)
+            .collect();
+        connections
+            .into_iter()
+            .for_each(|id| self.end_by_observer(id, None));
         let process = self.observers.get_mut(&id).unwrap();
         process.core = None;
         process.reads.clear();
@@ -230,7 +256,8 @@
             (process.paused_until, process.tick_at) = (0, self.now);
         }
         let ids: Vec<NodeId> = self.observers.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.plan(self.now, Event::TickObserver(id)));
+        ids.into_iter()
+            .for_each(|id| self.plan(self.now, Event::TickObserver(id)));
         (0..self.subscribers.len()).for_each(|n| self.plan(self.now, Event::TickSubscriber(n)));
     }
 
@@ -270,7 +297,9 @@
             Event::Connect(n, id, attempt, hello) => self.connect(n, id, attempt, hello),
             Event::ToObserver(id) => self.deliver_to_observer(id),
             Event::ToSubscriber(id) => self.deliver_to_subscriber(id),
-            Event::SubscriberLost(n, id, attempt, refusal) => self.subscriber_lost(n, id, attempt, refusal),
+            Event::SubscriberLost(n, id, attempt, refusal) => {
+                self.subscriber_lost(n, id, attempt, refusal)
+            }
             Event::ObserverLost(id, connection) => self.observer_lost(id, connection),
             Event::Apply(id) => self.apply(id),
             Event::ReadConfirmed(id, starts, read) => self.read_confirmed(id, starts, read),
@@ -315,14 +344,18 @@
     /// Carries out what an observer wants done, and plans its next tick.
     pub(crate) fn after_observer(&mut self, id: NodeId) {
         loop {
-            let Some(core) = self.observers.get_mut(&id).unwrap().core.as_mut() else { return };
+            let Some(core) = self.observers.get_mut(&id).unwrap().core.as_mut() else {
+                return;
+            };
             let actions = core.actions();
             if actions.is_empty() {
                 break;
             }
             for action in actions {
                 match action {
-                    ObserverAction::Send(connection, message) => self.send_to_subscriber(connection, message),
+                    ObserverAction::Send(connection, message) => {
+                        self.send_to_subscriber(connection, message)
+                    }
                     ObserverAction::Close(connection, refusal) => {
                         self.end_by_observer(connection, Some(refusal));
                     }
@@ -331,7 +364,11 @@
             }
         }
         let process = self.observers.get_mut(&id).unwrap();
-        let next = process.core.as_ref().map_or(u64::MAX, Observer::next_tick).max(self.now + 1);
+        let next = process
+            .core
+            .as_ref()
+            .map_or(u64::MAX, Observer::next_tick)
+            .max(self.now + 1);
         if next < process.tick_at {
             process.tick_at = next;
             self.plan(next, Event::TickObserver(id));
--- a/cluster/distribution/tests/world/network.rs
+++ b/cluster/distribution/tests/world/network.rs
@@ -26,12 +26,14 @@
 
 fn size(message: &FromObserver) -> usize {
     match message {
-        FromObserver::Changes { changes, .. } => {
-            changes.iter().map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 8).sum()
-        }
-        FromObserver::SnapshotPiece { entries, .. } => {
-            entries.iter().map(|(key, _, value)| key.len() + value.len() + 8).sum()
-        }
+        FromObserver::Changes { changes, .. } => changes
+            .iter()
+            .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 8)
+            .sum(),
+        FromObserver::SnapshotPiece { entries, .. } => entries
+            .iter()
+            .map(|(key, _, value)| key.len() + value.len() + 8)
+            .sum(),
         _ => 8,
     }
 }
@@ -71,7 +73,10 @@
         let welcome = core.connect(self.now, attempt, &hello, &process.store);
         if let Some(refusal) = &welcome.refused {
             *self.seen.refusals.entry(refusal.code()).or_default() += 1;
-            self.plan(at, Event::SubscriberLost(n, id, attempt, welcome.refused.clone()));
+            self.plan(
+                at,
+                Event::SubscriberLost(n, id, attempt, welcome.refused.clone()),
+            );
             return self.after_observer(id);
         }
         let connection = Connection {
@@ -88,33 +93,52 @@
         self.connections.insert(attempt, connection);
         self.seen.connections += 1;
         // The answer to the greeting is taken as having arrived with it.
-        self.subscribers[n].links.insert(id, (attempt, Some(attempt)));
+        self.subscribers[n]
+            .links
+            .insert(id, (attempt, Some(attempt)));
         self.subscribers[n].core.connected(self.now, id, &welcome);
         self.after_subscriber(n);
         self.after_observer(id);
     }
 
     pub(super) fn send_to_observer(&mut self, n: usize, id: NodeId, message: FromSubscriber) {
-        let Some((_, Some(link))) = self.subscribers[n].links.get(&id).copied() else { return };
+        let Some((_, Some(link))) = self.subscribers[n].links.get(&id).copied() else {
+            return;
+        };
         let at = self.now + self.draw_delay();
         if let Some(connection) = self.connections.get_mut(&link) {
-            let at = connection.to_observer.back().map_or(at, |(before, _)| at.max(*before));
+            let at = connection
+                .to_observer
+                .back()
+                .map_or(at, |(before, _)| at.max(*before));
             connection.to_observer.push_back((at, message));
             self.plan(at, Event::ToObserver(link));
         }
     }
 
     pub(super) fn deliver_to_observer(&mut self, link: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let Some(connection) = self.connections.get_mut(&link) else {
+            return;
+        };
         let (n, id) = (connection.subscriber, connection.observer);
-        if connection.to_observer.front().is_none_or(|(at, _)| *at > self.now) {
+        if connection
+            .to_observer
+            .front()
+            .is_none_or(|(at, _)| *at > self.now)
+        {
             return;
         }
         let paused = self.observers[&id].paused_until > self.now;
         if paused || self.cut.contains(&(n, id)) {
             return self.plan(self.now + AGAIN, Event::ToObserver(link));
         }
-        let Some((_, message)) = self.connections.get_mut(&link).unwrap().to_observer.pop_front() else {
+        let Some((_, message)) = self
+            .connections
+            .get_mut(&link)
+            .unwrap()
+            .to_observer
+            .pop_front()
+        else {
             return;
         };
         self.seen.questions += u64::from(matches!(message, FromSubscriber::Confirm { .. }));
@@ -126,7 +150,9 @@
     }
 
     pub(super) fn send_to_subscriber(&mut self, link: ConnectionId, message: FromObserver) {
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let Some(connection) = self.connections.get_mut(&link) else {
+            return;
+        };
         let bytes = size(&message);
         connection.waiting.push_back((bytes, message));
         connection.waiting_bytes += bytes;
@@ -144,7 +170,9 @@
             let rate = self.subscribers[connection.subscriber].rate;
             let delay = self.draw_delay();
             let connection = self.connections.get_mut(&link).unwrap();
-            let Some((bytes, message)) = connection.waiting.pop_front() else { break };
+            let Some((bytes, message)) = connection.waiting.pop_front() else {
+                break;
+            };
             let before = connection.flying.back().map_or(self.now, |(at, ..)| *at);
             let transfer = (bytes as u64).saturating_mul(SECOND) / rate;
             let at = before.max(self.now + delay).saturating_add(transfer);
@@ -154,7 +182,9 @@
             self.plan(at, Event::ToSubscriber(link));
             moved = true;
         }
-        let Some(connection) = self.connections.get(&link).filter(|_| moved) else { return };
+        let Some(connection) = self.connections.get(&link).filter(|_| moved) else {
+            return;
+        };
         let (id, bytes) = (connection.observer, connection.waiting_bytes);
         let process = self.observers.get_mut(&id).unwrap();
         if let Some(core) = &mut process.core {
@@ -163,9 +193,19 @@
     }
 
     pub(super) fn deliver_to_subscriber(&mut self, link: ConnectionId) {
-        let Some(connection) = self.connections.get_mut(&link) else { return };
-        let (n, id, attempt) = (connection.subscriber, connection.observer, connection.attempt);
-        if connection.flying.front().is_some_and(|(at, ..)| *at > self.now) {
+        let Some(connection) = self.connections.get_mut(&link) else {
+            return;
+        };
+        let (n, id, attempt) = (
+            connection.subscriber,
+            connection.observer,
+            connection.attempt,
+        );
+        if connection
+            .flying
+            .front()
+            .is_some_and(|(at, ..)| *at > self.now)
+        {
             return;
         }
         let paused = self.subscribers[n].paused_until > self.now;
@@ -181,7 +221,9 @@
         }
         self.take_off(link);
         self.after_observer(id);
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let Some(connection) = self.connections.get_mut(&link) else {
+            return;
+        };
         if connection.flying.is_empty() && connection.waiting.is_empty() {
             if let Some(refusal) = connection.closed.take() {
                 self.connections.remove(&link);
@@ -193,7 +235,9 @@
     /// The observer's end of a connection closes; what was sent before still arrives.
     pub(super) fn end_by_observer(&mut self, link: ConnectionId, refusal: Option<Refusal>) {
         let at = self.now + self.draw_delay();
-        let Some(connection) = self.connections.get_mut(&link) else { return };
+        let Some(connection) = self.connections.get_mut(&link) else {
+            return;
+        };
         if let Some(refusal) = &refusal {
             *self.seen.refusals.entry(refusal.code()).or_default() += 1;
         } else {
@@ -203,7 +247,10 @@
         }
         connection.to_observer.clear();
         connection.closed = Some(refusal);
-        let at = connection.flying.back().map_or(at, |(last, ..)| at.max(*last));
+        let at = connection
+            .flying
+            .back()
+            .map_or(at, |(last, ..)| at.max(*last));
         self.plan(at, Event::ToSubscriber(link));
     }
 
@@ -224,7 +271,11 @@
     /// A connection breaks, and both ends learn of it.
     pub fn break_connection(&mut self, link: ConnectionId) {
         if let Some(connection) = self.connections.get(&link) {
-            let (n, id, attempt) = (connection.subscriber, connection.observer, connection.attempt);
+            let (n, id, attempt) = (
+                connection.subscriber,
+                connection.observer,
+                connection.attempt,
+            );
             self.end_by_subscriber(link);
             self.plan(self.now + MS, Event::SubscriberLost(n, id, attempt, None));
         }
@@ -234,9 +285,19 @@
         self.connections.keys().copied().collect()
     }
 
-    pub(super) fn subscriber_lost(&mut self, n: usize, id: NodeId, attempt: u64, refusal: Option<Refusal>) {
+    pub(super) fn subscriber_lost(
+        &mut self,
+        n: usize,
+        id: NodeId,
+        attempt: u64,
+        refusal: Option<Refusal>,
+    ) {
         let process = &mut self.subscribers[n];
-        if process.links.get(&id).is_none_or(|(known, _)| *known != attempt) {
+        if process
+            .links
+            .get(&id)
+            .is_none_or(|(known, _)| *known != attempt)
+        {
             return;
         }
         if process.paused_until > self.now {
--- a/cluster/distribution/tests/world/upstream.rs
+++ b/cluster/distribution/tests/world/upstream.rs
@@ -9,7 +9,12 @@
 impl World {
     /// The voters agree on a command.
     pub fn agree(&mut self, step: Step) {
-        let command = Command { request: None, who: "test".to_owned(), time: self.now, step };
+        let command = Command {
+            request: None,
+            who: "test".to_owned(),
+            time: self.now,
+            step,
+        };
         self.truth.apply(&command);
         self.history.push(command);
         let revision = self.truth.revision() as usize;
@@ -28,7 +33,10 @@
             lease: None,
         };
         let then = keys.iter().map(put).collect();
-        self.agree(Step::Txn(Txn { then, ..Txn::default() }));
+        self.agree(Step::Txn(Txn {
+            then,
+            ..Txn::default()
+        }));
     }
 
     pub(super) fn plan_apply(&mut self, id: NodeId) {
@@ -57,7 +65,11 @@
             process.store.apply(command);
         }
         process.applied = to;
-        process.core.as_mut().unwrap().applied(self.now, &process.store);
+        process
+            .core
+            .as_mut()
+            .unwrap()
+            .applied(self.now, &process.store);
         self.end_reads(id);
         self.plan_apply(id);
         self.after_observer(id);
@@ -96,7 +108,10 @@
     fn end_reads(&mut self, id: NodeId) {
         let process = self.observers.get_mut(&id).unwrap();
         let applied = process.applied;
-        let (done, rest) = process.reads.drain(..).partition(|(index, _)| *index <= applied);
+        let (done, rest) = process
+            .reads
+            .drain(..)
+            .partition(|(index, _)| *index <= applied);
         process.reads = rest;
         let done: Vec<(usize, ReadId)> = done;
         if let Some(core) = &mut process.core {
--- a/cluster/member/src/lib.rs
+++ b/cluster/member/src/lib.rs
@@ -9,7 +9,8 @@
 use std::rc::Rc;
 
 use violetgate_consensus::{
-    Action, Change, Entry, Index, Members, Message, Meta, Node, NodeId, Payload, Rejected, Role, Term,
+    Action, Change, Entry, Index, Members, Message, Meta, Node, NodeId, Payload, Rejected, Role,
+    Term,
 };
 use violetgate_state::{Command, Gate, Micros, Stale, Step, Store};
 
@@ -67,8 +68,17 @@
         found: Found,
         now: Micros,
     ) -> Result<Self, String> {
-        let Found { hard, base, state, entries } = found;
-        let store = if state.is_empty() { Store::default() } else { Store::load(&state)? };
+        let Found {
+            hard,
+            base,
+            state,
+            entries,
+        } = found;
+        let store = if state.is_empty() {
+            Store::default()
+        } else {
+            Store::load(&state)?
+        };
         let mut gate = Gate::new(config.drain_limit);
         gate.applied(base.index);
         Ok(Member {
@@ -143,7 +153,12 @@
         if self.node.role() == Role::Leader {
             for step in self.store.run_out(wall) {
                 // One that is lost is proposed again; one too many changes nothing.
-                let command = Command { request: None, who: "leases".to_owned(), time: wall, step };
+                let command = Command {
+                    request: None,
+                    who: "leases".to_owned(),
+                    time: wall,
+                    step,
+                };
                 if let Ok(bytes) = postcard::to_stdvec(&command) {
                     let _ = self.node.propose(bytes);
                 }
@@ -163,7 +178,12 @@
 
     /// A client's command; its time is set here.
     pub fn propose(&mut self, ticket: Ticket, request: Option<String>, who: String, step: Step) {
-        let command = Command { request, who, time: self.wall, step };
+        let command = Command {
+            request,
+            who,
+            time: self.wall,
+            step,
+        };
         let proposed = match postcard::to_stdvec(&command) {
             Ok(bytes) if self.waiting.len() < WAITING => self.node.propose(bytes),
             _ => Err(Rejected::Busy),
@@ -206,8 +226,10 @@
     /// Nobody waits for these calls any more.
     pub fn forget(&mut self, ticket: Ticket) {
         self.waiting.retain(|_, (_, t)| *t != ticket);
-        self.asked.retain(|_, a| !matches!(a, Asked::Client(t) if *t == ticket));
-        self.ready.retain(|(_, a)| !matches!(a, Asked::Client(t) if *t == ticket));
+        self.asked
+            .retain(|_, a| !matches!(a, Asked::Client(t) if *t == ticket));
+        self.ready
+            .retain(|(_, a)| !matches!(a, Asked::Client(t) if *t == ticket));
     }
 
     fn ask(&mut self, what: Asked) {
@@ -215,7 +237,11 @@
         // Of the gate's questions that got no answer, the newest are worth keeping.
         let gate = |a: &Asked| matches!(a, Asked::Gate(_));
         if gate(&what) && self.asked.values().filter(|a| gate(a)).count() >= 16 {
-            let oldest = self.asked.iter().find(|(_, a)| gate(a)).map(|(ctx, _)| *ctx);
+            let oldest = self
+                .asked
+                .iter()
+                .find(|(_, a)| gate(a))
+                .map(|(ctx, _)| *ctx);
             if let Some(ctx) = oldest {
                 self.asked.remove(&ctx);
             }
@@ -268,7 +294,8 @@
         }
         if self.node.role() != Role::Leader {
             let lost: Vec<_> = std::mem::take(&mut self.waiting).into_values().collect();
-            lost.into_iter().for_each(|(_, ticket)| self.answer(ticket, Answer::Unsure));
+            lost.into_iter()
+                .for_each(|(_, ticket)| self.answer(ticket, Answer::Unsure));
         }
         std::mem::take(&mut self.out)
     }
@@ -288,19 +315,31 @@
                 }
             }
             Action::ReadFailed { ctx } => match self.asked.remove(&ctx) {
-                Some(Asked::Client(ticket)) => self.answer(ticket, Answer::NotLeader(self.node.leader())),
+                Some(Asked::Client(ticket)) => {
+                    self.answer(ticket, Answer::NotLeader(self.node.leader()))
+                }
                 Some(Asked::Gate(question)) => self.gate.failed(question),
                 None => {}
             },
             Action::LoadChunk { to, offset } => {
                 let (meta, state) = self.snapshot.clone();
-                let from = usize::try_from(offset).unwrap_or(usize::MAX).min(state.len());
+                let from = usize::try_from(offset)
+                    .unwrap_or(usize::MAX)
+                    .min(state.len());
                 let end = from.saturating_add(CHUNK).min(state.len());
                 let data = state.get(from..end).unwrap_or_default().to_vec();
-                self.node.chunk(to, meta, from as u64, data, end == state.len());
+                self.node
+                    .chunk(to, meta, from as u64, data, end == state.len());
             }
-            Action::StoreChunk { from, meta, offset, data, done } => {
-                self.incoming.truncate(usize::try_from(offset).unwrap_or(usize::MAX));
+            Action::StoreChunk {
+                from,
+                meta,
+                offset,
+                data,
+                done,
+            } => {
+                self.incoming
+                    .truncate(usize::try_from(offset).unwrap_or(usize::MAX));
                 self.incoming.extend_from_slice(&data);
                 let next = self.incoming.len() as u64;
                 if !done && self.incoming.len() <= LONGEST {
@@ -329,14 +368,22 @@
             },
         };
         if let Some((term, ticket)) = waits {
-            let answer = if term == entry.term { answer } else { Answer::Unsure };
+            let answer = if term == entry.term {
+                answer
+            } else {
+                Answer::Unsure
+            };
             self.answer(ticket, answer);
         }
         self.applied = (entry.term, entry.index);
         let since = entry.index.saturating_sub(self.snapshot.0.index);
         if since >= self.config.snapshot_every && self.keeping.is_none() {
             let members = self.node.log().members_at(entry.index);
-            let meta = Meta { index: entry.index, term: entry.term, members };
+            let meta = Meta {
+                index: entry.index,
+                term: entry.term,
+                members,
+            };
             let state = Rc::new(self.store.save());
             self.keeping = Some((meta.clone(), Rc::clone(&state)));
             self.out.push(Effect::Keep(meta, state));
@@ -347,8 +394,9 @@
     fn settle(&mut self) {
         let applied = self.applied.1;
         self.gate.applied(applied);
-        let (done, rest) =
-            std::mem::take(&mut self.ready).into_iter().partition(|(index, _)| *index <= applied);
+        let (done, rest) = std::mem::take(&mut self.ready)
+            .into_iter()
+            .partition(|(index, _)| *index <= applied);
         self.ready = rest;
         let done: Vec<(Index, Asked)> = done;
         for (index, asked) in done {
--- a/cluster/member/src/types.rs
+++ b/cluster/member/src/types.rs
@@ -71,6 +71,11 @@
 impl Default for MemberConfig {
     fn default() -> Self {
         let core = Config::default();
-        MemberConfig { core, snapshot_every: 10_000, drain_limit: 2_000_000, confirm_every: 250_000 }
+        MemberConfig {
+            core,
+            snapshot_every: 10_000,
+            drain_limit: 2_000_000,
+            confirm_every: 250_000,
+        }
     }
 }
