--- a/cluster/member/tests/linearizable.rs
+++ b/cluster/member/tests/linearizable.rs
@@ -1,7 +1,12 @@
 //! Clusters of three members over real disks in memory, on injected time and network: killed, stopped, cut off. What
 //! clients saw has to fit one order of all calls (it is linearizable), no command is carried out twice, and the gate
 //! lets nothing pass on state older than its limit.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashSet};
@@ -29,10 +34,16 @@
         Ok(self.0.keys().cloned().collect())
     }
     fn read(&self, name: &str) -> Io<Vec<u8>> {
-        self.0.get(name).cloned().ok_or_else(|| ErrorKind::NotFound.into())
+        self.0
+            .get(name)
+            .cloned()
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> Io<()> {
-        self.0.entry(name.to_owned()).or_default().extend_from_slice(bytes);
+        self.0
+            .entry(name.to_owned())
+            .or_default()
+            .extend_from_slice(bytes);
         Ok(())
     }
     fn truncate(&mut self, name: &str, length: u64) -> Io<()> {
@@ -51,7 +62,10 @@
         Ok(())
     }
     fn remove(&mut self, name: &str) -> Io<()> {
-        self.0.remove(name).map(drop).ok_or_else(|| ErrorKind::NotFound.into())
+        self.0
+            .remove(name)
+            .map(drop)
+            .ok_or_else(|| ErrorKind::NotFound.into())
     }
 }
 
@@ -98,11 +112,18 @@
 }
 
 fn config() -> MemberConfig {
-    MemberConfig { snapshot_every: 25, ..MemberConfig::default() }
+    MemberConfig {
+        snapshot_every: 25,
+        ..MemberConfig::default()
+    }
 }
 
 fn identity(member: NodeId) -> Identity {
-    Identity { cluster: "c".to_owned(), member, born: 0 }
+    Identity {
+        cluster: "c".to_owned(),
+        member,
+        born: 0,
+    }
 }
 
 fn key(n: u64) -> String {
@@ -119,18 +140,32 @@
             serial: 0,
             servers: BTreeMap::new(),
             cut: HashSet::new(),
-            clients: (0..CLIENTS).map(|_| Client { deed: None, serial: 0 }).collect(),
+            clients: (0..CLIENTS)
+                .map(|_| Client {
+                    deed: None,
+                    serial: 0,
+                })
+                .collect(),
             history: Vec::new(),
             told: Vec::new(),
             routed: 0,
             stale: 0,
             gate,
         };
-        let base = Meta { members: Members::first(1..=3), ..Meta::default() };
+        let base = Meta {
+            members: Members::first(1..=3),
+            ..Meta::default()
+        };
         for id in 1..=3 {
             let (disk, _) = Disk::create(Memory::default(), &identity(id), &base, &[]).unwrap();
-            let server =
-                Server { member: None, disk: Some(disk), waiting: vec![], paused: 0, starts: 0, tick_at: 0 };
+            let server = Server {
+                member: None,
+                disk: Some(disk),
+                waiting: vec![],
+                paused: 0,
+                starts: 0,
+                tick_at: 0,
+            };
             world.servers.insert(id, server);
             world.start(id);
         }
@@ -154,7 +189,12 @@
         let server = self.servers.get_mut(&id).unwrap();
         let files = server.disk.take().unwrap().into_files();
         let (disk, kept) = Disk::open(files, "c", id).unwrap();
-        let found = Found { hard: kept.hard, base: kept.base, state: kept.state, entries: kept.entries };
+        let found = Found {
+            hard: kept.hard,
+            base: kept.base,
+            state: kept.state,
+            entries: kept.entries,
+        };
         server.member = Some(Member::new(id, config(), seed, found, now).unwrap());
         (server.disk, server.starts, server.tick_at) = (Some(disk), server.starts + 1, Micros::MAX);
         server.waiting.clear();
@@ -164,7 +204,9 @@
     fn wind(&mut self, id: NodeId) {
         let now = self.now;
         let server = self.servers.get_mut(&id).unwrap();
-        let Some(at) = server.member.as_ref().map(|m| m.next_tick().max(now + MS)) else { return };
+        let Some(at) = server.member.as_ref().map(|m| m.next_tick().max(now + MS)) else {
+            return;
+        };
         if at < server.tick_at {
             server.tick_at = at;
             let starts = server.starts;
@@ -291,29 +333,49 @@
                 1 => Call::Cas(old.into(), new.into(), None),
                 _ => Call::Get(None),
             };
-            let deed = Deed { key, call, began: self.now, ended: None };
+            let deed = Deed {
+                key,
+                call,
+                began: self.now,
+                ended: None,
+            };
             let id = 1 + self.draw(3);
             self.clients[n].serial += 1;
             let serial = self.clients[n].serial;
             self.clients[n].deed = Some((deed, serial, id));
             self.after(3 * SECOND, What::Late(n, serial));
         }
-        let Some((deed, serial, id)) = self.clients[n].deed.clone() else { return };
+        let Some((deed, serial, id)) = self.clients[n].deed.clone() else {
+            return;
+        };
         let (ticket, request) = ((n as u64) << 32 | serial, format!("{n}-{serial}"));
         let again = 150 * MS + self.draw(200 * MS);
         self.after(again, What::Client(n));
-        let put = |value: u64| Op::Put { key: key(deed.key), value: vec![value as u8], lease: None };
+        let put = |value: u64| Op::Put {
+            key: key(deed.key),
+            value: vec![value as u8],
+            lease: None,
+        };
         let txn = match deed.call {
-            Call::Put(value) => Some(Txn { then: vec![put(value)], ..Txn::default() }),
+            Call::Put(value) => Some(Txn {
+                then: vec![put(value)],
+                ..Txn::default()
+            }),
             Call::Cas(old, new, _) => {
                 let checks = vec![Check::Holds(key(deed.key), vec![old as u8])];
-                Some(Txn { checks, then: vec![put(new)], otherwise: vec![] })
+                Some(Txn {
+                    checks,
+                    then: vec![put(new)],
+                    otherwise: vec![],
+                })
             }
             Call::Get(_) => None,
         };
         if let Ok(member) = self.awake(id) {
             match txn {
-                Some(txn) => member.propose(ticket, Some(request), format!("client {n}"), Step::Txn(txn)),
+                Some(txn) => {
+                    member.propose(ticket, Some(request), format!("client {n}"), Step::Txn(txn))
+                }
                 None => member.read(ticket),
             }
             self.serve(id);
@@ -327,7 +389,9 @@
 
     /// A call is over, for its client.
     fn over(&mut self, n: usize, call: Option<Call>) {
-        let Some((mut deed, ..)) = self.clients[n].deed.take() else { return };
+        let Some((mut deed, ..)) = self.clients[n].deed.take() else {
+            return;
+        };
         match call {
             Some(call) => (deed.call, deed.ended) = (call, Some(self.now)),
             None if matches!(deed.call, Call::Get(_)) => return,
@@ -339,7 +403,9 @@
     fn serve(&mut self, id: NodeId) {
         loop {
             let server = self.servers.get_mut(&id).unwrap();
-            let Some(member) = server.member.as_mut() else { return };
+            let Some(member) = server.member.as_mut() else {
+                return;
+            };
             let effects = member.effects();
             if effects.is_empty() {
                 break;
@@ -394,7 +460,9 @@
             let store = self.servers[&id].member.as_ref().unwrap().store();
             store.get(&key(deed.key)).map(|(_, v)| u64::from(v[0]))
         };
-        let Some((deed, mine, at)) = self.clients[n].deed.clone() else { return };
+        let Some((deed, mine, at)) = self.clients[n].deed.clone() else {
+            return;
+        };
         if mine != serial {
             return;
         }
@@ -424,13 +492,24 @@
     /// Whoever may route knows all that was told as done a drain limit ago.
     fn check_gate(&mut self) {
         let (now, limit) = (self.now, config().drain_limit);
-        let due = self.told.iter().filter(|(at, _)| at + limit <= now).map(|(_, r)| *r).max().unwrap_or(0);
+        let due = self
+            .told
+            .iter()
+            .filter(|(at, _)| at + limit <= now)
+            .map(|(_, r)| *r)
+            .max()
+            .unwrap_or(0);
         for server in self.servers.values().filter(|s| s.paused <= now) {
-            let Some(member) = &server.member else { continue };
+            let Some(member) = &server.member else {
+                continue;
+            };
             if member.may_route(now).is_ok() || !self.gate {
                 self.routed += 1;
                 let known = member.store().revision();
-                assert!(known >= due, "routes on revision {known}, {due} was told a drain limit ago");
+                assert!(
+                    known >= due,
+                    "routes on revision {known}, {due} was told a drain limit ago"
+                );
             } else {
                 self.stale += 1;
             }
@@ -448,7 +527,11 @@
         let deeds = violetgate_linear::first(&world.history, k);
         assert!(fits(&deeds), "key {k} is not linearizable: {deeds:#?}");
     }
-    [world.history.iter().filter(|d| d.ended.is_some()).count() as u64, world.routed, world.stale]
+    [
+        world.history.iter().filter(|d| d.ended.is_some()).count() as u64,
+        world.routed,
+        world.stale,
+    ]
 }
 
 #[test]
@@ -462,7 +545,10 @@
         sums.iter_mut().zip(seen).for_each(|(s, n)| *s += n);
     }
     println!("calls, moments with the gate open, and shut: {sums:?}");
-    assert!(std::env::var("SEED").is_ok() || sums.iter().all(|s| *s > 1_000), "too little happens: {sums:?}");
+    assert!(
+        std::env::var("SEED").is_ok() || sums.iter().all(|s| *s > 1_000),
+        "too little happens: {sums:?}"
+    );
 }
 
 /// The checks notice a member that routes whatever the gate says.
--- a/cluster/node/src/clock.rs
+++ b/cluster/node/src/clock.rs
@@ -17,11 +17,14 @@
 #[must_use]
 pub(crate) fn boot() -> Micros {
     let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    u64::try_from(at.tv_sec).unwrap_or(0) * 1_000_000 + u64::try_from(at.tv_nsec).unwrap_or(0) / 1_000
+    u64::try_from(at.tv_sec).unwrap_or(0) * 1_000_000
+        + u64::try_from(at.tv_nsec).unwrap_or(0) / 1_000
 }
 
 pub(crate) fn wall() -> Micros {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
 }
 
@@ -33,7 +36,10 @@
 
 impl Default for Alarm {
     fn default() -> Self {
-        Alarm { at: Cell::new(Micros::MAX), waker: RefCell::default() }
+        Alarm {
+            at: Cell::new(Micros::MAX),
+            waker: RefCell::default(),
+        }
     }
 }
 
@@ -41,7 +47,11 @@
     /// Sets the moment, sooner or later than before.
     pub(crate) fn set(&self, at: Micros) {
         if at < self.at.replace(at) {
-            self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+            self.waker
+                .borrow_mut()
+                .take()
+                .into_iter()
+                .for_each(Waker::wake);
         }
     }
 
--- a/cluster/node/src/connection.rs
+++ b/cluster/node/src/connection.rs
@@ -94,7 +94,9 @@
     input: &mut Input,
     longest: usize,
 ) -> Result<T, &'static str> {
-    sized_frame(stream, input, longest).await.map(|(value, _)| value)
+    sized_frame(stream, input, longest)
+        .await
+        .map(|(value, _)| value)
 }
 
 /// Reads until a frame is whole; its size, too.
@@ -114,7 +116,12 @@
 /// Writes all of it.
 pub(crate) async fn write(stream: &Async<TcpStream>, mut bytes: &[u8]) -> Result<(), &'static str> {
     while !bytes.is_empty() {
-        let some = async { stream.write_with(|mut s| s.write(bytes)).await.map_err(|_| "reset") };
+        let some = async {
+            stream
+                .write_with(|mut s| s.write(bytes))
+                .await
+                .map_err(|_| "reset")
+        };
         let n = some.or(late("stalled", STALLED)).await?;
         bytes = bytes.get(n..).unwrap_or_default();
     }
--- a/cluster/node/src/observer_service.rs
+++ b/cluster/node/src/observer_service.rs
@@ -12,8 +12,8 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 use violetgate_distribution::{
-    ConnectionId, FromObserver, Observer, ObserverAction, ObserverConfig, ObserverWelcome, ProgressSummary,
-    ReadId, Refusal, SubscriberHello, LONGEST_MESSAGE,
+    ConnectionId, FromObserver, Observer, ObserverAction, ObserverConfig, ObserverWelcome,
+    ProgressSummary, ReadId, Refusal, SubscriberHello, LONGEST_MESSAGE,
 };
 use violetgate_state::{Micros, Store};
 
@@ -85,7 +85,10 @@
         listen: SocketAddr,
         config: ObserverConfig,
     ) -> Result<Rc<Self>, ServiceError> {
-        let failed = |source| ServiceError::Listen { address: listen, source };
+        let failed = |source| ServiceError::Listen {
+            address: listen,
+            source,
+        };
         let listener = Async::<TcpListener>::bind(listen).map_err(failed)?;
         // Listening once more only makes the machine's queue longer.
         rustix::net::listen(listener.get_ref(), BACKLOG).map_err(|error| failed(error.into()))?;
@@ -107,11 +110,18 @@
         });
         let me = Rc::downgrade(&service);
         cluster.on_applied(Rc::new(move |store| {
-            me.upgrade().into_iter().for_each(|service| service.applied(store));
+            me.upgrade()
+                .into_iter()
+                .for_each(|service| service.applied(store));
         }));
         let tasks = [
-            cluster.executor().spawn(listen_for_subscribers(Rc::downgrade(&service), listener)),
-            cluster.executor().spawn(keep_time(Rc::downgrade(&service), Rc::clone(&service.alarm))),
+            cluster
+                .executor()
+                .spawn(listen_for_subscribers(Rc::downgrade(&service), listener)),
+            cluster.executor().spawn(keep_time(
+                Rc::downgrade(&service),
+                Rc::clone(&service.alarm),
+            )),
         ];
         service.tasks.borrow_mut().extend(tasks);
         Ok(service)
@@ -148,7 +158,9 @@
 
     /// Does something with the core, and carries out what follows.
     fn with<T>(&self, act: impl FnOnce(&mut Observer, Micros, &Store) -> T) -> T {
-        let done = self.cluster.store(|store| act(&mut self.core.borrow_mut(), boot(), store));
+        let done = self
+            .cluster
+            .store(|store| act(&mut self.core.borrow_mut(), boot(), store));
         self.carry_out();
         done
     }
@@ -169,10 +181,16 @@
                 }
             }
         }
-        self.alarm.set(self.core.borrow().next_tick().min(self.progress_at.get()));
+        self.alarm
+            .set(self.core.borrow().next_tick().min(self.progress_at.get()));
     }
 
-    fn send(&self, to: ConnectionId, message: FromObserver, last: &mut Option<(FromObserver, SharedFrame)>) {
+    fn send(
+        &self,
+        to: ConnectionId,
+        message: FromObserver,
+        last: &mut Option<(FromObserver, SharedFrame)>,
+    ) {
         let same = last.as_ref().filter(|(encoded, _)| *encoded == message);
         let frame = match same {
             Some((_, frame)) => Rc::clone(frame),
@@ -192,13 +210,18 @@
     }
 
     fn outbox(&self, of: ConnectionId) -> Option<Rc<Outbox>> {
-        self.greeted.borrow().get(&of).map(|greeted| Rc::clone(&greeted.outbox))
+        self.greeted
+            .borrow()
+            .get(&of)
+            .map(|greeted| Rc::clone(&greeted.outbox))
     }
 
     /// Tells a subscriber why it is turned away, and closes its connection once that has left. The core has forgotten
     /// it.
     fn refuse(&self, connection: ConnectionId, refusal: Refusal) {
-        let Some(outbox) = self.outbox(connection) else { return };
+        let Some(outbox) = self.outbox(connection) else {
+            return;
+        };
         let code = refusal.code();
         if let Some(frame) = wire::frame(&FromObserver::Refused(refusal)) {
             outbox.push(Rc::new(frame));
@@ -232,7 +255,8 @@
         if now >= self.progress_at.get() {
             self.progress_at.set(now.saturating_add(PROGRESS_EVERY));
             self.cluster.report_progress(self.progress());
-            self.alarm.set(self.core.borrow().next_tick().min(self.progress_at.get()));
+            self.alarm
+                .set(self.core.borrow().next_tick().min(self.progress_at.get()));
         }
     }
 
@@ -244,12 +268,19 @@
         }
         let id = self.next_connection.get();
         self.next_connection.set(id + 1);
-        let task = self.cluster.executor().spawn(subscriber::serve(self.me.clone(), id, stream, peer));
+        let task =
+            self.cluster
+                .executor()
+                .spawn(subscriber::serve(self.me.clone(), id, stream, peer));
         ungreeted.insert(id, task);
     }
 
     /// A subscriber has greeted: the answer, and its queue if it is taken.
-    fn greet(&self, id: ConnectionId, hello: &SubscriberHello) -> (ObserverWelcome, Option<Rc<Outbox>>) {
+    fn greet(
+        &self,
+        id: ConnectionId,
+        hello: &SubscriberHello,
+    ) -> (ObserverWelcome, Option<Rc<Outbox>>) {
         let welcome = self.with(|core, now, store| core.connect(now, id, hello, store));
         if welcome.refused.is_some() {
             return (welcome, None);
@@ -259,7 +290,13 @@
             return (welcome, None);
         };
         let outbox = Outbox::new(self.queue_limit, PATIENCE);
-        self.greeted.borrow_mut().insert(id, Greeted { outbox: Rc::clone(&outbox), task });
+        self.greeted.borrow_mut().insert(
+            id,
+            Greeted {
+                outbox: Rc::clone(&outbox),
+                task,
+            },
+        );
         (welcome, Some(outbox))
     }
 
--- a/cluster/node/src/observer_service/subscriber.rs
+++ b/cluster/node/src/observer_service/subscriber.rs
@@ -80,7 +80,9 @@
         Err(reason) => return Err((nobody(), reason)),
     };
     let greeted = of.upgrade().map(|service| service.greet(id, &hello));
-    let Some((welcome, outbox)) = greeted else { return Err((hello.name, "stopped")) };
+    let Some((welcome, outbox)) = greeted else {
+        return Err((hello.name, "stopped"));
+    };
     let answered = answer(stream, &welcome).await;
     match (outbox, welcome.refused) {
         (_, Some(refusal)) => {
@@ -99,16 +101,25 @@
 fn unreadable(bytes: &[u8]) -> Refusal {
     let body = bytes.get(wire::HEAD..).unwrap_or_default();
     match postcard::from_bytes::<([u8; 4], u16)>(body) {
-        Ok((MAGIC, theirs)) if theirs != VERSION => Refusal::WrongVersion { theirs, ours: VERSION },
+        Ok((MAGIC, theirs)) if theirs != VERSION => Refusal::WrongVersion {
+            theirs,
+            ours: VERSION,
+        },
         _ => Refusal::NotASubscriber,
     }
 }
 
 async fn turn_away(of: &Weak<ObserverService>, stream: &Async<TcpStream>, refusal: Refusal) {
-    let (revision, subscribers) =
-        of.upgrade().map_or((0, 0), |service| (service.progress().revision, service.subscribers()));
+    let (revision, subscribers) = of.upgrade().map_or((0, 0), |service| {
+        (service.progress().revision, service.subscribers())
+    });
     let subscribers = u32::try_from(subscribers).unwrap_or(u32::MAX);
-    let welcome = ObserverWelcome { refused: Some(refusal), revision, subscribers, capacity: 0 };
+    let welcome = ObserverWelcome {
+        refused: Some(refusal),
+        revision,
+        subscribers,
+        capacity: 0,
+    };
     if answer(stream, &welcome).await.is_ok() {
         linger(stream).await;
     }
@@ -129,7 +140,9 @@
     loop {
         loop {
             let taken = input.take::<FromSubscriber>(LONGEST_REQUEST);
-            let Some(service) = of.upgrade() else { return "stopped" };
+            let Some(service) = of.upgrade() else {
+                return "stopped";
+            };
             match taken {
                 Ok(Some((message, size))) => {
                     service.counter.received(size);
@@ -138,7 +151,12 @@
                 Ok(None) => break,
                 Err(what) => {
                     service.with(|core, now, _| core.disconnect(now, id));
-                    service.refuse(id, Refusal::Protocol { what: what.to_owned() });
+                    service.refuse(
+                        id,
+                        Refusal::Protocol {
+                            what: what.to_owned(),
+                        },
+                    );
                     drop(service);
                     return pending().await;
                 }
--- a/cluster/node/src/outbox.rs
+++ b/cluster/node/src/outbox.rs
@@ -75,7 +75,11 @@
     }
 
     fn wake(&self) {
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     /// Writes what comes until the queue ends or the connection breaks; the reason. `written` is called with the bytes
@@ -86,10 +90,17 @@
         mut written: impl FnMut(usize),
     ) -> &'static str {
         loop {
-            let Some(frame) = self.next().await else { return self.last.get().unwrap_or("closed") };
+            let Some(frame) = self.next().await else {
+                return self.last.get().unwrap_or("closed");
+            };
             let mut rest = frame.as_slice();
             while !rest.is_empty() {
-                let some = async { stream.write_with(|mut s| s.write(rest)).await.map_err(|_| "reset") };
+                let some = async {
+                    stream
+                        .write_with(|mut s| s.write(rest))
+                        .await
+                        .map_err(|_| "reset")
+                };
                 let n = match some.or(late("stalled", self.patience)).await {
                     Ok(n) => n,
                     Err(reason) => return reason,
--- a/cluster/node/src/runtime.rs
+++ b/cluster/node/src/runtime.rs
@@ -97,15 +97,29 @@
     /// # Errors
     ///
     /// The folder is somebody's already, or can't be written.
-    pub fn begin(cluster: &str, id: NodeId, folder: &Path, born: u64, from: Beginning) -> Result<(), String> {
+    pub fn begin(
+        cluster: &str,
+        id: NodeId,
+        folder: &Path,
+        born: u64,
+        from: Beginning,
+    ) -> Result<(), String> {
         let place = folder.display();
         let files = Folder::new(folder).map_err(|e| format!("{place}: {e}"))?;
-        let identity = Identity { cluster: cluster.to_owned(), member: id, born };
+        let identity = Identity {
+            cluster: cluster.to_owned(),
+            member: id,
+            born,
+        };
         // A state to begin with is the first entry, so that one that has nothing is sent it.
         let index = Index::from(!from.state.is_empty());
         let base = match from.members {
             members if members.is_empty() => Meta::default(),
-            members => Meta { index, members: Members::first(members), ..Meta::default() },
+            members => Meta {
+                index,
+                members: Members::first(members),
+                ..Meta::default()
+            },
         };
         if !from.state.is_empty() {
             Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
@@ -119,17 +133,37 @@
     /// # Errors
     ///
     /// Its folder or its address can't be used; the text says why.
-    pub fn start(executor: &Rc<LocalExecutor<'static>>, options: &Options) -> Result<Rc<Self>, String> {
-        let Options { cluster, id, folder, listen, members, config, seed } = options.clone();
+    pub fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        options: &Options,
+    ) -> Result<Rc<Self>, String> {
+        let Options {
+            cluster,
+            id,
+            folder,
+            listen,
+            members,
+            config,
+            seed,
+        } = options.clone();
         let place = folder.display().to_string();
         let files = || Folder::new(&folder).map_err(|e| format!("{place}: {e}"));
-        let (disk, kept) = Disk::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
+        let (disk, kept) =
+            Disk::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
         let born = kept.born;
         if kept.cut > 0 {
-            tracing::info!("cluster cut {} bytes of a write that was under way off {place}", kept.cut);
+            tracing::info!(
+                "cluster cut {} bytes of a write that was under way off {place}",
+                kept.cut
+            );
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
-        let found = Found { hard: kept.hard, base: kept.base, state: kept.state, entries: kept.entries };
+        let found = Found {
+            hard: kept.hard,
+            base: kept.base,
+            state: kept.state,
+            entries: kept.entries,
+        };
         let member = Member::new(id, config, seed, found, boot())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
@@ -269,7 +303,8 @@
                 slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
             }
             Frame::Ask(number, _) if self.carrying.get() >= MOST_ASKED => {
-                self.transport.send(from, &Frame::Told(number, Answer::Rejected(Rejected::Busy)));
+                self.transport
+                    .send(from, &Frame::Told(number, Answer::Rejected(Rejected::Busy)));
             }
             Frame::Ask(number, call) => {
                 let Some(me) = self.me.upgrade() else { return };
@@ -356,7 +391,9 @@
         match done {
             Done::Persisted(seq) => cluster.with(|m| m.persisted(seq)),
             Done::Kept(index) => cluster.with(|m| m.kept(index)),
-            Done::Installed(from, meta, state) => cluster.with(|m| m.installed(from, meta, Rc::new(state))),
+            Done::Installed(from, meta, state) => {
+                cluster.with(|m| m.installed(from, meta, Rc::new(state)))
+            }
             Done::Full(what) => tracing::info!("cluster can't write for now: {what}"),
             Done::Lost(what) => cluster.lose(what),
         }
--- a/cluster/node/src/runtime/calls.rs
+++ b/cluster/node/src/runtime/calls.rs
@@ -58,7 +58,9 @@
     /// Carries a call out here, if this member leads.
     pub(super) async fn here(&self, call: Call, within: Duration) -> Answered {
         match call {
-            Call::Propose { request, who, step } => self.propose(Some(request), &who, step, within).await,
+            Call::Propose { request, who, step } => {
+                self.propose(Some(request), &who, step, within).await
+            }
             Call::Change(change) => self.change(change, within).await,
             Call::Transfer(to) => Answered::Yes(match self.transfer(to) {
                 Ok(()) => Answer::Changed,
@@ -95,10 +97,14 @@
             if left.is_zero() || self.lost.borrow().is_some() {
                 return Answered::Late;
             }
-            let Status { id, role, leader, .. } = self.status();
+            let Status {
+                id, role, leader, ..
+            } = self.status();
             let answered = match leader {
                 _ if role == Role::Leader => self.here(call.clone(), left.min(TRY)).await,
-                Some(leader) if leader != id => self.there(leader, call.clone(), left.min(TRY)).await,
+                Some(leader) if leader != id => {
+                    self.there(leader, call.clone(), left.min(TRY)).await
+                }
                 _ => Answered::Yes(Answer::NotLeader(None)),
             };
             match answered {
@@ -135,12 +141,16 @@
         step: Step,
         within: Duration,
     ) -> Answered {
-        self.call(within, |m, ticket| m.propose(ticket, request, who.to_owned(), step)).await
+        self.call(within, |m, ticket| {
+            m.propose(ticket, request, who.to_owned(), step)
+        })
+        .await
     }
 
     /// One step of the membership.
     pub async fn change(&self, change: Change, within: Duration) -> Answered {
-        self.call(within, |m, ticket| m.change(ticket, change)).await
+        self.call(within, |m, ticket| m.change(ticket, change))
+            .await
     }
 
     /// Waits until the store is current, by asking again where no answer comes. False: it was not, in that time.
@@ -169,7 +179,11 @@
 impl Slot {
     pub(super) fn fill(&self, answer: Answer) {
         *self.answer.borrow_mut() = Some(answer);
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     pub(super) async fn filled(&self, within: Duration) -> Answered {
--- a/cluster/node/src/runtime/disk_worker.rs
+++ b/cluster/node/src/runtime/disk_worker.rs
@@ -27,10 +27,16 @@
 }
 
 /// The disk's thread: takes all jobs that wait, and makes the writes among them durable with one sync.
-pub(super) fn write_for_ever(mut disk: Disk<Folder>, work: &mpsc::Receiver<Job>, tell: &Sender<Done>) {
+pub(super) fn write_for_ever(
+    mut disk: Disk<Folder>,
+    work: &mpsc::Receiver<Job>,
+    tell: &Sender<Done>,
+) {
     let mut next = None;
     loop {
-        let Some(job) = next.take().or_else(|| work.recv().ok()) else { return };
+        let Some(job) = next.take().or_else(|| work.recv().ok()) else {
+            return;
+        };
         let done = match job {
             Job::Write(mut writes) => {
                 while let Ok(job) = work.try_recv() {
@@ -48,8 +54,10 @@
             Job::Keep(meta, state) => {
                 tried(tell, || disk.keep(&meta, &state)).map(|()| Done::Kept(meta.index))
             }
-            Job::Install(from, meta, state, follows) => tried(tell, || disk.install(&meta, &state, &follows))
-                .map(|()| Done::Installed(from, meta, state)),
+            Job::Install(from, meta, state, follows) => {
+                tried(tell, || disk.install(&meta, &state, &follows))
+                    .map(|()| Done::Installed(from, meta, state))
+            }
         };
         let lost = done.is_err();
         if tell.send_blocking(done.unwrap_or_else(Done::Lost)).is_err() || lost {
--- a/cluster/node/src/runtime/fleet.rs
+++ b/cluster/node/src/runtime/fleet.rs
@@ -23,7 +23,12 @@
 
 impl Reports {
     fn take(&mut self, now: Micros, from: NodeId, summary: ProgressSummary, members: &Members) {
-        let gone: Vec<_> = self.observers.iter().filter(|id| !members.contains(**id)).copied().collect();
+        let gone: Vec<_> = self
+            .observers
+            .iter()
+            .filter(|id| !members.contains(**id))
+            .copied()
+            .collect();
         for id in gone {
             self.observers.remove(&id);
             self.progress.forget(id);
@@ -54,12 +59,17 @@
     pub(crate) fn report_progress(&self, summary: ProgressSummary) {
         let Status { id, members, .. } = self.status();
         let frame = Frame::Progress(summary.clone());
-        members.all().filter(|to| *to != id).for_each(|to| self.transport.send(to, &frame));
+        members
+            .all()
+            .filter(|to| *to != id)
+            .for_each(|to| self.transport.send(to, &frame));
         self.progress_came(id, summary);
     }
 
     pub(super) fn progress_came(&self, from: NodeId, summary: ProgressSummary) {
         let member = self.member.borrow();
-        self.fleet.borrow_mut().take(boot(), from, summary, member.members());
+        self.fleet
+            .borrow_mut()
+            .take(boot(), from, summary, member.members());
     }
 }
--- a/cluster/node/src/subscription.rs
+++ b/cluster/node/src/subscription.rs
@@ -11,7 +11,8 @@
 use async_executor::{LocalExecutor, Task};
 use violetgate_consensus::NodeId;
 use violetgate_distribution::{
-    FromSubscriber, Refusal, Replica, Subscriber, SubscriberAction, SubscriberConfig, SubscriberHello,
+    FromSubscriber, Refusal, Replica, Subscriber, SubscriberAction, SubscriberConfig,
+    SubscriberHello,
 };
 use violetgate_state::{Entries, Micros, Revision, Stale};
 
@@ -152,7 +153,9 @@
             for action in actions {
                 match action {
                     SubscriberAction::Connect(observer, hello) => self.connect(observer, hello),
-                    SubscriberAction::Disconnect(observer) => drop(self.links.borrow_mut().remove(&observer)),
+                    SubscriberAction::Disconnect(observer) => {
+                        drop(self.links.borrow_mut().remove(&observer))
+                    }
                     SubscriberAction::Send(observer, message) => self.send(observer, &message),
                 }
             }
@@ -178,13 +181,31 @@
         let number = self.next_link.get();
         self.next_link.set(number + 1);
         let outbox = Outbox::new(QUEUE_LIMIT, STALLED);
-        let place = link::Place { of: self.me.clone(), observer, number, address };
-        let task = self.executor.spawn(link::keep(place, hello, Rc::clone(&outbox)));
-        self.links.borrow_mut().insert(observer, Link { number, outbox, task });
+        let place = link::Place {
+            of: self.me.clone(),
+            observer,
+            number,
+            address,
+        };
+        let task = self
+            .executor
+            .spawn(link::keep(place, hello, Rc::clone(&outbox)));
+        self.links.borrow_mut().insert(
+            observer,
+            Link {
+                number,
+                outbox,
+                task,
+            },
+        );
     }
 
     fn send(&self, observer: NodeId, message: &FromSubscriber) {
-        let outbox = self.links.borrow().get(&observer).map(|link| Rc::clone(&link.outbox));
+        let outbox = self
+            .links
+            .borrow()
+            .get(&observer)
+            .map(|link| Rc::clone(&link.outbox));
         let Some(outbox) = outbox else { return };
         match wire::frame(message) {
             Some(frame) => {
@@ -199,7 +220,10 @@
 
     /// Whether this is the connection to an observer that the core knows of.
     fn holds(&self, observer: NodeId, number: u64) -> bool {
-        self.links.borrow().get(&observer).is_some_and(|link| link.number == number)
+        self.links
+            .borrow()
+            .get(&observer)
+            .is_some_and(|link| link.number == number)
     }
 
     /// Whether the connection to an observer ends for another reason than the one before.
--- a/cluster/node/src/subscription/link.rs
+++ b/cluster/node/src/subscription/link.rs
@@ -6,7 +6,9 @@
 use async_io::Async;
 use futures_lite::{future, FutureExt};
 use violetgate_consensus::NodeId;
-use violetgate_distribution::{FromObserver, ObserverWelcome, Refusal, SubscriberHello, LONGEST_MESSAGE};
+use violetgate_distribution::{
+    FromObserver, ObserverWelcome, Refusal, SubscriberHello, LONGEST_MESSAGE,
+};
 
 use super::Subscription;
 use crate::connection::{frame, late, write, Input, CONNECT, GREET};
@@ -42,8 +44,15 @@
         Ok(never) => match never {},
         Err(end) => end,
     };
-    let Place { of, observer, number, address } = place;
-    let Some(subscription) = of.upgrade() else { return };
+    let Place {
+        of,
+        observer,
+        number,
+        address,
+    } = place;
+    let Some(subscription) = of.upgrade() else {
+        return;
+    };
     // Attempts that fail alike one after another are logged once.
     if subscription.ends_anew(observer, end.code()) || greeted {
         match &end {
@@ -51,7 +60,9 @@
                 let code = refusal.code();
                 tracing::info!("observer {observer} at {address} refused reason={code}: {refusal}");
             }
-            End::Broken(reason) => tracing::info!("observer {observer} at {address} ended reason={reason}"),
+            End::Broken(reason) => {
+                tracing::info!("observer {observer} at {address} ended reason={reason}")
+            }
         }
     }
     subscription.ended(observer, number, end.refusal());
@@ -79,7 +90,11 @@
     outbox: &Outbox,
     greeted: &mut bool,
 ) -> Result<std::convert::Infallible, End> {
-    let connecting = async { Async::<TcpStream>::connect(place.address).await.map_err(|_| "connect_error") };
+    let connecting = async {
+        Async::<TcpStream>::connect(place.address)
+            .await
+            .map_err(|_| "connect_error")
+    };
     let stream = connecting.or(late("connect_timeout", CONNECT)).await?;
     let _ = stream.get_ref().set_nodelay(true);
     let mut input = Input::default();
@@ -88,7 +103,9 @@
         return Err(End::Refused(refusal));
     }
     *greeted = true;
-    place.subscription()?.with(|core, now| core.connected(now, place.observer, &welcome));
+    place
+        .subscription()?
+        .with(|core, now| core.connected(now, place.observer, &welcome));
     let reading = async { Err(read(place, &stream, &mut input).await) };
     let writing = async { Err(End::Broken(outbox.write_to(&stream, |_| ()).await)) };
     writing.or(reading).await
--- a/cluster/node/src/transport.rs
+++ b/cluster/node/src/transport.rs
@@ -101,8 +101,14 @@
             let (id, addr) = (*id, *addr);
             peers.entry(id).or_insert_with(|| {
                 let queue = Rc::new(Queue::default());
-                let task = me.executor.spawn(keep(self.me.clone(), id, addr, Rc::clone(&queue)));
-                Peer { addr, queue, _task: task }
+                let task = me
+                    .executor
+                    .spawn(keep(self.me.clone(), id, addr, Rc::clone(&queue)));
+                Peer {
+                    addr,
+                    queue,
+                    _task: task,
+                }
             });
         }
     }
@@ -146,7 +152,12 @@
         queue.bytes.set(queue.bytes.get() + frame.len());
         self.counter.sent(frame.len());
         queue.frames.borrow_mut().push_back(frame);
-        queue.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        queue
+            .waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     /// Takes connections for ever.
@@ -165,7 +176,10 @@
 
     fn welcome(&self, stream: Async<TcpStream>, peer: SocketAddr) {
         let mut heard = self.heard.borrow_mut();
-        self.ended.borrow_mut().drain(..).for_each(|n| drop(heard.remove(&n)));
+        self.ended
+            .borrow_mut()
+            .drain(..)
+            .for_each(|n| drop(heard.remove(&n)));
         if heard.len() >= MOST {
             return tracing::info!("member {peer} ended reason=too_many");
         }
@@ -197,7 +211,13 @@
         return "stopped".to_owned();
     };
     let mut answer = Vec::new();
-    wire::put(&mut answer, &Welcome { refused: refused.clone(), born });
+    wire::put(
+        &mut answer,
+        &Welcome {
+            refused: refused.clone(),
+            born,
+        },
+    );
     if let Err(reason) = write(stream, &answer).await {
         return reason.to_owned();
     }
@@ -209,9 +229,16 @@
             Ok(read) => read,
             Err(reason) => return reason.to_owned(),
         };
-        let Some(transport) = of.upgrade() else { return "stopped".to_owned() };
+        let Some(transport) = of.upgrade() else {
+            return "stopped".to_owned();
+        };
         // It may have become known that this member's disk is another one.
-        if transport.disks.borrow().get(&hello.from).is_some_and(|born| *born != hello.born) {
+        if transport
+            .disks
+            .borrow()
+            .get(&hello.from)
+            .is_some_and(|born| *born != hello.born)
+        {
             return format!("refused: member {} had another disk", hello.from);
         }
         transport.counter.received(size);
@@ -235,7 +262,11 @@
             tracing::info!("member {id} at {addr} ended reason={reason}");
         }
         told = reason;
-        pause = if greeted { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+        pause = if greeted {
+            PAUSE
+        } else {
+            (pause * 2).min(LONGEST_PAUSE)
+        };
         // What waited for a connection that is not there is old by the time there is one.
         queue.frames.borrow_mut().clear();
         queue.bytes.set(0);
@@ -250,7 +281,11 @@
     queue: &Queue,
     greeted: &mut bool,
 ) -> String {
-    let connect = async { Async::<TcpStream>::connect(addr).await.map_err(|_| "connect_error") };
+    let connect = async {
+        Async::<TcpStream>::connect(addr)
+            .await
+            .map_err(|_| "connect_error")
+    };
     let stream = match connect.or(late("connect_timeout", CONNECT)).await {
         Ok(stream) => stream,
         Err(reason) => return reason.to_owned(),
@@ -262,17 +297,25 @@
         return reason.to_owned();
     }
     let mut input = Input::default();
-    let welcome =
-        frame::<Welcome>(&stream, &mut input, wire::GREETING).or(late("greeting_timeout", GREET)).await;
+    let welcome = frame::<Welcome>(&stream, &mut input, wire::GREETING)
+        .or(late("greeting_timeout", GREET))
+        .await;
     match welcome {
-        Ok(Welcome { refused: None, born }) => {
-            let known = of.upgrade().and_then(|t| t.disks.borrow().get(&hello.to).copied());
+        Ok(Welcome {
+            refused: None,
+            born,
+        }) => {
+            let known = of
+                .upgrade()
+                .and_then(|t| t.disks.borrow().get(&hello.to).copied());
             if known.is_some_and(|known| known != born) {
                 return format!("refused: member {} had another disk", hello.to);
             }
             *greeted = true;
         }
-        Ok(Welcome { refused: Some(why), .. }) => return format!("refused: {why}"),
+        Ok(Welcome {
+            refused: Some(why), ..
+        }) => return format!("refused: {why}"),
         Err(reason) => return reason.to_owned(),
     }
     loop {
--- a/cluster/node/src/wire.rs
+++ b/cluster/node/src/wire.rs
@@ -78,7 +78,14 @@
     /// A greeting.
     #[must_use]
     pub fn new(cluster: &str, from: NodeId, to: NodeId, born: u64) -> Self {
-        Hello { magic: *b"VGCL", version: VERSION, cluster: cluster.to_owned(), from, to, born }
+        Hello {
+            magic: *b"VGCL",
+            version: VERSION,
+            cluster: cluster.to_owned(),
+            from,
+            to,
+            born,
+        }
     }
 
     /// Why one that greets like this is turned away by this member, which knows by what number the disk of that
@@ -88,15 +95,24 @@
         if self.magic != *b"VGCL" {
             Some("this is no member".to_owned())
         } else if self.version != VERSION {
-            Some(format!("it speaks version {}, this is version {VERSION}", self.version))
+            Some(format!(
+                "it speaks version {}, this is version {VERSION}",
+                self.version
+            ))
         } else if self.cluster != cluster {
-            Some(format!("it belongs to cluster {:?}, this is {cluster:?}", self.cluster))
+            Some(format!(
+                "it belongs to cluster {:?}, this is {cluster:?}",
+                self.cluster
+            ))
         } else if self.to != me {
             Some(format!("it looks for member {}, this is {me}", self.to))
         } else if self.from == me {
             Some(format!("it has this member's id, {me}"))
         } else if known.is_some_and(|born| born != self.born) {
-            Some(format!("member {} had another disk: it may have forgotten its votes", self.from))
+            Some(format!(
+                "member {} had another disk: it may have forgotten its votes",
+                self.from
+            ))
         } else {
             None
         }
@@ -105,7 +121,9 @@
 
 /// Appends a frame. False: it would be too long, and nothing was appended.
 pub fn put(out: &mut Vec<u8>, value: &impl Serialize) -> bool {
-    let Some(frame) = frame(value) else { return false };
+    let Some(frame) = frame(value) else {
+        return false;
+    };
     out.extend_from_slice(&frame);
     true
 }
@@ -113,9 +131,14 @@
 /// A frame by itself; `None`: it would be too long.
 pub fn frame(value: &impl Serialize) -> Option<Vec<u8>> {
     let mut frame = postcard::to_extend(value, vec![0; HEAD]).ok()?;
-    let length = frame.len().checked_sub(HEAD).filter(|length| *length <= LONGEST)?;
+    let length = frame
+        .len()
+        .checked_sub(HEAD)
+        .filter(|length| *length <= LONGEST)?;
     let length = u32::try_from(length).ok()?;
-    frame.get_mut(..HEAD)?.copy_from_slice(&length.to_le_bytes());
+    frame
+        .get_mut(..HEAD)?
+        .copy_from_slice(&length.to_le_bytes());
     Some(frame)
 }
 
@@ -124,13 +147,20 @@
 /// # Errors
 ///
 /// No frame begins like that.
-pub fn take<T: DeserializeOwned>(bytes: &[u8], longest: usize) -> Result<Option<(T, usize)>, &'static str> {
-    let Some((length, rest)) = bytes.split_first_chunk() else { return Ok(None) };
+pub fn take<T: DeserializeOwned>(
+    bytes: &[u8],
+    longest: usize,
+) -> Result<Option<(T, usize)>, &'static str> {
+    let Some((length, rest)) = bytes.split_first_chunk() else {
+        return Ok(None);
+    };
     let length = u32::from_le_bytes(*length) as usize;
     if length > longest {
         return Err("frame_too_long");
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
     let value = postcard::from_bytes(body).map_err(|_| "garbage")?;
     Ok(Some((value, HEAD + length)))
 }
@@ -144,8 +174,18 @@
     /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
     #[test]
     fn frames_come_in_any_pieces() {
-        let entries = vec![Entry { term: 3, index: 9, payload: Payload::Command(vec![5; 40]) }];
-        let message = Frame::Core(Message::Append { term: 3, prev: (2, 8), entries, commit: 7, round: 11 });
+        let entries = vec![Entry {
+            term: 3,
+            index: 9,
+            payload: Payload::Command(vec![5; 40]),
+        }];
+        let message = Frame::Core(Message::Append {
+            term: 3,
+            prev: (2, 8),
+            entries,
+            commit: 7,
+            round: 11,
+        });
         let next = Frame::Told(4, Answer::Changed);
         let mut bytes = Vec::new();
         assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
@@ -154,7 +194,10 @@
             assert!(read.is_none_or(|(m, size)| m == message && size <= cut));
         }
         let (_, size) = take::<Frame>(&bytes, LONGEST).unwrap().unwrap();
-        assert_eq!(take::<Frame>(&bytes[size..], LONGEST).unwrap().unwrap().0, next);
+        assert_eq!(
+            take::<Frame>(&bytes[size..], LONGEST).unwrap().unwrap().0,
+            next
+        );
         assert!(take::<Frame>(&bytes, 10).is_err());
         for at in 4..12 {
             let mut bent = bytes.clone();
@@ -166,9 +209,19 @@
     /// Frames keep their numbers, so that members of another age read those that they know.
     #[test]
     fn frames_keep_their_numbers() {
-        let progress = ProgressSummary { revision: 7, serving: 2, ..ProgressSummary::default() };
+        let progress = ProgressSummary {
+            revision: 7,
+            serving: 2,
+            ..ProgressSummary::default()
+        };
         let frames = [
-            Frame::Core(Message::Append { term: 1, prev: (0, 0), entries: Vec::new(), commit: 0, round: 0 }),
+            Frame::Core(Message::Append {
+                term: 1,
+                prev: (0, 0),
+                entries: Vec::new(),
+                commit: 0,
+                round: 0,
+            }),
             Frame::Ask(1, Call::Transfer(2)),
             Frame::Told(1, Answer::Changed),
             Frame::Progress(progress),
@@ -186,11 +239,41 @@
         let hello = Hello::new("c", 2, 1, 5);
         assert_eq!(hello.refused("c", 1, Some(5)), None);
         for (hello, says) in [
-            (Hello { magic: *b"GET ", ..hello.clone() }, "no member"),
-            (Hello { version: 9, ..hello.clone() }, "version 9"),
-            (Hello { cluster: "d".to_owned(), ..hello.clone() }, "cluster \"d\""),
-            (Hello { to: 3, ..hello.clone() }, "looks for member 3"),
-            (Hello { from: 1, ..hello.clone() }, "this member's id"),
+            (
+                Hello {
+                    magic: *b"GET ",
+                    ..hello.clone()
+                },
+                "no member",
+            ),
+            (
+                Hello {
+                    version: 9,
+                    ..hello.clone()
+                },
+                "version 9",
+            ),
+            (
+                Hello {
+                    cluster: "d".to_owned(),
+                    ..hello.clone()
+                },
+                "cluster \"d\"",
+            ),
+            (
+                Hello {
+                    to: 3,
+                    ..hello.clone()
+                },
+                "looks for member 3",
+            ),
+            (
+                Hello {
+                    from: 1,
+                    ..hello.clone()
+                },
+                "this member's id",
+            ),
             (Hello { born: 6, ..hello }, "another disk"),
         ] {
             assert!(hello.refused("c", 1, Some(5)).unwrap().contains(says));
--- a/cluster/node/tests/fleet/mod.rs
+++ b/cluster/node/tests/fleet/mod.rs
@@ -59,11 +59,16 @@
 impl Fleet {
     /// Starts voters 1 to `voters` and, as learners, the observers that follow; nothing is served yet.
     pub fn start(name: &str, voters: u64, observers: u64) -> Self {
-        let folder = std::env::temp_dir().join(format!("violetgate-observers-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "violetgate-observers-{}-{name}",
+            std::process::id()
+        ));
         let _ = std::fs::remove_dir_all(&folder);
         let ids = 1..=voters + observers;
         let held: Vec<_> = ids.clone().map(|id| (id, reserved())).collect();
-        let served: Vec<_> = (voters + 1..=voters + observers).map(|id| (id, reserved())).collect();
+        let served: Vec<_> = (voters + 1..=voters + observers)
+            .map(|id| (id, reserved()))
+            .collect();
         let mut fleet = Fleet {
             executor: Rc::new(LocalExecutor::new()),
             folder,
@@ -76,9 +81,16 @@
         };
         drop((held, served));
         for id in ids {
-            let members = if id <= voters { (1..=voters).collect() } else { Vec::new() };
+            let members = if id <= voters {
+                (1..=voters).collect()
+            } else {
+                Vec::new()
+            };
             let folder = fleet.folder.join(id.to_string());
-            let from = Beginning { members, state: Vec::new() };
+            let from = Beginning {
+                members,
+                state: Vec::new(),
+            };
             Cluster::begin(CLUSTER, id, &folder, 100 + id, from).unwrap();
             fleet.start_member(id);
         }
@@ -92,10 +104,14 @@
             folder: self.folder.join(id.to_string()),
             listen: self.addresses[&id],
             members: self.addresses.clone(),
-            config: MemberConfig { snapshot_every: 1_000, ..MemberConfig::default() },
+            config: MemberConfig {
+                snapshot_every: 1_000,
+                ..MemberConfig::default()
+            },
             seed: 7 + id,
         };
-        self.members.insert(id, Cluster::start(&self.executor, &options).unwrap());
+        self.members
+            .insert(id, Cluster::start(&self.executor, &options).unwrap());
     }
 
     /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
@@ -112,7 +128,9 @@
         change(&mut config);
         let mut service = None;
         until("an observer serves", || {
-            service = ObserverService::start(&self.members[&id], self.serving_at[&id], config.clone()).ok();
+            service =
+                ObserverService::start(&self.members[&id], self.serving_at[&id], config.clone())
+                    .ok();
             service.is_some()
         })
         .await;
@@ -134,8 +152,12 @@
         for _ in 0..count {
             let number = self.subscriptions.len();
             let config = self.subscriber_config(&format!("fe-{number}"));
-            let subscription =
-                Subscription::start(&self.executor, config, self.serving_at.clone(), 1_000 + number as u64);
+            let subscription = Subscription::start(
+                &self.executor,
+                config,
+                self.serving_at.clone(),
+                1_000 + number as u64,
+            );
             self.subscriptions.push(subscription);
         }
     }
@@ -153,7 +175,11 @@
 
     /// Takes a step, once; the revision after it.
     pub async fn step(&mut self, step: Step) -> Revision {
-        let call = Call::Propose { request: format!("r-{}", self.requests), who: "test".to_owned(), step };
+        let call = Call::Propose {
+            request: format!("r-{}", self.requests),
+            who: "test".to_owned(),
+            step,
+        };
         match self.agree(call).await {
             Answer::Done(Outcome::Done { revision, .. }) => revision,
             other => panic!("{other:?}"),
@@ -162,14 +188,23 @@
 
     /// Sets a key; the revision that it made.
     pub async fn put(&mut self, key: &str, value: &[u8]) -> Revision {
-        let op = Op::Put { key: key.to_owned(), value: value.to_vec(), lease: None };
-        self.step(Step::Txn(Txn { then: vec![op], ..Txn::default() })).await
+        let op = Op::Put {
+            key: key.to_owned(),
+            value: value.to_vec(),
+            lease: None,
+        };
+        self.step(Step::Txn(Txn {
+            then: vec![op],
+            ..Txn::default()
+        }))
+        .await
     }
 
     /// Waits until every front end has a revision and may route.
     pub async fn in_force(&self, revision: Revision) {
         until("a change is in force everywhere", || {
-            let current = |s: &Rc<Subscription>| s.status().revision >= revision && s.may_route().is_ok();
+            let current =
+                |s: &Rc<Subscription>| s.status().revision >= revision && s.may_route().is_ok();
             self.subscriptions.iter().all(current)
         })
         .await;
@@ -180,7 +215,10 @@
         let member = self.members.values().next().unwrap();
         let held = member.store(|store| store.entries_below(""));
         for subscription in &self.subscriptions {
-            assert_eq!(subscription.replica(|replica| replica.entries_below("")), held);
+            assert_eq!(
+                subscription.replica(|replica| replica.entries_below("")),
+                held
+            );
         }
     }
 }
--- a/cluster/node/tests/observers.rs
+++ b/cluster/node/tests/observers.rs
@@ -1,6 +1,11 @@
 //! Observers and subscriptions over real sockets: changes reach all, whoever dies, and what can't be served is refused
 //! by a code without cost to the others.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod fleet;
 mod raw;
@@ -16,7 +21,10 @@
 use violetgate_state::{Entries, Step};
 
 fn watched_by(subscriptions: &[Rc<Subscription>], observer: u64) -> usize {
-    subscriptions.iter().filter(|s| s.status().watched == Some(observer)).count()
+    subscriptions
+        .iter()
+        .filter(|s| s.status().watched == Some(observer))
+        .count()
 }
 
 /// A change reaches all front ends, in the very turn in which it is applied; one observer's death shuts no gate, and
@@ -41,7 +49,10 @@
         })
         .await;
         until("all hold two observers", || {
-            fleet.subscriptions.iter().all(|s| s.status().watched.is_some() && s.status().reserve.is_some())
+            fleet
+                .subscriptions
+                .iter()
+                .all(|s| s.status().watched.is_some() && s.status().reserve.is_some())
         })
         .await;
         // Observer 4 dies: nobody's gate shuts while its subscribers move.
@@ -56,7 +67,11 @@
         fleet.in_force(second).await;
         assert_eq!(told.get(), second);
         // The leader dies.
-        let leads = fleet.members.values().find(|m| m.status().role == Role::Leader).map(|m| m.id());
+        let leads = fleet
+            .members
+            .values()
+            .find(|m| m.status().role == Role::Leader)
+            .map(|m| m.id());
         fleet.kill(leads.unwrap());
         let third = fleet.put("cordons/e-3", b"{}").await;
         fleet.in_force(third).await;
@@ -79,7 +94,10 @@
         let held = fleet.put("key/first", b"1").await;
         fleet.in_force(held).await;
         fleet.services.clear();
-        until("all gates shut", || fleet.subscriptions.iter().all(|s| s.may_route().is_err())).await;
+        until("all gates shut", || {
+            fleet.subscriptions.iter().all(|s| s.may_route().is_err())
+        })
+        .await;
         for n in 10..30 {
             fleet.put(&format!("key/{n}"), &[n + 1; 4_000]).await;
         }
@@ -88,8 +106,12 @@
         let last = fleet.put("key/last", b"2").await;
         // Some begin with nothing, the others hold what is compacted away.
         fleet.subscribe(5);
-        fleet.serve_at(2, |config| config.piece_bytes = 8 << 10).await;
-        fleet.serve_at(3, |config| config.piece_bytes = 8 << 10).await;
+        fleet
+            .serve_at(2, |config| config.piece_bytes = 8 << 10)
+            .await;
+        fleet
+            .serve_at(3, |config| config.piece_bytes = 8 << 10)
+            .await;
         fleet.in_force(last).await;
         fleet.same_everywhere();
     }));
@@ -108,10 +130,34 @@
         let at = fleet.serving_at[&2];
         let good = Raw::hello(2, "stranger");
         for (hello, code) in [
-            (SubscriberHello { cluster: "other".to_owned(), ..good.clone() }, "wrong_cluster"),
-            (SubscriberHello { version: 9, ..good.clone() }, "wrong_version"),
-            (SubscriberHello { observer: 1, ..good.clone() }, "wrong_observer"),
-            (SubscriberHello { magic: *b"GET ", ..good.clone() }, "not_a_subscriber"),
+            (
+                SubscriberHello {
+                    cluster: "other".to_owned(),
+                    ..good.clone()
+                },
+                "wrong_cluster",
+            ),
+            (
+                SubscriberHello {
+                    version: 9,
+                    ..good.clone()
+                },
+                "wrong_version",
+            ),
+            (
+                SubscriberHello {
+                    observer: 1,
+                    ..good.clone()
+                },
+                "wrong_observer",
+            ),
+            (
+                SubscriberHello {
+                    magic: *b"GET ",
+                    ..good.clone()
+                },
+                "not_a_subscriber",
+            ),
         ] {
             let mut raw = Raw::connect(at).await;
             raw.send(&hello).await;
@@ -120,10 +166,15 @@
         }
         // Greetings that are none: words of another protocol, a greeting of a later version with other fields.
         let mut raw = Raw::connect(at).await;
-        raw.write(b"GET /v1/cluster HTTP/1.1\r\nhost: x\r\n\r\n").await;
-        assert_eq!(raw.welcome().await.refused.unwrap().code(), "not_a_subscriber");
+        raw.write(b"GET /v1/cluster HTTP/1.1\r\nhost: x\r\n\r\n")
+            .await;
+        assert_eq!(
+            raw.welcome().await.refused.unwrap().code(),
+            "not_a_subscriber"
+        );
         let mut raw = Raw::connect(at).await;
-        raw.write(&[8, 0, 0, 0, b'V', b'G', b'S', b'B', 7, 0xff, 0xff, 0xff]).await;
+        raw.write(&[8, 0, 0, 0, b'V', b'G', b'S', b'B', 7, 0xff, 0xff, 0xff])
+            .await;
         assert_eq!(raw.welcome().await.refused.unwrap().code(), "wrong_version");
         // After a good greeting: a frame too long, garbage, questions without end.
         for bad in [vec![0xff; 64], vec![2, 0, 0, 0, 0x77, 0x77]] {
@@ -134,19 +185,33 @@
         }
         let mut raw = Raw::greeted(at, &good).await;
         for question in 0..500 {
-            let progress = Progress { applied: 0, serving: false };
-            raw.send(&FromSubscriber::Confirm { question, progress }).await;
+            let progress = Progress {
+                applied: 0,
+                serving: false,
+            };
+            raw.send(&FromSubscriber::Confirm { question, progress })
+                .await;
         }
         assert_eq!(raw.refused().await.code(), "protocol");
         // A revision that nobody has reached.
-        let mut raw = Raw::greeted(at, &SubscriberHello { revision: 1_000_000, ..good.clone() }).await;
+        let mut raw = Raw::greeted(
+            at,
+            &SubscriberHello {
+                revision: 1_000_000,
+                ..good.clone()
+            },
+        )
+        .await;
         raw.send(&FromSubscriber::Watch { after: 1_000_000 }).await;
         assert_eq!(raw.refused().await.code(), "revision_ahead");
         // The sixth place is free again each time, and a seventh is not to be had.
         let mut sixth = Raw::greeted(at, &good).await;
         let mut seventh = Raw::connect(at).await;
         seventh.send(&Raw::hello(2, "seventh")).await;
-        assert_eq!(seventh.welcome().await.refused.unwrap().code(), "observer_full");
+        assert_eq!(
+            seventh.welcome().await.refused.unwrap().code(),
+            "observer_full"
+        );
         sixth.send(&FromSubscriber::StopWatching).await;
         // One that says nothing ends, and connections that are opened and dropped leave nothing behind.
         let mut mute = Raw::connect(at).await;
@@ -178,7 +243,10 @@
             last = fleet.put("big", &vec![n; 60_000]).await;
         }
         fleet.in_force(last).await;
-        until("it is turned away", || fleet.services[&2].subscribers() == 3).await;
+        until("it is turned away", || {
+            fleet.services[&2].subscribers() == 3
+        })
+        .await;
         let mut changes = 0;
         let refusal = loop {
             match slow.message().await {
--- a/cluster/node/tests/raw/mod.rs
+++ b/cluster/node/tests/raw/mod.rs
@@ -7,7 +7,9 @@
 use futures_lite::FutureExt;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use violetgate_distribution::{FromObserver, ObserverWelcome, Refusal, SubscriberHello, MAGIC, VERSION};
+use violetgate_distribution::{
+    FromObserver, ObserverWelcome, Refusal, SubscriberHello, MAGIC, VERSION,
+};
 
 use crate::fleet::WAIT;
 
@@ -30,7 +32,10 @@
     }
 
     pub async fn connect(at: SocketAddr) -> Self {
-        Raw { stream: Async::<TcpStream>::connect(at).await.unwrap(), input: Vec::new() }
+        Raw {
+            stream: Async::<TcpStream>::connect(at).await.unwrap(),
+            input: Vec::new(),
+        }
     }
 
     /// Connects and is taken.
@@ -76,7 +81,12 @@
                     return Some(value);
                 }
             }
-            let read = async { self.stream.read_with(|mut s| s.read(&mut chunk)).await.unwrap_or(0) };
+            let read = async {
+                self.stream
+                    .read_with(|mut s| s.read(&mut chunk))
+                    .await
+                    .unwrap_or(0)
+            };
             let late = async {
                 Timer::after(WAIT).await;
                 panic!("nothing comes in {WAIT:?}")
--- a/cluster/node/tests/three.rs
+++ b/cluster/node/tests/three.rs
@@ -1,5 +1,10 @@
 //! Three members on loopback with real files, in one thread: they agree, lose one, and take it back.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,11 +36,22 @@
 
 impl Three {
     fn new(name: &str, ids: std::ops::RangeInclusive<NodeId>) -> Self {
-        let folder = std::env::temp_dir().join(format!("violetgate-cluster-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("violetgate-cluster-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        let held: Vec<_> = ids.map(|id| (id, std::net::TcpListener::bind("127.0.0.1:0").unwrap())).collect();
-        let addrs = held.iter().map(|(id, l)| (*id, l.local_addr().unwrap())).collect();
-        Three { executor: Rc::new(LocalExecutor::new()), folder, addrs, members: BTreeMap::new() }
+        let held: Vec<_> = ids
+            .map(|id| (id, std::net::TcpListener::bind("127.0.0.1:0").unwrap()))
+            .collect();
+        let addrs = held
+            .iter()
+            .map(|(id, l)| (*id, l.local_addr().unwrap()))
+            .collect();
+        Three {
+            executor: Rc::new(LocalExecutor::new()),
+            folder,
+            addrs,
+            members: BTreeMap::new(),
+        }
     }
 
     fn options(&self, id: NodeId) -> Options {
@@ -45,15 +61,28 @@
             folder: self.folder.join(id.to_string()),
             listen: self.addrs[&id],
             members: self.addrs.clone(),
-            config: MemberConfig { snapshot_every: 50, ..MemberConfig::default() },
+            config: MemberConfig {
+                snapshot_every: 50,
+                ..MemberConfig::default()
+            },
             seed: 7 + id,
         }
     }
 
     /// Makes a member's folder and starts it.
     fn begin(&mut self, id: NodeId, members: Vec<NodeId>) {
-        let from = Beginning { members, state: Vec::new() };
-        Cluster::begin("test", id, &self.folder.join(id.to_string()), 100 + id, from).unwrap();
+        let from = Beginning {
+            members,
+            state: Vec::new(),
+        };
+        Cluster::begin(
+            "test",
+            id,
+            &self.folder.join(id.to_string()),
+            100 + id,
+            from,
+        )
+        .unwrap();
         self.start(id);
     }
 
@@ -90,11 +119,19 @@
         let request = format!("put-{key}-{value}");
         let until = Instant::now() + WAIT;
         while Instant::now() < until {
-            let op = Op::Put { key: key.to_owned(), value: value.as_bytes().to_vec(), lease: None };
-            let step = Step::Txn(Txn { then: vec![op], ..Txn::default() });
+            let op = Op::Put {
+                key: key.to_owned(),
+                value: value.as_bytes().to_vec(),
+                lease: None,
+            };
+            let step = Step::Txn(Txn {
+                then: vec![op],
+                ..Txn::default()
+            });
             let leader = self.leader().await;
-            if let Answered::Yes(Answer::Done(outcome)) =
-                leader.propose(Some(request.clone()), "test", step, Duration::from_secs(1)).await
+            if let Answered::Yes(Answer::Done(outcome)) = leader
+                .propose(Some(request.clone()), "test", step, Duration::from_secs(1))
+                .await
             {
                 return outcome;
             }
@@ -105,7 +142,11 @@
     /// What every member holds at a key, once its copy is current.
     async fn all_hold(&self, key: &str, value: &str) {
         for (id, member) in &self.members {
-            assert!(member.current(WAIT).await, "{id} is not current: {:?}", member.status());
+            assert!(
+                member.current(WAIT).await,
+                "{id} is not current: {:?}",
+                member.status()
+            );
             let held = member.store(|s| s.get(key).map(|(_, v)| v.clone()));
             assert_eq!(held.as_deref(), Some(value.as_bytes()), "{id}");
         }
@@ -147,17 +188,34 @@
         three.put("a", "1").await;
         let leader = three.leader().await;
         leader.transport().cut(&[1, 2, 3]);
-        let others: Vec<_> = three.members.values().filter(|m| !Rc::ptr_eq(m, &leader)).cloned().collect();
+        let others: Vec<_> = three
+            .members
+            .values()
+            .filter(|m| !Rc::ptr_eq(m, &leader))
+            .cloned()
+            .collect();
         let until = Instant::now() + WAIT;
         while leader.may_route().is_ok() {
             assert!(Instant::now() < until, "it routes on");
             Timer::after(Duration::from_millis(10)).await;
         }
         assert!(!leader.current(Duration::from_millis(300)).await);
-        let op = Op::Put { key: "a".to_owned(), value: b"2".to_vec(), lease: None };
-        let step = Step::Txn(Txn { then: vec![op], ..Txn::default() });
-        let answered = leader.propose(None, "test", step, Duration::from_millis(300)).await;
-        assert!(!matches!(answered, Answered::Yes(Answer::Done(_))), "{answered:?}");
+        let op = Op::Put {
+            key: "a".to_owned(),
+            value: b"2".to_vec(),
+            lease: None,
+        };
+        let step = Step::Txn(Txn {
+            then: vec![op],
+            ..Txn::default()
+        });
+        let answered = leader
+            .propose(None, "test", step, Duration::from_millis(300))
+            .await;
+        assert!(
+            !matches!(answered, Answered::Yes(Answer::Done(_))),
+            "{answered:?}"
+        );
         while !others.iter().any(|m| m.status().role == Role::Leader) {
             assert!(Instant::now() < until, "nobody takes over");
             Timer::after(Duration::from_millis(10)).await;
@@ -183,7 +241,11 @@
         three.put("a", "1").await;
         three.begin(4, Vec::new());
         let within = Duration::from_secs(2);
-        for (change, done) in [(Change::Add(4), 3), (Change::Promote(4), 4), (Change::Remove(2), 3)] {
+        for (change, done) in [
+            (Change::Add(4), 3),
+            (Change::Promote(4), 4),
+            (Change::Remove(2), 3),
+        ] {
             let until = Instant::now() + WAIT;
             while three.leader().await.status().members.voters.len() != done
                 || !three.leader().await.status().members.contains(4)
@@ -194,7 +256,10 @@
         }
         let leader = three.leader().await;
         let again = leader.change(Change::Add(2), within).await;
-        assert!(matches!(again, Answered::Yes(Answer::Rejected(_))), "{again:?}");
+        assert!(
+            matches!(again, Answered::Yes(Answer::Rejected(_))),
+            "{again:?}"
+        );
         three.members.remove(&2);
         three.put("a", "2").await;
         three.all_hold("a", "2").await;
@@ -203,9 +268,20 @@
     while three.executor.try_tick() {}
     let folder = three.folder.join("3");
     std::fs::remove_file(folder.join("member")).unwrap();
-    let refused = Cluster::start(&three.executor, &three.options(3)).err().unwrap_or_default();
+    let refused = Cluster::start(&three.executor, &three.options(3))
+        .err()
+        .unwrap_or_default();
     assert!(refused.contains("this folder is no member's"), "{refused}");
-    let begun = Cluster::begin("test", 3, &folder, 1, Beginning { members: vec![], state: vec![] });
+    let begun = Cluster::begin(
+        "test",
+        3,
+        &folder,
+        1,
+        Beginning {
+            members: vec![],
+            state: vec![],
+        },
+    );
     assert!(begun.unwrap_err().contains("a member's already"));
 }
 
@@ -220,7 +296,11 @@
         request: format!("r-{n}"),
         who: "test".to_owned(),
         step: Step::Txn(Txn {
-            then: vec![Op::Put { key: "k".to_owned(), value: vec![n], lease: None }],
+            then: vec![Op::Put {
+                key: "k".to_owned(),
+                value: vec![n],
+                lease: None,
+            }],
             ..Txn::default()
         }),
     };
@@ -228,8 +308,14 @@
         for n in 1..=3 {
             let id = u64::from(n);
             let first = three.members[&id].agree(call(n), WAIT).await;
-            assert!(matches!(first, Answered::Yes(Answer::Done(Outcome::Done { .. }))), "{first:?}");
-            assert_eq!(three.members[&(id % 3 + 1)].agree(call(n), WAIT).await, first);
+            assert!(
+                matches!(first, Answered::Yes(Answer::Done(Outcome::Done { .. }))),
+                "{first:?}"
+            );
+            assert_eq!(
+                three.members[&(id % 3 + 1)].agree(call(n), WAIT).await,
+                first
+            );
         }
         assert!(three.members[&1].current(WAIT).await);
         assert_eq!(three.members[&1].status().revision, 3);
@@ -239,13 +325,28 @@
     while three.executor.try_tick() {}
     std::fs::remove_dir_all(three.folder.join("3")).unwrap();
     let disks: BTreeMap<_, _> = (1..=3).map(|id| (id, 100 + id)).collect();
-    three.members.values().for_each(|m| m.transport().disks(disks.clone()));
-    let from = Beginning { members: vec![1, 2, 3], state: vec![] };
+    three
+        .members
+        .values()
+        .for_each(|m| m.transport().disks(disks.clone()));
+    let from = Beginning {
+        members: vec![1, 2, 3],
+        state: vec![],
+    };
     Cluster::begin("test", 3, &three.folder.join("3"), 7, from).unwrap();
     three.start(3);
     async_io::block_on(executor.run(async {
         assert!(!three.members[&3].current(Duration::from_secs(2)).await);
-        assert_eq!((three.members[&3].status().applied, three.members[&3].status().term), (0, 0));
-        assert!(three.members[&1].current(WAIT).await, "the two others go on");
+        assert_eq!(
+            (
+                three.members[&3].status().applied,
+                three.members[&3].status().term
+            ),
+            (0, 0)
+        );
+        assert!(
+            three.members[&1].current(WAIT).await,
+            "the two others go on"
+        );
     }));
 }
--- a/cluster/state/src/entries.rs
+++ b/cluster/state/src/entries.rs
@@ -20,10 +20,13 @@
     }
 
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])> {
-        self.get(key).map(|(revision, value)| (revision, value.as_slice()))
+        self.get(key)
+            .map(|(revision, value)| (revision, value.as_slice()))
     }
 
     fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
-        self.list(prefix, None, None, usize::MAX).map(|listing| listing.entries).unwrap_or_default()
+        self.list(prefix, None, None, usize::MAX)
+            .map(|listing| listing.entries)
+            .unwrap_or_default()
     }
 }
--- a/cluster/state/src/gate.rs
+++ b/cluster/state/src/gate.rs
@@ -36,7 +36,13 @@
     /// A gate that is shut until the first confirmation. `limit` is the drain limit.
     #[must_use]
     pub fn new(limit: Micros) -> Self {
-        Gate { limit, confirmed: None, applied: 0, asked: BTreeMap::new(), next: 0 }
+        Gate {
+            limit,
+            confirmed: None,
+            applied: 0,
+            asked: BTreeMap::new(),
+            next: 0,
+        }
     }
 
     /// Begins a question; its name, to be asked of the cluster from this moment on and not before.
@@ -112,7 +118,10 @@
     #[test]
     fn a_copy_is_as_old_as_its_question() {
         let mut gate = Gate::new(LIMIT);
-        assert_eq!((gate.check(5), gate.remaining(5)), (Err(Stale { age: None }), 0));
+        assert_eq!(
+            (gate.check(5), gate.remaining(5)),
+            (Err(Stale { age: None }), 0)
+        );
         let (one, two) = (gate.ask(100), gate.ask(200));
         gate.answered(two, 7);
         assert!(gate.check(300).is_err(), "entry 7 is not applied here");
@@ -120,11 +129,22 @@
         assert!(gate.check(300).is_err());
         gate.applied(7);
         assert!(gate.check(200 + LIMIT - 1).is_ok());
-        assert_eq!((gate.remaining(200 + LIMIT - 1), gate.remaining(200 + LIMIT)), (1, 0));
+        assert_eq!(
+            (gate.remaining(200 + LIMIT - 1), gate.remaining(200 + LIMIT)),
+            (1, 0)
+        );
         assert_eq!(gate.check(200 + LIMIT), Err(Stale { age: Some(LIMIT) }));
         gate.answered(one, 3);
-        assert_eq!(gate.check(200 + LIMIT), Err(Stale { age: Some(LIMIT) }), "an older question");
-        assert_eq!(gate.check(150), Err(Stale { age: None }), "a clock that goes back tells no age");
+        assert_eq!(
+            gate.check(200 + LIMIT),
+            Err(Stale { age: Some(LIMIT) }),
+            "an older question"
+        );
+        assert_eq!(
+            gate.check(150),
+            Err(Stale { age: None }),
+            "a clock that goes back tells no age"
+        );
         let lost = gate.ask(LIMIT);
         gate.failed(lost);
         gate.answered(lost, 1);
--- a/cluster/state/src/lib.rs
+++ b/cluster/state/src/lib.rs
@@ -13,8 +13,8 @@
 pub use entries::Entries;
 pub use gate::{Gate, Stale};
 pub use store::{
-    Change, Check, Command, Compacted, Listing, Op, Outcome, Refused, Step, Store, Txn, MAX_KEY, MAX_OPS,
-    MAX_VALUE,
+    Change, Check, Command, Compacted, Listing, Op, Outcome, Refused, Step, Store, Txn, MAX_KEY,
+    MAX_OPS, MAX_VALUE,
 };
 
 /// A moment or a span in microseconds.
--- a/cluster/state/src/store.rs
+++ b/cluster/state/src/store.rs
@@ -194,11 +194,16 @@
         }
         self.time = self.time.max(command.time);
         let outcome = match self.carry_out(command) {
-            Ok(held) => Outcome::Done { revision: self.revision, held },
+            Ok(held) => Outcome::Done {
+                revision: self.revision,
+                held,
+            },
             Err(refused) => Outcome::Refused(refused),
         };
         while self.changes.len() > CHANGES {
-            let Some(oldest) = self.changes.front().map(|c| c.revision) else { break };
+            let Some(oldest) = self.changes.front().map(|c| c.revision) else {
+                break;
+            };
             self.compact(oldest);
         }
         if let Some(request) = &command.request {
@@ -310,8 +315,12 @@
 
     fn drop_lease(&mut self, id: u64, who: &str) {
         let hangs = |v: &Vec<Version>| matches!(v.last(), Some((_, Some((_, Some(lease))))) if *lease == id);
-        let gone: Vec<_> =
-            self.keys.iter().filter(|(_, v)| hangs(v)).map(|(k, _)| Op::Delete(k.clone())).collect();
+        let gone: Vec<_> = self
+            .keys
+            .iter()
+            .filter(|(_, v)| hangs(v))
+            .map(|(k, _)| Op::Delete(k.clone()))
+            .collect();
         if !gone.is_empty() {
             self.change(&gone, who);
         }
@@ -324,8 +333,12 @@
         self.first = to;
         // A version that can go was followed, or ended, by a change that goes now: no other key is looked at.
         while self.changes.front().is_some_and(|c| c.revision <= to) {
-            let Some(change) = self.changes.pop_front() else { break };
-            let Some(versions) = self.keys.get_mut(&change.key) else { continue };
+            let Some(change) = self.changes.pop_front() else {
+                break;
+            };
+            let Some(versions) = self.keys.get_mut(&change.key) else {
+                continue;
+            };
             // Of what came up to there, the last still holds.
             let keep = versions.iter().rposition(|(r, _)| *r <= to).unwrap_or(0);
             versions.drain(..keep);
@@ -373,14 +386,20 @@
                 continue;
             }
             let version = versions.iter().rev().find(|(r, _)| *r <= revision);
-            let Some((changed, Some((value, _)))) = version else { continue };
+            let Some((changed, Some((value, _)))) = version else {
+                continue;
+            };
             if entries.len() >= limit.max(1) {
                 next = entries.last().map(|(k, ..): &(String, _, _)| k.clone());
                 break;
             }
             entries.push((key.clone(), *changed, value.clone()));
         }
-        Ok(Listing { revision, entries, next })
+        Ok(Listing {
+            revision,
+            entries,
+            next,
+        })
     }
 
     /// The changes after a revision of keys that begin with `prefix`, oldest first, about `limit` of them; changes
@@ -389,14 +408,25 @@
     /// # Errors
     ///
     /// Some of them are compacted away: the watcher has to read anew, and is told so rather than left a gap.
-    pub fn changes(&self, after: Revision, prefix: &str, limit: usize) -> Result<Vec<Change>, Compacted> {
+    pub fn changes(
+        &self,
+        after: Revision,
+        prefix: &str,
+        limit: usize,
+    ) -> Result<Vec<Change>, Compacted> {
         if after < self.first {
             return Err(Compacted { first: self.first });
         }
         let from = self.changes.partition_point(|c| c.revision <= after);
         let mut out: Vec<Change> = Vec::new();
-        for change in self.changes.range(from..).filter(|c| c.key.starts_with(prefix)) {
-            if out.len() >= limit.max(1) && out.last().is_some_and(|c| c.revision != change.revision) {
+        for change in self
+            .changes
+            .range(from..)
+            .filter(|c| c.key.starts_with(prefix))
+        {
+            if out.len() >= limit.max(1)
+                && out.last().is_some_and(|c| c.revision != change.revision)
+            {
                 break;
             }
             out.push(change.clone());
@@ -408,7 +438,11 @@
     #[must_use]
     pub fn run_out(&self, now: Micros) -> Vec<Step> {
         let over = self.leases.iter().filter(|(_, ends)| **ends <= now);
-        over.map(|(id, ends)| Step::Expire { id: *id, ends: *ends }).collect()
+        over.map(|(id, ends)| Step::Expire {
+            id: *id,
+            ends: *ends,
+        })
+        .collect()
     }
 
     /// The whole state as bytes: the same state is the same bytes on every member.
--- a/cluster/state/tests/gate_model.rs
+++ b/cluster/state/tests/gate_model.rs
@@ -161,14 +161,23 @@
 #[test]
 fn nothing_goes_out_on_old_state_in_any_order_of_events() {
     let checker = Variant::Real.checker().spawn_bfs().join();
-    println!("{} states, {} of them different", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} of them different",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     checker.assert_properties();
     assert!(checker.unique_state_count() > 10_000);
 }
 
 #[test]
 fn gates_that_are_wrong_are_caught() {
-    for variant in [Variant::NoGate, Variant::ByAnswer, Variant::Unapplied, Variant::ClockStops] {
+    for variant in [
+        Variant::NoGate,
+        Variant::ByAnswer,
+        Variant::Unapplied,
+        Variant::ClockStops,
+    ] {
         let checker = variant.checker().spawn_bfs().join();
         let found = checker.discovery("nothing goes to a drained engine past the limit");
         assert!(found.is_some(), "{variant:?} is not caught");
--- a/cluster/state/tests/model.rs
+++ b/cluster/state/tests/model.rs
@@ -9,15 +9,27 @@
 type State = BTreeMap<String, Vec<u8>>;
 
 fn txn(then: Vec<Op>) -> Txn {
-    Txn { then, ..Txn::default() }
+    Txn {
+        then,
+        ..Txn::default()
+    }
 }
 
 fn command(step: Step) -> Command {
-    Command { request: None, who: "op".to_owned(), time: 0, step }
+    Command {
+        request: None,
+        who: "op".to_owned(),
+        time: 0,
+        step,
+    }
 }
 
 fn put(key: &str, value: u8) -> Op {
-    Op::Put { key: key.to_owned(), value: vec![value], lease: None }
+    Op::Put {
+        key: key.to_owned(),
+        value: vec![value],
+        lease: None,
+    }
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -118,13 +130,38 @@
             otherwise: vec![],
         }))
     };
-    assert_eq!(store.apply(&set(0, 1)), Outcome::Done { revision: 1, held: true });
-    assert_eq!(store.apply(&set(0, 2)), Outcome::Done { revision: 1, held: false });
+    assert_eq!(
+        store.apply(&set(0, 1)),
+        Outcome::Done {
+            revision: 1,
+            held: true
+        }
+    );
+    assert_eq!(
+        store.apply(&set(0, 2)),
+        Outcome::Done {
+            revision: 1,
+            held: false
+        }
+    );
     assert_eq!(store.get("by"), Some((1, &vec![1])));
-    assert_eq!(store.apply(&set(1, 3)), Outcome::Done { revision: 2, held: true });
-    let large = Op::Put { key: "x".to_owned(), value: vec![0; MAX_VALUE + 1], lease: None };
+    assert_eq!(
+        store.apply(&set(1, 3)),
+        Outcome::Done {
+            revision: 2,
+            held: true
+        }
+    );
+    let large = Op::Put {
+        key: "x".to_owned(),
+        value: vec![0; MAX_VALUE + 1],
+        lease: None,
+    };
     let refused = store.apply(&command(Step::Txn(txn(vec![put("y", 1), large]))));
-    assert_eq!((refused, store.get("y")), (Outcome::Refused(Refused::TooLarge), None));
+    assert_eq!(
+        (refused, store.get("y")),
+        (Outcome::Refused(Refused::TooLarge), None)
+    );
 }
 
 /// The same request again gets the same outcome and changes nothing, though the state has moved on.
@@ -145,20 +182,42 @@
 #[test]
 fn a_lease_takes_its_keys_along() {
     let mut store = Store::default();
-    let at = |time, step| Command { time, ..command(step) };
+    let at = |time, step| Command {
+        time,
+        ..command(step)
+    };
     store.apply(&at(100, Step::Lease { id: 7, span: 50 }));
-    let hung = Op::Put { key: "duty".to_owned(), value: vec![1], lease: Some(7) };
-    store.apply(&at(110, Step::Txn(txn(vec![hung.clone(), put("other", 1)]))));
+    let hung = Op::Put {
+        key: "duty".to_owned(),
+        value: vec![1],
+        lease: Some(7),
+    };
+    store.apply(&at(
+        110,
+        Step::Txn(txn(vec![hung.clone(), put("other", 1)])),
+    ));
     assert!(store.run_out(149).is_empty());
     let seen = store.run_out(150);
     assert_eq!(seen, [Step::Expire { id: 7, ends: 150 }]);
     store.apply(&at(140, Step::Lease { id: 7, span: 50 }));
-    assert_eq!(store.apply(&at(160, seen[0].clone())), Outcome::Done { revision: 1, held: false });
+    assert_eq!(
+        store.apply(&at(160, seen[0].clone())),
+        Outcome::Done {
+            revision: 1,
+            held: false
+        }
+    );
     assert!(store.get("duty").is_some());
     // A new leader whose clock is behind: its renewal counts from the store's time.
     store.apply(&at(5, Step::Lease { id: 7, span: 50 }));
     assert_eq!(store.run_out(210), [Step::Expire { id: 7, ends: 210 }]);
     store.apply(&at(210, Step::Expire { id: 7, ends: 210 }));
-    assert_eq!((store.get("duty"), store.get("other")), (None, Some((1, &vec![1]))));
-    assert_eq!(store.apply(&at(211, Step::Txn(txn(vec![hung])))), Outcome::Refused(Refused::NoLease(7)));
+    assert_eq!(
+        (store.get("duty"), store.get("other")),
+        (None, Some((1, &vec![1])))
+    );
+    assert_eq!(
+        store.apply(&at(211, Step::Txn(txn(vec![hung])))),
+        Outcome::Refused(Refused::NoLease(7))
+    );
 }
--- a/fleet/link/src/frame.rs
+++ b/fleet/link/src/frame.rs
@@ -37,8 +37,13 @@
 /// Writes a datagram; `None`: the message is longer than any that is sent.
 #[must_use]
 pub fn write(fleet: &str, message: &Message) -> Option<Vec<u8>> {
-    let head = Head { magic: MAGIC, version: VERSION };
-    postcard::to_stdvec(&(head, fleet, message)).ok().filter(|bytes| bytes.len() <= LONGEST)
+    let head = Head {
+        magic: MAGIC,
+        version: VERSION,
+    };
+    postcard::to_stdvec(&(head, fleet, message))
+        .ok()
+        .filter(|bytes| bytes.len() <= LONGEST)
 }
 
 /// Reads a datagram of this fleet.
@@ -98,7 +103,10 @@
         for end in 0..bytes.len() {
             assert!(read("wards", &bytes[..end]).is_err(), "cut at {end}");
         }
-        assert_eq!(read("others", &bytes), Err(Refused::Fleet("wards".to_owned())));
+        assert_eq!(
+            read("others", &bytes),
+            Err(Refused::Fleet("wards".to_owned()))
+        );
         assert_eq!(read("wards", b"GET / HTTP/1.1"), Err(Refused::Stranger));
         let mut newer = bytes.clone();
         newer[4] = 9;
--- a/fleet/link/src/lib.rs
+++ b/fleet/link/src/lib.rs
@@ -211,7 +211,8 @@
                 futures_lite::future::yield_now().await;
                 continue;
             };
-            self.received_bytes.set(self.received_bytes.get() + size as u64);
+            self.received_bytes
+                .set(self.received_bytes.get() + size as u64);
             self.take(buffer.get(..size).unwrap_or_default(), from);
             burst += 1;
             if burst % BURST == 0 {
@@ -226,7 +227,10 @@
             Err(why) => return self.turn_away(from, &why.to_string()),
         };
         let mut actions = Vec::new();
-        let heard = self.membership.borrow_mut().hear((self.clock)(), &message, &mut actions);
+        let heard = self
+            .membership
+            .borrow_mut()
+            .hear((self.clock)(), &message, &mut actions);
         match heard {
             Ok(()) => self.carry_out(actions),
             Err(why) => self.turn_away(from, &why.to_string()),
@@ -252,8 +256,10 @@
                     let bytes = frame::write(&self.fleet, &message);
                     let sent = bytes.zip(socket.as_ref());
                     let sent = sent.and_then(|(b, s)| s.get_ref().send_to(&b, to).ok());
-                    self.sent_bytes.set(self.sent_bytes.get() + sent.unwrap_or(0) as u64);
-                    self.unsent.set(self.unsent.get() + u64::from(sent.is_none()));
+                    self.sent_bytes
+                        .set(self.sent_bytes.get() + sent.unwrap_or(0) as u64);
+                    self.unsent
+                        .set(self.unsent.get() + u64::from(sent.is_none()));
                 }
                 Action::Changed(name, state) => (self.tell)(News::Member(name, state)),
                 Action::Link(name, cut) => (self.tell)(News::Link(name, cut)),
--- a/fleet/membership/src/claim.rs
+++ b/fleet/membership/src/claim.rs
@@ -59,8 +59,9 @@
     /// Whether it can be used at all: a peer may send anything.
     #[must_use]
     pub fn is_sound(&self) -> bool {
-        let plain =
-            |n: &str| (1..=LONGEST_NAME).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_graphic());
+        let plain = |n: &str| {
+            (1..=LONGEST_NAME).contains(&n.len()) && n.bytes().all(|b| b.is_ascii_graphic())
+        };
         let by = (self.state == State::Suspect) == self.by.is_some();
         plain(&self.name) && self.by.as_deref().is_none_or(plain) && by && self.addr.port() != 0
     }
--- a/fleet/membership/src/digest.rs
+++ b/fleet/membership/src/digest.rs
@@ -17,7 +17,10 @@
 /// What a claim adds to the digest of its bucket. It must not depend on who accuses.
 fn digest_of(claim: &Claim) -> u64 {
     let (life, left, turn, state) = claim.rank();
-    place(&claim.name, life ^ u64::from(turn) << 8 ^ u64::from(left) << 7 ^ state as u64)
+    place(
+        &claim.name,
+        life ^ u64::from(turn) << 8 ^ u64::from(left) << 7 ^ state as u64,
+    )
 }
 
 /// Sums of the digests of claims, by bucket.
@@ -34,13 +37,15 @@
     /// Counts a claim in.
     pub fn add(&mut self, claim: &Claim) {
         let sum = self.0.get_mut(bucket_of(&claim.name));
-        sum.into_iter().for_each(|sum| *sum = sum.wrapping_add(digest_of(claim)));
+        sum.into_iter()
+            .for_each(|sum| *sum = sum.wrapping_add(digest_of(claim)));
     }
 
     /// Takes a claim out that was counted in.
     pub fn remove(&mut self, claim: &Claim) {
         let sum = self.0.get_mut(bucket_of(&claim.name));
-        sum.into_iter().for_each(|sum| *sum = sum.wrapping_sub(digest_of(claim)));
+        sum.into_iter()
+            .for_each(|sum| *sum = sum.wrapping_sub(digest_of(claim)));
     }
 
     /// The lower half of each sum: two views differ in a bucket and show the same with a chance of one in 2^32.
--- a/fleet/membership/src/exchange.rs
+++ b/fleet/membership/src/exchange.rs
@@ -78,9 +78,15 @@
 
     /// Takes bytes from the budget, if it has as many.
     fn spend(&mut self, bytes: u64, now: Micros) -> bool {
-        let earned = now.saturating_sub(self.refilled).saturating_mul(self.bytes_per_s) / 1_000_000;
+        let earned = now
+            .saturating_sub(self.refilled)
+            .saturating_mul(self.bytes_per_s)
+            / 1_000_000;
         if earned > 0 {
-            self.allowance = self.allowance.saturating_add(earned).min(Self::burst(self.bytes_per_s));
+            self.allowance = self
+                .allowance
+                .saturating_add(earned)
+                .min(Self::burst(self.bytes_per_s));
             self.refilled = now;
         }
         let enough = self.allowance >= bytes;
@@ -107,7 +113,10 @@
 
     fn note_asked(&mut self, buckets: &BucketSet, now: Micros) {
         for bucket in buckets.iter() {
-            self.ask_again.get_mut(bucket).into_iter().for_each(|at| *at = now + ASK_AGAIN);
+            self.ask_again
+                .get_mut(bucket)
+                .into_iter()
+                .for_each(|at| *at = now + ASK_AGAIN);
         }
     }
 }
@@ -122,7 +131,8 @@
         if partner.is_empty() {
             return;
         }
-        let usual = self.config.exchange_every / 2 + self.rng.next_u64() % self.config.exchange_every;
+        let usual =
+            self.config.exchange_every / 2 + self.rng.next_u64() % self.config.exchange_every;
         let eager = self.exchange.eager > 0;
         self.exchange.eager = self.exchange.eager.saturating_sub(1);
         self.next_exchange = self.now + if eager { usual.min(ASK_AGAIN) } else { usual };
@@ -157,26 +167,51 @@
             return;
         }
         let known = u32::try_from(self.peers.len()).unwrap_or(u32::MAX);
-        let sums = ViewSums { known, sums: self.digests().sums() };
+        let sums = ViewSums {
+            known,
+            sums: self.digests().sums(),
+        };
         let claims = vec![self.own.clone()];
-        actions.push(Action::Send(from, Message { body: Body::Sums(sums), claims }));
+        actions.push(Action::Send(
+            from,
+            Message {
+                body: Body::Sums(sums),
+                claims,
+            },
+        ));
     }
 
     /// Part of the view, beginning at random: over some comparisons all of it.
     fn send_to_older_build(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
-        let mut names: VecDeque<Name> = self.peers.values().map(|p| Name::clone(&p.claim.name)).collect();
+        let mut names: VecDeque<Name> = self
+            .peers
+            .values()
+            .map(|p| Name::clone(&p.claim.name))
+            .collect();
         let begin = (self.rng.next_u64() % names.len().max(1) as u64) as usize;
         names.rotate_left(begin);
         names.truncate(MOST_WANTED);
-        self.exchange.add(Transfer { to, names, body: Body::Tell });
+        self.exchange.add(Transfer {
+            to,
+            names,
+            body: Body::Tell,
+        });
         self.send_pieces(actions);
     }
 
     /// The sums of another: the claims of the buckets that differ are asked for, as many as it may send soon.
-    pub(crate) fn compare_sums(&mut self, theirs: &ViewSums, from: SocketAddr, actions: &mut Vec<Action>) {
+    pub(crate) fn compare_sums(
+        &mut self,
+        theirs: &ViewSums,
+        from: SocketAddr,
+        actions: &mut Vec<Action>,
+    ) {
         let own = self.digests().sums();
         let pairs = own.iter().zip(&theirs.sums).enumerate();
-        let mut differing: Vec<usize> = pairs.filter(|(_, (a, b))| a != b).map(|(at, _)| at).collect();
+        let mut differing: Vec<usize> = pairs
+            .filter(|(_, (a, b))| a != b)
+            .map(|(at, _)| at)
+            .collect();
         if self.mutated(Mutant::BlindBucket) {
             differing.pop();
         }
@@ -193,7 +228,12 @@
         // Beginning at random, so that several that are asked at a time are asked for different ones.
         let begin = (self.rng.next_u64() % askable.len().max(1) as u64) as usize;
         askable.rotate_left(begin);
-        self.ask(askable.into_iter().take(most).collect(), true, from, actions);
+        self.ask(
+            askable.into_iter().take(most).collect(),
+            true,
+            from,
+            actions,
+        );
     }
 
     fn ask(&mut self, buckets: BucketSet, mutual: bool, of: SocketAddr, actions: &mut Vec<Action>) {
@@ -211,7 +251,11 @@
         let names = self.peers.values().map(|p| &p.claim.name);
         let names = names.filter(|name| want.buckets.contains(bucket_of(name)));
         let names = names.take(MOST_WANTED).cloned().collect();
-        self.exchange.add(Transfer { to: from, names, body: Body::Piece });
+        self.exchange.add(Transfer {
+            to: from,
+            names,
+            body: Body::Piece,
+        });
         // Asked before anything is sent, or the other would send back what it has just been given.
         if want.mutual {
             let askable = self.exchange.askable(&want.buckets, self.now);
@@ -224,7 +268,9 @@
     pub(crate) fn send_pieces(&mut self, actions: &mut Vec<Action>) {
         while let Some(transfer) = self.exchange.transfers.front() {
             let names = transfer.names.iter().take(MOST_CLAIMS - 1);
-            let others = names.filter_map(|name| self.peers.get(name)).map(|p| Claim::clone(&p.claim));
+            let others = names
+                .filter_map(|name| self.peers.get(name))
+                .map(|p| Claim::clone(&p.claim));
             let claims: Vec<Claim> = std::iter::once(self.own.clone()).chain(others).collect();
             let (to, body) = (transfer.to, transfer.body.clone());
             let bytes = claims.iter().map(Claim::most_bytes).sum::<u64>() + MESSAGE_BYTES;
@@ -232,9 +278,16 @@
                 return;
             }
             if let Some(transfer) = self.exchange.transfers.front_mut() {
-                transfer.names.drain(..transfer.names.len().min(MOST_CLAIMS - 1));
+                transfer
+                    .names
+                    .drain(..transfer.names.len().min(MOST_CLAIMS - 1));
             }
-            if self.exchange.transfers.front().is_some_and(|t| t.names.is_empty()) {
+            if self
+                .exchange
+                .transfers
+                .front()
+                .is_some_and(|t| t.names.is_empty())
+            {
                 self.exchange.transfers.pop_front();
             }
             actions.push(Action::Send(to, Message { body, claims }));
--- a/fleet/membership/src/handling.rs
+++ b/fleet/membership/src/handling.rs
@@ -33,17 +33,28 @@
     /// # Errors
     ///
     /// It can't be heeded, and nothing has changed.
-    pub fn hear(&mut self, now: Micros, message: &Message, actions: &mut Vec<Action>) -> Result<(), Unfit> {
+    pub fn hear(
+        &mut self,
+        now: Micros,
+        message: &Message,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), Unfit> {
         let sender = message.sender()?;
         self.now = now.max(self.now);
         if self.superseded || self.own.state == State::Left {
             return Ok(());
         }
         let (name, from) = (Name::clone(&sender.name), sender.addr);
-        let source = if matches!(message.body, Body::Piece) { Source::Exchange } else { Source::News };
+        let source = if matches!(message.body, Body::Piece) {
+            Source::Exchange
+        } else {
+            Source::News
+        };
         // What the sender says of itself is always news.
-        for (claim, source) in
-            message.claims.iter().zip(std::iter::once(Source::News).chain(std::iter::repeat(source)))
+        for (claim, source) in message
+            .claims
+            .iter()
+            .zip(std::iter::once(Source::News).chain(std::iter::repeat(source)))
         {
             self.merge(claim.clone(), source, actions);
         }
@@ -51,12 +62,18 @@
             return Ok(());
         }
         // A message of an older life proves nothing of this one.
-        let Some(p) = self.peers.get_mut(&name).filter(|p| p.claim.life == sender.life) else {
+        let Some(p) = self
+            .peers
+            .get_mut(&name)
+            .filter(|p| p.claim.life == sender.life)
+        else {
             return Ok(());
         };
         if p.on_rings() {
             p.heard = self.now;
-            self.woken.iter_mut().for_each(|(_, heard)| _ = heard.insert(Name::clone(&name)));
+            self.woken
+                .iter_mut()
+                .for_each(|(_, heard)| _ = heard.insert(Name::clone(&name)));
         } else if !matches!(message.body, Body::Ack(_) | Body::Tell | Body::Piece) {
             // It does not know that it is taken for dead, and has to, to refute.
             let told = Some(Claim::clone(&p.claim));
@@ -70,7 +87,9 @@
                 actions.push(Action::Send(from, message));
             }
             Body::Ack(seq) => self.answered(*seq, actions),
-            Body::PingFor(seq, target, at) => self.help(from, *seq, Name::clone(target), *at, actions),
+            Body::PingFor(seq, target, at) => {
+                self.help(from, *seq, Name::clone(target), *at, actions)
+            }
             Body::AckFor(seq, _) => self.answered_others(*seq),
             Body::Compare(theirs) => self.answer_comparison(message, *theirs, from, actions),
             Body::Sums(theirs) => self.compare_sums(theirs, from, actions),
@@ -84,7 +103,10 @@
     pub fn leave(&mut self, actions: &mut Vec<Action>) {
         self.own.state = State::Left;
         for addr in self.some(3 * self.config.fanout, &self.own.name.clone()) {
-            let message = Message { body: Body::Tell, claims: vec![self.own.clone()] };
+            let message = Message {
+                body: Body::Tell,
+                claims: vec![self.own.clone()],
+            };
             actions.push(Action::Send(addr, message));
         }
     }
@@ -107,7 +129,9 @@
                 let times = self.times_told();
                 return self.spread.heard(&claim, times);
             }
-            let Some(p) = self.peers.get_mut(&claim.name) else { return };
+            let Some(p) = self.peers.get_mut(&claim.name) else {
+                return;
+            };
             let room = p.accusers.len() < MOST_ACCUSERS;
             if room && claim.by.clone().is_some_and(|by| p.accusers.insert(by)) {
                 self.spread.push(claim);
@@ -115,7 +139,9 @@
             return;
         }
         let alive = claim.state == State::Alive;
-        let any = (alive && self.mutated(Mutant::AnyTurn) && old.is_some_and(|p| p.claim.life == claim.life))
+        let any = (alive
+            && self.mutated(Mutant::AnyTurn)
+            && old.is_some_and(|p| p.claim.life == claim.life))
             || (alive && self.mutated(Mutant::AnyLife))
             || (source == Source::Exchange && self.mutated(Mutant::AnyPiece));
         if !any && old.is_some_and(|p| p.claim.rank() > claim.rank()) {
@@ -124,10 +150,14 @@
         let name = Name::clone(&claim.name);
         let same_life = |p: &&Peer| p.claim.life == claim.life;
         let back = |p: &Peer| p.claim.state == State::Dead && claim.state == State::Alive;
-        let revived = old.filter(same_life).map_or(0, |p| p.revived + u32::from(back(p)));
+        let revived = old
+            .filter(same_life)
+            .map_or(0, |p| p.revived + u32::from(back(p)));
         let changed = old.is_none_or(|p| p.claim.state != claim.state);
-        let next_ping =
-            old.map_or_else(|| now + self.rng.next_u64() % self.config.probe_every, |p| p.next_ping);
+        let next_ping = old.map_or_else(
+            || now + self.rng.next_u64() % self.config.probe_every,
+            |p| p.next_ping,
+        );
         let peer = Peer {
             since: old.filter(|_| !changed).map_or(now, |p| p.since),
             accusers: claim.by.iter().cloned().collect(),
@@ -206,7 +236,11 @@
             return;
         }
         self.next_knock = self.now + self.config.probe_every;
-        let dead = self.peers.gone().filter(|p| p.claim.state == State::Dead).map(|p| p.claim.addr);
+        let dead = self
+            .peers
+            .gone()
+            .filter(|p| p.claim.state == State::Dead)
+            .map(|p| p.claim.addr);
         let mut doors: Vec<SocketAddr> = dead.collect();
         doors.extend(self.unknown_seeds());
         let mut count = doors.len().min(2);
@@ -218,7 +252,11 @@
         for _ in 0..count {
             let at = (self.rng.next_u64() % doors.len() as u64) as usize;
             let addr = doors.swap_remove(at);
-            let told = self.peers.gone().find(|p| p.claim.addr == addr).map(|p| Claim::clone(&p.claim));
+            let told = self
+                .peers
+                .gone()
+                .find(|p| p.claim.addr == addr)
+                .map(|p| Claim::clone(&p.claim));
             let message = self.comparison(told);
             actions.push(Action::Send(addr, message));
         }
@@ -234,7 +272,11 @@
             if known.is_some_and(at_seed) {
                 continue;
             }
-            seed.member = self.peers.values().find(|p| at_seed(p)).map(|p| Name::clone(&p.claim.name));
+            seed.member = self
+                .peers
+                .values()
+                .find(|p| at_seed(p))
+                .map(|p| Name::clone(&p.claim.name));
             if seed.member.is_none() {
                 unknown.push(seed.addr);
             }
--- a/fleet/membership/src/membership.rs
+++ b/fleet/membership/src/membership.rs
@@ -194,11 +194,25 @@
         let mut rings = Rings::new(config.rings.max(1));
         rings.add(&name);
         let exchange = Exchange::new(config.exchange_bytes_per_s);
-        let own = Claim { name, addr, life, turn: 0, state: State::Alive, by: None };
+        let own = Claim {
+            name,
+            addr,
+            life,
+            turn: 0,
+            state: State::Alive,
+            by: None,
+        };
         Membership {
             config,
             own,
-            seeds: seeds.iter().filter(|s| **s != addr).map(|s| Seed { addr: *s, member: None }).collect(),
+            seeds: seeds
+                .iter()
+                .filter(|s| **s != addr)
+                .map(|s| Seed {
+                    addr: *s,
+                    member: None,
+                })
+                .collect(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
             turned: None,
@@ -298,7 +312,9 @@
     /// sends to engines.
     #[must_use]
     pub fn serving(&self) -> u32 {
-        u32::try_from(self.peers.serving()).unwrap_or(u32::MAX).saturating_add(u32::from(!self.superseded))
+        u32::try_from(self.peers.serving())
+            .unwrap_or(u32::MAX)
+            .saturating_add(u32::from(!self.superseded))
     }
 
     /// Messages that were not sent again, as the queue of news was full.
--- a/fleet/membership/src/message.rs
+++ b/fleet/membership/src/message.rs
@@ -61,7 +61,9 @@
     /// Whether a bucket is among them.
     #[must_use]
     pub fn contains(&self, bucket: usize) -> bool {
-        self.0.get(bucket / 8).is_some_and(|byte| byte & (1 << (bucket % 8)) != 0)
+        self.0
+            .get(bucket / 8)
+            .is_some_and(|byte| byte & (1 << (bucket % 8)) != 0)
     }
 
     /// All that are among them.
@@ -80,7 +82,10 @@
     fn from_iter<I: IntoIterator<Item = usize>>(buckets: I) -> Self {
         let mut bytes = vec![0u8; BUCKETS / 8];
         for bucket in buckets {
-            bytes.get_mut(bucket / 8).into_iter().for_each(|byte| *byte |= 1 << (bucket % 8));
+            bytes
+                .get_mut(bucket / 8)
+                .into_iter()
+                .for_each(|byte| *byte |= 1 << (bucket % 8));
         }
         BucketSet(bytes)
     }
@@ -102,10 +107,14 @@
     #[error("a message with {0} claims: check that all front ends run the same version")]
     Claims(usize),
     /// A claim can't be used.
-    #[error("a claim of {0:?} that can't be used: check the names and addresses in its `fleet` block")]
+    #[error(
+        "a claim of {0:?} that can't be used: check the names and addresses in its `fleet` block"
+    )]
     Claim(String),
     /// Its sender claims something other than to be alive, or to have left.
-    #[error("a message of {0:?}, which does not claim to be alive: check that all run the same version")]
+    #[error(
+        "a message of {0:?}, which does not claim to be alive: check that all run the same version"
+    )]
     Sender(String),
     /// It has another number of buckets.
     #[error("a message with sums of {0} buckets: check that all front ends run the same version")]
@@ -119,10 +128,15 @@
     ///
     /// It can't; the error says what to look at.
     pub fn sender(&self) -> Result<&Claim, Unfit> {
-        let first = self.claims.first().filter(|_| self.claims.len() <= MOST_CLAIMS);
+        let first = self
+            .claims
+            .first()
+            .filter(|_| self.claims.len() <= MOST_CLAIMS);
         let first = first.ok_or(Unfit::Claims(self.claims.len()))?;
         if let Some(bad) = self.claims.iter().find(|c| !c.is_sound()) {
-            return Err(Unfit::Claim(bad.name.chars().take(crate::LONGEST_NAME).collect()));
+            return Err(Unfit::Claim(
+                bad.name.chars().take(crate::LONGEST_NAME).collect(),
+            ));
         }
         if !matches!(first.state, State::Alive | State::Left) {
             return Err(Unfit::Sender(first.name.to_string()));
--- a/fleet/membership/src/probing.rs
+++ b/fleet/membership/src/probing.rs
@@ -78,14 +78,20 @@
 
     fn look_at_self(&mut self) {
         let others = self.peers.serving();
-        if self.woken.as_ref().is_some_and(|(_, heard)| heard.len() >= HEARD_AGAIN.min(others)) {
+        if self
+            .woken
+            .as_ref()
+            .is_some_and(|(_, heard)| heard.len() >= HEARD_AGAIN.min(others))
+        {
             self.woken = None;
         }
     }
 
     fn watched(&mut self) -> BTreeSet<Name> {
         let (rings, own) = (&self.rings, &self.own.name);
-        self.watched.get_or_insert_with(|| rings.watched_by(own)).clone()
+        self.watched
+            .get_or_insert_with(|| rings.watched_by(own))
+            .clone()
     }
 
     pub(crate) fn message(&mut self, body: Body, more: impl IntoIterator<Item = Claim>) -> Message {
@@ -105,7 +111,10 @@
 
     /// What one that is suspected, or taken for dead, is told with each ping and answer: it can only refute what it hears.
     pub(crate) fn doubted(&self, name: &Name) -> Option<Claim> {
-        self.peers.get(name).filter(|p| p.claim.state != State::Alive).map(|p| Claim::clone(&p.claim))
+        self.peers
+            .get(name)
+            .filter(|p| p.claim.state != State::Alive)
+            .map(|p| Claim::clone(&p.claim))
     }
 
     fn ping(&mut self, target: &Name, addr: SocketAddr, seq: u64, actions: &mut Vec<Action>) {
@@ -116,15 +125,34 @@
 
     fn start_probes(&mut self, actions: &mut Vec<Action>) {
         for name in self.watched() {
-            let (every, quick, jitter) = (self.config.probe_every, self.config.reply, self.rng.next_u64());
-            let Some(p) = self.peers.get_mut(&name).filter(|p| p.next_ping <= self.now) else { continue };
-            let span = if p.claim.state == State::Suspect { quick } else { every };
+            let (every, quick, jitter) = (
+                self.config.probe_every,
+                self.config.reply,
+                self.rng.next_u64(),
+            );
+            let Some(p) = self
+                .peers
+                .get_mut(&name)
+                .filter(|p| p.next_ping <= self.now)
+            else {
+                continue;
+            };
+            let span = if p.claim.state == State::Suspect {
+                quick
+            } else {
+                every
+            };
             p.next_ping = self.now + span - jitter % (span / 10).max(1);
             let addr = p.claim.addr;
             self.next_seq += 1;
             let seq = self.next_seq;
-            let probe =
-                Probe { target: Name::clone(&name), addr, sent: self.now, asked: false, others: false };
+            let probe = Probe {
+                target: Name::clone(&name),
+                addr,
+                sent: self.now,
+                asked: false,
+                others: false,
+            };
             self.probes.insert(seq, probe);
             self.ping(&name, addr, seq, actions);
         }
@@ -132,10 +160,16 @@
 
     fn end_probes(&mut self, actions: &mut Vec<Action>) {
         let (reply, now) = (self.config.reply, self.now);
-        let late: Vec<u64> =
-            self.probes.iter().filter(|(_, p)| !p.asked && now >= p.sent + reply).map(|(s, _)| *s).collect();
+        let late: Vec<u64> = self
+            .probes
+            .iter()
+            .filter(|(_, p)| !p.asked && now >= p.sent + reply)
+            .map(|(s, _)| *s)
+            .collect();
         for seq in late {
-            let Some(p) = self.probes.get_mut(&seq) else { continue };
+            let Some(p) = self.probes.get_mut(&seq) else {
+                continue;
+            };
             p.asked = true;
             let (target, addr) = (Name::clone(&p.target), p.addr);
             for helper in self.some(self.config.helpers, &target) {
@@ -146,8 +180,12 @@
         }
         // Under strain an answer is waited for longer: it may be here already, and not read.
         let patience = reply * 2 + reply * u64::from(self.strain) / 4;
-        let over: Vec<u64> =
-            self.probes.iter().filter(|(_, p)| now >= p.sent + patience).map(|(s, _)| *s).collect();
+        let over: Vec<u64> = self
+            .probes
+            .iter()
+            .filter(|(_, p)| now >= p.sent + patience)
+            .map(|(s, _)| *s)
+            .collect();
         for seq in over {
             if let Some(p) = self.probes.remove(&seq) {
                 self.silent(&p, actions);
@@ -166,7 +204,9 @@
             return;
         }
         self.strain = (self.strain + u32::from(deaf)).min(8);
-        let Some(p) = self.peers.get(&probe.target).filter(|p| p.on_rings()) else { return };
+        let Some(p) = self.peers.get(&probe.target).filter(|p| p.on_rings()) else {
+            return;
+        };
         if self.woken.is_some() {
             return;
         }
@@ -174,7 +214,11 @@
         if p.heard > probe.sent {
             return self.set_cut(&probe.target, true, actions);
         }
-        let claim = Claim { state: State::Suspect, by: Some(own), ..Claim::clone(&p.claim) };
+        let claim = Claim {
+            state: State::Suspect,
+            by: Some(own),
+            ..Claim::clone(&p.claim)
+        };
         self.merge(claim, Source::News, actions);
     }
 
@@ -190,7 +234,10 @@
     }
 
     pub(crate) fn answered_others(&mut self, seq: u64) {
-        self.probes.get_mut(&seq).into_iter().for_each(|p| p.others = true);
+        self.probes
+            .get_mut(&seq)
+            .into_iter()
+            .for_each(|p| p.others = true);
     }
 
     pub(crate) fn help(
@@ -207,13 +254,23 @@
         }
         self.next_seq += 1;
         let (own, until) = (self.next_seq, self.now + 2 * self.config.reply);
-        self.helped.insert(own, Helped { asked_at: from, seq, target: Name::clone(&target), until });
+        self.helped.insert(
+            own,
+            Helped {
+                asked_at: from,
+                seq,
+                target: Name::clone(&target),
+                until,
+            },
+        );
         self.ping(&target, at, own, out);
     }
 
     fn set_cut(&mut self, name: &Name, cut: bool, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(p) = self.peers.get_mut(name).filter(|p| p.cut.is_some() != cut) else { return };
+        let Some(p) = self.peers.get_mut(name).filter(|p| p.cut.is_some() != cut) else {
+            return;
+        };
         p.cut = cut.then_some(now);
         actions.push(Action::Link(Name::clone(name), cut));
     }
@@ -226,11 +283,18 @@
             return;
         }
         let own = &self.own.name;
-        let (now, base) =
-            (self.now, self.config.suspect_for + self.config.suspect_for * u64::from(self.strain) / 8);
-        let needed = if self.mutated(Mutant::LoneJudge) { 1 } else { 2 };
+        let (now, base) = (
+            self.now,
+            self.config.suspect_for + self.config.suspect_for * u64::from(self.strain) / 8,
+        );
+        let needed = if self.mutated(Mutant::LoneJudge) {
+            1
+        } else {
+            2
+        };
         let dead = |p: &&crate::membership::Peer| {
-            if p.claim.state != State::Suspect || !p.accusers.contains(own) || now < p.since + base {
+            if p.claim.state != State::Suspect || !p.accusers.contains(own) || now < p.since + base
+            {
                 return false;
             }
             let watchers = self.rings.watchers_of(&p.claim.name);
@@ -244,9 +308,22 @@
                 && now >= p.since + wait
                 && now >= p.heard + base / 2
         };
-        let dead: Vec<Claim> = self.peers.suspects().filter(dead).map(|p| Claim::clone(&p.claim)).collect();
+        let dead: Vec<Claim> = self
+            .peers
+            .suspects()
+            .filter(dead)
+            .map(|p| Claim::clone(&p.claim))
+            .collect();
         for claim in dead {
-            self.merge(Claim { state: State::Dead, by: None, ..claim }, Source::News, actions);
+            self.merge(
+                Claim {
+                    state: State::Dead,
+                    by: None,
+                    ..claim
+                },
+                Source::News,
+                actions,
+            );
         }
     }
 }
--- a/fleet/membership/src/rings.rs
+++ b/fleet/membership/src/rings.rs
@@ -32,7 +32,9 @@
 
     /// Drops the room that they hold in reserve.
     pub(crate) fn shrink(&mut self) {
-        self.0.iter_mut().for_each(|ring| *ring = std::mem::take(ring).into_iter().collect());
+        self.0
+            .iter_mut()
+            .for_each(|ring| *ring = std::mem::take(ring).into_iter().collect());
     }
 
     /// Those that a member watches: the next on each ring.
@@ -40,10 +42,19 @@
     pub fn watched_by(&self, name: &Name) -> BTreeSet<Name> {
         let next = |(ring, at): (&BTreeMap<(u64, Name), ()>, u64)| {
             let own = (place(name, at), Name::clone(name));
-            let after = ring.range((std::ops::Bound::Excluded(&own), std::ops::Bound::Unbounded)).next();
-            after.or_else(|| ring.first_key_value()).map(|((_, n), ())| Name::clone(n))
+            let after = ring
+                .range((std::ops::Bound::Excluded(&own), std::ops::Bound::Unbounded))
+                .next();
+            after
+                .or_else(|| ring.first_key_value())
+                .map(|((_, n), ())| Name::clone(n))
         };
-        self.0.iter().zip(0..).filter_map(next).filter(|n| n != name).collect()
+        self.0
+            .iter()
+            .zip(0..)
+            .filter_map(next)
+            .filter(|n| n != name)
+            .collect()
     }
 
     /// Those that watch a member: the one before it on each ring.
@@ -52,8 +63,14 @@
         let before = |(ring, at): (&BTreeMap<(u64, Name), ()>, u64)| {
             let own = (place(name, at), Name::clone(name));
             let back = ring.range(..&own).next_back();
-            back.or_else(|| ring.last_key_value()).map(|((_, n), ())| Name::clone(n))
+            back.or_else(|| ring.last_key_value())
+                .map(|((_, n), ())| Name::clone(n))
         };
-        self.0.iter().zip(0..).filter_map(before).filter(|n| n != name).collect()
+        self.0
+            .iter()
+            .zip(0..)
+            .filter_map(before)
+            .filter(|n| n != name)
+            .collect()
     }
 }
--- a/fleet/membership/src/shares.rs
+++ b/fleet/membership/src/shares.rs
@@ -31,7 +31,13 @@
     #[must_use]
     pub fn new(config: SharesConfig, now: Micros) -> Self {
         let count = config.told.max(1);
-        Shares { config, count, seen: count, since: now, next: now.saturating_add(config.settle) }
+        Shares {
+            config,
+            count,
+            seen: count,
+            since: now,
+            next: now.saturating_add(config.settle),
+        }
     }
 
     /// The count now.
@@ -69,7 +75,14 @@
     const S: Micros = 1_000_000;
 
     fn shares(told: u32) -> Shares {
-        Shares::new(SharesConfig { told, settle: 10 * S, step: 2 * S }, 0)
+        Shares::new(
+            SharesConfig {
+                told,
+                settle: 10 * S,
+                step: 2 * S,
+            },
+            0,
+        )
     }
 
     /// A newcomer that sees only itself takes no more than its settings give it until its view has stood for a while.
@@ -92,7 +105,10 @@
         let mut s = shares(3);
         assert!(s.see(5, S) && s.count() == 5);
         assert!(!s.see(4, 2 * S) && s.count() == 5);
-        assert!(!s.see(4, 11 * S) && s.count() == 5, "its view has not stood for long enough");
+        assert!(
+            !s.see(4, 11 * S) && s.count() == 5,
+            "its view has not stood for long enough"
+        );
         assert!(s.see(4, 12 * S) && s.count() == 4);
         for t in 13..200u64 {
             s.see(if t % 3 == 0 { 4 } else { 3 }, t * S);
@@ -110,13 +126,23 @@
             let mut history = vec![(0u64, alive)];
             for k in 0..20 {
                 let t = history[history.len() - 1].0 + 1 + draw(k) % (6 * S);
-                alive = if draw(k + 100) % 2 == 0 { (alive - 1).max(4) } else { alive };
+                alive = if draw(k + 100) % 2 == 0 {
+                    (alive - 1).max(4)
+                } else {
+                    alive
+                };
                 history.push((t, alive));
             }
             let lags: Vec<u64> = (0..10).map(|i| draw(1000 + i) % (4 * S)).collect();
             let mut all: Vec<Shares> = (0..10).map(|_| shares(10)).collect();
             for t in (0..120 * S).step_by(S as usize / 2) {
-                let at = |t: u64| history.iter().rev().find(|(h, _)| *h <= t).map_or(10, |(_, a)| *a);
+                let at = |t: u64| {
+                    history
+                        .iter()
+                        .rev()
+                        .find(|(h, _)| *h <= t)
+                        .map_or(10, |(_, a)| *a)
+                };
                 let mut sum = 0.0;
                 for (i, s) in all.iter_mut().enumerate().take(at(t) as usize) {
                     s.see(at(t.saturating_sub(lags[i])), t);
--- a/fleet/membership/src/spread.rs
+++ b/fleet/membership/src/spread.rs
@@ -34,7 +34,13 @@
 impl Spread {
     /// Queues a claim in place of what it makes old. Full: what has been told most often goes.
     pub fn push(&mut self, claim: Claim) {
-        let old: Vec<Position> = self.by_name.get(&claim.name).into_iter().flatten().copied().collect();
+        let old: Vec<Position> = self
+            .by_name
+            .get(&claim.name)
+            .into_iter()
+            .flatten()
+            .copied()
+            .collect();
         for position in old {
             let outdated = |c: &Claim| c.rank() < claim.rank() || *c == claim;
             if self.queue.get(&position).is_some_and(outdated) {
@@ -58,7 +64,9 @@
         let positions: Vec<Position> = self.queue.keys().take(most).copied().collect();
         let mut taken = Vec::with_capacity(positions.len());
         for position in positions {
-            let Some(claim) = self.remove(position) else { continue };
+            let Some(claim) = self.remove(position) else {
+                continue;
+            };
             if position.told + 1 < times {
                 self.add(claim.clone(), position.told + 1);
             }
@@ -72,7 +80,9 @@
     pub fn heard(&mut self, claim: &Claim, times: u32) {
         let positions = self.by_name.get(&claim.name).into_iter().flatten();
         let same = |p: &&Position| self.queue.get(*p).is_some_and(|queued| queued == claim);
-        let Some(position) = positions.copied().find(|p| same(&p)) else { return };
+        let Some(position) = positions.copied().find(|p| same(&p)) else {
+            return;
+        };
         self.remove(position);
         let told = position.told + HEARD_COUNTS;
         if told < times {
@@ -81,9 +91,16 @@
     }
 
     fn add(&mut self, claim: Claim, told: u32) {
-        let position = Position { told, alive: claim.state == State::Alive, number: self.next_number };
+        let position = Position {
+            told,
+            alive: claim.state == State::Alive,
+            number: self.next_number,
+        };
         self.next_number += 1;
-        self.by_name.entry(Name::clone(&claim.name)).or_default().push(position);
+        self.by_name
+            .entry(Name::clone(&claim.name))
+            .or_default()
+            .push(position);
         self.queue.insert(position, claim);
     }
 
--- a/fleet/membership/src/table.rs
+++ b/fleet/membership/src/table.rs
@@ -122,12 +122,20 @@
             return;
         }
         self.serving.swap_remove(at);
-        let moved = self.serving.get(at).and_then(|name| self.peers.get_mut(name));
+        let moved = self
+            .serving
+            .get(at)
+            .and_then(|name| self.peers.get_mut(name));
         moved.into_iter().for_each(|peer| peer.place = Some(place));
     }
 
     /// Some of those on the rings, at random, without one: where they are reached.
-    pub fn some_serving(&self, count: usize, without: &Name, rng: &mut impl RngCore) -> Vec<SocketAddr> {
+    pub fn some_serving(
+        &self,
+        count: usize,
+        without: &Name,
+        rng: &mut impl RngCore,
+    ) -> Vec<SocketAddr> {
         let total = self.serving.len();
         let skipped = self.peers.get(without).and_then(|peer| peer.place);
         let wanted = count.min(total - usize::from(skipped.is_some()));
@@ -136,7 +144,10 @@
         while found.len() < wanted {
             let place = (rng.next_u64() % total as u64) as u32;
             if Some(place) != skipped && drawn.insert(place) {
-                let peer = self.serving.get(place as usize).and_then(|name| self.peers.get(name));
+                let peer = self
+                    .serving
+                    .get(place as usize)
+                    .and_then(|name| self.peers.get(name));
                 found.extend(peer.map(|peer| peer.claim.addr));
             }
         }
--- a/fleet/membership/tests/exchange.rs
+++ b/fleet/membership/tests/exchange.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 
 use violetgate_membership::{
-    bucket_of, Action, Body, BucketSet, Claim, Membership, MembershipConfig, Message, State, Unfit, ViewSums,
-    Want, BUCKETS, MOST_CLAIMS,
+    bucket_of, Action, Body, BucketSet, Claim, Membership, MembershipConfig, Message, State, Unfit,
+    ViewSums, Want, BUCKETS, MOST_CLAIMS,
 };
 
 const S: u64 = 1_000_000;
@@ -18,7 +18,14 @@
 fn claim(i: usize) -> Claim {
     let name = format!("member-{i:05}");
     let addr = SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 7_000));
-    Claim { name: name.as_str().into(), addr, life: 1_000, turn: 0, state: State::Alive, by: None }
+    Claim {
+        name: name.as_str().into(),
+        addr,
+        life: 1_000,
+        turn: 0,
+        state: State::Alive,
+        by: None,
+    }
 }
 
 /// Two members and the datagrams between them.
@@ -38,21 +45,39 @@
         let member = |port: u16, claims: &[Claim]| {
             let name = format!("pair-{port}");
             let seed = u64::from(port);
-            let mut m = Membership::new(config.clone(), name.as_str().into(), addr(port), 1_000, &[], seed);
+            let mut m = Membership::new(
+                config.clone(),
+                name.as_str().into(),
+                addr(port),
+                1_000,
+                &[],
+                seed,
+            );
             m.adopt_claims(claims);
             m
         };
         let mut members = [member(1, first), member(2, second)];
         let own: Vec<Claim> = members.iter().map(|m| m.own_claim().clone()).collect();
         members.iter_mut().for_each(|m| m.adopt_claims(&own));
-        Pair { members, now: S, bytes: 0 }
+        Pair {
+            members,
+            now: S,
+            bytes: 0,
+        }
     }
 
     /// The first compares with the second; what follows is delivered, but for what is lost.
     fn round(&mut self, lost: impl FnMut(&Message) -> bool) {
         let own = self.members[0].own_claim().clone();
         let body = Body::Compare(self.members[0].digest());
-        self.deliver(1, Message { body, claims: vec![own.clone(), own] }, lost);
+        self.deliver(
+            1,
+            Message {
+                body,
+                claims: vec![own.clone(), own],
+            },
+            lost,
+        );
         self.now += 2 * S;
     }
 
@@ -64,7 +89,9 @@
                 continue;
             }
             let mut actions = Vec::new();
-            self.members[to].hear(self.now, &message, &mut actions).unwrap();
+            self.members[to]
+                .hear(self.now, &message, &mut actions)
+                .unwrap();
             for action in actions {
                 if let Action::Send(at, message) = action {
                     if at.ip() == addr(1).ip() {
@@ -97,11 +124,18 @@
         Body::Want(_) => BUCKETS / 8,
         _ => 10,
     };
-    body + message.claims.iter().map(|c| c.name.len() + 20).sum::<usize>()
+    body + message
+        .claims
+        .iter()
+        .map(|c| c.name.len() + 20)
+        .sum::<usize>()
 }
 
 fn dead(claim: &Claim) -> Claim {
-    Claim { state: State::Dead, ..claim.clone() }
+    Claim {
+        state: State::Dead,
+        ..claim.clone()
+    }
 }
 
 /// One claim of 4,000 differs: one bucket is exchanged, not the view, and the newer claim holds on both sides.
@@ -113,7 +147,12 @@
         views[newer][1_234] = dead(&all[1_234]);
         let mut pair = Pair::new(&views[0], &views[1]);
         assert_eq!(pair.rounds(), 1);
-        let state = |m: &Membership| m.members().find(|m| m.name == all[1_234].name).unwrap().state;
+        let state = |m: &Membership| {
+            m.members()
+                .find(|m| m.name == all[1_234].name)
+                .unwrap()
+                .state
+        };
         assert!(pair.members.iter().all(|m| state(m) == State::Dead));
         assert!(pair.bytes < 6_000, "{} bytes", pair.bytes);
     }
@@ -141,16 +180,37 @@
     let allowed = config.exchange_bytes_per_s * 4;
     let mut member = Membership::new(config, "pair-2".into(), addr(2), 1_000, &[], 2);
     member.adopt_claims(&all);
-    let want = Want { buckets: (0..BUCKETS).collect(), mutual: false };
+    let want = Want {
+        buckets: (0..BUCKETS).collect(),
+        mutual: false,
+    };
     let mut sent = 0;
     for asker in 0..100 {
-        let message = Message { body: Body::Want(want.clone()), claims: vec![claim(asker)] };
+        let message = Message {
+            body: Body::Want(want.clone()),
+            claims: vec![claim(asker)],
+        };
         let mut actions = Vec::new();
         member.hear(S, &message, &mut actions).unwrap();
-        sent += actions.iter().map(|a| if let Action::Send(_, m) = a { size(m) } else { 0 }).sum::<usize>();
+        sent += actions
+            .iter()
+            .map(|a| {
+                if let Action::Send(_, m) = a {
+                    size(m)
+                } else {
+                    0
+                }
+            })
+            .sum::<usize>();
     }
-    assert!(sent as u64 <= allowed && sent as u64 > allowed / 4, "{sent} of {allowed} bytes");
-    assert!(member.exchanges_dropped() > 0, "what does not fit is counted");
+    assert!(
+        sent as u64 <= allowed && sent as u64 > allowed / 4,
+        "{sent} of {allowed} bytes"
+    );
+    assert!(
+        member.exchanges_dropped() > 0,
+        "what does not fit is counted"
+    );
 }
 
 /// Lost messages, whichever they are, cost rounds and nothing else.
@@ -161,7 +221,9 @@
     let mut number = 1u64;
     let rounds = (1..100).find(|_| {
         pair.round(|message| {
-            number = number.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            number = number
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1);
             !matches!(message.body, Body::Compare(_)) && (number >> 33) % 3 == 0
         });
         pair.same()
@@ -174,13 +236,25 @@
 fn a_late_piece_changes_nothing() {
     let all: Vec<Claim> = (0..100).map(claim).collect();
     let mut newer = all.clone();
-    newer[7] = Claim { turn: 3, ..all[7].clone() };
+    newer[7] = Claim {
+        turn: 3,
+        ..all[7].clone()
+    };
     newer[8] = dead(&all[8]);
     let mut pair = Pair::new(&newer, &newer);
     let before = pair.members[0].digest();
     let sender = pair.members[1].own_claim().clone();
-    let claims = std::iter::once(sender).chain(all[..MOST_CLAIMS - 1].iter().cloned()).collect();
-    pair.deliver(0, Message { body: Body::Piece, claims }, |_| false);
+    let claims = std::iter::once(sender)
+        .chain(all[..MOST_CLAIMS - 1].iter().cloned())
+        .collect();
+    pair.deliver(
+        0,
+        Message {
+            body: Body::Piece,
+            claims,
+        },
+        |_| false,
+    );
     assert_eq!(pair.members[0].digest(), before);
 }
 
@@ -188,32 +262,87 @@
 #[test]
 fn older_builds_are_sent_claims_that_they_read() {
     let all: Vec<Claim> = (0..40).map(claim).collect();
-    let mut member = Membership::new(MembershipConfig::default(), "pair-2".into(), addr(2), 1_000, &[], 2);
+    let mut member = Membership::new(
+        MembershipConfig::default(),
+        "pair-2".into(),
+        addr(2),
+        1_000,
+        &[],
+        2,
+    );
     member.adopt_claims(&all);
-    let older = Membership::new(MembershipConfig::default(), "pair-1".into(), addr(1), 1_000, &[], 1);
+    let older = Membership::new(
+        MembershipConfig::default(),
+        "pair-1".into(),
+        addr(1),
+        1_000,
+        &[],
+        1,
+    );
     let own = older.own_claim().clone();
     let mut bodies = |claims: Vec<Claim>| {
         let mut actions = Vec::new();
-        member.hear(S, &Message { body: Body::Compare(older.digest()), claims }, &mut actions).unwrap();
+        member
+            .hear(
+                S,
+                &Message {
+                    body: Body::Compare(older.digest()),
+                    claims,
+                },
+                &mut actions,
+            )
+            .unwrap();
         actions
             .into_iter()
-            .filter_map(|a| if let Action::Send(_, m) = a { Some(m) } else { None })
+            .filter_map(|a| {
+                if let Action::Send(_, m) = a {
+                    Some(m)
+                } else {
+                    None
+                }
+            })
             .collect::<Vec<_>>()
     };
     let told = bodies(vec![own.clone()]);
     assert!(told.iter().all(|m| m.body == Body::Tell), "{told:?}");
     assert_eq!(told.iter().map(|m| m.claims.len() - 1).sum::<usize>(), 41);
     let told = bodies(vec![own.clone(), own]);
-    assert!(matches!(told[..], [Message { body: Body::Sums(_), .. }]), "{told:?}");
+    assert!(
+        matches!(
+            told[..],
+            [Message {
+                body: Body::Sums(_),
+                ..
+            }]
+        ),
+        "{told:?}"
+    );
 }
 
 /// Buckets of another number are turned away, and nothing changes.
 #[test]
 fn sums_of_other_sizes_are_turned_away() {
-    let mut member = Membership::new(MembershipConfig::default(), "pair-2".into(), addr(2), 1_000, &[], 2);
+    let mut member = Membership::new(
+        MembershipConfig::default(),
+        "pair-2".into(),
+        addr(2),
+        1_000,
+        &[],
+        2,
+    );
     let other = claim(1);
-    let body = Body::Sums(ViewSums { known: 1, sums: vec![0; 3] });
-    let heard = member.hear(S, &Message { body, claims: vec![other] }, &mut Vec::new());
+    let body = Body::Sums(ViewSums {
+        known: 1,
+        sums: vec![0; 3],
+    });
+    let heard = member.hear(
+        S,
+        &Message {
+            body,
+            claims: vec![other],
+        },
+        &mut Vec::new(),
+    );
     assert_eq!(heard, Err(Unfit::Buckets(3)));
     assert_eq!(member.members().count(), 0);
 }
@@ -224,7 +353,8 @@
     let set: BucketSet = [0, 9, BUCKETS - 1, BUCKETS + 5].into_iter().collect();
     assert_eq!(set.iter().collect::<Vec<_>>(), [0, 9, BUCKETS - 1]);
     assert!(!set.is_empty() && BucketSet::from_iter([]).is_empty());
-    let all: std::collections::BTreeSet<usize> = (0..7_600).map(|i| bucket_of(&claim(i).name)).collect();
+    let all: std::collections::BTreeSet<usize> =
+        (0..7_600).map(|i| bucket_of(&claim(i).name)).collect();
     assert_eq!(all.len(), BUCKETS, "names fall into all buckets");
 }
 
@@ -234,7 +364,10 @@
     use violetgate_membership::Mutant;
 
     fn mutant(how: Mutant) -> MembershipConfig {
-        MembershipConfig { mutant: Some(how), ..MembershipConfig::default() }
+        MembershipConfig {
+            mutant: Some(how),
+            ..MembershipConfig::default()
+        }
     }
 
     /// A build that never asks for one bucket does not come to the same view.
@@ -253,8 +386,17 @@
         let newer: Vec<Claim> = all.iter().map(dead).collect();
         let mut pair = Pair::with(mutant(Mutant::AnyPiece), &newer, &newer);
         let before = pair.members[0].digest();
-        let claims = std::iter::once(pair.members[1].own_claim().clone()).chain(all).collect();
-        pair.deliver(0, Message { body: Body::Piece, claims }, |_| false);
+        let claims = std::iter::once(pair.members[1].own_claim().clone())
+            .chain(all)
+            .collect();
+        pair.deliver(
+            0,
+            Message {
+                body: Body::Piece,
+                claims,
+            },
+            |_| false,
+        );
         assert_ne!(pair.members[0].digest(), before);
     }
 }
--- a/handover/src/carrier.rs
+++ b/handover/src/carrier.rs
@@ -67,9 +67,16 @@
     pub fn over(stream: Async<UnixStream>) -> Result<Self> {
         let peer = rustix::net::sockopt::socket_peercred(stream.get_ref())?;
         if peer.uid != rustix::process::geteuid() {
-            return Err(Error::new(ErrorKind::PermissionDenied, "the other end is of another user"));
+            return Err(Error::new(
+                ErrorKind::PermissionDenied,
+                "the other end is of another user",
+            ));
         }
-        Ok(Carrier { stream, input: Vec::new(), sockets: VecDeque::new() })
+        Ok(Carrier {
+            stream,
+            input: Vec::new(),
+            sockets: VecDeque::new(),
+        })
     }
 
     /// Says something, with sockets if there are any.
@@ -93,11 +100,19 @@
                 if !sockets.is_empty() && !with.push(SendAncillaryMessage::ScmRights(sockets)) {
                     return Err(ErrorKind::InvalidInput.into());
                 }
-                Ok(rustix::net::sendmsg(s, &[IoSlice::new(&bytes)], &mut with, SendFlags::NOSIGNAL)?)
+                Ok(rustix::net::sendmsg(
+                    s,
+                    &[IoSlice::new(&bytes)],
+                    &mut with,
+                    SendFlags::NOSIGNAL,
+                )?)
             })
             .await?;
         while let Some(rest) = bytes.get(sent..).filter(|r| !r.is_empty()) {
-            sent += self.stream.write_with(|s| Ok(rustix::net::send(s, rest, SendFlags::NOSIGNAL)?)).await?;
+            sent += self
+                .stream
+                .write_with(|s| Ok(rustix::net::send(s, rest, SendFlags::NOSIGNAL)?))
+                .await?;
         }
         Ok(())
     }
@@ -115,24 +130,33 @@
             let mut chunk = [0; 16 * 1024];
             let (count, came) = self.stream.read_with(|s| receive(s, &mut chunk)).await?;
             if self.sockets.len() + came.len() > SOCKETS {
-                return Err(Error::new(ErrorKind::InvalidData, "more sockets than are passed"));
+                return Err(Error::new(
+                    ErrorKind::InvalidData,
+                    "more sockets than are passed",
+                ));
             }
             self.sockets.extend(came);
             if count == 0 {
                 return Ok(None);
             }
-            self.input.extend_from_slice(chunk.get(..count).unwrap_or_default());
+            self.input
+                .extend_from_slice(chunk.get(..count).unwrap_or_default());
         }
     }
 
     fn whole(&mut self) -> Result<Option<Message>> {
-        let Some((length, rest)) = self.input.split_first_chunk::<HEAD>() else { return Ok(None) };
+        let Some((length, rest)) = self.input.split_first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*length) as usize;
         if length > FRAME {
             return Err(Error::new(ErrorKind::InvalidData, "a frame is too long"));
         }
-        let Some(body) = rest.get(..length) else { return Ok(None) };
-        let message = postcard::from_bytes(body).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
+        let Some(body) = rest.get(..length) else {
+            return Ok(None);
+        };
+        let message =
+            postcard::from_bytes(body).map_err(|e| Error::new(ErrorKind::InvalidData, e))?;
         self.input.drain(..HEAD + length);
         Ok(Some(message))
     }
@@ -141,8 +165,12 @@
 fn receive(stream: &UnixStream, chunk: &mut [u8]) -> Result<(usize, Vec<OwnedFd>)> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(SOCKETS))];
     let mut with = RecvAncillaryBuffer::new(&mut space);
-    let got =
-        rustix::net::recvmsg(stream, &mut [IoSliceMut::new(chunk)], &mut with, RecvFlags::CMSG_CLOEXEC)?;
+    let got = rustix::net::recvmsg(
+        stream,
+        &mut [IoSliceMut::new(chunk)],
+        &mut with,
+        RecvFlags::CMSG_CLOEXEC,
+    )?;
     let mut came = Vec::new();
     for message in with.drain() {
         if let RecvAncillaryMessage::ScmRights(sockets) = message {
@@ -150,7 +178,10 @@
         }
     }
     if got.flags.contains(ReturnFlags::CTRUNC) {
-        return Err(Error::new(ErrorKind::InvalidData, "sockets were lost on their way"));
+        return Err(Error::new(
+            ErrorKind::InvalidData,
+            "sockets were lost on their way",
+        ));
     }
     Ok((got.bytes, came))
 }
--- a/handover/src/new.rs
+++ b/handover/src/new.rs
@@ -7,7 +7,11 @@
     /// It has asked.
     Asked { until: Micros },
     /// It holds the sockets and the parts before this one.
-    Holding { next: u32, parts: u32, until: Micros },
+    Holding {
+        next: u32,
+        parts: u32,
+        until: Micros,
+    },
     /// It is ready, and waits for the word that all is its own.
     Ready { until: Micros },
     /// All is its own; the old one may still tell of what ends there.
@@ -28,8 +32,16 @@
     /// One that has found an old process to talk to.
     #[must_use]
     pub fn ask(now: Micros) -> Self {
-        let hello = Message::Hello { least: VERSIONS.0, most: VERSIONS.1 };
-        New { step: Step::Asked { until: now.saturating_add(PATIENCE) }, out: vec![Action::Say(hello)] }
+        let hello = Message::Hello {
+            least: VERSIONS.0,
+            most: VERSIONS.1,
+        };
+        New {
+            step: Step::Asked {
+                until: now.saturating_add(PATIENCE),
+            },
+            out: vec![Action::Say(hello)],
+        }
     }
 
     /// What is to be done.
@@ -47,7 +59,9 @@
     #[must_use]
     pub fn next_tick(&self) -> Option<Micros> {
         match self.step {
-            Step::Asked { until } | Step::Holding { until, .. } | Step::Ready { until } => Some(until),
+            Step::Asked { until } | Step::Holding { until, .. } | Step::Ready { until } => {
+                Some(until)
+            }
             Step::Owner | Step::Beside => None,
         }
     }
@@ -70,7 +84,11 @@
             }
             (Step::Ready { .. }, Message::Yours(bytes)) => {
                 self.step = Step::Owner;
-                self.out.extend([Action::AdoptLast(bytes), Action::Keys(true), Action::Accept(true)]);
+                self.out.extend([
+                    Action::AdoptLast(bytes),
+                    Action::Keys(true),
+                    Action::Accept(true),
+                ]);
             }
             (Step::Owner, Message::Ended(bytes)) => self.out.push(Action::AdoptLast(bytes)),
             (Step::Owner | Step::Beside, _) => {}
@@ -115,7 +133,11 @@
         match self.step {
             // The last word may be under way, and with it all would be its own: it can't be turned down, only waited
             // for. The old one hangs up, or dies, or says it.
-            Step::Ready { .. } => self.step = Step::Ready { until: now.saturating_add(PATIENCE) },
+            Step::Ready { .. } => {
+                self.step = Step::Ready {
+                    until: now.saturating_add(PATIENCE),
+                }
+            }
             _ => {
                 self.out.push(Action::HangUp);
                 self.beside();
@@ -125,6 +147,7 @@
 
     fn beside(&mut self) {
         self.step = Step::Beside;
-        self.out.extend([Action::ListenBeside, Action::Accept(true)]);
+        self.out
+            .extend([Action::ListenBeside, Action::Accept(true)]);
     }
 }
--- a/handover/src/old.rs
+++ b/handover/src/old.rs
@@ -32,7 +32,10 @@
     /// One that serves, and to which nobody has come.
     #[must_use]
     pub fn new() -> Self {
-        Old { step: Step::Alone, out: Vec::new() }
+        Old {
+            step: Step::Alone,
+            out: Vec::new(),
+        }
     }
 
     /// What is to be done.
@@ -75,15 +78,18 @@
             (Step::Alone, Message::Hello { least, most }) => {
                 let version = VERSIONS.1.min(*most);
                 if version < VERSIONS.0.max(*least) {
-                    self.out.push(Action::Say(Message::Refuse(Refusal::Version)));
+                    self.out
+                        .push(Action::Say(Message::Refuse(Refusal::Version)));
                     self.out.push(Action::HangUp);
                     return;
                 }
                 self.step = Step::Passing { parts, until };
-                self.out.push(Action::Pass(Message::Offer { version, parts }));
+                self.out
+                    .push(Action::Pass(Message::Offer { version, parts }));
             }
             (Step::Leaving, Message::Hello { .. }) => {
-                self.out.push(Action::Say(Message::Refuse(Refusal::Leaving)));
+                self.out
+                    .push(Action::Say(Message::Refuse(Refusal::Leaving)));
                 self.out.push(Action::HangUp);
             }
             (Step::Passing { parts, .. }, Message::Holds(next)) if *next <= parts => {
@@ -95,7 +101,8 @@
             (Step::Passing { .. }, Message::Ready) => {
                 self.step = Step::Given;
                 // Nothing may be taken between the making of the last word and the end of taking.
-                self.out.extend([Action::Keys(false), Action::Accept(false), Action::SayYours]);
+                self.out
+                    .extend([Action::Keys(false), Action::Accept(false), Action::SayYours]);
             }
             (Step::Given, _) => {}
             // What makes no sense here can't be trusted further.
--- a/handover/tests/carrier.rs
+++ b/handover/tests/carrier.rs
@@ -23,7 +23,8 @@
 
 impl Place {
     fn new(name: &str) -> Self {
-        let folder = std::env::temp_dir().join(format!("violetgate-handover-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("violetgate-handover-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         Place(folder)
     }
@@ -45,26 +46,48 @@
     let place = Place::new("queue");
     async_io::block_on(async {
         let waiting = listen(&place.socket()).unwrap();
-        let mode = std::fs::metadata(place.socket()).unwrap().permissions().mode();
+        let mode = std::fs::metadata(place.socket())
+            .unwrap()
+            .permissions()
+            .mode();
         assert_eq!(mode & 0o777, 0o600);
         let mut new = call(&place.socket()).await.unwrap();
-        new.say(&Message::Hello { least: 1, most: 1 }, &[]).await.unwrap();
+        new.say(&Message::Hello { least: 1, most: 1 }, &[])
+            .await
+            .unwrap();
         let mut old = Carrier::over(waiting.accept().await.unwrap().0).unwrap();
         let (hello, none) = old.hear().await.unwrap().unwrap();
         assert!(matches!(hello, Message::Hello { .. }) && none.is_empty());
         let port = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut early = TcpStream::connect(port.local_addr().unwrap()).unwrap();
         early.write_all(b"early").unwrap();
-        old.say(&Message::Offer { version: 1, parts: 0 }, &[port.as_fd()]).await.unwrap();
+        old.say(
+            &Message::Offer {
+                version: 1,
+                parts: 0,
+            },
+            &[port.as_fd()],
+        )
+        .await
+        .unwrap();
         drop(port);
         let (offer, mut sockets) = new.hear().await.unwrap().unwrap();
-        assert_eq!(offer, Message::Offer { version: 1, parts: 0 });
+        assert_eq!(
+            offer,
+            Message::Offer {
+                version: 1,
+                parts: 0
+            }
+        );
         let taken = TcpListener::from(sockets.pop().unwrap());
         let mut bytes = [0; 5];
         taken.accept().unwrap().0.read_exact(&mut bytes).unwrap();
         assert_eq!(&bytes, b"early");
         drop(old);
-        assert!(new.hear().await.unwrap().is_none(), "the end of the other is the end of the conversation");
+        assert!(
+            new.hear().await.unwrap().is_none(),
+            "the end of the other is the end of the conversation"
+        );
     });
 }
 
@@ -73,18 +96,30 @@
 fn a_place_is_kept_by_the_living_only() {
     let place = Place::new("place");
     let first = listen(&place.socket()).unwrap();
-    assert_eq!(listen(&place.socket()).err().map(|e| e.kind()), Some(ErrorKind::AddrInUse));
+    assert_eq!(
+        listen(&place.socket()).err().map(|e| e.kind()),
+        Some(ErrorKind::AddrInUse)
+    );
     drop(first);
-    assert!(place.socket().exists(), "a process that dies takes nothing away");
+    assert!(
+        place.socket().exists(),
+        "a process that dies takes nothing away"
+    );
     assert!(async_io::block_on(call(&place.socket())).is_err());
     listen(&place.socket()).unwrap();
-    assert!(listen(&place.0.join("x".repeat(200))).is_err(), "a name that is too long is told");
+    assert!(
+        listen(&place.0.join("x".repeat(200))).is_err(),
+        "a name that is too long is told"
+    );
 }
 
 /// Frames come in any pieces, whole or not at all; what is none is an error, and so is one that is too long.
 #[test]
 fn frames_come_whole_or_not_at_all() {
-    let message = Message::Part { number: 3, bytes: vec![7; 300] };
+    let message = Message::Part {
+        number: 3,
+        bytes: vec![7; 300],
+    };
     let (from, mut raw) = pair();
     async_io::block_on(from.say(&message, &[])).unwrap();
     let mut bytes = vec![0; 4 + 300 + 16];
@@ -103,7 +138,10 @@
         drop(raw);
         assert!(async_io::block_on(to.hear()).is_err(), "{bent:?}");
     }
-    let long = Message::Part { number: 0, bytes: vec![0; LONGEST + 100] };
+    let long = Message::Part {
+        number: 0,
+        bytes: vec![0; LONGEST + 100],
+    };
     let (from, _raw) = pair();
     assert!(async_io::block_on(from.say(&long, &[])).is_err());
 }
--- a/handover/tests/model.rs
+++ b/handover/tests/model.rs
@@ -54,7 +54,10 @@
         for action in s.old.as_mut().map(Old::actions).unwrap_or_default() {
             match action {
                 Action::Say(m) | Action::Pass(m) => s.to_new.push(Some(m)),
-                Action::SayPart(number) => s.to_new.push(Some(Message::Part { number, bytes: vec![] })),
+                Action::SayPart(number) => s.to_new.push(Some(Message::Part {
+                    number,
+                    bytes: vec![],
+                })),
                 Action::SayYours => s.to_new.push(Some(Message::Yours(vec![]))),
                 Action::Accept(takes) => s.old_takes.0 = takes,
                 Action::Keys(takes) => s.old_takes.1 = takes || self.0 == Fault::KeysKept,
@@ -126,12 +129,26 @@
         may(Event::ToNew, !s.to_new.is_empty());
         may(Event::KillOld, s.old.is_some());
         may(Event::KillNew, s.new.is_some());
-        may(Event::OldWaitsTooLong, s.old.as_ref().is_some_and(|o| o.next_tick().is_some()));
-        may(Event::NewWaitsTooLong, s.new.as_ref().is_some_and(|n| n.next_tick() == Some(PATIENCE)));
+        may(
+            Event::OldWaitsTooLong,
+            s.old.as_ref().is_some_and(|o| o.next_tick().is_some()),
+        );
+        may(
+            Event::NewWaitsTooLong,
+            s.new
+                .as_ref()
+                .is_some_and(|n| n.next_tick() == Some(PATIENCE)),
+        );
         may(Event::Leave, s.old.is_some());
-        may(Event::Gone, s.old.is_none() && s.new.is_some() && !s.told_gone);
+        may(
+            Event::Gone,
+            s.old.is_none() && s.new.is_some() && !s.told_gone,
+        );
         // Upgrades one after another.
-        may(Event::StartNew, s.new.is_none() && s.old.is_some() && s.to_old.is_empty() && s.starts < 3);
+        may(
+            Event::StartNew,
+            s.new.is_none() && s.old.is_some() && s.to_old.is_empty() && s.starts < 3,
+        );
     }
 
     fn next_state(&self, before: &Ends, event: Event) -> Option<Ends> {
@@ -179,7 +196,9 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never do both take keys", |_, s: &Ends| !(s.old_takes.1 && s.new_takes.1)),
+            Property::always("never do both take keys", |_, s: &Ends| {
+                !(s.old_takes.1 && s.new_takes.1)
+            }),
             Property::always("whoever lives takes clients", |_, s: &Ends| {
                 let still = s.to_old.is_empty() && s.to_new.is_empty();
                 let alive = s.old.is_some() || s.new.is_some();
@@ -204,7 +223,11 @@
     let checked = Upgrade(Fault::None).checker().spawn_bfs().join();
     println!("{} states", checked.unique_state_count());
     checked.assert_properties();
-    assert!(checked.unique_state_count() > 500, "{}", checked.unique_state_count());
+    assert!(
+        checked.unique_state_count() > 500,
+        "{}",
+        checked.unique_state_count()
+    );
 }
 
 /// A model that can't fail shows nothing.
@@ -225,10 +248,19 @@
 fn what_can_not_be_understood_changes_nothing() {
     let mut old = Old::new();
     old.hear(&Message::Hello { least: 7, most: 9 }, PARTS, 0);
-    assert!(matches!(old.actions().as_slice(), [Action::Say(Message::Refuse(_)), Action::HangUp]));
+    assert!(matches!(
+        old.actions().as_slice(),
+        [Action::Say(Message::Refuse(_)), Action::HangUp]
+    ));
     assert!(old.may_begin().is_ok());
     old.hear(&Message::Hello { least: 1, most: 9 }, PARTS, 0);
-    assert!(matches!(old.actions().as_slice(), [Action::Pass(Message::Offer { version: 1, parts: PARTS })]));
+    assert!(matches!(
+        old.actions().as_slice(),
+        [Action::Pass(Message::Offer {
+            version: 1,
+            parts: PARTS
+        })]
+    ));
     assert!(old.may_begin().is_err());
     old.hear(&Message::Holds(PARTS + 1), PARTS, 0);
     assert_eq!(old.actions(), [Action::HangUp]);
--- a/ledger/benches/wheel.rs
+++ b/ledger/benches/wheel.rs
@@ -17,14 +17,19 @@
 
 impl Draw {
     fn next(&mut self) -> u64 {
-        self.0 = self.0.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
         (self.0 >> 20) % SPAN
     }
 }
 
 fn steady(c: &mut Criterion) {
     let mut group = c.benchmark_group("steady state");
-    group.throughput(Throughput::Elements(ROUND)).sample_size(20);
+    group
+        .throughput(Throughput::Elements(ROUND))
+        .sample_size(20);
     for entries in [1_000u64, 100_000, 1_000_000] {
         // As much time a round as makes about one round's entries come due.
         let step = SPAN / 2 * ROUND / entries;
--- a/ledger/src/budget.rs
+++ b/ledger/src/budget.rs
@@ -24,7 +24,10 @@
     /// A budget of `most` bytes.
     #[must_use]
     pub fn new(most: usize) -> Self {
-        Budget(Rc::new(Inner { most: Cell::new(most), held: Cell::new(0) }))
+        Budget(Rc::new(Inner {
+            most: Cell::new(most),
+            held: Cell::new(0),
+        }))
     }
 
     /// Changes the budget. What is held beyond it stays held: nothing promised is taken back.
@@ -35,9 +38,17 @@
     /// Holds bytes; `None`: so many are not left.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<Grant> {
-        let held = self.0.held.get().checked_add(bytes).filter(|held| *held <= self.0.most.get())?;
+        let held = self
+            .0
+            .held
+            .get()
+            .checked_add(bytes)
+            .filter(|held| *held <= self.0.most.get())?;
         self.0.held.set(held);
-        Some(Grant { budget: self.clone(), bytes })
+        Some(Grant {
+            budget: self.clone(),
+            bytes,
+        })
     }
 
     /// Bytes held.
--- a/ledger/src/keys.rs
+++ b/ledger/src/keys.rs
@@ -75,7 +75,13 @@
     /// An empty table for `most` keys, for each of which `joined` may wait.
     #[must_use]
     pub fn new(most: usize, joined: usize, now: Micros) -> Self {
-        Keys { most, joined: joined.max(1), serial: 0, taken: HashMap::new(), wheel: Wheel::new(now) }
+        Keys {
+            most,
+            joined: joined.max(1),
+            serial: 0,
+            taken: HashMap::new(),
+            wheel: Wheel::new(now),
+        }
     }
 
     /// Changes how many keys there may be. Those that are taken stay.
@@ -96,7 +102,14 @@
     }
 
     /// A query of a key has come; `window` is for how long its class's engines discard a repeat.
-    pub fn begin(&mut self, now: Micros, key: &str, print: Print, window: Micros, waiter: W) -> Seen<A> {
+    pub fn begin(
+        &mut self,
+        now: Micros,
+        key: &str,
+        print: Print,
+        window: Micros,
+        waiter: W,
+    ) -> Seen<A> {
         self.expire(now);
         if let Some(taken) = self.taken.get_mut(key) {
             // A key that ends this very moment is not live any more, whether the wheel has come to it or not.
@@ -111,14 +124,28 @@
         }
         self.serial += 1;
         let (first, serial, state) = (now, self.serial, State::Running(vec![waiter]));
-        self.taken.insert(key.into(), Taken { print, first, window, until: Micros::MAX, serial, state });
+        self.taken.insert(
+            key.into(),
+            Taken {
+                print,
+                first,
+                window,
+                until: Micros::MAX,
+                serial,
+                state,
+            },
+        );
         Seen::Run
     }
 
     /// The query that runs for a key has ended: all that wait for it.
     pub fn ended(&mut self, now: Micros, key: &str, ending: Ending<A>) -> Vec<W> {
-        let Some(taken) = self.taken.get_mut(key) else { return Vec::new() };
-        let State::Running(waiters) = &mut taken.state else { return Vec::new() };
+        let Some(taken) = self.taken.get_mut(key) else {
+            return Vec::new();
+        };
+        let State::Running(waiters) = &mut taken.state else {
+            return Vec::new();
+        };
         let waiters = std::mem::take(waiters);
         let state = match ending {
             Ending::Served(answer) => State::Served(answer),
@@ -141,7 +168,11 @@
     /// One that waits has left. True: it was the last, and the query is to be withdrawn; its outcome is unknown
     /// from now on.
     pub fn left(&mut self, now: Micros, key: &str, waiter: &W) -> bool {
-        let Some(Taken { state: State::Running(waiters), .. }) = self.taken.get_mut(key) else {
+        let Some(Taken {
+            state: State::Running(waiters),
+            ..
+        }) = self.taken.get_mut(key)
+        else {
             return false;
         };
         let before = waiters.len();
@@ -255,7 +286,9 @@
         k.begin(0, "a", P, W, 1);
         k.begin(0, "b", P, W, 2);
         k.ended(0, "b", Ending::Served("b"));
-        let Seen::Full(wait) = k.begin(1, "c", P, W, 3) else { unreachable!("full") };
+        let Seen::Full(wait) = k.begin(1, "c", P, W, 3) else {
+            unreachable!("full")
+        };
         assert!(wait <= W + 2_000);
         assert_eq!(k.begin(W - 1, "b", P, W, 4), Seen::Replay("b"));
         assert_eq!(k.begin(3 * W, "c", P, W, 5), Seen::Run);
--- a/ledger/src/results.rs
+++ b/ledger/src/results.rs
@@ -70,7 +70,15 @@
     pub fn new(sealer: Sealer, limits: Limits, now: Micros) -> Self {
         let (held, wheel) = (HashMap::new(), Wheel::new(now));
         let (budget, expected) = (Budget::new(limits.bytes), Rc::default());
-        Results { sealer, budget, limits, held, wheel, next: 0, expected }
+        Results {
+            sealer,
+            budget,
+            limits,
+            held,
+            wheel,
+            next: 0,
+            expected,
+        }
     }
 
     /// Changes the limits. What is promised stays.
@@ -111,7 +119,10 @@
             return Err(self.wheel.next().map_or(0, |at| at.saturating_sub(now)));
         };
         self.expected.set(self.expected.get() + 1);
-        Ok(Place { grant, expected: Rc::clone(&self.expected) })
+        Ok(Place {
+            grant,
+            expected: Rc::clone(&self.expected),
+        })
     }
 
     /// Promises a result of so many bytes, whose place was reserved, until a moment: its token. `query` and
@@ -129,10 +140,22 @@
         place.expected.set(place.expected.get().saturating_sub(1));
         place.expected = Rc::default();
         self.next += 1;
-        let token = Token { result: self.next, query, attempt, until };
+        let token = Token {
+            result: self.next,
+            query,
+            attempt,
+            until,
+        };
         self.wheel.insert(until, token.result);
         let text = self.sealer.seal(&token);
-        self.held.insert(token.result, Held { token, pages, _place: place });
+        self.held.insert(
+            token.result,
+            Held {
+                token,
+                pages,
+                _place: place,
+            },
+        );
         text
     }
 
--- a/ledger/src/token.rs
+++ b/ledger/src/token.rs
@@ -67,7 +67,8 @@
     pub fn open(&self, text: &str) -> Option<Token> {
         // What is no token at all is checked like one, so that time tells nothing.
         let mut bytes = [0u8; BODY + SEAL];
-        let whole = text.len() == LENGTH && URL_SAFE_NO_PAD.decode_slice(text, &mut bytes) == Ok(BODY + SEAL);
+        let whole = text.len() == LENGTH
+            && URL_SAFE_NO_PAD.decode_slice(text, &mut bytes) == Ok(BODY + SEAL);
         let (body, seal) = bytes.split_at(BODY);
         let mut mac = self.0.clone();
         mac.update(body);
--- a/ledger/src/wheel.rs
+++ b/ledger/src/wheel.rs
@@ -39,8 +39,16 @@
     /// An empty wheel that starts at `now`.
     #[must_use]
     pub fn new(now: Micros) -> Self {
-        let level = || Level { used: 0, slots: (0..SLOTS).map(|_| Vec::new()).collect() };
-        Wheel { now: now >> TICK, len: 0, levels: (0..LEVELS).map(|_| level()).collect(), moving: Vec::new() }
+        let level = || Level {
+            used: 0,
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
+        };
+        Wheel {
+            now: now >> TICK,
+            len: 0,
+            levels: (0..LEVELS).map(|_| level()).collect(),
+            moving: Vec::new(),
+        }
     }
 
     /// Entries that have not come due.
@@ -86,7 +94,10 @@
         let shift = level as u32 * BITS;
         let here = (self.now >> shift) as usize & (SLOTS - 1);
         // Slots are used from the one after `here` on, round to it (only the last level comes round).
-        let ahead = used.rotate_right((here as u32 + 1) % SLOTS as u32).trailing_zeros() as u64 + 1;
+        let ahead = used
+            .rotate_right((here as u32 + 1) % SLOTS as u32)
+            .trailing_zeros() as u64
+            + 1;
         let tick = ((self.now >> shift) + ahead) << shift;
         Some((tick, (here + ahead as usize) & (SLOTS - 1)))
     }
@@ -94,15 +105,22 @@
     /// When to look again: no entry comes due before. `None`: there is none.
     #[must_use]
     pub fn next(&self) -> Option<Micros> {
-        (0..LEVELS).filter_map(|l| self.next_of(l)).map(|(tick, _)| tick << TICK).min()
+        (0..LEVELS)
+            .filter_map(|l| self.next_of(l))
+            .map(|(tick, _)| tick << TICK)
+            .min()
     }
 
     /// Hands out all that is due at `now`.
     pub fn advance(&mut self, now: Micros, mut due: impl FnMut(K)) {
         let until = now >> TICK;
         loop {
-            let next = (0..LEVELS).filter_map(|l| self.next_of(l).map(|(tick, slot)| (tick, l, slot))).min();
-            let Some((tick, level, slot)) = next.filter(|(tick, ..)| *tick <= until) else { break };
+            let next = (0..LEVELS)
+                .filter_map(|l| self.next_of(l).map(|(tick, slot)| (tick, l, slot)))
+                .min();
+            let Some((tick, level, slot)) = next.filter(|(tick, ..)| *tick <= until) else {
+                break;
+            };
             self.now = tick;
             let mut moving = std::mem::take(&mut self.moving);
             if let Some(l) = self.levels.get_mut(level) {
@@ -135,14 +153,24 @@
     fn nothing_is_early_late_or_lost() {
         let mut x = 7u64;
         let mut draw = move |below: u64| {
-            x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+            x = x
+                .wrapping_mul(6_364_136_223_846_793_005)
+                .wrapping_add(1_442_695_040_888_963_407);
             (x >> 20) % below
         };
         let mut now = 1_700_000_000_000_000;
         let mut wheel = Wheel::new(now);
         let mut model: BTreeMap<(Micros, u64), ()> = BTreeMap::new();
         for n in 0..20_000 {
-            let spans = [1, 2_000, 100_000, 5_000_000, 300_000_000, 90_000_000_000_000, 1 << 50];
+            let spans = [
+                1,
+                2_000,
+                100_000,
+                5_000_000,
+                300_000_000,
+                90_000_000_000_000,
+                1 << 50,
+            ];
             let span = spans.get(draw(7) as usize).copied().unwrap_or(1);
             let at = now + draw(span.max(1));
             wheel.insert(at, (at, n));
@@ -154,9 +182,16 @@
                 let mut out = Vec::new();
                 wheel.advance(now, |k| out.push(k));
                 for key in &out {
-                    assert!(key.0 <= now && model.remove(key).is_some(), "{key:?} at {now}");
+                    assert!(
+                        key.0 <= now && model.remove(key).is_some(),
+                        "{key:?} at {now}"
+                    );
                 }
-                let late = model.keys().next().map(|k| k.0).filter(|at| at + (1 << TICK) < now);
+                let late = model
+                    .keys()
+                    .next()
+                    .map(|k| k.0)
+                    .filter(|at| at + (1 << TICK) < now);
                 assert_eq!(late, None, "due and not handed out at {now}");
             }
             assert_eq!(wheel.len(), model.len());
--- a/src/bin/linnetreach-benchlink.rs
+++ b/src/bin/linnetreach-benchlink.rs
@@ -22,11 +22,19 @@
     let mut line = String::new();
     for number in 1u64.. {
         line.clear();
-        if input.read_line(&mut line).map_err(|e| format!("line {number}: {e}"))? == 0 {
+        if input
+            .read_line(&mut line)
+            .map_err(|e| format!("line {number}: {e}"))?
+            == 0
+        {
             break;
         }
-        let reply = adapter.line(&line).map_err(|e| format!("line {number}: {e}"))?;
-        writeln!(output, "{reply}").and_then(|()| output.flush()).map_err(|e| e.to_string())?;
+        let reply = adapter
+            .line(&line)
+            .map_err(|e| format!("line {number}: {e}"))?;
+        writeln!(output, "{reply}")
+            .and_then(|()| output.flush())
+            .map_err(|e| e.to_string())?;
     }
     Ok(())
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -47,9 +47,16 @@
     /// How many engines are listed, and how many of those are avoided: called out, or ejected.
     #[must_use]
     pub fn listed(&self) -> (usize, usize) {
-        let listed = || self.nodes.values().filter(|n| n.listed.state != EngineState::Gone);
+        let listed = || {
+            self.nodes
+                .values()
+                .filter(|n| n.listed.state != EngineState::Gone)
+        };
         let ejected = |n: &&Node| n.listed.state == EngineState::Ready && !self.healthy(n);
-        (listed().count(), listed().filter(|n| n.barred || ejected(n)).count())
+        (
+            listed().count(),
+            listed().filter(|n| n.barred || ejected(n)).count(),
+        )
     }
 
     /// The settings of a query's class.
@@ -64,7 +71,12 @@
 
     /// The shortest aim, or deadline, of any class.
     pub(crate) fn shortest_aim(&self) -> Micros {
-        self.s.classes.iter().filter_map(|c| c.aim.or(c.deadline)).min().unwrap_or(1_000_000)
+        self.s
+            .classes
+            .iter()
+            .filter_map(|c| c.aim.or(c.deadline))
+            .min()
+            .unwrap_or(1_000_000)
     }
 
     /// A share of the period.
@@ -76,9 +88,24 @@
     pub(crate) fn ask_wake(&mut self, actions: &mut Vec<Action>) {
         // Room can also open by itself: a rest ends, a line empties, a cold engine bears more.
         let held = self.book.queues.iter().any(|q| !q.is_empty());
-        let soon = if held { self.now + self.periods(LOOK_EVERY) } else { Micros::MAX };
-        let at = self.book.due.first().map_or(soon, |due| due.0.min(soon)).max(self.now + 1);
-        if at < self.book.wake.filter(|w| *w > self.now).unwrap_or(Micros::MAX) {
+        let soon = if held {
+            self.now + self.periods(LOOK_EVERY)
+        } else {
+            Micros::MAX
+        };
+        let at = self
+            .book
+            .due
+            .first()
+            .map_or(soon, |due| due.0.min(soon))
+            .max(self.now + 1);
+        if at
+            < self
+                .book
+                .wake
+                .filter(|w| *w > self.now)
+                .unwrap_or(Micros::MAX)
+        {
             self.book.wake = Some(at);
             actions.push(Action::Wake { at });
         }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -8,8 +8,8 @@
 
 pub use crate::gateway::Gateway;
 use crate::interface::{
-    Action, Cost, DedupGroup, Effect, Ended, Engine, EngineId, EngineState, Event, Kind, ListScope, Load,
-    Micros, NewQuery, Outcome, Progress, QueryId,
+    Action, Cost, DedupGroup, Effect, Ended, Engine, EngineId, EngineState, Event, Kind, ListScope,
+    Load, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 use crate::state::{lot, micros, secs, Attempt, Counts, Health, Node, Query};
 
@@ -124,14 +124,22 @@
                 Event::Engines { scope, engines } => self.list(*scope, engines, actions),
                 Event::Cordon { engine, out } => self.cordon(*engine, *out),
                 Event::Arrived(asked) => self.arrive(asked, actions),
-                Event::Note { query, attempt, progress } => self.note(*query, *attempt, *progress, actions),
+                Event::Note {
+                    query,
+                    attempt,
+                    progress,
+                } => self.note(*query, *attempt, *progress, actions),
                 Event::Started { query } => self.book.stream(*query),
                 Event::Ended(end) => {
                     self.report(end.engine, end.load);
                     self.ended(end, actions);
                 }
                 Event::ClientGone { query } => self.gone(*query, actions),
-                Event::Probed { engine, answered, load } => {
+                Event::Probed {
+                    engine,
+                    answered,
+                    load,
+                } => {
                     self.report(*engine, *load);
                     if !answered {
                         self.failure(*engine, FAIL_GAIN);
@@ -150,7 +158,12 @@
     }
 
     fn mu(&self) -> f64 {
-        let work: f64 = self.learned.iter().filter_map(|l| l.work.known()).sum::<f64>().max(1e-3);
+        let work: f64 = self
+            .learned
+            .iter()
+            .filter_map(|l| l.work.known())
+            .sum::<f64>()
+            .max(1e-3);
         let prior = work * MU_MEMORY * MU_START;
         ((self.fleet.mu_work + prior) / (self.fleet.mu_time + prior)).clamp(0.02, 50.0)
     }
@@ -166,7 +179,9 @@
     fn aim_for(&self, q: &Query, work: f64) -> Micros {
         let c = self.class_of(q);
         let stretch = c.aim_stretch.unwrap_or(0.0) * work / q.threads;
-        c.aim.map_or(q.deadline, |a| (q.arrived + a + micros(stretch)).min(q.deadline))
+        c.aim.map_or(q.deadline, |a| {
+            (q.arrived + a + micros(stretch)).min(q.deadline)
+        })
     }
 
     /// Whether a query is a lost cause once its aim cannot be met: that earns little, and others want its
@@ -206,8 +221,13 @@
             Some(m) => l
                 .memory_fit
                 .expect(m)
-                .map_or(GRANT_UNTOLD * m * l.grant.exp(), |(log, var)| (log + GRANT_AT * var.sqrt()).exp()),
-            None => l.memory.known().map_or(0.0, |m| m + GRANT_AT * l.memory.dev),
+                .map_or(GRANT_UNTOLD * m * l.grant.exp(), |(log, var)| {
+                    (log + GRANT_AT * var.sqrt()).exp()
+                }),
+            None => l
+                .memory
+                .known()
+                .map_or(0.0, |m| m + GRANT_AT * l.memory.dev),
         };
         let q = Query {
             seq: self.book.seq,
@@ -225,7 +245,12 @@
         let id = asked.id;
         let none_held = self.book.queues[slot].is_empty();
         if let Some(key) = asked.key.filter(|_| class.by_arrival) {
-            self.book.turns.entry(key).or_default().open.insert(q.seq, id);
+            self.book
+                .turns
+                .entry(key)
+                .or_default()
+                .open
+                .insert(q.seq, id);
         }
         self.book.queries.insert(id, q);
         let lost = age > 0 && self.book.get(id).is_some_and(|q| self.lost(q));
@@ -254,7 +279,9 @@
     }
 
     fn admit(&mut self, id: QueryId) -> bool {
-        let Some(q) = self.book.get(id) else { return false };
+        let Some(q) = self.book.get(id) else {
+            return false;
+        };
         let t = self.threshold(q);
         let chance = 1.0 / (1.0 + ((self.est_wait() - t) / (SLOPE * t)).exp());
         // One coin for all of a class, kept for a while: asking again at once meets the same coin.
@@ -273,7 +300,11 @@
         let soonest = self.now + self.periods(LOOK_EVERY);
         let at = self.book.get(id).map_or(0, |q| {
             // A key may rest with nobody before this one; then no event tells that its rest is over.
-            let rest = q.asked.key.and_then(|k| self.book.turns.get(&k)?.rest).filter(|r| r.0 > self.now);
+            let rest = q
+                .asked
+                .key
+                .and_then(|k| self.book.turns.get(&k)?.rest)
+                .filter(|r| r.0 > self.now);
             self.give_up_at(q).min(rest.map_or(Micros::MAX, |r| r.0))
         });
         self.schedule(id, at.max(soonest));
@@ -292,9 +323,15 @@
         if self.aim_is_all(q) {
             return self.aim_at(q).saturating_sub(run);
         }
-        let keyed = q.risk.filter(|_| self.class_of(q).effect == Effect::Deduplicated);
-        let window = keyed.map_or(Micros::MAX, |r| r.1 + self.class_of(q).dedup_window.unwrap_or(0));
-        q.deadline.saturating_sub(run.min(q.asked.time_left / 2)).min(window)
+        let keyed = q
+            .risk
+            .filter(|_| self.class_of(q).effect == Effect::Deduplicated);
+        let window = keyed.map_or(Micros::MAX, |r| {
+            r.1 + self.class_of(q).dedup_window.unwrap_or(0)
+        });
+        q.deadline
+            .saturating_sub(run.min(q.asked.time_left / 2))
+            .min(window)
     }
 
     /// Rule 1: whatever the policy waits for, a query is looked at no later than its deadline; one with an
@@ -302,7 +339,11 @@
     fn schedule(&mut self, id: QueryId, at: Micros) {
         let slack = self.s.grace_to_answer.unwrap_or(0) / 2;
         if let Some(q) = self.book.get(id) {
-            let last = if q.out.is_some() { q.deadline + slack } else { q.deadline };
+            let last = if q.out.is_some() {
+                q.deadline + slack
+            } else {
+                q.deadline
+            };
             self.book.set_due(id, at.min(last));
         }
     }
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -5,33 +5,60 @@
 
 impl Gateway {
     /// The only place where an attempt leaves.
-    pub(super) fn send(&mut self, id: QueryId, engine: EngineId, actions: &mut Vec<Action>) -> bool {
-        let (Some(q), Some(n)) = (self.book.get(id), self.nodes.get(&engine)) else { return false };
+    pub(super) fn send(
+        &mut self,
+        id: QueryId,
+        engine: EngineId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let (Some(q), Some(n)) = (self.book.get(id), self.nodes.get(&engine)) else {
+            return false;
+        };
         if !self.legal(q, n) {
             return false;
         }
-        let most = n.memory_mb.map_or(f64::MAX, |m| m * self.s.most_grant.unwrap_or(1.0));
+        let most = n
+            .memory_mb
+            .map_or(f64::MAX, |m| m * self.s.most_grant.unwrap_or(1.0));
         let (memory, work, threads, slot) = (q.memory.min(most), q.work, q.threads, q.slot);
         let first_check = self.patience(q, self.now);
         let cold = self.warmth(n) < 1.0;
         let priority = self.priority(q);
         let grant = if self.s.grants { memory.round() } else { 0.0 };
         if grant > 0.0 || self.s.priorities {
-            actions.push(Action::Terms { query: id, memory_mb: grant, priority });
+            actions.push(Action::Terms {
+                query: id,
+                memory_mb: grant,
+                priority,
+            });
         }
-        actions.push(Action::Send { query: id, engine, timeout: 0 });
+        actions.push(Action::Send {
+            query: id,
+            engine,
+            timeout: 0,
+        });
         let now = self.now;
         self.book.begin(slot, priority, threads);
         if let Some(n) = self.nodes.get_mut(&engine) {
             n.begin(id, priority, threads, memory);
             n.cold_sent.extend(cold.then_some((now, work)));
         }
-        let Some(q) = self.book.get_mut(id) else { return false };
+        let Some(q) = self.book.get_mut(id) else {
+            return false;
+        };
         let again = q.attempts > 0;
         q.attempts += 1;
-        q.out = Some(Attempt { engine, sent: now, heard: now, memory, priority, ..Attempt::default() });
+        q.out = Some(Attempt {
+            engine,
+            sent: now,
+            heard: now,
+            memory,
+            priority,
+            ..Attempt::default()
+        });
         self.book.extra.extend(again.then_some(now));
-        self.book.drop_before(now.saturating_sub(self.s.resend_budget.map_or(0, |b| b.span)));
+        self.book
+            .drop_before(now.saturating_sub(self.s.resend_budget.map_or(0, |b| b.span)));
         self.schedule(id, now + first_check);
         true
     }
@@ -40,7 +67,13 @@
     /// failure. It is given at once; what is still out is withdrawn where that does no harm.
     pub(super) fn finish(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.book.unhold(id);
-        let Some(q) = self.book.get_mut(id).filter(|q| !q.finished && !q.streaming) else { return };
+        let Some(q) = self
+            .book
+            .get_mut(id)
+            .filter(|q| !q.finished && !q.streaming)
+        else {
+            return;
+        };
         q.finished = true;
         let Some(q) = self.book.get(id) else { return };
         let c = self.class_of(q);
@@ -54,7 +87,10 @@
             // The wait here is short where engines, not queues, are full; they free no sooner than in a run.
             let back = self.est_wait().max(self.run(q));
             let retry_after = micros(back).min(self.s.max_retry_after.unwrap_or(0));
-            actions.push(Action::Refuse { query: id, retry_after });
+            actions.push(Action::Refuse {
+                query: id,
+                retry_after,
+            });
         } else {
             actions.push(Action::Fail { query: id });
         }
@@ -67,7 +103,9 @@
         let Some(q) = self.book.get(id) else { return };
         let harmless = self.repeatable(q);
         let attempt = q.attempts.saturating_sub(1);
-        let Some(a) = self.book.get_mut(id).and_then(|q| q.out.as_mut()) else { return };
+        let Some(a) = self.book.get_mut(id).and_then(|q| q.out.as_mut()) else {
+            return;
+        };
         if can && harmless && !a.cancelled {
             a.cancelled = true;
             actions.push(Action::Cancel { query: id, attempt });
@@ -76,10 +114,14 @@
 
     /// Drops a query that is finished and has nothing out, and passes on its key's turn.
     fn forget(&mut self, id: QueryId) {
-        let Some(q) = self.book.get(id).filter(|q| q.finished && q.out.is_none()) else { return };
+        let Some(q) = self.book.get(id).filter(|q| q.finished && q.out.is_none()) else {
+            return;
+        };
         let (key, seq) = (q.asked.key, q.seq);
         self.book.remove(id);
-        let Some((key, turn)) = key.and_then(|k| Some((k, self.book.turns.get_mut(&k)?))) else { return };
+        let Some((key, turn)) = key.and_then(|k| Some((k, self.book.turns.get_mut(&k)?))) else {
+            return;
+        };
         turn.open.remove(&seq);
         let rest = turn.rest.map_or(0, |r| r.0);
         if let Some(next) = turn.open.first_key_value().map(|(_, next)| *next) {
@@ -103,13 +145,26 @@
     pub(super) fn ended(&mut self, end: &Ended, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.query, end.outcome);
         let now = self.now;
-        let Some(q) = self.book.get_mut(id).filter(|q| end.attempt + 1 == q.attempts) else { return };
+        let Some(q) = self
+            .book
+            .get_mut(id)
+            .filter(|q| end.attempt + 1 == q.attempts)
+        else {
+            return;
+        };
         let Some(a) = q.out.take() else { return };
         q.avoid = Some(a.engine);
         q.finished |= end.settled;
-        let ran = !matches!(outcome, Outcome::Saturated | Outcome::Refused | Outcome::Superseded);
+        let ran = !matches!(
+            outcome,
+            Outcome::Saturated | Outcome::Refused | Outcome::Superseded
+        );
         q.may_have_run |= ran;
-        let erred = if outcome == Outcome::Errored { q.erred.replace(a.engine) } else { q.erred };
+        let erred = if outcome == Outcome::Errored {
+            q.erred.replace(a.engine)
+        } else {
+            q.erred
+        };
         let at_fault = outcome == Outcome::Errored && erred.is_some();
         let (key, seq, threads, slot) = (q.asked.key, q.seq, q.threads, q.slot);
         if let Some(n) = self.nodes.get_mut(&a.engine) {
@@ -117,7 +172,10 @@
             q.risk = q.risk.or(ran.then_some((n.listed, a.sent)));
         }
         self.book.end(slot, a.priority, threads);
-        if matches!(outcome, Outcome::Overdue | Outcome::Severed | Outcome::Recalled) {
+        if matches!(
+            outcome,
+            Outcome::Overdue | Outcome::Severed | Outcome::Recalled
+        ) {
             let until = now + self.s.turn_gap.unwrap_or(0);
             if let Some(turn) = key.and_then(|k| self.book.turns.get_mut(&k)) {
                 turn.rest = Some((until, seq));
@@ -125,7 +183,10 @@
         }
         match outcome {
             Outcome::Completed => {
-                erred.filter(|e| *e != a.engine).into_iter().for_each(|e| self.erred(e));
+                erred
+                    .filter(|e| *e != a.engine)
+                    .into_iter()
+                    .for_each(|e| self.erred(e));
                 self.success(id, &a, end.elapsed, end.cost);
             }
             // An error may lie with the query: its engine is blamed once another has served it, and at once
@@ -143,7 +204,10 @@
             Outcome::Severed => self.failure(a.engine, FAIL_GAIN),
             Outcome::Saturated => {
                 let until = now + self.periods(FULL_REST);
-                self.nodes.get_mut(&a.engine).into_iter().for_each(|n| n.line_until = until);
+                self.nodes
+                    .get_mut(&a.engine)
+                    .into_iter()
+                    .for_each(|n| n.line_until = until);
             }
             Outcome::Overdue | Outcome::Recalled | Outcome::Superseded => {}
         }
@@ -166,11 +230,18 @@
     fn success(&mut self, id: QueryId, a: &Attempt, elapsed: Micros, cost: Option<Cost>) {
         let Some(q) = self.book.get(id) else { return };
         let late = a.sent + elapsed > self.aim_at(q); // by when it came, not when a stalled gateway saw it
-        let base = self.nodes.get(&a.engine).map_or(0.0, |n| self.base_bound(n.cores));
+        let base = self
+            .nodes
+            .get(&a.engine)
+            .map_or(0.0, |n| self.base_bound(n.cores));
         let l = &mut self.learned[q.slot];
         // Where cost is not told, a lightly used engine's answers show it, unless its use is mostly others'.
         let time = (q.threads * secs(elapsed)).max(1e-4);
-        let alone = base >= 1.0 && self.nodes.get(&a.engine).is_some_and(|n| n.held_threads() < ALONE * base);
+        let alone = base >= 1.0
+            && self
+                .nodes
+                .get(&a.engine)
+                .is_some_and(|n| n.held_threads() < ALONE * base);
         let shown = cost.map(|c| secs(c.work)).or(alone.then_some(time));
         let work = shown.unwrap_or(q.work).max(1e-4);
         l.work.learn(work, GAIN);
@@ -182,20 +253,30 @@
         }
         if let Some(c) = cost {
             l.memory.learn(c.memory_mb, GAIN);
-            l.memory_fit.learn(q.asked.memory_mb.unwrap_or(0.0), c.memory_mb, FIT_GAIN);
+            l.memory_fit
+                .learn(q.asked.memory_mb.unwrap_or(0.0), c.memory_mb, FIT_GAIN);
         }
         l.late += GAIN * (f64::from(u8::from(late)) - l.late);
         l.silent -= GAIN * l.silent;
         let calm = l.late < LATE_SHARE;
-        let span = MU_MEMORY * self.learned.iter().filter_map(|l| l.work.known()).sum::<f64>();
+        let span = MU_MEMORY
+            * self
+                .learned
+                .iter()
+                .filter_map(|l| l.work.known())
+                .sum::<f64>();
         let keep = 1.0 - (work / span.max(1e-3)).min(0.5);
         self.fleet.mu_work = self.fleet.mu_work * keep + work;
         self.fleet.mu_time = self.fleet.mu_time * keep + time;
         let (threads, slot, told, now) = (q.threads, q.slot, self.s.reports_utilisation, self.now);
         self.paced(a.engine, a.priority, work / time, PACE_GAIN);
-        let Some(n) = self.nodes.get_mut(&a.engine) else { return };
+        let Some(n) = self.nodes.get_mut(&a.engine) else {
+            return;
+        };
         (n.heard, n.untried) = (now, false);
-        if n.memory_out > IN_USE * n.memory_share * n.memory_mb.unwrap_or(f64::MAX) && n.line_until <= now {
+        if n.memory_out > IN_USE * n.memory_share * n.memory_mb.unwrap_or(f64::MAX)
+            && n.line_until <= now
+        {
             n.memory_share = (n.memory_share + SHARE_STEP).min(1.0);
         }
         let of_class = n.class_health.get_mut(&slot).into_iter();
@@ -210,35 +291,62 @@
             let step = step * (1.0 + self.fleet.widened) / self.fleet.room.max(1.0);
             let used = self.book.threads_out.iter().sum::<f64>() + threads;
             self.fleet.pace += PACE_GAIN * ((work / time).clamp(0.01, 10.0).ln() - self.fleet.pace);
-            let pace = if cost.is_some() { self.fleet.pace.exp() } else { self.mu() };
-            let near = if told { FAR_FROM_UNLOADED } else { NEAR_UNLOADED };
+            let pace = if cost.is_some() {
+                self.fleet.pace.exp()
+            } else {
+                self.mu()
+            };
+            let near = if told {
+                FAR_FROM_UNLOADED
+            } else {
+                NEAR_UNLOADED
+            };
             let busy = self.fleet.utilisation.known().is_some_and(|u| u > KNEE);
             if calm && !busy && pace > near && used > IN_USE * self.fleet.room {
                 self.fleet.widened = (self.fleet.widened + step).min(self.gateways);
             } else if pace < FAR_FROM_UNLOADED || (late && !calm) {
                 self.fleet.widened = (self.fleet.widened - step).max(0.0);
             }
-        } else if !told && calm && pace > NEAR_UNLOADED && n.held_threads() + threads > IN_USE * n.bound {
+        } else if !told
+            && calm
+            && pace > NEAR_UNLOADED
+            && n.held_threads() + threads > IN_USE * n.bound
+        {
             n.bound = (n.bound + step).min(THREADS_PER_CORE * n.cores);
         } else if narrow {
             n.bound = (n.bound - step).max(base);
         }
     }
 
-    pub(super) fn note(&mut self, id: QueryId, attempt: u32, progress: Progress, actions: &mut Vec<Action>) {
+    pub(super) fn note(
+        &mut self,
+        id: QueryId,
+        attempt: u32,
+        progress: Progress,
+        actions: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let (rest, gateways) = (self.periods(LINE_REST), self.gateways);
-        let Some(q) = self.book.get_mut(id).filter(|q| attempt + 1 == q.attempts) else { return };
+        let Some(q) = self.book.get_mut(id).filter(|q| attempt + 1 == q.attempts) else {
+            return;
+        };
         let Some(a) = q.out.as_mut() else { return };
         a.heard = now;
         a.waits = matches!(progress, Progress::WaitsForMemory | Progress::WaitsForLoad);
         let (engine, sent, priority) = (a.engine, a.sent, a.priority);
         let mut short = false;
         if let (Progress::Spills(missing), true) = (progress, self.s.grants) {
-            let (need, first) = (a.memory + missing.clamp(0.0, 1e9), !std::mem::replace(&mut a.spills, true));
+            let (need, first) = (
+                a.memory + missing.clamp(0.0, 1e9),
+                !std::mem::replace(&mut a.spills, true),
+            );
             short = first && q.attempts == 1 && missing > SPILL_SHARE * need;
             q.memory = if short { need } else { q.memory };
-            let step = if first { GRANT_STEP * (1.0 - SPILL_SHARE) } else { 0.0 };
+            let step = if first {
+                GRANT_STEP * (1.0 - SPILL_SHARE)
+            } else {
+                0.0
+            };
             self.learned[q.slot].grant += step;
         }
         if let Some(n) = self.nodes.get_mut(&engine) {
@@ -277,7 +385,11 @@
         // One that stands in a line gives no further sign: it is looked at when its cause may be lost, too.
         let Some(q) = self.book.get(id) else { return };
         let stands = q.out.as_ref().is_some_and(|a| a.waits);
-        let until = if stands { self.give_up_at(q).max(now + self.periods(LOOK_EVERY)) } else { Micros::MAX };
+        let until = if stands {
+            self.give_up_at(q).max(now + self.periods(LOOK_EVERY))
+        } else {
+            Micros::MAX
+        };
         self.schedule(id, until.min(now + self.patience(q, now)));
     }
 
@@ -287,14 +399,19 @@
         if self.s.note_period.is_some() {
             return self.periods(SILENT_NOTES);
         }
-        let usual = self.learned[q.slot].work.known().unwrap_or(0.0).max(q.work) / (q.threads * self.mu());
+        let usual =
+            self.learned[q.slot].work.known().unwrap_or(0.0).max(q.work) / (q.threads * self.mu());
         let last = secs(self.aim_at(q).saturating_sub(sent)) - self.run(q);
         micros(last.min(SILENT_RUNS * usual).max(LAG * usual)).max(1)
     }
 
     /// What silence says of an engine: without notes the less the more of the class's attempts end in it.
     fn blame(&self, q: &Query) -> f64 {
-        let usual = if self.s.note_period.is_some() { 0.0 } else { self.learned[q.slot].silent };
+        let usual = if self.s.note_period.is_some() {
+            0.0
+        } else {
+            self.learned[q.slot].silent
+        };
         (1.0 - usual / LATE_SHARE).max(FAIL_GAIN)
     }
 
@@ -302,20 +419,32 @@
     fn move_on(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(q) = self.book.get(id) else { return };
         let Some(a) = &q.out else { return };
-        let elsewhere = self.nodes.iter().any(|(e, n)| *e != a.engine && self.healthy(n));
+        let elsewhere = self
+            .nodes
+            .iter()
+            .any(|(e, n)| *e != a.engine && self.healthy(n));
         let in_time = self.now + micros(self.run(q)) < q.deadline;
         let harmless = self.repeatable(q);
-        if elsewhere && in_time && harmless && !q.streaming && self.may_repeat(q) && self.within_budget() {
+        if elsewhere
+            && in_time
+            && harmless
+            && !q.streaming
+            && self.may_repeat(q)
+            && self.within_budget()
+        {
             self.withdraw(id, actions);
         }
     }
 
     /// A query's time has come: held too long, or its attempt gave no sign.
     pub(super) fn check(&mut self, id: QueryId, actions: &mut Vec<Action>) {
-        let Some(q) = self.book.get(id).filter(|q| !q.finished && !q.streaming) else { return };
+        let Some(q) = self.book.get(id).filter(|q| !q.finished && !q.streaming) else {
+            return;
+        };
         let now = self.now;
         if let Some(a) = &q.out {
-            let (engine, sent, cancelled, waits) = (a.engine, a.sent.max(a.heard), a.cancelled, a.waits);
+            let (engine, sent, cancelled, waits) =
+                (a.engine, a.sent.max(a.heard), a.cancelled, a.waits);
             let known = a.silent;
             if now >= q.deadline + self.s.grace_to_answer.unwrap_or(0) / 2 {
                 self.finish(id, actions);
