--- a/src/rules/fleet.rs
+++ b/src/rules/fleet.rs
@@ -20,7 +20,9 @@
     /// The part of its capacity that an engine has surely reached: from the cold share up to all of it,
     /// slowly at first, since how it grows is not told.
     pub(super) fn warmth(&self, n: &Node) -> f64 {
-        let (Some(start), Some(cold)) = (n.started(), self.s.cold) else { return 1.0 };
+        let (Some(start), Some(cold)) = (n.started(), self.s.cold) else {
+            return 1.0;
+        };
         let age = secs(self.now.saturating_sub(start)) / secs(cold.max(1));
         if age >= 1.0 {
             return 1.0;
@@ -40,22 +42,37 @@
             self.fleet.surveyed_at = self.now;
             self.survey_all();
         }
-        let (dt, most) = (secs(self.now - self.fleet.credit_at), self.fleet.room * secs(self.shortest_aim()));
-        let credit = self.fleet.credit + (self.fleet.room - self.book.threads_out.iter().sum::<f64>()) * dt;
+        let (dt, most) = (
+            secs(self.now - self.fleet.credit_at),
+            self.fleet.room * secs(self.shortest_aim()),
+        );
+        let credit =
+            self.fleet.credit + (self.fleet.room - self.book.threads_out.iter().sum::<f64>()) * dt;
         (self.fleet.credit, self.fleet.credit_at) = (credit.clamp(-DEBT * most, most), self.now);
     }
 
     fn survey_all(&mut self) {
         let span = self.s.fall.unwrap_or(0).max(1);
-        for n in self.nodes.values_mut().filter(|n| n.chance_until <= self.now) {
+        for n in self
+            .nodes
+            .values_mut()
+            .filter(|n| n.chance_until <= self.now)
+        {
             let new = n.chance_until == 0;
-            let (until, rarer) = if new { (self.rng.next_u64() % span, FIRST) } else { (span, 1.0) };
+            let (until, rarer) = if new {
+                (self.rng.next_u64() % span, FIRST)
+            } else {
+                (span, 1.0)
+            };
             n.chance = rarer * f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
             n.chance_until = self.now + until.max(1);
         }
         let counts = Counts::of(self.nodes.values(), false);
         self.fleet.mostly_bad = 2 * counts.ejected > counts.in_use;
-        let all = self.fleet.mostly_bad.then(|| Counts::of(self.nodes.values(), true));
+        let all = self
+            .fleet
+            .mostly_bad
+            .then(|| Counts::of(self.nodes.values(), true));
         let (mut room, mut open) = (0.0, 0.0);
         for n in self.nodes.values().filter(|n| self.healthy(n)) {
             let bound = self.bound(n);
@@ -69,7 +86,11 @@
         if n.pace < SLOW * self.mu() {
             return 0.0; // slow: one query at a time, which also shows when it recovers
         }
-        let widened = if self.base_bound(n.cores) < 1.0 { 1.0 + self.fleet.widened } else { 1.0 };
+        let widened = if self.base_bound(n.cores) < 1.0 {
+            1.0 + self.fleet.widened
+        } else {
+            1.0
+        };
         // A cold engine's threads are slow, but as many. It hurts where it takes fewer.
         n.bound * widened * self.warmth(n).sqrt()
     }
@@ -93,7 +114,12 @@
             }
         }
         for e in engines {
-            let kind = self.s.kinds.get(e.kind as usize).cloned().unwrap_or_default();
+            let kind = self
+                .s
+                .kinds
+                .get(e.kind as usize)
+                .cloned()
+                .unwrap_or_default();
             let cores = kind.cores.filter(|c| *c >= 1.0).unwrap_or(1.0);
             let (base, share, mu) = (self.base_bound(cores), 1.0 / self.gateways, self.mu());
             let fresh = || Node::new(*e, cores, kind.memory_mb, base, share, mu);
@@ -112,10 +138,19 @@
     /// learnt of it holds. It hurts where that was not so, as it gets little for a while.
     pub(super) fn cordon(&mut self, engine: EngineId, out: bool) {
         let fleet = &mut self.fleet.barred;
-        let changed = if out { fleet.insert(engine) } else { fleet.remove(&engine) };
+        let changed = if out {
+            fleet.insert(engine)
+        } else {
+            fleet.remove(&engine)
+        };
         let (now, share, mu) = (self.now, 1.0 / self.gateways, self.mu());
-        let base = self.nodes.get(&engine).map_or(1.0, |n| self.base_bound(n.cores));
-        let Some(n) = self.nodes.get_mut(&engine).filter(|_| changed) else { return };
+        let base = self
+            .nodes
+            .get(&engine)
+            .map_or(1.0, |n| self.base_bound(n.cores));
+        let Some(n) = self.nodes.get_mut(&engine).filter(|_| changed) else {
+            return;
+        };
         n.barred = out;
         if !out {
             n.renew(Node::new(n.listed, n.cores, n.memory_mb, base, share, mu));
@@ -125,23 +160,36 @@
 
     /// An attempt's pace tells of its engine; less where it yields to others by its priority.
     pub(super) fn paced(&mut self, engine: EngineId, priority: u8, pace: f64, gain: f64) {
-        let weight = if self.s.priorities { SHARES[usize::from(priority)] / SHARES[3] } else { 1.0 };
+        let weight = if self.s.priorities {
+            SHARES[usize::from(priority)] / SHARES[3]
+        } else {
+            1.0
+        };
         let ease = weight * ((pace / self.mu()).min(1.0) - 1.0);
         if let Some(n) = self.nodes.get_mut(&engine) {
             (n.ease, n.eased) = (ease, self.now);
-            n.pace = (n.pace.ln() + gain * weight * (pace.clamp(0.01, 10.0).ln() - n.pace.ln())).exp();
+            n.pace =
+                (n.pace.ln() + gain * weight * (pace.clamp(0.01, 10.0).ln() - n.pace.ln())).exp();
         }
     }
 
     /// A load report: the bound widens while utilisation is below the knee.
     pub(super) fn report(&mut self, engine: EngineId, load: Load) {
         // Cores or disks, whichever are shorter.
-        let told = load.utilisation.into_iter().chain(load.disks).filter(|u| *u >= 0.0);
-        let (Some(u), Some(n)) = (told.reduce(f64::max), self.nodes.get(&engine)) else { return };
+        let told = load
+            .utilisation
+            .into_iter()
+            .chain(load.disks)
+            .filter(|u| *u >= 0.0);
+        let (Some(u), Some(n)) = (told.reduce(f64::max), self.nodes.get(&engine)) else {
+            return;
+        };
         let base = self.base_bound(n.cores);
         self.fleet.utilisation.learn(u.min(1.0), GAIN);
         let usual = self.fleet.utilisation.mean;
-        let Some(n) = self.nodes.get_mut(&engine) else { return };
+        let Some(n) = self.nodes.get_mut(&engine) else {
+            return;
+        };
         (n.ease, n.eased) = (usual - u, self.now);
         if base < 1.0 {
             // One engine says little of the fleet: answers move the bound.
@@ -156,23 +204,33 @@
     /// returns by trials, whatever ails it.
     pub(super) fn failure(&mut self, engine: EngineId, weight: f64) {
         let (now, rest) = (self.now, self.rest());
-        self.nodes.get_mut(&engine).into_iter().for_each(|n| fail(&mut n.health, weight, now, rest));
+        self.nodes
+            .get_mut(&engine)
+            .into_iter()
+            .for_each(|n| fail(&mut n.health, weight, now, rest));
     }
 
     /// An error that lies with the engine. Where this gateway's part of it is less than a query, one ejects:
     /// it comes there too seldom to count them. It hurts where good engines err often.
     pub(super) fn erred(&mut self, engine: EngineId) {
-        let thin = self.nodes.get(&engine).is_some_and(|n| self.base_bound(n.cores) < 1.0);
+        let thin = self
+            .nodes
+            .get(&engine)
+            .is_some_and(|n| self.base_bound(n.cores) < 1.0);
         self.failure(engine, if thin { 2.0 } else { 1.0 } * FAIL_GAIN);
     }
 
     /// How long an ejected engine rests: so long that the trials of all of them cost no more than a part of
     /// the ration, since each at a bad engine takes a further attempt, and all gateways make them.
     fn rest(&self) -> Micros {
-        let Some(b) = self.s.resend_budget else { return self.periods(REST) };
+        let Some(b) = self.s.resend_budget else {
+            return self.periods(REST);
+        };
         let ejected = 1 + self.counts().ejected;
         let ration = b.free + b.share * self.book.taken_since(self.now.saturating_sub(b.span));
-        self.periods(REST).max(micros(ejected as f64 * secs(b.span) / (TRIALS * ration.max(1.0))))
+        self.periods(REST).max(micros(
+            ejected as f64 * secs(b.span) / (TRIALS * ration.max(1.0)),
+        ))
     }
 
     /// Silence under a query while the engine answers others, and briskly: it is not slow, it loses queries.
@@ -180,8 +238,17 @@
     /// hurts where the runs of a class scatter widely.
     pub(super) fn lost_there(&mut self, engine: EngineId, slot: usize) {
         let (now, rest) = (self.now, self.periods(REST));
-        if let Some(n) = self.nodes.get_mut(&engine).filter(|n| n.pace > FAR_FROM_UNLOADED) {
-            fail(n.class_health.entry(slot).or_default(), FAIL_GAIN, now, rest);
+        if let Some(n) = self
+            .nodes
+            .get_mut(&engine)
+            .filter(|n| n.pace > FAR_FROM_UNLOADED)
+        {
+            fail(
+                n.class_health.entry(slot).or_default(),
+                FAIL_GAIN,
+                now,
+                rest,
+            );
         }
     }
 
@@ -207,6 +274,10 @@
 pub(super) fn recover(h: &mut Health) {
     h.failing *= (1.0 - FAIL_GAIN).powi(1 + i32::from(h.ejected));
     if h.failing < TRUST {
-        *h = Health { failing: h.failing, rest_until: h.rest_until, ..Health::default() };
+        *h = Health {
+            failing: h.failing,
+            rest_until: h.rest_until,
+            ..Health::default()
+        };
     }
 }
--- a/src/rules/placing.rs
+++ b/src/rules/placing.rs
@@ -15,8 +15,11 @@
 
     /// As room opens: the oldest fitting head over all queues.
     pub(super) fn pump(&mut self, actions: &mut Vec<Action>) {
-        while let Some((id, engine)) =
-            self.book.heads(self.within_budget()).into_iter().find_map(|id| Some((id, self.choose(id)?)))
+        while let Some((id, engine)) = self
+            .book
+            .heads(self.within_budget())
+            .into_iter()
+            .find_map(|id| Some((id, self.choose(id)?)))
         {
             self.book.unhold(id);
             if !self.send(id, engine, actions) {
@@ -38,7 +41,9 @@
         if self.looks_at_all() {
             let zone = self.s.zone;
             let near = |n: &&Node| zone.is_none_or(|z| z == n.listed.zone) && self.healthy(n);
-            return self.best(id, None, self.nodes.values().filter(near).count() as f64).0;
+            return self
+                .best(id, None, self.nodes.values().filter(near).count() as f64)
+                .0;
         }
         let span = self.s.resend_budget.map_or(1.0, |b| secs(b.span.max(1)));
         let homes = (self.book.taken.len() as f64 / span / HOME_RATE).max(HOMES) as usize;
@@ -63,32 +68,62 @@
 
     /// The fitting engine with most free threads, of those drawn or of all, and whether it is idle and not
     /// the one just tried, which comes last; ties at random.
-    fn best(&mut self, id: QueryId, drawn: Option<Vec<EngineId>>, around: f64) -> (Option<EngineId>, bool) {
-        let Some(q) = self.book.get(id) else { return (None, false) };
+    fn best(
+        &mut self,
+        id: QueryId,
+        drawn: Option<Vec<EngineId>>,
+        around: f64,
+    ) -> (Option<EngineId>, bool) {
+        let Some(q) = self.book.get(id) else {
+            return (None, false);
+        };
         let mut best: Vec<EngineId> = Vec::new();
         let near = |n: &Node| self.s.zone.is_none_or(|z| z == n.listed.zone);
         let mut most = (false, false, f64::NEG_INFINITY, false, false, 0.0, 0.0);
         let all = drawn.is_none().then_some(&self.nodes).into_iter().flatten();
-        let some = drawn.iter().flatten().filter_map(|e| self.nodes.get_key_value(e));
+        let some = drawn
+            .iter()
+            .flatten()
+            .filter_map(|e| self.nodes.get_key_value(e));
         for (&e, n) in all.chain(some) {
             if !self.legal(q, n) || !self.fits(q, n) {
                 continue;
             }
             // Bounds under a thread count by chance of that size: else all choose the largest kind.
             let (bound, part) = (self.bound(n), self.base_bound(n.cores) < 1.0);
-            let draw = if part { f64::from(self.rng.next_u32()) + 0.5 } else { 1.0 };
+            let draw = if part {
+                f64::from(self.rng.next_u32()) + 0.5
+            } else {
+                1.0
+            };
             let home = part && lot(self.own, e) * around < HOMES;
             // Its chance paces a cold engine already where this gateway's part is less than a query.
             let weight = bound / self.warmth(n).max(1e-3);
             // Free threads count against the base; a widened bound says only whether a query fits. Else the
             // first engine to widen takes all, from every gateway, while the others, idle, never widen.
-            let base = if bound > 0.0 { self.base_bound(n.cores) * self.warmth(n) } else { 0.0 };
-            let (own, draw) = if part { (0.0, (draw / 4_294_967_296.0).ln() / weight) } else { (base, 0.0) };
+            let base = if bound > 0.0 {
+                self.base_bound(n.cores) * self.warmth(n)
+            } else {
+                0.0
+            };
+            let (own, draw) = if part {
+                (0.0, (draw / 4_294_967_296.0).ln() / weight)
+            } else {
+                (base, 0.0)
+            };
             // One called back looks the least free while it is cold: it is tried at once, by a short query.
             let short = q.work <= self.fleet.work.mean;
             let first = n.untried && n.out.is_empty() && short && self.repeatable(q);
             let free = own - self.ahead(q, &n.threads);
-            let free = (q.avoid != Some(e), first, free, near(n), home, self.ease(n), draw);
+            let free = (
+                q.avoid != Some(e),
+                first,
+                free,
+                near(n),
+                home,
+                self.ease(n),
+                draw,
+            );
             if free > most {
                 most = free;
                 best.clear();
@@ -97,7 +132,11 @@
                 best.push(e);
             }
         }
-        let draw = if best.len() > 1 { self.rng.next_u32() as usize % best.len() } else { 0 };
+        let draw = if best.len() > 1 {
+            self.rng.next_u32() as usize % best.len()
+        } else {
+            0
+        };
         (best.get(draw).copied(), most.0 && most.2 >= 0.0)
     }
 
@@ -120,7 +159,11 @@
     /// Threads that a query competes with: those of lower priority count by what they leave it.
     fn ahead(&self, q: &Query, threads: &[f64; 4]) -> f64 {
         let own = SHARES[usize::from(self.priority(q))];
-        threads.iter().zip(SHARES).map(|(t, share)| t * (share / own).min(1.0)).sum()
+        threads
+            .iter()
+            .zip(SHARES)
+            .map(|(t, share)| t * (share / own).min(1.0))
+            .sum()
     }
 
     /// Whether an engine has room: threads and memory within this gateway's bound (one query always fits),
@@ -132,7 +175,11 @@
             return safe && n.out.is_empty() && n.health.rest_until <= self.now;
         }
         let of_class = |id: &QueryId| self.book.get(*id).is_some_and(|o| o.slot == q.slot);
-        if let Some(h) = n.class_health.get(&q.slot).filter(|h| h.ejected && self.others_serve(q.slot)) {
+        if let Some(h) = n
+            .class_health
+            .get(&q.slot)
+            .filter(|h| h.ejected && self.others_serve(q.slot))
+        {
             if !self.repeatable(q) || h.rest_until > self.now || n.out.iter().any(of_class) {
                 return false;
             }
@@ -151,7 +198,9 @@
         {
             return false;
         }
-        if n.memory_mb.is_some_and(|all| q.memory > 0.0 && n.memory_out + q.memory > all * n.memory_share) {
+        if n.memory_mb
+            .is_some_and(|all| q.memory > 0.0 && n.memory_out + q.memory > all * n.memory_share)
+        {
             return false;
         }
         let blocked = |id: &QueryId| {
@@ -168,8 +217,13 @@
     /// Rules 2 to 7 for one send, whatever the policy above wants.
     pub(super) fn legal(&self, q: &Query, n: &Node) -> bool {
         let c = self.class_of(q);
-        let placed = c.only_zones.as_ref().is_none_or(|z| z.contains(&n.listed.zone))
-            && c.only_kinds.as_ref().is_none_or(|k| k.contains(&n.listed.kind));
+        let placed = c
+            .only_zones
+            .as_ref()
+            .is_none_or(|z| z.contains(&n.listed.zone))
+            && c.only_kinds
+                .as_ref()
+                .is_none_or(|k| k.contains(&n.listed.kind));
         !q.finished
             && q.out.is_none()
             && self.now < q.deadline
@@ -192,7 +246,9 @@
     /// Rule 2, deduplicated classes: only to engines that discard the repeat, while they remember.
     pub(super) fn in_group(&self, q: &Query, e: &Engine) -> bool {
         let c = self.class_of(q);
-        let Some((first, at)) = q.risk.filter(|_| c.effect == Effect::Deduplicated) else { return true };
+        let Some((first, at)) = q.risk.filter(|_| c.effect == Effect::Deduplicated) else {
+            return true;
+        };
         let same = match c.dedup_group {
             DedupGroup::All => true,
             DedupGroup::Zone => first.zone == e.zone,
@@ -205,7 +261,11 @@
     /// drop its repeat for over a period yet. It hurts where the first attempt was well.
     pub(super) fn repeatable(&self, q: &Query) -> bool {
         let c = self.class_of(q);
-        let first = q.risk.map(|r| r.1).or(q.out.as_ref().map(|a| a.sent)).unwrap_or(self.now);
+        let first = q
+            .risk
+            .map(|r| r.1)
+            .or(q.out.as_ref().map(|a| a.sent))
+            .unwrap_or(self.now);
         let soon = self.now + self.period() < first + c.dedup_window.unwrap_or(0);
         let dropped = c.effect == Effect::Deduplicated && c.dedup_group == DedupGroup::All && soon;
         c.effect == Effect::Idempotent || dropped
@@ -213,21 +273,35 @@
 
     /// Rule 5.
     pub(super) fn has_turn(&self, q: &Query) -> bool {
-        let Some(turn) = q.asked.key.and_then(|k| self.book.turns.get(&k)) else { return true };
-        let first = turn.open.first_key_value().is_some_and(|(s, _)| *s == q.seq);
-        let rested = turn.rest.is_none_or(|(until, seq)| until <= self.now || seq == q.seq);
+        let Some(turn) = q.asked.key.and_then(|k| self.book.turns.get(&k)) else {
+            return true;
+        };
+        let first = turn
+            .open
+            .first_key_value()
+            .is_some_and(|(s, _)| *s == q.seq);
+        let rested = turn
+            .rest
+            .is_none_or(|(until, seq)| until <= self.now || seq == q.seq);
         !turn.open.contains_key(&q.seq) || (first && rested)
     }
 
     /// Rule 4: the work sent to a cold engine in any span stays within a part of this gateway's share.
     fn cold_bears(&self, q: &Query, n: &Node) -> bool {
-        let (Some(multiple), Some(fall)) = (self.s.fall_multiple, self.s.fall) else { return true };
+        let (Some(multiple), Some(fall)) = (self.s.fall_multiple, self.s.fall) else {
+            return true;
+        };
         let warmth = self.warmth(n);
         if warmth >= 1.0 {
             return true;
         }
-        let sent: f64 =
-            n.cold_sent.iter().rev().take_while(|(at, _)| at + fall > self.now).map(|(_, w)| w).sum();
+        let sent: f64 = n
+            .cold_sent
+            .iter()
+            .rev()
+            .take_while(|(at, _)| at + fall > self.now)
+            .map(|(_, w)| w)
+            .sum();
         let bears = multiple * n.cores * warmth * secs(fall);
         let work = self.learned[q.slot].work.known().unwrap_or(0.0).max(q.work);
         if sent + work <= COLD_MARGIN * bears / self.gateways {
@@ -238,13 +312,21 @@
         let spread = CHANCE / 2.0 * (work / bears).sqrt();
         let mean = ((spread * spread + 1.0).sqrt() - spread).powi(2) * bears;
         // Where costs are told, work is known well enough to need no further margin.
-        let margin = if self.learned[q.slot].work_ratio.known().is_some() { 1.0 } else { COLD_MARGIN };
-        sent <= 0.0 && n.chance_until > self.now && n.chance < margin * mean / (self.gateways * work)
+        let margin = if self.learned[q.slot].work_ratio.known().is_some() {
+            1.0
+        } else {
+            COLD_MARGIN
+        };
+        sent <= 0.0
+            && n.chance_until > self.now
+            && n.chance < margin * mean / (self.gateways * work)
     }
 
     /// Rule 7.
     pub(super) fn within_budget(&self) -> bool {
-        let Some(b) = self.s.resend_budget else { return true };
+        let Some(b) = self.s.resend_budget else {
+            return true;
+        };
         let from = self.now.saturating_sub(b.span);
         self.book.extra_since(from) + 1.0 <= b.free + b.share * self.book.taken_since(from)
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -60,13 +60,19 @@
 
 impl Fit {
     pub fn learn(&mut self, estimate: f64, need: f64, least_gain: f64) {
-        let (Some(x), Some(y)) = (log(estimate), log(need)) else { return };
+        let (Some(x), Some(y)) = (log(estimate), log(need)) else {
+            return;
+        };
         self.count += 1.0;
         let gain = (1.0 / self.count).max(least_gain);
         let (dx, dy) = (x - self.x, y - self.y);
         self.x += gain * dx;
         self.y += gain * dy;
-        for (sum, product) in [(&mut self.xx, dx * dx), (&mut self.xy, dx * dy), (&mut self.yy, dy * dy)] {
+        for (sum, product) in [
+            (&mut self.xx, dx * dx),
+            (&mut self.xy, dx * dy),
+            (&mut self.yy, dy * dy),
+        ] {
             *sum = (1.0 - gain) * (*sum + gain * product);
         }
     }
@@ -148,7 +154,10 @@
 
 /// A number from 0 to 1 that stays with a gateway and an engine, and is as good as drawn for each pair.
 pub(crate) fn lot(own: u64, engine: EngineId) -> f64 {
-    let mut z = own ^ u64::from(engine).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut z = own
+        ^ u64::from(engine)
+            .wrapping_add(1)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     ((z ^ (z >> 31)) >> 11) as f64 / (1u64 << 53) as f64
--- a/src/state/book.rs
+++ b/src/state/book.rs
@@ -27,7 +27,12 @@
 impl Book {
     pub fn new(classes: usize) -> Self {
         let queues = vec![BTreeMap::new(); classes];
-        Book { untried: queues.clone(), queues, out: vec![0; classes], ..Book::default() }
+        Book {
+            untried: queues.clone(),
+            queues,
+            out: vec![0; classes],
+            ..Book::default()
+        }
     }
 
     pub fn get(&self, id: QueryId) -> Option<&Query> {
@@ -44,7 +49,10 @@
     }
 
     pub fn stream(&mut self, id: QueryId) {
-        self.queries.get_mut(&id).into_iter().for_each(|q| q.streaming = true);
+        self.queries
+            .get_mut(&id)
+            .into_iter()
+            .for_each(|q| q.streaming = true);
     }
 
     /// Forgets what was taken and sent again before a time.
@@ -97,7 +105,11 @@
             self.queues[q.slot].remove(&q.seq);
             self.untried[q.slot].remove(&q.seq);
             self.held -= 1;
-            self.held_work = if self.held == 0 { 0.0 } else { self.held_work - q.work };
+            self.held_work = if self.held == 0 {
+                0.0
+            } else {
+                self.held_work - q.work
+            };
         }
     }
 
@@ -117,8 +129,15 @@
     /// The oldest of each queue, the oldest of them first. Where no query may be sent again, the oldest that
     /// have had no attempt yet: one that waits for the resend budget must not keep those behind it waiting.
     pub fn heads(&self, may_resend: bool) -> Vec<QueryId> {
-        let queues = if may_resend { &self.queues } else { &self.untried };
-        let mut heads: Vec<_> = queues.iter().filter_map(BTreeMap::first_key_value).collect();
+        let queues = if may_resend {
+            &self.queues
+        } else {
+            &self.untried
+        };
+        let mut heads: Vec<_> = queues
+            .iter()
+            .filter_map(BTreeMap::first_key_value)
+            .collect();
         heads.sort_unstable();
         heads.into_iter().map(|(_, id)| *id).collect()
     }
--- a/src/state/counts.rs
+++ b/src/state/counts.rs
@@ -31,11 +31,18 @@
 
     fn add_healthy(&mut self, node: &Node) {
         self.healthy += 1;
-        for (class, _) in node.class_health.iter().filter(|(_, health)| health.ejected) {
+        for (class, _) in node
+            .class_health
+            .iter()
+            .filter(|(_, health)| health.ejected)
+        {
             if self.shunned.len() <= *class {
                 self.shunned.resize(*class + 1, 0);
             }
-            self.shunned.get_mut(*class).into_iter().for_each(|count| *count += 1);
+            self.shunned
+                .get_mut(*class)
+                .into_iter()
+                .for_each(|count| *count += 1);
         }
     }
 
--- a/src/state/order.rs
+++ b/src/state/order.rs
@@ -22,7 +22,12 @@
 impl Order {
     /// An empty order; `own` is the gateway's number, `zone` where it is.
     pub fn new(own: u64, zone: Option<u32>) -> Self {
-        Order { own, zone, all: Vec::new(), near: Vec::new() }
+        Order {
+            own,
+            zone,
+            all: Vec::new(),
+            near: Vec::new(),
+        }
     }
 
     /// Forgets all engines.
@@ -37,7 +42,11 @@
         let listed = engine.state != EngineState::Gone;
         put(&mut self.all, place, listed);
         if self.zone.is_some() {
-            put(&mut self.near, place, listed && self.zone == Some(engine.zone));
+            put(
+                &mut self.near,
+                place,
+                listed && self.zone == Some(engine.zone),
+            );
         }
     }
 
@@ -47,10 +56,20 @@
     }
 
     /// So many engines drawn by chance, each alike, from the first `among` places; some may come twice.
-    pub fn draw(&self, near: bool, among: usize, count: usize, rng: &mut impl RngCore) -> Vec<EngineId> {
+    pub fn draw(
+        &self,
+        near: bool,
+        among: usize,
+        count: usize,
+        rng: &mut impl RngCore,
+    ) -> Vec<EngineId> {
         let places = self.places(near);
         let first = places.get(..among.min(places.len())).unwrap_or_default();
-        let mut draw = || first.get(rng.next_u32() as usize % first.len().max(1)).map(|(_, engine)| *engine);
+        let mut draw = || {
+            first
+                .get(rng.next_u32() as usize % first.len().max(1))
+                .map(|(_, engine)| *engine)
+        };
         (0..count).filter_map(|_| draw()).collect()
     }
 
--- a/src/state/order/tests.rs
+++ b/src/state/order/tests.rs
@@ -8,7 +8,14 @@
 use super::*;
 
 fn engine(id: EngineId, zone: u32, state: EngineState) -> Engine {
-    Engine { id, zone, kind: 0, cell: 0, state, started: None }
+    Engine {
+        id,
+        zone,
+        kind: 0,
+        cell: 0,
+        state,
+        started: None,
+    }
 }
 
 fn state(number: u8) -> EngineState {
@@ -26,7 +33,11 @@
 }
 
 fn places(order: &Order, near: bool) -> Vec<EngineId> {
-    order.places(near).iter().map(|(_, engine)| *engine).collect()
+    order
+        .places(near)
+        .iter()
+        .map(|(_, engine)| *engine)
+        .collect()
 }
 
 proptest! {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -6,15 +6,16 @@
 use std::fmt;
 
 use crate::interface::{
-    Action, Class, Cost, DedupGroup, Effect, Ended, Engine, EngineId, EngineState, Event, Kind, ListScope,
-    Load, Micros, NewQuery, Outcome, Progress, QueryId, ResendBudget, Settings,
+    Action, Class, Cost, DedupGroup, Effect, Ended, Engine, EngineId, EngineState, Event, Kind,
+    ListScope, Load, Micros, NewQuery, Outcome, Progress, QueryId, ResendBudget, Settings,
 };
 use crate::rules::Gateway;
 
 mod form;
 
 use form::{
-    Answer, Batch, Entry, Line, Reply, Scope, State, Status, WireClass, WireEffect, WireGroup, WireSettings,
+    Answer, Batch, Entry, Line, Reply, Scope, State, Status, WireClass, WireEffect, WireGroup,
+    WireSettings,
 };
 
 /// What was wrong with a line.
@@ -99,7 +100,11 @@
         reports_utilisation: report_field(w, "utilization").is_some(),
         max_attempts: w.limits.max_attempts,
         second_copies: w.limits.second_copies,
-        max_retry_after: w.limits.max_retry_after.filter(|_| w.limits.retry_after).map(micros),
+        max_retry_after: w
+            .limits
+            .max_retry_after
+            .filter(|_| w.limits.retry_after)
+            .map(micros),
         grants: d.grants,
         most_grant: d.most_grant,
         priorities: d.priorities,
@@ -131,8 +136,17 @@
 
 /// What a report tells. Values that are missing or no share or count are left out.
 fn load(fields: &ReportFields, row: Option<&[f64]>) -> Load {
-    let value = |i: usize| fields[i].and_then(|at| row?.get(at).copied()).filter(|v| *v >= 0.0);
-    Load { utilisation: value(0), disks: value(1), memory: value(2), waiting: value(3) }
+    let value = |i: usize| {
+        fields[i]
+            .and_then(|at| row?.get(at).copied())
+            .filter(|v| *v >= 0.0)
+    };
+    Load {
+        utilisation: value(0),
+        disks: value(1),
+        memory: value(2),
+        waiting: value(3),
+    }
 }
 
 /// One gateway with the names that the wire gave its engines.
@@ -160,21 +174,49 @@
         let rid = |q: QueryId| format!("{q:016x}");
         let node = |e: EngineId| self.names.get(e as usize).cloned().unwrap_or_default();
         match action {
-            Action::Terms { query, memory_mb, priority } => {
-                Answer::Terms { gateway, rid: rid(query), memory: memory_mb, rank: priority }
-            }
-            Action::Send { query, engine, timeout } => {
-                Answer::HandOff { gateway, rid: rid(query), node: node(engine), within: seconds(timeout) }
-            }
-            Action::Cancel { query, attempt } => {
-                Answer::DropAttempt { gateway, rid: rid(query), round_no: attempt }
-            }
-            Action::Refuse { query, retry_after } => {
-                Answer::Shed { gateway, rid: rid(query), stay_away: seconds(retry_after) }
-            }
-            Action::Fail { query } => Answer::RespondError { gateway, rid: rid(query) },
-            Action::Wake { at } => Answer::Timer { gateway, moment: seconds(at), nonce: "wake" },
-            Action::Follow => Answer::Follow { gateway, active: true },
+            Action::Terms {
+                query,
+                memory_mb,
+                priority,
+            } => Answer::Terms {
+                gateway,
+                rid: rid(query),
+                memory: memory_mb,
+                rank: priority,
+            },
+            Action::Send {
+                query,
+                engine,
+                timeout,
+            } => Answer::HandOff {
+                gateway,
+                rid: rid(query),
+                node: node(engine),
+                within: seconds(timeout),
+            },
+            Action::Cancel { query, attempt } => Answer::DropAttempt {
+                gateway,
+                rid: rid(query),
+                round_no: attempt,
+            },
+            Action::Refuse { query, retry_after } => Answer::Shed {
+                gateway,
+                rid: rid(query),
+                stay_away: seconds(retry_after),
+            },
+            Action::Fail { query } => Answer::RespondError {
+                gateway,
+                rid: rid(query),
+            },
+            Action::Wake { at } => Answer::Timer {
+                gateway,
+                moment: seconds(at),
+                nonce: "wake",
+            },
+            Action::Follow => Answer::Follow {
+                gateway,
+                active: true,
+            },
         }
     }
 }
@@ -202,10 +244,12 @@
         let mut json = serde_json::Deserializer::from_str(line);
         let batch: Batch = serde_path_to_error::deserialize(&mut json)
             .map_err(|e| WireError(format!("field `{}`: {}", e.path(), e.inner())))?;
-        json.end().map_err(|e| WireError(format!("after the batch: {e}")))?;
+        json.end()
+            .map_err(|e| WireError(format!("after the batch: {e}")))?;
         let now = micros(batch.clock);
         for (i, line) in batch.events.into_iter().enumerate() {
-            self.take(line).map_err(|what| WireError(format!("events[{i}]: {what}")))?;
+            self.take(line)
+                .map_err(|what| WireError(format!("events[{i}]: {what}")))?;
         }
         let mut answers = Vec::new();
         let mut actions = Vec::new();
@@ -225,7 +269,8 @@
             value.ok_or_else(|| format!("field `{field}` is missing"))
         }
         if line.cmd == "ledger" {
-            self.ledgers.insert(need(line.slot, "slot")?, need(line.lines, "lines")?);
+            self.ledgers
+                .insert(need(line.slot, "slot")?, need(line.lines, "lines")?);
             return Ok(());
         }
         let number = need(line.gateway, "gateway")?;
@@ -238,7 +283,8 @@
             let instance = Instance {
                 gateway: Gateway::new(settings(&wire), need(line.salt, "salt")?),
                 tells_cost: wire.domain.tells_cost,
-                report_fields: ["utilization", "x1", "x0", "backlog"].map(|f| report_field(&wire, f)),
+                report_fields: ["utilization", "x1", "x0", "backlog"]
+                    .map(|f| report_field(&wire, f)),
                 ids: BTreeMap::new(),
                 names: Vec::new(),
                 pending: vec![Event::Woke],
@@ -310,7 +356,11 @@
                     (3, 2) => Progress::WaitsForLoad,
                     _ => return Ok(()),
                 };
-                Event::Note { query: rid()?, attempt: need(line.round_no, "round-no")?, progress }
+                Event::Note {
+                    query: rid()?,
+                    attempt: need(line.round_no, "round-no")?,
+                    progress,
+                }
             }
             "started" => Event::Started { query: rid()? },
             "completed" => Event::Ended(Ended {
@@ -332,7 +382,10 @@
                 cost: line
                     .stats
                     .filter(|s| *s > 0 && instance.tells_cost)
-                    .map(|s| Cost { work: (s >> 12) * 1000, memory_mb: (s & 0xfff) as f64 * 4.0 }),
+                    .map(|s| Cost {
+                        work: (s >> 12) * 1000,
+                        memory_mb: (s & 0xfff) as f64 * 4.0,
+                    }),
                 load,
             }),
             "client-gone" => Event::ClientGone { query: rid()? },
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -46,35 +46,78 @@
     }
     for again in 1..50 {
         let id = id + again;
-        assert!(refused(&b.ask(NewQuery { repeat: true, ..query(id, S) }), id));
+        assert!(refused(
+            &b.ask(NewQuery {
+                repeat: true,
+                ..query(id, S)
+            }),
+            id
+        ));
     }
 }
 
 #[test]
 fn the_oldest_head_over_all_queues_goes_first() {
-    let mut b = Bench::new(settings(vec![class(10 * S), class(10 * S)], 1.0), vec![engine(0)]);
+    let mut b = Bench::new(
+        settings(vec![class(10 * S), class(10 * S)], 1.0),
+        vec![engine(0)],
+    );
     b.ask(query(1, S));
-    b.ask(NewQuery { class: 1, ..query(2, S) });
-    b.ask(NewQuery { class: 1, ..query(3, S) });
+    b.ask(NewQuery {
+        class: 1,
+        ..query(2, S)
+    });
+    b.ask(NewQuery {
+        class: 1,
+        ..query(3, S)
+    });
     b.ask(query(4, S));
     let sends = |actions: &[Action]| -> Vec<u64> {
         actions
             .iter()
-            .filter_map(|a| if let Action::Send { query, .. } = a { Some(*query) } else { None })
+            .filter_map(|a| {
+                if let Action::Send { query, .. } = a {
+                    Some(*query)
+                } else {
+                    None
+                }
+            })
             .collect()
     };
-    assert_eq!(sends(&b.end(1, 0, 0, Outcome::Completed)), [3, 4], "the older first, whatever its class");
+    assert_eq!(
+        sends(&b.end(1, 0, 0, Outcome::Completed)),
+        [3, 4],
+        "the older first, whatever its class"
+    );
 }
 
 #[test]
 fn a_head_that_does_not_fit_lets_another_class_pass() {
-    let wide = Class { threads: Some(2.0), ..class(10 * S) };
+    let wide = Class {
+        threads: Some(2.0),
+        ..class(10 * S)
+    };
     let mut b = Bench::new(settings(vec![wide, class(10 * S)], 1.0), vec![engine(0)]);
     b.ask(query(1, S));
-    assert_eq!(sent(&b.ask(NewQuery { class: 1, ..query(2, S) }), 2), Some(0));
-    b.ask(NewQuery { class: 1, ..query(3, S) });
+    assert_eq!(
+        sent(
+            &b.ask(NewQuery {
+                class: 1,
+                ..query(2, S)
+            }),
+            2
+        ),
+        Some(0)
+    );
+    b.ask(NewQuery {
+        class: 1,
+        ..query(3, S)
+    });
     b.ask(query(4, S));
-    b.ask(NewQuery { class: 1, ..query(5, S) });
+    b.ask(NewQuery {
+        class: 1,
+        ..query(5, S)
+    });
     // One wide query runs; another finds two threads too few, the younger narrow one does not.
     let actions = b.end(2, 0, 0, Outcome::Completed);
     assert_eq!((sent(&actions, 3), sent(&actions, 4)), (Some(0), None));
@@ -84,8 +127,13 @@
 
 #[test]
 fn the_engine_with_most_free_threads_is_chosen() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0), engine(1), engine(2)]);
-    let mut at: Vec<_> = (1..=3).map(|id| sent(&b.ask(query(id, S)), id).expect("there is room")).collect();
+    let mut b = Bench::new(
+        settings(vec![class(10 * S)], 8.0),
+        vec![engine(0), engine(1), engine(2)],
+    );
+    let mut at: Vec<_> = (1..=3)
+        .map(|id| sent(&b.ask(query(id, S)), id).expect("there is room"))
+        .collect();
     at.sort_unstable();
     assert_eq!(at, [0, 1, 2]);
 }
@@ -95,10 +143,17 @@
     let play = |seed| {
         let mut g = Gateway::new(settings(vec![class(S)], 2.0), seed);
         let mut out = Vec::new();
-        let list = Event::Engines { scope: ListScope::Whole, engines: (0..5).map(engine).collect() };
+        let list = Event::Engines {
+            scope: ListScope::Whole,
+            engines: (0..5).map(engine).collect(),
+        };
         g.handle(S, &[list], &mut out);
         for id in 1..200 {
-            g.handle(S + id * MS, &[Event::Arrived(query(id, 300 * MS))], &mut out);
+            g.handle(
+                S + id * MS,
+                &[Event::Arrived(query(id, 300 * MS))],
+                &mut out,
+            );
         }
         out
     };
@@ -112,13 +167,25 @@
     s.gateways = Some(0);
     s.note_period = None;
     let mut b = Bench::new(s, vec![]);
-    let odd = NewQuery { id: 1, class: 99, work: Some(0), time_left: 0, ..NewQuery::default() };
+    let odd = NewQuery {
+        id: 1,
+        class: 99,
+        work: Some(0),
+        time_left: 0,
+        ..NewQuery::default()
+    };
     let actions = b.ask(odd);
-    assert!(refused(&actions, 1), "its time is already over: {actions:?}");
+    assert!(
+        refused(&actions, 1),
+        "its time is already over: {actions:?}"
+    );
     b.end(77, 3, 9, Outcome::Completed);
     b.note(77, 0, linnetreach::interface::Progress::Done(f64::NAN));
     b.patch(engine(3));
     assert_eq!(sent(&b.ask(query(2, u64::MAX / 4)), 2), Some(3));
-    b.event(Event::Engines { scope: ListScope::Whole, engines: vec![] });
+    b.event(Event::Engines {
+        scope: ListScope::Whole,
+        engines: vec![],
+    });
     assert!(!refused(&b.end(2, 0, 3, Outcome::Completed), 2));
 }
--- a/tests/any_day.rs
+++ b/tests/any_day.rs
@@ -6,8 +6,8 @@
 
 use common::*;
 use linnetreach::interface::{
-    Class, Effect, Engine, EngineId, EngineState, ListScope, Micros, NewQuery, Outcome, Progress, QueryId,
-    ResendBudget,
+    Class, Effect, Engine, EngineId, EngineState, ListScope, Micros, NewQuery, Outcome, Progress,
+    QueryId, ResendBudget,
 };
 use linnetreach::{Action, Event, Settings};
 use proptest::prelude::*;
@@ -44,12 +44,21 @@
         for action in actions {
             match *action {
                 Action::Send { query, engine, .. } => {
-                    let q = self.queries.get_mut(&query).ok_or("sent an unknown query")?;
+                    let q = self
+                        .queries
+                        .get_mut(&query)
+                        .ok_or("sent an unknown query")?;
                     ensure(q.finals == 0, "sent after the final answer")?;
                     ensure(q.out.is_none(), "two attempts out")?;
-                    ensure(q.class != 1 || !q.may_have_run, "at_most_once may run twice")?;
+                    ensure(
+                        q.class != 1 || !q.may_have_run,
+                        "at_most_once may run twice",
+                    )?;
                     ensure(q.class != 2 || engine % 2 == 1, "sent outside its zone")?;
-                    ensure(!self.not_ready.contains(&engine), "sent to a draining engine")?;
+                    ensure(
+                        !self.not_ready.contains(&engine),
+                        "sent to a draining engine",
+                    )?;
                     let in_window = q.risk_at.is_none_or(|at| now < at + WINDOW);
                     ensure(q.class != 3 || in_window, "keyed and sent after its window")?;
                     q.out = Some(engine);
@@ -65,7 +74,10 @@
                 }
                 Action::Refuse { query, .. } | Action::Fail { query } => {
                     let refusal = matches!(action, Action::Refuse { .. });
-                    let q = self.queries.get_mut(&query).ok_or("answered an unknown query")?;
+                    let q = self
+                        .queries
+                        .get_mut(&query)
+                        .ok_or("answered an unknown query")?;
                     q.finals += 1;
                     ensure(q.finals == 1, "two final answers")?;
                     ensure(now <= q.deadline + GRACE, "answered too late")?;
@@ -79,7 +91,10 @@
     }
 
     fn overdue(&self, now: Micros) -> Result<(), String> {
-        let lost = self.queries.values().any(|q| q.finals == 0 && now > q.deadline + GRACE);
+        let lost = self
+            .queries
+            .values()
+            .any(|q| q.finals == 0 && now > q.deadline + GRACE);
         ensure(!lost, "a query was lost")
     }
 }
@@ -90,21 +105,45 @@
 
 fn fleet() -> Settings {
     // Two of the four classes have lost causes: their late answers earn nothing.
-    let hasty = Class { aim: Some(2 * S), late_worth: Some(0.0), ..class(10 * S) };
-    let bound = Class { only_zones: Some(vec![1]), ..hasty.clone() };
-    let keyed = Class { dedup_window: Some(WINDOW), ..with_effect(Effect::Deduplicated) };
-    let mut s = settings(vec![hasty, with_effect(Effect::AtMostOnce), bound, keyed], 4.0);
-    s.resend_budget = Some(ResendBudget { free: 2.0, share: 0.2, span: SPAN });
+    let hasty = Class {
+        aim: Some(2 * S),
+        late_worth: Some(0.0),
+        ..class(10 * S)
+    };
+    let bound = Class {
+        only_zones: Some(vec![1]),
+        ..hasty.clone()
+    };
+    let keyed = Class {
+        dedup_window: Some(WINDOW),
+        ..with_effect(Effect::Deduplicated)
+    };
+    let mut s = settings(
+        vec![hasty, with_effect(Effect::AtMostOnce), bound, keyed],
+        4.0,
+    );
+    s.resend_budget = Some(ResendBudget {
+        free: 2.0,
+        share: 0.2,
+        span: SPAN,
+    });
     s
 }
 
 fn member(id: EngineId, state: EngineState) -> Engine {
-    Engine { zone: id % 2, state, ..engine(id) }
+    Engine {
+        zone: id % 2,
+        state,
+        ..engine(id)
+    }
 }
 
 /// Plays one day of steps (what, which, how long); every attempt ends by its query's deadline.
 fn play(steps: &[(u8, u64, u64)]) -> Result<(), String> {
-    let mut b = Bench::new(fleet(), (0..4).map(|id| member(id, EngineState::Ready)).collect());
+    let mut b = Bench::new(
+        fleet(),
+        (0..4).map(|id| member(id, EngineState::Ready)).collect(),
+    );
     let mut c = Checker::default();
     let drain = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
     for (step, &(what, which, wait)) in steps.iter().chain(drain).enumerate() {
@@ -123,15 +162,32 @@
             c.actions(b.now, &woke)?;
             c.overdue(b.now)?;
         }
-        let out: Vec<_> = c.queries.iter().filter(|(_, q)| q.out.is_some()).map(|(id, _)| *id).collect();
+        let out: Vec<_> = c
+            .queries
+            .iter()
+            .filter(|(_, q)| q.out.is_some())
+            .map(|(id, _)| *id)
+            .collect();
         let picked = (!out.is_empty()).then(|| out[which as usize % out.len()]);
         match (what, picked) {
             (0..=3, _) => {
                 let (id, left) = (step as u64 + 1, (which % 80 + 1) * 100 * MS);
                 let class = (which % 4) as u32;
                 let repeat = which % 5 == 0;
-                let asked = NewQuery { class, time_left: left, repeat, ..query(id, (which % 40) * 50 * MS) };
-                c.queries.insert(id, Seen { class, deadline: b.now + left, ..Seen::default() });
+                let asked = NewQuery {
+                    class,
+                    time_left: left,
+                    repeat,
+                    ..query(id, (which % 40) * 50 * MS)
+                };
+                c.queries.insert(
+                    id,
+                    Seen {
+                        class,
+                        deadline: b.now + left,
+                        ..Seen::default()
+                    },
+                );
                 c.asks.push(b.now);
                 let actions = b.ask(asked);
                 c.actions(b.now, &actions)?;
@@ -149,25 +205,44 @@
             }
             (7, Some(id)) => {
                 let attempt = c.queries[&id].sends - 1;
-                let news = [Progress::Done(0.01), Progress::WaitsForMemory, Progress::Spills(9.0)];
+                let news = [
+                    Progress::Done(0.01),
+                    Progress::WaitsForMemory,
+                    Progress::Spills(9.0),
+                ];
                 let actions = b.note(id, attempt, news[which as usize % 3]);
                 c.actions(b.now, &actions)?;
             }
             (8, _) => {
                 let id = (which % 4) as EngineId;
-                let state = if which % 8 < 4 { EngineState::Draining } else { EngineState::Ready };
+                let state = if which % 8 < 4 {
+                    EngineState::Draining
+                } else {
+                    EngineState::Ready
+                };
                 if state == EngineState::Ready {
                     c.not_ready.remove(&id);
                 } else {
                     c.not_ready.insert(id);
                 }
-                let state_of =
-                    |e| if c.not_ready.contains(&e) { EngineState::Draining } else { EngineState::Ready };
+                let state_of = |e| {
+                    if c.not_ready.contains(&e) {
+                        EngineState::Draining
+                    } else {
+                        EngineState::Ready
+                    }
+                };
                 // Now a changed line, now all of them, as after a gap or from a copy that a restart left.
                 let (scope, engines) = match which % 3 {
                     0 => (ListScope::Patch, vec![member(id, state)]),
-                    1 => (ListScope::Whole, (0..4).map(|e| member(e, state_of(e))).collect()),
-                    _ => (ListScope::Stale, (0..4).map(|e| member(e, state_of(e))).collect()),
+                    1 => (
+                        ListScope::Whole,
+                        (0..4).map(|e| member(e, state_of(e))).collect(),
+                    ),
+                    _ => (
+                        ListScope::Stale,
+                        (0..4).map(|e| member(e, state_of(e))).collect(),
+                    ),
                 };
                 let list = Event::Engines { scope, engines };
                 let actions = b.event(list);
@@ -175,12 +250,20 @@
             }
             // The gateway is killed and comes back knowing the list alone; what it held is the clients' to repeat.
             (9, _) if which % 50 == 7 => {
-                let state_of =
-                    |e| if c.not_ready.contains(&e) { EngineState::Draining } else { EngineState::Ready };
+                let state_of = |e| {
+                    if c.not_ready.contains(&e) {
+                        EngineState::Draining
+                    } else {
+                        EngineState::Ready
+                    }
+                };
                 let now = b.now;
                 b = Bench::new(fleet(), (0..4).map(|e| member(e, state_of(e))).collect());
                 b.now = now;
-                c = Checker { not_ready: std::mem::take(&mut c.not_ready), ..Checker::default() };
+                c = Checker {
+                    not_ready: std::mem::take(&mut c.not_ready),
+                    ..Checker::default()
+                };
             }
             _ => {}
         }
@@ -204,11 +287,15 @@
 
 #[test]
 fn any_legal_day_keeps_the_rules() {
-    let config = Config { cases: 60, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 60,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let steps = prop::collection::vec((0u8..10, 0u64..10_000, 0u64..120), 20..150);
-    let outcome =
-        TestRunner::new_with_rng(config, rng).run(&steps, |steps| play(&steps).map_err(TestCaseError::fail));
+    let outcome = TestRunner::new_with_rng(config, rng)
+        .run(&steps, |steps| play(&steps).map_err(TestCaseError::fail));
     if let Err(e) = outcome {
         panic!("{e}");
     }
@@ -216,23 +303,51 @@
 
 #[test]
 fn each_check_can_fail() {
-    let send = |query, engine| Action::Send { query, engine, timeout: 0 };
-    let refuse = Action::Refuse { query: 1, retry_after: 0 };
+    let send = |query, engine| Action::Send {
+        query,
+        engine,
+        timeout: 0,
+    };
+    let refuse = Action::Refuse {
+        query: 1,
+        retry_after: 0,
+    };
     let fresh = |class| {
         let mut c = Checker::default();
-        c.queries.insert(1, Seen { class, deadline: S, ..Seen::default() });
+        c.queries.insert(
+            1,
+            Seen {
+                class,
+                deadline: S,
+                ..Seen::default()
+            },
+        );
         c
     };
-    let fails = |mut c: Checker, now, actions: &[Action]| c.actions(now, actions).expect_err("a broken rule");
-    assert_eq!(fails(fresh(0), 0, &[refuse, send(1, 0)]), "sent after the final answer");
-    assert_eq!(fails(fresh(0), 0, &[send(1, 0), send(1, 2)]), "two attempts out");
+    let fails = |mut c: Checker, now, actions: &[Action]| {
+        c.actions(now, actions).expect_err("a broken rule")
+    };
+    assert_eq!(
+        fails(fresh(0), 0, &[refuse, send(1, 0)]),
+        "sent after the final answer"
+    );
+    assert_eq!(
+        fails(fresh(0), 0, &[send(1, 0), send(1, 2)]),
+        "two attempts out"
+    );
     assert_eq!(fails(fresh(0), 0, &[refuse, refuse]), "two final answers");
     assert_eq!(fails(fresh(0), 2 * S, &[refuse]), "answered too late");
-    assert_eq!(fails(fresh(1), 0, &[send(1, 0), refuse]), "refused what may have run");
+    assert_eq!(
+        fails(fresh(1), 0, &[send(1, 0), refuse]),
+        "refused what may have run"
+    );
     assert_eq!(fails(fresh(2), 0, &[send(1, 0)]), "sent outside its zone");
     let mut c = fresh(3);
     c.queries.get_mut(&1).expect("there").risk_at = Some(0);
-    assert_eq!(fails(c, WINDOW, &[send(1, 0)]), "keyed and sent after its window");
+    assert_eq!(
+        fails(c, WINDOW, &[send(1, 0)]),
+        "keyed and sent after its window"
+    );
     let mut c = fresh(0);
     c.not_ready.insert(0);
     assert_eq!(fails(c, 0, &[send(1, 0)]), "sent to a draining engine");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use linnetreach::interface::{
-    Class, Effect, Ended, Engine, EngineId, EngineState, Kind, ListScope, Micros, NewQuery, Outcome,
-    Progress, QueryId,
+    Class, Effect, Ended, Engine, EngineId, EngineState, Kind, ListScope, Micros, NewQuery,
+    Outcome, Progress, QueryId,
 };
 use linnetreach::{Action, Event, Gateway, Settings};
 
@@ -11,18 +11,29 @@
 pub const S: Micros = 1_000_000;
 
 pub fn class(deadline: Micros) -> Class {
-    Class { deadline: Some(deadline), aim: Some(deadline), late_worth: Some(1.0), ..Class::default() }
+    Class {
+        deadline: Some(deadline),
+        aim: Some(deadline),
+        late_worth: Some(1.0),
+        ..Class::default()
+    }
 }
 
 pub fn with_effect(effect: Effect) -> Class {
-    Class { effect, ..class(10 * S) }
+    Class {
+        effect,
+        ..class(10 * S)
+    }
 }
 
 pub fn settings(classes: Vec<Class>, cores: f64) -> Settings {
     Settings {
         gateways: Some(1),
         classes,
-        kinds: vec![Kind { cores: Some(cores), memory_mb: None }],
+        kinds: vec![Kind {
+            cores: Some(cores),
+            memory_mb: None,
+        }],
         can_cancel: true,
         max_attempts: Some(4),
         max_retry_after: Some(60 * S),
@@ -33,7 +44,14 @@
 }
 
 pub fn engine(id: EngineId) -> Engine {
-    Engine { id, zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None }
+    Engine {
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state: EngineState::Ready,
+        started: None,
+    }
 }
 
 pub struct Bench {
@@ -47,8 +65,14 @@
     }
 
     pub fn seeded(settings: Settings, engines: Vec<Engine>, seed: u64) -> Self {
-        let mut bench = Bench { gateway: Gateway::new(settings, seed), now: S };
-        bench.event(Event::Engines { scope: ListScope::Whole, engines });
+        let mut bench = Bench {
+            gateway: Gateway::new(settings, seed),
+            now: S,
+        };
+        bench.event(Event::Engines {
+            scope: ListScope::Whole,
+            engines,
+        });
         bench
     }
 
@@ -65,14 +89,23 @@
     }
 
     pub fn patch(&mut self, engine: Engine) -> Vec<Action> {
-        self.event(Event::Engines { scope: ListScope::Patch, engines: vec![engine] })
+        self.event(Event::Engines {
+            scope: ListScope::Patch,
+            engines: vec![engine],
+        })
     }
 
     pub fn ask(&mut self, query: NewQuery) -> Vec<Action> {
         self.event(Event::Arrived(query))
     }
 
-    pub fn end(&mut self, query: QueryId, attempt: u32, engine: EngineId, outcome: Outcome) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        query: QueryId,
+        attempt: u32,
+        engine: EngineId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.end_after(query, attempt, engine, outcome, 100 * MS)
     }
 
@@ -85,18 +118,35 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let settled = outcome == Outcome::Completed;
-        let end =
-            Ended { query, attempt, engine, outcome, settled, elapsed, cost: None, load: Default::default() };
+        let end = Ended {
+            query,
+            attempt,
+            engine,
+            outcome,
+            settled,
+            elapsed,
+            cost: None,
+            load: Default::default(),
+        };
         self.event(Event::Ended(end))
     }
 
     pub fn note(&mut self, query: QueryId, attempt: u32, progress: Progress) -> Vec<Action> {
-        self.event(Event::Note { query, attempt, progress })
+        self.event(Event::Note {
+            query,
+            attempt,
+            progress,
+        })
     }
 }
 
 pub fn query(id: QueryId, work: Micros) -> NewQuery {
-    NewQuery { id, work: Some(work), time_left: 10 * S, ..NewQuery::default() }
+    NewQuery {
+        id,
+        work: Some(work),
+        time_left: 10 * S,
+        ..NewQuery::default()
+    }
 }
 
 /// Where the query was sent, if it was.
@@ -108,13 +158,19 @@
 }
 
 pub fn refused(actions: &[Action], id: QueryId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { query, .. } if *query == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse { query, .. } if *query == id))
 }
 
 pub fn failed(actions: &[Action], id: QueryId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { query } if *query == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Fail { query } if *query == id))
 }
 
 pub fn cancelled(actions: &[Action], id: QueryId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Cancel { query, .. } if *query == id))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Cancel { query, .. } if *query == id))
 }
--- a/tests/cordon.rs
+++ b/tests/cordon.rs
@@ -14,18 +14,31 @@
 /// back is enough for two calls out.
 #[test]
 fn an_engine_called_out_gets_nothing_until_the_call_back() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0), engine(1)]);
+    let mut b = Bench::new(
+        settings(vec![class(10 * S)], 8.0),
+        vec![engine(0), engine(1)],
+    );
     call(&mut b, 0, true);
     call(&mut b, 0, true);
     call(&mut b, 7, true); // before the list has it
     for state in [EngineState::Draining, EngineState::Gone, EngineState::Ready] {
         b.patch(Engine { state, ..engine(0) });
-        b.patch(Engine { state, started: Some(b.now), ..engine(7) });
+        b.patch(Engine {
+            state,
+            started: Some(b.now),
+            ..engine(7)
+        });
     }
-    b.event(Event::Engines { scope: ListScope::Whole, engines: vec![engine(0), engine(1), engine(7)] });
+    b.event(Event::Engines {
+        scope: ListScope::Whole,
+        engines: vec![engine(0), engine(1), engine(7)],
+    });
     assert_eq!(b.gateway.listed(), (3, 2));
     for id in 1..20 {
-        assert!(matches!(sent(&b.ask(query(id, 100 * MS)), id), Some(1) | None));
+        assert!(matches!(
+            sent(&b.ask(query(id, 100 * MS)), id),
+            Some(1) | None
+        ));
     }
     call(&mut b, 0, false);
     assert_eq!(b.gateway.listed(), (3, 1));
@@ -39,7 +52,11 @@
     b.ask(query(1, 100 * MS));
     call(&mut b, 0, true);
     b.end(1, 0, 0, Outcome::Refused);
-    assert_eq!(b.gateway.listed(), (1, 1), "called out and ejected counts once");
+    assert_eq!(
+        b.gateway.listed(),
+        (1, 1),
+        "called out and ejected counts once"
+    );
     for step in 1..40 {
         assert!(sent(&b.at(S + step * 200 * MS), 1).is_none());
     }
@@ -55,15 +72,27 @@
     let mut b = Bench::new(s, vec![engine(0), engine(1), engine(2)]);
     b.ask(query(1, 100 * MS));
     call(&mut b, 0, true);
-    b.event(Event::Probed { engine: 0, answered: false, load: Default::default() });
+    b.event(Event::Probed {
+        engine: 0,
+        answered: false,
+        load: Default::default(),
+    });
     b.now = 20 * S;
     call(&mut b, 0, false);
     assert_eq!(b.gateway.listed(), (3, 0));
     let first = sent(&b.ask(query(2, 100 * MS)), 2);
     assert_eq!(first, Some(0));
-    assert_ne!(sent(&b.ask(query(3, 100 * MS)), 3), Some(0), "one at a time until it has answered");
+    assert_ne!(
+        sent(&b.ask(query(3, 100 * MS)), 3),
+        Some(0),
+        "one at a time until it has answered"
+    );
     b.end(2, 0, 0, Outcome::Completed);
-    assert_ne!(sent(&b.ask(query(4, 100 * MS)), 4), Some(0), "it is the least free");
+    assert_ne!(
+        sent(&b.ask(query(4, 100 * MS)), 4),
+        Some(0),
+        "it is the least free"
+    );
     // With nowhere else to go, no more than its part goes to the cold one in a span.
     (1..=2).for_each(|e| call(&mut b, e, true));
     let work = (10..200).filter(|id| {
@@ -72,5 +101,8 @@
         went
     });
     let work = work.count();
-    assert!((1..=20).contains(&work), "{work} queries of 0.1 s against 2 x 8 cores x 0.25 x 1 s / 2");
+    assert!(
+        (1..=20).contains(&work),
+        "{work} queries of 0.1 s against 2 x 8 cores x 0.25 x 1 s / 2"
+    );
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,8 +18,16 @@
 type Engines<'a> = &'a dyn Fn(Micros, EngineId, u64) -> (Micros, Outcome);
 
 fn many() -> Settings {
-    let budget = ResendBudget { free: 3.0, share: 0.1, span: 5 * S };
-    Settings { gateways: Some(GATEWAYS), resend_budget: Some(budget), ..settings(vec![class(10 * S)], 8.0) }
+    let budget = ResendBudget {
+        free: 3.0,
+        share: 0.1,
+        span: 5 * S,
+    };
+    Settings {
+        gateways: Some(GATEWAYS),
+        resend_budget: Some(budget),
+        ..settings(vec![class(10 * S)], 8.0)
+    }
 }
 
 /// A number that is as good as drawn, the same in each run.
@@ -37,9 +45,18 @@
 }
 
 impl Seen {
-    fn count(&self, seconds: std::ops::Range<Micros>, which: impl Fn(EngineId) -> bool, ok: bool) -> u32 {
+    fn count(
+        &self,
+        seconds: std::ops::Range<Micros>,
+        which: impl Fn(EngineId) -> bool,
+        ok: bool,
+    ) -> u32 {
         let hit = |k: &(Micros, EngineId, bool)| seconds.contains(&k.0) && which(k.1) && k.2 == ok;
-        self.ended.iter().filter(|(k, _)| hit(k)).map(|(_, n)| n).sum()
+        self.ended
+            .iter()
+            .filter(|(k, _)| hit(k))
+            .map(|(_, n)| n)
+            .sum()
     }
 }
 
@@ -47,18 +64,24 @@
 fn play(seconds: Micros, engines: Engines) -> Seen {
     let mut seen = Seen::default();
     let mut due: BTreeSet<(Micros, usize, QueryId, u32, EngineId)> = BTreeSet::new();
-    let mut gateways: Vec<Gateway> =
-        (0..u64::from(GATEWAYS)).map(|g| Gateway::new(many(), draw(g + 1))).collect();
+    let mut gateways: Vec<Gateway> = (0..u64::from(GATEWAYS))
+        .map(|g| Gateway::new(many(), draw(g + 1)))
+        .collect();
     let mut tries: BTreeMap<(usize, QueryId), u32> = BTreeMap::new();
     let list: Vec<_> = (0..ENGINES).map(engine).collect();
     for (g, gateway) in gateways.iter_mut().enumerate() {
-        let news = Event::Engines { scope: linnetreach::interface::ListScope::Whole, engines: list.clone() };
+        let news = Event::Engines {
+            scope: linnetreach::interface::ListScope::Whole,
+            engines: list.clone(),
+        };
         gateway.handle(S, &[news], &mut Vec::new());
         // No engine, and no attempt: the next query, or a wake-up.
         due.insert((S + draw(g as u64) % (190 * MS), g, 0, 0, 0));
     }
     let mut next = 0;
-    while let Some((now, g, id, number, engine)) = due.pop_first().filter(|d| d.0 < (1 + seconds) * S) {
+    while let Some((now, g, id, number, engine)) =
+        due.pop_first().filter(|d| d.0 < (1 + seconds) * S)
+    {
         let mut events = Vec::new();
         if id > 0 && number > 0 {
             let (elapsed, outcome) = engines(now, engine, id * 7 + u64::from(number));
@@ -121,7 +144,12 @@
     let later = seen.count(5..12, bad, false);
     // 251 before, 106 after: each gateway tries one of them again in these 7 s, and hardly more.
     assert!(later <= 3 * GATEWAYS / 2, "{later} errors in 7 s");
-    assert!(seen.refused * 1000 <= seen.asked, "{} of {} refused", seen.refused, seen.asked);
+    assert!(
+        seen.refused * 1000 <= seen.asked,
+        "{} of {} refused",
+        seen.refused,
+        seen.asked
+    );
 }
 
 /// What ails an engine ends unannounced: it must not be shunned for long after.
--- a/tests/fleet_size.rs
+++ b/tests/fleet_size.rs
@@ -7,12 +7,17 @@
 use linnetreach::Event;
 
 fn of(gateways: u32) -> Settings {
-    Settings { gateways: Some(gateways), ..settings(vec![class(10 * S)], 8.0) }
+    Settings {
+        gateways: Some(gateways),
+        ..settings(vec![class(10 * S)], 8.0)
+    }
 }
 
 /// How many more queries find room now.
 fn room(b: &mut Bench, first: u64) -> u64 {
-    (first..first + 100).take_while(|id| sent(&b.ask(query(*id, S)), *id).is_some()).count() as u64
+    (first..first + 100)
+        .take_while(|id| sent(&b.ask(query(*id, S)), *id).is_some())
+        .count() as u64
 }
 
 /// Fewer gateways: this one's part of each engine grows; more: nothing new goes out until it is back within its part.
@@ -20,15 +25,26 @@
 fn the_part_of_each_engine_follows_the_count() {
     let mut b = Bench::new(of(4), vec![engine(0), engine(1)]);
     let part = room(&mut b, 1);
-    assert_eq!(part, 8, "2 engines of 8 cores, 2 threads a core, a quarter of them");
+    assert_eq!(
+        part, 8,
+        "2 engines of 8 cores, 2 threads a core, a quarter of them"
+    );
     b.event(Event::Fleet { gateways: 2 });
-    assert_eq!(room(&mut b, 1_000), 7, "twice as much, less the one that waits already");
+    assert_eq!(
+        room(&mut b, 1_000),
+        7,
+        "twice as much, less the one that waits already"
+    );
     b.event(Event::Fleet { gateways: 8 });
     b.event(Event::ClientGone { query: 1 });
     assert_eq!(sent(&b.ask(query(5_000, S)), 5_000), None);
     let mut fresh = Bench::new(of(4), vec![engine(0), engine(1)]);
     fresh.event(Event::Fleet { gateways: 0 });
-    assert_eq!(room(&mut fresh, 1), 32, "none at all counts as this one alone");
+    assert_eq!(
+        room(&mut fresh, 1),
+        32,
+        "none at all counts as this one alone"
+    );
 }
 
 /// Two gateways and one cold engine: whatever each is told and in whatever order, as long as what it was told is no less
@@ -43,7 +59,10 @@
         ..of(told)
     };
     for (first, second) in [(2, 2), (4, 2), (2, 3)] {
-        let fresh = Engine { started: Some(S), ..engine(0) };
+        let fresh = Engine {
+            started: Some(S),
+            ..engine(0)
+        };
         let mut both = [7, 8].map(|seed| Bench::seeded(cold(first), vec![fresh], seed));
         let mut out: Vec<(u64, u64)> = Vec::new();
         let mut running: Vec<(u64, usize, u64)> = Vec::new();
@@ -62,14 +81,24 @@
                 } else {
                     b.event(Event::ClientGone { query: id });
                 }
-                for (_, _, id) in running.iter().filter(|(at, of, _)| *of == g && at + 300 * MS == now) {
+                for (_, _, id) in running
+                    .iter()
+                    .filter(|(at, of, _)| *of == g && at + 300 * MS == now)
+                {
                     b.end_after(*id, 0, 0, Outcome::Completed, 300 * MS);
                 }
             }
-            let span: u64 = out.iter().filter(|(at, _)| at + S > now).map(|(_, w)| w).sum();
+            let span: u64 = out
+                .iter()
+                .filter(|(at, _)| at + S > now)
+                .map(|(_, w)| w)
+                .sum();
             let age = (step * 10) as f64 / 15_000.0;
             let bears = 2.5 * 8.0 * (0.3 + 0.7 * age) * S as f64;
-            assert!((span as f64) <= bears, "{first}, {second}: {span} of {bears} at step {step}");
+            assert!(
+                (span as f64) <= bears,
+                "{first}, {second}: {span} of {bears} at step {step}"
+            );
         }
         assert!(out.len() > 10, "it gets something: {}", out.len());
     }
--- a/tests/many_engines.rs
+++ b/tests/many_engines.rs
@@ -15,12 +15,24 @@
 const ZONES: u32 = 10;
 
 fn in_zone(id: EngineId) -> Engine {
-    Engine { zone: id % ZONES, ..engine(id) }
+    Engine {
+        zone: id % ZONES,
+        ..engine(id)
+    }
 }
 
 fn fleet(classes: Vec<Class>) -> Settings {
-    let budget = ResendBudget { free: 3.0, share: 0.1, span: 5 * S };
-    Settings { gateways: Some(7_600), zone: Some(3), resend_budget: Some(budget), ..settings(classes, 8.0) }
+    let budget = ResendBudget {
+        free: 3.0,
+        share: 0.1,
+        span: 5 * S,
+    };
+    Settings {
+        gateways: Some(7_600),
+        zone: Some(3),
+        resend_budget: Some(budget),
+        ..settings(classes, 8.0)
+    }
 }
 
 fn bench(classes: Vec<Class>, seed: u64) -> Bench {
@@ -28,10 +40,18 @@
 }
 
 /// So many queries one after the other, `gap` apart: where they went.
-fn one_by_one(b: &mut Bench, from: u64, count: u64, gap: u64, of: impl Fn(u64) -> NewQuery) -> Vec<EngineId> {
+fn one_by_one(
+    b: &mut Bench,
+    from: u64,
+    count: u64,
+    gap: u64,
+    of: impl Fn(u64) -> NewQuery,
+) -> Vec<EngineId> {
     let mut at = Vec::new();
     for id in from..from + count {
-        let Some(e) = sent(&b.ask(of(id)), id) else { continue };
+        let Some(e) = sent(&b.ask(of(id)), id) else {
+            continue;
+        };
         at.push(e);
         b.now += gap;
         b.end(id, 0, e, Outcome::Completed);
@@ -44,7 +64,12 @@
     let mut b = bench(vec![class(10 * S)], 1);
     let at = one_by_one(&mut b, 1, 300, 100 * MS, |id| query(id, 50 * MS));
     let met: BTreeSet<_> = at.iter().collect();
-    assert!(at.len() == 300 && met.len() <= 30, "{} engines met in {} queries", met.len(), at.len());
+    assert!(
+        at.len() == 300 && met.len() <= 30,
+        "{} engines met in {} queries",
+        met.len(),
+        at.len()
+    );
     assert!(at.iter().all(|e| e % ZONES == 3), "all in its own zone");
 }
 
@@ -52,8 +77,16 @@
 fn a_zone_that_is_lost_leaves_its_gateways_without_engines() {
     let mut b = bench(vec![class(10 * S)], 2);
     let lost = (0..ENGINES).filter(|e| e % ZONES == 3);
-    let engines = lost.map(|e| Engine { state: EngineState::Gone, ..in_zone(e) }).collect();
-    b.event(Event::Engines { scope: ListScope::Patch, engines });
+    let engines = lost
+        .map(|e| Engine {
+            state: EngineState::Gone,
+            ..in_zone(e)
+        })
+        .collect();
+    b.event(Event::Engines {
+        scope: ListScope::Patch,
+        engines,
+    });
     let at = one_by_one(&mut b, 1, 100, 10 * MS, |id| query(id, 10 * MS));
     assert!(at.len() == 100 && at.iter().all(|e| e % ZONES != 3));
 }
@@ -63,7 +96,10 @@
     let mut b = bench(vec![class(10 * S)], 3);
     one_by_one(&mut b, 1, 50, 10 * MS, |id| query(id, 10 * MS));
     let engines = (ENGINES..2 * ENGINES).map(in_zone).collect();
-    b.event(Event::Engines { scope: ListScope::Whole, engines });
+    b.event(Event::Engines {
+        scope: ListScope::Whole,
+        engines,
+    });
     let at = one_by_one(&mut b, 100, 50, 10 * MS, |id| query(id, 10 * MS));
     assert!(at.len() == 50 && at.iter().all(|e| *e >= ENGINES));
 }
@@ -73,19 +109,36 @@
     let mut b = bench(vec![class(10 * S)], 4);
     let spared = |e: &EngineId| *e == 1_234;
     for e in (0..ENGINES).filter(|e| !spared(e)) {
-        b.event(Event::Cordon { engine: e, out: true });
+        b.event(Event::Cordon {
+            engine: e,
+            out: true,
+        });
     }
     b.now += S;
     let at = one_by_one(&mut b, 1, 20, 100 * MS, |id| query(id, 10 * MS));
-    assert!(at.len() == 20 && at.iter().all(spared), "{} of 20 sent", at.len());
+    assert!(
+        at.len() == 20 && at.iter().all(spared),
+        "{} of 20 sent",
+        at.len()
+    );
 }
 
 #[test]
 fn a_class_that_is_bound_to_a_far_zone_finds_no_engine() {
-    let bound = Class { only_zones: Some(vec![7]), ..class(10 * S) };
+    let bound = Class {
+        only_zones: Some(vec![7]),
+        ..class(10 * S)
+    };
     let mut b = bench(vec![class(10 * S), bound], 5);
-    let at = one_by_one(&mut b, 1, 50, 100 * MS, |id| NewQuery { class: 1, ..query(id, 10 * MS) });
-    assert!(at.len() == 50 && at.iter().all(|e| e % ZONES == 7), "{} of 50 sent", at.len());
+    let at = one_by_one(&mut b, 1, 50, 100 * MS, |id| NewQuery {
+        class: 1,
+        ..query(id, 10 * MS)
+    });
+    assert!(
+        at.len() == 50 && at.iter().all(|e| e % ZONES == 7),
+        "{} of 50 sent",
+        at.len()
+    );
 }
 
 /// Busiest and mean of what gateways send to each engine of 1,200 when each keeps to its homes.
@@ -94,8 +147,17 @@
     let mut connections = BTreeSet::new();
     for gateway in gateways {
         // A short span of the budget, over which the rate is taken, so that it is known soon.
-        let resend_budget = Some(ResendBudget { free: 3.0, share: 0.1, span: S / 4 });
-        let s = Settings { gateways: Some(760), zone: None, resend_budget, ..fleet(vec![class(10 * S)]) };
+        let resend_budget = Some(ResendBudget {
+            free: 3.0,
+            share: 0.1,
+            span: S / 4,
+        });
+        let s = Settings {
+            gateways: Some(760),
+            zone: None,
+            resend_budget,
+            ..fleet(vec![class(10 * S)])
+        };
         let mut b = Bench::seeded(s, (0..1_200).map(engine).collect(), gateway * 7919 + 3);
         // Some 1,842 statements a second, once there are as many homes as that needs.
         one_by_one(&mut b, 1, 500, MS / 2, |id| query(id, MS));
@@ -105,7 +167,11 @@
         }
     }
     let mean = f64::from(load.values().sum::<u32>()) / load.len() as f64;
-    (connections, f64::from(load.values().copied().max().unwrap_or(0)), mean)
+    (
+        connections,
+        f64::from(load.values().copied().max().unwrap_or(0)),
+        mean,
+    )
 }
 
 /// A tenth of the size of the fleet ahead, with as many gateways to an engine: the busiest engine stays near the mean,
@@ -113,9 +179,19 @@
 #[test]
 fn subsets_pile_up_at_some_engines() {
     let (before, most, mean) = spread(0..760);
-    assert!(most < 1.5 * mean, "{most} at the busiest, {mean} on average");
+    assert!(
+        most < 1.5 * mean,
+        "{most} at the busiest, {mean} on average"
+    );
     let (after, most, mean) = spread(76..836);
-    assert!(most < 1.5 * mean, "{most} at the busiest, {mean} on average, after a tenth was replaced");
+    assert!(
+        most < 1.5 * mean,
+        "{most} at the busiest, {mean} on average, after a tenth was replaced"
+    );
     let kept = before.intersection(&after).count() as f64;
-    assert!(kept >= 0.85 * before.len() as f64, "{kept} of {} connections stay", before.len());
+    assert!(
+        kept >= 0.85 * before.len() as f64,
+        "{kept} of {} connections stay",
+        before.len()
+    );
 }
--- a/tests/missing_signals.rs
+++ b/tests/missing_signals.rs
@@ -10,7 +10,9 @@
 
 fn grant(actions: &[Action], id: u64) -> Option<f64> {
     actions.iter().find_map(|a| match a {
-        Action::Terms { query, memory_mb, .. } if *query == id => Some(*memory_mb),
+        Action::Terms {
+            query, memory_mb, ..
+        } if *query == id => Some(*memory_mb),
         _ => None,
     })
 }
@@ -24,11 +26,17 @@
         late_worth: Some(0.5),
         ..class(25 * S)
     };
-    Settings { note_period: None, ..settings(vec![report], 8.0) }
+    Settings {
+        note_period: None,
+        ..settings(vec![report], 8.0)
+    }
 }
 
 fn report(id: u64) -> NewQuery {
-    NewQuery { time_left: 25 * S, ..query(id, 2 * S) }
+    NewQuery {
+        time_left: 25 * S,
+        ..query(id, 2 * S)
+    }
 }
 
 /// Found on ia245da (kl-main): six runs were past a report's aim, so bad plans were never moved in time.
@@ -36,10 +44,17 @@
 fn a_bad_plan_is_kept_past_its_aim_where_no_notes_are_sent() {
     let mut b = Bench::new(without_notes(), vec![engine(0), engine(1)]);
     let first = sent(&b.ask(report(1)), 1).expect("there is room");
-    let moved = (0..100).find(|step| cancelled(&b.at(S + step * 50 * MS), 1)).expect("moved") * 50 * MS;
+    let moved = (0..100)
+        .find(|step| cancelled(&b.at(S + step * 50 * MS), 1))
+        .expect("moved")
+        * 50
+        * MS;
     // The aim is 4 s away and a fresh start takes one.
     assert!((2 * S..=3_050 * MS).contains(&moved), "moved after {moved}");
-    assert_eq!(sent(&b.end(1, 0, first, Outcome::Recalled), 1), Some(1 - first));
+    assert_eq!(
+        sent(&b.end(1, 0, first, Outcome::Recalled), 1),
+        Some(1 - first)
+    );
 }
 
 /// Found there too: a quiet gateway hears nothing else from an engine, and ejected nine in ten for bad plans and for
@@ -53,7 +68,11 @@
         let e = sent(&b.ask(report(id)), id)?;
         let step = if answered { S } else { 8 * S };
         b.at(b.now + step);
-        let outcome = if answered { Outcome::Completed } else { Outcome::Recalled };
+        let outcome = if answered {
+            Outcome::Completed
+        } else {
+            Outcome::Recalled
+        };
         b.end_after(id, 0, e, outcome, step);
         b.event(Event::ClientGone { query: id });
         Some(e)
@@ -67,16 +86,33 @@
         sends[sent(&b.ask(report(id)), id).expect("there is room") as usize] += 1;
     }
     let trusted = sends.iter().filter(|n| **n > 1).count();
-    assert!(trusted >= 7, "more than a trial at only {trusted} of 8: {sends:?}");
+    assert!(
+        trusted >= 7,
+        "more than a trial at only {trusted} of 8: {sends:?}"
+    );
 }
 
 /// Found on i621970 (rennes-main): with a bound under a thread the larger kind is always the freest; four of eight
 /// engines got 84% of the sends.
 #[test]
 fn small_engines_get_nothing_from_many_gateways() {
-    let mut s = Settings { gateways: Some(60), ..settings(vec![class(10 * S)], 8.0) };
-    s.kinds.push(Kind { cores: Some(16.0), memory_mb: None });
-    let mut b = Bench::new(s, (0..8).map(|id| Engine { kind: id % 2, ..engine(id) }).collect());
+    let mut s = Settings {
+        gateways: Some(60),
+        ..settings(vec![class(10 * S)], 8.0)
+    };
+    s.kinds.push(Kind {
+        cores: Some(16.0),
+        memory_mb: None,
+    });
+    let mut b = Bench::new(
+        s,
+        (0..8)
+            .map(|id| Engine {
+                kind: id % 2,
+                ..engine(id)
+            })
+            .collect(),
+    );
     let small = (1..=600).filter(|id| {
         let e = sent(&b.ask(query(*id, 50 * MS)), *id).expect("there is room");
         b.now += 50 * MS;
@@ -84,11 +120,17 @@
         e % 2 == 0
     });
     let small = small.count();
-    assert!((120..=280).contains(&small), "a third of the cores got {small} of 600");
+    assert!(
+        (120..=280).contains(&small),
+        "a third of the cores got {small} of 600"
+    );
 }
 
 fn granting() -> Settings {
-    let mut s = Settings { grants: true, ..settings(vec![class(10 * S)], 8.0) };
+    let mut s = Settings {
+        grants: true,
+        ..settings(vec![class(10 * S)], 8.0)
+    };
     s.kinds[0].memory_mb = Some(100_000.0);
     s
 }
@@ -99,9 +141,16 @@
 fn queries_spill_for_good_where_needs_are_not_told() {
     let mut b = Bench::new(granting(), vec![engine(0), engine(1)]);
     let ask = |b: &mut Bench, id, need: f64| {
-        let actions = b.ask(NewQuery { memory_mb: Some(100.0), ..query(id, 50 * MS) });
-        let (granted, e) = (grant(&actions, id).expect("a grant"), sent(&actions, id).expect("room"));
-        let moves = granted < need && cancelled(&b.note(id, 0, Progress::Spills(need - granted)), id);
+        let actions = b.ask(NewQuery {
+            memory_mb: Some(100.0),
+            ..query(id, 50 * MS)
+        });
+        let (granted, e) = (
+            grant(&actions, id).expect("a grant"),
+            sent(&actions, id).expect("room"),
+        );
+        let moves =
+            granted < need && cancelled(&b.note(id, 0, Progress::Spills(need - granted)), id);
         b.now += 50 * MS;
         let actions = b.end_after(id, 0, e, Outcome::Recalled, 5 * MS);
         b.event(Event::ClientGone { query: id });
@@ -117,7 +166,10 @@
     assert!(later > 200.0, "still granted {later}");
     // It gives back what is not needed.
     for id in 100..200 {
-        let actions = b.ask(NewQuery { memory_mb: Some(100.0), ..query(id, 50 * MS) });
+        let actions = b.ask(NewQuery {
+            memory_mb: Some(100.0),
+            ..query(id, 50 * MS)
+        });
         let e = sent(&actions, id).expect("room");
         b.end_after(id, 0, e, Outcome::Completed, 50 * MS);
     }
@@ -140,14 +192,21 @@
 fn a_keyed_load_stands_in_a_line_though_every_engine_drops_its_repeat() {
     for (wait, moves) in [(S, true), (14_500 * MS, false)] {
         let mut b = Bench::new(keyed(), vec![engine(0), engine(1)]);
-        let load = NewQuery { time_left: 25 * S, ..query(1, 2 * S) };
+        let load = NewQuery {
+            time_left: 25 * S,
+            ..query(1, 2 * S)
+        };
         let e = sent(&b.ask(load), 1).expect("there is room");
         // Notes keep it from passing for silent.
         for step in 1..=wait / (500 * MS) {
             b.now = S + step * 500 * MS;
             assert!(!cancelled(&b.note(1, 0, Progress::Done(0.95)), 1));
         }
-        assert_eq!(cancelled(&b.note(1, 0, Progress::WaitsForMemory), 1), moves, "after {wait}");
+        assert_eq!(
+            cancelled(&b.note(1, 0, Progress::WaitsForMemory), 1),
+            moves,
+            "after {wait}"
+        );
         if moves {
             assert_eq!(sent(&b.end(1, 0, e, Outcome::Recalled), 1), Some(1 - e));
         }
@@ -159,19 +218,43 @@
 #[test]
 fn a_keyed_load_is_held_long_after_its_window() {
     let mut b = Bench::new(keyed(), vec![engine(0)]);
-    let e = sent(&b.ask(NewQuery { time_left: 25 * S, ..query(1, 2 * S) }), 1).expect("there is room");
-    b.patch(Engine { state: linnetreach::interface::EngineState::Draining, ..engine(0) });
+    let e = sent(
+        &b.ask(NewQuery {
+            time_left: 25 * S,
+            ..query(1, 2 * S)
+        }),
+        1,
+    )
+    .expect("there is room");
+    b.patch(Engine {
+        state: linnetreach::interface::EngineState::Draining,
+        ..engine(0)
+    });
     b.now += S;
     assert_eq!(sent(&b.end(1, 0, e, Outcome::Severed), 1), None);
-    let answered = (2..260).find(|step| refused(&b.at(S + step * 100 * MS), 1)).expect("answered") * 100 * MS;
-    assert!((14 * S..=15_200 * MS).contains(&answered), "answered after {answered}");
+    let answered = (2..260)
+        .find(|step| refused(&b.at(S + step * 100 * MS), 1))
+        .expect("answered")
+        * 100
+        * MS;
+    assert!(
+        (14 * S..=15_200 * MS).contains(&answered),
+        "answered after {answered}"
+    );
 }
 
 /// One gateway of many with wide queries always at hand: how many threads it holds on average over 60 s of answers
 /// after two seconds each, with reports that engines are busy or idle.
 fn mean_threads(busy: f64) -> f64 {
-    let wide = Class { threads: Some(4.0), ..class(10 * S) };
-    let mut s = Settings { gateways: Some(160), reports_utilisation: true, ..settings(vec![wide], 8.0) };
+    let wide = Class {
+        threads: Some(4.0),
+        ..class(10 * S)
+    };
+    let mut s = Settings {
+        gateways: Some(160),
+        reports_utilisation: true,
+        ..settings(vec![wide], 8.0)
+    };
     s.note_period = None;
     let mut b = Bench::new(s, (0..20).map(engine).collect());
     let mut out = std::collections::VecDeque::new();
@@ -190,8 +273,15 @@
                 outcome: Outcome::Completed,
                 settled: true,
                 elapsed: 2 * S,
-                cost: Some(Cost { work: 8 * S, memory_mb: 0.0 }),
-                load: Load { utilisation: Some(0.3), disks: Some(busy), ..Load::default() },
+                cost: Some(Cost {
+                    work: 8 * S,
+                    memory_mb: 0.0,
+                }),
+                load: Load {
+                    utilisation: Some(0.3),
+                    disks: Some(busy),
+                    ..Load::default()
+                },
             };
             b.gateway.handle(b.now, &[Event::Ended(end)], &mut more);
             actions.extend(more);
@@ -211,7 +301,10 @@
 fn one_of_each_class_at_every_gateway_jams_the_disks() {
     // 2 x 8 x 20 / 160: two threads are this gateway's part.
     let (jammed, idle) = (mean_threads(0.95), mean_threads(0.3));
-    assert!((0.5..=2.6).contains(&jammed), "{jammed} threads while disks are busy");
+    assert!(
+        (0.5..=2.6).contains(&jammed),
+        "{jammed} threads while disks are busy"
+    );
     assert!(idle > 3.5, "{idle} threads while they are idle");
 }
 
@@ -219,13 +312,19 @@
 #[test]
 fn one_report_out_of_range_keeps_bounds_narrow_for_good() {
     let grown = |first: f64| {
-        let mut s = Settings { reports_utilisation: true, ..settings(vec![class(10 * S)], 8.0) };
+        let mut s = Settings {
+            reports_utilisation: true,
+            ..settings(vec![class(10 * S)], 8.0)
+        };
         (s.gateways, s.note_period) = (Some(160), None);
         let mut b = Bench::new(s, (0..20).map(engine).collect());
         let probed = |u| Event::Probed {
             engine: 0,
             answered: true,
-            load: Load { utilisation: Some(u), ..Load::default() },
+            load: Load {
+                utilisation: Some(u),
+                ..Load::default()
+            },
         };
         b.event(probed(first));
         let (mut id, mut out) = (0, std::collections::VecDeque::new());
@@ -233,7 +332,9 @@
             b.event(probed(0.2));
             loop {
                 id += 1;
-                let Some(e) = sent(&b.ask(query(id, S)), id) else { break };
+                let Some(e) = sent(&b.ask(query(id, S)), id) else {
+                    break;
+                };
                 out.push_back((id, e));
             }
             b.event(Event::ClientGone { query: id });
@@ -253,15 +354,20 @@
 #[test]
 fn a_busy_gateway_stays_narrow_though_reports_say_idle() {
     let held = |busy: f64| {
-        let mut s =
-            Settings { gateways: Some(160), reports_utilisation: true, ..settings(vec![class(10 * S)], 8.0) };
+        let mut s = Settings {
+            gateways: Some(160),
+            reports_utilisation: true,
+            ..settings(vec![class(10 * S)], 8.0)
+        };
         s.note_period = None;
         let mut b = Bench::new(s, (0..20).map(engine).collect());
         let (mut id, mut out) = (0, std::collections::VecDeque::new());
         for _ in 0..200 {
             loop {
                 id += 1;
-                let Some(e) = sent(&b.ask(query(id, S)), id) else { break };
+                let Some(e) = sent(&b.ask(query(id, S)), id) else {
+                    break;
+                };
                 out.push_back((id, e));
             }
             b.event(Event::ClientGone { query: id });
@@ -275,13 +381,22 @@
                 outcome: Outcome::Completed,
                 settled: true,
                 elapsed: 1_650 * MS,
-                cost: Some(Cost { work: S, memory_mb: 0.0 }),
-                load: Load { utilisation: Some(busy), ..Load::default() },
+                cost: Some(Cost {
+                    work: S,
+                    memory_mb: 0.0,
+                }),
+                load: Load {
+                    utilisation: Some(busy),
+                    ..Load::default()
+                },
             };
             b.event(Event::Ended(end));
         }
         out.len()
     };
     let (idle, busy) = (held(0.3), held(0.9));
-    assert!(idle > 8 && busy <= 2, "{idle} out while reports say idle, {busy} while they say busy");
+    assert!(
+        idle > 8 && busy <= 2,
+        "{idle} out while reports say idle, {busy} while they say busy"
+    );
 }
--- a/tests/resend_budget.rs
+++ b/tests/resend_budget.rs
@@ -11,11 +11,23 @@
 /// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a third time.
 fn spent_budget() -> Bench {
     let mut s = settings(vec![class(10 * S)], 1.0);
-    s.resend_budget = Some(ResendBudget { free: 1.0, share: 0.0, span: 5 * S });
+    s.resend_budget = Some(ResendBudget {
+        free: 1.0,
+        share: 0.0,
+        span: 5 * S,
+    });
     let mut b = Bench::new(s, vec![engine(0)]);
     assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(0));
-    assert_eq!(sent(&b.end(1, 0, 0, Outcome::Superseded), 1), Some(0), "the budget allows one");
-    assert_eq!(sent(&b.end(1, 1, 0, Outcome::Superseded), 1), None, "and no second one");
+    assert_eq!(
+        sent(&b.end(1, 0, 0, Outcome::Superseded), 1),
+        Some(0),
+        "the budget allows one"
+    );
+    assert_eq!(
+        sent(&b.end(1, 1, 0, Outcome::Superseded), 1),
+        None,
+        "and no second one"
+    );
     b
 }
 
@@ -27,12 +39,20 @@
 fn a_query_without_resend_budget_does_not_shut_out_first_attempts() {
     let mut b = spent_budget();
     for id in 2..=3 {
-        assert_eq!(sent(&asked(&mut b, id), id), Some(0), "query {id}: the engine is free");
+        assert_eq!(
+            sent(&asked(&mut b, id), id),
+            Some(0),
+            "query {id}: the engine is free"
+        );
     }
     // Both threads are taken: the next two wait, and each takes the place of one that is answered.
     for id in 4..=5 {
         assert_eq!(sent(&asked(&mut b, id), id), None);
-        assert_eq!(sent(&b.end(id - 2, 0, 0, Outcome::Completed), id), Some(0), "query {id}");
+        assert_eq!(
+            sent(&b.end(id - 2, 0, 0, Outcome::Completed), id),
+            Some(0),
+            "query {id}"
+        );
     }
 }
 
@@ -44,7 +64,11 @@
     assert_eq!(sent(&asked(&mut b, 4), 4), None);
     b.now += 6 * S;
     let actions = b.end(2, 0, 0, Outcome::Completed);
-    assert_eq!((sent(&actions, 1), sent(&actions, 4)), (Some(0), None), "query 1 is the oldest");
+    assert_eq!(
+        (sent(&actions, 1), sent(&actions, 4)),
+        (Some(0), None),
+        "query 1 is the oldest"
+    );
 }
 
 /// What is out, by query: the number of its attempt, and where it is.
@@ -65,7 +89,9 @@
     }
 
     fn end(&mut self, b: &mut Bench, outcome: Outcome) -> bool {
-        let Some((id, engine)) = self.out.pop_front() else { return false };
+        let Some((id, engine)) = self.out.pop_front() else {
+            return false;
+        };
         let actions = b.end_after(id, self.attempts[&id] - 1, engine, outcome, MS);
         self.take(&actions);
         true
@@ -75,7 +101,11 @@
 #[test]
 fn a_closed_loop_goes_on_while_some_of_its_queries_wait_for_budget() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    s.resend_budget = Some(ResendBudget { free: 3.0, share: 0.1, span: 5 * S });
+    s.resend_budget = Some(ResendBudget {
+        free: 3.0,
+        share: 0.1,
+        span: 5 * S,
+    });
     let mut b = Bench::new(s, (0..4).map(engine).collect());
     let mut out = Out::default();
     for id in 1..=100 {
@@ -91,5 +121,8 @@
         b.now += MS;
         out.take(&asked(&mut b, 100 + answered));
     }
-    assert_eq!(answered, 1000, "the loop stands still though the engines are free");
+    assert_eq!(
+        answered, 1000,
+        "the loop stands still though the engines are free"
+    );
 }
--- a/tests/seven_rules.rs
+++ b/tests/seven_rules.rs
@@ -9,10 +9,18 @@
 use linnetreach::{Action, Event};
 
 const NEVER_RAN: [Outcome; 3] = [Outcome::Saturated, Outcome::Refused, Outcome::Superseded];
-const MAY_HAVE_RUN: [Outcome; 4] = [Outcome::Errored, Outcome::Overdue, Outcome::Severed, Outcome::Recalled];
+const MAY_HAVE_RUN: [Outcome; 4] = [
+    Outcome::Errored,
+    Outcome::Overdue,
+    Outcome::Severed,
+    Outcome::Recalled,
+];
 
 fn draining(id: u32) -> Engine {
-    Engine { state: EngineState::Draining, ..engine(id) }
+    Engine {
+        state: EngineState::Draining,
+        ..engine(id)
+    }
 }
 
 #[test]
@@ -22,7 +30,11 @@
     let mut first = 0;
     for step in 0..300 {
         b.now = S + step * 50 * MS;
-        let actions = if step == 0 { b.ask(query(1, 100 * MS)) } else { b.event(Event::Woke) };
+        let actions = if step == 0 {
+            b.ask(query(1, 100 * MS))
+        } else {
+            b.event(Event::Woke)
+        };
         assert_eq!(sent(&actions, 1), None);
         if refused(&actions, 1) || failed(&actions, 1) {
             answers += 1;
@@ -35,7 +47,10 @@
 
 #[test]
 fn nothing_is_sent_after_the_client_has_gone() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0), engine(1)]);
+    let mut b = Bench::new(
+        settings(vec![class(10 * S)], 8.0),
+        vec![engine(0), engine(1)],
+    );
     let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
     let actions = b.event(Event::ClientGone { query: 1 });
     assert!(cancelled(&actions, 1) && !refused(&actions, 1) && !failed(&actions, 1));
@@ -54,15 +69,19 @@
 #[test]
 fn at_most_once_is_resent_only_when_it_never_ran() {
     for outcome in NEVER_RAN {
-        let mut b =
-            Bench::new(settings(vec![with_effect(Effect::AtMostOnce)], 8.0), vec![engine(0), engine(1)]);
+        let mut b = Bench::new(
+            settings(vec![with_effect(Effect::AtMostOnce)], 8.0),
+            vec![engine(0), engine(1)],
+        );
         let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
         let again = sent(&b.end(1, 0, e, outcome), 1);
         assert_eq!(again, Some(1 - e), "{outcome:?}");
     }
     for outcome in MAY_HAVE_RUN {
-        let mut b =
-            Bench::new(settings(vec![with_effect(Effect::AtMostOnce)], 8.0), vec![engine(0), engine(1)]);
+        let mut b = Bench::new(
+            settings(vec![with_effect(Effect::AtMostOnce)], 8.0),
+            vec![engine(0), engine(1)],
+        );
         let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
         let actions = b.end(1, 0, e, outcome);
         assert_eq!(sent(&actions, 1), None, "{outcome:?}");
@@ -85,14 +104,24 @@
         b.patch(zoned(1, other_zone));
         b.now += wait;
         let actions = b.end(1, 0, 0, Outcome::Errored);
-        assert_eq!(sent(&actions, 1).is_some(), expect, "zone {other_zone}, after {wait}");
-        assert!(!refused(&actions, 1), "a refusal would promise that a retry is harmless");
+        assert_eq!(
+            sent(&actions, 1).is_some(),
+            expect,
+            "zone {other_zone}, after {wait}"
+        );
+        assert!(
+            !refused(&actions, 1),
+            "a refusal would promise that a retry is harmless"
+        );
     }
 }
 
 #[test]
 fn two_attempts_are_never_out() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0), engine(1)]);
+    let mut b = Bench::new(
+        settings(vec![class(10 * S)], 8.0),
+        vec![engine(0), engine(1)],
+    );
     assert!(sent(&b.ask(query(1, 100 * MS)), 1).is_some());
     for step in 1..60 {
         assert_eq!(sent(&b.at(S + step * 100 * MS), 1), None);
@@ -101,13 +130,23 @@
 
 #[test]
 fn a_draining_or_vanished_engine_gets_nothing_new() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0), engine(1)]);
+    let mut b = Bench::new(
+        settings(vec![class(10 * S)], 8.0),
+        vec![engine(0), engine(1)],
+    );
     b.patch(draining(0));
     for id in 1..6 {
         assert_eq!(sent(&b.ask(query(id, 100 * MS)), id), Some(1));
     }
-    b.event(Event::Engines { scope: linnetreach::interface::ListScope::Whole, engines: vec![engine(0)] });
-    assert_eq!(sent(&b.ask(query(9, 100 * MS)), 9), Some(0), "it came back, the other vanished");
+    b.event(Event::Engines {
+        scope: linnetreach::interface::ListScope::Whole,
+        engines: vec![engine(0)],
+    });
+    assert_eq!(
+        sent(&b.ask(query(9, 100 * MS)), 9),
+        Some(0),
+        "it came back, the other vanished"
+    );
 }
 
 #[test]
@@ -115,7 +154,10 @@
     let mut s = settings(vec![class(10 * S)], 8.0);
     (s.gateways, s.cold_share, s.cold) = (Some(2), Some(0.25), Some(10 * S));
     (s.fall_multiple, s.fall) = (Some(2.0), Some(S));
-    let cold = Engine { started: Some(S), ..engine(0) };
+    let cold = Engine {
+        started: Some(S),
+        ..engine(0)
+    };
     let mut b = Bench::new(s, vec![cold]);
     let mut work = 0.0;
     for id in 1..100 {
@@ -133,13 +175,25 @@
 
 #[test]
 fn one_key_runs_one_at_a_time_in_order_and_rests() {
-    let mut s = settings(vec![Class { by_arrival: true, ..class(10 * S) }], 8.0);
+    let mut s = settings(
+        vec![Class {
+            by_arrival: true,
+            ..class(10 * S)
+        }],
+        8.0,
+    );
     s.turn_gap = Some(2 * S);
     let mut b = Bench::new(s, vec![engine(0), engine(1)]);
-    let keyed = |id, key| NewQuery { key: Some(key), ..query(id, 100 * MS) };
+    let keyed = |id, key| NewQuery {
+        key: Some(key),
+        ..query(id, 100 * MS)
+    };
     let e = sent(&b.ask(keyed(1, 5)), 1).expect("first in turn");
     assert_eq!(sent(&b.ask(keyed(2, 5)), 2), None);
-    assert!(sent(&b.ask(keyed(3, 6)), 3).is_some(), "another key is free");
+    assert!(
+        sent(&b.ask(keyed(3, 6)), 3).is_some(),
+        "another key is free"
+    );
     assert!(sent(&b.end(1, 0, e, Outcome::Completed), 2).is_some());
     // The second breaks off and gives up: the key rests before the third of it.
     b.ask(keyed(4, 5));
@@ -155,11 +209,26 @@
 
 #[test]
 fn a_bound_class_stays_within_its_zones_even_when_they_are_down() {
-    let c = Class { only_zones: Some(vec![1]), ..class(10 * S) };
-    let mut b = Bench::new(settings(vec![c], 8.0), vec![engine(0), Engine { zone: 1, ..engine(1) }]);
+    let c = Class {
+        only_zones: Some(vec![1]),
+        ..class(10 * S)
+    };
+    let mut b = Bench::new(
+        settings(vec![c], 8.0),
+        vec![
+            engine(0),
+            Engine {
+                zone: 1,
+                ..engine(1)
+            },
+        ],
+    );
     assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(1));
     assert_eq!(sent(&b.end(1, 0, 1, Outcome::Refused), 1), None);
-    b.patch(Engine { zone: 1, ..draining(1) });
+    b.patch(Engine {
+        zone: 1,
+        ..draining(1)
+    });
     let mut answered = false;
     for step in 1..200 {
         let actions = b.at(S + step * 50 * MS);
@@ -172,7 +241,11 @@
 #[test]
 fn further_attempts_stay_within_the_budget_at_its_edge() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    s.resend_budget = Some(ResendBudget { free: 1.0, share: 0.1, span: 5 * S });
+    s.resend_budget = Some(ResendBudget {
+        free: 1.0,
+        share: 0.1,
+        span: 5 * S,
+    });
     let mut b = Bench::new(s, (0..40).map(engine).collect());
     let mut at = Vec::new();
     for id in 1..=10 {
@@ -181,7 +254,10 @@
     let mut resent = 0;
     for (i, e) in at.iter().enumerate() {
         let actions = b.end(i as u64 + 1, 0, *e, Outcome::Saturated);
-        resent += actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        resent += actions
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
     }
     assert_eq!(resent, 2, "one free and a tenth of ten");
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,8 +3,7 @@
 use linnetreach::wire::Adapter;
 
 const BOOT: &str = r#"{"clock":1,"events":[{"cmd":"boot","gateway":3,"salt":5,"settings":{"novel":[1],"classes":[{"deadline":6}],"kinds":["k"],"domain":{"size-cores":[4]}}},{"cmd":"ledger","slot":0,"lines":[{"node":"10.0.0.1:9","state":"in_service"}]},{"cmd":"discovery","gateway":3,"slot":0,"serial":1,"how":"stale_copy"}]}"#;
-const ASK: &str =
-    r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"00000000000000ab","band":0,"remaining":6}]}"#;
+const ASK: &str = r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"00000000000000ab","band":0,"remaining":6}]}"#;
 
 #[test]
 fn a_query_goes_out_under_its_own_name() {
@@ -12,7 +11,9 @@
     a.line(BOOT).expect("legal");
     let reply = a.line(ASK).expect("legal");
     assert!(
-        reply.contains(r#""cmd":"hand-off","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9""#),
+        reply.contains(
+            r#""cmd":"hand-off","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9""#
+        ),
         "{reply}"
     );
 }
@@ -23,14 +24,26 @@
         ("{", "EOF"),
         (r#"{"clock":"x","events":[]}"#, "clock"),
         (r#"{"events":[]}"#, "clock"),
-        (r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"band":0,"remaining":6}]}"#, "rid"),
-        (r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"xyz","band":0,"remaining":6}]}"#, "rid"),
+        (
+            r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"band":0,"remaining":6}]}"#,
+            "rid",
+        ),
+        (
+            r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"xyz","band":0,"remaining":6}]}"#,
+            "rid",
+        ),
         (
             r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"00000000000000ab","band":-1}]}"#,
             "events[0].band",
         ),
-        (r#"{"clock":2,"events":[{"cmd":"discovery","gateway":3,"slot":7,"how":"whole"}]}"#, "slot"),
-        (r#"{"clock":2,"events":[{"cmd":"dance","gateway":3}]}"#, "cmd"),
+        (
+            r#"{"clock":2,"events":[{"cmd":"discovery","gateway":3,"slot":7,"how":"whole"}]}"#,
+            "slot",
+        ),
+        (
+            r#"{"clock":2,"events":[{"cmd":"dance","gateway":3}]}"#,
+            "cmd",
+        ),
     ] {
         let mut a = Adapter::new();
         a.line(BOOT).expect("legal");
@@ -44,11 +57,18 @@
     let mut a = Adapter::new();
     a.line(BOOT).expect("legal");
     a.line(ASK).expect("legal");
-    let again = BOOT.replacen(r#""events":["#, r#""events":[{"cmd":"shutdown","gateway":3},"#, 1);
+    let again = BOOT.replacen(
+        r#""events":["#,
+        r#""events":[{"cmd":"shutdown","gateway":3},"#,
+        1,
+    );
     a.line(&again).expect("legal");
     let late = r#"{"clock":3,"events":[{"cmd":"completed","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9","round-no":0,"status":"errored"}]}"#;
     assert_eq!(a.line(late).expect("legal").matches("rid").count(), 0);
-    assert!(a.line(r#"{"clock":3,"events":[]}"#).expect("legal").contains("[]"));
+    assert!(a
+        .line(r#"{"clock":3,"events":[]}"#)
+        .expect("legal")
+        .contains("[]"));
 }
 
 /// Rows of a report may be short, missing or hold what is no share; the settings may name fields that are not known.
@@ -66,6 +86,9 @@
         let end = r#"{"clock":3,"events":[{"cmd":"completed","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9","round-no":0,"status":"completed","settled":true,"metrics":ROW}]}"#;
         a.line(&end.replace("ROW", row)).expect(row);
         let again = ASK.replace("ab\"", "ac\"");
-        assert!(a.line(&again).expect("legal").contains("hand-off"), "after {row}");
+        assert!(
+            a.line(&again).expect("legal").contains("hand-off"),
+            "after {row}"
+        );
     }
 }
--- a/tools/linear/src/lib.rs
+++ b/tools/linear/src/lib.rs
@@ -47,8 +47,17 @@
 /// There are more than [`MOST`].
 #[must_use]
 pub fn fits(deeds: &[Deed]) -> bool {
-    fn go(deeds: &[Deed], done: u128, value: Option<u64>, seen: &mut HashSet<(u128, Option<u64>)>) -> bool {
-        let open: Vec<_> = deeds.iter().enumerate().filter(|(n, _)| done >> n & 1 == 0).collect();
+    fn go(
+        deeds: &[Deed],
+        done: u128,
+        value: Option<u64>,
+        seen: &mut HashSet<(u128, Option<u64>)>,
+    ) -> bool {
+        let open: Vec<_> = deeds
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| done >> n & 1 == 0)
+            .collect();
         if open.iter().all(|(_, d)| d.ended.is_none()) {
             return true;
         }
@@ -57,17 +66,23 @@
         }
         // The next one can't have begun after another had ended that is still to come.
         let end = open.iter().filter_map(|(_, d)| d.ended).min();
-        open.iter().filter(|(_, d)| end.is_none_or(|e| d.began <= e)).any(|(n, deed)| {
-            let next = match deed.call {
-                Call::Put(new) => Some(Some(new)),
-                Call::Cas(old, new, held) => {
-                    let holds = value == Some(old);
-                    held.is_none_or(|h| h == holds).then_some(if holds { Some(new) } else { value })
-                }
-                Call::Get(got) => (got == value).then_some(value),
-            };
-            next.is_some_and(|next| go(deeds, done | 1 << n, next, seen))
-        })
+        open.iter()
+            .filter(|(_, d)| end.is_none_or(|e| d.began <= e))
+            .any(|(n, deed)| {
+                let next = match deed.call {
+                    Call::Put(new) => Some(Some(new)),
+                    Call::Cas(old, new, held) => {
+                        let holds = value == Some(old);
+                        held.is_none_or(|h| h == holds).then_some(if holds {
+                            Some(new)
+                        } else {
+                            value
+                        })
+                    }
+                    Call::Get(got) => (got == value).then_some(value),
+                };
+                next.is_some_and(|next| go(deeds, done | 1 << n, next, seen))
+            })
     }
     assert!(deeds.len() <= MOST, "{} deeds, {MOST} at most", deeds.len());
     go(deeds, 0, None, &mut HashSet::new())
@@ -78,21 +93,40 @@
     use super::*;
 
     fn deed(call: Call, began: u64, ended: u64) -> Deed {
-        Deed { key: 0, call, began, ended: Some(ended) }
+        Deed {
+            key: 0,
+            call,
+            began,
+            ended: Some(ended),
+        }
     }
 
     /// What fits no order is noticed: an old value after a new one was told, and two that both exchange one value.
     #[test]
     fn what_fits_no_order_is_noticed() {
-        let stale = [deed(Call::Put(1), 0, 1), deed(Call::Put(2), 2, 3), deed(Call::Get(Some(1)), 4, 5)];
+        let stale = [
+            deed(Call::Put(1), 0, 1),
+            deed(Call::Put(2), 2, 3),
+            deed(Call::Get(Some(1)), 4, 5),
+        ];
         assert!(!fits(&stale) && fits(&stale[..2]));
-        let mut both = vec![deed(Call::Cas(1, 2, Some(true)), 2, 9), deed(Call::Cas(1, 3, Some(true)), 2, 9)];
+        let mut both = vec![
+            deed(Call::Cas(1, 2, Some(true)), 2, 9),
+            deed(Call::Cas(1, 3, Some(true)), 2, 9),
+        ];
         both.push(deed(Call::Put(1), 0, 1));
         assert!(!fits(&both));
         // One whose fate is not known may have taken effect, or not.
-        let unknown = Deed { ended: None, ..deed(Call::Put(7), 2, 0) };
+        let unknown = Deed {
+            ended: None,
+            ..deed(Call::Put(7), 2, 0)
+        };
         for seen in [1, 7] {
-            assert!(fits(&[deed(Call::Put(1), 0, 1), unknown.clone(), deed(Call::Get(Some(seen)), 5, 6)]));
+            assert!(fits(&[
+                deed(Call::Put(1), 0, 1),
+                unknown.clone(),
+                deed(Call::Get(Some(seen)), 5, 6)
+            ]));
         }
     }
 }
--- a/tools/prove/src/bin/prove-daemon.rs
+++ b/tools/prove/src/bin/prove-daemon.rs
@@ -149,7 +149,11 @@
             scope.spawn(move || operate(scene, operator, random(given.seed, 200 + operator)));
         }
         scope.spawn(move || call_out(scene, random(given.seed, 300)));
-        let made = disturb(scene, Duration::from_secs(given.seconds), random(given.seed, 400));
+        let made = disturb(
+            scene,
+            Duration::from_secs(given.seconds),
+            random(given.seed, 400),
+        );
         scene.over.store(true, SeqCst);
         made
     });
@@ -164,7 +168,10 @@
     let effects = counts.effects.values().copied().max().unwrap_or(0);
     println!(
         "trouble: {}",
-        made.iter().map(|(what, n)| format!("{what} {n}")).collect::<Vec<_>>().join(", ")
+        made.iter()
+            .map(|(what, n)| format!("{what} {n}"))
+            .collect::<Vec<_>>()
+            .join(", ")
     );
     println!(
         "clients: {} served, {} refused, {} failed, {} cut off by what was done to their instance, {} given up; \
@@ -185,20 +192,34 @@
     verdict.exactly("mixed", get(&t.mixed), 0);
     verdict.exactly("effects_a_key", u64::from(effects), 1);
     verdict.exactly("sent_on_stale_state", get(&t.stale), 0);
-    verdict.at_most("send_after_call_out_s", counts.latest_after_call.as_secs_f64(), LIMIT.as_secs_f64());
+    verdict.at_most(
+        "send_after_call_out_s",
+        counts.latest_after_call.as_secs_f64(),
+        LIMIT.as_secs_f64(),
+    );
     verdict.exactly("not_linearizable", unfit, 0);
     let crashed: u64 = cluster.instances.iter().map(|i| get(&i.crashed)).sum();
     verdict.exactly("crashed", crashed, 0);
     verdict.exactly("unsettled", u64::from(!settled), 0);
     // A proof in which nothing happens proves nothing.
-    let happened =
-        get(&t.served) > 20 * given.seconds && get(&t.changes) > 5 * given.seconds && get(&t.calls_out) > 0;
+    let happened = get(&t.served) > 20 * given.seconds
+        && get(&t.changes) > 5 * given.seconds
+        && get(&t.calls_out) > 0;
     verdict.exactly("too_little_happened", u64::from(!happened), 0);
     if get(&t.lost) + get(&t.stale) + unfit > 0 || !settled {
         for instance in &cluster.instances {
             let log = instance.log();
-            let tail: Vec<_> = log.lines().rev().filter(|l| l.contains("cluster")).take(25).collect();
-            println!("instance {}:\n{}", instance.id, tail.into_iter().rev().collect::<Vec<_>>().join("\n"));
+            let tail: Vec<_> = log
+                .lines()
+                .rev()
+                .filter(|l| l.contains("cluster"))
+                .take(25)
+                .collect();
+            println!(
+                "instance {}:\n{}",
+                instance.id,
+                tail.into_iter().rev().collect::<Vec<_>>().join("\n")
+            );
         }
     }
     Ok(())
@@ -240,7 +261,11 @@
                 "stopped"
             }
             5 => {
-                let one = if rng.next_u64() % 2 == 0 { cluster.leader().unwrap_or(one) } else { one };
+                let one = if rng.next_u64() % 2 == 0 {
+                    cluster.leader().unwrap_or(one)
+                } else {
+                    one
+                };
                 cluster.mesh.isolate(one.id, true);
                 lock(&scene.isolated).insert(one.id, Instant::now());
                 std::thread::sleep(between(&mut rng, 2_500, 6_000));
@@ -334,13 +359,21 @@
     }
 }
 
-fn over_pg(scene: &Scene<'_>, instance: &Instance, class: &str, hints: &str, fields: &str) -> Tried {
+fn over_pg(
+    scene: &Scene<'_>,
+    instance: &Instance,
+    class: &str,
+    hints: &str,
+    fields: &str,
+) -> Tried {
     let rid = scene.rid.fetch_add(1, SeqCst);
     let sql = format!(
         "/* method={class},rid={rid:016x},budget=10000,est=1.0,est_mb=1{fields} */ SELECT day FROM sales_17.plan /* {hints} */"
     );
     // A connection that can't be had is no request.
-    let Ok(mut pg) = instance.pg(PATIENCE) else { return Tried::Refused };
+    let Ok(mut pg) = instance.pg(PATIENCE) else {
+        return Tried::Refused;
+    };
     match pg.send(&sql).and_then(|()| pg.read()) {
         Ok(Ok(rows)) => Tried::Served(rows),
         Ok(Err(code)) if code.starts_with("53") || code == "57P03" => Tried::Refused,
@@ -355,7 +388,9 @@
     if let Some((_, order)) = key {
         ask["order_key"] = format!("{order:016x}").into();
     }
-    let Ok(mut http) = instance.http(PATIENCE) else { return Tried::Refused };
+    let Ok(mut http) = instance.http(PATIENCE) else {
+        return Tried::Refused;
+    };
     match http.ask(&ask, key.map(|k| k.0)).and_then(|()| http.read()) {
         Ok(reply) if reply.status == 200 => Tried::Served(reply.rows()),
         Ok(reply) if reply.status == 503 => Tried::Refused,
@@ -394,7 +429,13 @@
         let mut ended = None;
         while began.elapsed() < Duration::from_secs(3) && ended.is_none() {
             let instance = scene.cluster.any(rng.next_u64());
-            let reply = instance.call(method, &path, Some(&id), body.as_bytes(), Duration::from_secs(2));
+            let reply = instance.call(
+                method,
+                &path,
+                Some(&id),
+                body.as_bytes(),
+                Duration::from_secs(2),
+            );
             let json = |r: &violetgate_standin::client::Reply| r.json();
             match (&mut call, reply) {
                 (Call::Get(seen), Ok(r)) if r.status == 200 => {
@@ -420,7 +461,12 @@
         });
         // A read that nobody answered says nothing.
         if ended.is_some() || !read {
-            let deed = Deed { key, call, began: micros(began), ended: ended.map(micros) };
+            let deed = Deed {
+                key,
+                call,
+                began: micros(began),
+                ended: ended.map(micros),
+            };
             lock(&scene.history).push(deed);
         }
         std::thread::sleep(between(&mut rng, 5, 60));
@@ -444,7 +490,9 @@
         false
     };
     while !scene.over.load(SeqCst) {
-        let Some(engine) = ids.get(rng.next_u64() as usize % ids.len().max(1)) else { return };
+        let Some(engine) = ids.get(rng.next_u64() as usize % ids.len().max(1)) else {
+            return;
+        };
         if !agreed("PUT", engine, &mut rng) {
             return;
         }
@@ -476,21 +524,25 @@
 
 /// Puts at the leader, by so many clients at once for a while: how long each took, and how many a second.
 fn puts(cluster: &Cluster, clients: u64, span: Duration) -> (Histogram<u64>, f64) {
-    let Some(leader) = cluster.leader() else { return (histogram(), 0.0) };
+    let Some(leader) = cluster.leader() else {
+        return (histogram(), 0.0);
+    };
     let begun = Instant::now();
     let all = std::thread::scope(|scope| {
         let threads: Vec<_> = (0..clients)
             .map(|client| {
                 scope.spawn(move || {
                     let mut took = histogram();
-                    let connected = std::net::TcpStream::connect(&leader.api)
-                        .and_then(|s| violetgate_standin::client::Http::over(s, Duration::from_secs(5)));
+                    let connected = std::net::TcpStream::connect(&leader.api).and_then(|s| {
+                        violetgate_standin::client::Http::over(s, Duration::from_secs(5))
+                    });
                     let Ok(mut http) = connected else { return took };
                     while begun.elapsed() < span {
                         let at = Instant::now();
                         let path = format!("/v1/state?key=load/{client}");
-                        let reply =
-                            http.send("PUT", &path, &[], b"0123456789abcdef").and_then(|()| http.read());
+                        let reply = http
+                            .send("PUT", &path, &[], b"0123456789abcdef")
+                            .and_then(|()| http.read());
                         match reply {
                             Ok(r) if r.status == 200 => record(&mut took, at.elapsed()),
                             _ => break,
@@ -500,7 +552,10 @@
                 })
             })
             .collect();
-        threads.into_iter().filter_map(|t| t.join().ok()).collect::<Vec<_>>()
+        threads
+            .into_iter()
+            .filter_map(|t| t.join().ok())
+            .collect::<Vec<_>>()
     });
     let mut sum = histogram();
     for h in &all {
@@ -541,15 +596,22 @@
         if !cluster.settle(Duration::from_secs(10)) {
             return Err(std::io::Error::other("the cluster does not settle"));
         }
-        let Some(leader) = cluster.leader() else { continue };
+        let Some(leader) = cluster.leader() else {
+            continue;
+        };
         let begun = Instant::now();
         leader.kill();
         let id = format!("f-{n}");
-        let others: Vec<_> = cluster.instances.iter().filter(|i| i.id != leader.id).collect();
+        let others: Vec<_> = cluster
+            .instances
+            .iter()
+            .filter(|i| i.id != leader.id)
+            .collect();
         loop {
             let done = others.iter().any(|i| {
                 let path = "/v1/state?key=failover&within_ms=3000";
-                i.call("PUT", path, Some(&id), b"x", Duration::from_secs(4)).is_ok_and(|r| r.status == 200)
+                i.call("PUT", path, Some(&id), b"x", Duration::from_secs(4))
+                    .is_ok_and(|r| r.status == 200)
             });
             if done {
                 break;
@@ -572,13 +634,22 @@
 fn catch_up(given: &Given, verdict: &mut Verdict) -> Result<()> {
     for (how, every) in [("log", 1_000_000), ("snapshot", 2_000)] {
         let fleet = Fleet::start(2, Profile::default())?;
-        let cluster = Cluster::start(&given.program, &fleet, 3, &format!("  snapshot_every = {every}\n"))?;
+        let cluster = Cluster::start(
+            &given.program,
+            &fleet,
+            3,
+            &format!("  snapshot_every = {every}\n"),
+        )?;
         let leader = cluster.leader().map_or(0, |l| l.id);
-        let Some(away) = cluster.instances.iter().find(|i| i.id != leader) else { continue };
+        let Some(away) = cluster.instances.iter().find(|i| i.id != leader) else {
+            continue;
+        };
         away.kill();
         let (took, _) = puts(&cluster, 48, Duration::from_secs(5));
-        let wanted =
-            cluster.leader().map_or(0, |l| l.status().map_or(0, |s| s["revision"].as_u64().unwrap_or(0)));
+        let wanted = cluster.leader().map_or(0, |l| {
+            l.status()
+                .map_or(0, |s| s["revision"].as_u64().unwrap_or(0))
+        });
         let begun = Instant::now();
         away.restart()?;
         let current = |s: &Value| s["routes"] == true && s["revision"].as_u64() >= Some(wanted);
@@ -589,7 +660,10 @@
             std::thread::sleep(Duration::from_millis(2));
         }
         let ms = begun.elapsed().as_secs_f64() * 1e3;
-        println!("one that missed {} changes routes again {ms:.0} ms after its start, by {how}", took.len());
+        println!(
+            "one that missed {} changes routes again {ms:.0} ms after its start, by {how}",
+            took.len()
+        );
         verdict.at_most(&format!("catch_up_by_{how}_ms"), ms, 10_000.0);
     }
     Ok(())
--- a/tools/prove/src/bin/prove-fleet-rules.rs
+++ b/tools/prove/src/bin/prove-fleet-rules.rs
@@ -52,8 +52,11 @@
 
 impl Tally {
     fn least(&self, names: &[&'static str]) -> f64 {
-        let share =
-            |n: &&'static str| self.by.get(n).map_or(0.0, |(asked, served)| *served as f64 / *asked as f64);
+        let share = |n: &&'static str| {
+            self.by
+                .get(n)
+                .map_or(0.0, |(asked, served)| *served as f64 / *asked as f64)
+        };
         names.iter().map(share).fold(1.0, f64::min)
     }
 }
@@ -67,8 +70,11 @@
 }
 
 fn statement(class: &str, tenant: &str, rid: u64) -> String {
-    let keyed =
-        if class == "load" { format!(",token={rid:032x},obj={:016x}", rid % 7) } else { String::new() };
+    let keyed = if class == "load" {
+        format!(",token={rid:032x},obj={:016x}", rid % 7)
+    } else {
+        String::new()
+    };
     format!("/* method={class},rid={rid:016x},budget=4000,acct={tenant}{keyed} */ SELECT 1 FROM sales_17.orders /* ms=8 */")
 }
 
@@ -111,7 +117,9 @@
                 continue;
             };
             let sent = Instant::now();
-            let answer = pg.send(&statement(class, tenant, rid + again)).and_then(|()| pg.read());
+            let answer = pg
+                .send(&statement(class, tenant, rid + again))
+                .and_then(|()| pg.read());
             let mut tally = self.tally();
             match answer {
                 Ok(Ok(rows)) => {
@@ -122,7 +130,11 @@
                 Ok(Err(_)) => return false,
                 Err(e) => {
                     sessions[at] = None;
-                    if rested && again == 0 && sent.elapsed() < CROSSES && e.kind() != ErrorKind::WouldBlock {
+                    if rested
+                        && again == 0
+                        && sent.elapsed() < CROSSES
+                        && e.kind() != ErrorKind::WouldBlock
+                    {
                         tally.crossed += 1;
                         again = 1;
                         at = (at + 1) % self.listens.len();
@@ -142,7 +154,11 @@
     let mut open = Vec::new();
     for n in 0..count {
         let stream = TcpStream::connect(process.listen)?;
-        open.push((Pg::over(stream.try_clone()?, WAIT)?, stream, 0xdead_0000_0000 + n));
+        open.push((
+            Pg::over(stream.try_clone()?, WAIT)?,
+            stream,
+            0xdead_0000_0000 + n,
+        ));
     }
     process.signal(Signal::STOP);
     let mut rids = Vec::new();
@@ -156,14 +172,21 @@
 }
 
 fn in_progress(process: &Process) -> f64 {
-    process.figures().get("svc_in_progress").copied().unwrap_or(f64::NAN)
+    process
+        .figures()
+        .get("svc_in_progress")
+        .copied()
+        .unwrap_or(f64::NAN)
 }
 
 /// Clients whose requests wait for a further attempt, as all engines are full, leave: nothing of them is sent once that is
 /// seen. How many attempts were.
 fn leave_waiting(rig: &Rig, count: u64) -> Result<u64> {
     let engines = rig.engines();
-    engines.ids().iter().for_each(|id| engines.fault(id, Fault::Refuse));
+    engines
+        .ids()
+        .iter()
+        .for_each(|id| engines.fault(id, Fault::Refuse));
     let process = &rig.all[0];
     let (mut open, mut rids) = (Vec::new(), Vec::new());
     for n in 0..count {
@@ -175,13 +198,24 @@
     }
     let tried = engines.wait_for(|c| rids.iter().any(|rid| c.by_request.contains_key(rid)));
     drop(open);
-    let gone = rig.wait(WAIT, |rig| in_progress(&rig.all[0]) == 0.0).is_some();
+    let gone = rig
+        .wait(WAIT, |rig| in_progress(&rig.all[0]) == 0.0)
+        .is_some();
     if !tried || !gone {
-        return Err(std::io::Error::other(format!("not held as meant: tried {tried}, gone {gone}")));
+        return Err(std::io::Error::other(format!(
+            "not held as meant: tried {tried}, gone {gone}"
+        )));
     }
-    let sum = || rids.iter().filter_map(|rid| engines.counts().by_request.get(rid).copied()).sum::<u32>();
+    let sum = || {
+        rids.iter()
+            .filter_map(|rid| engines.counts().by_request.get(rid).copied())
+            .sum::<u32>()
+    };
     let before = sum();
-    engines.ids().iter().for_each(|id| engines.fault(id, Fault::None));
+    engines
+        .ids()
+        .iter()
+        .for_each(|id| engines.fault(id, Fault::None));
     let _ = rig.wait(WAIT, |rig| rig.all[0].serves(0xfeed_0000_0001));
     let _ = rig.wait(WAIT, |rig| rig.all[0].serves(0xfeed_0000_0002));
     Ok(u64::from(sum() - before))
@@ -190,7 +224,9 @@
 fn ready(rig: &mut Rig, i: usize) -> Option<Duration> {
     let rid = 0xabcd_0000_0000 + ((i as u64) << 16);
     let tries = AtomicU64::new(0);
-    rig.wait(Duration::from_secs(30), |rig| rig.all[i].serves(rid + tries.fetch_add(1, Ordering::Relaxed)))
+    rig.wait(Duration::from_secs(30), |rig| {
+        rig.all[i].serves(rid + tries.fetch_add(1, Ordering::Relaxed))
+    })
 }
 
 fn prove(given: &Given) -> Result<bool> {
@@ -204,7 +240,11 @@
         );
         most
     });
-    verdict.at_most("cold_sum_share", largest.into_iter().fold(0.0, f64::max), 1.0);
+    verdict.at_most(
+        "cold_sum_share",
+        largest.into_iter().fold(0.0, f64::max),
+        1.0,
+    );
 
     let program: PathBuf = std::env::current_exe()?.with_file_name("violetgate");
     let count = if given.short { 3 } else { 6 };
@@ -212,12 +252,20 @@
     for i in 0..count {
         ready(&mut rig, i);
     }
-    let (next, over, tally) =
-        (AtomicU64::new(given.seed << 32), AtomicBool::new(false), Mutex::new(Tally::default()));
+    let (next, over, tally) = (
+        AtomicU64::new(given.seed << 32),
+        AtomicBool::new(false),
+        Mutex::new(Tally::default()),
+    );
     let mut slowest = Duration::ZERO;
     let clients = 4 * count;
     let listens = rig.all.iter().map(|p| p.listen).collect();
-    let load = Load { listens, next: &next, over: &over, tally: &tally };
+    let load = Load {
+        listens,
+        next: &next,
+        over: &over,
+        tally: &tally,
+    };
     std::thread::scope(|scope| {
         let threads: Vec<_> = (0..clients).map(|_| scope.spawn(|| load.run())).collect();
         println!("{count} processes, {clients} clients; restarts one by one:");
@@ -230,7 +278,8 @@
                 }
                 let begun = Instant::now();
                 let _ = rig.all[i].start();
-                slowest = slowest.max(ready(&mut rig, i).map_or(Duration::MAX, |_| begun.elapsed()));
+                slowest =
+                    slowest.max(ready(&mut rig, i).map_or(Duration::MAX, |_| begun.elapsed()));
                 println!(
                     "  round {round}, process {i}: ended by itself {ended}, ready after {:?}",
                     begun.elapsed()
@@ -247,19 +296,33 @@
     let counts = rig.engines().counts();
     let mut tally = tally.into_inner().unwrap_or_else(PoisonError::into_inner);
     tally.second += counts.effects.values().filter(|n| **n > 1).count() as u64;
-    let asked: u64 = CLASSES.iter().filter_map(|c| tally.by.get(c)).map(|(asked, _)| asked).sum();
-    println!("{asked} requests, {} crossed a close and were sent again", tally.crossed);
+    let asked: u64 = CLASSES
+        .iter()
+        .filter_map(|c| tally.by.get(c))
+        .map(|(asked, _)| asked)
+        .sum();
+    println!(
+        "{asked} requests, {} crossed a close and were sent again",
+        tally.crossed
+    );
 
     println!("clients leave before they are read, and while they wait:");
     let unread = leave_unread(&rig.all[1], 20)?;
     let _ = ready(&mut rig, 1);
     let counts = rig.engines().counts();
-    let sent = unread.iter().filter(|rid| counts.by_request.contains_key(*rid)).count() as u64;
+    let sent = unread
+        .iter()
+        .filter(|rid| counts.by_request.contains_key(*rid))
+        .count() as u64;
     let waited = leave_waiting(&rig, 20)?;
     println!("  attempts for them: {sent} and {waited}");
 
     verdict.exactly("closes_unanswered", tally.unanswered, 0);
-    verdict.at_most("silent_watch_ms", counts.latest_after_drain.as_secs_f64() * 1e3, GRACE_MS);
+    verdict.at_most(
+        "silent_watch_ms",
+        counts.latest_after_drain.as_secs_f64() * 1e3,
+        GRACE_MS,
+    );
     verdict.exactly("second_answers", tally.second, 0);
     verdict.at_least("class_least", tally.least(&CLASSES), 0.5);
     verdict.at_least("tenant_least", tally.least(&TENANTS), 1.0 / 3.0);
--- a/tools/prove/src/bin/prove-rest.rs
+++ b/tools/prove/src/bin/prove-rest.rs
@@ -37,7 +37,8 @@
 
 /// Clients at a time.
 const CLIENTS: usize = 24;
-const RESULTS: &str = "  results_bytes = \"256MiB\"\n  results = 100000\n  idempotency_keys = 100000\n  \
+const RESULTS: &str =
+    "  results_bytes = \"256MiB\"\n  results = 100000\n  idempotency_keys = 100000\n  \
                        max_connections = 400";
 
 fn rid() -> String {
@@ -98,7 +99,11 @@
             ("six pages", "report", "ms=0 rows=654 width=55"),
         ] {
             // Six pages are 33 KB: at a fifth of the rate.
-            let (count, gap) = if name == "one page" { (count, gap) } else { (count / 5, gap * 5) };
+            let (count, gap) = if name == "one page" {
+                (count, gap)
+            } else {
+                (count / 5, gap * 5)
+            };
             let clients: Vec<Pg> = (0..CLIENTS).map(|_| program.pg()).collect::<Result<_>>()?;
             let each = |mut pg: Pg| {
                 move |_| pg.send(&sql(class, hints, "")).is_ok() && matches!(pg.read(), Ok(Ok(_)))
@@ -107,9 +112,14 @@
             let met = open_loop(clients.into_iter().map(each).collect(), count, gap);
             let used = program.cpu() - before;
             if turn == "measured" {
-                cpu.insert(("pg", name), row(&format!("PostgreSQL, {name}"), &met, used));
+                cpu.insert(
+                    ("pg", name),
+                    row(&format!("PostgreSQL, {name}"), &met, used),
+                );
             }
-            let clients: Vec<Http> = (0..CLIENTS).map(|_| program.http()).collect::<Result<_>>()?;
+            let clients: Vec<Http> = (0..CLIENTS)
+                .map(|_| program.http())
+                .collect::<Result<_>>()?;
             let body = ask(class, hints);
             let each = |mut http: Http| {
                 let (body, paths) = (&body, &paths);
@@ -126,11 +136,16 @@
             let met = open_loop(clients.into_iter().map(each).collect(), count, gap);
             let used = program.cpu() - before;
             if turn == "measured" {
-                cpu.insert(("rest", name), row(&format!("REST first page of {name}"), &met, used));
+                cpu.insert(
+                    ("rest", name),
+                    row(&format!("REST first page of {name}"), &met, used),
+                );
             }
         }
         let all = std::mem::take(&mut *paths.lock().unwrap_or_else(|e| e.into_inner()));
-        let clients: Vec<Http> = (0..CLIENTS).map(|_| program.http()).collect::<Result<_>>()?;
+        let clients: Vec<Http> = (0..CLIENTS)
+            .map(|_| program.http())
+            .collect::<Result<_>>()?;
         let each = |mut http: Http| {
             let all = &all;
             move |n: u64| {
@@ -139,16 +154,32 @@
             }
         };
         let before = program.cpu();
-        let met = open_loop(clients.into_iter().map(each).collect(), (all.len() as u64).min(count), gap);
+        let met = open_loop(
+            clients.into_iter().map(each).collect(),
+            (all.len() as u64).min(count),
+            gap,
+        );
         let used = program.cpu() - before;
         if turn == "measured" {
             cpu.insert(("rest", "later"), row("REST later page", &met, used));
         }
     }
     let of = |front, name| cpu.get(&(front, name)).copied().unwrap_or(f64::NAN);
-    verdict.at_most("first_page_cpu_ratio", of("rest", "one page") / of("pg", "one page"), 1.5);
-    verdict.at_most("first_of_six_cpu_ratio", of("rest", "six pages") / of("pg", "six pages"), 1.5);
-    verdict.at_most("later_page_cpu_ratio", of("rest", "later") / of("pg", "six pages"), 0.5);
+    verdict.at_most(
+        "first_page_cpu_ratio",
+        of("rest", "one page") / of("pg", "one page"),
+        1.5,
+    );
+    verdict.at_most(
+        "first_of_six_cpu_ratio",
+        of("rest", "six pages") / of("pg", "six pages"),
+        1.5,
+    );
+    verdict.at_most(
+        "later_page_cpu_ratio",
+        of("rest", "later") / of("pg", "six pages"),
+        0.5,
+    );
     let alone = of("rest", "later") / of("pg", "one page");
     verdict.figure("later_page_to_one_page_query", format!("{alone:.3}"));
     Ok(())
@@ -189,9 +220,14 @@
     let program = Program::start(&given.program, &fleet, RESULTS)?;
     let mut http = program.http()?;
     http.ask(&ask("report", "ms=0 rows=300 width=55"), None)?;
-    let id = http.read()?.json()["id"].as_str().unwrap_or_default().to_owned();
-    let near =
-        format!("/v1/queries/{}AAAAAA/pages/2", id.get(..id.len().saturating_sub(6)).unwrap_or_default());
+    let id = http.read()?.json()["id"]
+        .as_str()
+        .unwrap_or_default()
+        .to_owned();
+    let near = format!(
+        "/v1/queries/{}AAAAAA/pages/2",
+        id.get(..id.len().saturating_sub(6)).unwrap_or_default()
+    );
     let far = format!("/v1/queries/{}/pages/2", "-".repeat(id.len()));
     let mut times = [Vec::new(), Vec::new()];
     for _ in 0..4_000 {
@@ -258,7 +294,8 @@
         let first = rows.first();
         let good = rows.len() == count
             && rows.iter().enumerate().all(|(n, row)| {
-                first.is_some_and(|f| f[..2] == row[..2]) && row[2].trim_end_matches('.') == n.to_string()
+                first.is_some_and(|f| f[..2] == row[..2])
+                    && row[2].trim_end_matches('.') == n.to_string()
             });
         self.mixed.fetch_add(u64::from(!good), Relaxed);
     }
@@ -266,8 +303,14 @@
 
 /// Both fronts while engines drain, die and are replaced at the same address.
 fn churn(given: &Given, verdict: &mut Verdict) -> Result<()> {
-    let fleet =
-        Fleet::start(5, Profile { cold_factor: 2.0, cold: Duration::from_secs(1), ..Profile::default() })?;
+    let fleet = Fleet::start(
+        5,
+        Profile {
+            cold_factor: 2.0,
+            cold: Duration::from_secs(1),
+            ..Profile::default()
+        },
+    )?;
     let mut program = Program::start(&given.program, &fleet, RESULTS)?;
     let (tally, next, over) = (Tally::default(), AtomicU64::new(0), AtomicBool::new(false));
     let begun = Instant::now();
@@ -308,8 +351,8 @@
         most(&counts.by_key),
         counts.by_key.values().filter(|n| **n > 1).count(),
     );
-    let share =
-        get(&tally.served) as f64 / (get(&tally.served) + get(&tally.refused) + get(&tally.failed)) as f64;
+    let share = get(&tally.served) as f64
+        / (get(&tally.served) + get(&tally.refused) + get(&tally.failed)) as f64;
     verdict.figure("requests", given.requests);
     verdict.figure("deploys", deploys);
     verdict.figure("served_share", format!("{share:.3}"));
@@ -318,10 +361,19 @@
     verdict.exactly("answers_of_one_unequal", get(&tally.unequal), 0);
     verdict.exactly("effects_a_key", u64::from(most(&counts.effects)), 1);
     // Each attempt fetches each of its pages once; a client that asks twice costs engines nothing.
-    let twice =
-        |((rid, _), n): (&(String, usize), &u32)| *n > counts.by_request.get(rid).copied().unwrap_or(0);
-    verdict.exactly("pages_doubled", counts.pages.iter().filter(|p| twice(*p)).count() as u64, 0);
-    verdict.at_most("send_after_drain_s", counts.latest_after_drain.as_secs_f64(), 2.0);
+    let twice = |((rid, _), n): (&(String, usize), &u32)| {
+        *n > counts.by_request.get(rid).copied().unwrap_or(0)
+    };
+    verdict.exactly(
+        "pages_doubled",
+        counts.pages.iter().filter(|p| twice(*p)).count() as u64,
+        0,
+    );
+    verdict.at_most(
+        "send_after_drain_s",
+        counts.latest_after_drain.as_secs_f64(),
+        2.0,
+    );
     verdict.exactly("crashed", u64::from(!program.runs()), 0);
     Ok(())
 }
@@ -332,7 +384,9 @@
     while !over.load(Relaxed) {
         std::thread::sleep(Duration::from_millis(300));
         let ids = fleet.ids();
-        let Some(id) = ids.get(n as usize * 7 % ids.len().max(1)) else { continue };
+        let Some(id) = ids.get(n as usize * 7 % ids.len().max(1)) else {
+            continue;
+        };
         let at = fleet.addr(id);
         if n % 2 == 0 {
             fleet.drain(id);
@@ -370,7 +424,9 @@
 fn pages(program: &Program, tally: &Tally) -> Result<()> {
     let mut http = program.http()?;
     http.ask(&ask("report", "ms=2 rows=500 width=55"), None)?;
-    let Some(first) = tally.http(http.read()) else { return Ok(()) };
+    let Some(first) = tally.http(http.read()) else {
+        return Ok(());
+    };
     let (mut rows, mut at, mut twice) = (first.rows(), first.next(), true);
     while let Some(path) = at {
         let page = http.get(&path)?;
@@ -385,7 +441,9 @@
         }
         if std::mem::take(&mut twice) {
             let again = program.http()?.get(&path)?;
-            tally.unequal.fetch_add(u64::from(again.body != page.body), Relaxed);
+            tally
+                .unequal
+                .fetch_add(u64::from(again.body != page.body), Relaxed);
         }
         rows.extend(page.rows());
         at = page.next();
@@ -408,7 +466,9 @@
             pg.send(&sql("load", hints, &format!(",token={key},obj={order}")))?;
             let (one, two) = (tally.http(http.read()), tally.pg(pg.read()));
             if let (Some(one), Some(two)) = (one, two) {
-                tally.unequal.fetch_add(u64::from(one.rows() != two), Relaxed);
+                tally
+                    .unequal
+                    .fetch_add(u64::from(one.rows() != two), Relaxed);
             }
         }
         1 => {
@@ -416,7 +476,9 @@
             http.ask(&ask, Some(&key))?;
             let two = tally.http(http.read());
             if let (Some(one), Some(two)) = (one, two) {
-                tally.unequal.fetch_add(u64::from(one.body != two.body), Relaxed);
+                tally
+                    .unequal
+                    .fetch_add(u64::from(one.body != two.body), Relaxed);
             }
         }
         _ => {
--- a/tools/prove/src/bin/prove-run.rs
+++ b/tools/prove/src/bin/prove-run.rs
@@ -23,7 +23,14 @@
 }
 
 /// Calls that are refused where front ends run.
-const REFUSED: [&str; 6] = ["splice", "sendfile", "sendfile64", "copy_file_range", "vmsplice", "tee"];
+const REFUSED: [&str; 6] = [
+    "splice",
+    "sendfile",
+    "sendfile64",
+    "copy_file_range",
+    "vmsplice",
+    "tee",
+];
 const WAIT: Duration = Duration::from_secs(20);
 
 fn main() -> ExitCode {
@@ -40,13 +47,24 @@
 }
 
 fn prove(given: &Given) -> Result<bool> {
-    let deploy: toml::Table =
-        std::fs::read_to_string(&given.deploy)?.parse().map_err(|e| Error::other(format!("{e}")))?;
-    let run = deploy.get("run").and_then(|r| r.as_str()).unwrap_or_default().to_owned();
-    let root = given.deploy.parent().and_then(Path::parent).filter(|r| !r.as_os_str().is_empty());
+    let deploy: toml::Table = std::fs::read_to_string(&given.deploy)?
+        .parse()
+        .map_err(|e| Error::other(format!("{e}")))?;
+    let run = deploy
+        .get("run")
+        .and_then(|r| r.as_str())
+        .unwrap_or_default()
+        .to_owned();
+    let root = given
+        .deploy
+        .parent()
+        .and_then(Path::parent)
+        .filter(|r| !r.as_os_str().is_empty());
     let root = root.unwrap_or(Path::new("."));
     let last = run.rsplit(['&', ';']).next().unwrap_or_default().trim();
-    let program = last.strip_prefix("exec ").and_then(|l| l.split_whitespace().next());
+    let program = last
+        .strip_prefix("exec ")
+        .and_then(|l| l.split_whitespace().next());
     let mut verdict = Verdict::default();
     verdict.exactly("run_ends_in_exec", u64::from(program.is_some()), 1);
     let program = root.join(program.unwrap_or_default());
@@ -61,11 +79,20 @@
     let file = object::File::parse(&*bytes).map_err(Error::other)?;
     let interpreted = file.section_by_name(".interp").is_some();
     let needed = bytes.windows(9).any(|w| w == b"libc.so.6");
-    let imports: BTreeSet<_> =
-        file.dynamic_symbols().filter(|s| s.is_undefined()).filter_map(|s| s.name().ok()).collect();
-    let refused: Vec<_> =
-        imports.iter().filter(|n| REFUSED.contains(n) || n.starts_with("io_uring")).collect();
-    println!("{}: {} imports, refused ones among them: {refused:?}", program.display(), imports.len());
+    let imports: BTreeSet<_> = file
+        .dynamic_symbols()
+        .filter(|s| s.is_undefined())
+        .filter_map(|s| s.name().ok())
+        .collect();
+    let refused: Vec<_> = imports
+        .iter()
+        .filter(|n| REFUSED.contains(n) || n.starts_with("io_uring"))
+        .collect();
+    println!(
+        "{}: {} imports, refused ones among them: {refused:?}",
+        program.display(),
+        imports.len()
+    );
     verdict.exactly("dynamic", u64::from(interpreted && needed), 1);
     verdict.exactly("refused_imports", refused.len() as u64, 0);
     Ok(())
@@ -105,17 +132,23 @@
     let mut served = 0;
     for n in 0..200_u64 {
         let mut pg = Pg::over(std::net::TcpStream::connect(&listen)?, WAIT)?;
-        let sql = format!("/* method=lookup,rid={n:016x},budget=9000 */ SELECT day FROM sales_17.plan");
+        let sql =
+            format!("/* method=lookup,rid={n:016x},budget=9000 */ SELECT day FROM sales_17.plan");
         pg.send(&sql)?;
         served += u64::from(pg.read()?.is_ok());
         if n == 100 {
-            let pid = i32::try_from(child.0.id()).ok().and_then(rustix::process::Pid::from_raw);
+            let pid = i32::try_from(child.0.id())
+                .ok()
+                .and_then(rustix::process::Pid::from_raw);
             let pid = pid.ok_or_else(|| Error::other("no such process"))?;
             rustix::process::kill_process(pid, rustix::process::Signal::HUP)?;
         }
     }
     let same = proc.join("exe").canonicalize()? == program.canonicalize()?;
-    let tasks: Vec<_> = std::fs::read_dir(proc.join("task"))?.flatten().map(|t| t.path()).collect();
+    let tasks: Vec<_> = std::fs::read_dir(proc.join("task"))?
+        .flatten()
+        .map(|t| t.path())
+        .collect();
     let children: usize = tasks
         .iter()
         .filter_map(|t| std::fs::read_to_string(t.join("children")).ok())
@@ -123,7 +156,14 @@
         .sum();
     let links: Vec<String> = std::fs::read_dir(proc.join("fd"))?
         .flatten()
-        .filter_map(|fd| Some(std::fs::read_link(fd.path()).ok()?.to_string_lossy().into_owned()))
+        .filter_map(|fd| {
+            Some(
+                std::fs::read_link(fd.path())
+                    .ok()?
+                    .to_string_lossy()
+                    .into_owned(),
+            )
+        })
         .collect();
     let rings = links.iter().filter(|l| l.contains("io_uring")).count();
     // A Unix socket with a name is one that others may come to; pairs of a process with itself have none.
@@ -137,7 +177,11 @@
         .collect();
     let unix = links.iter().filter(|l| named.contains(*l)).count();
     let libc = std::fs::read_to_string(proc.join("maps"))?.contains("libc.so.6");
-    println!("the process has {} threads and {} descriptors after 200 queries", tasks.len(), links.len());
+    println!(
+        "the process has {} threads and {} descriptors after 200 queries",
+        tasks.len(),
+        links.len()
+    );
     let _ = std::fs::remove_dir_all(&folder);
     verdict.exactly("served", served, 200);
     verdict.exactly("one_process", u64::from(same), 1);
--- a/tools/prove/src/cold.rs
+++ b/tools/prove/src/cold.rs
@@ -1,8 +1,8 @@
 //! Many gateways before one cold engine, in injected time: what each decides alone, summed. It must never decide anything.
 
 use linnetreach::interface::{
-    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery, Outcome,
-    QueryId,
+    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
+    Outcome, QueryId,
 };
 use linnetreach::{Action, Event, Gateway, Settings};
 
@@ -22,12 +22,19 @@
 }
 
 fn settings(gateways: u32, cores: f64) -> Settings {
-    let class =
-        Class { deadline: Some(10 * S), aim: Some(10 * S), late_worth: Some(1.0), ..Class::default() };
+    let class = Class {
+        deadline: Some(10 * S),
+        aim: Some(10 * S),
+        late_worth: Some(1.0),
+        ..Class::default()
+    };
     Settings {
         gateways: Some(gateways),
         classes: vec![class],
-        kinds: vec![Kind { cores: Some(cores), memory_mb: None }],
+        kinds: vec![Kind {
+            cores: Some(cores),
+            memory_mb: None,
+        }],
         can_cancel: true,
         max_attempts: Some(4),
         note_period: Some(S),
@@ -41,24 +48,51 @@
 }
 
 fn engine(id: EngineId, state: EngineState, started: Option<Micros>) -> Engine {
-    Engine { id, zone: 0, kind: 0, cell: 0, state, started }
+    Engine {
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state,
+        started,
+    }
 }
 
 fn ask(id: QueryId) -> Event {
-    Event::Arrived(NewQuery { id, work: Some(WORK), time_left: 10 * S, ..NewQuery::default() })
+    Event::Arrived(NewQuery {
+        id,
+        work: Some(WORK),
+        time_left: 10 * S,
+        ..NewQuery::default()
+    })
 }
 
 fn done(query: QueryId, engine: EngineId, elapsed: Micros) -> Event {
-    let cost = Some(Cost { work: WORK, memory_mb: 0.0 });
+    let cost = Some(Cost {
+        work: WORK,
+        memory_mb: 0.0,
+    });
     let (outcome, load) = (Outcome::Completed, Load::default());
-    Event::Ended(Ended { query, attempt: 0, engine, outcome, settled: true, elapsed, cost, load })
+    Event::Ended(Ended {
+        query,
+        attempt: 0,
+        engine,
+        outcome,
+        settled: true,
+        elapsed,
+        cost,
+        load,
+    })
 }
 
 /// The queries that so many gateways, each with one at hand all the time, send to one cold engine in its first eight
 /// seconds: when each was sent, counted from the engine's start, in order.
 #[must_use]
 pub fn sent_by(gateways: u32, cores: f64, seed: u64) -> Vec<Micros> {
-    let list = |scope, engine| Event::Engines { scope, engines: vec![engine] };
+    let list = |scope, engine| Event::Engines {
+        scope,
+        engines: vec![engine],
+    };
     let mut sends = Vec::new();
     for g in 0..u64::from(gateways) {
         let mut gateway = Gateway::new(settings(gateways, cores), seed * 100_003 + g * 7_919);
@@ -77,7 +111,9 @@
             loop {
                 let mut actions = Vec::new();
                 gateway.handle(now, &[ask(id)], &mut actions);
-                if !actions.iter().any(|a| matches!(a, Action::Send { query, engine: 0, .. } if *query == id))
+                if !actions
+                    .iter()
+                    .any(|a| matches!(a, Action::Send { query, engine: 0, .. } if *query == id))
                 {
                     gateway.handle(now, &[Event::ClientGone { query: id }], &mut Vec::new());
                     break;
@@ -97,7 +133,11 @@
 #[must_use]
 pub fn largest_share(sends: &[Micros], cores: f64) -> f64 {
     let share = |(i, from): (usize, &Micros)| {
-        let in_span = sends.iter().skip(i).take_while(|t| **t < from + FALL).count() as f64;
+        let in_span = sends
+            .iter()
+            .skip(i)
+            .take_while(|t| **t < from + FALL)
+            .count() as f64;
         let n = bears(cores, *from);
         in_span / (n + 2.0 * n.sqrt() + 2.0)
     };
--- a/tools/prove/src/daemon.rs
+++ b/tools/prove/src/daemon.rs
@@ -44,7 +44,10 @@
 
 impl Instance {
     fn start(&self) -> Result<()> {
-        let log = std::fs::File::options().create(true).append(true).open(self.folder.join("log"))?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))?;
         let child = Command::new(&self.program)
             .arg("--settings")
             .arg(self.folder.join("violetgate.hcl"))
@@ -64,7 +67,13 @@
 
     /// Trouble begins here, or has ended.
     fn disturb(&self, lasts: bool) {
-        let step = |mark: u64| Some(if (mark % 2 == 1) == lasts { mark } else { mark + 1 });
+        let step = |mark: u64| {
+            Some(if (mark % 2 == 1) == lasts {
+                mark
+            } else {
+                mark + 1
+            })
+        };
         let _ = self.disturbed.fetch_update(SeqCst, SeqCst, step);
     }
 
@@ -92,7 +101,10 @@
     }
 
     fn signal(&self, signal: Signal) {
-        let pid = lock(&self.child).as_ref().and_then(|c| i32::try_from(c.id()).ok()).and_then(Pid::from_raw);
+        let pid = lock(&self.child)
+            .as_ref()
+            .and_then(|c| i32::try_from(c.id()).ok())
+            .and_then(Pid::from_raw);
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -117,12 +129,20 @@
     /// Bytes in its folder, and how many of them are its snapshots.
     #[must_use]
     pub fn disk(&self) -> (u64, u64) {
-        let files = std::fs::read_dir(self.folder.join("member")).into_iter().flatten().flatten();
+        let files = std::fs::read_dir(self.folder.join("member"))
+            .into_iter()
+            .flatten()
+            .flatten();
         let sizes: Vec<_> = files
             .filter_map(|f| Some((f.file_name().into_string().ok()?, f.metadata().ok()?.len())))
             .collect();
-        let snapshots = sizes.iter().filter(|(name, _)| name.starts_with("snapshot"));
-        (sizes.iter().map(|s| s.1).sum(), snapshots.map(|s| s.1).sum())
+        let snapshots = sizes
+            .iter()
+            .filter(|(name, _)| name.starts_with("snapshot"));
+        (
+            sizes.iter().map(|s| s.1).sum(),
+            snapshots.map(|s| s.1).sum(),
+        )
     }
 
     /// Its log so far.
@@ -174,7 +194,9 @@
     ///
     /// It says nothing.
     pub fn status(&self) -> Result<Value> {
-        Ok(self.call("GET", "/v1/cluster", None, b"", Duration::from_secs(1))?.json())
+        Ok(self
+            .call("GET", "/v1/cluster", None, b"", Duration::from_secs(1))?
+            .json())
     }
 }
 
@@ -207,20 +229,28 @@
     /// They can't be started, or agree on nothing within ten seconds.
     pub fn start(program: &Path, fleet: &Fleet, count: u64, cluster: &str) -> Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let name = format!("violetgate-prove-daemon-{}-{}", std::process::id(), NEXT.fetch_add(1, SeqCst));
+        let name = format!(
+            "violetgate-prove-daemon-{}-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, SeqCst)
+        );
         let folder = std::env::temp_dir().join(name);
         let mut places = BTreeMap::new();
         for id in 1..=count {
             let at: [String; 4] = free()?;
             places.insert(id, at);
         }
-        let listens = places.iter().filter_map(|(id, at)| Some((*id, at[0].parse().ok()?))).collect();
+        let listens = places
+            .iter()
+            .filter_map(|(id, at)| Some((*id, at[0].parse().ok()?)))
+            .collect();
         let mesh = Mesh::new(&listens)?;
         let mut instances = Vec::new();
         for (id, [peer, listen, rest, api]) in places {
             let own = folder.join(id.to_string());
             std::fs::create_dir_all(&own)?;
-            let mut config = fleet.config(&format!("n{id}"), &listen, &violetgate_standin::settings());
+            let mut config =
+                fleet.config(&format!("n{id}"), &listen, &violetgate_standin::settings());
             config["limits"]["sockets"] = 1024.into();
             config["seed"] = format!("{:016x}", 0x8c1f_30d2_7a5b_e964_u64 ^ id).into();
             std::fs::write(own.join("config.json"), config.to_string())?;
@@ -255,7 +285,11 @@
                 crashed: AtomicU64::new(0),
             });
         }
-        let cluster = Cluster { instances, mesh, folder };
+        let cluster = Cluster {
+            instances,
+            mesh,
+            folder,
+        };
         for instance in &cluster.instances {
             instance.start()?;
         }
@@ -283,7 +317,10 @@
     /// The instance that leads, as its own word has it, if one does and routes.
     #[must_use]
     pub fn leader(&self) -> Option<&Instance> {
-        let leads = |i: &&Instance| i.status().is_ok_and(|s| s["role"] == "leader" && s["routes"] == true);
+        let leads = |i: &&Instance| {
+            i.status()
+                .is_ok_and(|s| s["role"] == "leader" && s["routes"] == true)
+        };
         self.instances.iter().find(leads)
     }
 
--- a/tools/prove/src/inside.rs
+++ b/tools/prove/src/inside.rs
@@ -41,22 +41,40 @@
             folder: self.0.clone(),
             listen,
             members: BTreeMap::from([(1, listen)]),
-            config: MemberConfig { snapshot_every, ..MemberConfig::default() },
+            config: MemberConfig {
+                snapshot_every,
+                ..MemberConfig::default()
+            },
             seed: 7,
         })
     }
 
     fn begin(&self) -> Result<()> {
-        let from = Beginning { members: vec![1], state: Vec::new() };
+        let from = Beginning {
+            members: vec![1],
+            state: Vec::new(),
+        };
         Cluster::begin("inside", 1, &self.0, 1, from).map_err(Error::other)
     }
 }
 
 fn put(n: u64) -> Command {
     let key = format!("key/{:07}", n % KEYS);
-    let op = Op::Put { key, value: format!("value {n:026}").into_bytes(), lease: None };
-    let step = Step::Txn(Txn { then: vec![op], ..Txn::default() });
-    Command { request: None, who: "proof".to_owned(), time: n, step }
+    let op = Op::Put {
+        key,
+        value: format!("value {n:026}").into_bytes(),
+        lease: None,
+    };
+    let step = Step::Txn(Txn {
+        then: vec![op],
+        ..Txn::default()
+    });
+    Command {
+        request: None,
+        who: "proof".to_owned(),
+        time: n,
+        step,
+    }
 }
 
 /// What one question to the gate costs, as it is asked before every send.
@@ -75,7 +93,9 @@
         }
     }));
     let (count, begun) = (2_000_000_u32, Instant::now());
-    let open = (0..count).filter(|_| std::hint::black_box(&cluster).may_route().is_ok()).count();
+    let open = (0..count)
+        .filter(|_| std::hint::black_box(&cluster).may_route().is_ok())
+        .count();
     let ns = begun.elapsed().as_secs_f64() * 1e9 / f64::from(count);
     println!("the gate is asked {count} times, open {open}: {ns:.0} ns each");
     verdict.at_most("gate_ns", ns, 1_000.0);
@@ -91,18 +111,31 @@
     let place = Place::new("recovery");
     place.begin()?;
     let folder = || Folder::new(&place.0);
-    let (mut disk, _) = Disk::open(folder()?, "inside", 1).map_err(|e| Error::other(e.to_string()))?;
+    let (mut disk, _) =
+        Disk::open(folder()?, "inside", 1).map_err(|e| Error::other(e.to_string()))?;
     let entry = |index: u64| {
         let bytes = encode(&put(index));
-        Entry { term: 1, index, payload: Payload::Command(bytes) }
+        Entry {
+            term: 1,
+            index,
+            payload: Payload::Command(bytes),
+        }
     };
     let (mut at, batch) = (1, 1_000);
     while at <= entries {
         let append: Vec<_> = (at..(at + batch).min(entries + 1)).map(entry).collect();
         at += append.len() as u64;
-        let hard = Some(Hard { term: 1, vote: Some(1) });
-        disk.write(&[Write { seq: at, hard, append, ..Write::default() }])
-            .map_err(|e| Error::other(e.to_string()))?;
+        let hard = Some(Hard {
+            term: 1,
+            vote: Some(1),
+        });
+        disk.write(&[Write {
+            seq: at,
+            hard,
+            append,
+            ..Write::default()
+        }])
+        .map_err(|e| Error::other(e.to_string()))?;
     }
     let bytes = disk.log_bytes();
     drop(disk);
@@ -121,7 +154,10 @@
     let begun = Instant::now();
     let state = cluster.save().len();
     let saved = begun.elapsed().as_secs_f64() * 1e3;
-    println!("a snapshot of {} keys and their last changes takes {saved:.0} ms", entries.min(KEYS));
+    println!(
+        "a snapshot of {} keys and their last changes takes {saved:.0} ms",
+        entries.min(KEYS)
+    );
     verdict.figure("snapshot_ms", format!("{saved:.0}"));
     // An election's time passes before one that is alone knows that its entries are agreed on.
     println!(
@@ -132,7 +168,10 @@
         opened.as_secs_f64(),
         took.as_secs_f64()
     );
-    verdict.figure("log_to_state_bytes", format!("{:.2}", bytes as f64 / state.max(1) as f64));
+    verdict.figure(
+        "log_to_state_bytes",
+        format!("{:.2}", bytes as f64 / state.max(1) as f64),
+    );
     verdict.figure("recovery_read_s", format!("{:.2}", opened.as_secs_f64()));
     verdict.at_most("recovery_s", took.as_secs_f64(), 2.0);
     Ok(())
--- a/tools/prove/src/lib.rs
+++ b/tools/prove/src/lib.rs
@@ -44,7 +44,9 @@
 ///
 /// The machine gives none.
 pub fn free<const N: usize>() -> Result<[String; N]> {
-    let held: Vec<_> = (0..N).map(|_| std::net::TcpListener::bind("127.0.0.1:0")).collect::<Result<_>>()?;
+    let held: Vec<_> = (0..N)
+        .map(|_| std::net::TcpListener::bind("127.0.0.1:0"))
+        .collect::<Result<_>>()?;
     let mut out = [const { String::new() }; N];
     for (text, listener) in out.iter_mut().zip(&held) {
         *text = listener.local_addr()?.to_string();
@@ -65,7 +67,10 @@
         let mut config = fleet.config("n0", &listen, &violetgate_standin::settings());
         config["limits"]["sockets"] = 4096.into();
         std::fs::write(folder.join("config.json"), config.to_string())?;
-        std::fs::write(folder.join("violetgate.hcl"), format!("rest {{\n  listen = \"{at}\"\n{rest}\n}}\n"))?;
+        std::fs::write(
+            folder.join("violetgate.hcl"),
+            format!("rest {{\n  listen = \"{at}\"\n{rest}\n}}\n"),
+        )?;
         let child = Command::new(program)
             .arg("--settings")
             .arg(folder.join("violetgate.hcl"))
@@ -74,7 +79,12 @@
             .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()?;
-        let program = Program { child, folder, listen, rest: at };
+        let program = Program {
+            child,
+            folder,
+            listen,
+            rest: at,
+        };
         let until = Instant::now() + Duration::from_secs(10);
         while TcpStream::connect(&program.rest).is_err() {
             if Instant::now() > until {
@@ -104,9 +114,12 @@
     /// Memory that it holds, in bytes.
     #[must_use]
     pub fn memory(&self) -> u64 {
-        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
+        let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .unwrap_or_default();
         let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:"));
-        line.and_then(|l| l.split_whitespace().next()).and_then(|kb| kb.parse::<u64>().ok()).unwrap_or(0)
+        line.and_then(|l| l.split_whitespace().next())
+            .and_then(|kb| kb.parse::<u64>().ok())
+            .unwrap_or(0)
             * 1024
     }
 
@@ -171,7 +184,10 @@
 /// Sends `count` requests, one each `gap`, whether answers have come or not, over as many connections as there are
 /// `clients`; each client is told the number of its request, and says whether that was served.
 pub fn open_loop<C: FnMut(u64) -> bool + Send>(clients: Vec<C>, count: u64, gap: Duration) -> Met {
-    let (next, start) = (AtomicU64::new(0), Instant::now() + Duration::from_millis(20));
+    let (next, start) = (
+        AtomicU64::new(0),
+        Instant::now() + Duration::from_millis(20),
+    );
     let next = &next;
     let each = |mut client: C| {
         let mut latency =
@@ -186,15 +202,21 @@
             std::thread::sleep(due.saturating_duration_since(Instant::now()));
             if client(n) {
                 served += 1;
-                latency
-                    .saturating_record(u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX).max(1));
+                latency.saturating_record(
+                    u64::try_from(due.elapsed().as_micros())
+                        .unwrap_or(u64::MAX)
+                        .max(1),
+                );
             } else {
                 others += 1;
             }
         }
     };
     let all: Vec<_> = std::thread::scope(|scope| {
-        let threads: Vec<_> = clients.into_iter().map(|client| scope.spawn(|| each(client))).collect();
+        let threads: Vec<_> = clients
+            .into_iter()
+            .map(|client| scope.spawn(|| each(client)))
+            .collect();
         threads.into_iter().filter_map(|t| t.join().ok()).collect()
     });
     let took = start.elapsed();
@@ -229,7 +251,8 @@
     pub fn at_most(&mut self, name: &str, value: f64, most: f64) {
         self.figures.push(format!("{name}={value:.3}"));
         if value.is_nan() || value > most {
-            self.missed.push(format!("{name} is {value:.3}, {most} at most"));
+            self.missed
+                .push(format!("{name} is {value:.3}, {most} at most"));
         }
     }
 
@@ -245,7 +268,8 @@
     pub fn at_least(&mut self, name: &str, value: f64, least: f64) {
         self.figures.push(format!("{name}={value:.3}"));
         if value.is_nan() || value < least {
-            self.missed.push(format!("{name} is {value:.3}, {least} at least"));
+            self.missed
+                .push(format!("{name} is {value:.3}, {least} at least"));
         }
     }
 
--- a/tools/prove/src/mesh.rs
+++ b/tools/prove/src/mesh.rs
@@ -82,7 +82,11 @@
             continue;
         };
         // Into a cut a connection may come up, and nothing comes of it.
-        let far = if cut.load(SeqCst) { None } else { TcpStream::connect(to).ok() };
+        let far = if cut.load(SeqCst) {
+            None
+        } else {
+            TcpStream::connect(to).ok()
+        };
         let Some(far) = far else {
             let (cut, over) = (Arc::clone(cut), Arc::clone(over));
             std::thread::spawn(move || {
@@ -102,7 +106,11 @@
 }
 
 fn pass(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool, over: &AtomicBool) {
-    let _ = (from.set_nodelay(true), to.set_nodelay(true), from.set_nonblocking(false));
+    let _ = (
+        from.set_nodelay(true),
+        to.set_nodelay(true),
+        from.set_nonblocking(false),
+    );
     let _ = from.set_read_timeout(Some(LOOK));
     let mut chunk = vec![0; 64 * 1024];
     let mut lost = false;
--- a/tools/prove/tests/cold_sum.rs
+++ b/tools/prove/tests/cold_sum.rs
@@ -11,7 +11,10 @@
         for cores in [1.0, 4.0, 8.0, 32.0] {
             for seed in 1..=6 {
                 let share = largest_share(&sent_by(gateways, cores, seed), cores);
-                assert!(share <= 1.0, "{gateways} gateways, {cores} cores, seed {seed}: {share:.3}");
+                assert!(
+                    share <= 1.0,
+                    "{gateways} gateways, {cores} cores, seed {seed}: {share:.3}"
+                );
             }
         }
     }
@@ -22,8 +25,14 @@
 #[test]
 fn a_cold_engine_is_used_while_it_warms() {
     for gateways in [2, 20, 30, 300] {
-        let early = sent_by(gateways, 8.0, 3).iter().filter(|t| **t < 2 * FALL).count() as f64;
+        let early = sent_by(gateways, 8.0, 3)
+            .iter()
+            .filter(|t| **t < 2 * FALL)
+            .count() as f64;
         let borne = 2.0 * bears(8.0, 0);
-        assert!(early >= 0.3 * borne, "{gateways} gateways: {early} of {borne:.0}");
+        assert!(
+            early >= 0.3 * borne,
+            "{gateways} gateways: {early} of {borne:.0}"
+        );
     }
 }
--- a/tools/rig/src/bin/prove-fleet.rs
+++ b/tools/rig/src/bin/prove-fleet.rs
@@ -27,7 +27,8 @@
         println!("  {name}: {ms} ms");
         self.figures.push(format!("{name}_ms={ms}"));
         if took.is_none_or(|t| t > most) {
-            self.missed.push(format!("{name}: {took:?}, {most:?} at most"));
+            self.missed
+                .push(format!("{name}: {took:?}, {most:?} at most"));
         }
     }
 
@@ -54,10 +55,22 @@
     println!("{count} processes, seed {seed}");
     let all_alive = |rig: &Rig| everyone.iter().all(|of| rig.see(&everyone, *of, "alive"));
     v.within("together", rig.wait(10 * S, all_alive), 8 * S);
-    v.most("share_off", rig.all.iter().filter(|p| p.share() != Some(count as u32)).count(), 0);
+    v.most(
+        "share_off",
+        rig.all
+            .iter()
+            .filter(|p| p.share() != Some(count as u32))
+            .count(),
+        0,
+    );
 
     println!("stops of 2 s, and 20% loss, 50 ms of delay and some doubled:");
-    rig.relay.set_all(Ills { loss: 0.2, doubled: 0.05, delay: secs(0.05), ..Ills::default() });
+    rig.relay.set_all(Ills {
+        loss: 0.2,
+        doubled: 0.05,
+        delay: secs(0.05),
+        ..Ills::default()
+    });
     for turn in 0..if short { 2 } else { 6 } {
         let of = (turn + seed as usize) % count;
         rig.all[of].signal(Signal::STOP);
@@ -70,10 +83,18 @@
     v.within("calm_again", rig.wait(5 * S, all_alive), 5 * S);
 
     println!("a link cut between two that the others reach:");
-    let cut = Ills { cut: true, ..Ills::default() };
+    let cut = Ills {
+        cut: true,
+        ..Ills::default()
+    };
     rig.relay.set(0, 1, cut);
     rig.relay.set(1, 0, cut);
-    let cuts = |rig: &Rig| rig.all[..2].iter().map(|p| p.said(" is cut, others")).sum::<usize>();
+    let cuts = |rig: &Rig| {
+        rig.all[..2]
+            .iter()
+            .map(|p| p.said(" is cut, others"))
+            .sum::<usize>()
+    };
     let before = cuts(&rig);
     let told = |rig: &Rig| cuts(rig) > before;
     // Only those that watch each other can tell; of four all do, of six these two may not.
@@ -89,13 +110,29 @@
     let others: Vec<usize> = (0..count - 1).collect();
     let last = count - 1;
     rig.all[last].kill();
-    v.within("death_known", rig.wait(10 * S, |r| r.see(&others, last, "dead")), 6 * S);
-    let fewer = |r: &Rig| others.iter().all(|i| r.all[*i].share() == Some(count as u32 - 1));
-    let early = rig.wait(secs(3.0), |r| others.iter().any(|i| r.all[*i].share() != Some(count as u32)));
+    v.within(
+        "death_known",
+        rig.wait(10 * S, |r| r.see(&others, last, "dead")),
+        6 * S,
+    );
+    let fewer = |r: &Rig| {
+        others
+            .iter()
+            .all(|i| r.all[*i].share() == Some(count as u32 - 1))
+    };
+    let early = rig.wait(secs(3.0), |r| {
+        others
+            .iter()
+            .any(|i| r.all[*i].share() != Some(count as u32))
+    });
     v.most("share_grown_early", usize::from(early.is_some()), 0);
     v.within("share_grown", rig.wait(15 * S, fewer), 12 * S);
     rig.all[last].start()?;
-    let whole = |r: &Rig| everyone.iter().all(|i| r.all[*i].share() == Some(count as u32));
+    let whole = |r: &Rig| {
+        everyone
+            .iter()
+            .all(|i| r.all[*i].share() == Some(count as u32))
+    };
     v.within("share_shrunk", rig.wait(10 * S, whole), 5 * S);
     v.within("back", rig.wait(10 * S, all_alive), 6 * S);
 
@@ -108,13 +145,24 @@
     // Those that watch it, two at least, and still hear its own words say that the link is cut: it runs, and may be sending to engines.
     let fallen = |r: &Rig| {
         let known = |i: &usize| ["suspected", "dead"].iter().any(|s| r.see(&[*i], 0, s));
-        rest.iter().filter(|i| known(i) || r.all[**i].cut_off("front-0")).count() >= 2
+        rest.iter()
+            .filter(|i| known(i) || r.all[**i].cut_off("front-0"))
+            .count()
+            >= 2
     };
     v.within("deaf_known", rig.wait(12 * S, fallen), 8 * S);
     std::thread::sleep(if short { 3 * S } else { 15 * S });
     v.most("deaf_forgotten", usize::from(!fallen(&rig)), 0);
-    v.most("deaths_told_each", (deaths_told(&rig) - before).div_ceil(count - 1), 1);
-    v.most("deaths_told_by_deaf", rig.all[0].said(" is dead").saturating_sub(1), 0);
+    v.most(
+        "deaths_told_each",
+        (deaths_told(&rig) - before).div_ceil(count - 1),
+        1,
+    );
+    v.most(
+        "deaths_told_by_deaf",
+        rig.all[0].said(" is dead").saturating_sub(1),
+        0,
+    );
     rig.relay.set_all(Ills::default());
     v.within("hears_again", rig.wait(15 * S, all_alive), 10 * S);
 
@@ -132,23 +180,43 @@
     rig.all[2].signal(Signal::TERM);
     v.most("not_ended", usize::from(!rig.all[2].ends(8 * S)), 0);
     let rest: Vec<usize> = everyone.iter().copied().filter(|i| *i != 2).collect();
-    v.within("left_known", rig.wait(4 * S, |r| r.see(&rest, 2, "left")), 3 * S);
+    v.within(
+        "left_known",
+        rig.wait(4 * S, |r| r.see(&rest, 2, "left")),
+        3 * S,
+    );
     rig.all[2].start()?;
     v.within("new_life", rig.wait(10 * S, all_alive), 6 * S);
 
-    let unserved = rig.all.iter().zip(1..).filter(|(p, rid)| !p.serves(*rid)).count();
+    let unserved = rig
+        .all
+        .iter()
+        .zip(1..)
+        .filter(|(p, rid)| !p.serves(*rid))
+        .count();
     v.most("unserved_at_the_end", unserved, 0);
-    v.most("crashed", rig.all.iter().map(|p| p.crashed as usize).sum(), 0);
+    v.most(
+        "crashed",
+        rig.all.iter().map(|p| p.crashed as usize).sum(),
+        0,
+    );
     Ok(v)
 }
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
     let short = args.iter().any(|a| a == "--short");
-    let seed = args.iter().skip_while(|a| *a != "--seed").nth(1).and_then(|n| n.parse().ok()).unwrap_or(1);
+    let seed = args
+        .iter()
+        .skip_while(|a| *a != "--seed")
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(1);
     match prove(short, seed) {
         Ok(v) => {
-            v.missed.iter().for_each(|m| println!("MISSED (seed {seed}): {m}"));
+            v.missed
+                .iter()
+                .for_each(|m| println!("MISSED (seed {seed}): {m}"));
             println!("fleet: {}", v.figures.join(" "));
             if v.missed.is_empty() {
                 ExitCode::SUCCESS
--- a/tools/rig/src/lib.rs
+++ b/tools/rig/src/lib.rs
@@ -51,7 +51,15 @@
         program: &Path,
     ) -> Self {
         let program = program.to_path_buf();
-        Process { name: name.to_owned(), listen, management, folder, program, child: None, crashed: 0 }
+        Process {
+            name: name.to_owned(),
+            listen,
+            management,
+            folder,
+            program,
+            child: None,
+            crashed: 0,
+        }
     }
 
     /// Its process id, while it runs.
@@ -72,7 +80,10 @@
     ///
     /// It can't be started.
     pub fn start(&mut self) -> Result<()> {
-        let log = std::fs::File::options().create(true).append(true).open(self.folder.join("log"))?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))?;
         let child = Command::new(&self.program)
             .arg("--settings")
             .arg(self.folder.join("violetgate.hcl"))
@@ -96,7 +107,11 @@
 
     /// Sends a signal to it.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.child.as_ref().and_then(|c| i32::try_from(c.id()).ok()).and_then(Pid::from_raw);
+        let pid = self
+            .child
+            .as_ref()
+            .and_then(|c| i32::try_from(c.id()).ok())
+            .and_then(Pid::from_raw);
         if let Some(pid) = pid {
             let _ = kill_process(pid, signal);
         }
@@ -106,7 +121,11 @@
     pub fn ends(&mut self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
-            if self.child.as_mut().is_none_or(|c| matches!(c.try_wait(), Ok(Some(_)))) {
+            if self
+                .child
+                .as_mut()
+                .is_none_or(|c| matches!(c.try_wait(), Ok(Some(_))))
+            {
                 self.child = None;
                 return true;
             }
@@ -122,19 +141,28 @@
             let stream = TcpStream::connect_timeout(&self.management, WAIT)?;
             Http::over(stream, WAIT)?.get("/admin/stats")
         };
-        let Ok(reply) = read() else { return BTreeMap::new() };
+        let Ok(reply) = read() else {
+            return BTreeMap::new();
+        };
         let text = String::from_utf8_lossy(&reply.body).into_owned();
         let lines = text.lines().filter_map(|l| l.rsplit_once(' '));
-        lines.filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?))).collect()
+        lines
+            .filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?)))
+            .collect()
     }
 
     /// How it sees another: `alive`, `suspected`, `dead` or `left`.
     #[must_use]
     pub fn sees(&self, other: &str) -> Option<String> {
         let figures = self.figures();
-        let about = |n: &&String| n.starts_with(&format!("svc_fleet_member_seconds{{member=\"{other}\""));
+        let about =
+            |n: &&String| n.starts_with(&format!("svc_fleet_member_seconds{{member=\"{other}\""));
         let line = figures.keys().find(about)?;
-        line.split("state=\"").nth(1)?.split('"').next().map(str::to_owned)
+        line.split("state=\"")
+            .nth(1)?
+            .split('"')
+            .next()
+            .map(str::to_owned)
     }
 
     /// Whether it says that its link to another is cut.
@@ -204,7 +232,8 @@
     /// Something can't be started.
     pub fn start(program: &Path, count: usize, seed: u64, extra: &str) -> Result<Self> {
         let engines = Fleet::start(3, Profile::default())?;
-        let folder = std::env::temp_dir().join(format!("violetgate-rig-{}-{seed}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("violetgate-rig-{}-{seed}", std::process::id()));
         let listens = (0..count).map(|_| udp()).collect::<Result<Vec<_>>>()?;
         let relay = Relay::new(&listens, seed)?;
         let mut all = Vec::new();
@@ -217,8 +246,16 @@
             let mut config = engines.config(&name, &listen.to_string(), &settings);
             config["management"] = management.to_string().into();
             std::fs::write(own.join("config.json"), config.to_string())?;
-            let at = relay.before.get(i).ok_or_else(|| Error::other("no relay"))?;
-            let seeds: Vec<String> = relay.before.iter().take(3).map(|s| format!("\"{s}\"")).collect();
+            let at = relay
+                .before
+                .get(i)
+                .ok_or_else(|| Error::other("no relay"))?;
+            let seeds: Vec<String> = relay
+                .before
+                .iter()
+                .take(3)
+                .map(|s| format!("\"{s}\""))
+                .collect();
             let block = format!(
                 "fleet {{\n name = \"rig\"\n member = \"{name}\"\n listen = \"{udp}\"\n address = \"{at}\"\n \
                  seeds = [{}]\n{extra}\n}}\n",
@@ -229,7 +266,12 @@
             process.start()?;
             all.push(process);
         }
-        Ok(Rig { all, relay, engines, folder })
+        Ok(Rig {
+            all,
+            relay,
+            engines,
+            folder,
+        })
     }
 
     /// How the engines fared.
@@ -254,8 +296,11 @@
     #[must_use]
     pub fn see(&self, who: &[usize], of: usize, state: &str) -> bool {
         let name = format!("front-{of}");
-        who.iter()
-            .filter(|i| **i != of)
-            .all(|i| self.all.get(*i).and_then(|p| p.sees(&name)).is_some_and(|s| s == state))
+        who.iter().filter(|i| **i != of).all(|i| {
+            self.all
+                .get(*i)
+                .and_then(|p| p.sees(&name))
+                .is_some_and(|s| s == state)
+        })
     }
 }
--- a/tools/rig/src/relay.rs
+++ b/tools/rig/src/relay.rs
@@ -58,18 +58,27 @@
             let rng = ChaCha8Rng::seed_from_u64(seed.wrapping_add(to as u64));
             std::thread::spawn(move || pass(&socket, (to, addr), &members, &links, &over, rng));
         }
-        Ok(Relay { links, over, before })
+        Ok(Relay {
+            links,
+            over,
+            before,
+        })
     }
 
     /// Sets how one direction of a link fares.
     pub fn set(&self, from: usize, to: usize, ills: Ills) {
-        self.links.lock().unwrap_or_else(PoisonError::into_inner).insert((from, to), ills);
+        self.links
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert((from, to), ills);
     }
 
     /// The same for all links.
     pub fn set_all(&self, ills: Ills) {
         let all = self.before.len();
-        (0..all).flat_map(|a| (0..all).map(move |b| (a, b))).for_each(|(a, b)| self.set(a, b, ills));
+        (0..all)
+            .flat_map(|a| (0..all).map(move |b| (a, b)))
+            .for_each(|(a, b)| self.set(a, b, ills));
     }
 }
 
@@ -85,7 +94,10 @@
     let mut buffer = [0; 16 << 10];
     while !over.load(SeqCst) {
         if let Ok((size, from)) = socket.recv_from(&mut buffer) {
-            let from = members.iter().position(|m| *m == from).unwrap_or(usize::MAX);
+            let from = members
+                .iter()
+                .position(|m| *m == from)
+                .unwrap_or(usize::MAX);
             let links = links.lock().unwrap_or_else(PoisonError::into_inner);
             let ills = links.get(&(from, to)).copied().unwrap_or_default();
             let mut draw = || rng.next_u32() as f64 / f64::from(u32::MAX);
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -55,7 +55,11 @@
 ///
 /// Members can't be started, or nobody leads.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let sizes = if options.short { &SHORT_SIZES[..] } else { &SIZES[..] };
+    let sizes = if options.short {
+        &SHORT_SIZES[..]
+    } else {
+        &SIZES[..]
+    };
     let mut slopes = Slopes::default();
     let executor = Rc::new(LocalExecutor::new());
     let mut largest = None;
@@ -85,15 +89,26 @@
         return if all {
             Ok(())
         } else {
-            Err(ScaleError::Late { what: "routing", seconds: SETTLE.as_secs() })
+            Err(ScaleError::Late {
+                what: "routing",
+                seconds: SETTLE.as_secs(),
+            })
         };
     }
     slopes.record(figures);
     if largest < sizes.last().copied() {
         let size = largest.map(|size| size as f64);
-        figures.add("agreed_state_connections_breaks_at_instances", largest.unwrap_or(0));
+        figures.add(
+            "agreed_state_connections_breaks_at_instances",
+            largest.unwrap_or(0),
+        );
         let name = "agreed_state_connections".to_owned();
-        figures.add_break(Break { name, size, size_of: "instances", target: TARGET });
+        figures.add_break(Break {
+            name,
+            size,
+            size_of: "instances",
+            target: TARGET,
+        });
     }
     Ok(())
 }
@@ -136,7 +151,10 @@
             name,
             unit,
             size_of: "instances",
-            budget: budget.map(|cost| Budget { cost, target: TARGET }),
+            budget: budget.map(|cost| Budget {
+                cost,
+                target: TARGET,
+            }),
             points: Vec::new(),
         };
         Slopes {
@@ -165,9 +183,26 @@
     }
 
     fn record(&self, figures: &mut Figures) {
-        let Slopes { leader, other, questions, messages, received, change, slowest_change, change_cpu } =
-            self;
-        let all = [leader, other, questions, messages, received, change, slowest_change, change_cpu];
+        let Slopes {
+            leader,
+            other,
+            questions,
+            messages,
+            received,
+            change,
+            slowest_change,
+            change_cpu,
+        } = self;
+        let all = [
+            leader,
+            other,
+            questions,
+            messages,
+            received,
+            change,
+            slowest_change,
+            change_cpu,
+        ];
         all.into_iter().for_each(|slope| slope.record(figures));
     }
 }
@@ -188,7 +223,9 @@
 
 fn free_address() -> Result<SocketAddr, ScaleError> {
     let listener = TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("find a free port"))?;
-    listener.local_addr().map_err(ScaleError::io("find a free port"))
+    listener
+        .local_addr()
+        .map_err(ScaleError::io("find a free port"))
 }
 
 impl Group {
@@ -222,14 +259,24 @@
         self.listens.extend(&new);
         let mut addresses = self.listens.clone();
         addresses.insert(LEADER, self.relay);
-        let joining: Vec<_> = new.keys().copied().filter(|id| !VOTERS.contains(id)).collect();
+        let joining: Vec<_> = new
+            .keys()
+            .copied()
+            .filter(|id| !VOTERS.contains(id))
+            .collect();
         self.others.grow(Growth { new, addresses })?;
         self.leader.transport().peers(&self.listens);
         self.lead().await?;
         for id in joining {
-            let added = self.leader.agree(Call::Change(Change::Add(id)), SETTLE).await;
+            let added = self
+                .leader
+                .agree(Call::Change(Change::Add(id)), SETTLE)
+                .await;
             if added != Answered::Yes(Answer::Changed) {
-                return Err(ScaleError::Member { id, reason: format!("it was not added: {added:?}") });
+                return Err(ScaleError::Member {
+                    id,
+                    reason: format!("it was not added: {added:?}"),
+                });
             }
         }
         let wanted = size as usize;
@@ -253,15 +300,26 @@
             }
             Timer::after(LOOK).await;
         }
-        Err(ScaleError::Late { what: "leadership of the first member", seconds: SETTLE.as_secs() })
+        Err(ScaleError::Late {
+            what: "leadership of the first member",
+            seconds: SETTLE.as_secs(),
+        })
     }
 
     /// Costs at rest and of changes.
     async fn costs(&mut self, options: &Options, size: u64) -> Result<Costs, ScaleError> {
-        let (window, changes) = if options.short { (SHORT_REST, SHORT_CHANGES) } else { (REST, CHANGES) };
+        let (window, changes) = if options.short {
+            (SHORT_REST, SHORT_CHANGES)
+        } else {
+            (REST, CHANGES)
+        };
         // The quieter one of two windows: other processes only add.
         let (first, second) = (self.rest(window).await?, self.rest(window).await?);
-        let rest = if first.leader_us_per_s < second.leader_us_per_s { first } else { second };
+        let rest = if first.leader_us_per_s < second.leader_us_per_s {
+            first
+        } else {
+            second
+        };
         let (begun, process) = (Instant::now(), process_cpu());
         let mut took_ms = Vec::new();
         for _ in 0..changes {
@@ -291,13 +349,20 @@
             }
             self.repeated_windows += 1;
         }
-        Err(ScaleError::Late { what: "a window with one leader", seconds: window.as_secs() })
+        Err(ScaleError::Late {
+            what: "a window with one leader",
+            seconds: window.as_secs(),
+        })
     }
 
     async fn window(&self, window: Duration) -> Rest {
         let begun = Instant::now();
         let (leader, others, process) = (thread_cpu(), self.shared.others_cpu(), process_cpu());
-        let Counts { questions, frames, bytes } = &*self.counts;
+        let Counts {
+            questions,
+            frames,
+            bytes,
+        } = &*self.counts;
         let received = [questions, frames, bytes].map(|count| count.load(Relaxed));
         Timer::after(window).await;
         let seconds = begun.elapsed().as_secs_f64();
@@ -318,19 +383,36 @@
     async fn change(&mut self, size: u64) -> Result<Duration, ScaleError> {
         self.next_change += 1;
         let value = format!("{:026}", self.next_change).into_bytes();
-        let put = Op::Put { key: "scale/limit".to_owned(), value, lease: None };
-        let step = Step::Txn(Txn { then: vec![put], ..Txn::default() });
+        let put = Op::Put {
+            key: "scale/limit".to_owned(),
+            value,
+            lease: None,
+        };
+        let step = Step::Txn(Txn {
+            then: vec![put],
+            ..Txn::default()
+        });
         let request = format!("scale-{}", self.next_change);
-        let call = Call::Propose { request, who: "scale".to_owned(), step };
+        let call = Call::Propose {
+            request,
+            who: "scale".to_owned(),
+            step,
+        };
         let begun = Instant::now();
         let revision = match self.leader.agree(call, APPLY).await {
             Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => revision,
-            _ => return Err(ScaleError::Late { what: "a change", seconds: APPLY.as_secs() }),
+            _ => {
+                return Err(ScaleError::Late {
+                    what: "a change",
+                    seconds: APPLY.as_secs(),
+                })
+            }
         };
         let applied = self.applied_by_all(size, revision).await;
-        applied
-            .map(|at| at - begun)
-            .ok_or(ScaleError::Late { what: "a change in force everywhere", seconds: APPLY.as_secs() })
+        applied.map(|at| at - begun).ok_or(ScaleError::Late {
+            what: "a change in force everywhere",
+            seconds: APPLY.as_secs(),
+        })
     }
 
     async fn applied_by_all(&self, size: u64, revision: Revision) -> Option<Instant> {
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -79,8 +79,15 @@
 ) -> Result<Rc<Cluster>, ScaleError> {
     let failed = |reason| ScaleError::Member { id, reason };
     let folder = place.0.join(id.to_string());
-    let members = if VOTERS.contains(&id) { VOTERS.to_vec() } else { Vec::new() };
-    let beginning = Beginning { members, state: Vec::new() };
+    let members = if VOTERS.contains(&id) {
+        VOTERS.to_vec()
+    } else {
+        Vec::new()
+    };
+    let beginning = Beginning {
+        members,
+        state: Vec::new(),
+    };
     Cluster::begin(CLUSTER, id, &folder, place.1 ^ id, beginning).map_err(failed)?;
     let options = Options {
         cluster: CLUSTER.to_owned(),
@@ -106,7 +113,10 @@
     /// A folder for members that is not there yet.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        Place(std::env::temp_dir().join(format!("violetgate-scale-{}", std::process::id())), seed)
+        Place(
+            std::env::temp_dir().join(format!("violetgate-scale-{}", std::process::id())),
+            seed,
+        )
     }
 }
 
@@ -135,7 +145,10 @@
 impl Drop for Others {
     fn drop(&mut self) {
         self.shared.stop.store(true, SeqCst);
-        self.thread.take().into_iter().for_each(|thread| drop(thread.join()));
+        self.thread
+            .take()
+            .into_iter()
+            .for_each(|thread| drop(thread.join()));
     }
 }
 
@@ -153,7 +166,12 @@
             .name("others".to_owned())
             .spawn(move || look_after(&place, &notes, &to_grow, &tell))
             .map_err(ScaleError::io("start a thread"))?;
-        Ok(Others { growths, grown, shared: Arc::clone(shared), thread: Some(thread) })
+        Ok(Others {
+            growths,
+            grown,
+            shared: Arc::clone(shared),
+            thread: Some(thread),
+        })
     }
 
     /// Starts more members.
@@ -184,7 +202,11 @@
                     return;
                 }
             }
-            let routing = members.borrow().values().filter(|m| m.may_route().is_ok()).count();
+            let routing = members
+                .borrow()
+                .values()
+                .filter(|m| m.may_route().is_ok())
+                .count();
             shared.routing.store(routing, SeqCst);
             let nanoseconds = u64::try_from(thread_cpu().as_nanos()).unwrap_or(u64::MAX);
             shared.others_cpu_ns.store(nanoseconds, SeqCst);
@@ -204,6 +226,8 @@
         let member = start_member(executor, place, &growth.addresses, *id, *listen, shared)?;
         members.insert(*id, member);
     }
-    members.values().for_each(|member| member.transport().peers(&growth.addresses));
+    members
+        .values()
+        .for_each(|member| member.transport().peers(&growth.addresses));
     Ok(())
 }
--- a/tools/scale/src/agreed_state/relay.rs
+++ b/tools/scale/src/agreed_state/relay.rs
@@ -36,8 +36,11 @@
 ///
 /// The machine gives no address or no thread.
 pub fn start(leader: SocketAddr, counts: Arc<Counts>) -> Result<SocketAddr, ScaleError> {
-    let listener = TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a relay"))?;
-    let address = listener.local_addr().map_err(ScaleError::io("address of a relay"))?;
+    let listener =
+        TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a relay"))?;
+    let address = listener
+        .local_addr()
+        .map_err(ScaleError::io("address of a relay"))?;
     spawn("relay", move || {
         for stream in listener.incoming().flatten() {
             let counts = Arc::clone(&counts);
@@ -49,13 +52,17 @@
 }
 
 fn spawn(name: &str, work: impl FnOnce() + Send + 'static) -> Result<(), ScaleError> {
-    let thread = std::thread::Builder::new().name(name.to_owned()).spawn(work);
+    let thread = std::thread::Builder::new()
+        .name(name.to_owned())
+        .spawn(work);
     thread.map(drop).map_err(ScaleError::io("start a thread"))
 }
 
 /// Carries one connection until either side ends it.
 fn carry(member: &TcpStream, leader: SocketAddr, counts: &Counts) {
-    let Ok(upstream) = TcpStream::connect_timeout(&leader, CONNECT) else { return };
+    let Ok(upstream) = TcpStream::connect_timeout(&leader, CONNECT) else {
+        return;
+    };
     let _ = upstream.set_nodelay(true);
     let _ = member.set_nodelay(true);
     std::thread::scope(|scope| {
@@ -77,7 +84,11 @@
     std::io::copy(&mut from, &mut to)
 }
 
-fn copy_and_count(mut from: &TcpStream, mut to: &TcpStream, counts: &Counts) -> std::io::Result<()> {
+fn copy_and_count(
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    counts: &Counts,
+) -> std::io::Result<()> {
     let mut chunk = [0; CHUNK];
     let mut frames = Frames::default();
     loop {
@@ -106,7 +117,9 @@
             let body = self.buffer.get(HEAD..HEAD + length).unwrap_or_default();
             if std::mem::replace(&mut self.greeted, true) {
                 counts.frames.fetch_add(1, Relaxed);
-                counts.questions.fetch_add(u64::from(is_question(body)), Relaxed);
+                counts
+                    .questions
+                    .fetch_add(u64::from(is_question(body)), Relaxed);
             }
             self.buffer.drain(..HEAD + length);
         }
@@ -115,7 +128,9 @@
 
     /// The length of the first frame, once it is whole.
     fn whole(&self) -> std::io::Result<Option<usize>> {
-        let Some((length, rest)) = self.buffer.split_first_chunk::<HEAD>() else { return Ok(None) };
+        let Some((length, rest)) = self.buffer.split_first_chunk::<HEAD>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes(*length) as usize;
         if length > LONGEST_FRAME {
             return Err(std::io::ErrorKind::InvalidData.into());
@@ -125,5 +140,8 @@
 }
 
 fn is_question(body: &[u8]) -> bool {
-    matches!(postcard::from_bytes(body), Ok(Frame::Core(Message::Read { .. })))
+    matches!(
+        postcard::from_bytes(body),
+        Ok(Frame::Core(Message::Read { .. }))
+    )
 }
--- a/tools/scale/src/bin/prove-scale.rs
+++ b/tools/scale/src/bin/prove-scale.rs
@@ -21,13 +21,34 @@
 
 /// All roles, in the order in which they are measured. A new one is a line here.
 const ROLES: &[Role] = &[
-    Role { name: "decisions", measure: decisions::measure },
-    Role { name: "engine-list", measure: engine_list::measure },
-    Role { name: "client-side", measure: client_side::measure },
-    Role { name: "engine-side", measure: engine_side::measure },
-    Role { name: "agreed-state", measure: agreed_state::measure },
-    Role { name: "membership", measure: measure_membership },
-    Role { name: "whole-run", measure: measure_whole_run },
+    Role {
+        name: "decisions",
+        measure: decisions::measure,
+    },
+    Role {
+        name: "engine-list",
+        measure: engine_list::measure,
+    },
+    Role {
+        name: "client-side",
+        measure: client_side::measure,
+    },
+    Role {
+        name: "engine-side",
+        measure: engine_side::measure,
+    },
+    Role {
+        name: "agreed-state",
+        measure: agreed_state::measure,
+    },
+    Role {
+        name: "membership",
+        measure: measure_membership,
+    },
+    Role {
+        name: "whole-run",
+        measure: measure_whole_run,
+    },
 ];
 
 fn measure_membership(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
@@ -54,7 +75,12 @@
     #[arg(long, value_name = "FILE")]
     page: Option<PathBuf>,
     /// The saved last line of a run
-    #[arg(long, value_name = "FILE", default_value = "docs/scale-figures.txt", requires = "page")]
+    #[arg(
+        long,
+        value_name = "FILE",
+        default_value = "docs/scale-figures.txt",
+        requires = "page"
+    )]
     figures: PathBuf,
     /// Rewrites the page's block instead
     #[arg(long, requires = "page")]
@@ -70,7 +96,11 @@
 }
 
 fn compare(file: &Path, figures: &Path, write: bool) -> ExitCode {
-    let done = if write { page::rewrite(file, figures) } else { page::check(file, figures) };
+    let done = if write {
+        page::rewrite(file, figures)
+    } else {
+        page::check(file, figures)
+    };
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
@@ -81,9 +111,13 @@
 }
 
 fn measure(arguments: &Arguments) -> ExitCode {
-    let options = Options { short: arguments.short, seed: arguments.seed };
-    let chosen =
-        |role: &&Role| arguments.only.is_empty() || arguments.only.iter().any(|name| name == role.name);
+    let options = Options {
+        short: arguments.short,
+        seed: arguments.seed,
+    };
+    let chosen = |role: &&Role| {
+        arguments.only.is_empty() || arguments.only.iter().any(|name| name == role.name)
+    };
     let mut figures = Figures::default();
     for role in ROLES.iter().filter(chosen) {
         if let Err(error) = (role.measure)(&options, &mut figures) {
@@ -100,12 +134,18 @@
         match role_ends.size {
             Some(size) => {
                 let percent = 100.0 * role_ends.share();
-                println!("ends {}: {name} at {size:.0} {size_of}, {percent:.1}% of {target}", place + 1);
+                println!(
+                    "ends {}: {name} at {size:.0} {size_of}, {percent:.1}% of {target}",
+                    place + 1
+                );
             }
             None => println!("ends {}: {name} at no size of {size_of}", place + 1),
         }
     }
-    figures.failures().iter().for_each(|missed| println!("MISSED: {missed}"));
+    figures
+        .failures()
+        .iter()
+        .for_each(|missed| println!("MISSED: {missed}"));
     println!("{}", figures.line("scale"));
     if figures.failures().is_empty() {
         ExitCode::SUCCESS
--- a/tools/scale/src/bin/whole-run.rs
+++ b/tools/scale/src/bin/whole-run.rs
@@ -20,7 +20,11 @@
     #[arg(long, default_value_t = 7_600)]
     front_ends: usize,
     /// The parts that hollow front ends run
-    #[arg(long, value_delimiter = ',', default_value = "subscription,bus,membership,decisions")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "subscription,bus,membership,decisions"
+    )]
     parts: Vec<Part>,
     /// Where random numbers begin
     #[arg(long, default_value_t = 1)]
