--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -49,14 +49,25 @@
 ///
 /// The program or the stand-in engines can't be started, or a connection is refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let fleet =
-        Fleet::start(ENGINES, Profile::default()).map_err(ScaleError::io("start stand-in engines"))?;
+    let fleet = Fleet::start(ENGINES, Profile::default())
+        .map_err(ScaleError::io("start stand-in engines"))?;
     let listen = free_address()?;
     let mut config = fleet.config("scale", &listen, &violetgate_standin::settings());
     config["limits"]["sockets"] = SOCKETS.into();
     let program = Program::start(listen, &config)?;
-    let sizes = if options.short { &SHORT_SIZES[..] } else { &SIZES[..] };
-    let mut load = Load { each: if options.short { SHORT_STATEMENTS } else { STATEMENTS }, next: 1 };
+    let sizes = if options.short {
+        &SHORT_SIZES[..]
+    } else {
+        &SIZES[..]
+    };
+    let mut load = Load {
+        each: if options.short {
+            SHORT_STATEMENTS
+        } else {
+            STATEMENTS
+        },
+        next: 1,
+    };
     let (mut slopes, mut unserved) = (slopes(), 0);
     let mut idle = Vec::new();
     // The first statements open the connections to engines, which are no cost of idle clients.
@@ -67,11 +78,23 @@
         }
         let costs = costs(&program, &mut load, options)?;
         unserved += ACTIVE * load.each - costs.served;
-        let values = [costs.resident_bytes, costs.descriptors, costs.idle_us_per_s, costs.statement_us];
-        slopes.iter_mut().zip(values).for_each(|(slope, cost)| slope.push(size as f64, cost));
+        let values = [
+            costs.resident_bytes,
+            costs.descriptors,
+            costs.idle_us_per_s,
+            costs.statement_us,
+        ];
+        slopes
+            .iter_mut()
+            .zip(values)
+            .for_each(|(slope, cost)| slope.push(size as f64, cost));
         if options.short {
             let beside = costs.descriptors - size as f64;
-            figures.at_most(&format!("client_side_descriptors_beside_{size}_clients"), beside, 64.0);
+            figures.at_most(
+                &format!("client_side_descriptors_beside_{size}_clients"),
+                beside,
+                64.0,
+            );
         }
     }
     figures.at_most("client_side_unserved_statements", unserved as f64, 0.0);
@@ -87,7 +110,10 @@
         name,
         unit,
         size_of: "connections",
-        budget: budget.map(|cost| Budget { cost, target: TARGET }),
+        budget: budget.map(|cost| Budget {
+            cost,
+            target: TARGET,
+        }),
         points: Vec::new(),
     };
     [
@@ -131,7 +157,9 @@
 impl Load {
     /// Processor time a statement, and how many were served.
     fn run(&mut self, program: &Program) -> Result<(f64, usize), ScaleError> {
-        let clients = (0..ACTIVE).map(|_| session(program)).collect::<Result<Vec<_>, _>>()?;
+        let clients = (0..ACTIVE)
+            .map(|_| session(program))
+            .collect::<Result<Vec<_>, _>>()?;
         let (first, each) = (self.next, self.each);
         self.next += ACTIVE * each;
         let before = program.usage()?;
@@ -141,7 +169,10 @@
                 .zip(clients)
                 .map(|(start, client)| scope.spawn(move || ask(client, start..start + each)))
                 .collect();
-            threads.into_iter().map(|thread| thread.join().ok()?.ok()).collect::<Option<Vec<_>>>()
+            threads
+                .into_iter()
+                .map(|thread| thread.join().ok()?.ok())
+                .collect::<Option<Vec<_>>>()
         });
         let served: usize = asked.ok_or(ScaleError::Thread("client"))?.into_iter().sum();
         let used = program.usage()?.cpu.saturating_sub(before.cpu);
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -43,9 +43,16 @@
 /// The module refuses the settings, or /proc can't be read.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     if !options.short {
-        figures.add_number("decisions_memory_an_engine_bytes", memory_an_engine(options.seed)?);
+        figures.add_number(
+            "decisions_memory_an_engine_bytes",
+            memory_an_engine(options.seed)?,
+        );
     }
-    let sizes = if options.short { &SHORT_SIZES[..] } else { &SIZES[..] };
+    let sizes = if options.short {
+        &SHORT_SIZES[..]
+    } else {
+        &SIZES[..]
+    };
     for gateways in GATEWAYS {
         let [mut statement, mut patch, mut whole] = slopes(gateways);
         let (mut statements, mut unserved) = (0, 0);
@@ -57,30 +64,69 @@
             statements += costs.statements;
             unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
         }
-        figures.add(&format!("decisions_{gateways}_gateways_statements"), statements);
-        figures.at_most(&format!("decisions_{gateways}_gateways_unserved"), unserved as f64, 0.0);
+        figures.add(
+            &format!("decisions_{gateways}_gateways_statements"),
+            statements,
+        );
+        figures.at_most(
+            &format!("decisions_{gateways}_gateways_unserved"),
+            unserved as f64,
+            0.0,
+        );
         if !options.short {
-            [statement, patch, whole].iter().for_each(|slope| slope.record(figures));
+            [statement, patch, whole]
+                .iter()
+                .for_each(|slope| slope.record(figures));
         }
     }
     Ok(())
 }
 
 fn slopes(gateways: u32) -> [Slope; 3] {
-    let budget = Budget { cost: STATEMENT_BUDGET_US, target: TARGET };
+    let budget = Budget {
+        cost: STATEMENT_BUDGET_US,
+        target: TARGET,
+    };
     let names = match gateways {
-        300 => ["statement_300_gateways", "patch_300_gateways", "whole_list_300_gateways"],
-        _ => ["statement_7600_gateways", "patch_7600_gateways", "whole_list_7600_gateways"],
+        300 => [
+            "statement_300_gateways",
+            "patch_300_gateways",
+            "whole_list_300_gateways",
+        ],
+        _ => [
+            "statement_7600_gateways",
+            "patch_7600_gateways",
+            "whole_list_7600_gateways",
+        ],
+    };
+    let slope = |name, budget| Slope {
+        role: ROLE,
+        name,
+        unit: "us",
+        size_of: "engines",
+        budget,
+        points: Vec::new(),
     };
-    let slope =
-        |name, budget| Slope { role: ROLE, name, unit: "us", size_of: "engines", budget, points: Vec::new() };
     let [statement, patch, whole] = names;
-    [slope(statement, Some(budget)), slope(patch, None), slope(whole, None)]
+    [
+        slope(statement, Some(budget)),
+        slope(patch, None),
+        slope(whole, None),
+    ]
 }
 
 fn costs(options: &Options, gateways: u32, engines: u32) -> Result<Costs, ScaleError> {
-    let mut driver = Driver::new(settings(gateways)?, options.seed, engines, most_out(gateways, engines));
-    let visits = if options.short { SHORT_VISITS_PER_BATCH } else { VISITS_PER_BATCH };
+    let mut driver = Driver::new(
+        settings(gateways)?,
+        options.seed,
+        engines,
+        most_out(gateways, engines),
+    );
+    let visits = if options.short {
+        SHORT_VISITS_PER_BATCH
+    } else {
+        VISITS_PER_BATCH
+    };
     let batch = (visits / engines).clamp(50, 2_000);
     (0..batch).for_each(|_| driver.statement());
     let mut statements_us = Vec::new();
@@ -89,7 +135,11 @@
         statements_us.push(took / f64::from(batch));
     }
     let patches_us = (0..PATCHES).map(|step| {
-        let state = if step % 2 == 0 { EngineState::Draining } else { EngineState::Ready };
+        let state = if step % 2 == 0 {
+            EngineState::Draining
+        } else {
+            EngineState::Ready
+        };
         driver.statement();
         timed(|| driver.patch(engines / 2, state)).0
     });
@@ -116,7 +166,12 @@
     let before = Usage::own()?.resident_bytes;
     let mut held = Vec::new();
     for number in 0..HELD {
-        held.push(Driver::new(settings(7_600)?, seed + number as u64, engines, 1));
+        held.push(Driver::new(
+            settings(7_600)?,
+            seed + number as u64,
+            engines,
+            1,
+        ));
     }
     let after = Usage::own()?.resident_bytes;
     Ok(after.saturating_sub(before) as f64 / (held.len() as f64 * TARGET))
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -40,11 +40,18 @@
     let mut bus = Bus::start()?;
     let listen = free_address()?;
     let program = Program::start(listen.clone(), &config(&listen, &bus)?)?;
-    let sizes = if options.short { &SHORT_SIZES[..] } else { &SIZES[..] };
+    let sizes = if options.short {
+        &SHORT_SIZES[..]
+    } else {
+        &SIZES[..]
+    };
     let mut slopes = slopes();
     for &engines in sizes {
         let measured = bus.measure(&program, engines)?;
-        slopes.iter_mut().zip(measured).for_each(|(slope, cost)| slope.push(f64::from(engines), cost));
+        slopes
+            .iter_mut()
+            .zip(measured)
+            .for_each(|(slope, cost)| slope.push(f64::from(engines), cost));
         if options.short {
             figures.add(&format!("engine_list_line_at_{engines}_bytes"), measured[0]);
         }
@@ -59,7 +66,9 @@
     slopes.iter().for_each(|slope| slope.record(figures));
     if !fits {
         let largest = bus.largest_whole_list()?;
-        println!("engine_list: the largest whole list that the program takes has {largest} engines");
+        println!(
+            "engine_list: the largest whole list that the program takes has {largest} engines"
+        );
         figures.add("engine_list_largest_whole_list_engines", largest);
         figures.add_break(Break {
             name: "engine_list_whole_list".to_owned(),
@@ -77,7 +86,10 @@
         name,
         unit,
         size_of: "engines",
-        budget: budget.map(|cost| Budget { cost, target: f64::from(TARGET) }),
+        budget: budget.map(|cost| Budget {
+            cost,
+            target: f64::from(TARGET),
+        }),
         points: Vec::new(),
     };
     [
@@ -90,7 +102,10 @@
 }
 
 fn config(listen: &str, bus: &Bus) -> Result<serde_json::Value, ScaleError> {
-    let address = bus.listener.local_addr().map_err(ScaleError::io("address of a bus"))?;
+    let address = bus
+        .listener
+        .local_addr()
+        .map_err(ScaleError::io("address of a bus"))?;
     Ok(json!({
         "name": "scale", "listen": listen, "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
         "bus": address.to_string(), "known": {"offset": 0, "batch": []},
@@ -113,7 +128,9 @@
 }
 
 fn whole_list(offset: u64, engines: u32) -> String {
-    let servers: Vec<_> = (1..=engines).map(|number| server(number, "in_service")).collect();
+    let servers: Vec<_> = (1..=engines)
+        .map(|number| server(number, "in_service"))
+        .collect();
     event(offset, true, &servers)
 }
 
@@ -128,8 +145,13 @@
 
 impl Bus {
     fn start() -> Result<Self, ScaleError> {
-        let listener = TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a bus"))?;
-        Ok(Bus { listener, follower: None, last: 0 })
+        let listener =
+            TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a bus"))?;
+        Ok(Bus {
+            listener,
+            follower: None,
+            last: 0,
+        })
     }
 
     /// Line bytes, time until applied, processor time of a whole list and of a patch, and memory, at one size.
@@ -144,18 +166,29 @@
             whole_us.push(cpu_us);
         }
         for repeat in 0..REPEATS {
-            let state = if repeat % 2 == 0 { "terminating" } else { "in_service" };
+            let state = if repeat % 2 == 0 {
+                "terminating"
+            } else {
+                "in_service"
+            };
             let line = event(self.last + 1, false, &[server(engines / 2, state)]);
             patch_us.push(self.timed(program, &line)?.1);
         }
         let memory = program.usage()?.resident_bytes as f64;
-        Ok([bytes as f64, median(applied_ms), least(&whole_us), least(&patch_us), memory])
+        Ok([
+            bytes as f64,
+            median(applied_ms),
+            least(&whole_us),
+            least(&patch_us),
+            memory,
+        ])
     }
 
     fn timed(&mut self, program: &Program, line: &str) -> Result<(Duration, f64), ScaleError> {
         let before = program.usage()?.cpu;
-        let took =
-            self.apply(line)?.ok_or(ScaleError::Bus("did not apply an engine list that fits a line"))?;
+        let took = self.apply(line)?.ok_or(ScaleError::Bus(
+            "did not apply an engine list that fits a line",
+        ))?;
         let used = program.usage()?.cpu.saturating_sub(before);
         Ok((took, used.as_secs_f64() * 1e6))
     }
@@ -186,9 +219,17 @@
         let (stream, _) = self.listener.accept().map_err(failed())?;
         stream.set_read_timeout(Some(WAIT)).map_err(failed())?;
         let mut greeting = String::new();
-        BufReader::new(&stream).read_line(&mut greeting).map_err(failed())?;
-        let last = greeting.trim().strip_prefix("from ").and_then(|last| last.parse().ok());
-        Ok((stream, last.ok_or(ScaleError::Bus("greeted the bus in an unknown form"))?))
+        BufReader::new(&stream)
+            .read_line(&mut greeting)
+            .map_err(failed())?;
+        let last = greeting
+            .trim()
+            .strip_prefix("from ")
+            .and_then(|last| last.parse().ok());
+        Ok((
+            stream,
+            last.ok_or(ScaleError::Bus("greeted the bus in an unknown form"))?,
+        ))
     }
 
     /// The largest whole list that is applied, between the largest size that was and the smallest that was not.
--- a/tools/scale/src/engine_side.rs
+++ b/tools/scale/src/engine_side.rs
@@ -51,11 +51,22 @@
         name: "front_end",
         unit: "connections",
         size_of: "engines",
-        budget: Some(Budget { cost: ENGINE_CONNECTIONS, target: f64::from(ENGINES) }),
+        budget: Some(Budget {
+            cost: ENGINE_CONNECTIONS,
+            target: f64::from(ENGINES),
+        }),
         points: Vec::new(),
     };
-    let sizes = if options.short { &SHORT_SIZES[..] } else { &SIZES[..] };
-    let window = if options.short { STATEMENTS_PER_SECOND } else { STATEMENTS_PER_SECOND * IDLE_CLOSE_S };
+    let sizes = if options.short {
+        &SHORT_SIZES[..]
+    } else {
+        &SIZES[..]
+    };
+    let window = if options.short {
+        STATEMENTS_PER_SECOND
+    } else {
+        STATEMENTS_PER_SECOND * IDLE_CLOSE_S
+    };
     for &engines in sizes {
         let sent = sent_by(options.seed, 0, engines, window)?;
         let distinct: BTreeSet<_> = sent.iter().collect();
@@ -63,7 +74,11 @@
         if options.short {
             // It finds room among the engines of its own zone, and goes no further.
             let (met, zone) = (distinct.len() as f64, f64::from(engines / ZONES));
-            figures.at_most(&format!("engine_side_front_end_at_{engines}_connections"), met, zone);
+            figures.at_most(
+                &format!("engine_side_front_end_at_{engines}_connections"),
+                met,
+                zone,
+            );
         }
     }
     if !options.short {
@@ -78,11 +93,18 @@
 }
 
 /// Where one front end of a fleet sends its statements.
-fn sent_by(seed: u64, front_end: u32, engines: u32, statements: u64) -> Result<Vec<EngineId>, ScaleError> {
+fn sent_by(
+    seed: u64,
+    front_end: u32,
+    engines: u32,
+    statements: u64,
+) -> Result<Vec<EngineId>, ScaleError> {
     let gateways = gateways_before(engines);
     let mut settings = settings(gateways)?;
     settings.zone = Some(front_end % ZONES);
-    let own = seed.wrapping_add(u64::from(front_end) + 1).wrapping_mul(SPREAD);
+    let own = seed
+        .wrapping_add(u64::from(front_end) + 1)
+        .wrapping_mul(SPREAD);
     let mut driver = Driver::new(settings, own, engines, most_out(gateways, engines));
     (0..statements).for_each(|_| driver.statement());
     Ok(driver.sent().to_vec())
@@ -93,10 +115,15 @@
 fn at_full_size(seed: u64, figures: &mut Figures) -> Result<(), ScaleError> {
     let sent = sent_by(seed, 0, ENGINES, STATEMENTS_AT_FULL_SIZE)?;
     let mut times: BTreeMap<EngineId, u64> = BTreeMap::new();
-    sent.iter().for_each(|engine| *times.entry(*engine).or_default() += 1);
+    sent.iter()
+        .for_each(|engine| *times.entry(*engine).or_default() += 1);
     let near = f64::from(ENGINES / ZONES);
     let usual = (sent.len() as f64 / near).max(1.0);
-    let kept: Vec<u64> = times.values().copied().filter(|times| *times as f64 > KEPT_TO * usual).collect();
+    let kept: Vec<u64> = times
+        .values()
+        .copied()
+        .filter(|times| *times as f64 > KEPT_TO * usual)
+        .collect();
     let to_kept: u64 = kept.iter().sum();
     let elsewhere = 1.0 - to_kept as f64 / sent.len().max(1) as f64;
     let drawn = elsewhere * (STATEMENTS_PER_SECOND * IDLE_CLOSE_S) as f64;
@@ -131,7 +158,9 @@
         let sent = sent_by(options.seed, front_end, engines, statements)?;
         Ok(sent.into_iter().collect::<BTreeSet<_>>())
     };
-    let mut by_front_end = (0..gateways).map(met).collect::<Result<Vec<_>, ScaleError>>()?;
+    let mut by_front_end = (0..gateways)
+        .map(met)
+        .collect::<Result<Vec<_>, ScaleError>>()?;
     note_seen("before", &by_front_end, engines, figures);
     // Those that come instead have seeds of their own and stand where the old ones stood.
     let step = gateways.div_ceil(ZONES) * ZONES;
@@ -146,7 +175,10 @@
 
 fn note_seen(when: &str, by_front_end: &[BTreeSet<EngineId>], engines: u32, figures: &mut Figures) {
     let mut seen: BTreeMap<EngineId, u32> = (0..engines).map(|engine| (engine, 0)).collect();
-    by_front_end.iter().flatten().for_each(|engine| *seen.entry(*engine).or_default() += 1);
+    by_front_end
+        .iter()
+        .flatten()
+        .for_each(|engine| *seen.entry(*engine).or_default() += 1);
     let all: u32 = seen.values().sum();
     let busiest = seen.values().max().copied().unwrap_or(0);
     let mean = f64::from(all) / f64::from(engines);
@@ -161,5 +193,8 @@
         f64::from(all) / front_ends as f64,
     );
     figures.add_number(&format!("engine_side_{when}_engine_mean_connections"), mean);
-    figures.add(&format!("engine_side_{when}_busiest_engine_connections"), busiest);
+    figures.add(
+        &format!("engine_side_{when}_busiest_engine_connections"),
+        busiest,
+    );
 }
--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -39,7 +39,9 @@
         reason: String,
     },
     /// Something did not happen in time.
-    #[error("{what} did not happen within {seconds} s; the machine may be too busy, run it again alone")]
+    #[error(
+        "{what} did not happen within {seconds} s; the machine may be too busy, run it again alone"
+    )]
     Late {
         /// What was waited for.
         what: &'static str,
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -49,7 +49,11 @@
 
     /// Adds a figure with three significant digits.
     pub fn add_number(&mut self, name: &str, value: f64) {
-        let digits = if value == 0.0 { 0.0 } else { value.abs().log10().floor() };
+        let digits = if value == 0.0 {
+            0.0
+        } else {
+            value.abs().log10().floor()
+        };
         let decimals = (2.0 - digits).clamp(0.0, 6.0) as usize;
         self.add(name, format!("{value:.decimals$}"));
     }
--- a/tools/scale/src/fit.rs
+++ b/tools/scale/src/fit.rs
@@ -66,7 +66,9 @@
 /// A quadratic that changes the cost at the largest size by less than this share of it is no curve of interest.
 const LEAST_BEND: f64 = 0.03;
 /// Critical values of the F distribution with one degree of freedom over 1, 2, ... at a level of 1%.
-const F_AT_ONE_PERCENT: [f64; 10] = [4052.2, 98.5, 34.12, 21.2, 16.26, 13.75, 12.25, 11.26, 10.56, 10.04];
+const F_AT_ONE_PERCENT: [f64; 10] = [
+    4052.2, 98.5, 34.12, 21.2, 16.26, 13.75, 12.25, 11.26, 10.56, 10.04,
+];
 
 /// How much each measurement counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -83,7 +85,9 @@
 impl Weights {
     /// The weights of costs, with 1 as their mean.
     fn of(self, costs: &[f64]) -> Vec<f64> {
-        let largest = costs.iter().fold(0.0, |most: f64, cost| most.max(cost.abs()));
+        let largest = costs
+            .iter()
+            .fold(0.0, |most: f64, cost| most.max(cost.abs()));
         if self == Weights::Equal || largest == 0.0 {
             return vec![1.0; costs.len()];
         }
@@ -106,9 +110,15 @@
 impl Moments {
     fn of(x: &[f64], y: &[f64], weights: &[f64]) -> Self {
         let total: f64 = weights.iter().sum();
-        let mean = |values: &[f64]| values.iter().zip(weights).map(|(v, w)| v * w).sum::<f64>() / total;
+        let mean =
+            |values: &[f64]| values.iter().zip(weights).map(|(v, w)| v * w).sum::<f64>() / total;
         let (mean_x, mean_y) = (mean(x), mean(y));
-        let apart = || x.iter().zip(y).map(|(x, y)| (x - mean_x, y - mean_y)).zip(weights);
+        let apart = || {
+            x.iter()
+                .zip(y)
+                .map(|(x, y)| (x - mean_x, y - mean_y))
+                .zip(weights)
+        };
         Moments {
             mean_x,
             mean_y,
@@ -151,7 +161,11 @@
         intercept_error: (variance * (1.0 / count + moments.mean_x.powi(2) / moments.xx)).sqrt(),
         slope: moments.slope(),
         slope_error: (variance / moments.xx).sqrt(),
-        r_squared: if moments.yy > 0.0 { 1.0 - residual / moments.yy } else { 1.0 },
+        r_squared: if moments.yy > 0.0 {
+            1.0 - residual / moments.yy
+        } else {
+            1.0
+        },
         shape: shape(&sizes, &costs, &weights, &moments, quadratic),
         quadratic,
     })
@@ -162,10 +176,20 @@
     let squares: Vec<f64> = sizes.iter().map(|x| x * x).collect();
     let of_squares = Moments::of(sizes, &squares, weights);
     let (rest_constant, rest_linear) = (of_squares.intercept(), of_squares.slope());
-    let rests = || sizes.iter().zip(&squares).map(|(x, square)| square - rest_constant - rest_linear * x);
-    let own: f64 = rests().zip(weights).map(|(rest, weight)| weight * rest * rest).sum();
+    let rests = || {
+        sizes
+            .iter()
+            .zip(&squares)
+            .map(|(x, square)| square - rest_constant - rest_linear * x)
+    };
+    let own: f64 = rests()
+        .zip(weights)
+        .map(|(rest, weight)| weight * rest * rest)
+        .sum();
     let products = rests().zip(costs).zip(weights);
-    let shared: f64 = products.map(|((rest, cost), weight)| weight * rest * cost).sum();
+    let shared: f64 = products
+        .map(|((rest, cost), weight)| weight * rest * cost)
+        .sum();
     let square = if own > 0.0 { shared / own } else { 0.0 };
     Quadratic {
         constant: line.intercept() - square * rest_constant,
@@ -175,20 +199,36 @@
 }
 
 /// The F test of the quadratic against the line, and whether the bend matters at the largest size.
-fn shape(sizes: &[f64], costs: &[f64], weights: &[f64], line: &Moments, quadratic: Quadratic) -> Shape {
+fn shape(
+    sizes: &[f64],
+    costs: &[f64],
+    weights: &[f64],
+    line: &Moments,
+    quadratic: Quadratic,
+) -> Shape {
     if sizes.len() < FEWEST_FOR_SHAPE {
         return Shape::Unknown;
     }
-    let Quadratic { constant, linear, square } = quadratic;
+    let Quadratic {
+        constant,
+        linear,
+        square,
+    } = quadratic;
     let rest = |x: &f64, cost: &f64| cost - constant - linear * x - square * x * x;
     let rests = sizes.iter().zip(costs).zip(weights);
-    let bent: f64 = rests.map(|((x, cost), weight)| weight * rest(x, cost).powi(2)).sum();
+    let bent: f64 = rests
+        .map(|((x, cost), weight)| weight * rest(x, cost).powi(2))
+        .sum();
     let freedom = sizes.len() - 3;
     let largest = sizes.iter().copied().fold(0.0, f64::max);
     let at_largest = line.intercept() + line.slope() * largest;
     let bend = (constant + linear * largest + square * largest * largest - at_largest).abs();
     let matters = bend > LEAST_BEND * at_largest.abs();
-    let critical = F_AT_ONE_PERCENT.get(freedom - 1).or(F_AT_ONE_PERCENT.last()).copied().unwrap_or(f64::MAX);
+    let critical = F_AT_ONE_PERCENT
+        .get(freedom - 1)
+        .or(F_AT_ONE_PERCENT.last())
+        .copied()
+        .unwrap_or(f64::MAX);
     let gained = line.residual() - bent;
     if matters && gained > critical * bent / freedom as f64 {
         Shape::Curve
@@ -201,7 +241,11 @@
     /// The fitted cost at a size: by the quadratic where the costs are a curve.
     #[must_use]
     pub fn cost_at(&self, size: f64) -> f64 {
-        let Quadratic { constant, linear, square } = self.used();
+        let Quadratic {
+            constant,
+            linear,
+            square,
+        } = self.used();
         constant + linear * size + square * size * size
     }
 
@@ -209,7 +253,11 @@
     /// never is, or where the cost does not surely grow.
     #[must_use]
     pub fn size_at(&self, budget: f64) -> Option<f64> {
-        let Quadratic { constant, linear, square } = self.used();
+        let Quadratic {
+            constant,
+            linear,
+            square,
+        } = self.used();
         let below = constant - budget;
         if below >= 0.0 {
             return Some(0.0);
@@ -225,15 +273,20 @@
         // The larger of the two forms avoids the cancellation in -b + sqrt(b^2 - 4ac).
         let half = -0.5 * (linear + under_root.sqrt().copysign(linear));
         let roots = [half / square, below / half];
-        roots.into_iter().filter(|size| size.is_finite() && *size > 0.0).min_by(f64::total_cmp)
+        roots
+            .into_iter()
+            .filter(|size| size.is_finite() && *size > 0.0)
+            .min_by(f64::total_cmp)
     }
 
     fn used(&self) -> Quadratic {
         match self.shape {
             Shape::Curve => self.quadratic,
-            Shape::Line | Shape::Unknown => {
-                Quadratic { constant: self.intercept, linear: self.slope, square: 0.0 }
-            }
+            Shape::Line | Shape::Unknown => Quadratic {
+                constant: self.intercept,
+                linear: self.slope,
+                square: 0.0,
+            },
         }
     }
 }
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -54,13 +54,22 @@
 /// One warm engine.
 #[must_use]
 pub fn engine(id: EngineId, state: EngineState) -> Engine {
-    Engine { id, zone: id % ZONES, kind: 0, cell: 0, state, started: None }
+    Engine {
+        id,
+        zone: id % ZONES,
+        kind: 0,
+        cell: 0,
+        state,
+        started: None,
+    }
 }
 
 /// So many warm engines.
 #[must_use]
 pub fn engines(count: u32) -> Vec<Engine> {
-    (0..count).map(|id| engine(id, EngineState::Ready)).collect()
+    (0..count)
+        .map(|id| engine(id, EngineState::Ready))
+        .collect()
 }
 
 /// An attempt that has not been answered.
@@ -112,8 +121,13 @@
         self.next += 1;
         let class = u32::from(self.next % REPORT_EVERY == 0);
         let work = GAP * self.most_out as Micros;
-        let query =
-            NewQuery { id: self.next, class, work: Some(work), time_left: TIME_LEFT, ..NewQuery::default() };
+        let query = NewQuery {
+            id: self.next,
+            class,
+            work: Some(work),
+            time_left: TIME_LEFT,
+            ..NewQuery::default()
+        };
         self.handle(Event::Arrived(query));
         while self.out.len() >= self.most_out {
             self.answer_oldest();
@@ -121,7 +135,9 @@
     }
 
     fn answer_oldest(&mut self) {
-        let Some(attempt) = self.out.pop_front() else { return };
+        let Some(attempt) = self.out.pop_front() else {
+            return;
+        };
         let elapsed = (self.now - attempt.sent).max(GAP);
         self.handle(Event::Ended(Ended {
             query: attempt.query,
@@ -130,7 +146,10 @@
             outcome: Outcome::Completed,
             settled: true,
             elapsed,
-            cost: Some(Cost { work: elapsed, memory_mb: 0.0 }),
+            cost: Some(Cost {
+                work: elapsed,
+                memory_mb: 0.0,
+            }),
             load: Load::default(),
         }));
     }
@@ -156,7 +175,11 @@
             match *action {
                 Action::Send { query, engine, .. } => {
                     self.sent.push(engine);
-                    self.out.push_back(Attempt { query, engine, sent: self.now });
+                    self.out.push_back(Attempt {
+                        query,
+                        engine,
+                        sent: self.now,
+                    });
                 }
                 Action::Refuse { .. } | Action::Fail { .. } => self.refused += 1,
                 Action::Wake { at } => self.wake = Some(at),
--- a/tools/scale/src/hollow/changes.rs
+++ b/tools/scale/src/hollow/changes.rs
@@ -24,7 +24,10 @@
 #[must_use]
 pub fn transaction(number: u64) -> Value {
     let text = number.to_string();
-    let mut then = vec![json!({"put": key(number), "value": text}), json!({"put": LATEST, "value": text})];
+    let mut then = vec![
+        json!({"put": key(number), "value": text}),
+        json!({"put": LATEST, "value": text}),
+    ];
     if let Some(old) = number.checked_sub(WINDOW).filter(|old| *old > 0) {
         then.push(json!({"delete": key(old)}));
     }
@@ -99,13 +102,19 @@
             self.faults.out_of_order += 1;
         }
         self.revision = revision;
-        let Some(latest) = entries.entry(LATEST).and_then(|(_, value)| number(value)) else { return };
+        let Some(latest) = entries.entry(LATEST).and_then(|(_, value)| number(value)) else {
+            return;
+        };
         if latest < self.sequence.last {
             self.faults.out_of_order += 1;
             return;
         }
         self.check_last(entries);
-        let next = if self.sequence.first == 0 { first(entries) } else { Some(self.sequence.last + 1) };
+        let next = if self.sequence.first == 0 {
+            first(entries)
+        } else {
+            Some(self.sequence.last + 1)
+        };
         for number in next.unwrap_or(latest)..=latest {
             self.see(entries, number);
         }
@@ -160,5 +169,6 @@
 
 fn first(entries: &impl Entries) -> Option<u64> {
     let kept = entries.entries_below(PREFIX);
-    kept.first().and_then(|(key, _, _)| key.strip_prefix(PREFIX)?.parse().ok())
+    kept.first()
+        .and_then(|(key, _, _)| key.strip_prefix(PREFIX)?.parse().ok())
 }
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -9,7 +9,8 @@
 use async_executor::{LocalExecutor, Task};
 use linnetreach::interface::{EngineId, ListScope, QueryId};
 use violetgate::control::{
-    Attempt, Bus, Clock, Config, Dispatch, Engines, Fence, Fleet, Ids, Listed, Parts, Place, Subscribed,
+    Attempt, Bus, Clock, Config, Dispatch, Engines, Fence, Fleet, Ids, Listed, Parts, Place,
+    Subscribed,
 };
 use violetgate::settings::{self, Settings};
 use violetgate_consensus::NodeId;
@@ -73,7 +74,9 @@
 
 impl Fence for SubscriptionFence {
     fn is_open(&self) -> bool {
-        self.0.upgrade().is_some_and(|subscribed| subscribed.is_open())
+        self.0
+            .upgrade()
+            .is_some_and(|subscribed| subscribed.is_open())
     }
 }
 
@@ -109,14 +112,15 @@
         let failed = |cause| HollowError::Start { index, cause };
         let executor = Rc::new(LocalExecutor::new());
         let name = format!("hollow-{index}");
-        let config = Config::parse(&template.config, None, None, Some(name.clone())).map_err(failed)?;
+        let config =
+            Config::parse(&template.config, None, None, Some(name.clone())).map_err(failed)?;
         let seed = template.seed.wrapping_add(index as u64);
         let gateways = config.settings.gateways.unwrap_or(1);
         let clock = template.clock;
         let subscribed = subscribe(template, &executor, &name, seed)?;
-        let fence = subscribed
-            .as_ref()
-            .map(|subscribed| Rc::new(SubscriptionFence(Rc::downgrade(subscribed))) as Rc<dyn Fence>);
+        let fence = subscribed.as_ref().map(|subscribed| {
+            Rc::new(SubscriptionFence(Rc::downgrade(subscribed))) as Rc<dyn Fence>
+        });
         let dispatch = Dispatch::new(clock, config.settings, seed, Rc::new(NoEngines), fence);
         let fleet = match fleet_settings(template, index, name)? {
             Some(given) => {
@@ -125,7 +129,10 @@
             }
             None => None,
         };
-        let (ids, place) = (Rc::new(Ids::default()), Rc::new(Place::new(config.bus, false)));
+        let (ids, place) = (
+            Rc::new(Ids::default()),
+            Rc::new(Place::new(config.bus, false)),
+        );
         let mut bus = Bus::new(config.names, Rc::clone(&ids), Rc::clone(&place));
         let news = template.runs(Part::Decisions).then(|| Rc::clone(&dispatch));
         let mut tell = move |scope: ListScope, listed: &[Listed]| {
@@ -135,23 +142,45 @@
         };
         bus.known(config.known.0, config.known.1, &mut tell);
         if template.runs(Part::Bus) {
-            executor.spawn(async move { bus.follow(&mut tell).await }).detach();
+            executor
+                .spawn(async move { bus.follow(&mut tell).await })
+                .detach();
         }
         if template.runs(Part::Decisions) {
             let timers = Rc::clone(&dispatch);
-            executor.spawn(async move { timers.run_timers().await }).detach();
+            executor
+                .spawn(async move { timers.run_timers().await })
+                .detach();
         }
         let seen = Rc::new(RefCell::new(SeenChanges::default()));
         if let Some(subscribed) = &subscribed {
             let (dispatch, place) = (Rc::clone(&dispatch), Rc::clone(&place));
             let door = Rc::default();
-            subscribed.attach(&executor, Parts { clock, dispatch, door, ids, place, rest: None });
+            subscribed.attach(
+                &executor,
+                Parts {
+                    clock,
+                    dispatch,
+                    door,
+                    ids,
+                    place,
+                    rest: None,
+                },
+            );
             watch(subscribed, &seen);
         }
         let own = Rc::clone(&executor);
         let driver = process.spawn(async move { own.run(pending::<()>()).await });
         let driver = Some(driver);
-        Ok(FrontEnd { driver, subscribed, seen, place, fleet, _dispatch: dispatch, _executor: executor })
+        Ok(FrontEnd {
+            driver,
+            subscribed,
+            seen,
+            place,
+            fleet,
+            _dispatch: dispatch,
+            _executor: executor,
+        })
     }
 
     /// Bytes sent and received so far.
@@ -171,7 +200,9 @@
     /// Whether its gate is open: it may route.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        self.subscribed.as_ref().is_none_or(|subscribed| subscribed.is_open())
+        self.subscribed
+            .as_ref()
+            .is_none_or(|subscribed| subscribed.is_open())
     }
 
     /// The revision of the state that it routes on.
@@ -222,15 +253,25 @@
         return Ok(None);
     }
     let given = template.settings.cluster.clone();
-    let mut given = given.ok_or(HollowError::Missing { block: "cluster", part: "subscription" })?;
+    let mut given = given.ok_or(HollowError::Missing {
+        block: "cluster",
+        part: "subscription",
+    })?;
     name.clone_into(&mut given.front_end);
-    Ok(Some(Subscribed::start(executor, &template.settings, &given, seed)))
+    Ok(Some(Subscribed::start(
+        executor,
+        &template.settings,
+        &given,
+        seed,
+    )))
 }
 
 /// Checks what is applied, in the turn in which it is.
 fn watch(subscribed: &Subscribed, seen: &Rc<RefCell<SeenChanges>>) {
     let seen = Rc::clone(seen);
-    subscribed.subscription().on_applied(Rc::new(move |replica| seen.borrow_mut().applied(replica)));
+    subscribed
+        .subscription()
+        .on_applied(Rc::new(move |replica| seen.borrow_mut().applied(replica)));
 }
 
 /// The template's `fleet` block as this front end has it: each has a name and a port of its own.
@@ -243,7 +284,10 @@
         return Ok(None);
     }
     let given = template.settings.fleet.clone();
-    let mut given = given.ok_or(HollowError::Missing { block: "fleet", part: "membership" })?;
+    let mut given = given.ok_or(HollowError::Missing {
+        block: "fleet",
+        part: "membership",
+    })?;
     let port = usize::from(given.listen.port()).saturating_add(index);
     let port = u16::try_from(port).map_err(|_| HollowError::Start {
         index,
--- a/tools/scale/src/hollow/process.rs
+++ b/tools/scale/src/hollow/process.rs
@@ -78,12 +78,19 @@
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
     /// The parts that run
-    #[arg(long, value_delimiter = ',', default_value = "subscription,bus,membership,decisions")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "subscription,bus,membership,decisions"
+    )]
     pub parts: Vec<Part>,
 }
 
 fn read(path: &Path) -> Result<String, HollowError> {
-    std::fs::read_to_string(path).map_err(|cause| HollowError::File { path: path.to_owned(), cause })
+    std::fs::read_to_string(path).map_err(|cause| HollowError::File {
+        path: path.to_owned(),
+        cause,
+    })
 }
 
 /// Runs the front ends until standard input ends.
@@ -94,9 +101,17 @@
 pub fn run(given: &Given) -> Result<(), HollowError> {
     let config = read(&given.config)?;
     let settings = settings::read(Some(&given.settings));
-    let settings = settings.map_err(|cause| HollowError::Settings { path: given.settings.clone(), cause })?;
-    let template =
-        Template { config, settings, parts: given.parts.clone(), clock: Clock::start(), seed: given.seed };
+    let settings = settings.map_err(|cause| HollowError::Settings {
+        path: given.settings.clone(),
+        cause,
+    })?;
+    let template = Template {
+        config,
+        settings,
+        parts: given.parts.clone(),
+        clock: Clock::start(),
+        seed: given.seed,
+    };
     let executor = Rc::new(LocalExecutor::new());
     let process = Process::new(Rc::clone(&executor), template, given);
     async_io::block_on(executor.run(process.run(&commands())))
@@ -150,7 +165,9 @@
 impl Starts {
     /// How many may start now.
     fn due(&self, now: Micros) -> u64 {
-        let Some(per_second) = self.per_second else { return u64::MAX };
+        let Some(per_second) = self.per_second else {
+            return u64::MAX;
+        };
         let elapsed = now.saturating_sub(self.since);
         (elapsed * u64::from(per_second) / 1_000_000).saturating_sub(self.started)
     }
@@ -176,7 +193,13 @@
 impl Process {
     fn new(executor: Rc<LocalExecutor<'static>>, template: Template, given: &Given) -> Self {
         let indices = given.first..given.first + given.count;
-        let places = indices.map(|index| Place { index, front_end: None, open: false }).collect();
+        let places = indices
+            .map(|index| Place {
+                index,
+                front_end: None,
+                open: false,
+            })
+            .collect();
         Process {
             executor,
             template,
@@ -211,7 +234,11 @@
                 break;
             }
             if place.front_end.is_none() {
-                place.front_end = Some(FrontEnd::start(&self.executor, &self.template, place.index)?);
+                place.front_end = Some(FrontEnd::start(
+                    &self.executor,
+                    &self.template,
+                    place.index,
+                )?);
                 starts.started += 1;
                 due -= 1;
             }
@@ -228,10 +255,17 @@
                 }
             }
             Command::Kill { count } => self.kill(*count),
-            Command::Start { running, per_second } => {
+            Command::Start {
+                running,
+                per_second,
+            } => {
                 let since = now();
-                *self.starts.borrow_mut() =
-                    Starts { running: *running, per_second: *per_second, since, started: 0 };
+                *self.starts.borrow_mut() = Starts {
+                    running: *running,
+                    per_second: *per_second,
+                    since,
+                    started: 0,
+                };
             }
         }
     }
@@ -243,7 +277,9 @@
         let mut progress = self.progress.borrow_mut();
         for place in places.iter_mut().take(count) {
             place.open = false;
-            let Some(front_end) = place.front_end.take() else { continue };
+            let Some(front_end) = place.front_end.take() else {
+                continue;
+            };
             progress.ended.add(front_end.traffic());
             progress.faults.add(front_end.faults());
         }
@@ -256,7 +292,9 @@
         progress.take_due(now(), self.template.drain_limit());
         let (mut running, mut serving, mut in_force) = (0, 0, None);
         for place in places.iter_mut() {
-            let Some(front_end) = &place.front_end else { continue };
+            let Some(front_end) = &place.front_end else {
+                continue;
+            };
             running += 1;
             let open = front_end.is_open();
             progress.gates_shut += u64::from(place.open && !open);
@@ -294,14 +332,22 @@
     fn report_gates(&mut self, running: usize, serving: usize) {
         if self.gates != (running, serving) {
             self.gates = (running, serving);
-            report(&Report::Gates { at: now(), running, serving });
+            report(&Report::Gates {
+                at: now(),
+                running,
+                serving,
+            });
         }
     }
 
     fn report_in_force(&mut self, change: u64, serving: usize) {
         if change > self.in_force {
             self.in_force = change;
-            report(&Report::InForce { change, at: now(), serving });
+            report(&Report::InForce {
+                change,
+                at: now(),
+                serving,
+            });
         }
     }
 }
@@ -317,7 +363,9 @@
     };
     let mut sequences = BTreeMap::new();
     for place in places {
-        let Some(front_end) = &place.front_end else { continue };
+        let Some(front_end) = &place.front_end else {
+            continue;
+        };
         totals.running += 1;
         totals.serving += usize::from(place.open);
         totals.faults.add(front_end.faults());
@@ -332,7 +380,10 @@
             totals.shares = Some((least.min(share), most.max(share)));
         }
     }
-    let counted = |(sequence, front_ends)| SequenceCount { sequence, front_ends };
+    let counted = |(sequence, front_ends)| SequenceCount {
+        sequence,
+        front_ends,
+    };
     totals.sequences = sequences.into_iter().map(counted).collect();
     totals
 }
--- a/tools/scale/src/hollow/report.rs
+++ b/tools/scale/src/hollow/report.rs
@@ -13,7 +13,8 @@
 #[must_use]
 pub fn now() -> Micros {
     let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-    u64::try_from(at.tv_sec).unwrap_or(0) * 1_000_000 + u64::try_from(at.tv_nsec).unwrap_or(0) / 1_000
+    u64::try_from(at.tv_sec).unwrap_or(0) * 1_000_000
+        + u64::try_from(at.tv_nsec).unwrap_or(0) / 1_000
 }
 
 /// What the run tells a process.
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -42,8 +42,16 @@
     if sizes.is_empty() {
         return Err(MembershipError::NoSize(config.most));
     }
-    let cases: &[Case] = if options.short { &SHORT_CASES } else { &Case::ALL };
-    let longest = if options.short { LONGEST_SHORT } else { LONGEST };
+    let cases: &[Case] = if options.short {
+        &SHORT_CASES
+    } else {
+        &Case::ALL
+    };
+    let longest = if options.short {
+        LONGEST_SHORT
+    } else {
+        LONGEST
+    };
     for size in sizes {
         for case in cases {
             let load = play(*case, size, &config, options.seed, longest);
@@ -55,7 +63,11 @@
 
 fn report(case: Case, size: usize, load: &Load, options: &Options, figures: &mut Figures) {
     let name = |unit: &str| format!("membership_{}_{size}_{unit}", case.name());
-    let bound = if case == Case::Rest { REST_BYTES_PER_S } else { f64::INFINITY };
+    let bound = if case == Case::Rest {
+        REST_BYTES_PER_S
+    } else {
+        f64::INFINITY
+    };
     figures.at_most(&name("bytes_per_s"), load.bytes_per_s, bound);
     figures.add_number(&name("busiest_bytes_per_s"), load.busiest_bytes_per_s);
     figures.add_number(&name("peak_bytes_per_s"), load.peak_bytes_per_s);
@@ -82,6 +94,9 @@
         ));
     }
     if case == Case::Start && load.known_s.is_none() && !load.cut_short {
-        figures.missed(format!("{}: a fleet that started at once has not come to one view", name("known_s")));
+        figures.missed(format!(
+            "{}: a fleet that started at once has not come to one view",
+            name("known_s")
+        ));
     }
 }
--- a/tools/scale/src/page.rs
+++ b/tools/scale/src/page.rs
@@ -41,9 +41,18 @@
     /// its figures is no `key=value`.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
-        let line = text.lines().rev().find_map(|line| line.strip_prefix(LINE))?;
-        let pair = |word: &str| word.split_once('=').map(|(key, value)| (key.to_owned(), value.to_owned()));
-        line.split_whitespace().map(pair).collect::<Option<_>>().map(Saved)
+        let line = text
+            .lines()
+            .rev()
+            .find_map(|line| line.strip_prefix(LINE))?;
+        let pair = |word: &str| {
+            word.split_once('=')
+                .map(|(key, value)| (key.to_owned(), value.to_owned()))
+        };
+        line.split_whitespace()
+            .map(pair)
+            .collect::<Option<_>>()
+            .map(Saved)
     }
 
     /// The block, without its marks.
@@ -51,11 +60,14 @@
     pub fn render(&self) -> String {
         let names = self.0.keys().filter_map(|key| key.strip_suffix(SHAPE));
         let names: Vec<&str> = names.collect();
-        let mut rows: BTreeMap<&str, Row> = names.iter().map(|name| (*name, Row::default())).collect();
+        let mut rows: BTreeMap<&str, Row> =
+            names.iter().map(|name| (*name, Row::default())).collect();
         let mut others = Vec::new();
         for (key, value) in &self.0 {
             // The longest name: one may begin with another.
-            let found = names.iter().filter_map(|name| Some((*name, part(key, name)?)));
+            let found = names
+                .iter()
+                .filter_map(|name| Some((*name, part(key, name)?)));
             let found = found.max_by_key(|(name, _)| name.len());
             let taken = found.and_then(|(name, part)| rows.get_mut(name)?.take(part, value));
             if taken.is_none() {
@@ -66,7 +78,8 @@
             "| cost | unit | measured | fit: at 0 + for each | shape, R2 | passes its budget at |\n\
              | --- | --- | --- | --- | --- | --- |\n",
         );
-        rows.iter_mut().for_each(|(name, row)| row.write(name, &mut block));
+        rows.iter_mut()
+            .for_each(|(name, row)| row.write(name, &mut block));
         block.push_str("\n| figure | value |\n| --- | --- |\n");
         others.iter().for_each(|(key, value)| {
             let _ = writeln!(block, "| {key} | {value} |");
@@ -109,9 +122,24 @@
 
     fn write(&mut self, name: &str, block: &mut String) {
         self.measured.sort_unstable_by_key(|(size, _)| *size);
-        let measured: Vec<_> = self.measured.iter().map(|(size, cost)| format!("{size}: {cost}")).collect();
-        let breaks = self.breaks.map_or_else(String::new, |(size_of, size)| format!("{size} {size_of}"));
-        let Row { unit, intercept, intercept_error, slope, slope_error, r_squared, shape, .. } = self;
+        let measured: Vec<_> = self
+            .measured
+            .iter()
+            .map(|(size, cost)| format!("{size}: {cost}"))
+            .collect();
+        let breaks = self
+            .breaks
+            .map_or_else(String::new, |(size_of, size)| format!("{size} {size_of}"));
+        let Row {
+            unit,
+            intercept,
+            intercept_error,
+            slope,
+            slope_error,
+            r_squared,
+            shape,
+            ..
+        } = self;
         let _ = writeln!(
             block,
             "| {name} | {unit} | {} | {intercept} (±{intercept_error}) + {slope} (±{slope_error}) | {shape}, \
@@ -134,18 +162,28 @@
 }
 
 fn refused(file: &Path, reason: impl Into<String>) -> ScaleError {
-    ScaleError::Page { file: file.to_owned(), reason: reason.into() }
+    ScaleError::Page {
+        file: file.to_owned(),
+        reason: reason.into(),
+    }
 }
 
 /// The page as it is, and as it has to be.
 fn both(page: &Path, figures: &Path) -> Result<(String, String), ScaleError> {
     let saved = Saved::parse(&read(figures)?);
     let saved = saved.ok_or_else(|| {
-        refused(figures, "holds no line `scale: key=value ...`; save the last line of a run there")
+        refused(
+            figures,
+            "holds no line `scale: key=value ...`; save the last line of a run there",
+        )
     })?;
     let text = read(page)?;
-    let wanted = with_block(&text, &saved.render())
-        .ok_or_else(|| refused(page, format!("has no block between {BEGIN} and {END}; add both lines")))?;
+    let wanted = with_block(&text, &saved.render()).ok_or_else(|| {
+        refused(
+            page,
+            format!("has no block between {BEGIN} and {END}; add both lines"),
+        )
+    })?;
     Ok((text, wanted))
 }
 
@@ -159,8 +197,16 @@
     if text == wanted {
         return Ok(());
     }
-    let line = text.lines().zip(wanted.lines()).take_while(|(is, should)| is == should).count() + 1;
-    Err(refused(page, format!("line {line} differs from the saved figures; rewrite it with --write")))
+    let line = text
+        .lines()
+        .zip(wanted.lines())
+        .take_while(|(is, should)| is == should)
+        .count()
+        + 1;
+    Err(refused(
+        page,
+        format!("line {line} differs from the saved figures; rewrite it with --write"),
+    ))
 }
 
 /// Puts the figures of a saved run into a page.
--- a/tools/scale/src/program.rs
+++ b/tools/scale/src/program.rs
@@ -40,7 +40,9 @@
 /// The machine gives none.
 pub fn free_address() -> Result<String, ScaleError> {
     let free = || std::net::TcpListener::bind("127.0.0.1:0")?.local_addr();
-    free().map(|address| address.to_string()).map_err(ScaleError::io("find a free port"))
+    free()
+        .map(|address| address.to_string())
+        .map_err(ScaleError::io("find a free port"))
 }
 
 impl Program {
@@ -57,10 +59,12 @@
             return Err(ScaleError::NoProgram(program));
         }
         let number = NEXT.fetch_add(1, Relaxed);
-        let folder = std::env::temp_dir().join(format!("violetgate-scale-{}-{number}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("violetgate-scale-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(ScaleError::io("make a folder"))?;
         let file = folder.join("config.json");
-        std::fs::write(&file, config.to_string()).map_err(ScaleError::io("write a configuration"))?;
+        std::fs::write(&file, config.to_string())
+            .map_err(ScaleError::io("write a configuration"))?;
         let log = std::fs::File::create(folder.join(LOG)).map_err(ScaleError::io("make a log"))?;
         let child = Command::new(program)
             .env("PROXY_CONFIG", &file)
@@ -69,7 +73,11 @@
             .stderr(log)
             .spawn()
             .map_err(ScaleError::io("start violetgate"))?;
-        let mut program = Program { child, folder, listen };
+        let mut program = Program {
+            child,
+            folder,
+            listen,
+        };
         program.wait_until_it_listens()?;
         Ok(program)
     }
@@ -81,7 +89,10 @@
                 return Err(ScaleError::Program(self.last_of_log()));
             }
             if Instant::now() > until {
-                return Err(ScaleError::Late { what: "violetgate's listening", seconds: START.as_secs() });
+                return Err(ScaleError::Late {
+                    what: "violetgate's listening",
+                    seconds: START.as_secs(),
+                });
             }
             std::thread::sleep(LOOK);
         }
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -52,16 +52,28 @@
     /// Adds the measurements, the fit and the size at which the budget is passed, and prints the slope as a line.
     pub fn record(&self, figures: &mut Figures) {
         println!("{self}");
-        let Slope { role, name, unit, size_of, .. } = self;
+        let Slope {
+            role,
+            name,
+            unit,
+            size_of,
+            ..
+        } = self;
         let key = format!("{role}_{name}");
         for point in &self.points {
             figures.add_number(&format!("{key}_at_{}_{unit}", point.size), point.cost);
         }
         let Some(fit) = self.fitted() else {
-            return figures.missed(format!("{key}: {} measurements are too few to fit", self.points.len()));
+            return figures.missed(format!(
+                "{key}: {} measurements are too few to fit",
+                self.points.len()
+            ));
         };
         figures.add_number(&format!("{key}_intercept_{unit}"), fit.intercept);
-        figures.add_number(&format!("{key}_intercept_error_{unit}"), fit.intercept_error);
+        figures.add_number(
+            &format!("{key}_intercept_error_{unit}"),
+            fit.intercept_error,
+        );
         figures.add_number(&format!("{key}_slope_{unit}"), fit.slope);
         figures.add_number(&format!("{key}_slope_error_{unit}"), fit.slope_error);
         figures.add_number(&format!("{key}_r_squared"), fit.r_squared);
@@ -70,15 +82,28 @@
         let breaks_at = fit.size_at(budget.cost);
         let shown = breaks_at.map_or_else(|| "never".to_owned(), |size| format!("{size:.0}"));
         figures.add(&format!("{key}_breaks_at_{size_of}"), shown);
-        figures.add_break(Break { name: key, size: breaks_at, size_of, target: budget.target });
+        figures.add_break(Break {
+            name: key,
+            size: breaks_at,
+            size_of,
+            target: budget.target,
+        });
     }
 }
 
 impl fmt::Display for Slope {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Slope { role, name, unit, size_of, .. } = self;
+        let Slope {
+            role,
+            name,
+            unit,
+            size_of,
+            ..
+        } = self;
         write!(f, "{role} {name}:")?;
-        let Some(fit) = self.fitted() else { return write!(f, " too few measurements") };
+        let Some(fit) = self.fitted() else {
+            return write!(f, " too few measurements");
+        };
         write!(
             f,
             " {:.4} (error {:.2}) + {:.6} (error {:.2}) x {size_of} {unit}, a {}, R2 {:.4}",
@@ -92,11 +117,16 @@
         if let Some(budget) = self.budget {
             let Budget { cost, target } = budget;
             match fit.size_at(cost) {
-                Some(size) => write!(f, "; passes {cost} {unit} at {size:.0} {size_of} of {target}")?,
+                Some(size) => write!(
+                    f,
+                    "; passes {cost} {unit} at {size:.0} {size_of} of {target}"
+                )?,
                 None => write!(f, "; never passes {cost} {unit}")?,
             }
         }
         write!(f, ";")?;
-        self.points.iter().try_for_each(|point| write!(f, " {}: {:.4}", point.size, point.cost))
+        self.points
+            .iter()
+            .try_for_each(|point| write!(f, " {}: {:.4}", point.size, point.cost))
     }
 }
--- a/tools/scale/src/usage.rs
+++ b/tools/scale/src/usage.rs
@@ -79,9 +79,13 @@
 fn read(process: u32) -> Option<Usage> {
     let folder = PathBuf::from(format!("/proc/{process}"));
     let tasks = std::fs::read_dir(folder.join("task")).ok()?.flatten();
-    let nanoseconds = tasks.filter_map(|task| first_number(&task.path().join("schedstat"))).sum();
+    let nanoseconds = tasks
+        .filter_map(|task| first_number(&task.path().join("schedstat")))
+        .sum();
     let status = std::fs::read_to_string(folder.join("status")).ok()?;
-    let resident = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let resident = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kibibytes: u64 = resident.split_whitespace().next()?.parse().ok()?;
     Some(Usage {
         cpu: Duration::from_nanos(nanoseconds),
@@ -91,5 +95,10 @@
 }
 
 fn first_number(file: &std::path::Path) -> Option<u64> {
-    std::fs::read_to_string(file).ok()?.split_whitespace().next()?.parse().ok()
+    std::fs::read_to_string(file)
+        .ok()?
+        .split_whitespace()
+        .next()?
+        .parse()
+        .ok()
 }
--- a/tools/scale/src/whole_run.rs
+++ b/tools/scale/src/whole_run.rs
@@ -22,7 +22,9 @@
 #[derive(Debug, thiserror::Error)]
 pub enum WholeRunError {
     /// A program that the run starts is not there.
-    #[error("{path}: no such program: build the workspace first (`cargo build --release --workspace`)")]
+    #[error(
+        "{path}: no such program: build the workspace first (`cargo build --release --workspace`)"
+    )]
     NoProgram {
         /// Where it was looked for.
         path: PathBuf,
--- a/tools/scale/src/whole_run/changes.rs
+++ b/tools/scale/src/whole_run/changes.rs
@@ -58,10 +58,19 @@
     /// Begins to make changes at any of these APIs.
     pub(super) fn start(apis: Vec<SocketAddr>, per_second: f64, inputs: Arc<Inputs>) -> Self {
         let (made, stop) = (Arc::new(Mutex::default()), Arc::new(AtomicBool::new(false)));
-        let maker = Maker { apis, inputs, made: Arc::clone(&made), stop: Arc::clone(&stop) };
+        let maker = Maker {
+            apis,
+            inputs,
+            made: Arc::clone(&made),
+            stop: Arc::clone(&stop),
+        };
         let gap = (1e6 / per_second.max(1e-3)) as Micros;
         let thread = std::thread::spawn(move || maker.run(gap));
-        Changes { made, stop, thread: Some(thread) }
+        Changes {
+            made,
+            stop,
+            thread: Some(thread),
+        }
     }
 
     /// Makes no more.
@@ -74,7 +83,10 @@
 
     /// The changes that were answered so far, in order.
     pub(super) fn made(&self) -> Vec<Change> {
-        self.made.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.made
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -99,14 +111,29 @@
             }
             let id = format!("scale-change-{number}");
             let body = transaction(number).to_string();
-            let Some(revision) = self.agree("POST", "/v1/transactions", &id, body.as_bytes()) else { return };
-            let change = Change { number, due, answered: now(), revision };
-            self.made.lock().unwrap_or_else(PoisonError::into_inner).push(change);
+            let Some(revision) = self.agree("POST", "/v1/transactions", &id, body.as_bytes())
+            else {
+                return;
+            };
+            let change = Change {
+                number,
+                due,
+                answered: now(),
+                revision,
+            };
+            self.made
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(change);
         }
     }
 
     fn cordon(&self, number: u64) {
-        let method = if (number / CORDON_EVERY) % 2 == 1 { "PUT" } else { "DELETE" };
+        let method = if (number / CORDON_EVERY) % 2 == 1 {
+            "PUT"
+        } else {
+            "DELETE"
+        };
         let path = format!("/v1/cordons?engine={CORDONED}");
         self.agree(method, &path, &format!("scale-cordon-{number}"), b"");
     }
@@ -116,9 +143,15 @@
     fn agree(&self, method: &str, path: &str, id: &str, body: &[u8]) -> Option<Revision> {
         for api in self.apis.iter().cycle().take(MOST_TRIES) {
             let reply = call(*api, method, path, Some(id), body);
-            let revision = reply.ok().filter(|r| r.status == 200).and_then(|r| revision(&r.json()));
+            let revision = reply
+                .ok()
+                .filter(|r| r.status == 200)
+                .and_then(|r| revision(&r.json()));
             if let Some(revision) = revision {
-                self.inputs.send(&Command::Answered { revision, at: now() });
+                self.inputs.send(&Command::Answered {
+                    revision,
+                    at: now(),
+                });
                 return Some(revision);
             }
             std::thread::sleep(PAUSE);
--- a/tools/scale/src/whole_run/children.rs
+++ b/tools/scale/src/whole_run/children.rs
@@ -80,7 +80,11 @@
 
 impl Children {
     /// Starts the processes of a plan, without any front end yet.
-    pub(super) fn start(plan: &Plan, config: &Path, settings: &Path) -> Result<Self, WholeRunError> {
+    pub(super) fn start(
+        plan: &Plan,
+        config: &Path,
+        settings: &Path,
+    ) -> Result<Self, WholeRunError> {
         let program = layout::program("hollow-front-ends")?;
         let mut children = Children {
             children: Vec::new(),
@@ -97,7 +101,12 @@
                 .arg("--settings")
                 .arg(settings)
                 .args(["--first", &first.to_string(), "--count", &count.to_string()])
-                .args(["--seed", &plan.seed.to_string(), "--parts", &parts.join(",")])
+                .args([
+                    "--seed",
+                    &plan.seed.to_string(),
+                    "--parts",
+                    &parts.join(","),
+                ])
                 .stdin(Stdio::piped())
                 .stdout(Stdio::piped())
                 .stderr(Stdio::null())
@@ -129,33 +138,57 @@
     /// Fails if a process has ended.
     pub(super) fn check(&mut self) -> Result<(), WholeRunError> {
         for (process, child) in self.children.iter_mut().enumerate() {
-            let failed = self.reported.get(process).and_then(|r| lock(r).failed.clone());
-            let ended = child.try_wait().ok().flatten().map(|status| status.to_string());
-            let Some(cause) = failed.or(ended) else { continue };
-            return Err(WholeRunError::Ended { name: format!("hollow-front-ends {process}"), cause });
+            let failed = self
+                .reported
+                .get(process)
+                .and_then(|r| lock(r).failed.clone());
+            let ended = child
+                .try_wait()
+                .ok()
+                .flatten()
+                .map(|status| status.to_string());
+            let Some(cause) = failed.or(ended) else {
+                continue;
+            };
+            return Err(WholeRunError::Ended {
+                name: format!("hollow-front-ends {process}"),
+                cause,
+            });
         }
         Ok(())
     }
 
     /// The gates of each process.
     pub(super) fn gates(&self) -> Vec<Gates> {
-        self.reported.iter().map(|reported| lock(reported).gates).collect()
+        self.reported
+            .iter()
+            .map(|reported| lock(reported).gates)
+            .collect()
     }
 
     /// Front ends that run, and those whose gates are open, over all processes.
     pub(super) fn running_and_serving(&self) -> (usize, usize) {
         let gates = self.gates();
-        (gates.iter().map(|g| g.running).sum(), gates.iter().map(|g| g.serving).sum())
+        (
+            gates.iter().map(|g| g.running).sum(),
+            gates.iter().map(|g| g.serving).sum(),
+        )
     }
 
     /// The latest totals of each process.
     pub(super) fn totals(&self) -> Vec<Totals> {
-        self.reported.iter().map(|reported| lock(reported).totals.clone()).collect()
+        self.reported
+            .iter()
+            .map(|reported| lock(reported).totals.clone())
+            .collect()
     }
 
     /// What each process has reached.
     pub(super) fn reached(&self) -> Vec<Reached> {
-        self.reported.iter().map(|reported| lock(reported).in_force.clone()).collect()
+        self.reported
+            .iter()
+            .map(|reported| lock(reported).in_force.clone())
+            .collect()
     }
 }
 
@@ -165,7 +198,17 @@
         let mut reported = lock(reported);
         match serde_json::from_str(&line) {
             Ok(Report::InForce { change, at, .. }) => reported.in_force.push((change, at)),
-            Ok(Report::Gates { at, running, serving }) => reported.gates = Gates { at, running, serving },
+            Ok(Report::Gates {
+                at,
+                running,
+                serving,
+            }) => {
+                reported.gates = Gates {
+                    at,
+                    running,
+                    serving,
+                }
+            }
             Ok(Report::Totals(totals)) => reported.totals = totals,
             Ok(Report::Failed { cause }) => reported.failed = Some(cause),
             Err(error) => reported.failed = Some(format!("a report can't be read: {error}")),
--- a/tools/scale/src/whole_run/control.rs
+++ b/tools/scale/src/whole_run/control.rs
@@ -21,7 +21,10 @@
 /// How often something that is waited for is looked at.
 const LOOK: Duration = Duration::from_millis(50);
 /// Figures of messages between members.
-const MESSAGES: [&str; 2] = ["svc_cluster_messages_sent_total", "svc_cluster_messages_received_total"];
+const MESSAGES: [&str; 2] = [
+    "svc_cluster_messages_sent_total",
+    "svc_cluster_messages_received_total",
+];
 
 /// One control process.
 pub(super) struct Member {
@@ -33,7 +36,9 @@
 impl Member {
     /// What it says of itself; null: it does not answer.
     pub(super) fn status(&self) -> Value {
-        call(self.api, "GET", "/v1/cluster", None, b"").map(|reply| reply.json()).unwrap_or_default()
+        call(self.api, "GET", "/v1/cluster", None, b"")
+            .map(|reply| reply.json())
+            .unwrap_or_default()
     }
 
     fn routes(&self) -> bool {
@@ -55,7 +60,10 @@
         program: &Path,
         engines: &Fleet,
     ) -> Result<Self, WholeRunError> {
-        let mut control = Control { members: Vec::new(), voters: plan.voters as usize };
+        let mut control = Control {
+            members: Vec::new(),
+            voters: plan.voters as usize,
+        };
         for id in 1..=plan.voters {
             control.add(plan, layout, program, engines, id)?;
         }
@@ -79,8 +87,12 @@
     ) -> Result<(), WholeRunError> {
         let name = format!("control-{id}");
         let folder = layout.folder(&name)?;
-        let (listen, management) = (layout.control(id, Port::Clients), layout.control(id, Port::Management));
-        let mut config = engines.config(&name, &listen.to_string(), &violetgate_standin::settings());
+        let (listen, management) = (
+            layout.control(id, Port::Clients),
+            layout.control(id, Port::Management),
+        );
+        let mut config =
+            engines.config(&name, &listen.to_string(), &violetgate_standin::settings());
         config["management"] = management.to_string().into();
         config["limits"]["sockets"] = SOCKETS.into();
         config["seed"] = format!("{:016x}", plan.seed.wrapping_mul(SEED_STEP) ^ id).into();
@@ -89,7 +101,9 @@
         let settings = layout.write(&folder, "violetgate.hcl", &settings)?;
         init(program, &settings, id > plan.voters)?;
         let mut process = Process::new(&name, listen, management, folder, program);
-        process.start().map_err(WholeRunError::machine("start a control process"))?;
+        process
+            .start()
+            .map_err(WholeRunError::machine("start a control process"))?;
         let api = layout.control(id, Port::Api);
         self.members.push(Member { id, api, process });
         Ok(())
@@ -97,11 +111,20 @@
 
     /// Has the voters take a member in, which learns.
     fn join(&self, layout: &Layout, id: u64) -> Result<(), WholeRunError> {
-        let (listen, api) = (layout.control(id, Port::Members), layout.control(id, Port::Api));
+        let (listen, api) = (
+            layout.control(id, Port::Members),
+            layout.control(id, Port::Api),
+        );
         let body = json!({"add": {"id": id, "listen": listen, "api": api}}).to_string();
         let added = || {
             let replies = self.members.iter().map(|member| {
-                call(member.api, "POST", "/v1/cluster/members", Some(&format!("add-{id}")), body.as_bytes())
+                call(
+                    member.api,
+                    "POST",
+                    "/v1/cluster/members",
+                    Some(&format!("add-{id}")),
+                    body.as_bytes(),
+                )
             });
             replies.flatten().any(|reply| reply.status == 200)
         };
@@ -110,12 +133,20 @@
 
     /// Waits until all members route.
     pub(super) fn settle(&self) -> Result<(), WholeRunError> {
-        let settled =
-            wait_for("all control processes route", START, || self.members.iter().all(Member::routes));
+        let settled = wait_for("all control processes route", START, || {
+            self.members.iter().all(Member::routes)
+        });
         settled.map_err(|late| match late {
             WholeRunError::Late { what, seconds, .. } => {
-                let found = self.members.iter().map(|m| format!("{}: {}\n", m.process.name, m.process.log()));
-                WholeRunError::Late { what, seconds, found: found.collect() }
+                let found = self
+                    .members
+                    .iter()
+                    .map(|m| format!("{}: {}\n", m.process.name, m.process.log()));
+                WholeRunError::Late {
+                    what,
+                    seconds,
+                    found: found.collect(),
+                }
             }
             other => other,
         })
@@ -128,12 +159,18 @@
 
     /// Where their figures are read.
     pub(super) fn managements(&self) -> Vec<SocketAddr> {
-        self.members.iter().map(|member| member.process.management).collect()
+        self.members
+            .iter()
+            .map(|member| member.process.management)
+            .collect()
     }
 
     /// The voter that leads.
     pub(super) fn leader(&mut self) -> Option<&mut Member> {
-        let leader = self.members.iter().find_map(|member| member.status().get("leader")?.as_u64())?;
+        let leader = self
+            .members
+            .iter()
+            .find_map(|member| member.status().get("leader")?.as_u64())?;
         self.member(leader)
     }
 
@@ -147,7 +184,10 @@
         let voters = self.members.iter().take(self.voters);
         let messages = voters.map(|voter| {
             let figures = voter.process.figures();
-            MESSAGES.iter().map(|name| figures.get(*name).copied().unwrap_or(f64::NAN)).sum::<f64>()
+            MESSAGES
+                .iter()
+                .map(|name| figures.get(*name).copied().unwrap_or(f64::NAN))
+                .sum::<f64>()
         });
         messages.sum()
     }
@@ -161,7 +201,10 @@
 
     /// Processes that ended by themselves.
     pub(super) fn crashed(&self) -> u64 {
-        self.members.iter().map(|member| member.process.crashed).sum()
+        self.members
+            .iter()
+            .map(|member| member.process.crashed)
+            .sum()
     }
 }
 
@@ -174,15 +217,20 @@
 
 fn settings(plan: &Plan, layout: &Layout, folder: &Path, id: u64) -> String {
     let voters = 1..=plan.voters;
-    let known: BTreeMap<u64, SocketAddr> =
-        voters.chain([id]).map(|id| (id, layout.control(id, Port::Members))).collect();
+    let known: BTreeMap<u64, SocketAddr> = voters
+        .chain([id])
+        .map(|id| (id, layout.control(id, Port::Members)))
+        .collect();
     let subscribers = if id > plan.voters {
         let listen = layout.control(id, Port::Subscribers);
         format!("  subscribers_listen = \"{listen}\"\n  subscribers = {SUBSCRIBERS}\n")
     } else {
         String::new()
     };
-    let members: String = known.iter().map(|(id, at)| format!("    \"{id}\" = \"{at}\"\n")).collect();
+    let members: String = known
+        .iter()
+        .map(|(id, at)| format!("    \"{id}\" = \"{at}\"\n"))
+        .collect();
     format!(
         "cluster {{\n  name = \"{CLUSTER}\"\n  id = {id}\n  folder = \"{}\"\n  listen = \"{}\"\n  api = \"{}\"\n  \
          members = {{\n{members}  }}\n{subscribers}}}\n",
@@ -194,16 +242,24 @@
 
 fn init(program: &Path, settings: &PathBuf, joins: bool) -> Result<(), WholeRunError> {
     let mut command = Command::new(program);
-    command.args(["members", "init", "--settings"]).arg(settings).stdout(Stdio::null());
+    command
+        .args(["members", "init", "--settings"])
+        .arg(settings)
+        .stdout(Stdio::null());
     if joins {
         command.arg("--join");
     }
-    let made = command.output().map_err(WholeRunError::machine("run violetgate members init"))?;
+    let made = command
+        .output()
+        .map_err(WholeRunError::machine("run violetgate members init"))?;
     if made.status.success() {
         return Ok(());
     }
     let cause = String::from_utf8_lossy(&made.stderr).into_owned();
-    Err(WholeRunError::Ended { name: "violetgate members init".to_owned(), cause })
+    Err(WholeRunError::Ended {
+        name: "violetgate members init".to_owned(),
+        cause,
+    })
 }
 
 /// Waits for something to hold.
@@ -216,7 +272,11 @@
     while !holds() {
         if Instant::now() > until {
             let what = what.to_owned();
-            return Err(WholeRunError::Late { what, seconds: within.as_secs(), found: String::new() });
+            return Err(WholeRunError::Late {
+                what,
+                seconds: within.as_secs(),
+                found: String::new(),
+            });
         }
         std::thread::sleep(LOOK);
     }
--- a/tools/scale/src/whole_run/cost.rs
+++ b/tools/scale/src/whole_run/cost.rs
@@ -14,15 +14,20 @@
 impl Cost {
     /// The cost of a process.
     pub(super) fn of(pid: u32) -> Self {
-        Cost { processor: processor(pid), memory: memory(pid) }
+        Cost {
+            processor: processor(pid),
+            memory: memory(pid),
+        }
     }
 
     /// The sum over processes.
     pub(super) fn sum(pids: impl IntoIterator<Item = u32>) -> Self {
-        pids.into_iter().map(Cost::of).fold(Cost::default(), |sum, one| Cost {
-            processor: sum.processor + one.processor,
-            memory: sum.memory + one.memory,
-        })
+        pids.into_iter()
+            .map(Cost::of)
+            .fold(Cost::default(), |sum, one| Cost {
+                processor: sum.processor + one.processor,
+                memory: sum.memory + one.memory,
+            })
     }
 
     /// The processor time since an earlier reading, as a share of one core over a time.
@@ -34,10 +39,14 @@
 
 fn processor(pid: u32) -> Duration {
     let threads = std::fs::read_dir(format!("/proc/{pid}/task"));
-    let nanoseconds = threads.into_iter().flatten().flatten().filter_map(|thread| {
-        let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
-        text.split(' ').next()?.parse::<u64>().ok()
-    });
+    let nanoseconds = threads
+        .into_iter()
+        .flatten()
+        .flatten()
+        .filter_map(|thread| {
+            let text = std::fs::read_to_string(thread.path().join("schedstat")).ok()?;
+            text.split(' ').next()?.parse::<u64>().ok()
+        });
     Duration::from_nanos(nanoseconds.sum())
 }
 
--- a/tools/scale/src/whole_run/fleet_watch.rs
+++ b/tools/scale/src/whole_run/fleet_watch.rs
@@ -46,12 +46,19 @@
                 std::thread::sleep(LOOK);
             }
         });
-        FleetWatch { revisions, stop, thread: Some(thread) }
+        FleetWatch {
+            revisions,
+            stop,
+            thread: Some(thread),
+        }
     }
 
     /// Revisions in force, each with when that was first read.
     pub(super) fn revisions(&self) -> Vec<(Revision, Micros)> {
-        self.revisions.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.revisions
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 }
 
@@ -66,5 +73,6 @@
 fn in_force(at: SocketAddr) -> Option<Revision> {
     let reply = call(at, "GET", "/admin/stats", None, b"").ok()?;
     let text = String::from_utf8_lossy(&reply.body).into_owned();
-    text.lines().find_map(|line| line.strip_prefix(IN_FORCE)?.parse().ok())
+    text.lines()
+        .find_map(|line| line.strip_prefix(IN_FORCE)?.parse().ok())
 }
--- a/tools/scale/src/whole_run/in_force.rs
+++ b/tools/scale/src/whole_run/in_force.rs
@@ -63,7 +63,9 @@
             return f64::NAN;
         }
         let rank = (quantile * self.sorted.len() as f64).ceil().max(1.0) as usize;
-        self.sorted.get(rank - 1).map_or(f64::NAN, |delay| *delay as f64 / 1e6)
+        self.sorted
+            .get(rank - 1)
+            .map_or(f64::NAN, |delay| *delay as f64 / 1e6)
     }
 }
 
@@ -72,7 +74,9 @@
 pub fn reached_changes(revisions: &[(Revision, Micros)], changes: &[Change]) -> Reached {
     let last = |revision| changes.partition_point(|change| change.revision <= revision);
     let numbered = revisions.iter().filter_map(|(revision, at)| {
-        let change = last(*revision).checked_sub(1).and_then(|index| changes.get(index))?;
+        let change = last(*revision)
+            .checked_sub(1)
+            .and_then(|index| changes.get(index))?;
         Some((change.number, *at))
     });
     let mut reached: Reached = Vec::new();
--- a/tools/scale/src/whole_run/layout.rs
+++ b/tools/scale/src/whole_run/layout.rs
@@ -42,7 +42,8 @@
         let id = std::process::id();
         let network = [64 + (id >> 8) as u8 % 128, id as u8];
         let folder = std::env::temp_dir().join(format!("violetgate-scale-{id}"));
-        std::fs::create_dir_all(&folder).map_err(WholeRunError::machine("create a folder for the run"))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(WholeRunError::machine("create a folder for the run"))?;
         Ok(Layout { network, folder })
     }
 
@@ -69,21 +70,29 @@
     /// A folder in the run's folder, made if need be.
     pub(super) fn folder(&self, name: &str) -> Result<PathBuf, WholeRunError> {
         let folder = self.folder.join(name);
-        std::fs::create_dir_all(&folder).map_err(WholeRunError::machine("create a process's folder"))?;
+        std::fs::create_dir_all(&folder)
+            .map_err(WholeRunError::machine("create a process's folder"))?;
         Ok(folder)
     }
 
     /// Writes a file of a process.
-    pub(super) fn write(&self, folder: &Path, name: &str, text: &str) -> Result<PathBuf, WholeRunError> {
+    pub(super) fn write(
+        &self,
+        folder: &Path,
+        name: &str,
+        text: &str,
+    ) -> Result<PathBuf, WholeRunError> {
         let file = folder.join(name);
-        std::fs::write(&file, text).map_err(WholeRunError::machine("write a process's configuration"))?;
+        std::fs::write(&file, text)
+            .map_err(WholeRunError::machine("write a process's configuration"))?;
         Ok(file)
     }
 }
 
 /// A program beside this one.
 pub(super) fn program(name: &str) -> Result<PathBuf, WholeRunError> {
-    let own = std::env::current_exe().map_err(WholeRunError::machine("find this program's folder"))?;
+    let own =
+        std::env::current_exe().map_err(WholeRunError::machine("find this program's folder"))?;
     let path = own.with_file_name(name);
     if path.exists() {
         Ok(path)
--- a/tools/scale/src/whole_run/phases.rs
+++ b/tools/scale/src/whole_run/phases.rs
@@ -112,10 +112,19 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                let what = format!("{hollow} hollow and {} real front ends serve", self.plan.real);
-                let found =
-                    format!("{running} run, {serving} and {real} serve; {}", last_lines(&self.real.log()));
-                return Err(WholeRunError::Late { what, seconds: SERVE.as_secs(), found });
+                let what = format!(
+                    "{hollow} hollow and {} real front ends serve",
+                    self.plan.real
+                );
+                let found = format!(
+                    "{running} run, {serving} and {real} serve; {}",
+                    last_lines(&self.real.log())
+                );
+                return Err(WholeRunError::Late {
+                    what,
+                    seconds: SERVE.as_secs(),
+                    found,
+                });
             }
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -136,7 +145,14 @@
     fn pids(&self) -> Vec<u32> {
         let (voters, observers) = self.control.pids();
         let own = vec![std::process::id()];
-        [own, voters, observers, self.children.pids(), self.real.pids()].concat()
+        [
+            own,
+            voters,
+            observers,
+            self.children.pids(),
+            self.real.pids(),
+        ]
+        .concat()
     }
 
     fn made(&self) -> Vec<Change> {
@@ -152,7 +168,11 @@
     /// What every real front end has reached, read once a second.
     fn reached_by_real(&self) -> Vec<Reached> {
         let made = self.made();
-        self.real.watched().iter().map(|watched| reached_changes(&watched.revisions, &made)).collect()
+        self.real
+            .watched()
+            .iter()
+            .map(|watched| reached_changes(&watched.revisions, &made))
+            .collect()
     }
 
     /// The totals of all hollow processes as one.
@@ -184,18 +204,29 @@
         let made = self.made();
         let last = made.last().map_or(0, |change| change.number);
         let until = Instant::now() + LAST;
-        while super::in_force::in_force_at(&self.reached(), last).is_none() && Instant::now() < until {
+        while super::in_force::in_force_at(&self.reached(), last).is_none()
+            && Instant::now() < until
+        {
             self.pass(Duration::from_millis(50))?;
         }
         // Totals are reported four times a second.
         self.pass(Duration::from_millis(600))?;
         let totals = self.totals();
         let fronts = |which: &dyn Fn(&SequenceCount) -> bool| -> usize {
-            totals.sequences.iter().filter(|counted| which(counted)).map(|counted| counted.front_ends).sum()
+            totals
+                .sequences
+                .iter()
+                .filter(|counted| which(counted))
+                .map(|counted| counted.front_ends)
+                .sum()
         };
         let differing = fronts(&|counted| !matches(counted.sequence, &made));
         let behind = fronts(&|counted| counted.sequence.last < last);
-        let Faults { lost, doubled, out_of_order } = totals.faults;
+        let Faults {
+            lost,
+            doubled,
+            out_of_order,
+        } = totals.faults;
         figures.at_most("scale_stale_routed", totals.stale as f64, 0.0);
         figures.at_most("scale_lost_changes", lost as f64, 0.0);
         figures.at_most("scale_doubled_changes", doubled as f64, 0.0);
@@ -211,7 +242,15 @@
         figures.add("scale_front_ends", self.plan.front_ends());
         figures.add("scale_real_front_ends", self.plan.real);
         figures.add("scale_processes", self.pids().len());
-        figures.add("scale_parts", self.plan.parts.iter().map(|p| p.name()).collect::<Vec<_>>().join("+"));
+        figures.add(
+            "scale_parts",
+            self.plan
+                .parts
+                .iter()
+                .map(|p| p.name())
+                .collect::<Vec<_>>()
+                .join("+"),
+        );
         figures.add_number("scale_run_memory_mb", self.peak_memory as f64 / MEGABYTE);
         figures.at_most("scale_crashed", self.control.crashed() as f64, 0.0);
     }
@@ -221,7 +260,10 @@
 const LAST_LINES: usize = 8;
 
 fn last_lines(log: &str) -> String {
-    let lines: Vec<_> = log.lines().filter(|line| !line.starts_with("management")).collect();
+    let lines: Vec<_> = log
+        .lines()
+        .filter(|line| !line.starts_with("management"))
+        .collect();
     let from = lines.len().saturating_sub(LAST_LINES);
     lines.get(from..).unwrap_or_default().join(" | ")
 }
@@ -232,7 +274,10 @@
 /// Whether a front end saw exactly the changes that were answered, from its first to its last one.
 fn matches(seen: Sequence, made: &[Change]) -> bool {
     let mut digest = Digest::default();
-    for change in made.iter().filter(|change| (seen.first..=seen.last).contains(&change.number)) {
+    for change in made
+        .iter()
+        .filter(|change| (seen.first..=seen.last).contains(&change.number))
+    {
         digest.add(change.number, change.revision);
     }
     seen.first > 0 && seen.digest == digest
@@ -242,11 +287,17 @@
 fn front_end_settings(plan: &Plan, layout: &Layout, real: Option<usize>) -> String {
     let fleet = real.map_or(layout.hollow(0), |index| layout.real(index, Port::Fleet));
     let member = real.map_or("hollow".to_owned(), |index| format!("real-{index}"));
-    let seeds: Vec<_> =
-        (0..plan.real).map(|index| format!("\"{}\"", layout.real(index, Port::Fleet))).collect();
+    let seeds: Vec<_> = (0..plan.real)
+        .map(|index| format!("\"{}\"", layout.real(index, Port::Fleet)))
+        .collect();
     let observers = plan.voters + 1..=plan.voters + plan.observers;
     let observers: String = observers
-        .map(|id| format!("    \"{id}\" = \"{}\"\n", layout.control(id, Port::Subscribers)))
+        .map(|id| {
+            format!(
+                "    \"{id}\" = \"{}\"\n",
+                layout.control(id, Port::Subscribers)
+            )
+        })
         .collect();
     let mut text = format!(
         "cluster {{\n  role = \"subscriber\"\n  name = \"{CLUSTER}\"\n  front_end = \"{member}\"\n  \
@@ -261,12 +312,20 @@
     text
 }
 
-fn hollow_files(plan: &Plan, layout: &Layout, engines: &Fleet) -> Result<(PathBuf, PathBuf), WholeRunError> {
+fn hollow_files(
+    plan: &Plan,
+    layout: &Layout,
+    engines: &Fleet,
+) -> Result<(PathBuf, PathBuf), WholeRunError> {
     let folder = layout.folder("hollow")?;
     let listen = layout.hollow(0).to_string();
     let config = engines.config("hollow", &listen, &violetgate_standin::settings());
     let config = layout.write(&folder, "config.json", &config.to_string())?;
-    let settings = layout.write(&folder, "violetgate.hcl", &front_end_settings(plan, layout, None))?;
+    let settings = layout.write(
+        &folder,
+        "violetgate.hcl",
+        &front_end_settings(plan, layout, None),
+    )?;
     Ok((config, settings))
 }
 
--- a/tools/scale/src/whole_run/phases/faults.rs
+++ b/tools/scale/src/whole_run/phases/faults.rs
@@ -35,7 +35,12 @@
         let shut = self.totals().gates_shut - before.gates_shut;
         figures.add("scale_observer_killed_subscribers", subscribers);
         let share = shut as f64 / subscribers.max(1) as f64;
-        self.hold_time("scale_observer_killed_gates_shut_share", share, GATES_SHUT_SHARE, figures);
+        self.hold_time(
+            "scale_observer_killed_gates_shut_share",
+            share,
+            GATES_SHUT_SHARE,
+            figures,
+        );
         self.restart(observer)
     }
 
@@ -60,13 +65,19 @@
         }
         self.hold_time("scale_leader_killed_s", seconds, LEADER_KILLED_S, figures);
         self.pass(self.plan.after_fault)?;
-        figures.add("scale_leader_killed_gates_shut", self.totals().gates_shut - shut);
+        figures.add(
+            "scale_leader_killed_gates_shut",
+            self.totals().gates_shut - shut,
+        );
         self.restart(id)
     }
 
     fn restart(&mut self, id: u64) -> Result<(), WholeRunError> {
         if let Some(member) = self.control.member(id) {
-            member.process.start().map_err(WholeRunError::machine("restart a control process"))?;
+            member
+                .process
+                .start()
+                .map_err(WholeRunError::machine("restart a control process"))?;
         }
         self.control.settle()?;
         self.wait_until_serving(self.plan.hollow)
@@ -75,9 +86,9 @@
     /// A zone's front ends end and come back at once: how long until all of them serve on current state.
     pub(super) fn return_at_once(&mut self, figures: &mut Figures) -> Result<(), WholeRunError> {
         let plan = self.plan;
-        self.children
-            .inputs()
-            .send_each(|process| Command::Kill { count: plan.share(plan.returning, process) });
+        self.children.inputs().send_each(|process| Command::Kill {
+            count: plan.share(plan.returning, process),
+        });
         self.pass(AWAY)?;
         let begun = now();
         self.children.inputs().send_each(|process| Command::Start {
@@ -87,10 +98,20 @@
         // The processes report that front ends run before they report that gates are open.
         self.pass(Duration::from_millis(100))?;
         self.wait_until_serving(plan.hollow)?;
-        let last = self.children.gates().iter().map(|gates| gates.at).max().unwrap_or(begun);
+        let last = self
+            .children
+            .gates()
+            .iter()
+            .map(|gates| gates.at)
+            .max()
+            .unwrap_or(begun);
         let seconds = last.saturating_sub(begun) as f64 / 1e6;
         figures.add("scale_returned", plan.returning);
-        let name = if plan.returning == 1_520 { "scale_return_1520_s" } else { "scale_return_s" };
+        let name = if plan.returning == 1_520 {
+            "scale_return_1520_s"
+        } else {
+            "scale_return_s"
+        };
         self.hold_time(name, seconds, RETURN_S, figures);
         self.pass(plan.after_fault / 2)
     }
--- a/tools/scale/src/whole_run/phases/steady.rs
+++ b/tools/scale/src/whole_run/phases/steady.rs
@@ -66,18 +66,35 @@
         let messages = (after.voters_messages - before.voters_messages) / elapsed.as_secs_f64();
         figures.add_number("scale_voter_messages_per_s", messages);
         figures.add_number("scale_voter_messages_first_step_per_s", first_step);
-        self.hold_time("scale_voter_messages_ratio", messages / first_step, MESSAGES_RATIO, figures);
+        self.hold_time(
+            "scale_voter_messages_ratio",
+            messages / first_step,
+            MESSAGES_RATIO,
+            figures,
+        );
         Ok(())
     }
 
-    fn add_delays(&mut self, from: u64, until: u64, figures: &mut Figures) -> Result<(), WholeRunError> {
+    fn add_delays(
+        &mut self,
+        from: u64,
+        until: u64,
+        figures: &mut Figures,
+    ) -> Result<(), WholeRunError> {
         // The last changes have time to arrive.
-        let give = if self.plan.short { Duration::from_secs(1) } else { Duration::from_secs(10) };
+        let give = if self.plan.short {
+            Duration::from_secs(1)
+        } else {
+            Duration::from_secs(10)
+        };
         // What real front ends have reached is read once a second.
         self.pass(Duration::from_secs(2))?;
         let waits = Instant::now();
         let within = |made: &[crate::whole_run::in_force::Change]| {
-            made.iter().copied().filter(|c| (from..until).contains(&c.due)).collect::<Vec<_>>()
+            made.iter()
+                .copied()
+                .filter(|c| (from..until).contains(&c.due))
+                .collect::<Vec<_>>()
         };
         let mut delays = Delays::of(&within(&self.made()), &self.reached());
         while delays.never > 0 && waits.elapsed() < give {
@@ -86,17 +103,31 @@
         }
         figures.add_number("scale_change_in_force_p50_s", delays.quantile(0.5));
         figures.add_number("scale_change_in_force_max_s", delays.quantile(1.0));
-        self.hold_time("scale_change_in_force_p99_s", delays.quantile(0.99), IN_FORCE_S, figures);
+        self.hold_time(
+            "scale_change_in_force_p99_s",
+            delays.quantile(0.99),
+            IN_FORCE_S,
+            figures,
+        );
         let applied = Delays::of(&within(&self.made()), &self.children.reached());
         figures.add_number("scale_change_applied_p99_s", applied.quantile(0.99));
         let real = Delays::of(&within(&self.made()), &self.reached_by_real());
-        self.hold_time("scale_real_in_force_p99_s", real.quantile(0.99), IN_FORCE_S, figures);
+        self.hold_time(
+            "scale_real_in_force_p99_s",
+            real.quantile(0.99),
+            IN_FORCE_S,
+            figures,
+        );
         Ok(())
     }
 
     /// Adds a time, or what depends on time: held to its bound in the long form, and in both to having come at all.
     pub(super) fn hold_time(&self, name: &str, seconds: f64, bound: f64, figures: &mut Figures) {
-        let bound = if self.plan.short { f64::INFINITY } else { bound };
+        let bound = if self.plan.short {
+            f64::INFINITY
+        } else {
+            bound
+        };
         figures.at_most(name, seconds, bound);
     }
 
@@ -104,7 +135,12 @@
         let elapsed = after.at.duration_since(before.at);
         let hollow = self.plan.hollow.max(1) as f64;
         let real = self.plan.real.max(1) as f64;
-        let bytes = bytes_per_second(before.totals.traffic, after.totals.traffic, self.plan.hollow, elapsed);
+        let bytes = bytes_per_second(
+            before.totals.traffic,
+            after.totals.traffic,
+            self.plan.hollow,
+            elapsed,
+        );
         figures.at_most("scale_control_bytes_per_s", bytes, BYTES_PER_S);
         let part = |name: &str, before: u64, after: u64, figures: &mut Figures| {
             let per_second = after.saturating_sub(before) as f64 / elapsed.as_secs_f64() / hollow;
@@ -116,18 +152,38 @@
         part("membership", a.membership, b.membership, figures);
         let share = after.hollow.share_since(&before.hollow, elapsed) / hollow;
         self.hold_time("scale_control_cpu_share", share, PROCESSOR_SHARE, figures);
-        figures.at_most("scale_control_memory_mb", after.hollow.memory as f64 / MEGABYTE / hollow, MEMORY_MB);
+        figures.at_most(
+            "scale_control_memory_mb",
+            after.hollow.memory as f64 / MEGABYTE / hollow,
+            MEMORY_MB,
+        );
         let real_bytes = (after.real_traffic - before.real_traffic) / elapsed.as_secs_f64() / real;
         figures.at_most("scale_real_bytes_per_s", real_bytes, BYTES_PER_S);
         let share = after.real.share_since(&before.real, elapsed) / real;
         self.hold_time("scale_real_cpu_share", share, PROCESSOR_SHARE, figures);
-        figures.at_most("scale_real_memory_mb", after.real.memory as f64 / MEGABYTE / real, MEMORY_MB);
+        figures.at_most(
+            "scale_real_memory_mb",
+            after.real.memory as f64 / MEGABYTE / real,
+            MEMORY_MB,
+        );
         let voters = self.plan.voters.max(1) as f64;
         let observers = self.plan.observers.max(1) as f64;
         let share = |before: &Cost, after: &Cost, of: f64| after.share_since(before, elapsed) / of;
-        figures.add_number("scale_voter_cpu_share", share(&before.voters, &after.voters, voters));
-        figures.add_number("scale_observer_cpu_share", share(&before.observers, &after.observers, observers));
-        figures.add_number("scale_voter_memory_mb", after.voters.memory as f64 / MEGABYTE / voters);
-        figures.add_number("scale_observer_memory_mb", after.observers.memory as f64 / MEGABYTE / observers);
+        figures.add_number(
+            "scale_voter_cpu_share",
+            share(&before.voters, &after.voters, voters),
+        );
+        figures.add_number(
+            "scale_observer_cpu_share",
+            share(&before.observers, &after.observers, observers),
+        );
+        figures.add_number(
+            "scale_voter_memory_mb",
+            after.voters.memory as f64 / MEGABYTE / voters,
+        );
+        figures.add_number(
+            "scale_observer_memory_mb",
+            after.observers.memory as f64 / MEGABYTE / observers,
+        );
     }
 }
--- a/tools/scale/src/whole_run/real.rs
+++ b/tools/scale/src/whole_run/real.rs
@@ -74,25 +74,38 @@
         for index in 0..plan.real {
             let name = format!("real-{index}");
             let folder = layout.folder(&name)?;
-            let (listen, management) =
-                (layout.real(index, Port::Clients), layout.real(index, Port::Management));
-            let mut config = engines.config(&name, &listen.to_string(), &violetgate_standin::settings());
+            let (listen, management) = (
+                layout.real(index, Port::Clients),
+                layout.real(index, Port::Management),
+            );
+            let mut config =
+                engines.config(&name, &listen.to_string(), &violetgate_standin::settings());
             config["management"] = management.to_string().into();
             layout.write(&folder, "config.json", &config.to_string())?;
             layout.write(&folder, "violetgate.hcl", &settings(index))?;
             let mut process = Process::new(&name, listen, management, folder, program);
-            process.start().map_err(WholeRunError::machine("start a real front end"))?;
+            process
+                .start()
+                .map_err(WholeRunError::machine("start a real front end"))?;
             processes.push(process);
         }
         let watched = Arc::new(Mutex::new(vec![Watched::default(); processes.len()]));
         let processes = Arc::new(Mutex::new(processes));
         let stop = Arc::new(AtomicBool::new(false));
         let watcher = {
-            let (processes, watched, stop) =
-                (Arc::clone(&processes), Arc::clone(&watched), Arc::clone(&stop));
+            let (processes, watched, stop) = (
+                Arc::clone(&processes),
+                Arc::clone(&watched),
+                Arc::clone(&stop),
+            );
             std::thread::spawn(move || watch(&processes, &watched, &stop))
         };
-        Ok(RealFrontEnds { processes, watched, stop, watcher: Some(watcher) })
+        Ok(RealFrontEnds {
+            processes,
+            watched,
+            stop,
+            watcher: Some(watcher),
+        })
     }
 
     /// What was seen of each so far.
@@ -102,29 +115,44 @@
 
     /// How many have open gates.
     pub(super) fn serving(&self) -> usize {
-        lock(&self.watched).iter().filter(|watched| watched.open).count()
+        lock(&self.watched)
+            .iter()
+            .filter(|watched| watched.open)
+            .count()
     }
 
     /// Their process ids.
     pub(super) fn pids(&self) -> Vec<u32> {
-        lock(&self.processes).iter().filter_map(Process::pid).collect()
+        lock(&self.processes)
+            .iter()
+            .filter_map(Process::pid)
+            .collect()
     }
 
     /// Bytes of control sent and received so far, over all of them.
     pub(super) fn traffic(&self) -> f64 {
         let processes = lock(&self.processes);
         let figures = processes.iter().map(Process::figures);
-        figures.map(|f| TRAFFIC.iter().filter_map(|name| f.get(*name)).sum::<f64>()).sum()
+        figures
+            .map(|f| TRAFFIC.iter().filter_map(|name| f.get(*name)).sum::<f64>())
+            .sum()
     }
 
     /// How many serve a query.
     pub(super) fn answer_queries(&self) -> usize {
-        lock(&self.processes).iter().enumerate().filter(|(n, process)| process.serves(*n as u64 + 1)).count()
+        lock(&self.processes)
+            .iter()
+            .enumerate()
+            .filter(|(n, process)| process.serves(*n as u64 + 1))
+            .count()
     }
 
     /// The log of the first one, for reports of failures.
     pub(super) fn log(&self) -> String {
-        lock(&self.processes).first().map(Process::log).unwrap_or_default()
+        lock(&self.processes)
+            .first()
+            .map(Process::log)
+            .unwrap_or_default()
     }
 }
 
@@ -136,7 +164,9 @@
             let Some(revision) = figures.get("svc_cluster_revision").map(|r| *r as Revision) else {
                 continue;
             };
-            let open = figures.get("svc_cluster_routes").is_some_and(|routes| *routes > 0.0);
+            let open = figures
+                .get("svc_cluster_routes")
+                .is_some_and(|routes| *routes > 0.0);
             if let Some(watched) = lock(watched).get_mut::<usize>(watched_index) {
                 watched.see(revision, open, at);
             }
@@ -150,7 +180,11 @@
 
 impl Watched {
     fn see(&mut self, revision: Revision, open: bool, at: Micros) {
-        if self.revisions.last().is_none_or(|(before, _)| revision > *before) {
+        if self
+            .revisions
+            .last()
+            .is_none_or(|(before, _)| revision > *before)
+        {
             self.revisions.push((revision, at));
         }
         self.gates_shut += u64::from(self.open && !open);
--- a/tools/scale/tests/hollow_changes.rs
+++ b/tools/scale/tests/hollow_changes.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_scale::hollow::changes::{key, transaction, Digest, Faults, SeenChanges, LATEST, WINDOW};
+use violetgate_scale::hollow::changes::{
+    key, transaction, Digest, Faults, SeenChanges, LATEST, WINDOW,
+};
 use violetgate_state::{Entries, Revision};
 
 /// State as a front end holds it.
@@ -19,12 +21,19 @@
     }
 
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])> {
-        self.entries.get(key).map(|(revision, value)| (*revision, value.as_slice()))
+        self.entries
+            .get(key)
+            .map(|(revision, value)| (*revision, value.as_slice()))
     }
 
     fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
-        let below = self.entries.iter().filter(|(key, _)| key.starts_with(prefix));
-        below.map(|(key, (revision, value))| (key.clone(), *revision, value.clone())).collect()
+        let below = self
+            .entries
+            .iter()
+            .filter(|(key, _)| key.starts_with(prefix));
+        below
+            .map(|(key, (revision, value))| (key.clone(), *revision, value.clone()))
+            .collect()
     }
 }
 
@@ -50,7 +59,11 @@
 }
 
 fn faults(lost: u64, doubled: u64, out_of_order: u64) -> Faults {
-    Faults { lost, doubled, out_of_order }
+    Faults {
+        lost,
+        doubled,
+        out_of_order,
+    }
 }
 
 /// One by one, several at once and from a snapshot: the same changes, and the same digest from the same first one.
@@ -67,7 +80,10 @@
     }
     assert_eq!(single.sequence(), batched.sequence());
     assert_eq!((single.sequence().first, single.sequence().last), (1, 20));
-    assert_eq!((single.faults(), batched.faults()), (faults(0, 0, 0), faults(0, 0, 0)));
+    assert_eq!(
+        (single.faults(), batched.faults()),
+        (faults(0, 0, 0), faults(0, 0, 0))
+    );
     let mut expected = Digest::default();
     (1..=20).for_each(|number| expected.add(number, number));
     assert_eq!(single.sequence().digest, expected);
@@ -79,7 +95,10 @@
     let state = State::with_changes(1..=WINDOW + 10);
     let mut seen = SeenChanges::default();
     seen.applied(&state);
-    assert_eq!((seen.sequence().first, seen.sequence().last), (11, WINDOW + 10));
+    assert_eq!(
+        (seen.sequence().first, seen.sequence().last),
+        (11, WINDOW + 10)
+    );
     assert_eq!(seen.faults(), faults(0, 0, 0));
 }
 
@@ -87,14 +106,20 @@
 #[test]
 fn other_state_is_no_change() {
     let mut seen = SeenChanges::default();
-    let mut state = State { revision: 3, ..State::default() };
+    let mut state = State {
+        revision: 3,
+        ..State::default()
+    };
     seen.applied(&state);
     assert_eq!((seen.sequence().first, seen.revision()), (0, 3));
     state.change(1);
     seen.applied(&state);
     state.revision += 1;
     seen.applied(&state);
-    assert_eq!((seen.sequence().last, seen.revision(), seen.faults()), (1, 5, faults(0, 0, 0)));
+    assert_eq!(
+        (seen.sequence().last, seen.revision(), seen.faults()),
+        (1, 5, faults(0, 0, 0))
+    );
 }
 
 /// A change whose key never comes is lost, each one counted.
@@ -133,7 +158,9 @@
     seen.applied(&old);
     assert_eq!(seen.faults(), faults(0, 0, 2));
     let mut swapped = State::with_changes([1, 3, 2]);
-    swapped.entries.insert(LATEST.to_owned(), (3, b"3".to_vec()));
+    swapped
+        .entries
+        .insert(LATEST.to_owned(), (3, b"3".to_vec()));
     let mut seen = SeenChanges::default();
     seen.applied(&swapped);
     assert_eq!(seen.faults(), faults(0, 0, 1));
@@ -144,11 +171,18 @@
 fn digests_tell_sequences_apart() {
     let digest = |changes: &[(u64, u64)]| {
         let mut digest = Digest::default();
-        changes.iter().for_each(|(number, revision)| digest.add(*number, *revision));
+        changes
+            .iter()
+            .for_each(|(number, revision)| digest.add(*number, *revision));
         digest
     };
     let base = digest(&[(1, 4), (2, 5)]);
-    for other in [&[(2, 5), (1, 4)][..], &[(1, 4), (2, 6)], &[(1, 4)], &[(1, 4), (2, 5), (3, 6)]] {
+    for other in [
+        &[(2, 5), (1, 4)][..],
+        &[(1, 4), (2, 6)],
+        &[(1, 4)],
+        &[(1, 4), (2, 5), (3, 6)],
+    ] {
         assert_ne!(digest(other), base, "{other:?}");
     }
 }
--- a/tools/scale/tests/in_force.rs
+++ b/tools/scale/tests/in_force.rs
@@ -1,10 +1,17 @@
 //! When a change was in force everywhere, from made-up reports.
 #![allow(missing_docs)]
 
-use violetgate_scale::whole_run::in_force::{in_force_at, reached_changes, Change, Delays, Reached};
+use violetgate_scale::whole_run::in_force::{
+    in_force_at, reached_changes, Change, Delays, Reached,
+};
 
 fn change(number: u64, due: u64, revision: u64) -> Change {
-    Change { number, due, answered: due + 1, revision }
+    Change {
+        number,
+        due,
+        answered: due + 1,
+        revision,
+    }
 }
 
 /// The last source counts, and a later change stands for those before it.
@@ -47,8 +54,18 @@
 /// The nearest rank, over a hundred delays.
 #[test]
 fn quantiles_are_of_the_nearest_rank() {
-    let delays = Delays { sorted: (1..=100).map(|n| n * 10_000).collect(), never: 0 };
-    assert_eq!((delays.quantile(0.5), delays.quantile(0.99), delays.quantile(1.0)), (0.5, 0.99, 1.0));
+    let delays = Delays {
+        sorted: (1..=100).map(|n| n * 10_000).collect(),
+        never: 0,
+    };
+    assert_eq!(
+        (
+            delays.quantile(0.5),
+            delays.quantile(0.99),
+            delays.quantile(1.0)
+        ),
+        (0.5, 0.99, 1.0)
+    );
 }
 
 /// Revisions become the changes that they hold; others in between are none.
@@ -56,5 +73,8 @@
 fn revisions_become_changes() {
     let changes = [change(1, 0, 10), change(2, 0, 12), change(3, 0, 15)];
     let revisions = [(9, 1), (10, 2), (11, 3), (14, 4), (20, 5)];
-    assert_eq!(reached_changes(&revisions, &changes), [(1, 2), (2, 4), (3, 5)]);
+    assert_eq!(
+        reached_changes(&revisions, &changes),
+        [(1, 2), (2, 4), (3, 5)]
+    );
 }
--- a/tools/scale/tests/page.rs
+++ b/tools/scale/tests/page.rs
@@ -11,7 +11,10 @@
         name: "statement",
         unit: "us",
         size_of: "engines",
-        budget: Some(Budget { cost: 500.0, target: 12_000.0 }),
+        budget: Some(Budget {
+            cost: 500.0,
+            target: 12_000.0,
+        }),
         points: Vec::new(),
     };
     for size in [80.0, 300.0, 1_000.0, 4_000.0, 12_000.0] {
@@ -46,10 +49,22 @@
     let mut figures = Figures::default();
     slope().record(&mut figures);
     let block = Saved::parse(&figures.line("scale")).unwrap().render();
-    let row = block.lines().find(|line| line.starts_with("| decisions_statement |")).unwrap();
-    assert!(row.split('|').skip(1).take(6).all(|cell| !cell.trim().is_empty()), "{row}");
+    let row = block
+        .lines()
+        .find(|line| line.starts_with("| decisions_statement |"))
+        .unwrap();
+    assert!(
+        row.split('|')
+            .skip(1)
+            .take(6)
+            .all(|cell| !cell.trim().is_empty()),
+        "{row}"
+    );
     assert!(row.ends_with("| 1000 engines |"), "{row}");
-    assert!(block.ends_with("| figure | value |\n| --- | --- |\n"), "{block}");
+    assert!(
+        block.ends_with("| figure | value |\n| --- | --- |\n"),
+        "{block}"
+    );
 }
 
 #[test]
@@ -66,17 +81,28 @@
 fn what_is_no_saved_line_is_refused() {
     assert!(Saved::parse("").is_none());
     assert!(Saved::parse("scale: a=1 b").is_none());
-    assert!(Saved::parse("scale: a=1\nscale: b=2").unwrap().render().contains("| b | 2 |"));
+    assert!(Saved::parse("scale: a=1\nscale: b=2")
+        .unwrap()
+        .render()
+        .contains("| b | 2 |"));
 }
 
 #[test]
 fn the_smallest_share_of_its_target_ends_first() {
     let mut figures = Figures::default();
-    let role_ends =
-        |name: &str, size, target| Break { name: name.to_owned(), size, size_of: "engines", target };
+    let role_ends = |name: &str, size, target| Break {
+        name: name.to_owned(),
+        size,
+        size_of: "engines",
+        target,
+    };
     figures.add_break(role_ends("never", None, 10.0));
     figures.add_break(role_ends("half", Some(6_000.0), 12_000.0));
     figures.add_break(role_ends("hundredth", Some(76.0), 7_600.0));
-    let order: Vec<_> = figures.breaks().iter().map(|role_ends| role_ends.name.clone()).collect();
+    let order: Vec<_> = figures
+        .breaks()
+        .iter()
+        .map(|role_ends| role_ends.name.clone())
+        .collect();
     assert_eq!(order, ["hundredth", "half", "never"]);
 }
--- a/tools/simulator/src/bin/measure-membership.rs
+++ b/tools/simulator/src/bin/measure-membership.rs
@@ -9,7 +9,9 @@
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
     let number = |at: usize| args.get(at).and_then(|n| n.parse::<u64>().ok());
-    let case = Case::ALL.into_iter().find(|case| args.get(1).is_some_and(|name| name == case.name()));
+    let case = Case::ALL
+        .into_iter()
+        .find(|case| args.get(1).is_some_and(|name| name == case.name()));
     let (Some(case), Some(count)) = (case, number(2)) else {
         eprintln!(
             "usage: measure-membership rest|change|fifth|halves|rollout|start SIZE [SEED [AT_MOST_SECONDS]]"
@@ -18,7 +20,13 @@
     };
     let config = MembershipConfig::default();
     let at_most = Duration::from_secs(number(4).unwrap_or(600));
-    let load = play(case, count as usize, &config, number(3).unwrap_or(1), at_most);
+    let load = play(
+        case,
+        count as usize,
+        &config,
+        number(3).unwrap_or(1),
+        at_most,
+    );
     println!("{} {count}: {load:?}", case.name());
     ExitCode::SUCCESS
 }
--- a/tools/simulator/src/bin/prove-membership.rs
+++ b/tools/simulator/src/bin/prove-membership.rs
@@ -25,7 +25,12 @@
             }
         }
     }
-    let faults = FaultPlan { loss: 0.3, jitter: S / 5, pauses, ..FaultPlan::default() };
+    let faults = FaultPlan {
+        loss: 0.3,
+        jitter: S / 5,
+        pauses,
+        ..FaultPlan::default()
+    };
     let mut world = World::new(count, seed, &MembershipConfig::default(), faults);
     let checked = world.run(until, |w| match w.seen.last() {
         Some(s) if s.state == violetgate_membership::State::Dead => {
@@ -33,17 +38,30 @@
         }
         _ => Ok(()),
     });
-    checked.err().into_iter().inspect(|e| println!("  false death: {e}")).count()
+    checked
+        .err()
+        .into_iter()
+        .inspect(|e| println!("  false death: {e}"))
+        .count()
 }
 
 /// Deaths in a fleet that is well: how long after each the last of the others knew, in the order of size.
 fn deaths(count: usize, seed: u64, deaths: usize) -> Vec<Option<Micros>> {
     let at = |k: usize| 20 * S + k as u64 * 7 * S + (seed * 37_003 + k as u64 * 131_071) % S;
-    let dying: Vec<(usize, Micros)> = (0..deaths).map(|k| ((k * 7 + seed as usize) % count, at(k))).collect();
-    let faults = FaultPlan { jitter: 2_000, deaths: dying.clone(), ..FaultPlan::default() };
+    let dying: Vec<(usize, Micros)> = (0..deaths)
+        .map(|k| ((k * 7 + seed as usize) % count, at(k)))
+        .collect();
+    let faults = FaultPlan {
+        jitter: 2_000,
+        deaths: dying.clone(),
+        ..FaultPlan::default()
+    };
     let mut world = World::new(count, seed, &MembershipConfig::default(), faults);
     let _ = world.run(at(deaths) + 8 * S, quiet);
-    dying.iter().map(|(of, at)| world.last_to_know(*of, *at)).collect()
+    dying
+        .iter()
+        .map(|(of, at)| world.last_to_know(*of, *at))
+        .collect()
 }
 
 /// Bytes a second that a member sends in a quiet fleet.
@@ -52,10 +70,15 @@
         count,
         seed,
         &MembershipConfig::default(),
-        FaultPlan { jitter: 2_000, ..FaultPlan::default() },
+        FaultPlan {
+            jitter: 2_000,
+            ..FaultPlan::default()
+        },
     );
     // All come at once; it is quiet once all hold the same.
-    let quiet_from = (1..20).map(|k| k * 10 * S).find(|at| world.run(*at, quiet).is_ok() && world.agrees());
+    let quiet_from = (1..20)
+        .map(|k| k * 10 * S)
+        .find(|at| world.run(*at, quiet).is_ok() && world.agrees());
     let from = quiet_from.unwrap_or(200 * S) + 10 * S;
     world.measured_from = from;
     world.sent.iter_mut().for_each(|s| *s = (0, 0));
@@ -67,20 +90,40 @@
 /// One that can send and not receive: the most changes that any view told of it in a minute.
 fn deaf(count: usize, seed: u64, hears: bool) -> usize {
     let others: Vec<usize> = (1..count).collect();
-    let (from, to) = if hears { (vec![0], others) } else { (others, vec![0]) };
-    let cuts = vec![Cut { from, to, begin: 20 * S, end: 1_000 * S }];
+    let (from, to) = if hears {
+        (vec![0], others)
+    } else {
+        (others, vec![0])
+    };
+    let cuts = vec![Cut {
+        from,
+        to,
+        begin: 20 * S,
+        end: 1_000 * S,
+    }];
     let mut world = World::new(
         count,
         seed,
         &MembershipConfig::default(),
-        FaultPlan { jitter: 2_000, cuts, ..FaultPlan::default() },
+        FaultPlan {
+            jitter: 2_000,
+            cuts,
+            ..FaultPlan::default()
+        },
     );
     let _ = world.run(140 * S, quiet);
     // The first fall is what it is for; from then on it has to stay.
     let told = |i: usize, from: Micros| {
-        world.seen.iter().filter(|s| s.by == i && s.of == 0 && s.at >= from && s.at < from + 60 * S).count()
+        world
+            .seen
+            .iter()
+            .filter(|s| s.by == i && s.of == 0 && s.at >= from && s.at < from + 60 * S)
+            .count()
     };
-    (1..count).flat_map(|i| [told(i, 20 * S), told(i, 80 * S)]).max().unwrap_or(0)
+    (1..count)
+        .flat_map(|i| [told(i, 20 * S), told(i, 80 * S)])
+        .max()
+        .unwrap_or(0)
 }
 
 /// A split into halves and its healing: how long after it one view held.
@@ -93,7 +136,11 @@
         begin: 20 * S,
         end: heals,
     };
-    let faults = FaultPlan { jitter: 2_000, cuts: vec![cut(&a, &b), cut(&b, &a)], ..FaultPlan::default() };
+    let faults = FaultPlan {
+        jitter: 2_000,
+        cuts: vec![cut(&a, &b), cut(&b, &a)],
+        ..FaultPlan::default()
+    };
     let mut world = World::new(count, seed, &MembershipConfig::default(), faults);
     let _ = world.run(heals, quiet);
     (1..=60).map(|k| heals + k * S / 2).find_map(|at| {
@@ -104,11 +151,23 @@
 
 /// A link cut between two that all others reach: deaths told, and whether both views tell of the cut.
 fn one_link(count: usize, seed: u64) -> (usize, bool) {
-    let cut = |from: usize, to: usize| Cut { from: vec![from], to: vec![to], begin: 15 * S, end: 1_000 * S };
+    let cut = |from: usize, to: usize| Cut {
+        from: vec![from],
+        to: vec![to],
+        begin: 15 * S,
+        end: 1_000 * S,
+    };
     // Whether two watch each other follows from their names: all pairs of the first ten are cut in turn by the seed.
-    let (a, b) = (seed as usize % count, (seed as usize / count + 1 + seed as usize) % count);
+    let (a, b) = (
+        seed as usize % count,
+        (seed as usize / count + 1 + seed as usize) % count,
+    );
     let (a, b) = if a == b { (a, (a + 1) % count) } else { (a, b) };
-    let faults = FaultPlan { jitter: 2_000, cuts: vec![cut(a, b), cut(b, a)], ..FaultPlan::default() };
+    let faults = FaultPlan {
+        jitter: 2_000,
+        cuts: vec![cut(a, b), cut(b, a)],
+        ..FaultPlan::default()
+    };
     let mut world = World::new(count, seed, &MembershipConfig::default(), faults);
     let _ = world.run(60 * S, quiet);
     let told = |x: usize, y: usize| world.links.iter().any(|l| l.1 == x && l.2 == y && l.3);
@@ -118,10 +177,18 @@
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
     let short = args.iter().any(|a| a == "--short");
-    let seeds = args.iter().skip_while(|a| *a != "--seeds").nth(1).and_then(|n| n.parse::<u64>().ok());
+    let seeds = args
+        .iter()
+        .skip_while(|a| *a != "--seeds")
+        .nth(1)
+        .and_then(|n| n.parse::<u64>().ok());
     let seeds = seeds.unwrap_or(if short { 10 } else { 100 });
     // The larger a fleet, the fewer seeds: 900, 90 and 9 take about as long as each other.
-    let sizes = [(5, seeds), (50, (seeds / 10).max(1)), (300, if short { 0 } else { (seeds / 100).max(1) })];
+    let sizes = [
+        (5, seeds),
+        (50, (seeds / 10).max(1)),
+        (300, if short { 0 } else { (seeds / 100).max(1) }),
+    ];
     let mut false_deaths = 0;
     for (count, seeds) in sizes {
         let told: usize = (0..seeds).map(|s| rough(count, s, 40 * S)).sum();
@@ -142,7 +209,9 @@
     }
     times.sort_unstable();
     let at = |share: f64| {
-        times.get(((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1))).copied()
+        times
+            .get(((times.len() as f64 * share) as usize).min(times.len().saturating_sub(1)))
+            .copied()
     };
     let (median, p99) = (at(0.5).unwrap_or(0), at(0.99).unwrap_or(Micros::MAX / 2));
     println!("death to the last that knows: {} deaths at {large}, median {median} us, p99 {p99} us, {unknown} unknown", times.len());
@@ -158,14 +227,24 @@
         .max()
         .unwrap_or(0);
     println!("one-sided cut of one member: at most {flaps} changes of a view in a minute");
-    let healed: Vec<Option<Micros>> =
-        (0..if short { 2 } else { 6 }).map(|s| healing(if short { 20 } else { 100 }, s)).collect();
-    let slowest = healed.iter().copied().collect::<Option<Vec<_>>>().and_then(|h| h.into_iter().max());
+    let healed: Vec<Option<Micros>> = (0..if short { 2 } else { 6 })
+        .map(|s| healing(if short { 20 } else { 100 }, s))
+        .collect();
+    let slowest = healed
+        .iter()
+        .copied()
+        .collect::<Option<Vec<_>>>()
+        .and_then(|h| h.into_iter().max());
     println!("halves, healed: one view after {slowest:?} us at the latest");
-    let links: Vec<(usize, bool)> = (0..if short { 6 } else { 40 }).map(|s| one_link(5, s)).collect();
+    let links: Vec<(usize, bool)> = (0..if short { 6 } else { 40 })
+        .map(|s| one_link(5, s))
+        .collect();
     let link_deaths: usize = links.iter().map(|l| l.0).sum();
     let told = links.iter().filter(|l| l.1).count();
-    println!("one link cut among 5: {link_deaths} deaths told, {told} of {} told of the cut", links.len());
+    println!(
+        "one link cut among 5: {link_deaths} deaths told, {told} of {} told of the cut",
+        links.len()
+    );
     let good = false_deaths == 0
         && unknown == 0
         && p99 < 5 * S
--- a/tools/simulator/src/faults.rs
+++ b/tools/simulator/src/faults.rs
@@ -56,7 +56,10 @@
     pub fn new(plan: FaultPlan, count: usize) -> Self {
         let mut pauses = vec![Vec::new(); count];
         for (i, from, to) in &plan.pauses {
-            pauses.get_mut(*i).into_iter().for_each(|p| p.push((*from, *to)));
+            pauses
+                .get_mut(*i)
+                .into_iter()
+                .for_each(|p| p.push((*from, *to)));
         }
         let cut = |c: &Cut| CutIndex {
             from: flags(&c.from, count),
@@ -80,31 +83,47 @@
 
     /// Whether a member has died by then.
     pub fn died(&self, i: usize, at: Micros) -> bool {
-        self.deaths.get(i).copied().flatten().is_some_and(|death| death <= at)
+        self.deaths
+            .get(i)
+            .copied()
+            .flatten()
+            .is_some_and(|death| death <= at)
     }
 
     /// Whether a member has left by then.
     pub fn left(&self, i: usize, at: Micros) -> bool {
-        self.leaves.get(i).copied().flatten().is_some_and(|leave| leave <= at)
+        self.leaves
+            .get(i)
+            .copied()
+            .flatten()
+            .is_some_and(|leave| leave <= at)
     }
 
     /// When a member that stands still goes on.
     pub fn paused_until(&self, i: usize, at: Micros) -> Option<Micros> {
         let pauses = self.pauses.get(i).into_iter().flatten();
-        pauses.filter(|(from, to)| (*from..*to).contains(&at)).map(|(_, to)| *to).max()
+        pauses
+            .filter(|(from, to)| (*from..*to).contains(&at))
+            .map(|(_, to)| *to)
+            .max()
     }
 
     /// Whether nothing passes from one to another.
     pub fn is_cut(&self, from: usize, to: usize, at: Micros) -> bool {
         let holds = |flags: &[bool], i: usize| flags.get(i).copied().unwrap_or(false);
-        self.cuts.iter().any(|c| (c.begin..c.end).contains(&at) && holds(&c.from, from) && holds(&c.to, to))
+        self.cuts
+            .iter()
+            .any(|c| (c.begin..c.end).contains(&at) && holds(&c.from, from) && holds(&c.to, to))
     }
 }
 
 fn flags(members: &[usize], count: usize) -> Vec<bool> {
     let mut flags = vec![false; count];
     for member in members {
-        flags.get_mut(*member).into_iter().for_each(|flag| *flag = true);
+        flags
+            .get_mut(*member)
+            .into_iter()
+            .for_each(|flag| *flag = true);
     }
     flags
 }
--- a/tools/simulator/src/lib.rs
+++ b/tools/simulator/src/lib.rs
@@ -100,7 +100,10 @@
 /// The number of the member of that name.
 #[must_use]
 pub fn number(name: &str) -> usize {
-    name.rsplit('-').next().and_then(|n| n.parse().ok()).unwrap_or(usize::MAX)
+    name.rsplit('-')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(usize::MAX)
 }
 
 impl World {
@@ -137,12 +140,23 @@
 
     /// A fleet of so many that know each other already, as one that has been up for long.
     #[must_use]
-    pub fn settled_fleet(count: usize, seed: u64, config: &MembershipConfig, faults: FaultPlan) -> Self {
+    pub fn settled_fleet(
+        count: usize,
+        seed: u64,
+        config: &MembershipConfig,
+        faults: FaultPlan,
+    ) -> Self {
         let mut world = World::new(count, seed, config, faults);
-        let claims: Vec<Claim> = world.members.iter().map(|member| member.own_claim().clone()).collect();
+        let claims: Vec<Claim> = world
+            .members
+            .iter()
+            .map(|member| member.own_claim().clone())
+            .collect();
         if let Some((first, others)) = world.members.split_first_mut() {
             first.adopt_claims(&claims);
-            others.iter_mut().for_each(|member| member.adopt_view(first));
+            others
+                .iter_mut()
+                .for_each(|member| member.adopt_view(first));
         }
         world
     }
@@ -153,7 +167,10 @@
 
     /// The view of a member.
     pub fn view(&self, i: usize) -> impl Iterator<Item = Member> + '_ {
-        self.members.get(i).into_iter().flat_map(Membership::members)
+        self.members
+            .get(i)
+            .into_iter()
+            .flat_map(Membership::members)
     }
 
     /// How many a member takes to be serving.
@@ -179,13 +196,17 @@
     #[must_use]
     pub fn agrees(&self) -> bool {
         let running: Vec<usize> = (0..self.members.len()).filter(|i| self.runs(*i)).collect();
-        self.same_digests() && running.iter().all(|i| self.sees_all_that_run(*i, running.len()))
+        self.same_digests()
+            && running
+                .iter()
+                .all(|i| self.sees_all_that_run(*i, running.len()))
     }
 
     /// Whether all that run hold the same, and of those that don't run that they are gone.
     #[must_use]
     pub fn settled(&self) -> bool {
-        let gone = |m: &Member| matches!(m.state, State::Dead | State::Left) || self.runs(number(&m.name));
+        let gone =
+            |m: &Member| matches!(m.state, State::Dead | State::Left) || self.runs(number(&m.name));
         let first = (0..self.members.len()).find(|i| self.runs(*i));
         let running = self.running.iter().filter(|r| **r).count();
         let right = |i: usize| self.sees_all_that_run(i, running) && self.view(i).all(|m| gone(&m));
@@ -194,9 +215,15 @@
     }
 
     fn same_digests(&self) -> bool {
-        let running = self.members.iter().zip(&self.running).filter(|(_, runs)| **runs);
+        let running = self
+            .members
+            .iter()
+            .zip(&self.running)
+            .filter(|(_, runs)| **runs);
         let mut digests = running.map(|(member, _)| member.digest());
-        let Some(first) = digests.next() else { return true };
+        let Some(first) = digests.next() else {
+            return true;
+        };
         digests.all(|digest| digest == first)
     }
 
@@ -248,7 +275,9 @@
             return Ok(false);
         }
         let mut actions = Vec::new();
-        let Some(member) = self.members.get_mut(i) else { return Ok(false) };
+        let Some(member) = self.members.get_mut(i) else {
+            return Ok(false);
+        };
         let began = thread_time();
         let heard = match &event {
             Event::Turn(_) => {
@@ -277,24 +306,39 @@
             Action::Send(to, message) => {
                 let size = postcard::experimental::serialized_size(&message).unwrap_or(0) as u64;
                 if self.now >= self.measured_from {
-                    self.sent.get_mut(i).into_iter().for_each(|s| *s = (s.0 + size + HEADER, s.1 + 1));
+                    self.sent
+                        .get_mut(i)
+                        .into_iter()
+                        .for_each(|s| *s = (s.0 + size + HEADER, s.1 + 1));
                 }
                 let (to, now) = (index(to), self.now);
                 let plan = self.faults.plan();
                 let lost = (self.rng.next_u64() as f64 / u64::MAX as f64) < plan.loss;
-                let late = if plan.jitter > 0 { self.rng.next_u64() % plan.jitter } else { 0 };
+                let late = if plan.jitter > 0 {
+                    self.rng.next_u64() % plan.jitter
+                } else {
+                    0
+                };
                 if to < self.members.len() && !lost && !self.faults.is_cut(i, to, now) {
                     self.add(now + 1_000 + late, Event::Deliver(to, Box::new(message)));
                 }
             }
             Action::Changed(of, state) => {
                 let of = number(&of);
-                self.false_declarations += u64::from(state == State::Dead && self.runs_in_view(i, of));
+                self.false_declarations +=
+                    u64::from(state == State::Dead && self.runs_in_view(i, of));
                 if self.records {
-                    self.seen.push(Seen { at: self.now, by: i, of, state });
+                    self.seen.push(Seen {
+                        at: self.now,
+                        by: i,
+                        of,
+                        state,
+                    });
                 }
             }
-            Action::Link(of, cut) if self.records => self.links.push((self.now, i, number(&of), cut)),
+            Action::Link(of, cut) if self.records => {
+                self.links.push((self.now, i, number(&of), cut))
+            }
             Action::Link(..) | Action::Superseded | Action::Full(_) => {}
         }
     }
@@ -312,8 +356,16 @@
     /// A process of that number starts anew, as a new life of its name, knowing only the seeds.
     pub fn restart(&mut self, i: usize, config: &MembershipConfig, life: Micros) {
         let seeds: Vec<SocketAddr> = (0..self.members.len().min(3)).map(addr).collect();
-        let new = Membership::new(config.clone(), name(i), addr(i), life, &seeds, life ^ i as u64);
-        let (Some(member), Some(running)) = (self.members.get_mut(i), self.running.get_mut(i)) else {
+        let new = Membership::new(
+            config.clone(),
+            name(i),
+            addr(i),
+            life,
+            &seeds,
+            life ^ i as u64,
+        );
+        let (Some(member), Some(running)) = (self.members.get_mut(i), self.running.get_mut(i))
+        else {
             return;
         };
         *member = new;
@@ -331,7 +383,9 @@
     /// A process says that it leaves, and ends, now.
     pub fn leave(&mut self, i: usize) {
         let mut actions = Vec::new();
-        let Some(member) = self.members.get_mut(i) else { return };
+        let Some(member) = self.members.get_mut(i) else {
+            return;
+        };
         member.leave(&mut actions);
         self.kill(i);
         for action in actions {
@@ -353,7 +407,10 @@
     /// Deaths told of members that run, and of none other.
     #[must_use]
     pub fn false_deaths(&self) -> usize {
-        self.seen.iter().filter(|s| s.state == State::Dead && !self.faults.died(s.of, s.at)).count()
+        self.seen
+            .iter()
+            .filter(|s| s.state == State::Dead && !self.faults.died(s.of, s.at))
+            .count()
     }
 
     /// How long after a death the last that runs held it for dead; `None`: one does not yet.
@@ -365,8 +422,13 @@
                 .find(|s| s.by == i && s.of == of && s.state == State::Dead && s.at >= died)
                 .map(|s| s.at - died)
         };
-        let all: Vec<Option<Micros>> =
-            (0..self.members.len()).filter(|i| self.runs(*i) && *i != of).map(knows).collect();
-        all.iter().copied().collect::<Option<Vec<Micros>>>().and_then(|k| k.into_iter().max())
+        let all: Vec<Option<Micros>> = (0..self.members.len())
+            .filter(|i| self.runs(*i) && *i != of)
+            .map(knows)
+            .collect();
+        all.iter()
+            .copied()
+            .collect::<Option<Vec<Micros>>>()
+            .and_then(|k| k.into_iter().max())
     }
 }
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -39,8 +39,14 @@
 
 impl Case {
     /// All of them.
-    pub const ALL: [Case; 6] =
-        [Case::Rest, Case::Change, Case::Fifth, Case::Halves, Case::Rollout, Case::Start];
+    pub const ALL: [Case; 6] = [
+        Case::Rest,
+        Case::Change,
+        Case::Fifth,
+        Case::Halves,
+        Case::Rollout,
+        Case::Start,
+    ];
 
     /// Its name in figures.
     #[must_use]
@@ -104,7 +110,13 @@
 
 /// Plays a case with so many members; it ends early once it has taken longer than `at_most`.
 #[must_use]
-pub fn play(case: Case, count: usize, config: &MembershipConfig, seed: u64, at_most: Duration) -> Load {
+pub fn play(
+    case: Case,
+    count: usize,
+    config: &MembershipConfig,
+    seed: u64,
+    at_most: Duration,
+) -> Load {
     let (started, memory) = (Instant::now(), resident_bytes());
     let mut run = Run::new(case, count, config, seed, started + at_most);
     match case {
@@ -137,10 +149,18 @@
 fn halves(run: &mut Run) {
     let (low, high): (Vec<usize>, Vec<usize>) = (0..run.count).partition(|i| *i < run.count / 2);
     let heals = run.now() + 180 * S;
-    let cut =
-        |from: &[usize], to: &[usize]| Cut { from: from.to_vec(), to: to.to_vec(), begin: 0, end: heals };
+    let cut = |from: &[usize], to: &[usize]| Cut {
+        from: from.to_vec(),
+        to: to.to_vec(),
+        begin: 0,
+        end: heals,
+    };
     let cuts = vec![cut(&low, &high), cut(&high, &low)];
-    run.world.set_faults(FaultPlan { jitter: JITTER, cuts, ..FaultPlan::default() });
+    run.world.set_faults(FaultPlan {
+        jitter: JITTER,
+        cuts,
+        ..FaultPlan::default()
+    });
     run.until(heals);
     run.known_and_quiet_within(60 * S);
 }
@@ -162,7 +182,10 @@
 
 impl Run {
     fn new(case: Case, count: usize, config: &MembershipConfig, seed: u64, ends: Instant) -> Self {
-        let faults = FaultPlan { jitter: JITTER, ..FaultPlan::default() };
+        let faults = FaultPlan {
+            jitter: JITTER,
+            ..FaultPlan::default()
+        };
         let mut world = match case {
             Case::Start => World::new(count, seed, config, faults),
             _ => World::settled_fleet(count, seed, config, faults),
@@ -212,8 +235,13 @@
     }
 
     fn end_second(&mut self) {
-        let sent: Vec<u64> =
-            self.world.sent.iter().zip(&self.before).map(|(now, old)| now.0 - old.0).collect();
+        let sent: Vec<u64> = self
+            .world
+            .sent
+            .iter()
+            .zip(&self.before)
+            .map(|(now, old)| now.0 - old.0)
+            .collect();
         self.peak = self.peak.max(sent.iter().sum());
         self.burst = self.burst.max(sent.iter().copied().max().unwrap_or(0));
         self.before.clone_from(&self.world.sent);
@@ -260,7 +288,11 @@
     fn load(self, started: Instant, memory: u64) -> Load {
         let simulated = (self.now() - self.began) as f64 / S as f64;
         let member_seconds = (simulated * self.count as f64).max(f64::MIN_POSITIVE);
-        let (bytes, messages) = self.world.sent.iter().fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
+        let (bytes, messages) = self
+            .world
+            .sent
+            .iter()
+            .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
         let busiest = self.world.sent.iter().map(|s| s.0).max().unwrap_or(0);
         let slowest = self.known.iter().copied().collect::<Option<Vec<f64>>>();
         Load {
@@ -285,6 +317,8 @@
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    let kilobytes = line.and_then(|line| line.split_whitespace().next()).and_then(|n| n.parse::<u64>().ok());
+    let kilobytes = line
+        .and_then(|line| line.split_whitespace().next())
+        .and_then(|n| n.parse::<u64>().ok());
     kilobytes.unwrap_or(0) * 1_024
 }
--- a/tools/simulator/src/queue.rs
+++ b/tools/simulator/src/queue.rs
@@ -42,14 +42,21 @@
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
-        EventQueue { heap: BinaryHeap::new(), next_number: 0 }
+        EventQueue {
+            heap: BinaryHeap::new(),
+            next_number: 0,
+        }
     }
 }
 
 impl<E> EventQueue<E> {
     /// Adds an event.
     pub fn push(&mut self, at: Micros, event: E) {
-        self.heap.push(Entry { at, number: self.next_number, event });
+        self.heap.push(Entry {
+            at,
+            number: self.next_number,
+            event,
+        });
         self.next_number += 1;
     }
 
@@ -64,7 +71,10 @@
     /// What was to come after a time comes at another, in the order in which it was added.
     pub fn hasten(&mut self, after: Micros, to: Micros) {
         let mut entries = std::mem::take(&mut self.heap).into_vec();
-        entries.iter_mut().filter(|entry| entry.at > after).for_each(|entry| entry.at = to);
+        entries
+            .iter_mut()
+            .filter(|entry| entry.at > after)
+            .for_each(|entry| entry.at = to);
         self.heap = entries.into();
     }
 }
--- a/tools/simulator/tests/model.rs
+++ b/tools/simulator/tests/model.rs
@@ -56,12 +56,21 @@
     /// What holds now, by what came since the last healing.
     fn faults(&self) -> FaultPlan {
         let mut faults = FaultPlan::default();
-        let since = self.past.iter().rposition(|t| *t == Trouble::Heal).map_or(0, |at| at + 1);
+        let since = self
+            .past
+            .iter()
+            .rposition(|t| *t == Trouble::Heal)
+            .map_or(0, |at| at + 1);
         for (trouble, at) in self.past.iter().zip(0u64..).skip(since) {
             let begin = CALM + at * STEP;
             match trouble {
                 Trouble::Cut(from, to) => {
-                    faults.cuts.push(Cut { from: vec![*from], to: vec![*to], begin, end: u64::MAX });
+                    faults.cuts.push(Cut {
+                        from: vec![*from],
+                        to: vec![*to],
+                        begin,
+                        end: u64::MAX,
+                    });
                 }
                 Trouble::Stop(i) => faults.pauses.push((*i, begin, CALM + 100 * STEP)),
                 Trouble::Wait | Trouble::Heal => {}
@@ -80,7 +89,10 @@
     fn init_states(&self) -> Vec<Run> {
         let mut world = World::new(3, 5, &self.0, FaultPlan::default());
         world.run(CALM, |_| Ok(())).unwrap();
-        vec![Run { world, past: Vec::new() }]
+        vec![Run {
+            world,
+            past: Vec::new(),
+        }]
     }
 
     fn actions(&self, run: &Run, actions: &mut Vec<Trouble>) {
@@ -90,10 +102,23 @@
         let faults = run.faults();
         actions.push(Trouble::Wait);
         // Three cuts at most, and one stop in a run.
-        if run.past.iter().filter(|t| matches!(t, Trouble::Cut(..))).count() < 3 {
+        if run
+            .past
+            .iter()
+            .filter(|t| matches!(t, Trouble::Cut(..)))
+            .count()
+            < 3
+        {
             let links = [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
-            let whole = |(a, b): &(usize, usize)| !faults.cuts.iter().any(|c| c.from == [*a] && c.to == [*b]);
-            actions.extend(links.iter().filter(|l| whole(l)).map(|(a, b)| Trouble::Cut(*a, *b)));
+            let whole = |(a, b): &(usize, usize)| {
+                !faults.cuts.iter().any(|c| c.from == [*a] && c.to == [*b])
+            };
+            actions.extend(
+                links
+                    .iter()
+                    .filter(|l| whole(l))
+                    .map(|(a, b)| Trouble::Cut(*a, *b)),
+            );
         }
         if !run.past.iter().any(|t| matches!(t, Trouble::Stop(_))) {
             actions.extend((0..3).map(Trouble::Stop));
@@ -157,8 +182,12 @@
                     Trouble::Stop(i) => Some(*i),
                     _ => None,
                 });
-                cut || stopped
-                    .is_none_or(|i| run.world.seen.iter().all(|s| s.by != i || s.state != State::Dead))
+                cut || stopped.is_none_or(|i| {
+                    run.world
+                        .seen
+                        .iter()
+                        .all(|s| s.by != i || s.state != State::Dead)
+                })
             }),
             // Whatever came, once it is over all are alive to all.
             Property::<Self>::always("all are alive again once all is well", |_, run| {
@@ -170,7 +199,11 @@
                 later.wake();
                 later.run(run.now() + 20 * S, |_| Ok(())).unwrap();
                 later.agrees()
-                    && (0..3).all(|i| later.view(i).all(|m| m.state == State::Alive && number(&m.name) < 3))
+                    && (0..3).all(|i| {
+                        later
+                            .view(i)
+                            .all(|m| m.state == State::Alive && number(&m.name) < 3)
+                    })
             }),
         ]
     }
@@ -178,7 +211,10 @@
 
 fn check(config: MembershipConfig) -> (usize, Vec<&'static str>) {
     let checker = Three(config).checker().threads(4).spawn_bfs().join();
-    (checker.unique_state_count(), checker.discoveries().into_keys().collect())
+    (
+        checker.unique_state_count(),
+        checker.discoveries().into_keys().collect(),
+    )
 }
 
 #[test]
@@ -194,7 +230,10 @@
     use violetgate_membership::{Body, Claim, Message, Mutant};
 
     fn mutant(how: Mutant) -> MembershipConfig {
-        MembershipConfig { mutant: Some(how), ..MembershipConfig::default() }
+        MembershipConfig {
+            mutant: Some(how),
+            ..MembershipConfig::default()
+        }
     }
 
     /// Each wrong build is found out by a property of the model.
@@ -215,11 +254,28 @@
     fn a_sleeper_without_doubt_is_caught() {
         let accused = |config: &MembershipConfig, of: usize| {
             let others: Vec<usize> = (1..9).collect();
-            let cuts = vec![Cut { from: others, to: vec![0], begin: 10 * S + S / 2, end: 19 * S + S / 20 }];
+            let cuts = vec![Cut {
+                from: others,
+                to: vec![0],
+                begin: 10 * S + S / 2,
+                end: 19 * S + S / 20,
+            }];
             let pauses = vec![(of, 8 * S, 10 * S + 3 * S / 4), (0, 10 * S + S / 2, 19 * S)];
-            let mut w = World::new(9, 3, config, FaultPlan { pauses, cuts, ..FaultPlan::default() });
+            let mut w = World::new(
+                9,
+                3,
+                config,
+                FaultPlan {
+                    pauses,
+                    cuts,
+                    ..FaultPlan::default()
+                },
+            );
             w.run(30 * S, |_| Ok(())).unwrap();
-            w.seen.iter().filter(|s| s.by == 0 && s.state == State::Dead).count()
+            w.seen
+                .iter()
+                .filter(|s| s.by == 0 && s.state == State::Dead)
+                .count()
         };
         let told = |config: &MembershipConfig| (1..9).map(|of| accused(config, of)).sum::<usize>();
         assert_eq!(told(&MembershipConfig::default()), 0);
@@ -237,11 +293,16 @@
                 begin: 10 * S,
                 end: 40 * S,
             };
-            let faults =
-                FaultPlan { cuts: vec![cut(&[0], &others), cut(&others, &[0])], ..FaultPlan::default() };
+            let faults = FaultPlan {
+                cuts: vec![cut(&[0], &others), cut(&others, &[0])],
+                ..FaultPlan::default()
+            };
             let mut w = World::new(9, 4, config, faults);
             w.run(39 * S, |_| Ok(())).unwrap();
-            w.seen.iter().filter(|s| s.by == 0 && s.state == State::Dead).count()
+            w.seen
+                .iter()
+                .filter(|s| s.by == 0 && s.state == State::Dead)
+                .count()
         };
         assert_eq!(told(&MembershipConfig::default()), 0);
         assert!(told(&mutant(Mutant::LoneJudge)) > 0);
@@ -263,16 +324,34 @@
                 state,
                 by: None,
             };
-            let (alive, old) = (claim(&first, first.life, State::Alive), claim(&four, life, State::Alive));
-            w.set_faults(FaultPlan { deaths: vec![(4, 0)], ..FaultPlan::default() });
+            let (alive, old) = (
+                claim(&first, first.life, State::Alive),
+                claim(&four, life, State::Alive),
+            );
+            w.set_faults(FaultPlan {
+                deaths: vec![(4, 0)],
+                ..FaultPlan::default()
+            });
             w.run(15 * S, |_| Ok(())).unwrap();
-            assert!(w.view(0).any(|m| number(&m.name) == 4 && m.state == State::Dead));
-            w.inject(0, Message { body: Body::Tell, claims: vec![alive, old] });
+            assert!(w
+                .view(0)
+                .any(|m| number(&m.name) == 4 && m.state == State::Dead));
+            w.inject(
+                0,
+                Message {
+                    body: Body::Tell,
+                    claims: vec![alive, old],
+                },
+            );
             w.run(15 * S + S / 10, |_| Ok(())).unwrap();
-            let back = w.view(0).any(|m| number(&m.name) == 4 && m.state != State::Dead);
+            let back = w
+                .view(0)
+                .any(|m| number(&m.name) == 4 && m.state != State::Dead);
             back
         };
-        assert!(!back(&MembershipConfig::default(), 1_000) && !back(&MembershipConfig::default(), 500));
+        assert!(
+            !back(&MembershipConfig::default(), 1_000) && !back(&MembershipConfig::default(), 500)
+        );
         assert!(back(&mutant(Mutant::AnyTurn), 1_000));
         assert!(back(&mutant(Mutant::AnyLife), 500));
     }
--- a/tools/standin/src/bus.rs
+++ b/tools/standin/src/bus.rs
@@ -52,7 +52,9 @@
                     on.spawn(async move {
                         let _ = bus.follow(&stream).await;
                         let _ = stream.get_ref().shutdown(Shutdown::Both);
-                        lock(&bus.state).followers.retain(|f| !Arc::ptr_eq(f, &stream));
+                        lock(&bus.state)
+                            .followers
+                            .retain(|f| !Arc::ptr_eq(f, &stream));
                     })
                     .detach();
                 }
@@ -71,7 +73,9 @@
         let mut state = lock(&self.state);
         let offset = state.events.len() + 1;
         let topology = json!({"version": offset, "full": full, "servers": servers});
-        state.events.push(json!({"offset": offset, "topology": topology}));
+        state
+            .events
+            .push(json!({"offset": offset, "topology": topology}));
         drop(state);
         self.changed.notify(usize::MAX);
     }
@@ -99,7 +103,10 @@
             hello.extend_from_slice(&byte);
         }
         let hello = String::from_utf8_lossy(&hello).into_owned();
-        let from = hello.trim().strip_prefix("from ").and_then(|n| n.parse::<usize>().ok());
+        let from = hello
+            .trim()
+            .strip_prefix("from ")
+            .and_then(|n| n.parse::<usize>().ok());
         let Some(mut next) = from else { return Ok(()) };
         let mut beat = Timer::after(BEAT);
         loop {
@@ -108,8 +115,12 @@
                 while stream.read_with(|mut s| s.read(&mut byte)).await? > 0 {}
                 return Ok(());
             }
-            let lines: Vec<String> =
-                lock(&self.state).events.iter().skip(next).map(|e| format!("{e}\n")).collect();
+            let lines: Vec<String> = lock(&self.state)
+                .events
+                .iter()
+                .skip(next)
+                .map(|e| format!("{e}\n"))
+                .collect();
             for line in lines {
                 self.write(stream, line.as_bytes()).await?;
                 next += 1;
--- a/tools/standin/src/client.rs
+++ b/tools/standin/src/client.rs
@@ -32,7 +32,11 @@
     /// The last part of a problem's type.
     #[must_use]
     pub fn kind(&self) -> String {
-        self.json()["type"].as_str().and_then(|t| t.rsplit(':').next()).unwrap_or_default().to_owned()
+        self.json()["type"]
+            .as_str()
+            .and_then(|t| t.rsplit(':').next())
+            .unwrap_or_default()
+            .to_owned()
     }
 
     /// The rows of a page.
@@ -69,7 +73,10 @@
     pub fn over(stream: TcpStream, wait: Duration) -> Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(wait))?;
-        Ok(Http { stream: BufReader::new(stream), head: false })
+        Ok(Http {
+            stream: BufReader::new(stream),
+            head: false,
+        })
     }
 
     /// Sends one request.
@@ -77,7 +84,13 @@
     /// # Errors
     ///
     /// The connection has broken.
-    pub fn send(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Result<()> {
+    pub fn send(
+        &mut self,
+        method: &str,
+        path: &str,
+        headers: &[(&str, &str)],
+        body: &[u8],
+    ) -> Result<()> {
         let mut head = format!("{method} {path} HTTP/1.1\r\nhost: a\r\n");
         if !body.is_empty() {
             head += &format!("content-length: {}\r\n", body.len());
@@ -86,7 +99,9 @@
             head += &format!("{name}: {value}\r\n");
         }
         self.head = method == "HEAD";
-        self.stream.get_mut().write_all(&[head.as_bytes(), b"\r\n", body].concat())
+        self.stream
+            .get_mut()
+            .write_all(&[head.as_bytes(), b"\r\n", body].concat())
     }
 
     /// Sends one query.
@@ -119,18 +134,38 @@
         if self.stream.read_line(&mut line)? == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
-        let status = line.split(' ').nth(1).and_then(|s| s.parse().ok()).ok_or_else(|| bad(&line))?;
+        let status = line
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .ok_or_else(|| bad(&line))?;
         let mut headers = HashMap::new();
         loop {
             let mut line = String::new();
             self.stream.read_line(&mut line)?;
-            let Some((name, value)) = line.trim_end().split_once(": ") else { break };
+            let Some((name, value)) = line.trim_end().split_once(": ") else {
+                break;
+            };
             headers.insert(name.to_ascii_lowercase(), value.to_owned());
         }
-        let length = headers.get("content-length").map_or(Ok(0), |n| n.parse()).map_err(bad)?;
-        let mut body = vec![0; if self.head || status == 100 { 0 } else { length }];
+        let length = headers
+            .get("content-length")
+            .map_or(Ok(0), |n| n.parse())
+            .map_err(bad)?;
+        let mut body = vec![
+            0;
+            if self.head || status == 100 {
+                0
+            } else {
+                length
+            }
+        ];
         self.stream.read_exact(&mut body)?;
-        Ok(Reply { status, headers, body })
+        Ok(Reply {
+            status,
+            headers,
+            body,
+        })
     }
 
     /// Whether the other side has ended the connection and said nothing more.
@@ -190,13 +225,16 @@
             let mut head = [0; 5];
             self.0.read_exact(&mut head)?;
             let [kind, length @ ..] = head;
-            let length = u32::from_be_bytes(length).checked_sub(4).ok_or_else(|| bad("length"))?;
+            let length = u32::from_be_bytes(length)
+                .checked_sub(4)
+                .ok_or_else(|| bad("length"))?;
             let mut body = vec![0; length as usize];
             self.0.read_exact(&mut body)?;
             match kind {
                 b'Z' => return Ok(error.map_or(Ok(rows), Err)),
                 b'E' => {
-                    let field = |name: &[u8]| body.split(|b| *b == 0).find_map(|f| f.strip_prefix(name));
+                    let field =
+                        |name: &[u8]| body.split(|b| *b == 0).find_map(|f| f.strip_prefix(name));
                     let code = field(b"C").unwrap_or_default();
                     error = Some(String::from_utf8_lossy(code).into_owned());
                     self.1 = String::from_utf8_lossy(field(b"M").unwrap_or_default()).into_owned();
--- a/tools/standin/src/counts.rs
+++ b/tools/standin/src/counts.rs
@@ -47,12 +47,16 @@
     }
 
     pub(crate) fn drained(&mut self, engine: &str) {
-        self.drained.entry(engine.to_owned()).or_insert_with(Instant::now);
+        self.drained
+            .entry(engine.to_owned())
+            .or_insert_with(Instant::now);
     }
 
     pub(crate) fn called(&mut self, engine: &str, out: bool) {
         if out {
-            self.called_out.entry(engine.to_owned()).or_insert_with(Instant::now);
+            self.called_out
+                .entry(engine.to_owned())
+                .or_insert_with(Instant::now);
         } else {
             self.called_out.remove(engine);
         }
--- a/tools/standin/src/engine.rs
+++ b/tools/standin/src/engine.rs
@@ -27,7 +27,11 @@
 
 impl Default for Profile {
     fn default() -> Self {
-        Profile { sessions: 64, cold_factor: 3.0, cold: Duration::from_secs(5) }
+        Profile {
+            sessions: 64,
+            cold_factor: 3.0,
+            cold: Duration::from_secs(5),
+        }
     }
 }
 
@@ -214,7 +218,9 @@
                 let (key, reserve) = (field("op="), field("reserve="));
                 lock(&self.counts).attempt(&self.id, rid, key);
                 let reserve = reserve.and_then(|mb| mb.parse().ok()).unwrap_or(0);
-                lock(&self.counts).reserved.insert((*rid).to_owned(), reserve);
+                lock(&self.counts)
+                    .reserved
+                    .insert((*rid).to_owned(), reserve);
                 if self.ails(Fault::ResetOnServe) {
                     return Ok(false);
                 }
@@ -242,7 +248,10 @@
                     return Ok(false);
                 }
                 let at: usize = n.parse().unwrap_or(usize::MAX);
-                *lock(&self.counts).pages.entry(((*rid).to_owned(), at)).or_default() += 1;
+                *lock(&self.counts)
+                    .pages
+                    .entry(((*rid).to_owned(), at))
+                    .or_default() += 1;
                 let page = lock(held).pages.get(*rid).and_then(|p| p.get(at).cloned());
                 let answer = match page {
                     Some(_) if self.ails(Fault::SpoilPages) => {
@@ -279,7 +288,11 @@
             Timer::after(each).await;
             left -= each;
             let share = 1.0 - left.as_secs_f64() / took.as_secs_f64();
-            let _ = say(stream, &format!("{rid} progress n=advance,amount={share:.3} 0\r\n\r\n")).await;
+            let _ = say(
+                stream,
+                &format!("{rid} progress n=advance,amount={share:.3} 0\r\n\r\n"),
+            )
+            .await;
         }
         if !left.is_zero() {
             Timer::after(left).await;
@@ -310,23 +323,40 @@
         if self.ails(Fault::ResetOnAnswer) {
             return reset(stream);
         }
-        let mark = format!("{}/{}", self.id, self.serial.fetch_add(1, Ordering::Relaxed));
+        let mark = format!(
+            "{}/{}",
+            self.id,
+            self.serial.fetch_add(1, Ordering::Relaxed)
+        );
         let pages = work.pages(rid, &mark);
         let (chunks, first) = (pages.len(), pages.first().cloned().unwrap_or_default());
         if chunks > 1 {
             lock(held).pages.insert(rid.to_owned(), pages);
         }
-        let cost = if work.untold { String::new() } else { format!(",spent={},wanted=16", work.ms) };
+        let cost = if work.untold {
+            String::new()
+        } else {
+            format!(",spent={},wanted=16", work.ms)
+        };
         let fields = format!("chunks={chunks}{cost}");
-        let _ = say(stream, &format!("{rid} ok {fields} {}\r\n{first}\r\n", first.len())).await;
+        let _ = say(
+            stream,
+            &format!("{rid} ok {fields} {}\r\n{first}\r\n", first.len()),
+        )
+        .await;
     }
 }
 
 /// Takes the next whole command off the input.
 fn take(input: &mut Vec<u8>) -> std::io::Result<Option<Command>> {
     let bad = || std::io::Error::from(std::io::ErrorKind::InvalidData);
-    let Some(end) = input.iter().position(|b| *b == b'\n') else { return Ok(None) };
-    let line = input.get(..end).and_then(|l| l.strip_suffix(b"\r")).ok_or_else(bad)?;
+    let Some(end) = input.iter().position(|b| *b == b'\n') else {
+        return Ok(None);
+    };
+    let line = input
+        .get(..end)
+        .and_then(|l| l.strip_suffix(b"\r"))
+        .ok_or_else(bad)?;
     let line = std::str::from_utf8(line).map_err(|_| bad())?.to_owned();
     let words: Vec<String> = line.split(' ').map(str::to_owned).collect();
     let (mut from, mut to) = (end + 1, end + 1);
@@ -337,7 +367,9 @@
     if input.len() < to {
         return Ok(None);
     }
-    let body = input.get(from..to.saturating_sub(2).max(from)).unwrap_or_default();
+    let body = input
+        .get(from..to.saturating_sub(2).max(from))
+        .unwrap_or_default();
     let body = String::from_utf8_lossy(body).into_owned();
     from = to;
     input.drain(..from);
--- a/tools/standin/src/lib.rs
+++ b/tools/standin/src/lib.rs
@@ -54,13 +54,15 @@
         let executor = Arc::new(Executor::new());
         let (alive, ends) = std::sync::mpsc::channel::<()>();
         let run = Arc::clone(&executor);
-        std::thread::Builder::new().name("standin".into()).spawn(move || {
-            async_io::block_on(run.run(async {
-                while ends.try_recv() != Err(std::sync::mpsc::TryRecvError::Disconnected) {
-                    Timer::after(Duration::from_millis(100)).await;
-                }
-            }));
-        })?;
+        std::thread::Builder::new()
+            .name("standin".into())
+            .spawn(move || {
+                async_io::block_on(run.run(async {
+                    while ends.try_recv() != Err(std::sync::mpsc::TryRecvError::Disconnected) {
+                        Timer::after(Duration::from_millis(100)).await;
+                    }
+                }));
+            })?;
         let bus = Bus::start(&executor)?;
         let fleet = Fleet(Arc::new(Inner {
             executor,
@@ -74,7 +76,12 @@
         for id in &ids {
             fleet.raise(id, None, None)?;
         }
-        fleet.tell(true, &ids.iter().map(|id| (id.as_str(), "in_service")).collect::<Vec<_>>());
+        fleet.tell(
+            true,
+            &ids.iter()
+                .map(|id| (id.as_str(), "in_service"))
+                .collect::<Vec<_>>(),
+        );
         Ok(fleet)
     }
 
@@ -107,7 +114,12 @@
         })
     }
 
-    fn raise(&self, id: &str, at: Option<SocketAddr>, started: Option<Instant>) -> std::io::Result<()> {
+    fn raise(
+        &self,
+        id: &str,
+        at: Option<SocketAddr>,
+        started: Option<Instant>,
+    ) -> std::io::Result<()> {
         let inner = &self.0;
         let counts = Arc::clone(&inner.counts);
         let engine = Engine::start(&inner.executor, id, at, inner.profile, started, counts)?;
@@ -204,7 +216,9 @@
 }
 
 fn unix_ms(at: Instant) -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.saturating_sub(at.elapsed()).as_millis()).unwrap_or(0)
 }
 
--- a/tools/standin/src/work.rs
+++ b/tools/standin/src/work.rs
@@ -28,10 +28,19 @@
     /// Reads the hints of a statement.
     #[must_use]
     pub fn of(statement: &str) -> Self {
-        let mut work = Work { ms: 2, rows: 3, width: 0, fails: false, notes: 0, untold: false };
+        let mut work = Work {
+            ms: 2,
+            rows: 3,
+            width: 0,
+            fails: false,
+            notes: 0,
+            untold: false,
+        };
         for word in statement.split(|c: char| c.is_whitespace() || c == ',') {
             let (name, value) = word.split_once('=').unwrap_or((word, ""));
-            let number = value.trim_end_matches(|c: char| !c.is_ascii_digit()).parse::<u64>();
+            let number = value
+                .trim_end_matches(|c: char| !c.is_ascii_digit())
+                .parse::<u64>();
             match (name, number) {
                 ("ms", Ok(ms)) => work.ms = ms,
                 ("rows", Ok(rows)) => work.rows = rows as usize,
@@ -77,13 +86,26 @@
     #[test]
     fn pages_hold_whole_rows() {
         let work = Work::of("SELECT day FROM sales_3.plan /* ms=7 rows=500 width=60 */");
-        assert_eq!(work, Work { ms: 7, rows: 500, width: 60, fails: false, notes: 0, untold: false });
+        assert_eq!(
+            work,
+            Work {
+                ms: 7,
+                rows: 500,
+                width: 60,
+                fails: false,
+                notes: 0,
+                untold: false
+            }
+        );
         let pages = work.pages("00000000000000a1", "e-1/1");
         assert!(pages.len() == 5 && pages.iter().all(|p| p.len() <= PAGE && p.ends_with('\n')));
         let rows: Vec<_> = pages.iter().flat_map(|p| p.lines()).collect();
         assert_eq!(rows.len(), 500);
         for (n, row) in rows.iter().enumerate() {
-            assert!(row.starts_with(&format!("00000000000000a1\te-1/1\t{n}.")), "{row}");
+            assert!(
+                row.starts_with(&format!("00000000000000a1\te-1/1\t{n}.")),
+                "{row}"
+            );
         }
     }
 }
--- a/violetgate/src/admin/http.rs
+++ b/violetgate/src/admin/http.rs
@@ -78,7 +78,10 @@
             return Err(Status::LengthRequired);
         }
         if header.name.eq_ignore_ascii_case("content-length") {
-            let told = std::str::from_utf8(header.value).ok().map(str::trim).filter(|v| digits(v));
+            let told = std::str::from_utf8(header.value)
+                .ok()
+                .map(str::trim)
+                .filter(|v| digits(v));
             let told = told.ok_or(Status::BadRequest)?;
             // Two lengths that differ leave it open where the call ends.
             if length.replace(told).is_some_and(|other| other != told) {
@@ -86,12 +89,21 @@
             }
         }
     }
-    let length = length.map_or(Ok(0), str::parse::<usize>).ok().filter(|n| *n <= MAX_BODY);
+    let length = length
+        .map_or(Ok(0), str::parse::<usize>)
+        .ok()
+        .filter(|n| *n <= MAX_BODY);
     let length = length.ok_or(Status::ContentTooLarge)?;
-    let Some(body) = bytes.get(size..size + length) else { return Ok(None) };
+    let Some(body) = bytes.get(size..size + length) else {
+        return Ok(None);
+    };
     let path = head.path.unwrap_or_default();
     let path = path.split_once('?').map_or(path, |(path, _)| path);
-    Ok(Some(Call { method: head.method.unwrap_or_default(), path, body }))
+    Ok(Some(Call {
+        method: head.method.unwrap_or_default(),
+        path,
+        body,
+    }))
 }
 
 fn digits(text: &str) -> bool {
@@ -103,7 +115,11 @@
 pub fn response(status: Status, body: &str) -> Vec<u8> {
     let (code, phrase) = (status as u16, status.phrase());
     // 405 owes the methods of its path; every path here has one of these two.
-    let allow = if status == Status::MethodNotAllowed { "Allow: GET, PUT\r\n" } else { "" };
+    let allow = if status == Status::MethodNotAllowed {
+        "Allow: GET, PUT\r\n"
+    } else {
+        ""
+    };
     format!(
         "HTTP/1.1 {code} {phrase}\r\nContent-Type: text/plain; version=0.0.4; charset=utf-8\r\n\
          Content-Length: {}\r\n{allow}Connection: close\r\n\r\n{body}",
@@ -126,22 +142,43 @@
             assert_eq!(parse(&bytes[..cut]), Ok(None), "{cut}");
         }
         let call = parse(bytes).unwrap().unwrap();
-        assert_eq!((call.method, call.path, call.body), ("PUT", "/admin/cordon", &b"{\"host\":\"s-1\"}"[..]));
+        assert_eq!(
+            (call.method, call.path, call.body),
+            ("PUT", "/admin/cordon", &b"{\"host\":\"s-1\"}"[..])
+        );
     }
 
     /// What is no call, or is longer than a call may be, is told apart from one that is not yet whole.
     #[test]
     fn what_is_no_call_gets_its_status() {
         let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(MAX_HEAD));
-        let many = format!("GET / HTTP/1.1\r\n{}\r\n", "a: b\r\n".repeat(MAX_HEADERS + 1));
+        let many = format!(
+            "GET / HTTP/1.1\r\n{}\r\n",
+            "a: b\r\n".repeat(MAX_HEADERS + 1)
+        );
         for (bytes, status) in [
             ("\u{1}\u{2}", Status::BadRequest),
             ("GET / HTTP/9\r\n\r\n", Status::BadRequest),
-            ("PUT / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", Status::BadRequest),
-            ("PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", Status::BadRequest),
-            ("PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n", Status::ContentTooLarge),
-            ("PUT / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", Status::ContentTooLarge),
-            ("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", Status::LengthRequired),
+            (
+                "PUT / HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+                Status::BadRequest,
+            ),
+            (
+                "PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+                Status::BadRequest,
+            ),
+            (
+                "PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n",
+                Status::ContentTooLarge,
+            ),
+            (
+                "PUT / HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n",
+                Status::ContentTooLarge,
+            ),
+            (
+                "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+                Status::LengthRequired,
+            ),
             (long.as_str(), Status::HeadTooLarge),
             (many.as_str(), Status::HeadTooLarge),
         ] {
--- a/violetgate/src/admin/mod.rs
+++ b/violetgate/src/admin/mod.rs
@@ -32,8 +32,14 @@
 /// The pause after the machine gave no connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-const PATHS: [&str; 6] =
-    ["/admin/health", "/admin/stats", "/admin/cordon", "/admin/uncordon", "/admin/quiesce", "/admin/resume"];
+const PATHS: [&str; 6] = [
+    "/admin/health",
+    "/admin/stats",
+    "/admin/cordon",
+    "/admin/uncordon",
+    "/admin/quiesce",
+    "/admin/resume",
+];
 
 /// The engine that a call names.
 #[derive(Deserialize)]
@@ -85,7 +91,12 @@
         clock: Clock,
         operations: Rc<dyn Operations>,
     ) -> Rc<Self> {
-        Rc::new(Admin { executor, clock, operations, room: Room::new(MOST) })
+        Rc::new(Admin {
+            executor,
+            clock,
+            operations,
+            room: Room::new(MOST),
+        })
     }
 
     /// Takes calls for ever.
@@ -96,7 +107,9 @@
                 // in the turn that reads it, so that a connection is never busy for long.
                 Ok((stream, peer)) => {
                     if let Some(guest) = self.room.enter(self.clock.now()) {
-                        self.executor.spawn(Rc::clone(&self).drive(stream, peer, guest)).detach();
+                        self.executor
+                            .spawn(Rc::clone(&self).drive(stream, peer, guest))
+                            .detach();
                     }
                 }
                 Err(e) => {
@@ -116,10 +129,19 @@
             Err("call_timeout")
         };
         let evicted = async { Err(guest.gives_way().await) };
-        let reason = match self.call(&stream, &mut input, peer).or(evicted).or(late).await {
+        let reason = match self
+            .call(&stream, &mut input, peer)
+            .or(evicted)
+            .or(late)
+            .await
+        {
             Ok(output) => respond(&stream, &output).await,
             Err(reason @ "call_timeout") => {
-                let _ = respond(&stream, &http::response(Status::RequestTimeout, "call not whole\n")).await;
+                let _ = respond(
+                    &stream,
+                    &http::response(Status::RequestTimeout, "call not whole\n"),
+                )
+                .await;
                 reason
             }
             Err(reason) => reason,
@@ -171,7 +193,9 @@
             ("PUT", "/admin/cordon") => self.cordon(call, true).await,
             ("PUT", "/admin/uncordon") => self.cordon(call, false).await,
             ("PUT", "/admin/quiesce") => carried(self.operations.drain(true).await, "draining"),
-            ("PUT", "/admin/resume") => carried(self.operations.drain(false).await, "taking clients"),
+            ("PUT", "/admin/resume") => {
+                carried(self.operations.drain(false).await, "taking clients")
+            }
             (_, path) if PATHS.contains(&path) => {
                 told(Status::MethodNotAllowed, "another method is served here")
             }
@@ -183,7 +207,10 @@
     async fn cordon(&self, call: &Call<'_>, out: bool) -> (Status, String) {
         match serde_json::from_slice(call.body) {
             Ok(Target { host }) => carried(self.operations.cordon(&host, out).await, &host),
-            Err(e) => told(Status::BadRequest, &format!("the body is no {{\"host\":\"ID\"}}: {e}")),
+            Err(e) => told(
+                Status::BadRequest,
+                &format!("the body is no {{\"host\":\"ID\"}}: {e}"),
+            ),
         }
     }
 }
@@ -200,9 +227,10 @@
             Status::ServiceUnavailable,
             "not agreed on in its time; it may still come to hold: call again",
         ),
-        Called::NotAMember => {
-            told(Status::Conflict, "this front end subscribes to a cluster: call at a member's API")
-        }
+        Called::NotAMember => told(
+            Status::Conflict,
+            "this front end subscribes to a cluster: call at a member's API",
+        ),
     }
 }
 
--- a/violetgate/src/asked.rs
+++ b/violetgate/src/asked.rs
@@ -92,11 +92,20 @@
     ///
     /// A part is missing or can't be used.
     pub fn request(self, names: &Names, received: Micros) -> Result<Request, Fault> {
-        let fault = |part, what: &str| Fault { part, what: what.to_owned() };
-        let missing = |part| move || Fault { part, what: "is missing".to_owned() };
+        let fault = |part, what: &str| Fault {
+            part,
+            what: what.to_owned(),
+        };
+        let missing = |part| {
+            move || Fault {
+                part,
+                what: "is missing".to_owned(),
+            }
+        };
         let method = self.class.ok_or_else(missing(Part::Class))?;
         let class = names.classes.iter().position(|(n, _)| n == method);
-        let class = class.ok_or_else(|| fault(Part::Class, &format!("names no class: {method:?}")))?;
+        let class =
+            class.ok_or_else(|| fault(Part::Class, &format!("names no class: {method:?}")))?;
         let keyed = names.classes.get(class).is_some_and(|c| c.1);
         let rid = self.id.ok_or_else(missing(Part::Id))?;
         let id = hex(rid).ok_or_else(|| fault(Part::Id, "is not 16 hex digits"))?;
@@ -110,7 +119,9 @@
                 place.ok_or_else(|| fault(Part::Tenant, "names no tenant"))?
             }
         };
-        let plain = |t: &&str| (1..=MAX_TOKEN).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic());
+        let plain = |t: &&str| {
+            (1..=MAX_TOKEN).contains(&t.len()) && t.bytes().all(|b| b.is_ascii_graphic())
+        };
         let token = match self.token {
             // The engines' protocol lists its fields with commas.
             Some(token) => {
@@ -122,7 +133,9 @@
         };
         let number = |value: Option<f64>, part| match value {
             None => Ok(None),
-            Some(v) => measure(v).map(Some).ok_or_else(|| fault(part, "is no number")),
+            Some(v) => measure(v)
+                .map(Some)
+                .ok_or_else(|| fault(part, "is no number")),
         };
         let key = match self.key {
             None => None,
--- a/violetgate/src/bus.rs
+++ b/violetgate/src/bus.rs
@@ -136,7 +136,11 @@
     /// Moves it, and lets go of the old one at once: that may stay open and tell nothing more.
     pub fn move_to(&self, addr: SocketAddr) {
         self.addr.set(addr);
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 
     /// Whether the bus has told anything since the start.
@@ -182,7 +186,9 @@
     pub fn number(&self, name: &str) -> EngineId {
         let mut ids = self.0.borrow_mut();
         let fresh = ids.len() as EngineId;
-        ids.get(name).copied().unwrap_or_else(|| *ids.entry(name.to_owned()).or_insert(fresh))
+        ids.get(name)
+            .copied()
+            .unwrap_or_else(|| *ids.entry(name.to_owned()).or_insert(fresh))
     }
 
     /// Whether anybody has ever had this name.
@@ -204,14 +210,25 @@
     /// Creates a follower that knows nothing yet.
     #[must_use]
     pub fn new(names: Names, ids: Rc<Ids>, place: Rc<Place>) -> Self {
-        Bus { names, last: 0, ids, place }
+        Bus {
+            names,
+            last: 0,
+            ids,
+            place,
+        }
     }
 
     /// Takes the events of the start, and their last number.
-    pub fn known(&mut self, last: u64, batch: Vec<Value>, tell: &mut dyn FnMut(ListScope, &[Listed])) {
+    pub fn known(
+        &mut self,
+        last: u64,
+        batch: Vec<Value>,
+        tell: &mut dyn FnMut(ListScope, &[Listed]),
+    ) {
         for event in batch {
-            if let Err(e) =
-                Happening::deserialize(&event).map_err(|e| e.to_string()).and_then(|h| self.take(h, tell))
+            if let Err(e) = Happening::deserialize(&event)
+                .map_err(|e| e.to_string())
+                .and_then(|h| self.take(h, tell))
             {
                 log::line(format_args!("bus reason=garbage known event left out: {e}"));
             }
@@ -223,12 +240,22 @@
     /// Takes a list that was kept, if it is newer and the bus has told nothing yet.
     fn take_offered(&mut self, tell: &mut dyn FnMut(ListScope, &[Listed])) {
         let offered = self.place.offered.borrow_mut().take();
-        let Some((last, engines)) = offered.filter(|(last, _)| *last > self.last && !self.place.heard())
+        let Some((last, engines)) =
+            offered.filter(|(last, _)| *last > self.last && !self.place.heard())
         else {
             return;
         };
-        let topology = Topology { full: true, servers: engines.into_values().collect() };
-        match self.take(Happening { offset: last, topology: Some(topology) }, tell) {
+        let topology = Topology {
+            full: true,
+            servers: engines.into_values().collect(),
+        };
+        match self.take(
+            Happening {
+                offset: last,
+                topology: Some(topology),
+            },
+            tell,
+        ) {
             Ok(()) => {
                 log::line(format_args!(
                     "bus is silent; the list that was kept counts, from={} to={last}",
@@ -258,10 +285,17 @@
             let reason = self.session(addr, tell, place, &mut heard).or(moved).await;
             // A bus that stays away would fill the log: the same failure again is not told.
             if heard || reason != told {
-                log::line(format_args!("bus {addr} ended reason={reason} from={from} last={}", self.last));
+                log::line(format_args!(
+                    "bus {addr} ended reason={reason} from={from} last={}",
+                    self.last
+                ));
             }
             told = reason;
-            pause = if heard { PAUSE } else { (pause * 2).min(LONGEST_PAUSE) };
+            pause = if heard {
+                PAUSE
+            } else {
+                (pause * 2).min(LONGEST_PAUSE)
+            };
             if addr == place.addr.get() {
                 let rest = async {
                     Timer::after(pause).await;
@@ -284,7 +318,11 @@
         };
         let hello = format!("from {}\n", self.last);
         // A few bytes on a fresh connection: the socket takes them at once or not at all.
-        match stream.write_with(|mut s| s.write(hello.as_bytes())).or(late(CONNECT)).await {
+        match stream
+            .write_with(|mut s| s.write(hello.as_bytes()))
+            .or(late(CONNECT))
+            .await
+        {
             Ok(n) if n == hello.len() => place.count_sent(n),
             Ok(_) => return "write".to_owned(),
             Err(e) => return reason(&e, "write"),
@@ -294,7 +332,11 @@
         let mut quiet_by = Instant::now() + SILENCE;
         loop {
             let left = quiet_by.saturating_duration_since(Instant::now());
-            match stream.read_with(|mut s| s.read(&mut chunk)).or(late(left)).await {
+            match stream
+                .read_with(|mut s| s.read(&mut chunk))
+                .or(late(left))
+                .await
+            {
                 Ok(0) => return "closed".to_owned(),
                 Ok(n) => {
                     place.count_received(n);
@@ -328,7 +370,11 @@
 
     /// Takes one line: an event, or the last number alone. False: it shows only that the bus stands behind what is known
     /// here, so that news could be missing.
-    fn line(&mut self, line: &[u8], tell: &mut dyn FnMut(ListScope, &[Listed])) -> Result<bool, String> {
+    fn line(
+        &mut self,
+        line: &[u8],
+        tell: &mut dyn FnMut(ListScope, &[Listed]),
+    ) -> Result<bool, String> {
         let value: Value = serde_json::from_slice(line).map_err(|e| format!("garbage: {e}"))?;
         if let Some(last) = value.as_u64() {
             // Events that never came: ask for them again.
@@ -346,21 +392,30 @@
         if offset > self.last + 1 {
             return Err(format!("gap: event {offset}"));
         }
-        self.take(event, tell).map_err(|e| format!("garbage: {e}"))?;
+        self.take(event, tell)
+            .map_err(|e| format!("garbage: {e}"))?;
         self.last = offset;
         Ok(true)
     }
 
-    fn take(&mut self, event: Happening, tell: &mut dyn FnMut(ListScope, &[Listed])) -> Result<(), String> {
+    fn take(
+        &mut self,
+        event: Happening,
+        tell: &mut dyn FnMut(ListScope, &[Listed]),
+    ) -> Result<(), String> {
         let Some(topology) = event.topology else {
             self.place.hold(event.offset, None);
             return Ok(());
         };
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
+        let place =
+            |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
         let mut listed = Vec::new();
         for s in &topology.servers {
             let s = Server::deserialize(s).map_err(|e| e.to_string())?;
-            let addr = s.addr.parse().map_err(|e| format!("addr {:?}: {e}", s.addr))?;
+            let addr = s
+                .addr
+                .parse()
+                .map_err(|e| format!("addr {:?}: {e}", s.addr))?;
             let engine = Engine {
                 id: self.ids.number(&s.id),
                 zone: place(&self.names.zones, &s.zone),
@@ -376,7 +431,14 @@
             listed.push(Listed { engine, addr });
         }
         self.place.hold(event.offset, Some(&topology));
-        tell(if topology.full { ListScope::Whole } else { ListScope::Patch }, &listed);
+        tell(
+            if topology.full {
+                ListScope::Whole
+            } else {
+                ListScope::Patch
+            },
+            &listed,
+        );
         Ok(())
     }
 }
--- a/violetgate/src/bus/tests.rs
+++ b/violetgate/src/bus/tests.rs
@@ -26,9 +26,16 @@
         let (executor, told) = (LocalExecutor::new(), Rc::new(Cell::new(0)));
         let count = Rc::clone(&told);
         executor
-            .spawn(async move { bus.follow(&mut |_, listed| count.set(count.get() + listed.len())).await })
+            .spawn(async move {
+                bus.follow(&mut |_, listed| count.set(count.get() + listed.len()))
+                    .await
+            })
             .detach();
-        Played { executor, listener, told }
+        Played {
+            executor,
+            listener,
+            told,
+        }
     }
 
     /// Lets the follower run until something is there.
@@ -58,7 +65,8 @@
             let mut chunk = [0; 64];
             let n = stream.read(&mut chunk).unwrap_or(0);
             got.extend_from_slice(&chunk[..n]);
-            got.ends_with(b"\n").then(|| String::from_utf8(got.clone()).unwrap())
+            got.ends_with(b"\n")
+                .then(|| String::from_utf8(got.clone()).unwrap())
         })
     }
 
@@ -89,7 +97,9 @@
     second.set_nonblocking(true).unwrap();
     assert_eq!(played.hello(&mut second), "from 5\n");
     second.write_all(format!("{EVENT}\n").as_bytes()).unwrap();
-    played.until("the drain is told", || (played.told.get() == 1).then_some(()));
+    played.until("the drain is told", || {
+        (played.told.get() == 1).then_some(())
+    });
 }
 
 /// A bus that stands behind what is known here says lines, and none that would hold what is new: it is left, too.
@@ -112,8 +122,14 @@
     bus.last = 5;
     let mut told = 0;
     let mut line = |line: &str| bus.line(line.as_bytes(), &mut |_, listed| told += listed.len());
-    assert_eq!([line("5"), line("4"), line("0")], [Ok(true), Ok(false), Ok(false)]);
+    assert_eq!(
+        [line("5"), line("4"), line("0")],
+        [Ok(true), Ok(false), Ok(false)]
+    );
     assert!(line("6").is_err() && line("{}").is_err() && line("").is_err());
-    assert_eq!([line(EVENT), line(EVENT), line("6"), line("5")], [Ok(true), Ok(false), Ok(true), Ok(false)]);
+    assert_eq!(
+        [line(EVENT), line(EVENT), line("6"), line("5")],
+        [Ok(true), Ok(false), Ok(true), Ok(false)]
+    );
     assert_eq!(told, 1);
 }
--- a/violetgate/src/cli.rs
+++ b/violetgate/src/cli.rs
@@ -65,7 +65,9 @@
     let cli = Cli::parse();
     match cli.command {
         None => start(&cli.serve),
-        Some(Command::Serve(given)) => start(&Serve { settings: given.settings.or(cli.serve.settings) }),
+        Some(Command::Serve(given)) => start(&Serve {
+            settings: given.settings.or(cli.serve.settings),
+        }),
         Some(Command::Demo(given)) => ended(demo::run(&given)),
         Some(Command::Ctl(given)) => ended(ctl::run(&given)),
         Some(Command::Members(given)) => ended(ctl::members(&given)),
@@ -80,7 +82,10 @@
 }
 
 fn ended(done: Result<(), String>) -> ExitCode {
-    done.map_or_else(|what| complain(&format!("violetgate: {what}")), |()| ExitCode::SUCCESS)
+    done.map_or_else(
+        |what| complain(&format!("violetgate: {what}")),
+        |()| ExitCode::SUCCESS,
+    )
 }
 
 /// Writes to standard output; a reader that has gone (`| head`) is no failure.
@@ -96,7 +101,10 @@
     let log = log::start(chosen.format, chosen.lines_waiting);
     let done = read.and_then(|settings| serve::run(&settings, file));
     if log::lost() > 0 {
-        log::line(format_args!("violetgate lost {} log lines, as nobody took them", log::lost()));
+        log::line(format_args!(
+            "violetgate lost {} log lines, as nobody took them",
+            log::lost()
+        ));
     }
     let code = done.map_or_else(
         |what| {
@@ -112,13 +120,22 @@
 fn check(file: &Path) -> ExitCode {
     let problems = match std::fs::read_to_string(file) {
         Err(e) => vec![format!("{}: {e}", file.display())],
-        Ok(text) if file.extension().is_some_and(|e| e.eq_ignore_ascii_case("json")) => {
+        Ok(text)
+            if file
+                .extension()
+                .is_some_and(|e| e.eq_ignore_ascii_case("json")) =>
+        {
             let read = Config::parse(&text, None, None, None).err();
-            read.into_iter().map(|e| format!("{}: {e}", file.display())).collect()
+            read.into_iter()
+                .map(|e| format!("{}: {e}", file.display()))
+                .collect()
         }
         Ok(text) => match settings::parse(&text) {
             Ok(_) => Vec::new(),
-            Err(problems) => problems.iter().map(|p| format!("{}:{p}", file.display())).collect(),
+            Err(problems) => problems
+                .iter()
+                .map(|p| format!("{}:{p}", file.display()))
+                .collect(),
         },
     };
     if problems.is_empty() {
@@ -128,7 +145,9 @@
 }
 
 fn complain(text: &str) -> ExitCode {
-    let _ = std::io::stderr().lock().write_all(format!("{text}\n").as_bytes());
+    let _ = std::io::stderr()
+        .lock()
+        .write_all(format!("{text}\n").as_bytes());
     ExitCode::FAILURE
 }
 
@@ -140,7 +159,10 @@
     #[test]
     fn the_command_line_is_well_formed() {
         Cli::command().debug_assert();
-        for args in [&["violetgate"][..], &["violetgate", "serve", "--settings", "x.hcl"]] {
+        for args in [
+            &["violetgate"][..],
+            &["violetgate", "serve", "--settings", "x.hcl"],
+        ] {
             assert!(Cli::try_parse_from(args).is_ok(), "{args:?}");
         }
         assert!(Cli::try_parse_from(["violetgate", "sreve"]).is_err());
--- a/violetgate/src/client/codec.rs
+++ b/violetgate/src/client/codec.rs
@@ -28,7 +28,11 @@
 pub struct Malformed(pub &'static str);
 
 fn int(bytes: &[u8], at: usize) -> Option<u32> {
-    bytes.get(at..at + 4)?.try_into().ok().map(u32::from_be_bytes)
+    bytes
+        .get(at..at + 4)?
+        .try_into()
+        .ok()
+        .map(u32::from_be_bytes)
 }
 
 /// Reads a start-up packet: the packet and its size, or `None` while it is not yet whole.
@@ -37,12 +41,16 @@
 ///
 /// The bytes can't begin a start-up packet.
 pub fn startup(bytes: &[u8]) -> Result<Option<(Startup<'_>, usize)>, Malformed> {
-    let Some(length) = int(bytes, 0) else { return Ok(None) };
+    let Some(length) = int(bytes, 0) else {
+        return Ok(None);
+    };
     let length = length as usize;
     if !(8..=MAX_STARTUP).contains(&length) {
         return Err(Malformed("invalid length of startup packet"));
     }
-    let Some(packet) = bytes.get(..length) else { return Ok(None) };
+    let Some(packet) = bytes.get(..length) else {
+        return Ok(None);
+    };
     let code = int(packet, 4).unwrap_or(0);
     let startup = match code {
         80_877_103 | 80_877_104 if length == 8 => Startup::Encryption,
@@ -58,13 +66,20 @@
 
 fn parameters(packet: &[u8], minor: u16) -> Result<Startup<'_>, Malformed> {
     let bad = Malformed("invalid startup packet layout: expected terminator as last byte");
-    let Some(body) = packet.get(8..).and_then(|b| b.strip_suffix(&[0])) else { return Err(bad) };
+    let Some(body) = packet.get(8..).and_then(|b| b.strip_suffix(&[0])) else {
+        return Err(bad);
+    };
     let (mut options, mut user) = (Vec::new(), None);
     if !body.is_empty() {
-        let Some(body) = body.strip_suffix(&[0]) else { return Err(bad) };
+        let Some(body) = body.strip_suffix(&[0]) else {
+            return Err(bad);
+        };
         let mut words = body.split(|b| *b == 0);
         while let Some(name) = words.next() {
-            let (name, value) = match (std::str::from_utf8(name), words.next().map(std::str::from_utf8)) {
+            let (name, value) = match (
+                std::str::from_utf8(name),
+                words.next().map(std::str::from_utf8),
+            ) {
                 (Ok(name), Some(Ok(value))) if !name.is_empty() => (name, value),
                 _ => return Err(bad),
             };
@@ -75,7 +90,11 @@
             }
         }
     }
-    Ok(Startup::Begin { minor, options, user })
+    Ok(Startup::Begin {
+        minor,
+        options,
+        user,
+    })
 }
 
 /// The type of a message, its body, and its whole size.
@@ -87,11 +106,15 @@
 ///
 /// No message begins like that.
 pub fn message(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
-    let Some(&kind) = bytes.first() else { return Ok(None) };
+    let Some(&kind) = bytes.first() else {
+        return Ok(None);
+    };
     if !b"QXSPBDECHFdcfp".contains(&kind) {
         return Err(Malformed("invalid frontend message type"));
     }
-    let Some(length) = int(bytes, 1) else { return Ok(None) };
+    let Some(length) = int(bytes, 1) else {
+        return Ok(None);
+    };
     let length = length as usize;
     if !(4..=MAX_MESSAGE).contains(&length) {
         return Err(Malformed("invalid message length"));
@@ -173,7 +196,12 @@
 /// ErrorResponse.
 pub fn error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, hint: Option<&str>) {
     put(out, b'E', |o| {
-        let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)];
+        let fields = [
+            (b'S', severity),
+            (b'V', severity),
+            (b'C', code),
+            (b'M', message),
+        ];
         for (field, value) in fields.into_iter().chain(hint.map(|h| (b'H', h))) {
             o.push(field);
             text(o, value);
--- a/violetgate/src/client/fields.rs
+++ b/violetgate/src/client/fields.rs
@@ -20,18 +20,27 @@
 /// A field is missing or can't be used; the text says which.
 pub fn request(sql: &[u8], names: &Names, received: Micros) -> Result<Request, String> {
     let sql = sql.trim_ascii_start();
-    let comment = sql.strip_prefix(b"/*").ok_or("no comment with fields ahead of the statement")?;
+    let comment = sql
+        .strip_prefix(b"/*")
+        .ok_or("no comment with fields ahead of the statement")?;
     let end = memchr::memmem::find(comment, b"*/").ok_or("the comment with fields has no end")?;
     let (fields, statement) = comment.split_at_checked(end).unwrap_or_default();
     let statement = statement.get(2..).unwrap_or_default().trim_ascii_start();
     if asked::says_nothing(statement) {
         return Err("the statement is missing".to_owned());
     }
-    let fields = std::str::from_utf8(fields).map_err(|_| "fields are not text")?.trim();
+    let fields = std::str::from_utf8(fields)
+        .map_err(|_| "fields are not text")?
+        .trim();
     let mut found: [Option<&str>; NAMES.len()] = Default::default();
     for field in fields.split(',').map(str::trim) {
-        let (name, value) = field.split_once('=').ok_or_else(|| format!("field {field:?} has no value"))?;
-        let place = NAMES.iter().position(|(_, n)| *n == name).and_then(|i| found.get_mut(i));
+        let (name, value) = field
+            .split_once('=')
+            .ok_or_else(|| format!("field {field:?} has no value"))?;
+        let place = NAMES
+            .iter()
+            .position(|(_, n)| *n == name)
+            .and_then(|i| found.get_mut(i));
         if place.is_some_and(|place| place.replace(value).is_some()) {
             return Err(format!("field `{name}` is given twice"));
         }
@@ -51,7 +60,9 @@
         again,
         statement,
     };
-    asked.request(names, received).map_err(|Fault { part, what }| format!("field `{}` {what}", name(part)))
+    asked
+        .request(names, received)
+        .map_err(|Fault { part, what }| format!("field `{}` {what}", name(part)))
 }
 
 const NAMES: [(Part, &str); 9] = [
@@ -67,5 +78,8 @@
 ];
 
 fn name(part: Part) -> &'static str {
-    NAMES.iter().find(|(p, _)| *p == part).map_or("statement", |(_, name)| name)
+    NAMES
+        .iter()
+        .find(|(p, _)| *p == part)
+        .map_or("statement", |(_, name)| name)
 }
--- a/violetgate/src/client/session.rs
+++ b/violetgate/src/client/session.rs
@@ -47,8 +47,15 @@
 /// How long a connection for which there is no room may take over its start-up packet.
 const TURNED_AWAY: Duration = Duration::from_millis(250);
 /// Ends that came from the client: it reads nothing more.
-const BY_CLIENT: [Reason; 7] =
-    ["closed", "left", "reset", "terminated", "cancel_request", "stalled", "startup_timeout"];
+const BY_CLIENT: [Reason; 7] = [
+    "closed",
+    "left",
+    "reset",
+    "terminated",
+    "cancel_request",
+    "stalled",
+    "startup_timeout",
+];
 
 /// Why a connection ended; the log's reason code.
 type Reason = &'static str;
@@ -185,8 +192,14 @@
 
     fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
         match self.room.enter(self.intake.now()) {
-            Some(guest) => self.executor.spawn(Rc::clone(self).drive(stream, peer, guest)).detach(),
-            None => self.executor.spawn(Rc::clone(self).turn_away(stream, peer)).detach(),
+            Some(guest) => self
+                .executor
+                .spawn(Rc::clone(self).drive(stream, peer, guest))
+                .detach(),
+            None => self
+                .executor
+                .spawn(Rc::clone(self).turn_away(stream, peer))
+                .detach(),
         }
     }
 
@@ -207,7 +220,9 @@
                     Ok(None) => {
                         let mut chunk = [0u8; 512];
                         match stream.read_with(|mut s| s.read(&mut chunk)).await {
-                            Ok(n) if n > 0 => input.extend_from_slice(chunk.get(..n).unwrap_or_default()),
+                            Ok(n) if n > 0 => {
+                                input.extend_from_slice(chunk.get(..n).unwrap_or_default())
+                            }
                             _ => return None,
                         }
                     }
@@ -217,7 +232,12 @@
         };
         let late = async {
             // Where many are just being closed, what is here has to do.
-            Timer::after(if closing.is_some() { TURNED_AWAY } else { Duration::ZERO }).await;
+            Timer::after(if closing.is_some() {
+                TURNED_AWAY
+            } else {
+                Duration::ZERO
+            })
+            .await;
             None
         };
         if let Some((pid, secret)) = startup.or(late).await {
@@ -225,7 +245,13 @@
             return log::ended("client", peer, "cancel_request", 0);
         }
         let mut output = Vec::new();
-        codec::error(&mut output, "FATAL", "53300", "sorry, too many clients already", None);
+        codec::error(
+            &mut output,
+            "FATAL",
+            "53300",
+            "sorry, too many clients already",
+            None,
+        );
         // One write, which an empty socket takes whole.
         let _ = stream.get_ref().write(&output);
         if closing.is_some() {
@@ -275,7 +301,13 @@
             if pid != 0 && !keys.contains_key(&pid) {
                 let (cancelled, waker) = (Cell::new(false), RefCell::default());
                 let (guest, stream) = (Rc::clone(guest), Rc::clone(stream));
-                let key = Rc::new(Key { secret: rng.next_u32(), cancelled, waker, guest, stream });
+                let key = Rc::new(Key {
+                    secret: rng.next_u32(),
+                    cancelled,
+                    waker,
+                    guest,
+                    stream,
+                });
                 keys.insert(pid, Rc::clone(&key));
                 return (pid, key);
             }
@@ -284,7 +316,10 @@
 
     fn cancel(&self, pid: u32, secret: u32) {
         let keys = self.keys.borrow();
-        if let Some(key) = keys.get(&pid).filter(|k| k.secret == secret && k.has_query()) {
+        if let Some(key) = keys
+            .get(&pid)
+            .filter(|k| k.secret == secret && k.has_query())
+        {
             key.cancelled.set(true);
             if let Some(waker) = key.waker.borrow_mut().take() {
                 waker.wake();
