--- a/violetgate/src/client/session/one.rs
+++ b/violetgate/src/client/session/one.rs
@@ -68,7 +68,8 @@
                         continue;
                     }
                     self.query(&sql).await?;
-                    if let Some(reason) = self.sessions.door.sends_home(self.sessions.intake.now()) {
+                    if let Some(reason) = self.sessions.door.sends_home(self.sessions.intake.now())
+                    {
                         // What is here already is served first.
                         self.hear()?;
                         if self.input.is_empty() {
@@ -92,7 +93,11 @@
                     self.fail("0A000", "function calls are not served here");
                     codec::ready(&mut self.output);
                 }
-                b'p' => return self.break_off(Malformed("unexpected password message")).await,
+                b'p' => {
+                    return self
+                        .break_off(Malformed("unexpected password message"))
+                        .await
+                }
                 // Flush; copy data that nobody asked for is skipped, as PostgreSQL does.
                 _ => {}
             }
@@ -152,7 +157,11 @@
     /// This front end takes no work: another try, elsewhere, is harmless.
     fn closing(&mut self) {
         let drains = self.sessions.door.is_closed();
-        let what = if drains { "this server is being drained" } else { "this server is shutting down" };
+        let what = if drains {
+            "this server is being drained"
+        } else {
+            "this server is shutting down"
+        };
         let hint = Some("Try again on a new connection.");
         codec::error(&mut self.output, "ERROR", "57P03", what, hint);
     }
@@ -207,7 +216,10 @@
         }
         let exchange = Exchange::new(request);
         if !sessions.intake.submit(&exchange) {
-            self.fail("22023", "field `rid` names a request that is, or was just now, open");
+            self.fail(
+                "22023",
+                "field `rid` names a request that is, or was just now, open",
+            );
             return Ok(Ending::Failed);
         }
         let answer = self.wait(&exchange).await?;
@@ -216,7 +228,9 @@
 
     /// Whether the query at hand was cancelled; it is told once.
     fn is_cancelled(&self) -> bool {
-        self.key.as_ref().is_some_and(|(_, key)| key.cancelled.replace(false))
+        self.key
+            .as_ref()
+            .is_some_and(|(_, key)| key.cancelled.replace(false))
     }
 
     /// Reads ahead what is here, without waiting: a client that has left shows where its end is read, or where the
@@ -227,7 +241,8 @@
             match self.stream.get_ref().read(&mut chunk) {
                 Ok(0) => return Err("left"),
                 Ok(n) => {
-                    self.input.extend_from_slice(chunk.get(..n).unwrap_or_default());
+                    self.input
+                        .extend_from_slice(chunk.get(..n).unwrap_or_default());
                     self.read_at = self.sessions.intake.now();
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return Ok(()),
@@ -274,7 +289,8 @@
                     return Ok(None);
                 }
                 Waited::Read(Ok(n)) if n > 0 => {
-                    self.input.extend_from_slice(chunk.get(..n).unwrap_or_default());
+                    self.input
+                        .extend_from_slice(chunk.get(..n).unwrap_or_default());
                     self.read_at = self.sessions.intake.now();
                 }
                 Waited::Read(end) => {
@@ -293,8 +309,10 @@
             }
             Some(Answer::Refused { retry_after }) => {
                 let ms = retry_after.div_ceil(1000);
-                let (mut what, hint) =
-                    ("too busy to serve this query".to_owned(), format!("Try again in {ms} ms."));
+                let (mut what, hint) = (
+                    "too busy to serve this query".to_owned(),
+                    format!("Try again in {ms} ms."),
+                );
                 if ms > 0 {
                     what.push_str(&format!(" (backoff={ms})"));
                 }
@@ -326,7 +344,10 @@
                 Ending::Failed
             }
             Some(Answer::Unsure) => {
-                self.fail("58000", "an earlier query of this token failed; it may have had its effect");
+                self.fail(
+                    "58000",
+                    "an earlier query of this token failed; it may have had its effect",
+                );
                 Ending::Failed
             }
             // Its client gave it up, and is told so: it ends as any other that is not served.
@@ -342,7 +363,8 @@
         match self.stream.read_with(|mut s| s.read(&mut chunk)).await {
             Ok(0) => Err("closed"),
             Ok(n) => {
-                self.input.extend_from_slice(chunk.get(..n).unwrap_or_default());
+                self.input
+                    .extend_from_slice(chunk.get(..n).unwrap_or_default());
                 self.read_at = self.sessions.intake.now();
                 Ok(())
             }
--- a/violetgate/src/client/session/tests.rs
+++ b/violetgate/src/client/session/tests.rs
@@ -53,7 +53,10 @@
     fn new(most: usize) -> Self {
         let executor = Rc::new(LocalExecutor::new());
         let core = Rc::new(Core::default());
-        let names = Names { classes: vec![("lookup".to_owned(), false)], ..Names::default() };
+        let names = Names {
+            classes: vec![("lookup".to_owned(), false)],
+            ..Names::default()
+        };
         let sessions = Sessions::new(
             Rc::clone(&executor),
             Rc::<Core>::clone(&core),
@@ -65,8 +68,15 @@
         );
         let listener = Rc::new(net::listen(([127, 0, 0, 1], 0).into()).unwrap());
         let addr = listener.get_ref().local_addr().unwrap();
-        executor.spawn(Rc::clone(&sessions).listen(listener)).detach();
-        Front { executor, core, sessions, addr }
+        executor
+            .spawn(Rc::clone(&sessions).listen(listener))
+            .detach();
+        Front {
+            executor,
+            core,
+            sessions,
+            addr,
+        }
     }
 
     /// Lets the program run until something holds.
@@ -84,7 +94,10 @@
         let stream = TcpStream::connect(self.addr).unwrap();
         stream.set_nonblocking(true).unwrap();
         stream.set_nodelay(true).unwrap();
-        Client { stream, got: Vec::new() }
+        Client {
+            stream,
+            got: Vec::new(),
+        }
     }
 
     /// A session that may ask, and its cancel request.
@@ -92,7 +105,12 @@
         let mut client = self.connect();
         client.send(&startup());
         self.until("it may ask", || client.reads().ends_with(b"Z\0\0\0\x05I"));
-        let at = client.got.windows(5).position(|w| w == b"K\0\0\0\x0c").unwrap() + 5;
+        let at = client
+            .got
+            .windows(5)
+            .position(|w| w == b"K\0\0\0\x0c")
+            .unwrap()
+            + 5;
         let cancel = [b"\0\0\0\x10\x04\xd2\x16\x2e", &client.got[at..at + 8]].concat();
         client.got.clear();
         (client, cancel)
@@ -139,7 +157,13 @@
 
 fn query(id: QueryId) -> Vec<u8> {
     let text = format!("/* method=lookup,rid={id:016x},budget=9000 */ SELECT 1 FROM sales_2.t");
-    [b"Q", &(text.len() as u32 + 5).to_be_bytes()[..], text.as_bytes(), b"\0"].concat()
+    [
+        b"Q",
+        &(text.len() as u32 + 5).to_be_bytes()[..],
+        text.as_bytes(),
+        b"\0",
+    ]
+    .concat()
 }
 
 /// A cancel request that is read before its query, which is in the socket already: nothing of the query begins. It was
@@ -188,7 +212,9 @@
     let word = |at: usize| u32::from_be_bytes(cancel[at..at + 4].try_into().unwrap());
     front.sessions.cancel(word(8), word(12));
     front.core.refuse(1);
-    front.until("it is answered, one way or the other", || client.reads().ends_with(b"Z\0\0\0\x05I"));
+    front.until("it is answered, one way or the other", || {
+        client.reads().ends_with(b"Z\0\0\0\x05I")
+    });
     client.got.clear();
     client.send(&query(2));
     front.until("the next is taken", || front.core.taken.borrow().len() == 2);
@@ -206,7 +232,11 @@
         (1..=queries).for_each(|id| client.send(&query(id)));
         drop(client);
         front.until("its session ends", || front.sessions.len() == 0);
-        assert!(front.core.taken.borrow().is_empty(), "{:?}", front.core.taken.borrow());
+        assert!(
+            front.core.taken.borrow().is_empty(),
+            "{:?}",
+            front.core.taken.borrow()
+        );
     }
 }
 
@@ -242,7 +272,9 @@
     drop(more);
     front.until("it is gone", || front.sessions.closing() == 0);
     let mut other = front.connect();
-    front.until("it is let in, to be turned away", || front.sessions.closing() == 1);
+    front.until("it is let in, to be turned away", || {
+        front.sessions.closing() == 1
+    });
     other.send(&cancel);
     front.until("the query is cancelled", || client.says("57014"));
     assert_eq!(*front.core.withdrawn.borrow(), [1]);
@@ -257,7 +289,9 @@
     front.sessions.dismiss("shutdown");
     front.until("it is closed", || client.is_over());
     client.send(&query(1));
-    front.until("it is over", || front.sessions.len() + front.sessions.closing() == 0);
+    front.until("it is over", || {
+        front.sessions.len() + front.sessions.closing() == 0
+    });
     assert!(client.is_over() && front.core.taken.borrow().is_empty());
 }
 
@@ -285,7 +319,9 @@
     front.sessions.door.hand_over();
     front.core.refuse(1);
     client.send(&query(2));
-    front.until("the second is taken", || front.core.taken.borrow().len() == 2);
+    front.until("the second is taken", || {
+        front.core.taken.borrow().len() == 2
+    });
     front.core.refuse(2);
     front.until("and all is closed", || client.is_over());
     assert_eq!(client.got.windows(5).filter(|w| w == b"53000").count(), 2);
@@ -300,7 +336,9 @@
     client.send(&vec![b'x'; 100_000]);
     front.until("it is told", || client.is_over());
     assert!(client.says("08P01"), "{}", client.got.escape_ascii());
-    front.until("nothing is left", || front.sessions.len() + front.sessions.closing() == 0);
+    front.until("nothing is left", || {
+        front.sessions.len() + front.sessions.closing() == 0
+    });
     assert!(client.is_over(), "an end, and no reset");
 }
 
@@ -312,8 +350,16 @@
     let mut clients: Vec<_> = (0..8).map(|_| front.session().0).collect();
     front.sessions.dismiss("shutdown");
     front.until("all are closed", || clients.iter_mut().all(Client::is_over));
-    assert!(front.sessions.closing() <= 2, "{}", front.sessions.closing());
+    assert!(
+        front.sessions.closing() <= 2,
+        "{}",
+        front.sessions.closing()
+    );
     // Those that linger see their clients go.
-    clients.iter().for_each(|c| c.stream.shutdown(Shutdown::Both).unwrap());
-    front.until("nothing is left", || front.sessions.len() + front.sessions.closing() == 0);
+    clients
+        .iter()
+        .for_each(|c| c.stream.shutdown(Shutdown::Both).unwrap());
+    front.until("nothing is left", || {
+        front.sessions.len() + front.sessions.closing() == 0
+    });
 }
--- a/violetgate/src/clock.rs
+++ b/violetgate/src/clock.rs
@@ -15,8 +15,13 @@
     /// Starts the clock.
     #[must_use]
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: span(unix), start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix: span(unix),
+            start: Instant::now(),
+        }
     }
 
     /// The time.
--- a/violetgate/src/config.rs
+++ b/violetgate/src/config.rs
@@ -126,11 +126,13 @@
     /// Something is missing or can't be used; the text says what.
     pub fn from_env() -> Result<Self, String> {
         let path = std::env::var("PROXY_CONFIG").map_err(|e| format!("PROXY_CONFIG: {e}"))?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("PROXY_CONFIG {path}: {e}"))?;
+        let text =
+            std::fs::read_to_string(&path).map_err(|e| format!("PROXY_CONFIG {path}: {e}"))?;
         let listen = std::env::var("PROXY_LISTEN").ok();
         let management = std::env::var("PROXY_MANAGEMENT").ok();
         let name = std::env::var("PROXY_NAME").ok();
-        Self::parse(&text, listen, management, name).map_err(|e| format!("PROXY_CONFIG {path}: {e}"))
+        Self::parse(&text, listen, management, name)
+            .map_err(|e| format!("PROXY_CONFIG {path}: {e}"))
     }
 
     /// Reads the file's text; the environment's addresses and name come before its own.
@@ -146,18 +148,23 @@
     ) -> Result<Self, String> {
         let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
         let addr = |what: &str, text: &str| {
-            text.parse::<SocketAddr>().map_err(|e| format!("`{what}`: {text:?}: {e}"))
+            text.parse::<SocketAddr>()
+                .map_err(|e| format!("`{what}`: {text:?}: {e}"))
         };
-        let listen = addr("listen", &listen.or(file.listen).ok_or("`listen` is missing")?)?;
+        let listen = addr(
+            "listen",
+            &listen.or(file.listen).ok_or("`listen` is missing")?,
+        )?;
         let management = management.or(file.management).filter(|a| !a.is_empty());
         let management = management.map(|a| addr("management", &a)).transpose()?;
         // Both listeners share their ports with another process, and so they would with each other.
         if management == Some(listen) {
             return Err(format!("`management`: {listen} is where clients connect"));
         }
-        let mut settings =
-            linnetreach::wire::settings_from_json(&file.settings).map_err(|e| format!("`settings`: {e}"))?;
-        let own = SocketSettings::deserialize(&file.settings).map_err(|e| format!("`settings`: {e}"))?;
+        let mut settings = linnetreach::wire::settings_from_json(&file.settings)
+            .map_err(|e| format!("`settings`: {e}"))?;
+        let own =
+            SocketSettings::deserialize(&file.settings).map_err(|e| format!("`settings`: {e}"))?;
         let span = |s: Option<f64>, default: f64| {
             Duration::try_from_secs_f64(s.filter(|s| *s > 0.0).unwrap_or(default))
                 .unwrap_or(Duration::from_secs(1))
@@ -165,8 +172,11 @@
         // The simulator's clients get no retry-after where the settings say so, but an error message on a
         // socket can always carry one, so the module may name it here.
         if settings.max_retry_after.is_none() {
-            settings.max_retry_after =
-                own.limits.max_retry_after.filter(|s| *s > 0.0).map(|s| (s * 1e6) as u64);
+            settings.max_retry_after = own
+                .limits
+                .max_retry_after
+                .filter(|s| *s > 0.0)
+                .map(|s| (s * 1e6) as u64);
         }
         Ok(Config {
             name: name.unwrap_or(file.name),
@@ -178,7 +188,11 @@
             known: (file.known.offset, file.known.batch),
             settings,
             names: Names {
-                classes: own.classes.into_iter().map(|c| (c.name, c.effect == "deduplicated")).collect(),
+                classes: own
+                    .classes
+                    .into_iter()
+                    .map(|c| (c.name, c.effect == "deduplicated"))
+                    .collect(),
                 tenants: own.realms.into_iter().map(|t| t.name).collect(),
                 zones: own.localities,
                 kinds: own.kinds,
--- a/violetgate/src/ctl/client.rs
+++ b/violetgate/src/ctl/client.rs
@@ -64,7 +64,10 @@
 
 /// Part of a path: pairs behind a question mark.
 pub(super) fn query(path: &str, pairs: &[(&str, Option<String>)]) -> String {
-    let given: Vec<_> = pairs.iter().filter_map(|(name, value)| Some((name, value.as_ref()?))).collect();
+    let given: Vec<_> = pairs
+        .iter()
+        .filter_map(|(name, value)| Some((name, value.as_ref()?)))
+        .collect();
     match serde_urlencoded::to_string(given) {
         Ok(text) if !text.is_empty() => format!("{path}?{text}"),
         _ => path.to_owned(),
@@ -73,7 +76,8 @@
 
 impl Client {
     pub(super) fn new(at: &At) -> Result<Self, String> {
-        let within = Duration::try_from_secs_f64(at.within).map_err(|e| format!("--within: {e}"))?;
+        let within =
+            Duration::try_from_secs_f64(at.within).map_err(|e| format!("--within: {e}"))?;
         let mut client = Client {
             agent: Agent::new_with_defaults(),
             until: Instant::now() + within,
@@ -102,7 +106,11 @@
         path: &str,
         body: &[u8],
     ) -> Result<Told, String> {
-        let left = self.until.saturating_duration_since(Instant::now()).as_millis().max(100);
+        let left = self
+            .until
+            .saturating_duration_since(Instant::now())
+            .as_millis()
+            .max(100);
         let mark = if path.contains('?') { '&' } else { '?' };
         let request = Request::builder()
             .method(method.clone())
@@ -112,8 +120,16 @@
             .body(body.to_vec())
             .map_err(|e| e.to_string())?;
         let mut reply = self.agent.run(request).map_err(|e| e.to_string())?;
-        let body = reply.body_mut().with_config().limit(LONGEST).read_to_vec().map_err(|e| e.to_string())?;
-        Ok(Told { status: reply.status().as_u16(), body })
+        let body = reply
+            .body_mut()
+            .with_config()
+            .limit(LONGEST)
+            .read_to_vec()
+            .map_err(|e| e.to_string())?;
+        Ok(Told {
+            status: reply.status().as_u16(),
+            body,
+        })
     }
 
     /// Asks one member after the other until one has an answer: each under the same id, so that nothing is done twice.
@@ -156,9 +172,10 @@
 
 pub(super) fn detail(told: &Told) -> String {
     let json = told.json();
-    at(&json, "detail")
-        .as_str()
-        .map_or_else(|| String::from_utf8_lossy(&told.body).into_owned(), str::to_owned)
+    at(&json, "detail").as_str().map_or_else(
+        || String::from_utf8_lossy(&told.body).into_owned(),
+        str::to_owned,
+    )
 }
 
 /// Writes to standard output; a reader that has gone is no failure.
@@ -169,7 +186,12 @@
 
 pub(super) fn shown(value: &Value) -> String {
     at(value, "value").as_str().map_or_else(
-        || format!("base64:{}", at(value, "value_base64").as_str().unwrap_or_default()),
+        || {
+            format!(
+                "base64:{}",
+                at(value, "value_base64").as_str().unwrap_or_default()
+            )
+        },
         str::to_owned,
     )
 }
--- a/violetgate/src/ctl/members.rs
+++ b/violetgate/src/ctl/members.rs
@@ -73,18 +73,43 @@
 /// Makes a member's folder.
 pub(super) fn begin(file: &Path, join: bool, state: Vec<u8>) -> Result<(), String> {
     let settings = settings::read(Some(file))?;
-    let given = settings.cluster.ok_or_else(|| format!("{}: there is no `cluster` block", file.display()))?;
+    let given = settings
+        .cluster
+        .ok_or_else(|| format!("{}: there is no `cluster` block", file.display()))?;
     if given.role == settings::ClusterRole::Subscriber {
-        return Err(format!("{}: `cluster.role`: a subscriber has no folder", file.display()));
+        return Err(format!(
+            "{}: `cluster.role`: a subscriber has no folder",
+            file.display()
+        ));
     }
     let mut born = [0; 8];
     getrandom::fill(&mut born).map_err(|e| format!("no random numbers: {e}"))?;
-    let members = if join { Vec::new() } else { given.addresses().into_keys().collect() };
+    let members = if join {
+        Vec::new()
+    } else {
+        given.addresses().into_keys().collect()
+    };
     let from = Beginning { members, state };
-    Cluster::begin(&given.name, given.id, &given.folder, u64::from_be_bytes(born), from)?;
-    let how = if join { "joins" } else { "is one of the first members of" };
+    Cluster::begin(
+        &given.name,
+        given.id,
+        &given.folder,
+        u64::from_be_bytes(born),
+        from,
+    )?;
+    let how = if join {
+        "joins"
+    } else {
+        "is one of the first members of"
+    };
     let place = given.folder.display();
-    print(format!("{place}: member {} {how} cluster {}\n", given.id, given.name).as_bytes());
+    print(
+        format!(
+            "{place}: member {} {how} cluster {}\n",
+            given.id, given.name
+        )
+        .as_bytes(),
+    );
     Ok(())
 }
 
@@ -98,27 +123,49 @@
     let step = match &members.call {
         MembersCall::Init { settings, join } => return begin(settings, *join, Vec::new()),
         MembersCall::List => return list(&client),
-        MembersCall::Add { id, listen, api } => MemberStep::Add { id: *id, listen: *listen, api: *api },
+        MembersCall::Add { id, listen, api } => MemberStep::Add {
+            id: *id,
+            listen: *listen,
+            api: *api,
+        },
         MembersCall::Promote { id } => MemberStep::Promote(*id),
         MembersCall::Remove { id } => MemberStep::Remove(*id),
         MembersCall::Transfer { id } => MemberStep::Transfer(*id),
-        MembersCall::Replace { old, id, listen, api } => {
+        MembersCall::Replace {
+            old,
+            id,
+            listen,
+            api,
+        } => {
             let status = client.get("/v1/cluster")?.json();
-            let all = at(&status, "members").as_array().cloned().unwrap_or_default();
+            let all = at(&status, "members")
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
             if !all.iter().any(|m| *at(m, "id") == json!(old)) {
                 return Err(format!("member {old} does not belong to the cluster"));
             }
             // A second run goes on where the first one ended.
             if !all.iter().any(|m| *at(m, "id") == json!(id)) {
-                client.step(&MemberStep::Add { id: *id, listen: *listen, api: *api })?;
+                client.step(&MemberStep::Add {
+                    id: *id,
+                    listen: *listen,
+                    api: *api,
+                })?;
                 print(format!("member {id} learns; waiting until it has caught up\n").as_bytes());
             }
             let until = Instant::now() + Duration::from_secs(600);
             loop {
                 client.patient(Duration::from_secs(5));
                 let status = client.get("/v1/cluster")?.json();
-                let all = at(&status, "members").as_array().cloned().unwrap_or_default();
-                if all.iter().any(|m| *at(m, "id") == json!(id) && *at(m, "voter") == json!(true)) {
+                let all = at(&status, "members")
+                    .as_array()
+                    .cloned()
+                    .unwrap_or_default();
+                if all
+                    .iter()
+                    .any(|m| *at(m, "id") == json!(id) && *at(m, "voter") == json!(true))
+                {
                     break;
                 }
                 match client.step(&MemberStep::Promote(*id)) {
@@ -139,13 +186,19 @@
     let text = |v: &Value| v.as_str().map_or_else(|| "-".to_owned(), str::to_owned);
     let mut out = format!("{:<6} {:<8} {:<22} {:<22}\n", "id", "role", "listen", "api");
     for member in at(&status, "members").as_array().into_iter().flatten() {
-        let role = match (at(member, "id") == at(&status, "leader"), *at(member, "voter") == json!(true)) {
+        let role = match (
+            at(member, "id") == at(&status, "leader"),
+            *at(member, "voter") == json!(true),
+        ) {
             (true, _) => "leader",
             (false, true) => "voter",
             (false, false) => "learner",
         };
         let (listen, api) = (text(at(member, "listen")), text(at(member, "api")));
-        out += &format!("{:<6} {role:<8} {listen:<22} {api:<22}\n", at(member, "id").to_string());
+        out += &format!(
+            "{:<6} {role:<8} {listen:<22} {api:<22}\n",
+            at(member, "id").to_string()
+        );
     }
     print(out.as_bytes());
     Ok(())
--- a/violetgate/src/ctl/mod.rs
+++ b/violetgate/src/ctl/mod.rs
@@ -172,18 +172,25 @@
     };
     match &ctl.call {
         CtlCall::Get { key, stale: old } => {
-            let told =
-                client.get(&query("/v1/state", &[("key", Some(key.clone())), ("stale", stale(*old))]))?;
+            let told = client.get(&query(
+                "/v1/state",
+                &[("key", Some(key.clone())), ("stale", stale(*old))],
+            ))?;
             print(format!("{}\n", shown(&told.json())).as_bytes());
             Ok(())
         }
         CtlCall::List { prefix, stale: old } => {
-            let mut path = query("/v1/state", &[("prefix", Some(prefix.clone())), ("stale", stale(*old))]);
+            let mut path = query(
+                "/v1/state",
+                &[("prefix", Some(prefix.clone())), ("stale", stale(*old))],
+            );
             loop {
                 let page = client.get(&path)?.json();
                 for entry in at(&page, "entries").as_array().into_iter().flatten() {
                     let key = at(entry, "key").as_str().unwrap_or_default();
-                    if !print(format!("{key}\t{}\t{}\n", at(entry, "revision"), shown(entry)).as_bytes()) {
+                    if !print(
+                        format!("{key}\t{}\t{}\n", at(entry, "revision"), shown(entry)).as_bytes(),
+                    ) {
                         return Ok(());
                     }
                 }
@@ -193,25 +200,45 @@
                 }
             }
         }
-        CtlCall::Put { key, value, if_revision } => {
+        CtlCall::Put {
+            key,
+            value,
+            if_revision,
+        } => {
             let value = match value {
                 Some(value) => value.clone().into_bytes(),
                 None => {
                     let mut bytes = Vec::new();
-                    std::io::stdin().read_to_end(&mut bytes).map_err(|e| format!("standard input: {e}"))?;
+                    std::io::stdin()
+                        .read_to_end(&mut bytes)
+                        .map_err(|e| format!("standard input: {e}"))?;
                     bytes
                 }
             };
-            let path =
-                query("/v1/state", &[("key", Some(key.clone())), ("if_revision", number(if_revision))]);
+            let path = query(
+                "/v1/state",
+                &[
+                    ("key", Some(key.clone())),
+                    ("if_revision", number(if_revision)),
+                ],
+            );
             done(client.call(&Method::PUT, &path, &value)?)
         }
         CtlCall::Delete { key, if_revision } => {
-            let path =
-                query("/v1/state", &[("key", Some(key.clone())), ("if_revision", number(if_revision))]);
+            let path = query(
+                "/v1/state",
+                &[
+                    ("key", Some(key.clone())),
+                    ("if_revision", number(if_revision)),
+                ],
+            );
             done(client.call(&Method::DELETE, &path, &[])?)
         }
-        CtlCall::Watch { prefix, after, count } => watch(client, prefix, *after, *count),
+        CtlCall::Watch {
+            prefix,
+            after,
+            count,
+        } => watch(client, prefix, *after, *count),
         CtlCall::Cordon { engine } => done(client.call(
             &Method::PUT,
             &query("/v1/cordons", &[("engine", Some(engine.clone()))]),
@@ -223,7 +250,9 @@
             &[],
         )?),
         CtlCall::Quiesce { instance } => done(client.call(&Method::PUT, &drain(instance), &[])?),
-        CtlCall::Resume { instance } => done(client.call(&Method::DELETE, &drain(instance), &[])?),
+        CtlCall::Resume { instance } => {
+            done(client.call(&Method::DELETE, &drain(instance), &[])?)
+        }
         CtlCall::Settings { call } => match call {
             SettingsCall::Show { version } => {
                 done(client.get(&query("/v1/settings", &[("version", number(version))]))?)
@@ -238,23 +267,30 @@
             }
             SettingsCall::Versions => done(client.get("/v1/settings/versions")?),
             SettingsCall::Rollback { version } => {
-                let path = query("/v1/settings/rollback", &[("version", number(&Some(*version)))]);
+                let path = query(
+                    "/v1/settings/rollback",
+                    &[("version", number(&Some(*version)))],
+                );
                 done(client.call(&Method::POST, &path, &[])?)
             }
         },
         CtlCall::Members => list(&client),
         CtlCall::Progress => done(client.get("/v1/fleet/progress")?),
         CtlCall::Status => done(client.get("/v1/cluster")?),
-        CtlCall::Snapshot { call: SnapshotCall::Save { file } } => {
+        CtlCall::Snapshot {
+            call: SnapshotCall::Save { file },
+        } => {
             let told = client.get("/v1/snapshot")?;
             let aside = file.with_extension("new");
-            let write =
-                std::fs::write(&aside, sealed(&told.body)).and_then(|()| std::fs::rename(&aside, file));
+            let write = std::fs::write(&aside, sealed(&told.body))
+                .and_then(|()| std::fs::rename(&aside, file));
             write.map_err(|e| format!("{}: {e}", file.display()))?;
             print(format!("{}: {} bytes\n", file.display(), told.body.len()).as_bytes());
             Ok(())
         }
-        CtlCall::Snapshot { call: SnapshotCall::Restore { file, settings } } => {
+        CtlCall::Snapshot {
+            call: SnapshotCall::Restore { file, settings },
+        } => {
             let state = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
             let state = unsealed(&state).map_err(|e| format!("{}: {e}", file.display()))?;
             begin(settings, false, state)
@@ -263,7 +299,12 @@
 }
 
 /// Prints changes for ever, from wherever a member has them.
-fn watch(mut client: Client, prefix: &str, after: Option<u64>, count: Option<u64>) -> Result<(), String> {
+fn watch(
+    mut client: Client,
+    prefix: &str,
+    after: Option<u64>,
+    count: Option<u64>,
+) -> Result<(), String> {
     let wait = Duration::from_secs(20);
     let (mut after, mut left) = (after, count.unwrap_or(u64::MAX));
     while left > 0 {
@@ -271,7 +312,10 @@
         let pairs = [
             ("prefix", Some(prefix.to_owned())),
             ("after", after.map(|a| a.to_string())),
-            ("wait_ms", Some(if after.is_some() { wait.as_millis() } else { 0 }.to_string())),
+            (
+                "wait_ms",
+                Some(if after.is_some() { wait.as_millis() } else { 0 }.to_string()),
+            ),
         ];
         let page = client.get(&query("/v1/changes", &pairs))?.json();
         for change in at(&page, "changes").as_array().into_iter().flatten() {
@@ -287,6 +331,10 @@
 
 /// The path by which an instance is drained: numbers are members' ids.
 fn drain(instance: &str) -> String {
-    let name = if instance.bytes().all(|b| b.is_ascii_digit()) { "member" } else { "front_end" };
+    let name = if instance.bytes().all(|b| b.is_ascii_digit()) {
+        "member"
+    } else {
+        "front_end"
+    };
     query("/v1/drains", &[(name, Some(instance.to_owned()))])
 }
--- a/violetgate/src/ctl/saved.rs
+++ b/violetgate/src/ctl/saved.rs
@@ -9,7 +9,9 @@
 
 pub(super) fn unsealed(bytes: &[u8]) -> Result<Vec<u8>, &'static str> {
     let rest = bytes.strip_prefix(SEAL).ok_or("this is no saved state")?;
-    let (sum, state) = rest.split_first_chunk().ok_or("this saved state is cut short")?;
+    let (sum, state) = rest
+        .split_first_chunk()
+        .ok_or("this saved state is cut short")?;
     if crc32fast::hash(state) != u32::from_le_bytes(*sum) {
         return Err("this saved state is spoilt: its checksum is another one");
     }
@@ -26,7 +28,10 @@
         let file = sealed(b"some state");
         assert_eq!(unsealed(&file), Ok(b"some state".to_vec()));
         for cut in 0..file.len() {
-            assert!(file.get(..cut).is_some_and(|part| unsealed(part).is_err()), "{cut}");
+            assert!(
+                file.get(..cut).is_some_and(|part| unsealed(part).is_err()),
+                "{cut}"
+            );
         }
         for at in 0..file.len() {
             let mut bent = file.clone();
--- a/violetgate/src/daemon/adoption.rs
+++ b/violetgate/src/daemon/adoption.rs
@@ -86,12 +86,17 @@
         }
         let now = View::read(entries, &self.instance);
         let before = self.view.replace(now.clone());
-        let Some(parts) = self.parts.get() else { return false };
+        let Some(parts) = self.parts.get() else {
+            return false;
+        };
         let mut members = false;
         for step in before.moves(&now) {
             match step {
                 Move::Cordon(name, out) => {
-                    log::line(format_args!("engine {name} is called {}", if out { "out" } else { "back" }));
+                    log::line(format_args!(
+                        "engine {name} is called {}",
+                        if out { "out" } else { "back" }
+                    ));
                     parts.dispatch.cordon(parts.ids.number(&name), out);
                 }
                 Move::Drain(_) => self.set_door(parts),
@@ -114,7 +119,10 @@
     /// Drains this instance by itself, or ends that; what is agreed on stays.
     pub fn drain_here(&self, on: bool) {
         self.drained_here.set(on);
-        self.parts.get().into_iter().for_each(|parts| self.set_door(parts));
+        self.parts
+            .get()
+            .into_iter()
+            .for_each(|parts| self.set_door(parts));
     }
 
     fn set_door(&self, parts: &Parts) {
@@ -133,8 +141,13 @@
             Some((_, Ok(agreed))) => agreed.over(&own),
             Some((version, Err(problems))) => {
                 // Another member, of another version of the program, has let it pass.
-                let first = problems.first().map(ToString::to_string).unwrap_or_default();
-                log::line(format_args!("cluster settings version={version} can't be used here: {first}"));
+                let first = problems
+                    .first()
+                    .map(ToString::to_string)
+                    .unwrap_or_default();
+                log::line(format_args!(
+                    "cluster settings version={version} can't be used here: {first}"
+                ));
                 own.clone()
             }
             None => own.clone(),
@@ -150,11 +163,16 @@
     /// This instance's own settings were read anew.
     pub fn set_own(&self, own: &Settings) {
         *self.own.borrow_mut() = own.clone();
-        self.parts.get().into_iter().for_each(|parts| self.take_settings(parts));
+        self.parts
+            .get()
+            .into_iter()
+            .for_each(|parts| self.take_settings(parts));
     }
 
     /// Requests and attempts that were not sent on old state.
     pub fn turned_away(&self) -> u64 {
-        self.parts.get().map_or(0, |parts| parts.dispatch.turned_away())
+        self.parts
+            .get()
+            .map_or(0, |parts| parts.dispatch.turned_away())
     }
 }
--- a/violetgate/src/daemon/agreed.rs
+++ b/violetgate/src/daemon/agreed.rs
@@ -22,7 +22,14 @@
 use crate::settings::{Agreed, Problem};
 
 /// Keys under these have a meaning, and are changed by calls of their own.
-pub const RESERVED: [&str; 6] = ["cordons/", "drains/", "settings/", "members/", "engines/", "list"];
+pub const RESERVED: [&str; 6] = [
+    "cordons/",
+    "drains/",
+    "settings/",
+    "members/",
+    "engines/",
+    "list",
+];
 /// Versions of the settings that are kept.
 const VERSIONS: u64 = 50;
 
@@ -71,7 +78,12 @@
 
 fn below(state: &impl Entries, prefix: &'static str) -> impl Iterator<Item = (String, Vec<u8>)> {
     let listed = state.entries_below(prefix).into_iter();
-    listed.map(|(key, _, value)| (key.get(prefix.len()..).unwrap_or_default().to_owned(), value))
+    listed.map(|(key, _, value)| {
+        (
+            key.get(prefix.len()..).unwrap_or_default().to_owned(),
+            value,
+        )
+    })
 }
 
 fn number(state: &impl Entries, key: &str) -> Option<u64> {
@@ -96,13 +108,19 @@
 pub fn versions(state: &impl Entries) -> Vec<(u64, Revision)> {
     let prefix = "settings/versions/";
     let listed = state.entries_below(prefix);
-    listed.iter().filter_map(|(key, at, _)| Some((key.get(prefix.len()..)?.parse().ok()?, *at))).collect()
+    listed
+        .iter()
+        .filter_map(|(key, at, _)| Some((key.get(prefix.len()..)?.parse().ok()?, *at)))
+        .collect()
 }
 
 /// The version that a revision made.
 #[must_use]
 pub fn version_of(state: &impl Entries, revision: Revision) -> Option<u64> {
-    versions(state).into_iter().find(|(_, at)| *at == revision).map(|(version, _)| version)
+    versions(state)
+        .into_iter()
+        .find(|(_, at)| *at == revision)
+        .map(|(version, _)| version)
 }
 
 fn version_key(version: u64) -> String {
@@ -114,8 +132,9 @@
     #[must_use]
     pub fn read(state: &impl Entries, me: &str) -> Self {
         let current = number(state, "settings/current");
-        let record =
-            |(id, bytes): (String, Vec<u8>)| Some((id.parse().ok()?, serde_json::from_slice(&bytes).ok()?));
+        let record = |(id, bytes): (String, Vec<u8>)| {
+            Some((id.parse().ok()?, serde_json::from_slice(&bytes).ok()?))
+        };
         View {
             cordons: below(state, "cordons/").map(|(name, _)| name).collect(),
             drained: state.entry(&format!("drains/{me}")).is_some(),
@@ -128,8 +147,14 @@
     #[must_use]
     pub fn moves(&self, now: &View) -> Vec<Move> {
         // What is out comes first: nothing may be sent to it in between.
-        let out = now.cordons.difference(&self.cordons).map(|c| Move::Cordon(c.clone(), true));
-        let back = self.cordons.difference(&now.cordons).map(|c| Move::Cordon(c.clone(), false));
+        let out = now
+            .cordons
+            .difference(&self.cordons)
+            .map(|c| Move::Cordon(c.clone(), true));
+        let back = self
+            .cordons
+            .difference(&now.cordons)
+            .map(|c| Move::Cordon(c.clone(), false));
         let mut moves: Vec<_> = out.chain(back).collect();
         if self.drained != now.drained {
             moves.push(Move::Drain(now.drained));
@@ -153,12 +178,19 @@
     /// By what numbers members' disks go.
     #[must_use]
     pub fn disks(&self) -> BTreeMap<u64, u64> {
-        self.members.iter().filter_map(|(id, r)| Some((*id, r.born?))).collect()
+        self.members
+            .iter()
+            .filter_map(|(id, r)| Some((*id, r.born?)))
+            .collect()
     }
 }
 
 fn put(key: String, value: impl Into<Vec<u8>>) -> Op {
-    Op::Put { key, value: value.into(), lease: None }
+    Op::Put {
+        key,
+        value: value.into(),
+        lease: None,
+    }
 }
 
 fn by(who: &str) -> Vec<u8> {
@@ -166,8 +198,15 @@
 }
 
 fn marked(key: String, on: bool, who: &str) -> Txn {
-    let op = if on { put(key, by(who)) } else { Op::Delete(key) };
-    Txn { then: vec![op], ..Txn::default() }
+    let op = if on {
+        put(key, by(who))
+    } else {
+        Op::Delete(key)
+    };
+    Txn {
+        then: vec![op],
+        ..Txn::default()
+    }
 }
 
 /// Calls an engine out, or back.
@@ -193,9 +232,18 @@
     }
     let changed = held.map_or(0, |(revision, _)| revision);
     // Another disk under the same id changes nothing: the condition can't hold.
-    let foreign = before.and_then(|b| b.born).is_some_and(|born| Some(born) != record.born);
-    let checks = vec![Check::Changed(key.clone(), if foreign { Revision::MAX } else { changed })];
-    Some(Txn { checks, then: vec![put(key, serde_json::to_vec(record).ok()?)], ..Txn::default() })
+    let foreign = before
+        .and_then(|b| b.born)
+        .is_some_and(|born| Some(born) != record.born);
+    let checks = vec![Check::Changed(
+        key.clone(),
+        if foreign { Revision::MAX } else { changed },
+    )];
+    Some(Txn {
+        checks,
+        then: vec![put(key, serde_json::to_vec(record).ok()?)],
+        ..Txn::default()
+    })
 }
 
 /// Why settings are not proposed.
@@ -217,7 +265,11 @@
 /// # Errors
 ///
 /// It can't be used, and is proposed to nobody.
-pub fn settings(state: &impl Entries, text: &str, expected: Option<u64>) -> Result<(u64, Txn), Unfit> {
+pub fn settings(
+    state: &impl Entries,
+    text: &str,
+    expected: Option<u64>,
+) -> Result<(u64, Txn), Unfit> {
     Agreed::parse(text).map_err(Unfit::Problems)?;
     if text.len() > MAX_VALUE {
         return Err(Unfit::TooLong);
@@ -226,15 +278,27 @@
     if expected.is_some_and(|e| e != current) {
         return Err(Unfit::Replaced(current));
     }
-    let changed = state.entry("settings/current").map_or(0, |(revision, _)| revision);
+    let changed = state
+        .entry("settings/current")
+        .map_or(0, |(revision, _)| revision);
     let next = current + 1;
-    let mut then = vec![put(version_key(next), text), put("settings/current".to_owned(), next.to_string())];
+    let mut then = vec![
+        put(version_key(next), text),
+        put("settings/current".to_owned(), next.to_string()),
+    ];
     if let Some(old) = next.checked_sub(VERSIONS) {
         then.push(Op::Delete(version_key(old)));
     }
     // Of two that are proposed at once, one is told that it was not the next.
     let checks = vec![Check::Changed("settings/current".to_owned(), changed)];
-    Ok((next, Txn { checks, then, ..Txn::default() }))
+    Ok((
+        next,
+        Txn {
+            checks,
+            then,
+            ..Txn::default()
+        },
+    ))
 }
 
 /// Makes an earlier version hold again, as a new one.
@@ -259,7 +323,8 @@
 /// The list that the members have kept.
 #[must_use]
 pub fn list(state: &impl Entries) -> Option<List> {
-    let engine = |(name, bytes): (String, Vec<u8>)| Some((name, serde_json::from_slice(&bytes).ok()?));
+    let engine =
+        |(name, bytes): (String, Vec<u8>)| Some((name, serde_json::from_slice(&bytes).ok()?));
     Some(List {
         last: number(state, "list")?,
         engines: below(state, "engines/").filter_map(engine).collect(),
@@ -281,9 +346,15 @@
         return None;
     }
     let held: BTreeMap<String, Vec<u8>> = below(state, "engines/").collect();
-    let wanted: BTreeMap<_, _> =
-        now.engines.iter().filter_map(|(k, v)| Some((k.clone(), serde_json::to_vec(v).ok()?))).collect();
-    let gone = held.keys().filter(|k| !wanted.contains_key(*k)).map(|k| Op::Delete(format!("engines/{k}")));
+    let wanted: BTreeMap<_, _> = now
+        .engines
+        .iter()
+        .filter_map(|(k, v)| Some((k.clone(), serde_json::to_vec(v).ok()?)))
+        .collect();
+    let gone = held
+        .keys()
+        .filter(|k| !wanted.contains_key(*k))
+        .map(|k| Op::Delete(format!("engines/{k}")));
     let new = wanted.iter().filter(|(k, v)| held.get(*k) != Some(*v));
     let new = new.map(|(k, v)| put(format!("engines/{k}"), v.clone()));
     let mut then: Vec<_> = gone.chain(new).take(MAX_OPS).collect();
@@ -291,7 +362,11 @@
         then.push(put("list".to_owned(), now.last.to_string()));
     }
     let changed = state.entry("list").map_or(0, |(revision, _)| revision);
-    Some(Txn { checks: vec![Check::Changed("list".to_owned(), changed)], then, ..Txn::default() })
+    Some(Txn {
+        checks: vec![Check::Changed("list".to_owned(), changed)],
+        then,
+        ..Txn::default()
+    })
 }
 
 #[cfg(test)]
@@ -301,7 +376,12 @@
     use violetgate_state::{Command, Outcome, Step, Store};
 
     fn apply(store: &mut Store, txn: Txn) -> bool {
-        let command = Command { request: None, who: "t".to_owned(), time: 0, step: Step::Txn(txn) };
+        let command = Command {
+            request: None,
+            who: "t".to_owned(),
+            time: 0,
+            step: Step::Txn(txn),
+        };
         matches!(store.apply(&command), Outcome::Done { held: true, .. })
     }
 
@@ -317,13 +397,23 @@
             view = now;
             moves
         };
-        assert_eq!(step(cordon("e-1", true, "op")), [Move::Cordon("e-1".to_owned(), true)]);
+        assert_eq!(
+            step(cordon("e-1", true, "op")),
+            [Move::Cordon("e-1".to_owned(), true)]
+        );
         assert_eq!(step(cordon("e-1", true, "other")), []);
         let both = Txn {
-            then: [cordon("e-1", false, "op").then, cordon("e-2", true, "op").then].concat(),
+            then: [
+                cordon("e-1", false, "op").then,
+                cordon("e-2", true, "op").then,
+            ]
+            .concat(),
             ..Txn::default()
         };
-        let moves = [Move::Cordon("e-2".to_owned(), true), Move::Cordon("e-1".to_owned(), false)];
+        let moves = [
+            Move::Cordon("e-2".to_owned(), true),
+            Move::Cordon("e-1".to_owned(), false),
+        ];
         assert_eq!(step(both), moves);
         assert_eq!(step(drain("1", true, "op")), [], "another instance");
         assert_eq!(step(drain("2", true, "op")), [Move::Drain(true)]);
@@ -336,7 +426,10 @@
     fn settings_have_versions() {
         let mut store = Store::default();
         let text = |n: u64| format!("rest {{\n  results = {n}\n}}\n");
-        assert!(matches!(settings(&store, "rest { results = 0 }", None), Err(Unfit::Problems(_))));
+        assert!(matches!(
+            settings(&store, "rest { results = 0 }", None),
+            Err(Unfit::Problems(_))
+        ));
         let (one, first) = settings(&store, &text(1), Some(0)).unwrap();
         let (_, rival) = settings(&store, &text(9), Some(0)).unwrap();
         assert!(one == 1 && apply(&mut store, first) && !apply(&mut store, rival));
@@ -355,11 +448,33 @@
     #[test]
     fn a_list_is_kept_in_steps() {
         let mut store = Store::default();
-        let engines = |n: u64, of: u64| (0..n).map(|e| (format!("e-{e}"), Value::from(of))).collect();
+        let engines = |n: u64, of: u64| {
+            (0..n)
+                .map(|e| (format!("e-{e}"), Value::from(of)))
+                .collect()
+        };
         for (now, steps) in [
-            (List { last: 7, engines: engines(300, 1) }, 3),
-            (List { last: 8, engines: engines(2, 1) }, 3),
-            (List { last: 9, engines: engines(2, 5) }, 1),
+            (
+                List {
+                    last: 7,
+                    engines: engines(300, 1),
+                },
+                3,
+            ),
+            (
+                List {
+                    last: 8,
+                    engines: engines(2, 1),
+                },
+                3,
+            ),
+            (
+                List {
+                    last: 9,
+                    engines: engines(2, 5),
+                },
+                1,
+            ),
         ] {
             let before = list(&store).map(|l| l.last);
             for step in 1..=steps {
@@ -377,16 +492,26 @@
     fn a_record_stays_with_its_disk() {
         let mut store = Store::default();
         let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-        let record = |port, born| Record { listen: at(port), api: at(port + 1), born };
-        for (port, born, held) in
-            [(1, None, true), (1, Some(5), true), (3, Some(5), true), (3, Some(6), false)]
-        {
+        let record = |port, born| Record {
+            listen: at(port),
+            api: at(port + 1),
+            born,
+        };
+        for (port, born, held) in [
+            (1, None, true),
+            (1, Some(5), true),
+            (3, Some(5), true),
+            (3, Some(6), false),
+        ] {
             let txn = member(&store, 4, &record(port, born)).unwrap();
             assert_eq!(apply(&mut store, txn), held, "{port} {born:?}");
         }
         assert_eq!(member(&store, 4, &record(3, Some(5))), None);
         let view = View::read(&store, "1");
         assert_eq!(view.disks(), BTreeMap::from([(4, 5)]));
-        assert_eq!(view.addresses(&BTreeMap::from([(4, at(9))])), BTreeMap::from([(4, at(9))]));
+        assert_eq!(
+            view.addresses(&BTreeMap::from([(4, at(9))])),
+            BTreeMap::from([(4, at(9))])
+        );
     }
 }
--- a/violetgate/src/daemon/api/cluster.rs
+++ b/violetgate/src/daemon/api/cluster.rs
@@ -54,7 +54,11 @@
             .all()
             .map(|id| {
                 let record = view.members.get(&id);
-                let matched = status.progress.iter().find(|(m, _)| *m == id).map(|(_, at)| *at);
+                let matched = status
+                    .progress
+                    .iter()
+                    .find(|(m, _)| *m == id)
+                    .map(|(_, at)| *at);
                 json!({
                     "id": id,
                     "voter": status.members.voters.contains(&id),
@@ -83,12 +87,19 @@
         let change = match step {
             MemberStep::Add { id, listen, api } => {
                 // Where it is comes first, so that the leader finds it.
-                let record = Record { listen, api, born: None };
+                let record = Record {
+                    listen,
+                    api,
+                    born: None,
+                };
                 let known = self.daemon.status().members.highest;
                 if id <= known {
                     return Err(Unagreed::Rejected(Rejected::IdUsed).into());
                 }
-                let txn = self.daemon.cluster.store(|s| agreed::member(s, id, &record));
+                let txn = self
+                    .daemon
+                    .cluster
+                    .store(|s| agreed::member(s, id, &record));
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
@@ -110,12 +121,23 @@
     pub(super) async fn cordon(&self, call: &Asked, out: bool) -> Answering {
         call.query.only(&["engine"])?;
         let engine = call.query.needed("engine")?;
-        let known = self.daemon.state.parts().is_some_and(|p| p.ids.known(&engine));
+        let known = self
+            .daemon
+            .state
+            .parts()
+            .is_some_and(|p| p.ids.known(&engine));
         let called = self.daemon.state.view().cordons.contains(&engine);
         if !known && !called {
-            return Err(problem(StatusCode::NOT_FOUND, "no-such-engine", format!("no engine {engine:?}")));
+            return Err(problem(
+                StatusCode::NOT_FOUND,
+                "no-such-engine",
+                format!("no engine {engine:?}"),
+            ));
         }
-        Self::held(self.agree(call, agreed::cordon(&engine, out, &call.who)).await?)
+        Self::held(
+            self.agree(call, agreed::cordon(&engine, out, &call.who))
+                .await?,
+        )
     }
 
     /// Drains a member by its id, or a front end that subscribes by its name.
@@ -123,11 +145,18 @@
         call.query.only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
         let instance = match (member, call.query.text("front_end")) {
-            (Some(_), Some(_)) => return Err(bad("`member` or `front_end` has to be given, not both")),
+            (Some(_), Some(_)) => {
+                return Err(bad("`member` or `front_end` has to be given, not both"))
+            }
             (None, Some(name)) => settings::front_end_name(name).map_err(bad)?.to_owned(),
-            (member, None) => self.known_member(member.unwrap_or(self.daemon.id))?.to_string(),
+            (member, None) => self
+                .known_member(member.unwrap_or(self.daemon.id))?
+                .to_string(),
         };
-        Self::held(self.agree(call, agreed::drain(&instance, on, &call.who)).await?)
+        Self::held(
+            self.agree(call, agreed::drain(&instance, on, &call.who))
+                .await?,
+        )
     }
 
     fn known_member(&self, member: u64) -> Result<u64, Problem> {
--- a/violetgate/src/daemon/api/http.rs
+++ b/violetgate/src/daemon/api/http.rs
@@ -45,7 +45,11 @@
     }
 }
 
-pub(super) fn problem(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Problem {
+pub(super) fn problem(
+    status: StatusCode,
+    kind: &'static str,
+    detail: impl Into<String>,
+) -> Problem {
     Problem::new(status, kind, detail)
 }
 
@@ -56,13 +60,21 @@
 pub(super) fn reply(status: StatusCode, kind: &'static str, body: Vec<u8>) -> Reply {
     let mut reply = Response::new(Full::from(body));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
-    reply.headers_mut().insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply
+        .headers_mut()
+        .insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
     reply
 }
 
 pub(super) fn told(value: &Value) -> Reply {
-    reply(StatusCode::OK, "application/json", format!("{value}\n").into_bytes())
+    reply(
+        StatusCode::OK,
+        "application/json",
+        format!("{value}\n").into_bytes(),
+    )
 }
 
 impl From<Unagreed> for Problem {
@@ -109,21 +121,33 @@
         match why {
             Unfit::Problems(problems) => {
                 let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
-                problem(StatusCode::UNPROCESSABLE_ENTITY, "settings-invalid", lines.join("; "))
+                problem(
+                    StatusCode::UNPROCESSABLE_ENTITY,
+                    "settings-invalid",
+                    lines.join("; "),
+                )
             }
             Unfit::TooLong => bad("the settings are too long"),
-            Unfit::Replaced(now) => {
-                problem(StatusCode::CONFLICT, "settings-replaced", format!("version {now} holds"))
-            }
-            Unfit::Unknown => problem(StatusCode::NOT_FOUND, "no-such-version", "that version is not kept"),
+            Unfit::Replaced(now) => problem(
+                StatusCode::CONFLICT,
+                "settings-replaced",
+                format!("version {now} holds"),
+            ),
+            Unfit::Unknown => problem(
+                StatusCode::NOT_FOUND,
+                "no-such-version",
+                "that version is not kept",
+            ),
         }
     }
 }
 
 impl From<Compacted> for Problem {
     fn from(gone: Compacted) -> Self {
-        let detail =
-            format!("that revision is compacted away: read anew, from {} at the earliest", gone.first);
+        let detail = format!(
+            "that revision is compacted away: read anew, from {} at the earliest",
+            gone.first
+        );
         problem(StatusCode::GONE, "compacted", detail)
     }
 }
--- a/violetgate/src/daemon/api/mod.rs
+++ b/violetgate/src/daemon/api/mod.rs
@@ -45,11 +45,17 @@
 const LIFE: Duration = Duration::from_secs(600);
 
 /// Takes connections for ever.
-pub async fn listen(daemon: Rc<Daemon>, executor: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>) {
+pub async fn listen(
+    daemon: Rc<Daemon>,
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+) {
     let open = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((_, peer)) if Rc::strong_count(&open) > MOST => log::ended("cluster api", peer, "too_many", 0),
+            Ok((_, peer)) if Rc::strong_count(&open) > MOST => {
+                log::ended("cluster api", peer, "too_many", 0)
+            }
             Ok((stream, peer)) => {
                 let (daemon, open) = (Rc::clone(&daemon), Rc::clone(&open));
                 let serve = async move {
@@ -108,14 +114,25 @@
         let query = Query::read(&request)?;
         let header = |name: &str| {
             let text = request.headers().get(name).and_then(|v| v.to_str().ok());
-            text.filter(|t| !t.is_empty()).map(|t| t.chars().take(128).collect::<String>())
+            text.filter(|t| !t.is_empty())
+                .map(|t| t.chars().take(128).collect::<String>())
         };
         let id = header("request-id");
         let who = header("operator").unwrap_or_else(|| self.peer.ip().to_string());
         let within = query.within()?;
-        let body = if method == Method::GET { Vec::new() } else { self.read(request).await? };
+        let body = if method == Method::GET {
+            Vec::new()
+        } else {
+            self.read(request).await?
+        };
         let changes = method != Method::GET;
-        let call = Asked { query, body, id, who, within };
+        let call = Asked {
+            query,
+            body,
+            id,
+            who,
+            within,
+        };
         let done = match (method.as_str(), path.as_str()) {
             ("GET", "/v1/state") => self.state(&call).await,
             ("PUT", "/v1/state") => self.put(&call, true).await,
@@ -131,7 +148,10 @@
             ("PUT", "/v1/settings") => self.change_settings(&call, None).await,
             ("POST", "/v1/settings/rollback") => {
                 call.query.only(&["version"])?;
-                let version = call.query.number("version")?.ok_or_else(|| bad("`version` is missing"))?;
+                let version = call
+                    .query
+                    .number("version")?
+                    .ok_or_else(|| bad("`version` is missing"))?;
                 self.change_settings(&call, Some(version)).await
             }
             ("GET", "/v1/settings/versions") => self.versions(&call).await,
@@ -141,14 +161,21 @@
             ("DELETE", "/v1/drains") => self.drain(&call, false).await,
             ("GET", "/v1/fleet/progress") => self.fleet_progress(&call),
             ("GET", "/v1/snapshot") => self.snapshot(&call).await,
-            _ => Err(problem(StatusCode::NOT_FOUND, "no-such-call", format!("there is no {method} {path}"))),
+            _ => Err(problem(
+                StatusCode::NOT_FOUND,
+                "no-such-call",
+                format!("there is no {method} {path}"),
+            )),
         };
         if changes {
             let told = done.as_ref().map_or_else(
                 |p| format!("{} {}", p.status.as_u16(), p.kind),
                 |r| r.status().as_u16().to_string(),
             );
-            log::line(format_args!("cluster api {} {} {method} {path} {told}", self.peer, call.who));
+            log::line(format_args!(
+                "cluster api {} {} {method} {path} {told}",
+                self.peer, call.who
+            ));
         }
         done
     }
@@ -163,15 +190,21 @@
         };
         let late = async {
             Timer::after(BODY).await;
-            Err(problem(StatusCode::REQUEST_TIMEOUT, "request-timeout", "the body was not whole in time")
-                .closing())
+            Err(problem(
+                StatusCode::REQUEST_TIMEOUT,
+                "request-timeout",
+                "the body was not whole in time",
+            )
+            .closing())
         };
         whole.or(late).await
     }
 
     /// Waits until this member's copy is current.
     async fn current(&self, call: &Asked) -> Result<(), Problem> {
-        if call.query.text("stale") == Some("true") || self.daemon.cluster.current(call.within).await {
+        if call.query.text("stale") == Some("true")
+            || self.daemon.cluster.current(call.within).await
+        {
             return Ok(());
         }
         let detail =
@@ -180,17 +213,26 @@
     }
 
     async fn agree(&self, call: &Asked, txn: Txn) -> Result<(Revision, bool), Problem> {
-        Ok(self.daemon.agree(call.id.clone(), &call.who, txn, call.within).await?)
+        Ok(self
+            .daemon
+            .agree(call.id.clone(), &call.who, txn, call.within)
+            .await?)
     }
 
     async fn step(&self, call: &Asked, step: Step) -> Answering {
         let request = call.id.clone().unwrap_or_else(request_id);
-        let asked = Call::Propose { request, who: call.who.clone(), step };
+        let asked = Call::Propose {
+            request,
+            who: call.who.clone(),
+            step,
+        };
         match self.daemon.cluster.agree(asked, call.within).await {
             Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => {
                 Ok(told(&json!({"revision": revision})))
             }
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(Unagreed::Refused(why).into()),
+            Answered::Yes(Answer::Done(Outcome::Refused(why))) => {
+                Err(Unagreed::Refused(why).into())
+            }
             Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
             _ => Err(Unagreed::Late.into()),
         }
@@ -199,7 +241,11 @@
     fn held((revision, held): (Revision, bool)) -> Answering {
         if !held {
             let detail = format!("a condition does not hold, as of revision {revision}");
-            return Err(problem(StatusCode::PRECONDITION_FAILED, "condition-failed", detail));
+            return Err(problem(
+                StatusCode::PRECONDITION_FAILED,
+                "condition-failed",
+                detail,
+            ));
         }
         Ok(told(&json!({"revision": revision})))
     }
--- a/violetgate/src/daemon/api/query.rs
+++ b/violetgate/src/daemon/api/query.rs
@@ -77,7 +77,9 @@
 fn bytes(text: Option<String>, base64: Option<String>) -> Result<Vec<u8>, Problem> {
     match (text, base64) {
         (Some(text), None) => Ok(text.into_bytes()),
-        (None, Some(text)) => BASE64_STANDARD.decode(text).map_err(|e| bad(format!("no base64: {e}"))),
+        (None, Some(text)) => BASE64_STANDARD
+            .decode(text)
+            .map_err(|e| bad(format!("no base64: {e}"))),
         _ => Err(bad("one value has to be given, as text or in base64")),
     }
 }
@@ -98,7 +100,10 @@
                 Ok(Check::Changed(self.key, revision))
             }
             Some(_) => Err(bad("a check names `changed`, or what the key holds")),
-            None => Ok(Check::Holds(self.key, bytes(self.holds, self.holds_base64)?)),
+            None => Ok(Check::Holds(
+                self.key,
+                bytes(self.holds, self.holds_base64)?,
+            )),
         }
     }
 }
@@ -108,7 +113,11 @@
         match (self.put, self.delete) {
             (Some(key), None) => {
                 let value = bytes(self.value, self.value_base64)?;
-                Ok(Op::Put { key: free(key)?, value, lease: self.lease })
+                Ok(Op::Put {
+                    key: free(key)?,
+                    value,
+                    lease: self.lease,
+                })
             }
             (None, Some(key)) => Ok(Op::Delete(free(key)?)),
             _ => Err(bad("a change has either `put` or `delete`")),
@@ -136,8 +145,15 @@
 
     /// Nothing but these may be asked: one that is misspelt would be passed over in silence.
     pub(super) fn only(&self, names: &[&str]) -> Result<(), Problem> {
-        match self.0.keys().find(|k| !names.contains(&k.as_str()) && *k != "within_ms") {
-            Some(other) => Err(bad(format!("`{other}` means nothing here; known: {}", names.join(", ")))),
+        match self
+            .0
+            .keys()
+            .find(|k| !names.contains(&k.as_str()) && *k != "within_ms")
+        {
+            Some(other) => Err(bad(format!(
+                "`{other}` means nothing here; known: {}",
+                names.join(", ")
+            ))),
             None => Ok(()),
         }
     }
@@ -147,19 +163,30 @@
     }
 
     pub(super) fn needed(&self, name: &str) -> Result<String, Problem> {
-        self.text(name).map(str::to_owned).ok_or_else(|| bad(format!("`{name}` is missing")))
+        self.text(name)
+            .map(str::to_owned)
+            .ok_or_else(|| bad(format!("`{name}` is missing")))
     }
 
     pub(super) fn number(&self, name: &str) -> Result<Option<u64>, Problem> {
-        let read = |t: &str| t.parse().map_err(|_| bad(format!("`{name}` has to be a whole number")));
+        let read = |t: &str| {
+            t.parse()
+                .map_err(|_| bad(format!("`{name}` has to be a whole number")))
+        };
         self.text(name).map(read).transpose()
     }
 
     pub(super) fn limit(&self) -> Result<usize, Problem> {
-        Ok(self.number("limit")?.map_or(PAGE, |n| n as usize).clamp(1, LONGEST_PAGE))
+        Ok(self
+            .number("limit")?
+            .map_or(PAGE, |n| n as usize)
+            .clamp(1, LONGEST_PAGE))
     }
 
     pub(super) fn within(&self) -> Result<Duration, Problem> {
-        Ok(self.number("within_ms")?.map_or(WITHIN, Duration::from_millis).min(LONGEST))
+        Ok(self
+            .number("within_ms")?
+            .map_or(WITHIN, Duration::from_millis)
+            .min(LONGEST))
     }
 }
--- a/violetgate/src/daemon/api/settings.rs
+++ b/violetgate/src/daemon/api/settings.rs
@@ -24,8 +24,14 @@
                 (v, text.ok_or(Unfit::Unknown)?)
             }
         };
-        let mut reply = reply(StatusCode::OK, "text/plain; charset=utf-8", text.into_bytes());
-        reply.headers_mut().insert("settings-version", HeaderValue::from(version));
+        let mut reply = reply(
+            StatusCode::OK,
+            "text/plain; charset=utf-8",
+            text.into_bytes(),
+        );
+        reply
+            .headers_mut()
+            .insert("settings-version", HeaderValue::from(version));
         Ok(reply)
     }
 
@@ -34,7 +40,10 @@
         // What an earlier try has already brought about is not looked at anew: its outcome is told.
         self.current(call).await?;
         let cluster = &self.daemon.cluster;
-        let done = call.id.as_ref().and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
+        let done = call
+            .id
+            .as_ref()
+            .and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
         let (revision, held) = match done {
             Some(Outcome::Done { revision, held }) => (revision, held),
             Some(Outcome::Refused(why)) => return Err(Unagreed::Refused(why).into()),
@@ -44,7 +53,8 @@
                     None => {
                         call.query.only(&["expect"])?;
                         let expect = call.query.number("expect")?;
-                        let text = std::str::from_utf8(&call.body).map_err(|_| bad("the body is no text"))?;
+                        let text = std::str::from_utf8(&call.body)
+                            .map_err(|_| bad("the body is no text"))?;
                         cluster.store(|s| agreed::settings(s, text, expect))?
                     }
                 };
@@ -64,9 +74,14 @@
     pub(super) async fn versions(&self, call: &Asked) -> Answering {
         call.query.only(&["stale"])?;
         self.current(call).await?;
-        let (current, kept) =
-            self.daemon.cluster.store(|s| (agreed::current_version(s), agreed::versions(s)));
-        let versions: Vec<_> = kept.iter().map(|(v, r)| json!({"version": v, "revision": r})).collect();
+        let (current, kept) = self
+            .daemon
+            .cluster
+            .store(|s| (agreed::current_version(s), agreed::versions(s)));
+        let versions: Vec<_> = kept
+            .iter()
+            .map(|(v, r)| json!({"version": v, "revision": r}))
+            .collect();
         Ok(told(&json!({"current": current, "versions": versions})))
     }
 }
--- a/violetgate/src/daemon/api/state.rs
+++ b/violetgate/src/daemon/api/state.rs
@@ -23,13 +23,21 @@
         self.daemon.cluster.store(|store| {
             if let Some(key) = query.text("key") {
                 let (revision, bytes) = store.get(key).ok_or_else(|| {
-                    problem(StatusCode::NOT_FOUND, "no-such-key", format!("there is no `{key}`"))
+                    problem(
+                        StatusCode::NOT_FOUND,
+                        "no-such-key",
+                        format!("there is no `{key}`"),
+                    )
                 })?;
                 return Ok(told(&entry(key, revision, bytes)));
             }
             let prefix = query.text("prefix").unwrap_or_default();
             let listing = store.list(prefix, at, query.text("after"), limit)?;
-            let entries: Vec<_> = listing.entries.iter().map(|(k, r, v)| entry(k, *r, v)).collect();
+            let entries: Vec<_> = listing
+                .entries
+                .iter()
+                .map(|(k, r, v)| entry(k, *r, v))
+                .collect();
             let next = listing.next.map(|after| {
                 let pairs = [
                     ("prefix", prefix.to_owned()),
@@ -37,29 +45,64 @@
                     ("revision", listing.revision.to_string()),
                     ("after", after),
                 ];
-                format!("/v1/state?{}", serde_urlencoded::to_string(pairs).unwrap_or_default())
+                format!(
+                    "/v1/state?{}",
+                    serde_urlencoded::to_string(pairs).unwrap_or_default()
+                )
             });
-            Ok(told(&json!({"revision": listing.revision, "entries": entries, "next": next})))
+            Ok(told(
+                &json!({"revision": listing.revision, "entries": entries, "next": next}),
+            ))
         })
     }
 
     pub(super) async fn put(&self, call: &Asked, sets: bool) -> Answering {
         call.query.only(&["key", "if_revision", "lease"])?;
         let key = free(call.query.needed("key")?)?;
-        let checks =
-            call.query.number("if_revision")?.map(|r| Check::Changed(key.clone(), r)).into_iter().collect();
+        let checks = call
+            .query
+            .number("if_revision")?
+            .map(|r| Check::Changed(key.clone(), r))
+            .into_iter()
+            .collect();
         let lease = call.query.number("lease")?;
-        let op = if sets { Op::Put { key, value: call.body.clone(), lease } } else { Op::Delete(key) };
-        Self::held(self.agree(call, Txn { checks, then: vec![op], ..Txn::default() }).await?)
+        let op = if sets {
+            Op::Put {
+                key,
+                value: call.body.clone(),
+                lease,
+            }
+        } else {
+            Op::Delete(key)
+        };
+        Self::held(
+            self.agree(
+                call,
+                Txn {
+                    checks,
+                    then: vec![op],
+                    ..Txn::default()
+                },
+            )
+            .await?,
+        )
     }
 
     pub(super) async fn transact(&self, call: &Asked) -> Answering {
         call.query.only(&[])?;
         let asked: AskedTxn =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        let ops = |ops: Vec<AskedOp>| ops.into_iter().map(AskedOp::read).collect::<Result<Vec<_>, _>>();
+        let ops = |ops: Vec<AskedOp>| {
+            ops.into_iter()
+                .map(AskedOp::read)
+                .collect::<Result<Vec<_>, _>>()
+        };
         let txn = Txn {
-            checks: asked.checks.into_iter().map(AskedCheck::read).collect::<Result<_, _>>()?,
+            checks: asked
+                .checks
+                .into_iter()
+                .map(AskedCheck::read)
+                .collect::<Result<_, _>>()?,
             then: ops(asked.then)?,
             otherwise: ops(asked.otherwise)?,
         };
@@ -78,8 +121,8 @@
             Some(after) => after,
             None => cluster.store(|s| s.revision()),
         };
-        let until =
-            Instant::now() + Duration::from_millis(query.number("wait_ms")?.unwrap_or(0)).min(LONGEST);
+        let until = Instant::now()
+            + Duration::from_millis(query.number("wait_ms")?.unwrap_or(0)).min(LONGEST);
         loop {
             let applied = cluster.status().applied;
             let (changes, now) = cluster.store(|s| (s.changes(after, prefix, limit), s.revision()));
@@ -94,7 +137,11 @@
             }
             // Where a page ends in the middle, the next one begins at its last revision.
             let full = changes.len() >= limit;
-            let to = if full { changes.last().map_or(now, |c| c.revision) } else { now.max(after) };
+            let to = if full {
+                changes.last().map_or(now, |c| c.revision)
+            } else {
+                now.max(after)
+            };
             let changes: Vec<_> = changes
                 .iter()
                 .map(|c| {
@@ -108,7 +155,10 @@
 
     pub(super) async fn compact(&self, call: &Asked) -> Answering {
         call.query.only(&["revision"])?;
-        let to = call.query.number("revision")?.ok_or_else(|| bad("`revision` is missing"))?;
+        let to = call
+            .query
+            .number("revision")?
+            .ok_or_else(|| bad("`revision` is missing"))?;
         self.step(call, Step::Compact(to)).await
     }
 
@@ -116,21 +166,37 @@
         call.query.only(&[])?;
         let asked: AskedLease =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        self.step(call, Step::Lease { id: asked.id, span: asked.ttl_ms.saturating_mul(1000) }).await
+        self.step(
+            call,
+            Step::Lease {
+                id: asked.id,
+                span: asked.ttl_ms.saturating_mul(1000),
+            },
+        )
+        .await
     }
 
     pub(super) async fn release(&self, call: &Asked) -> Answering {
         call.query.only(&["id"])?;
-        let id = call.query.number("id")?.ok_or_else(|| bad("`id` is missing"))?;
+        let id = call
+            .query
+            .number("id")?
+            .ok_or_else(|| bad("`id` is missing"))?;
         self.step(call, Step::Release(id)).await
     }
 
     pub(super) async fn snapshot(&self, call: &Asked) -> Answering {
         call.query.only(&["stale"])?;
         self.current(call).await?;
-        let mut reply = reply(StatusCode::OK, "application/octet-stream", self.daemon.cluster.save());
+        let mut reply = reply(
+            StatusCode::OK,
+            "application/octet-stream",
+            self.daemon.cluster.save(),
+        );
         let revision = self.daemon.status().revision;
-        reply.headers_mut().insert("state-revision", HeaderValue::from(revision));
+        reply
+            .headers_mut()
+            .insert("state-revision", HeaderValue::from(revision));
         Ok(reply)
     }
 }
--- a/violetgate/src/daemon/figures.rs
+++ b/violetgate/src/daemon/figures.rs
@@ -12,7 +12,10 @@
 
 impl Text {
     fn head(&mut self, name: &str, kind: &str, help: &str) {
-        let _ = write!(self.0, "# HELP svc_cluster_{name} {help}\n# TYPE svc_cluster_{name} {kind}\n");
+        let _ = write!(
+            self.0,
+            "# HELP svc_cluster_{name} {help}\n# TYPE svc_cluster_{name} {kind}\n"
+        );
     }
 
     fn gauge(&mut self, name: &str, help: &str, value: u64) {
@@ -26,7 +29,12 @@
     }
 
     /// One value for each label.
-    fn labelled<'a>(&mut self, name: &str, help: &str, values: impl Iterator<Item = (&'a str, String, u64)>) {
+    fn labelled<'a>(
+        &mut self,
+        name: &str,
+        help: &str,
+        values: impl Iterator<Item = (&'a str, String, u64)>,
+    ) {
         self.head(name, "gauge", help);
         for (label, text, value) in values {
             let _ = writeln!(self.0, "svc_cluster_{name}{{{label}=\"{text}\"}} {value}");
@@ -55,27 +63,88 @@
 
 impl MemberFigures {
     pub fn text(&self) -> String {
-        let MemberFigures { status, traffic, fleet, .. } = self;
+        let MemberFigures {
+            status,
+            traffic,
+            fleet,
+            ..
+        } = self;
         let mut out = Text(String::new());
-        out.gauge("leads", "This member leads.", u64::from(status.role == Role::Leader));
+        out.gauge(
+            "leads",
+            "This member leads.",
+            u64::from(status.role == Role::Leader),
+        );
         out.gauge("term", "The term.", status.term);
-        out.gauge("commit", "The last entry that is agreed on, as known here.", status.commit);
-        out.gauge("applied", "The last entry that is applied here.", status.applied);
+        out.gauge(
+            "commit",
+            "The last entry that is agreed on, as known here.",
+            status.commit,
+        );
+        out.gauge(
+            "applied",
+            "The last entry that is applied here.",
+            status.applied,
+        );
         out.gauge("revision", "The state's revision.", status.revision);
-        out.gauge("voters", "Members that vote.", status.members.voters.len() as u64);
-        out.gauge("routes", "The state is confirmed: requests may be sent.", u64::from(self.routes));
-        out.counter("turned_away_total", "Requests and attempts not sent on old state.", self.turned_away);
-        out.counter("dropped_total", "Messages to members dropped.", self.dropped);
-        out.counter("messages_sent_total", "Messages sent to members.", traffic.messages_sent);
-        out.counter("messages_received_total", "Messages received from members.", traffic.messages_received);
+        out.gauge(
+            "voters",
+            "Members that vote.",
+            status.members.voters.len() as u64,
+        );
+        out.gauge(
+            "routes",
+            "The state is confirmed: requests may be sent.",
+            u64::from(self.routes),
+        );
+        out.counter(
+            "turned_away_total",
+            "Requests and attempts not sent on old state.",
+            self.turned_away,
+        );
+        out.counter(
+            "dropped_total",
+            "Messages to members dropped.",
+            self.dropped,
+        );
+        out.counter(
+            "messages_sent_total",
+            "Messages sent to members.",
+            traffic.messages_sent,
+        );
+        out.counter(
+            "messages_received_total",
+            "Messages received from members.",
+            traffic.messages_received,
+        );
         if let Some(subscribers) = self.subscribers {
-            out.gauge("subscribers", "Front ends connected to this observer.", subscribers as u64);
+            out.gauge(
+                "subscribers",
+                "Front ends connected to this observer.",
+                subscribers as u64,
+            );
         }
-        out.gauge("observers", "Observers that reported of late.", fleet.observers.into());
-        out.gauge("silent_observers", "Observers that did not.", fleet.silent_observers.into());
+        out.gauge(
+            "observers",
+            "Observers that reported of late.",
+            fleet.observers.into(),
+        );
+        out.gauge(
+            "silent_observers",
+            "Observers that did not.",
+            fleet.silent_observers.into(),
+        );
         out.gauge("serving", "Front ends that serve.", fleet.serving.into());
-        out.gauge("not_serving", "Front ends whose gates are shut.", fleet.not_serving.into());
-        out.gauge("in_force", "The revision in force at all front ends that serve.", fleet.in_force);
+        out.gauge(
+            "not_serving",
+            "Front ends whose gates are shut.",
+            fleet.not_serving.into(),
+        );
+        out.gauge(
+            "in_force",
+            "The revision in force at all front ends that serve.",
+            fleet.in_force,
+        );
         if let Some(record) = &self.last_in_force {
             out.gauge(
                 "in_force_after_ms",
@@ -84,8 +153,13 @@
             );
         }
         let behind = BEHIND.iter().zip(fleet.behind);
-        let behind = behind.map(|(under, count)| ("under_s", (*under).to_owned(), u64::from(count)));
-        out.labelled("behind", "Serving front ends that lack a revision, by how long.", behind);
+        let behind =
+            behind.map(|(under, count)| ("under_s", (*under).to_owned(), u64::from(count)));
+        out.labelled(
+            "behind",
+            "Serving front ends that lack a revision, by how long.",
+            behind,
+        );
         out.0
     }
 }
@@ -99,17 +173,52 @@
 
 impl SubscriberFigures {
     pub fn text(&self) -> String {
-        let SubscriberFigures { status, traffic, turned_away } = self;
+        let SubscriberFigures {
+            status,
+            traffic,
+            turned_away,
+        } = self;
         let mut out = Text(String::new());
         out.gauge("revision", "The state's revision.", status.revision);
-        out.gauge("routes", "The state is confirmed: requests may be sent.", u64::from(status.fresh.is_ok()));
-        out.counter("turned_away_total", "Requests and attempts not sent on old state.", *turned_away);
-        out.counter("sent_bytes_total", "Bytes sent to observers.", traffic.bytes_sent);
-        out.counter("received_bytes_total", "Bytes received from observers.", traffic.bytes_received);
-        out.gauge("observer", "The observer that is watched; 0: none.", status.watched.unwrap_or(0));
-        out.gauge("reserve_observer", "The observer held in reserve; 0: none.", status.reserve.unwrap_or(0));
-        let refusal = status.refusal.iter().map(|refusal| ("code", refusal.code().to_owned(), 1));
-        out.labelled("refused", "An observer turned this front end away, by the reason's code.", refusal);
+        out.gauge(
+            "routes",
+            "The state is confirmed: requests may be sent.",
+            u64::from(status.fresh.is_ok()),
+        );
+        out.counter(
+            "turned_away_total",
+            "Requests and attempts not sent on old state.",
+            *turned_away,
+        );
+        out.counter(
+            "sent_bytes_total",
+            "Bytes sent to observers.",
+            traffic.bytes_sent,
+        );
+        out.counter(
+            "received_bytes_total",
+            "Bytes received from observers.",
+            traffic.bytes_received,
+        );
+        out.gauge(
+            "observer",
+            "The observer that is watched; 0: none.",
+            status.watched.unwrap_or(0),
+        );
+        out.gauge(
+            "reserve_observer",
+            "The observer held in reserve; 0: none.",
+            status.reserve.unwrap_or(0),
+        );
+        let refusal = status
+            .refusal
+            .iter()
+            .map(|refusal| ("code", refusal.code().to_owned(), 1));
+        out.labelled(
+            "refused",
+            "An observer turned this front end away, by the reason's code.",
+            refusal,
+        );
         out.0
     }
 }
--- a/violetgate/src/daemon/mod.rs
+++ b/violetgate/src/daemon/mod.rs
@@ -78,7 +78,9 @@
     let mut bytes = [0; 16];
     // Without random numbers two requests could be taken for one: the time tells them apart then.
     if getrandom::fill(&mut bytes).is_err() {
-        let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
+        let now = std::time::SystemTime::now()
+            .duration_since(std::time::UNIX_EPOCH)
+            .unwrap_or_default();
         bytes = now.as_nanos().to_be_bytes();
     }
     format!("r-{:032x}", u128::from_be_bytes(bytes))
@@ -126,7 +128,10 @@
         })?;
         let observer = given.subscribers_listen().map(|listen| {
             let defaults = ObserverConfig::default_for(&given.name, given.id);
-            let config = ObserverConfig { capacity: given.subscribers, ..defaults };
+            let config = ObserverConfig {
+                capacity: given.subscribers,
+                ..defaults
+            };
             ObserverService::start(&cluster, listen, config)
                 .map_err(|e| format!("`cluster.subscribers_listen`: {e}"))
         });
@@ -160,7 +165,12 @@
     }
 
     fn take_members(&self, view: &View) {
-        let own = self.state.own().cluster.as_ref().map(settings::Cluster::addresses);
+        let own = self
+            .state
+            .own()
+            .cluster
+            .as_ref()
+            .map(settings::Cluster::addresses);
         let own = own.unwrap_or_else(|| self.given.addresses());
         self.cluster.transport().peers(&view.addresses(&own));
         self.cluster.transport().disks(view.disks());
@@ -211,7 +221,11 @@
         within: Duration,
     ) -> Result<(Revision, bool), Unagreed> {
         let request = request.unwrap_or_else(request_id);
-        let call = Call::Propose { request, who: who.to_owned(), step: Step::Txn(txn) };
+        let call = Call::Propose {
+            request,
+            who: who.to_owned(),
+            step: Step::Txn(txn),
+        };
         match self.cluster.agree(call, within).await {
             Answered::Yes(Answer::Done(Outcome::Done { revision, held })) => Ok((revision, held)),
             Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(Unagreed::Refused(why)),
@@ -225,8 +239,16 @@
     /// # Errors
     ///
     /// As [`Daemon::agree`].
-    pub async fn cordon(&self, engine: &str, out: bool, who: &str, within: Duration) -> Result<(), Unagreed> {
-        self.agree(None, who, agreed::cordon(engine, out, who), within).await.map(|_| ())
+    pub async fn cordon(
+        &self,
+        engine: &str,
+        out: bool,
+        who: &str,
+        within: Duration,
+    ) -> Result<(), Unagreed> {
+        self.agree(None, who, agreed::cordon(engine, out, who), within)
+            .await
+            .map(|_| ())
     }
 
     /// Drains this instance, or lets it take clients again.
@@ -235,7 +257,14 @@
     ///
     /// As [`Daemon::agree`].
     pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), Unagreed> {
-        self.agree(None, who, agreed::drain(&self.id.to_string(), on, who), within).await.map(|_| ())
+        self.agree(
+            None,
+            who,
+            agreed::drain(&self.id.to_string(), on, who),
+            within,
+        )
+        .await
+        .map(|_| ())
     }
 
     /// The figures, in the text format of Prometheus.
@@ -247,7 +276,10 @@
             turned_away: self.state.turned_away(),
             dropped: self.cluster.transport().dropped(),
             traffic: self.cluster.transport().traffic(),
-            subscribers: self.observer.as_ref().map(|observer| observer.subscribers()),
+            subscribers: self
+                .observer
+                .as_ref()
+                .map(|observer| observer.subscribers()),
             fleet: self.fleet_progress(),
             last_in_force: self.last_in_force(),
         };
@@ -256,25 +288,36 @@
 
     /// Notices that the fence was shut or opened.
     fn look(&self) {
-        let Some(parts) = self.state.parts() else { return };
+        let Some(parts) = self.state.parts() else {
+            return;
+        };
         let shut = !self.is_open();
         if shut {
             parts.dispatch.shut();
         }
         if self.shut.replace(shut) != shut {
             parts.door.fence(shut);
-            let Status { term, leader, fresh, .. } = self.status();
+            let Status {
+                term,
+                leader,
+                fresh,
+                ..
+            } = self.status();
             let leader = leader.map_or("none".to_owned(), |l| l.to_string());
             let age = fresh
                 .err()
                 .and_then(|stale| stale.age)
                 .map_or("unknown".to_owned(), |a| (a / 1000).to_string());
             match (shut, self.cluster.lost()) {
-                (true, Some(why)) => log::line(format_args!("cluster reason=disk sends nothing more: {why}")),
+                (true, Some(why)) => log::line(format_args!(
+                    "cluster reason=disk sends nothing more: {why}"
+                )),
                 (true, None) => log::line(format_args!(
                     "cluster reason=stale sends nothing: age_ms={age} term={term} leader={leader}"
                 )),
-                (false, _) => log::line(format_args!("cluster sends again: term={term} leader={leader}")),
+                (false, _) => log::line(format_args!(
+                    "cluster sends again: term={term} leader={leader}"
+                )),
             }
         }
     }
@@ -290,7 +333,11 @@
             let (term, id) = (status.term, leader.unwrap_or_default());
             log::line(format_args!("cluster leader={id} term={term}"));
         }
-        if let Some(why) = daemon.cluster.lost().filter(|_| !std::mem::replace(&mut lost, true)) {
+        if let Some(why) = daemon
+            .cluster
+            .lost()
+            .filter(|_| !std::mem::replace(&mut lost, true))
+        {
             log::line(format_args!("cluster reason=disk member stopped: {why}"));
         }
         drop(daemon);
@@ -304,8 +351,14 @@
     while let Some(daemon) = of.upgrade() {
         if daemon.is_open() {
             let given = &daemon.given;
-            let record = Record { listen: given.listen, api: given.api, born: Some(daemon.cluster.born()) };
-            let txn = daemon.cluster.store(|s| agreed::member(s, daemon.id, &record));
+            let record = Record {
+                listen: given.listen,
+                api: given.api,
+                born: Some(daemon.cluster.born()),
+            };
+            let txn = daemon
+                .cluster
+                .store(|s| agreed::member(s, daemon.id, &record));
             if let Some(txn) = txn {
                 let held = daemon.agree(None, "member", txn, WITHIN).await;
                 if held.is_ok_and(|(_, held)| !held) && !std::mem::replace(&mut told, true) {
@@ -316,13 +369,20 @@
             let list = daemon.state.parts().filter(|_| leads).and_then(|parts| {
                 // Looked at before it is copied: it seldom changes.
                 let last = parts.place.last()?;
-                let newer = daemon.cluster.store(agreed::list_last).is_none_or(|kept| kept < last);
+                let newer = daemon
+                    .cluster
+                    .store(agreed::list_last)
+                    .is_none_or(|kept| kept < last);
                 parts.place.held().filter(|_| newer)
             });
             if let Some((last, engines)) = list {
                 let list = List { last, engines };
                 while let Some(txn) = daemon.cluster.store(|s| agreed::keep_list(s, &list)) {
-                    if !daemon.agree(None, "bus", txn, WITHIN).await.is_ok_and(|(_, held)| held) {
+                    if !daemon
+                        .agree(None, "bus", txn, WITHIN)
+                        .await
+                        .is_ok_and(|(_, held)| held)
+                    {
                         break;
                     }
                 }
--- a/violetgate/src/daemon/participant.rs
+++ b/violetgate/src/daemon/participant.rs
@@ -34,7 +34,9 @@
     ) -> Result<Self, String> {
         Ok(match given.role {
             ClusterRole::Member => Participant::Member(Daemon::start(executor, own, given, seed)?),
-            ClusterRole::Subscriber => Participant::Subscriber(Subscribed::start(executor, own, given, seed)),
+            ClusterRole::Subscriber => {
+                Participant::Subscriber(Subscribed::start(executor, own, given, seed))
+            }
         })
     }
 
@@ -99,7 +101,13 @@
     /// # Errors
     ///
     /// It was not agreed on, or is not known to be; only a member can have it agreed on.
-    pub async fn cordon(&self, engine: &str, out: bool, who: &str, within: Duration) -> Result<(), Unagreed> {
+    pub async fn cordon(
+        &self,
+        engine: &str,
+        out: bool,
+        who: &str,
+        within: Duration,
+    ) -> Result<(), Unagreed> {
         match self {
             Participant::Member(member) => member.cordon(engine, out, who, within).await,
             Participant::Subscriber(_) => Err(Unagreed::NotAMember),
--- a/violetgate/src/daemon/subscribed.rs
+++ b/violetgate/src/daemon/subscribed.rs
@@ -44,7 +44,9 @@
     SubscriberConfig {
         drain_limit: micros(given.drain_limit.0),
         confirm_every: micros(given.confirm_every.0),
-        answer_within: defaults.answer_within.min(micros(given.drain_limit.0 / ANSWERS_IN_LIMIT)),
+        answer_within: defaults
+            .answer_within
+            .min(micros(given.drain_limit.0 / ANSWERS_IN_LIMIT)),
         ..defaults
     }
 }
@@ -62,9 +64,14 @@
         given: &settings::Cluster,
         seed: u64,
     ) -> Rc<Self> {
-        let subscription = Subscription::start(executor, config(given), given.observer_addresses(), seed);
+        let subscription =
+            Subscription::start(executor, config(given), given.observer_addresses(), seed);
         let state = Adoption::new(given.front_end.clone(), own);
-        Rc::new(Subscribed { subscription, state, shut: Cell::new(true) })
+        Rc::new(Subscribed {
+            subscription,
+            state,
+            shut: Cell::new(true),
+        })
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
@@ -113,12 +120,19 @@
     #[must_use]
     pub fn figures(&self) -> String {
         let traffic = self.subscription.traffic();
-        SubscriberFigures { status: self.status(), traffic, turned_away: self.state.turned_away() }.text()
+        SubscriberFigures {
+            status: self.status(),
+            traffic,
+            turned_away: self.state.turned_away(),
+        }
+        .text()
     }
 
     /// Notices that the fence was shut or opened.
     fn look(&self) {
-        let Some(parts) = self.state.parts() else { return };
+        let Some(parts) = self.state.parts() else {
+            return;
+        };
         let shut = !self.is_open();
         if shut {
             parts.dispatch.shut();
@@ -127,7 +141,13 @@
             return;
         }
         parts.door.fence(shut);
-        let SubscriptionStatus { revision, watched, reserve, fresh, refusal } = self.status();
+        let SubscriptionStatus {
+            revision,
+            watched,
+            reserve,
+            fresh,
+            refusal,
+        } = self.status();
         let (watched, reserve) = (number(watched), number(reserve));
         if !shut {
             return log::line(format_args!(
@@ -148,14 +168,24 @@
     let mut observer = None;
     while let Some(subscribed) = of.upgrade() {
         subscribed.look();
-        let SubscriptionStatus { watched, reserve, revision, .. } = subscribed.status();
+        let SubscriptionStatus {
+            watched,
+            reserve,
+            revision,
+            ..
+        } = subscribed.status();
         if observer != watched {
             observer = watched;
             let (watched, reserve) = (number(watched), number(reserve));
-            log::line(format_args!("cluster observer={watched} reserve={reserve} revision={revision}"));
+            log::line(format_args!(
+                "cluster observer={watched} reserve={reserve} revision={revision}"
+            ));
         }
         // An open gate can't shut before that: fifty looks a second would be most of what control costs.
-        let pause = subscribed.subscription.remaining().clamp(LOOK, LONGEST_LOOK);
+        let pause = subscribed
+            .subscription
+            .remaining()
+            .clamp(LOOK, LONGEST_LOOK);
         drop(subscribed);
         Timer::after(pause).await;
     }
--- a/violetgate/src/demo.rs
+++ b/violetgate/src/demo.rs
@@ -92,22 +92,40 @@
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
     let folder = Folder(folder);
     let program = std::env::current_exe().map_err(|e| format!("this program's path: {e}"))?;
-    let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
-    let instances: Vec<_> = (0..demo.instances).map(|n| Instance::new(demo, n)).collect();
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int]).map_err(|e| format!("signals: {e}"))?;
+    let instances: Vec<_> = (0..demo.instances)
+        .map(|n| Instance::new(demo, n))
+        .collect();
     for instance in &instances {
-        let Instance { listen, rest, management, peer, api, fleet: at } = instance;
+        let Instance {
+            listen,
+            rest,
+            management,
+            peer,
+            api,
+            fleet: at,
+        } = instance;
         if demo.instances > 1 {
-            std::net::UdpSocket::bind(at).map_err(|e| format!("{at}: {e}; is there another demo?"))?;
+            std::net::UdpSocket::bind(at)
+                .map_err(|e| format!("{at}: {e}; is there another demo?"))?;
         }
         let own = if demo.instances > 1 { 5 } else { 3 };
         // Front ends share their ports with their successors, and would with another demo, without a word.
         for at in [listen, rest, management, peer, api].into_iter().take(own) {
-            std::net::TcpListener::bind(at).map_err(|e| format!("{at}: {e}; is there another demo?"))?;
+            std::net::TcpListener::bind(at)
+                .map_err(|e| format!("{at}: {e}; is there another demo?"))?;
         }
     }
-    let members: String =
-        instances.iter().zip(1..).map(|(i, id)| format!("    \"{id}\" = \"{}\"\n", i.peer)).collect();
-    let seeds: Vec<_> = instances.iter().map(|i| format!("\"{}\"", i.fleet)).collect();
+    let members: String = instances
+        .iter()
+        .zip(1..)
+        .map(|(i, id)| format!("    \"{id}\" = \"{}\"\n", i.peer))
+        .collect();
+    let seeds: Vec<_> = instances
+        .iter()
+        .map(|i| format!("\"{}\"", i.fleet))
+        .collect();
     let mut settings = violetgate_standin::settings();
     if let Some(settings) = settings.as_object_mut() {
         settings.insert("balancers".to_owned(), demo.instances.into());
@@ -141,13 +159,20 @@
         }
         let settings = file("violetgate.hcl", text)?;
         if demo.instances > 1 {
-            let made = Command::new(&program).args(["members", "init", "--settings"]).arg(&settings).status();
+            let made = Command::new(&program)
+                .args(["members", "init", "--settings"])
+                .arg(&settings)
+                .status();
             if !made.is_ok_and(|status| status.success()) {
                 return Err(format!("the folder of member {id} can't be made"));
             }
         }
         let child = Some(serve(&program, instance, &own)?);
-        processes.push(Process { instance, own, child });
+        processes.push(Process {
+            instance,
+            own,
+            child,
+        });
     }
     print!("{}", welcome(demo, &instances));
     let calls = calls();
@@ -208,7 +233,11 @@
 
 /// Watches the front ends until the last has ended. One of several that ends is told of and can be brought back; what
 /// ends with an error as the last is the demo's.
-async fn watch(program: &Path, all: &mut [Process<'_>], calls: &Receiver<String>) -> Result<(), String> {
+async fn watch(
+    program: &Path,
+    all: &mut [Process<'_>],
+    calls: &Receiver<String>,
+) -> Result<(), String> {
     loop {
         let count = all.len();
         let mut last = None;
@@ -219,18 +248,25 @@
                 p.child = None;
                 last = Some(status);
                 if count > 1 {
-                    println!("instance {id} has ended ({status}); `start {id}` here brings it back");
+                    println!(
+                        "instance {id} has ended ({status}); `start {id}` here brings it back"
+                    );
                 }
             }
         }
         if all.iter().all(|p| p.child.is_none()) {
             return match last {
-                Some(status) if !status.success() => Err(format!("a front end ended with {status}")),
+                Some(status) if !status.success() => {
+                    Err(format!("a front end ended with {status}"))
+                }
                 _ => Ok(()),
             };
         }
         while let Ok(call) = calls.try_recv() {
-            let id = call.trim().strip_prefix("start").and_then(|n| n.trim().parse::<usize>().ok());
+            let id = call
+                .trim()
+                .strip_prefix("start")
+                .and_then(|n| n.trim().parse::<usize>().ok());
             match id.and_then(|id| all.get_mut(id.checked_sub(1)?)) {
                 Some(p) if p.child.is_some() => println!("it runs"),
                 Some(p) => p.child = Some(serve(program, p.instance, &p.own)?),
@@ -244,8 +280,20 @@
 
 fn welcome(demo: &Demo, instances: &[Instance]) -> String {
     let (engines, port) = (demo.engines, demo.port);
-    let Some(Instance { listen, rest, management, .. }) = instances.first() else { return String::new() };
-    let apis = instances.iter().map(|i| i.api.as_str()).collect::<Vec<_>>().join(",");
+    let Some(Instance {
+        listen,
+        rest,
+        management,
+        ..
+    }) = instances.first()
+    else {
+        return String::new();
+    };
+    let apis = instances
+        .iter()
+        .map(|i| i.api.as_str())
+        .collect::<Vec<_>>()
+        .join(",");
     let cluster = if instances.len() > 1 {
         format!(
             r#"{} instances on ports that follow each other agree on cordons, drains and settings, and know who is alive:
--- a/violetgate/src/dispatch.rs
+++ b/violetgate/src/dispatch.rs
@@ -18,7 +18,9 @@
 use linnetreach::{Action, Event, Gateway, Settings};
 
 use crate::clock::Clock;
-use crate::exchange::{Answer, Attempt, AttemptEnd, Engines, Exchange, Intake as _, Listed, Reports, Served};
+use crate::exchange::{
+    Answer, Attempt, AttemptEnd, Engines, Exchange, Intake as _, Listed, Reports, Served,
+};
 use crate::fence::{self, Fence};
 
 mod intake;
@@ -85,7 +87,11 @@
     ) -> Rc<Self> {
         Rc::new(Dispatch {
             clock,
-            effects: settings.classes.iter().map(|c| (c.effect, c.dedup_window)).collect(),
+            effects: settings
+                .classes
+                .iter()
+                .map(|c| (c.effect, c.dedup_window))
+                .collect(),
             gateway: RefCell::new(Gateway::new(settings, seed)),
             engines,
             fence,
@@ -105,7 +111,9 @@
     pub fn news(&self, scope: ListScope, listed: &[Listed]) {
         let engines = listed.iter().map(|l| l.engine).collect();
         // The module hears of it before the attempts that it ends, and before any further send.
-        self.events.borrow_mut().push_back(Event::Engines { scope, engines });
+        self.events
+            .borrow_mut()
+            .push_back(Event::Engines { scope, engines });
         self.engines.list(scope, listed);
         self.run();
     }
@@ -118,13 +126,17 @@
 
     /// So many gateways share the engines from now on.
     pub fn fleet(&self, gateways: u32) {
-        self.events.borrow_mut().push_back(Event::Fleet { gateways });
+        self.events
+            .borrow_mut()
+            .push_back(Event::Fleet { gateways });
         self.run();
     }
 
     /// Takes an operator's call: nothing more to an engine, or again.
     pub fn cordon(&self, engine: EngineId, out: bool) {
-        self.events.borrow_mut().push_back(Event::Cordon { engine, out });
+        self.events
+            .borrow_mut()
+            .push_back(Event::Cordon { engine, out });
         self.engines.cordon(engine, out);
         self.run();
     }
@@ -145,11 +157,16 @@
 
     fn turn_away(&self, refusal: &Answer, which: impl Fn(&Open) -> bool) {
         let open = self.open.borrow();
-        let rest: Vec<_> = open.iter().filter(|(_, o)| !o.answered && which(o)).map(|(id, _)| *id).collect();
+        let rest: Vec<_> = open
+            .iter()
+            .filter(|(_, o)| !o.answered && which(o))
+            .map(|(id, _)| *id)
+            .collect();
         drop(open);
         for id in rest {
             if let Some(o) = self.open.borrow().get(&id) {
-                o.exchange.settle(fence::turned_away(o.effect, o.attempts, refusal.clone()));
+                o.exchange
+                    .settle(fence::turned_away(o.effect, o.attempts, refusal.clone()));
             }
             self.withdraw(id);
         }
@@ -157,7 +174,8 @@
 
     fn may_send(&self) -> bool {
         let open = self.fence.as_ref().is_none_or(|f| f.is_open());
-        self.turned_away.set(self.turned_away.get() + u64::from(!open));
+        self.turned_away
+            .set(self.turned_away.get() + u64::from(!open));
         open
     }
 
@@ -175,7 +193,9 @@
             self.fire();
             let next = self.timers.borrow().first().map(|t| t.0);
             self.armed.set(next.unwrap_or(Micros::MAX));
-            let Some(at) = next else { return Poll::<()>::Pending };
+            let Some(at) = next else {
+                return Poll::<()>::Pending;
+            };
             timer.set_at(self.clock.instant(at));
             if Pin::new(&mut timer).poll(cx).is_pending() {
                 return Poll::Pending;
@@ -187,7 +207,12 @@
     fn fire(&self) {
         let now = self.clock.now();
         loop {
-            let first = self.timers.borrow().first().copied().filter(|(at, _)| *at <= now);
+            let first = self
+                .timers
+                .borrow()
+                .first()
+                .copied()
+                .filter(|(at, _)| *at <= now);
             let Some(first) = first else { break };
             self.timers.borrow_mut().remove(&first);
             match first.1 {
@@ -219,7 +244,9 @@
             if events.is_empty() {
                 break;
             }
-            self.gateway.borrow_mut().handle(self.clock.now(), &events, &mut actions);
+            self.gateway
+                .borrow_mut()
+                .handle(self.clock.now(), &events, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -229,9 +256,15 @@
 
     fn carry_out(&self, action: Action) {
         match action {
-            Action::Terms { query, memory_mb, priority } => {
+            Action::Terms {
+                query,
+                memory_mb,
+                priority,
+            } => {
                 let mut open = self.open.borrow_mut();
-                let Some(o) = open.get_mut(&query) else { return };
+                let Some(o) = open.get_mut(&query) else {
+                    return;
+                };
                 // What is no sensible figure becomes the nearest one; the grant holds from the next attempt on.
                 o.grant_mb = memory_mb.round() as u64;
                 let changed = o.level.replace(priority) != Some(priority);
@@ -241,9 +274,15 @@
                     self.engines.weigh(query, priority);
                 }
             }
-            Action::Send { query, engine, timeout } => self.send(query, engine, timeout),
+            Action::Send {
+                query,
+                engine,
+                timeout,
+            } => self.send(query, engine, timeout),
             Action::Cancel { query, attempt } => self.give_up(query, attempt, Outcome::Recalled),
-            Action::Refuse { query, retry_after } => self.settle(query, Answer::Refused { retry_after }),
+            Action::Refuse { query, retry_after } => {
+                self.settle(query, Answer::Refused { retry_after })
+            }
             Action::Fail { query } => self.settle(query, Answer::Failed),
             Action::Wake { at } => self.schedule(at, Due::Wake),
             // The event bus is always followed.
@@ -258,10 +297,15 @@
         let number = o.attempts;
         o.attempts += 1;
         let deadline = o.exchange.request.deadline();
-        let until = if timeout == 0 { deadline } else { deadline.min(now + timeout) };
+        let until = if timeout == 0 {
+            deadline
+        } else {
+            deadline.min(now + timeout)
+        };
         let may_send = self.may_send();
         if !may_send && !std::mem::replace(&mut o.answered, true) {
-            o.exchange.settle(fence::turned_away(o.effect, number, Answer::Stale));
+            o.exchange
+                .settle(fence::turned_away(o.effect, number, Answer::Stale));
         }
         if o.answered || o.out.is_some() || until <= now {
             let end = ended(id, number, engine, Outcome::Superseded, o.answered, 0, None);
@@ -272,12 +316,28 @@
             self.events.borrow_mut().push_back(end);
             return;
         }
-        o.out = Some(Out { number, engine, sent: now, until });
+        o.out = Some(Out {
+            number,
+            engine,
+            sent: now,
+            until,
+        });
         // It may wait for a connection: a repeat that left after its window would run a second time.
-        let begin_by = o.first.zip(o.window).map_or(until, |(first, window)| until.min(first + window));
+        let begin_by = o
+            .first
+            .zip(o.window)
+            .map_or(until, |(first, window)| until.min(first + window));
         let exchange = Rc::clone(&o.exchange);
         let (level, grant_mb) = (o.level, o.grant_mb);
-        let attempt = Attempt { exchange, number, engine, level, grant_mb, begin_by, until };
+        let attempt = Attempt {
+            exchange,
+            number,
+            engine,
+            level,
+            grant_mb,
+            begin_by,
+            until,
+        };
         drop(open);
         self.schedule(until, Due::Overdue(id, number));
         self.engines.send(attempt);
@@ -285,12 +345,26 @@
 
     /// Takes an attempt back: the engine is told first, then the module.
     fn give_up(&self, id: QueryId, number: u32, outcome: Outcome) {
-        let is_out =
-            self.open.borrow().get(&id).and_then(|o| o.out.as_ref()).is_some_and(|out| out.number == number);
+        let is_out = self
+            .open
+            .borrow()
+            .get(&id)
+            .and_then(|o| o.out.as_ref())
+            .is_some_and(|out| out.number == number);
         if is_out {
             let written = self.engines.cancel(id);
-            let outcome = if written { outcome } else { Outcome::Superseded };
-            self.ended(AttemptEnd { query: id, number, outcome, cost: None, pages: Vec::new() });
+            let outcome = if written {
+                outcome
+            } else {
+                Outcome::Superseded
+            };
+            self.ended(AttemptEnd {
+                query: id,
+                number,
+                outcome,
+                cost: None,
+                pages: Vec::new(),
+            });
         }
     }
 
@@ -316,10 +390,21 @@
     /// Nobody waits for it any more. An attempt that still waits for its connection must not begin; one that has begun
     /// is the module's to withdraw or to leave.
     fn recall(&self, id: QueryId) {
-        let number = self.open.borrow().get(&id).and_then(|o| o.out.as_ref()).map(|out| out.number);
+        let number = self
+            .open
+            .borrow()
+            .get(&id)
+            .and_then(|o| o.out.as_ref())
+            .map(|out| out.number);
         if let Some(number) = number.filter(|_| self.engines.recall(id)) {
             let outcome = Outcome::Superseded;
-            self.ended(AttemptEnd { query: id, number, outcome, cost: None, pages: Vec::new() });
+            self.ended(AttemptEnd {
+                query: id,
+                number,
+                outcome,
+                cost: None,
+                pages: Vec::new(),
+            });
         }
     }
 }
@@ -333,28 +418,58 @@
     elapsed: Micros,
     cost: Option<Cost>,
 ) -> Event {
-    Event::Ended(Ended { query, attempt, engine, outcome, settled, elapsed, cost, load: Load::default() })
+    Event::Ended(Ended {
+        query,
+        attempt,
+        engine,
+        outcome,
+        settled,
+        elapsed,
+        cost,
+        load: Load::default(),
+    })
 }
 
 impl Reports for Dispatch {
     fn noted(&self, query: QueryId, number: u32, news: Progress) {
-        let out = self.open.borrow().get(&query).and_then(|o| o.out.as_ref().map(|out| out.number));
+        let out = self
+            .open
+            .borrow()
+            .get(&query)
+            .and_then(|o| o.out.as_ref().map(|out| out.number));
         if out == Some(number) {
-            self.events.borrow_mut().push_back(Event::Note { query, attempt: number, progress: news });
+            self.events.borrow_mut().push_back(Event::Note {
+                query,
+                attempt: number,
+                progress: news,
+            });
             self.run();
         }
     }
 
     fn ended(&self, end: AttemptEnd) {
         let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&end.query) else { return };
-        let Some(out) = o.out.take_if(|out| out.number == end.number) else { return };
-        if !matches!(end.outcome, Outcome::Saturated | Outcome::Refused | Outcome::Superseded) {
+        let Some(o) = open.get_mut(&end.query) else {
+            return;
+        };
+        let Some(out) = o.out.take_if(|out| out.number == end.number) else {
+            return;
+        };
+        if !matches!(
+            end.outcome,
+            Outcome::Saturated | Outcome::Refused | Outcome::Superseded
+        ) {
             o.first = o.first.or(Some(out.sent));
         }
-        self.timers.borrow_mut().remove(&(out.until, Due::Overdue(end.query, end.number)));
+        self.timers
+            .borrow_mut()
+            .remove(&(out.until, Due::Overdue(end.query, end.number)));
         if end.outcome == Outcome::Completed && !std::mem::replace(&mut o.answered, true) {
-            let served = Served { pages: end.pages, query: end.query, attempt: end.number };
+            let served = Served {
+                pages: end.pages,
+                query: end.query,
+                attempt: end.number,
+            };
             o.exchange.settle(Answer::Served(Rc::new(served)));
         }
         let settled = o.answered;
@@ -363,7 +478,15 @@
         }
         drop(open);
         let elapsed = self.clock.now().saturating_sub(out.sent);
-        let event = ended(end.query, end.number, out.engine, end.outcome, settled, elapsed, end.cost);
+        let event = ended(
+            end.query,
+            end.number,
+            out.engine,
+            end.outcome,
+            settled,
+            elapsed,
+            end.cost,
+        );
         self.events.borrow_mut().push_back(event);
         self.run();
     }
--- a/violetgate/src/dispatch/intake.rs
+++ b/violetgate/src/dispatch/intake.rs
@@ -21,28 +21,51 @@
             return false;
         }
         let query = exchange.request.query.clone();
-        let (effect, window) = self.effects.get(query.class as usize).copied().unwrap_or_default();
+        let (effect, window) = self
+            .effects
+            .get(query.class as usize)
+            .copied()
+            .unwrap_or_default();
         let exchange = Rc::clone(exchange);
         let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
         let window = window.filter(|_| effect == Effect::Deduplicated);
         let (level, first, out) = (None, None, None);
         let (answered, attempts, grant_mb) = (false, 0, 0);
-        open.insert(id, Open { exchange, effect, window, first, answered, attempts, level, grant_mb, out });
+        open.insert(
+            id,
+            Open {
+                exchange,
+                effect,
+                window,
+                first,
+                answered,
+                attempts,
+                level,
+                grant_mb,
+                out,
+            },
+        );
         drop(open);
-        self.events.borrow_mut().push_back(Event::Arrived(NewQuery { time_left, ..query }));
+        self.events
+            .borrow_mut()
+            .push_back(Event::Arrived(NewQuery { time_left, ..query }));
         self.run();
         true
     }
 
     fn withdraw(&self, query: QueryId) {
         let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&query).filter(|o| !o.answered) else { return };
+        let Some(o) = open.get_mut(&query).filter(|o| !o.answered) else {
+            return;
+        };
         o.answered = true;
         if o.out.is_none() {
             self.strike(&mut open, query);
         }
         drop(open);
-        self.events.borrow_mut().push_back(Event::ClientGone { query });
+        self.events
+            .borrow_mut()
+            .push_back(Event::ClientGone { query });
         self.run();
         self.recall(query);
     }
--- a/violetgate/src/dispatch/spent.rs
+++ b/violetgate/src/dispatch/spent.rs
@@ -17,7 +17,12 @@
 
 impl Spent {
     pub fn add(&mut self, id: QueryId, now: Micros) {
-        while let Some((_, old)) = self.by_age.front().copied().filter(|(at, _)| at + SPENT < now) {
+        while let Some((_, old)) = self
+            .by_age
+            .front()
+            .copied()
+            .filter(|(at, _)| at + SPENT < now)
+        {
             self.by_age.pop_front();
             self.ids.remove(&old);
         }
--- a/violetgate/src/dispatch/tests.rs
+++ b/violetgate/src/dispatch/tests.rs
@@ -9,7 +9,12 @@
 /// An engine side that notes what it is told and ends nothing by itself: the notes, whether its fence is shut, whether
 /// what it has still waits for a connection, and by when attempts had to begin.
 #[derive(Default)]
-struct Notes(RefCell<Vec<String>>, Cell<bool>, Cell<bool>, RefCell<Vec<Micros>>);
+struct Notes(
+    RefCell<Vec<String>>,
+    Cell<bool>,
+    Cell<bool>,
+    RefCell<Vec<Micros>>,
+);
 
 impl Fence for Notes {
     fn is_open(&self) -> bool {
@@ -21,8 +26,14 @@
     fn send(&self, a: Attempt) {
         let id = a.exchange.request.query.id;
         self.3.borrow_mut().push(a.begin_by);
-        let grant = if a.grant_mb > 0 { format!(" with {}", a.grant_mb) } else { String::new() };
-        self.0.borrow_mut().push(format!("send {id}.{} to {}{grant}", a.number, a.engine));
+        let grant = if a.grant_mb > 0 {
+            format!(" with {}", a.grant_mb)
+        } else {
+            String::new()
+        };
+        self.0
+            .borrow_mut()
+            .push(format!("send {id}.{} to {}{grant}", a.number, a.engine));
     }
     fn cancel(&self, query: QueryId) -> bool {
         self.0.borrow_mut().push(format!("cancel {query}"));
@@ -52,28 +63,58 @@
 }
 
 fn of_class(engines: u32, class: Class, more: Settings) -> (Rc<Dispatch>, Rc<Notes>) {
-    let class = Class { deadline: Some(60_000_000), aim: Some(60_000_000), worth: Some(1.0), ..class };
+    let class = Class {
+        deadline: Some(60_000_000),
+        aim: Some(60_000_000),
+        worth: Some(1.0),
+        ..class
+    };
     let settings = Settings {
         gateways: Some(1),
         classes: vec![class],
-        kinds: vec![Kind { cores: Some(8.0), memory_mb: None }],
+        kinds: vec![Kind {
+            cores: Some(8.0),
+            memory_mb: None,
+        }],
         can_cancel: true,
         max_attempts: Some(5),
         ..more
     };
     let notes = Rc::new(Notes::default());
     let fence: Rc<dyn Fence> = Rc::<Notes>::clone(&notes);
-    let d = Dispatch::new(Clock::start(), settings, 7, Rc::<Notes>::clone(&notes), Some(fence));
-    let engine = |id| Engine { id, zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None };
+    let d = Dispatch::new(
+        Clock::start(),
+        settings,
+        7,
+        Rc::<Notes>::clone(&notes),
+        Some(fence),
+    );
+    let engine = |id| Engine {
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state: EngineState::Ready,
+        started: None,
+    };
     let addr = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let list: Vec<_> = (0..engines).map(|id| Listed { engine: engine(id), addr }).collect();
+    let list: Vec<_> = (0..engines)
+        .map(|id| Listed {
+            engine: engine(id),
+            addr,
+        })
+        .collect();
     d.news(ListScope::Whole, &list);
     (d, notes)
 }
 
 fn request(d: &Dispatch, id: QueryId, time_left: Micros) -> Request {
     Request {
-        query: NewQuery { id, time_left, ..NewQuery::default() },
+        query: NewQuery {
+            id,
+            time_left,
+            ..NewQuery::default()
+        },
         received: d.now(),
         rid: "".into(),
         class: "".into(),
@@ -89,7 +130,13 @@
 }
 
 fn end(query: QueryId, number: u32, outcome: Outcome) -> AttemptEnd {
-    AttemptEnd { query, number, outcome, cost: None, pages: Vec::new() }
+    AttemptEnd {
+        query,
+        number,
+        outcome,
+        cost: None,
+        pages: Vec::new(),
+    }
 }
 
 fn answer(exchange: &Exchange) -> Option<Answer> {
@@ -101,7 +148,11 @@
 fn spent_ids_are_forgotten() {
     let mut spent = Spent::default();
     (0..1_000).for_each(|id| spent.add(id, id * SPENT / 10));
-    assert!(spent.ids.len() < 15 && spent.by_age.len() == spent.ids.len(), "{}", spent.ids.len());
+    assert!(
+        spent.ids.len() < 15 && spent.by_age.len() == spent.ids.len(),
+        "{}",
+        spent.ids.len()
+    );
 }
 
 /// A severed attempt is tried again under the next number; a late end of the first changes nothing, and
@@ -110,7 +161,10 @@
 fn each_attempt_ends_once() {
     let (d, notes) = dispatch(2);
     let exchange = ask(&d, 1, 60_000_000);
-    assert!(!d.submit(&exchange), "an id that is open is not taken again");
+    assert!(
+        !d.submit(&exchange),
+        "an id that is open is not taken again"
+    );
     d.ended(end(1, 0, Outcome::Severed));
     d.ended(end(1, 0, Outcome::Completed));
     assert!(answer(&exchange).is_none());
@@ -120,7 +174,12 @@
     assert!(answer(&exchange).is_none() && d.open.borrow().is_empty());
     let again = Exchange::new(request(&d, 1, 60_000_000));
     assert!(!d.submit(&again), "nor is one that was open a moment ago");
-    let sends = notes.0.borrow().iter().filter(|n| n.starts_with("send 1.")).count();
+    let sends = notes
+        .0
+        .borrow()
+        .iter()
+        .filter(|n| n.starts_with("send 1."))
+        .count();
     assert_eq!(sends, 2);
 }
 
@@ -135,11 +194,16 @@
             d.run_timers().await;
             None
         };
-        assert!(matches!(answered.or(timers).await, Some(Answer::Refused { .. })));
+        assert!(matches!(
+            answered.or(timers).await,
+            Some(Answer::Refused { .. })
+        ));
     });
     assert_eq!(notes.0.borrow().last().unwrap(), "cancel 1");
     d.ended(end(1, 0, Outcome::Completed));
-    assert!(answer(&exchange).is_none() && d.open.borrow().is_empty() && d.timers.borrow().len() < 3);
+    assert!(
+        answer(&exchange).is_none() && d.open.borrow().is_empty() && d.timers.borrow().len() < 3
+    );
 }
 
 /// The attempt's time ends while an answer still reaches the client: at the very end of its budget the
@@ -150,7 +214,11 @@
     for (id, budget, kept) in [(1, 6_000_000, 25_000), (2, 8_000, 2_000)] {
         let exchange = ask(&d, id, budget);
         let at = exchange.request.received + budget - kept;
-        assert!(d.timers.borrow().contains(&(at, Due::Overdue(id, 0))), "{:?}", d.timers.borrow());
+        assert!(
+            d.timers.borrow().contains(&(at, Due::Overdue(id, 0))),
+            "{:?}",
+            d.timers.borrow()
+        );
     }
 }
 
@@ -165,7 +233,11 @@
         let exchange = Exchange::new(keyed);
         assert!(d.submit(&exchange));
         let at = exchange.request.received + budget - kept;
-        assert!(d.timers.borrow().contains(&(at, Due::Overdue(id, 0))), "{:?}", d.timers.borrow());
+        assert!(
+            d.timers.borrow().contains(&(at, Due::Overdue(id, 0))),
+            "{:?}",
+            d.timers.borrow()
+        );
     }
 }
 
@@ -176,7 +248,10 @@
     let exchange = ask(&d, 1, 60_000_000);
     d.withdraw(1);
     d.withdraw(1);
-    assert_eq!(notes.0.borrow().iter().filter(|n| *n == "cancel 1").count(), 1);
+    assert_eq!(
+        notes.0.borrow().iter().filter(|n| *n == "cancel 1").count(),
+        1
+    );
     assert!(answer(&exchange).is_none() && d.open.borrow().is_empty());
 }
 
@@ -194,7 +269,12 @@
     assert!(matches!(answer(&two), Some(Answer::Served(_))));
     let three = ask(&d, 3, 60_000_000);
     assert!(matches!(answer(&three), Some(Answer::Stale)));
-    let sends = notes.0.borrow().iter().filter(|n| n.starts_with("send")).count();
+    let sends = notes
+        .0
+        .borrow()
+        .iter()
+        .filter(|n| n.starts_with("send"))
+        .count();
     assert!(sends == 2 && d.open.borrow().is_empty() && d.turned_away() == 2);
     notes.1.set(false);
     let four = ask(&d, 4, 60_000_000);
@@ -207,40 +287,76 @@
     let (d, notes) = dispatch(1);
     let _exchange = ask(&d, 1, 60_000_000);
     for priority in [3, 3, 2] {
-        d.carry_out(Action::Terms { query: 1, memory_mb: 0.0, priority });
+        d.carry_out(Action::Terms {
+            query: 1,
+            memory_mb: 0.0,
+            priority,
+        });
     }
-    let weighs: Vec<_> = notes.0.borrow().iter().filter(|n| n.starts_with("weigh")).cloned().collect();
+    let weighs: Vec<_> = notes
+        .0
+        .borrow()
+        .iter()
+        .filter(|n| n.starts_with("weigh"))
+        .cloned()
+        .collect();
     assert_eq!(weighs, ["weigh 1 3", "weigh 1 2"]);
 }
 
 /// A query's grant goes with its attempts, the one that holds then; what is out keeps its own.
 #[test]
 fn a_grant_goes_with_the_attempt() {
-    let (d, notes) = with(2, Settings { grants: true, ..Settings::default() });
+    let (d, notes) = with(
+        2,
+        Settings {
+            grants: true,
+            ..Settings::default()
+        },
+    );
     let mut wanted = request(&d, 1, 60_000_000);
     wanted.query.memory_mb = Some(100.0);
     let exchange = Exchange::new(wanted);
     assert!(d.submit(&exchange));
     let first = notes.0.borrow().last().unwrap().clone();
-    assert!(first.starts_with("send 1.0 ") && first.contains(" with 1"), "{first}");
-    d.carry_out(Action::Terms { query: 1, memory_mb: 333.4, priority: 1 });
+    assert!(
+        first.starts_with("send 1.0 ") && first.contains(" with 1"),
+        "{first}"
+    );
+    d.carry_out(Action::Terms {
+        query: 1,
+        memory_mb: 333.4,
+        priority: 1,
+    });
     d.ended(end(1, 0, Outcome::Severed));
     let second = notes.0.borrow().last().unwrap().clone();
-    assert!(second.starts_with("send 1.1 ") && !second.contains("333"), "the module's last word: {second}");
+    assert!(
+        second.starts_with("send 1.1 ") && !second.contains("333"),
+        "the module's last word: {second}"
+    );
 }
 
 /// News reaches the module while its attempt is out, and only that of the attempt that is: of a line for memory it
 /// withdraws an attempt that can go elsewhere.
 #[test]
 fn news_of_an_attempt_reaches_the_module() {
-    let (d, notes) = with(2, Settings { note_period: Some(1_000_000), ..Settings::default() });
+    let (d, notes) = with(
+        2,
+        Settings {
+            note_period: Some(1_000_000),
+            ..Settings::default()
+        },
+    );
     let _exchange = ask(&d, 1, 60_000_000);
     let sends = |d: &Dispatch| d.open.borrow().get(&1).map_or(0, |o| o.attempts);
     d.noted(1, 7, Progress::WaitsForMemory);
     d.noted(8, 0, Progress::WaitsForMemory);
     assert!(sends(&d) == 1 && !notes.0.borrow().iter().any(|n| n == "cancel 1"));
     d.noted(1, 0, Progress::WaitsForMemory);
-    assert!(sends(&d) == 2 && notes.0.borrow().iter().any(|n| n == "cancel 1"), "{:?}", notes.0.borrow());
+    assert!(
+        sends(&d) == 2 && notes.0.borrow().iter().any(|n| n == "cancel 1"),
+        "{:?}",
+        notes.0.borrow()
+    );
 }
 
 /// What waits for a connection when its client leaves never begins, whatever its class: where an attempt may not be
@@ -249,15 +365,33 @@
 fn what_waits_for_a_connection_ends_with_its_client() {
     for effect in [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce] {
         for waits in [true, false] {
-            let (d, notes) = of_class(1, Class { effect, ..Class::default() }, Settings::default());
+            let (d, notes) = of_class(
+                1,
+                Class {
+                    effect,
+                    ..Class::default()
+                },
+                Settings::default(),
+            );
             notes.2.set(waits);
             let exchange = ask(&d, 1, 60_000_000);
             d.withdraw(1);
-            let taken_back = notes.0.borrow().iter().any(|n| n == "cancel 1" || n == "recall 1");
+            let taken_back = notes
+                .0
+                .borrow()
+                .iter()
+                .any(|n| n == "cancel 1" || n == "recall 1");
             let over = d.open.borrow().is_empty();
-            assert!(taken_back && answer(&exchange).is_none(), "{effect:?} {waits}: {:?}", notes.0.borrow());
+            assert!(
+                taken_back && answer(&exchange).is_none(),
+                "{effect:?} {waits}: {:?}",
+                notes.0.borrow()
+            );
             assert!(over || !waits, "{effect:?}: it goes on waiting");
-            assert!(over || effect != Effect::Idempotent, "{waits}: one that may be repeated is withdrawn");
+            assert!(
+                over || effect != Effect::Idempotent,
+                "{waits}: one that may be repeated is withdrawn"
+            );
         }
     }
 }
@@ -265,8 +399,14 @@
 /// The same as an answer is given up: nothing begins for a query that has its answer.
 #[test]
 fn what_waits_for_a_connection_ends_with_its_answer() {
-    let (d, notes) =
-        of_class(1, Class { effect: Effect::AtMostOnce, ..Class::default() }, Settings::default());
+    let (d, notes) = of_class(
+        1,
+        Class {
+            effect: Effect::AtMostOnce,
+            ..Class::default()
+        },
+        Settings::default(),
+    );
     notes.2.set(true);
     let exchange = ask(&d, 1, 60_000_000);
     d.carry_out(Action::Fail { query: 1 });
@@ -279,15 +419,26 @@
 #[test]
 fn a_repeat_begins_within_the_deduplication_window() {
     let window = Some(2_000_000);
-    let class = Class { effect: Effect::Deduplicated, dedup_window: window, ..Class::default() };
+    let class = Class {
+        effect: Effect::Deduplicated,
+        dedup_window: window,
+        ..Class::default()
+    };
     let (d, notes) = of_class(3, class, Settings::default());
     let exchange = ask(&d, 1, 30_000_000);
     d.ended(end(1, 0, Outcome::Refused));
     let before = d.now();
     d.ended(end(1, 1, Outcome::Severed));
     let by = notes.3.borrow().clone();
-    assert_eq!(by[..2], [exchange.request.deadline(); 2], "nothing has run: only the deadline counts");
-    assert!(by[2] <= before + 2_000_000 && by[2] >= exchange.request.received + 2_000_000, "{by:?}");
+    assert_eq!(
+        by[..2],
+        [exchange.request.deadline(); 2],
+        "nothing has run: only the deadline counts"
+    );
+    assert!(
+        by[2] <= before + 2_000_000 && by[2] >= exchange.request.received + 2_000_000,
+        "{by:?}"
+    );
 }
 
 /// As the process ends, what is open is answered, and what is read later too: begun, it would be cut by the end.
--- a/violetgate/src/engine/codec.rs
+++ b/violetgate/src/engine/codec.rs
@@ -68,17 +68,27 @@
 #[must_use]
 pub fn parse(bytes: &[u8]) -> Parsed<'_> {
     let Some(end) = memchr::memchr(b'\n', bytes) else {
-        return if bytes.len() > MAX_LINE { Parsed::Garbage } else { Parsed::Part };
+        return if bytes.len() > MAX_LINE {
+            Parsed::Garbage
+        } else {
+            Parsed::Part
+        };
     };
-    let line = bytes.get(..end).and_then(|l| l.strip_suffix(b"\r")).and_then(|l| std::str::from_utf8(l).ok());
-    let Some((rid, word, fields, length)) = line.filter(|l| l.len() <= MAX_LINE).and_then(words) else {
+    let line = bytes
+        .get(..end)
+        .and_then(|l| l.strip_suffix(b"\r"))
+        .and_then(|l| std::str::from_utf8(l).ok());
+    let Some((rid, word, fields, length)) = line.filter(|l| l.len() <= MAX_LINE).and_then(words)
+    else {
         return Parsed::Garbage;
     };
     let (Some(id), Some(length)) = (hex(rid), number(length).filter(|n| *n <= MAX_BODY)) else {
         return Parsed::Garbage;
     };
     let from = end + 1;
-    let Some(body) = bytes.get(from..from + length) else { return Parsed::Part };
+    let Some(body) = bytes.get(from..from + length) else {
+        return Parsed::Part;
+    };
     match bytes.get(from + length..from + length + 2) {
         Some(b"\r\n") => {}
         Some(_) => return Parsed::Garbage,
@@ -93,10 +103,21 @@
         "progress" => Word::Progress,
         _ => return Parsed::Garbage,
     };
-    let mut reply = Reply { id, rid, word, chunks: None, at: None, cost: None, note: None, body };
+    let mut reply = Reply {
+        id,
+        rid,
+        word,
+        chunks: None,
+        at: None,
+        cost: None,
+        note: None,
+        body,
+    };
     let (mut spent, mut wanted, mut news, mut amount) = (None, None, None, None);
     for field in fields.split(',').filter(|_| fields != "-") {
-        let Some((name, value)) = field.split_once('=') else { return Parsed::Garbage };
+        let Some((name, value)) = field.split_once('=') else {
+            return Parsed::Garbage;
+        };
         match name {
             "chunks" => reply.chunks = number(value),
             "at" => reply.at = number(value),
@@ -107,8 +128,13 @@
             _ => {}
         }
     }
-    reply.cost = spent.map(|ms| Cost { work: (ms * 1e3) as u64, memory_mb: wanted.unwrap_or(0.0) });
-    reply.note = news.zip(amount).and_then(|(news, amount)| note(news, amount));
+    reply.cost = spent.map(|ms| Cost {
+        work: (ms * 1e3) as u64,
+        memory_mb: wanted.unwrap_or(0.0),
+    });
+    reply.note = news
+        .zip(amount)
+        .and_then(|(news, amount)| note(news, amount));
     Parsed::Whole(reply, from + length + 2)
 }
 
@@ -130,14 +156,21 @@
 }
 
 fn number(text: &str) -> Option<usize> {
-    text.bytes().all(|b| b.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|b| b.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 fn measure(text: &str) -> Option<f64> {
-    text.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0)
+    text.parse::<f64>()
+        .ok()
+        .filter(|v| v.is_finite() && *v >= 0.0)
 }
 
 fn hex(text: &str) -> Option<QueryId> {
     let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    plain.then(|| QueryId::from_str_radix(text, 16).ok()).flatten()
+    plain
+        .then(|| QueryId::from_str_radix(text, 16).ok())
+        .flatten()
 }
--- a/violetgate/src/engine/conn.rs
+++ b/violetgate/src/engine/conn.rs
@@ -79,7 +79,13 @@
 }
 
 impl Conn {
-    pub fn new(id: u64, engine: EngineId, addr: SocketAddr, now: Micros, stats: Rc<Stats>) -> Rc<Self> {
+    pub fn new(
+        id: u64,
+        engine: EngineId,
+        addr: SocketAddr,
+        now: Micros,
+        stats: Rc<Stats>,
+    ) -> Rc<Self> {
         Rc::new(Conn {
             id,
             engine,
@@ -101,7 +107,10 @@
     /// Its engine has closed it, or has said something while nothing was asked: that is read next.
     pub fn is_closing(&self) -> bool {
         let state = self.state.borrow();
-        let said = state.stream.as_ref().map(|stream| stream.get_ref().peek(&mut [0]));
+        let said = state
+            .stream
+            .as_ref()
+            .map(|stream| stream.get_ref().peek(&mut [0]));
         said.is_some_and(|said| !matches!(said, Err(e) if e.kind() == ErrorKind::WouldBlock))
     }
 
@@ -122,8 +131,15 @@
         let id = attempt.exchange.request.query.id;
         attempt.exchange.trail.borrow_mut().push(self.id);
         s.queue.push_back(Command::Serve(id, attempt.number));
-        let slot =
-            Slot { attempt, tries, written: false, pages: Vec::new(), missing: 0, bytes: 0, cost: None };
+        let slot = Slot {
+            attempt,
+            tries,
+            written: false,
+            pages: Vec::new(),
+            missing: 0,
+            bytes: 0,
+            cost: None,
+        };
         s.open.insert(id, slot);
         self.carried.set(self.carried.get() + 1);
     }
@@ -131,7 +147,9 @@
     /// Gives a request up. False: nothing of it was ever written.
     pub fn cancel(&self, id: QueryId, now: Micros) -> bool {
         let mut s = self.state.borrow_mut();
-        let Some(slot) = s.open.remove(&id) else { return true };
+        let Some(slot) = s.open.remove(&id) else {
+            return true;
+        };
         self.idle_since.set(now);
         if !slot.written {
             // It may be the command at hand, if the socket has taken nothing of that yet.
@@ -146,14 +164,23 @@
         // same id. So nothing further is asked here, while others that are open still get their answers.
         self.retired.set(true);
         // Once its answer has begun, only the rest of its pages is given up.
-        let word = if slot.pages.is_empty() { "cancel" } else { "release" };
-        s.queue.push_back(Command::Line(format!("{word} {}\r\n", slot.attempt.exchange.request.rid)));
+        let word = if slot.pages.is_empty() {
+            "cancel"
+        } else {
+            "release"
+        };
+        s.queue.push_back(Command::Line(format!(
+            "{word} {}\r\n",
+            slot.attempt.exchange.request.rid
+        )));
         true
     }
 
     pub fn weigh(&self, id: QueryId, level: u8) {
         let mut s = self.state.borrow_mut();
-        let Some(slot) = s.open.get_mut(&id) else { return };
+        let Some(slot) = s.open.get_mut(&id) else {
+            return;
+        };
         slot.attempt.level = Some(level);
         if slot.written && slot.pages.is_empty() {
             let line = format!("weigh {} {level}\r\n", slot.attempt.exchange.request.rid);
@@ -179,8 +206,14 @@
 
     fn take_back(&self, which: impl Fn(&Attempt) -> bool) -> Vec<End> {
         let late = |s: &Slot| !s.written && which(&s.attempt);
-        let ids: Vec<_> =
-            self.state.borrow().open.iter().filter(|(_, s)| late(s)).map(|(id, _)| *id).collect();
+        let ids: Vec<_> = self
+            .state
+            .borrow()
+            .open
+            .iter()
+            .filter(|(_, s)| late(s))
+            .map(|(id, _)| *id)
+            .collect();
         let number = |id: QueryId| self.state.borrow().open.get(&id).map(|s| s.attempt.number);
         let mut ends = Vec::new();
         for id in ids {
@@ -194,7 +227,9 @@
     pub fn flush(&self, now: Micros) -> Result<(), &'static str> {
         let mut guard = self.state.borrow_mut();
         let s = &mut *guard;
-        let Some(stream) = s.stream.clone() else { return Ok(()) };
+        let Some(stream) = s.stream.clone() else {
+            return Ok(());
+        };
         self.blocked.set(false);
         if s.queue.len() > MAX_QUEUE {
             return Err("stalled");
@@ -210,7 +245,9 @@
                     None => return Ok(()),
                     Some(Command::Line(line)) => s.writing.extend_from_slice(line.as_bytes()),
                     Some(Command::Serve(id, number)) => {
-                        if let Some(slot) = s.open.get(&id).filter(|slot| slot.attempt.number == number) {
+                        if let Some(slot) =
+                            s.open.get(&id).filter(|slot| slot.attempt.number == number)
+                        {
                             encode(&mut s.writing, &slot.attempt, now);
                             (s.starts, s.attempt) = (Some(id), true);
                         }
@@ -250,7 +287,12 @@
     }
 
     /// Takes the next whole answer off `buffer` that says something of an attempt.
-    pub fn next(&self, buffer: &[u8], used: &mut usize, now: Micros) -> Result<Option<Said>, &'static str> {
+    pub fn next(
+        &self,
+        buffer: &[u8],
+        used: &mut usize,
+        now: Micros,
+    ) -> Result<Option<Said>, &'static str> {
         loop {
             match codec::parse(buffer.get(*used..).unwrap_or_default()) {
                 Parsed::Part => return Ok(None),
@@ -272,7 +314,8 @@
             // A late answer to a dead attempt, a second copy, or one under an id that nobody here knows: it is
             // skipped, and its further pages can go.
             if reply.word == Word::Ok && reply.chunks.is_some_and(|n| n > 1) {
-                s.queue.push_back(Command::Line(format!("release {}\r\n", reply.rid)));
+                s.queue
+                    .push_back(Command::Line(format!("release {}\r\n", reply.rid)));
             }
             return Ok(None);
         };
@@ -320,14 +363,22 @@
                 Outcome::Completed
             }
         };
-        let Some(slot) = s.open.remove(&reply.id) else { return Ok(None) };
+        let Some(slot) = s.open.remove(&reply.id) else {
+            return Ok(None);
+        };
         self.idle_since.set(now);
         let pages = if outcome == Outcome::Completed {
             slot.pages.into_iter().flatten().collect()
         } else {
             Pages::new()
         };
-        Ok(Some(Said::End((reply.id, slot.attempt.number, outcome, slot.cost, pages))))
+        Ok(Some(Said::End((
+            reply.id,
+            slot.attempt.number,
+            outcome,
+            slot.cost,
+            pages,
+        ))))
     }
 
     /// Ends the connection: the ends of what was written on it, which is severed, and what was not, which has
@@ -345,7 +396,13 @@
         s.queue.clear();
         for (id, slot) in s.open.drain() {
             if slot.written {
-                ends.push((id, slot.attempt.number, Outcome::Severed, None, Pages::new()));
+                ends.push((
+                    id,
+                    slot.attempt.number,
+                    Outcome::Severed,
+                    None,
+                    Pages::new(),
+                ));
             } else {
                 unsent.push((slot.attempt, slot.tries + 1));
             }
--- a/violetgate/src/engine/conn/tests.rs
+++ b/violetgate/src/engine/conn/tests.rs
@@ -5,7 +5,11 @@
 use linnetreach::interface::NewQuery;
 
 fn attempt(id: QueryId) -> Attempt {
-    let query = NewQuery { id, time_left: 1_000_000, ..NewQuery::default() };
+    let query = NewQuery {
+        id,
+        time_left: 1_000_000,
+        ..NewQuery::default()
+    };
     let request = Request {
         query,
         received: 0,
@@ -26,7 +30,13 @@
 }
 
 fn conn() -> Rc<Conn> {
-    Conn::new(1, 3, SocketAddr::from(([127, 0, 0, 1], 1)), 0, Rc::new(Stats::new([].into_iter())))
+    Conn::new(
+        1,
+        3,
+        SocketAddr::from(([127, 0, 0, 1], 1)),
+        0,
+        Rc::new(Stats::new([].into_iter())),
+    )
 }
 
 /// What waits for its connection has surely not run, and no longer may: one that left late would break
@@ -37,13 +47,23 @@
     (1..=3).for_each(|id| conn.serve(attempt(id), 0));
     assert!(!conn.cancel(1, 0), "given up before it was written");
     conn.flush(0).unwrap();
-    let mut ends: Vec<_> = conn.take_unwritten().into_iter().map(|e| (e.0, e.2)).collect();
+    let mut ends: Vec<_> = conn
+        .take_unwritten()
+        .into_iter()
+        .map(|e| (e.0, e.2))
+        .collect();
     ends.sort_unstable_by_key(|e| e.0);
     assert_eq!(ends, [(2, Outcome::Superseded), (3, Outcome::Superseded)]);
     conn.serve(attempt(4), 0);
     let (ends, unsent) = conn.end("connect_refused");
     assert!(ends.is_empty());
-    assert_eq!(unsent.iter().map(|(a, n)| (a.exchange.request.query.id, *n)).collect::<Vec<_>>(), [(4, 1)]);
+    assert_eq!(
+        unsent
+            .iter()
+            .map(|(a, n)| (a.exchange.request.query.id, *n))
+            .collect::<Vec<_>>(),
+        [(4, 1)]
+    );
     assert!(conn.end("reset").1.is_empty(), "it ends once");
 }
 
@@ -63,7 +83,12 @@
     assert!(conn.cancel(1, 0));
     conn.flush(0).unwrap();
     assert!(conn.retired.get());
-    let ends: Vec<_> = conn.end("reset").0.into_iter().map(|e| (e.0, e.2)).collect();
+    let ends: Vec<_> = conn
+        .end("reset")
+        .0
+        .into_iter()
+        .map(|e| (e.0, e.2))
+        .collect();
     assert_eq!(ends, [(2, Outcome::Severed)]);
     let mut sent = String::new();
     engine.read_to_string(&mut sent).unwrap();
@@ -80,19 +105,28 @@
     let exchange = attempt(1);
     conn.serve(exchange, 0);
     conn.state.borrow_mut().open.get_mut(&1).unwrap().written = true;
-    let page =
-        |id: u8, word: &str, row: &str| format!("{id:016x} {word} {}\r\n{row}\r\n", row.len()).into_bytes();
-    let (zero, one) = (page(1, "ok chunks=2,spent=5", "a\tb\tc\n"), page(1, "batch at=1", "d\te\tf\n"));
+    let page = |id: u8, word: &str, row: &str| {
+        format!("{id:016x} {word} {}\r\n{row}\r\n", row.len()).into_bytes()
+    };
+    let (zero, one) = (
+        page(1, "ok chunks=2,spent=5", "a\tb\tc\n"),
+        page(1, "batch at=1", "d\te\tf\n"),
+    );
     let other = page(9, "batch at=4", "x\ty\tz\n");
     let bytes = [&other[..], &zero, &zero, &other, &one, &one, &zero].concat();
     let mut used = 0;
-    let Some(Said::End((id, _, outcome, _, pages))) = conn.next(&bytes, &mut used, 0).unwrap() else {
+    let Some(Said::End((id, _, outcome, _, pages))) = conn.next(&bytes, &mut used, 0).unwrap()
+    else {
         unreachable!("an end")
     };
     assert_eq!((id, outcome), (1, Outcome::Completed));
     assert_eq!(pages.concat(), b"a\tb\tc\nd\te\tf\n");
     assert!(conn.next(&bytes, &mut used, 0).unwrap().is_none() && used == bytes.len());
-    for spoilt in [page(2, "batch at=0", ""), page(2, "ok chunks=999", ""), page(2, "ok -", "a\tb\n")] {
+    for spoilt in [
+        page(2, "batch at=0", ""),
+        page(2, "ok chunks=999", ""),
+        page(2, "ok -", "a\tb\n"),
+    ] {
         conn.serve(attempt(2), 0);
         conn.state.borrow_mut().open.get_mut(&2).unwrap().written = true;
         assert!(conn.next(&spoilt, &mut 0, 0).is_err());
@@ -119,7 +153,11 @@
         b"\xff\xff \xff\r\n",
         &[b'x'; 2000],
     ] {
-        assert!(matches!(codec::parse(bytes), Parsed::Garbage), "{}", bytes.escape_ascii());
+        assert!(
+            matches!(codec::parse(bytes), Parsed::Garbage),
+            "{}",
+            bytes.escape_ascii()
+        );
     }
 }
 
@@ -128,7 +166,13 @@
 #[test]
 fn news_of_an_attempt_is_no_answer() {
     let conn = conn();
-    conn.serve(Attempt { number: 2, ..attempt(1) }, 0);
+    conn.serve(
+        Attempt {
+            number: 2,
+            ..attempt(1)
+        },
+        0,
+    );
     conn.state.borrow_mut().open.get_mut(&1).unwrap().written = true;
     let note = |id: u8, fields: &str| format!("{id:016x} progress {fields} 0\r\n\r\n");
     let skipped = [
@@ -145,7 +189,9 @@
         note(1, "n=stall,amount=2"),
     ];
     let answer = format!("{:016x} ok chunks=1 6\r\na\tb\tc\n\r\n", 1);
-    let bytes = [skipped.concat(), told.concat(), answer].concat().into_bytes();
+    let bytes = [skipped.concat(), told.concat(), answer]
+        .concat()
+        .into_bytes();
     let mut used = 0;
     let mut news = Vec::new();
     loop {
@@ -154,8 +200,12 @@
             Said::End(end) => break assert_eq!((end.0, end.1, end.2), (1, 2, Outcome::Completed)),
         }
     }
-    let all =
-        [Progress::Done(0.25), Progress::Spills(96.5), Progress::WaitsForMemory, Progress::WaitsForLoad];
+    let all = [
+        Progress::Done(0.25),
+        Progress::Spills(96.5),
+        Progress::WaitsForMemory,
+        Progress::WaitsForLoad,
+    ];
     assert_eq!(news, all.map(|n| (1, 2, n)));
     assert!(used == bytes.len() && conn.ended.get().is_none());
 }
@@ -165,9 +215,20 @@
 fn a_grant_is_written() {
     let fields = |grant_mb| {
         let mut out = Vec::new();
-        encode(&mut out, &Attempt { grant_mb, ..attempt(1) }, 0);
+        encode(
+            &mut out,
+            &Attempt {
+                grant_mb,
+                ..attempt(1)
+            },
+            0,
+        );
         String::from_utf8(out).unwrap()
     };
-    assert!(fields(384).contains("patience=2,reserve=384,level=2 8\r\n"), "{}", fields(384));
+    assert!(
+        fields(384).contains("patience=2,reserve=384,level=2 8\r\n"),
+        "{}",
+        fields(384)
+    );
     assert!(!fields(0).contains("reserve"));
 }
--- a/violetgate/src/engine/pool.rs
+++ b/violetgate/src/engine/pool.rs
@@ -88,10 +88,18 @@
     /// Changes how many connections there may be. Where there are more, idle ones end, longest idle first.
     pub fn resize(&self, most: usize) {
         self.most.set(most);
-        let mut idle: Vec<_> = self.conns.borrow().values().filter(|c| c.load() == 0).cloned().collect();
+        let mut idle: Vec<_> = self
+            .conns
+            .borrow()
+            .values()
+            .filter(|c| c.load() == 0)
+            .cloned()
+            .collect();
         idle.sort_by_key(|c| c.idle_since.get());
         let excess = self.conns.borrow().len().saturating_sub(most);
-        idle.iter().take(excess).for_each(|c| self.end(c, "evicted"));
+        idle.iter()
+            .take(excess)
+            .for_each(|c| self.end(c, "evicted"));
     }
 
     /// Closes, for ever, connections that an engine would soon close for being idle, so that no request
@@ -118,7 +126,13 @@
             self.at.borrow_mut().remove(&query);
             let cost = cost.filter(|_| self.link.tells_cost);
             if let Some(reports) = &reports {
-                reports.ended(AttemptEnd { query, number, outcome, cost, pages });
+                reports.ended(AttemptEnd {
+                    query,
+                    number,
+                    outcome,
+                    cost,
+                    pages,
+                });
             }
         }
     }
@@ -152,7 +166,11 @@
         let now = self.clock.now();
         if conn.is_up() {
             let all = !self.may_send();
-            self.report(if all { conn.take_unwritten() } else { conn.take_late(now) });
+            self.report(if all {
+                conn.take_unwritten()
+            } else {
+                conn.take_late(now)
+            });
         }
         conn.flush(now)
     }
@@ -163,7 +181,9 @@
             self.end(conn, reason);
         } else if conn.blocked.get() && !was_blocked {
             // The socket is full: a task of its own waits for it, so that no other engine does.
-            let (Some(pool), Some(stream)) = (self.me.upgrade(), conn.stream()) else { return };
+            let (Some(pool), Some(stream)) = (self.me.upgrade(), conn.stream()) else {
+                return;
+            };
             let conn = Rc::clone(conn);
             let writer = async move {
                 while conn.blocked.get() && conn.ended.get().is_none() {
@@ -189,7 +209,11 @@
                 && c.load() < self.link.streams
                 && !trail.contains(&c.id)
         };
-        let mut resting: Vec<_> = conns.values().filter(fits).filter(|c| c.load() == 0).collect();
+        let mut resting: Vec<_> = conns
+            .values()
+            .filter(fits)
+            .filter(|c| c.load() == 0)
+            .collect();
         resting.sort_by_key(|c| std::cmp::Reverse(c.idle_since.get()));
         // One that its engine has just closed would take the attempt along: it might have run.
         if let Some(conn) = resting.into_iter().find(|c| !c.is_closing()) {
@@ -200,7 +224,11 @@
             if let Some(conn) = shared.min_by_key(|c| c.load()) {
                 return Some(Rc::clone(conn));
             }
-            let idle = conns.values().filter(|c| c.load() == 0).min_by_key(|c| c.idle_since.get()).cloned();
+            let idle = conns
+                .values()
+                .filter(|c| c.load() == 0)
+                .min_by_key(|c| c.idle_since.get())
+                .cloned();
             drop(conns);
             self.end(&*idle?, "evicted");
         } else {
@@ -216,7 +244,8 @@
         let never = |outcome| vec![(query, number, outcome, None, Pages::new())];
         let listed = self.listed.borrow().get(&attempt.engine).cloned();
         let barred = self.barred.borrow().contains(&attempt.engine) || !self.may_send();
-        let Some(listed) = listed.filter(|l| l.engine.state == EngineState::Ready && !barred) else {
+        let Some(listed) = listed.filter(|l| l.engine.state == EngineState::Ready && !barred)
+        else {
             return self.report(never(Outcome::Superseded));
         };
         let trail = attempt.exchange.trail.borrow().clone();
@@ -231,9 +260,17 @@
     fn open(&self, listed: &Listed) -> Option<Rc<Conn>> {
         let id = self.next.get();
         self.next.set(id + 1);
-        let conn = Conn::new(id, listed.engine.id, listed.addr, self.clock.now(), Rc::clone(&self.stats));
+        let conn = Conn::new(
+            id,
+            listed.engine.id,
+            listed.addr,
+            self.clock.now(),
+            Rc::clone(&self.stats),
+        );
         self.conns.borrow_mut().insert(id, Rc::clone(&conn));
-        self.executor.spawn(self.me.upgrade()?.drive(Rc::clone(&conn))).detach();
+        self.executor
+            .spawn(self.me.upgrade()?.drive(Rc::clone(&conn)))
+            .detach();
         Some(conn)
     }
 
@@ -244,7 +281,9 @@
         };
         let stream = match Async::<TcpStream>::connect(conn.addr).or(late).await {
             Ok(stream) => Rc::new(stream),
-            Err(e) if e.kind() == std::io::ErrorKind::TimedOut => return self.end(&conn, "connect_timeout"),
+            Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
+                return self.end(&conn, "connect_timeout")
+            }
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionRefused => {
                 return self.end(&conn, "connect_refused");
             }
@@ -270,7 +309,9 @@
             match conn.read(&stream, &mut buffer).or(late).await {
                 Ok(true) => {}
                 Ok(false) => return self.end(&conn, "closed"),
-                Err(e) if e.kind() == std::io::ErrorKind::TimedOut => return self.end(&conn, "cut_short"),
+                Err(e) if e.kind() == std::io::ErrorKind::TimedOut => {
+                    return self.end(&conn, "cut_short")
+                }
                 Err(_) => return self.end(&conn, "reset"),
             }
             let mut used = 0;
@@ -279,7 +320,9 @@
                     Ok(Some(Said::End(end))) => self.report(vec![end]),
                     Ok(Some(Said::Note(query, number, news))) => {
                         let reports = self.reports.borrow().as_ref().and_then(Weak::upgrade);
-                        reports.into_iter().for_each(|r| r.noted(query, number, news));
+                        reports
+                            .into_iter()
+                            .for_each(|r| r.noted(query, number, news));
                     }
                     Ok(None) => break,
                     Err(reason) => return self.end(&conn, reason),
@@ -306,7 +349,9 @@
     }
 
     fn cancel(&self, query: QueryId) -> bool {
-        let Some(conn) = self.at.borrow_mut().remove(&query) else { return true };
+        let Some(conn) = self.at.borrow_mut().remove(&query) else {
+            return true;
+        };
         let written = conn.cancel(query, self.clock.now());
         self.flush(&conn);
         if conn.retired.get() && conn.load() == 0 {
@@ -316,7 +361,11 @@
     }
 
     fn recall(&self, query: QueryId) -> bool {
-        let waits = self.at.borrow().get(&query).is_some_and(|conn| !conn.has_begun(query));
+        let waits = self
+            .at
+            .borrow()
+            .get(&query)
+            .is_some_and(|conn| !conn.has_begun(query));
         waits && !self.cancel(query)
     }
 
@@ -334,7 +383,13 @@
         } else {
             self.barred.borrow_mut().remove(&engine);
         }
-        let all: Vec<_> = self.conns.borrow().values().filter(|c| c.engine == engine).cloned().collect();
+        let all: Vec<_> = self
+            .conns
+            .borrow()
+            .values()
+            .filter(|c| c.engine == engine)
+            .cloned()
+            .collect();
         for conn in all {
             if out {
                 self.report(conn.take_unwritten());
@@ -351,7 +406,9 @@
     fn list(&self, scope: ListScope, engines: &[Listed]) {
         let mut listed = self.listed.borrow_mut();
         if matches!(scope, ListScope::Whole | ListScope::Stale) {
-            listed.values_mut().for_each(|l| l.engine.state = EngineState::Gone);
+            listed
+                .values_mut()
+                .for_each(|l| l.engine.state = EngineState::Gone);
         }
         let mut moved = Vec::new();
         for l in engines {
--- a/violetgate/src/engine/pool/tests.rs
+++ b/violetgate/src/engine/pool/tests.rs
@@ -29,11 +29,25 @@
         tells_cost: true,
     };
     let stats = Rc::new(Stats::new([].into_iter()));
-    let pool = Pool::new(Rc::new(LocalExecutor::new()), Clock::start(), link, stats, None, most);
+    let pool = Pool::new(
+        Rc::new(LocalExecutor::new()),
+        Clock::start(),
+        link,
+        stats,
+        None,
+        most,
+    );
     let ends = Rc::new(Ends::default());
     let reports: Rc<dyn Reports> = Rc::<Ends>::clone(&ends);
     pool.report_to(Rc::downgrade(&reports));
-    let engine = Engine { id: 0, zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None };
+    let engine = Engine {
+        id: 0,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state: EngineState::Ready,
+        started: None,
+    };
     pool.list(ListScope::Whole, &[Listed { engine, addr }]);
     (pool, ends)
 }
@@ -43,7 +57,11 @@
 }
 
 fn send_by(pool: &Pool, id: QueryId, begin_by: Micros) {
-    let query = NewQuery { id, time_left: 1_000_000, ..NewQuery::default() };
+    let query = NewQuery {
+        id,
+        time_left: 1_000_000,
+        ..NewQuery::default()
+    };
     let request = Request {
         query,
         received: 0,
@@ -75,7 +93,11 @@
     fn new(most: usize) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let (pool, ends) = pool_at(listener.local_addr().unwrap(), most);
-        Played { pool, ends, listener }
+        Played {
+            pool,
+            ends,
+            listener,
+        }
     }
 
     /// Lets the pool run until something holds.
@@ -126,10 +148,18 @@
     send(&pool, 1);
     pool.cordon(0, true);
     send(&pool, 2);
-    assert_eq!(ends.0.take(), [(1, Outcome::Superseded), (2, Outcome::Superseded)]);
+    assert_eq!(
+        ends.0.take(),
+        [(1, Outcome::Superseded), (2, Outcome::Superseded)]
+    );
     pool.cordon(0, false);
     send(&pool, 3);
-    let loads: Vec<_> = pool.conns.borrow().values().map(|c| (c.id, c.load())).collect();
+    let loads: Vec<_> = pool
+        .conns
+        .borrow()
+        .values()
+        .map(|c| (c.id, c.load()))
+        .collect();
     assert_eq!(loads, [(1, 1)]);
 }
 
@@ -159,7 +189,9 @@
     let engine = Played::new(3);
     send(&engine.pool, 1);
     let (mut first, _) = engine.serves();
-    first.write_all(b"0000000000000001 refused - 0\r\n\r\n").unwrap();
+    first
+        .write_all(b"0000000000000001 refused - 0\r\n\r\n")
+        .unwrap();
     engine.until("it ends", || engine.ends.0.borrow().len() == 1);
     drop(first);
     send(&engine.pool, 2);
@@ -174,7 +206,9 @@
     let engine = Played::new(3);
     send(&engine.pool, 1);
     let (mut first, _) = engine.serves();
-    first.write_all(b"0000000000000001 refused - 0\r\n\r\n").unwrap();
+    first
+        .write_all(b"0000000000000001 refused - 0\r\n\r\n")
+        .unwrap();
     engine.until("it ends", || engine.ends.0.borrow().len() == 1);
     send(&engine.pool, 2);
     assert_eq!(engine.pool.conns.borrow().len(), 1);
@@ -189,7 +223,10 @@
     assert_eq!(engine.ends.0.take(), [(1, Outcome::Superseded)]);
     send(&engine.pool, 2);
     let (_stream, got) = engine.serves();
-    assert!(got.starts_with("serve 0000000000000002 "), "the first was never written: {got}");
+    assert!(
+        got.starts_with("serve 0000000000000002 "),
+        "the first was never written: {got}"
+    );
 }
 
 /// Taken back while it waits for its connection, an attempt never begins, and nothing is told of it; one that has begun
@@ -203,7 +240,9 @@
     let (mut stream, got) = engine.serves();
     assert!(got.starts_with("serve 0000000000000002 "), "{got}");
     assert!(!engine.pool.recall(2) && !engine.pool.recall(1) && engine.ends.0.borrow().is_empty());
-    stream.write_all(b"0000000000000002 refused - 0\r\n\r\n").unwrap();
+    stream
+        .write_all(b"0000000000000002 refused - 0\r\n\r\n")
+        .unwrap();
     engine.until("it ends by itself", || engine.ends.0.borrow().len() == 1);
     assert_eq!(engine.ends.0.take(), [(2, Outcome::Saturated)]);
 }
@@ -212,7 +251,10 @@
 /// last byte: it can't hold its attempt, and neither does one whose line never ends.
 #[test]
 fn an_answer_that_trickles_is_cut_short() {
-    for begin in ["0000000000000001 ok chunks=1,spent=5,wanted=9 5000\r\n", "0000000000000001 ok chunks="] {
+    for begin in [
+        "0000000000000001 ok chunks=1,spent=5,wanted=9 5000\r\n",
+        "0000000000000001 ok chunks=",
+    ] {
         let engine = Played::new(3);
         send(&engine.pool, 1);
         let (mut stream, _) = engine.serves();
--- a/violetgate/src/exchange.rs
+++ b/violetgate/src/exchange.rs
@@ -45,7 +45,12 @@
     #[must_use]
     pub fn deadline(&self) -> Micros {
         let left = self.query.time_left;
-        let kept = TRANSIT + if self.query.key.is_some() { KEY_HELD } else { 0 };
+        let kept = TRANSIT
+            + if self.query.key.is_some() {
+                KEY_HELD
+            } else {
+                0
+            };
         self.received.saturating_add(left - kept.min(left / 4))
     }
 }
@@ -114,7 +119,11 @@
     /// Opens an exchange.
     #[must_use]
     pub fn new(request: Request) -> Rc<Self> {
-        Rc::new(Exchange { request, trail: RefCell::default(), state: RefCell::default() })
+        Rc::new(Exchange {
+            request,
+            trail: RefCell::default(),
+            state: RefCell::default(),
+        })
     }
 
     /// Gives the answer.
--- a/violetgate/src/fence.rs
+++ b/violetgate/src/fence.rs
@@ -39,7 +39,11 @@
             (Effect::Deduplicated, 1, false),
         ] {
             let answer = turned_away(effect, attempts, Answer::Stale);
-            assert_eq!(matches!(answer, Answer::Stale), harmless, "{effect:?} {attempts}");
+            assert_eq!(
+                matches!(answer, Answer::Stale),
+                harmless,
+                "{effect:?} {attempts}"
+            );
         }
     }
 }
--- a/violetgate/src/fleet.rs
+++ b/violetgate/src/fleet.rs
@@ -55,26 +55,42 @@
                 suspect_for: micros(given.suspect_for),
                 ..MembershipConfig::default()
             },
-            shares: SharesConfig { told, settle: micros(given.settle), step: micros(given.step) },
+            shares: SharesConfig {
+                told,
+                settle: micros(given.settle),
+                step: micros(given.step),
+            },
             life: clock.now(),
             seed,
         };
         let decisions = Rc::clone(dispatch);
         let tell = move |news| match news {
             News::Share(count) => {
-                log::line(format_args!("fleet: this front end reckons with {count}, itself included"));
+                log::line(format_args!(
+                    "fleet: this front end reckons with {count}, itself included"
+                ));
                 decisions.fleet(count);
             }
-            News::Member(name, state) => log::line(format_args!("fleet: {name} is {}", word(state))),
+            News::Member(name, state) => {
+                log::line(format_args!("fleet: {name} is {}", word(state)))
+            }
             News::Link(name, true) => {
-                log::line(format_args!("fleet: the link to {name} is cut, others reach it"));
+                log::line(format_args!(
+                    "fleet: the link to {name} is cut, others reach it"
+                ));
+            }
+            News::Link(name, false) => {
+                log::line(format_args!("fleet: the link to {name} is whole again"))
             }
-            News::Link(name, false) => log::line(format_args!("fleet: the link to {name} is whole again")),
             News::Superseded => {
-                log::line("fleet: a newer process has this front end's name, this one has left the fleet");
+                log::line(
+                    "fleet: a newer process has this front end's name, this one has left the fleet",
+                );
             }
             News::TurnedAway(from, why) => {
-                log::line(format_args!("fleet: datagrams of {from} are turned away: {why}"));
+                log::line(format_args!(
+                    "fleet: datagrams of {from} are turned away: {why}"
+                ));
             }
             News::Waits(at) => {
                 log::line(format_args!(
@@ -82,10 +98,17 @@
                 ));
             }
             News::Full(name) => {
-                log::line(format_args!("fleet: no room for {name}, too many are known"));
+                log::line(format_args!(
+                    "fleet: no room for {name}, too many are known"
+                ));
             }
         };
-        let link = Link::start(executor, options, Box::new(move || clock.now()), Box::new(tell));
+        let link = Link::start(
+            executor,
+            options,
+            Box::new(move || clock.now()),
+            Box::new(tell),
+        );
         let link = link.map_err(|e| format!("`fleet.listen` {}: {e}", given.listen))?;
         log::line(format_args!(
             "violetgate is {} of fleet {} at {}, told of {told} front ends",
@@ -116,15 +139,37 @@
     pub fn figures(&self) -> String {
         let now = self.clock.now();
         let mut out = format!("svc_fleet_share {}\n", self.link.share());
-        let _ = writeln!(out, "svc_fleet_doubts_itself {}", u8::from(self.link.doubts_itself()));
+        let _ = writeln!(
+            out,
+            "svc_fleet_doubts_itself {}",
+            u8::from(self.link.doubts_itself())
+        );
         let (turned_away, unsent) = self.link.losses();
-        let _ = writeln!(out, "svc_fleet_turned_away_total {turned_away}\nsvc_fleet_unsent_total {unsent}");
+        let _ = writeln!(
+            out,
+            "svc_fleet_turned_away_total {turned_away}\nsvc_fleet_unsent_total {unsent}"
+        );
         let (sent, received) = self.traffic();
-        let _ = writeln!(out, "svc_fleet_sent_bytes_total {sent}\nsvc_fleet_received_bytes_total {received}");
-        for Member { name, addr, state, since, cut, .. } in self.link.members() {
+        let _ = writeln!(
+            out,
+            "svc_fleet_sent_bytes_total {sent}\nsvc_fleet_received_bytes_total {received}"
+        );
+        for Member {
+            name,
+            addr,
+            state,
+            since,
+            cut,
+            ..
+        } in self.link.members()
+        {
             let age = now.saturating_sub(since) / 1_000_000;
             let labels = format!("member=\"{name}\",address=\"{addr}\"");
-            let _ = writeln!(out, "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {age}", word(state));
+            let _ = writeln!(
+                out,
+                "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {age}",
+                word(state)
+            );
             if let Some(cut) = cut {
                 let age = now.saturating_sub(cut) / 1_000_000;
                 let _ = writeln!(out, "svc_fleet_link_cut_seconds{{{labels}}} {age}");
--- a/violetgate/src/keyed.rs
+++ b/violetgate/src/keyed.rs
@@ -71,7 +71,9 @@
         budget: Budget,
         most: usize,
     ) -> Rc<Self> {
-        let window = |c: &Class| (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW));
+        let window = |c: &Class| {
+            (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
+        };
         let now = inner.now();
         Rc::new_cyclic(|me| Keyed {
             me: me.clone(),
@@ -95,19 +97,32 @@
     /// Keys that are taken, queries that joined another so far, and those that got a recorded answer.
     #[must_use]
     pub fn figures(&self) -> (usize, u64, u64) {
-        (self.keys.borrow().len(), self.joined.get(), self.replayed.get())
+        (
+            self.keys.borrow().len(),
+            self.joined.get(),
+            self.replayed.get(),
+        )
     }
 
     fn wait(&self, key: &str, exchange: &Rc<Exchange>, late: Option<Task<()>>) {
-        let waiter = Waiter { key: key.into(), exchange: Rc::clone(exchange), _late: late };
-        self.waiting.borrow_mut().insert(exchange.request.query.id, waiter);
+        let waiter = Waiter {
+            key: key.into(),
+            exchange: Rc::clone(exchange),
+            _late: late,
+        };
+        self.waiting
+            .borrow_mut()
+            .insert(exchange.request.query.id, waiter);
     }
 
     /// Hands a query on. False: its id is open, or was just now.
     fn run(&self, key: &str, exchange: &Rc<Exchange>) -> bool {
         let id = exchange.request.query.id;
         let harmless = |answer| {
-            let waiters = self.keys.borrow_mut().ended(self.now(), key, Ending::Harmless);
+            let waiters = self
+                .keys
+                .borrow_mut()
+                .ended(self.now(), key, Ending::Harmless);
             debug_assert_eq!(waiters, [id]);
             exchange.settle(answer);
         };
@@ -140,10 +155,15 @@
         let ending = match &answer {
             Answer::Served(served) => {
                 grant.shrink(served.bytes());
-                Ending::Served(Recorded { served: Rc::clone(served), _grant: Rc::new(grant) })
+                Ending::Served(Recorded {
+                    served: Rc::clone(served),
+                    _grant: Rc::new(grant),
+                })
             }
             // What no engine connection ever had has surely not run.
-            Answer::Refused { .. } | Answer::Closing | Answer::Stale if leader.trail.borrow().is_empty() => {
+            Answer::Refused { .. } | Answer::Closing | Answer::Stale
+                if leader.trail.borrow().is_empty() =>
+            {
                 Ending::Harmless
             }
             _ => Ending::Unknown,
@@ -181,7 +201,8 @@
         if self.keys.borrow_mut().left(self.now(), key, &id) {
             // Nobody waits any more: its client has left, and so it is withdrawn.
             let run = self.runs.borrow_mut().remove(key);
-            run.into_iter().for_each(|run| self.inner.withdraw(run.query));
+            run.into_iter()
+                .for_each(|run| self.inner.withdraw(run.query));
         }
     }
 }
@@ -189,30 +210,50 @@
 /// What has to be the same in every query of a key.
 fn print(request: &Request) -> Print {
     let mut hash = Sha256::new();
-    for part in [request.class.as_bytes(), &request.query.tenant.to_be_bytes(), &request.statement] {
+    for part in [
+        request.class.as_bytes(),
+        &request.query.tenant.to_be_bytes(),
+        &request.statement,
+    ] {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
     hash.update(request.query.key.map_or([0; 9], |k| {
         let mut bytes = [1; 9];
-        bytes.iter_mut().skip(1).zip(k.to_be_bytes()).for_each(|(b, k)| *b = k);
+        bytes
+            .iter_mut()
+            .skip(1)
+            .zip(k.to_be_bytes())
+            .for_each(|(b, k)| *b = k);
         bytes
     }));
     let mut print = Print::default();
-    print.iter_mut().zip(hash.finalize()).for_each(|(p, h)| *p = h);
+    print
+        .iter_mut()
+        .zip(hash.finalize())
+        .for_each(|(p, h)| *p = h);
     print
 }
 
 impl Intake for Keyed {
     fn submit(&self, exchange: &Rc<Exchange>) -> bool {
         let request = &exchange.request;
-        let window = self.windows.get(request.query.class as usize).copied().flatten();
-        let (Some(key), Some(window)) = (&request.token, window) else { return self.inner.submit(exchange) };
+        let window = self
+            .windows
+            .get(request.query.class as usize)
+            .copied()
+            .flatten();
+        let (Some(key), Some(window)) = (&request.token, window) else {
+            return self.inner.submit(exchange);
+        };
         let id = request.query.id;
         if self.waiting.borrow().contains_key(&id) {
             return false;
         }
-        let seen = self.keys.borrow_mut().begin(self.now(), key, print(request), window, id);
+        let seen = self
+            .keys
+            .borrow_mut()
+            .begin(self.now(), key, print(request), window, id);
         match seen {
             Seen::Run => return self.run(key, exchange),
             Seen::Join => {
--- a/violetgate/src/log.rs
+++ b/violetgate/src/log.rs
@@ -40,11 +40,20 @@
         .thread_name("log")
         .finish(std::io::stderr());
     let lost = writer.error_counter();
-    let builder = tracing_subscriber::fmt().with_writer(writer).with_ansi(false).with_target(false);
+    let builder = tracing_subscriber::fmt()
+        .with_writer(writer)
+        .with_ansi(false)
+        .with_target(false);
     let started = match format {
-        Format::Text => tracing::subscriber::set_global_default(builder.event_format(Bare).finish()),
+        Format::Text => {
+            tracing::subscriber::set_global_default(builder.event_format(Bare).finish())
+        }
         Format::Json => {
-            let json = builder.json().flatten_event(true).with_current_span(false).with_span_list(false);
+            let json = builder
+                .json()
+                .flatten_event(true)
+                .with_current_span(false)
+                .with_span_list(false);
             tracing::subscriber::set_global_default(json.finish())
         }
     };
@@ -69,7 +78,12 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(&self, _: &FmtContext<'_, S, N>, mut out: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+    fn format_event(
+        &self,
+        _: &FmtContext<'_, S, N>,
+        mut out: Writer<'_>,
+        event: &Event<'_>,
+    ) -> fmt::Result {
         struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
         impl Visit for Message<'_, '_> {
             fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
--- a/violetgate/src/net.rs
+++ b/violetgate/src/net.rs
@@ -24,7 +24,11 @@
 ///
 /// The machine does not give the address.
 pub fn listen(addr: SocketAddr) -> std::io::Result<Async<TcpListener>> {
-    let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let family = if addr.is_ipv4() {
+        AddressFamily::INET
+    } else {
+        AddressFamily::INET6
+    };
     let socket = rustix::net::socket_with(family, SocketType::STREAM, SocketFlags::CLOEXEC, None)?;
     sockopt::set_socket_reuseaddr(&socket, true)?;
     sockopt::set_socket_reuseport(&socket, true)?;
@@ -38,8 +42,12 @@
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     let mut one = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
-    let now = Timespec { tv_sec: 0, tv_nsec: 0 };
-    rustix::event::poll(&mut one, Some(&now)).is_ok() && one.iter().any(|f| f.revents().intersects(gone))
+    let now = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
+    rustix::event::poll(&mut one, Some(&now)).is_ok()
+        && one.iter().any(|f| f.revents().intersects(gone))
 }
 
 /// Says that nothing more comes, and reads on for a moment what the other end still sends.
--- a/violetgate/src/operations.rs
+++ b/violetgate/src/operations.rs
@@ -67,7 +67,12 @@
     /// that were called out before.
     #[must_use]
     pub fn new(clock: Clock, parts: Parts) -> Rc<Self> {
-        let me = Operations { clock, start: clock.now(), parts, cordons: RefCell::default() };
+        let me = Operations {
+            clock,
+            start: clock.now(),
+            parts,
+            cordons: RefCell::default(),
+        };
         if me.parts.daemon.is_none() {
             me.look();
         }
@@ -105,7 +110,10 @@
         let held = self.cordons.replace(names.clone());
         for name in held.symmetric_difference(&names) {
             let out = names.contains(name);
-            log::line(format_args!("engine {name} is called {}", if out { "out" } else { "back" }));
+            log::line(format_args!(
+                "engine {name} is called {}",
+                if out { "out" } else { "back" }
+            ));
             self.parts.dispatch.cordon(self.parts.ids.number(name), out);
         }
     }
@@ -136,24 +144,48 @@
 
 impl admin::Operations for Operations {
     fn healthy(&self) -> bool {
-        let heard = self.parts.place.heard() || self.clock.now() >= self.start + WAIT.as_micros() as Micros;
+        let heard =
+            self.parts.place.heard() || self.clock.now() >= self.start + WAIT.as_micros() as Micros;
         heard && self.parts.daemon.as_ref().is_none_or(|d| d.is_open())
     }
 
     fn figures(&self) -> String {
         let (known, skipped) = self.parts.dispatch.listed();
         let shares_control = self.parts.daemon.is_some() || self.parts.fleet.is_some();
-        let bus = if shares_control { self.bus_figures() } else { String::new() };
+        let bus = if shares_control {
+            self.bus_figures()
+        } else {
+            String::new()
+        };
         self.parts.stats.text(known, skipped)
             + &bus
-            + &self.parts.rest.as_ref().map(|r| r.figures()).unwrap_or_default()
-            + &self.parts.daemon.as_ref().map(|d| d.figures()).unwrap_or_default()
-            + &self.parts.fleet.as_ref().map(|f| f.figures()).unwrap_or_default()
+            + &self
+                .parts
+                .rest
+                .as_ref()
+                .map(|r| r.figures())
+                .unwrap_or_default()
+            + &self
+                .parts
+                .daemon
+                .as_ref()
+                .map(|d| d.figures())
+                .unwrap_or_default()
+            + &self
+                .parts
+                .fleet
+                .as_ref()
+                .map(|f| f.figures())
+                .unwrap_or_default()
     }
 
     fn cordon<'a>(&'a self, host: &'a str, out: bool) -> Calling<'a> {
         let Some(daemon) = &self.parts.daemon else {
-            let called = if self.call(host, out) { Called::Done } else { Called::Unknown };
+            let called = if self.call(host, out) {
+                Called::Done
+            } else {
+                Called::Unknown
+            };
             return Box::pin(ready(called));
         };
         Box::pin(async move {
--- a/violetgate/src/presence.rs
+++ b/violetgate/src/presence.rs
@@ -19,7 +19,12 @@
     ///
     /// The file can't be used.
     pub fn enter(path: &Path) -> std::io::Result<Self> {
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         rustix::fs::fcntl_lock(&file, FlockOperation::NonBlockingLockShared)?;
         Ok(Presence(Some(file)))
     }
@@ -35,6 +40,8 @@
     pub fn other(&self) -> bool {
         // What would keep this process from locking the file for itself is another's mark.
         let all = Flock::from(FlockType::WriteLock);
-        self.0.as_ref().is_some_and(|file| matches!(rustix::process::fcntl_getlk(file, &all), Ok(Some(_))))
+        self.0
+            .as_ref()
+            .is_some_and(|file| matches!(rustix::process::fcntl_getlk(file, &all), Ok(Some(_))))
     }
 }
--- a/violetgate/src/problem.rs
+++ b/violetgate/src/problem.rs
@@ -26,19 +26,31 @@
     /// A problem of a kind.
     #[must_use]
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
-        Problem { status, kind, detail: detail.into(), retry_after: None, closes: false }
+        Problem {
+            status,
+            kind,
+            detail: detail.into(),
+            retry_after: None,
+            closes: false,
+        }
     }
 
     /// With the time after which another try may fare better.
     #[must_use]
     pub fn after(self, retry_after: Micros) -> Self {
-        Problem { retry_after: Some(retry_after), ..self }
+        Problem {
+            retry_after: Some(retry_after),
+            ..self
+        }
     }
 
     /// With the end of the connection.
     #[must_use]
     pub fn closing(self) -> Self {
-        Problem { closes: true, ..self }
+        Problem {
+            closes: true,
+            ..self
+        }
     }
 
     /// Its body: application/problem+json (RFC 9457).
@@ -75,13 +87,20 @@
         let mut reply = Response::new(Full::from(self.body()));
         *reply.status_mut() = self.status;
         let headers = reply.headers_mut();
-        headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
+        headers.insert(
+            CONTENT_TYPE,
+            HeaderValue::from_static("application/problem+json"),
+        );
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
         if let Some(seconds) = self.retry_seconds() {
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
         }
         if self.status == StatusCode::METHOD_NOT_ALLOWED {
-            let allow = self.detail.rsplit("takes ").next().and_then(|a| HeaderValue::from_str(a).ok());
+            let allow = self
+                .detail
+                .rsplit("takes ")
+                .next()
+                .and_then(|a| HeaderValue::from_str(a).ok());
             headers.extend(allow.map(|a| (ALLOW, a)));
         }
         if self.closes {
--- a/violetgate/src/rest/calls.rs
+++ b/violetgate/src/rest/calls.rs
@@ -21,7 +21,11 @@
                 "method-not-allowed",
                 format!("this path takes {allow}"),
             )),
-            Route::Nowhere => Err(Problem::new(StatusCode::NOT_FOUND, "no-such-path", "no such path")),
+            Route::Nowhere => Err(Problem::new(
+                StatusCode::NOT_FOUND,
+                "no-such-path",
+                "no such path",
+            )),
         }
     }
 
@@ -63,7 +67,12 @@
         whole.or(late).await
     }
 
-    async fn ask(&self, headers: &hyper::HeaderMap, body: &[u8], line: &Line) -> Result<Reply, Problem> {
+    async fn ask(
+        &self,
+        headers: &hyper::HeaderMap,
+        body: &[u8],
+        line: &Line,
+    ) -> Result<Reply, Problem> {
         let core = &self.core;
         let received = core.clock.now();
         let draining = || {
@@ -85,7 +94,8 @@
                     add(&self.counts.full);
                     open.ended(Ending::Refused);
                     let detail = "the results that are kept for other clients take all room";
-                    let problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
+                    let problem =
+                        Problem::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
                     return Err(problem.after(wait));
                 }
             };
@@ -94,7 +104,10 @@
             if !core.intake.submit(&exchange) {
                 continue;
             }
-            let waits = Waits { intake: &core.intake, query: Some(exchange.request.query.id) };
+            let waits = Waits {
+                intake: &core.intake,
+                query: Some(exchange.request.query.id),
+            };
             let answer = exchange.answer().await;
             waits.over();
             let refused = StatusCode::SERVICE_UNAVAILABLE;
@@ -128,10 +141,18 @@
                      discard a second one",
                 ),
             };
-            open.ended(if problem.status == refused { Ending::Refused } else { Ending::Failed });
+            open.ended(if problem.status == refused {
+                Ending::Refused
+            } else {
+                Ending::Failed
+            });
             return Err(problem);
         }
-        Err(Problem::new(StatusCode::INTERNAL_SERVER_ERROR, "no-id", "no id could be drawn"))
+        Err(Problem::new(
+            StatusCode::INTERNAL_SERVER_ERROR,
+            "no-id",
+            "no id could be drawn",
+        ))
     }
 
     /// The answer to a query that was served. A result of one page is all in it; others stay for their time.
@@ -139,7 +160,13 @@
         let many = served.pages.len() > 1;
         let promise = many.then(|| {
             let made = (served.query, served.attempt);
-            self.core.results.borrow_mut().promise(Rc::clone(&served), served.bytes(), place, made, until)
+            self.core.results.borrow_mut().promise(
+                Rc::clone(&served),
+                served.bytes(),
+                place,
+                made,
+                until,
+            )
         });
         if promise.is_some() {
             line.owes(until);
@@ -156,12 +183,20 @@
         }
         add(&self.counts.pages);
         // Its last page read, a client needs this process no more.
-        line.owes(if n == served.pages.len() { 0 } else { token.until });
+        line.owes(if n == served.pages.len() {
+            0
+        } else {
+            token.until
+        });
         Ok(page_of(&served, Some(id), n, Some(token.until)))
     }
 
     fn delete(&self, id: &str) -> Result<Reply, Problem> {
-        let gone = self.core.results.borrow_mut().delete(self.core.clock.now(), id);
+        let gone = self
+            .core
+            .results
+            .borrow_mut()
+            .delete(self.core.clock.now(), id);
         gone.map_err(|m| self.missing(m))?;
         let mut reply = Response::new(Full::default());
         *reply.status_mut() = StatusCode::NO_CONTENT;
@@ -172,11 +207,19 @@
         match missing {
             Missing::Unknown => {
                 add(&self.counts.unknown);
-                Problem::new(StatusCode::NOT_FOUND, "no-such-page", "nobody here has promised this page")
+                Problem::new(
+                    StatusCode::NOT_FOUND,
+                    "no-such-page",
+                    "nobody here has promised this page",
+                )
             }
             Missing::Gone => {
                 add(&self.counts.gone);
-                Problem::new(StatusCode::GONE, "result-gone", "this result is no longer kept; ask again")
+                Problem::new(
+                    StatusCode::GONE,
+                    "result-gone",
+                    "this result is no longer kept; ask again",
+                )
             }
         }
     }
@@ -204,12 +247,22 @@
 
 fn page_of(served: &Served, id: Option<&str>, n: usize, until: Option<Micros>) -> Reply {
     let rows = served.pages.get(n - 1).map_or(&b""[..], |p| p);
-    let page = Page { id, query: served.query, page: n, pages: served.pages.len().max(1), until, rows };
+    let page = Page {
+        id,
+        query: served.query,
+        page: n,
+        pages: served.pages.len().max(1),
+        until,
+        rows,
+    };
     let mut reply = Response::new(Full::from(page.body()));
     let headers = reply.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    if let Some(next) = page.next().and_then(|n| HeaderValue::try_from(format!("<{n}>; rel=\"next\"")).ok()) {
+    if let Some(next) = page
+        .next()
+        .and_then(|n| HeaderValue::try_from(format!("<{n}>; rel=\"next\"")).ok())
+    {
         headers.insert(LINK, next);
     }
     reply
--- a/violetgate/src/rest/line.rs
+++ b/violetgate/src/rest/line.rs
@@ -59,7 +59,14 @@
     pub fn new(clock: Clock, guest: Rc<Guest>) -> Rc<Self> {
         let at = Cell::new((At::Idle, clock.now()));
         let (blocked, answered, unread) = (Cell::new(None), Cell::new(0), Cell::new(false));
-        Rc::new(Line { clock, guest, at, blocked, answered, unread })
+        Rc::new(Line {
+            clock,
+            guest,
+            at,
+            blocked,
+            answered,
+            unread,
+        })
     }
 
     /// What it is at.
@@ -123,12 +130,20 @@
     /// Watches a connection.
     #[must_use]
     pub fn new(stream: Rc<Async<TcpStream>>, line: Rc<Line>) -> Self {
-        Watched { stream, line, dry: false }
+        Watched {
+            stream,
+            line,
+            dry: false,
+        }
     }
 }
 
 impl AsyncRead for Watched {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut [u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             if self.dry {
                 ready!(self.stream.poll_readable(cx))?;
@@ -162,7 +177,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         let done = Pin::new(&mut &*self.stream).poll_write(cx, buf);
         self.wrote(done)
     }
--- a/violetgate/src/rest/mod.rs
+++ b/violetgate/src/rest/mod.rs
@@ -104,7 +104,11 @@
 /// The limits on results that settings name.
 #[must_use]
 pub fn limits(settings: &settings::Rest) -> Limits {
-    Limits { bytes: settings.results_bytes.0 as usize, one: MAX_RESULT, results: settings.results }
+    Limits {
+        bytes: settings.results_bytes.0 as usize,
+        one: MAX_RESULT,
+        results: settings.results,
+    }
 }
 
 impl Rest {
@@ -147,18 +151,61 @@
         let counts = &self.counts;
         let mut out = String::new();
         for (name, kind, help, value) in [
-            ("results", "gauge", "Results whose pages may be fetched.", results.len() as u64),
-            ("results_bytes", "gauge", "Bytes held or reserved.", results.budget().held() as u64),
-            ("results_full_total", "counter", "Queries refused for want of that.", counts.full.get()),
-            ("pages_total", "counter", "Further pages served.", counts.pages.get()),
-            ("pages_gone_total", "counter", "Pages asked for after their time.", counts.gone.get()),
-            ("tokens_unknown_total", "counter", "Tokens nobody here has made.", counts.unknown.get()),
+            (
+                "results",
+                "gauge",
+                "Results whose pages may be fetched.",
+                results.len() as u64,
+            ),
+            (
+                "results_bytes",
+                "gauge",
+                "Bytes held or reserved.",
+                results.budget().held() as u64,
+            ),
+            (
+                "results_full_total",
+                "counter",
+                "Queries refused for want of that.",
+                counts.full.get(),
+            ),
+            (
+                "pages_total",
+                "counter",
+                "Further pages served.",
+                counts.pages.get(),
+            ),
+            (
+                "pages_gone_total",
+                "counter",
+                "Pages asked for after their time.",
+                counts.gone.get(),
+            ),
+            (
+                "tokens_unknown_total",
+                "counter",
+                "Tokens nobody here has made.",
+                counts.unknown.get(),
+            ),
             ("keys", "gauge", "Idempotency keys taken.", keys as u64),
-            ("keys_joined_total", "counter", "Queries that joined one that ran.", joined),
-            ("keys_replayed_total", "counter", "Queries that got a recorded answer.", replayed),
+            (
+                "keys_joined_total",
+                "counter",
+                "Queries that joined one that ran.",
+                joined,
+            ),
+            (
+                "keys_replayed_total",
+                "counter",
+                "Queries that got a recorded answer.",
+                replayed,
+            ),
         ] {
             let name = format!("svc_rest_{name}");
-            let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}");
+            let _ = writeln!(
+                out,
+                "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}"
+            );
         }
         out
     }
@@ -200,7 +247,11 @@
 
     fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
         match self.room.enter(self.core.clock.now()) {
-            Some(guest) => self.core.executor.spawn(Rc::clone(self).drive(stream, peer, guest)).detach(),
+            Some(guest) => self
+                .core
+                .executor
+                .spawn(Rc::clone(self).drive(stream, peer, guest))
+                .detach(),
             None => {
                 let problem = Problem::new(
                     StatusCode::SERVICE_UNAVAILABLE,
@@ -324,7 +375,9 @@
         let now = self.core.clock.now();
         // What its client may still fetch here keeps a connection open, as no other process has it.
         if self.core.door.sends_home(now).is_some() && !self.owes(line, now) {
-            reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            reply
+                .headers_mut()
+                .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         line.answered.set(line.answered.get() + 1);
         line.is(At::Answer);
