--- a/violetgate/src/rest/wire.rs
+++ b/violetgate/src/rest/wire.rs
@@ -32,7 +32,13 @@
 pub fn route<'a>(method: &Method, path: &'a str) -> Route<'a> {
     let mut parts = path.strip_prefix("/v1/queries").unwrap_or("//").split('/');
     let reads = method == Method::GET || method == Method::HEAD;
-    match (parts.next(), parts.next(), parts.next(), parts.next(), parts.next()) {
+    match (
+        parts.next(),
+        parts.next(),
+        parts.next(),
+        parts.next(),
+        parts.next(),
+    ) {
         (Some(""), None, ..) if method == Method::POST => Route::Ask,
         (Some(""), None, ..) => Route::Not("POST"),
         (Some(""), Some(id), None, ..) if !id.is_empty() => {
@@ -43,7 +49,8 @@
             }
         }
         (Some(""), Some(id), Some("pages"), Some(n), None) => {
-            let plain = n.len() <= 6 && n.bytes().all(|b| b.is_ascii_digit()) && !n.starts_with('0');
+            let plain =
+                n.len() <= 6 && n.bytes().all(|b| b.is_ascii_digit()) && !n.starts_with('0');
             match n.parse().ok().filter(|_| plain) {
                 Some(n) if reads => Route::Page(id, n),
                 Some(_) => Route::Not("GET, HEAD"),
@@ -99,7 +106,9 @@
     received: Micros,
 ) -> Result<Request, Problem> {
     let bad = |detail: String| Problem::new(StatusCode::BAD_REQUEST, "invalid-request", detail);
-    let kind = headers.get(CONTENT_TYPE).map(|v| v.to_str().unwrap_or_default());
+    let kind = headers
+        .get(CONTENT_TYPE)
+        .map(|v| v.to_str().unwrap_or_default());
     // curl says the other one for any --data, and means nothing by it.
     let json = |v: &str| {
         let v = v.split(';').next().unwrap_or_default().trim();
@@ -108,25 +117,46 @@
     };
     if kind.is_some_and(|v| !json(v)) {
         let status = StatusCode::UNSUPPORTED_MEDIA_TYPE;
-        return Err(Problem::new(status, "unsupported-media-type", "the body has to be application/json"));
+        return Err(Problem::new(
+            status,
+            "unsupported-media-type",
+            "the body has to be application/json",
+        ));
     }
     let ask: Ask<'_> = serde_json::from_slice(body).map_err(|e| bad(format!("the body: {e}")))?;
     let mut keys = headers.get_all("idempotency-key").iter();
     let token = match (keys.next(), keys.next()) {
         (None, _) => None,
         (Some(value), None) => {
-            let value = value.to_str().map_err(|_| bad("`Idempotency-Key` is no text".to_owned()))?;
+            let value = value
+                .to_str()
+                .map_err(|_| bad("`Idempotency-Key` is no text".to_owned()))?;
             // A structured field (a string in quotes), or the bare words that most clients send.
-            Some(value.strip_prefix('"').and_then(|v| v.strip_suffix('"')).unwrap_or(value))
+            Some(
+                value
+                    .strip_prefix('"')
+                    .and_then(|v| v.strip_suffix('"'))
+                    .unwrap_or(value),
+            )
         }
         (Some(_), Some(_)) => return Err(bad("`Idempotency-Key` is given twice".to_owned())),
     };
     let class = ask.class.as_deref();
-    let keyed = class.is_some_and(|c| names.classes.iter().any(|(name, keyed)| name == c && *keyed));
+    let keyed = class.is_some_and(|c| {
+        names
+            .classes
+            .iter()
+            .any(|(name, keyed)| name == c && *keyed)
+    });
     if token.is_some() && class.is_some() && !keyed {
-        let known = names.classes.iter().any(|(name, _)| Some(name.as_str()) == class);
+        let known = names
+            .classes
+            .iter()
+            .any(|(name, _)| Some(name.as_str()) == class);
         if known {
-            return Err(bad("`Idempotency-Key` is given, but this class heeds none".to_owned()));
+            return Err(bad(
+                "`Idempotency-Key` is given, but this class heeds none".to_owned()
+            ));
         }
     }
     let asked = Asked {
@@ -141,7 +171,9 @@
         again: None,
         statement: ask.statement.as_deref().unwrap_or_default().as_bytes(),
     };
-    asked.request(names, received).map_err(|Fault { part, what }| bad(format!("`{}` {what}", name(part))))
+    asked
+        .request(names, received)
+        .map_err(|Fault { part, what }| bad(format!("`{}` {what}", name(part))))
 }
 
 /// One page of a result, as it is written.
@@ -171,7 +203,9 @@
     /// The path of the next page, if there is one.
     #[must_use]
     pub fn next(&self) -> Option<String> {
-        self.id.filter(|_| self.page < self.pages).map(|id| path(id, self.page + 1))
+        self.id
+            .filter(|_| self.page < self.pages)
+            .map(|id| path(id, self.page + 1))
     }
 
     /// Its body. The same page gives the same bytes, whenever it is asked for.
@@ -233,7 +267,11 @@
 
     fn names() -> Names {
         let classes = vec![("report".to_owned(), false), ("load".to_owned(), true)];
-        Names { classes, tenants: vec!["north".to_owned()], ..Names::default() }
+        Names {
+            classes,
+            tenants: vec!["north".to_owned()],
+            ..Names::default()
+        }
     }
 
     const GOOD: &str = r#"{"class":"load","tenant":"north","budget_ms":1500,"estimate_ms":8.5,"estimate_mb":96,
--- a/violetgate/src/room.rs
+++ b/violetgate/src/room.rs
@@ -76,7 +76,11 @@
     /// Tells it to give way. What it has sent by then is still read and answered.
     fn leave(&self, reason: &'static str) {
         self.leaves.set(Some(reason));
-        self.waker.borrow_mut().take().into_iter().for_each(Waker::wake);
+        self.waker
+            .borrow_mut()
+            .take()
+            .into_iter()
+            .for_each(Waker::wake);
     }
 }
 
@@ -101,7 +105,12 @@
     /// Creates room for `most` connections.
     #[must_use]
     pub fn new(most: usize) -> Self {
-        Room { most: Cell::new(most), next: Cell::new(0), guests: RefCell::default(), closing: Rc::default() }
+        Room {
+            most: Cell::new(most),
+            next: Cell::new(0),
+            guests: RefCell::default(),
+            closing: Rc::default(),
+        }
     }
 
     /// A place for one that is just being closed, and holds its descriptor a little longer. `None`: so many are that
@@ -137,7 +146,13 @@
         self.next.set(id + 1);
         let at = Cell::new((Stage::Mute, now));
         let (owes, leaves) = (Cell::new(0), Cell::new(None));
-        let guest = Rc::new(Guest { id, at, owes, leaves, waker: RefCell::default() });
+        let guest = Rc::new(Guest {
+            id,
+            at,
+            owes,
+            leaves,
+            waker: RefCell::default(),
+        });
         self.guests.borrow_mut().insert(id, Rc::clone(&guest));
         Some(guest)
     }
@@ -161,7 +176,11 @@
         let idle = |g: &&Rc<Guest>| {
             matches!(g.at.get(), (Stage::Idle, since) if now >= since + fresh) && g.owed() <= now
         };
-        self.guests.borrow().values().filter(idle).for_each(|g| g.leave(reason));
+        self.guests
+            .borrow()
+            .values()
+            .filter(idle)
+            .for_each(|g| g.leave(reason));
     }
 
     /// Changes how many there may be. Where there are more, those that can give way do so at once.
@@ -177,7 +196,11 @@
 
     /// How many there are whose clients may need this very process.
     pub fn owing(&self, now: Micros) -> usize {
-        self.guests.borrow().values().filter(|g| g.owed() > now).count()
+        self.guests
+            .borrow()
+            .values()
+            .filter(|g| g.owed() > now)
+            .count()
     }
 
     /// Frees the place of a connection that has ended.
@@ -197,9 +220,17 @@
     fn mute_and_idle_connections_give_way() {
         let room = Room::new(4);
         let stages = [Stage::Idle, Stage::Busy, Stage::Mute, Stage::Idle];
-        let guests: Vec<_> = (0..).zip(stages).map(|(at, s)| (room.enter(at).unwrap(), s, at)).collect();
+        let guests: Vec<_> = (0..)
+            .zip(stages)
+            .map(|(at, s)| (room.enter(at).unwrap(), s, at))
+            .collect();
         guests.iter().for_each(|(g, s, at)| g.is(*s, 10 - at));
-        let gone = || guests.iter().map(|(g, ..)| g.leaves.get().is_some()).collect::<Vec<_>>();
+        let gone = || {
+            guests
+                .iter()
+                .map(|(g, ..)| g.leaves.get().is_some())
+                .collect::<Vec<_>>()
+        };
         let young = room.enter(2 + MUTE).unwrap();
         assert_eq!(gone(), [false, false, true, false]);
         room.enter(2 + MUTE).unwrap().is(Stage::Busy, 0);
--- a/violetgate/src/serve.rs
+++ b/violetgate/src/serve.rs
@@ -73,7 +73,11 @@
             Part::Predecessor => (sockets * 3 / 16, sockets / 10),
         };
         let rest = rest.map_or(0, |r| r.max_connections.min(clients / 2));
-        Share { clients: clients - rest, rest, engines }
+        Share {
+            clients: clients - rest,
+            rest,
+            engines,
+        }
     }
 }
 
@@ -108,12 +112,18 @@
             let share = Share::of(sockets, part, held.rest.as_ref().map(|r| &r.1));
             log::line(format_args!(
                 "violetgate is {}: at most {} clients and {} engine connections",
-                if part == Part::Alone { "alone" } else { "joined by another process" },
+                if part == Part::Alone {
+                    "alone"
+                } else {
+                    "joined by another process"
+                },
                 share.clients + share.rest,
                 share.engines
             ));
             held.sessions.resize(share.clients);
-            held.rest.iter().for_each(|(rest, _)| rest.resize(share.rest));
+            held.rest
+                .iter()
+                .for_each(|(rest, _)| rest.resize(share.rest));
             held.pool.resize(share.engines);
         }
     }
@@ -140,11 +150,19 @@
 
 /// SIGHUP: reads the configuration and the settings anew. Of what they hold, the place of the bus can change in a
 /// running program, and the settings that say so; where either can't be used, nothing changes.
-fn reload(place: &Place, settings: Option<&Path>, rest: Option<&Rest>, daemon: Option<&Participant>) {
+fn reload(
+    place: &Place,
+    settings: Option<&Path>,
+    rest: Option<&Rest>,
+    daemon: Option<&Participant>,
+) {
     let read = || Ok::<_, String>((Config::from_env()?, settings::read(settings)?));
     match read() {
         Ok((config, settings)) => {
-            log::line(format_args!("violetgate read its configuration again: bus {}", config.bus));
+            log::line(format_args!(
+                "violetgate read its configuration again: bus {}",
+                config.bus
+            ));
             place.move_to(config.bus);
             let settings = daemon.map_or(settings.clone(), |daemon| daemon.own(&settings));
             match (rest, &settings.rest) {
@@ -168,30 +186,61 @@
     let config = Config::from_env()?;
     let bind = |what: &str, addr| net::listen(addr).map_err(|e| format!("{what} {addr}: {e}"));
     let listener = Rc::new(bind("listen", config.listen)?);
-    let management = config.management.map(|addr| bind("management", addr)).transpose()?;
+    let management = config
+        .management
+        .map(|addr| bind("management", addr))
+        .transpose()?;
     let wanted = settings.rest.as_ref();
-    if let Some(r) = wanted.filter(|r| [Some(config.listen), config.management].contains(&Some(r.listen))) {
-        return Err(format!("`rest.listen`: {} is where others connect", r.listen));
+    if let Some(r) =
+        wanted.filter(|r| [Some(config.listen), config.management].contains(&Some(r.listen)))
+    {
+        return Err(format!(
+            "`rest.listen`: {} is where others connect",
+            r.listen
+        ));
     }
-    let rest_listener = wanted.map(|r| bind("rest.listen", r.listen)).transpose()?.map(Rc::new);
+    let rest_listener = wanted
+        .map(|r| bind("rest.listen", r.listen))
+        .transpose()?
+        .map(Rc::new);
     let given = settings.cluster.as_ref();
     let member = given.filter(|c| c.role == ClusterRole::Member);
     let api_listener = member.map(|c| bind("cluster.api", c.api)).transpose()?;
     let presence = enter(&config.listen);
-    let longest = config.settings.classes.iter().filter_map(|c| c.deadline).max();
+    let longest = config
+        .settings
+        .classes
+        .iter()
+        .filter_map(|c| c.deadline)
+        .max();
     let longest = Duration::from_micros(longest.unwrap_or(0));
-    let mut signals =
-        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(|e| format!("signals: {e}"))?;
+    let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup])
+        .map_err(|e| format!("signals: {e}"))?;
     let executor = Rc::new(LocalExecutor::new());
     let file = file.map(Path::to_path_buf);
 
-    let part = if presence.other() { Part::Successor } else { Part::Alone };
+    let part = if presence.other() {
+        Part::Successor
+    } else {
+        Part::Alone
+    };
     let share = Share::of(config.sockets, part, wanted);
-    let stats = Rc::new(Stats::new(config.names.classes.iter().map(|c| c.0.as_str())));
+    let stats = Rc::new(Stats::new(
+        config.names.classes.iter().map(|c| c.0.as_str()),
+    ));
     let counts = Rc::clone(&stats);
-    let daemon = given.map(|c| Participant::start(&executor, settings, c, config.seed)).transpose()?;
+    let daemon = given
+        .map(|c| Participant::start(&executor, settings, c, config.seed))
+        .transpose()?;
     let fence = daemon.as_ref().map(Participant::fence);
-    let pool = Pool::new(Rc::clone(&executor), clock, config.link, counts, fence.clone(), share.engines);
+    let pool = Pool::new(
+        Rc::clone(&executor),
+        clock,
+        config.link,
+        counts,
+        fence.clone(),
+        share.engines,
+    );
     let engines: Rc<dyn Engines> = Rc::<Pool>::clone(&pool);
     let gateways = config.settings.gateways.unwrap_or(1);
     let classes = config.settings.classes.clone();
@@ -205,16 +254,23 @@
     let fleet = fleet.transpose()?.map(Rc::new);
 
     let ids = Rc::new(Ids::default());
-    let place = Rc::new(Place::new(config.bus, daemon.as_ref().is_some_and(Participant::keeps_list)));
+    let place = Rc::new(Place::new(
+        config.bus,
+        daemon.as_ref().is_some_and(Participant::keeps_list),
+    ));
     let mut bus = Bus::new(config.names.clone(), Rc::clone(&ids), Rc::clone(&place));
     let news = Rc::clone(&dispatch);
     let mut tell = move |scope: ListScope, listed: &[Listed]| news.news(scope, listed);
     bus.known(config.known.0, config.known.1, &mut tell);
 
     // The bus is the first task, so that its news come before requests read in the same turn.
-    executor.spawn(async move { bus.follow(&mut tell).await }).detach();
+    executor
+        .spawn(async move { bus.follow(&mut tell).await })
+        .detach();
     let timers = Rc::clone(&dispatch);
-    executor.spawn(async move { timers.run_timers().await }).detach();
+    executor
+        .spawn(async move { timers.run_timers().await })
+        .detach();
     let swept = Rc::clone(&pool);
     executor.spawn(async move { swept.sweep().await }).detach();
     // Cancel keys are drawn apart from the decisions' numbers, and so are ids.
@@ -258,10 +314,18 @@
     );
     let presence = Rc::new(presence);
     let (beside, sockets) = (Rc::clone(&presence), config.sockets);
-    let held = Held { sessions: Rc::clone(&sessions), rest: rest.clone().zip(settings.rest.clone()), pool };
-    executor.spawn(async move { keep_share(&beside, part, sockets, held).await }).detach();
+    let held = Held {
+        sessions: Rc::clone(&sessions),
+        rest: rest.clone().zip(settings.rest.clone()),
+        pool,
+    };
+    executor
+        .spawn(async move { keep_share(&beside, part, sockets, held).await })
+        .detach();
     let keeper = Rc::clone(&sessions);
-    executor.spawn(async move { keeper.keep_door().await }).detach();
+    executor
+        .spawn(async move { keeper.keep_door().await })
+        .detach();
     if let Some(rest) = rest.clone() {
         executor.spawn(async move { rest.sweep().await }).detach();
     }
@@ -277,7 +341,13 @@
         daemon.attach(&executor, parts);
     }
     if let (Some(Participant::Member(member)), Some(listener)) = (&daemon, api_listener) {
-        executor.spawn(daemon::listen(Rc::clone(member), Rc::clone(&executor), listener)).detach();
+        executor
+            .spawn(daemon::listen(
+                Rc::clone(member),
+                Rc::clone(&executor),
+                listener,
+            ))
+            .detach();
     }
     let store = Store::new(shared_file(&config.listen, "cordons"));
     let parts = Parts {
@@ -300,11 +370,19 @@
         (rest, listener, accepting)
     });
     if let Some(management) = management {
-        executor.spawn(Admin::new(Rc::clone(&executor), clock, operations).listen(management)).detach();
+        executor
+            .spawn(Admin::new(Rc::clone(&executor), clock, operations).listen(management))
+            .detach();
     }
-    log::line(format_args!("violetgate {} listens on {}", config.name, config.listen));
+    log::line(format_args!(
+        "violetgate {} listens on {}",
+        config.name, config.listen
+    ));
     if let Some(r) = wanted {
-        log::line(format_args!("violetgate {} listens on {} for REST", config.name, r.listen));
+        log::line(format_args!(
+            "violetgate {} listens on {} for REST",
+            config.name, r.listen
+        ));
     }
 
     if let Some(c) = given {
@@ -314,20 +392,29 @@
     async_io::block_on(executor.run(async {
         let name = loop {
             match signals.next().await {
-                Some(Ok(Signal::Hup)) => reload(&place, file.as_deref(), rest.as_deref(), daemon.as_ref()),
+                Some(Ok(Signal::Hup)) => {
+                    reload(&place, file.as_deref(), rest.as_deref(), daemon.as_ref())
+                }
                 Some(Ok(Signal::Int)) => break "SIGINT",
                 _ => break "SIGTERM",
             }
         };
         let open = sessions.busy() + rest.as_ref().map_or(0, |r| r.owing());
-        log::line(format_args!("violetgate ends after {name}: {open} requests open"));
+        log::line(format_args!(
+            "violetgate ends after {name}: {open} requests open"
+        ));
         // It goes on serving, and a bus that moves now is still followed.
         let (reloaded, member) = (rest.clone(), daemon.clone());
         executor
             .spawn(async move {
                 while let Some(signal) = signals.next().await {
                     if matches!(signal, Ok(Signal::Hup)) {
-                        reload(&place, file.as_deref(), reloaded.as_deref(), member.as_ref());
+                        reload(
+                            &place,
+                            file.as_deref(),
+                            reloaded.as_deref(),
+                            member.as_ref(),
+                        );
                     }
                 }
             })
--- a/violetgate/src/settings/mod.rs
+++ b/violetgate/src/settings/mod.rs
@@ -47,16 +47,22 @@
     /// All that is wrong with it, by line.
     pub fn parse(text: &str) -> Result<Self, Vec<Problem>> {
         checked(text, true)?;
-        hcl::from_str(text).map(Agreed).map_err(|e| vec![whole(e.to_string())])
+        hcl::from_str(text)
+            .map(Agreed)
+            .map_err(|e| vec![whole(e.to_string())])
     }
 
     /// An instance's settings under these.
     #[must_use]
     pub fn over(&self, own: &Settings) -> Settings {
-        let Ok(mut all) = serde_json::to_value(own) else { return own.clone() };
+        let Ok(mut all) = serde_json::to_value(own) else {
+            return own.clone();
+        };
         for (name, block) in self.0.as_object().into_iter().flatten() {
             // A block that an instance does not have at all, such as a front of its own, stays away.
-            let Some(mine) = all.get_mut(name).and_then(Value::as_object_mut) else { continue };
+            let Some(mine) = all.get_mut(name).and_then(Value::as_object_mut) else {
+                continue;
+            };
             for (key, value) in block.as_object().into_iter().flatten() {
                 mine.insert(key.clone(), value.clone());
             }
@@ -89,11 +95,18 @@
 ///
 /// It can't be read or used; one line tells all that is wrong with it.
 pub fn read(file: Option<&Path>) -> Result<Settings, String> {
-    let Some(file) = file else { return Ok(Settings::default()) };
+    let Some(file) = file else {
+        return Ok(Settings::default());
+    };
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    parse(&text)
-        .map_err(|problems| problems.iter().map(|p| format!("{name}:{p}")).collect::<Vec<_>>().join("; "))
+    parse(&text).map_err(|problems| {
+        problems
+            .iter()
+            .map(|p| format!("{name}:{p}"))
+            .collect::<Vec<_>>()
+            .join("; ")
+    })
 }
 
 /// Reads a file's text.
@@ -105,27 +118,50 @@
     let lines = checked(text, false)?;
     // The tables and the types agree (tested below), so that this can't fail on what has passed them.
     let read: Settings = hcl::from_str(text).map_err(|e| vec![whole(e.to_string())])?;
-    let cluster = read.cluster.as_ref().and_then(|c| Some(("cluster", c.check().err()?)));
-    let fleet = read.fleet.as_ref().and_then(|f| Some(("fleet", f.check().err()?)));
+    let cluster = read
+        .cluster
+        .as_ref()
+        .and_then(|c| Some(("cluster", c.check().err()?)));
+    let fleet = read
+        .fleet
+        .as_ref()
+        .and_then(|f| Some(("fleet", f.check().err()?)));
     if let Some((block, (key, what))) = cluster.or(fleet) {
         let key = format!("{block}.{key}");
         let line = lines.get(&key).or(lines.get(block)).copied().unwrap_or(1);
-        return Err(vec![Problem { line, key, text: what.to_owned() }]);
+        return Err(vec![Problem {
+            line,
+            key,
+            text: what.to_owned(),
+        }]);
     }
     Ok(read)
 }
 
 fn whole(text: String) -> Problem {
-    Problem { line: 1, key: String::new(), text }
+    Problem {
+        line: 1,
+        key: String::new(),
+        text,
+    }
 }
 
 /// Checks a text against the tables; the lines of its blocks and keys. `agreed`: only what members may agree on.
 fn checked(text: &str, agreed: bool) -> Result<BTreeMap<String, usize>, Vec<Problem>> {
     let body = hcl_edit::parser::parse_body(text).map_err(|e| {
         let text = format!("no HCL: {}", e.message());
-        vec![Problem { line: e.location().line(), key: String::new(), text }]
+        vec![Problem {
+            line: e.location().line(),
+            key: String::new(),
+            text,
+        }]
     })?;
-    let mut check = Check { text, agreed, problems: Vec::new(), lines: BTreeMap::new() };
+    let mut check = Check {
+        text,
+        agreed,
+        problems: Vec::new(),
+        lines: BTreeMap::new(),
+    };
     check.file(&body);
     if !check.problems.is_empty() {
         check.problems.sort();
@@ -148,7 +184,11 @@
     }
 
     fn wrong(&mut self, line: usize, key: impl Into<String>, text: impl Into<String>) {
-        self.problems.push(Problem { line, key: key.into(), text: text.into() });
+        self.problems.push(Problem {
+            line,
+            key: key.into(),
+            text: text.into(),
+        });
     }
 
     fn file(&mut self, body: &Body) {
@@ -192,7 +232,11 @@
             let (name, line) = (ident.as_str(), self.line(ident));
             let place = format!("{}.{name}", block.name);
             let Some(key) = block.keys.iter().find(|k| k.name == name) else {
-                self.wrong(line, place, unknown(name, "key", block.keys.iter().map(|k| k.name)));
+                self.wrong(
+                    line,
+                    place,
+                    unknown(name, "key", block.keys.iter().map(|k| k.name)),
+                );
                 continue;
             };
             if seen.contains(&name) {
@@ -201,13 +245,20 @@
             seen.push(name);
             self.lines.insert(place.clone(), line);
             if let Some(role) = role.filter(|role| !role.takes(name)) {
-                let text = format!("is no key of a {}: take it out, or correct `role`", role.name);
+                let text = format!(
+                    "is no key of a {}: take it out, or correct `role`",
+                    role.name
+                );
                 self.wrong(line, place, text);
                 continue;
             }
             // Members' addresses are each instance's own, though they are taken while it runs.
             if self.agreed && (!key.reloads || matches!(key.kind, Kind::Members)) {
-                self.wrong(line, place, "can't be agreed on: it stands in each instance's own file");
+                self.wrong(
+                    line,
+                    place,
+                    "can't be agreed on: it stands in each instance's own file",
+                );
                 continue;
             }
             let checked = match structure {
@@ -218,11 +269,16 @@
                 self.wrong(line, place, text);
             }
         }
-        let missing =
-            |k: &&Key| k.default.is_none() && takes(k.name) && !seen.contains(&k.name) && !self.agreed;
+        let missing = |k: &&Key| {
+            k.default.is_none() && takes(k.name) && !seen.contains(&k.name) && !self.agreed
+        };
         let missing: Vec<_> = block.keys.iter().filter(missing).collect();
         for key in missing {
-            self.wrong(line, format!("{}.{}", block.name, key.name), "is missing in this block");
+            self.wrong(
+                line,
+                format!("{}.{}", block.name, key.name),
+                "is missing in this block",
+            );
         }
     }
 }
@@ -235,7 +291,11 @@
         let addresses = value.as_array().filter(|a| (1..=most).contains(&a.len()));
         let good = |e: &Expression| e.as_str().is_some_and(|t| t.parse::<SocketAddr>().is_ok());
         let all = addresses.is_some_and(|a| a.iter().all(good));
-        return if all { Ok(()) } else { Err(format!("has to be {}", key.kind.about())) };
+        return if all {
+            Ok(())
+        } else {
+            Err(format!("has to be {}", key.kind.about()))
+        };
     }
     let text = value.as_str();
     let number = value.as_number().and_then(hcl_edit::Number::as_f64);
@@ -250,13 +310,19 @@
             ObjectKey::Ident(_) => return None,
             ObjectKey::Expression(id) => id.as_str()?.parse().ok()?,
         };
-        at.expr().as_str()?.parse::<SocketAddr>().ok().filter(|_| (1..=65_535).contains(&id))?;
+        at.expr()
+            .as_str()?
+            .parse::<SocketAddr>()
+            .ok()
+            .filter(|_| (1..=65_535).contains(&id))?;
     }
     (1..=15).contains(&members.len()).then_some(())
 }
 
 fn unknown<'a>(name: &str, what: &str, known: impl Iterator<Item = &'a str>) -> String {
-    let near = known.map(|k| (strsim::damerau_levenshtein(name, k), k)).min();
+    let near = known
+        .map(|k| (strsim::damerau_levenshtein(name, k), k))
+        .min();
     match near.filter(|(distance, k)| *distance <= 1 + k.len() / 3) {
         Some((_, near)) => format!("no such {what}; did you mean `{near}`?"),
         None => format!("no such {what}"),
@@ -265,8 +331,12 @@
 
 /// By whom a key without a default must be given.
 fn must_be_given(block: &Block, key: &Key) -> String {
-    let roles: Vec<_> =
-        block.roles.iter().filter(|role| role.takes(key.name)).map(|role| role.name).collect();
+    let roles: Vec<_> = block
+        .roles
+        .iter()
+        .filter(|role| role.takes(key.name))
+        .map(|role| role.name)
+        .collect();
     if roles.len() == block.roles.len() {
         "must be given".to_owned()
     } else {
@@ -282,10 +352,16 @@
         out += &format!("## `{}`\n\n{}\n\n", block.name, block.about);
         out += "| key | value | default | taken at | meaning |\n| --- | --- | --- | --- | --- |\n";
         for key in block.keys {
-            let default = key.default.map_or_else(|| must_be_given(block, key), |d| format!("`{d}`"));
+            let default = key
+                .default
+                .map_or_else(|| must_be_given(block, key), |d| format!("`{d}`"));
             let taken = if key.reloads { "SIGHUP" } else { "start" };
-            out +=
-                &format!("| `{}` | {} | {default} | {taken} | {} |\n", key.name, key.kind.about(), key.about);
+            out += &format!(
+                "| `{}` | {} | {default} | {taken} | {} |\n",
+                key.name,
+                key.kind.about(),
+                key.about
+            );
         }
         out += "\n";
     }
--- a/violetgate/src/settings/schema.rs
+++ b/violetgate/src/settings/schema.rs
@@ -75,7 +75,8 @@
     /// The role by that name; without one, the default.
     #[must_use]
     pub fn role(&self, name: Option<&str>) -> Option<&'static Role> {
-        name.and_then(|name| self.roles.iter().find(|role| role.name == name)).or(self.roles.first())
+        name.and_then(|name| self.roles.iter().find(|role| role.name == name))
+            .or(self.roles.first())
     }
 }
 
@@ -212,7 +213,15 @@
 /// Reads a number of bytes: a number and `B`, `KiB`, `MiB` or `GiB`.
 #[must_use]
 pub fn bytes(text: &str) -> Option<u64> {
-    with_unit(text, &[("KiB", 1 << 10), ("MiB", 1 << 20), ("GiB", 1 << 30), ("B", 1)])
+    with_unit(
+        text,
+        &[
+            ("KiB", 1 << 10),
+            ("MiB", 1 << 20),
+            ("GiB", 1 << 30),
+            ("B", 1),
+        ],
+    )
 }
 
 fn with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
@@ -232,13 +241,18 @@
         let good = match *self {
             Kind::Word(words) => text.is_some_and(|t| words.contains(&t)),
             Kind::Address => text.is_some_and(|t| t.parse::<std::net::SocketAddr>().is_ok()),
-            Kind::Count(least, most) => {
-                number.is_some_and(|n| n.fract() == 0.0 && n >= 0.0 && within(n as u64, least, most))
+            Kind::Count(least, most) => number
+                .is_some_and(|n| n.fract() == 0.0 && n >= 0.0 && within(n as u64, least, most)),
+            Kind::Span(least, most) => text.and_then(span).is_some_and(|s| {
+                within(
+                    u64::try_from(s.as_millis()).unwrap_or(u64::MAX),
+                    least,
+                    most,
+                )
+            }),
+            Kind::Bytes(least, most) => {
+                text.and_then(bytes).is_some_and(|n| within(n, least, most))
             }
-            Kind::Span(least, most) => text
-                .and_then(span)
-                .is_some_and(|s| within(u64::try_from(s.as_millis()).unwrap_or(u64::MAX), least, most)),
-            Kind::Bytes(least, most) => text.and_then(bytes).is_some_and(|n| within(n, least, most)),
             Kind::Name(most) => text.is_some_and(|t| {
                 let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
                 !t.is_empty() && t.len() <= most && t.bytes().all(plain)
@@ -258,16 +272,29 @@
     #[must_use]
     pub fn about(&self) -> String {
         match *self {
-            Kind::Word(words) => words.iter().map(|w| format!("\"{w}\"")).collect::<Vec<_>>().join(" or "),
+            Kind::Word(words) => words
+                .iter()
+                .map(|w| format!("\"{w}\""))
+                .collect::<Vec<_>>()
+                .join(" or "),
             Kind::Address => "an address in quotes, such as \"127.0.0.1:8080\"".to_owned(),
             Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
             Kind::Span(least, most) => {
-                format!("a span in quotes from \"{least}ms\" to \"{}s\"", most / 1000)
+                format!(
+                    "a span in quotes from \"{least}ms\" to \"{}s\"",
+                    most / 1000
+                )
             }
             Kind::Bytes(least, most) => {
-                format!("a size in quotes from \"{}KiB\" to \"{}MiB\"", least >> 10, most >> 20)
+                format!(
+                    "a size in quotes from \"{}KiB\" to \"{}MiB\"",
+                    least >> 10,
+                    most >> 20
+                )
+            }
+            Kind::Name(most) => {
+                format!("a name in quotes: {most} letters, digits, `.`, `-` or `_` at most")
             }
-            Kind::Name(most) => format!("a name in quotes: {most} letters, digits, `.`, `-` or `_` at most"),
             Kind::Folder => "a path in quotes".to_owned(),
             Kind::Addresses(most) => format!("1 to {most} addresses, such as [\"10.0.0.1:7500\"]"),
             Kind::Members => "members by id, such as { \"1\" = \"10.0.0.1:7480\" }".to_owned(),
--- a/violetgate/src/settings/tests.rs
+++ b/violetgate/src/settings/tests.rs
@@ -6,7 +6,11 @@
 #[test]
 fn all_errors_are_told_at_once() {
     let text = "lgo {\n}\nlog {\n  format = \"xml\"\n  lines_wating = 5\n  lines_waiting = 1.5\n}\nx = 1\n";
-    let told: Vec<_> = parse(text).unwrap_err().iter().map(ToString::to_string).collect();
+    let told: Vec<_> = parse(text)
+        .unwrap_err()
+        .iter()
+        .map(ToString::to_string)
+        .collect();
     let expected = [
         "1: lgo: no such block; did you mean `log`?",
         "4: log.format: has to be \"text\" or \"json\"",
@@ -27,20 +31,44 @@
              api = \"127.0.0.1:2\"\n members = {{ \"2\" = \"127.0.0.1:1\" }}\n{extra}\n}}\n"
         )
     };
-    assert_eq!(parse(&file("")).unwrap().cluster.unwrap().addresses().len(), 1);
+    assert_eq!(
+        parse(&file("")).unwrap().cluster.unwrap().addresses().len(),
+        1
+    );
     for (extra, told) in [
-        ("heartbeat = \"300ms\"", "8: cluster.heartbeat: has to be a third of `election_timeout` at most"),
+        (
+            "heartbeat = \"300ms\"",
+            "8: cluster.heartbeat: has to be a third of `election_timeout` at most",
+        ),
         (
             "drain_limit = \"3s\"",
             "8: cluster.drain_limit: has to be a span in quotes from \"300ms\" to \"2s\"",
         ),
-        ("drain_limit = \"500ms\"", "1: cluster.confirm_every: has to be a third of `drain_limit` at most"),
+        (
+            "drain_limit = \"500ms\"",
+            "1: cluster.confirm_every: has to be a third of `drain_limit` at most",
+        ),
     ] {
-        assert_eq!(parse(&file(extra)).unwrap_err().first().unwrap().to_string(), told);
+        assert_eq!(
+            parse(&file(extra))
+                .unwrap_err()
+                .first()
+                .unwrap()
+                .to_string(),
+            told
+        );
     }
     let members = file("").replace("\"2\" =", "two =");
-    assert!(parse(&members).unwrap_err().first().unwrap().text.starts_with("has to be members by id"));
-    let own = Settings { rest: Some(Rest::default()), ..Settings::default() };
+    assert!(parse(&members)
+        .unwrap_err()
+        .first()
+        .unwrap()
+        .text
+        .starts_with("has to be members by id"));
+    let own = Settings {
+        rest: Some(Rest::default()),
+        ..Settings::default()
+    };
     let agreed = Agreed::parse("rest {\n results = 5\n}\n").unwrap();
     assert_eq!(agreed.over(&own).rest.unwrap().results, 5);
     assert_eq!(agreed.over(&Settings::default()).rest, None);
@@ -54,7 +82,11 @@
     for block in BLOCKS {
         file += &format!("{} {{\n", block.name);
         let role = block.role(Some(cluster_role));
-        for key in block.keys.iter().filter(|key| role.is_none_or(|role| role.takes(key.name))) {
+        for key in block
+            .keys
+            .iter()
+            .filter(|key| role.is_none_or(|role| role.takes(key.name)))
+        {
             let default = key.default.unwrap_or(match key.kind {
                 Kind::Address => "\"127.0.0.1:1\"",
                 Kind::Count(..) => "1",
@@ -78,12 +110,20 @@
 /// The tables, the types and their defaults are one, whatever an instance is in its cluster.
 #[test]
 fn tables_and_types_agree() {
-    for (name, role) in [("member", ClusterRole::Member), ("subscriber", ClusterRole::Subscriber)] {
+    for (name, role) in [
+        ("member", ClusterRole::Member),
+        ("subscriber", ClusterRole::Subscriber),
+    ] {
         let file = whole_file(name);
         let given = serde_json::to_value(parse(&file).unwrap()).unwrap();
         for (name, block) in given.as_object().unwrap() {
             let table = BLOCKS.iter().find(|b| b.name == name).unwrap();
-            let keys: Vec<_> = block.as_object().unwrap().keys().map(String::as_str).collect();
+            let keys: Vec<_> = block
+                .as_object()
+                .unwrap()
+                .keys()
+                .map(String::as_str)
+                .collect();
             let mut known: Vec<_> = table.keys.iter().map(|k| k.name).collect();
             known.sort_unstable();
             assert_eq!(keys, known, "{name}");
@@ -91,12 +131,21 @@
         let api = if role == ClusterRole::Member { 2 } else { 1 };
         let all = Settings {
             rest: Some(Rest::default()),
-            cluster: Some(Cluster { role, api: ([127, 0, 0, 1], api).into(), ..Cluster::default() }),
+            cluster: Some(Cluster {
+                role,
+                api: ([127, 0, 0, 1], api).into(),
+                ..Cluster::default()
+            }),
             fleet: Some(Fleet::default()),
             ..Settings::default()
         };
         let none = serde_json::to_value(all).unwrap();
-        for (name, block) in none.as_object().unwrap().iter().filter(|(_, b)| !b.is_null()) {
+        for (name, block) in none
+            .as_object()
+            .unwrap()
+            .iter()
+            .filter(|(_, b)| !b.is_null())
+        {
             assert_eq!(given.get(name), Some(block), "{name}");
         }
     }
@@ -105,15 +154,27 @@
 /// Keys of the other role are errors with their lines, and so are those that are missing in this one.
 #[test]
 fn a_role_takes_its_own_keys() {
-    let told = |text: &str| parse(text).unwrap_err().iter().map(ToString::to_string).collect::<Vec<_>>();
+    let told = |text: &str| {
+        parse(text)
+            .unwrap_err()
+            .iter()
+            .map(ToString::to_string)
+            .collect::<Vec<_>>()
+    };
     let subscriber = |extra: &str| {
         format!(
             "cluster {{\n role = \"subscriber\"\n name = \"w\"\n front_end = \"fe-17\"\n \
              observers = {{ \"6\" = \"127.0.0.1:7206\" }}\n{extra}\n}}\n"
         )
     };
-    let given = parse(&subscriber("drain_limit = \"1s\"")).unwrap().cluster.unwrap();
-    assert_eq!((given.role, given.observer_addresses().len()), (ClusterRole::Subscriber, 1));
+    let given = parse(&subscriber("drain_limit = \"1s\""))
+        .unwrap()
+        .cluster
+        .unwrap();
+    assert_eq!(
+        (given.role, given.observer_addresses().len()),
+        (ClusterRole::Subscriber, 1)
+    );
     for (extra, expected) in [
         ("id = 2", "6: cluster.id: is no key of a subscriber: take it out, or correct `role`"),
         ("folder = \"f\"", "6: cluster.folder: is no key of a subscriber: take it out, or correct `role`"),
@@ -130,13 +191,18 @@
         ["4: cluster.front_end: has to hold more than digits: numbers are members' ids"]
     );
     assert_eq!(
-        told(&subscriber("").replace("subscriber", "observer")).first().unwrap(),
+        told(&subscriber("").replace("subscriber", "observer"))
+            .first()
+            .unwrap(),
         "1: cluster.api: is missing in this block"
     );
     let text = "cluster {\n role = \"subscriber\"\n name = \"w\"\n}\n";
     assert_eq!(
         told(text),
-        ["1: cluster.front_end: is missing in this block", "1: cluster.observers: is missing in this block"]
+        [
+            "1: cluster.front_end: is missing in this block",
+            "1: cluster.observers: is missing in this block"
+        ]
     );
     let member = |extra: &str| {
         format!(
@@ -144,14 +210,28 @@
              api = \"127.0.0.1:2\"\n members = {{ \"2\" = \"127.0.0.1:1\" }}\n{extra}\n}}\n"
         )
     };
-    let observer = parse(&member("subscribers_listen = \"127.0.0.1:3\"\nsubscribers = 5")).unwrap();
-    assert_eq!(observer.cluster.unwrap().subscribers_listen().unwrap().port(), 3);
+    let observer = parse(&member(
+        "subscribers_listen = \"127.0.0.1:3\"\nsubscribers = 5",
+    ))
+    .unwrap();
+    assert_eq!(
+        observer
+            .cluster
+            .unwrap()
+            .subscribers_listen()
+            .unwrap()
+            .port(),
+        3
+    );
     for (extra, expected) in [
         (
             "subscribers_listen = \"127.0.0.1:2\"",
             "8: cluster.subscribers_listen: is where members or operators connect",
         ),
-        ("subscribers = 0", "8: cluster.subscribers: has to be a whole number from 1 to 20000"),
+        (
+            "subscribers = 0",
+            "8: cluster.subscribers: has to be a whole number from 1 to 20000",
+        ),
         (
             "front_end = \"fe-17\"",
             "8: cluster.front_end: is no key of a member: take it out, or correct `role`",
@@ -166,13 +246,25 @@
 fn the_page_and_the_sample_are_current() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let page = std::fs::read_to_string(root.join("docs/configuration.md")).unwrap();
-    assert!(page.contains(&reference()), "write the output of `violetgate reference` into the page");
+    assert!(
+        page.contains(&reference()),
+        "write the output of `violetgate reference` into the page"
+    );
     let sample = std::fs::read_to_string(root.join("deploy/violetgate.hcl")).unwrap();
     parse(&sample).unwrap();
     for block in BLOCKS {
-        assert!(sample.contains(&format!("\n{} {{", block.name)), "{}", block.name);
+        assert!(
+            sample.contains(&format!("\n{} {{", block.name)),
+            "{}",
+            block.name
+        );
         for key in block.keys {
-            assert!(sample.contains(&format!("  {} = ", key.name)), "{}.{}", block.name, key.name);
+            assert!(
+                sample.contains(&format!("  {} = ", key.name)),
+                "{}.{}",
+                block.name,
+                key.name
+            );
         }
     }
 }
@@ -181,10 +273,22 @@
 #[test]
 fn a_fleet_is_checked_as_a_whole() {
     let file = |listen: &str, extra: &str| {
-        let seeds = if extra.starts_with("seeds") { "" } else { " seeds = [\"127.0.0.1:1\"]" };
+        let seeds = if extra.starts_with("seeds") {
+            ""
+        } else {
+            " seeds = [\"127.0.0.1:1\"]"
+        };
         format!("fleet {{\n name = \"w\"\n member = \"a\"\n listen = \"{listen}\"\n{seeds}\n{extra}\n}}\n")
     };
-    assert_eq!(parse(&file("127.0.0.1:1", "")).unwrap().fleet.unwrap().seeds.len(), 1);
+    assert_eq!(
+        parse(&file("127.0.0.1:1", ""))
+            .unwrap()
+            .fleet
+            .unwrap()
+            .seeds
+            .len(),
+        1
+    );
     let all = "0.0.0.0:1";
     let one = "127.0.0.1:1";
     for (listen, extra, told) in [
--- a/violetgate/src/settings/types.rs
+++ b/violetgate/src/settings/types.rs
@@ -22,7 +22,10 @@
 
 impl Default for Log {
     fn default() -> Self {
-        Log { format: Format::Text, lines_waiting: 4096 }
+        Log {
+            format: Format::Text,
+            lines_waiting: 4096,
+        }
     }
 }
 
@@ -37,7 +40,9 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        schema::span(&text).map(Span).ok_or_else(|| serde::de::Error::custom("no span"))
+        schema::span(&text)
+            .map(Span)
+            .ok_or_else(|| serde::de::Error::custom("no span"))
     }
 }
 
@@ -50,7 +55,9 @@
 impl<'de> Deserialize<'de> for Size {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        schema::bytes(&text).map(Size).ok_or_else(|| serde::de::Error::custom("no size"))
+        schema::bytes(&text)
+            .map(Size)
+            .ok_or_else(|| serde::de::Error::custom("no size"))
     }
 }
 
@@ -176,7 +183,14 @@
     /// What this instance is in its cluster, as the log says it at the start.
     #[must_use]
     pub fn part(&self) -> String {
-        let Cluster { name, id, listen, api, front_end, .. } = self;
+        let Cluster {
+            name,
+            id,
+            listen,
+            api,
+            front_end,
+            ..
+        } = self;
         match (self.role, self.subscribers_listen()) {
             (ClusterRole::Member, None) => {
                 format!("is member {id} of cluster {name} at {listen}, its api at {api}")
@@ -194,13 +208,16 @@
     /// What is wrong with keys that are right one by one.
     pub(super) fn check(&self) -> Result<(), (&'static str, &'static str)> {
         if self.confirm_every.0 * 3 > self.drain_limit.0 {
-            return Err(("confirm_every", "has to be a third of `drain_limit` at most"));
+            return Err((
+                "confirm_every",
+                "has to be a third of `drain_limit` at most",
+            ));
         }
         match self.role {
             ClusterRole::Member => self.check_member(),
-            ClusterRole::Subscriber => {
-                front_end_name(&self.front_end).map(|_| ()).map_err(|what| ("front_end", what))
-            }
+            ClusterRole::Subscriber => front_end_name(&self.front_end)
+                .map(|_| ())
+                .map_err(|what| ("front_end", what)),
         }
     }
 
@@ -209,20 +226,29 @@
             return Err(("members", "has to name this member, too"));
         }
         if self.heartbeat.0 * 3 > self.election_timeout.0 {
-            return Err(("heartbeat", "has to be a third of `election_timeout` at most"));
+            return Err((
+                "heartbeat",
+                "has to be a third of `election_timeout` at most",
+            ));
         }
         if self.listen == self.api {
             return Err(("api", "is where members connect"));
         }
         if [self.listen, self.api].contains(&self.subscribers_listen) {
-            return Err(("subscribers_listen", "is where members or operators connect"));
+            return Err((
+                "subscribers_listen",
+                "is where members or operators connect",
+            ));
         }
         Ok(())
     }
 }
 
 fn by_number(members: &BTreeMap<String, SocketAddr>) -> BTreeMap<u64, SocketAddr> {
-    members.iter().filter_map(|(id, addr)| Some((id.parse().ok()?, *addr))).collect()
+    members
+        .iter()
+        .filter_map(|(id, addr)| Some((id.parse().ok()?, *addr)))
+        .collect()
 }
 
 /// The longest name of a front end.
@@ -294,13 +320,19 @@
     pub(super) fn check(&self) -> Result<(), (&'static str, &'static str)> {
         let at = self.reached_at();
         if at.ip().is_unspecified() || at.port() == 0 {
-            return Err(("address", "or `listen` has to say where others reach this one, not every address"));
+            return Err((
+                "address",
+                "or `listen` has to say where others reach this one, not every address",
+            ));
         }
         if self.reply_within.0 * 3 > self.probe_every.0 {
             return Err(("reply_within", "has to be a third of `probe_every` at most"));
         }
         if self.settle.0 < self.suspect_for.0 * 2 {
-            return Err(("settle", "has to be twice `suspect_for` at least: views differ for so long"));
+            return Err((
+                "settle",
+                "has to be twice `suspect_for` at least: views differ for so long",
+            ));
         }
         Ok(())
     }
--- a/violetgate/src/stats.rs
+++ b/violetgate/src/stats.rs
@@ -37,14 +37,26 @@
     /// Counts for classes of these names, all from 0.
     #[must_use]
     pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Self {
-        let classes = classes.map(|name| Class { name: name.to_owned(), ..Class::default() }).collect();
-        Stats { classes, tries: Cell::new(0), open: Cell::new(0) }
+        let classes = classes
+            .map(|name| Class {
+                name: name.to_owned(),
+                ..Class::default()
+            })
+            .collect();
+        Stats {
+            classes,
+            tries: Cell::new(0),
+            open: Cell::new(0),
+        }
     }
 
     /// A request of a class has been read. It is in progress until what is returned is dropped.
     pub fn begin(&self, class: u32) -> InProgress<'_> {
         add(&self.open);
-        InProgress { stats: self, class: class as usize }
+        InProgress {
+            stats: self,
+            class: class as usize,
+        }
     }
 
     /// An attempt has been written whole to an engine.
@@ -59,19 +71,51 @@
         let count = |out: &mut String, name: &str, help: &str, of: fn(&Class) -> &Cell<u64>| {
             let _ = writeln!(out, "# HELP svc_{name} {help}\n# TYPE svc_{name} counter");
             for class in &self.classes {
-                let _ = writeln!(out, "svc_{name}{{category=\"{}\"}} {}", class.name, of(class).get());
+                let _ = writeln!(
+                    out,
+                    "svc_{name}{{category=\"{}\"}} {}",
+                    class.name,
+                    of(class).get()
+                );
             }
         };
         count(&mut out, "passed_total", "Requests served.", |c| &c.served);
-        count(&mut out, "dropped_total", "Requests refused.", |c| &c.refused);
-        count(&mut out, "bad_gateway_total", "Requests failed.", |c| &c.failed);
+        count(&mut out, "dropped_total", "Requests refused.", |c| {
+            &c.refused
+        });
+        count(&mut out, "bad_gateway_total", "Requests failed.", |c| {
+            &c.failed
+        });
         for (name, kind, help, value) in [
-            ("upstream_tries_total", "counter", "Attempts written whole to engines.", self.tries.get()),
-            ("in_progress", "gauge", "Requests taken and not ended.", self.open.get()),
-            ("known_engines", "gauge", "Engines in the list.", known as u64),
-            ("skipped_engines", "gauge", "Listed engines that are avoided now.", skipped as u64),
+            (
+                "upstream_tries_total",
+                "counter",
+                "Attempts written whole to engines.",
+                self.tries.get(),
+            ),
+            (
+                "in_progress",
+                "gauge",
+                "Requests taken and not ended.",
+                self.open.get(),
+            ),
+            (
+                "known_engines",
+                "gauge",
+                "Engines in the list.",
+                known as u64,
+            ),
+            (
+                "skipped_engines",
+                "gauge",
+                "Listed engines that are avoided now.",
+                skipped as u64,
+            ),
         ] {
-            let _ = writeln!(out, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}\nsvc_{name} {value}");
+            let _ = writeln!(
+                out,
+                "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}\nsvc_{name} {value}"
+            );
         }
         out
     }
@@ -112,11 +156,19 @@
         let stats = Stats::new(["a", "b"].into_iter());
         stats.tried();
         let left = stats.begin(0);
-        for ending in [Ending::Served, Ending::Served, Ending::Refused, Ending::Failed] {
+        for ending in [
+            Ending::Served,
+            Ending::Served,
+            Ending::Refused,
+            Ending::Failed,
+        ] {
             stats.begin(1).ended(ending);
         }
         let told = |text: &str| {
-            text.lines().filter(|l| !l.starts_with('#')).map(|l| l.to_owned()).collect::<Vec<_>>()
+            text.lines()
+                .filter(|l| !l.starts_with('#'))
+                .map(|l| l.to_owned())
+                .collect::<Vec<_>>()
         };
         let expected = [
             "svc_passed_total{category=\"a\"} 0",
--- a/violetgate/src/store.rs
+++ b/violetgate/src/store.rs
@@ -38,7 +38,9 @@
     ///
     /// It can't be read, or is spoilt.
     pub fn load(&self) -> std::io::Result<Option<Names>> {
-        let Some(path) = &self.path else { return Ok(None) };
+        let Some(path) = &self.path else {
+            return Ok(None);
+        };
         let mut text = String::new();
         match File::open(path) {
             Ok(file) => file.take(MOST).read_to_string(&mut text)?,
@@ -52,7 +54,10 @@
     /// file that can't be read counts as what this process holds, and one that can't be written is logged: the
     /// change holds here all the same.
     pub fn change(&self, held: &Names, name: &str, out: bool) -> Names {
-        let _lock = self.path.as_deref().and_then(|path| lock(path).inspect_err(|e| complain(path, e)).ok());
+        let _lock = self
+            .path
+            .as_deref()
+            .and_then(|path| lock(path).inspect_err(|e| complain(path, e)).ok());
         let mut names = self.load().ok().flatten().unwrap_or_else(|| held.clone());
         if out {
             names.insert(name.to_owned());
@@ -67,7 +72,10 @@
 }
 
 fn complain(path: &Path, e: &std::io::Error) {
-    log::line(format_args!("cordons are not kept: {}: {e}", path.display()));
+    log::line(format_args!(
+        "cordons are not kept: {}: {e}",
+        path.display()
+    ));
 }
 
 fn beside(path: &Path, what: &str) -> PathBuf {
@@ -78,7 +86,11 @@
 
 /// Keeps the other process from changing the file until the lock is dropped.
 fn lock(path: &Path) -> std::io::Result<File> {
-    let file = OpenOptions::new().write(true).create(true).truncate(false).open(beside(path, ".lock"))?;
+    let file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(beside(path, ".lock"))?;
     let mut left = LOCK.1;
     loop {
         match rustix::fs::flock(&file, FlockOperation::NonBlockingLockExclusive) {
@@ -113,7 +125,10 @@
         let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("cordons");
-        let (one, two) = (Store::new(Some(path.clone())), Store::new(Some(path.clone())));
+        let (one, two) = (
+            Store::new(Some(path.clone())),
+            Store::new(Some(path.clone())),
+        );
         assert_eq!(one.load().unwrap(), None);
         assert_eq!(one.change(&names(&[]), "s-1", true), names(&["s-1"]));
         assert_eq!(two.change(&names(&[]), "s-2", true), names(&["s-1", "s-2"]));
@@ -121,7 +136,10 @@
         assert_eq!(two.load().unwrap(), Some(names(&["s-2"])));
         std::fs::write(&path, "[\"s-2\"").unwrap();
         assert!(one.load().is_err());
-        assert_eq!(one.change(&names(&["s-2"]), "s-3", true), names(&["s-2", "s-3"]));
+        assert_eq!(
+            one.change(&names(&["s-2"]), "s-3", true),
+            names(&["s-2", "s-3"])
+        );
         assert_eq!(two.load().unwrap(), Some(names(&["s-2", "s-3"])));
         std::fs::remove_dir_all(&folder).unwrap();
     }
@@ -131,7 +149,10 @@
     fn without_a_folder_a_change_still_holds() {
         for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
             let store = Store::new(path);
-            assert_eq!(store.change(&names(&["s-1"]), "s-2", true), names(&["s-1", "s-2"]));
+            assert_eq!(
+                store.change(&names(&["s-1"]), "s-2", true),
+                names(&["s-1", "s-2"])
+            );
         }
     }
 }
--- a/violetgate/src/tables.rs
+++ b/violetgate/src/tables.rs
@@ -19,22 +19,36 @@
         rest = rest.trim_ascii_start();
         let &first = rest.first()?;
         let (size, token) = match first {
-            b'-' if rest.starts_with(b"--") => (memchr::memchr(b'\n', rest).unwrap_or(rest.len()), None),
+            b'-' if rest.starts_with(b"--") => {
+                (memchr::memchr(b'\n', rest).unwrap_or(rest.len()), None)
+            }
             b'/' if rest.starts_with(b"/*") => (comment(rest), None),
-            b'\'' => (1 + quoted(rest.get(1..)?, b'\'', false), Some(Token::Literal)),
+            b'\'' => (
+                1 + quoted(rest.get(1..)?, b'\'', false),
+                Some(Token::Literal),
+            ),
             b'"' => {
                 let size = 1 + quoted(rest.get(1..)?, b'"', false);
-                (size, Some(Token::Word(rest.get(1..size.max(2) - 1).unwrap_or_default())))
+                (
+                    size,
+                    Some(Token::Word(
+                        rest.get(1..size.max(2) - 1).unwrap_or_default(),
+                    )),
+                )
             }
             // E'...' is the one form of string in which a backslash escapes a quote.
-            b'e' | b'E' if rest.get(1) == Some(&b'\'') => {
-                (2 + quoted(rest.get(2..)?, b'\'', true), Some(Token::Literal))
-            }
+            b'e' | b'E' if rest.get(1) == Some(&b'\'') => (
+                2 + quoted(rest.get(2..)?, b'\'', true),
+                Some(Token::Literal),
+            ),
             b'$' => match dollar(rest) {
                 Some(size) => (size, Some(Token::Literal)),
                 None => (1, Some(Token::Other(b'$'))),
             },
-            b'0'..=b'9' => (run(rest, |b| b.is_ascii_alphanumeric() || b == b'.'), Some(Token::Literal)),
+            b'0'..=b'9' => (
+                run(rest, |b| b.is_ascii_alphanumeric() || b == b'.'),
+                Some(Token::Literal),
+            ),
             b if is_name(b) => {
                 let size = run(rest, |b| is_name(b) || b.is_ascii_digit() || b == b'$');
                 (size, Some(Token::Word(rest.get(..size)?)))
@@ -87,8 +101,9 @@
 /// Length of a dollar-quoted string, if one begins here.
 fn dollar(bytes: &[u8]) -> Option<usize> {
     let tag = 1 + run(bytes.get(1..)?, |b| is_name(b) || b.is_ascii_digit());
-    let open =
-        bytes.get(..=tag).filter(|t| t.ends_with(b"$") && !t.get(1).is_some_and(u8::is_ascii_digit))?;
+    let open = bytes
+        .get(..=tag)
+        .filter(|t| t.ends_with(b"$") && !t.get(1).is_some_and(u8::is_ascii_digit))?;
     let body = bytes.get(tag + 1..)?;
     Some(memchr::memmem::find(body, open).map_or(bytes.len(), |end| 2 * (tag + 1) + end))
 }
@@ -112,7 +127,8 @@
         }
         // Of `database.schema.table` the schema is the last but one.
         let mut name = None;
-        while let (Some(Token::Other(b'.')), Some(&Token::Word(next))) = (tokens.get(at), tokens.get(at + 1))
+        while let (Some(Token::Other(b'.')), Some(&Token::Word(next))) =
+            (tokens.get(at), tokens.get(at + 1))
         {
             schema = name.replace(next).unwrap_or(schema);
             at += 2;
@@ -129,9 +145,18 @@
 }
 
 fn is_place(word: &[u8]) -> bool {
-    [&b"from"[..], b"join", b"into", b"update", b"table", b"only", b"copy", b"using"]
-        .iter()
-        .any(|k| word.eq_ignore_ascii_case(k))
+    [
+        &b"from"[..],
+        b"join",
+        b"into",
+        b"update",
+        b"table",
+        b"only",
+        b"copy",
+        b"using",
+    ]
+    .iter()
+    .any(|k| word.eq_ignore_ascii_case(k))
 }
 
 fn is_clause(word: &[u8]) -> bool {
@@ -156,7 +181,11 @@
         return None;
     }
     let digits = schema.get(memchr::memrchr(b'_', schema)? + 1..)?;
-    std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()))?.parse().ok()
+    std::str::from_utf8(digits)
+        .ok()
+        .filter(|d| d.bytes().all(|b| b.is_ascii_digit()))?
+        .parse()
+        .ok()
 }
 
 #[cfg(test)]
--- a/violetgate/tests/crossings.rs
+++ b/violetgate/tests/crossings.rs
@@ -1,6 +1,11 @@
 //! The whole program at the instants that most fail at: descriptors that run out while the bus is away, and an end with
 //! sessions at rest. What one session meets is forced in `src/client/session/tests.rs`.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -11,7 +16,9 @@
 
 /// Descriptors that a process holds.
 fn descriptors(front: &Front) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", front.child.id())).unwrap().count()
+    std::fs::read_dir(format!("/proc/{}/fd", front.child.id()))
+        .unwrap()
+        .count()
 }
 
 /// Idle clients want more descriptors than there are, and the bus breaks off meanwhile: the oldest of them give way, the
@@ -23,7 +30,8 @@
     front.child.kill().unwrap();
     front.child.wait().unwrap();
     let path = front.folder.join("config.json");
-    let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
+    let mut config: serde_json::Value =
+        serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     config["limits"]["sockets"] = LIMIT.into();
     std::fs::write(&path, config.to_string()).unwrap();
     front.start_again();
@@ -31,13 +39,20 @@
     let mut idle = Vec::new();
     for n in 0..4 * LIMIT {
         idle.push(front.pg());
-        assert!(descriptors(&front) <= LIMIT, "{} with {n} clients", descriptors(&front));
+        assert!(
+            descriptors(&front) <= LIMIT,
+            "{} with {n} clients",
+            descriptors(&front)
+        );
     }
     front.fleet.break_bus();
     front.fleet.add("e-9", None).unwrap();
-    until("the bus is followed again", || front.figure("svc_known_engines") == 3.0);
+    until("the bus is followed again", || {
+        front.figure("svc_known_engines") == 3.0
+    });
     let mut last = idle.pop().unwrap();
-    let rows = last.query("/* method=lookup,rid=00000000000000a1,budget=9000 */ SELECT 1 FROM sales_3.plan");
+    let rows = last
+        .query("/* method=lookup,rid=00000000000000a1,budget=9000 */ SELECT 1 FROM sales_3.plan");
     assert_eq!(rows.map(|r| r.len()), Ok(3));
     assert!(descriptors(&front) <= LIMIT);
 }
@@ -61,6 +76,18 @@
     }
     assert_eq!(exit(&mut front.child), Some(0));
     let mut log = String::new();
-    front.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
-    assert_eq!(log.lines().filter(|l| l.contains("reason=shutdown")).count(), 5, "{log}");
+    front
+        .child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut log)
+        .unwrap();
+    assert_eq!(
+        log.lines()
+            .filter(|l| l.contains("reason=shutdown"))
+            .count(),
+        5,
+        "{log}"
+    );
 }
--- a/violetgate/tests/deployments.rs
+++ b/violetgate/tests/deployments.rs
@@ -1,6 +1,11 @@
 //! One build before two kinds of deployment, told apart by their settings only: one room, engines that tell what a query
 //! cost and say nothing meanwhile, a ration of further attempts; and two rooms, grants, notes, no cost told, no ration.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -72,7 +77,13 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
-        let front = Front { fleet, child, listen, management, folder };
+        let front = Front {
+            fleet,
+            child,
+            listen,
+            management,
+            folder,
+        };
         until("it is healthy", || {
             let mut http = Http::over(connect(&front.management), WAIT).unwrap();
             http.get("/admin/health").is_ok_and(|r| r.status == 200)
@@ -84,7 +95,10 @@
     fn ask(&self, fields: &str, statement: &str) -> Result<usize, String> {
         let mut pg = Pg::over(connect(&self.listen), WAIT).unwrap();
         pg.send(&format!("/* {fields} */ {statement}")).unwrap();
-        pg.read().unwrap().map(|rows| rows.len()).map_err(|_| pg.text().to_owned())
+        pg.read()
+            .unwrap()
+            .map(|rows| rows.len())
+            .map_err(|_| pg.text().to_owned())
     }
 }
 
@@ -97,20 +111,35 @@
         let told_cost = if name == "one-room" { "" } else { "untold" };
         let noted = if name == "one-room" { "" } else { "notes=20" };
         for n in 0..6u64 {
-            let fields = format!("method=lookup,rid={:016x},budget=9000,est=60,est_mb=100", n + 1);
-            let statement = format!("SELECT day FROM sales_3.plan /* ms=120 rows=5 {noted} {told_cost} */");
+            let fields = format!(
+                "method=lookup,rid={:016x},budget=9000,est=60,est_mb=100",
+                n + 1
+            );
+            let statement =
+                format!("SELECT day FROM sales_3.plan /* ms=120 rows=5 {noted} {told_cost} */");
             assert_eq!(front.ask(&fields, &statement), Ok(5), "{name}, {n}");
         }
         let fields =
             "method=load,rid=00000000000000aa,budget=9000,token=5c0f6e1a,obj=7f3a9c21e0b4d655,est=60";
-        let keyed =
-            front.ask(fields, &format!("INSERT INTO sales_2.plan SELECT 1 /* ms=60 {noted} {told_cost} */"));
+        let keyed = front.ask(
+            fields,
+            &format!("INSERT INTO sales_2.plan SELECT 1 /* ms=60 {noted} {told_cost} */"),
+        );
         assert!(keyed.is_ok(), "{name}: {keyed:?}");
         let counts = front.fleet.counts();
-        assert!(counts.by_request.values().all(|n| *n == 1), "{name}: {:?}", counts.by_request);
+        assert!(
+            counts.by_request.values().all(|n| *n == 1),
+            "{name}: {:?}",
+            counts.by_request
+        );
         // Memory is granted where grants are heeded, and the engine's own choice elsewhere.
         let granted = counts.reserved.values().filter(|mb| **mb > 0).count();
-        assert_eq!(granted > 0, name == "two-rooms", "{name}: {:?}", counts.reserved);
+        assert_eq!(
+            granted > 0,
+            name == "two-rooms",
+            "{name}: {:?}",
+            counts.reserved
+        );
     }
 }
 
@@ -127,14 +156,20 @@
         };
         assert!(ask(1, "1").is_ok());
         let told = ask(2, "yes").unwrap_err();
-        assert!(told.contains("again") && told.contains("is not 1"), "{told}");
+        assert!(
+            told.contains("again") && told.contains("is not 1"),
+            "{told}"
+        );
     }
 }
 
 /// Nobody there to serve: the refusal says in its text for how long to stay away, within what the settings allow.
 #[test]
 fn a_refusal_says_for_how_long() {
-    for (name, told, most) in [("away-one", one_room(), 1_000), ("away-two", two_rooms(), 500)] {
+    for (name, told, most) in [
+        ("away-one", one_room(), 1_000),
+        ("away-two", two_rooms(), 500),
+    ] {
         let front = Front::start(name, &told);
         for id in front.fleet.ids() {
             front.fleet.remove(&id);
@@ -145,10 +180,18 @@
             text.lines().any(|l| l == "svc_known_engines 0")
         });
         let told = front
-            .ask("method=lookup,rid=00000000000000bb,budget=400", "SELECT 1 FROM sales_3.plan")
+            .ask(
+                "method=lookup,rid=00000000000000bb,budget=400",
+                "SELECT 1 FROM sales_3.plan",
+            )
             .unwrap_err();
-        let ms: u64 =
-            told.split("backoff=").nth(1).and_then(|t| t.split(')').next()).unwrap().parse().unwrap();
+        let ms: u64 = told
+            .split("backoff=")
+            .nth(1)
+            .and_then(|t| t.split(')').next())
+            .unwrap()
+            .parse()
+            .unwrap();
         assert!((1..=most).contains(&ms), "{name}: {told}");
     }
 }
--- a/violetgate/tests/openapi.rs
+++ b/violetgate/tests/openapi.rs
@@ -1,6 +1,11 @@
 //! docs/openapi.yaml against the program: every answer that is listed can be had, none that is had is not listed,
 //! and bodies are as their schemas say.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -18,7 +23,10 @@
 impl Page {
     fn at<'a>(&'a self, mut value: &'a Value) -> &'a Value {
         while let Some(to) = value["$ref"].as_str() {
-            value = self.page.pointer(&to[1..]).unwrap_or_else(|| panic!("no {to}"));
+            value = self
+                .page
+                .pointer(&to[1..])
+                .unwrap_or_else(|| panic!("no {to}"));
         }
         value
     }
@@ -38,16 +46,23 @@
             Value::Array(_) => "array",
             Value::Object(_) => "object",
         };
-        assert!(kinds.contains(&kind) || (kind == "integer" && kinds.contains(&"number")), "{place}: {kind}");
+        assert!(
+            kinds.contains(&kind) || (kind == "integer" && kinds.contains(&"number")),
+            "{place}: {kind}"
+        );
         if let Some(known) = schema["enum"].as_array() {
             assert!(known.contains(value), "{place}: {value} is not listed");
         }
         for name in schema["required"].as_array().into_iter().flatten() {
-            assert!(value.get(name.as_str().unwrap()).is_some(), "{place}: {name} is missing");
+            assert!(
+                value.get(name.as_str().unwrap()).is_some(),
+                "{place}: {name} is missing"
+            );
         }
         for (name, value) in value.as_object().into_iter().flatten() {
-            let known =
-                schema["properties"].get(name).unwrap_or_else(|| panic!("{place}: {name} is not listed"));
+            let known = schema["properties"]
+                .get(name)
+                .unwrap_or_else(|| panic!("{place}: {name} is not listed"));
             self.fits(known, value, &format!("{place}.{name}"));
         }
         for value in value.as_array().into_iter().flatten() {
@@ -59,18 +74,32 @@
     fn check(&mut self, path: &str, method: &str, reply: &Reply) {
         let status = reply.status.to_string();
         let listed = &self.page["paths"][path][method]["responses"][&status];
-        assert!(!listed.is_null(), "{method} {path}: {status} is not listed: {reply:?}");
+        assert!(
+            !listed.is_null(),
+            "{method} {path}: {status} is not listed: {reply:?}"
+        );
         let listed = self.at(listed);
         if let Some(content) = listed["content"].as_object() {
             let (kind, content) = content.iter().next().unwrap();
-            assert_eq!(&reply.headers["content-type"], kind, "{method} {path} {status}");
-            self.fits(&content["schema"], &reply.json(), &format!("{method} {path} {status}"));
+            assert_eq!(
+                &reply.headers["content-type"], kind,
+                "{method} {path} {status}"
+            );
+            self.fits(
+                &content["schema"],
+                &reply.json(),
+                &format!("{method} {path} {status}"),
+            );
             if reply.status != 200 {
                 assert_eq!(reply.json()["status"], reply.status);
-                assert_eq!(reply.headers.contains_key("retry-after"), reply.status == 503);
+                assert_eq!(
+                    reply.headers.contains_key("retry-after"),
+                    reply.status == 503
+                );
             }
         }
-        self.had.insert((path.to_owned(), method.to_owned(), status));
+        self.had
+            .insert((path.to_owned(), method.to_owned(), status));
     }
 }
 
@@ -79,15 +108,24 @@
     const ASK: &str = "/v1/queries";
     const PAGE: &str = "/v1/queries/{id}/pages/{n}";
     const ONE: &str = "/v1/queries/{id}";
-    let text = std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/openapi.yaml")).unwrap();
-    let mut page = Page { page: serde_yaml_ng::from_str(&text).unwrap(), had: BTreeSet::new() };
+    let text =
+        std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/openapi.yaml"))
+            .unwrap();
+    let mut page = Page {
+        page: serde_yaml_ng::from_str(&text).unwrap(),
+        had: BTreeSet::new(),
+    };
     let rest = "  body_timeout = \"100ms\"\n  results_bytes = \"300KiB\"";
     let front = Front::start(1, rest, 0.05);
     let ask = |class: &str, budget: u64, hints: &str| {
         json!({"class": class, "tenant": "south", "budget_ms": budget, "estimate_ms": 5, "estimate_mb": 2.5,
                "order_key": "00000000000000aa", "statement": format!("SELECT 1 FROM a_3.b /* {hints} */")})
     };
-    page.fits(&page.page["components"]["schemas"]["Query"].clone(), &ask("load", 5, ""), "Query");
+    page.fits(
+        &page.page["components"]["schemas"]["Query"].clone(),
+        &ask("load", 5, ""),
+        "Query",
+    );
     let wide = "rows=600 width=70";
 
     let first = front.ask(&ask("report", 20_000, wide), None);
@@ -103,7 +141,11 @@
     let mut http = front.http();
     http.send("POST", ASK, &[("content-type", "text/plain")], b"{}");
     page.check(ASK, "post", &http.read());
-    page.check(ASK, "post", &front.ask(&ask("load", 9_000, ""), Some("k-1")));
+    page.check(
+        ASK,
+        "post",
+        &front.ask(&ask("load", 9_000, ""), Some("k-1")),
+    );
     // One that joins a query that runs, and has less time than that takes.
     let mut long = front.http();
     let slow = |budget| {
--- a/violetgate/tests/play.rs
+++ b/violetgate/tests/play.rs
@@ -1,6 +1,11 @@
 //! Plays the exchanges in `exchanges/*.txt` against the program on real sockets and compares all bytes that
 //! it sends with the recorded transcript. `exchanges/README.md` explains the scripts.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -28,13 +33,20 @@
 
 impl Bus {
     fn start(listener: TcpListener, last: u64) -> Self {
-        let (stream, last) = (Arc::new(Mutex::new(None::<TcpStream>)), Arc::new(Mutex::new(last)));
+        let (stream, last) = (
+            Arc::new(Mutex::new(None::<TcpStream>)),
+            Arc::new(Mutex::new(last)),
+        );
         let (tell, hellos) = mpsc::channel();
         let (s, l) = (Arc::clone(&stream), Arc::clone(&last));
         std::thread::spawn(move || loop {
-            let Ok((peer, _)) = listener.accept() else { return };
+            let Ok((peer, _)) = listener.accept() else {
+                return;
+            };
             let mut hello = String::new();
-            BufReader::new(peer.try_clone().unwrap()).read_line(&mut hello).unwrap();
+            BufReader::new(peer.try_clone().unwrap())
+                .read_line(&mut hello)
+                .unwrap();
             *s.lock().unwrap() = Some(peer);
             if tell.send(hello).is_err() {
                 return;
@@ -48,7 +60,11 @@
                 let _ = peer.write_all(format!("{last}\n").as_bytes());
             }
         });
-        Bus { stream, last, hellos }
+        Bus {
+            stream,
+            last,
+            hellos,
+        }
     }
 }
 
@@ -144,11 +160,16 @@
 
     /// One call to the management of the latest process: its status line and its body.
     fn call(&mut self, text: &str) -> (String, String) {
-        let (head, body) =
-            text.split_once(" {").map_or((text, String::new()), |(h, b)| (h, format!("{{{b}")));
+        let (head, body) = text
+            .split_once(" {")
+            .map_or((text, String::new()), |(h, b)| (h, format!("{{{b}")));
         let mut stream = connect(&self.management);
         let length = body.len();
-        write!(stream, "{head} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}").unwrap();
+        write!(
+            stream,
+            "{head} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"
+        )
+        .unwrap();
         let mut answer = String::new();
         stream.read_to_string(&mut answer).unwrap();
         let (head, body) = answer.split_once("\r\n\r\n").unwrap();
@@ -177,14 +198,19 @@
     }
 
     fn peer(&mut self, who: &str) -> &mut BufReader<TcpStream> {
-        &mut self.peers.get_mut(who).unwrap_or_else(|| panic!("no connection {who}")).0
+        &mut self
+            .peers
+            .get_mut(who)
+            .unwrap_or_else(|| panic!("no connection {who}"))
+            .0
     }
 
     fn add(&mut self, who: &str, stream: TcpStream, engine: Option<usize>) {
         stream.set_nodelay(true).unwrap();
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
-        self.peers.insert(who.to_owned(), (BufReader::new(stream), engine));
+        self.peers
+            .insert(who.to_owned(), (BufReader::new(stream), engine));
     }
 
     /// Connects a client, once the program listens.
@@ -203,7 +229,11 @@
                     let known = self.peers.values().any(|(_, engine)| *engine == Some(i));
                     self.note(
                         who,
-                        if known { "accepts at a known engine" } else { "accepts at a new engine" },
+                        if known {
+                            "accepts at a known engine"
+                        } else {
+                            "accepts at a new engine"
+                        },
                     );
                     return self.add(who, stream, Some(i));
                 }
@@ -223,7 +253,12 @@
         let mut head = [0; 5];
         match peer.read_exact(&mut head) {
             Ok(()) => {}
-            Err(e) if matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
+                ) =>
+            {
                 self.note(who, "< end");
                 return None;
             }
@@ -234,7 +269,10 @@
         if head[0] == b'K' && self.key.is_empty() {
             self.key = body.iter().map(|b| format!("\\x{b:02x}")).collect();
         }
-        self.note(who, &format!("< {} {}", head[0] as char, body.escape_ascii()));
+        self.note(
+            who,
+            &format!("< {} {}", head[0] as char, body.escape_ascii()),
+        );
         Some(head[0])
     }
 
@@ -243,7 +281,11 @@
         let peer = self.peer(who);
         let mut line = Vec::new();
         peer.read_until(b'\n', &mut line).unwrap();
-        let words: Vec<_> = line.strip_suffix(b"\r\n").unwrap().split(|b| *b == b' ').collect();
+        let words: Vec<_> = line
+            .strip_suffix(b"\r\n")
+            .unwrap()
+            .split(|b| *b == b' ')
+            .collect();
         if words[0] == b"serve" {
             let length: usize = std::str::from_utf8(words[3]).unwrap().parse().unwrap();
             let at = line.len();
@@ -257,7 +299,10 @@
     fn step(&mut self, line: &str) {
         let (who, rest) = line.split_once(' ').unwrap_or((line, ""));
         let (verb, text) = rest.split_once(' ').unwrap_or((rest, ""));
-        if !matches!(verb, "accept" | "until" | "soon" | "read" | "end" | "hello" | "byte" | "exit") {
+        if !matches!(
+            verb,
+            "accept" | "until" | "soon" | "read" | "end" | "hello" | "byte" | "exit"
+        ) {
             self.note(who, rest);
         }
         match (who, verb) {
@@ -279,14 +324,25 @@
                     .map(|w| {
                         let w: Vec<_> = w.split(':').collect();
                         let place = &self.listeners[w[1].parse::<usize>().unwrap()];
-                        server(w[0].parse().unwrap(), &place.local_addr().unwrap().to_string(), w[2])
+                        server(
+                            w[0].parse().unwrap(),
+                            &place.local_addr().unwrap().to_string(),
+                            w[2],
+                        )
                     })
                     .collect();
                 let event = format!(
                     "{{\"offset\":{offset},\"topology\":{{\"version\":2,\"full\":false,\"servers\":[{}]}}}}\n",
                     servers.join(",")
                 );
-                self.bus.stream.lock().unwrap().as_mut().unwrap().write_all(event.as_bytes()).unwrap();
+                self.bus
+                    .stream
+                    .lock()
+                    .unwrap()
+                    .as_mut()
+                    .unwrap()
+                    .write_all(event.as_bytes())
+                    .unwrap();
                 // Only now, or the number alone might overtake its event and look like a gap.
                 *self.bus.last.lock().unwrap() = offset;
             }
@@ -323,7 +379,11 @@
             ("program" | "old", "term" | "hup") => {
                 let pid = self.process(who).id().to_string();
                 let signal = format!("-{}", verb.to_uppercase());
-                assert!(Command::new("kill").args([&signal, &pid]).status().unwrap().success());
+                assert!(Command::new("kill")
+                    .args([&signal, &pid])
+                    .status()
+                    .unwrap()
+                    .success());
             }
             ("program" | "old", "exit") => {
                 let until = Instant::now() + WAIT;
@@ -352,7 +412,10 @@
                         break;
                     }
                 }
-                assert!(verb == "until" || begun.elapsed() < SOON, "{who} waits too long");
+                assert!(
+                    verb == "until" || begun.elapsed() < SOON,
+                    "{who} waits too long"
+                );
             }
             (_, "byte") => {
                 let mut byte = [0];
@@ -377,8 +440,13 @@
 
 /// Times differ with every run.
 fn mask(text: &str) -> String {
-    let Some((before, after)) = text.split_once("patience=") else { return text.to_owned() };
-    format!("{before}patience=*{}", after.trim_start_matches(|c: char| c.is_ascii_digit()))
+    let Some((before, after)) = text.split_once("patience=") else {
+        return text.to_owned();
+    };
+    format!(
+        "{before}patience=*{}",
+        after.trim_start_matches(|c: char| c.is_ascii_digit())
+    )
 }
 
 fn unescape(text: &str) -> Vec<u8> {
@@ -408,12 +476,21 @@
 }
 
 fn query(text: &str) -> Vec<u8> {
-    [b"Q", &(text.len() as u32 + 5).to_be_bytes()[..], text.as_bytes(), b"\0"].concat()
+    [
+        b"Q",
+        &(text.len() as u32 + 5).to_be_bytes()[..],
+        text.as_bytes(),
+        b"\0",
+    ]
+    .concat()
 }
 
 fn program(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_violetgate"));
-    command.env("PROXY_CONFIG", config).env("PROXY_NAME", "n0").stdin(Stdio::null());
+    command
+        .env("PROXY_CONFIG", config)
+        .env("PROXY_NAME", "n0")
+        .stdin(Stdio::null());
     command
 }
 
@@ -421,8 +498,15 @@
 fn the_program_answers_as_recorded() {
     insta::glob!("exchanges/*.txt", |path| {
         let script = std::fs::read_to_string(path).unwrap();
-        let mut steps = script.lines().filter(|l| !l.is_empty() && !l.starts_with('#'));
-        let engines = steps.next().and_then(|l| l.strip_prefix("engines ")).unwrap().parse().unwrap();
+        let mut steps = script
+            .lines()
+            .filter(|l| !l.is_empty() && !l.starts_with('#'));
+        let engines = steps
+            .next()
+            .and_then(|l| l.strip_prefix("engines "))
+            .unwrap()
+            .parse()
+            .unwrap();
         let mut player = Player::start(path.file_stem().unwrap().to_str().unwrap(), engines);
         steps.for_each(|line| player.step(line));
         insta::with_settings!({ omit_expression => true, prepend_module_to_snapshot => false }, {
@@ -459,7 +543,10 @@
         let output = program(&path).env_remove("PROXY_LISTEN").output().unwrap();
         let log = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{text}: {log}");
-        assert!(log.lines().count() == 1 && log.contains(says), "{text}: {log}");
+        assert!(
+            log.lines().count() == 1 && log.contains(says),
+            "{text}: {log}"
+        );
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/violetgate/tests/rest.rs
+++ b/violetgate/tests/rest.rs
@@ -1,5 +1,10 @@
 //! The REST front on real sockets, before stand-in engines that count what reaches them.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -26,7 +31,11 @@
 fn whole(rows: &[[String; 3]], count: usize) {
     assert_eq!(rows.len(), count);
     for (n, row) in rows.iter().enumerate() {
-        assert_eq!((&row[0], &row[1]), (&rows[0][0], &rows[0][1]), "rows of two attempts");
+        assert_eq!(
+            (&row[0], &row[1]),
+            (&rows[0][0], &rows[0][1]),
+            "rows of two attempts"
+        );
         assert_eq!(row[2].trim_end_matches('.'), n.to_string());
     }
 }
@@ -48,7 +57,9 @@
     rows.extend(second.rows());
     front.fleet.kill("e-1");
     front.fleet.add("e-2", addr).unwrap();
-    until("the new engine is known", || front.figure("svc_known_engines") >= 2.0);
+    until("the new engine is known", || {
+        front.figure("svc_known_engines") >= 2.0
+    });
     let mut at = second.next();
     let mut count = 2;
     while let Some(path) = at {
@@ -62,7 +73,10 @@
     let again = front.http().get(&next);
     assert_eq!(again.body, second.body);
     let counts = front.fleet.counts();
-    assert_eq!((counts.attempts(), counts.pages.len() as u64), (1, pages - 1));
+    assert_eq!(
+        (counts.attempts(), counts.pages.len() as u64),
+        (1, pages - 1)
+    );
     assert!(counts.pages.values().all(|n| *n == 1), "{:?}", counts.pages);
     // What comes next runs at the successor.
     whole(&front.ask(&report(30_000, "rows=5"), None).rows(), 5);
@@ -72,7 +86,12 @@
 /// An attempt whose further pages are spoilt or cut off is a failed one: its rows never mix with the next one's.
 #[test]
 fn pages_of_two_attempts_never_mix() {
-    for fault in [Fault::ResetOnPage, Fault::SpoilPages, Fault::ResetOnAnswer, Fault::ResetOnServe] {
+    for fault in [
+        Fault::ResetOnPage,
+        Fault::SpoilPages,
+        Fault::ResetOnAnswer,
+        Fault::ResetOnServe,
+    ] {
         let front = Front::start(2, "", WINDOW);
         front.fleet.fault("e-1", fault);
         for _ in 0..4 {
@@ -97,7 +116,8 @@
     let front = Front::start(2, "", WINDOW);
     let ask = load(7, "ms=300");
     let mut both = [front.http(), front.http()];
-    both.iter_mut().for_each(|http| http.ask(&ask, Some("\"k-1\"")));
+    both.iter_mut()
+        .for_each(|http| http.ask(&ask, Some("\"k-1\"")));
     let answers: Vec<Reply> = both.iter_mut().map(Http::read).collect();
     whole(&answers[0].rows(), 3);
     assert_eq!(answers[0].body, answers[1].body);
@@ -112,7 +132,10 @@
     let other = front.ask(&load(7, "ms=1"), Some("k-1"));
     assert_eq!((other.status, other.kind().as_str()), (422, "key-reused"));
     assert_eq!(front.ask(&load(8, "ms=300"), Some("k-1")).status, 422);
-    assert_eq!(front.pg().query(&sql(2, "k-1", 7, "SELECT 2")), Err("22023".to_owned()));
+    assert_eq!(
+        front.pg().query(&sql(2, "k-1", 7, "SELECT 2")),
+        Err("22023".to_owned())
+    );
     // And the other way round, while it runs.
     let mut pg = front.pg();
     pg.send(&sql(3, "k-2", 9, "SELECT 3 /* ms=300 */"));
@@ -126,7 +149,9 @@
     let short = Front::start(1, "", 0.2);
     let ask = load(7, "");
     let first = short.ask(&ask, Some("k-3"));
-    until("the window has passed", || short.ask(&ask, Some("k-3")).body != first.body);
+    until("the window has passed", || {
+        short.ask(&ask, Some("k-3")).body != first.body
+    });
     assert!(short.fleet.counts().by_key["k-3"] >= 2);
 }
 
@@ -141,18 +166,25 @@
     assert!(front.fleet.wait_for(|c| c.running == 1));
     let mut second = front.http();
     second.ask(&ask, Some("k-1"));
-    until("the second has joined", || front.figure("svc_rest_keys_joined_total") == 1.0);
+    until("the second has joined", || {
+        front.figure("svc_rest_keys_joined_total") == 1.0
+    });
     drop(first);
     whole(&second.read().rows(), 3);
     assert_eq!(front.fleet.counts().by_key["k-1"], 1);
 
-    for (ask, key) in [(load(2, "ms=700"), Some("k-2")), (report(9_000, "ms=5000"), None)] {
+    for (ask, key) in [
+        (load(2, "ms=700"), Some("k-2")),
+        (report(9_000, "ms=5000"), None),
+    ] {
         let before = front.fleet.counts().cancels;
         let mut alone = front.http();
         alone.ask(&ask, key);
         assert!(front.fleet.wait_for(|c| c.running == 1));
         drop(alone);
-        assert!(front.fleet.wait_for(|c| c.cancels == before + 1 && c.running == 0));
+        assert!(front
+            .fleet
+            .wait_for(|c| c.cancels == before + 1 && c.running == 0));
     }
     whole(&front.ask(&load(2, "ms=700"), Some("k-2")).rows(), 3);
     assert_eq!(front.fleet.counts().effects["k-2"], 1);
@@ -169,7 +201,8 @@
     for (n, http) in rest.iter_mut().enumerate() {
         http.ask(&load(12, "ms=30"), Some(&format!("b-{n}")));
     }
-    rest.iter_mut().for_each(|http| whole(&http.read().rows(), 3));
+    rest.iter_mut()
+        .for_each(|http| whole(&http.read().rows(), 3));
     pg.read().unwrap();
     let counts = front.fleet.counts();
     assert_eq!((counts.attempts(), counts.most_running), (4, 1));
@@ -202,21 +235,48 @@
         page.status == 410
     });
     assert_eq!(http.get(&path).kind(), "result-gone");
-    until("its bytes are free", || front.figure("svc_rest_results_bytes") == 0.0);
+    until("its bytes are free", || {
+        front.figure("svc_rest_results_bytes") == 0.0
+    });
 
     let first = front.ask(&report(30_000, "rows=300 width=60"), None);
-    let (id, path) = (first.json()["id"].as_str().unwrap().to_owned(), first.next().unwrap());
+    let (id, path) = (
+        first.json()["id"].as_str().unwrap().to_owned(),
+        first.next().unwrap(),
+    );
     let unknown = http.get(&format!("/v1/queries/{}/pages/2", "A".repeat(id.len())));
-    assert_eq!((unknown.status, unknown.kind().as_str()), (404, "no-such-page"));
+    assert_eq!(
+        (unknown.status, unknown.kind().as_str()),
+        (404, "no-such-page")
+    );
     for at in 0..id.len() {
         let mut forged = id.clone().into_bytes();
         forged[at] = if forged[at] == b'x' { b'y' } else { b'x' };
-        let reply = http.get(&format!("/v1/queries/{}/pages/2", String::from_utf8(forged).unwrap()));
-        assert_eq!((reply.status, reply.body), (404, unknown.body.clone()), "byte {at}");
+        let reply = http.get(&format!(
+            "/v1/queries/{}/pages/2",
+            String::from_utf8(forged).unwrap()
+        ));
+        assert_eq!(
+            (reply.status, reply.body),
+            (404, unknown.body.clone()),
+            "byte {at}"
+        );
     }
     let pages = first.json()["pages"].as_u64().unwrap();
-    for page in ["0", "02", "999999", "99999999999999999999", "-1", "x", &(pages + 1).to_string()] {
-        assert_eq!(http.get(&format!("/v1/queries/{id}/pages/{page}")).status, 404, "{page}");
+    for page in [
+        "0",
+        "02",
+        "999999",
+        "99999999999999999999",
+        "-1",
+        "x",
+        &(pages + 1).to_string(),
+    ] {
+        assert_eq!(
+            http.get(&format!("/v1/queries/{id}/pages/{page}")).status,
+            404,
+            "{page}"
+        );
     }
     let stranger = Front::start(1, "", WINDOW);
     assert_eq!(stranger.http().get(&path).body, unknown.body);
@@ -237,16 +297,28 @@
     let before = front.fleet.counts().by_request.len();
     for _ in 0..5 {
         let refused = front.ask(&ask, None);
-        assert_eq!((refused.status, refused.kind().as_str()), (503, "results-full"));
+        assert_eq!(
+            (refused.status, refused.kind().as_str()),
+            (503, "results-full")
+        );
         assert!(refused.headers["retry-after"].parse::<u64>().unwrap() >= 1);
     }
     assert_eq!(before, 2);
-    assert_eq!(front.fleet.counts().by_request.len(), before, "what is refused never ran");
+    assert_eq!(
+        front.fleet.counts().by_request.len(),
+        before,
+        "what is refused never ran"
+    );
     let mut http = front.http();
     for first in &kept {
         assert_eq!(http.get(&first.next().unwrap()).status, 200);
     }
-    http.send("DELETE", &format!("/v1/queries/{}", kept[0].json()["id"].as_str().unwrap()), &[], b"");
+    http.send(
+        "DELETE",
+        &format!("/v1/queries/{}", kept[0].json()["id"].as_str().unwrap()),
+        &[],
+        b"",
+    );
     assert_eq!(http.read().status, 204);
     assert_eq!(front.ask(&ask, None).status, 200);
 }
@@ -273,11 +345,17 @@
     assert_eq!(second.status, 200);
     until("queries are turned back", || {
         let reply = front.ask(&report(30_000, "rows=2"), None);
-        assert!(reply.status == 200 || reply.kind() == "draining", "{reply:?}");
+        assert!(
+            reply.status == 200 || reply.kind() == "draining",
+            "{reply:?}"
+        );
         reply.status == 503
     });
     let third = owed.get(&second.next().unwrap());
-    assert_eq!((third.status, third.headers["connection"].as_str()), (200, "close"));
+    assert_eq!(
+        (third.status, third.headers["connection"].as_str()),
+        (200, "close")
+    );
     assert!(third.next().is_none() && owed.ended());
     assert_eq!(front.call("PUT", "/admin/resume", "").0, 200);
     assert_eq!(front.ask(&report(30_000, "rows=2"), None).status, 200);
@@ -320,7 +398,10 @@
     let mut half = front.http();
     half.raw(b"POST /v1/queries HTTP/1.1\r\nhost");
     let reply = half.read();
-    assert_eq!((reply.status, reply.kind().as_str()), (408, "request-timeout"));
+    assert_eq!(
+        (reply.status, reply.kind().as_str()),
+        (408, "request-timeout")
+    );
     assert!(half.ended());
     let mut half = front.http();
     half.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{");
@@ -337,7 +418,10 @@
         b"POST /v1/queries HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 60000000\r\n\r\n",
     );
     let reply = huge.read();
-    assert_eq!((reply.status, reply.kind().as_str()), (413, "body-too-large"));
+    assert_eq!(
+        (reply.status, reply.kind().as_str()),
+        (413, "body-too-large")
+    );
     let mut endless = front.http();
     endless.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
     let chunk = [&b"8000\r\n"[..], &vec![b' '; 0x8000], b"\r\n"].concat();
@@ -353,8 +437,12 @@
     // One that asks for page after page and reads none of them is cut off.
     let first = front.ask(&report(30_000, "rows=900 width=53"), None);
     let mut slow = front.http();
-    let request = format!("GET {} HTTP/1.1\r\nhost: a\r\n\r\n", first.next().unwrap()).repeat(2_000);
-    slow.stream.get_ref().set_write_timeout(Some(std::time::Duration::from_millis(200))).unwrap();
+    let request =
+        format!("GET {} HTTP/1.1\r\nhost: a\r\n\r\n", first.next().unwrap()).repeat(2_000);
+    slow.stream
+        .get_ref()
+        .set_write_timeout(Some(std::time::Duration::from_millis(200)))
+        .unwrap();
     let _ = slow.stream.get_mut().write_all(request.as_bytes());
     until("the slow reader is cut off", || {
         let mut http = front.http();
@@ -371,13 +459,25 @@
     let front = Front::start(1, "", WINDOW);
     let ask = report(30_000, "rows=300 width=60").to_string();
     let mut http = front.http();
-    let post = format!("POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{ask}", ask.len());
+    let post = format!(
+        "POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{ask}",
+        ask.len()
+    );
     http.raw(post.repeat(3).as_bytes());
     let replies: Vec<Reply> = (0..3).map(|_| http.read()).collect();
-    assert!(replies.iter().all(|r| r.rows().len() == replies[0].rows().len()));
+    assert!(replies
+        .iter()
+        .all(|r| r.rows().len() == replies[0].rows().len()));
     let (a, b) = ask.split_at(20);
     http.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
-    http.raw(format!("{:x}\r\n{a}\r\n{:x};x=1\r\n{b}\r\n0\r\nt: u\r\n\r\n", a.len(), b.len()).as_bytes());
+    http.raw(
+        format!(
+            "{:x}\r\n{a}\r\n{:x};x=1\r\n{b}\r\n0\r\nt: u\r\n\r\n",
+            a.len(),
+            b.len()
+        )
+        .as_bytes(),
+    );
     assert_eq!(http.read().status, 200);
     http.raw(
         format!(
@@ -392,7 +492,10 @@
     let page = http.get(&first.next().unwrap());
     http.send("HEAD", &first.next().unwrap(), &[], b"");
     let head = http.read();
-    assert_eq!((head.status, head.headers["content-length"].parse()), (200, Ok(page.body.len())));
+    assert_eq!(
+        (head.status, head.headers["content-length"].parse()),
+        (200, Ok(page.body.len()))
+    );
     for (method, path, status, allow) in [
         ("GET", "/v1/queries", 405, "POST"),
         ("POST", "/v1/queries/x", 405, "DELETE"),
@@ -409,18 +512,42 @@
     for (body, says) in [
         ("{", "the body"),
         ("[]", "the body"),
-        (r#"{"class":"report","budget_ms":5,"statement":"SELECT 1","colour":1}"#, "colour"),
-        (r#"{"budget_ms":5,"statement":"SELECT 1"}"#, "`class` is missing"),
-        (r#"{"class":"what","budget_ms":5,"statement":"SELECT 1"}"#, "`class` names no class"),
-        (r#"{"class":"report","statement":"SELECT 1"}"#, "`budget_ms` is missing"),
-        (r#"{"class":"report","budget_ms":-5,"statement":"SELECT 1"}"#, "`budget_ms` is no span"),
-        (r#"{"class":"report","budget_ms":1e300,"statement":"SELECT 1"}"#, "`budget_ms` is no span"),
+        (
+            r#"{"class":"report","budget_ms":5,"statement":"SELECT 1","colour":1}"#,
+            "colour",
+        ),
+        (
+            r#"{"budget_ms":5,"statement":"SELECT 1"}"#,
+            "`class` is missing",
+        ),
+        (
+            r#"{"class":"what","budget_ms":5,"statement":"SELECT 1"}"#,
+            "`class` names no class",
+        ),
+        (
+            r#"{"class":"report","statement":"SELECT 1"}"#,
+            "`budget_ms` is missing",
+        ),
+        (
+            r#"{"class":"report","budget_ms":-5,"statement":"SELECT 1"}"#,
+            "`budget_ms` is no span",
+        ),
+        (
+            r#"{"class":"report","budget_ms":1e300,"statement":"SELECT 1"}"#,
+            "`budget_ms` is no span",
+        ),
         (
             r#"{"class":"report","budget_ms":5,"tenant":"x","statement":"SELECT 1"}"#,
             "`tenant` names no tenant",
         ),
-        (r#"{"class":"report","budget_ms":5,"statement":" ; "}"#, "`statement` is missing"),
-        (r#"{"class":"load","budget_ms":5,"statement":"SELECT 1"}"#, "`Idempotency-Key` is missing"),
+        (
+            r#"{"class":"report","budget_ms":5,"statement":" ; "}"#,
+            "`statement` is missing",
+        ),
+        (
+            r#"{"class":"load","budget_ms":5,"statement":"SELECT 1"}"#,
+            "`Idempotency-Key` is missing",
+        ),
         (
             r#"{"class":"report","budget_ms":5,"order_key":"7","statement":"SELECT 1"}"#,
             "`order_key` is not 16",
@@ -428,15 +555,28 @@
     ] {
         http.send("POST", "/v1/queries", &[], body.as_bytes());
         let reply = http.read();
-        assert_eq!((reply.status, reply.kind().as_str()), (400, "invalid-request"), "{body}");
+        assert_eq!(
+            (reply.status, reply.kind().as_str()),
+            (400, "invalid-request"),
+            "{body}"
+        );
         let detail = reply.json()["detail"].as_str().unwrap().to_owned();
         assert!(detail.contains(says), "{body}: {detail}");
     }
-    http.send("POST", "/v1/queries", &[("content-type", "text/xml")], b"<q/>");
+    http.send(
+        "POST",
+        "/v1/queries",
+        &[("content-type", "text/xml")],
+        b"<q/>",
+    );
     assert_eq!(http.read().status, 415);
     http.ask(&report(30_000, ""), Some("k"));
     assert_eq!(http.read().kind(), "invalid-request");
-    assert_eq!(front.fleet.counts().attempts(), 5, "what can't be used never ran");
+    assert_eq!(
+        front.fleet.counts().attempts(),
+        5,
+        "what can't be used never ran"
+    );
 }
 
 /// New limits are taken at SIGHUP; a file that can't be used changes nothing.
@@ -453,7 +593,11 @@
     std::fs::write(&path, hcl(&front.rest, "  max_body = \"1KiB\"")).unwrap();
     front.signal("HUP");
     until("the new limit holds", || long() == 413);
-    for text in ["rest {", "rest {\n  max_body = \"96KiB\"\n}", &hcl(&front.rest, "  max_bodi = \"96KiB\"")] {
+    for text in [
+        "rest {",
+        "rest {\n  max_body = \"96KiB\"\n}",
+        &hcl(&front.rest, "  max_bodi = \"96KiB\""),
+    ] {
         std::fs::write(&path, text).unwrap();
         front.signal("HUP");
         assert_eq!(long(), 413);
@@ -468,7 +612,13 @@
 fn failures_and_refusals_are_told_apart() {
     let front = Front::start(1, "", WINDOW);
     let failed = front.ask(&report(2_000, "fail"), None);
-    assert!(matches!((failed.status, failed.kind().as_str()), (502, "failed") | (503, "busy")), "{failed:?}");
+    assert!(
+        matches!(
+            (failed.status, failed.kind().as_str()),
+            (502, "failed") | (503, "busy")
+        ),
+        "{failed:?}"
+    );
     front.fleet.fault("e-1", Fault::Refuse);
     let refused = front.ask(&report(400, "rows=2"), None);
     assert_eq!((refused.status, refused.kind().as_str()), (503, "busy"));
@@ -492,7 +642,17 @@
     whole(&front.ask(&report(30_000, "rows=5"), None).rows(), 5);
     front.signal("TERM");
     let mut log = String::new();
-    front.child.stderr.take().unwrap().read_to_string(&mut log).unwrap();
+    front
+        .child
+        .stderr
+        .take()
+        .unwrap()
+        .read_to_string(&mut log)
+        .unwrap();
     assert_eq!(exit(&mut front.child), Some(0));
-    assert!(log.lines().count() < 6_000 && log.contains("log lines, as nobody took them"), "{}", log.len());
+    assert!(
+        log.lines().count() < 6_000 && log.contains("log lines, as nobody took them"),
+        "{}",
+        log.len()
+    );
 }
--- a/violetgate/tests/subscriber.rs
+++ b/violetgate/tests/subscriber.rs
@@ -1,6 +1,11 @@
 //! The program as a front end that subscribes, as real processes: a member, an observer beside it, and one that is
 //! neither. What is agreed on reaches it, and without an observer it sends nothing.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 mod support;
 
@@ -16,7 +21,13 @@
     serves_at: String,
 }
 
-fn member_block(folder: &std::path::Path, id: u64, own: [&str; 2], voter: &str, more: &str) -> String {
+fn member_block(
+    folder: &std::path::Path,
+    id: u64,
+    own: [&str; 2],
+    voter: &str,
+    more: &str,
+) -> String {
     let [listen, api] = own;
     format!(
         "cluster {{\n  name = \"test\"\n  id = {id}\n  folder = \"{}\"\n  listen = \"{listen}\"\n  api = \"{api}\"\n  \
@@ -44,7 +55,12 @@
             )
         });
         let observer = Self::join(&listen, &api, &serves_at);
-        Cluster { voter, observer, api, serves_at }
+        Cluster {
+            voter,
+            observer,
+            api,
+            serves_at,
+        }
     }
 
     /// Starts member 2, which learns and serves front ends.
@@ -56,8 +72,18 @@
         let settings = front.folder.join("violetgate.hcl");
         let more = format!("  subscribers_listen = \"{serves_at}\"\n  subscribers = 10\n");
         let block = member_block(&front.folder, 2, [&own[0], &own[1]], voter, &more);
-        std::fs::write(&settings, std::fs::read_to_string(&settings).unwrap() + &block).unwrap();
-        let init = ["members", "init", "--join", "--settings", settings.to_str().unwrap()];
+        std::fs::write(
+            &settings,
+            std::fs::read_to_string(&settings).unwrap() + &block,
+        )
+        .unwrap();
+        let init = [
+            "members",
+            "init",
+            "--join",
+            "--settings",
+            settings.to_str().unwrap(),
+        ];
         let (well, told) = violetgate(&init);
         assert!(well, "{told}");
         let add = json!({"add": {"id": 2, "listen": own[0], "api": own[1]}});
@@ -103,7 +129,9 @@
     let revision = cluster.change("PUT", "/v1/cordons?engine=e-1");
     until("it is in force", || {
         let told = cluster.progress();
-        told["in_force"].as_u64() >= Some(revision) && told["serving"] == 1 && told["observers"] == 1
+        told["in_force"].as_u64() >= Some(revision)
+            && told["serving"] == 1
+            && told["observers"] == 1
     });
     assert!(cluster.progress()["last_in_force"]["revision"].as_u64() >= Some(revision));
     assert!(front.figure("svc_cluster_revision") >= revision as f64);
@@ -114,28 +142,47 @@
     assert_eq!(cluster.voter.figure("svc_cluster_serving "), 1.0);
     assert_eq!(front.figure("svc_cluster_observer "), 2.0);
     // It can't have anything agreed on, and is drained by its name.
-    assert_eq!(front.call("PUT", "/admin/cordon", "{\"host\":\"e-2\"}").0, 409);
-    for (query, kind) in [("front_end=17", "invalid-request"), ("front_end=a&member=1", "invalid-request")] {
-        assert_eq!(cluster.call("PUT", &format!("/v1/drains?{query}"), "").kind(), kind);
+    assert_eq!(
+        front.call("PUT", "/admin/cordon", "{\"host\":\"e-2\"}").0,
+        409
+    );
+    for (query, kind) in [
+        ("front_end=17", "invalid-request"),
+        ("front_end=a&member=1", "invalid-request"),
+    ] {
+        assert_eq!(
+            cluster
+                .call("PUT", &format!("/v1/drains?{query}"), "")
+                .kind(),
+            kind
+        );
     }
     let ctl = |args: &[&str]| violetgate(&[&["ctl", "--at", &cluster.api][..], args].concat());
     let (well, told) = ctl(&["progress"]);
     assert!(well && told.contains("\"serving\":1"), "{told}");
     assert!(ctl(&["quiesce", "fe-1"]).0);
-    until("new requests are turned back", || front.ask(&lookup(), None).status == 503);
+    until("new requests are turned back", || {
+        front.ask(&lookup(), None).status == 503
+    });
     cluster.change("DELETE", "/v1/drains?front_end=fe-1");
-    until("they are taken again", || front.ask(&lookup(), None).status == 200);
+    until("they are taken again", || {
+        front.ask(&lookup(), None).status == 200
+    });
     // The observer dies: nothing is sent on state that can't be confirmed.
     cluster.observer.child.kill().unwrap();
     cluster.observer.child.wait().unwrap();
-    until("it sends nothing", || front.ask(&lookup(), None).status == 503);
+    until("it sends nothing", || {
+        front.ask(&lookup(), None).status == 503
+    });
     assert_eq!(front.ask(&lookup(), None).kind(), "isolated");
     let attempts = front.fleet.counts().attempts();
     assert_eq!(front.call("GET", "/admin/health", "").0, 503);
     assert_eq!(front.ask(&lookup(), None).status, 503);
     assert_eq!(front.figure("svc_cluster_routes "), 0.0);
     assert_eq!(front.fleet.counts().attempts(), attempts);
-    until("members know that it does not serve", || cluster.progress()["observers"] == 0);
+    until("members know that it does not serve", || {
+        cluster.progress()["observers"] == 0
+    });
     until("its log says why", || {
         let log = std::fs::read_to_string(front.folder.join("log")).unwrap();
         log.contains("cluster reason=stale sends nothing: age_ms=")
@@ -143,7 +190,9 @@
     // It comes back, and so does the front end, with what was agreed on meanwhile.
     let revision = cluster.change("DELETE", "/v1/cordons?engine=e-1");
     cluster.observer.start_again();
-    until("it is in force", || cluster.progress()["in_force"].as_u64() >= Some(revision));
+    until("it is in force", || {
+        cluster.progress()["in_force"].as_u64() >= Some(revision)
+    });
     assert_eq!(front.ask(&lookup(), None).status, 200);
 }
 
@@ -157,10 +206,16 @@
     let path = file.to_str().unwrap();
     assert!(violetgate(&["check", path]).0);
     let (well, told) = violetgate(&["members", "init", "--settings", path]);
-    assert!(!well && told.contains("a subscriber has no folder"), "{told}");
+    assert!(
+        !well && told.contains("a subscriber has no folder"),
+        "{told}"
+    );
     let text = subscriber_block("127.0.0.1:7206").replace("}\n}", "}\n  id = 3\n}");
     std::fs::write(&file, text).unwrap();
     let (well, told) = violetgate(&["check", path]);
-    assert!(!well && told.contains("violetgate.hcl:6: cluster.id: is no key of a subscriber"), "{told}");
+    assert!(
+        !well && told.contains("violetgate.hcl:6: cluster.id: is no key of a subscriber"),
+        "{told}"
+    );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/violetgate/tests/support/mod.rs
+++ b/violetgate/tests/support/mod.rs
@@ -1,5 +1,11 @@
 //! What the tests of the whole program share: a front end before stand-in engines, and plain clients of it.
-#![allow(dead_code, clippy::unwrap_used, clippy::panic, clippy::indexing_slicing, clippy::expect_used)]
+#![allow(
+    dead_code,
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -33,7 +39,8 @@
 pub fn reserved() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let port = 12_000 + (std::process::id() * 97 + NEXT.fetch_add(1, Ordering::Relaxed)) % 20_000;
+        let port =
+            12_000 + (std::process::id() * 97 + NEXT.fetch_add(1, Ordering::Relaxed)) % 20_000;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port as u16)) {
             return listener.local_addr().unwrap().to_string();
         }
@@ -78,7 +85,11 @@
     pub fn begin(engines: usize, rest: &str, window: f64, more: impl Fn(&Path) -> String) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let (listen, at) = (reserved(), reserved());
-        let name = format!("violetgate-{}-rest-{}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+        let name = format!(
+            "violetgate-{}-rest-{}",
+            std::process::id(),
+            NEXT.fetch_add(1, Ordering::Relaxed)
+        );
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let fleet = Fleet::start(engines, Profile::default()).unwrap();
@@ -100,7 +111,14 @@
         let management = reserved();
         let log = std::fs::File::create(folder.join("log")).unwrap();
         let child = Self::spawn(&folder, &listen, &management, log.into());
-        let front = Front { fleet, child, listen, rest: at, management, folder };
+        let front = Front {
+            fleet,
+            child,
+            listen,
+            rest: at,
+            management,
+            folder,
+        };
         front.healthy();
         front
     }
@@ -177,7 +195,10 @@
     /// A figure of the front end's.
     pub fn figure(&self, name: &str) -> f64 {
         let text = self.call("GET", "/admin/stats", "").1;
-        let line = text.lines().find(|l| l.starts_with(name)).unwrap_or_else(|| panic!("no figure {name}"));
+        let line = text
+            .lines()
+            .find(|l| l.starts_with(name))
+            .unwrap_or_else(|| panic!("no figure {name}"));
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
@@ -199,7 +220,10 @@
 
 /// Runs the program to its end: whether it went well, and what it wrote.
 pub fn violetgate(args: &[&str]) -> (bool, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_violetgate")).args(args).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_violetgate"))
+        .args(args)
+        .output()
+        .unwrap();
     let text = [out.stdout, out.stderr].concat();
     (out.status.success(), String::from_utf8(text).unwrap())
 }
@@ -210,7 +234,11 @@
 
 pub fn signal(child: &Child, name: &str) {
     let pid = child.id().to_string();
-    assert!(Command::new("kill").args([&format!("-{name}"), &pid]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args([&format!("-{name}"), &pid])
+        .status()
+        .unwrap()
+        .success());
 }
 
 /// The exit code of a process that ends by itself.
