--- a/cluster/disk/src/disk.rs
+++ b/cluster/raft-storage/src/disk.rs
@@ -4,7 +4,7 @@
 //! all. Each segment begins with term and vote as they are then, so that those before it can go.
 
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::{Entry, Hard, Index, Meta, Write};
+use violetgate_raft::{Entry, Hard, Index, Meta, Write};
 
 use crate::Files;
 
--- a/cluster/disk/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 
-use violetgate_consensus::{Entry, Hard, Members, Meta, Payload, Write};
-use violetgate_disk::{Disk, Failure, Files, Folder, Identity};
+use violetgate_raft::{Entry, Hard, Members, Meta, Payload, Write};
+use violetgate_raft_storage::{Disk, Failure, Files, Folder, Identity};
 
 /// A disk in memory that does as it is told.
 #[derive(Debug, Clone, Default)]
--- a/cluster/consensus/tests/membership_model.rs
+++ b/cluster/raft/tests/membership_model.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
-use violetgate_consensus::{Change, Members, NodeId};
+use violetgate_raft::{Change, Members, NodeId};
 
 const NODES: usize = 4;
 const TERMS: u8 = 3;
--- a/cluster/consensus/tests/simulation.rs
+++ b/cluster/raft/tests/simulation.rs
@@ -13,7 +13,7 @@
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use violetgate_consensus::*;
+use violetgate_raft::*;
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
--- a/cluster/node/src/clock.rs
+++ b/cluster/replica-runtime/src/clock.rs
@@ -8,7 +8,7 @@
 
 use async_io::Timer;
 use futures_lite::Future;
-use violetgate_state::Micros;
+use violetgate_replicated_state::Micros;
 
 /// The least time between two calls for the time.
 const LEAST_WAIT: Micros = 500;
--- a/cluster/node/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -1,9 +1,9 @@
 //! Agreed state at work, over TCP.
 //!
-//! - [`Cluster`] is a member: it carries out what [`violetgate_member::Member`] asks for, with connections to the other
+//! - [`Cluster`] is a member: it carries out what [`violetgate_replica::Member`] asks for, with connections to the other
 //!   members ([`transport`]) and a disk that a thread of its own writes.
 //! - [`ObserverService`] serves a member's copy to front ends, [`Subscription`] is a front end's side of that. Both
-//!   carry out what the cores in [`violetgate_distribution`] ask for.
+//!   carry out what the cores in [`violetgate_state_distribution`] ask for.
 //!
 //! It decides nothing: who leads, what is agreed on and whether state may be routed on is decided by the cores.
 
@@ -21,7 +21,7 @@
 pub use runtime::{Answered, Beginning, Cluster, OnApplied, Options, Status};
 pub use subscription::{OnReplica, Subscription, SubscriptionStatus};
 pub use traffic::Traffic;
-pub use violetgate_distribution::{
+pub use violetgate_state_distribution::{
     FleetTotals, InForce, ObserverConfig, ProgressSummary, Refusal, Replica, SubscriberConfig,
 };
 pub use wire::{Call, Frame};
--- a/cluster/node/src/observer_service/subscriber.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 use futures_lite::{future, FutureExt};
-use violetgate_distribution::{
+use violetgate_state_distribution::{
     ConnectionId, FromSubscriber, ObserverWelcome, Refusal, SubscriberHello, MAGIC, VERSION,
 };
 
--- a/cluster/node/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -17,10 +17,10 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use violetgate_consensus::{Index, Members, Meta, NodeId, Rejected};
-use violetgate_disk::{Disk, Folder, Identity};
-use violetgate_member::{Answer, Effect, Found, Member, MemberConfig, Ticket};
-use violetgate_state::{Stale, Store};
+use violetgate_raft::{Index, Members, Meta, NodeId, Rejected};
+use violetgate_raft_storage::{Disk, Folder, Identity};
+use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig, Ticket};
+use violetgate_replicated_state::{Stale, Store};
 
 use crate::clock::{boot, wall, Alarm};
 use crate::transport::Transport;
--- a/cluster/node/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -8,9 +8,9 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use violetgate_consensus::{Change, NodeId, Rejected, Role};
-use violetgate_member::{Answer, Member, Ticket};
-use violetgate_state::Step;
+use violetgate_raft::{Change, NodeId, Rejected, Role};
+use violetgate_replica::{Answer, Member, Ticket};
+use violetgate_replicated_state::Step;
 
 use super::status::Status;
 use super::Cluster;
--- a/cluster/node/src/runtime/disk_worker.rs
+++ b/cluster/replica-runtime/src/runtime/disk_worker.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use violetgate_consensus::{Entry, Index, Meta, NodeId, Write};
-use violetgate_disk::{Disk, Failure, Folder};
+use violetgate_raft::{Entry, Index, Meta, NodeId, Write};
+use violetgate_raft_storage::{Disk, Failure, Folder};
 
 /// How long a full disk is left alone before the same is tried again.
 const FULL: Duration = Duration::from_millis(200);
--- a/cluster/node/src/runtime/fleet.rs
+++ b/cluster/replica-runtime/src/runtime/fleet.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use violetgate_consensus::{Members, NodeId};
-use violetgate_distribution::{FleetProgress, FleetTotals, InForce, ProgressSummary};
-use violetgate_state::Micros;
+use violetgate_raft::{Members, NodeId};
+use violetgate_state_distribution::{FleetProgress, FleetTotals, InForce, ProgressSummary};
+use violetgate_replicated_state::Micros;
 
 use super::status::Status;
 use super::Cluster;
--- a/cluster/node/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,7 +1,7 @@
 //! What a member is at, for operators and tests.
 
-use violetgate_consensus::{Index, Members, NodeId, Role, Term};
-use violetgate_state::{Revision, Stale};
+use violetgate_raft::{Index, Members, NodeId, Role, Term};
+use violetgate_replicated_state::{Revision, Stale};
 
 use super::Cluster;
 use crate::clock::boot;
--- a/cluster/node/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 use async_executor::{LocalExecutor, Task};
-use violetgate_consensus::NodeId;
-use violetgate_distribution::{
+use violetgate_raft::NodeId;
+use violetgate_state_distribution::{
     FromSubscriber, Refusal, Replica, Subscriber, SubscriberAction, SubscriberConfig,
     SubscriberHello,
 };
-use violetgate_state::{Entries, Micros, Revision, Stale};
+use violetgate_replicated_state::{Entries, Micros, Revision, Stale};
 
 use crate::clock::{boot, Alarm};
 use crate::connection::STALLED;
--- a/cluster/node/src/subscription/link.rs
+++ b/cluster/replica-runtime/src/subscription/link.rs
@@ -5,8 +5,8 @@
 
 use async_io::Async;
 use futures_lite::{future, FutureExt};
-use violetgate_consensus::NodeId;
-use violetgate_distribution::{
+use violetgate_raft::NodeId;
+use violetgate_state_distribution::{
     FromObserver, ObserverWelcome, Refusal, SubscriberHello, LONGEST_MESSAGE,
 };
 
--- a/cluster/node/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -13,7 +13,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use violetgate_consensus::NodeId;
+use violetgate_raft::NodeId;
 
 use crate::connection::{frame, late, sized_frame, write, Input, CONNECT, GREET};
 use crate::traffic::{Counter, Traffic};
--- a/cluster/node/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -2,10 +2,10 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::{Change, Message, NodeId};
-use violetgate_distribution::ProgressSummary;
-use violetgate_member::Answer;
-use violetgate_state::Step;
+use violetgate_raft::{Change, Message, NodeId};
+use violetgate_state_distribution::ProgressSummary;
+use violetgate_replica::Answer;
+use violetgate_replicated_state::Step;
 
 /// The version of this protocol. A member of another one is turned away, and says so in its log.
 pub const VERSION: u16 = 1;
@@ -169,7 +169,7 @@
 #[allow(clippy::unwrap_used, clippy::indexing_slicing)]
 mod tests {
     use super::*;
-    use violetgate_consensus::{Entry, Payload};
+    use violetgate_raft::{Entry, Payload};
 
     /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
     #[test]
--- a/cluster/node/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -8,13 +8,13 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_cluster::{
+use violetgate_replica_runtime::{
     Answered, Beginning, Call, Cluster, ObserverConfig, ObserverService, Options, SubscriberConfig,
     Subscription,
 };
-use violetgate_consensus::{Change, NodeId};
-use violetgate_member::{Answer, MemberConfig};
-use violetgate_state::{Entries, Op, Outcome, Revision, Step, Txn};
+use violetgate_raft::{Change, NodeId};
+use violetgate_replica::{Answer, MemberConfig};
+use violetgate_replicated_state::{Entries, Op, Outcome, Revision, Step, Txn};
 
 /// How long anything may take on a busy machine.
 pub const WAIT: Duration = Duration::from_secs(60);
--- a/cluster/node/tests/raw/mod.rs
+++ b/cluster/replica-runtime/tests/raw/mod.rs
@@ -7,7 +7,7 @@
 use futures_lite::FutureExt;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use violetgate_distribution::{
+use violetgate_state_distribution::{
     FromObserver, ObserverWelcome, Refusal, SubscriberHello, MAGIC, VERSION,
 };
 
--- a/cluster/member/src/lib.rs
+++ b/cluster/replica/src/lib.rs
@@ -8,11 +8,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use violetgate_consensus::{
+use violetgate_raft::{
     Action, Change, Entry, Index, Members, Message, Meta, Node, NodeId, Payload, Rejected, Role,
     Term,
 };
-use violetgate_state::{Command, Gate, Micros, Stale, Step, Store};
+use violetgate_replicated_state::{Command, Gate, Micros, Stale, Step, Store};
 
 mod types;
 
--- a/cluster/member/src/types.rs
+++ b/cluster/replica/src/types.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::{Config, Entry, Hard, Message, Meta, NodeId, Rejected, Write};
-use violetgate_state::{Micros, Outcome};
+use violetgate_raft::{Config, Entry, Hard, Message, Meta, NodeId, Rejected, Write};
+use violetgate_replicated_state::{Micros, Outcome};
 
 /// What a disk kept of a member.
 #[derive(Debug, Clone, Default)]
--- a/cluster/member/tests/linearizable.rs
+++ b/cluster/replica/tests/linearizable.rs
@@ -14,11 +14,11 @@
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use violetgate_consensus::{Members, Message, Meta, NodeId, Write};
-use violetgate_disk::{Disk, Files, Identity};
-use violetgate_linear::{fits, Call, Deed};
-use violetgate_member::{Answer, Effect, Found, Member, MemberConfig};
-use violetgate_state::{Check, Micros, Op, Outcome, Step, Txn};
+use violetgate_raft::{Members, Message, Meta, NodeId, Write};
+use violetgate_raft_storage::{Disk, Files, Identity};
+use violetgate_linearizability::{fits, Call, Deed};
+use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig};
+use violetgate_replicated_state::{Check, Micros, Op, Outcome, Step, Txn};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
@@ -524,7 +524,7 @@
     }
     (0..CLIENTS).for_each(|n| world.over(n, None));
     for k in 0..KEYS {
-        let deeds = violetgate_linear::first(&world.history, k);
+        let deeds = violetgate_linearizability::first(&world.history, k);
         assert!(fits(&deeds), "key {k} is not linearizable: {deeds:#?}");
     }
     [
--- a/cluster/state/tests/gate_model.rs
+++ b/cluster/replicated-state/tests/gate_model.rs
@@ -4,7 +4,7 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
-use violetgate_state::Gate;
+use violetgate_replicated_state::Gate;
 
 /// The drain limit, in steps of time, and how far time goes.
 const LIMIT: u64 = 3;
--- a/cluster/state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use violetgate_state::*;
+use violetgate_replicated_state::*;
 
 type State = BTreeMap<String, Vec<u8>>;
 
--- a/cluster/distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::NodeId;
-use violetgate_state::Revision;
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::Revision;
 
 /// What the greeting of a subscriber begins with.
 pub const MAGIC: [u8; 4] = *b"VGSB";
--- a/cluster/distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use violetgate_state::{Change, Compacted, Revision, Store};
+use violetgate_replicated_state::{Change, Compacted, Revision, Store};
 
 use crate::message::{EntryChange, FromObserver, SnapshotPlace};
 
--- a/cluster/distribution/src/observer/connection.rs
+++ b/cluster/state-distribution/src/observer/connection.rs
@@ -1,6 +1,6 @@
 //! What an observer knows of one subscriber.
 
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 use crate::message::{FromSubscriber, SnapshotPlace};
 
--- a/cluster/distribution/src/observer/limits.rs
+++ b/cluster/state-distribution/src/observer/limits.rs
@@ -1,6 +1,6 @@
 //! What an observer does as time passes: it begins reads, tells of its load, and ends what takes too long.
 
-use violetgate_state::{Micros, Store};
+use violetgate_replicated_state::{Micros, Store};
 
 use super::{ConnectionId, Observer};
 use crate::message::{FromObserver, Refusal};
--- a/cluster/distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -11,8 +11,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use violetgate_consensus::NodeId;
-use violetgate_state::{Micros, Revision, Store};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Micros, Revision, Store};
 
 use crate::message::{
     FromObserver, FromSubscriber, ObserverWelcome, Refusal, SubscriberHello, MAGIC, VERSION,
--- a/cluster/distribution/src/observer/pieces.rs
+++ b/cluster/state-distribution/src/observer/pieces.rs
@@ -1,6 +1,6 @@
 //! Snapshots in pieces, each asked for, a bounded number of them at once.
 
-use violetgate_state::{Store, MAX_KEY};
+use violetgate_replicated_state::{Store, MAX_KEY};
 
 use super::batch::snapshot_piece;
 use super::connection::SnapshotRequest;
--- a/cluster/distribution/src/observer/progress.rs
+++ b/cluster/state-distribution/src/observer/progress.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::ConnectionId;
 use crate::message::Progress;
--- a/cluster/distribution/src/observer/questions.rs
+++ b/cluster/state-distribution/src/observer/questions.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::{ConnectionId, ReadId};
 
--- a/cluster/distribution/src/observer/snapshots.rs
+++ b/cluster/state-distribution/src/observer/snapshots.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_state::Micros;
+use violetgate_replicated_state::Micros;
 
 use super::ConnectionId;
 
--- a/cluster/distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -1,6 +1,6 @@
 //! Sending changes: those that are current get each batch as it comes; the others catch up at their own pace.
 
-use violetgate_state::{Compacted, Revision, Store};
+use violetgate_replicated_state::{Compacted, Revision, Store};
 
 use super::batch::{changes_after, ChangeBatch};
 use super::connection::Watch;
--- a/cluster/distribution/src/progress.rs
+++ b/cluster/state-distribution/src/progress.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::NodeId;
-use violetgate_state::{Micros, Revision};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Micros, Revision};
 
 /// The most laggards that are named.
 pub const LAGGARDS: usize = 8;
--- a/cluster/distribution/src/replica.rs
+++ b/cluster/state-distribution/src/replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_state::{Entries, Revision};
+use violetgate_replicated_state::{Entries, Revision};
 
 use crate::message::EntryChange;
 
--- a/cluster/distribution/src/subscriber/directory.rs
+++ b/cluster/state-distribution/src/subscriber/directory.rs
@@ -4,8 +4,8 @@
 
 use rand_chacha::rand_core::RngCore;
 use rand_chacha::ChaCha8Rng;
-use violetgate_consensus::NodeId;
-use violetgate_state::Micros;
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::Micros;
 
 use crate::message::Refusal;
 
--- a/cluster/distribution/src/subscriber/download.rs
+++ b/cluster/state-distribution/src/subscriber/download.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_state::{Revision, MAX_KEY};
+use violetgate_replicated_state::{Revision, MAX_KEY};
 
 use crate::message::SnapshotPlace;
 use crate::replica::Replica;
--- a/cluster/distribution/src/subscriber/follow.rs
+++ b/cluster/state-distribution/src/subscriber/follow.rs
@@ -1,7 +1,7 @@
 //! Following an observer: changes in order, or a snapshot where changes are compacted away.
 
-use violetgate_consensus::NodeId;
-use violetgate_state::{Entries, Gate, Micros, Revision};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Entries, Gate, Micros, Revision};
 
 use super::download::Download;
 use super::Subscriber;
--- a/cluster/distribution/src/subscriber/link.rs
+++ b/cluster/state-distribution/src/subscriber/link.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use violetgate_state::Micros;
+use violetgate_replicated_state::Micros;
 
 /// The most unanswered questions that are kept of one connection.
 const MOST_QUESTIONS: usize = 16;
--- a/cluster/distribution/src/subscriber/links.rs
+++ b/cluster/state-distribution/src/subscriber/links.rs
@@ -1,7 +1,7 @@
 //! Which observers a subscriber is connected to: one watched, one in reserve, and now and then one that is tried.
 
-use violetgate_consensus::NodeId;
-use violetgate_state::{Entries, Micros};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Entries, Micros};
 
 use super::directory::{draw, WHOLE};
 use super::link::Link;
--- a/cluster/distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -10,8 +10,8 @@
 
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use violetgate_consensus::NodeId;
-use violetgate_state::{Entries, Gate, Micros, Stale};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Entries, Gate, Micros, Stale};
 
 use crate::message::{FromObserver, FromSubscriber, Progress, Refusal, SubscriberHello};
 use crate::mutant::Mutant;
--- a/cluster/distribution/tests/hard_cases.rs
+++ b/cluster/state-distribution/tests/hard_cases.rs
@@ -4,7 +4,7 @@
 
 mod world;
 
-use violetgate_distribution::ObserverConfig;
+use violetgate_state_distribution::ObserverConfig;
 use world::{World, MS, SECOND};
 
 /// A fleet in which all are current. Each observer takes as many connections as there are front ends.
--- a/cluster/distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use violetgate_distribution::ObserverConfig;
-use violetgate_state::{Op, Step, Txn};
+use violetgate_state_distribution::ObserverConfig;
+use violetgate_replicated_state::{Op, Step, Txn};
 use world::{Seen, World, MS, SECOND};
 
 const SEEDS: u64 = 200;
@@ -166,7 +166,7 @@
 #[cfg(feature = "mutants")]
 #[test]
 fn mutants_are_noticed() {
-    use violetgate_distribution::Mutant;
+    use violetgate_state_distribution::Mutant;
     let mutants = [
         Mutant::AnswersByEarlierRead,
         Mutant::AnswersFromOwnCopy,
--- a/cluster/distribution/tests/world/network.rs
+++ b/cluster/state-distribution/tests/world/network.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use violetgate_consensus::NodeId;
-use violetgate_distribution::*;
+use violetgate_raft::NodeId;
+use violetgate_state_distribution::*;
 
 use super::{Event, World, MS, SECOND};
 
--- a/violetgate/src/asked.rs
+++ b/gateway/src/asked.rs
@@ -2,7 +2,7 @@
 //!
 //! It knows no protocol: a front says what it found, and names the field at fault in its own words.
 
-use linnetreach::interface::{Micros, NewQuery};
+use violetgate_policy::interface::{Micros, NewQuery};
 
 use crate::config::Names;
 use crate::exchange::Request;
--- a/violetgate/src/bus.rs
+++ b/gateway/src/bus.rs
@@ -11,7 +11,7 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use linnetreach::interface::{Engine, EngineId, EngineState, ListScope};
+use violetgate_policy::interface::{Engine, EngineId, EngineState, ListScope};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/violetgate/src/client/fields.rs
+++ b/gateway/src/client/fields.rs
@@ -1,6 +1,6 @@
 //! The fields of a query: the comment ahead of its statement.
 
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 use crate::asked::{self, Asked, Fault, Part};
 use crate::config::Names;
--- a/violetgate/src/client/session/tests.rs
+++ b/gateway/src/client/session/tests.rs
@@ -3,7 +3,7 @@
 
 use std::net::Shutdown;
 
-use linnetreach::interface::{Micros, QueryId};
+use violetgate_policy::interface::{Micros, QueryId};
 use rand_chacha::rand_core::SeedableRng;
 
 use super::*;
--- a/violetgate/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 /// A clock that never goes backwards and whose zero is the Unix epoch, as in the engine list.
 #[derive(Debug, Clone, Copy)]
--- a/violetgate/src/config.rs
+++ b/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use linnetreach::Settings;
+use violetgate_policy::Settings;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -161,7 +161,7 @@
         if management == Some(listen) {
             return Err(format!("`management`: {listen} is where clients connect"));
         }
-        let mut settings = linnetreach::wire::settings_from_json(&file.settings)
+        let mut settings = violetgate_policy::wire::settings_from_json(&file.settings)
             .map_err(|e| format!("`settings`: {e}"))?;
         let own =
             SocketSettings::deserialize(&file.settings).map_err(|e| format!("`settings`: {e}"))?;
--- a/violetgate/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use violetgate_cluster::{Beginning, Cluster};
+use violetgate_replica_runtime::{Beginning, Cluster};
 
 use super::client::{at, print, At, Client, PAUSE};
 use crate::daemon::MemberStep;
--- a/violetgate/src/daemon/adoption.rs
+++ b/gateway/src/daemon/adoption.rs
@@ -4,7 +4,7 @@
 use std::cell::{Cell, OnceCell, Ref, RefCell};
 use std::rc::Rc;
 
-use violetgate_state::{Entries, Revision};
+use violetgate_replicated_state::{Entries, Revision};
 
 use super::agreed::{self, List, Move, View};
 use crate::bus::{Ids, Place};
--- a/violetgate/src/daemon/agreed.rs
+++ b/gateway/src/daemon/agreed.rs
@@ -17,7 +17,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use violetgate_state::{Check, Entries, Op, Revision, Txn, MAX_OPS, MAX_VALUE};
+use violetgate_replicated_state::{Check, Entries, Op, Revision, Txn, MAX_OPS, MAX_VALUE};
 
 use crate::settings::{Agreed, Problem};
 
@@ -373,7 +373,7 @@
 #[allow(clippy::unwrap_used)]
 mod tests {
     use super::*;
-    use violetgate_state::{Command, Outcome, Step, Store};
+    use violetgate_replicated_state::{Command, Outcome, Step, Store};
 
     fn apply(store: &mut Store, txn: Txn) -> bool {
         let command = Command {
--- a/violetgate/src/daemon/api/http.rs
+++ b/gateway/src/daemon/api/http.rs
@@ -11,8 +11,8 @@
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use serde_json::Value;
-use violetgate_consensus::Rejected;
-use violetgate_state::{Compacted, Refused};
+use violetgate_raft::Rejected;
+use violetgate_replicated_state::{Compacted, Refused};
 
 use super::super::agreed::Unfit;
 use super::super::Unagreed;
--- a/violetgate/src/daemon/api/mod.rs
+++ b/gateway/src/daemon/api/mod.rs
@@ -22,9 +22,9 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
-use violetgate_cluster::{Answered, Call};
-use violetgate_member::Answer;
-use violetgate_state::{Outcome, Revision, Step, Txn};
+use violetgate_replica_runtime::{Answered, Call};
+use violetgate_replica::Answer;
+use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
 
 use super::{request_id, Daemon, Unagreed};
 use crate::log;
--- a/violetgate/src/daemon/api/query.rs
+++ b/gateway/src/daemon/api/query.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, StatusCode};
 use serde::Deserialize;
 use serde_json::{json, Value};
-use violetgate_state::{Check, Op, Revision};
+use violetgate_replicated_state::{Check, Op, Revision};
 
 use super::super::agreed;
 use super::http::{bad, problem};
--- a/violetgate/src/daemon/api/settings.rs
+++ b/gateway/src/daemon/api/settings.rs
@@ -3,7 +3,7 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::json;
-use violetgate_state::Outcome;
+use violetgate_replicated_state::Outcome;
 
 use super::super::agreed::{self, Unfit};
 use super::super::Unagreed;
--- a/violetgate/src/daemon/api/state.rs
+++ b/gateway/src/daemon/api/state.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::json;
-use violetgate_state::{Check, Op, Step, Txn};
+use violetgate_replicated_state::{Check, Op, Step, Txn};
 
 use super::http::{bad, problem, reply, told, Answering};
 use super::query::{entry, free, value, Asked, AskedCheck, AskedLease, AskedOp, AskedTxn, LONGEST};
--- a/violetgate/src/demo.rs
+++ b/gateway/src/demo.rs
@@ -10,7 +10,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use rustix::process::{kill_process, Pid};
-use violetgate_standin::{Fleet, Profile};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 /// How often the front end's end is looked for.
 const LOOK: Duration = Duration::from_millis(50);
@@ -126,7 +126,7 @@
         .iter()
         .map(|i| format!("\"{}\"", i.fleet))
         .collect();
-    let mut settings = violetgate_standin::settings();
+    let mut settings = violetgate_fake_upstreams::settings();
     if let Some(settings) = settings.as_object_mut() {
         settings.insert("balancers".to_owned(), demo.instances.into());
     }
--- a/violetgate/src/dispatch.rs
+++ b/gateway/src/dispatch.rs
@@ -12,10 +12,10 @@
 
 use async_io::Timer;
 use futures_lite::Future;
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Cost, Effect, Ended, EngineId, ListScope, Load, Micros, NewQuery, Outcome, Progress, QueryId,
 };
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 use crate::clock::Clock;
 use crate::exchange::{
--- a/violetgate/src/dispatch/spent.rs
+++ b/gateway/src/dispatch/spent.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{HashSet, VecDeque};
 
-use linnetreach::interface::{Micros, QueryId};
+use violetgate_policy::interface::{Micros, QueryId};
 
 /// How long an id that was in use is not taken again. Ids are new with every request: one that comes again is a
 /// client's mistake, and its bytes may mean something else.
--- a/violetgate/src/dispatch/tests.rs
+++ b/gateway/src/dispatch/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::exchange::Request;
 use futures_lite::FutureExt;
-use linnetreach::interface::{Class, Engine, EngineState, Kind};
+use violetgate_policy::interface::{Class, Engine, EngineState, Kind};
 
 /// An engine side that notes what it is told and ends nothing by itself: the notes, whether its fence is shut, whether
 /// what it has still waits for a connection, and by when attempts had to begin.
--- a/violetgate/src/door.rs
+++ b/gateway/src/door.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 /// Once told to drain, requests are still served for this long: the front hears of it after 0.2 s, and what it has
 /// sent by then may be on its way.
--- a/violetgate/src/engine/codec.rs
+++ b/gateway/src/engine/codec.rs
@@ -1,7 +1,7 @@
 //! The line protocol: commands out, answers in. A line of words ends in CR LF; where its last word is a
 //! length, that many bytes and CR LF follow.
 
-use linnetreach::interface::{Cost, Progress, QueryId};
+use violetgate_policy::interface::{Cost, Progress, QueryId};
 
 /// The longest line of an answer.
 const MAX_LINE: usize = 1024;
--- a/violetgate/src/engine/conn.rs
+++ b/gateway/src/engine/conn.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use async_io::Async;
-use linnetreach::interface::{Cost, EngineId, Micros, Outcome, Progress, QueryId};
+use violetgate_policy::interface::{Cost, EngineId, Micros, Outcome, Progress, QueryId};
 
 use super::codec::{self, Parsed, Reply, Word};
 use crate::exchange::{Attempt, Pages, MAX_RESULT};
--- a/violetgate/src/engine/conn/tests.rs
+++ b/gateway/src/engine/conn/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::exchange::{Exchange, Request};
-use linnetreach::interface::NewQuery;
+use violetgate_policy::interface::NewQuery;
 
 fn attempt(id: QueryId) -> Attempt {
     let query = NewQuery {
--- a/violetgate/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -11,7 +11,7 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use linnetreach::interface::{EngineId, EngineState, ListScope, Micros, Outcome, QueryId};
+use violetgate_policy::interface::{EngineId, EngineState, ListScope, Micros, Outcome, QueryId};
 
 use super::conn::{Conn, End, Said};
 use crate::clock::Clock;
--- a/violetgate/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::exchange::{Exchange, Request};
-use linnetreach::interface::{Engine, NewQuery, Progress};
+use violetgate_policy::interface::{Engine, NewQuery, Progress};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
 
--- a/violetgate/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Cost, Engine, EngineId, ListScope, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 use std::net::SocketAddr;
--- a/violetgate/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -3,7 +3,7 @@
 //! Where several instances agree on their state, one that can't confirm its copy may not route on it. It must never
 //! hold a request back until it can: another instance may serve it at once.
 
-use linnetreach::interface::Effect;
+use violetgate_policy::interface::Effect;
 
 use crate::exchange::Answer;
 
--- a/violetgate/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use violetgate_fleet_link::{Link, News, Options};
+use violetgate_membership_udp::{Link, News, Options};
 use violetgate_membership::{Member, MembershipConfig, SharesConfig, State};
 
 use crate::clock::Clock;
--- a/violetgate/src/keyed.rs
+++ b/gateway/src/keyed.rs
@@ -11,9 +11,9 @@
 
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use linnetreach::interface::{Class, Effect, Micros, QueryId};
+use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
 use sha2::{Digest, Sha256};
-use violetgate_ledger::{Budget, Ending, Grant, Keys, Print, Seen};
+use violetgate_result_store::{Budget, Ending, Grant, Keys, Print, Seen};
 
 use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
 
--- a/violetgate/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,5 +1,5 @@
 //! violetgate: a front end for query engines. Clients speak the PostgreSQL protocol, engines a line
-//! protocol; between them the decisions of `linnetreach` admit, hold and place every query.
+//! protocol; between them the decisions of `violetgate-policy` admit, hold and place every query.
 //!
 //! The program is a thin `main` over [`cli`]; this library holds everything else, a module a concern.
 
--- a/violetgate/src/operations.rs
+++ b/gateway/src/operations.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use async_io::Timer;
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 use crate::admin::{self, Called, Calling};
 use crate::bus::{Ids, Place};
--- a/violetgate/src/rest/line.rs
+++ b/gateway/src/rest/line.rs
@@ -11,7 +11,7 @@
 
 use async_io::Async;
 use futures_lite::{ready, AsyncRead, AsyncWrite};
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 use crate::clock::Clock;
 use crate::room::{Guest, Stage};
--- a/violetgate/src/rest/wire.rs
+++ b/gateway/src/rest/wire.rs
@@ -5,7 +5,7 @@
 use hyper::{Method, StatusCode};
 use serde::ser::{SerializeSeq, SerializeStruct};
 use serde::{Deserialize, Serialize, Serializer};
-use violetgate_ledger::Micros;
+use violetgate_result_store::Micros;
 
 use crate::asked::{Asked, Fault, Part};
 use crate::config::Names;
--- a/violetgate/src/room.rs
+++ b/gateway/src/room.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-use linnetreach::interface::Micros;
+use violetgate_policy::interface::Micros;
 
 /// A connection that has said nothing whole for this long is taken as mute: one that has just come up is
 /// about to speak, and must not give way to the next.
--- a/violetgate/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -13,8 +13,8 @@
 
 use serde_json::{json, Value};
 use support::{connect, reserved, until, WAIT};
-use violetgate_standin::client::{Http, Pg};
-use violetgate_standin::{settings, Fleet, Profile};
+use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::{settings, Fleet, Profile};
 
 /// One room, a ration, cost told.
 fn one_room() -> Value {
--- a/violetgate/tests/rest.rs
+++ b/gateway/tests/rest.rs
@@ -12,7 +12,7 @@
 
 use serde_json::{json, Value};
 use support::{exit, hcl, until, Front, Http, Reply};
-use violetgate_standin::Fault;
+use violetgate_fake_upstreams::Fault;
 
 /// Engines discard repeats for so long where a test does not wait for the end of it.
 const WINDOW: f64 = 3_600.0;
--- a/violetgate/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -16,8 +16,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
-pub use violetgate_standin::client::Reply;
-use violetgate_standin::{client, settings, Fleet, Profile};
+pub use violetgate_fake_upstreams::client::Reply;
+use violetgate_fake_upstreams::{client, settings, Fleet, Profile};
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 pub const WAIT: Duration = Duration::from_secs(60);
--- a/handover/tests/carrier.rs
+++ b/hot-restart/tests/carrier.rs
@@ -10,8 +10,8 @@
 use std::path::PathBuf;
 
 use async_io::Async;
-use violetgate_handover::carrier::{call, listen, Carrier};
-use violetgate_handover::{Message, LONGEST};
+use violetgate_hot_restart::carrier::{call, listen, Carrier};
+use violetgate_hot_restart::{Message, LONGEST};
 
 struct Place(PathBuf);
 
--- a/handover/tests/model.rs
+++ b/hot-restart/tests/model.rs
@@ -3,7 +3,7 @@
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
-use violetgate_handover::{Action, Message, New, Old, PATIENCE};
+use violetgate_hot_restart::{Action, Message, New, Old, PATIENCE};
 
 const PARTS: u32 = 2;
 
--- a/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -4,11 +4,11 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
     Outcome, QueryId, ResendBudget,
 };
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const SECOND: Micros = 1_000_000;
 /// Statements that a front end of the fleet ahead gets in a second.
--- a/src/bin/linnetreach-benchlink.rs
+++ b/policy/src/bin/violetgate-simhost.rs
@@ -3,13 +3,13 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use linnetreach::wire::Adapter;
+use violetgate_policy::wire::Adapter;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("linnetreach-benchlink: {what}");
+            eprintln!("violetgate-simhost: {what}");
             ExitCode::FAILURE
         }
     }
--- a/src/interface.rs
+++ b/policy/src/interface.rs
@@ -4,8 +4,8 @@
 //! operator does not state is `None`; the module decides what its absence means.
 //!
 //! ```
-//! use linnetreach::interface::{Class, Engine, EngineState, Kind, ListScope};
-//! use linnetreach::{Action, Event, Gateway, Settings};
+//! use violetgate_policy::interface::{Class, Engine, EngineState, Kind, ListScope};
+//! use violetgate_policy::{Action, Event, Gateway, Settings};
 //!
 //! let settings = Settings {
 //!     gateways: Some(1),
@@ -17,7 +17,7 @@
 //! let mut actions = Vec::new();
 //! let engine = Engine { id: 0, zone: 0, kind: 0, cell: 0, state: EngineState::Ready, started: None };
 //! gateway.handle(0, &[Event::Engines { scope: ListScope::Whole, engines: vec![engine] }], &mut actions);
-//! let query = linnetreach::interface::NewQuery { id: 1, time_left: 6_000_000, ..Default::default() };
+//! let query = violetgate_policy::interface::NewQuery { id: 1, time_left: 6_000_000, ..Default::default() };
 //! gateway.handle(5_000, &[Event::Arrived(query)], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { query: 1, engine: 0, .. })));
 //! ```
--- a/src/rules.rs
+++ b/policy/src/rules.rs
@@ -1,4 +1,4 @@
-//! Every decision of linnetreach; its settings, events and actions are in `src/interface.rs`.
+//! Every decision of violetgate_policy; its settings, events and actions are in `src/interface.rs`.
 //!
 //! Predicted-wait admission after M. Mazzucco, "Virtual queues from scratch, Part 4": queries wait here in
 //! one queue per class, a logistic coin on the predicted wait admits them, and the oldest fitting head goes
--- a/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{Class, ListScope, NewQuery, Outcome};
-use linnetreach::{Action, Event, Gateway};
+use violetgate_policy::interface::{Class, ListScope, NewQuery, Outcome};
+use violetgate_policy::{Action, Event, Gateway};
 
 /// One core, one gateway: two threads. Two queries fill it, each further one of 1 s adds half a second of wait.
 fn full() -> Bench {
@@ -180,7 +180,7 @@
         "its time is already over: {actions:?}"
     );
     b.end(77, 3, 9, Outcome::Completed);
-    b.note(77, 0, linnetreach::interface::Progress::Done(f64::NAN));
+    b.note(77, 0, violetgate_policy::interface::Progress::Done(f64::NAN));
     b.patch(engine(3));
     assert_eq!(sent(&b.ask(query(2, u64::MAX / 4)), 2), Some(3));
     b.event(Event::Engines {
--- a/tests/any_day.rs
+++ b/policy/tests/any_day.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Effect, Engine, EngineId, EngineState, ListScope, Micros, NewQuery, Outcome, Progress,
     QueryId, ResendBudget,
 };
-use linnetreach::{Action, Event, Settings};
+use violetgate_policy::{Action, Event, Settings};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
--- a/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,11 +1,11 @@
 //! A small embedding for the tests: it keeps what the gateway asked for and answers by hand.
 #![allow(dead_code)]
 
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Effect, Ended, Engine, EngineId, EngineState, Kind, ListScope, Micros, NewQuery,
     Outcome, Progress, QueryId,
 };
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
--- a/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{Engine, EngineState, ListScope, Outcome};
-use linnetreach::Event;
+use violetgate_policy::interface::{Engine, EngineState, ListScope, Outcome};
+use violetgate_policy::Event;
 
 fn call(b: &mut Bench, engine: u32, out: bool) {
     b.event(Event::Cordon { engine, out });
--- a/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use linnetreach::interface::{Ended, EngineId, Micros, Outcome, QueryId, ResendBudget};
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::interface::{Ended, EngineId, Micros, Outcome, QueryId, ResendBudget};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const GATEWAYS: u32 = 100;
 const ENGINES: u32 = 30;
@@ -71,7 +71,7 @@
     let list: Vec<_> = (0..ENGINES).map(engine).collect();
     for (g, gateway) in gateways.iter_mut().enumerate() {
         let news = Event::Engines {
-            scope: linnetreach::interface::ListScope::Whole,
+            scope: violetgate_policy::interface::ListScope::Whole,
             engines: list.clone(),
         };
         gateway.handle(S, &[news], &mut Vec::new());
--- a/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{class, engine, query, sent, settings, Bench, MS, S};
-use linnetreach::interface::{Engine, Outcome, Settings};
-use linnetreach::Event;
+use violetgate_policy::interface::{Engine, Outcome, Settings};
+use violetgate_policy::Event;
 
 fn of(gateways: u32) -> Settings {
     Settings {
--- a/tests/homes.rs
+++ b/policy/tests/homes.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use linnetreach::interface::{Engine, EngineId, EngineState, Outcome};
-use linnetreach::Settings;
+use violetgate_policy::interface::{Engine, EngineId, EngineState, Outcome};
+use violetgate_policy::Settings;
 
 const ENGINES: u32 = 80;
 const GATEWAYS: u32 = 300;
--- a/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -6,10 +6,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Engine, EngineId, EngineState, ListScope, NewQuery, Outcome, ResendBudget,
 };
-use linnetreach::{Event, Settings};
+use violetgate_policy::{Event, Settings};
 
 const ENGINES: u32 = 4_000;
 const ZONES: u32 = 10;
--- a/tests/missing_signals.rs
+++ b/policy/tests/missing_signals.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Cost, DedupGroup, Effect, Ended, Engine, Kind, Load, NewQuery, Outcome, Progress,
 };
-use linnetreach::{Action, Event, Settings};
+use violetgate_policy::{Action, Event, Settings};
 
 fn grant(actions: &[Action], id: u64) -> Option<f64> {
     actions.iter().find_map(|a| match a {
@@ -227,7 +227,7 @@
     )
     .expect("there is room");
     b.patch(Engine {
-        state: linnetreach::interface::EngineState::Draining,
+        state: violetgate_policy::interface::EngineState::Draining,
         ..engine(0)
     });
     b.now += S;
--- a/tests/resend_budget.rs
+++ b/policy/tests/resend_budget.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use linnetreach::interface::{EngineId, Outcome, QueryId, ResendBudget};
-use linnetreach::Action;
+use violetgate_policy::interface::{EngineId, Outcome, QueryId, ResendBudget};
+use violetgate_policy::Action;
 
 /// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a third time.
 fn spent_budget() -> Bench {
--- a/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{Class, NewQuery, Outcome, Progress};
-use linnetreach::{Action, Settings};
+use violetgate_policy::interface::{Class, NewQuery, Outcome, Progress};
+use violetgate_policy::{Action, Settings};
 
 fn many(gateways: u32, classes: Vec<Class>) -> Settings {
     Settings {
@@ -46,7 +46,7 @@
                 };
                 out.push_back((id, e));
             }
-            b.event(linnetreach::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientGone { query: id });
             b.now += 50 * MS;
             let (first, e) = out.pop_front().expect("one is always out");
             let freed = b.end_after(first, 0, e, Outcome::Completed, elapsed);
@@ -101,40 +101,40 @@
     let mut s = many(gateways, vec![class(10 * S)]);
     (s.cold_share, s.cold, s.fall_multiple, s.fall) =
         (Some(0.3), Some(14 * S), Some(2.0), Some(fall));
-    let cold = linnetreach::interface::Engine {
+    let cold = violetgate_policy::interface::Engine {
         started: Some(S),
         ..engine(0)
     };
-    let drains = linnetreach::interface::Engine {
-        state: linnetreach::interface::EngineState::Draining,
+    let drains = violetgate_policy::interface::Engine {
+        state: violetgate_policy::interface::EngineState::Draining,
         ..engine(1)
     };
     let done = |query, engine, elapsed| {
-        linnetreach::Event::Ended(linnetreach::interface::Ended {
+        violetgate_policy::Event::Ended(violetgate_policy::interface::Ended {
             query,
             attempt: 0,
             engine,
             outcome: Outcome::Completed,
             settled: true,
             elapsed,
-            cost: told.then_some(linnetreach::interface::Cost {
+            cost: told.then_some(violetgate_policy::interface::Cost {
                 work: 200 * MS,
                 memory_mb: 0.0,
             }),
             load: Default::default(),
         })
     };
-    let list = |scope, engines| linnetreach::Event::Engines { scope, engines };
+    let list = |scope, engines| violetgate_policy::Event::Engines { scope, engines };
     let mut sends = Vec::new();
     for g in 0..u64::from(gateways) {
-        let mut gateway = linnetreach::Gateway::new(s.clone(), g * 7919);
+        let mut gateway = violetgate_policy::Gateway::new(s.clone(), g * 7919);
         let mut actions = Vec::new();
         // One answer of a warm engine, which then drains, tells what queries cost, if anything does.
         let first = [
-            list(linnetreach::interface::ListScope::Whole, vec![engine(1)]),
-            linnetreach::Event::Arrived(query(1_000_000, 200 * MS)),
+            list(violetgate_policy::interface::ListScope::Whole, vec![engine(1)]),
+            violetgate_policy::Event::Arrived(query(1_000_000, 200 * MS)),
             done(1_000_000, 1, 200 * MS),
-            list(linnetreach::interface::ListScope::Patch, vec![cold, drains]),
+            list(violetgate_policy::interface::ListScope::Patch, vec![cold, drains]),
         ];
         gateway.handle(S, &first, &mut actions);
         // One in ten has a query every 50 ms, the others every second.
@@ -144,7 +144,7 @@
             actions.clear();
             gateway.handle(
                 now,
-                &[linnetreach::Event::Arrived(query(id, 200 * MS))],
+                &[violetgate_policy::Event::Arrived(query(id, 200 * MS))],
                 &mut actions,
             );
             if sent(&actions, id) == Some(0) {
@@ -153,7 +153,7 @@
             } else {
                 gateway.handle(
                     now,
-                    &[linnetreach::Event::ClientGone { query: id }],
+                    &[violetgate_policy::Event::ClientGone { query: id }],
                     &mut actions,
                 );
             }
@@ -248,11 +248,11 @@
             ..query(id, 50 * MS)
         });
         b.now += 50 * MS;
-        let cost = linnetreach::interface::Cost {
+        let cost = violetgate_policy::interface::Cost {
             work: 50 * MS,
             memory_mb: 100.0,
         };
-        b.event(linnetreach::Event::Ended(linnetreach::interface::Ended {
+        b.event(violetgate_policy::Event::Ended(violetgate_policy::interface::Ended {
             query: id,
             attempt: 0,
             engine: 0,
@@ -292,7 +292,7 @@
         if sent(&actions, id).is_some() {
             out.push_back(id);
         } else {
-            b.event(linnetreach::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientGone { query: id });
             b.now += 10 * MS;
             let first = out.pop_front().expect("one is always out");
             if id < 10 {
@@ -319,7 +319,7 @@
     let slow = sent(&b.ask(query(1, S)), 1).expect("there is room");
     b.now += S;
     b.note(1, 0, Progress::Done(0.2));
-    b.event(linnetreach::Event::ClientGone { query: 1 });
+    b.event(violetgate_policy::Event::ClientGone { query: 1 });
     b.end(1, 0, slow, Outcome::Recalled);
     let visits = |b: &mut Bench, ids: std::ops::Range<u64>| {
         ids.filter(|id| {
@@ -349,14 +349,14 @@
     b.now += 5 * S;
     let mut events: Vec<_> = (10..30)
         .map(|id| {
-            linnetreach::Event::Arrived(NewQuery {
+            violetgate_policy::Event::Arrived(NewQuery {
                 time_left: (id % 2) * 5 * S,
                 ..query(id, 100 * MS)
             })
         })
         .collect();
     events.extend((1..=4).zip(&at).map(|(query, engine)| {
-        linnetreach::Event::Ended(linnetreach::interface::Ended {
+        violetgate_policy::Event::Ended(violetgate_policy::interface::Ended {
             query,
             attempt: 0,
             engine: *engine,
@@ -381,8 +381,8 @@
 /// Preemption: what drains gets nothing new and counts for nothing in the predicted wait; work lost with it goes on.
 #[test]
 fn a_draining_third_still_counts_in_the_predicted_wait() {
-    let draining = |id| linnetreach::interface::Engine {
-        state: linnetreach::interface::EngineState::Draining,
+    let draining = |id| violetgate_policy::interface::Engine {
+        state: violetgate_policy::interface::EngineState::Draining,
         ..engine(id)
     };
     let admitted = |drained: u32| {
@@ -467,7 +467,7 @@
                 Outcome::Completed
             };
             b.end(id, 0, e, outcome);
-            b.event(linnetreach::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientGone { query: id });
         }
         let used = (100..160).filter_map(|id| sent(&b.ask(query(id, 100 * MS)), id));
         used.collect::<std::collections::BTreeSet<_>>()
@@ -498,7 +498,7 @@
             b.ask(query(id, 500 * MS));
             b.now += 3 * S;
             b.end_after(id, 0, 0, Outcome::Completed, elapsed);
-            b.event(linnetreach::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientGone { query: id });
         }
         (100..200)
             .filter(|id| !refused(&b.ask(query(*id, 500 * MS)), *id))
--- a/tests/seven_rules.rs
+++ b/policy/tests/seven_rules.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, DedupGroup, Effect, Engine, EngineState, NewQuery, Outcome, ResendBudget,
 };
-use linnetreach::{Action, Event};
+use violetgate_policy::{Action, Event};
 
 const NEVER_RAN: [Outcome; 3] = [Outcome::Saturated, Outcome::Refused, Outcome::Superseded];
 const MAY_HAVE_RUN: [Outcome; 4] = [
@@ -139,7 +139,7 @@
         assert_eq!(sent(&b.ask(query(id, 100 * MS)), id), Some(1));
     }
     b.event(Event::Engines {
-        scope: linnetreach::interface::ListScope::Whole,
+        scope: violetgate_policy::interface::ListScope::Whole,
         engines: vec![engine(0)],
     });
     assert_eq!(
--- a/tests/symptoms.rs
+++ b/policy/tests/symptoms.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use linnetreach::interface::{Class, Effect, Engine, NewQuery, Outcome, Progress};
-use linnetreach::Event;
+use violetgate_policy::interface::{Class, Effect, Engine, NewQuery, Outcome, Progress};
+use violetgate_policy::Event;
 
 /// Found with eleven gateways: each held one report at every engine and its look-ups waited seconds for it.
 #[test]
@@ -98,9 +98,9 @@
             }
             b.now += S;
             let first = out.pop_front().expect("one is always out");
-            b.end_after(first, 0, 0, linnetreach::interface::Outcome::Completed, S);
+            b.end_after(first, 0, 0, violetgate_policy::interface::Outcome::Completed, S);
             for id in out.clone() {
-                b.note(id, 0, linnetreach::interface::Progress::Done(0.9));
+                b.note(id, 0, violetgate_policy::interface::Progress::Done(0.9));
                 b.now += MS;
             }
         }
@@ -248,7 +248,7 @@
         .note(1, 0, Progress::Done(0.1))
         .into_iter()
         .find_map(|a| match a {
-            linnetreach::Action::Refuse {
+            violetgate_policy::Action::Refuse {
                 query: 1,
                 retry_after,
             } => Some(retry_after),
@@ -263,7 +263,7 @@
 /// Whatever signal a deployment lacks, queries are served while there is room, all are answered, and room comes back.
 #[test]
 fn a_missing_signal_stops_service_or_loses_queries() {
-    type Lack = fn(&mut linnetreach::Settings);
+    type Lack = fn(&mut violetgate_policy::Settings);
     let lacks: [(&str, Lack); 8] = [
         ("gateways", |s| s.gateways = None),
         ("notes", |s| s.note_period = None),
@@ -542,7 +542,7 @@
     };
     let at = sent(&b.ask(load(1)), 1).expect("sent at once");
     assert!(cancelled(&b.event(Event::ClientGone { query: 1 }), 1));
-    b.event(Event::Ended(linnetreach::interface::Ended {
+    b.event(Event::Ended(violetgate_policy::interface::Ended {
         query: 1,
         attempt: 0,
         engine: at,
--- a/tests/wire.rs
+++ b/policy/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The bench adapter: damaged lines are named, legal oddities pass.
 
-use linnetreach::wire::Adapter;
+use violetgate_policy::wire::Adapter;
 
 const BOOT: &str = r#"{"clock":1,"events":[{"cmd":"boot","gateway":3,"salt":5,"settings":{"novel":[1],"classes":[{"deadline":6}],"kinds":["k"],"domain":{"size-cores":[4]}}},{"cmd":"ledger","slot":0,"lines":[{"node":"10.0.0.1:9","state":"in_service"}]},{"cmd":"discovery","gateway":3,"slot":0,"serial":1,"how":"stale_copy"}]}"#;
 const ASK: &str = r#"{"clock":2,"events":[{"cmd":"ask","gateway":3,"rid":"00000000000000ab","band":0,"remaining":6}]}"#;
--- a/ledger/benches/wheel.rs
+++ b/result-store/benches/wheel.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use violetgate_ledger::Wheel;
+use violetgate_result_store::Wheel;
 
 /// Entries put in, and handed out, for each round.
 const ROUND: u64 = 1_000;
--- a/ledger/tests/model.rs
+++ b/result-store/tests/model.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use proptest::prelude::*;
-use violetgate_ledger::token::{Sealer, Token};
-use violetgate_ledger::{Ending, Keys, Limits, Missing, Results, Seen};
+use violetgate_result_store::token::{Sealer, Token};
+use violetgate_result_store::{Ending, Keys, Limits, Missing, Results, Seen};
 
 const ONE: usize = 100;
 const BYTES: usize = 450;
--- a/tools/prove/src/bin/prove-daemon.rs
+++ b/tools/acceptance/src/bin/prove-daemon.rs
@@ -14,10 +14,10 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
-use violetgate_linear::{first, fits, Call, Deed};
-use violetgate_prove::daemon::{Cluster, Instance};
-use violetgate_prove::{ended, inside, Verdict};
-use violetgate_standin::{Fleet, Profile};
+use violetgate_linearizability::{first, fits, Call, Deed};
+use violetgate_acceptance::daemon::{Cluster, Instance};
+use violetgate_acceptance::{ended, inside, Verdict};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 /// Proves the replicated daemon.
 #[derive(Parser)]
@@ -436,7 +436,7 @@
                 body.as_bytes(),
                 Duration::from_secs(2),
             );
-            let json = |r: &violetgate_standin::client::Reply| r.json();
+            let json = |r: &violetgate_fake_upstreams::client::Reply| r.json();
             match (&mut call, reply) {
                 (Call::Get(seen), Ok(r)) if r.status == 200 => {
                     *seen = json(&r)["value"].as_str().and_then(|v| v.parse().ok());
@@ -534,7 +534,7 @@
                 scope.spawn(move || {
                     let mut took = histogram();
                     let connected = std::net::TcpStream::connect(&leader.api).and_then(|s| {
-                        violetgate_standin::client::Http::over(s, Duration::from_secs(5))
+                        violetgate_fake_upstreams::client::Http::over(s, Duration::from_secs(5))
                     });
                     let Ok(mut http) = connected else { return took };
                     while begun.elapsed() < span {
--- a/tools/prove/src/bin/prove-fleet-rules.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules.rs
@@ -12,10 +12,10 @@
 
 use clap::Parser;
 use rustix::process::Signal;
-use violetgate_prove::{cold, ended, Verdict};
-use violetgate_rig::{Process, Rig};
-use violetgate_standin::client::Pg;
-use violetgate_standin::Fault;
+use violetgate_acceptance::{cold, ended, Verdict};
+use violetgate_fleet_harness::{Process, Rig};
+use violetgate_fake_upstreams::client::Pg;
+use violetgate_fake_upstreams::Fault;
 
 /// Holds several front ends to the rules that they keep together.
 #[derive(Parser)]
--- a/tools/prove/src/bin/prove-rest.rs
+++ b/tools/acceptance/src/bin/prove-rest.rs
@@ -11,9 +11,9 @@
 
 use clap::Parser;
 use serde_json::{json, Value};
-use violetgate_prove::{ended, open_loop, Met, Program, Verdict};
-use violetgate_standin::client::{Http, Pg, Reply};
-use violetgate_standin::{Fleet, Profile};
+use violetgate_acceptance::{ended, open_loop, Met, Program, Verdict};
+use violetgate_fake_upstreams::client::{Http, Pg, Reply};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 /// Proves the REST front.
 #[derive(Parser)]
@@ -278,7 +278,7 @@
         reply.ok().filter(|r| r.status == 200)
     }
 
-    fn pg(&self, rows: Result<violetgate_standin::client::Rows>) -> Option<Vec<[String; 3]>> {
+    fn pg(&self, rows: Result<violetgate_fake_upstreams::client::Rows>) -> Option<Vec<[String; 3]>> {
         let count = match &rows {
             Ok(Ok(_)) => &self.served,
             Ok(Err(code)) if code.starts_with("53") || code == "57P03" => &self.refused,
--- a/tools/prove/src/bin/prove-run.rs
+++ b/tools/acceptance/src/bin/prove-run.rs
@@ -10,9 +10,9 @@
 
 use clap::Parser;
 use object::{Object, ObjectSymbol};
-use violetgate_prove::{ended, free, Verdict};
-use violetgate_standin::client::{Http, Pg};
-use violetgate_standin::{Fleet, Profile};
+use violetgate_acceptance::{ended, free, Verdict};
+use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 /// Holds the program that is deployed against what a platform asks of it.
 #[derive(Parser)]
@@ -104,7 +104,7 @@
     let [listen, management] = free()?;
     let folder = std::env::temp_dir().join(format!("violetgate-prove-run-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    let config = fleet.config("n0", &listen, &violetgate_standin::settings());
+    let config = fleet.config("n0", &listen, &violetgate_fake_upstreams::settings());
     std::fs::write(folder.join("config.json"), config.to_string())?;
     let child = Command::new("/bin/sh")
         .args(["-c", run])
--- a/tools/prove/src/cold.rs
+++ b/tools/acceptance/src/cold.rs
@@ -1,10 +1,10 @@
 //! Many gateways before one cold engine, in injected time: what each decides alone, summed. It must never decide anything.
 
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
     Outcome, QueryId,
 };
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const S: Micros = 1_000_000;
 /// The time that the settings name, in which a cold engine must not get too much.
--- a/tools/prove/src/daemon.rs
+++ b/tools/acceptance/src/daemon.rs
@@ -12,8 +12,8 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
-use violetgate_standin::client::{Http, Pg, Reply};
-use violetgate_standin::Fleet;
+use violetgate_fake_upstreams::client::{Http, Pg, Reply};
+use violetgate_fake_upstreams::Fleet;
 
 use crate::free;
 use crate::mesh::Mesh;
@@ -250,7 +250,7 @@
             let own = folder.join(id.to_string());
             std::fs::create_dir_all(&own)?;
             let mut config =
-                fleet.config(&format!("n{id}"), &listen, &violetgate_standin::settings());
+                fleet.config(&format!("n{id}"), &listen, &violetgate_fake_upstreams::settings());
             config["limits"]["sockets"] = 1024.into();
             config["seed"] = format!("{:016x}", 0x8c1f_30d2_7a5b_e964_u64 ^ id).into();
             std::fs::write(own.join("config.json"), config.to_string())?;
--- a/tools/prove/src/inside.rs
+++ b/tools/acceptance/src/inside.rs
@@ -7,11 +7,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_cluster::{Beginning, Cluster, Options};
-use violetgate_consensus::{Entry, Hard, Payload, Write};
-use violetgate_disk::{Disk, Folder};
-use violetgate_member::MemberConfig;
-use violetgate_state::{Command, Op, Step, Txn};
+use violetgate_replica_runtime::{Beginning, Cluster, Options};
+use violetgate_raft::{Entry, Hard, Payload, Write};
+use violetgate_raft_storage::{Disk, Folder};
+use violetgate_replica::MemberConfig;
+use violetgate_replicated_state::{Command, Op, Step, Txn};
 
 use crate::Verdict;
 
--- a/tools/prove/src/lib.rs
+++ b/tools/acceptance/src/lib.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use violetgate_standin::client::{Http, Pg};
-use violetgate_standin::Fleet;
+use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::Fleet;
 
 /// How long a client waits for anything.
 const WAIT: Duration = Duration::from_secs(30);
@@ -64,7 +64,7 @@
         let [listen, at] = free()?;
         let folder = std::env::temp_dir().join(format!("violetgate-prove-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
-        let mut config = fleet.config("n0", &listen, &violetgate_standin::settings());
+        let mut config = fleet.config("n0", &listen, &violetgate_fake_upstreams::settings());
         config["limits"]["sockets"] = 4096.into();
         std::fs::write(folder.join("config.json"), config.to_string())?;
         std::fs::write(
--- a/tools/prove/tests/cold_sum.rs
+++ b/tools/acceptance/tests/cold_sum.rs
@@ -1,6 +1,6 @@
 //! Cold engines fall under the sum of what all gateways send, so that sum is held to what they bear, in injected time.
 
-use violetgate_prove::cold::{bears, largest_share, sent_by, FALL};
+use violetgate_acceptance::cold::{bears, largest_share, sent_by, FALL};
 
 /// Two gateways or three hundred, small engines or large: their sum stays within the budget and its chance in every span.
 /// All hear of the engine at once, and all drew their first chance at once beside the one of the span: a crowd at the
--- a/tools/rig/src/bin/prove-fleet.rs
+++ b/tools/fleet-harness/src/bin/prove-fleet.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rustix::process::Signal;
-use violetgate_rig::{Ills, Rig};
+use violetgate_fleet_harness::{Ills, Rig};
 
 const S: Duration = Duration::from_secs(1);
 
--- a/tools/rig/src/lib.rs
+++ b/tools/fleet-harness/src/lib.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 
 use rustix::process::{kill_process, Pid, Signal};
-use violetgate_standin::client::{Http, Pg};
-use violetgate_standin::{Fleet, Profile};
+use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 pub use relay::{Ills, Relay};
 
@@ -241,7 +241,7 @@
             let (name, own) = (format!("front-{i}"), folder.join(format!("front-{i}")));
             std::fs::create_dir_all(&own)?;
             let (listen, management) = (tcp()?, tcp()?);
-            let mut settings = violetgate_standin::settings();
+            let mut settings = violetgate_fake_upstreams::settings();
             settings["balancers"] = count.into();
             let mut config = engines.config(&name, &listen.to_string(), &settings);
             config["management"] = management.to_string().into();
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -13,10 +13,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_cluster::{Answered, Call, Cluster};
-use violetgate_consensus::{Change, NodeId, Role};
-use violetgate_member::Answer;
-use violetgate_state::{Op, Outcome, Revision, Step, Txn};
+use violetgate_replica_runtime::{Answered, Call, Cluster};
+use violetgate_raft::{Change, NodeId, Role};
+use violetgate_replica::Answer;
+use violetgate_replicated_state::{Op, Outcome, Revision, Step, Txn};
 
 use crate::error::ScaleError;
 use crate::figures::{Break, Figures, Options};
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -12,10 +12,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_cluster::{Beginning, Cluster, Options};
-use violetgate_consensus::NodeId;
-use violetgate_member::MemberConfig;
-use violetgate_state::Revision;
+use violetgate_replica_runtime::{Beginning, Cluster, Options};
+use violetgate_raft::NodeId;
+use violetgate_replica::MemberConfig;
+use violetgate_replicated_state::Revision;
 
 use crate::error::ScaleError;
 use crate::usage::thread_cpu;
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -4,8 +4,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use violetgate_standin::client::Pg;
-use violetgate_standin::{Fleet, Profile};
+use violetgate_fake_upstreams::client::Pg;
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
@@ -52,7 +52,7 @@
     let fleet = Fleet::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
     let listen = free_address()?;
-    let mut config = fleet.config("scale", &listen, &violetgate_standin::settings());
+    let mut config = fleet.config("scale", &listen, &violetgate_fake_upstreams::settings());
     config["limits"]["sockets"] = SOCKETS.into();
     let program = Program::start(listen, &config)?;
     let sizes = if options.short {
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -1,7 +1,7 @@
 //! The decision module by the number of engines: processor time of a statement, of a patch of the engine list and of a
 //! whole list, and memory an engine.
 
-use linnetreach::interface::EngineState;
+use violetgate_policy::interface::EngineState;
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -21,7 +21,7 @@
 const SHORT_SIZES: [u32; 3] = [80, 300, 1_000];
 /// Engines that have to be carried.
 const TARGET: u32 = 12_000;
-/// The longest line that the program takes: `MAX_LINE` in violetgate/src/bus.rs.
+/// The longest line that the program takes: `MAX_LINE` in gateway/src/bus.rs.
 const LONGEST_LINE: f64 = 1_048_576.0;
 /// How long the program may take to apply an event.
 const WAIT: Duration = Duration::from_secs(10);
@@ -109,7 +109,7 @@
     Ok(json!({
         "name": "scale", "listen": listen, "seed": "8c1f30d27a5be964", "limits": {"sockets": 1024},
         "bus": address.to_string(), "known": {"offset": 0, "batch": []},
-        "settings": violetgate_standin::settings(),
+        "settings": violetgate_fake_upstreams::settings(),
     }))
 }
 
--- a/tools/scale/src/engine_side.rs
+++ b/tools/scale/src/engine_side.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnetreach::interface::EngineId;
+use violetgate_policy::interface::EngineId;
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -3,10 +3,10 @@
 
 use std::collections::VecDeque;
 
-use linnetreach::interface::{
+use violetgate_policy::interface::{
     Cost, Ended, Engine, EngineId, EngineState, ListScope, Load, Micros, NewQuery, Outcome, QueryId,
 };
-use linnetreach::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, Event, Gateway, Settings};
 
 use crate::error::ScaleError;
 
@@ -44,7 +44,7 @@
 ///
 /// The module refuses them.
 pub fn settings(gateways: u32) -> Result<Settings, ScaleError> {
-    let mut settings = linnetreach::wire::settings_from_json(&violetgate_standin::settings())
+    let mut settings = violetgate_policy::wire::settings_from_json(&violetgate_fake_upstreams::settings())
         .map_err(|e| ScaleError::Settings(e.to_string()))?;
     settings.gateways = Some(gateways);
     settings.zone = Some(0);
--- a/tools/scale/src/hollow/changes.rs
+++ b/tools/scale/src/hollow/changes.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use violetgate_state::{Entries, Revision};
+use violetgate_replicated_state::{Entries, Revision};
 
 /// Changes whose keys are kept.
 pub const WINDOW: u64 = 256;
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -7,14 +7,14 @@
 use std::rc::{Rc, Weak};
 
 use async_executor::{LocalExecutor, Task};
-use linnetreach::interface::{EngineId, ListScope, QueryId};
+use violetgate_policy::interface::{EngineId, ListScope, QueryId};
 use violetgate::control::{
     Attempt, Bus, Clock, Config, Dispatch, Engines, Fence, Fleet, Ids, Listed, Parts, Place,
     Subscribed,
 };
 use violetgate::settings::{self, Settings};
-use violetgate_consensus::NodeId;
-use violetgate_state::{Micros, Revision};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::changes::{Faults, SeenChanges, Sequence};
 use super::process::Part;
--- a/tools/scale/src/hollow/process.rs
+++ b/tools/scale/src/hollow/process.rs
@@ -13,7 +13,7 @@
 use clap::ValueEnum;
 use violetgate::control::Clock;
 use violetgate::settings;
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::front_end::{FrontEnd, Template};
 use super::report::{now, Command, Report, SequenceCount, Totals, Traffic};
--- a/tools/scale/src/hollow/report.rs
+++ b/tools/scale/src/hollow/report.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
-use violetgate_consensus::NodeId;
-use violetgate_state::{Micros, Revision};
+use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::changes::{Faults, Sequence};
 
--- a/tools/scale/src/whole_run/changes.rs
+++ b/tools/scale/src/whole_run/changes.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use violetgate_standin::client::{Http, Reply};
-use violetgate_state::{Micros, Revision};
+use violetgate_fake_upstreams::client::{Http, Reply};
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::children::Inputs;
 use super::in_force::Change;
--- a/tools/scale/src/whole_run/children.rs
+++ b/tools/scale/src/whole_run/children.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use violetgate_state::Micros;
+use violetgate_replicated_state::Micros;
 
 use super::in_force::Reached;
 use super::{layout, Plan, WholeRunError};
--- a/tools/scale/src/whole_run/fleet_watch.rs
+++ b/tools/scale/src/whole_run/fleet_watch.rs
@@ -7,7 +7,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 use super::changes::call;
 use crate::hollow::report::now;
--- a/tools/scale/src/whole_run/in_force.rs
+++ b/tools/scale/src/whole_run/in_force.rs
@@ -1,6 +1,6 @@
 //! When a change was in force at all live front ends, from what several sources report.
 
-use violetgate_state::{Micros, Revision};
+use violetgate_replicated_state::{Micros, Revision};
 
 /// A change that was answered as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/tools/scale/src/whole_run/phases.rs
+++ b/tools/scale/src/whole_run/phases.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use violetgate_standin::{Fleet, Profile};
+use violetgate_fake_upstreams::{Fleet, Profile};
 
 use super::changes::Changes;
 use super::children::Children;
@@ -319,7 +319,7 @@
 ) -> Result<(PathBuf, PathBuf), WholeRunError> {
     let folder = layout.folder("hollow")?;
     let listen = layout.hollow(0).to_string();
-    let config = engines.config("hollow", &listen, &violetgate_standin::settings());
+    let config = engines.config("hollow", &listen, &violetgate_fake_upstreams::settings());
     let config = layout.write(&folder, "config.json", &config.to_string())?;
     let settings = layout.write(
         &folder,
