--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -11,11 +11,11 @@
 use async_executor::Task;
 use async_io::{Async, Timer};
 use futures_lite::future;
+use violetgate_replicated_state::{Micros, Store};
 use violetgate_state_distribution::{
     ConnectionId, FromObserver, Observer, ObserverAction, ObserverConfig, ObserverWelcome,
     ProgressSummary, ReadId, Refusal, SubscriberHello, LONGEST_MESSAGE,
 };
-use violetgate_replicated_state::{Micros, Store};
 
 use crate::clock::{boot, Alarm};
 use crate::outbox::{Outbox, SharedFrame};
--- a/cluster/replica-runtime/src/runtime/fleet.rs
+++ b/cluster/replica-runtime/src/runtime/fleet.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use violetgate_raft::{Members, NodeId};
-use violetgate_state_distribution::{FleetProgress, FleetTotals, InForce, ProgressSummary};
 use violetgate_replicated_state::Micros;
+use violetgate_state_distribution::{FleetProgress, FleetTotals, InForce, ProgressSummary};
 
 use super::status::Status;
 use super::Cluster;
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -10,11 +10,11 @@
 
 use async_executor::{LocalExecutor, Task};
 use violetgate_raft::NodeId;
+use violetgate_replicated_state::{Entries, Micros, Revision, Stale};
 use violetgate_state_distribution::{
     FromSubscriber, Refusal, Replica, Subscriber, SubscriberAction, SubscriberConfig,
     SubscriberHello,
 };
-use violetgate_replicated_state::{Entries, Micros, Revision, Stale};
 
 use crate::clock::{boot, Alarm};
 use crate::connection::STALLED;
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -3,9 +3,9 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use violetgate_raft::{Change, Message, NodeId};
-use violetgate_state_distribution::ProgressSummary;
 use violetgate_replica::Answer;
 use violetgate_replicated_state::Step;
+use violetgate_state_distribution::ProgressSummary;
 
 /// The version of this protocol. A member of another one is turned away, and says so in its log.
 pub const VERSION: u16 = 1;
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -8,12 +8,12 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use violetgate_raft::{Change, NodeId};
+use violetgate_replica::{Answer, MemberConfig};
 use violetgate_replica_runtime::{
     Answered, Beginning, Call, Cluster, ObserverConfig, ObserverService, Options, SubscriberConfig,
     Subscription,
 };
-use violetgate_raft::{Change, NodeId};
-use violetgate_replica::{Answer, MemberConfig};
 use violetgate_replicated_state::{Entries, Op, Outcome, Revision, Step, Txn};
 
 /// How long anything may take on a busy machine.
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -15,10 +15,10 @@
 
 use fleet::{until, Fleet};
 use raw::Raw;
-use violetgate_replica_runtime::Subscription;
 use violetgate_raft::Role;
-use violetgate_state_distribution::{FromObserver, FromSubscriber, Progress, SubscriberHello};
+use violetgate_replica_runtime::Subscription;
 use violetgate_replicated_state::{Entries, Step};
+use violetgate_state_distribution::{FromObserver, FromSubscriber, Progress, SubscriberHello};
 
 fn watched_by(subscriptions: &[Rc<Subscription>], observer: u64) -> usize {
     subscriptions
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -14,9 +14,9 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_replica_runtime::{Answered, Beginning, Call, Cluster, Options};
 use violetgate_raft::{Change, NodeId, Role};
 use violetgate_replica::{Answer, MemberConfig};
+use violetgate_replica_runtime::{Answered, Beginning, Call, Cluster, Options};
 use violetgate_replicated_state::{Op, Outcome, Step, Txn};
 
 const WAIT: Duration = Duration::from_secs(30);
--- a/cluster/replica/tests/linearizable.rs
+++ b/cluster/replica/tests/linearizable.rs
@@ -14,9 +14,9 @@
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
+use violetgate_linearizability::{fits, Call, Deed};
 use violetgate_raft::{Members, Message, Meta, NodeId, Write};
 use violetgate_raft_storage::{Disk, Files, Identity};
-use violetgate_linearizability::{fits, Call, Deed};
 use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig};
 use violetgate_replicated_state::{Check, Micros, Op, Outcome, Step, Txn};
 
--- a/cluster/state-distribution/tests/bad_input.rs
+++ b/cluster/state-distribution/tests/bad_input.rs
@@ -1,8 +1,8 @@
 //! What must not be taken, and what must not grow: each gets one clear refusal, and nobody else is slower.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use violetgate_state_distribution::*;
 use violetgate_replicated_state::{Command, Entries, Op, Step, Store, Txn};
+use violetgate_state_distribution::*;
 
 const SECOND: u64 = 1_000_000;
 
--- a/cluster/state-distribution/tests/basic.rs
+++ b/cluster/state-distribution/tests/basic.rs
@@ -1,8 +1,8 @@
 //! One observer and one subscriber, joined without delay: the course of a subscription, step by step.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use violetgate_state_distribution::*;
 use violetgate_replicated_state::{Command, Entries, Op, Step, Store, Txn};
+use violetgate_state_distribution::*;
 
 const MS: u64 = 1_000;
 
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -7,8 +7,8 @@
 use std::sync::OnceLock;
 
 use stateright::{Checker, Model, Property};
-use violetgate_state_distribution::*;
 use violetgate_replicated_state::{Command, Gate, Op, Step, Store, Txn};
+use violetgate_state_distribution::*;
 
 /// The drain limit, in steps of time, and how far time goes.
 const LIMIT: u64 = 2;
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use violetgate_state_distribution::ObserverConfig;
 use violetgate_replicated_state::{Op, Step, Txn};
+use violetgate_state_distribution::ObserverConfig;
 use world::{Seen, World, MS, SECOND};
 
 const SEEDS: u64 = 200;
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
 
-use violetgate_state_distribution::{FromObserver, Refusal};
 use violetgate_replicated_state::Entries;
+use violetgate_state_distribution::{FromObserver, Refusal};
 
 use super::World;
 
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -12,8 +12,8 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use violetgate_raft::NodeId;
-use violetgate_state_distribution::*;
 use violetgate_replicated_state::{Command, Revision, Store};
+use violetgate_state_distribution::*;
 
 pub use check::Seen;
 use network::Connection;
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -1,8 +1,8 @@
 //! The voters, as an observer sees them: one history of commands that it applies late, and reads that may be slow.
 
 use violetgate_raft::NodeId;
-use violetgate_state_distribution::*;
 use violetgate_replicated_state::{Command, Op, Step, Txn};
+use violetgate_state_distribution::*;
 
 use super::{check, Event, World, MS};
 
--- a/gateway/src/bus.rs
+++ b/gateway/src/bus.rs
@@ -11,9 +11,9 @@
 
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use violetgate_policy::interface::{Engine, EngineId, EngineState, ListScope};
 use serde::Deserialize;
 use serde_json::Value;
+use violetgate_policy::interface::{Engine, EngineId, EngineState, ListScope};
 
 use crate::config::Names;
 use crate::exchange::Listed;
--- a/gateway/src/client/session/tests.rs
+++ b/gateway/src/client/session/tests.rs
@@ -3,8 +3,8 @@
 
 use std::net::Shutdown;
 
-use violetgate_policy::interface::{Micros, QueryId};
 use rand_chacha::rand_core::SeedableRng;
+use violetgate_policy::interface::{Micros, QueryId};
 
 use super::*;
 
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use violetgate_policy::Settings;
 use serde::Deserialize;
 use serde_json::Value;
+use violetgate_policy::Settings;
 
 /// All that the program is told at its start.
 #[derive(Debug)]
--- a/gateway/src/daemon/api/cluster.rs
+++ b/gateway/src/daemon/api/cluster.rs
@@ -5,9 +5,9 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
-use violetgate_replica_runtime::{Answered, Call};
 use violetgate_raft::{Change, Rejected, Role};
 use violetgate_replica::Answer;
+use violetgate_replica_runtime::{Answered, Call};
 
 use super::super::agreed::{self, Record};
 use super::super::figures::{until_in_force, BEHIND};
--- a/gateway/src/daemon/api/mod.rs
+++ b/gateway/src/daemon/api/mod.rs
@@ -22,8 +22,8 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
-use violetgate_replica_runtime::{Answered, Call};
 use violetgate_replica::Answer;
+use violetgate_replica_runtime::{Answered, Call};
 use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
 
 use super::{request_id, Daemon, Unagreed};
--- a/gateway/src/daemon/figures.rs
+++ b/gateway/src/daemon/figures.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write as _;
 
-use violetgate_replica_runtime::{FleetTotals, InForce, Status, SubscriptionStatus, Traffic};
 use violetgate_raft::Role;
+use violetgate_replica_runtime::{FleetTotals, InForce, Status, SubscriptionStatus, Traffic};
 
 /// Spans of time under which serving front ends are behind, as the labels of `svc_cluster_behind`.
 pub(super) const BEHIND: [&str; 4] = ["0.1", "1", "10", "inf"];
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -16,11 +16,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use violetgate_raft::{Config, NodeId, Rejected, Role};
+use violetgate_replica::{Answer, MemberConfig};
 use violetgate_replica_runtime::{
     Answered, Call, Cluster, FleetTotals, InForce, ObserverConfig, ObserverService, Options, Status,
 };
-use violetgate_raft::{Config, NodeId, Rejected, Role};
-use violetgate_replica::{Answer, MemberConfig};
 use violetgate_replicated_state::{Outcome, Refused, Revision, Step, Store, Txn};
 
 use crate::fence::Fence;
--- a/gateway/src/daemon/subscribed.rs
+++ b/gateway/src/daemon/subscribed.rs
@@ -9,8 +9,8 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_replica_runtime::{SubscriberConfig, Subscription, SubscriptionStatus};
 use violetgate_raft::NodeId;
+use violetgate_replica_runtime::{SubscriberConfig, Subscription, SubscriptionStatus};
 
 use super::adoption::{Adoption, Parts};
 use super::figures::SubscriberFigures;
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::exchange::{Exchange, Request};
-use violetgate_policy::interface::{Engine, NewQuery, Progress};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
+use violetgate_policy::interface::{Engine, NewQuery, Progress};
 
 #[derive(Default)]
 struct Ends(RefCell<Vec<(QueryId, Outcome)>>);
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -9,10 +9,10 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
+use std::net::SocketAddr;
 use violetgate_policy::interface::{
     Cost, Engine, EngineId, ListScope, Micros, NewQuery, Outcome, Progress, QueryId,
 };
-use std::net::SocketAddr;
 
 /// One client's request: what the decisions need, and the bytes that pass on as they came.
 #[derive(Debug, Clone)]
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -5,8 +5,8 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use violetgate_membership_udp::{Link, News, Options};
 use violetgate_membership::{Member, MembershipConfig, SharesConfig, State};
+use violetgate_membership_udp::{Link, News, Options};
 
 use crate::clock::Clock;
 use crate::dispatch::Dispatch;
--- a/gateway/src/keyed.rs
+++ b/gateway/src/keyed.rs
@@ -11,8 +11,8 @@
 
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
-use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
 use sha2::{Digest, Sha256};
+use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
 use violetgate_result_store::{Budget, Ending, Grant, Keys, Print, Seen};
 
 use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
--- a/gateway/src/problem.rs
+++ b/gateway/src/problem.rs
@@ -4,8 +4,8 @@
 use hyper::body::Bytes;
 use hyper::header::{HeaderValue, ALLOW, CACHE_CONTROL, CONNECTION, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use violetgate_policy::interface::Micros;
 use serde::Serialize;
+use violetgate_policy::interface::Micros;
 
 /// Why a call over HTTP gets nothing else: application/problem+json (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -27,10 +27,10 @@
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONNECTION, CONTENT_TYPE, LINK};
 use hyper::{Response, StatusCode};
-use violetgate_policy::interface::{Micros, QueryId};
 use rand_chacha::rand_core::RngCore;
 use rand_chacha::ChaCha8Rng;
 use smol_hyper::rt::FuturesIo;
+use violetgate_policy::interface::{Micros, QueryId};
 use violetgate_result_store::{Limits, Missing, Place, Results};
 
 use crate::clock::Clock;
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -12,9 +12,9 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use futures_lite::StreamExt;
-use violetgate_policy::interface::ListScope;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
+use violetgate_policy::interface::ListScope;
 use violetgate_result_store::{token, Results};
 
 use crate::admin::Admin;
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -223,7 +223,8 @@
         /// The engine's load report.
         load: Load,
     },
-    /// So many gateways share the engines from now on, this one too. Who tells it sees to it that the parts of all,
+    /// So many gateways share the engines from now on, this one too. Who tells it sees to it that
+    /// the parts of all,
     /// by what each was told last, never come to more than the whole.
     Fleet {
         /// How many; 0 counts as 1.
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -1,4 +1,5 @@
-//! What the module is told at its start: classes, kinds of engine, and the rules' figures. Nothing here decides.
+//! What the module is told at its start: classes, kinds of engine, and the rules' figures. Nothing
+//! here decides.
 
 use super::Micros;
 
--- a/policy/src/state/book.rs
+++ b/policy/src/state/book.rs
@@ -1,4 +1,5 @@
-//! The book of open queries: queues, turns, what is due when, and what was taken and sent again. Nothing is decided here.
+//! The book of open queries: queues, turns, what is due when, and what was taken and sent again.
+//! Nothing is decided here.
 
 use super::*;
 
--- a/policy/src/state/counts.rs
+++ b/policy/src/state/counts.rs
@@ -1,4 +1,5 @@
-//! How many engines are in use, ejected, healthy and shunned by each class. It counts; nothing is decided here.
+//! How many engines are in use, ejected, healthy and shunned by each class. It counts; nothing is
+//! decided here.
 
 use super::Node;
 
--- a/policy/src/state/order.rs
+++ b/policy/src/state/order.rs
@@ -1,4 +1,5 @@
-//! The listed engines in an order of this gateway's own, so that one of many engines is found by its place without a
+//! The listed engines in an order of this gateway's own, so that one of many engines is found by
+//! its place without a
 //! pass over all of them. A container: nothing is decided here.
 
 use rand_chacha::rand_core::RngCore;
--- a/policy/src/state/order/tests.rs
+++ b/policy/src/state/order/tests.rs
@@ -41,7 +41,8 @@
 }
 
 proptest! {
-    /// After any changes of the list, the order holds just the listed engines, by their lots; those of the own zone
+    /// After any changes of the list, the order holds just the listed engines, by their lots; those
+    /// of the own zone
     /// also by themselves, and without a zone all count as near.
     #[test]
     fn the_order_is_that_of_what_is_listed(
--- a/policy/tests/any_day.rs
+++ b/policy/tests/any_day.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use violetgate_policy::interface::{
     Class, Effect, Engine, EngineId, EngineState, ListScope, Micros, NewQuery, Outcome, Progress,
     QueryId, ResendBudget,
 };
 use violetgate_policy::{Action, Event, Settings};
-use proptest::prelude::*;
-use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 const SPAN: Micros = 5 * S;
 const GRACE: Micros = 20 * MS;
--- a/tools/acceptance/src/bin/prove-daemon.rs
+++ b/tools/acceptance/src/bin/prove-daemon.rs
@@ -14,10 +14,10 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde_json::{json, Value};
-use violetgate_linearizability::{first, fits, Call, Deed};
 use violetgate_acceptance::daemon::{Cluster, Instance};
 use violetgate_acceptance::{ended, inside, Verdict};
 use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_linearizability::{first, fits, Call, Deed};
 
 /// Proves the replicated daemon.
 #[derive(Parser)]
--- a/tools/acceptance/src/bin/prove-fleet-rules.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules.rs
@@ -13,9 +13,9 @@
 use clap::Parser;
 use rustix::process::Signal;
 use violetgate_acceptance::{cold, ended, Verdict};
-use violetgate_fleet_harness::{Process, Rig};
 use violetgate_fake_upstreams::client::Pg;
 use violetgate_fake_upstreams::Fault;
+use violetgate_fleet_harness::{Process, Rig};
 
 /// Holds several front ends to the rules that they keep together.
 #[derive(Parser)]
--- a/tools/acceptance/src/bin/prove-rest.rs
+++ b/tools/acceptance/src/bin/prove-rest.rs
@@ -278,7 +278,10 @@
         reply.ok().filter(|r| r.status == 200)
     }
 
-    fn pg(&self, rows: Result<violetgate_fake_upstreams::client::Rows>) -> Option<Vec<[String; 3]>> {
+    fn pg(
+        &self,
+        rows: Result<violetgate_fake_upstreams::client::Rows>,
+    ) -> Option<Vec<[String; 3]>> {
         let count = match &rows {
             Ok(Ok(_)) => &self.served,
             Ok(Err(code)) if code.starts_with("53") || code == "57P03" => &self.refused,
--- a/tools/acceptance/src/daemon.rs
+++ b/tools/acceptance/src/daemon.rs
@@ -249,8 +249,11 @@
         for (id, [peer, listen, rest, api]) in places {
             let own = folder.join(id.to_string());
             std::fs::create_dir_all(&own)?;
-            let mut config =
-                fleet.config(&format!("n{id}"), &listen, &violetgate_fake_upstreams::settings());
+            let mut config = fleet.config(
+                &format!("n{id}"),
+                &listen,
+                &violetgate_fake_upstreams::settings(),
+            );
             config["limits"]["sockets"] = 1024.into();
             config["seed"] = format!("{:016x}", 0x8c1f_30d2_7a5b_e964_u64 ^ id).into();
             std::fs::write(own.join("config.json"), config.to_string())?;
--- a/tools/acceptance/src/inside.rs
+++ b/tools/acceptance/src/inside.rs
@@ -7,10 +7,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_replica_runtime::{Beginning, Cluster, Options};
 use violetgate_raft::{Entry, Hard, Payload, Write};
 use violetgate_raft_storage::{Disk, Folder};
 use violetgate_replica::MemberConfig;
+use violetgate_replica_runtime::{Beginning, Cluster, Options};
 use violetgate_replicated_state::{Command, Op, Step, Txn};
 
 use crate::Verdict;
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -13,9 +13,9 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_replica_runtime::{Answered, Call, Cluster};
 use violetgate_raft::{Change, NodeId, Role};
 use violetgate_replica::Answer;
+use violetgate_replica_runtime::{Answered, Call, Cluster};
 use violetgate_replicated_state::{Op, Outcome, Revision, Step, Txn};
 
 use crate::error::ScaleError;
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -12,9 +12,9 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_replica_runtime::{Beginning, Cluster, Options};
 use violetgate_raft::NodeId;
 use violetgate_replica::MemberConfig;
+use violetgate_replica_runtime::{Beginning, Cluster, Options};
 use violetgate_replicated_state::Revision;
 
 use crate::error::ScaleError;
--- a/tools/scale/src/agreed_state/relay.rs
+++ b/tools/scale/src/agreed_state/relay.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use violetgate_replica_runtime::Frame;
 use violetgate_raft::Message;
+use violetgate_replica_runtime::Frame;
 
 use crate::error::ScaleError;
 
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -44,8 +44,9 @@
 ///
 /// The module refuses them.
 pub fn settings(gateways: u32) -> Result<Settings, ScaleError> {
-    let mut settings = violetgate_policy::wire::settings_from_json(&violetgate_fake_upstreams::settings())
-        .map_err(|e| ScaleError::Settings(e.to_string()))?;
+    let mut settings =
+        violetgate_policy::wire::settings_from_json(&violetgate_fake_upstreams::settings())
+            .map_err(|e| ScaleError::Settings(e.to_string()))?;
     settings.gateways = Some(gateways);
     settings.zone = Some(0);
     Ok(settings)
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -7,12 +7,12 @@
 use std::rc::{Rc, Weak};
 
 use async_executor::{LocalExecutor, Task};
-use violetgate_policy::interface::{EngineId, ListScope, QueryId};
 use violetgate::control::{
     Attempt, Bus, Clock, Config, Dispatch, Engines, Fence, Fleet, Ids, Listed, Parts, Place,
     Subscribed,
 };
 use violetgate::settings::{self, Settings};
+use violetgate_policy::interface::{EngineId, ListScope, QueryId};
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Micros, Revision};
 
--- a/tools/scale/src/whole_run/control.rs
+++ b/tools/scale/src/whole_run/control.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use violetgate_fleet_harness::Process;
 use violetgate_fake_upstreams::Fleet;
+use violetgate_fleet_harness::Process;
 
 use super::changes::call;
 use super::layout::{Layout, Port};
@@ -91,8 +91,11 @@
             layout.control(id, Port::Clients),
             layout.control(id, Port::Management),
         );
-        let mut config =
-            engines.config(&name, &listen.to_string(), &violetgate_fake_upstreams::settings());
+        let mut config = engines.config(
+            &name,
+            &listen.to_string(),
+            &violetgate_fake_upstreams::settings(),
+        );
         config["management"] = management.to_string().into();
         config["limits"]["sockets"] = SOCKETS.into();
         config["seed"] = format!("{:016x}", plan.seed.wrapping_mul(SEED_STEP) ^ id).into();
--- a/tools/scale/src/whole_run/real.rs
+++ b/tools/scale/src/whole_run/real.rs
@@ -6,8 +6,8 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use violetgate_fleet_harness::Process;
 use violetgate_fake_upstreams::Fleet;
+use violetgate_fleet_harness::Process;
 use violetgate_replicated_state::{Micros, Revision};
 
 use super::layout::{Layout, Port};
@@ -78,8 +78,11 @@
                 layout.real(index, Port::Clients),
                 layout.real(index, Port::Management),
             );
-            let mut config =
-                engines.config(&name, &listen.to_string(), &violetgate_fake_upstreams::settings());
+            let mut config = engines.config(
+                &name,
+                &listen.to_string(),
+                &violetgate_fake_upstreams::settings(),
+            );
             config["management"] = management.to_string().into();
             layout.write(&folder, "config.json", &config.to_string())?;
             layout.write(&folder, "violetgate.hcl", &settings(index))?;
--- a/tools/scale/tests/hollow_changes.rs
+++ b/tools/scale/tests/hollow_changes.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
+use violetgate_replicated_state::{Entries, Revision};
 use violetgate_scale::hollow::changes::{
     key, transaction, Digest, Faults, SeenChanges, LATEST, WINDOW,
 };
-use violetgate_replicated_state::{Entries, Revision};
 
 /// State as a front end holds it.
 #[derive(Default, Clone)]
