--- /dev/null
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -0,0 +1,218 @@
+//! A replica's folder as commit 5065b36 wrote it: it is opened with all that it holds, and equal writes make equal
+//! bytes.
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+
+use std::collections::BTreeMap;
+use std::io::{ErrorKind, Result};
+
+use violetgate_raft::{Entry, Hard, Members, Meta, Payload, Write};
+use violetgate_raft_storage::{Disk, Files, Identity};
+
+const STORED: [(&str, &[u8]); 3] = [
+    (
+        "log-0000000000000001",
+        include_bytes!("fixtures/member/log-0000000000000001"),
+    ),
+    ("member", include_bytes!("fixtures/member/member")),
+    (
+        "snapshot-0000000000000003",
+        include_bytes!("fixtures/member/snapshot-0000000000000003"),
+    ),
+];
+
+/// Files in memory.
+#[derive(Debug, Clone, Default)]
+struct Memory(BTreeMap<String, Vec<u8>>);
+
+impl Files for Memory {
+    fn list(&self) -> Result<Vec<String>> {
+        Ok(self.0.keys().cloned().collect())
+    }
+    fn read(&self, name: &str) -> Result<Vec<u8>> {
+        let bytes = self.0.get(name).cloned();
+        bytes.ok_or_else(|| ErrorKind::NotFound.into())
+    }
+    fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
+        let file = self.0.entry(name.to_owned()).or_default();
+        file.extend_from_slice(bytes);
+        Ok(())
+    }
+    fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
+        self.0.get_mut(name).unwrap().truncate(length as usize);
+        Ok(())
+    }
+    fn sync(&mut self, _: &str) -> Result<()> {
+        Ok(())
+    }
+    fn sync_names(&mut self) -> Result<()> {
+        Ok(())
+    }
+    fn rename(&mut self, from: &str, to: &str) -> Result<()> {
+        let bytes = self.0.remove(from).unwrap();
+        self.0.insert(to.to_owned(), bytes);
+        Ok(())
+    }
+    fn remove(&mut self, name: &str) -> Result<()> {
+        let removed = self.0.remove(name);
+        removed.map(drop).ok_or_else(|| ErrorKind::NotFound.into())
+    }
+}
+
+fn identity() -> Identity {
+    Identity {
+        cluster: "fixture".to_owned(),
+        member: 2,
+        born: 0x1234_5678_9abc_def0,
+    }
+}
+
+fn members() -> Members {
+    let mut members = Members::first([1, 2, 3]);
+    members.learners = [4].into();
+    members.highest = 4;
+    members
+}
+
+fn entry(term: u64, index: u64, payload: Payload) -> Entry {
+    Entry {
+        term,
+        index,
+        payload,
+    }
+}
+
+fn first_entries() -> Vec<Entry> {
+    vec![
+        entry(1, 1, Payload::Blank),
+        entry(1, 2, Payload::Members(members())),
+        entry(1, 3, Payload::Command(b"three".to_vec())),
+        entry(1, 4, Payload::Command(b"four".to_vec())),
+        entry(1, 5, Payload::Command(b"five, overwritten".to_vec())),
+    ]
+}
+
+fn later_entries() -> Vec<Entry> {
+    vec![
+        entry(3, 5, Payload::Blank),
+        entry(3, 6, Payload::Command(vec![0xff; 40])),
+        entry(3, 7, Payload::Members(Members::first([1, 2, 3]))),
+    ]
+}
+
+fn snapshot() -> Meta {
+    Meta {
+        index: 3,
+        term: 1,
+        members: members(),
+    }
+}
+
+fn vote(term: u64, vote: Option<u64>) -> Option<Hard> {
+    Some(Hard { term, vote })
+}
+
+/// The life that the stored folder has seen.
+fn write_folder() -> Disk<Memory> {
+    let base = Meta {
+        members: Members::first([1, 2, 3]),
+        ..Meta::default()
+    };
+    let (mut disk, _) = Disk::create(Memory::default(), &identity(), &base, b"begin").unwrap();
+    let batch = [
+        Write {
+            seq: 1,
+            hard: vote(1, Some(1)),
+            ..Write::default()
+        },
+        Write {
+            seq: 2,
+            append: first_entries(),
+            ..Write::default()
+        },
+    ];
+    disk.write(&batch).unwrap();
+    disk.keep(&snapshot(), b"state up to three").unwrap();
+    let conflict = Write {
+        seq: 3,
+        hard: vote(3, Some(3)),
+        truncate: Some(5),
+        append: later_entries(),
+    };
+    disk.write(&[conflict]).unwrap();
+    disk
+}
+
+#[test]
+fn equal_writes_make_the_stored_bytes() {
+    let files = write_folder().into_files();
+    let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
+    assert_eq!(files.0, BTreeMap::from(stored));
+}
+
+#[test]
+fn a_stored_folder_is_opened_with_all_that_it_holds() {
+    let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
+    let files = Memory(BTreeMap::from(stored));
+    let (disk, kept) = Disk::open(files.clone(), "fixture", 2).unwrap();
+    assert_eq!(kept.born, 0x1234_5678_9abc_def0);
+    assert_eq!(Some(kept.hard), vote(3, Some(3)));
+    assert_eq!(kept.base, snapshot());
+    assert_eq!(kept.state, b"state up to three");
+    let mut entries = vec![first_entries()[3].clone()];
+    entries.extend(later_entries());
+    assert_eq!(kept.entries, entries);
+    assert_eq!(kept.cut, 0);
+    assert_eq!(disk.log_bytes(), STORED[0].1.len());
+    assert_eq!(disk.into_files().0, files.0, "opening changes nothing");
+}
+
+/// Segments that are too long to be stored here, by their lengths and checksums; and what replaces them.
+#[test]
+fn segments_are_as_long_as_they_were_and_hold_the_same() {
+    let (mut disk, _) =
+        Disk::create(Memory::default(), &identity(), &Meta::default(), &[]).unwrap();
+    for index in 1..=8 {
+        let payload = Payload::Command(vec![index as u8; 3 << 20]);
+        let write = Write {
+            hard: vote(index, None),
+            append: vec![entry(index, index, payload)],
+            ..Write::default()
+        };
+        disk.write(&[write]).unwrap();
+    }
+    let summary = |files: &Memory| -> Vec<String> {
+        let files = files.0.iter();
+        files
+            .map(|(name, bytes)| format!("{name} {} {:08x}", bytes.len(), crc32fast::hash(bytes)))
+            .collect()
+    };
+    let files = disk.into_files();
+    let before = summary(&files);
+    let (mut disk, kept) = Disk::open(files, "fixture", 2).unwrap();
+    assert_eq!((kept.entries.len(), kept.hard.term), (8, 8));
+    let theirs = Meta {
+        index: 90,
+        term: 9,
+        members: members(),
+    };
+    let follows = [entry(9, 91, Payload::Blank)];
+    disk.install(&theirs, b"theirs", &follows).unwrap();
+    let after = summary(&disk.into_files());
+    assert_eq!(before, BEFORE);
+    assert_eq!(after, AFTER);
+}
+
+/// Name, length and checksum of each file.
+const BEFORE: [&str; 5] = [
+    "log-0000000000000001 9437257 83108230",
+    "log-0000000000000002 9437257 28157926",
+    "log-0000000000000003 6291509 06c4c828",
+    "member 26 89ffd9c8",
+    "snapshot-0000000000000000 14 41055c5f",
+];
+/// The same after a snapshot of another replica was installed.
+const AFTER: [&str; 3] = [
+    "log-0000000000000003 6291524 352fd1ae",
+    "member 26 89ffd9c8",
+    "snapshot-0000000000000090 24 82802ad6",
+];
--- /dev/null
+++ b/cluster/raft/tests/encoding.rs
@@ -0,0 +1,183 @@
+//! The bytes of each message, entry and stored value, as commit 5065b36 encodes them: replicas of that version and of
+//! this one work together during an upgrade, and read each other's disks.
+#![allow(clippy::unwrap_used)]
+
+use std::fmt::Debug;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use violetgate_raft::*;
+
+const FIXTURE: &str = include_str!("fixtures/encoding.hex");
+
+/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back as it was.
+#[derive(Default)]
+struct Encoded(String);
+
+impl Encoded {
+    fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, value: T) {
+        let bytes = postcard::to_stdvec(&value).unwrap();
+        let back: T = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(back, value);
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        self.0 += &(hex + "\n");
+    }
+}
+
+fn members() -> Members {
+    let mut members = Members::first([1, 2, 300]);
+    members.learners = [7, 900].into();
+    members.highest = 901;
+    members
+}
+
+fn entries() -> Vec<Entry> {
+    let payloads = [
+        Payload::Blank,
+        Payload::Command(vec![0, 1, 0xfe, 0xff]),
+        Payload::Members(members()),
+    ];
+    payloads
+        .into_iter()
+        .zip(129..)
+        .map(|(payload, index)| Entry {
+            term: 3,
+            index,
+            payload,
+        })
+        .collect()
+}
+
+fn add_elections(encoded: &mut Encoded) {
+    encoded.add(Message::PreVote {
+        term: 4,
+        last: (3, 131),
+    });
+    encoded.add(Message::PreVoteReply {
+        term: 4,
+        granted: true,
+    });
+    encoded.add(Message::PreVoteReply {
+        term: 5,
+        granted: false,
+    });
+    encoded.add(Message::Vote {
+        term: 4,
+        last: (3, 131),
+        transfer: true,
+    });
+    encoded.add(Message::Vote {
+        term: 1 << 40,
+        last: (0, 0),
+        transfer: false,
+    });
+    encoded.add(Message::VoteReply {
+        term: 4,
+        granted: true,
+    });
+    encoded.add(Message::TimeoutNow { term: 4 });
+}
+
+fn add_replication(encoded: &mut Encoded) {
+    encoded.add(Message::Append {
+        term: 4,
+        prev: (3, 128),
+        entries: entries(),
+        commit: 127,
+        round: 77,
+    });
+    encoded.add(Message::Append {
+        term: 4,
+        prev: (3, 131),
+        entries: Vec::new(),
+        commit: 131,
+        round: 78,
+    });
+    encoded.add(Message::AppendReply {
+        term: 4,
+        matched: Ok(131),
+        round: 78,
+    });
+    encoded.add(Message::AppendReply {
+        term: 4,
+        matched: Err(12),
+        round: 79,
+    });
+}
+
+fn add_snapshots_and_reads(encoded: &mut Encoded) {
+    encoded.add(Message::Snapshot {
+        term: 4,
+        meta: Meta {
+            index: 130,
+            term: 3,
+            members: members(),
+        },
+        offset: 262_144,
+        data: vec![9; 5],
+        done: true,
+    });
+    encoded.add(Message::SnapshotReply {
+        term: 4,
+        index: 130,
+        next: Some(262_149),
+    });
+    encoded.add(Message::SnapshotReply {
+        term: 4,
+        index: 130,
+        next: None,
+    });
+    encoded.add(Message::Read { ctx: 5_000 });
+    encoded.add(Message::ReadReply {
+        ctx: 5_000,
+        index: Some(131),
+    });
+    encoded.add(Message::ReadReply {
+        ctx: 5_001,
+        index: None,
+    });
+}
+
+fn add_stored_values(encoded: &mut Encoded) {
+    entries().into_iter().for_each(|entry| encoded.add(entry));
+    encoded.add(Hard {
+        term: 4,
+        vote: Some(300),
+    });
+    encoded.add(Hard::default());
+    encoded.add(Meta::default());
+    encoded.add(Meta {
+        index: 130,
+        term: 3,
+        members: members(),
+    });
+}
+
+fn add_membership(encoded: &mut Encoded) {
+    encoded.add(members());
+    encoded.add(Change::Add(902));
+    encoded.add(Change::Promote(7));
+    encoded.add(Change::Remove(2));
+    for rejected in [
+        Rejected::NotLeader,
+        Rejected::Pending,
+        Rejected::IdUsed,
+        Rejected::Unknown,
+        Rejected::Behind,
+        Rejected::LastVoter,
+        Rejected::Busy,
+    ] {
+        encoded.add(rejected);
+    }
+}
+
+#[test]
+fn values_are_encoded_as_in_the_fixture() {
+    let mut encoded = Encoded::default();
+    add_elections(&mut encoded);
+    add_replication(&mut encoded);
+    add_snapshots_and_reads(&mut encoded);
+    add_stored_values(&mut encoded);
+    add_membership(&mut encoded);
+    assert_eq!(encoded.0, FIXTURE);
+}
--- a/cluster/raft/tests/simulation.rs
+++ b/cluster/raft/tests/simulation.rs
@@ -15,6 +15,10 @@
 use rand_chacha::ChaCha8Rng;
 use violetgate_raft::*;
 
+mod digest;
+
+use digest::Digest;
+
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
@@ -89,6 +93,8 @@
     snapshots: u64,
     changes: u64,
     sabotage: Sabotage,
+    /// Everything the nodes asked for, in order.
+    digest: Digest,
 }
 
 /// Faults put into the embedding on purpose: the checks have to notice them.
@@ -133,6 +139,7 @@
             snapshots: 0,
             changes: 0,
             sabotage,
+            digest: Digest::default(),
         };
         let base = Meta {
             members: Members::first(1..=count),
@@ -427,6 +434,9 @@
     }
 
     fn carry_out(&mut self, id: NodeId, starts: u64, action: Action) {
+        self.digest.number(self.now);
+        self.digest.number(id);
+        digest_action(&mut self.digest, &action);
         match action {
             Action::Write(write) => {
                 let slow = if self.draw(20) == 0 { 80 * MS } else { 2 * MS };
@@ -648,6 +658,56 @@
     }
 }
 
+/// Adds one action in a form of its own: a number for its kind, then its parts as they are encoded for the wire.
+fn digest_action(digest: &mut Digest, action: &Action) {
+    match action {
+        Action::Write(write) => {
+            digest.number(1);
+            digest.number(write.seq);
+            digest.encoded(&write.hard);
+            digest.encoded(&write.truncate);
+            digest.encoded(&write.append);
+        }
+        Action::Send(to, message) => {
+            digest.number(2);
+            digest.number(*to);
+            digest.encoded(message);
+        }
+        Action::Apply(entries) => {
+            digest.number(3);
+            digest.encoded(entries);
+        }
+        Action::ReadReady { ctx, index } => {
+            digest.number(4);
+            digest.number(*ctx);
+            digest.number(*index);
+        }
+        Action::ReadFailed { ctx } => {
+            digest.number(5);
+            digest.number(*ctx);
+        }
+        Action::LoadChunk { to, offset } => {
+            digest.number(6);
+            digest.number(*to);
+            digest.number(*offset);
+        }
+        Action::StoreChunk {
+            from,
+            meta,
+            offset,
+            data,
+            done,
+        } => {
+            digest.number(7);
+            digest.number(*from);
+            digest.encoded(meta);
+            digest.number(*offset);
+            digest.encoded(data);
+            digest.number(u64::from(*done));
+        }
+    }
+}
+
 trait Ids {
     fn clone_ids(&self) -> Vec<NodeId>;
 }
@@ -658,13 +718,19 @@
     }
 }
 
-/// Plays one seed; what was seen.
-fn play(seed: u64, sabotage: Sabotage) -> [u64; 5] {
+/// Plays one seed to its end.
+fn played(seed: u64, sabotage: Sabotage) -> World {
     let mut world = World::new(seed, 3 + seed % 2 * 2, sabotage);
     while world.now < 11 * SECOND {
         world.step();
     }
     world.settle();
+    world
+}
+
+/// Plays one seed; what was seen.
+fn play(seed: u64, sabotage: Sabotage) -> [u64; 5] {
+    let world = played(seed, sabotage);
     let commands = world.acknowledged.values().flatten().count() as u64;
     [
         commands,
@@ -711,3 +777,50 @@
         assert!(noticed, "a fault on purpose is not noticed");
     }
 }
+
+/// All that the nodes of a simulated cluster ask for, in order, is the same as in the version before the code was
+/// restructured (commit 5065b36). A change that alters a digest changes behaviour.
+#[test]
+fn actions_are_those_of_the_stored_digests() {
+    let digests: Vec<u64> = (0..DIGESTS.len() as u64)
+        .map(|group| {
+            let mut digest = Digest::default();
+            for seed in (0..SEEDS_PER_DIGEST).map(|n| 1_000 + group * SEEDS_PER_DIGEST + n) {
+                digest.number(played(seed, Sabotage::None).digest.value());
+            }
+            digest.value()
+        })
+        .collect();
+    assert_eq!(digests, DIGESTS, "{digests:#018x?}");
+}
+
+/// Seeds that go into one stored digest.
+const SEEDS_PER_DIGEST: u64 = 10;
+
+/// For seeds 1000 and up.
+const DIGESTS: [u64; 24] = [
+    0x62eb_452f_0515_f896,
+    0x86fa_583c_541f_fa01,
+    0xf8a0_881b_f6f2_c018,
+    0x1964_1527_71f7_d638,
+    0xf212_4d0a_74c4_c710,
+    0x4cac_27b7_05bf_d89e,
+    0xe09d_e4fc_1a2d_1f24,
+    0x05db_d355_ac11_7037,
+    0x902f_bd6f_edd1_0dd4,
+    0x5ebd_23e6_fdeb_c8ce,
+    0xf201_075b_d8cc_4701,
+    0x5632_f589_f0da_5435,
+    0xde25_962b_8485_b614,
+    0x2f53_fc57_f1db_70a0,
+    0x406e_4955_ccd4_9060,
+    0xfe4c_c357_bd5a_b3d8,
+    0x5df1_5b2d_7153_1ae8,
+    0xec6b_1976_cf02_c2f1,
+    0xb577_ebb5_1cb8_6595,
+    0x6ebf_06fd_f7c7_6710,
+    0x7fb8_dd9d_4398_3557,
+    0xb36b_6a08_e89a_1d0a,
+    0x3843_dd9b_41be_7636,
+    0xd2e9_4af0_af10_0eb5,
+];
--- a/cluster/replica/tests/linearizable.rs
+++ b/cluster/replica/tests/linearizable.rs
@@ -20,6 +20,10 @@
 use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig};
 use violetgate_replicated_state::{Check, Micros, Op, Outcome, Step, Txn};
 
+mod digest;
+
+use digest::Digest;
+
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 const KEYS: u64 = 3;
@@ -109,6 +113,8 @@
     routed: u64,
     stale: u64,
     gate: bool,
+    /// Everything the members asked for, in order.
+    digest: Digest,
 }
 
 fn config() -> MemberConfig {
@@ -151,6 +157,7 @@
             routed: 0,
             stale: 0,
             gate,
+            digest: Digest::default(),
         };
         let base = Meta {
             members: Members::first(1..=3),
@@ -418,6 +425,9 @@
     }
 
     fn carry_out(&mut self, id: NodeId, effect: Effect) {
+        self.digest.number(self.now);
+        self.digest.number(id);
+        digest_effect(&mut self.digest, &effect);
         let span = MS / 2 + self.draw(6 * MS);
         let server = self.servers.get_mut(&id).unwrap();
         let starts = server.starts;
@@ -517,11 +527,51 @@
     }
 }
 
-fn play(seed: u64, gate: bool) -> [u64; 3] {
+/// Adds one effect in a form of its own: a number for its kind, then its parts as they are encoded for the wire.
+fn digest_effect(digest: &mut Digest, effect: &Effect) {
+    match effect {
+        Effect::Write(write) => {
+            digest.number(1);
+            digest.number(write.seq);
+            digest.encoded(&write.hard);
+            digest.encoded(&write.truncate);
+            digest.encoded(&write.append);
+        }
+        Effect::Send(to, message) => {
+            digest.number(2);
+            digest.number(*to);
+            digest.encoded(message);
+        }
+        Effect::Answer(ticket, answer) => {
+            digest.number(3);
+            digest.number(*ticket);
+            digest.encoded(answer);
+        }
+        Effect::Keep(meta, state) => {
+            digest.number(4);
+            digest.encoded(meta);
+            digest.bytes(state);
+        }
+        Effect::Install(from, meta, state) => {
+            digest.number(5);
+            digest.number(*from);
+            digest.encoded(meta);
+            digest.bytes(state);
+        }
+    }
+}
+
+/// Plays one seed to its end.
+fn played(seed: u64, gate: bool) -> World {
     let mut world = World::new(seed, gate);
     while world.now < 16 * SECOND {
         world.step();
     }
+    world
+}
+
+fn play(seed: u64, gate: bool) -> [u64; 3] {
+    let mut world = played(seed, gate);
     (0..CLIENTS).for_each(|n| world.over(n, None));
     for k in 0..KEYS {
         let deeds = violetgate_linearizability::first(&world.history, k);
@@ -557,3 +607,61 @@
     let noticed = (0..60).any(|seed| std::panic::catch_unwind(|| play(seed, false)).is_err());
     assert!(noticed, "nobody notices that the gate is left out");
 }
+
+/// All that the members of a simulated cluster ask for, in order, is the same as in the version before the code was
+/// restructured (commit 5065b36). A change that alters a digest changes behaviour.
+#[test]
+fn effects_are_those_of_the_stored_digests() {
+    let digests: Vec<u64> = (0..DIGESTS.len() as u64)
+        .map(|group| {
+            let mut digest = Digest::default();
+            for seed in (0..SEEDS_PER_DIGEST).map(|n| 1_000 + group * SEEDS_PER_DIGEST + n) {
+                digest_end(&mut digest, &played(seed, true));
+            }
+            digest.value()
+        })
+        .collect();
+    assert_eq!(digests, DIGESTS, "{digests:#018x?}");
+}
+
+/// Adds all that a cluster did, and what its members hold at the end.
+fn digest_end(digest: &mut Digest, world: &World) {
+    digest.number(world.digest.value());
+    for member in world.servers.values().filter_map(|s| s.member.as_ref()) {
+        digest.number(member.applied());
+        digest.bytes(&member.store().save());
+    }
+    digest.number(world.routed);
+    digest.number(world.stale);
+}
+
+/// Seeds that go into one stored digest.
+const SEEDS_PER_DIGEST: u64 = 5;
+
+/// For seeds 1000 and up.
+const DIGESTS: [u64; 24] = [
+    0x1255_decc_8560_7223,
+    0xbc24_815a_faf3_628b,
+    0x6e62_dfa9_30fb_eaa4,
+    0xfb7c_e4ff_b232_06c7,
+    0xdd19_a757_b02c_7393,
+    0x84f6_d524_4b98_662b,
+    0x6376_f94d_34b5_035d,
+    0x65eb_257a_80a1_a2ce,
+    0xa625_f551_52a9_9fe4,
+    0x51e2_e3c3_43db_afae,
+    0x3d97_ddea_9ed0_b950,
+    0xd3bb_6dad_ea9e_9f8d,
+    0x2b06_e1bf_cde9_1c13,
+    0x096d_fc8e_6398_b55a,
+    0x2f28_4afc_6c38_a943,
+    0x8fe8_ff67_0b92_cb93,
+    0x75ad_d562_27e3_69f9,
+    0x62aa_48c3_5b9a_07e9,
+    0xe611_0974_76af_5512,
+    0xbb0b_e8c6_ccdc_0969,
+    0x7fdc_6ea2_08a1_3cde,
+    0xe675_3068_3ff5_0d0b,
+    0x4e77_c7d0_515b_7e72,
+    0xc00e_6a07_8745_b7b4,
+];
--- /dev/null
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -0,0 +1,142 @@
+//! The bytes of commands, outcomes and a whole store, as commit 5065b36 encodes them: replicas of that version and of
+//! this one read each other's entries and snapshots.
+#![allow(clippy::unwrap_used)]
+
+use std::fmt::Debug;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use violetgate_replicated_state::*;
+
+const FIXTURE: &str = include_str!("fixtures/encoding.hex");
+
+/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back as it was.
+#[derive(Default)]
+struct Encoded(String);
+
+impl Encoded {
+    fn add<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, value: T) {
+        let bytes = postcard::to_stdvec(&value).unwrap();
+        let back: T = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(back, value);
+        self.add_bytes(&bytes);
+    }
+
+    fn add_bytes(&mut self, bytes: &[u8]) {
+        let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+        self.0 += &(hex + "\n");
+    }
+}
+
+fn put(key: &str, value: &[u8], lease: Option<u64>) -> Op {
+    Op::Put {
+        key: key.to_owned(),
+        value: value.to_vec(),
+        lease,
+    }
+}
+
+fn transaction() -> Txn {
+    Txn {
+        checks: vec![
+            Check::Changed("settings/limit".to_owned(), 0),
+            Check::Holds("duty".to_owned(), vec![1, 255]),
+        ],
+        then: vec![put("settings/limit", b"300", None), put("duty", b"", None)],
+        otherwise: vec![Op::Delete("duty".to_owned()), put("duty", b"two", Some(7))],
+    }
+}
+
+/// One command of each kind, applied in this order by the fixture's store.
+fn commands() -> Vec<Command> {
+    let hung = Txn {
+        checks: vec![
+            Check::Changed("settings/limit".to_owned(), 0),
+            Check::Holds("duty".to_owned(), b"two".to_vec()),
+        ],
+        then: vec![
+            put("hung/a", b"x", Some(7)),
+            put("hung/b", b"y", Some(8)),
+            put("settings/limit", b"300", None),
+        ],
+        otherwise: vec![],
+    };
+    let steps = [
+        Step::Lease {
+            id: 7,
+            span: 50_000,
+        },
+        Step::Lease { id: 8, span: 9 },
+        Step::Txn(transaction()),
+        Step::Txn(hung),
+        Step::Txn(transaction()),
+        Step::Expire { id: 8, ends: 1_019 },
+        Step::Release(7),
+        Step::Release(99),
+        Step::Compact(2),
+        Step::Compact(1 << 33),
+    ];
+    steps
+        .into_iter()
+        .zip(0u64..)
+        .map(|(step, n)| Command {
+            request: (n % 2 == 0).then(|| format!("request-{n}")),
+            who: format!("operator {n}"),
+            time: 1_007 + 3 * n,
+            step,
+        })
+        .collect()
+}
+
+fn outcomes() -> Vec<Outcome> {
+    let mut store = Store::default();
+    let mut outcomes: Vec<_> = commands().iter().map(|c| store.apply(c)).collect();
+    outcomes.push(Outcome::Refused(Refused::TooLarge));
+    outcomes.push(Outcome::Refused(Refused::Full));
+    outcomes
+}
+
+#[test]
+fn values_are_encoded_as_in_the_fixture() {
+    let mut encoded = Encoded::default();
+    let mut store = Store::default();
+    for command in commands() {
+        store.apply(&command);
+        encoded.add(command);
+        encoded.add_bytes(&store.save());
+        assert_eq!(Store::load(&store.save()).unwrap(), store);
+    }
+    outcomes().into_iter().for_each(|o| encoded.add(o));
+    for change in store.changes(2, "", 100).unwrap() {
+        encoded.add(change);
+    }
+    assert_eq!(encoded.0, FIXTURE);
+}
+
+/// What the old version saved is read, and holds what it held.
+#[test]
+fn a_stored_snapshot_is_read_with_all_that_it_holds() {
+    // The last snapshot stands before the outcomes: after ten commands, each followed by the store.
+    let hex = FIXTURE.lines().nth(19).unwrap();
+    let bytes: Vec<u8> = (0..hex.len() / 2)
+        .map(|n| u8::from_str_radix(hex.get(2 * n..2 * n + 2).unwrap(), 16).unwrap())
+        .collect();
+    let loaded = Store::load(&bytes).unwrap();
+    let mut store = Store::default();
+    for command in commands() {
+        store.apply(&command);
+    }
+    assert_eq!(loaded, store);
+    assert_eq!(loaded.revision(), 5);
+    let listing = loaded.list("", None, None, 10).unwrap();
+    let limit = ("settings/limit".to_owned(), 2, b"300".to_vec());
+    assert_eq!(listing.entries, [limit]);
+    assert_eq!(
+        loaded.outcome("request-2"),
+        Some(&Outcome::Done {
+            revision: 1,
+            held: false
+        })
+    );
+    assert_eq!(loaded.run_out(u64::MAX), []);
+}
