--- a/cluster/raft-storage/src/files.rs
+++ b/cluster/raft-storage/src/directory.rs
@@ -4,8 +4,8 @@
 use std::io::{Result, Write};
 use std::path::PathBuf;
 
-/// Files in one folder.
-pub trait Files {
+/// The files of one folder.
+pub trait Directory {
     /// The names of all files.
     ///
     /// # Errors
@@ -26,7 +26,7 @@
     fn sync(&mut self, name: &str) -> Result<()>;
     /// Makes the folder's names durable.
     #[allow(clippy::missing_errors_doc)]
-    fn sync_names(&mut self) -> Result<()>;
+    fn sync_dir(&mut self) -> Result<()>;
     /// Gives a file another name, in place of one that has it.
     #[allow(clippy::missing_errors_doc)]
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
@@ -37,12 +37,12 @@
 
 /// A folder of the machine's. The file that was last appended to stays open.
 #[derive(Debug)]
-pub struct Folder {
+pub struct FsDirectory {
     path: PathBuf,
     open: Option<(String, File)>,
 }
 
-impl Folder {
+impl FsDirectory {
     /// A folder, which is made if there is none.
     ///
     /// # Errors
@@ -51,7 +51,7 @@
     pub fn new(path: impl Into<PathBuf>) -> Result<Self> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
-        Ok(Folder { path, open: None })
+        Ok(FsDirectory { path, open: None })
     }
 
     fn file(&mut self, name: &str) -> Result<&mut File> {
@@ -69,7 +69,7 @@
     }
 }
 
-impl Files for Folder {
+impl Directory for FsDirectory {
     fn list(&self) -> Result<Vec<String>> {
         let names = std::fs::read_dir(&self.path)?
             .map(|f| Ok(f?.file_name().to_string_lossy().into_owned()));
@@ -92,7 +92,7 @@
         self.file(name)?.sync_data()
     }
 
-    fn sync_names(&mut self) -> Result<()> {
+    fn sync_dir(&mut self) -> Result<()> {
         File::open(&self.path)?.sync_all()
     }
 
--- a/cluster/raft-storage/src/disk.rs
+++ b/cluster/raft-storage/src/disk.rs
@@ -4,9 +4,9 @@
 //! all. Each segment begins with term and vote as they are then, so that those before it can go.
 
 use serde::{Deserialize, Serialize};
-use violetgate_raft::{Entry, Hard, Index, Meta, Write};
+use violetgate_raft::{Entry, HardState, Index, SnapshotMetadata, StorageWrite};
 
-use crate::Files;
+use crate::Directory;
 
 /// A segment that has grown beyond this is followed by another.
 const SEGMENT: usize = 8 << 20;
@@ -24,62 +24,64 @@
     /// The cluster.
     pub cluster: String,
     /// The member.
-    pub member: u64,
+    pub replica_id: u64,
     /// Drawn at random when the folder was made: another disk under the same id has another one.
-    pub born: u64,
+    pub incarnation: u64,
 }
 
 /// Why something could not be done.
 #[derive(Debug)]
-pub enum Failure {
+pub enum StorageError {
     /// The disk is full, or took nothing else for now. Nothing was written; the same may be tried again.
-    Full(std::io::Error),
+    WriteFailed(std::io::Error),
     /// Nothing can be written any more: it is not known what is durable. The member has to stop.
-    Lost(String),
+    DurabilityUnknown(String),
     /// What is on disk can't be believed.
-    Spoilt(String),
+    Corrupt(String),
     /// The folder is another member's, or nobody's.
-    NotOurs(String),
+    NotOwned(String),
 }
 
-impl std::fmt::Display for Failure {
+impl std::fmt::Display for StorageError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Failure::Full(e) => write!(f, "nothing can be written for now: {e}"),
-            Failure::Lost(what) => write!(f, "nothing can be written any more: {what}"),
-            Failure::Spoilt(what) => write!(f, "what is on disk can't be believed: {what}"),
-            Failure::NotOurs(what) => write!(f, "{what}"),
+            StorageError::WriteFailed(e) => write!(f, "nothing can be written for now: {e}"),
+            StorageError::DurabilityUnknown(what) => {
+                write!(f, "nothing can be written any more: {what}")
+            }
+            StorageError::Corrupt(what) => write!(f, "what is on disk can't be believed: {what}"),
+            StorageError::NotOwned(what) => write!(f, "{what}"),
         }
     }
 }
 
 /// What was found at a start.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Kept {
+pub struct RecoveredState {
     /// When the folder was made, this was drawn.
-    pub born: u64,
+    pub incarnation: u64,
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// What the snapshot stands for.
-    pub base: Meta,
+    pub base: SnapshotMetadata,
     /// The snapshot's state.
     pub state: Vec<u8>,
     /// The entries after it.
     pub entries: Vec<Entry>,
     /// Bytes of a write that was under way and is not believed.
-    pub cut: usize,
+    pub discarded_bytes: usize,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Record {
-    hard: Option<Hard>,
+    hard: Option<HardState>,
     truncate: Option<Index>,
     append: Vec<Entry>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
-    meta: Meta,
+    meta: SnapshotMetadata,
     state: Vec<u8>,
 }
 
@@ -93,9 +95,9 @@
 
 /// A member's disk.
 #[derive(Debug)]
-pub struct Disk<F> {
+pub struct RaftStorage<F> {
     files: F,
-    hard: Hard,
+    hard: HardState,
     segments: Vec<Segment>,
     snapshot: Index,
     lost: Option<String>,
@@ -109,9 +111,9 @@
     format!("snapshot-{index:016}")
 }
 
-fn encode(value: &impl Serialize) -> Result<Vec<u8>, Failure> {
-    let body = postcard::to_stdvec(value).map_err(|e| Failure::Spoilt(e.to_string()))?;
-    let length = u32::try_from(body.len()).map_err(|e| Failure::Spoilt(e.to_string()))?;
+fn encode(value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
+    let body = postcard::to_stdvec(value).map_err(|e| StorageError::Corrupt(e.to_string()))?;
+    let length = u32::try_from(body.len()).map_err(|e| StorageError::Corrupt(e.to_string()))?;
     let mut out = Vec::with_capacity(HEAD + body.len());
     out.extend_from_slice(&length.to_le_bytes());
     out.extend_from_slice(&checksum(length, &body).to_le_bytes());
@@ -137,7 +139,7 @@
         .then_some((body, HEAD + body.len()))
 }
 
-impl<F: Files> Disk<F> {
+impl<F: Directory> RaftStorage<F> {
     /// Makes a new member's disk: a snapshot that names the first members, of nothing or of a state to begin with; or
     /// of nothing that names nobody, for one that joins.
     ///
@@ -147,10 +149,10 @@
     pub fn create(
         files: F,
         identity: &Identity,
-        base: &Meta,
+        base: &SnapshotMetadata,
         state: &[u8],
-    ) -> Result<(Self, Kept), Failure> {
-        let names = files.list().map_err(Failure::Full)?;
+    ) -> Result<(Self, RecoveredState), StorageError> {
+        let names = files.list().map_err(StorageError::WriteFailed)?;
         // What a start that was cut short has left is no more than this.
         let none = [
             snapshot_name(0),
@@ -158,22 +160,22 @@
             format!("{IDENTITY}.new"),
         ];
         if let Some(other) = names.iter().find(|n| !none.contains(n)) {
-            return Err(Failure::NotOurs(format!(
+            return Err(StorageError::NotOwned(format!(
                 "this folder is a member's already: it holds {other}"
             )));
         }
-        let mut disk = Disk {
+        let mut disk = RaftStorage {
             files,
-            hard: Hard::default(),
+            hard: HardState::default(),
             segments: Vec::new(),
             snapshot: 0,
             lost: None,
         };
-        disk.keep(base, state)?;
+        disk.save_snapshot(base, state)?;
         // Last: without it, nothing here is anybody's.
         disk.aside(IDENTITY, &encode(identity)?)?;
-        let Disk { files, .. } = disk;
-        Self::open(files, &identity.cluster, identity.member)
+        let RaftStorage { files, .. } = disk;
+        Self::open(files, &identity.cluster, identity.replica_id)
     }
 
     /// Opens a member's disk and reads what is kept there.
@@ -181,13 +183,17 @@
     /// # Errors
     ///
     /// It is another's, or can't be believed.
-    pub fn open(mut files: F, cluster: &str, member: u64) -> Result<(Self, Kept), Failure> {
-        let spoilt = |what: String| Failure::Spoilt(what);
-        let io = |name: &str, e: std::io::Error| Failure::Spoilt(format!("{name}: {e}"));
+    pub fn open(
+        mut files: F,
+        cluster: &str,
+        member: u64,
+    ) -> Result<(Self, RecoveredState), StorageError> {
+        let spoilt = |what: String| StorageError::Corrupt(what);
+        let io = |name: &str, e: std::io::Error| StorageError::Corrupt(format!("{name}: {e}"));
         let mut names = files.list().map_err(|e| io("folder", e))?;
         names.sort();
         if !names.iter().any(|n| n == IDENTITY) {
-            return Err(Failure::NotOurs(
+            return Err(StorageError::NotOwned(
                 "this folder is no member's; one that lost its disk joins anew".to_owned(),
             ));
         }
@@ -195,15 +201,15 @@
         let found: Identity = record(&bytes)
             .and_then(|(body, _)| postcard::from_bytes(body).ok())
             .ok_or_else(|| spoilt(format!("{IDENTITY}: no record")))?;
-        if found.cluster != cluster || found.member != member {
-            return Err(Failure::NotOurs(format!(
+        if found.cluster != cluster || found.replica_id != member {
+            return Err(StorageError::NotOwned(format!(
                 "this folder is member {} of {}",
-                found.member, found.cluster
+                found.replica_id, found.cluster
             )));
         }
-        let mut kept = Kept {
-            born: found.born,
-            ..Kept::default()
+        let mut kept = RecoveredState {
+            incarnation: found.incarnation,
+            ..RecoveredState::default()
         };
         // A snapshot has its name only once it is whole: one that is spoilt was whole before.
         let Some(latest) = names
@@ -225,9 +231,9 @@
         {
             let _ = files.remove(old);
         }
-        let mut disk = Disk {
+        let mut disk = RaftStorage {
             files,
-            hard: Hard::default(),
+            hard: HardState::default(),
             segments: Vec::new(),
             snapshot: kept.base.index,
             lost: None,
@@ -256,7 +262,7 @@
                         "{name}: a record at {good} is spoilt, and others follow"
                     )));
                 }
-                kept.cut = rest.len();
+                kept.discarded_bytes = rest.len();
                 disk.files
                     .truncate(name, good as u64)
                     .map_err(|e| io(name, e))?;
@@ -278,16 +284,16 @@
             .is_some_and(|e| e.term < kept.base.term)
         {
             kept.entries.clear();
-            disk.write(&[Write {
+            disk.write(&[StorageWrite {
                 truncate: Some(0),
-                ..Write::default()
+                ..StorageWrite::default()
             }])?;
         }
         Ok((disk, kept))
     }
 
     /// Takes in all whole records; how many bytes they are.
-    fn replay(&mut self, bytes: &[u8], kept: &mut Kept) -> Result<usize, String> {
+    fn replay(&mut self, bytes: &[u8], kept: &mut RecoveredState) -> Result<usize, String> {
         let mut at = 0;
         while let Some((body, size)) = bytes.get(at..).and_then(record) {
             let record: Record =
@@ -316,29 +322,29 @@
         Ok(at)
     }
 
-    fn usable(&self) -> Result<(), Failure> {
-        self.lost
-            .as_ref()
-            .map_or(Ok(()), |what| Err(Failure::Lost(what.clone())))
+    fn usable(&self) -> Result<(), StorageError> {
+        self.lost.as_ref().map_or(Ok(()), |what| {
+            Err(StorageError::DurabilityUnknown(what.clone()))
+        })
     }
 
-    fn lose(&mut self, what: String) -> Failure {
+    fn lose(&mut self, what: String) -> StorageError {
         self.lost = Some(what.clone());
-        Failure::Lost(what)
+        StorageError::DurabilityUnknown(what)
     }
 
     /// Makes writes durable, all with one sync.
     ///
     /// # Errors
     ///
-    /// [`Failure::Full`]: none of them is on disk, and they may be tried again. [`Failure::Lost`]: the member stops.
-    pub fn write(&mut self, writes: &[Write]) -> Result<(), Failure> {
+    /// [`StorageError::WriteFailed`]: none of them is on disk, and they may be tried again. [`StorageError::DurabilityUnknown`]: the member stops.
+    pub fn write(&mut self, writes: &[StorageWrite]) -> Result<(), StorageError> {
         self.usable()?;
         if self.segments.last().is_none_or(|s| s.bytes >= SEGMENT) {
             self.begin_segment()?;
         }
         let Some(segment) = self.segments.last().copied() else {
-            return Err(Failure::Lost("no segment".into()));
+            return Err(StorageError::DurabilityUnknown("no segment".into()));
         };
         let (mut bytes, mut last, mut hard) = (Vec::new(), segment.last, self.hard);
         for w in writes {
@@ -358,7 +364,7 @@
         if let Err(e) = self.files.append(&file, &bytes) {
             // A part may be there, and would be taken for a write that was cut short; it goes, or all ends.
             return Err(match self.files.truncate(&file, segment.bytes as u64) {
-                Ok(()) => Failure::Full(e),
+                Ok(()) => StorageError::WriteFailed(e),
                 Err(again) => self.lose(format!("{file}: {e}, and then {again}")),
             });
         }
@@ -373,7 +379,7 @@
         Ok(())
     }
 
-    fn begin_segment(&mut self) -> Result<(), Failure> {
+    fn begin_segment(&mut self) -> Result<(), StorageError> {
         let number = self.segments.last().map_or(1, |s| s.number + 1);
         let last = self.segments.last().map_or(self.snapshot, |s| s.last);
         let head = encode(&Record {
@@ -384,7 +390,7 @@
         let file = name(number);
         if let Err(e) = self.files.append(&file, &head) {
             return Err(match self.files.remove(&file) {
-                Ok(()) => Failure::Full(e),
+                Ok(()) => StorageError::WriteFailed(e),
                 Err(again) => self.lose(format!("{file}: {e}, and then {again}")),
             });
         }
@@ -392,7 +398,7 @@
             .sync(&file)
             .map_err(|e| self.lose(format!("{file}: sync: {e}")))?;
         self.files
-            .sync_names()
+            .sync_dir()
             .map_err(|e| self.lose(format!("folder: sync: {e}")))?;
         self.segments.push(Segment {
             number,
@@ -403,14 +409,14 @@
     }
 
     /// Writes a file aside and gives it its name once it is whole and durable.
-    fn aside(&mut self, name: &str, bytes: &[u8]) -> Result<(), Failure> {
+    fn aside(&mut self, name: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let new = format!("{name}.new");
         if self.files.list().is_ok_and(|names| names.contains(&new)) {
-            self.files.remove(&new).map_err(Failure::Full)?;
+            self.files.remove(&new).map_err(StorageError::WriteFailed)?;
         }
         if let Err(e) = self.files.append(&new, bytes) {
             let _ = self.files.remove(&new);
-            return Err(Failure::Full(e));
+            return Err(StorageError::WriteFailed(e));
         }
         self.files
             .sync(&new)
@@ -419,7 +425,7 @@
             .rename(&new, name)
             .map_err(|e| self.lose(format!("{new}: rename: {e}")))?;
         self.files
-            .sync_names()
+            .sync_dir()
             .map_err(|e| self.lose(format!("folder: sync: {e}")))
     }
 
@@ -427,8 +433,12 @@
     ///
     /// # Errors
     ///
-    /// As [`Disk::write`]; the snapshot before still holds.
-    pub fn keep(&mut self, meta: &Meta, state: &[u8]) -> Result<(), Failure> {
+    /// As [`RaftStorage::write`]; the snapshot before still holds.
+    pub fn save_snapshot(
+        &mut self,
+        meta: &SnapshotMetadata,
+        state: &[u8],
+    ) -> Result<(), StorageError> {
         self.usable()?;
         self.aside(
             &snapshot_name(meta.index),
@@ -455,14 +465,19 @@
     ///
     /// # Errors
     ///
-    /// As [`Disk::write`].
-    pub fn install(&mut self, meta: &Meta, state: &[u8], follows: &[Entry]) -> Result<(), Failure> {
-        self.keep(meta, state)?;
+    /// As [`RaftStorage::write`].
+    pub fn install_snapshot(
+        &mut self,
+        meta: &SnapshotMetadata,
+        state: &[u8],
+        follows: &[Entry],
+    ) -> Result<(), StorageError> {
+        self.save_snapshot(meta, state)?;
         // From here on the log is what follows the snapshot: the rest is taken away by a record of its own.
-        let write = Write {
+        let write = StorageWrite {
             truncate: Some(0),
             append: follows.to_vec(),
-            ..Write::default()
+            ..StorageWrite::default()
         };
         self.write(&[write])
     }
--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 
-use violetgate_raft::{Entry, Hard, Members, Meta, Payload, Write};
-use violetgate_raft_storage::{Disk, Failure, Files, Folder, Identity};
+use violetgate_raft::{Entry, HardState, Membership, Payload, SnapshotMetadata, StorageWrite};
+use violetgate_raft_storage::{Directory, FsDirectory, Identity, RaftStorage, StorageError};
 
 /// A disk in memory that does as it is told.
 #[derive(Debug, Clone, Default)]
@@ -31,7 +31,7 @@
     }
 }
 
-impl Files for Memory {
+impl Directory for Memory {
     fn list(&self) -> Result<Vec<String>> {
         Ok(self.files.keys().cloned().collect())
     }
@@ -79,7 +79,7 @@
             Ok(())
         }
     }
-    fn sync_names(&mut self) -> Result<()> {
+    fn sync_dir(&mut self) -> Result<()> {
         self.works()
     }
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
@@ -100,15 +100,15 @@
 fn me() -> Identity {
     Identity {
         cluster: "c".to_owned(),
-        member: 1,
-        born: 9,
+        replica_id: 1,
+        incarnation: 9,
     }
 }
 
-fn base() -> Meta {
-    Meta {
-        members: Members::first([1, 2, 3]),
-        ..Meta::default()
+fn base() -> SnapshotMetadata {
+    SnapshotMetadata {
+        members: Membership::bootstrap([1, 2, 3]),
+        ..SnapshotMetadata::default()
     }
 }
 
@@ -120,12 +120,12 @@
     }
 }
 
-fn write(term: u64, truncate: Option<u64>, indexes: std::ops::Range<u64>) -> Write {
-    let hard = Some(Hard {
+fn write(term: u64, truncate: Option<u64>, indexes: std::ops::Range<u64>) -> StorageWrite {
+    let hard = Some(HardState {
         term,
         vote: Some(term % 3 + 1),
     });
-    Write {
+    StorageWrite {
         seq: 0,
         hard,
         truncate,
@@ -133,8 +133,8 @@
     }
 }
 
-fn fresh() -> Disk<Memory> {
-    Disk::create(Memory::default(), &me(), &base(), &[])
+fn fresh() -> RaftStorage<Memory> {
+    RaftStorage::create(Memory::default(), &me(), &base(), &[])
         .unwrap()
         .0
 }
@@ -151,15 +151,15 @@
     let mut disk = fresh();
     let mut whole = vec![(
         disk.log_bytes(),
-        Disk::open(disk.into_files(), "c", 1).unwrap().1,
+        RaftStorage::open(disk.into_files(), "c", 1).unwrap().1,
     )];
     let mut files = fresh().into_files();
     for w in &writes {
-        disk = Disk::open(files, "c", 1).unwrap().0;
+        disk = RaftStorage::open(files, "c", 1).unwrap().0;
         disk.write(std::slice::from_ref(w)).unwrap();
         let bytes = disk.log_bytes();
         files = disk.into_files();
-        whole.push((bytes, Disk::open(files.clone(), "c", 1).unwrap().1));
+        whole.push((bytes, RaftStorage::open(files.clone(), "c", 1).unwrap().1));
     }
     let log = files
         .files
@@ -171,7 +171,7 @@
     for cut in 0..=all.len() {
         let mut cut_files = files.clone();
         cut_files.files.insert(log.clone(), all[..cut].to_vec());
-        let (mut disk, kept) = Disk::open(cut_files, "c", 1).unwrap();
+        let (mut disk, kept) = RaftStorage::open(cut_files, "c", 1).unwrap();
         let (bytes, expected) = whole.iter().rev().find(|(b, _)| *b <= cut).unwrap();
         assert_eq!(
             (kept.hard, &kept.entries),
@@ -179,10 +179,10 @@
             "cut at {cut}"
         );
         if *bytes > 0 {
-            assert_eq!(kept.cut, cut - bytes);
+            assert_eq!(kept.discarded_bytes, cut - bytes);
         }
         disk.write(&[write(9, Some(1), 1..2)]).unwrap();
-        let again = Disk::open(disk.into_files(), "c", 1).unwrap().1;
+        let again = RaftStorage::open(disk.into_files(), "c", 1).unwrap().1;
         assert_eq!((again.hard.term, again.entries), (9, vec![entry(1, 9)]));
     }
     // A bit that turned in a write that others follow was durable once: it is not cut off, it is told.
@@ -190,7 +190,10 @@
         let mut bent = files.clone();
         bent.files.get_mut(&log).unwrap()[at] ^= 4;
         assert!(
-            matches!(Disk::open(bent, "c", 1), Err(Failure::Spoilt(_))),
+            matches!(
+                RaftStorage::open(bent, "c", 1),
+                Err(StorageError::Corrupt(_))
+            ),
             "bit at {at}"
         );
     }
@@ -203,16 +206,19 @@
     disk.write(&[write(1, None, 1..2)]).unwrap();
     let mut files = disk.into_files();
     files.syncs_fail = true;
-    let mut disk = Disk::open(files, "c", 1).unwrap().0;
+    let mut disk = RaftStorage::open(files, "c", 1).unwrap().0;
     assert!(matches!(
         disk.write(&[write(2, None, 2..3)]),
-        Err(Failure::Lost(_))
+        Err(StorageError::DurabilityUnknown(_))
     ));
     assert!(matches!(
         disk.write(&[write(2, None, 2..3)]),
-        Err(Failure::Lost(_))
+        Err(StorageError::DurabilityUnknown(_))
+    ));
+    assert!(matches!(
+        disk.save_snapshot(&base(), b"x"),
+        Err(StorageError::DurabilityUnknown(_))
     ));
-    assert!(matches!(disk.keep(&base(), b"x"), Err(Failure::Lost(_))));
 }
 
 /// On a full disk a write is there or not, and once there is room it can be tried again.
@@ -223,19 +229,22 @@
         disk.write(&[write(1, None, 1..3)]).unwrap();
         let mut files = disk.into_files();
         files.room = Some(room);
-        let mut disk = Disk::open(files, "c", 1).unwrap().0;
+        let mut disk = RaftStorage::open(files, "c", 1).unwrap().0;
         let full = disk.write(&[write(2, None, 3..9)]);
         let mut files = disk.into_files();
-        let kept = Disk::open(files.clone(), "c", 1).unwrap().1;
+        let kept = RaftStorage::open(files.clone(), "c", 1).unwrap().1;
         match full {
             Ok(()) => assert_eq!((kept.hard.term, kept.entries.len()), (2, 8)),
-            Err(Failure::Full(_)) => {
-                assert_eq!((kept.hard.term, kept.entries.len(), kept.cut), (1, 2, 0))
+            Err(StorageError::WriteFailed(_)) => {
+                assert_eq!(
+                    (kept.hard.term, kept.entries.len(), kept.discarded_bytes),
+                    (1, 2, 0)
+                )
             }
             Err(e) => panic!("{e}"),
         }
         files.room = None;
-        let mut disk = Disk::open(files, "c", 1).unwrap().0;
+        let mut disk = RaftStorage::open(files, "c", 1).unwrap().0;
         let next = kept.entries.len() as u64 + 1;
         disk.write(&[write(3, None, next..next + 1)]).unwrap();
     }
@@ -244,34 +253,35 @@
 /// A crash between any two operations of a life with snapshots leaves what was durable, and nothing half done.
 #[test]
 fn a_crash_anywhere_leaves_what_was_durable() {
-    let life =
-        |disk: &mut Disk<Memory>, done: &mut (u64, u64)| -> std::result::Result<(), Failure> {
-            for round in 1..6u64 {
-                let from = (round - 1) * 4 + 1;
-                disk.write(&[write(round, None, from..from + 4)])?;
-                done.0 = from + 3;
-                let members = Members::first([1, 2, 3]);
-                disk.keep(
-                    &Meta {
-                        index: from + 1,
-                        term: round,
-                        members,
-                    },
-                    &[round as u8; 30],
-                )?;
-                done.1 = from + 1;
-            }
-            Ok(())
-        };
+    let life = |disk: &mut RaftStorage<Memory>,
+                done: &mut (u64, u64)|
+     -> std::result::Result<(), StorageError> {
+        for round in 1..6u64 {
+            let from = (round - 1) * 4 + 1;
+            disk.write(&[write(round, None, from..from + 4)])?;
+            done.0 = from + 3;
+            let members = Membership::bootstrap([1, 2, 3]);
+            disk.save_snapshot(
+                &SnapshotMetadata {
+                    index: from + 1,
+                    term: round,
+                    members,
+                },
+                &[round as u8; 30],
+            )?;
+            done.1 = from + 1;
+        }
+        Ok(())
+    };
     for left in 0..60 {
         let mut files = fresh().into_files();
         files.left = Some(left);
         let mut done = (0, 0);
-        let mut disk = Disk::open(files, "c", 1).unwrap().0;
+        let mut disk = RaftStorage::open(files, "c", 1).unwrap().0;
         let ended = life(&mut disk, &mut done);
         let mut files = disk.into_files();
         files.left = None;
-        let kept = Disk::open(files, "c", 1)
+        let kept = RaftStorage::open(files, "c", 1)
             .unwrap_or_else(|e| panic!("after {left}: {e}"))
             .1;
         let last = kept.entries.last().map_or(kept.base.index, |e| e.index);
@@ -293,29 +303,29 @@
 fn a_folder_is_one_members() {
     let files = fresh().into_files();
     assert!(matches!(
-        Disk::open(files.clone(), "c", 2),
-        Err(Failure::NotOurs(_))
+        RaftStorage::open(files.clone(), "c", 2),
+        Err(StorageError::NotOwned(_))
     ));
     assert!(matches!(
-        Disk::create(files.clone(), &me(), &base(), &[]),
-        Err(Failure::NotOurs(_))
+        RaftStorage::create(files.clone(), &me(), &base(), &[]),
+        Err(StorageError::NotOwned(_))
     ));
     // Without its mark it is nobody's, and what it holds is not taken for a new member's.
-    let mut disk = Disk::open(files, "c", 1).unwrap().0;
+    let mut disk = RaftStorage::open(files, "c", 1).unwrap().0;
     disk.write(&[write(1, None, 1..2)]).unwrap();
     let mut files = disk.into_files();
     files.files.remove("member").unwrap();
     assert!(matches!(
-        Disk::open(files.clone(), "c", 1),
-        Err(Failure::NotOurs(_))
+        RaftStorage::open(files.clone(), "c", 1),
+        Err(StorageError::NotOwned(_))
     ));
     assert!(matches!(
-        Disk::create(files, &me(), &base(), &[]),
-        Err(Failure::NotOurs(_))
+        RaftStorage::create(files, &me(), &base(), &[]),
+        Err(StorageError::NotOwned(_))
     ));
     assert!(matches!(
-        Disk::open(Memory::default(), "c", 1),
-        Err(Failure::NotOurs(_))
+        RaftStorage::open(Memory::default(), "c", 1),
+        Err(StorageError::NotOwned(_))
     ));
 }
 
@@ -324,22 +334,23 @@
 fn on_real_files() {
     let path = std::env::temp_dir().join(format!("violetgate-disk-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    let (mut disk, _) = Disk::create(Folder::new(&path).unwrap(), &me(), &base(), &[]).unwrap();
+    let (mut disk, _) =
+        RaftStorage::create(FsDirectory::new(&path).unwrap(), &me(), &base(), &[]).unwrap();
     let large = |index| Entry {
         term: 1,
         index,
         payload: Payload::Command(vec![7; 3 << 20]),
     };
     for index in 1..=8 {
-        disk.write(&[Write {
+        disk.write(&[StorageWrite {
             append: vec![large(index)],
-            ..Write::default()
+            ..StorageWrite::default()
         }])
         .unwrap();
     }
     let before = disk.log_bytes();
-    disk.keep(
-        &Meta {
+    disk.save_snapshot(
+        &SnapshotMetadata {
             index: 7,
             term: 1,
             members: base().members,
@@ -352,13 +363,13 @@
         "{} of {before}",
         disk.log_bytes()
     );
-    let (mut disk, kept) = Disk::open(disk.into_files(), "c", 1).unwrap();
+    let (mut disk, kept) = RaftStorage::open(disk.into_files(), "c", 1).unwrap();
     assert_eq!(
         (kept.base.index, kept.state, kept.entries.len()),
         (7, b"state".to_vec(), 1)
     );
-    disk.install(
-        &Meta {
+    disk.install_snapshot(
+        &SnapshotMetadata {
             index: 90,
             term: 4,
             members: base().members,
@@ -367,12 +378,12 @@
         &[],
     )
     .unwrap();
-    disk.write(&[Write {
+    disk.write(&[StorageWrite {
         append: vec![entry(91, 4)],
-        ..Write::default()
+        ..StorageWrite::default()
     }])
     .unwrap();
-    let kept = Disk::open(disk.into_files(), "c", 1).unwrap().1;
+    let kept = RaftStorage::open(disk.into_files(), "c", 1).unwrap().1;
     assert_eq!(
         (kept.base.index, kept.state, kept.entries),
         (90, b"theirs".to_vec(), vec![entry(91, 4)])
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Result};
 
-use violetgate_raft::{Entry, Hard, Members, Meta, Payload, Write};
-use violetgate_raft_storage::{Disk, Files, Identity};
+use violetgate_raft::{Entry, HardState, Membership, Payload, SnapshotMetadata, StorageWrite};
+use violetgate_raft_storage::{Directory, Identity, RaftStorage};
 
 const STORED: [(&str, &[u8]); 3] = [
     (
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Default)]
 struct Memory(BTreeMap<String, Vec<u8>>);
 
-impl Files for Memory {
+impl Directory for Memory {
     fn list(&self) -> Result<Vec<String>> {
         Ok(self.0.keys().cloned().collect())
     }
@@ -44,7 +44,7 @@
     fn sync(&mut self, _: &str) -> Result<()> {
         Ok(())
     }
-    fn sync_names(&mut self) -> Result<()> {
+    fn sync_dir(&mut self) -> Result<()> {
         Ok(())
     }
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
@@ -61,15 +61,15 @@
 fn identity() -> Identity {
     Identity {
         cluster: "fixture".to_owned(),
-        member: 2,
-        born: 0x1234_5678_9abc_def0,
+        replica_id: 2,
+        incarnation: 0x1234_5678_9abc_def0,
     }
 }
 
-fn members() -> Members {
-    let mut members = Members::first([1, 2, 3]);
+fn members() -> Membership {
+    let mut members = Membership::bootstrap([1, 2, 3]);
     members.learners = [4].into();
-    members.highest = 4;
+    members.highest_id = 4;
     members
 }
 
@@ -84,7 +84,7 @@
 fn first_entries() -> Vec<Entry> {
     vec![
         entry(1, 1, Payload::Blank),
-        entry(1, 2, Payload::Members(members())),
+        entry(1, 2, Payload::Membership(members())),
         entry(1, 3, Payload::Command(b"three".to_vec())),
         entry(1, 4, Payload::Command(b"four".to_vec())),
         entry(1, 5, Payload::Command(b"five, overwritten".to_vec())),
@@ -95,44 +95,46 @@
     vec![
         entry(3, 5, Payload::Blank),
         entry(3, 6, Payload::Command(vec![0xff; 40])),
-        entry(3, 7, Payload::Members(Members::first([1, 2, 3]))),
+        entry(3, 7, Payload::Membership(Membership::bootstrap([1, 2, 3]))),
     ]
 }
 
-fn snapshot() -> Meta {
-    Meta {
+fn snapshot() -> SnapshotMetadata {
+    SnapshotMetadata {
         index: 3,
         term: 1,
         members: members(),
     }
 }
 
-fn vote(term: u64, vote: Option<u64>) -> Option<Hard> {
-    Some(Hard { term, vote })
+fn vote(term: u64, vote: Option<u64>) -> Option<HardState> {
+    Some(HardState { term, vote })
 }
 
 /// The life that the stored folder has seen.
-fn write_folder() -> Disk<Memory> {
-    let base = Meta {
-        members: Members::first([1, 2, 3]),
-        ..Meta::default()
+fn write_folder() -> RaftStorage<Memory> {
+    let base = SnapshotMetadata {
+        members: Membership::bootstrap([1, 2, 3]),
+        ..SnapshotMetadata::default()
     };
-    let (mut disk, _) = Disk::create(Memory::default(), &identity(), &base, b"begin").unwrap();
+    let (mut disk, _) =
+        RaftStorage::create(Memory::default(), &identity(), &base, b"begin").unwrap();
     let batch = [
-        Write {
+        StorageWrite {
             seq: 1,
             hard: vote(1, Some(1)),
-            ..Write::default()
+            ..StorageWrite::default()
         },
-        Write {
+        StorageWrite {
             seq: 2,
             append: first_entries(),
-            ..Write::default()
+            ..StorageWrite::default()
         },
     ];
     disk.write(&batch).unwrap();
-    disk.keep(&snapshot(), b"state up to three").unwrap();
-    let conflict = Write {
+    disk.save_snapshot(&snapshot(), b"state up to three")
+        .unwrap();
+    let conflict = StorageWrite {
         seq: 3,
         hard: vote(3, Some(3)),
         truncate: Some(5),
@@ -153,15 +155,15 @@
 fn a_stored_folder_is_opened_with_all_that_it_holds() {
     let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
     let files = Memory(BTreeMap::from(stored));
-    let (disk, kept) = Disk::open(files.clone(), "fixture", 2).unwrap();
-    assert_eq!(kept.born, 0x1234_5678_9abc_def0);
+    let (disk, kept) = RaftStorage::open(files.clone(), "fixture", 2).unwrap();
+    assert_eq!(kept.incarnation, 0x1234_5678_9abc_def0);
     assert_eq!(Some(kept.hard), vote(3, Some(3)));
     assert_eq!(kept.base, snapshot());
     assert_eq!(kept.state, b"state up to three");
     let mut entries = vec![first_entries()[3].clone()];
     entries.extend(later_entries());
     assert_eq!(kept.entries, entries);
-    assert_eq!(kept.cut, 0);
+    assert_eq!(kept.discarded_bytes, 0);
     assert_eq!(disk.log_bytes(), STORED[0].1.len());
     assert_eq!(disk.into_files().0, files.0, "opening changes nothing");
 }
@@ -169,14 +171,19 @@
 /// Segments that are too long to be stored here, by their lengths and checksums; and what replaces them.
 #[test]
 fn segments_are_as_long_as_they_were_and_hold_the_same() {
-    let (mut disk, _) =
-        Disk::create(Memory::default(), &identity(), &Meta::default(), &[]).unwrap();
+    let (mut disk, _) = RaftStorage::create(
+        Memory::default(),
+        &identity(),
+        &SnapshotMetadata::default(),
+        &[],
+    )
+    .unwrap();
     for index in 1..=8 {
         let payload = Payload::Command(vec![index as u8; 3 << 20]);
-        let write = Write {
+        let write = StorageWrite {
             hard: vote(index, None),
             append: vec![entry(index, index, payload)],
-            ..Write::default()
+            ..StorageWrite::default()
         };
         disk.write(&[write]).unwrap();
     }
@@ -188,15 +195,15 @@
     };
     let files = disk.into_files();
     let before = summary(&files);
-    let (mut disk, kept) = Disk::open(files, "fixture", 2).unwrap();
+    let (mut disk, kept) = RaftStorage::open(files, "fixture", 2).unwrap();
     assert_eq!((kept.entries.len(), kept.hard.term), (8, 8));
-    let theirs = Meta {
+    let theirs = SnapshotMetadata {
         index: 90,
         term: 9,
         members: members(),
     };
     let follows = [entry(9, 91, Payload::Blank)];
-    disk.install(&theirs, b"theirs", &follows).unwrap();
+    disk.install_snapshot(&theirs, b"theirs", &follows).unwrap();
     let after = summary(&disk.into_files());
     assert_eq!(before, BEFORE);
     assert_eq!(after, AFTER);
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -1,21 +1,21 @@
 //! Agreement of the daemon's members on one log: Raft (Ongaro and Ousterhout) without I/O.
 //!
-//! [`Node`] gets time, messages, proposals and what the disk has done, and says what is to be written, sent and
+//! [`RaftNode`] gets time, messages, proposals and what the disk has done, and says what is to be written, sent and
 //! applied ([`Action`]). It keeps no clock, opens no socket or file and draws its random numbers from a seed, so
 //! that a run that failed can be played again. A vote, a term or an entry is never spoken of before it is durable:
-//! what depends on a write is held here until [`Node::persisted`].
+//! what depends on a write is held here until [`RaftNode::persisted`].
 //!
 //! It must never know what the entries mean.
 
 mod log;
-mod members;
+mod membership;
 mod message;
 mod node;
 
 pub use log::Log;
-pub use members::{Change, Members, Rejected};
-pub use message::{Action, Entry, Hard, Message, Meta, Payload, Write};
-pub use node::{Config, Lost, Node, Role};
+pub use membership::{Membership, MembershipChange, ProposalError};
+pub use message::{Action, Entry, HardState, Message, Payload, SnapshotMetadata, StorageWrite};
+pub use node::{Config, RaftNode, Role};
 
 /// A moment or a span in microseconds, on one clock that never goes backwards.
 pub type Micros = u64;
--- a/cluster/raft/src/log.rs
+++ b/cluster/raft/src/log.rs
@@ -3,20 +3,20 @@
 
 use std::collections::VecDeque;
 
-use crate::{Entry, Index, Members, Meta, Payload, Term};
+use crate::{Entry, Index, Membership, Payload, SnapshotMetadata, Term};
 
 /// Entries after a snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
     /// What the entries before the first one stand for.
-    base: Meta,
+    base: SnapshotMetadata,
     entries: VecDeque<Entry>,
 }
 
 impl Log {
     /// Entries that follow a snapshot.
     #[must_use]
-    pub fn new(base: Meta, entries: Vec<Entry>) -> Self {
+    pub fn new(base: SnapshotMetadata, entries: Vec<Entry>) -> Self {
         Log {
             base,
             entries: entries.into(),
@@ -25,7 +25,7 @@
 
     /// The last entry that is not here any more.
     #[must_use]
-    pub fn base(&self) -> &Meta {
+    pub fn base(&self) -> &SnapshotMetadata {
         &self.base
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Forgets the entries up to a snapshot that is durable.
-    pub fn compact(&mut self, to: Meta) {
+    pub fn compact(&mut self, to: SnapshotMetadata) {
         while self.entries.front().is_some_and(|e| e.index <= to.index) {
             self.entries.pop_front();
         }
@@ -95,7 +95,7 @@
     }
 
     /// Starts anew after a snapshot. Entries that follow it stay if they are the same log.
-    pub fn reset(&mut self, to: Meta) {
+    pub fn reset(&mut self, to: SnapshotMetadata) {
         if self.term(to.index) == Some(to.term) && to.index >= self.base.index {
             self.compact(to);
         } else {
@@ -106,9 +106,9 @@
 
     /// The members after the last entry that says who they are, and where that stands.
     #[must_use]
-    pub fn members(&self) -> (Index, Members) {
+    pub fn members(&self) -> (Index, Membership) {
         let last = self.entries.iter().rev().find_map(|e| match &e.payload {
-            Payload::Members(m) => Some((e.index, m.clone())),
+            Payload::Membership(m) => Some((e.index, m.clone())),
             _ => None,
         });
         last.unwrap_or_else(|| (self.base.index, self.base.members.clone()))
@@ -116,14 +116,14 @@
 
     /// The members as they were at an entry.
     #[must_use]
-    pub fn members_at(&self, index: Index) -> Members {
+    pub fn members_at(&self, index: Index) -> Membership {
         let last = self
             .entries
             .iter()
             .rev()
             .filter(|e| e.index <= index)
             .find_map(|e| match &e.payload {
-                Payload::Members(m) => Some(m.clone()),
+                Payload::Membership(m) => Some(m.clone()),
                 _ => None,
             });
         last.unwrap_or_else(|| self.base.members.clone())
--- a/cluster/raft/src/members.rs
+++ b/cluster/raft/src/membership.rs
@@ -9,56 +9,56 @@
 
 /// The members.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Members {
+pub struct Membership {
     /// They vote and count.
     pub voters: BTreeSet<NodeId>,
     /// They get the log, and neither vote nor count.
     pub learners: BTreeSet<NodeId>,
     /// The highest id ever given. One that has left, or lost its disk, never comes back under its old id: it
     /// could vote twice in a term that it has forgotten.
-    pub highest: NodeId,
+    pub highest_id: NodeId,
 }
 
 /// One step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Change {
+pub enum MembershipChange {
     /// A new member, which learns.
-    Add(NodeId),
+    AddLearner(NodeId),
     /// A learner that has caught up becomes a voter.
-    Promote(NodeId),
+    PromoteLearner(NodeId),
     /// A member leaves, for good.
     Remove(NodeId),
 }
 
 /// Why a step is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Rejected {
+pub enum ProposalError {
     /// This member does not lead.
     NotLeader,
     /// An earlier step, or the first entry of this leadership, is not agreed on yet.
-    Pending,
+    ChangeInProgress,
     /// The id was given before; ids are never used twice.
-    IdUsed,
+    IdAlreadyUsed,
     /// No such member, or not one of that kind.
-    Unknown,
+    UnknownMember,
     /// The learner has not caught up.
-    Behind,
+    LearnerBehind,
     /// The last voter can't leave.
     LastVoter,
     /// Too much waits to be agreed on, or leadership is being handed over.
     Busy,
 }
 
-impl Members {
+impl Membership {
     /// The first members of a cluster, all voters.
     #[must_use]
-    pub fn first(voters: impl IntoIterator<Item = NodeId>) -> Self {
+    pub fn bootstrap(voters: impl IntoIterator<Item = NodeId>) -> Self {
         let voters: BTreeSet<_> = voters.into_iter().collect();
-        let highest = voters.last().copied().unwrap_or(0);
-        Members {
+        let highest_id = voters.last().copied().unwrap_or(0);
+        Membership {
             voters,
             learners: BTreeSet::new(),
-            highest,
+            highest_id,
         }
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// All members.
-    pub fn all(&self) -> impl Iterator<Item = NodeId> + '_ {
+    pub fn ids(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
@@ -89,26 +89,28 @@
     /// # Errors
     ///
     /// The step can't be taken.
-    pub fn after(&self, change: Change) -> Result<Members, Rejected> {
+    pub fn after_change(&self, change: MembershipChange) -> Result<Membership, ProposalError> {
         let mut next = self.clone();
         match change {
-            Change::Add(id) if id <= self.highest => return Err(Rejected::IdUsed),
-            Change::Add(id) => {
-                next.highest = id;
+            MembershipChange::AddLearner(id) if id <= self.highest_id => {
+                return Err(ProposalError::IdAlreadyUsed)
+            }
+            MembershipChange::AddLearner(id) => {
+                next.highest_id = id;
                 next.learners.insert(id);
             }
-            Change::Promote(id) => {
+            MembershipChange::PromoteLearner(id) => {
                 if !next.learners.remove(&id) {
-                    return Err(Rejected::Unknown);
+                    return Err(ProposalError::UnknownMember);
                 }
                 next.voters.insert(id);
             }
-            Change::Remove(id) => {
+            MembershipChange::Remove(id) => {
                 if !next.learners.remove(&id) && !next.voters.remove(&id) {
-                    return Err(Rejected::Unknown);
+                    return Err(ProposalError::UnknownMember);
                 }
                 if next.voters.is_empty() {
-                    return Err(Rejected::LastVoter);
+                    return Err(ProposalError::LastVoter);
                 }
             }
         }
@@ -124,12 +126,17 @@
     /// Any majority before a step and any after it share a member; no id comes twice.
     #[test]
     fn majorities_of_neighbours_meet() {
-        let mut stack = vec![(Members::first([1]), 0)];
+        let mut stack = vec![(Membership::bootstrap([1]), 0)];
         while let Some((members, depth)) = stack.pop() {
-            let ids = 1..=members.highest + 1;
-            let steps =
-                ids.flat_map(|id| [Change::Add(id), Change::Promote(id), Change::Remove(id)]);
-            for next in steps.filter_map(|step| members.after(step).ok()) {
+            let ids = 1..=members.highest_id + 1;
+            let steps = ids.flat_map(|id| {
+                [
+                    MembershipChange::AddLearner(id),
+                    MembershipChange::PromoteLearner(id),
+                    MembershipChange::Remove(id),
+                ]
+            });
+            for next in steps.filter_map(|step| members.after_change(step).ok()) {
                 let before: Vec<_> = members.voters.iter().collect();
                 for set in 0..1u32 << before.len() {
                     let chosen = |id: NodeId| {
@@ -146,8 +153,16 @@
                 }
             }
         }
-        let gone = Members::first([1, 2]).after(Change::Remove(2)).unwrap();
-        assert_eq!(gone.after(Change::Add(2)), Err(Rejected::IdUsed));
-        assert_eq!(gone.after(Change::Remove(1)), Err(Rejected::LastVoter));
+        let gone = Membership::bootstrap([1, 2])
+            .after_change(MembershipChange::Remove(2))
+            .unwrap();
+        assert_eq!(
+            gone.after_change(MembershipChange::AddLearner(2)),
+            Err(ProposalError::IdAlreadyUsed)
+        );
+        assert_eq!(
+            gone.after_change(MembershipChange::Remove(1)),
+            Err(ProposalError::LastVoter)
+        );
     }
 }
--- a/cluster/raft/src/message.rs
+++ b/cluster/raft/src/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Index, Members, NodeId, Term};
+use crate::{Index, Membership, NodeId, Term};
 
 /// What an entry holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -12,7 +12,7 @@
     /// What the state machine is to do.
     Command(Vec<u8>),
     /// Who belongs to the cluster from here on.
-    Members(Members),
+    Membership(Membership),
 }
 
 impl Payload {
@@ -22,7 +22,7 @@
         match self {
             Payload::Blank => 16,
             Payload::Command(c) => 32 + c.len(),
-            Payload::Members(m) => 64 + 16 * (m.voters.len() + m.learners.len()),
+            Payload::Membership(m) => 64 + 16 * (m.voters.len() + m.learners.len()),
         }
     }
 }
@@ -40,7 +40,7 @@
 
 /// What has to be durable before it is spoken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Hard {
+pub struct HardState {
     /// The latest leadership known.
     pub term: Term,
     /// Who got this member's vote in it.
@@ -49,22 +49,22 @@
 
 /// What a snapshot stands for.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Meta {
+pub struct SnapshotMetadata {
     /// The last entry that it holds.
     pub index: Index,
     /// The term of that entry.
     pub term: Term,
     /// The members at that entry.
-    pub members: Members,
+    pub members: Membership,
 }
 
 /// One write. Writes are done in the order in which they come, each whole or not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Write {
-    /// Its number; [`crate::Node::persisted`] is told it.
+pub struct StorageWrite {
+    /// Its number; [`crate::RaftNode::persisted`] is told it.
     pub seq: u64,
     /// Term and vote, if they changed.
-    pub hard: Option<Hard>,
+    pub hard: Option<HardState>,
     /// Entries from here on are taken away first.
     pub truncate: Option<Index>,
     /// Entries to be appended.
@@ -131,7 +131,7 @@
         /// The leader's term.
         term: Term,
         /// What the snapshot stands for.
-        meta: Meta,
+        meta: SnapshotMetadata,
         /// Where this part begins.
         offset: u64,
         /// The part.
@@ -170,8 +170,8 @@
 /// What a node asks of the program around it, to be done in this order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Make this durable, and tell by [`crate::Node::persisted`].
-    Write(Write),
+    /// Make this durable, and tell by [`crate::RaftNode::persisted`].
+    Persist(StorageWrite),
     /// Send this. It may be lost, late, doubled or out of order.
     Send(NodeId, Message),
     /// Apply these to the state machine; they are agreed on and durable here.
@@ -188,20 +188,20 @@
         /// The question.
         ctx: u64,
     },
-    /// Read a part of the latest snapshot, and give it to [`crate::Node::chunk`].
-    LoadChunk {
+    /// Read a part of the latest snapshot, and give it to [`crate::RaftNode::chunk`].
+    LoadSnapshotChunk {
         /// Whom it is for.
         to: NodeId,
         /// Where it begins.
         offset: u64,
     },
-    /// Put a part of a snapshot aside, and tell by [`crate::Node::stored`]. With the last one the snapshot
+    /// Put a part of a snapshot aside, and tell by [`crate::RaftNode::stored`]. With the last one the snapshot
     /// replaces the state machine's state and the log, durably, before that is told.
-    StoreChunk {
+    StoreSnapshotChunk {
         /// Who sent it.
         from: NodeId,
         /// What it stands for.
-        meta: Meta,
+        meta: SnapshotMetadata,
         /// Where this part begins.
         offset: u64,
         /// The part.
--- a/cluster/raft/src/node.rs
+++ b/cluster/raft/src/node.rs
@@ -6,8 +6,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    Action, Change, Entry, Hard, Index, Log, Members, Message, Meta, Micros, NodeId, Payload,
-    Rejected, Term, Write,
+    Action, Entry, HardState, Index, Log, Membership, MembershipChange, Message, Micros, NodeId,
+    Payload, ProposalError, SnapshotMetadata, StorageWrite, Term,
 };
 
 /// How a node behaves.
@@ -54,10 +54,6 @@
     Leader,
 }
 
-/// A proposal is lost: its leader lost its place before it was agreed on. It may still come to be.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lost;
-
 /// What a leader knows of another member.
 #[derive(Debug, Clone, Default)]
 struct Peer {
@@ -106,15 +102,15 @@
 }
 
 /// One member of the cluster.
-pub struct Node {
+pub struct RaftNode {
     id: NodeId,
     config: Config,
     rng: ChaCha8Rng,
     now: Micros,
-    hard: Hard,
+    hard: HardState,
     log: Log,
     /// The members by the last entry that names them, and that entry.
-    members: (Index, Members),
+    members: (Index, Membership),
     state: State,
     leader: Option<NodeId>,
     commit: Index,
@@ -129,11 +125,11 @@
     /// Messages that wait for a write.
     held: VecDeque<(u64, NodeId, Message)>,
     /// The snapshot that is coming in, and the next byte wanted of it; `None` while a part is being put aside.
-    incoming: Option<(Meta, Option<u64>)>,
+    incoming: Option<(SnapshotMetadata, Option<u64>)>,
     out: Vec<Action>,
 }
 
-impl Node {
+impl RaftNode {
     /// A member as its disk has it: what it has promised, the latest snapshot and the entries after it. A new
     /// cluster's members begin with a snapshot of nothing that names them.
     #[must_use]
@@ -141,14 +137,14 @@
         id: NodeId,
         config: Config,
         seed: u64,
-        hard: Hard,
-        base: Meta,
+        hard: HardState,
+        base: SnapshotMetadata,
         entries: Vec<Entry>,
         now: Micros,
     ) -> Self {
         let commit = base.index;
         let log = Log::new(base, entries);
-        let mut node = Node {
+        let mut node = RaftNode {
             id,
             config,
             rng: ChaCha8Rng::seed_from_u64(seed ^ id.rotate_left(32)),
@@ -219,7 +215,7 @@
 
     /// The members by its log.
     #[must_use]
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &Membership {
         &self.members.1
     }
 
@@ -280,7 +276,7 @@
     /// A voter may ask for votes. So may one whose leaving is in its log and not agreed on, as far as it knows: it
     /// may hold the only log that the others' votes need.
     fn may_stand(&self) -> bool {
-        let voter = |m: &Members| m.voters.contains(&self.id);
+        let voter = |m: &Membership| m.voters.contains(&self.id);
         voter(&self.members.1)
             || (self.members.0 > self.commit && voter(&self.log.members_at(self.commit)))
     }
@@ -305,7 +301,7 @@
     }
 
     fn stand(&mut self, transfer: bool) {
-        self.hard = Hard {
+        self.hard = HardState {
             term: self.hard.term + 1,
             vote: Some(self.id),
         };
@@ -355,7 +351,7 @@
         let peers = self
             .members
             .1
-            .all()
+            .ids()
             .filter(|id| *id != self.id)
             .map(|id| (id, peer()))
             .collect();
@@ -373,7 +369,7 @@
 
     fn follow(&mut self, term: Term, leader: Option<NodeId>) {
         if term > self.hard.term {
-            self.hard = Hard { term, vote: None };
+            self.hard = HardState { term, vote: None };
             self.write(None, Vec::new(), true);
         }
         if let State::Leader(l) = std::mem::replace(&mut self.state, State::Follower) {
@@ -397,7 +393,7 @@
         }
         self.writing.push_back((self.seq, self.log.last_index()));
         let hard = hard.then_some(self.hard);
-        self.out.push(Action::Write(Write {
+        self.out.push(Action::Persist(StorageWrite {
             seq: self.seq,
             hard,
             truncate,
@@ -443,13 +439,13 @@
     /// # Errors
     ///
     /// It was not taken.
-    pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), Rejected> {
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<(Term, Index), ProposalError> {
         let most = self.config.pending_bytes;
         let State::Leader(l) = &self.state else {
-            return Err(Rejected::NotLeader);
+            return Err(ProposalError::NotLeader);
         };
         if l.transfer.is_some() || l.pending > most {
-            return Err(Rejected::Busy);
+            return Err(ProposalError::Busy);
         }
         Ok(self.append(Payload::Command(command)))
     }
@@ -459,26 +455,26 @@
     /// # Errors
     ///
     /// It can't be taken, or not now.
-    pub fn change(&mut self, change: Change) -> Result<(Term, Index), Rejected> {
+    pub fn change(&mut self, change: MembershipChange) -> Result<(Term, Index), ProposalError> {
         let State::Leader(l) = &self.state else {
-            return Err(Rejected::NotLeader);
+            return Err(ProposalError::NotLeader);
         };
         // Two steps at a time, or one before an entry of this term is agreed on, could make two majorities that
         // share nobody.
         if self.members.0 > self.commit || l.first > self.commit || l.transfer.is_some() {
-            return Err(Rejected::Pending);
+            return Err(ProposalError::ChangeInProgress);
         }
-        let next = self.members.1.after(change)?;
-        if let Change::Promote(id) = change {
+        let next = self.members.1.after_change(change)?;
+        if let MembershipChange::PromoteLearner(id) = change {
             let lacks = |p: &Peer| self.log.last_index().saturating_sub(p.matched);
             if l.peers
                 .get(&id)
                 .is_none_or(|p| lacks(p) > self.config.promote_within)
             {
-                return Err(Rejected::Behind);
+                return Err(ProposalError::LearnerBehind);
             }
         }
-        let at = self.append(Payload::Members(next.clone()));
+        let at = self.append(Payload::Membership(next.clone()));
         self.belong(at.1, next);
         Ok(at)
     }
@@ -488,14 +484,14 @@
     /// # Errors
     ///
     /// That can't be.
-    pub fn transfer(&mut self, to: NodeId) -> Result<(), Rejected> {
+    pub fn transfer(&mut self, to: NodeId) -> Result<(), ProposalError> {
         let until = self.now + self.config.election;
         let voter = self.members.1.voters.contains(&to) && to != self.id;
         let State::Leader(l) = &mut self.state else {
-            return Err(Rejected::NotLeader);
+            return Err(ProposalError::NotLeader);
         };
         if !voter {
-            return Err(Rejected::Unknown);
+            return Err(ProposalError::UnknownMember);
         }
         l.transfer = Some((to, until));
         self.hand_over(to);
@@ -529,7 +525,7 @@
         self.log.push(entry.clone());
         // Entries of one turn are one write.
         match self.out.last_mut() {
-            Some(Action::Write(w)) if w.truncate.is_none() && !w.append.is_empty() => {
+            Some(Action::Persist(w)) if w.truncate.is_none() && !w.append.is_empty() => {
                 w.append.push(entry);
                 if let Some(last) = self.writing.back_mut() {
                     last.1 = at.1;
@@ -540,14 +536,14 @@
         at
     }
 
-    fn belong(&mut self, index: Index, members: Members) {
+    fn belong(&mut self, index: Index, members: Membership) {
         self.members = (index, members);
         let (next, now) = (self.log.last_index() + 1, self.now);
         let State::Leader(l) = &mut self.state else {
             return;
         };
         l.peers.retain(|id, _| self.members.1.contains(*id));
-        for id in self.members.1.all().filter(|id| *id != self.id) {
+        for id in self.members.1.ids().filter(|id| *id != self.id) {
             l.peers.entry(id).or_insert_with(|| Peer {
                 next,
                 probing: true,
@@ -626,7 +622,7 @@
                 };
                 if again {
                     p.snapshot = Some((offset, now));
-                    self.out.push(Action::LoadChunk { to, offset });
+                    self.out.push(Action::LoadSnapshotChunk { to, offset });
                 }
                 return any;
             }
@@ -801,7 +797,7 @@
     pub fn compacted(&mut self, index: Index, term: Term) {
         if index > self.log.base().index && index <= self.applied {
             let members = self.log.members_at(index);
-            self.log.compact(Meta {
+            self.log.compact(SnapshotMetadata {
                 index,
                 term,
                 members,
@@ -809,8 +805,15 @@
         }
     }
 
-    /// A part of the latest snapshot, as [`Action::LoadChunk`] asked.
-    pub fn chunk(&mut self, to: NodeId, meta: Meta, offset: u64, data: Vec<u8>, done: bool) {
+    /// A part of the latest snapshot, as [`Action::LoadSnapshotChunk`] asked.
+    pub fn chunk(
+        &mut self,
+        to: NodeId,
+        meta: SnapshotMetadata,
+        offset: u64,
+        data: Vec<u8>,
+        done: bool,
+    ) {
         let term = self.hard.term;
         if matches!(self.state, State::Leader(_)) {
             self.out.push(Action::Send(
@@ -827,7 +830,7 @@
     }
 
     /// A part of a snapshot is put aside; with the last one, all of it is in place.
-    pub fn stored(&mut self, from: NodeId, meta: Meta, next: u64, done: bool) {
+    pub fn stored(&mut self, from: NodeId, meta: SnapshotMetadata, next: u64, done: bool) {
         let index = meta.index;
         if done {
             self.incoming = None;
@@ -962,7 +965,8 @@
                 match next {
                     Some(offset) if p.snapshot.is_some() => {
                         p.snapshot = Some((offset, now));
-                        self.out.push(Action::LoadChunk { to: from, offset });
+                        self.out
+                            .push(Action::LoadSnapshotChunk { to: from, offset });
                     }
                     Some(_) => {}
                     None => self.answered(from, Ok(index), 0),
@@ -1053,7 +1057,7 @@
                 append.iter().for_each(|e| self.log.push(e.clone()));
                 let named = append
                     .iter()
-                    .any(|e| matches!(e.payload, Payload::Members(_)));
+                    .any(|e| matches!(e.payload, Payload::Membership(_)));
                 if named || cut.is_some_and(|c| c <= self.members.0) {
                     self.members = self.log.members();
                 }
@@ -1130,7 +1134,14 @@
         self.send_entries(from);
     }
 
-    fn take_part(&mut self, from: NodeId, meta: Meta, offset: u64, data: Vec<u8>, done: bool) {
+    fn take_part(
+        &mut self,
+        from: NodeId,
+        meta: SnapshotMetadata,
+        offset: u64,
+        data: Vec<u8>,
+        done: bool,
+    ) {
         let term = self.hard.term;
         if meta.index <= self.commit {
             let index = meta.index;
@@ -1159,7 +1170,7 @@
             );
         }
         self.incoming = Some((meta.clone(), None));
-        self.out.push(Action::StoreChunk {
+        self.out.push(Action::StoreSnapshotChunk {
             from,
             meta,
             offset,
--- a/cluster/raft/tests/encoding.rs
+++ b/cluster/raft/tests/encoding.rs
@@ -24,10 +24,10 @@
     }
 }
 
-fn members() -> Members {
-    let mut members = Members::first([1, 2, 300]);
+fn members() -> Membership {
+    let mut members = Membership::bootstrap([1, 2, 300]);
     members.learners = [7, 900].into();
-    members.highest = 901;
+    members.highest_id = 901;
     members
 }
 
@@ -35,7 +35,7 @@
     let payloads = [
         Payload::Blank,
         Payload::Command(vec![0, 1, 0xfe, 0xff]),
-        Payload::Members(members()),
+        Payload::Membership(members()),
     ];
     payloads
         .into_iter()
@@ -108,7 +108,7 @@
 fn add_snapshots_and_reads(encoded: &mut Encoded) {
     encoded.add(Message::Snapshot {
         term: 4,
-        meta: Meta {
+        meta: SnapshotMetadata {
             index: 130,
             term: 3,
             members: members(),
@@ -140,13 +140,13 @@
 
 fn add_stored_values(encoded: &mut Encoded) {
     entries().into_iter().for_each(|entry| encoded.add(entry));
-    encoded.add(Hard {
+    encoded.add(HardState {
         term: 4,
         vote: Some(300),
     });
-    encoded.add(Hard::default());
-    encoded.add(Meta::default());
-    encoded.add(Meta {
+    encoded.add(HardState::default());
+    encoded.add(SnapshotMetadata::default());
+    encoded.add(SnapshotMetadata {
         index: 130,
         term: 3,
         members: members(),
@@ -155,17 +155,17 @@
 
 fn add_membership(encoded: &mut Encoded) {
     encoded.add(members());
-    encoded.add(Change::Add(902));
-    encoded.add(Change::Promote(7));
-    encoded.add(Change::Remove(2));
+    encoded.add(MembershipChange::AddLearner(902));
+    encoded.add(MembershipChange::PromoteLearner(7));
+    encoded.add(MembershipChange::Remove(2));
     for rejected in [
-        Rejected::NotLeader,
-        Rejected::Pending,
-        Rejected::IdUsed,
-        Rejected::Unknown,
-        Rejected::Behind,
-        Rejected::LastVoter,
-        Rejected::Busy,
+        ProposalError::NotLeader,
+        ProposalError::ChangeInProgress,
+        ProposalError::IdAlreadyUsed,
+        ProposalError::UnknownMember,
+        ProposalError::LearnerBehind,
+        ProposalError::LastVoter,
+        ProposalError::Busy,
     ] {
         encoded.add(rejected);
     }
--- a/cluster/raft/tests/membership_model.rs
+++ b/cluster/raft/tests/membership_model.rs
@@ -1,10 +1,10 @@
 //! Changes of the membership, checked in every order of events by stateright: elections, replication to any member
-//! or none, commits by the majority of whatever the log names, and steps as [`Members::after`] makes them. Models
+//! or none, commits by the majority of whatever the log names, and steps as [`Membership::after_change`] makes them. Models
 //! in which a rule of the core is left out have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
-use violetgate_raft::{Change, Members, NodeId};
+use violetgate_raft::{Membership, MembershipChange, NodeId};
 
 const NODES: usize = 4;
 const TERMS: u8 = 3;
@@ -51,9 +51,9 @@
     Remove(usize, NodeId),
 }
 
-fn members(node: &Node) -> Members {
+fn members(node: &Node) -> Membership {
     let voters = node.log.iter().rev().find_map(|(_, v)| v.clone());
-    Members::first(voters.unwrap_or_else(|| (1..=NODES as NodeId).collect()))
+    Membership::bootstrap(voters.unwrap_or_else(|| (1..=NODES as NodeId).collect()))
 }
 
 fn id(node: usize) -> NodeId {
@@ -157,7 +157,9 @@
                     .rposition(|(_, v)| v.is_some())
                     .map_or(0, |at| at + 1);
                 let settled = leader.commit >= named || *self == Variant::ManyAtATime;
-                let next = members(leader).after(Change::Remove(gone)).ok()?;
+                let next = members(leader)
+                    .after_change(MembershipChange::Remove(gone))
+                    .ok()?;
                 // Steps that are not settled reach a majority of their own only with the third.
                 let most = if *self == Variant::ManyAtATime { 3 } else { 2 };
                 if !own || !settled || s.changes >= most || leader.log.len() >= ENTRIES {
--- a/cluster/raft/tests/simulation.rs
+++ b/cluster/raft/tests/simulation.rs
@@ -25,17 +25,17 @@
 /// What a member's disk holds, and what it is still writing.
 #[derive(Default, Clone)]
 struct Disk {
-    hard: Hard,
-    base: Meta,
+    hard: HardState,
+    base: SnapshotMetadata,
     state: Vec<(Index, Vec<u8>)>,
     entries: Vec<Entry>,
-    waiting: Vec<Write>,
+    waiting: Vec<StorageWrite>,
     /// Parts of a snapshot that come in.
     parts: Vec<u8>,
 }
 
 impl Disk {
-    fn write(&mut self, write: Write) {
+    fn write(&mut self, write: StorageWrite) {
         if let Some(hard) = write.hard {
             self.hard = hard;
         }
@@ -53,7 +53,7 @@
 
 struct Member {
     /// None: it is down.
-    node: Option<Node>,
+    node: Option<RaftNode>,
     disk: Disk,
     state: Vec<(Index, Vec<u8>)>,
     /// It stands still until then.
@@ -141,9 +141,9 @@
             sabotage,
             digest: Digest::default(),
         };
-        let base = Meta {
-            members: Members::first(1..=count),
-            ..Meta::default()
+        let base = SnapshotMetadata {
+            members: Membership::bootstrap(1..=count),
+            ..SnapshotMetadata::default()
         };
         for id in 1..=count {
             world.join(id, base.clone());
@@ -163,7 +163,7 @@
         self.what.insert(self.serial, what);
     }
 
-    fn join(&mut self, id: NodeId, base: Meta) {
+    fn join(&mut self, id: NodeId, base: SnapshotMetadata) {
         let disk = Disk {
             base,
             ..Disk::default()
@@ -187,7 +187,7 @@
         let member = self.members.get_mut(&id).unwrap();
         let disk = &member.disk;
         member.state = disk.state.clone();
-        let node = Node::new(
+        let node = RaftNode::new(
             id,
             config(),
             seed,
@@ -206,7 +206,7 @@
     fn wind(&mut self, id: NodeId) {
         let now = self.now;
         let member = self.members.get_mut(&id).unwrap();
-        let Some(next) = member.node.as_ref().map(Node::next_tick) else {
+        let Some(next) = member.node.as_ref().map(RaftNode::next_tick) else {
             return;
         };
         let at = next.max(now + MS);
@@ -343,19 +343,19 @@
             }
             18 => drop(node.transfer(pick)),
             _ => {
-                let highest = node.members().highest + 1;
+                let highest = node.members().highest_id + 1;
                 let learner = node.members().learners.first().copied();
                 let full = node.members().voters.len() >= 5;
                 let step = match (learner, name % 3) {
-                    (Some(learner), 0 | 1) => Change::Promote(learner),
-                    (None, 0) if !full => Change::Add(highest),
-                    _ => Change::Remove(pick),
+                    (Some(learner), 0 | 1) => MembershipChange::PromoteLearner(learner),
+                    (None, 0) if !full => MembershipChange::AddLearner(highest),
+                    _ => MembershipChange::Remove(pick),
                 };
                 if node.change(step).is_ok() {
                     self.changes += 1;
-                    if let Change::Add(id) = step {
+                    if let MembershipChange::AddLearner(id) = step {
                         // It knows nobody, and learns all from the leader.
-                        self.join(id, Meta::default());
+                        self.join(id, SnapshotMetadata::default());
                     }
                 }
             }
@@ -438,7 +438,7 @@
         self.digest.number(id);
         digest_action(&mut self.digest, &action);
         match action {
-            Action::Write(write) => {
+            Action::Persist(write) => {
                 let slow = if self.draw(20) == 0 { 80 * MS } else { 2 * MS };
                 let span = MS / 2 + self.draw(slow);
                 let (seq, member) = (write.seq, self.members.get_mut(&id).unwrap());
@@ -503,7 +503,7 @@
                     if entry.index % 17 == 0 {
                         let node = member.node.as_mut().unwrap();
                         let members = node.log().members_at(entry.index);
-                        let base = Meta {
+                        let base = SnapshotMetadata {
                             index: entry.index,
                             term: entry.term,
                             members,
@@ -517,7 +517,7 @@
             }
             Action::ReadReady { ctx, index } => self.checked_read(ctx, index),
             Action::ReadFailed { .. } => {}
-            Action::LoadChunk { to, offset } => {
+            Action::LoadSnapshotChunk { to, offset } => {
                 let member = self.members.get_mut(&id).unwrap();
                 let bytes: Vec<u8> = (member.disk.state.iter())
                     .flat_map(|(i, c)| [&i.to_be_bytes()[..], c].concat())
@@ -533,7 +533,7 @@
                     to_byte == bytes.len(),
                 );
             }
-            Action::StoreChunk {
+            Action::StoreSnapshotChunk {
                 from,
                 meta,
                 offset,
@@ -635,7 +635,7 @@
             .members()
             .clone();
         let most = self.agreed.keys().next_back().copied().unwrap_or(0);
-        for id in members.all() {
+        for id in members.ids() {
             let node = self.members[&id].node.as_ref().unwrap();
             if node.commit() != most {
                 for (id, m) in &self.members {
@@ -661,7 +661,7 @@
 /// Adds one action in a form of its own: a number for its kind, then its parts as they are encoded for the wire.
 fn digest_action(digest: &mut Digest, action: &Action) {
     match action {
-        Action::Write(write) => {
+        Action::Persist(write) => {
             digest.number(1);
             digest.number(write.seq);
             digest.encoded(&write.hard);
@@ -686,12 +686,12 @@
             digest.number(5);
             digest.number(*ctx);
         }
-        Action::LoadChunk { to, offset } => {
+        Action::LoadSnapshotChunk { to, offset } => {
             digest.number(6);
             digest.number(*to);
             digest.number(*offset);
         }
-        Action::StoreChunk {
+        Action::StoreSnapshotChunk {
             from,
             meta,
             offset,
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -17,9 +17,9 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use violetgate_raft::{Index, Members, Meta, NodeId, Rejected};
-use violetgate_raft_storage::{Disk, Folder, Identity};
-use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig, Ticket};
+use violetgate_raft::{Index, Membership, NodeId, ProposalError, SnapshotMetadata};
+use violetgate_raft_storage::{FsDirectory, Identity, RaftStorage};
+use violetgate_replica::{CallId, Effect, InitialState, Replica, ReplicaConfig, Response};
 use violetgate_replicated_state::{Stale, Store};
 
 use crate::clock::{boot, wall, Alarm};
@@ -48,7 +48,7 @@
     /// All members that are known, with their addresses.
     pub members: BTreeMap<NodeId, SocketAddr>,
     /// How it behaves.
-    pub config: MemberConfig,
+    pub config: ReplicaConfig,
     /// For random numbers.
     pub seed: u64,
 }
@@ -68,7 +68,7 @@
 /// A member at work.
 pub struct Cluster {
     me: Weak<Cluster>,
-    member: RefCell<Member>,
+    member: RefCell<Replica>,
     born: u64,
     transport: Rc<Transport>,
     executor: Rc<LocalExecutor<'static>>,
@@ -81,8 +81,8 @@
     asked: RefCell<BTreeMap<u64, Rc<Slot>>>,
     carrying: Cell<usize>,
     jobs: mpsc::Sender<Job>,
-    waiting: RefCell<BTreeMap<Ticket, Rc<Slot>>>,
-    next: Cell<Ticket>,
+    waiting: RefCell<BTreeMap<CallId, Rc<Slot>>>,
+    next: Cell<CallId>,
     alarm: Rc<Alarm>,
     /// Those that wait for the state to move on, and why nothing can be written any more.
     watchers: RefCell<Vec<Waker>>,
@@ -105,26 +105,27 @@
         from: Beginning,
     ) -> Result<(), String> {
         let place = folder.display();
-        let files = Folder::new(folder).map_err(|e| format!("{place}: {e}"))?;
+        let files = FsDirectory::new(folder).map_err(|e| format!("{place}: {e}"))?;
         let identity = Identity {
             cluster: cluster.to_owned(),
-            member: id,
-            born,
+            replica_id: id,
+            incarnation: born,
         };
         // A state to begin with is the first entry, so that one that has nothing is sent it.
         let index = Index::from(!from.state.is_empty());
         let base = match from.members {
-            members if members.is_empty() => Meta::default(),
-            members => Meta {
+            members if members.is_empty() => SnapshotMetadata::default(),
+            members => SnapshotMetadata {
                 index,
-                members: Members::first(members),
-                ..Meta::default()
+                members: Membership::bootstrap(members),
+                ..SnapshotMetadata::default()
             },
         };
         if !from.state.is_empty() {
             Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
         }
-        Disk::create(files, &identity, &base, &from.state).map_err(|e| format!("{place}: {e}"))?;
+        RaftStorage::create(files, &identity, &base, &from.state)
+            .map_err(|e| format!("{place}: {e}"))?;
         Ok(())
     }
 
@@ -147,24 +148,24 @@
             seed,
         } = options.clone();
         let place = folder.display().to_string();
-        let files = || Folder::new(&folder).map_err(|e| format!("{place}: {e}"));
+        let files = || FsDirectory::new(&folder).map_err(|e| format!("{place}: {e}"));
         let (disk, kept) =
-            Disk::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
-        let born = kept.born;
-        if kept.cut > 0 {
+            RaftStorage::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
+        let born = kept.incarnation;
+        if kept.discarded_bytes > 0 {
             tracing::info!(
                 "cluster cut {} bytes of a write that was under way off {place}",
-                kept.cut
+                kept.discarded_bytes
             );
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
-        let found = Found {
+        let found = InitialState {
             hard: kept.hard,
             base: kept.base,
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Member::new(id, config, seed, found, boot())?;
+        let member = Replica::new(id, config, seed, found, boot())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
@@ -211,7 +212,7 @@
     /// This member's id.
     #[must_use]
     pub fn id(&self) -> NodeId {
-        self.member.borrow().node().id()
+        self.member.borrow().raft().id()
     }
 
     /// What its tasks run on.
@@ -226,7 +227,7 @@
     }
 
     /// Does something with the member, told the time first, and carries out what follows.
-    fn with<T>(&self, act: impl FnOnce(&mut Member) -> T) -> T {
+    fn with<T>(&self, act: impl FnOnce(&mut Replica) -> T) -> T {
         let (now, wall) = (boot(), wall());
         let done = {
             let mut member = self.member.borrow_mut();
@@ -243,22 +244,22 @@
         }
         let mut writes = Vec::new();
         loop {
-            let effects = self.member.borrow_mut().effects();
+            let effects = self.member.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
                     // All of a turn is one job, and one sync.
-                    Effect::Write(write) => writes.push(write),
+                    Effect::Persist(write) => writes.push(write),
                     Effect::Send(to, message) => self.transport.send(to, &Frame::Core(message)),
-                    Effect::Answer(ticket, answer) => self.answer(ticket, answer),
-                    Effect::Keep(meta, state) => {
+                    Effect::Respond(ticket, answer) => self.answer(ticket, answer),
+                    Effect::SaveSnapshot(meta, state) => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Keep(meta, state.to_vec()));
                     }
-                    Effect::Install(from, meta, state) => {
-                        let follows = self.member.borrow().follows(&meta);
+                    Effect::InstallSnapshot(from, meta, state) => {
+                        let follows = self.member.borrow().entries_after(&meta);
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Install(from, meta, state.to_vec(), follows));
                     }
@@ -288,7 +289,7 @@
         self.watchers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
-    fn answer(&self, ticket: Ticket, answer: Answer) {
+    fn answer(&self, ticket: CallId, answer: Response) {
         let slot = self.waiting.borrow().get(&ticket).cloned();
         slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
     }
@@ -303,8 +304,10 @@
                 slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
             }
             Frame::Ask(number, _) if self.carrying.get() >= MOST_ASKED => {
-                self.transport
-                    .send(from, &Frame::Told(number, Answer::Rejected(Rejected::Busy)));
+                self.transport.send(
+                    from,
+                    &Frame::Told(number, Response::Rejected(ProposalError::Busy)),
+                );
             }
             Frame::Ask(number, call) => {
                 let Some(me) = self.me.upgrade() else { return };
@@ -390,9 +393,9 @@
         let Some(cluster) = of.upgrade() else { return };
         match done {
             Done::Persisted(seq) => cluster.with(|m| m.persisted(seq)),
-            Done::Kept(index) => cluster.with(|m| m.kept(index)),
+            Done::Kept(index) => cluster.with(|m| m.snapshot_saved(index)),
             Done::Installed(from, meta, state) => {
-                cluster.with(|m| m.installed(from, meta, Rc::new(state)))
+                cluster.with(|m| m.snapshot_installed(from, meta, Rc::new(state)))
             }
             Done::Full(what) => tracing::info!("cluster can't write for now: {what}"),
             Done::Lost(what) => cluster.lose(what),
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -8,9 +8,9 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use violetgate_raft::{Change, NodeId, Rejected, Role};
-use violetgate_replica::{Answer, Member, Ticket};
-use violetgate_replicated_state::Step;
+use violetgate_raft::{MembershipChange, NodeId, ProposalError, Role};
+use violetgate_replica::{CallId, Replica, Response};
+use violetgate_replicated_state::Operation;
 
 use super::status::Status;
 use super::Cluster;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answered {
     /// It was answered.
-    Yes(Answer),
+    Yes(Response),
     /// It was not, in the time that it had. A command may still come to be.
     Late,
 }
@@ -34,18 +34,18 @@
 #[derive(Default)]
 /// Where the answer to one call is waited for.
 pub(super) struct Slot {
-    answer: RefCell<Option<Answer>>,
+    answer: RefCell<Option<Response>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl Cluster {
-    fn ticket(&self) -> Ticket {
+    fn ticket(&self) -> CallId {
         self.next.set(self.next.get() + 1);
         self.next.get()
     }
 
     /// Makes one call, and waits for its answer for so long at most.
-    async fn call(&self, within: Duration, act: impl FnOnce(&mut Member, Ticket)) -> Answered {
+    async fn call(&self, within: Duration, act: impl FnOnce(&mut Replica, CallId)) -> Answered {
         let ticket = self.ticket();
         let slot = Rc::new(Slot::default());
         self.waiting.borrow_mut().insert(ticket, Rc::clone(&slot));
@@ -63,9 +63,9 @@
             }
             Call::Change(change) => self.change(change, within).await,
             Call::Transfer(to) => Answered::Yes(match self.transfer(to) {
-                Ok(()) => Answer::Changed,
-                Err(Rejected::NotLeader) => Answer::NotLeader(self.status().leader),
-                Err(why) => Answer::Rejected(why),
+                Ok(()) => Response::MembershipChanged,
+                Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
+                Err(why) => Response::Rejected(why),
             }),
         }
     }
@@ -79,7 +79,7 @@
         self.transport.send(to, &Frame::Ask(number, call));
         // One that is no longer held for the leader won't answer, or another one can sooner.
         let deposed = async {
-            while self.member.borrow().node().leader() == Some(to) {
+            while self.member.borrow().raft().leader() == Some(to) {
                 Timer::after(PAUSE / 2).await;
             }
             Answered::Late
@@ -105,16 +105,17 @@
                 Some(leader) if leader != id => {
                     self.there(leader, call.clone(), left.min(TRY)).await
                 }
-                _ => Answered::Yes(Answer::NotLeader(None)),
+                _ => Answered::Yes(Response::NotLeader(None)),
             };
             match answered {
-                Answered::Late | Answered::Yes(Answer::Unsure) => unsure = true,
+                Answered::Late | Answered::Yes(Response::OutcomeUnknown) => unsure = true,
                 Answered::Yes(
-                    Answer::NotLeader(_) | Answer::Rejected(Rejected::Busy | Rejected::Pending),
+                    Response::NotLeader(_)
+                    | Response::Rejected(ProposalError::Busy | ProposalError::ChangeInProgress),
                 ) => {}
                 // A step that was taken by an earlier try can't be taken again.
-                Answered::Yes(Answer::Rejected(_)) if unsure && self.taken(&call) => {
-                    return Answered::Yes(Answer::Changed);
+                Answered::Yes(Response::Rejected(_)) if unsure && self.taken(&call) => {
+                    return Answered::Yes(Response::MembershipChanged);
                 }
                 told => return told,
             }
@@ -124,11 +125,11 @@
 
     fn taken(&self, call: &Call) -> bool {
         let member = self.member.borrow();
-        let members = member.members();
+        let members = member.membership();
         match call {
-            Call::Change(Change::Add(id)) => members.contains(*id),
-            Call::Change(Change::Promote(id)) => members.voters.contains(id),
-            Call::Change(Change::Remove(id)) => !members.contains(*id),
+            Call::Change(MembershipChange::AddLearner(id)) => members.contains(*id),
+            Call::Change(MembershipChange::PromoteLearner(id)) => members.voters.contains(id),
+            Call::Change(MembershipChange::Remove(id)) => !members.contains(*id),
             Call::Propose { .. } | Call::Transfer(_) => false,
         }
     }
@@ -138,7 +139,7 @@
         &self,
         request: Option<String>,
         who: &str,
-        step: Step,
+        step: Operation,
         within: Duration,
     ) -> Answered {
         self.call(within, |m, ticket| {
@@ -148,8 +149,8 @@
     }
 
     /// One step of the membership.
-    pub async fn change(&self, change: Change, within: Duration) -> Answered {
-        self.call(within, |m, ticket| m.change(ticket, change))
+    pub async fn change(&self, change: MembershipChange, within: Duration) -> Answered {
+        self.call(within, |m, ticket| m.change_membership(ticket, change))
             .await
     }
 
@@ -158,7 +159,8 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            if self.call(left.min(AGAIN), Member::read).await == Answered::Yes(Answer::Current) {
+            if self.call(left.min(AGAIN), Replica::read).await == Answered::Yes(Response::ReadReady)
+            {
                 return true;
             }
             Timer::after(Duration::from_millis(10)).await;
@@ -171,13 +173,13 @@
     /// # Errors
     ///
     /// It can't be.
-    pub fn transfer(&self, to: NodeId) -> Result<(), Rejected> {
-        self.with(|m| m.transfer(to))
+    pub fn transfer(&self, to: NodeId) -> Result<(), ProposalError> {
+        self.with(|m| m.transfer_leadership(to))
     }
 }
 
 impl Slot {
-    pub(super) fn fill(&self, answer: Answer) {
+    pub(super) fn fill(&self, answer: Response) {
         *self.answer.borrow_mut() = Some(answer);
         self.waker
             .borrow_mut()
@@ -212,11 +214,11 @@
 }
 
 /// Takes a call back that nobody waits for.
-struct Forget<'a>(&'a Cluster, Ticket);
+struct Forget<'a>(&'a Cluster, CallId);
 
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         self.0.waiting.borrow_mut().remove(&self.1);
-        self.0.member.borrow_mut().forget(self.1);
+        self.0.member.borrow_mut().cancel(self.1);
     }
 }
--- a/cluster/replica-runtime/src/runtime/disk_worker.rs
+++ b/cluster/replica-runtime/src/runtime/disk_worker.rs
@@ -4,31 +4,31 @@
 use std::time::Duration;
 
 use async_channel::Sender;
-use violetgate_raft::{Entry, Index, Meta, NodeId, Write};
-use violetgate_raft_storage::{Disk, Failure, Folder};
+use violetgate_raft::{Entry, Index, NodeId, SnapshotMetadata, StorageWrite};
+use violetgate_raft_storage::{FsDirectory, RaftStorage, StorageError};
 
 /// How long a full disk is left alone before the same is tried again.
 const FULL: Duration = Duration::from_millis(200);
 
 /// What the disk is asked for.
 pub(super) enum Job {
-    Write(Vec<Write>),
-    Keep(Meta, Vec<u8>),
-    Install(NodeId, Meta, Vec<u8>, Vec<Entry>),
+    Write(Vec<StorageWrite>),
+    Keep(SnapshotMetadata, Vec<u8>),
+    Install(NodeId, SnapshotMetadata, Vec<u8>, Vec<Entry>),
 }
 
 /// What the disk tells.
 pub(super) enum Done {
     Persisted(u64),
     Kept(Index),
-    Installed(NodeId, Meta, Vec<u8>),
+    Installed(NodeId, SnapshotMetadata, Vec<u8>),
     Full(String),
     Lost(String),
 }
 
 /// The disk's thread: takes all jobs that wait, and makes the writes among them durable with one sync.
 pub(super) fn write_for_ever(
-    mut disk: Disk<Folder>,
+    mut disk: RaftStorage<FsDirectory>,
     work: &mpsc::Receiver<Job>,
     tell: &Sender<Done>,
 ) {
@@ -52,10 +52,10 @@
                 tried(tell, || disk.write(&writes)).map(|()| Done::Persisted(seq))
             }
             Job::Keep(meta, state) => {
-                tried(tell, || disk.keep(&meta, &state)).map(|()| Done::Kept(meta.index))
+                tried(tell, || disk.save_snapshot(&meta, &state)).map(|()| Done::Kept(meta.index))
             }
             Job::Install(from, meta, state, follows) => {
-                tried(tell, || disk.install(&meta, &state, &follows))
+                tried(tell, || disk.install_snapshot(&meta, &state, &follows))
                     .map(|()| Done::Installed(from, meta, state))
             }
         };
@@ -67,12 +67,15 @@
 }
 
 /// Does something until it is done: a disk that is full is tried again, and told of once.
-fn tried(tell: &Sender<Done>, mut act: impl FnMut() -> Result<(), Failure>) -> Result<(), String> {
+fn tried(
+    tell: &Sender<Done>,
+    mut act: impl FnMut() -> Result<(), StorageError>,
+) -> Result<(), String> {
     let mut told = false;
     loop {
         match act() {
             Ok(()) => return Ok(()),
-            Err(Failure::Full(e)) => {
+            Err(StorageError::WriteFailed(e)) => {
                 if !std::mem::replace(&mut told, true)
                     && tell.send_blocking(Done::Full(e.to_string())).is_err()
                 {
--- a/cluster/replica-runtime/src/runtime/fleet.rs
+++ b/cluster/replica-runtime/src/runtime/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use violetgate_raft::{Members, NodeId};
+use violetgate_raft::{Membership, NodeId};
 use violetgate_replicated_state::Micros;
 use violetgate_state_distribution::{FleetProgress, FleetTotals, InForce, ProgressSummary};
 
@@ -22,7 +22,7 @@
 }
 
 impl Reports {
-    fn take(&mut self, now: Micros, from: NodeId, summary: ProgressSummary, members: &Members) {
+    fn take(&mut self, now: Micros, from: NodeId, summary: ProgressSummary, members: &Membership) {
         let gone: Vec<_> = self
             .observers
             .iter()
@@ -60,7 +60,7 @@
         let Status { id, members, .. } = self.status();
         let frame = Frame::Progress(summary.clone());
         members
-            .all()
+            .ids()
             .filter(|to| *to != id)
             .for_each(|to| self.transport.send(to, &frame));
         self.progress_came(id, summary);
@@ -70,6 +70,6 @@
         let member = self.member.borrow();
         self.fleet
             .borrow_mut()
-            .take(boot(), from, summary, member.members());
+            .take(boot(), from, summary, member.membership());
     }
 }
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,6 +1,6 @@
 //! What a member is at, for operators and tests.
 
-use violetgate_raft::{Index, Members, NodeId, Role, Term};
+use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
 
 use super::Cluster;
@@ -22,7 +22,7 @@
     /// The same, applied.
     pub applied: Index,
     /// The members.
-    pub members: Members,
+    pub members: Membership,
     /// The store's revision, as it is applied here.
     pub revision: Revision,
     /// Whether state may be routed on, or how old it is.
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn status(&self) -> Status {
         let member = self.member.borrow();
-        let node = member.node();
+        let node = member.raft();
         Status {
             id: node.id(),
             role: node.role(),
@@ -44,7 +44,7 @@
             leader: node.leader(),
             commit: node.commit(),
             applied: member.applied(),
-            members: member.members().clone(),
+            members: member.membership().clone(),
             revision: member.store().revision(),
             fresh: member.may_route(boot()),
             progress: node.progress(),
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -2,9 +2,9 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use violetgate_raft::{Change, Message, NodeId};
-use violetgate_replica::Answer;
-use violetgate_replicated_state::Step;
+use violetgate_raft::{MembershipChange, Message, NodeId};
+use violetgate_replica::Response;
+use violetgate_replicated_state::Operation;
 use violetgate_state_distribution::ProgressSummary;
 
 /// The version of this protocol. A member of another one is turned away, and says so in its log.
@@ -26,10 +26,10 @@
         /// Who asks.
         who: String,
         /// What for.
-        step: Step,
+        step: Operation,
     },
     /// A step of the membership.
-    Change(Change),
+    Change(MembershipChange),
     /// Leadership is to be handed over.
     Transfer(NodeId),
 }
@@ -42,7 +42,7 @@
     /// A client of the sender asks for this; the sender's number for it.
     Ask(u64, Call),
     /// How what goes by that number ended.
-    Told(u64, Answer),
+    Told(u64, Response),
     /// How far the sender's subscribers are. A member from before observers ends a connection over it, so that every
     /// member is upgraded before the first one serves subscribers; only such a one sends it.
     Progress(ProgressSummary),
@@ -186,7 +186,7 @@
             commit: 7,
             round: 11,
         });
-        let next = Frame::Told(4, Answer::Changed);
+        let next = Frame::Told(4, Response::MembershipChanged);
         let mut bytes = Vec::new();
         assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
         for cut in 0..bytes.len() {
@@ -223,7 +223,7 @@
                 round: 0,
             }),
             Frame::Ask(1, Call::Transfer(2)),
-            Frame::Told(1, Answer::Changed),
+            Frame::Told(1, Response::MembershipChanged),
             Frame::Progress(progress),
         ];
         for (number, message) in frames.iter().enumerate() {
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -8,13 +8,13 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Change, NodeId};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{MembershipChange, NodeId};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{
     Answered, Beginning, Call, Cluster, ObserverConfig, ObserverService, Options, SubscriberConfig,
     Subscription,
 };
-use violetgate_replicated_state::{Entries, Op, Outcome, Revision, Step, Txn};
+use violetgate_replicated_state::{Entries, Mutation, Operation, Outcome, Revision, Txn};
 
 /// How long anything may take on a busy machine.
 pub const WAIT: Duration = Duration::from_secs(60);
@@ -104,9 +104,9 @@
             folder: self.folder.join(id.to_string()),
             listen: self.addresses[&id],
             members: self.addresses.clone(),
-            config: MemberConfig {
-                snapshot_every: 1_000,
-                ..MemberConfig::default()
+            config: ReplicaConfig {
+                snapshot_interval: 1_000,
+                ..ReplicaConfig::default()
             },
             seed: 7 + id,
         };
@@ -117,7 +117,8 @@
     /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
-            self.agree(Call::Change(Change::Add(id))).await;
+            self.agree(Call::Change(MembershipChange::AddLearner(id)))
+                .await;
             self.serve_at(id, &change).await;
         }
     }
@@ -163,7 +164,7 @@
     }
 
     /// Has a call agreed on by whoever leads.
-    pub async fn agree(&mut self, call: Call) -> Answer {
+    pub async fn agree(&mut self, call: Call) -> Response {
         self.requests += 1;
         loop {
             let member = Rc::clone(self.members.values().next().unwrap());
@@ -174,26 +175,26 @@
     }
 
     /// Takes a step, once; the revision after it.
-    pub async fn step(&mut self, step: Step) -> Revision {
+    pub async fn step(&mut self, step: Operation) -> Revision {
         let call = Call::Propose {
             request: format!("r-{}", self.requests),
             who: "test".to_owned(),
             step,
         };
         match self.agree(call).await {
-            Answer::Done(Outcome::Done { revision, .. }) => revision,
+            Response::Applied(Outcome::Applied { revision, .. }) => revision,
             other => panic!("{other:?}"),
         }
     }
 
     /// Sets a key; the revision that it made.
     pub async fn put(&mut self, key: &str, value: &[u8]) -> Revision {
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: key.to_owned(),
             value: value.to_vec(),
             lease: None,
         };
-        self.step(Step::Txn(Txn {
+        self.step(Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         }))
@@ -213,10 +214,10 @@
     /// Every front end holds the very entries that a member has.
     pub fn same_everywhere(&self) {
         let member = self.members.values().next().unwrap();
-        let held = member.store(|store| store.entries_below(""));
+        let held = member.store(|store| store.entries_with_prefix(""));
         for subscription in &self.subscriptions {
             assert_eq!(
-                subscription.replica(|replica| replica.entries_below("")),
+                subscription.replica(|replica| replica.entries_with_prefix("")),
                 held
             );
         }
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -17,7 +17,7 @@
 use raw::Raw;
 use violetgate_raft::Role;
 use violetgate_replica_runtime::Subscription;
-use violetgate_replicated_state::{Entries, Step};
+use violetgate_replicated_state::{Entries, Operation};
 use violetgate_state_distribution::{FromObserver, FromSubscriber, Progress, SubscriberHello};
 
 fn watched_by(subscriptions: &[Rc<Subscription>], observer: u64) -> usize {
@@ -102,7 +102,7 @@
             fleet.put(&format!("key/{n}"), &[n + 1; 4_000]).await;
         }
         let revision = fleet.members[&1].status().revision;
-        fleet.step(Step::Compact(revision)).await;
+        fleet.step(Operation::Compact(revision)).await;
         let last = fleet.put("key/last", b"2").await;
         // Some begin with nothing, the others hold what is compacted away.
         fleet.subscribe(5);
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -14,10 +14,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Change, NodeId, Role};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{MembershipChange, NodeId, Role};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{Answered, Beginning, Call, Cluster, Options};
-use violetgate_replicated_state::{Op, Outcome, Step, Txn};
+use violetgate_replicated_state::{Mutation, Operation, Outcome, Txn};
 
 const WAIT: Duration = Duration::from_secs(30);
 
@@ -61,9 +61,9 @@
             folder: self.folder.join(id.to_string()),
             listen: self.addrs[&id],
             members: self.addrs.clone(),
-            config: MemberConfig {
-                snapshot_every: 50,
-                ..MemberConfig::default()
+            config: ReplicaConfig {
+                snapshot_interval: 50,
+                ..ReplicaConfig::default()
             },
             seed: 7 + id,
         }
@@ -119,17 +119,17 @@
         let request = format!("put-{key}-{value}");
         let until = Instant::now() + WAIT;
         while Instant::now() < until {
-            let op = Op::Put {
+            let op = Mutation::Put {
                 key: key.to_owned(),
                 value: value.as_bytes().to_vec(),
                 lease: None,
             };
-            let step = Step::Txn(Txn {
+            let step = Operation::Txn(Txn {
                 then: vec![op],
                 ..Txn::default()
             });
             let leader = self.leader().await;
-            if let Answered::Yes(Answer::Done(outcome)) = leader
+            if let Answered::Yes(Response::Applied(outcome)) = leader
                 .propose(Some(request.clone()), "test", step, Duration::from_secs(1))
                 .await
             {
@@ -200,12 +200,12 @@
             Timer::after(Duration::from_millis(10)).await;
         }
         assert!(!leader.current(Duration::from_millis(300)).await);
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: "a".to_owned(),
             value: b"2".to_vec(),
             lease: None,
         };
-        let step = Step::Txn(Txn {
+        let step = Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         });
@@ -213,7 +213,7 @@
             .propose(None, "test", step, Duration::from_millis(300))
             .await;
         assert!(
-            !matches!(answered, Answered::Yes(Answer::Done(_))),
+            !matches!(answered, Answered::Yes(Response::Applied(_))),
             "{answered:?}"
         );
         while !others.iter().any(|m| m.status().role == Role::Leader) {
@@ -242,9 +242,9 @@
         three.begin(4, Vec::new());
         let within = Duration::from_secs(2);
         for (change, done) in [
-            (Change::Add(4), 3),
-            (Change::Promote(4), 4),
-            (Change::Remove(2), 3),
+            (MembershipChange::AddLearner(4), 3),
+            (MembershipChange::PromoteLearner(4), 4),
+            (MembershipChange::Remove(2), 3),
         ] {
             let until = Instant::now() + WAIT;
             while three.leader().await.status().members.voters.len() != done
@@ -255,9 +255,9 @@
             }
         }
         let leader = three.leader().await;
-        let again = leader.change(Change::Add(2), within).await;
+        let again = leader.change(MembershipChange::AddLearner(2), within).await;
         assert!(
-            matches!(again, Answered::Yes(Answer::Rejected(_))),
+            matches!(again, Answered::Yes(Response::Rejected(_))),
             "{again:?}"
         );
         three.members.remove(&2);
@@ -295,8 +295,8 @@
     let call = |n: u8| Call::Propose {
         request: format!("r-{n}"),
         who: "test".to_owned(),
-        step: Step::Txn(Txn {
-            then: vec![Op::Put {
+        step: Operation::Txn(Txn {
+            then: vec![Mutation::Put {
                 key: "k".to_owned(),
                 value: vec![n],
                 lease: None,
@@ -309,7 +309,10 @@
             let id = u64::from(n);
             let first = three.members[&id].agree(call(n), WAIT).await;
             assert!(
-                matches!(first, Answered::Yes(Answer::Done(Outcome::Done { .. }))),
+                matches!(
+                    first,
+                    Answered::Yes(Response::Applied(Outcome::Applied { .. }))
+                ),
                 "{first:?}"
             );
             assert_eq!(
--- a/cluster/replica/src/lib.rs
+++ b/cluster/replica/src/lib.rs
@@ -9,14 +9,14 @@
 use std::rc::Rc;
 
 use violetgate_raft::{
-    Action, Change, Entry, Index, Members, Message, Meta, Node, NodeId, Payload, Rejected, Role,
-    Term,
+    Action, Entry, Index, Membership, MembershipChange, Message, NodeId, Payload, ProposalError,
+    RaftNode, Role, SnapshotMetadata, Term,
 };
-use violetgate_replicated_state::{Command, Gate, Micros, Stale, Step, Store};
+use violetgate_replicated_state::{Command, Micros, Operation, Stale, StalenessGuard, Store};
 
 mod types;
 
-pub use types::{Answer, Effect, Found, MemberConfig, Ticket};
+pub use types::{CallId, Effect, InitialState, ReplicaConfig, Response};
 
 /// The most bytes of a snapshot in one message.
 const CHUNK: usize = 256 << 10;
@@ -27,20 +27,20 @@
 
 enum Asked {
     /// A client's read.
-    Client(Ticket),
+    Client(CallId),
     /// The gate's question.
     Gate(u64),
 }
 
 /// One member.
-pub struct Member {
-    config: MemberConfig,
-    node: Node,
+pub struct Replica {
+    config: ReplicaConfig,
+    node: RaftNode,
     store: Store,
-    gate: Gate,
+    gate: StalenessGuard,
     applied: (Term, Index),
     /// Calls that wait for the entry at a place, with the term that has to be there.
-    waiting: BTreeMap<Index, (Term, Ticket)>,
+    waiting: BTreeMap<Index, (Term, CallId)>,
     /// Questions to the cluster, and those that wait for entries to be applied.
     asked: BTreeMap<u64, Asked>,
     ready: Vec<(Index, Asked)>,
@@ -49,13 +49,13 @@
     /// The time as people have it, by which leases run.
     wall: Micros,
     /// The latest snapshot, and the one that is being kept.
-    snapshot: (Meta, Rc<Vec<u8>>),
-    keeping: Option<(Meta, Rc<Vec<u8>>)>,
+    snapshot: (SnapshotMetadata, Rc<Vec<u8>>),
+    keeping: Option<(SnapshotMetadata, Rc<Vec<u8>>)>,
     incoming: Vec<u8>,
     out: Vec<Effect>,
 }
 
-impl Member {
+impl Replica {
     /// A member as its disk has it.
     ///
     /// # Errors
@@ -63,12 +63,12 @@
     /// Its snapshot holds no state; the text says why.
     pub fn new(
         id: NodeId,
-        config: MemberConfig,
+        config: ReplicaConfig,
         seed: u64,
-        found: Found,
+        found: InitialState,
         now: Micros,
     ) -> Result<Self, String> {
-        let Found {
+        let InitialState {
             hard,
             base,
             state,
@@ -79,11 +79,11 @@
         } else {
             Store::load(&state)?
         };
-        let mut gate = Gate::new(config.drain_limit);
-        gate.applied(base.index);
-        Ok(Member {
+        let mut gate = StalenessGuard::new(config.max_staleness);
+        gate.applied_up_to(base.index);
+        Ok(Replica {
             config,
-            node: Node::new(id, config.core, seed, hard, base.clone(), entries, now),
+            node: RaftNode::new(id, config.raft, seed, hard, base.clone(), entries, now),
             store,
             gate,
             applied: (base.term, base.index),
@@ -100,7 +100,7 @@
         })
     }
 
-    /// What the members agree on, as far as it is applied here. To be read after [`Answer::Current`], or for what
+    /// What the members agree on, as far as it is applied here. To be read after [`Response::ReadReady`], or for what
     /// may be old.
     #[must_use]
     pub fn store(&self) -> &Store {
@@ -109,13 +109,13 @@
 
     /// The core.
     #[must_use]
-    pub fn node(&self) -> &Node {
+    pub fn raft(&self) -> &RaftNode {
         &self.node
     }
 
     /// The members.
     #[must_use]
-    pub fn members(&self) -> &Members {
+    pub fn membership(&self) -> &Membership {
         self.node.members()
     }
 
@@ -147,17 +147,17 @@
         if now < self.confirm_at {
             return;
         }
-        self.confirm_at = now.saturating_add(self.config.confirm_every);
-        let question = self.gate.ask(now);
+        self.confirm_at = now.saturating_add(self.config.confirm_interval);
+        let question = self.gate.begin_confirmation(now);
         self.ask(Asked::Gate(question));
         if self.node.role() == Role::Leader {
-            for step in self.store.run_out(wall) {
+            for step in self.store.expired_leases(wall) {
                 // One that is lost is proposed again; one too many changes nothing.
                 let command = Command {
-                    request: None,
-                    who: "leases".to_owned(),
+                    request_id: None,
+                    actor: "leases".to_owned(),
                     time: wall,
-                    step,
+                    operation: step,
                 };
                 if let Ok(bytes) = postcard::to_stdvec(&command) {
                     let _ = self.node.propose(bytes);
@@ -177,22 +177,28 @@
     }
 
     /// A client's command; its time is set here.
-    pub fn propose(&mut self, ticket: Ticket, request: Option<String>, who: String, step: Step) {
+    pub fn propose(
+        &mut self,
+        ticket: CallId,
+        request: Option<String>,
+        who: String,
+        step: Operation,
+    ) {
         let command = Command {
-            request,
-            who,
+            request_id: request,
+            actor: who,
             time: self.wall,
-            step,
+            operation: step,
         };
         let proposed = match postcard::to_stdvec(&command) {
             Ok(bytes) if self.waiting.len() < WAITING => self.node.propose(bytes),
-            _ => Err(Rejected::Busy),
+            _ => Err(ProposalError::Busy),
         };
         self.proposed(ticket, proposed);
     }
 
     /// An operator's step of the membership.
-    pub fn change(&mut self, ticket: Ticket, change: Change) {
+    pub fn change_membership(&mut self, ticket: CallId, change: MembershipChange) {
         let proposed = self.node.change(change);
         self.proposed(ticket, proposed);
     }
@@ -202,29 +208,31 @@
     /// # Errors
     ///
     /// It can't be.
-    pub fn transfer(&mut self, to: NodeId) -> Result<(), Rejected> {
+    pub fn transfer_leadership(&mut self, to: NodeId) -> Result<(), ProposalError> {
         self.node.transfer(to)
     }
 
-    fn proposed(&mut self, ticket: Ticket, proposed: Result<(Term, Index), Rejected>) {
+    fn proposed(&mut self, ticket: CallId, proposed: Result<(Term, Index), ProposalError>) {
         match proposed {
             Ok((term, index)) => drop(self.waiting.insert(index, (term, ticket))),
-            Err(Rejected::NotLeader) => self.answer(ticket, Answer::NotLeader(self.node.leader())),
-            Err(why) => self.answer(ticket, Answer::Rejected(why)),
+            Err(ProposalError::NotLeader) => {
+                self.answer(ticket, Response::NotLeader(self.node.leader()))
+            }
+            Err(why) => self.answer(ticket, Response::Rejected(why)),
         }
     }
 
-    /// A client's read: answered by [`Answer::Current`] once the store may be read. Where messages are lost it is
+    /// A client's read: answered by [`Response::ReadReady`] once the store may be read. Where messages are lost it is
     /// not answered, and may be asked again.
-    pub fn read(&mut self, ticket: Ticket) {
+    pub fn read(&mut self, ticket: CallId) {
         if self.asked.len() + self.ready.len() >= WAITING {
-            return self.answer(ticket, Answer::Rejected(Rejected::Busy));
+            return self.answer(ticket, Response::Rejected(ProposalError::Busy));
         }
         self.ask(Asked::Client(ticket));
     }
 
     /// Nobody waits for these calls any more.
-    pub fn forget(&mut self, ticket: Ticket) {
+    pub fn cancel(&mut self, ticket: CallId) {
         self.waiting.retain(|_, (_, t)| *t != ticket);
         self.asked
             .retain(|_, a| !matches!(a, Asked::Client(t) if *t == ticket));
@@ -250,12 +258,12 @@
         self.node.read(self.next);
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: Answer) {
-        self.out.push(Effect::Answer(ticket, answer));
+    fn answer(&mut self, ticket: CallId, answer: Response) {
+        self.out.push(Effect::Respond(ticket, answer));
     }
 
     /// A snapshot is kept durably.
-    pub fn kept(&mut self, index: Index) {
+    pub fn snapshot_saved(&mut self, index: Index) {
         if let Some(kept) = self.keeping.take_if(|k| k.0.index == index) {
             self.node.compacted(kept.0.index, kept.0.term);
             self.snapshot = kept;
@@ -263,7 +271,7 @@
     }
 
     /// A snapshot of another member is in place on disk.
-    pub fn installed(&mut self, from: NodeId, meta: Meta, state: Rc<Vec<u8>>) {
+    pub fn snapshot_installed(&mut self, from: NodeId, meta: SnapshotMetadata, state: Rc<Vec<u8>>) {
         if let Ok(store) = Store::load(&state) {
             (self.store, self.applied) = (store, (meta.term, meta.index));
             let next = state.len() as u64;
@@ -275,7 +283,7 @@
 
     /// Entries that follow a snapshot of another member and stay, to be put in place with it.
     #[must_use]
-    pub fn follows(&self, meta: &Meta) -> Vec<Entry> {
+    pub fn entries_after(&self, meta: &SnapshotMetadata) -> Vec<Entry> {
         let log = self.node.log();
         if log.term(meta.index) != Some(meta.term) {
             return Vec::new();
@@ -284,7 +292,7 @@
     }
 
     /// What is to be done.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         loop {
             let actions = self.node.actions();
             if actions.is_empty() {
@@ -295,14 +303,14 @@
         if self.node.role() != Role::Leader {
             let lost: Vec<_> = std::mem::take(&mut self.waiting).into_values().collect();
             lost.into_iter()
-                .for_each(|(_, ticket)| self.answer(ticket, Answer::Unsure));
+                .for_each(|(_, ticket)| self.answer(ticket, Response::OutcomeUnknown));
         }
         std::mem::take(&mut self.out)
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Write(write) => self.out.push(Effect::Write(write)),
+            Action::Persist(write) => self.out.push(Effect::Persist(write)),
             Action::Send(to, message) => self.out.push(Effect::Send(to, message)),
             Action::Apply(entries) => {
                 entries.into_iter().for_each(|e| self.apply(e));
@@ -316,12 +324,12 @@
             }
             Action::ReadFailed { ctx } => match self.asked.remove(&ctx) {
                 Some(Asked::Client(ticket)) => {
-                    self.answer(ticket, Answer::NotLeader(self.node.leader()))
+                    self.answer(ticket, Response::NotLeader(self.node.leader()))
                 }
-                Some(Asked::Gate(question)) => self.gate.failed(question),
+                Some(Asked::Gate(question)) => self.gate.confirmation_failed(question),
                 None => {}
             },
-            Action::LoadChunk { to, offset } => {
+            Action::LoadSnapshotChunk { to, offset } => {
                 let (meta, state) = self.snapshot.clone();
                 let from = usize::try_from(offset)
                     .unwrap_or(usize::MAX)
@@ -331,7 +339,7 @@
                 self.node
                     .chunk(to, meta, from as u64, data, end == state.len());
             }
-            Action::StoreChunk {
+            Action::StoreSnapshotChunk {
                 from,
                 meta,
                 offset,
@@ -348,7 +356,8 @@
                 let state = std::mem::take(&mut self.incoming);
                 // What is no state, or too long for one, is asked for again from its beginning.
                 if done && Store::load(&state).is_ok() {
-                    self.out.push(Effect::Install(from, meta, Rc::new(state)));
+                    self.out
+                        .push(Effect::InstallSnapshot(from, meta, Rc::new(state)));
                 } else {
                     self.node.stored(from, meta, 0, false);
                 }
@@ -359,41 +368,41 @@
     fn apply(&mut self, entry: Entry) {
         let waits = self.waiting.remove(&entry.index);
         let answer = match &entry.payload {
-            Payload::Blank => Answer::Unsure,
-            Payload::Members(_) => Answer::Changed,
+            Payload::Blank => Response::OutcomeUnknown,
+            Payload::Membership(_) => Response::MembershipChanged,
             // What can't be read can't be read by anybody: all members pass it over alike.
             Payload::Command(bytes) => match postcard::from_bytes::<Command>(bytes) {
-                Ok(command) => Answer::Done(self.store.apply(&command)),
-                Err(_) => Answer::Unsure,
+                Ok(command) => Response::Applied(self.store.apply(&command)),
+                Err(_) => Response::OutcomeUnknown,
             },
         };
         if let Some((term, ticket)) = waits {
             let answer = if term == entry.term {
                 answer
             } else {
-                Answer::Unsure
+                Response::OutcomeUnknown
             };
             self.answer(ticket, answer);
         }
         self.applied = (entry.term, entry.index);
         let since = entry.index.saturating_sub(self.snapshot.0.index);
-        if since >= self.config.snapshot_every && self.keeping.is_none() {
+        if since >= self.config.snapshot_interval && self.keeping.is_none() {
             let members = self.node.log().members_at(entry.index);
-            let meta = Meta {
+            let meta = SnapshotMetadata {
                 index: entry.index,
                 term: entry.term,
                 members,
             };
             let state = Rc::new(self.store.save());
             self.keeping = Some((meta.clone(), Rc::clone(&state)));
-            self.out.push(Effect::Keep(meta, state));
+            self.out.push(Effect::SaveSnapshot(meta, state));
         }
     }
 
     /// Answers the reads, and tells the gate of the questions, for which enough is applied now.
     fn settle(&mut self) {
         let applied = self.applied.1;
-        self.gate.applied(applied);
+        self.gate.applied_up_to(applied);
         let (done, rest) = std::mem::take(&mut self.ready)
             .into_iter()
             .partition(|(index, _)| *index <= applied);
@@ -401,8 +410,8 @@
         let done: Vec<(Index, Asked)> = done;
         for (index, asked) in done {
             match asked {
-                Asked::Client(ticket) => self.answer(ticket, Answer::Current),
-                Asked::Gate(question) => self.gate.answered(question, index),
+                Asked::Client(ticket) => self.answer(ticket, Response::ReadReady),
+                Asked::Gate(question) => self.gate.confirmation_answered(question, index),
             }
         }
     }
--- a/cluster/replica/src/types.rs
+++ b/cluster/replica/src/types.rs
@@ -3,16 +3,18 @@
 use std::rc::Rc;
 
 use serde::{Deserialize, Serialize};
-use violetgate_raft::{Config, Entry, Hard, Message, Meta, NodeId, Rejected, Write};
+use violetgate_raft::{
+    Config, Entry, HardState, Message, NodeId, ProposalError, SnapshotMetadata, StorageWrite,
+};
 use violetgate_replicated_state::{Micros, Outcome};
 
 /// What a disk kept of a member.
 #[derive(Debug, Clone, Default)]
-pub struct Found {
+pub struct InitialState {
     /// Term and vote.
-    pub hard: Hard,
+    pub hard: HardState,
     /// What the snapshot stands for.
-    pub base: Meta,
+    pub base: SnapshotMetadata,
     /// The snapshot.
     pub state: Vec<u8>,
     /// The entries after it.
@@ -20,62 +22,62 @@
 }
 
 /// A client's call, by the name that the program gives it.
-pub type Ticket = u64;
+pub type CallId = u64;
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// The command was agreed on and carried out, here too.
-    Done(Outcome),
+    Applied(Outcome),
     /// The step of the membership was agreed on.
-    Changed,
+    MembershipChanged,
     /// The store may be read now: it was current at some moment after the call.
-    Current,
+    ReadReady,
     /// Not here: ask the leader, if one is known.
     NotLeader(Option<NodeId>),
     /// It can't be taken, or not now; nothing was done.
-    Rejected(Rejected),
+    Rejected(ProposalError),
     /// Leadership was lost before it was agreed on. It may still come to be: ask again under the same request id.
-    Unsure,
+    OutcomeUnknown,
 }
 
 /// What is to be done, in this order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Make this durable, and tell by [`Member::persisted`](crate::Member::persisted).
-    Write(Write),
+    /// Make this durable, and tell by [`Replica::persisted`](crate::Replica::persisted).
+    Persist(StorageWrite),
     /// Send this.
     Send(NodeId, Message),
-    /// Answer a call.
-    Answer(Ticket, Answer),
-    /// Keep this snapshot durably, and tell by [`Member::kept`](crate::Member::kept).
-    Keep(Meta, Rc<Vec<u8>>),
+    /// Response a call.
+    Respond(CallId, Response),
+    /// Keep this snapshot durably, and tell by [`Replica::snapshot_saved`](crate::Replica::snapshot_saved).
+    SaveSnapshot(SnapshotMetadata, Rc<Vec<u8>>),
     /// Put this snapshot of another member in place of all that is on disk but term and vote, and tell by
-    /// [`Member::installed`](crate::Member::installed).
-    Install(NodeId, Meta, Rc<Vec<u8>>),
+    /// [`Replica::snapshot_installed`](crate::Replica::snapshot_installed).
+    InstallSnapshot(NodeId, SnapshotMetadata, Rc<Vec<u8>>),
 }
 
 /// How a member behaves beyond its core.
 #[derive(Debug, Clone, Copy)]
-pub struct MemberConfig {
+pub struct ReplicaConfig {
     /// The core.
-    pub core: Config,
+    pub raft: Config,
     /// A snapshot is kept after so many entries.
-    pub snapshot_every: u64,
+    pub snapshot_interval: u64,
     /// The drain limit: state older than this is not routed on.
-    pub drain_limit: Micros,
+    pub max_staleness: Micros,
     /// How often the state is confirmed.
-    pub confirm_every: Micros,
+    pub confirm_interval: Micros,
 }
 
-impl Default for MemberConfig {
+impl Default for ReplicaConfig {
     fn default() -> Self {
-        let core = Config::default();
-        MemberConfig {
-            core,
-            snapshot_every: 10_000,
-            drain_limit: 2_000_000,
-            confirm_every: 250_000,
+        let raft = Config::default();
+        ReplicaConfig {
+            raft,
+            snapshot_interval: 10_000,
+            max_staleness: 2_000_000,
+            confirm_interval: 250_000,
         }
     }
 }
--- a/cluster/replica/tests/encoding.rs
+++ b/cluster/replica/tests/encoding.rs
@@ -1,31 +1,31 @@
 //! The bytes of each answer, as commit 5065b36 encodes them for another replica that has forwarded a call.
 #![allow(clippy::unwrap_used)]
 
-use violetgate_raft::Rejected;
-use violetgate_replica::Answer;
-use violetgate_replicated_state::{Outcome, Refused};
+use violetgate_raft::ProposalError;
+use violetgate_replica::Response;
+use violetgate_replicated_state::{CommandError, Outcome};
 
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
 #[test]
 fn answers_are_encoded_as_in_the_fixture() {
     let answers = [
-        Answer::Done(Outcome::Done {
+        Response::Applied(Outcome::Applied {
             revision: 1_000,
-            held: true,
+            conditions_held: true,
         }),
-        Answer::Done(Outcome::Refused(Refused::NoLease(9))),
-        Answer::Changed,
-        Answer::Current,
-        Answer::NotLeader(Some(300)),
-        Answer::NotLeader(None),
-        Answer::Rejected(Rejected::Behind),
-        Answer::Unsure,
+        Response::Applied(Outcome::Rejected(CommandError::UnknownLease(9))),
+        Response::MembershipChanged,
+        Response::ReadReady,
+        Response::NotLeader(Some(300)),
+        Response::NotLeader(None),
+        Response::Rejected(ProposalError::LearnerBehind),
+        Response::OutcomeUnknown,
     ];
     let mut encoded = String::new();
     for answer in answers {
         let bytes = postcard::to_stdvec(&answer).unwrap();
-        let back: Answer = postcard::from_bytes(&bytes).unwrap();
+        let back: Response = postcard::from_bytes(&bytes).unwrap();
         assert_eq!(back, answer);
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         encoded += &(hex + "\n");
--- a/cluster/replica/tests/linearizable.rs
+++ b/cluster/replica/tests/linearizable.rs
@@ -14,11 +14,12 @@
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use violetgate_linearizability::{fits, Call, Deed};
-use violetgate_raft::{Members, Message, Meta, NodeId, Write};
-use violetgate_raft_storage::{Disk, Files, Identity};
-use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig};
-use violetgate_replicated_state::{Check, Micros, Op, Outcome, Step, Txn};
+use violetgate_linearizability::Operation as ClientOperation;
+use violetgate_linearizability::{first_operations_on, is_linearizable, OperationKind};
+use violetgate_raft::{Membership, Message, NodeId, SnapshotMetadata, StorageWrite};
+use violetgate_raft_storage::{Directory, Identity, RaftStorage};
+use violetgate_replica::{Effect, InitialState, Replica, ReplicaConfig, Response};
+use violetgate_replicated_state::{Condition, Micros, Mutation, Operation, Outcome, Txn};
 
 mod digest;
 
@@ -29,11 +30,11 @@
 const KEYS: u64 = 3;
 const CLIENTS: usize = 4;
 
-/// Files that outlive their member.
+/// Directory that outlive their member.
 #[derive(Debug, Clone, Default)]
 struct Memory(BTreeMap<String, Vec<u8>>);
 
-impl Files for Memory {
+impl Directory for Memory {
     fn list(&self) -> Io<Vec<String>> {
         Ok(self.0.keys().cloned().collect())
     }
@@ -57,7 +58,7 @@
     fn sync(&mut self, _: &str) -> Io<()> {
         Ok(())
     }
-    fn sync_names(&mut self) -> Io<()> {
+    fn sync_dir(&mut self) -> Io<()> {
         Ok(())
     }
     fn rename(&mut self, from: &str, to: &str) -> Io<()> {
@@ -74,16 +75,16 @@
 }
 
 struct Server {
-    member: Option<Member>,
-    disk: Option<Disk<Memory>>,
-    waiting: Vec<Write>,
+    member: Option<Replica>,
+    disk: Option<RaftStorage<Memory>>,
+    waiting: Vec<StorageWrite>,
     paused: Micros,
     starts: u64,
     tick_at: Micros,
 }
 
 struct Client {
-    deed: Option<(Deed, u64, NodeId)>,
+    operation: Option<(ClientOperation, u64, NodeId)>,
     serial: u64,
 }
 
@@ -107,7 +108,7 @@
     servers: BTreeMap<NodeId, Server>,
     cut: HashSet<(NodeId, NodeId)>,
     clients: Vec<Client>,
-    history: Vec<Deed>,
+    history: Vec<ClientOperation>,
     /// When revisions were told to clients as done.
     told: Vec<(Micros, u64)>,
     routed: u64,
@@ -117,18 +118,18 @@
     digest: Digest,
 }
 
-fn config() -> MemberConfig {
-    MemberConfig {
-        snapshot_every: 25,
-        ..MemberConfig::default()
+fn config() -> ReplicaConfig {
+    ReplicaConfig {
+        snapshot_interval: 25,
+        ..ReplicaConfig::default()
     }
 }
 
 fn identity(member: NodeId) -> Identity {
     Identity {
         cluster: "c".to_owned(),
-        member,
-        born: 0,
+        replica_id: member,
+        incarnation: 0,
     }
 }
 
@@ -148,7 +149,7 @@
             cut: HashSet::new(),
             clients: (0..CLIENTS)
                 .map(|_| Client {
-                    deed: None,
+                    operation: None,
                     serial: 0,
                 })
                 .collect(),
@@ -159,12 +160,13 @@
             gate,
             digest: Digest::default(),
         };
-        let base = Meta {
-            members: Members::first(1..=3),
-            ..Meta::default()
+        let base = SnapshotMetadata {
+            members: Membership::bootstrap(1..=3),
+            ..SnapshotMetadata::default()
         };
         for id in 1..=3 {
-            let (disk, _) = Disk::create(Memory::default(), &identity(id), &base, &[]).unwrap();
+            let (disk, _) =
+                RaftStorage::create(Memory::default(), &identity(id), &base, &[]).unwrap();
             let server = Server {
                 member: None,
                 disk: Some(disk),
@@ -195,14 +197,14 @@
         let (now, seed) = (self.now, self.draw(u64::MAX));
         let server = self.servers.get_mut(&id).unwrap();
         let files = server.disk.take().unwrap().into_files();
-        let (disk, kept) = Disk::open(files, "c", id).unwrap();
-        let found = Found {
+        let (disk, kept) = RaftStorage::open(files, "c", id).unwrap();
+        let found = InitialState {
             hard: kept.hard,
             base: kept.base,
             state: kept.state,
             entries: kept.entries,
         };
-        server.member = Some(Member::new(id, config(), seed, found, now).unwrap());
+        server.member = Some(Replica::new(id, config(), seed, found, now).unwrap());
         (server.disk, server.starts, server.tick_at) = (Some(disk), server.starts + 1, Micros::MAX);
         server.waiting.clear();
         self.wind(id);
@@ -222,7 +224,7 @@
     }
 
     /// A member that runs now, told the time first; `None`: it is down, or stands still until then.
-    fn awake(&mut self, id: NodeId) -> Result<&mut Member, Micros> {
+    fn awake(&mut self, id: NodeId) -> Result<&mut Replica, Micros> {
         let now = self.now;
         let server = self.servers.get_mut(&id).unwrap();
         if server.paused > now {
@@ -333,78 +335,87 @@
 
     /// A client begins a call, or asks again for one that got no answer yet.
     fn call(&mut self, n: usize) {
-        if self.clients[n].deed.is_none() {
+        if self.clients[n].operation.is_none() {
             let (key, old, new) = (self.draw(KEYS), self.draw(4) as u8, self.draw(4) as u8);
             let call = match self.draw(3) {
-                0 => Call::Put(new.into()),
-                1 => Call::Cas(old.into(), new.into(), None),
-                _ => Call::Get(None),
+                0 => OperationKind::Write(new.into()),
+                1 => OperationKind::CompareAndSwap {
+                    expected: old.into(),
+                    new: new.into(),
+                    swapped: None,
+                },
+                _ => OperationKind::Read(None),
             };
-            let deed = Deed {
+            let operation = ClientOperation {
                 key,
-                call,
-                began: self.now,
-                ended: None,
+                kind: call,
+                started_at: self.now,
+                finished_at: None,
             };
             let id = 1 + self.draw(3);
             self.clients[n].serial += 1;
             let serial = self.clients[n].serial;
-            self.clients[n].deed = Some((deed, serial, id));
+            self.clients[n].operation = Some((operation, serial, id));
             self.after(3 * SECOND, What::Late(n, serial));
         }
-        let Some((deed, serial, id)) = self.clients[n].deed.clone() else {
+        let Some((operation, serial, id)) = self.clients[n].operation.clone() else {
             return;
         };
         let (ticket, request) = ((n as u64) << 32 | serial, format!("{n}-{serial}"));
         let again = 150 * MS + self.draw(200 * MS);
         self.after(again, What::Client(n));
-        let put = |value: u64| Op::Put {
-            key: key(deed.key),
+        let put = |value: u64| Mutation::Put {
+            key: key(operation.key),
             value: vec![value as u8],
             lease: None,
         };
-        let txn = match deed.call {
-            Call::Put(value) => Some(Txn {
+        let txn = match operation.kind {
+            OperationKind::Write(value) => Some(Txn {
                 then: vec![put(value)],
                 ..Txn::default()
             }),
-            Call::Cas(old, new, _) => {
-                let checks = vec![Check::Holds(key(deed.key), vec![old as u8])];
+            OperationKind::CompareAndSwap {
+                expected: old, new, ..
+            } => {
+                let checks = vec![Condition::ValueIs(key(operation.key), vec![old as u8])];
                 Some(Txn {
-                    checks,
+                    conditions: checks,
                     then: vec![put(new)],
                     otherwise: vec![],
                 })
             }
-            Call::Get(_) => None,
+            OperationKind::Read(_) => None,
         };
         if let Ok(member) = self.awake(id) {
             match txn {
-                Some(txn) => {
-                    member.propose(ticket, Some(request), format!("client {n}"), Step::Txn(txn))
-                }
+                Some(txn) => member.propose(
+                    ticket,
+                    Some(request),
+                    format!("client {n}"),
+                    Operation::Txn(txn),
+                ),
                 None => member.read(ticket),
             }
             self.serve(id);
         } else {
             let other = 1 + self.draw(3);
-            if let Some((_, _, at)) = &mut self.clients[n].deed {
+            if let Some((_, _, at)) = &mut self.clients[n].operation {
                 *at = other;
             }
         }
     }
 
     /// A call is over, for its client.
-    fn over(&mut self, n: usize, call: Option<Call>) {
-        let Some((mut deed, ..)) = self.clients[n].deed.take() else {
+    fn over(&mut self, n: usize, call: Option<OperationKind>) {
+        let Some((mut operation, ..)) = self.clients[n].operation.take() else {
             return;
         };
         match call {
-            Some(call) => (deed.call, deed.ended) = (call, Some(self.now)),
-            None if matches!(deed.call, Call::Get(_)) => return,
+            Some(call) => (operation.kind, operation.finished_at) = (call, Some(self.now)),
+            None if matches!(operation.kind, OperationKind::Read(_)) => return,
             None => {}
         }
-        self.history.push(deed);
+        self.history.push(operation);
     }
 
     fn serve(&mut self, id: NodeId) {
@@ -413,7 +424,7 @@
             let Some(member) = server.member.as_mut() else {
                 return;
             };
-            let effects = member.effects();
+            let effects = member.take_effects();
             if effects.is_empty() {
                 break;
             }
@@ -432,7 +443,7 @@
         let server = self.servers.get_mut(&id).unwrap();
         let starts = server.starts;
         match effect {
-            Effect::Write(write) => {
+            Effect::Persist(write) => {
                 server.waiting.push(write);
                 if server.waiting.len() == 1 {
                     self.after(span, What::Disk(id, starts));
@@ -443,54 +454,73 @@
                     self.after(span, What::Deliver(id, to, message));
                 }
             }
-            Effect::Keep(meta, state) => {
-                server.disk.as_mut().unwrap().keep(&meta, &state).unwrap();
-                server.member.as_mut().unwrap().kept(meta.index);
+            Effect::SaveSnapshot(meta, state) => {
+                server
+                    .disk
+                    .as_mut()
+                    .unwrap()
+                    .save_snapshot(&meta, &state)
+                    .unwrap();
+                server.member.as_mut().unwrap().snapshot_saved(meta.index);
             }
-            Effect::Install(from, meta, state) => {
-                let follows = server.member.as_ref().unwrap().follows(&meta);
+            Effect::InstallSnapshot(from, meta, state) => {
+                let follows = server.member.as_ref().unwrap().entries_after(&meta);
                 // What waits to be written comes first, and is taken away by what replaces it.
                 let waiting = std::mem::take(&mut server.waiting);
                 let disk = server.disk.as_mut().unwrap();
                 disk.write(&waiting).unwrap();
-                disk.install(&meta, &state, &follows).unwrap();
+                disk.install_snapshot(&meta, &state, &follows).unwrap();
                 let seq = waiting.iter().map(|w| w.seq).max().unwrap_or(0);
                 let member = server.member.as_mut().unwrap();
                 member.persisted(seq);
-                member.installed(from, meta, state);
+                member.snapshot_installed(from, meta, state);
             }
-            Effect::Answer(ticket, answer) => self.answered(id, ticket, answer),
+            Effect::Respond(ticket, answer) => self.answered(id, ticket, answer),
         }
     }
 
-    fn answered(&mut self, id: NodeId, ticket: u64, answer: Answer) {
+    fn answered(&mut self, id: NodeId, ticket: u64, answer: Response) {
         let (n, serial) = ((ticket >> 32) as usize, ticket & 0xffff_ffff);
         let now = self.now;
-        let value = |deed: &Deed| {
+        let value = |operation: &ClientOperation| {
             let store = self.servers[&id].member.as_ref().unwrap().store();
-            store.get(&key(deed.key)).map(|(_, v)| u64::from(v[0]))
+            store.get(&key(operation.key)).map(|(_, v)| u64::from(v[0]))
         };
-        let Some((deed, mine, at)) = self.clients[n].deed.clone() else {
+        let Some((operation, mine, at)) = self.clients[n].operation.clone() else {
             return;
         };
         if mine != serial {
             return;
         }
-        let call = match (answer, deed.call) {
-            (Answer::Done(Outcome::Done { revision, held }), call) => {
+        let call = match (answer, operation.kind) {
+            (
+                Response::Applied(Outcome::Applied {
+                    revision,
+                    conditions_held: held,
+                }),
+                call,
+            ) => {
                 self.told.push((now, revision));
                 Some(match call {
-                    Call::Cas(old, new, _) => Call::Cas(old, new, Some(held)),
+                    OperationKind::CompareAndSwap { expected, new, .. } => {
+                        OperationKind::CompareAndSwap {
+                            expected,
+                            new,
+                            swapped: Some(held),
+                        }
+                    }
                     call => call,
                 })
             }
-            (Answer::Current, Call::Get(_)) => Some(Call::Get(value(&deed))),
-            (Answer::NotLeader(Some(leader)), _) => {
-                self.clients[n].deed = Some((deed, mine, leader));
+            (Response::ReadReady, OperationKind::Read(_)) => {
+                Some(OperationKind::Read(value(&operation)))
+            }
+            (Response::NotLeader(Some(leader)), _) => {
+                self.clients[n].operation = Some((operation, mine, leader));
                 None
             }
             _ => {
-                self.clients[n].deed = Some((deed, mine, at % 3 + 1));
+                self.clients[n].operation = Some((operation, mine, at % 3 + 1));
                 None
             }
         };
@@ -501,7 +531,7 @@
 
     /// Whoever may route knows all that was told as done a drain limit ago.
     fn check_gate(&mut self) {
-        let (now, limit) = (self.now, config().drain_limit);
+        let (now, limit) = (self.now, config().max_staleness);
         let due = self
             .told
             .iter()
@@ -530,7 +560,7 @@
 /// Adds one effect in a form of its own: a number for its kind, then its parts as they are encoded for the wire.
 fn digest_effect(digest: &mut Digest, effect: &Effect) {
     match effect {
-        Effect::Write(write) => {
+        Effect::Persist(write) => {
             digest.number(1);
             digest.number(write.seq);
             digest.encoded(&write.hard);
@@ -542,17 +572,17 @@
             digest.number(*to);
             digest.encoded(message);
         }
-        Effect::Answer(ticket, answer) => {
+        Effect::Respond(ticket, answer) => {
             digest.number(3);
             digest.number(*ticket);
             digest.encoded(answer);
         }
-        Effect::Keep(meta, state) => {
+        Effect::SaveSnapshot(meta, state) => {
             digest.number(4);
             digest.encoded(meta);
             digest.bytes(state);
         }
-        Effect::Install(from, meta, state) => {
+        Effect::InstallSnapshot(from, meta, state) => {
             digest.number(5);
             digest.number(*from);
             digest.encoded(meta);
@@ -574,11 +604,18 @@
     let mut world = played(seed, gate);
     (0..CLIENTS).for_each(|n| world.over(n, None));
     for k in 0..KEYS {
-        let deeds = violetgate_linearizability::first(&world.history, k);
-        assert!(fits(&deeds), "key {k} is not linearizable: {deeds:#?}");
+        let operations = first_operations_on(&world.history, k);
+        assert!(
+            is_linearizable(&operations),
+            "key {k} is not linearizable: {operations:#?}"
+        );
     }
     [
-        world.history.iter().filter(|d| d.ended.is_some()).count() as u64,
+        world
+            .history
+            .iter()
+            .filter(|d| d.finished_at.is_some())
+            .count() as u64,
         world.routed,
         world.stale,
     ]
--- a/cluster/replicated-state/src/entries.rs
+++ b/cluster/replicated-state/src/entries.rs
@@ -11,7 +11,7 @@
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])>;
 
     /// All entries whose keys begin with `prefix`, in order of their keys.
-    fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)>;
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)>;
 }
 
 impl Entries for Store {
@@ -24,7 +24,7 @@
             .map(|(revision, value)| (revision, value.as_slice()))
     }
 
-    fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
         self.list(prefix, None, None, usize::MAX)
             .map(|listing| listing.entries)
             .unwrap_or_default()
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -2,19 +2,19 @@
 //!
 //! - [`Store`]: keyed entries with revisions, changed by agreed [`Command`]s alone, so that every member that has
 //!   applied the same commands has the same state, to the byte.
-//! - [`Gate`]: whether this member's copy is young enough to route on.
+//! - [`StalenessGuard`]: whether this member's copy is young enough to route on.
 //!
 //! It must never read a clock: commands carry the time of the leader that proposed them, the gate is told the time.
 
 mod entries;
-mod gate;
+mod staleness_guard;
 mod store;
 
 pub use entries::Entries;
-pub use gate::{Gate, Stale};
+pub use staleness_guard::{Stale, StalenessGuard};
 pub use store::{
-    Change, Check, Command, Compacted, Listing, Op, Outcome, Refused, Step, Store, Txn, MAX_KEY,
-    MAX_OPS, MAX_VALUE,
+    Command, CommandError, Compacted, Condition, KeyChange, Listing, Mutation, Operation, Outcome,
+    Store, Txn, MAX_KEY, MAX_OPS, MAX_VALUE,
 };
 
 /// A moment or a span in microseconds.
--- a/cluster/replicated-state/src/gate.rs
+++ b/cluster/replicated-state/src/staleness_guard.rs
@@ -23,7 +23,7 @@
 
 /// The gate.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Gate {
+pub struct StalenessGuard {
     limit: Micros,
     confirmed: Option<Micros>,
     applied: u64,
@@ -32,11 +32,11 @@
     next: u64,
 }
 
-impl Gate {
+impl StalenessGuard {
     /// A gate that is shut until the first confirmation. `limit` is the drain limit.
     #[must_use]
     pub fn new(limit: Micros) -> Self {
-        Gate {
+        StalenessGuard {
             limit,
             confirmed: None,
             applied: 0,
@@ -46,7 +46,7 @@
     }
 
     /// Begins a question; its name, to be asked of the cluster from this moment on and not before.
-    pub fn ask(&mut self, now: Micros) -> u64 {
+    pub fn begin_confirmation(&mut self, now: Micros) -> u64 {
         self.next += 1;
         self.asked.insert(self.next, (now, None));
         while self.asked.len() > ASKED {
@@ -56,7 +56,7 @@
     }
 
     /// The cluster has answered a question: all up to this entry has to be applied.
-    pub fn answered(&mut self, question: u64, index: u64) {
+    pub fn confirmation_answered(&mut self, question: u64, index: u64) {
         if let Some(asked) = self.asked.get_mut(&question) {
             asked.1 = Some(index);
         }
@@ -64,12 +64,12 @@
     }
 
     /// The cluster can't answer a question.
-    pub fn failed(&mut self, question: u64) {
+    pub fn confirmation_failed(&mut self, question: u64) {
         self.asked.remove(&question);
     }
 
     /// All up to this entry is applied here.
-    pub fn applied(&mut self, index: u64) {
+    pub fn applied_up_to(&mut self, index: u64) {
         self.applied = self.applied.max(index);
         self.settle();
     }
@@ -100,7 +100,7 @@
 
     /// How long sends may go on from now without another confirmation; 0: none may leave.
     #[must_use]
-    pub fn remaining(&self, now: Micros) -> Micros {
+    pub fn remaining_validity(&self, now: Micros) -> Micros {
         let age = self.confirmed.and_then(|at| now.checked_sub(at));
         age.map_or(0, |age| self.limit.saturating_sub(age))
     }
@@ -117,24 +117,27 @@
     /// nothing; late answers never make it younger; time that was slept through counts.
     #[test]
     fn a_copy_is_as_old_as_its_question() {
-        let mut gate = Gate::new(LIMIT);
+        let mut gate = StalenessGuard::new(LIMIT);
         assert_eq!(
-            (gate.check(5), gate.remaining(5)),
+            (gate.check(5), gate.remaining_validity(5)),
             (Err(Stale { age: None }), 0)
         );
-        let (one, two) = (gate.ask(100), gate.ask(200));
-        gate.answered(two, 7);
+        let (one, two) = (gate.begin_confirmation(100), gate.begin_confirmation(200));
+        gate.confirmation_answered(two, 7);
         assert!(gate.check(300).is_err(), "entry 7 is not applied here");
-        gate.applied(6);
+        gate.applied_up_to(6);
         assert!(gate.check(300).is_err());
-        gate.applied(7);
+        gate.applied_up_to(7);
         assert!(gate.check(200 + LIMIT - 1).is_ok());
         assert_eq!(
-            (gate.remaining(200 + LIMIT - 1), gate.remaining(200 + LIMIT)),
+            (
+                gate.remaining_validity(200 + LIMIT - 1),
+                gate.remaining_validity(200 + LIMIT)
+            ),
             (1, 0)
         );
         assert_eq!(gate.check(200 + LIMIT), Err(Stale { age: Some(LIMIT) }));
-        gate.answered(one, 3);
+        gate.confirmation_answered(one, 3);
         assert_eq!(
             gate.check(200 + LIMIT),
             Err(Stale { age: Some(LIMIT) }),
@@ -145,17 +148,17 @@
             Err(Stale { age: None }),
             "a clock that goes back tells no age"
         );
-        let lost = gate.ask(LIMIT);
-        gate.failed(lost);
-        gate.answered(lost, 1);
+        let lost = gate.begin_confirmation(LIMIT);
+        gate.confirmation_failed(lost);
+        gate.confirmation_answered(lost, 1);
         assert!(gate.check(200 + LIMIT).is_err());
     }
 
     /// Questions that are never answered don't pile up.
     #[test]
     fn questions_are_bounded() {
-        let mut gate = Gate::new(LIMIT);
-        let last = (0..1_000).map(|at| gate.ask(at)).max();
+        let mut gate = StalenessGuard::new(LIMIT);
+        let last = (0..1_000).map(|at| gate.begin_confirmation(at)).max();
         assert_eq!(last, Some(1_000));
         assert_eq!(gate.asked.len(), ASKED);
     }
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -23,16 +23,16 @@
 
 /// A condition of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Check {
+pub enum Condition {
     /// The key was last changed in this revision; 0: there is no such key.
-    Changed(String, Revision),
+    RevisionIs(String, Revision),
     /// The key holds this.
-    Holds(String, Vec<u8>),
+    ValueIs(String, Vec<u8>),
 }
 
 /// One change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Op {
+pub enum Mutation {
     /// Sets a key; with a lease it goes when that does.
     Put {
         /// The key.
@@ -50,33 +50,33 @@
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Txn {
     /// All of these have to hold.
-    pub checks: Vec<Check>,
+    pub conditions: Vec<Condition>,
     /// The changes then.
-    pub then: Vec<Op>,
+    pub then: Vec<Mutation>,
     /// The changes otherwise.
-    pub otherwise: Vec<Op>,
+    pub otherwise: Vec<Mutation>,
 }
 
 /// What a command does.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Step {
+pub enum Operation {
     /// Changes entries.
     Txn(Txn),
     /// Begins a lease, or renews it, for a span.
-    Lease {
+    GrantLease {
         /// Its id, chosen by its holder.
         id: u64,
         /// How long it holds from the command's time.
-        span: Micros,
+        ttl: Micros,
     },
     /// Ends a lease, as its holder asks.
-    Release(u64),
+    RevokeLease(u64),
     /// Ends a lease that has run out; renewed since it was seen to, it stays.
-    Expire {
+    ExpireLease {
         /// The lease.
         id: u64,
         /// When it was seen to end.
-        ends: Micros,
+        expires_at: Micros,
     },
     /// Forgets the changes up to a revision.
     Compact(Revision),
@@ -86,45 +86,45 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
     /// The request's id, chosen by the client: the same request again gets the same outcome and changes nothing.
-    pub request: Option<String>,
+    pub request_id: Option<String>,
     /// Who asked.
-    pub who: String,
+    pub actor: String,
     /// The proposing leader's time. Time in the store never goes back, whatever leaders' clocks do.
     pub time: Micros,
     /// What to do.
-    pub step: Step,
+    pub operation: Operation,
 }
 
 /// Why a command did nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refused {
+pub enum CommandError {
     /// A key is empty or too long, a value too long, or there are too many of them.
     TooLarge,
     /// The store is full.
-    Full,
+    StoreFull,
     /// No such lease.
-    NoLease(u64),
+    UnknownLease(u64),
     /// There is no such revision yet.
-    Future,
+    FutureRevision,
 }
 
 /// What a command did.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It was carried out.
-    Done {
+    Applied {
         /// The store's revision after it.
         revision: Revision,
         /// For a transaction: its conditions held.
-        held: bool,
+        conditions_held: bool,
     },
     /// It did nothing.
-    Refused(Refused),
+    Rejected(CommandError),
 }
 
 /// One change of one key, as watches and the change log tell it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct KeyChange {
     /// The revision that it made; changes of one transaction share it.
     pub revision: Revision,
     /// The key.
@@ -132,7 +132,7 @@
     /// What it holds from then on; `None`: it is gone.
     pub value: Option<Vec<u8>>,
     /// Who changed it, and when.
-    pub who: String,
+    pub actor: String,
     /// The store's time of the change.
     pub time: Micros,
 }
@@ -141,7 +141,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Compacted {
     /// The earliest revision that can be read.
-    pub first: Revision,
+    pub first_revision: Revision,
 }
 
 /// One page of a listing.
@@ -168,7 +168,7 @@
     keys: BTreeMap<String, Vec<Version>>,
     /// Keys and values that hold now.
     live: (usize, usize),
-    changes: VecDeque<Change>,
+    changes: VecDeque<KeyChange>,
     leases: BTreeMap<u64, Micros>,
     outcomes: BTreeMap<String, Outcome>,
     asked: VecDeque<String>,
@@ -189,16 +189,20 @@
 
     /// Applies an agreed command.
     pub fn apply(&mut self, command: &Command) -> Outcome {
-        if let Some(known) = command.request.as_ref().and_then(|r| self.outcomes.get(r)) {
+        if let Some(known) = command
+            .request_id
+            .as_ref()
+            .and_then(|r| self.outcomes.get(r))
+        {
             return known.clone();
         }
         self.time = self.time.max(command.time);
         let outcome = match self.carry_out(command) {
-            Ok(held) => Outcome::Done {
+            Ok(held) => Outcome::Applied {
                 revision: self.revision,
-                held,
+                conditions_held: held,
             },
-            Err(refused) => Outcome::Refused(refused),
+            Err(refused) => Outcome::Rejected(refused),
         };
         while self.changes.len() > CHANGES {
             let Some(oldest) = self.changes.front().map(|c| c.revision) else {
@@ -206,7 +210,7 @@
             };
             self.compact(oldest);
         }
-        if let Some(request) = &command.request {
+        if let Some(request) = &command.request_id {
             self.outcomes.insert(request.clone(), outcome.clone());
             self.asked.push_back(request.clone());
             if self.asked.len() > OUTCOMES {
@@ -218,58 +222,65 @@
         outcome
     }
 
-    fn carry_out(&mut self, command: &Command) -> Result<bool, Refused> {
-        match &command.step {
-            Step::Txn(txn) => self.transact(txn, &command.who),
-            Step::Lease { id, span } => {
+    fn carry_out(&mut self, command: &Command) -> Result<bool, CommandError> {
+        match &command.operation {
+            Operation::Txn(txn) => self.transact(txn, &command.actor),
+            Operation::GrantLease { id, ttl: span } => {
                 self.leases.insert(*id, self.time.saturating_add(*span));
                 Ok(true)
             }
-            Step::Release(id) => {
-                self.leases.remove(id).ok_or(Refused::NoLease(*id))?;
-                self.drop_lease(*id, &command.who);
+            Operation::RevokeLease(id) => {
+                self.leases
+                    .remove(id)
+                    .ok_or(CommandError::UnknownLease(*id))?;
+                self.drop_lease(*id, &command.actor);
                 Ok(true)
             }
-            Step::Expire { id, ends } => {
+            Operation::ExpireLease {
+                id,
+                expires_at: ends,
+            } => {
                 let over = self.leases.get(id) == Some(ends) && *ends <= self.time;
                 if over {
                     self.leases.remove(id);
-                    self.drop_lease(*id, &command.who);
+                    self.drop_lease(*id, &command.actor);
                 }
                 Ok(over)
             }
-            Step::Compact(to) if *to > self.revision => Err(Refused::Future),
-            Step::Compact(to) => {
+            Operation::Compact(to) if *to > self.revision => Err(CommandError::FutureRevision),
+            Operation::Compact(to) => {
                 self.compact(*to);
                 Ok(true)
             }
         }
     }
 
-    fn transact(&mut self, txn: &Txn, who: &str) -> Result<bool, Refused> {
-        let held = txn.checks.iter().all(|c| match c {
-            Check::Changed(key, revision) => self.get(key).map_or(0, |(r, _)| r) == *revision,
-            Check::Holds(key, value) => self.get(key).is_some_and(|(_, v)| v == value),
+    fn transact(&mut self, txn: &Txn, who: &str) -> Result<bool, CommandError> {
+        let held = txn.conditions.iter().all(|c| match c {
+            Condition::RevisionIs(key, revision) => {
+                self.get(key).map_or(0, |(r, _)| r) == *revision
+            }
+            Condition::ValueIs(key, value) => self.get(key).is_some_and(|(_, v)| v == value),
         });
         let ops = if held { &txn.then } else { &txn.otherwise };
         // All is looked at before anything is changed.
-        if ops.len().max(txn.checks.len()) > MAX_OPS {
-            return Err(Refused::TooLarge);
+        if ops.len().max(txn.conditions.len()) > MAX_OPS {
+            return Err(CommandError::TooLarge);
         }
         let (mut keys, mut bytes) = self.live;
         for op in ops {
-            if let Op::Put { key, value, lease } = op {
+            if let Mutation::Put { key, value, lease } = op {
                 if key.is_empty() || key.len() > MAX_KEY || value.len() > MAX_VALUE {
-                    return Err(Refused::TooLarge);
+                    return Err(CommandError::TooLarge);
                 }
                 if let Some(id) = lease.filter(|id| !self.leases.contains_key(id)) {
-                    return Err(Refused::NoLease(id));
+                    return Err(CommandError::UnknownLease(id));
                 }
                 (keys, bytes) = (keys + 1, bytes + key.len() + value.len());
             }
         }
         if keys > MOST_KEYS || bytes > MOST_BYTES {
-            return Err(Refused::Full);
+            return Err(CommandError::StoreFull);
         }
         if !ops.is_empty() {
             self.change(ops, who);
@@ -278,13 +289,13 @@
     }
 
     /// Makes changes, all as one revision. What changes nothing leaves none.
-    fn change(&mut self, ops: &[Op], who: &str) {
+    fn change(&mut self, ops: &[Mutation], who: &str) {
         let revision = self.revision + 1;
         for op in ops {
             let (key, value) = match op {
-                Op::Put { key, value, lease } => (key, Some((value.clone(), *lease))),
-                Op::Delete(key) if self.get(key).is_none() => continue,
-                Op::Delete(key) => (key, None),
+                Mutation::Put { key, value, lease } => (key, Some((value.clone(), *lease))),
+                Mutation::Delete(key) if self.get(key).is_none() => continue,
+                Mutation::Delete(key) => (key, None),
             };
             if let Some((_, old)) = self.get(key) {
                 let old = old.len();
@@ -302,11 +313,11 @@
             if let Some(at) = self.changes.range(own..).position(|c| c.key == *key) {
                 self.changes.remove(own + at);
             }
-            self.changes.push_back(Change {
+            self.changes.push_back(KeyChange {
                 revision,
                 key: key.clone(),
                 value: told,
-                who: who.to_owned(),
+                actor: who.to_owned(),
                 time: self.time,
             });
             self.revision = revision;
@@ -319,7 +330,7 @@
             .keys
             .iter()
             .filter(|(_, v)| hangs(v))
-            .map(|(k, _)| Op::Delete(k.clone()))
+            .map(|(k, _)| Mutation::Delete(k.clone()))
             .collect();
         if !gone.is_empty() {
             self.change(&gone, who);
@@ -372,7 +383,9 @@
     ) -> Result<Listing, Compacted> {
         let revision = at.unwrap_or(self.revision).min(self.revision);
         if revision < self.first {
-            return Err(Compacted { first: self.first });
+            return Err(Compacted {
+                first_revision: self.first,
+            });
         }
         let from = after.filter(|a| *a >= prefix).unwrap_or(prefix);
         let mut entries = Vec::new();
@@ -413,12 +426,14 @@
         after: Revision,
         prefix: &str,
         limit: usize,
-    ) -> Result<Vec<Change>, Compacted> {
+    ) -> Result<Vec<KeyChange>, Compacted> {
         if after < self.first {
-            return Err(Compacted { first: self.first });
+            return Err(Compacted {
+                first_revision: self.first,
+            });
         }
         let from = self.changes.partition_point(|c| c.revision <= after);
-        let mut out: Vec<Change> = Vec::new();
+        let mut out: Vec<KeyChange> = Vec::new();
         for change in self
             .changes
             .range(from..)
@@ -434,13 +449,13 @@
         Ok(out)
     }
 
-    /// Leases that have run out at a time, to be proposed as [`Step::Expire`] by the leader.
+    /// Leases that have run out at a time, to be proposed as [`Operation::ExpireLease`] by the leader.
     #[must_use]
-    pub fn run_out(&self, now: Micros) -> Vec<Step> {
+    pub fn expired_leases(&self, now: Micros) -> Vec<Operation> {
         let over = self.leases.iter().filter(|(_, ends)| **ends <= now);
-        over.map(|(id, ends)| Step::Expire {
+        over.map(|(id, ends)| Operation::ExpireLease {
             id: *id,
-            ends: *ends,
+            expires_at: *ends,
         })
         .collect()
     }
--- a/cluster/replicated-state/tests/encoding.rs
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -28,8 +28,8 @@
     }
 }
 
-fn put(key: &str, value: &[u8], lease: Option<u64>) -> Op {
-    Op::Put {
+fn put(key: &str, value: &[u8], lease: Option<u64>) -> Mutation {
+    Mutation::Put {
         key: key.to_owned(),
         value: value.to_vec(),
         lease,
@@ -38,21 +38,24 @@
 
 fn transaction() -> Txn {
     Txn {
-        checks: vec![
-            Check::Changed("settings/limit".to_owned(), 0),
-            Check::Holds("duty".to_owned(), vec![1, 255]),
+        conditions: vec![
+            Condition::RevisionIs("settings/limit".to_owned(), 0),
+            Condition::ValueIs("duty".to_owned(), vec![1, 255]),
         ],
         then: vec![put("settings/limit", b"300", None), put("duty", b"", None)],
-        otherwise: vec![Op::Delete("duty".to_owned()), put("duty", b"two", Some(7))],
+        otherwise: vec![
+            Mutation::Delete("duty".to_owned()),
+            put("duty", b"two", Some(7)),
+        ],
     }
 }
 
 /// One command of each kind, applied in this order by the fixture's store.
 fn commands() -> Vec<Command> {
     let hung = Txn {
-        checks: vec![
-            Check::Changed("settings/limit".to_owned(), 0),
-            Check::Holds("duty".to_owned(), b"two".to_vec()),
+        conditions: vec![
+            Condition::RevisionIs("settings/limit".to_owned(), 0),
+            Condition::ValueIs("duty".to_owned(), b"two".to_vec()),
         ],
         then: vec![
             put("hung/a", b"x", Some(7)),
@@ -62,28 +65,28 @@
         otherwise: vec![],
     };
     let steps = [
-        Step::Lease {
-            id: 7,
-            span: 50_000,
+        Operation::GrantLease { id: 7, ttl: 50_000 },
+        Operation::GrantLease { id: 8, ttl: 9 },
+        Operation::Txn(transaction()),
+        Operation::Txn(hung),
+        Operation::Txn(transaction()),
+        Operation::ExpireLease {
+            id: 8,
+            expires_at: 1_019,
         },
-        Step::Lease { id: 8, span: 9 },
-        Step::Txn(transaction()),
-        Step::Txn(hung),
-        Step::Txn(transaction()),
-        Step::Expire { id: 8, ends: 1_019 },
-        Step::Release(7),
-        Step::Release(99),
-        Step::Compact(2),
-        Step::Compact(1 << 33),
+        Operation::RevokeLease(7),
+        Operation::RevokeLease(99),
+        Operation::Compact(2),
+        Operation::Compact(1 << 33),
     ];
     steps
         .into_iter()
         .zip(0u64..)
         .map(|(step, n)| Command {
-            request: (n % 2 == 0).then(|| format!("request-{n}")),
-            who: format!("operator {n}"),
+            request_id: (n % 2 == 0).then(|| format!("request-{n}")),
+            actor: format!("operator {n}"),
             time: 1_007 + 3 * n,
-            step,
+            operation: step,
         })
         .collect()
 }
@@ -91,8 +94,8 @@
 fn outcomes() -> Vec<Outcome> {
     let mut store = Store::default();
     let mut outcomes: Vec<_> = commands().iter().map(|c| store.apply(c)).collect();
-    outcomes.push(Outcome::Refused(Refused::TooLarge));
-    outcomes.push(Outcome::Refused(Refused::Full));
+    outcomes.push(Outcome::Rejected(CommandError::TooLarge));
+    outcomes.push(Outcome::Rejected(CommandError::StoreFull));
     outcomes
 }
 
@@ -133,10 +136,10 @@
     assert_eq!(listing.entries, [limit]);
     assert_eq!(
         loaded.outcome("request-2"),
-        Some(&Outcome::Done {
+        Some(&Outcome::Applied {
             revision: 1,
-            held: false
+            conditions_held: false
         })
     );
-    assert_eq!(loaded.run_out(u64::MAX), []);
+    assert_eq!(loaded.expired_leases(u64::MAX), []);
 }
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -8,35 +8,35 @@
 
 type State = BTreeMap<String, Vec<u8>>;
 
-fn txn(then: Vec<Op>) -> Txn {
+fn txn(then: Vec<Mutation>) -> Txn {
     Txn {
         then,
         ..Txn::default()
     }
 }
 
-fn command(step: Step) -> Command {
+fn command(step: Operation) -> Command {
     Command {
-        request: None,
-        who: "op".to_owned(),
+        request_id: None,
+        actor: "op".to_owned(),
         time: 0,
-        step,
+        operation: step,
     }
 }
 
-fn put(key: &str, value: u8) -> Op {
-    Op::Put {
+fn put(key: &str, value: u8) -> Mutation {
+    Mutation::Put {
         key: key.to_owned(),
         value: vec![value],
         lease: None,
     }
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn op() -> impl Strategy<Value = Mutation> {
     let key = "[ab]{1,2}";
     prop_oneof![
         3 => (key, any::<u8>()).prop_map(|(k, v)| put(&k, v)),
-        1 => key.prop_map(Op::Delete),
+        1 => key.prop_map(Mutation::Delete),
     ]
 }
 
@@ -56,13 +56,13 @@
             // A listing begins here and goes on after the change.
             let mut page = store.list("a", None, None, limit).unwrap();
             prop_assert_eq!(page.revision, at);
-            store.apply(&command(Step::Txn(txn(ops.clone()))));
+            store.apply(&command(Operation::Txn(txn(ops.clone()))));
             let mut state = states.last().unwrap().clone();
             let mut changed = false;
             for op in ops {
                 changed |= match op {
-                    Op::Put { key, value, .. } => { state.insert(key, value); true }
-                    Op::Delete(key) => state.remove(&key).is_some(),
+                    Mutation::Put { key, value, .. } => { state.insert(key, value); true }
+                    Mutation::Delete(key) => state.remove(&key).is_some(),
                 };
             }
             if changed {
@@ -81,7 +81,7 @@
             if what == 0 {
                 // Up to somewhere behind: what a watcher has not seen yet may go, and it is told.
                 first = first.max(store.revision().saturating_sub(limit as u64));
-                store.apply(&command(Step::Compact(first)));
+                store.apply(&command(Operation::Compact(first)));
             }
             if what < 5 {
                 match store.changes(watched, "", limit) {
@@ -89,7 +89,7 @@
                         watched = c.revision;
                         match c.value { Some(v) => seen.insert(c.key, v), None => seen.remove(&c.key) };
                     },
-                    Err(Compacted { first }) => {
+                    Err(Compacted { first_revision: first }) => {
                         prop_assert!(watched < first);
                         let all = store.list("", None, None, usize::MAX).unwrap();
                         watched = all.revision;
@@ -101,7 +101,7 @@
             for back in 0..states.len() as u64 {
                 let read = store.list("", Some(back), None, usize::MAX);
                 if back < first {
-                    prop_assert_eq!(read, Err(Compacted { first }));
+                    prop_assert_eq!(read, Err(Compacted { first_revision: first }));
                 } else {
                     let read: State = read.unwrap().entries.into_iter().map(|(k, _, v)| (k, v)).collect();
                     prop_assert_eq!(&read, &states[back as usize]);
@@ -123,44 +123,44 @@
 fn of_two_that_compare_and_set_one_wins() {
     let mut store = Store::default();
     let set = |seen, value| {
-        let checks = vec![Check::Changed("limit".to_owned(), seen)];
-        command(Step::Txn(Txn {
-            checks,
+        let checks = vec![Condition::RevisionIs("limit".to_owned(), seen)];
+        command(Operation::Txn(Txn {
+            conditions: checks,
             then: vec![put("limit", value), put("by", value)],
             otherwise: vec![],
         }))
     };
     assert_eq!(
         store.apply(&set(0, 1)),
-        Outcome::Done {
+        Outcome::Applied {
             revision: 1,
-            held: true
+            conditions_held: true
         }
     );
     assert_eq!(
         store.apply(&set(0, 2)),
-        Outcome::Done {
+        Outcome::Applied {
             revision: 1,
-            held: false
+            conditions_held: false
         }
     );
     assert_eq!(store.get("by"), Some((1, &vec![1])));
     assert_eq!(
         store.apply(&set(1, 3)),
-        Outcome::Done {
+        Outcome::Applied {
             revision: 2,
-            held: true
+            conditions_held: true
         }
     );
-    let large = Op::Put {
+    let large = Mutation::Put {
         key: "x".to_owned(),
         value: vec![0; MAX_VALUE + 1],
         lease: None,
     };
-    let refused = store.apply(&command(Step::Txn(txn(vec![put("y", 1), large]))));
+    let refused = store.apply(&command(Operation::Txn(txn(vec![put("y", 1), large]))));
     assert_eq!(
         (refused, store.get("y")),
-        (Outcome::Refused(Refused::TooLarge), None)
+        (Outcome::Rejected(CommandError::TooLarge), None)
     );
 }
 
@@ -168,10 +168,10 @@
 #[test]
 fn a_request_is_carried_out_once() {
     let mut store = Store::default();
-    let mut first = command(Step::Txn(txn(vec![put("a", 1)])));
-    first.request = Some("r-1".to_owned());
+    let mut first = command(Operation::Txn(txn(vec![put("a", 1)])));
+    first.request_id = Some("r-1".to_owned());
     let outcome = store.apply(&first);
-    store.apply(&command(Step::Txn(txn(vec![put("a", 2)]))));
+    store.apply(&command(Operation::Txn(txn(vec![put("a", 2)]))));
     assert_eq!(store.apply(&first), outcome);
     assert_eq!(store.get("a"), Some((2, &vec![2])));
     let mut loaded = Store::load(&store.save()).unwrap();
@@ -186,38 +186,56 @@
         time,
         ..command(step)
     };
-    store.apply(&at(100, Step::Lease { id: 7, span: 50 }));
-    let hung = Op::Put {
+    store.apply(&at(100, Operation::GrantLease { id: 7, ttl: 50 }));
+    let hung = Mutation::Put {
         key: "duty".to_owned(),
         value: vec![1],
         lease: Some(7),
     };
     store.apply(&at(
         110,
-        Step::Txn(txn(vec![hung.clone(), put("other", 1)])),
+        Operation::Txn(txn(vec![hung.clone(), put("other", 1)])),
     ));
-    assert!(store.run_out(149).is_empty());
-    let seen = store.run_out(150);
-    assert_eq!(seen, [Step::Expire { id: 7, ends: 150 }]);
-    store.apply(&at(140, Step::Lease { id: 7, span: 50 }));
+    assert!(store.expired_leases(149).is_empty());
+    let seen = store.expired_leases(150);
+    assert_eq!(
+        seen,
+        [Operation::ExpireLease {
+            id: 7,
+            expires_at: 150
+        }]
+    );
+    store.apply(&at(140, Operation::GrantLease { id: 7, ttl: 50 }));
     assert_eq!(
         store.apply(&at(160, seen[0].clone())),
-        Outcome::Done {
+        Outcome::Applied {
             revision: 1,
-            held: false
+            conditions_held: false
         }
     );
     assert!(store.get("duty").is_some());
     // A new leader whose clock is behind: its renewal counts from the store's time.
-    store.apply(&at(5, Step::Lease { id: 7, span: 50 }));
-    assert_eq!(store.run_out(210), [Step::Expire { id: 7, ends: 210 }]);
-    store.apply(&at(210, Step::Expire { id: 7, ends: 210 }));
+    store.apply(&at(5, Operation::GrantLease { id: 7, ttl: 50 }));
+    assert_eq!(
+        store.expired_leases(210),
+        [Operation::ExpireLease {
+            id: 7,
+            expires_at: 210
+        }]
+    );
+    store.apply(&at(
+        210,
+        Operation::ExpireLease {
+            id: 7,
+            expires_at: 210,
+        },
+    ));
     assert_eq!(
         (store.get("duty"), store.get("other")),
         (None, Some((1, &vec![1])))
     );
     assert_eq!(
-        store.apply(&at(211, Step::Txn(txn(vec![hung])))),
-        Outcome::Refused(Refused::NoLease(7))
+        store.apply(&at(211, Operation::Txn(txn(vec![hung])))),
+        Outcome::Rejected(CommandError::UnknownLease(7))
     );
 }
--- a/cluster/replicated-state/tests/gate_model.rs
+++ b/cluster/replicated-state/tests/staleness_guard_model.rs
@@ -1,10 +1,10 @@
 //! The gate before routing, checked in every order of events by stateright: a drain that is agreed on, questions and
-//! answers that are late or lost, a member that is cut off, or stands still and wakes. The very code of [`Gate`]
+//! answers that are late or lost, a member that is cut off, or stands still and wakes. The very code of [`StalenessGuard`]
 //! runs in the model; models in which it is left out, or fooled, have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
-use violetgate_replicated_state::Gate;
+use violetgate_replicated_state::StalenessGuard;
 
 /// The drain limit, in steps of time, and how far time goes.
 const LIMIT: u64 = 3;
@@ -36,7 +36,7 @@
     /// The member has applied it.
     knows: bool,
     cut: bool,
-    gate: Gate,
+    gate: StalenessGuard,
     /// Questions on their way, and answers, with the entry that each names.
     asked: Vec<u64>,
     answers: Vec<(u64, u64)>,
@@ -71,7 +71,7 @@
             drained: None,
             knows: false,
             cut: false,
-            gate: Gate::new(LIMIT),
+            gate: StalenessGuard::new(LIMIT),
             asked: Vec::new(),
             answers: Vec::new(),
             questions: 0,
@@ -107,7 +107,7 @@
             Event::Heal => s.cut = false,
             Event::Ask if s.questions < QUESTIONS => {
                 s.questions += 1;
-                let question = s.gate.ask(s.clock);
+                let question = s.gate.begin_confirmation(s.clock);
                 s.asked.push(question);
             }
             Event::Ask => return None,
@@ -122,14 +122,14 @@
                     index = 0;
                 }
                 if *self == Variant::ByAnswer {
-                    let late = s.gate.ask(s.clock);
-                    s.gate.answered(late, index);
+                    let late = s.gate.begin_confirmation(s.clock);
+                    s.gate.confirmation_answered(late, index);
                 }
-                s.gate.answered(question, index);
+                s.gate.confirmation_answered(question, index);
             }
             Event::Apply if s.drained.is_some() && !s.cut && !s.knows => {
                 s.knows = true;
-                s.gate.applied(1);
+                s.gate.applied_up_to(1);
             }
             Event::Answer(_) | Event::Apply => return None,
         }
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use violetgate_replicated_state::{Change, Compacted, Revision, Store};
+use violetgate_replicated_state::{Compacted, KeyChange, Revision, Store};
 
 use crate::message::{EntryChange, FromObserver, SnapshotPlace};
 
@@ -58,7 +58,7 @@
     }))
 }
 
-fn entry_change(change: Change) -> EntryChange {
+fn entry_change(change: KeyChange) -> EntryChange {
     EntryChange {
         revision: change.revision,
         key: change.key,
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -65,7 +65,7 @@
         self.send(
             id,
             FromObserver::Compacted {
-                first: compacted.first,
+                first: compacted.first_revision,
             },
             0,
         );
--- a/cluster/state-distribution/src/replica.rs
+++ b/cluster/state-distribution/src/replica.rs
@@ -52,7 +52,7 @@
             .map(|(revision, value)| (*revision, value.as_slice()))
     }
 
-    fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
         let from = self
             .entries
             .range(prefix.to_owned()..)
--- a/cluster/state-distribution/src/subscriber/follow.rs
+++ b/cluster/state-distribution/src/subscriber/follow.rs
@@ -1,7 +1,7 @@
 //! Following an observer: changes in order, or a snapshot where changes are compacted away.
 
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Entries, Gate, Micros, Revision};
+use violetgate_replicated_state::{Entries, Micros, Revision, StalenessGuard};
 
 use super::download::Download;
 use super::Subscriber;
@@ -72,7 +72,7 @@
             return self.protocol_error(observer, "a gap between changes");
         }
         self.replica.apply(to, changes);
-        self.gate.applied(to);
+        self.gate.applied_up_to(to);
     }
 
     /// The changes that are wanted, or the snapshot that is being read, are compacted away.
@@ -125,8 +125,8 @@
     fn install(&mut self, observer: NodeId, revision: Revision, download: Download) {
         self.replica = download.finish(revision);
         self.holds_replica = true;
-        self.gate = Gate::new(self.config.drain_limit);
-        self.gate.applied(revision);
+        self.gate = StalenessGuard::new(self.config.drain_limit);
+        self.gate.applied_up_to(revision);
         for link in self.links.values_mut() {
             link.forget_gate();
         }
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -11,7 +11,7 @@
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Entries, Gate, Micros, Stale};
+use violetgate_replicated_state::{Entries, Micros, Stale, StalenessGuard};
 
 use crate::message::{FromObserver, FromSubscriber, Progress, Refusal, SubscriberHello};
 use crate::mutant::Mutant;
@@ -76,7 +76,7 @@
     replica: Replica,
     /// Whether the replica is of the cluster; the one before the first snapshot is not.
     holds_replica: bool,
-    gate: Gate,
+    gate: StalenessGuard,
     directory: Directory,
     /// Connections: the watched one, the reserve, and one more that is tried.
     links: BTreeMap<NodeId, Link>,
@@ -108,7 +108,7 @@
             now,
             replica: Replica::default(),
             holds_replica: false,
-            gate: Gate::new(config.drain_limit),
+            gate: StalenessGuard::new(config.drain_limit),
             directory: Directory::new(&config.observers, config.pause),
             links: BTreeMap::new(),
             watched: None,
@@ -178,10 +178,10 @@
             self.pause = self.config.pause.0;
         }
         if let Some(gate) = link.answered(question) {
-            self.gate.answered(gate, revision);
+            self.gate.confirmation_answered(gate, revision);
             if self.mutated(Mutant::AgeFromAnswer) {
-                let late = self.gate.ask(self.now);
-                self.gate.answered(late, revision);
+                let late = self.gate.begin_confirmation(self.now);
+                self.gate.confirmation_answered(late, revision);
             }
         }
         self.directory.proved(observer);
@@ -197,7 +197,7 @@
         let Some(link) = self.links.get_mut(&observer) else {
             return;
         };
-        let gate = self.gate.ask(self.now);
+        let gate = self.gate.begin_confirmation(self.now);
         self.last_question += 1;
         link.asked(self.now, self.last_question, gate);
         let progress = Progress {
@@ -252,7 +252,7 @@
     /// How long sends may go on from now without another confirmation; 0: none may leave.
     #[must_use]
     pub fn remaining(&self, now: Micros) -> Micros {
-        self.gate.remaining(now)
+        self.gate.remaining_validity(now)
     }
 
     /// Has it decide wrongly.
--- a/cluster/state-distribution/tests/bad_input.rs
+++ b/cluster/state-distribution/tests/bad_input.rs
@@ -1,26 +1,26 @@
 //! What must not be taken, and what must not grow: each gets one clear refusal, and nobody else is slower.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use violetgate_replicated_state::{Command, Entries, Op, Step, Store, Txn};
+use violetgate_replicated_state::{Command, Entries, Mutation, Operation, Store, Txn};
 use violetgate_state_distribution::*;
 
 const SECOND: u64 = 1_000_000;
 
 fn put(store: &mut Store, key: &str, bytes: usize) {
-    let op = Op::Put {
+    let op = Mutation::Put {
         key: key.to_owned(),
         value: vec![7; bytes],
         lease: None,
     };
-    let step = Step::Txn(Txn {
+    let step = Operation::Txn(Txn {
         then: vec![op],
         ..Txn::default()
     });
     store.apply(&Command {
-        request: None,
-        who: "test".to_owned(),
+        request_id: None,
+        actor: "test".to_owned(),
         time: 0,
-        step,
+        operation: step,
     });
 }
 
--- a/cluster/state-distribution/tests/basic.rs
+++ b/cluster/state-distribution/tests/basic.rs
@@ -1,13 +1,13 @@
 //! One observer and one subscriber, joined without delay: the course of a subscription, step by step.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use violetgate_replicated_state::{Command, Entries, Op, Step, Store, Txn};
+use violetgate_replicated_state::{Command, Entries, Mutation, Operation, Store, Txn};
 use violetgate_state_distribution::*;
 
 const MS: u64 = 1_000;
 
 fn put(store: &mut Store, key: &str, value: &str) {
-    let op = Op::Put {
+    let op = Mutation::Put {
         key: key.to_owned(),
         value: value.as_bytes().to_vec(),
         lease: None,
@@ -17,19 +17,19 @@
         ..Txn::default()
     };
     store.apply(&Command {
-        request: None,
-        who: "test".to_owned(),
+        request_id: None,
+        actor: "test".to_owned(),
         time: 0,
-        step: Step::Txn(txn),
+        operation: Operation::Txn(txn),
     });
 }
 
 fn compact(store: &mut Store, to: u64) {
     store.apply(&Command {
-        request: None,
-        who: "test".to_owned(),
+        request_id: None,
+        actor: "test".to_owned(),
         time: 0,
-        step: Step::Compact(to),
+        operation: Operation::Compact(to),
     });
 }
 
@@ -137,8 +137,8 @@
     fn assert_same(&self) {
         assert_eq!(self.subscriber.replica().revision(), self.store.revision());
         assert_eq!(
-            self.subscriber.replica().entries_below(""),
-            self.store.entries_below("")
+            self.subscriber.replica().entries_with_prefix(""),
+            self.store.entries_with_prefix("")
         );
     }
 }
@@ -328,7 +328,7 @@
     assert_eq!(
         (
             subscriber.replica().revision(),
-            subscriber.replica().entries_below("").len()
+            subscriber.replica().entries_with_prefix("").len()
         ),
         (9, 2)
     );
@@ -353,7 +353,7 @@
     assert_eq!(
         (
             subscriber.replica().revision(),
-            subscriber.replica().entries_below("").len()
+            subscriber.replica().entries_with_prefix("").len()
         ),
         (21, 1)
     );
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,13 +1,13 @@
 //! The gate with the hop, in every order of events, by stateright: a drain that is agreed on, an observer that applies
 //! it late, reads upstream that are slow or fail, questions and answers that are late, a front end that stands still.
-//! The very code of [`Observer`] and [`Gate`] runs in the model. Mutants of it have to be caught.
+//! The very code of [`Observer`] and [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use std::collections::VecDeque;
 use std::sync::OnceLock;
 
 use stateright::{Checker, Model, Property};
-use violetgate_replicated_state::{Command, Gate, Op, Step, Store, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, StalenessGuard, Store, Txn};
 use violetgate_state_distribution::*;
 
 /// The drain limit, in steps of time, and how far time goes.
@@ -21,21 +21,21 @@
 fn store(drained: bool) -> &'static Store {
     static STORES: OnceLock<[Store; 2]> = OnceLock::new();
     let stores = STORES.get_or_init(|| {
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: "drain".to_owned(),
             value: Vec::new(),
             lease: None,
         };
-        let step = Step::Txn(Txn {
+        let step = Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         });
         let mut after = Store::default();
         after.apply(&Command {
-            request: None,
-            who: "model".to_owned(),
+            request_id: None,
+            actor: "model".to_owned(),
             time: 0,
-            step,
+            operation: step,
         });
         [Store::default(), after]
     });
@@ -64,7 +64,7 @@
     reads: Vec<Read>,
     to_observer: VecDeque<u64>,
     to_front_end: VecDeque<FromObserver>,
-    gate: Gate,
+    gate: StalenessGuard,
     front_end_knows: bool,
     questions: u64,
 }
@@ -105,14 +105,14 @@
         match message {
             FromObserver::Changes { to, .. } => {
                 self.front_end_knows = true;
-                self.gate.applied(to);
+                self.gate.applied_up_to(to);
             }
             FromObserver::Confirmed { question, revision } => {
                 if mutant == Some(Mutant::AgeFromAnswer) {
-                    let late = self.gate.ask(self.now);
-                    self.gate.answered(late, revision);
+                    let late = self.gate.begin_confirmation(self.now);
+                    self.gate.confirmation_answered(late, revision);
                 }
-                self.gate.answered(question, revision);
+                self.gate.confirmation_answered(question, revision);
             }
             _ => {}
         }
@@ -159,7 +159,7 @@
             reads: Vec::new(),
             to_observer: VecDeque::new(),
             to_front_end: VecDeque::new(),
-            gate: Gate::new(LIMIT),
+            gate: StalenessGuard::new(LIMIT),
             front_end_knows: false,
             questions: 0,
         }]
@@ -197,7 +197,7 @@
             }
             Event::Ask if s.questions < QUESTIONS => {
                 s.questions += 1;
-                let question = s.gate.ask(s.now);
+                let question = s.gate.begin_confirmation(s.now);
                 s.to_observer.push_back(question);
             }
             Event::ArriveAtObserver => {
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use violetgate_replicated_state::{Op, Step, Txn};
+use violetgate_replicated_state::{Mutation, Operation, Txn};
 use violetgate_state_distribution::ObserverConfig;
 use world::{Seen, World, MS, SECOND};
 
@@ -34,12 +34,12 @@
         0 => {
             let back = world.random(30);
             let to = world.truth.revision().saturating_sub(back);
-            world.agree(Step::Compact(to));
+            world.agree(Operation::Compact(to));
         }
         1..=3 => {
             let key = format!("key-{:03}", world.random(16));
-            world.agree(Step::Txn(Txn {
-                then: vec![Op::Delete(key)],
+            world.agree(Operation::Txn(Txn {
+                then: vec![Mutation::Delete(key)],
                 ..Txn::default()
             }));
         }
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -64,7 +64,7 @@
 
 pub fn fingerprint(entries: &impl Entries) -> u64 {
     let mut hasher = DefaultHasher::new();
-    entries.entries_below("").hash(&mut hasher);
+    entries.entries_with_prefix("").hash(&mut hasher);
     hasher.finish()
 }
 
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -1,19 +1,19 @@
 //! The voters, as an observer sees them: one history of commands that it applies late, and reads that may be slow.
 
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Command, Op, Step, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
 use violetgate_state_distribution::*;
 
 use super::{check, Event, World, MS};
 
 impl World {
     /// The voters agree on a command.
-    pub fn agree(&mut self, step: Step) {
+    pub fn agree(&mut self, step: Operation) {
         let command = Command {
-            request: None,
-            who: "test".to_owned(),
+            request_id: None,
+            actor: "test".to_owned(),
             time: self.now,
-            step,
+            operation: step,
         };
         self.truth.apply(&command);
         self.history.push(command);
@@ -27,13 +27,13 @@
     }
 
     pub fn put(&mut self, keys: &[(u64, usize)]) {
-        let put = |(key, bytes): &(u64, usize)| Op::Put {
+        let put = |(key, bytes): &(u64, usize)| Mutation::Put {
             key: format!("key-{key:03}"),
             value: vec![(self.now % 251) as u8; *bytes],
             lease: None,
         };
         let then = keys.iter().map(put).collect();
-        self.agree(Step::Txn(Txn {
+        self.agree(Operation::Txn(Txn {
             then,
             ..Txn::default()
         }));
--- a/gateway/src/daemon/agreed.rs
+++ b/gateway/src/daemon/agreed.rs
@@ -17,7 +17,9 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use violetgate_replicated_state::{Check, Entries, Op, Revision, Txn, MAX_OPS, MAX_VALUE};
+use violetgate_replicated_state::{
+    Condition, Entries, Mutation, Revision, Txn, MAX_OPS, MAX_VALUE,
+};
 
 use crate::settings::{Agreed, Problem};
 
@@ -77,7 +79,7 @@
 }
 
 fn below(state: &impl Entries, prefix: &'static str) -> impl Iterator<Item = (String, Vec<u8>)> {
-    let listed = state.entries_below(prefix).into_iter();
+    let listed = state.entries_with_prefix(prefix).into_iter();
     listed.map(|(key, _, value)| {
         (
             key.get(prefix.len()..).unwrap_or_default().to_owned(),
@@ -107,7 +109,7 @@
 #[must_use]
 pub fn versions(state: &impl Entries) -> Vec<(u64, Revision)> {
     let prefix = "settings/versions/";
-    let listed = state.entries_below(prefix);
+    let listed = state.entries_with_prefix(prefix);
     listed
         .iter()
         .filter_map(|(key, at, _)| Some((key.get(prefix.len()..)?.parse().ok()?, *at)))
@@ -185,8 +187,8 @@
     }
 }
 
-fn put(key: String, value: impl Into<Vec<u8>>) -> Op {
-    Op::Put {
+fn put(key: String, value: impl Into<Vec<u8>>) -> Mutation {
+    Mutation::Put {
         key,
         value: value.into(),
         lease: None,
@@ -201,7 +203,7 @@
     let op = if on {
         put(key, by(who))
     } else {
-        Op::Delete(key)
+        Mutation::Delete(key)
     };
     Txn {
         then: vec![op],
@@ -235,12 +237,12 @@
     let foreign = before
         .and_then(|b| b.born)
         .is_some_and(|born| Some(born) != record.born);
-    let checks = vec![Check::Changed(
+    let checks = vec![Condition::RevisionIs(
         key.clone(),
         if foreign { Revision::MAX } else { changed },
     )];
     Some(Txn {
-        checks,
+        conditions: checks,
         then: vec![put(key, serde_json::to_vec(record).ok()?)],
         ..Txn::default()
     })
@@ -287,14 +289,17 @@
         put("settings/current".to_owned(), next.to_string()),
     ];
     if let Some(old) = next.checked_sub(VERSIONS) {
-        then.push(Op::Delete(version_key(old)));
+        then.push(Mutation::Delete(version_key(old)));
     }
     // Of two that are proposed at once, one is told that it was not the next.
-    let checks = vec![Check::Changed("settings/current".to_owned(), changed)];
+    let checks = vec![Condition::RevisionIs(
+        "settings/current".to_owned(),
+        changed,
+    )];
     Ok((
         next,
         Txn {
-            checks,
+            conditions: checks,
             then,
             ..Txn::default()
         },
@@ -354,7 +359,7 @@
     let gone = held
         .keys()
         .filter(|k| !wanted.contains_key(*k))
-        .map(|k| Op::Delete(format!("engines/{k}")));
+        .map(|k| Mutation::Delete(format!("engines/{k}")));
     let new = wanted.iter().filter(|(k, v)| held.get(*k) != Some(*v));
     let new = new.map(|(k, v)| put(format!("engines/{k}"), v.clone()));
     let mut then: Vec<_> = gone.chain(new).take(MAX_OPS).collect();
@@ -363,7 +368,7 @@
     }
     let changed = state.entry("list").map_or(0, |(revision, _)| revision);
     Some(Txn {
-        checks: vec![Check::Changed("list".to_owned(), changed)],
+        conditions: vec![Condition::RevisionIs("list".to_owned(), changed)],
         then,
         ..Txn::default()
     })
@@ -373,16 +378,22 @@
 #[allow(clippy::unwrap_used)]
 mod tests {
     use super::*;
-    use violetgate_replicated_state::{Command, Outcome, Step, Store};
+    use violetgate_replicated_state::{Command, Operation, Outcome, Store};
 
     fn apply(store: &mut Store, txn: Txn) -> bool {
         let command = Command {
-            request: None,
-            who: "t".to_owned(),
+            request_id: None,
+            actor: "t".to_owned(),
             time: 0,
-            step: Step::Txn(txn),
+            operation: Operation::Txn(txn),
         };
-        matches!(store.apply(&command), Outcome::Done { held: true, .. })
+        matches!(
+            store.apply(&command),
+            Outcome::Applied {
+                conditions_held: true,
+                ..
+            }
+        )
     }
 
     /// Calls out come before calls back, and what is as it was makes no move.
--- a/gateway/src/daemon/api/cluster.rs
+++ b/gateway/src/daemon/api/cluster.rs
@@ -5,8 +5,8 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
-use violetgate_raft::{Change, Rejected, Role};
-use violetgate_replica::Answer;
+use violetgate_raft::{MembershipChange, ProposalError, Role};
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Answered, Call};
 
 use super::super::agreed::{self, Record};
@@ -51,7 +51,7 @@
         let given = self.daemon.given.addresses();
         let members: Vec<_> = status
             .members
-            .all()
+            .ids()
             .map(|id| {
                 let record = view.members.get(&id);
                 let matched = status
@@ -75,7 +75,7 @@
             "routes": status.fresh.is_ok(),
             "state_age_ms": status.fresh.err().and_then(|s| s.age).map(|a| a / 1000),
             "stopped": self.daemon.cluster.lost(),
-            "highest_id": status.members.highest,
+            "highest_id": status.members.highest_id,
             "members": members,
         }))
     }
@@ -92,9 +92,9 @@
                     api,
                     born: None,
                 };
-                let known = self.daemon.status().members.highest;
+                let known = self.daemon.status().members.highest_id;
                 if id <= known {
-                    return Err(Unagreed::Rejected(Rejected::IdUsed).into());
+                    return Err(Unagreed::Rejected(ProposalError::IdAlreadyUsed).into());
                 }
                 let txn = self
                     .daemon
@@ -103,15 +103,15 @@
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
-                Call::Change(Change::Add(id))
+                Call::Change(MembershipChange::AddLearner(id))
             }
-            MemberStep::Promote(id) => Call::Change(Change::Promote(id)),
-            MemberStep::Remove(id) => Call::Change(Change::Remove(id)),
+            MemberStep::Promote(id) => Call::Change(MembershipChange::PromoteLearner(id)),
+            MemberStep::Remove(id) => Call::Change(MembershipChange::Remove(id)),
             MemberStep::Transfer(id) => Call::Transfer(id),
         };
         match self.daemon.cluster.agree(change, call.within).await {
-            Answered::Yes(Answer::Changed) => {}
-            Answered::Yes(Answer::Rejected(why)) => return Err(Unagreed::Rejected(why).into()),
+            Answered::Yes(Response::MembershipChanged) => {}
+            Answered::Yes(Response::Rejected(why)) => return Err(Unagreed::Rejected(why).into()),
             _ => return Err(Unagreed::Late.into()),
         }
         let _ = self.daemon.cluster.current(call.within).await;
@@ -163,7 +163,7 @@
         if self.daemon.status().members.contains(member) {
             Ok(member)
         } else {
-            Err(Unagreed::Rejected(Rejected::Unknown).into())
+            Err(Unagreed::Rejected(ProposalError::UnknownMember).into())
         }
     }
 
