--- a/gateway/src/daemon/api/http.rs
+++ b/gateway/src/daemon/api/http.rs
@@ -11,8 +11,8 @@
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use serde_json::Value;
-use violetgate_raft::Rejected;
-use violetgate_replicated_state::{Compacted, Refused};
+use violetgate_raft::ProposalError;
+use violetgate_replicated_state::{CommandError, Compacted};
 
 use super::super::agreed::Unfit;
 use super::super::Unagreed;
@@ -85,18 +85,18 @@
                 "outcome-unknown",
                 "not agreed on in its time; it may still come to be: ask again under the same Request-Id",
             ),
-            Unagreed::Refused(Refused::TooLarge) => problem(
+            Unagreed::Refused(CommandError::TooLarge) => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
                 "a key, a value or the transaction is too large",
             ),
-            Unagreed::Refused(Refused::Full) => {
+            Unagreed::Refused(CommandError::StoreFull) => {
                 problem(StatusCode::INSUFFICIENT_STORAGE, "store-full", "the store is full")
             }
-            Unagreed::Refused(Refused::NoLease(id)) => {
+            Unagreed::Refused(CommandError::UnknownLease(id)) => {
                 problem(StatusCode::NOT_FOUND, "no-such-lease", format!("there is no lease {id}"))
             }
-            Unagreed::Refused(Refused::Future) => bad("there is no such revision yet"),
+            Unagreed::Refused(CommandError::FutureRevision) => bad("there is no such revision yet"),
             Unagreed::NotAMember => problem(
                 StatusCode::CONFLICT,
                 "not-a-member",
@@ -104,11 +104,11 @@
             ),
             Unagreed::Rejected(why) => {
                 let detail = match why {
-                    Rejected::IdUsed => "this id was given before; ids are never used twice",
-                    Rejected::Unknown => "there is no such member, or it is not of that kind",
-                    Rejected::Behind => "it has not caught up yet; try again",
-                    Rejected::LastVoter => "the last voter can't leave",
-                    Rejected::NotLeader | Rejected::Pending | Rejected::Busy => "not now; try again",
+                    ProposalError::IdAlreadyUsed => "this id was given before; ids are never used twice",
+                    ProposalError::UnknownMember => "there is no such member, or it is not of that kind",
+                    ProposalError::LearnerBehind => "it has not caught up yet; try again",
+                    ProposalError::LastVoter => "the last voter can't leave",
+                    ProposalError::NotLeader | ProposalError::ChangeInProgress | ProposalError::Busy => "not now; try again",
                 };
                 problem(StatusCode::CONFLICT, "rejected", detail)
             }
@@ -146,7 +146,7 @@
     fn from(gone: Compacted) -> Self {
         let detail = format!(
             "that revision is compacted away: read anew, from {} at the earliest",
-            gone.first
+            gone.first_revision
         );
         problem(StatusCode::GONE, "compacted", detail)
     }
--- a/gateway/src/daemon/api/mod.rs
+++ b/gateway/src/daemon/api/mod.rs
@@ -22,9 +22,9 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
-use violetgate_replica::Answer;
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Answered, Call};
-use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
+use violetgate_replicated_state::{Operation, Outcome, Revision, Txn};
 
 use super::{request_id, Daemon, Unagreed};
 use crate::log;
@@ -219,7 +219,7 @@
             .await?)
     }
 
-    async fn step(&self, call: &Asked, step: Step) -> Answering {
+    async fn step(&self, call: &Asked, step: Operation) -> Answering {
         let request = call.id.clone().unwrap_or_else(request_id);
         let asked = Call::Propose {
             request,
@@ -227,13 +227,13 @@
             step,
         };
         match self.daemon.cluster.agree(asked, call.within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => {
+            Answered::Yes(Response::Applied(Outcome::Applied { revision, .. })) => {
                 Ok(told(&json!({"revision": revision})))
             }
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => {
+            Answered::Yes(Response::Applied(Outcome::Rejected(why))) => {
                 Err(Unagreed::Refused(why).into())
             }
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
+            Answered::Yes(Response::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
             _ => Err(Unagreed::Late.into()),
         }
     }
--- a/gateway/src/daemon/api/query.rs
+++ b/gateway/src/daemon/api/query.rs
@@ -8,7 +8,7 @@
 use hyper::{Request, StatusCode};
 use serde::Deserialize;
 use serde_json::{json, Value};
-use violetgate_replicated_state::{Check, Op, Revision};
+use violetgate_replicated_state::{Condition, Mutation, Revision};
 
 use super::super::agreed;
 use super::http::{bad, problem};
@@ -94,13 +94,13 @@
 }
 
 impl AskedCheck {
-    pub(super) fn read(self) -> Result<Check, Problem> {
+    pub(super) fn read(self) -> Result<Condition, Problem> {
         match self.changed {
             Some(revision) if self.holds.is_none() && self.holds_base64.is_none() => {
-                Ok(Check::Changed(self.key, revision))
+                Ok(Condition::RevisionIs(self.key, revision))
             }
             Some(_) => Err(bad("a check names `changed`, or what the key holds")),
-            None => Ok(Check::Holds(
+            None => Ok(Condition::ValueIs(
                 self.key,
                 bytes(self.holds, self.holds_base64)?,
             )),
@@ -109,17 +109,17 @@
 }
 
 impl AskedOp {
-    pub(super) fn read(self) -> Result<Op, Problem> {
+    pub(super) fn read(self) -> Result<Mutation, Problem> {
         match (self.put, self.delete) {
             (Some(key), None) => {
                 let value = bytes(self.value, self.value_base64)?;
-                Ok(Op::Put {
+                Ok(Mutation::Put {
                     key: free(key)?,
                     value,
                     lease: self.lease,
                 })
             }
-            (None, Some(key)) => Ok(Op::Delete(free(key)?)),
+            (None, Some(key)) => Ok(Mutation::Delete(free(key)?)),
             _ => Err(bad("a change has either `put` or `delete`")),
         }
     }
--- a/gateway/src/daemon/api/settings.rs
+++ b/gateway/src/daemon/api/settings.rs
@@ -45,8 +45,11 @@
             .as_ref()
             .and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
         let (revision, held) = match done {
-            Some(Outcome::Done { revision, held }) => (revision, held),
-            Some(Outcome::Refused(why)) => return Err(Unagreed::Refused(why).into()),
+            Some(Outcome::Applied {
+                revision,
+                conditions_held: held,
+            }) => (revision, held),
+            Some(Outcome::Rejected(why)) => return Err(Unagreed::Refused(why).into()),
             None => {
                 let (_, txn) = match back_to {
                     Some(version) => cluster.store(|s| agreed::roll_back(s, version))?,
--- a/gateway/src/daemon/api/state.rs
+++ b/gateway/src/daemon/api/state.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::json;
-use violetgate_replicated_state::{Check, Op, Step, Txn};
+use violetgate_replicated_state::{Condition, Mutation, Operation, Txn};
 
 use super::http::{bad, problem, reply, told, Answering};
 use super::query::{entry, free, value, Asked, AskedCheck, AskedLease, AskedOp, AskedTxn, LONGEST};
@@ -62,24 +62,24 @@
         let checks = call
             .query
             .number("if_revision")?
-            .map(|r| Check::Changed(key.clone(), r))
+            .map(|r| Condition::RevisionIs(key.clone(), r))
             .into_iter()
             .collect();
         let lease = call.query.number("lease")?;
         let op = if sets {
-            Op::Put {
+            Mutation::Put {
                 key,
                 value: call.body.clone(),
                 lease,
             }
         } else {
-            Op::Delete(key)
+            Mutation::Delete(key)
         };
         Self::held(
             self.agree(
                 call,
                 Txn {
-                    checks,
+                    conditions: checks,
                     then: vec![op],
                     ..Txn::default()
                 },
@@ -98,7 +98,7 @@
                 .collect::<Result<Vec<_>, _>>()
         };
         let txn = Txn {
-            checks: asked
+            conditions: asked
                 .checks
                 .into_iter()
                 .map(AskedCheck::read)
@@ -146,7 +146,7 @@
                 .iter()
                 .map(|c| {
                     let (name, value) = c.value.as_ref().map_or(("deleted", true.into()), |v| value(v));
-                    json!({"revision": c.revision, "key": c.key, name: value, "who": c.who, "time_us": c.time})
+                    json!({"revision": c.revision, "key": c.key, name: value, "who": c.actor, "time_us": c.time})
                 })
                 .collect();
             return Ok(told(&json!({"revision": to, "changes": changes})));
@@ -159,7 +159,7 @@
             .query
             .number("revision")?
             .ok_or_else(|| bad("`revision` is missing"))?;
-        self.step(call, Step::Compact(to)).await
+        self.step(call, Operation::Compact(to)).await
     }
 
     pub(super) async fn lease(&self, call: &Asked) -> Answering {
@@ -168,9 +168,9 @@
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
         self.step(
             call,
-            Step::Lease {
+            Operation::GrantLease {
                 id: asked.id,
-                span: asked.ttl_ms.saturating_mul(1000),
+                ttl: asked.ttl_ms.saturating_mul(1000),
             },
         )
         .await
@@ -182,7 +182,7 @@
             .query
             .number("id")?
             .ok_or_else(|| bad("`id` is missing"))?;
-        self.step(call, Step::Release(id)).await
+        self.step(call, Operation::RevokeLease(id)).await
     }
 
     pub(super) async fn snapshot(&self, call: &Asked) -> Answering {
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -16,12 +16,12 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Config, NodeId, Rejected, Role};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{Config, NodeId, ProposalError, Role};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{
     Answered, Call, Cluster, FleetTotals, InForce, ObserverConfig, ObserverService, Options, Status,
 };
-use violetgate_replicated_state::{Outcome, Refused, Revision, Step, Store, Txn};
+use violetgate_replicated_state::{CommandError, Operation, Outcome, Revision, Store, Txn};
 
 use crate::fence::Fence;
 use crate::log;
@@ -48,9 +48,9 @@
     /// Not in its time: it may still come to be. The same call under the same request id tells.
     Late,
     /// The store refused it.
-    Refused(Refused),
+    Refused(CommandError),
     /// The step of the membership can't be taken.
-    Rejected(Rejected),
+    Rejected(ProposalError),
     /// This instance subscribes: only a member can have something agreed on.
     NotAMember,
 }
@@ -99,16 +99,16 @@
         seed: u64,
     ) -> Result<Rc<Self>, String> {
         let micros = |s: settings::Span| u64::try_from(s.0.as_micros()).unwrap_or(u64::MAX);
-        let core = Config {
+        let raft = Config {
             election: micros(given.election_timeout),
             heartbeat: micros(given.heartbeat),
             ..Config::default()
         };
-        let config = MemberConfig {
-            core,
-            snapshot_every: given.snapshot_every,
-            drain_limit: micros(given.drain_limit),
-            confirm_every: micros(given.confirm_every),
+        let config = ReplicaConfig {
+            raft,
+            snapshot_interval: given.snapshot_every,
+            max_staleness: micros(given.drain_limit),
+            confirm_interval: micros(given.confirm_every),
         };
         let options = Options {
             cluster: given.name.clone(),
@@ -224,12 +224,15 @@
         let call = Call::Propose {
             request,
             who: who.to_owned(),
-            step: Step::Txn(txn),
+            step: Operation::Txn(txn),
         };
         match self.cluster.agree(call, within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, held })) => Ok((revision, held)),
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(Unagreed::Refused(why)),
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why)),
+            Answered::Yes(Response::Applied(Outcome::Applied {
+                revision,
+                conditions_held: held,
+            })) => Ok((revision, held)),
+            Answered::Yes(Response::Applied(Outcome::Rejected(why))) => Err(Unagreed::Refused(why)),
+            Answered::Yes(Response::Rejected(why)) => Err(Unagreed::Rejected(why)),
             _ => Err(Unagreed::Late),
         }
     }
--- a/tools/acceptance/src/bin/prove-daemon.rs
+++ b/tools/acceptance/src/bin/prove-daemon.rs
@@ -17,7 +17,7 @@
 use violetgate_acceptance::daemon::{Cluster, Instance};
 use violetgate_acceptance::{ended, inside, Verdict};
 use violetgate_fake_upstreams::{Fleet, Profile};
-use violetgate_linearizability::{first, fits, Call, Deed};
+use violetgate_linearizability::{first_operations_on, is_linearizable, Operation, OperationKind};
 
 /// Proves the replicated daemon.
 #[derive(Parser)]
@@ -117,7 +117,7 @@
     tally: Tally,
     /// Since when an instance has been cut off from both others, by its id.
     isolated: Mutex<BTreeMap<u64, Instant>>,
-    history: Mutex<Vec<Deed>>,
+    history: Mutex<Vec<Operation>>,
     begun: Instant,
     over: AtomicBool,
     rid: AtomicU64,
@@ -163,8 +163,12 @@
     let counts = fleet.counts();
     let history = lock(&scene.history);
     let keys = history.iter().map(|d| d.key).max().unwrap_or(0);
-    let unfit = (0..=keys).filter(|k| !fits(&first(&history, *k))).count() as u64;
-    let checked: usize = (0..=keys).map(|k| first(&history, k).len()).sum();
+    let unfit = (0..=keys)
+        .filter(|k| !is_linearizable(&first_operations_on(&history, *k)))
+        .count() as u64;
+    let checked: usize = (0..=keys)
+        .map(|k| first_operations_on(&history, k).len())
+        .sum();
     let effects = counts.effects.values().copied().max().unwrap_or(0);
     println!(
         "trouble: {}",
@@ -413,7 +417,7 @@
         let id = format!("o-{operator}-{n}");
         let path = format!("/v1/state?key={name}&within_ms=1500");
         let (method, path, body, mut call) = match rng.next_u64() % 3 {
-            0 => ("PUT", path, new.to_string(), Call::Put(new)),
+            0 => ("PUT", path, new.to_string(), OperationKind::Write(new)),
             1 => {
                 let txn = json!({"checks": [{"key": name, "holds": old.to_string()}],
                     "then": [{"put": name, "value": new.to_string()}]});
@@ -421,10 +425,14 @@
                     "POST",
                     "/v1/transactions?within_ms=1500".to_owned(),
                     txn.to_string(),
-                    Call::Cas(old, new, None),
+                    OperationKind::CompareAndSwap {
+                        expected: old,
+                        new,
+                        swapped: None,
+                    },
                 )
             }
-            _ => ("GET", path, String::new(), Call::Get(None)),
+            _ => ("GET", path, String::new(), OperationKind::Read(None)),
         };
         let mut ended = None;
         while began.elapsed() < Duration::from_secs(3) && ended.is_none() {
@@ -438,36 +446,36 @@
             );
             let json = |r: &violetgate_fake_upstreams::client::Reply| r.json();
             match (&mut call, reply) {
-                (Call::Get(seen), Ok(r)) if r.status == 200 => {
+                (OperationKind::Read(seen), Ok(r)) if r.status == 200 => {
                     *seen = json(&r)["value"].as_str().and_then(|v| v.parse().ok());
                     ended = Some(Instant::now());
                 }
-                (Call::Get(seen), Ok(r)) if r.status == 404 => {
+                (OperationKind::Read(seen), Ok(r)) if r.status == 404 => {
                     *seen = None;
                     ended = Some(Instant::now());
                 }
-                (Call::Put(_), Ok(r)) if r.status == 200 => ended = Some(Instant::now()),
-                (Call::Cas(_, _, held), Ok(r)) if r.status == 200 => {
-                    *held = json(&r)["held"].as_bool();
+                (OperationKind::Write(_), Ok(r)) if r.status == 200 => ended = Some(Instant::now()),
+                (OperationKind::CompareAndSwap { swapped, .. }, Ok(r)) if r.status == 200 => {
+                    *swapped = json(&r)["held"].as_bool();
                     ended = Some(Instant::now());
                 }
                 _ => std::thread::sleep(Duration::from_millis(20)),
             }
         }
-        let read = matches!(call, Call::Get(_));
+        let read = matches!(call, OperationKind::Read(_));
         add(match (ended, read) {
             (Some(_), _) => &scene.tally.changes,
             (None, _) => &scene.tally.unsure,
         });
         // A read that nobody answered says nothing.
         if ended.is_some() || !read {
-            let deed = Deed {
+            let operation = Operation {
                 key,
-                call,
-                began: micros(began),
-                ended: ended.map(micros),
+                kind: call,
+                started_at: micros(began),
+                finished_at: ended.map(micros),
             };
-            lock(&scene.history).push(deed);
+            lock(&scene.history).push(operation);
         }
         std::thread::sleep(between(&mut rng, 5, 60));
     }
--- a/tools/acceptance/src/inside.rs
+++ b/tools/acceptance/src/inside.rs
@@ -7,11 +7,11 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Entry, Hard, Payload, Write};
-use violetgate_raft_storage::{Disk, Folder};
-use violetgate_replica::MemberConfig;
+use violetgate_raft::{Entry, HardState, Payload, StorageWrite};
+use violetgate_raft_storage::{FsDirectory, RaftStorage};
+use violetgate_replica::ReplicaConfig;
 use violetgate_replica_runtime::{Beginning, Cluster, Options};
-use violetgate_replicated_state::{Command, Op, Step, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
 
 use crate::Verdict;
 
@@ -41,9 +41,9 @@
             folder: self.0.clone(),
             listen,
             members: BTreeMap::from([(1, listen)]),
-            config: MemberConfig {
-                snapshot_every,
-                ..MemberConfig::default()
+            config: ReplicaConfig {
+                snapshot_interval: snapshot_every,
+                ..ReplicaConfig::default()
             },
             seed: 7,
         })
@@ -60,20 +60,20 @@
 
 fn put(n: u64) -> Command {
     let key = format!("key/{:07}", n % KEYS);
-    let op = Op::Put {
+    let op = Mutation::Put {
         key,
         value: format!("value {n:026}").into_bytes(),
         lease: None,
     };
-    let step = Step::Txn(Txn {
+    let step = Operation::Txn(Txn {
         then: vec![op],
         ..Txn::default()
     });
     Command {
-        request: None,
-        who: "proof".to_owned(),
+        request_id: None,
+        actor: "proof".to_owned(),
         time: n,
-        step,
+        operation: step,
     }
 }
 
@@ -110,9 +110,9 @@
 pub fn recovery(entries: u64, verdict: &mut Verdict) -> Result<()> {
     let place = Place::new("recovery");
     place.begin()?;
-    let folder = || Folder::new(&place.0);
+    let folder = || FsDirectory::new(&place.0);
     let (mut disk, _) =
-        Disk::open(folder()?, "inside", 1).map_err(|e| Error::other(e.to_string()))?;
+        RaftStorage::open(folder()?, "inside", 1).map_err(|e| Error::other(e.to_string()))?;
     let entry = |index: u64| {
         let bytes = encode(&put(index));
         Entry {
@@ -125,15 +125,15 @@
     while at <= entries {
         let append: Vec<_> = (at..(at + batch).min(entries + 1)).map(entry).collect();
         at += append.len() as u64;
-        let hard = Some(Hard {
+        let hard = Some(HardState {
             term: 1,
             vote: Some(1),
         });
-        disk.write(&[Write {
+        disk.write(&[StorageWrite {
             seq: at,
             hard,
             append,
-            ..Write::default()
+            ..StorageWrite::default()
         }])
         .map_err(|e| Error::other(e.to_string()))?;
     }
--- a/tools/linearizability/src/lib.rs
+++ b/tools/linearizability/src/lib.rs
@@ -1,132 +1,147 @@
-//! Whether what clients saw of one key fits one order of all calls (it is linearizable): a checker after Wing and Gong.
+//! A linearizability checker for histories of operations on single keys, after Wing and Gong.
 //!
-//! It does no I/O. It must never pass a history because it is long: what it takes is bounded, and told.
+//! A history is linearizable if some total order of its operations explains every answer, where each operation takes
+//! effect at one moment between its start and its end. The search is exponential in the worst case, so the length of
+//! a history is bounded by [`MAX_OPERATIONS`].
+//!
+//! ```
+//! use violetgate_linearizability::{is_linearizable, Operation, OperationKind};
+//!
+//! let operation = |kind, started_at, finished_at| Operation {
+//!     key: 0,
+//!     kind,
+//!     started_at,
+//!     finished_at: Some(finished_at),
+//! };
+//! let write = operation(OperationKind::Write(1), 0, 10);
+//! assert!(is_linearizable(&[write.clone(), operation(OperationKind::Read(Some(1)), 20, 30)]));
+//! assert!(!is_linearizable(&[write, operation(OperationKind::Read(None), 20, 30)]));
+//! ```
 
 use std::collections::HashSet;
 
-/// The most deeds of one history.
-pub const MOST: usize = 128;
+#[cfg(test)]
+mod tests;
+
+/// The most operations of one history.
+pub const MAX_OPERATIONS: usize = 128;
 
 /// What a client does to a key, which holds a number or nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Call {
-    /// It sets it.
-    Put(u64),
-    /// From, to, and whether it did, if that is known.
-    Cas(u64, u64, Option<bool>),
-    /// What it saw.
-    Get(Option<u64>),
+pub enum OperationKind {
+    /// Sets the key.
+    Write(u64),
+    /// Sets the key if it holds the expected value.
+    CompareAndSwap {
+        /// The value that the key has to hold.
+        expected: u64,
+        /// The value that it holds afterwards.
+        new: u64,
+        /// Whether it was set; `None` if that is not known.
+        swapped: Option<bool>,
+    },
+    /// Reads the key; the value that was seen.
+    Read(Option<u64>),
 }
 
-/// One call, with the time in which it took effect.
+/// One operation of a client, with the time span in which it took effect.
 #[derive(Debug, Clone)]
-pub struct Deed {
+pub struct Operation {
     /// The key.
     pub key: u64,
-    /// The call.
-    pub call: Call,
-    /// When it began, in microseconds.
-    pub began: u64,
-    /// `None`: its fate is not known, and it may take effect at any time after it began, or never.
-    pub ended: Option<u64>,
+    /// What was done.
+    pub kind: OperationKind,
+    /// When the client began, in microseconds.
+    pub started_at: u64,
+    /// When the client got its answer, in microseconds. `None`: the outcome is not known, and the operation may take
+    /// effect at any time after its start, or never.
+    pub finished_at: Option<u64>,
 }
 
-/// The deeds at one key that are checked: the first ones, by their beginnings.
+/// The first [`MAX_OPERATIONS`] operations on a key, by the time at which they started.
 #[must_use]
-pub fn first(history: &[Deed], key: u64) -> Vec<Deed> {
-    let mut deeds: Vec<_> = history.iter().filter(|d| d.key == key).cloned().collect();
-    deeds.sort_by_key(|d| d.began);
-    deeds.truncate(MOST);
-    deeds
+pub fn first_operations_on(history: &[Operation], key: u64) -> Vec<Operation> {
+    let mut operations: Vec<_> = history
+        .iter()
+        .filter(|operation| operation.key == key)
+        .cloned()
+        .collect();
+    operations.sort_by_key(|operation| operation.started_at);
+    operations.truncate(MAX_OPERATIONS);
+    operations
 }
 
-/// Whether the deeds at one key fit one order: each takes effect at some moment between its beginning and its end.
+/// Whether the operations on one key, which held nothing before them, are linearizable.
 ///
 /// # Panics
 ///
-/// There are more than [`MOST`].
+/// There are more than [`MAX_OPERATIONS`].
 #[must_use]
-pub fn fits(deeds: &[Deed]) -> bool {
-    fn go(
-        deeds: &[Deed],
-        done: u128,
-        value: Option<u64>,
-        seen: &mut HashSet<(u128, Option<u64>)>,
-    ) -> bool {
-        let open: Vec<_> = deeds
+pub fn is_linearizable(operations: &[Operation]) -> bool {
+    let count = operations.len();
+    assert!(
+        count <= MAX_OPERATIONS,
+        "{count} operations, {MAX_OPERATIONS} at most"
+    );
+    Search {
+        operations,
+        visited: HashSet::new(),
+    }
+    .can_finish(State::default())
+}
+
+/// Where the search stands: the operations that have taken effect, one bit each, and the value after them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
+struct State {
+    done: u128,
+    value: Option<u64>,
+}
+
+struct Search<'a> {
+    operations: &'a [Operation],
+    visited: HashSet<State>,
+}
+
+impl Search<'_> {
+    /// Whether the operations that are left can follow in some order.
+    fn can_finish(&mut self, state: State) -> bool {
+        let operations = self.operations;
+        let left: Vec<_> = operations
             .iter()
             .enumerate()
-            .filter(|(n, _)| done >> n & 1 == 0)
+            .filter(|(bit, _)| state.done >> bit & 1 == 0)
             .collect();
-        if open.iter().all(|(_, d)| d.ended.is_none()) {
+        if left.iter().all(|(_, o)| o.finished_at.is_none()) {
             return true;
         }
-        if !seen.insert((done, value)) {
+        if !self.visited.insert(state) {
             return false;
         }
-        // The next one can't have begun after another had ended that is still to come.
-        let end = open.iter().filter_map(|(_, d)| d.ended).min();
-        open.iter()
-            .filter(|(_, d)| end.is_none_or(|e| d.began <= e))
-            .any(|(n, deed)| {
-                let next = match deed.call {
-                    Call::Put(new) => Some(Some(new)),
-                    Call::Cas(old, new, held) => {
-                        let holds = value == Some(old);
-                        held.is_none_or(|h| h == holds).then_some(if holds {
-                            Some(new)
-                        } else {
-                            value
-                        })
-                    }
-                    Call::Get(got) => (got == value).then_some(value),
-                };
-                next.is_some_and(|next| go(deeds, done | 1 << n, next, seen))
+        // The next operation can't have started after another one that is left had finished.
+        let earliest_end = left.iter().filter_map(|(_, o)| o.finished_at).min();
+        left.into_iter()
+            .filter(|(_, o)| earliest_end.is_none_or(|end| o.started_at <= end))
+            .any(|(bit, operation)| {
+                let done = state.done | 1 << bit;
+                value_after(operation.kind, state.value)
+                    .is_some_and(|value| self.can_finish(State { done, value }))
             })
     }
-    assert!(deeds.len() <= MOST, "{} deeds, {MOST} at most", deeds.len());
-    go(deeds, 0, None, &mut HashSet::new())
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn deed(call: Call, began: u64, ended: u64) -> Deed {
-        Deed {
-            key: 0,
-            call,
-            began,
-            ended: Some(ended),
-        }
-    }
-
-    /// What fits no order is noticed: an old value after a new one was told, and two that both exchange one value.
-    #[test]
-    fn what_fits_no_order_is_noticed() {
-        let stale = [
-            deed(Call::Put(1), 0, 1),
-            deed(Call::Put(2), 2, 3),
-            deed(Call::Get(Some(1)), 4, 5),
-        ];
-        assert!(!fits(&stale) && fits(&stale[..2]));
-        let mut both = vec![
-            deed(Call::Cas(1, 2, Some(true)), 2, 9),
-            deed(Call::Cas(1, 3, Some(true)), 2, 9),
-        ];
-        both.push(deed(Call::Put(1), 0, 1));
-        assert!(!fits(&both));
-        // One whose fate is not known may have taken effect, or not.
-        let unknown = Deed {
-            ended: None,
-            ..deed(Call::Put(7), 2, 0)
-        };
-        for seen in [1, 7] {
-            assert!(fits(&[
-                deed(Call::Put(1), 0, 1),
-                unknown.clone(),
-                deed(Call::Get(Some(seen)), 5, 6)
-            ]));
+/// What the key holds after an operation; `None` if the operation can't have been answered so at this value.
+fn value_after(kind: OperationKind, value: Option<u64>) -> Option<Option<u64>> {
+    match kind {
+        OperationKind::Write(new) => Some(Some(new)),
+        OperationKind::CompareAndSwap {
+            expected,
+            new,
+            swapped,
+        } => {
+            let matches = value == Some(expected);
+            let next = if matches { Some(new) } else { value };
+            swapped.is_none_or(|s| s == matches).then_some(next)
         }
+        OperationKind::Read(seen) => (seen == value).then_some(value),
     }
 }
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -13,10 +13,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Change, NodeId, Role};
-use violetgate_replica::Answer;
+use violetgate_raft::{MembershipChange, NodeId, Role};
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Answered, Call, Cluster};
-use violetgate_replicated_state::{Op, Outcome, Revision, Step, Txn};
+use violetgate_replicated_state::{Mutation, Operation, Outcome, Revision, Txn};
 
 use crate::error::ScaleError;
 use crate::figures::{Break, Figures, Options};
@@ -270,9 +270,9 @@
         for id in joining {
             let added = self
                 .leader
-                .agree(Call::Change(Change::Add(id)), SETTLE)
+                .agree(Call::Change(MembershipChange::AddLearner(id)), SETTLE)
                 .await;
-            if added != Answered::Yes(Answer::Changed) {
+            if added != Answered::Yes(Response::MembershipChanged) {
                 return Err(ScaleError::Member {
                     id,
                     reason: format!("it was not added: {added:?}"),
@@ -383,12 +383,12 @@
     async fn change(&mut self, size: u64) -> Result<Duration, ScaleError> {
         self.next_change += 1;
         let value = format!("{:026}", self.next_change).into_bytes();
-        let put = Op::Put {
+        let put = Mutation::Put {
             key: "scale/limit".to_owned(),
             value,
             lease: None,
         };
-        let step = Step::Txn(Txn {
+        let step = Operation::Txn(Txn {
             then: vec![put],
             ..Txn::default()
         });
@@ -400,7 +400,7 @@
         };
         let begun = Instant::now();
         let revision = match self.leader.agree(call, APPLY).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => revision,
+            Answered::Yes(Response::Applied(Outcome::Applied { revision, .. })) => revision,
             _ => {
                 return Err(ScaleError::Late {
                     what: "a change",
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -13,7 +13,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use violetgate_raft::NodeId;
-use violetgate_replica::MemberConfig;
+use violetgate_replica::ReplicaConfig;
 use violetgate_replica_runtime::{Beginning, Cluster, Options};
 use violetgate_replicated_state::Revision;
 
@@ -95,7 +95,7 @@
         folder,
         listen,
         members: addresses.clone(),
-        config: MemberConfig::default(),
+        config: ReplicaConfig::default(),
         seed: place.1.wrapping_add(id),
     };
     let member = Cluster::start(executor, &options).map_err(failed)?;
--- a/tools/scale/src/hollow/changes.rs
+++ b/tools/scale/src/hollow/changes.rs
@@ -168,7 +168,7 @@
 }
 
 fn first(entries: &impl Entries) -> Option<u64> {
-    let kept = entries.entries_below(PREFIX);
+    let kept = entries.entries_with_prefix(PREFIX);
     kept.first()
         .and_then(|(key, _, _)| key.strip_prefix(PREFIX)?.parse().ok())
 }
--- a/tools/scale/tests/hollow_changes.rs
+++ b/tools/scale/tests/hollow_changes.rs
@@ -26,7 +26,7 @@
             .map(|(revision, value)| (*revision, value.as_slice()))
     }
 
-    fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
         let below = self
             .entries
             .iter()
