--- /dev/null
+++ b/hot-restart/tests/trace_digest.rs
@@ -0,0 +1,241 @@
+//! Both ends do exactly what they did when these digests were taken: drawn streams of events, with every action
+//! written as bytes by the test itself, in one FNV-1a hash for each end. And frames that the previous release wrote
+//! are read, and written alike.
+
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+
+use std::io::{Read, Write};
+use std::os::unix::net::UnixStream;
+
+use async_io::Async;
+use violetgate_hot_restart::carrier::Carrier;
+use violetgate_hot_restart::{Action, Message, New, Old, Refusal, LONGEST, PATIENCE};
+
+/// FNV-1a over everything that is written to it.
+struct Fnv(u64);
+
+impl Fnv {
+    fn new() -> Self {
+        Fnv(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn number(&mut self, number: u64) {
+        self.bytes(&number.to_le_bytes());
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+struct Lcg(u64);
+
+impl Lcg {
+    fn below(&mut self, limit: u64) -> u64 {
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 20) % limit.max(1)
+    }
+}
+
+fn write_action(hash: &mut Fnv, action: &Action) {
+    let (number, bytes) = match action {
+        Action::Say(message) => (1, postcard::to_stdvec(message).unwrap()),
+        Action::Pass(message) => (2, postcard::to_stdvec(message).unwrap()),
+        Action::SayPart(part) => (3, part.to_le_bytes().to_vec()),
+        Action::Accept(accept) => (4, vec![u8::from(*accept)]),
+        Action::Keys(accept) => (5, vec![u8::from(*accept)]),
+        Action::SayYours => (6, vec![]),
+        Action::Hold => (7, vec![]),
+        Action::Adopt(part, bytes) => (8, [&part.to_le_bytes()[..], bytes].concat()),
+        Action::AdoptLast(bytes) => (9, bytes.clone()),
+        Action::ListenBeside => (10, vec![]),
+        Action::HangUp => (11, vec![]),
+    };
+    hash.number(number);
+    hash.number(bytes.len() as u64);
+    hash.bytes(&bytes);
+}
+
+/// A message that makes sense half of the time.
+fn message(draw: &mut Lcg) -> Message {
+    match draw.below(13) {
+        0 | 1 => Message::Hello {
+            least: draw.below(3) as u16,
+            most: draw.below(4) as u16,
+        },
+        2 => Message::Refuse(
+            [Refusal::Version, Refusal::Taken, Refusal::Leaving][draw.below(3) as usize],
+        ),
+        3 | 4 => Message::Offer {
+            version: draw.below(3) as u16,
+            parts: draw.below(3) as u32,
+        },
+        5 | 6 => {
+            let long = draw.below(10) == 0;
+            Message::Part {
+                number: draw.below(2) as u32,
+                bytes: vec![draw.below(256) as u8; if long { LONGEST + 1 } else { 3 }],
+            }
+        }
+        7 | 8 => Message::Holds(draw.below(4) as u32),
+        9 => Message::Ready,
+        10 => Message::Yours(vec![draw.below(256) as u8; 2]),
+        11 => Message::Ended(vec![draw.below(256) as u8; 4]),
+        _ => Message::Done,
+    }
+}
+
+#[test]
+fn the_end_that_hands_over_acts_as_it_did() {
+    let mut hash = Fnv::new();
+    let mut draw = Lcg(1);
+    for _ in 0..5_000 {
+        let mut old = Old::new();
+        let mut now = draw.below(1_000_000_000);
+        for _ in 0..20 {
+            now += draw.below(PATIENCE / 4);
+            match draw.below(16) {
+                0 => old.tick(now),
+                1 => old.lost(),
+                2 => old.done(),
+                3 => old.ended(vec![draw.below(256) as u8]),
+                4 if draw.below(4) == 0 => old.leave(),
+                _ => old.hear(&message(&mut draw), draw.below(3) as u32, now),
+            }
+            for action in old.actions() {
+                write_action(&mut hash, &action);
+            }
+            hash.number(old.next_tick().unwrap_or(u64::MAX));
+            hash.number(u64::from(old.has_given()));
+            hash.number(match old.may_begin() {
+                Ok(()) => 0,
+                Err(Refusal::Version) => 1,
+                Err(Refusal::Taken) => 2,
+                Err(Refusal::Leaving) => 3,
+            });
+        }
+    }
+    assert_eq!(hash.0, 0x976c_efbf_3fff_9be7, "{:#018x}", hash.0);
+}
+
+#[test]
+fn the_end_that_takes_over_acts_as_it_did() {
+    let mut hash = Fnv::new();
+    let mut draw = Lcg(2);
+    for _ in 0..5_000 {
+        let mut now = draw.below(1_000_000_000);
+        let mut new = New::ask(now);
+        let mut next_part = 0;
+        for _ in 0..20 {
+            now += draw.below(PATIENCE / 4);
+            match draw.below(16) {
+                0 => new.tick(now),
+                1 if draw.below(3) == 0 => new.lost(),
+                2 => new.gone(),
+                3..=8 => {
+                    // What the other end would say next, so that conversations get to their end.
+                    let message = match next_part {
+                        0 => Message::Offer {
+                            version: 1,
+                            parts: 1,
+                        },
+                        1 => Message::Part {
+                            number: 0,
+                            bytes: vec![1, 2, 3],
+                        },
+                        2 => Message::Yours(vec![9, 9]),
+                        _ => Message::Ended(vec![8]),
+                    };
+                    next_part += 1;
+                    new.hear(message, now);
+                }
+                9..=12 => {}
+                _ if draw.below(3) > 0 => {}
+                _ => new.hear(message(&mut draw), now),
+            }
+            for action in new.actions() {
+                write_action(&mut hash, &action);
+            }
+            hash.number(new.next_tick().unwrap_or(u64::MAX));
+            hash.number(u64::from(new.is_owner()));
+        }
+    }
+    assert_eq!(hash.0, 0xc18f_f6a7_fade_d73a, "{:#018x}", hash.0);
+}
+
+/// One of each message, as the stored frames hold them.
+fn messages() -> Vec<(&'static str, Message)> {
+    vec![
+        (
+            "hello",
+            Message::Hello {
+                least: 1,
+                most: 300,
+            },
+        ),
+        ("refuse-version", Message::Refuse(Refusal::Version)),
+        ("refuse-taken", Message::Refuse(Refusal::Taken)),
+        ("refuse-leaving", Message::Refuse(Refusal::Leaving)),
+        (
+            "offer",
+            Message::Offer {
+                version: 1,
+                parts: 70_000,
+            },
+        ),
+        (
+            "part",
+            Message::Part {
+                number: 4,
+                bytes: vec![0, 1, 2, 253, 254, 255],
+            },
+        ),
+        ("holds", Message::Holds(129)),
+        ("ready", Message::Ready),
+        ("yours", Message::Yours(vec![7; 5])),
+        ("ended", Message::Ended(vec![1, 2])),
+        ("done", Message::Done),
+    ]
+}
+
+fn written(message: &Message) -> Vec<u8> {
+    let (ours, mut theirs) = UnixStream::pair().unwrap();
+    let carrier = Carrier::over(Async::new(ours).unwrap()).unwrap();
+    async_io::block_on(carrier.say(message, &[])).unwrap();
+    drop(carrier);
+    let mut bytes = Vec::new();
+    theirs.read_to_end(&mut bytes).unwrap();
+    bytes
+}
+
+fn read(bytes: &[u8]) -> Message {
+    let (ours, mut theirs) = UnixStream::pair().unwrap();
+    let mut carrier = Carrier::over(Async::new(ours).unwrap()).unwrap();
+    theirs.write_all(bytes).unwrap();
+    async_io::block_on(carrier.hear()).unwrap().unwrap().0
+}
+
+#[test]
+fn frames_of_the_previous_release_are_read_and_written_alike() {
+    let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
+    let lines: String = messages()
+        .iter()
+        .map(|(name, message)| format!("{name} {}\n", hex(&written(message))))
+        .collect();
+    let stored = include_str!("fixtures/frames.txt");
+    assert_eq!(lines, stored, "\n{lines}");
+    for ((_, message), line) in messages().iter().zip(stored.lines()) {
+        let (name, digits) = line.split_once(' ').unwrap();
+        let bytes: Vec<u8> = (0..digits.len() / 2)
+            .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).unwrap())
+            .collect();
+        let heard = read(&bytes);
+        assert_eq!(&heard, message, "{name}");
+        assert_eq!(written(&heard), bytes, "{name}");
+    }
+}
--- /dev/null
+++ b/result-store/tests/trace_digest.rs
@@ -0,0 +1,268 @@
+//! The store answers exactly as it did when these digests were taken: drawn streams of calls, with every answer
+//! written as bytes by the test itself, in one FNV-1a hash for each kind.
+
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+
+use std::rc::Rc;
+
+use violetgate_result_store::token::{Sealer, Token};
+use violetgate_result_store::{Budget, Ending, Keys, Limits, Missing, Results, Seen, Wheel};
+
+/// FNV-1a over everything that is written to it.
+struct Fnv(u64);
+
+impl Fnv {
+    fn new() -> Self {
+        Fnv(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn number(&mut self, number: u64) {
+        self.text(&number.to_le_bytes());
+    }
+
+    fn text(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+}
+
+struct Lcg(u64);
+
+impl Lcg {
+    fn below(&mut self, limit: u64) -> u64 {
+        self.0 = self
+            .0
+            .wrapping_mul(6_364_136_223_846_793_005)
+            .wrapping_add(1_442_695_040_888_963_407);
+        (self.0 >> 20) % limit.max(1)
+    }
+}
+
+fn write_seen(hash: &mut Fnv, seen: Seen<u32>) {
+    match seen {
+        Seen::Run => hash.number(1),
+        Seen::Join => hash.number(2),
+        Seen::Replay(answer) => {
+            hash.number(3);
+            hash.number(u64::from(answer));
+        }
+        Seen::Differs => hash.number(4),
+        Seen::Unsure => hash.number(5),
+        Seen::Full(wait) => {
+            hash.number(6);
+            hash.number(wait);
+        }
+    }
+}
+
+#[test]
+fn idempotency_keys_answer_as_they_did() {
+    let mut hash = Fnv::new();
+    for seed in 0..20u64 {
+        let mut draw = Lcg(seed);
+        let mut now = 1_000_000 + draw.below(1_000_000_000);
+        let mut keys: Keys<u32, u32> = Keys::new(40, 3, now);
+        for call in 0..5_000u32 {
+            now += draw.below(40_000);
+            let key = format!("key-{}", draw.below(60));
+            let window = 100_000 + draw.below(3) * 4_000_000;
+            match draw.below(10) {
+                0..=4 => {
+                    let print = [draw.below(20).saturating_sub(18) as u8; 16];
+                    let seen = keys.begin(now, &key, print, window, call % 50);
+                    write_seen(&mut hash, seen);
+                }
+                5..=7 => {
+                    let ending = match draw.below(4) {
+                        0 | 1 => Ending::Served(call),
+                        2 => Ending::Harmless,
+                        _ => Ending::Unknown,
+                    };
+                    for waiter in keys.ended(now, &key, ending) {
+                        hash.number(u64::from(waiter));
+                    }
+                }
+                8 => {
+                    let waiter = draw.below(50) as u32;
+                    hash.number(u64::from(keys.left(now, &key, &waiter)));
+                }
+                _ => {
+                    if draw.below(20) == 0 {
+                        keys.resize(20 + draw.below(40) as usize);
+                    }
+                    hash.number(keys.expire(now) as u64);
+                }
+            }
+            hash.number(keys.len() as u64);
+            hash.number(u64::from(keys.is_empty()));
+        }
+    }
+    assert_eq!(hash.0, 0x2ae9_6bc1_2b76_7e80, "{:#018x}", hash.0);
+}
+
+fn write_missing(hash: &mut Fnv, missing: Missing) {
+    hash.number(match missing {
+        Missing::Unknown => 11,
+        Missing::Gone => 12,
+    });
+}
+
+#[test]
+fn cached_results_answer_as_they_did() {
+    let mut hash = Fnv::new();
+    for seed in 100..120u64 {
+        let mut draw = Lcg(seed);
+        let mut now = 1_700_000_000_000_000 + draw.below(1_000_000_000);
+        let limits = Limits {
+            bytes: 10_000,
+            one: 900,
+            results: 15,
+        };
+        let mut results: Results<u64> = Results::new(Sealer::new(&[seed as u8; 32]), limits, now);
+        let mut places = Vec::new();
+        let mut tokens: Vec<String> = vec!["no token".to_owned()];
+        for call in 0..3_000u64 {
+            now += draw.below(100_000);
+            match draw.below(12) {
+                0..=3 => match results.reserve(now) {
+                    Ok(place) => {
+                        hash.number(1);
+                        places.push(place);
+                    }
+                    Err(wait) => {
+                        hash.number(2);
+                        hash.number(wait);
+                    }
+                },
+                4 | 5 => {
+                    if let Some(place) = places.pop() {
+                        let bytes = draw.below(1_200) as usize;
+                        let until = now + draw.below(5_000_000);
+                        let text = results.promise(Rc::new(call), bytes, place, (call, 7), until);
+                        hash.text(text.as_bytes());
+                        tokens.push(text);
+                    }
+                }
+                6 => drop(places.pop()),
+                7 | 8 => {
+                    let token = &tokens[draw.below(tokens.len() as u64) as usize];
+                    match results.find(now, token) {
+                        Ok((pages, token)) => {
+                            for number in [*pages, token.result, token.query, token.until] {
+                                hash.number(number);
+                            }
+                            hash.number(u64::from(token.attempt));
+                        }
+                        Err(missing) => write_missing(&mut hash, missing),
+                    }
+                }
+                9 => {
+                    let token = &tokens[draw.below(tokens.len() as u64) as usize];
+                    match results.delete(now, token) {
+                        Ok(()) => hash.number(9),
+                        Err(missing) => write_missing(&mut hash, missing),
+                    }
+                }
+                10 => hash.number(results.expire(now) as u64),
+                _ => {
+                    if draw.below(30) == 0 {
+                        let bytes = 4_000 + draw.below(10_000) as usize;
+                        results.limit(Limits { bytes, ..limits });
+                    }
+                    hash.number(results.next_end().unwrap_or(u64::MAX));
+                }
+            }
+            hash.number(results.len() as u64);
+            hash.number(u64::from(results.is_empty()));
+            hash.number(results.budget().held() as u64);
+            hash.number(results.budget().most() as u64);
+        }
+    }
+    assert_eq!(hash.0, 0x8001_a0f3_acff_d299, "{:#018x}", hash.0);
+}
+
+#[test]
+fn the_byte_budget_answers_as_it_did() {
+    let mut hash = Fnv::new();
+    let mut draw = Lcg(200);
+    let budget = Budget::new(10_000);
+    let mut grants = Vec::new();
+    for _ in 0..20_000 {
+        match draw.below(5) {
+            0 | 1 => match budget.reserve(draw.below(3_000) as usize) {
+                Some(grant) => {
+                    hash.number(grant.bytes() as u64);
+                    grants.push(grant);
+                }
+                None => hash.number(u64::MAX),
+            },
+            2 if !grants.is_empty() => {
+                let at = draw.below(grants.len() as u64) as usize;
+                grants.swap_remove(at);
+            }
+            3 if !grants.is_empty() => {
+                let at = draw.below(grants.len() as u64) as usize;
+                grants[at].shrink(draw.below(2_000) as usize);
+                hash.number(grants[at].bytes() as u64);
+            }
+            4 if draw.below(50) == 0 => budget.resize(5_000 + draw.below(10_000) as usize),
+            _ => {}
+        }
+        hash.number(budget.held() as u64);
+        hash.number(budget.most() as u64);
+    }
+    assert_eq!(hash.0, 0x217d_c740_8a5f_5171, "{:#018x}", hash.0);
+}
+
+#[test]
+fn the_timer_wheel_hands_out_as_it_did() {
+    let mut hash = Fnv::new();
+    for seed in 300..310u64 {
+        let mut draw = Lcg(seed);
+        let mut now = draw.below(2_000_000_000_000_000);
+        let mut wheel = Wheel::new(now);
+        for entry in 0..10_000u64 {
+            let span = [
+                1,
+                3_000,
+                90_000,
+                6_000_000,
+                400_000_000,
+                90_000_000_000_000,
+                1 << 52,
+            ];
+            let span = span[draw.below(7) as usize];
+            let delay = draw.below(span);
+            wheel.insert((now + delay).saturating_sub(draw.below(2_000)), entry);
+            if draw.below(3) == 0 {
+                let steps = [900, 60_000, 50_000_000, 70_000_000_000_000];
+                let step = steps[draw.below(4) as usize];
+                now += draw.below(step);
+                wheel.advance(now, |due| hash.number(due));
+            }
+            hash.number(wheel.next().unwrap_or(u64::MAX));
+            hash.number(wheel.len() as u64);
+            hash.number(u64::from(wheel.is_empty()));
+        }
+    }
+    assert_eq!(hash.0, 0x9e69_066a_a5f0_62ec, "{:#018x}", hash.0);
+}
+
+/// Clients hold tokens across calls; one of a fixed key has a fixed text.
+#[test]
+fn a_page_token_has_the_text_it_had() {
+    let sealer = Sealer::new(&[0x5a; 32]);
+    let token = Token {
+        result: 1,
+        query: 0x0102_0304_0506_0708,
+        attempt: 9,
+        until: 1_700_000_000_000_000,
+    };
+    let text = sealer.seal(&token);
+    assert_eq!(
+        text,
+        "AAAAAAAAAAEBAgMEBQYHCAAAAAkABgokGB5AAKvDa6vUo-qTxcxAaeBu7XU"
+    );
+    assert_eq!(sealer.open(&text), Some(token));
+}
--- /dev/null
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -0,0 +1,277 @@
+//! The membership core sends and reports exactly what it did when these digests were taken: all actions of fleets in
+//! fixed scenarios, in order, as bytes that the test itself writes, in one FNV-1a hash for each scenario.
+
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+
+mod driver;
+
+use violetgate_membership::{
+    Action, Body, Claim, Membership, MembershipConfig, Message, Shares, SharesConfig, State,
+};
+use violetgate_simulator::load::{play, Case};
+use violetgate_simulator::{Cut, FaultPlan, World, S};
+
+use crate::driver::{Fleet, Fnv, Lcg, Scenario};
+
+fn check(name: &str, scenario: Scenario, expected: u64) {
+    let digest = Fleet::new(scenario).digest();
+    assert_eq!(digest, expected, "{name}: {digest:#018x}");
+}
+
+#[test]
+fn a_start_with_deaths_and_restarts_sends_what_it_did() {
+    for (seed, expected) in [(1, 0x13a5_af74_9369_9964), (2, 0xc9bc_e7c9_b714_b19a)] {
+        let scenario = Scenario {
+            members: 30,
+            seconds: 60,
+            seed,
+            deaths: vec![
+                (3, 10, None),
+                (7, 12, Some(14)),
+                (9, 12, Some(30)),
+                (0, 20, Some(21)),
+            ],
+            leaves: vec![(5, 25), (11, 40)],
+            ..Scenario::default()
+        };
+        check("deaths", scenario, expected);
+    }
+}
+
+#[test]
+fn loss_pauses_and_late_messages_send_what_they_did() {
+    for (seed, expected) in [(3, 0x4783_28a5_56ae_ecdd), (4, 0x0c00_da22_e5cc_021b)] {
+        let scenario = Scenario {
+            members: 24,
+            seconds: 60,
+            seed,
+            loss: 25,
+            pauses: vec![
+                (1, 10, 12),
+                (4, 15, 16),
+                (8, 15, 35),
+                (9, 30, 32),
+                (0, 41, 42),
+            ],
+            stale: Some(20),
+            ..Scenario::default()
+        };
+        check("loss", scenario, expected);
+    }
+}
+
+#[test]
+fn cuts_and_their_healing_send_what_they_did() {
+    for (seed, expected) in [(5, 0x5b26_0a35_0e3a_63f1), (6, 0x8031_9ba8_c1b7_1ce0)] {
+        let scenario = Scenario {
+            members: 40,
+            seconds: 100,
+            seed,
+            cuts: vec![
+                (0..20, 20..40, 10, 45),
+                (20..40, 0..20, 10, 45),
+                (2..3, 0..40, 65, 80),
+                (0..40, 30..31, 65, 85),
+                (11..12, 12..13, 50, 90),
+                (12..13, 11..12, 50, 90),
+            ],
+            ..Scenario::default()
+        };
+        check("cuts", scenario, expected);
+    }
+}
+
+#[test]
+fn a_large_fleet_that_starts_at_once_sends_what_it_did() {
+    let scenario = Scenario {
+        members: 150,
+        seconds: 15,
+        seed: 7,
+        loss: 2,
+        ..Scenario::default()
+    };
+    check("start", scenario, 0x5388_3daa_4c76_eadd);
+}
+
+#[test]
+fn a_full_table_sends_what_it_did() {
+    let scenario = Scenario {
+        members: 20,
+        seconds: 40,
+        seed: 8,
+        deaths: vec![(6, 15, None)],
+        capacity: Some(12),
+        ..Scenario::default()
+    };
+    check("full", scenario, 0x12e7_11dc_fb1d_ef7b);
+}
+
+/// The dead are forgotten after ten minutes.
+#[test]
+fn the_forgotten_send_what_they_did() {
+    let scenario = Scenario {
+        members: 6,
+        seconds: 700,
+        seed: 9,
+        deaths: vec![(2, 20, None), (4, 30, Some(650))],
+        leaves: vec![(5, 40)],
+        ..Scenario::default()
+    };
+    check("forgotten", scenario, 0xd23d_cfbc_0500_7e8c);
+}
+
+/// The simulator itself: what it records and counts in a world with all kinds of faults.
+#[test]
+fn the_simulated_world_records_what_it_did() {
+    for (seed, expected) in [(11, 0x32e8_c7e6_dd0c_973f), (12, 0xcbc5_83bb_750d_0328)] {
+        let faults = FaultPlan {
+            loss: 0.05,
+            jitter: 20_000,
+            pauses: vec![(1, 8 * S, 11 * S), (5, 12 * S, 30 * S)],
+            cuts: vec![Cut {
+                from: vec![2, 3],
+                to: vec![4],
+                begin: 10 * S,
+                end: 22 * S,
+            }],
+            deaths: vec![(6, 14 * S)],
+            leaves: vec![(7, 16 * S)],
+        };
+        let config = MembershipConfig::default();
+        let mut world = World::new(20, seed, &config, faults);
+        world.run(25 * S, |_| Ok(())).unwrap();
+        world.restart(6, &config, 1_000 + 25 * S);
+        world.kill(8);
+        world.leave(9);
+        world.wake();
+        world.run(50 * S, |_| Ok(())).unwrap();
+        let mut hash = Fnv::new();
+        for seen in &world.seen {
+            hash.number(seen.at);
+            hash.number(seen.by as u64);
+            hash.number(seen.of as u64);
+            hash.number(seen.state as u64);
+        }
+        for (at, by, of, cut) in &world.links {
+            hash.number(*at);
+            hash.number(*by as u64);
+            hash.number(*of as u64);
+            hash.number(u64::from(*cut));
+        }
+        for (bytes, messages) in &world.sent {
+            hash.number(*bytes);
+            hash.number(*messages);
+        }
+        hash.number(world.events);
+        hash.number(world.false_declarations);
+        hash.number(world.false_deaths() as u64);
+        hash.number(u64::from(world.agrees()));
+        hash.number(u64::from(world.settled()));
+        hash.number(world.last_to_know(8, 25 * S).unwrap_or(u64::MAX));
+        assert_eq!(hash.0, expected, "seed {seed}: {:#018x}", hash.0);
+    }
+}
+
+#[test]
+fn the_cases_cost_what_they_did() {
+    let mut hash = Fnv::new();
+    for case in Case::ALL {
+        let limit = std::time::Duration::from_secs(600);
+        let load = play(case, 30, &MembershipConfig::default(), 3, limit);
+        hash.text(case.name());
+        for rate in [
+            load.bytes_per_s,
+            load.busiest_bytes_per_s,
+            load.peak_bytes_per_s,
+            load.messages_per_s,
+            load.known_s.unwrap_or(-1.0),
+            load.simulated_s,
+        ] {
+            hash.number(rate.to_bits());
+        }
+        for known in &load.known_each_s {
+            hash.number(known.unwrap_or(-1.0).to_bits());
+        }
+        hash.number(load.burst_bytes);
+        hash.number(load.false_declarations);
+        assert!(!load.cut_short);
+    }
+    assert_eq!(hash.0, 0x0b71_bb3b_fa30_4134, "{:#018x}", hash.0);
+}
+
+/// The count of gateways that decisions reckon with, over drawn views.
+#[test]
+fn the_fleet_size_follows_the_view_as_it_did() {
+    let mut hash = Fnv::new();
+    let mut draw = Lcg(77);
+    for _ in 0..200 {
+        let config = SharesConfig {
+            told: draw.below(12) as u32,
+            settle: draw.below(20) * S,
+            step: draw.below(4) * S,
+        };
+        let mut now = draw.below(100 * S);
+        let mut size = Shares::new(config, now);
+        for _ in 0..300 {
+            now += draw.below(3 * S);
+            let changed = size.see(draw.below(15) as u32, now);
+            hash.number(u64::from(changed));
+            hash.number(u64::from(size.count()));
+        }
+    }
+    assert_eq!(hash.0, 0x707b_3178_e38f_e4ca, "{:#018x}", hash.0);
+}
+
+/// Another process of the same name: of two lives the newer one stays.
+#[test]
+fn the_older_process_of_a_name_stops_as_it_did() {
+    let addr = |port| std::net::SocketAddr::from(([10, 2, 0, 1], port));
+    let claim = |name: &str, life, turn, state| Claim {
+        name: name.into(),
+        addr: addr(7_000),
+        life,
+        turn,
+        state,
+        by: (state == State::Suspect).then(|| "other".into()),
+    };
+    let config = MembershipConfig::default();
+    let mut member = Membership::new(config, "own".into(), addr(7_001), 500, &[], 3);
+    let mut hash = Fnv::new();
+    for (now, claims) in [
+        (S, vec![claim("own", 400, 9, State::Dead)]),
+        (2 * S, vec![claim("own", 500, 0, State::Suspect)]),
+        (3 * S, vec![claim("own", 500, 0, State::Dead)]),
+        (4 * S, vec![claim("own", 500, 7, State::Left)]),
+        (5 * S, vec![claim("own", 600, 0, State::Alive)]),
+        (6 * S, vec![claim("own", 700, 0, State::Alive)]),
+    ] {
+        let other = claim("other", 10, 0, State::Alive);
+        let claims = std::iter::once(other).chain(claims).collect();
+        let mut actions = Vec::new();
+        let body = Body::Ping(now);
+        member
+            .hear(now, &Message { body, claims }, &mut actions)
+            .unwrap();
+        member.turn(now + S / 2, &mut actions);
+        for action in actions {
+            match action {
+                Action::Send(to, message) => {
+                    hash.text(&to.to_string());
+                    postcard::to_stdvec(&message)
+                        .unwrap()
+                        .iter()
+                        .for_each(|byte| hash.number(u64::from(*byte)));
+                }
+                Action::Superseded => hash.number(4),
+                Action::Changed(name, state) => {
+                    hash.text(&name);
+                    hash.number(state as u64);
+                }
+                Action::Link(..) | Action::Full(_) => hash.number(3),
+            }
+        }
+        hash.number(u64::from(member.serving()));
+        hash.number(u64::from(member.own_claim().turn));
+    }
+    assert_eq!(hash.0, 0x497b_618b_b704_ad69, "{:#018x}", hash.0);
+}
