--- a/gateway/src/keyed.rs
+++ b/gateway/src/keyed.rs
@@ -1,6 +1,7 @@
 //! Idempotency keys ahead of the decisions: of all queries of one key, by whichever front they come, one runs.
 //!
-//! It stands before an [`Intake`] as another one, and carries out what [`Keys`] says: a query that runs is handed
+//! It stands before an [`Intake`] as another one, and carries out what
+//! [`IdempotencyKeys`] says: a query that runs is handed
 //! on under an exchange of its own, so that it goes on while any of those that wait for it is there. It must
 //! never decide about a query that carries no key, and never send one again by itself.
 
@@ -13,7 +14,9 @@
 use async_io::Timer;
 use sha2::{Digest, Sha256};
 use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
-use violetgate_result_store::{Budget, Ending, Grant, Keys, Print, Seen};
+use violetgate_result_store::{
+    ByteBudget, ByteReservation, ExecutionOutcome, IdempotencyKeys, KeyLookup, RequestFingerprint,
+};
 
 use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
 
@@ -28,7 +31,7 @@
 #[derive(Clone)]
 struct Recorded {
     served: Rc<Served>,
-    _grant: Rc<Grant>,
+    _grant: Rc<ByteReservation>,
 }
 
 /// A query that waits for a key's answer.
@@ -52,8 +55,8 @@
     executor: Rc<LocalExecutor<'static>>,
     /// For how long engines discard a repeat, by class; `None`: the class has no keys.
     windows: Vec<Option<Micros>>,
-    budget: Budget,
-    keys: RefCell<Keys<QueryId, Recorded>>,
+    budget: ByteBudget,
+    keys: RefCell<IdempotencyKeys<QueryId, Recorded>>,
     waiting: RefCell<HashMap<QueryId, Waiter>>,
     /// What runs, by key.
     runs: RefCell<HashMap<Box<str>, Run>>,
@@ -68,7 +71,7 @@
         inner: Rc<dyn Intake>,
         executor: Rc<LocalExecutor<'static>>,
         classes: &[Class],
-        budget: Budget,
+        budget: ByteBudget,
         most: usize,
     ) -> Rc<Self> {
         let window = |c: &Class| {
@@ -81,7 +84,7 @@
             executor,
             windows: classes.iter().map(window).collect(),
             budget,
-            keys: RefCell::new(Keys::new(most, JOINED, now)),
+            keys: RefCell::new(IdempotencyKeys::new(most, JOINED, now)),
             waiting: RefCell::default(),
             runs: RefCell::default(),
             joined: Cell::new(0),
@@ -119,10 +122,10 @@
     fn run(&self, key: &str, exchange: &Rc<Exchange>) -> bool {
         let id = exchange.request.query.id;
         let harmless = |answer| {
-            let waiters = self
-                .keys
-                .borrow_mut()
-                .ended(self.now(), key, Ending::Harmless);
+            let waiters =
+                self.keys
+                    .borrow_mut()
+                    .finish(self.now(), key, ExecutionOutcome::NoEffect);
             debug_assert_eq!(waiters, [id]);
             exchange.settle(answer);
         };
@@ -150,12 +153,12 @@
     }
 
     /// The query that ran for a key has its answer, and so have all that wait for it.
-    fn finish(&self, key: &str, leader: &Exchange, answer: Answer, mut grant: Grant) {
+    fn finish(&self, key: &str, leader: &Exchange, answer: Answer, mut grant: ByteReservation) {
         let run = self.runs.borrow_mut().remove(key);
         let ending = match &answer {
             Answer::Served(served) => {
                 grant.shrink(served.bytes());
-                Ending::Served(Recorded {
+                ExecutionOutcome::Completed(Recorded {
                     served: Rc::clone(served),
                     _grant: Rc::new(grant),
                 })
@@ -164,11 +167,11 @@
             Answer::Refused { .. } | Answer::Closing | Answer::Stale
                 if leader.trail.borrow().is_empty() =>
             {
-                Ending::Harmless
+                ExecutionOutcome::NoEffect
             }
-            _ => Ending::Unknown,
+            _ => ExecutionOutcome::Unknown,
         };
-        let waiters = self.keys.borrow_mut().ended(self.now(), key, ending);
+        let waiters = self.keys.borrow_mut().finish(self.now(), key, ending);
         for id in waiters {
             let waiter = self.waiting.borrow_mut().remove(&id);
             if let Some(waiter) = waiter {
@@ -198,7 +201,7 @@
     }
 
     fn leave(&self, key: &str, id: QueryId) {
-        if self.keys.borrow_mut().left(self.now(), key, &id) {
+        if self.keys.borrow_mut().abandon(self.now(), key, &id) {
             // Nobody waits any more: its client has left, and so it is withdrawn.
             let run = self.runs.borrow_mut().remove(key);
             run.into_iter()
@@ -208,7 +211,7 @@
 }
 
 /// What has to be the same in every query of a key.
-fn print(request: &Request) -> Print {
+fn print(request: &Request) -> RequestFingerprint {
     let mut hash = Sha256::new();
     for part in [
         request.class.as_bytes(),
@@ -227,7 +230,7 @@
             .for_each(|(b, k)| *b = k);
         bytes
     }));
-    let mut print = Print::default();
+    let mut print = RequestFingerprint::default();
     print
         .iter_mut()
         .zip(hash.finalize())
@@ -255,19 +258,19 @@
             .borrow_mut()
             .begin(self.now(), key, print(request), window, id);
         match seen {
-            Seen::Run => return self.run(key, exchange),
-            Seen::Join => {
+            KeyLookup::Execute => return self.run(key, exchange),
+            KeyLookup::JoinInFlight => {
                 self.joined.set(self.joined.get() + 1);
                 let late = self.late(exchange);
                 self.wait(key, exchange, Some(late));
             }
-            Seen::Replay(recorded) => {
+            KeyLookup::Replay(recorded) => {
                 self.replayed.set(self.replayed.get() + 1);
                 exchange.settle(Answer::Served(recorded.served));
             }
-            Seen::Differs => exchange.settle(Answer::Differs),
-            Seen::Unsure => exchange.settle(Answer::Unsure),
-            Seen::Full(wait) => {
+            KeyLookup::KeyConflict => exchange.settle(Answer::Differs),
+            KeyLookup::OutcomeUnknown => exchange.settle(Answer::Unsure),
+            KeyLookup::Full { retry_after: wait } => {
                 let retry_after = if wait == 0 { RETRY } else { wait };
                 exchange.settle(Answer::Refused { retry_after });
             }
--- a/gateway/src/rest/calls.rs
+++ b/gateway/src/rest/calls.rs
@@ -87,16 +87,16 @@
                 open.ended(Ending::Refused);
                 return Err(draining());
             }
-            let place = core.results.borrow_mut().reserve(received);
-            let place = match place {
-                Ok(place) => place,
-                Err(wait) => {
+            let slot = core.results.borrow_mut().reserve(received);
+            let slot = match slot {
+                Ok(slot) => slot,
+                Err(store) => {
                     add(&self.counts.full);
                     open.ended(Ending::Refused);
                     let detail = "the results that are kept for other clients take all room";
                     let problem =
                         Problem::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
-                    return Err(problem.after(wait));
+                    return Err(problem.after(store.retry_after));
                 }
             };
             let until = received.saturating_add(request.query.time_left);
@@ -114,7 +114,7 @@
             let problem = match answer {
                 Answer::Served(served) => {
                     open.ended(Ending::Served);
-                    return Ok(self.first_page(served, place, until, line));
+                    return Ok(self.first_page(served, slot, until, line));
                 }
                 Answer::Refused { retry_after } => {
                     Problem::new(refused, "busy", "too busy to serve this query").after(retry_after)
@@ -156,39 +156,48 @@
     }
 
     /// The answer to a query that was served. A result of one page is all in it; others stay for their time.
-    fn first_page(&self, served: Rc<Served>, place: Place, until: Micros, line: &Line) -> Reply {
+    fn first_page(
+        &self,
+        served: Rc<Served>,
+        slot: ResultSlot,
+        until: Micros,
+        line: &Line,
+    ) -> Reply {
         let many = served.pages.len() > 1;
-        let promise = many.then(|| {
-            let made = (served.query, served.attempt);
-            self.core.results.borrow_mut().promise(
-                Rc::clone(&served),
-                served.bytes(),
-                place,
-                made,
-                until,
-            )
+        let token = many.then(|| {
+            let result = NewResult {
+                pages: Rc::clone(&served),
+                bytes: served.bytes(),
+                origin: AttemptId {
+                    request: served.query,
+                    attempt: served.attempt,
+                },
+                expires_at: until,
+            };
+            self.core.results.borrow_mut().insert(slot, result)
         });
-        if promise.is_some() {
+        if token.is_some() {
             line.owes(until);
         }
-        let id = promise.as_deref();
+        let id = token.as_deref();
         page_of(&served, id, 1, id.map(|_| until))
     }
 
     fn page(&self, id: &str, n: usize, line: &Line) -> Result<Reply, Problem> {
-        let found = self.core.results.borrow().find(self.core.clock.now(), id);
-        let (served, token) = found.map_err(|m| self.missing(m))?;
+        let found = self.core.results.borrow().get(self.core.clock.now(), id);
+        let found = found.map_err(|error| self.missing(error))?;
+        let (served, expires_at) = (found.pages, found.token.expires_at);
         if n > served.pages.len() {
-            return Err(self.missing(Missing::Unknown));
+            return Err(self.missing(LookupError::UnknownToken));
         }
         add(&self.counts.pages);
         // Its last page read, a client needs this process no more.
         line.owes(if n == served.pages.len() {
             0
         } else {
-            token.until
+            expires_at
         });
-        Ok(page_of(&served, Some(id), n, Some(token.until)))
+        Ok(page_of(&served, Some(id), n, Some(expires_at)))
     }
 
     fn delete(&self, id: &str) -> Result<Reply, Problem> {
@@ -203,9 +212,9 @@
         Ok(reply)
     }
 
-    fn missing(&self, missing: Missing) -> Problem {
+    fn missing(&self, missing: LookupError) -> Problem {
         match missing {
-            Missing::Unknown => {
+            LookupError::UnknownToken => {
                 add(&self.counts.unknown);
                 Problem::new(
                     StatusCode::NOT_FOUND,
@@ -213,7 +222,7 @@
                     "nobody here has promised this page",
                 )
             }
-            Missing::Gone => {
+            LookupError::Gone => {
                 add(&self.counts.gone);
                 Problem::new(
                     StatusCode::GONE,
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -31,7 +31,9 @@
 use rand_chacha::ChaCha8Rng;
 use smol_hyper::rt::FuturesIo;
 use violetgate_policy::interface::{Micros, QueryId};
-use violetgate_result_store::{Limits, Missing, Place, Results};
+use violetgate_result_store::{
+    AttemptId, LookupError, NewResult, ResultCache, ResultLimits, ResultSlot,
+};
 
 use crate::clock::Clock;
 use crate::config::Names;
@@ -86,7 +88,7 @@
     /// Whether clients are let in.
     pub door: Rc<Door>,
     /// The results that are promised.
-    pub results: Rc<RefCell<Results<Served>>>,
+    pub results: Rc<RefCell<ResultCache<Served>>>,
     /// The keys that are taken.
     pub keyed: Rc<Keyed>,
 }
@@ -103,11 +105,11 @@
 
 /// The limits on results that settings name.
 #[must_use]
-pub fn limits(settings: &settings::Rest) -> Limits {
-    Limits {
-        bytes: settings.results_bytes.0 as usize,
-        one: MAX_RESULT,
-        results: settings.results,
+pub fn limits(settings: &settings::Rest) -> ResultLimits {
+    ResultLimits {
+        total_bytes: settings.results_bytes.0 as usize,
+        max_result_bytes: MAX_RESULT,
+        max_results: settings.results,
     }
 }
 
@@ -128,7 +130,7 @@
     /// Takes new limits; where it listens stays.
     pub fn limit(&self, settings: &settings::Rest) {
         *self.limits.borrow_mut() = settings.clone();
-        self.core.results.borrow_mut().limit(limits(settings));
+        self.core.results.borrow_mut().set_limits(limits(settings));
         self.core.keyed.resize(settings.idempotency_keys);
     }
 
@@ -161,7 +163,7 @@
                 "results_bytes",
                 "gauge",
                 "Bytes held or reserved.",
-                results.budget().held() as u64,
+                results.budget().reserved() as u64,
             ),
             (
                 "results_full_total",
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -15,7 +15,7 @@
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use violetgate_policy::interface::ListScope;
-use violetgate_result_store::{token, Results};
+use violetgate_result_store::{ResultCache, TokenSealer};
 
 use crate::admin::Admin;
 use crate::bus::{Bus, Ids, Place};
@@ -284,8 +284,8 @@
     let front = |settings: &settings::Rest| {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret).map_err(|e| format!("no random numbers for tokens: {e}"))?;
-        let sealer = token::Sealer::new(&secret);
-        let results = Results::new(sealer, rest::limits(settings), clock.now());
+        let sealer = TokenSealer::new(&secret);
+        let results = ResultCache::new(sealer, rest::limits(settings), clock.now());
         let (budget, keys) = (results.budget().clone(), settings.idempotency_keys);
         let inner = Rc::clone(&decisions);
         let keyed = Keyed::new(inner, Rc::clone(&executor), &classes, budget, keys);
--- a/result-store/benches/wheel.rs
+++ b/result-store/benches/timer_wheel.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
-use violetgate_result_store::Wheel;
+use violetgate_result_store::TimerWheel;
 
 /// Entries put in, and handed out, for each round.
 const ROUND: u64 = 1_000;
@@ -34,7 +34,7 @@
         // As much time a round as makes about one round's entries come due.
         let step = SPAN / 2 * ROUND / entries;
         group.bench_function(BenchmarkId::new("wheel", entries), |b| {
-            let (mut draw, mut now, mut wheel) = (Draw(7), 0, Wheel::new(0));
+            let (mut draw, mut now, mut wheel) = (Draw(7), 0, TimerWheel::new(0));
             (0..entries).for_each(|n| wheel.insert(draw.next(), n));
             b.iter(|| {
                 now += step;
--- /dev/null
+++ b/result-store/src/byte_budget/tests.rs
@@ -0,0 +1,19 @@
+#![allow(clippy::unwrap_used)]
+
+use super::*;
+
+/// Reserved bytes exceed the capacity only where it was reduced, and all of them are returned.
+#[test]
+fn reservations_stay_within_the_capacity_and_are_returned() {
+    let budget = ByteBudget::new(100);
+    let mut first = budget.reserve(60).unwrap();
+    assert!(budget.reserve(41).is_none() && budget.reserve(usize::MAX).is_none());
+    first.shrink(20);
+    first.shrink(50);
+    assert_eq!((first.bytes(), budget.reserved()), (20, 20));
+    let second = budget.reserve(80).unwrap();
+    budget.resize(10);
+    assert!(budget.reserved() == 100 && budget.reserve(1).is_none());
+    drop((first, second));
+    assert_eq!(budget.reserved(), 0);
+}
--- a/result-store/tests/trace_digest.rs
+++ b/result-store/tests/trace_digest.rs
@@ -5,8 +5,10 @@
 
 use std::rc::Rc;
 
-use violetgate_result_store::token::{Sealer, Token};
-use violetgate_result_store::{Budget, Ending, Keys, Limits, Missing, Results, Seen, Wheel};
+use violetgate_result_store::{
+    AttemptId, ByteBudget, ExecutionOutcome, IdempotencyKeys, KeyLookup, LookupError, NewResult,
+    PageToken, ResultCache, ResultLimits, TimerWheel, TokenSealer,
+};
 
 /// FNV-1a over everything that is written to it.
 struct Fnv(u64);
@@ -39,17 +41,17 @@
     }
 }
 
-fn write_seen(hash: &mut Fnv, seen: Seen<u32>) {
-    match seen {
-        Seen::Run => hash.number(1),
-        Seen::Join => hash.number(2),
-        Seen::Replay(answer) => {
+fn write_lookup(hash: &mut Fnv, lookup: KeyLookup<u32>) {
+    match lookup {
+        KeyLookup::Execute => hash.number(1),
+        KeyLookup::JoinInFlight => hash.number(2),
+        KeyLookup::Replay(answer) => {
             hash.number(3);
             hash.number(u64::from(answer));
         }
-        Seen::Differs => hash.number(4),
-        Seen::Unsure => hash.number(5),
-        Seen::Full(wait) => {
+        KeyLookup::KeyConflict => hash.number(4),
+        KeyLookup::OutcomeUnknown => hash.number(5),
+        KeyLookup::Full { retry_after: wait } => {
             hash.number(6);
             hash.number(wait);
         }
@@ -62,30 +64,30 @@
     for seed in 0..20u64 {
         let mut draw = Lcg(seed);
         let mut now = 1_000_000 + draw.below(1_000_000_000);
-        let mut keys: Keys<u32, u32> = Keys::new(40, 3, now);
+        let mut keys: IdempotencyKeys<u32, u32> = IdempotencyKeys::new(40, 3, now);
         for call in 0..5_000u32 {
             now += draw.below(40_000);
             let key = format!("key-{}", draw.below(60));
             let window = 100_000 + draw.below(3) * 4_000_000;
             match draw.below(10) {
                 0..=4 => {
-                    let print = [draw.below(20).saturating_sub(18) as u8; 16];
-                    let seen = keys.begin(now, &key, print, window, call % 50);
-                    write_seen(&mut hash, seen);
+                    let fingerprint = [draw.below(20).saturating_sub(18) as u8; 16];
+                    let lookup = keys.begin(now, &key, fingerprint, window, call % 50);
+                    write_lookup(&mut hash, lookup);
                 }
                 5..=7 => {
                     let ending = match draw.below(4) {
-                        0 | 1 => Ending::Served(call),
-                        2 => Ending::Harmless,
-                        _ => Ending::Unknown,
+                        0 | 1 => ExecutionOutcome::Completed(call),
+                        2 => ExecutionOutcome::NoEffect,
+                        _ => ExecutionOutcome::Unknown,
                     };
-                    for waiter in keys.ended(now, &key, ending) {
+                    for waiter in keys.finish(now, &key, ending) {
                         hash.number(u64::from(waiter));
                     }
                 }
                 8 => {
                     let waiter = draw.below(50) as u32;
-                    hash.number(u64::from(keys.left(now, &key, &waiter)));
+                    hash.number(u64::from(keys.abandon(now, &key, &waiter)));
                 }
                 _ => {
                     if draw.below(20) == 0 {
@@ -101,10 +103,10 @@
     assert_eq!(hash.0, 0x2ae9_6bc1_2b76_7e80, "{:#018x}", hash.0);
 }
 
-fn write_missing(hash: &mut Fnv, missing: Missing) {
-    hash.number(match missing {
-        Missing::Unknown => 11,
-        Missing::Gone => 12,
+fn write_error(hash: &mut Fnv, error: LookupError) {
+    hash.number(match error {
+        LookupError::UnknownToken => 11,
+        LookupError::Gone => 12,
     });
 }
 
@@ -114,69 +116,87 @@
     for seed in 100..120u64 {
         let mut draw = Lcg(seed);
         let mut now = 1_700_000_000_000_000 + draw.below(1_000_000_000);
-        let limits = Limits {
-            bytes: 10_000,
-            one: 900,
-            results: 15,
+        let limits = ResultLimits {
+            total_bytes: 10_000,
+            max_result_bytes: 900,
+            max_results: 15,
         };
-        let mut results: Results<u64> = Results::new(Sealer::new(&[seed as u8; 32]), limits, now);
-        let mut places = Vec::new();
+        let mut results: ResultCache<u64> =
+            ResultCache::new(TokenSealer::new(&[seed as u8; 32]), limits, now);
+        let mut slots = Vec::new();
         let mut tokens: Vec<String> = vec!["no token".to_owned()];
         for call in 0..3_000u64 {
             now += draw.below(100_000);
             match draw.below(12) {
                 0..=3 => match results.reserve(now) {
-                    Ok(place) => {
+                    Ok(slot) => {
                         hash.number(1);
-                        places.push(place);
+                        slots.push(slot);
                     }
-                    Err(wait) => {
+                    Err(full) => {
                         hash.number(2);
-                        hash.number(wait);
+                        hash.number(full.retry_after);
                     }
                 },
                 4 | 5 => {
-                    if let Some(place) = places.pop() {
+                    if let Some(slot) = slots.pop() {
                         let bytes = draw.below(1_200) as usize;
-                        let until = now + draw.below(5_000_000);
-                        let text = results.promise(Rc::new(call), bytes, place, (call, 7), until);
+                        let result = NewResult {
+                            pages: Rc::new(call),
+                            bytes,
+                            origin: AttemptId {
+                                request: call,
+                                attempt: 7,
+                            },
+                            expires_at: now + draw.below(5_000_000),
+                        };
+                        let text = results.insert(slot, result);
                         hash.text(text.as_bytes());
                         tokens.push(text);
                     }
                 }
-                6 => drop(places.pop()),
+                6 => drop(slots.pop()),
                 7 | 8 => {
                     let token = &tokens[draw.below(tokens.len() as u64) as usize];
-                    match results.find(now, token) {
-                        Ok((pages, token)) => {
-                            for number in [*pages, token.result, token.query, token.until] {
+                    match results.get(now, token) {
+                        Ok(found) => {
+                            let token = found.token;
+                            for number in [
+                                *found.pages,
+                                token.result_id,
+                                token.origin.request,
+                                token.expires_at,
+                            ] {
                                 hash.number(number);
                             }
-                            hash.number(u64::from(token.attempt));
+                            hash.number(u64::from(token.origin.attempt));
                         }
-                        Err(missing) => write_missing(&mut hash, missing),
+                        Err(error) => write_error(&mut hash, error),
                     }
                 }
                 9 => {
                     let token = &tokens[draw.below(tokens.len() as u64) as usize];
                     match results.delete(now, token) {
                         Ok(()) => hash.number(9),
-                        Err(missing) => write_missing(&mut hash, missing),
+                        Err(error) => write_error(&mut hash, error),
                     }
                 }
                 10 => hash.number(results.expire(now) as u64),
                 _ => {
                     if draw.below(30) == 0 {
-                        let bytes = 4_000 + draw.below(10_000) as usize;
-                        results.limit(Limits { bytes, ..limits });
+                        let total_bytes = 4_000 + draw.below(10_000) as usize;
+                        results.set_limits(ResultLimits {
+                            total_bytes,
+                            ..limits
+                        });
                     }
-                    hash.number(results.next_end().unwrap_or(u64::MAX));
+                    hash.number(results.next_expiry().unwrap_or(u64::MAX));
                 }
             }
             hash.number(results.len() as u64);
             hash.number(u64::from(results.is_empty()));
-            hash.number(results.budget().held() as u64);
-            hash.number(results.budget().most() as u64);
+            hash.number(results.budget().reserved() as u64);
+            hash.number(results.budget().capacity() as u64);
         }
     }
     assert_eq!(hash.0, 0x8001_a0f3_acff_d299, "{:#018x}", hash.0);
@@ -186,31 +206,31 @@
 fn the_byte_budget_answers_as_it_did() {
     let mut hash = Fnv::new();
     let mut draw = Lcg(200);
-    let budget = Budget::new(10_000);
-    let mut grants = Vec::new();
+    let budget = ByteBudget::new(10_000);
+    let mut reservations = Vec::new();
     for _ in 0..20_000 {
         match draw.below(5) {
             0 | 1 => match budget.reserve(draw.below(3_000) as usize) {
-                Some(grant) => {
-                    hash.number(grant.bytes() as u64);
-                    grants.push(grant);
+                Some(reservation) => {
+                    hash.number(reservation.bytes() as u64);
+                    reservations.push(reservation);
                 }
                 None => hash.number(u64::MAX),
             },
-            2 if !grants.is_empty() => {
-                let at = draw.below(grants.len() as u64) as usize;
-                grants.swap_remove(at);
+            2 if !reservations.is_empty() => {
+                let at = draw.below(reservations.len() as u64) as usize;
+                reservations.swap_remove(at);
             }
-            3 if !grants.is_empty() => {
-                let at = draw.below(grants.len() as u64) as usize;
-                grants[at].shrink(draw.below(2_000) as usize);
-                hash.number(grants[at].bytes() as u64);
+            3 if !reservations.is_empty() => {
+                let at = draw.below(reservations.len() as u64) as usize;
+                reservations[at].shrink(draw.below(2_000) as usize);
+                hash.number(reservations[at].bytes() as u64);
             }
             4 if draw.below(50) == 0 => budget.resize(5_000 + draw.below(10_000) as usize),
             _ => {}
         }
-        hash.number(budget.held() as u64);
-        hash.number(budget.most() as u64);
+        hash.number(budget.reserved() as u64);
+        hash.number(budget.capacity() as u64);
     }
     assert_eq!(hash.0, 0x217d_c740_8a5f_5171, "{:#018x}", hash.0);
 }
@@ -221,7 +241,7 @@
     for seed in 300..310u64 {
         let mut draw = Lcg(seed);
         let mut now = draw.below(2_000_000_000_000_000);
-        let mut wheel = Wheel::new(now);
+        let mut wheel = TimerWheel::new(now);
         for entry in 0..10_000u64 {
             let span = [
                 1,
@@ -241,7 +261,7 @@
                 now += draw.below(step);
                 wheel.advance(now, |due| hash.number(due));
             }
-            hash.number(wheel.next().unwrap_or(u64::MAX));
+            hash.number(wheel.next_expiry().unwrap_or(u64::MAX));
             hash.number(wheel.len() as u64);
             hash.number(u64::from(wheel.is_empty()));
         }
@@ -252,12 +272,14 @@
 /// Clients hold tokens across calls; one of a fixed key has a fixed text.
 #[test]
 fn a_page_token_has_the_text_it_had() {
-    let sealer = Sealer::new(&[0x5a; 32]);
-    let token = Token {
-        result: 1,
-        query: 0x0102_0304_0506_0708,
-        attempt: 9,
-        until: 1_700_000_000_000_000,
+    let sealer = TokenSealer::new(&[0x5a; 32]);
+    let token = PageToken {
+        result_id: 1,
+        origin: AttemptId {
+            request: 0x0102_0304_0506_0708,
+            attempt: 9,
+        },
+        expires_at: 1_700_000_000_000_000,
     };
     let text = sealer.seal(&token);
     assert_eq!(
