--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -16,6 +16,17 @@
 use violetgate_fake_upstreams::client::{Http, Pg};
 use violetgate_fake_upstreams::{settings, Fleet, Profile};
 
+/// Time between notes of progress that the settings promise, in seconds. An attempt without a note for 1.7 of these
+/// is taken back and sent again.
+const NOTE_PERIOD_S: f64 = 0.25;
+/// Work of a statement. It is longer than 1.7 note periods, so only its notes keep it from being sent twice, and longer
+/// than its estimate, so that without notes it depends on the multiple of the estimate that an attempt may take.
+const WORK_MS: u64 = 600;
+/// Estimate that clients give of that work.
+const ESTIMATE_MS: u64 = 300;
+/// Time between the notes that an engine sends. Shorter than promised, so that a busy machine delays none too long.
+const NOTES_MS: u64 = 20;
+
 /// One room, a ration, cost told.
 fn one_room() -> Value {
     settings()
@@ -33,7 +44,7 @@
     told["domain"]["grants"] = true.into();
     told["domain"]["most-grant"] = 0.5.into();
     told["domain"]["memory-by-kind-mb"] = json!([32768.0]);
-    told["domain"]["note-period"] = 0.02.into();
+    told["domain"]["note-period"] = NOTE_PERIOD_S.into();
     told["domain"]["out-of-memory"] = "shrink".into();
     told["domain"]["tells-cost"] = false.into();
     let rules = told["rules"].as_object_mut().unwrap();
@@ -109,28 +120,34 @@
     for (name, told) in [("one-room", one_room()), ("two-rooms", two_rooms())] {
         let front = Front::start(name, &told);
         let told_cost = if name == "one-room" { "" } else { "untold" };
-        let noted = if name == "one-room" { "" } else { "notes=20" };
+        let notes = format!("notes={NOTES_MS}");
+        let noted = if name == "one-room" { "" } else { &notes };
         for n in 0..6u64 {
             let fields = format!(
-                "method=lookup,rid={:016x},budget=9000,est=60,est_mb=100",
+                "method=lookup,rid={:016x},budget=9000,est={ESTIMATE_MS},est_mb=100",
                 n + 1
             );
-            let statement =
-                format!("SELECT day FROM sales_3.plan /* ms=120 rows=5 {noted} {told_cost} */");
+            let statement = format!(
+                "SELECT day FROM sales_3.plan /* ms={WORK_MS} rows=5 {noted} {told_cost} */"
+            );
             assert_eq!(front.ask(&fields, &statement), Ok(5), "{name}, {n}");
         }
-        let fields =
-            "method=load,rid=00000000000000aa,budget=9000,token=5c0f6e1a,obj=7f3a9c21e0b4d655,est=60";
+        let fields = format!(
+            "method=load,rid=00000000000000aa,budget=9000,token=5c0f6e1a,obj=7f3a9c21e0b4d655,est={ESTIMATE_MS}"
+        );
         let keyed = front.ask(
-            fields,
-            &format!("INSERT INTO sales_2.plan SELECT 1 /* ms=60 {noted} {told_cost} */"),
+            &fields,
+            &format!(
+                "INSERT INTO sales_2.plan SELECT 1 /* ms={ESTIMATE_MS} {noted} {told_cost} */"
+            ),
         );
         assert!(keyed.is_ok(), "{name}: {keyed:?}");
         let counts = front.fleet.counts();
         assert!(
             counts.by_request.values().all(|n| *n == 1),
-            "{name}: {:?}",
-            counts.by_request
+            "{name}: {:?}, {} cancelled",
+            counts.by_request,
+            counts.cancels
         );
         // Memory is granted where grants are heeded, and the engine's own choice elsewhere.
         let granted = counts.reserved.values().filter(|mb| **mb > 0).count();
