--- a/cluster/raft-storage/src/directory.rs
+++ b/cluster/raft-storage/src/directory.rs
@@ -1,41 +1,34 @@
-//! Files in one folder, as few operations as a log needs.
+//! The few file operations that the storage needs, in one folder.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Result, Write};
 use std::path::PathBuf;
 
-/// The files of one folder.
+/// The files of one folder. Errors are those of the operating system.
+#[expect(
+    clippy::missing_errors_doc,
+    reason = "the errors of all methods are said once, above"
+)]
 pub trait Directory {
     /// The names of all files.
-    ///
-    /// # Errors
-    ///
-    /// As the machine says; the same holds for all that follow.
     fn list(&self) -> Result<Vec<String>>;
-    /// All of a file.
-    #[allow(clippy::missing_errors_doc)]
+    /// The content of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>>;
-    /// Appends to a file, which is made if there is none. On an error any part of it may have been written.
-    #[allow(clippy::missing_errors_doc)]
+    /// Appends to a file, which is created if it doesn't exist. After an error any part may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
-    /// Cuts a file off.
-    #[allow(clippy::missing_errors_doc)]
+    /// Cuts a file off at a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
-    /// Makes a file's bytes durable.
-    #[allow(clippy::missing_errors_doc)]
+    /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Makes the folder's names durable.
-    #[allow(clippy::missing_errors_doc)]
+    /// Makes the names of the files durable.
     fn sync_dir(&mut self) -> Result<()>;
-    /// Gives a file another name, in place of one that has it.
-    #[allow(clippy::missing_errors_doc)]
+    /// Renames a file, replacing one that has the new name.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
-    /// Takes a file away.
-    #[allow(clippy::missing_errors_doc)]
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> Result<()>;
 }
 
-/// A folder of the machine's. The file that was last appended to stays open.
+/// A folder of the file system. The file that was last appended to stays open.
 #[derive(Debug)]
 pub struct FsDirectory {
     path: PathBuf,
@@ -43,11 +36,11 @@
 }
 
 impl FsDirectory {
-    /// A folder, which is made if there is none.
+    /// A folder, which is created if it doesn't exist.
     ///
     /// # Errors
     ///
-    /// It can't be made.
+    /// It can't be created.
     pub fn new(path: impl Into<PathBuf>) -> Result<Self> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
--- /dev/null
+++ b/cluster/raft-storage/src/identity.rs
@@ -0,0 +1,18 @@
+//! Whose folder it is.
+
+use serde::{Deserialize, Serialize};
+
+/// The file with the identity.
+pub(crate) const IDENTITY_FILE: &str = "member";
+
+/// The owner of a folder. A replica that has lost its disk has lost its promises with it, and has to join again under
+/// another id.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Identity {
+    /// The name of the cluster.
+    pub cluster: String,
+    /// The id of the replica.
+    pub replica_id: u64,
+    /// Drawn at random when the folder was made: another disk under the same id has another one.
+    pub incarnation: u64,
+}
--- a/cluster/raft-storage/src/lib.rs
+++ b/cluster/raft-storage/src/lib.rs
@@ -1,12 +1,50 @@
-//! What a member keeps on disk: who it is, what it has promised (term and vote), its log, and its latest snapshot.
+//! Durable storage of a replica: who it is, its hard state (term and vote), its log and its latest snapshot.
 //!
-//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can cut a file at any byte, fail a sync or fill the disk.
-//! A write is durable when [`RaftStorage::write`] returns, and not before. After a sync that failed nothing is written any
-//! more: what the machine then holds of earlier writes can't be known, and a member must not carry on as if it did.
-//! It must never decide what is written, nor know what entries mean.
+//! | file | content |
+//! | --- | --- |
+//! | `member` | one record with the [`Identity`]: a folder without it belongs to nobody |
+//! | `log-N` | segment N of the log, from 1; each begins with the hard state, so that those before it can be removed |
+//! | `snapshot-I` | one record with the snapshot up to entry I |
+//! | `*.new` | a file that was being written; it has no meaning |
+//!
+//! A record is its length and a checksum (4 bytes each, little-endian), then a postcard value. One
+//! [`StorageWrite`](violetgate_raft::StorageWrite) is one record, so it is there completely or not at all.
+//!
+//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can cut a file at any byte, fail a sync or fill
+//! the disk. A write is durable when [`RaftStorage::write`] returns, and not before. After a failed sync nothing is
+//! written any more: the operating system may have dropped what it could not write, so a retry could only seem to
+//! succeed.
+//!
+//! ```
+//! use violetgate_raft::{HardState, Membership, SnapshotMetadata, StorageWrite};
+//! use violetgate_raft_storage::{FsDirectory, Identity, RaftStorage};
+//!
+//! # fn main() -> Result<(), Box<dyn std::error::Error>> {
+//! # let path = std::env::temp_dir().join(format!("raft-storage-doc-{}", std::process::id()));
+//! let identity = Identity { cluster: "demo".to_owned(), replica_id: 1, incarnation: 42 };
+//! let first = SnapshotMetadata { membership: Membership::bootstrap([1]), ..Default::default() };
+//! let (mut storage, _) = RaftStorage::create(FsDirectory::new(&path)?, &identity, &first, &[])?;
+//! let hard_state = HardState { term: 1, vote: Some(1) };
+//! storage.write(&[StorageWrite { hard_state: Some(hard_state), ..Default::default() }])?;
+//!
+//! let (_, recovered) = RaftStorage::open(FsDirectory::new(&path)?, "demo", 1)?;
+//! assert_eq!(recovered.hard_state, hard_state);
+//! # std::fs::remove_dir_all(&path)?;
+//! # Ok(())
+//! # }
+//! ```
 
 mod directory;
-mod disk;
+mod error;
+mod identity;
+mod record;
+mod recovery;
+mod segment;
+mod snapshot;
+mod storage;
 
 pub use directory::{Directory, FsDirectory};
-pub use disk::{Identity, RaftStorage, RecoveredState, StorageError};
+pub use error::{Corruption, OwnershipError, StorageError};
+pub use identity::Identity;
+pub use recovery::RecoveredState;
+pub use storage::RaftStorage;
--- /dev/null
+++ b/cluster/raft-storage/src/recovery.rs
@@ -0,0 +1,229 @@
+//! Opening a replica's storage: what is read back, and what an interrupted write may have left.
+
+use violetgate_raft::{Entry, HardState, Index, SnapshotMetadata, StorageWrite};
+
+use crate::identity::IDENTITY_FILE;
+use crate::record::{decode_file, RawRecord};
+use crate::segment::{LogRecord, Segment, SEGMENT_PREFIX};
+use crate::snapshot::{StoredSnapshot, SNAPSHOT_PREFIX, TEMPORARY_SUFFIX};
+use crate::{Corruption, Directory, Identity, OwnershipError, RaftStorage, StorageError};
+
+/// What a replica's storage held when it was opened.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct RecoveredState {
+    /// The number that was drawn when the folder was made.
+    pub incarnation: u64,
+    /// The term and the vote.
+    pub hard_state: HardState,
+    /// The latest snapshot.
+    pub snapshot: SnapshotMetadata,
+    /// The state machine's state in that snapshot.
+    pub state: Vec<u8>,
+    /// The entries after it.
+    pub entries: Vec<Entry>,
+    /// Bytes of an interrupted write that were removed from the end of the log.
+    pub discarded_bytes: usize,
+}
+
+impl RecoveredState {
+    /// The last entry of the log.
+    fn last_index(&self) -> Index {
+        self.entries
+            .last()
+            .map_or(self.snapshot.index, |entry| entry.index)
+    }
+}
+
+impl<D: Directory> RaftStorage<D> {
+    /// Opens the storage of a replica, and reads back what it holds.
+    ///
+    /// # Errors
+    ///
+    /// The folder is not this replica's, or what it holds is damaged.
+    pub fn open(
+        mut directory: D,
+        cluster: &str,
+        replica_id: u64,
+    ) -> Result<(Self, RecoveredState), StorageError> {
+        let mut files = directory.list().map_err(Corruption::io("folder"))?;
+        files.sort();
+        let identity = read_identity(&directory, &files, cluster, replica_id)?;
+        let snapshot = load_latest_snapshot(&mut directory, &files)?;
+        let mut recovered = RecoveredState {
+            incarnation: identity.incarnation,
+            snapshot: snapshot.metadata,
+            state: snapshot.state,
+            ..RecoveredState::default()
+        };
+        let mut storage = Self::empty(directory, recovered.snapshot.index);
+        files.retain(|file| file.starts_with(SEGMENT_PREFIX));
+        for (position, file) in files.iter().enumerate() {
+            let is_last = position + 1 == files.len();
+            storage.recover_segment(file, is_last, &mut recovered)?;
+        }
+        recovered.hard_state = storage.hard_state;
+        storage.discard_older_log(&mut recovered)?;
+        Ok((storage, recovered))
+    }
+
+    fn recover_segment(
+        &mut self,
+        file: &str,
+        is_last: bool,
+        recovered: &mut RecoveredState,
+    ) -> Result<(), StorageError> {
+        let number = file
+            .trim_start_matches(SEGMENT_PREFIX)
+            .parse()
+            .map_err(|source| Corruption::SegmentName {
+                file: file.to_owned(),
+                source,
+            })?;
+        let bytes = self.directory.read(file).map_err(Corruption::io(file))?;
+        let valid_bytes = self.replay(file, &bytes, recovered)?;
+        let rest = bytes.get(valid_bytes..).unwrap_or_default();
+        if !rest.is_empty() {
+            // Only the very last write can have been interrupted. What is damaged before a valid record, or in an
+            // earlier segment, was durable once.
+            if !is_last || contains_record(rest) {
+                let (file, offset) = (file.to_owned(), valid_bytes);
+                return Err(Corruption::DamagedRecord { file, offset }.into());
+            }
+            recovered.discarded_bytes = rest.len();
+            self.directory
+                .truncate(file, valid_bytes as u64)
+                .map_err(Corruption::io(file))?;
+            self.directory.sync(file).map_err(Corruption::io(file))?;
+        }
+        self.segments.push(Segment {
+            number,
+            bytes: valid_bytes,
+            last_index: recovered.last_index(),
+        });
+        Ok(())
+    }
+
+    /// Applies the records from the start of a segment to what is recovered; how many bytes they are.
+    fn replay(
+        &mut self,
+        file: &str,
+        bytes: &[u8],
+        recovered: &mut RecoveredState,
+    ) -> Result<usize, Corruption> {
+        let mut offset = 0;
+        while let Some(raw) = bytes.get(offset..).and_then(RawRecord::at_start) {
+            let record: LogRecord =
+                postcard::from_bytes(raw.content).map_err(|source| Corruption::Undecodable {
+                    file: file.to_owned(),
+                    offset,
+                    source,
+                })?;
+            self.hard_state = record.hard_state.unwrap_or(self.hard_state);
+            replay_entries(record, recovered).map_err(|gap| Corruption::MissingEntry {
+                file: file.to_owned(),
+                offset,
+                found: gap.found,
+                expected: gap.expected,
+            })?;
+            offset += raw.size;
+        }
+        Ok(offset)
+    }
+
+    /// After a crash between another replica's snapshot and the record that removes the old log, the old log is still
+    /// there: what has an older term than the snapshot can't follow it.
+    fn discard_older_log(&mut self, recovered: &mut RecoveredState) -> Result<(), StorageError> {
+        let snapshot_term = recovered.snapshot.term;
+        let is_older = |first: &Entry| first.term < snapshot_term;
+        if !recovered.entries.first().is_some_and(is_older) {
+            return Ok(());
+        }
+        recovered.entries.clear();
+        self.write(&[StorageWrite {
+            truncate_from: Some(0),
+            ..StorageWrite::default()
+        }])
+    }
+}
+
+/// An entry whose index is not the next.
+struct IndexGap {
+    found: Index,
+    expected: Index,
+}
+
+fn replay_entries(record: LogRecord, recovered: &mut RecoveredState) -> Result<(), IndexGap> {
+    if let Some(from) = record.truncate_from {
+        let remaining = recovered
+            .entries
+            .partition_point(|entry| entry.index < from);
+        recovered.entries.truncate(remaining);
+    }
+    let snapshot_index = recovered.snapshot.index;
+    let uncovered = record.append.into_iter();
+    for entry in uncovered.filter(|entry| entry.index > snapshot_index) {
+        let expected = recovered.last_index() + 1;
+        if entry.index != expected {
+            let found = entry.index;
+            return Err(IndexGap { found, expected });
+        }
+        recovered.entries.push(entry);
+    }
+    Ok(())
+}
+
+/// Whether a valid record begins anywhere after the first byte.
+fn contains_record(bytes: &[u8]) -> bool {
+    (1..bytes.len()).any(|offset| {
+        bytes
+            .get(offset..)
+            .is_some_and(|rest| RawRecord::at_start(rest).is_some())
+    })
+}
+
+fn read_identity(
+    directory: &impl Directory,
+    files: &[String],
+    cluster: &str,
+    replica_id: u64,
+) -> Result<Identity, StorageError> {
+    if !files.iter().any(|file| file == IDENTITY_FILE) {
+        return Err(OwnershipError::Unowned.into());
+    }
+    let bytes = directory
+        .read(IDENTITY_FILE)
+        .map_err(Corruption::io(IDENTITY_FILE))?;
+    let found: Identity = decode_file(IDENTITY_FILE, &bytes)?;
+    if found.cluster != cluster || found.replica_id != replica_id {
+        return Err(OwnershipError::OtherReplica {
+            replica_id: found.replica_id,
+            cluster: found.cluster,
+        }
+        .into());
+    }
+    Ok(found)
+}
+
+/// Reads the latest snapshot, and removes what a crash has left of others.
+fn load_latest_snapshot(
+    directory: &mut impl Directory,
+    files: &[String],
+) -> Result<StoredSnapshot, Corruption> {
+    let is_snapshot = |file: &str| file.starts_with(SNAPSHOT_PREFIX);
+    let is_temporary = |file: &str| file.ends_with(TEMPORARY_SUFFIX);
+    // A snapshot gets its name only once it is complete: one that is damaged was complete before.
+    let latest = files
+        .iter()
+        .rev()
+        .find(|file| is_snapshot(file) && !is_temporary(file))
+        .ok_or(Corruption::NoSnapshot)?;
+    let bytes = directory.read(latest).map_err(Corruption::io(latest))?;
+    let snapshot = decode_file(latest, &bytes)?;
+    for file in files {
+        if file != latest && (is_snapshot(file) || is_temporary(file)) {
+            // What can't be removed now is removed another time.
+            let _ = directory.remove(file);
+        }
+    }
+    Ok(snapshot)
+}
--- /dev/null
+++ b/cluster/raft/src/election.rs
@@ -0,0 +1,236 @@
+//! Elections: time-outs, pre-votes, votes, and the beginning and the end of a leadership.
+//!
+//! A node campaigns only after a majority has said by pre-vote that it would win, so that one that was cut off
+//! doesn't end a leadership that works when it comes back.
+
+use std::collections::BTreeSet;
+
+use rand_chacha::rand_core::RngCore;
+
+use crate::progress::Progress;
+use crate::role::{LeaderState, RoleState};
+use crate::{HardState, LogPosition, Membership, Message, NodeId, Payload, RaftNode, Term};
+
+/// Why a node campaigns.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum CampaignReason {
+    /// It heard of no leader, and a majority would vote for it.
+    Timeout,
+    /// The leader has asked it to.
+    LeadershipTransfer,
+}
+
+impl RaftNode {
+    /// Draws a new election time-out, between once and twice the configured one.
+    pub(crate) fn reset_election_deadline(&mut self) {
+        let timeout = self.config.election_timeout.max(1);
+        self.election_deadline = self.now + timeout + self.rng.next_u64() % timeout;
+    }
+
+    pub(crate) fn on_election_timeout(&mut self) {
+        self.reset_election_deadline();
+        if self.may_campaign() {
+            self.leader = None;
+            self.request_pre_votes();
+        }
+    }
+
+    /// A voter may campaign. So may a node whose removal is in its log but, as far as it knows, not committed: it may
+    /// have the only log that the others' votes need.
+    fn may_campaign(&self) -> bool {
+        let is_voter = |membership: &Membership| membership.voters.contains(&self.id);
+        let removal_uncommitted = self.membership.index > self.commit;
+        is_voter(self.membership())
+            || (removal_uncommitted && is_voter(&self.log.membership_at(self.commit)))
+    }
+
+    fn request_pre_votes(&mut self) {
+        let term = self.hard_state.term + 1;
+        let last_log = self.log.last();
+        self.role = RoleState::PreCandidate {
+            votes: BTreeSet::from([self.id]),
+        };
+        if self.is_sole_quorum() {
+            return self.campaign(CampaignReason::Timeout);
+        }
+        for to in self.other_voters() {
+            self.send_now(to, Message::RequestPreVote { term, last_log });
+        }
+    }
+
+    /// Begins a new term and asks for votes in it.
+    pub(crate) fn campaign(&mut self, reason: CampaignReason) {
+        self.hard_state = HardState {
+            term: self.hard_state.term + 1,
+            vote: Some(self.id),
+        };
+        self.persist_hard_state();
+        self.role = RoleState::Candidate {
+            votes: BTreeSet::new(),
+        };
+        self.leader = None;
+        self.reset_election_deadline();
+        let term = self.hard_state.term;
+        let last_log = self.log.last();
+        // Its own vote counts once it is durable, as others' do: it is sent to itself.
+        let own_vote = Message::VoteResponse {
+            term,
+            granted: true,
+        };
+        self.send_when_durable(self.id, own_vote);
+        for to in self.other_voters() {
+            let request = Message::RequestVote {
+                term,
+                last_log,
+                leadership_transfer: reason == CampaignReason::LeadershipTransfer,
+            };
+            self.send_when_durable(to, request);
+        }
+    }
+
+    pub(crate) fn step_election(&mut self, from: NodeId, message: Message) {
+        match message {
+            Message::RequestPreVote { term, last_log } => {
+                self.on_request_pre_vote(from, term, last_log);
+            }
+            Message::PreVoteResponse { term, granted } => {
+                self.on_pre_vote_response(from, term, granted);
+            }
+            Message::RequestVote {
+                term,
+                last_log,
+                leadership_transfer,
+            } => self.on_request_vote(from, term, last_log, leadership_transfer),
+            Message::VoteResponse { term, granted } => self.on_vote_response(from, term, granted),
+            _ => {}
+        }
+    }
+
+    fn on_request_pre_vote(&mut self, from: NodeId, term: Term, last_log: LogPosition) {
+        let granted =
+            term > self.hard_state.term && last_log >= self.log.last() && !self.has_live_leader();
+        let term = if granted { term } else { self.hard_state.term };
+        self.send_when_durable(from, Message::PreVoteResponse { term, granted });
+    }
+
+    fn on_pre_vote_response(&mut self, from: NodeId, term: Term, granted: bool) {
+        if !granted {
+            return self.follow_if_newer(term);
+        }
+        let is_current = term == self.hard_state.term + 1;
+        if let RoleState::PreCandidate { votes } = &mut self.role {
+            if is_current && wins(votes, from, &self.membership.membership) {
+                self.campaign(CampaignReason::Timeout);
+            }
+        }
+    }
+
+    fn on_request_vote(
+        &mut self,
+        from: NodeId,
+        term: Term,
+        last_log: LogPosition,
+        leadership_transfer: bool,
+    ) {
+        // A node that was removed, or cut off, must not end a leadership that works.
+        if term > self.hard_state.term && self.has_live_leader() && !leadership_transfer {
+            return;
+        }
+        self.follow_if_newer(term);
+        let vote = self.hard_state.vote;
+        let granted = term == self.hard_state.term
+            && vote.is_none_or(|candidate| candidate == from)
+            && last_log >= self.log.last()
+            && self.leader.is_none();
+        if granted && vote.is_none() {
+            self.hard_state.vote = Some(from);
+            self.persist_hard_state();
+        }
+        if granted {
+            self.reset_election_deadline();
+        }
+        let term = self.hard_state.term;
+        self.send_when_durable(from, Message::VoteResponse { term, granted });
+    }
+
+    fn on_vote_response(&mut self, from: NodeId, term: Term, granted: bool) {
+        if !granted {
+            return self.follow_if_newer(term);
+        }
+        let is_current = term == self.hard_state.term;
+        if let RoleState::Candidate { votes } = &mut self.role {
+            if is_current && wins(votes, from, &self.membership.membership) {
+                self.become_leader();
+            }
+        }
+    }
+
+    /// Whether a leader was heard from so recently that a campaign would only disturb.
+    fn has_live_leader(&self) -> bool {
+        match self.role {
+            RoleState::Leader(_) => true,
+            _ => {
+                let lease_end = self.leader_seen_at + self.config.election_timeout;
+                self.leader.is_some() && self.now < lease_end
+            }
+        }
+    }
+
+    fn become_leader(&mut self) {
+        let next_index = self.log.last_index() + 1;
+        let peers = self.membership().ids().filter(|id| *id != self.id);
+        let progress = peers
+            .map(|id| (id, Progress::new(next_index, self.now)))
+            .collect();
+        self.role = RoleState::Leader(Box::new(LeaderState {
+            progress,
+            first_index: next_index,
+            next_heartbeat: self.now + self.config.heartbeat_interval,
+            ..LeaderState::default()
+        }));
+        self.leader = Some(self.id);
+        // A leader may only commit entries of its own term, so it begins with one.
+        self.append_as_leader(Payload::Blank);
+        self.begin_heartbeat_round();
+    }
+
+    /// Follows in the given term if it is newer; its leader is not known yet.
+    pub(crate) fn follow_if_newer(&mut self, term: Term) {
+        if term > self.hard_state.term {
+            self.become_follower(term, None);
+        }
+    }
+
+    /// Follows in the given term, which is the current one or newer. Pending reads of a leader fail.
+    pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
+        if term > self.hard_state.term {
+            self.hard_state = HardState { term, vote: None };
+            self.persist_hard_state();
+        }
+        let previous = std::mem::replace(&mut self.role, RoleState::Follower);
+        if let RoleState::Leader(deposed) = previous {
+            for read in deposed.pending_reads {
+                self.answer_read(read.from, read.read_id, None);
+            }
+            self.reset_election_deadline();
+        }
+        self.leader = leader;
+    }
+
+    /// A leader has sent something. Returns whether it leads the current term; an older one is ignored.
+    pub(crate) fn accept_leader(&mut self, from: NodeId, term: Term) -> bool {
+        if term < self.hard_state.term {
+            return false;
+        }
+        self.become_follower(term, Some(from));
+        self.leader_seen_at = self.now;
+        self.reset_election_deadline();
+        true
+    }
+}
+
+/// Adds a vote; whether the votes are a majority now.
+fn wins(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
+    votes.insert(from);
+    membership.is_quorum(|id| votes.contains(&id))
+}
--- /dev/null
+++ b/cluster/raft/src/proposal.rs
@@ -0,0 +1,67 @@
+//! Proposals of commands to the leader.
+
+use serde::{Deserialize, Serialize};
+
+use crate::role::RoleState;
+use crate::{Entry, LogPosition, Payload, RaftNode};
+
+/// Why a proposal, a membership change or a leadership transfer is rejected. Nothing was done.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
+pub enum ProposalError {
+    /// This node is not the leader.
+    #[error("this replica is not the leader")]
+    NotLeader,
+    /// An earlier membership change, or the first entry of this term, is not committed yet.
+    #[error("an earlier change is not committed yet; retry later")]
+    ChangeInProgress,
+    /// The id was assigned before; ids are never reused.
+    #[error("the id was assigned before; ids are never reused")]
+    IdAlreadyUsed,
+    /// There is no such replica, or it is not of the kind that the change needs.
+    #[error("there is no such replica, or it is of another kind")]
+    UnknownMember,
+    /// The learner has not caught up.
+    #[error("the learner has not caught up yet; retry later")]
+    LearnerBehind,
+    /// The last voter can't be removed.
+    #[error("the last voter can't be removed")]
+    LastVoter,
+    /// Too many uncommitted bytes, or leadership is being transferred.
+    #[error("too much is uncommitted, or leadership is being transferred; retry later")]
+    Busy,
+}
+
+impl RaftNode {
+    /// Proposes a command; the position that it will have if it is committed in this term.
+    ///
+    /// # Errors
+    ///
+    /// This node is not the leader, or can't take more for now.
+    pub fn propose(&mut self, command: Vec<u8>) -> Result<LogPosition, ProposalError> {
+        let RoleState::Leader(leader) = &self.role else {
+            return Err(ProposalError::NotLeader);
+        };
+        if leader.transfer.is_some() || leader.uncommitted_bytes > self.config.max_uncommitted_bytes
+        {
+            return Err(ProposalError::Busy);
+        }
+        Ok(self.append_as_leader(Payload::Command(command)))
+    }
+
+    /// Appends an entry of the current term to the leader's own log.
+    pub(crate) fn append_as_leader(&mut self, payload: Payload) -> LogPosition {
+        let entry = Entry {
+            term: self.hard_state.term,
+            index: self.log.last_index() + 1,
+            payload,
+        };
+        let position = entry.position();
+        if let RoleState::Leader(leader) = &mut self.role {
+            leader.uncommitted_bytes += entry.payload.approximate_bytes();
+            leader.has_unsent = true;
+        }
+        self.log.push(entry.clone());
+        self.persist_appended(entry);
+        position
+    }
+}
--- /dev/null
+++ b/cluster/raft/tests/simulation/faults.rs
@@ -0,0 +1,106 @@
+//! Faults of machines and network, and bugs that the checks have to notice.
+
+use std::collections::BTreeSet;
+
+use violetgate_raft::NodeId;
+
+use crate::cluster::{SimulatedCluster, SECOND};
+
+/// A bug in the code around the nodes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum InjectedBug {
+    None,
+    /// Writes are acknowledged before they are durable.
+    AcknowledgesUnwritten,
+    /// Votes are not durable.
+    ForgetsVotes,
+    /// Reads are served without asking a majority.
+    ReadsWithoutQuorum,
+}
+
+impl SimulatedCluster {
+    /// One random fault, or the end of all.
+    pub fn fault(&mut self) {
+        let id = self.draw_replica();
+        match self.draw(9) {
+            0 | 1 => {
+                if self.replicas[&id].node.is_some() {
+                    self.crash(id);
+                } else {
+                    self.start(id);
+                }
+            }
+            2 => {
+                let pause = self.draw(2 * SECOND);
+                self.replica(id).paused_until = self.now + pause;
+            }
+            3 | 4 => self.cut_link(id),
+            5 => self.partition(),
+            6 => self.loss_percent = self.draw(30),
+            _ => self.heal(),
+        }
+    }
+
+    /// Cuts one direction, or both.
+    fn cut_link(&mut self, id: NodeId) {
+        let other = self.draw_replica();
+        self.cut.insert((id, other));
+        if self.draw(2) == 0 {
+            self.cut.insert((other, id));
+        }
+    }
+
+    /// Divides the cluster in two.
+    fn partition(&mut self) {
+        let ids = self.ids();
+        let mut side = BTreeSet::new();
+        for id in &ids {
+            if self.draw_bool() {
+                side.insert(*id);
+            }
+        }
+        for from in &ids {
+            for to in &ids {
+                if side.contains(from) != side.contains(to) {
+                    self.cut.insert((*from, *to));
+                }
+            }
+        }
+    }
+
+    /// Ends all faults of the network, and starts what is down.
+    pub fn heal(&mut self) {
+        self.cut.clear();
+        self.loss_percent = 0;
+        for id in self.ids() {
+            if self.replicas[&id].node.is_none() {
+                self.start(id);
+            }
+        }
+    }
+
+    /// The process dies: of the writes in progress, some have reached the disk, in order.
+    pub fn crash(&mut self, id: NodeId) {
+        let written = self.draw(3) as usize;
+        let bug = self.bug;
+        let replica = self.replica(id);
+        replica.node = None;
+        replica.disk.received.clear();
+        let unwritten = std::mem::take(&mut replica.disk.unwritten);
+        if bug != InjectedBug::AcknowledgesUnwritten {
+            for write in unwritten.into_iter().take(written) {
+                replica.disk.write(write);
+            }
+        }
+        if bug == InjectedBug::ForgetsVotes {
+            replica.disk.hard_state.vote = None;
+        }
+    }
+
+    pub fn restart(&mut self, id: NodeId) {
+        if self.replicas[&id].node.is_some() {
+            self.crash(id);
+            self.start(id);
+        }
+    }
+}
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -117,12 +117,13 @@
             members if members.is_empty() => SnapshotMetadata::default(),
             members => SnapshotMetadata {
                 index,
-                members: Membership::bootstrap(members),
+                membership: Membership::bootstrap(members),
                 ..SnapshotMetadata::default()
             },
         };
         if !from.state.is_empty() {
-            Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
+            Store::from_snapshot(&from.state)
+                .map_err(|e| format!("this is no saved state: {e}"))?;
         }
         RaftStorage::create(files, &identity, &base, &from.state)
             .map_err(|e| format!("{place}: {e}"))?;
@@ -160,12 +161,12 @@
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
         let found = InitialState {
-            hard: kept.hard,
-            base: kept.base,
+            hard_state: kept.hard_state,
+            snapshot: kept.snapshot,
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Replica::new(id, config, seed, found, boot())?;
+        let member = Replica::new(id, config, seed, found, boot()).map_err(|e| e.to_string())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
@@ -252,13 +253,20 @@
                 match effect {
                     // All of a turn is one job, and one sync.
                     Effect::Persist(write) => writes.push(write),
-                    Effect::Send(to, message) => self.transport.send(to, &Frame::Core(message)),
-                    Effect::Respond(ticket, answer) => self.answer(ticket, answer),
-                    Effect::SaveSnapshot(meta, state) => {
+                    Effect::Send { to, message } => self.transport.send(to, &Frame::Core(message)),
+                    Effect::Respond { call, response } => self.answer(call, response),
+                    Effect::SaveSnapshot {
+                        metadata: meta,
+                        state,
+                    } => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Keep(meta, state.to_vec()));
                     }
-                    Effect::InstallSnapshot(from, meta, state) => {
+                    Effect::InstallSnapshot {
+                        from,
+                        metadata: meta,
+                        state,
+                    } => {
                         let follows = self.member.borrow().entries_after(&meta);
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Install(from, meta, state.to_vec(), follows));
@@ -339,7 +347,7 @@
     /// The whole state as bytes, to be saved.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
-        self.member.borrow().store().save()
+        self.member.borrow().store().to_snapshot()
     }
 
     /// Reads the store as it is applied here.
--- a/cluster/replica-runtime/src/runtime/disk_worker.rs
+++ b/cluster/replica-runtime/src/runtime/disk_worker.rs
@@ -48,7 +48,7 @@
                         }
                     }
                 }
-                let seq = writes.iter().map(|w| w.seq).max().unwrap_or(0);
+                let seq = writes.iter().map(|w| w.sequence).max().unwrap_or(0);
                 tried(tell, || disk.write(&writes)).map(|()| Done::Persisted(seq))
             }
             Job::Keep(meta, state) => {
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -169,7 +169,7 @@
 #[allow(clippy::unwrap_used, clippy::indexing_slicing)]
 mod tests {
     use super::*;
-    use violetgate_raft::{Entry, Payload};
+    use violetgate_raft::{Entry, LogPosition, Payload};
 
     /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
     #[test]
@@ -179,9 +179,9 @@
             index: 9,
             payload: Payload::Command(vec![5; 40]),
         }];
-        let message = Frame::Core(Message::Append {
+        let message = Frame::Core(Message::AppendEntries {
             term: 3,
-            prev: (2, 8),
+            previous: LogPosition { term: 2, index: 8 },
             entries,
             commit: 7,
             round: 11,
@@ -215,9 +215,9 @@
             ..ProgressSummary::default()
         };
         let frames = [
-            Frame::Core(Message::Append {
+            Frame::Core(Message::AppendEntries {
                 term: 1,
-                prev: (0, 0),
+                previous: LogPosition::default(),
                 entries: Vec::new(),
                 commit: 0,
                 round: 0,
--- /dev/null
+++ b/cluster/replica/src/reads.rs
@@ -0,0 +1,125 @@
+//! Linearizable reads: clients' reads, and the confirmations of the staleness guard.
+
+use std::collections::BTreeMap;
+
+use violetgate_raft::{Index, ProposalError};
+use violetgate_replicated_state::Micros;
+
+use crate::config::MAX_WAITING_CALLS;
+use crate::{CallId, Replica, Response};
+
+/// The most confirmations that wait for a read index; the oldest is dropped first.
+const MAX_CONFIRMATIONS: usize = 16;
+
+/// Who waits for a read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum PendingRead {
+    Client(CallId),
+    /// A confirmation of the staleness guard, by its id.
+    Confirmation(u64),
+}
+
+/// The reads that wait.
+#[derive(Debug, Default)]
+pub(crate) struct PendingReads {
+    last_id: u64,
+    /// Reads that wait for a read index, by their ids for Raft.
+    unanswered: BTreeMap<u64, PendingRead>,
+    /// Reads that wait for their read index to be applied.
+    unapplied: Vec<(Index, PendingRead)>,
+}
+
+impl PendingReads {
+    fn is_full(&self) -> bool {
+        self.unanswered.len() + self.unapplied.len() >= MAX_WAITING_CALLS
+    }
+
+    /// Adds a read; its id.
+    fn insert(&mut self, read: PendingRead) -> u64 {
+        self.last_id += 1;
+        if matches!(read, PendingRead::Confirmation(_)) {
+            self.bound_confirmations();
+        }
+        self.unanswered.insert(self.last_id, read);
+        self.last_id
+    }
+
+    fn bound_confirmations(&mut self) {
+        let reads = self.unanswered.iter();
+        let confirmations: Vec<u64> = reads
+            .filter(|(_, read)| matches!(read, PendingRead::Confirmation(_)))
+            .map(|(id, _)| *id)
+            .collect();
+        if let [oldest, ..] = confirmations.as_slice() {
+            if confirmations.len() >= MAX_CONFIRMATIONS {
+                self.unanswered.remove(oldest);
+            }
+        }
+    }
+
+    /// Takes the reads that may be served once `applied` is applied.
+    fn take_applied(&mut self, applied: Index) -> Vec<(Index, PendingRead)> {
+        let (ready, rest) = std::mem::take(&mut self.unapplied)
+            .into_iter()
+            .partition(|(index, _)| *index <= applied);
+        self.unapplied = rest;
+        ready
+    }
+
+    pub(crate) fn cancel(&mut self, call: CallId) {
+        let cancelled = PendingRead::Client(call);
+        self.unanswered.retain(|_, read| *read != cancelled);
+        self.unapplied.retain(|(_, read)| *read != cancelled);
+    }
+}
+
+impl Replica {
+    /// A client's read: answered by [`Response::ReadReady`] once the store may be read. Where messages are lost it is
+    /// not answered, and has to be repeated.
+    pub fn read(&mut self, call: CallId) {
+        if self.reads.is_full() {
+            return self.respond(call, Response::Rejected(ProposalError::Busy));
+        }
+        self.request_read_index(PendingRead::Client(call));
+    }
+
+    /// Begins to confirm that the state here is recent.
+    pub(crate) fn begin_confirmation(&mut self, now: Micros) {
+        let id = self.guard.begin_confirmation(now);
+        self.request_read_index(PendingRead::Confirmation(id));
+    }
+
+    fn request_read_index(&mut self, read: PendingRead) {
+        let read_id = self.reads.insert(read);
+        self.raft.read_index(read_id);
+    }
+
+    pub(crate) fn on_read_ready(&mut self, read_id: u64, index: Index) {
+        if let Some(read) = self.reads.unanswered.remove(&read_id) {
+            self.reads.unapplied.push((index, read));
+            self.complete_reads();
+        }
+    }
+
+    pub(crate) fn on_read_failed(&mut self, read_id: u64) {
+        match self.reads.unanswered.remove(&read_id) {
+            Some(PendingRead::Client(call)) => {
+                self.respond(call, Response::NotLeader(self.raft.leader()));
+            }
+            Some(PendingRead::Confirmation(id)) => self.guard.confirmation_failed(id),
+            None => {}
+        }
+    }
+
+    /// Answers the reads and confirmations for which enough is applied now.
+    pub(crate) fn complete_reads(&mut self) {
+        let applied = self.applied.index;
+        self.guard.applied_up_to(applied);
+        for (index, read) in self.reads.take_applied(applied) {
+            match read {
+                PendingRead::Client(call) => self.respond(call, Response::ReadReady),
+                PendingRead::Confirmation(id) => self.guard.confirmation_answered(id, index),
+            }
+        }
+    }
+}
--- a/cluster/replicated-state/src/entries.rs
+++ b/cluster/replicated-state/src/entries.rs
@@ -1,16 +1,16 @@
-//! Reading agreed state, whoever holds it: a member's store, or a replica without history.
+//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's copy without history.
 
 use crate::{Revision, Store};
 
-/// Agreed entries as they are now.
+/// The current keys and values.
 pub trait Entries {
-    /// The revision that the entries are of.
+    /// The revision that they are of.
     fn revision(&self) -> Revision;
 
-    /// One entry: the revision that last changed it, and what it holds.
+    /// A key's value, and the revision that last changed it.
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])>;
 
-    /// All entries whose keys begin with `prefix`, in order of their keys.
+    /// All keys that begin with `prefix`, in order, with the revisions that last changed them and their values.
     fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)>;
 }
 
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -1,23 +1,41 @@
-//! What the daemon's members agree on, without I/O.
+//! The replicated state machine, without I/O.
 //!
-//! - [`Store`]: keyed entries with revisions, changed by agreed [`Command`]s alone, so that every member that has
+//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that every replica that has
 //!   applied the same commands has the same state, to the byte.
-//! - [`StalenessGuard`]: whether this member's copy is young enough to route on.
+//! - [`StalenessGuard`]: whether this replica's copy is recent enough to route requests by.
 //!
-//! It must never read a clock: commands carry the time of the leader that proposed them, the gate is told the time.
+//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the guard is given the
+//! time. Times and spans are in microseconds.
+//!
+//! ```
+//! use violetgate_replicated_state::{Command, Mutation, Operation, Outcome, Store, Txn};
+//!
+//! let put = Mutation::Put { key: "limit".to_owned(), value: b"300".to_vec(), lease: None };
+//! let command = Command {
+//!     request_id: Some("request-1".to_owned()),
+//!     actor: "operator".to_owned(),
+//!     time: 1_000_000,
+//!     operation: Operation::Txn(Txn { then: vec![put], ..Txn::default() }),
+//! };
+//! let mut store = Store::default();
+//! let outcome = store.apply(&command);
+//! assert_eq!(outcome, Outcome::Applied { revision: 1, conditions_held: true });
+//! // The same request again changes nothing.
+//! assert_eq!(store.apply(&command), outcome);
+//! assert_eq!(store.get("limit"), Some((1, &b"300".to_vec())));
+//! ```
 
+mod command;
 mod entries;
 mod staleness_guard;
 mod store;
 
+pub use command::{Command, CommandError, Condition, Mutation, Operation, Outcome, Txn};
 pub use entries::Entries;
 pub use staleness_guard::{Stale, StalenessGuard};
-pub use store::{
-    Command, CommandError, Compacted, Condition, KeyChange, Listing, Mutation, Operation, Outcome,
-    Store, Txn, MAX_KEY, MAX_OPS, MAX_VALUE,
-};
+pub use store::{Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY, MAX_OPS, MAX_VALUE};
 
 /// A moment or a span in microseconds.
 pub type Micros = u64;
-/// A state of the store; each change makes the next one, from 1.
+/// The number of a state of the store. Each change makes the next one, from 1.
 pub type Revision = u64;
--- /dev/null
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -0,0 +1,131 @@
+//! Transactions: their conditions, their limits, and the changes that they make.
+
+use serde::{Deserialize, Serialize};
+
+use super::revisions::{StoredValue, Version};
+use super::{KeyChange, Store};
+use crate::{CommandError, Condition, Mutation, Txn};
+
+/// The longest key, in bytes.
+pub const MAX_KEY: usize = 512;
+/// The longest value, in bytes.
+pub const MAX_VALUE: usize = 64 << 10;
+/// The most conditions, and the most changes, of one transaction.
+pub const MAX_OPS: usize = 128;
+/// The most keys in the store.
+const MAX_KEYS: usize = 1_000_000;
+/// The most bytes of current keys and values in the store.
+const MAX_BYTES: usize = 256 << 20;
+
+/// How much the store holds, without its history.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct LiveSize {
+    keys: usize,
+    bytes: usize,
+}
+
+impl LiveSize {
+    fn add(&mut self, key: &str, value: &[u8]) {
+        self.keys += 1;
+        self.bytes += key.len() + value.len();
+    }
+
+    fn subtract(&mut self, key: &str, value_bytes: usize) {
+        self.keys -= 1;
+        self.bytes -= key.len() + value_bytes;
+    }
+
+    fn is_over_limit(&self) -> bool {
+        self.keys > MAX_KEYS || self.bytes > MAX_BYTES
+    }
+}
+
+impl Store {
+    /// Carries a transaction out. Returns whether its conditions held.
+    pub(super) fn transact(&mut self, txn: &Txn, actor: &str) -> Result<bool, CommandError> {
+        let conditions_held = txn.conditions.iter().all(|condition| self.holds(condition));
+        let mutations = if conditions_held {
+            &txn.then
+        } else {
+            &txn.otherwise
+        };
+        if mutations.len().max(txn.conditions.len()) > MAX_OPS {
+            return Err(CommandError::TooLarge);
+        }
+        self.check_limits(mutations)?;
+        if !mutations.is_empty() {
+            self.commit_mutations(mutations, actor);
+        }
+        Ok(conditions_held)
+    }
+
+    fn holds(&self, condition: &Condition) -> bool {
+        match condition {
+            Condition::RevisionIs(key, expected) => {
+                self.get(key).map_or(0, |(revision, _)| revision) == *expected
+            }
+            Condition::ValueIs(key, expected) => {
+                self.get(key).is_some_and(|(_, value)| value == expected)
+            }
+        }
+    }
+
+    /// Checks all changes before any is made. What a key held before counts as if it stayed.
+    fn check_limits(&self, mutations: &[Mutation]) -> Result<(), CommandError> {
+        let mut size = self.live_size;
+        for mutation in mutations {
+            let Mutation::Put { key, value, lease } = mutation else {
+                continue;
+            };
+            if key.is_empty() || key.len() > MAX_KEY || value.len() > MAX_VALUE {
+                return Err(CommandError::TooLarge);
+            }
+            if let Some(id) = lease.filter(|id| !self.leases.contains_key(id)) {
+                return Err(CommandError::UnknownLease(id));
+            }
+            size.add(key, value);
+        }
+        if size.is_over_limit() {
+            return Err(CommandError::StoreFull);
+        }
+        Ok(())
+    }
+
+    /// Makes changes, all in one revision. The deletion of a key that doesn't exist leaves no trace.
+    pub(super) fn commit_mutations(&mut self, mutations: &[Mutation], actor: &str) {
+        let revision = self.revision + 1;
+        for mutation in mutations {
+            let (key, value) = match mutation {
+                Mutation::Put { key, value, lease } => {
+                    let bytes = value.clone();
+                    let lease = *lease;
+                    (key, Some(StoredValue { bytes, lease }))
+                }
+                Mutation::Delete(key) if self.get(key).is_none() => continue,
+                Mutation::Delete(key) => (key, None),
+            };
+            self.log_change(KeyChange {
+                revision,
+                key: key.clone(),
+                value: value.as_ref().map(|value| value.bytes.clone()),
+                actor: actor.to_owned(),
+                time: self.time,
+            });
+            self.set_version(key, Version { revision, value });
+            self.revision = revision;
+        }
+    }
+
+    /// Adds a version of a key. The last of several in one revision counts.
+    fn set_version(&mut self, key: &str, version: Version) {
+        if let Some(bytes) = self.get(key).map(|(_, value)| value.len()) {
+            self.live_size.subtract(key, bytes);
+        }
+        if let Some(value) = &version.value {
+            self.live_size.add(key, &value.bytes);
+        }
+        let versions = self.keys.entry(key.to_owned()).or_default();
+        versions.retain(|other| other.revision != version.revision);
+        versions.push(version);
+    }
+}
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -100,8 +100,8 @@
     ) -> Result<Rc<Self>, String> {
         let micros = |s: settings::Span| u64::try_from(s.0.as_micros()).unwrap_or(u64::MAX);
         let raft = Config {
-            election: micros(given.election_timeout),
-            heartbeat: micros(given.heartbeat),
+            election_timeout: micros(given.election_timeout),
+            heartbeat_interval: micros(given.heartbeat),
             ..Config::default()
         };
         let config = ReplicaConfig {
--- a/tools/acceptance/src/inside.rs
+++ b/tools/acceptance/src/inside.rs
@@ -125,13 +125,13 @@
     while at <= entries {
         let append: Vec<_> = (at..(at + batch).min(entries + 1)).map(entry).collect();
         at += append.len() as u64;
-        let hard = Some(HardState {
+        let hard_state = Some(HardState {
             term: 1,
             vote: Some(1),
         });
         disk.write(&[StorageWrite {
-            seq: at,
-            hard,
+            sequence: at,
+            hard_state,
             append,
             ..StorageWrite::default()
         }])
