--- /dev/null
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -0,0 +1,235 @@
+//! Each message between a front end and an observer as an earlier release encodes it. Both directions are compared: an
+//! instance of that release and a new one work together during an upgrade.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use violetgate_state_distribution::*;
+
+/// One message a line: its name here, and its bytes in hexadecimal.
+const FIXTURES: &str = include_str!("fixtures/messages.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixtures, and the messages that were compared with theirs.
+struct Comparison {
+    stored: BTreeMap<&'static str, &'static str>,
+    differing: Vec<String>,
+}
+
+impl Comparison {
+    fn new() -> Self {
+        let stored = FIXTURES.lines().map(|line| line.split_once(' ').unwrap());
+        Comparison {
+            stored: stored.collect(),
+            differing: Vec::new(),
+        }
+    }
+
+    fn compare<T>(&mut self, name: &str, message: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        let encoded = hex(&postcard::to_stdvec(message).unwrap());
+        let stored = self.stored.remove(name).unwrap_or_default();
+        if encoded != stored {
+            self.differing.push(format!("{name} {encoded}"));
+            return;
+        }
+        let decoded: T = postcard::from_bytes(&unhex(stored)).unwrap();
+        assert_eq!(&decoded, message, "{name}");
+        assert_eq!(hex(&postcard::to_stdvec(&decoded).unwrap()), stored);
+    }
+
+    fn finish(self) {
+        let found = self.differing.join("\n");
+        assert!(found.is_empty(), "differ from the stored ones:\n{found}");
+        assert!(self.stored.is_empty(), "not compared: {:?}", self.stored);
+    }
+}
+
+fn hello() -> SubscriberHello {
+    SubscriberHello {
+        magic: MAGIC,
+        version: VERSION,
+        cluster: "lahore".to_owned(),
+        observer: 300,
+        name: "front-end-7".to_owned(),
+        revision: 123_456,
+    }
+}
+
+fn refusals() -> [(&'static str, Refusal); 8] {
+    [
+        ("not_a_subscriber", Refusal::NotASubscriber),
+        (
+            "wrong_version",
+            Refusal::WrongVersion {
+                theirs: 2,
+                ours: 300,
+            },
+        ),
+        (
+            "wrong_cluster",
+            Refusal::WrongCluster {
+                theirs: "a".to_owned(),
+                ours: "b".to_owned(),
+            },
+        ),
+        (
+            "wrong_observer",
+            Refusal::WrongObserver {
+                wanted: 4,
+                actual: 500,
+            },
+        ),
+        ("full", Refusal::Full { capacity: 4_000 }),
+        (
+            "revision_ahead",
+            Refusal::RevisionAhead {
+                theirs: 10_000,
+                ours: 9,
+            },
+        ),
+        (
+            "protocol",
+            Refusal::Protocol {
+                what: "a gap between changes".to_owned(),
+            },
+        ),
+        ("too_slow", Refusal::TooSlow { queued: 4_194_305 }),
+    ]
+}
+
+fn compare_greetings(comparison: &mut Comparison) {
+    comparison.compare("hello", &hello());
+    let welcome = ObserverWelcome {
+        refused: None,
+        revision: 123_457,
+        subscribers: 1_900,
+        capacity: 4_000,
+    };
+    comparison.compare("welcome", &welcome);
+    for (code, refusal) in refusals() {
+        let welcome = ObserverWelcome {
+            refused: Some(refusal.clone()),
+            ..welcome.clone()
+        };
+        comparison.compare(&format!("welcome_{code}"), &welcome);
+        comparison.compare(&format!("refused_{code}"), &FromObserver::Refused(refusal));
+    }
+}
+
+fn compare_from_subscriber(comparison: &mut Comparison) {
+    comparison.compare("watch", &FromSubscriber::Watch { after: 70_000 });
+    comparison.compare("snapshot", &FromSubscriber::Snapshot { from: None });
+    let place = SnapshotPlace {
+        revision: 300,
+        after: "cordons/e-1".to_owned(),
+    };
+    let from = Some(place);
+    comparison.compare("snapshot_from", &FromSubscriber::Snapshot { from });
+    for serving in [false, true] {
+        let progress = Progress {
+            applied: 299,
+            serving,
+        };
+        let message = FromSubscriber::Confirm {
+            question: 1_000,
+            progress,
+        };
+        comparison.compare(&format!("confirm_{serving}"), &message);
+    }
+    comparison.compare("stop_watching", &FromSubscriber::StopWatching);
+}
+
+fn compare_from_observer(comparison: &mut Comparison) {
+    let change = |revision, key: &str, value: Option<&[u8]>| EntryChange {
+        revision,
+        key: key.to_owned(),
+        value: value.map(<[u8]>::to_vec),
+    };
+    let changes = vec![
+        change(129, "cordons/e-1", Some(b"{}")),
+        change(130, "cordons/e-2", None),
+    ];
+    let message = FromObserver::Changes {
+        after: 128,
+        to: 130,
+        changes: changes.into(),
+    };
+    comparison.compare("changes", &message);
+    comparison.compare("compacted", &FromObserver::Compacted { first: 400 });
+    for (name, after, last) in [
+        ("piece_first", None, false),
+        ("piece_last", Some("a".to_owned()), true),
+    ] {
+        let entries = vec![
+            ("b".to_owned(), 5, vec![1, 2, 255]),
+            ("c".to_owned(), 300, Vec::new()),
+        ];
+        let message = FromObserver::SnapshotPiece {
+            revision: 300,
+            after,
+            entries,
+            last,
+        };
+        comparison.compare(name, &message);
+    }
+    let queued = FromObserver::SnapshotQueued { place: 200 };
+    comparison.compare("snapshot_queued", &queued);
+    let confirmed = FromObserver::Confirmed {
+        question: 1_000,
+        revision: 300,
+    };
+    comparison.compare("confirmed", &confirmed);
+    let load = FromObserver::Load {
+        subscribers: 1_900,
+        capacity: 4_000,
+    };
+    comparison.compare("load", &load);
+}
+
+fn compare_progress(comparison: &mut Comparison) {
+    let summary = ProgressSummary {
+        revision: 300,
+        serving: 1_900,
+        not_serving: 3,
+        least: Some(298),
+        behind: [1, 2, 3, 400],
+        laggards: vec![("front-end-7".to_owned(), 298)],
+    };
+    comparison.compare("progress", &summary);
+    comparison.compare("progress_of_none", &ProgressSummary::default());
+}
+
+#[test]
+fn messages_are_encoded_and_decoded_as_by_an_earlier_release() {
+    let mut comparison = Comparison::new();
+    compare_greetings(&mut comparison);
+    compare_from_subscriber(&mut comparison);
+    compare_from_observer(&mut comparison);
+    compare_progress(&mut comparison);
+    comparison.finish();
+}
+
+/// The reason codes and texts of refusals are shown to operators.
+#[test]
+fn refusals_have_their_stored_codes_and_texts() {
+    let found: Vec<String> = refusals()
+        .iter()
+        .map(|(_, refusal)| format!("{} {refusal}", refusal.code()))
+        .collect();
+    let stored: Vec<&str> = include_str!("fixtures/refusals.txt").lines().collect();
+    assert_eq!(found, stored, "{}", found.join("\n"));
+}
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -4,6 +4,8 @@
 
 mod check;
 mod network;
+pub mod scenario;
+mod trace;
 mod upstream;
 
 use std::cmp::Reverse;
@@ -17,6 +19,7 @@
 
 pub use check::Seen;
 use network::Connection;
+pub use trace::Trace;
 
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000 * MS;
@@ -96,6 +99,8 @@
     agreed: Vec<u64>,
     fingerprints: Vec<u64>,
     pub seen: Seen,
+    /// A digest of all that the cores do, where one is wanted.
+    pub trace: Option<Trace>,
     observer_config: ObserverConfig,
     subscriber_config: SubscriberConfig,
     #[cfg(feature = "mutants")]
@@ -127,6 +132,7 @@
             agreed: vec![0],
             fingerprints: vec![check::fingerprint(&Store::default())],
             seen: Seen::default(),
+            trace: None,
             subscriber_config: SubscriberConfig::default_for(
                 &config.cluster,
                 "front-end",
@@ -306,6 +312,7 @@
             Event::ReadFailed(id, starts, read) => self.read_failed(id, starts, read),
             Event::CheckAll => {
                 self.check_all();
+                self.trace_states();
                 self.plan(self.now + 20 * MS, Event::CheckAll);
             }
         }
@@ -352,6 +359,7 @@
                 break;
             }
             for action in actions {
+                self.trace_observer(id, &action);
                 match action {
                     ObserverAction::Send(connection, message) => {
                         self.send_to_subscriber(connection, message)
@@ -378,6 +386,7 @@
     /// Carries out what a subscriber wants done, checks it, and plans its next tick.
     pub(crate) fn after_subscriber(&mut self, n: usize) {
         for action in self.subscribers[n].core.actions() {
+            self.trace_subscriber(n, &action);
             match action {
                 SubscriberAction::Connect(id, hello) => self.begin_connect(n, id, hello),
                 SubscriberAction::Disconnect(id) => self.disconnect_by_subscriber(n, id),
--- a/cluster/state-distribution/tests/world/network.rs
+++ b/cluster/state-distribution/tests/world/network.rs
@@ -5,6 +5,7 @@
 use violetgate_raft::NodeId;
 use violetgate_state_distribution::*;
 
+use super::trace::Record;
 use super::{Event, World, MS, SECOND};
 
 /// How often a connection that is cut, or whose end stands still, is looked at again.
@@ -71,6 +72,7 @@
             return self.plan(at, Event::SubscriberLost(n, id, attempt, None));
         };
         let welcome = core.connect(self.now, attempt, &hello, &process.store);
+        self.trace(id, Record::Welcome(attempt, &welcome));
         if let Some(refusal) = &welcome.refused {
             *self.seen.refusals.entry(refusal.code()).or_default() += 1;
             self.plan(
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -4,6 +4,7 @@
 use violetgate_replicated_state::{Command, Op, Step, Txn};
 use violetgate_state_distribution::*;
 
+use super::trace::Record;
 use super::{check, Event, World, MS};
 
 impl World {
@@ -65,6 +66,8 @@
             process.store.apply(command);
         }
         process.applied = to;
+        self.trace(id, Record::Applied(to));
+        let process = self.observers.get_mut(&id).unwrap();
         process
             .core
             .as_mut()
@@ -114,10 +117,8 @@
             .partition(|(index, _)| *index <= applied);
         process.reads = rest;
         let done: Vec<(usize, ReadId)> = done;
-        if let Some(core) = &mut process.core {
-            for (_, read) in done {
-                core.read_ended(self.now, read, true, &process.store);
-            }
+        for (_, read) in done {
+            self.read_ended(id, read, true);
         }
     }
 
@@ -126,9 +127,17 @@
         if process.starts != starts {
             return;
         }
-        if let Some(core) = &mut process.core {
-            core.read_ended(self.now, read, false, &process.store);
+        if process.core.is_some() {
+            self.read_ended(id, read, false);
             self.after_observer(id);
         }
     }
+
+    fn read_ended(&mut self, id: NodeId, read: ReadId, current: bool) {
+        let process = self.observers.get_mut(&id).unwrap();
+        if let Some(core) = &mut process.core {
+            core.read_ended(self.now, read, current, &process.store);
+            self.trace(id, Record::ReadEnded(read, current));
+        }
+    }
 }
