--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -14,11 +14,11 @@
 use violetgate_replicated_state::{Micros, Store};
 use violetgate_state_distribution::{
     ConnectionId, Observer, ObserverAction, ObserverConfig, ObserverMessage, ObserverWelcome,
-    ProgressSummary, ReadId, Rejection, SubscriberHello, MAX_MESSAGE_BYTES,
+    ProgressSummary, ReadId, ReadResult, Rejection, SubscriberHello, MAX_MESSAGE_BYTES,
 };
 
 use crate::clock::{boot, Alarm};
-use crate::runtime::Cluster;
+use crate::runtime::ReplicaRuntime;
 use crate::send_queue::{SendQueue, SharedFrame};
 use crate::traffic_stats::{Counter, TrafficStats};
 use crate::wire;
@@ -152,7 +152,7 @@
     }
 
     fn applied(&self, store: &Store) {
-        self.core.borrow_mut().applied(boot(), store);
+        self.core.borrow_mut().store_applied(boot(), store);
         self.carry_out();
     }
 
@@ -175,10 +175,14 @@
             let mut last: Option<(ObserverMessage, SharedFrame)> = None;
             for action in actions {
                 match action {
-                    ObserverAction::Send(to, message) => self.send(to, message, &mut last),
-                    ObserverAction::Close(connection, rejection) => {
-                        self.refuse(connection, rejection)
-                    }
+                    ObserverAction::Send {
+                        connection,
+                        message,
+                    } => self.send(connection, message, &mut last),
+                    ObserverAction::Close {
+                        connection,
+                        rejection,
+                    } => self.refuse(connection, rejection),
                     ObserverAction::BeginRead(read) => self.read(read),
                 }
             }
@@ -235,7 +239,7 @@
     fn drop_connection(&self, connection: ConnectionId, reason: &'static str) {
         if let Some(send_queue) = self.send_queue(connection) {
             send_queue.abort(reason);
-            self.core.borrow_mut().disconnect(boot(), connection);
+            self.core.borrow_mut().disconnected(boot(), connection);
         }
     }
 
@@ -243,9 +247,14 @@
     fn read(&self, read: ReadId) {
         let (me, cluster) = (self.me.clone(), Rc::clone(&self.cluster));
         let asked = async move {
-            let current = cluster.current(READ_WITHIN).await;
+            let current = cluster.wait_until_current(READ_WITHIN).await;
+            let result = if current {
+                ReadResult::Current
+            } else {
+                ReadResult::Failed
+            };
             if let Some(service) = me.upgrade() {
-                service.with(|core, now, store| core.read_completed(now, read, current, store));
+                service.with(|core, now, store| core.read_completed(now, read, result, store));
             }
         };
         self.cluster.executor().spawn(asked).detach();
@@ -285,12 +294,12 @@
         id: ConnectionId,
         hello: &SubscriberHello,
     ) -> (ObserverWelcome, Option<Rc<SendQueue>>) {
-        let welcome = self.with(|core, now, store| core.connect(now, id, hello, store));
+        let welcome = self.with(|core, now, store| core.accept(now, id, hello, store));
         if welcome.rejected.is_some() {
             return (welcome, None);
         }
         let Some(task) = self.ungreeted.borrow_mut().remove(&id) else {
-            self.with(|core, now, _| core.disconnect(now, id));
+            self.with(|core, now, _| core.disconnected(now, id));
             return (welcome, None);
         };
         let send_queue = SendQueue::new(self.queue_limit, PATIENCE);
@@ -314,7 +323,7 @@
             task.detach();
             // The core has forgotten those that it turned away.
             if !send_queue.is_ending() {
-                self.with(|core, now, _| core.disconnect(now, id));
+                self.with(|core, now, _| core.disconnected(now, id));
             }
         }
     }
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -48,7 +48,7 @@
     let reading = read(of, id, stream, &mut input);
     let writing = send_queue.write_to(stream, |waiting| {
         if let Some(service) = of.upgrade() {
-            service.with(|core, _, store| core.queued(id, waiting, store));
+            service.with(|core, _, store| core.bytes_queued(id, waiting, store));
         }
     });
     let reason = match writing.or(reading).await {
@@ -151,7 +151,7 @@
                 }
                 Ok(None) => break,
                 Err(what) => {
-                    service.with(|core, now, _| core.disconnect(now, id));
+                    service.with(|core, now, _| core.disconnected(now, id));
                     service.refuse(
                         id,
                         Rejection::ProtocolViolation {
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -29,7 +29,7 @@
 use disk_worker::{write_for_ever, Done, Job};
 
 pub use calls::CallOutcome;
-pub use status::Status;
+pub use status::ReplicaStatus;
 
 /// Calls of other members that are carried out at a time; more are turned away, and come again.
 const MOST_ASKED: usize = 1_000;
@@ -57,9 +57,9 @@
 #[derive(Debug, Clone)]
 pub struct Bootstrap {
     /// The first members, or none for one that joins a cluster that runs.
-    pub members: Vec<NodeId>,
+    pub initial_members: Vec<NodeId>,
     /// A saved state to begin with; empty: nothing.
-    pub state: Vec<u8>,
+    pub initial_state: Vec<u8>,
 }
 
 /// What is called with the store once more is applied to it.
@@ -69,7 +69,7 @@
 pub struct ReplicaRuntime {
     me: Weak<ReplicaRuntime>,
     member: RefCell<Member>,
-    born: u64,
+    disk_id: u64,
     transport: Rc<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     /// Called in the very turn in which more is applied, before anything else can be decided on it.
@@ -78,15 +78,15 @@
     fleet: RefCell<fleet_reports::Reports>,
     told: Cell<Index>,
     /// Calls that other members carry out for this one, and how many this one carries out for others.
-    asked: RefCell<BTreeMap<u64, Rc<Slot>>>,
+    forwarded_calls: RefCell<BTreeMap<u64, Rc<Slot>>>,
     carrying: Cell<usize>,
     jobs: mpsc::Sender<Job>,
-    waiting: RefCell<BTreeMap<Ticket, Rc<Slot>>>,
-    next: Cell<Ticket>,
+    pending_calls: RefCell<BTreeMap<Ticket, Rc<Slot>>>,
+    last_ticket: Cell<Ticket>,
     alarm: Rc<Alarm>,
     /// Those that wait for the state to move on, and why nothing can be written any more.
     watchers: RefCell<Vec<Waker>>,
-    lost: RefCell<Option<String>>,
+    stop_reason: RefCell<Option<String>>,
     tasks: RefCell<Vec<Task<()>>>,
 }
 
@@ -97,12 +97,12 @@
     /// # Errors
     ///
     /// The folder is somebody's already, or can't be written.
-    pub fn begin(
+    pub fn initialize(
         cluster: &str,
         id: NodeId,
         folder: &Path,
         born: u64,
-        from: Bootstrap,
+        bootstrap: Bootstrap,
     ) -> Result<(), String> {
         let place = folder.display();
         let files = Folder::new(folder).map_err(|e| format!("{place}: {e}"))?;
@@ -112,8 +112,8 @@
             born,
         };
         // A state to begin with is the first entry, so that one that has nothing is sent it.
-        let index = Index::from(!from.state.is_empty());
-        let base = match from.members {
+        let index = Index::from(!bootstrap.initial_state.is_empty());
+        let base = match bootstrap.initial_members {
             members if members.is_empty() => Meta::default(),
             members => Meta {
                 index,
@@ -121,10 +121,12 @@
                 ..Meta::default()
             },
         };
-        if !from.state.is_empty() {
-            Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
+        if !bootstrap.initial_state.is_empty() {
+            Store::load(&bootstrap.initial_state)
+                .map_err(|e| format!("this is no saved state: {e}"))?;
         }
-        Disk::create(files, &identity, &base, &from.state).map_err(|e| format!("{place}: {e}"))?;
+        Disk::create(files, &identity, &base, &bootstrap.initial_state)
+            .map_err(|e| format!("{place}: {e}"))?;
         Ok(())
     }
 
@@ -182,23 +184,23 @@
                 me: me.clone(),
                 told: Cell::new(member.applied()),
                 member: RefCell::new(member),
-                born,
+                disk_id: born,
                 transport: Transport::new(Rc::clone(executor), &cluster, id, born, incoming),
                 executor: Rc::clone(executor),
                 applied: RefCell::default(),
                 fleet: RefCell::default(),
-                asked: RefCell::default(),
+                forwarded_calls: RefCell::default(),
                 carrying: Cell::new(0),
                 jobs,
-                waiting: RefCell::default(),
-                next: Cell::new(0),
+                pending_calls: RefCell::default(),
+                last_ticket: Cell::new(0),
                 alarm: Rc::default(),
                 watchers: RefCell::default(),
-                lost: RefCell::default(),
+                stop_reason: RefCell::default(),
                 tasks: RefCell::default(),
             }
         });
-        me.transport.peers(&members);
+        me.transport.set_peers(&members);
         let tasks = [
             executor.spawn(Rc::clone(&me.transport).listen(listener)),
             executor.spawn(keep_time(Rc::downgrade(&me), Rc::clone(&me.alarm))),
@@ -238,7 +240,7 @@
     }
 
     fn pump(&self) {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return;
         }
         let mut writes = Vec::new();
@@ -251,7 +253,7 @@
                 match effect {
                     // All of a turn is one job, and one sync.
                     Effect::Write(write) => writes.push(write),
-                    Effect::Send(to, message) => self.transport.send(to, &Frame::Core(message)),
+                    Effect::Send(to, message) => self.transport.send(to, &Frame::Raft(message)),
                     Effect::Answer(ticket, answer) => self.answer(ticket, answer),
                     Effect::Keep(meta, state) => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
@@ -284,35 +286,41 @@
 
     fn lose(&self, what: String) {
         tracing::info!("cluster member stops: {what}");
-        *self.lost.borrow_mut() = Some(what);
+        *self.stop_reason.borrow_mut() = Some(what);
         self.watchers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
     fn answer(&self, ticket: Ticket, answer: Answer) {
-        let slot = self.waiting.borrow().get(&ticket).cloned();
+        let slot = self.pending_calls.borrow().get(&ticket).cloned();
         slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
     }
 
     /// What another member says.
     fn hear(&self, from: NodeId, frame: Frame) {
         match frame {
-            Frame::Core(message) => self.with(|m| m.step(from, message)),
+            Frame::Raft(message) => self.with(|m| m.step(from, message)),
             Frame::Progress(summary) => self.progress_came(from, summary),
-            Frame::Told(number, answer) => {
-                let slot = self.asked.borrow().get(&number).cloned();
+            Frame::CallAnswer { id: number, answer } => {
+                let slot = self.forwarded_calls.borrow().get(&number).cloned();
                 slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
             }
-            Frame::Ask(number, _) if self.carrying.get() >= MOST_ASKED => {
-                self.transport
-                    .send(from, &Frame::Told(number, Answer::Rejected(Rejected::Busy)));
+            Frame::ForwardCall { id: number, .. } if self.carrying.get() >= MOST_ASKED => {
+                self.transport.send(
+                    from,
+                    &Frame::CallAnswer {
+                        id: number,
+                        answer: Answer::Rejected(Rejected::Busy),
+                    },
+                );
             }
-            Frame::Ask(number, call) => {
+            Frame::ForwardCall { id: number, call } => {
                 let Some(me) = self.me.upgrade() else { return };
                 self.carrying.set(self.carrying.get() + 1);
                 let carried = async move {
                     // One that gets no answer asks again.
                     if let CallOutcome::Completed(answer) = me.here(call, TRY).await {
-                        me.transport.send(from, &Frame::Told(number, answer));
+                        me.transport
+                            .send(from, &Frame::CallAnswer { id: number, answer });
                     }
                     me.carrying.set(me.carrying.get() - 1);
                 };
@@ -323,8 +331,8 @@
 
     /// What was drawn when this member's disk was made.
     #[must_use]
-    pub fn born(&self) -> u64 {
-        self.born
+    pub fn disk_id(&self) -> u64 {
+        self.disk_id
     }
 
     /// Adds to what is called in the very turn in which more is applied; it is called at once, too.
@@ -350,16 +358,16 @@
     ///
     /// The state is too old, or nothing can be written any more.
     pub fn may_route(&self) -> Result<(), Stale> {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return Err(Stale { age: None });
         }
         self.member.borrow().may_route(boot())
     }
 
     /// Waits until more is applied here, or the member stops.
-    pub async fn moved(&self, from: Index) {
+    pub async fn wait_for_apply(&self, from: Index) {
         poll_fn(|cx| {
-            if self.member.borrow().applied() != from || self.lost.borrow().is_some() {
+            if self.member.borrow().applied() != from || self.stop_reason.borrow().is_some() {
                 return Poll::Ready(());
             }
             self.watchers.borrow_mut().push(cx.waker().clone());
@@ -370,8 +378,8 @@
 
     /// Why the member has stopped, if it has.
     #[must_use]
-    pub fn lost(&self) -> Option<String> {
-        self.lost.borrow().clone()
+    pub fn stop_reason(&self) -> Option<String> {
+        self.stop_reason.borrow().clone()
     }
 }
 
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -12,8 +12,8 @@
 use violetgate_replica::{Answer, Member, Ticket};
 use violetgate_replicated_state::Step;
 
-use super::status::Status;
-use super::Cluster;
+use super::status::ReplicaStatus;
+use super::ReplicaRuntime;
 use crate::wire::{Call, Frame};
 
 /// How often a call that got no answer is made again, under the same request id.
@@ -26,9 +26,9 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
     /// It was answered.
-    Yes(Answer),
+    Completed(Answer),
     /// It was not, in the time that it had. A command may still come to be.
-    Late,
+    TimedOut,
 }
 
 #[derive(Default)]
@@ -40,15 +40,17 @@
 
 impl ReplicaRuntime {
     fn ticket(&self) -> Ticket {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
     /// Makes one call, and waits for its answer for so long at most.
     async fn call(&self, within: Duration, act: impl FnOnce(&mut Member, Ticket)) -> CallOutcome {
         let ticket = self.ticket();
         let slot = Rc::new(Slot::default());
-        self.waiting.borrow_mut().insert(ticket, Rc::clone(&slot));
+        self.pending_calls
+            .borrow_mut()
+            .insert(ticket, Rc::clone(&slot));
         // Whichever way this ends, nobody waits for it any more: also where its future is dropped.
         let _forget = Forget(self, ticket);
         self.with(|m| act(m, ticket));
@@ -61,12 +63,14 @@
             Call::Propose { request, who, step } => {
                 self.propose(Some(request), &who, step, within).await
             }
-            Call::Change(change) => self.change(change, within).await,
-            Call::Transfer(to) => CallOutcome::Completed(match self.transfer(to) {
-                Ok(()) => Answer::Changed,
-                Err(Rejected::NotLeader) => Answer::NotLeader(self.status().leader),
-                Err(why) => Answer::Rejected(why),
-            }),
+            Call::ChangeMembership(change) => self.change_membership(change, within).await,
+            Call::TransferLeadership(to) => {
+                CallOutcome::Completed(match self.transfer_leadership(to) {
+                    Ok(()) => Answer::Changed,
+                    Err(Rejected::NotLeader) => Answer::NotLeader(self.status().leader),
+                    Err(why) => Answer::Rejected(why),
+                })
+            }
         }
     }
 
@@ -74,9 +78,12 @@
     async fn there(&self, to: NodeId, call: Call, within: Duration) -> CallOutcome {
         let number = self.ticket();
         let slot = Rc::new(Slot::default());
-        self.asked.borrow_mut().insert(number, Rc::clone(&slot));
+        self.forwarded_calls
+            .borrow_mut()
+            .insert(number, Rc::clone(&slot));
         let _forget = Unask(self, number);
-        self.transport.send(to, &Frame::Ask(number, call));
+        self.transport
+            .send(to, &Frame::ForwardCall { id: number, call });
         // One that is no longer held for the leader won't answer, or another one can sooner.
         let deposed = async {
             while self.member.borrow().node().leader() == Some(to) {
@@ -89,12 +96,12 @@
 
     /// Has a call agreed on, whoever leads: asked again, under its one request id, until its fate is known or its
     /// time is over. [`CallOutcome::TimedOut`]: it may still come to be; the same call again tells.
-    pub async fn agree(&self, call: Call, within: Duration) -> CallOutcome {
+    pub async fn submit(&self, call: Call, within: Duration) -> CallOutcome {
         let until = Instant::now() + within;
         let mut unsure = false;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || self.lost.borrow().is_some() {
+            if left.is_zero() || self.stop_reason.borrow().is_some() {
                 return CallOutcome::TimedOut;
             }
             let ReplicaStatus {
@@ -126,10 +133,10 @@
         let member = self.member.borrow();
         let members = member.members();
         match call {
-            Call::Change(Change::Add(id)) => members.contains(*id),
-            Call::Change(Change::Promote(id)) => members.voters.contains(id),
-            Call::Change(Change::Remove(id)) => !members.contains(*id),
-            Call::Propose { .. } | Call::Transfer(_) => false,
+            Call::ChangeMembership(Change::Add(id)) => members.contains(*id),
+            Call::ChangeMembership(Change::Promote(id)) => members.voters.contains(id),
+            Call::ChangeMembership(Change::Remove(id)) => !members.contains(*id),
+            Call::Propose { .. } | Call::TransferLeadership(_) => false,
         }
     }
 
@@ -148,13 +155,13 @@
     }
 
     /// One step of the membership.
-    pub async fn change(&self, change: Change, within: Duration) -> CallOutcome {
+    pub async fn change_membership(&self, change: Change, within: Duration) -> CallOutcome {
         self.call(within, |m, ticket| m.change(ticket, change))
             .await
     }
 
     /// Waits until the store is current, by asking again where no answer comes. False: it was not, in that time.
-    pub async fn current(&self, within: Duration) -> bool {
+    pub async fn wait_until_current(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
@@ -173,7 +180,7 @@
     /// # Errors
     ///
     /// It can't be.
-    pub fn transfer(&self, to: NodeId) -> Result<(), Rejected> {
+    pub fn transfer_leadership(&self, to: NodeId) -> Result<(), Rejected> {
         self.with(|m| m.transfer(to))
     }
 }
@@ -209,7 +216,7 @@
 
 impl Drop for Unask<'_> {
     fn drop(&mut self) {
-        self.0.asked.borrow_mut().remove(&self.1);
+        self.0.forwarded_calls.borrow_mut().remove(&self.1);
     }
 }
 
@@ -218,7 +225,7 @@
 
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
-        self.0.waiting.borrow_mut().remove(&self.1);
+        self.0.pending_calls.borrow_mut().remove(&self.1);
         self.0.member.borrow_mut().forget(self.1);
     }
 }
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -6,8 +6,8 @@
 use violetgate_replicated_state::Micros;
 use violetgate_state_distribution::{FleetProgress, FleetTotals, ProgressSummary, RevisionInForce};
 
-use super::status::Status;
-use super::Cluster;
+use super::status::ReplicaStatus;
+use super::ReplicaRuntime;
 use crate::clock::boot;
 use crate::wire::Frame;
 
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -3,7 +3,7 @@
 use violetgate_raft::{Index, Members, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
 
-use super::Cluster;
+use super::ReplicaRuntime;
 use crate::clock::boot;
 
 /// What a member is at.
@@ -26,7 +26,7 @@
     /// The store's revision, as it is applied here.
     pub revision: Revision,
     /// Whether state may be routed on, or how old it is.
-    pub fresh: Result<(), Stale>,
+    pub freshness: Result<(), Stale>,
     /// For a leader, what each other member is known to have.
     pub progress: Vec<(NodeId, Index)>,
 }
@@ -46,7 +46,7 @@
             applied: member.applied(),
             members: member.members().clone(),
             revision: member.store().revision(),
-            fresh: member.may_route(boot()),
+            freshness: member.may_route(boot()),
             progress: node.progress(),
         }
     }
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -12,8 +12,8 @@
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision, Stale};
 use violetgate_state_distribution::{
-    Rejection, Subscriber, SubscriberAction, SubscriberConfig, SubscriberHello, SubscriberMessage,
-    SubscriberReplica,
+    HeldObservers, Rejection, Subscriber, SubscriberAction, SubscriberConfig, SubscriberHello,
+    SubscriberMessage, SubscriberReplica,
 };
 
 use crate::clock::{boot, Alarm};
@@ -38,7 +38,7 @@
     /// The observer that it holds in standby.
     pub standby: Option<NodeId>,
     /// Whether state may be routed on, or how old it is.
-    pub fresh: Result<(), Stale>,
+    pub freshness: Result<(), Stale>,
     /// Why an observer turned this front end away last, while that is in force.
     pub rejection: Option<Rejection>,
 }
@@ -112,8 +112,8 @@
 
     /// How long sends may go on from now without another confirmation; zero: none may leave.
     #[must_use]
-    pub fn remaining(&self) -> Duration {
-        Duration::from_micros(self.core.borrow().remaining(boot()))
+    pub fn time_until_stale(&self) -> Duration {
+        Duration::from_micros(self.core.borrow().time_until_stale(boot()))
     }
 
     /// Reads the replica as it is applied here.
@@ -125,12 +125,12 @@
     #[must_use]
     pub fn status(&self) -> SubscriptionStatus {
         let core = self.core.borrow();
-        let (watched, standby) = core.observers();
+        let HeldObservers { watched, standby } = core.held_observers();
         SubscriptionStatus {
             revision: core.replica().revision(),
             watched,
             standby,
-            fresh: core.may_route(boot()),
+            freshness: core.may_route(boot()),
             rejection: core.rejection().cloned(),
         }
     }
@@ -152,11 +152,11 @@
             }
             for action in actions {
                 match action {
-                    SubscriberAction::Connect(observer, hello) => self.connect(observer, hello),
+                    SubscriberAction::Connect { observer, hello } => self.connect(observer, hello),
                     SubscriberAction::Disconnect(observer) => {
                         drop(self.observer_connections.borrow_mut().remove(&observer))
                     }
-                    SubscriberAction::Send(observer, message) => self.send(observer, &message),
+                    SubscriberAction::Send { observer, message } => self.send(observer, &message),
                 }
             }
         }
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -26,7 +26,7 @@
 /// Why a connection ended.
 enum End {
     /// The observer turned this front end away.
-    Refused(Rejection),
+    Rejected(Rejection),
     /// It broke, or never came up.
     Broken(&'static str),
 }
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -93,7 +93,7 @@
     }
 
     /// Names the members that may be sent to, and where they are. Connections to others end.
-    pub fn peers(&self, known: &BTreeMap<NodeId, SocketAddr>) {
+    pub fn set_peers(&self, known: &BTreeMap<NodeId, SocketAddr>) {
         let mut peers = self.peers.borrow_mut();
         peers.retain(|id, peer| known.get(id) == Some(&peer.addr));
         for (id, addr) in known.iter().filter(|(id, _)| **id != self.id) {
@@ -115,13 +115,13 @@
 
     /// Names the disks of members: one that comes with another disk is turned away, as it may have forgotten what
     /// it promised.
-    pub fn disks(&self, known: BTreeMap<NodeId, u64>) {
+    pub fn set_known_disks(&self, known: BTreeMap<NodeId, u64>) {
         *self.disks.borrow_mut() = known;
     }
 
     /// Messages dropped so far, as their queue was full.
     #[must_use]
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_messages(&self) -> u64 {
         self.dropped.get()
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// Hears and reaches these no more, until told otherwise: a cut, for tests and drills.
-    pub fn cut(&self, ids: &[NodeId]) {
+    pub fn block_peers(&self, ids: &[NodeId]) {
         *self.cut.borrow_mut() = ids.to_vec();
     }
 
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -29,20 +29,30 @@
         step: Step,
     },
     /// A step of the membership.
-    Change(Change),
+    ChangeMembership(Change),
     /// Leadership is to be handed over.
-    Transfer(NodeId),
+    TransferLeadership(NodeId),
 }
 
 /// What stands in a frame after the greeting.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Of the consensus.
-    Core(Message),
-    /// A client of the sender asks for this; the sender's number for it.
-    Ask(u64, Call),
-    /// How what goes by that number ended.
-    Told(u64, Answer),
+    Raft(Message),
+    /// A call that the receiver is to carry out, as it is taken for the leader.
+    ForwardCall {
+        /// The sender's id of the call.
+        id: u64,
+        /// The call.
+        call: Call,
+    },
+    /// The answer to a forwarded call.
+    CallAnswer {
+        /// The id that the call was sent with.
+        id: u64,
+        /// The answer.
+        answer: Answer,
+    },
     /// How far the sender's subscribers are. A member from before observers ends a connection over it, so that every
     /// member is upgraded before the first one serves subscribers; only such a one sends it.
     Progress(ProgressSummary),
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -13,14 +13,17 @@
         index: 9,
         payload: Payload::Command(vec![5; 40]),
     }];
-    let message = Frame::Core(Message::Append {
+    let message = Frame::Raft(Message::Append {
         term: 3,
         prev: (2, 8),
         entries,
         commit: 7,
         round: 11,
     });
-    let next = Frame::Told(4, Answer::Changed);
+    let next = Frame::CallAnswer {
+        id: 4,
+        answer: Answer::Changed,
+    };
     let mut bytes = Vec::new();
     assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
     for cut in 0..bytes.len() {
@@ -49,15 +52,21 @@
         ..ProgressSummary::default()
     };
     let frames = [
-        Frame::Core(Message::Append {
+        Frame::Raft(Message::Append {
             term: 1,
             prev: (0, 0),
             entries: Vec::new(),
             commit: 0,
             round: 0,
         }),
-        Frame::Ask(1, Call::Transfer(2)),
-        Frame::Told(1, Answer::Changed),
+        Frame::ForwardCall {
+            id: 1,
+            call: Call::TransferLeadership(2),
+        },
+        Frame::CallAnswer {
+            id: 1,
+            answer: Answer::Changed,
+        },
         Frame::Progress(progress),
     ];
     for (number, message) in frames.iter().enumerate() {
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -7,6 +7,8 @@
 use violetgate_raft::{Entry, Members, Message, Meta, Payload, Rejected};
 use violetgate_replicated_state::{Check, Op, Outcome, Refused, Txn};
 
+use violetgate_state_distribution::Laggard;
+
 use crate::wire::*;
 
 /// One frame a line: its name here, and its bytes in hexadecimal, with the length before them.
@@ -208,16 +210,16 @@
     };
     let mut calls: Vec<Call> = steps().into_iter().map(propose).collect();
     calls.extend([
-        Call::Change(Change::Add(300)),
-        Call::Change(Change::Promote(4)),
-        Call::Change(Change::Remove(5)),
-        Call::Transfer(2),
+        Call::ChangeMembership(Change::Add(300)),
+        Call::ChangeMembership(Change::Promote(4)),
+        Call::ChangeMembership(Change::Remove(5)),
+        Call::TransferLeadership(2),
     ]);
     calls
 }
 
 fn answers() -> Vec<Answer> {
-    let rejected = [
+    let refused_outcomes = [
         Refused::TooLarge,
         Refused::Full,
         Refused::NoLease(7),
@@ -244,7 +246,7 @@
         Answer::NotLeader(Some(300)),
         Answer::Unsure,
     ];
-    answers.extend(refused.map(|why| Answer::Done(Outcome::Refused(why))));
+    answers.extend(refused_outcomes.map(|why| Answer::Done(Outcome::Refused(why))));
     answers.extend(rejected.map(Answer::Rejected));
     answers
 }
@@ -255,7 +257,13 @@
         born: 1 << 60,
     };
     let rejected = Some("this is no member".to_owned());
-    [welcome.clone(), Welcome { refused, ..welcome }]
+    [
+        welcome.clone(),
+        Welcome {
+            rejected,
+            ..welcome
+        },
+    ]
 }
 
 #[test]
@@ -263,20 +271,23 @@
     let mut comparison = Comparison::new();
     comparison.compare("hello", &Hello::new("lahore", 300, 2, 1 << 60));
     comparison.compare_all("welcome", welcomes());
-    comparison.compare_all("vote", votes().into_iter().map(Frame::Core));
-    comparison.compare_all("replication", replication().into_iter().map(Frame::Core));
-    comparison.compare_all("snapshot", snapshots().into_iter().map(Frame::Core));
-    let ask = |call| Frame::Ask(1_000, call);
+    comparison.compare_all("vote", votes().into_iter().map(Frame::Raft));
+    comparison.compare_all("replication", replication().into_iter().map(Frame::Raft));
+    comparison.compare_all("snapshot", snapshots().into_iter().map(Frame::Raft));
+    let ask = |call| Frame::ForwardCall { id: 1_000, call };
     comparison.compare_all("call", calls().into_iter().map(ask));
-    let told = |answer| Frame::Told(1_000, answer);
+    let told = |answer| Frame::CallAnswer { id: 1_000, answer };
     comparison.compare_all("answer", answers().into_iter().map(told));
     let summary = ProgressSummary {
         revision: 300,
         serving: 1_900,
         not_serving: 3,
-        least: Some(298),
+        least_applied: Some(298),
         behind: [1, 2, 3, 400],
-        laggards: vec![("front-end-7".to_owned(), 298)],
+        laggards: vec![Laggard {
+            name: "front-end-7".to_owned(),
+            applied: 298,
+        }],
     };
     comparison.compare("progress", &Frame::Progress(summary));
     comparison.finish();
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -88,10 +88,10 @@
             };
             let folder = fleet.folder.join(id.to_string());
             let from = Bootstrap {
-                members,
-                state: Vec::new(),
+                initial_members: members,
+                initial_state: Vec::new(),
             };
-            ReplicaRuntime::begin(CLUSTER, id, &folder, 100 + id, from).unwrap();
+            ReplicaRuntime::initialize(CLUSTER, id, &folder, 100 + id, from).unwrap();
             fleet.start_member(id);
         }
         fleet
@@ -117,7 +117,7 @@
     /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
-            self.agree(Call::Change(Change::Add(id))).await;
+            self.agree(Call::ChangeMembership(Change::Add(id))).await;
             self.serve_at(id, &change).await;
         }
     }
@@ -167,7 +167,7 @@
         self.requests += 1;
         loop {
             let member = Rc::clone(self.members.values().next().unwrap());
-            if let CallOutcome::Completed(answer) = member.agree(call.clone(), WAIT).await {
+            if let CallOutcome::Completed(answer) = member.submit(call.clone(), WAIT).await {
                 return answer;
             }
         }
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -19,7 +19,7 @@
 use violetgate_replica_runtime::Subscription;
 use violetgate_replicated_state::{Entries, Step};
 use violetgate_state_distribution::{
-    ObserverMessage, Progress, SubscriberHello, SubscriberMessage,
+    ObserverMessage, SubscriberHello, SubscriberMessage, SubscriberProgress,
 };
 
 fn watched_by(subscriptions: &[Rc<Subscription>], observer: u64) -> usize {
@@ -190,7 +190,7 @@
         }
         let mut raw = Raw::greeted(at, &good).await;
         for poll in 0..500 {
-            let progress = Progress {
+            let progress = SubscriberProgress {
                 applied: 0,
                 serving: false,
             };
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -72,10 +72,10 @@
     /// Makes a member's folder and starts it.
     fn begin(&mut self, id: NodeId, members: Vec<NodeId>) {
         let from = Bootstrap {
-            members,
-            state: Vec::new(),
+            initial_members: members,
+            initial_state: Vec::new(),
         };
-        ReplicaRuntime::begin(
+        ReplicaRuntime::initialize(
             "test",
             id,
             &self.folder.join(id.to_string()),
@@ -144,7 +144,7 @@
     async fn all_hold(&self, key: &str, value: &str) {
         for (id, member) in &self.members {
             assert!(
-                member.current(WAIT).await,
+                member.wait_until_current(WAIT).await,
                 "{id} is not current: {:?}",
                 member.status()
             );
@@ -188,7 +188,7 @@
     async_io::block_on(executor.run(async {
         three.put("a", "1").await;
         let leader = three.leader().await;
-        leader.transport().cut(&[1, 2, 3]);
+        leader.transport().block_peers(&[1, 2, 3]);
         let others: Vec<_> = three
             .members
             .values()
@@ -200,7 +200,7 @@
             assert!(Instant::now() < until, "it routes on");
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert!(!leader.current(Duration::from_millis(300)).await);
+        assert!(!leader.wait_until_current(Duration::from_millis(300)).await);
         let op = Op::Put {
             key: "a".to_owned(),
             value: b"2".to_vec(),
@@ -222,7 +222,7 @@
             Timer::after(Duration::from_millis(10)).await;
         }
         three.put("a", "3").await;
-        leader.transport().cut(&[]);
+        leader.transport().block_peers(&[]);
         three.all_hold("a", "3").await;
         // Its gate asks for itself, every 250 ms.
         while leader.may_route().is_err() {
@@ -252,11 +252,11 @@
                 || !three.leader().await.status().members.contains(4)
             {
                 assert!(Instant::now() < until, "{change:?} is never done");
-                three.leader().await.change(change, within).await;
+                three.leader().await.change_membership(change, within).await;
             }
         }
         let leader = three.leader().await;
-        let again = leader.change(Change::Add(2), within).await;
+        let again = leader.change_membership(Change::Add(2), within).await;
         assert!(
             matches!(again, CallOutcome::Completed(Answer::Rejected(_))),
             "{again:?}"
@@ -272,15 +272,18 @@
     let rejected = ReplicaRuntime::start(&three.executor, &three.options(3))
         .err()
         .unwrap_or_default();
-    assert!(refused.contains("this folder is no member's"), "{refused}");
-    let begun = ReplicaRuntime::begin(
+    assert!(
+        rejected.contains("this folder is no member's"),
+        "{rejected}"
+    );
+    let begun = ReplicaRuntime::initialize(
         "test",
         3,
         &folder,
         1,
         Bootstrap {
-            members: vec![],
-            state: vec![],
+            initial_members: vec![],
+            initial_state: vec![],
         },
     );
     assert!(begun.unwrap_err().contains("a member's already"));
@@ -308,7 +311,7 @@
     async_io::block_on(executor.run(async {
         for n in 1..=3 {
             let id = u64::from(n);
-            let first = three.members[&id].agree(call(n), WAIT).await;
+            let first = three.members[&id].submit(call(n), WAIT).await;
             assert!(
                 matches!(
                     first,
@@ -317,11 +320,11 @@
                 "{first:?}"
             );
             assert_eq!(
-                three.members[&(id % 3 + 1)].agree(call(n), WAIT).await,
+                three.members[&(id % 3 + 1)].submit(call(n), WAIT).await,
                 first
             );
         }
-        assert!(three.members[&1].current(WAIT).await);
+        assert!(three.members[&1].wait_until_current(WAIT).await);
         assert_eq!(three.members[&1].status().revision, 3);
     }));
     // Member 3 loses its disk, and one is made anew under its id: it could vote twice.
@@ -332,15 +335,19 @@
     three
         .members
         .values()
-        .for_each(|m| m.transport().disks(disks.clone()));
+        .for_each(|m| m.transport().set_known_disks(disks.clone()));
     let from = Bootstrap {
-        members: vec![1, 2, 3],
-        state: vec![],
+        initial_members: vec![1, 2, 3],
+        initial_state: vec![],
     };
-    ReplicaRuntime::begin("test", 3, &three.folder.join("3"), 7, from).unwrap();
+    ReplicaRuntime::initialize("test", 3, &three.folder.join("3"), 7, from).unwrap();
     three.start(3);
     async_io::block_on(executor.run(async {
-        assert!(!three.members[&3].current(Duration::from_secs(2)).await);
+        assert!(
+            !three.members[&3]
+                .wait_until_current(Duration::from_secs(2))
+                .await
+        );
         assert_eq!(
             (
                 three.members[&3].status().applied,
@@ -349,7 +356,7 @@
             (0, 0)
         );
         assert!(
-            three.members[&1].current(WAIT).await,
+            three.members[&1].wait_until_current(WAIT).await,
             "the two others go on"
         );
     }));
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use violetgate_replica_runtime::{Beginning, Cluster};
+use violetgate_replica_runtime::{Bootstrap, ReplicaRuntime};
 
 use super::client::{at, print, At, Client, PAUSE};
 use crate::daemon::MemberStep;
@@ -89,8 +89,11 @@
     } else {
         given.addresses().into_keys().collect()
     };
-    let from = Beginning { members, state };
-    Cluster::begin(
+    let from = Bootstrap {
+        initial_members: members,
+        initial_state: state,
+    };
+    ReplicaRuntime::initialize(
         &given.name,
         given.id,
         &given.folder,
--- a/gateway/src/daemon/api/cluster.rs
+++ b/gateway/src/daemon/api/cluster.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Map, Value};
 use violetgate_raft::{Change, Rejected, Role};
 use violetgate_replica::Answer;
-use violetgate_replica_runtime::{Answered, Call};
+use violetgate_replica_runtime::{Call, CallOutcome};
 
 use super::super::agreed::{self, Record};
 use super::super::figures::{until_in_force, BEHIND};
@@ -72,9 +72,9 @@
             "cluster": self.daemon.given.name,
             "id": status.id, "role": role, "term": status.term, "leader": status.leader,
             "commit": status.commit, "applied": status.applied, "revision": status.revision,
-            "routes": status.fresh.is_ok(),
-            "state_age_ms": status.fresh.err().and_then(|s| s.age).map(|a| a / 1000),
-            "stopped": self.daemon.cluster.lost(),
+            "routes": status.freshness.is_ok(),
+            "state_age_ms": status.freshness.err().and_then(|s| s.age).map(|a| a / 1000),
+            "stopped": self.daemon.cluster.stop_reason(),
             "highest_id": status.members.highest,
             "members": members,
         }))
@@ -103,18 +103,20 @@
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
-                Call::Change(Change::Add(id))
+                Call::ChangeMembership(Change::Add(id))
             }
-            MemberStep::Promote(id) => Call::Change(Change::Promote(id)),
-            MemberStep::Remove(id) => Call::Change(Change::Remove(id)),
-            MemberStep::Transfer(id) => Call::Transfer(id),
+            MemberStep::Promote(id) => Call::ChangeMembership(Change::Promote(id)),
+            MemberStep::Remove(id) => Call::ChangeMembership(Change::Remove(id)),
+            MemberStep::Transfer(id) => Call::TransferLeadership(id),
         };
-        match self.daemon.cluster.agree(change, call.within).await {
-            Answered::Yes(Answer::Changed) => {}
-            Answered::Yes(Answer::Rejected(why)) => return Err(Unagreed::Rejected(why).into()),
+        match self.daemon.cluster.submit(change, call.within).await {
+            CallOutcome::Completed(Answer::Changed) => {}
+            CallOutcome::Completed(Answer::Rejected(why)) => {
+                return Err(Unagreed::Rejected(why).into())
+            }
             _ => return Err(Unagreed::Late.into()),
         }
-        let _ = self.daemon.cluster.current(call.within).await;
+        let _ = self.daemon.cluster.wait_until_current(call.within).await;
         Ok(self.cluster())
     }
 
@@ -179,7 +181,7 @@
         let laggards: Vec<_> = totals
             .laggards
             .iter()
-            .map(|(name, applied)| json!({"front_end": name, "applied": applied}))
+            .map(|laggard| json!({"front_end": laggard.name, "applied": laggard.applied}))
             .collect();
         let last = self.daemon.last_in_force();
         let last = last.map(|r| json!({"revision": r.revision, "after_ms": until_in_force(&r)}));
--- a/gateway/src/daemon/api/mod.rs
+++ b/gateway/src/daemon/api/mod.rs
@@ -23,7 +23,7 @@
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
 use violetgate_replica::Answer;
-use violetgate_replica_runtime::{Answered, Call};
+use violetgate_replica_runtime::{Call, CallOutcome};
 use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
 
 use super::{request_id, Daemon, Unagreed};
@@ -203,7 +203,7 @@
     /// Waits until this member's copy is current.
     async fn current(&self, call: &Asked) -> Result<(), Problem> {
         if call.query.text("stale") == Some("true")
-            || self.daemon.cluster.current(call.within).await
+            || self.daemon.cluster.wait_until_current(call.within).await
         {
             return Ok(());
         }
@@ -226,14 +226,14 @@
             who: call.who.clone(),
             step,
         };
-        match self.daemon.cluster.agree(asked, call.within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => {
+        match self.daemon.cluster.submit(asked, call.within).await {
+            CallOutcome::Completed(Answer::Done(Outcome::Done { revision, .. })) => {
                 Ok(told(&json!({"revision": revision})))
             }
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => {
+            CallOutcome::Completed(Answer::Done(Outcome::Refused(why))) => {
                 Err(Unagreed::Refused(why).into())
             }
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
+            CallOutcome::Completed(Answer::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
             _ => Err(Unagreed::Late.into()),
         }
     }
--- a/gateway/src/daemon/api/state.rs
+++ b/gateway/src/daemon/api/state.rs
@@ -132,7 +132,7 @@
                 let late = async {
                     Timer::after(left).await;
                 };
-                cluster.moved(applied).or(late).await;
+                cluster.wait_for_apply(applied).or(late).await;
                 continue;
             }
             // Where a page ends in the middle, the next one begins at its last revision.
--- a/gateway/src/daemon/figures.rs
+++ b/gateway/src/daemon/figures.rs
@@ -3,7 +3,9 @@
 use std::fmt::Write as _;
 
 use violetgate_raft::Role;
-use violetgate_replica_runtime::{FleetTotals, InForce, Status, SubscriptionStatus, Traffic};
+use violetgate_replica_runtime::{
+    FleetTotals, ReplicaStatus, RevisionInForce, SubscriptionStatus, TrafficStats,
+};
 
 /// Spans of time under which serving front ends are behind, as the labels of `svc_cluster_behind`.
 pub(super) const BEHIND: [&str; 4] = ["0.1", "1", "10", "inf"];
@@ -44,20 +46,20 @@
 
 /// What a member counts.
 pub(super) struct MemberFigures {
-    pub status: Status,
+    pub status: ReplicaStatus,
     pub routes: bool,
     pub turned_away: u64,
     pub dropped: u64,
     /// With other members.
-    pub traffic: Traffic,
+    pub traffic: TrafficStats,
     /// Subscribers here; `None`: it takes none.
     pub subscribers: Option<usize>,
     pub fleet: FleetTotals,
-    pub last_in_force: Option<InForce>,
+    pub last_in_force: Option<RevisionInForce>,
 }
 
 /// Milliseconds from the moment at which a revision was known to an observer until it was in force everywhere.
-pub(super) fn until_in_force(record: &InForce) -> u64 {
+pub(super) fn until_in_force(record: &RevisionInForce) -> u64 {
     record.in_force_at.saturating_sub(record.known_at) / 1_000
 }
 
@@ -167,7 +169,7 @@
 /// What a subscriber counts.
 pub(super) struct SubscriberFigures {
     pub status: SubscriptionStatus,
-    pub traffic: Traffic,
+    pub traffic: TrafficStats,
     pub turned_away: u64,
 }
 
@@ -183,7 +185,7 @@
         out.gauge(
             "routes",
             "The state is confirmed: requests may be sent.",
-            u64::from(status.fresh.is_ok()),
+            u64::from(status.freshness.is_ok()),
         );
         out.counter(
             "turned_away_total",
@@ -208,16 +210,16 @@
         out.gauge(
             "reserve_observer",
             "The observer held in reserve; 0: none.",
-            status.reserve.unwrap_or(0),
+            status.standby.unwrap_or(0),
         );
-        let refusal = status
-            .refusal
+        let rejection = status
+            .rejection
             .iter()
-            .map(|refusal| ("code", refusal.code().to_owned(), 1));
+            .map(|rejection| ("code", rejection.code().to_owned(), 1));
         out.labelled(
             "refused",
             "An observer turned this front end away, by the reason's code.",
-            refusal,
+            rejection,
         );
         out.0
     }
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/daemon/mod.rs
@@ -19,7 +19,8 @@
 use violetgate_raft::{Config, NodeId, Rejected, Role};
 use violetgate_replica::{Answer, MemberConfig};
 use violetgate_replica_runtime::{
-    Answered, Call, Cluster, FleetTotals, InForce, ObserverConfig, ObserverService, Options, Status,
+    Call, CallOutcome, FleetTotals, ObserverConfig, ObserverService, ReplicaOptions,
+    ReplicaRuntime, ReplicaStatus, RevisionInForce,
 };
 use violetgate_replicated_state::{Outcome, Refused, Revision, Step, Store, Txn};
 
@@ -57,7 +58,7 @@
 
 /// This instance as a member.
 pub struct Daemon {
-    cluster: Rc<Cluster>,
+    cluster: Rc<ReplicaRuntime>,
     id: NodeId,
     state: Adoption,
     given: settings::Cluster,
@@ -110,7 +111,7 @@
             drain_limit: micros(given.drain_limit),
             confirm_every: micros(given.confirm_every),
         };
-        let options = Options {
+        let options = ReplicaOptions {
             cluster: given.name.clone(),
             id: given.id,
             folder: given.folder.clone(),
@@ -119,7 +120,7 @@
             config,
             seed,
         };
-        let cluster = Cluster::start(executor, &options).map_err(|e| {
+        let cluster = ReplicaRuntime::start(executor, &options).map_err(|e| {
             if e.contains("no member's") {
                 format!("`cluster.folder`: {e} (`violetgate members init` makes one)")
             } else {
@@ -172,8 +173,8 @@
             .as_ref()
             .map(settings::Cluster::addresses);
         let own = own.unwrap_or_else(|| self.given.addresses());
-        self.cluster.transport().peers(&view.addresses(&own));
-        self.cluster.transport().disks(view.disks());
+        self.cluster.transport().set_peers(&view.addresses(&own));
+        self.cluster.transport().set_known_disks(view.disks());
     }
 
     /// The settings that hold here: the agreed ones over this instance's own.
@@ -198,13 +199,13 @@
 
     /// The latest revision that was in force at all front ends that serve, and when it was.
     #[must_use]
-    pub fn last_in_force(&self) -> Option<InForce> {
+    pub fn last_in_force(&self) -> Option<RevisionInForce> {
         self.cluster.last_in_force()
     }
 
     /// What the member is at.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         self.cluster.status()
     }
 
@@ -226,10 +227,14 @@
             who: who.to_owned(),
             step: Step::Txn(txn),
         };
-        match self.cluster.agree(call, within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, held })) => Ok((revision, held)),
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(Unagreed::Refused(why)),
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why)),
+        match self.cluster.submit(call, within).await {
+            CallOutcome::Completed(Answer::Done(Outcome::Done { revision, held })) => {
+                Ok((revision, held))
+            }
+            CallOutcome::Completed(Answer::Done(Outcome::Refused(why))) => {
+                Err(Unagreed::Refused(why))
+            }
+            CallOutcome::Completed(Answer::Rejected(why)) => Err(Unagreed::Rejected(why)),
             _ => Err(Unagreed::Late),
         }
     }
@@ -274,7 +279,7 @@
             status: self.status(),
             routes: self.is_open(),
             turned_away: self.state.turned_away(),
-            dropped: self.cluster.transport().dropped(),
+            dropped: self.cluster.transport().dropped_messages(),
             traffic: self.cluster.transport().traffic(),
             subscribers: self
                 .observer
@@ -297,18 +302,18 @@
         }
         if self.shut.replace(shut) != shut {
             parts.door.fence(shut);
-            let Status {
+            let ReplicaStatus {
                 term,
                 leader,
-                fresh,
+                freshness,
                 ..
             } = self.status();
             let leader = leader.map_or("none".to_owned(), |l| l.to_string());
-            let age = fresh
+            let age = freshness
                 .err()
                 .and_then(|stale| stale.age)
                 .map_or("unknown".to_owned(), |a| (a / 1000).to_string());
-            match (shut, self.cluster.lost()) {
+            match (shut, self.cluster.stop_reason()) {
                 (true, Some(why)) => log::line(format_args!(
                     "cluster reason=disk sends nothing more: {why}"
                 )),
@@ -335,7 +340,7 @@
         }
         if let Some(why) = daemon
             .cluster
-            .lost()
+            .stop_reason()
             .filter(|_| !std::mem::replace(&mut lost, true))
         {
             log::line(format_args!("cluster reason=disk member stopped: {why}"));
@@ -354,7 +359,7 @@
             let record = Record {
                 listen: given.listen,
                 api: given.api,
-                born: Some(daemon.cluster.born()),
+                born: Some(daemon.cluster.disk_id()),
             };
             let txn = daemon
                 .cluster
--- a/gateway/src/daemon/subscribed.rs
+++ b/gateway/src/daemon/subscribed.rs
@@ -43,9 +43,9 @@
     let defaults = SubscriberConfig::default_for(&given.name, &given.front_end, observers);
     SubscriberConfig {
         drain_limit: micros(given.drain_limit.0),
-        confirm_every: micros(given.confirm_every.0),
-        answer_within: defaults
-            .answer_within
+        poll_interval: micros(given.confirm_every.0),
+        poll_timeout: defaults
+            .poll_timeout
             .min(micros(given.drain_limit.0 / ANSWERS_IN_LIMIT)),
         ..defaults
     }
@@ -144,22 +144,22 @@
         let SubscriptionStatus {
             revision,
             watched,
-            reserve,
-            fresh,
-            refusal,
+            standby,
+            freshness,
+            rejection,
         } = self.status();
-        let (watched, reserve) = (number(watched), number(reserve));
+        let (watched, standby) = (number(watched), number(standby));
         if !shut {
             return log::line(format_args!(
-                "cluster sends again: revision={revision} observer={watched} reserve={reserve}"
+                "cluster sends again: revision={revision} observer={watched} reserve={standby}"
             ));
         }
-        let age = fresh.err().and_then(|stale| stale.age);
+        let age = freshness.err().and_then(|stale| stale.age);
         let age = age.map_or("unknown".to_owned(), |age| (age / 1000).to_string());
-        let refused = refusal.map_or("none".to_owned(), |why| format!("{}: {why}", why.code()));
+        let refused = rejection.map_or("none".to_owned(), |why| format!("{}: {why}", why.code()));
         log::line(format_args!(
             "cluster reason=stale sends nothing: age_ms={age} revision={revision} observer={watched} \
-             reserve={reserve} refused={refused}"
+             reserve={standby} refused={refused}"
         ));
     }
 }
@@ -170,21 +170,21 @@
         subscribed.look();
         let SubscriptionStatus {
             watched,
-            reserve,
+            standby,
             revision,
             ..
         } = subscribed.status();
         if observer != watched {
             observer = watched;
-            let (watched, reserve) = (number(watched), number(reserve));
+            let (watched, standby) = (number(watched), number(standby));
             log::line(format_args!(
-                "cluster observer={watched} reserve={reserve} revision={revision}"
+                "cluster observer={watched} reserve={standby} revision={revision}"
             ));
         }
         // An open gate can't shut before that: fifty looks a second would be most of what control costs.
         let pause = subscribed
             .subscription
-            .remaining()
+            .time_until_stale()
             .clamp(LOOK, LONGEST_LOOK);
         drop(subscribed);
         Timer::after(pause).await;
--- a/tools/acceptance/src/inside.rs
+++ b/tools/acceptance/src/inside.rs
@@ -10,7 +10,7 @@
 use violetgate_raft::{Entry, Hard, Payload, Write};
 use violetgate_raft_storage::{Disk, Folder};
 use violetgate_replica::MemberConfig;
-use violetgate_replica_runtime::{Beginning, Cluster, Options};
+use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::{Command, Op, Step, Txn};
 
 use crate::Verdict;
@@ -32,10 +32,10 @@
         Place(std::env::temp_dir().join(format!("violetgate-prove-{name}-{}", std::process::id())))
     }
 
-    fn options(&self, snapshot_every: u64) -> Result<Options> {
+    fn options(&self, snapshot_every: u64) -> Result<ReplicaOptions> {
         let [at] = crate::free()?;
         let listen = at.parse().map_err(Error::other)?;
-        Ok(Options {
+        Ok(ReplicaOptions {
             cluster: "inside".to_owned(),
             id: 1,
             folder: self.0.clone(),
@@ -50,11 +50,11 @@
     }
 
     fn begin(&self) -> Result<()> {
-        let from = Beginning {
-            members: vec![1],
-            state: Vec::new(),
+        let from = Bootstrap {
+            initial_members: vec![1],
+            initial_state: Vec::new(),
         };
-        Cluster::begin("inside", 1, &self.0, 1, from).map_err(Error::other)
+        ReplicaRuntime::initialize("inside", 1, &self.0, 1, from).map_err(Error::other)
     }
 }
 
@@ -86,7 +86,8 @@
     let place = Place::new("gate");
     place.begin()?;
     let executor = Rc::new(LocalExecutor::new());
-    let cluster = Cluster::start(&executor, &place.options(10_000)?).map_err(Error::other)?;
+    let cluster =
+        ReplicaRuntime::start(&executor, &place.options(10_000)?).map_err(Error::other)?;
     async_io::block_on(executor.run(async {
         while cluster.may_route().is_err() {
             Timer::after(Duration::from_millis(5)).await;
@@ -142,7 +143,7 @@
     let options = place.options(u64::MAX)?;
     let executor = Rc::new(LocalExecutor::new());
     let begun = Instant::now();
-    let cluster = Cluster::start(&executor, &options).map_err(Error::other)?;
+    let cluster = ReplicaRuntime::start(&executor, &options).map_err(Error::other)?;
     let opened = begun.elapsed();
     async_io::block_on(executor.run(async {
         while cluster.status().applied < entries {
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -15,7 +15,7 @@
 use async_io::Timer;
 use violetgate_raft::{Change, NodeId, Role};
 use violetgate_replica::Answer;
-use violetgate_replica_runtime::{Answered, Call, Cluster};
+use violetgate_replica_runtime::{Call, CallOutcome, ReplicaRuntime};
 use violetgate_replicated_state::{Op, Outcome, Revision, Step, Txn};
 
 use crate::error::ScaleError;
@@ -209,7 +209,7 @@
 
 /// Members that agree: the leader here, the others on their own thread. The place goes last.
 struct Group {
-    leader: Rc<Cluster>,
+    leader: Rc<ReplicaRuntime>,
     others: Others,
     shared: Arc<Shared>,
     counts: Arc<Counts>,
@@ -265,14 +265,14 @@
             .filter(|id| !VOTERS.contains(id))
             .collect();
         self.others.grow(Growth { new, addresses })?;
-        self.leader.transport().peers(&self.listens);
+        self.leader.transport().set_peers(&self.listens);
         self.lead().await?;
         for id in joining {
             let added = self
                 .leader
-                .agree(Call::Change(Change::Add(id)), SETTLE)
+                .submit(Call::ChangeMembership(Change::Add(id)), SETTLE)
                 .await;
-            if added != Answered::Yes(Answer::Changed) {
+            if added != CallOutcome::Completed(Answer::Changed) {
                 return Err(ScaleError::Member {
                     id,
                     reason: format!("it was not added: {added:?}"),
@@ -296,7 +296,10 @@
                 return Ok(());
             }
             if self.leader.status().role != Role::Leader {
-                let _ = self.leader.agree(Call::Transfer(LEADER), HAND_OVER).await;
+                let _ = self
+                    .leader
+                    .submit(Call::TransferLeadership(LEADER), HAND_OVER)
+                    .await;
             }
             Timer::after(LOOK).await;
         }
@@ -399,8 +402,8 @@
             step,
         };
         let begun = Instant::now();
-        let revision = match self.leader.agree(call, APPLY).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => revision,
+        let revision = match self.leader.submit(call, APPLY).await {
+            CallOutcome::Completed(Answer::Done(Outcome::Done { revision, .. })) => revision,
             _ => {
                 return Err(ScaleError::Late {
                     what: "a change",
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -14,7 +14,7 @@
 use async_io::Timer;
 use violetgate_raft::NodeId;
 use violetgate_replica::MemberConfig;
-use violetgate_replica_runtime::{Beginning, Cluster, Options};
+use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::Revision;
 
 use crate::error::ScaleError;
@@ -76,7 +76,7 @@
     id: NodeId,
     listen: SocketAddr,
     shared: &Arc<Shared>,
-) -> Result<Rc<Cluster>, ScaleError> {
+) -> Result<Rc<ReplicaRuntime>, ScaleError> {
     let failed = |reason| ScaleError::Member { id, reason };
     let folder = place.0.join(id.to_string());
     let members = if VOTERS.contains(&id) {
@@ -84,12 +84,12 @@
     } else {
         Vec::new()
     };
-    let beginning = Beginning {
-        members,
-        state: Vec::new(),
+    let beginning = Bootstrap {
+        initial_members: members,
+        initial_state: Vec::new(),
     };
-    Cluster::begin(CLUSTER, id, &folder, place.1 ^ id, beginning).map_err(failed)?;
-    let options = Options {
+    ReplicaRuntime::initialize(CLUSTER, id, &folder, place.1 ^ id, beginning).map_err(failed)?;
+    let options = ReplicaOptions {
         cluster: CLUSTER.to_owned(),
         id,
         folder,
@@ -98,7 +98,7 @@
         config: MemberConfig::default(),
         seed: place.1.wrapping_add(id),
     };
-    let member = Cluster::start(executor, &options).map_err(failed)?;
+    let member = ReplicaRuntime::start(executor, &options).map_err(failed)?;
     let notes = Arc::clone(shared);
     member.on_applied(Rc::new(move |store| {
         notes.lock().insert(id, (store.revision(), Instant::now()));
@@ -219,7 +219,7 @@
     executor: &Rc<LocalExecutor<'static>>,
     place: &Place,
     shared: &Arc<Shared>,
-    members: &mut BTreeMap<NodeId, Rc<Cluster>>,
+    members: &mut BTreeMap<NodeId, Rc<ReplicaRuntime>>,
     growth: &Growth,
 ) -> Result<(), ScaleError> {
     for (id, listen) in &growth.new {
@@ -228,6 +228,6 @@
     }
     members
         .values()
-        .for_each(|member| member.transport().peers(&growth.addresses));
+        .for_each(|member| member.transport().set_peers(&growth.addresses));
     Ok(())
 }
--- a/tools/scale/src/agreed_state/relay.rs
+++ b/tools/scale/src/agreed_state/relay.rs
@@ -142,6 +142,6 @@
 fn is_question(body: &[u8]) -> bool {
     matches!(
         postcard::from_bytes(body),
-        Ok(Frame::Core(Message::Read { .. }))
+        Ok(Frame::Raft(Message::Read { .. }))
     )
 }
