--- /dev/null
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -0,0 +1,158 @@
+//! Operators: changes and reads of replicated keys, recorded for the linearizability check, and cordons.
+
+use std::sync::atomic::Ordering::SeqCst;
+use std::time::{Duration, Instant};
+
+use rand_chacha::rand_core::RngCore;
+use serde_json::json;
+use violetgate_fake_upstreams::client::Reply;
+use violetgate_linearizability::{Call, Deed};
+
+use crate::scenario::{increment, lock, random_pause, Random, Scenario};
+
+/// One call of an operator, as it goes over HTTP and as the history records it.
+struct Operation {
+    method: &'static str,
+    path: String,
+    body: String,
+    call: Call,
+}
+
+impl Operation {
+    /// A write, a compare-and-swap or a read, each as likely.
+    fn random(name: &str, rng: &mut Random) -> Self {
+        let (old, new) = (rng.next_u64() % 5, rng.next_u64() % 5);
+        let path = format!("/v1/state?key={name}&within_ms=1500");
+        match rng.next_u64() % 3 {
+            0 => Operation {
+                method: "PUT",
+                path,
+                body: new.to_string(),
+                call: Call::Put(new),
+            },
+            1 => {
+                let transaction = json!({"checks": [{"key": name, "holds": old.to_string()}],
+                    "then": [{"put": name, "value": new.to_string()}]});
+                Operation {
+                    method: "POST",
+                    path: "/v1/transactions?within_ms=1500".to_owned(),
+                    body: transaction.to_string(),
+                    call: Call::Cas(old, new, None),
+                }
+            }
+            _ => Operation {
+                method: "GET",
+                path,
+                body: String::new(),
+                call: Call::Get(None),
+            },
+        }
+    }
+
+    /// Takes what a reply says of the call. False: its fate is still unknown.
+    fn complete(&mut self, reply: &Reply) -> bool {
+        match (&mut self.call, reply.status) {
+            (Call::Get(seen), 200) => {
+                *seen = reply.json()["value"]
+                    .as_str()
+                    .and_then(|value| value.parse().ok());
+            }
+            (Call::Get(seen), 404) => *seen = None,
+            (Call::Put(_), 200) => {}
+            (Call::Cas(_, _, held), 200) => *held = reply.json()["held"].as_bool(),
+            _ => return false,
+        }
+        true
+    }
+}
+
+/// Changes and reads keys at any member; each call is sent again under its one id until its fate is known.
+pub fn run_operator(scenario: &Scenario<'_>, operator: u64, mut rng: Random) {
+    let micros = |at: Instant| u64::try_from((at - scenario.begun).as_micros()).unwrap_or(u64::MAX);
+    let mut number = 0;
+    while !scenario.over.load(SeqCst) {
+        number += 1;
+        // Keys change, so that the history of each is short enough to be checked.
+        let key = scenario.begun.elapsed().as_millis() as u64 / 1_200;
+        let mut operation = Operation::random(&format!("proof/{key}"), &mut rng);
+        let began = Instant::now();
+        let id = format!("o-{operator}-{number}");
+        let ended = send_until_known(scenario, &mut operation, &id, began, &mut rng);
+        let read = matches!(operation.call, Call::Get(_));
+        increment(match ended {
+            Some(_) => &scenario.tally.changes,
+            None => &scenario.tally.unsure,
+        });
+        // A read that nobody answered says nothing.
+        if ended.is_some() || !read {
+            let deed = Deed {
+                key,
+                call: operation.call,
+                began: micros(began),
+                ended: ended.map(micros),
+            };
+            lock(&scenario.history).push(deed);
+        }
+        std::thread::sleep(random_pause(&mut rng, 5, 60));
+    }
+}
+
+/// Sends a call to one member after another for three seconds at most; when its fate became known.
+fn send_until_known(
+    scenario: &Scenario<'_>,
+    operation: &mut Operation,
+    id: &str,
+    began: Instant,
+    rng: &mut Random,
+) -> Option<Instant> {
+    while began.elapsed() < Duration::from_secs(3) {
+        let instance = scenario.cluster.any(rng.next_u64());
+        let reply = instance.call(
+            operation.method,
+            &operation.path,
+            Some(id),
+            operation.body.as_bytes(),
+            Duration::from_secs(2),
+        );
+        if reply.is_ok_and(|reply| operation.complete(&reply)) {
+            return Some(Instant::now());
+        }
+        std::thread::sleep(Duration::from_millis(20));
+    }
+    None
+}
+
+/// Cordons engines and uncordons them, at any member, and tells the engines from when on nothing more may come.
+pub fn cordon_engines(scenario: &Scenario<'_>, mut rng: Random) {
+    let ids = scenario.fleet.ids();
+    let agreed = |method: &str, engine: &str, rng: &mut Random| {
+        let id = format!("c-{:016x}", rng.next_u64());
+        while !scenario.over.load(SeqCst) {
+            let instance = scenario.cluster.any(rng.next_u64());
+            let path = format!("/v1/cordons?engine={engine}&within_ms=1500");
+            let reply = instance.call(method, &path, Some(&id), b"", Duration::from_secs(2));
+            if reply.is_ok_and(|r| r.status == 200) {
+                return true;
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        false
+    };
+    while !scenario.over.load(SeqCst) {
+        let Some(engine) = ids.get(rng.next_u64() as usize % ids.len().max(1)) else {
+            return;
+        };
+        if !agreed("PUT", engine, &mut rng) {
+            return;
+        }
+        scenario.fleet.called(engine, true);
+        increment(&scenario.tally.cordons);
+        std::thread::sleep(random_pause(&mut rng, 2_500, 4_000));
+        // From the call on it may be used again.
+        scenario.fleet.called(engine, false);
+        if !agreed("DELETE", engine, &mut rng) {
+            return;
+        }
+        std::thread::sleep(random_pause(&mut rng, 50, 300));
+    }
+}
--- /dev/null
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -0,0 +1,228 @@
+//! Both protocols while engines drain, die and are replaced at the same address: no result may be lost, mixed or run
+//! twice.
+
+use std::collections::HashMap;
+use std::io::Result;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
+use std::time::{Duration, Instant};
+
+use violetgate_acceptance::{Program, Verdict};
+use violetgate_fake_upstreams::{Counts, Fleet, Profile};
+
+use crate::requests::{query_body, query_text};
+use crate::tally::Tally;
+use crate::{Arguments, CLIENTS, REST_SETTINGS};
+
+/// Rows of a result of five pages.
+const PAGED_ROWS: usize = 500;
+
+/// Plays the mix of requests through replaced engines and holds the answers to the rules.
+pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
+    let profile = Profile {
+        cold_factor: 2.0,
+        cold: Duration::from_secs(1),
+        ..Profile::default()
+    };
+    let fleet = Fleet::start(5, profile)?;
+    let mut program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let tally = Tally::default();
+    let begun = Instant::now();
+    let deploys = play(&program, &fleet, &tally, arguments.requests);
+    let counts = fleet.counts();
+    describe(&tally, &counts, deploys, begun.elapsed());
+    judge(&tally, &counts, verdict, arguments.requests, deploys);
+    verdict.exactly("crashed", u64::from(!program.runs()), 0);
+    Ok(())
+}
+
+/// All clients and the deployer until all requests are made; how many engines were replaced.
+fn play(program: &Program, fleet: &Fleet, tally: &Tally, requests: u64) -> u64 {
+    let (next, over) = (&AtomicU64::new(0), &AtomicBool::new(false));
+    std::thread::scope(|scope| {
+        let deployer = scope.spawn(|| replace_engines(fleet, over));
+        let run_client = |client| {
+            scope.spawn(move || loop {
+                let number = next.fetch_add(1, Relaxed);
+                if number >= requests {
+                    break;
+                }
+                // A connection that can't be had is a request that was lost.
+                if request(program, tally, number, client).is_err() {
+                    tally.lost.fetch_add(1, Relaxed);
+                }
+            })
+        };
+        let clients: Vec<_> = (0..CLIENTS as u64).map(run_client).collect();
+        clients.into_iter().for_each(|client| drop(client.join()));
+        over.store(true, Relaxed);
+        deployer.join().unwrap_or(0)
+    })
+}
+
+fn count(counter: &AtomicU64) -> u64 {
+    counter.load(Relaxed)
+}
+
+fn most(counts: &HashMap<String, u32>) -> u32 {
+    counts.values().copied().max().unwrap_or(0)
+}
+
+fn describe(tally: &Tally, counts: &Counts, deploys: u64, took: Duration) {
+    println!(
+        "through {deploys} engines drained or killed, {:.1} s: {} served, {} refused, {} failed; {} further pages \
+         ({} after their time); {} keys, {} attempts at most for one, {} repeated",
+        took.as_secs_f64(),
+        count(&tally.served),
+        count(&tally.refused),
+        count(&tally.failed),
+        count(&tally.pages),
+        count(&tally.gone),
+        counts.by_key.len(),
+        most(&counts.by_key),
+        counts.by_key.values().filter(|attempts| **attempts > 1).count(),
+    );
+}
+
+fn judge(tally: &Tally, counts: &Counts, verdict: &mut Verdict, requests: u64, deploys: u64) {
+    let answered = count(&tally.served) + count(&tally.refused) + count(&tally.failed);
+    let served_share = count(&tally.served) as f64 / answered as f64;
+    verdict.figure("requests", requests);
+    verdict.figure("deploys", deploys);
+    verdict.figure("served_share", format!("{served_share:.3}"));
+    verdict.exactly("lost", count(&tally.lost), 0);
+    verdict.exactly("results_mixed_or_cut", count(&tally.mixed), 0);
+    verdict.exactly("answers_of_one_unequal", count(&tally.unequal), 0);
+    verdict.exactly("effects_a_key", u64::from(most(&counts.effects)), 1);
+    // Each attempt fetches each of its pages once; a client that asks twice costs engines nothing.
+    let attempts = |request: &str| counts.by_request.get(request).copied().unwrap_or(0);
+    let fetched_twice = counts
+        .pages
+        .iter()
+        .filter(|((request, _), fetches)| **fetches > attempts(request))
+        .count();
+    verdict.exactly("pages_doubled", fetched_twice as u64, 0);
+    verdict.at_most(
+        "send_after_drain_s",
+        counts.latest_after_drain.as_secs_f64(),
+        2.0,
+    );
+}
+
+/// Replaces an engine every so often: drained first, or killed at once, at the same address, under a new id.
+fn replace_engines(fleet: &Fleet, over: &AtomicBool) -> u64 {
+    let mut n = 0;
+    while !over.load(Relaxed) {
+        std::thread::sleep(Duration::from_millis(300));
+        let ids = fleet.ids();
+        let Some(id) = ids.get(n as usize * 7 % ids.len().max(1)) else {
+            continue;
+        };
+        let at = fleet.addr(id);
+        if n % 2 == 0 {
+            fleet.drain(id);
+            std::thread::sleep(Duration::from_millis(250));
+            fleet.remove(id);
+        } else {
+            fleet.kill(id);
+            std::thread::sleep(Duration::from_millis(100));
+        }
+        n += 1;
+        let _ = fleet.add(&format!("f-{n}"), at);
+    }
+    n
+}
+
+/// One request of the mix.
+fn request(program: &Program, tally: &Tally, n: u64, client: u64) -> Result<()> {
+    match n % 4 {
+        0 => {
+            let rows = program.pg().and_then(|mut pg| {
+                pg.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
+                pg.read()
+            });
+            if let Some(rows) = tally.pg(rows) {
+                tally.whole(&rows, 20);
+            }
+        }
+        1 | 2 => paged_result(program, tally)?,
+        _ => duplicate_key(program, tally, n, client)?,
+    }
+    Ok(())
+}
+
+/// A result of five pages, one of which is asked for twice.
+fn paged_result(program: &Program, tally: &Tally) -> Result<()> {
+    let mut http = program.http()?;
+    http.ask(&query_body("report", "ms=2 rows=500 width=55"), None)?;
+    let Some(first) = tally.http(http.read()) else {
+        return Ok(());
+    };
+    let (mut rows, mut at, mut twice) = (first.rows(), first.next(), true);
+    while let Some(path) = at {
+        let page = http.get(&path)?;
+        tally.pages.fetch_add(1, Relaxed);
+        if page.status == 410 {
+            tally.gone.fetch_add(1, Relaxed);
+            return Ok(());
+        }
+        if page.status != 200 {
+            tally.mixed.fetch_add(1, Relaxed);
+            return Ok(());
+        }
+        if std::mem::take(&mut twice) {
+            let again = program.http()?.get(&path)?;
+            tally
+                .unequal
+                .fetch_add(u64::from(again.body != page.body), Relaxed);
+        }
+        rows.extend(page.rows());
+        at = page.next();
+    }
+    tally.whole(&rows, PAGED_ROWS);
+    Ok(())
+}
+
+/// A key that is used again: at once over the other front, after its answer, or after its connection was cut.
+fn duplicate_key(program: &Program, tally: &Tally, n: u64, client: u64) -> Result<()> {
+    let (key, order) = (format!("k-{n}"), format!("{client:016x}"));
+    let hints = "ms=4 rows=5";
+    let mut body = query_body("load", hints);
+    body["order_key"] = order.as_str().into();
+    let mut http = program.http()?;
+    http.ask(&body, Some(&key))?;
+    match n / 4 % 3 {
+        0 => {
+            let mut pg = program.pg()?;
+            pg.send(&query_text(
+                "load",
+                hints,
+                &format!(",token={key},obj={order}"),
+            ))?;
+            let (one, two) = (tally.http(http.read()), tally.pg(pg.read()));
+            if let (Some(one), Some(two)) = (one, two) {
+                tally
+                    .unequal
+                    .fetch_add(u64::from(one.rows() != two), Relaxed);
+            }
+        }
+        1 => {
+            let one = tally.http(http.read());
+            http.ask(&body, Some(&key))?;
+            let two = tally.http(http.read());
+            if let (Some(one), Some(two)) = (one, two) {
+                tally
+                    .unequal
+                    .fetch_add(u64::from(one.body != two.body), Relaxed);
+            }
+        }
+        _ => {
+            drop(http);
+            let mut again = program.http()?;
+            again.ask(&body, Some(&key))?;
+            if let Some(reply) = tally.http(again.read()) {
+                tally.whole(&reply.rows(), 5);
+            }
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/tools/acceptance/src/bin/prove-rest/memory.rs
@@ -0,0 +1,45 @@
+//! What a cached result costs in memory, against its rows.
+
+use std::io::Result;
+
+use serde_json::Value;
+use violetgate_acceptance::{Program, Verdict};
+use violetgate_fake_upstreams::{Fleet, Profile};
+
+use crate::requests::query_body;
+use crate::{Arguments, REST_SETTINGS};
+
+/// Rows of one result, and bytes of a row with the tabs and line ends that engines send.
+const ROWS: usize = 800;
+const ROW_BYTES: usize = 55;
+/// Results that are cached when memory is read.
+const RESULTS: usize = 1_000;
+
+/// Holds the growth of the process to 1.2 times the bytes of the rows that it caches.
+pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
+    let fleet = Fleet::start(4, Profile::default())?;
+    let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let mut body = query_body("report", &format!("ms=0 rows={ROWS} width={ROW_BYTES}"));
+    let mut http = program.http()?;
+    let mut get = |body: &Value| http.ask(body, None).and_then(|()| http.read());
+    for _ in 0..50 {
+        get(&body)?;
+    }
+    body["budget_ms"] = 600_000.into();
+    let memory_before = program.memory();
+    let mut cached = 0;
+    while cached < RESULTS {
+        if get(&body)?.status == 200 {
+            cached += 1;
+        }
+    }
+    let row_bytes = cached * ROWS * ROW_BYTES;
+    let grown = program.memory().saturating_sub(memory_before);
+    println!(
+        "{cached} results held: {} KiB of rows, the process has grown by {} KiB",
+        row_bytes / 1024,
+        grown / 1024
+    );
+    verdict.at_most("bytes_held_ratio", grown as f64 / row_bytes as f64, 1.2);
+    Ok(())
+}
--- /dev/null
+++ b/tools/acceptance/src/bin/prove-rest/requests.rs
@@ -0,0 +1,26 @@
+//! Requests over both protocols, each with an id of its own.
+
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+use serde_json::{json, Value};
+
+/// The next request id: 16 hex digits.
+fn next_request_id() -> String {
+    static NEXT: AtomicU64 = AtomicU64::new(1);
+    format!("{:016x}", NEXT.fetch_add(1, Relaxed))
+}
+
+/// The body of a REST query of this class; `hints` tell the fake engine what to do.
+pub fn query_body(class: &str, hints: &str) -> Value {
+    let statement = format!("SELECT day FROM sales_17.plan /* {hints} */");
+    json!({"class": class, "budget_ms": 10_000, "estimate_ms": 1.0, "estimate_mb": 1, "statement": statement})
+}
+
+/// The text of a PostgreSQL query of this class, with further `fields` in its comment.
+pub fn query_text(class: &str, hints: &str, fields: &str) -> String {
+    let fields = format!(
+        "rid={},budget=10000,est=1.0,est_mb=1{fields}",
+        next_request_id()
+    );
+    format!("/* method={class},{fields} */ SELECT day FROM sales_17.plan /* {hints} */")
+}
--- /dev/null
+++ b/tools/acceptance/src/bin/prove-rest/tally.rs
@@ -0,0 +1,56 @@
+//! Counts of answers over both protocols, and the check that rows are whole.
+
+use std::io::Result;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+
+use violetgate_fake_upstreams::client::{Reply, Rows};
+
+/// How requests ended, over all clients.
+#[derive(Default)]
+pub struct Tally {
+    pub served: AtomicU64,
+    pub refused: AtomicU64,
+    pub failed: AtomicU64,
+    pub lost: AtomicU64,
+    pub mixed: AtomicU64,
+    pub unequal: AtomicU64,
+    pub pages: AtomicU64,
+    pub gone: AtomicU64,
+}
+
+impl Tally {
+    /// Counts an HTTP answer; its rows, if it was served.
+    pub fn http(&self, reply: Result<Reply>) -> Option<Reply> {
+        let count = match &reply {
+            Ok(r) if r.status == 200 => &self.served,
+            Ok(r) if r.status == 503 => &self.refused,
+            Ok(_) => &self.failed,
+            Err(_) => &self.lost,
+        };
+        count.fetch_add(1, Relaxed);
+        reply.ok().filter(|r| r.status == 200)
+    }
+
+    /// Counts an answer over PostgreSQL; its rows, if it was served.
+    pub fn pg(&self, rows: Result<Rows>) -> Option<Vec<[String; 3]>> {
+        let count = match &rows {
+            Ok(Ok(_)) => &self.served,
+            Ok(Err(code)) if code.starts_with("53") || code == "57P03" => &self.refused,
+            Ok(Err(_)) => &self.failed,
+            Err(_) => &self.lost,
+        };
+        count.fetch_add(1, Relaxed);
+        rows.ok()?.ok()
+    }
+
+    /// Rows have to be all of one attempt, in order, none lost or doubled.
+    pub fn whole(&self, rows: &[[String; 3]], count: usize) {
+        let first = rows.first();
+        let good = rows.len() == count
+            && rows.iter().enumerate().all(|(n, row)| {
+                first.is_some_and(|f| f[..2] == row[..2])
+                    && row[2].trim_end_matches('.') == n.to_string()
+            });
+        self.mixed.fetch_add(u64::from(!good), Relaxed);
+    }
+}
--- /dev/null
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -0,0 +1,200 @@
+//! CPU time and latency of both protocols at the same rate: first pages of one-page and of six-page results, and later
+//! pages.
+
+use std::io::Result;
+use std::sync::{Mutex, PoisonError};
+use std::time::Duration;
+
+use serde_json::Value;
+use violetgate_acceptance::{open_loop, Met, Program, Verdict};
+use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::{Fleet, Profile};
+
+use crate::requests::{query_body, query_text};
+use crate::{Arguments, CLIENTS, REST_SETTINGS};
+
+/// A load at a steady rate.
+#[derive(Clone, Copy)]
+struct Load {
+    requests: u64,
+    gap: Duration,
+}
+
+/// A kind of query, by the size of its result.
+struct Query {
+    pages: &'static str,
+    class: &'static str,
+    hints: &'static str,
+}
+
+const ONE_PAGE: Query = Query {
+    pages: "one page",
+    class: "lookup",
+    hints: "ms=0 rows=109 width=55",
+};
+const SIX_PAGES: Query = Query {
+    pages: "six pages",
+    class: "report",
+    hints: "ms=0 rows=654 width=55",
+};
+/// Six pages are 33 KB: they are asked for at a fifth of the rate.
+const SIX_PAGES_SLOWDOWN: u32 = 5;
+
+/// CPU time of a request in microseconds.
+struct CpuTimes {
+    postgres_one_page: f64,
+    rest_one_page: f64,
+    postgres_six_pages: f64,
+    rest_six_pages: f64,
+    rest_later_page: f64,
+}
+
+/// Measures both protocols in turn and holds the ratios of their CPU times to the bounds.
+pub fn compare_protocols(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
+    let fleet = Fleet::start(4, Profile::default())?;
+    let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let load = Load {
+        requests: (arguments.rate as f64 * arguments.seconds) as u64,
+        gap: Duration::from_secs_f64(1.0 / arguments.rate as f64),
+    };
+    // First a shorter load that is not measured: connections to engines, memory, what the decisions learn.
+    let warm_up = Load {
+        requests: load.requests / 4,
+        ..load
+    };
+    measure_round(&program, warm_up, |_, _, _| f64::NAN)?;
+    let cpu = measure_round(&program, load, print_row)?;
+    verdict.at_most(
+        "first_page_cpu_ratio",
+        cpu.rest_one_page / cpu.postgres_one_page,
+        1.5,
+    );
+    verdict.at_most(
+        "first_of_six_cpu_ratio",
+        cpu.rest_six_pages / cpu.postgres_six_pages,
+        1.5,
+    );
+    verdict.at_most(
+        "later_page_cpu_ratio",
+        cpu.rest_later_page / cpu.postgres_six_pages,
+        0.5,
+    );
+    let alone = cpu.rest_later_page / cpu.postgres_one_page;
+    verdict.figure("later_page_to_one_page_query", format!("{alone:.3}"));
+    Ok(())
+}
+
+/// One round over all kinds of request; `report` turns a measurement into CPU time a request.
+fn measure_round(
+    program: &Program,
+    load: Load,
+    report: fn(&str, &Met, Duration) -> f64,
+) -> Result<CpuTimes> {
+    let slow_load = Load {
+        requests: load.requests / u64::from(SIX_PAGES_SLOWDOWN),
+        gap: load.gap * SIX_PAGES_SLOWDOWN,
+    };
+    let paths = Mutex::new(Vec::new());
+    let postgres = |query: &Query, load| -> Result<f64> {
+        let (met, cpu) = load_postgres(program, query, load)?;
+        Ok(report(&format!("PostgreSQL, {}", query.pages), &met, cpu))
+    };
+    let rest = |query: &Query, load| -> Result<f64> {
+        let (met, cpu) = load_rest(program, query, load, &paths)?;
+        Ok(report(
+            &format!("REST first page of {}", query.pages),
+            &met,
+            cpu,
+        ))
+    };
+    let postgres_one_page = postgres(&ONE_PAGE, load)?;
+    let rest_one_page = rest(&ONE_PAGE, load)?;
+    let postgres_six_pages = postgres(&SIX_PAGES, slow_load)?;
+    let rest_six_pages = rest(&SIX_PAGES, slow_load)?;
+    let paths = paths.into_inner().unwrap_or_else(PoisonError::into_inner);
+    let (met, cpu) = load_later_pages(program, &paths, load)?;
+    Ok(CpuTimes {
+        postgres_one_page,
+        rest_one_page,
+        postgres_six_pages,
+        rest_six_pages,
+        rest_later_page: report("REST later page", &met, cpu),
+    })
+}
+
+fn load_postgres(program: &Program, query: &Query, load: Load) -> Result<(Met, Duration)> {
+    let clients: Vec<Pg> = (0..CLIENTS).map(|_| program.pg()).collect::<Result<_>>()?;
+    let each = |mut pg: Pg| {
+        move |_| {
+            pg.send(&query_text(query.class, query.hints, "")).is_ok()
+                && matches!(pg.read(), Ok(Ok(_)))
+        }
+    };
+    Ok(run(program, clients.into_iter().map(each).collect(), load))
+}
+
+/// First pages over REST; the paths of the second pages are added to `paths`.
+fn load_rest(
+    program: &Program,
+    query: &Query,
+    load: Load,
+    paths: &Mutex<Vec<String>>,
+) -> Result<(Met, Duration)> {
+    let clients: Vec<Http> = (0..CLIENTS)
+        .map(|_| program.http())
+        .collect::<Result<_>>()?;
+    let body: &Value = &query_body(query.class, query.hints);
+    let each = |mut http: Http| {
+        move |_| {
+            let Ok(reply) = http.ask(body, None).and_then(|()| http.read()) else {
+                return false;
+            };
+            if let Some(next) = reply.next().filter(|_| reply.status == 200) {
+                let mut paths = paths.lock().unwrap_or_else(PoisonError::into_inner);
+                paths.push(next);
+            }
+            reply.status == 200
+        }
+    };
+    Ok(run(program, clients.into_iter().map(each).collect(), load))
+}
+
+fn load_later_pages(program: &Program, paths: &[String], load: Load) -> Result<(Met, Duration)> {
+    let clients: Vec<Http> = (0..CLIENTS)
+        .map(|_| program.http())
+        .collect::<Result<_>>()?;
+    let each = |mut http: Http| {
+        move |number: u64| {
+            let path = paths.get(number as usize % paths.len().max(1));
+            path.is_some_and(|path| http.get(path).is_ok_and(|reply| reply.status == 200))
+        }
+    };
+    let load = Load {
+        requests: (paths.len() as u64).min(load.requests),
+        ..load
+    };
+    Ok(run(program, clients.into_iter().map(each).collect(), load))
+}
+
+/// Plays a load; what it met, and the CPU time that the program used.
+fn run<C: FnMut(u64) -> bool + Send>(
+    program: &Program,
+    clients: Vec<C>,
+    load: Load,
+) -> (Met, Duration) {
+    let before = program.cpu();
+    let met = open_loop(clients, load.requests, load.gap);
+    (met, program.cpu() - before)
+}
+
+/// Prints one measurement; CPU time a request in microseconds.
+fn print_row(what: &str, met: &Met, cpu: Duration) -> f64 {
+    let [p50, p99, p999] = met.quantiles();
+    let each = cpu.as_secs_f64() * 1e6 / met.served.max(1) as f64;
+    println!(
+        "{what:<34} {:>7.0}/s  p50 {p50:>7.2} ms  p99 {p99:>7.2} ms  p99.9 {p999:>7.2} ms  CPU {each:>6.1} us  not served {}",
+        met.rate(),
+        met.others
+    );
+    each
+}
