--- /dev/null
+++ b/policy/tests/trace/load.rs
@@ -0,0 +1,279 @@
+//! What is drawn: queries, how their attempts go, and what happens to the engines.
+
+use violetgate_policy::interface::{
+    Cost, Ended, Engine, EngineId, EngineState, ListScope, Load, Micros, NewQuery, Outcome,
+    Progress, QueryId,
+};
+use violetgate_policy::Event;
+
+use super::{Asked, Due, Fault, World, MS, S};
+
+/// An engine as it really is.
+pub struct Machine {
+    pub line: Engine,
+    pub(super) fault: Fault,
+    pub out: u32,
+}
+
+pub fn machines(count: u32) -> Vec<Machine> {
+    let line = |id| Engine {
+        id,
+        zone: id % 3,
+        kind: id % 2,
+        cell: id % 5,
+        state: EngineState::Ready,
+        started: None,
+    };
+    (0..count)
+        .map(|id| Machine {
+            line: line(id),
+            fault: Fault::None,
+            out: 0,
+        })
+        .collect()
+}
+
+impl World {
+    /// Every ten seconds there are two of overload.
+    pub(super) fn next_arrival(&mut self) {
+        let crowded = (self.now / S) % 10 >= 8;
+        let gap = self.scenario.gap * if crowded { 1 } else { 5 } / 2;
+        let wait = 1 + self.draw(gap);
+        self.later(wait, Due::Arrive);
+    }
+
+    pub(super) fn arrive(&mut self) -> Event {
+        self.next_query += 1;
+        let id = self.next_query;
+        // Now and then a class that the settings do not name.
+        let classes = self.scenario.settings.classes.len() as u64;
+        let class = if self.one_in(50) {
+            classes + 3
+        } else {
+            self.draw(classes)
+        } as u32;
+        let long = class % 3 == 1;
+        let work = (5 + self.draw(60)) * MS * if long { 10 } else { 1 };
+        let memory_mb = (10 + self.draw(300)) as f64;
+        let repeat = self.one_in(6);
+        let time_left = if repeat {
+            (1 + self.draw(30)) * 100 * MS
+        } else {
+            10 * S
+        };
+        let estimate = 1 + work * (40 + self.draw(160)) / 100;
+        let asked = NewQuery {
+            id,
+            class,
+            tenant: (id % 4) as u32,
+            work: (!self.one_in(4)).then_some(estimate),
+            memory_mb: (!self.one_in(3))
+                .then_some(memory_mb * (50 + self.draw(100)) as f64 / 100.0),
+            time_left,
+            tables: (!self.one_in(3)).then(|| self.draw(6)),
+            key: (!self.one_in(3)).then(|| self.draw(12)),
+            repeat,
+        };
+        if self.one_in(25) {
+            let wait = self.draw(2 * S);
+            self.later(wait, Due::ClientGone(id));
+        }
+        let kept = Asked {
+            class,
+            deadline: self.now + time_left,
+            work,
+            memory_mb,
+            attempts: 0,
+            out: None,
+            granted_mb: 0.0,
+            finished: false,
+        };
+        self.asked.insert(id, kept);
+        Event::Arrived(asked)
+    }
+
+    pub(super) fn send(&mut self, query: QueryId, engine: EngineId) {
+        self.seen.sends += 1;
+        let Some(asked) = self.asked.get_mut(&query) else {
+            return;
+        };
+        self.seen.further_sends += u32::from(asked.attempts > 0);
+        let attempt = asked.attempts;
+        asked.attempts += 1;
+        asked.out = Some((engine, self.now));
+        let (class, work, deadline) = (asked.class, asked.work, asked.deadline);
+        let lacks = asked.memory_mb - asked.granted_mb;
+        let machine = &mut self.engines[engine as usize];
+        machine.out += 1;
+        let fault = machine.fault;
+        let crowd = 100 + 12 * u64::from(machine.out);
+        let slow = if fault == Fault::Slow { 8 } else { 1 };
+        let run = (work * crowd / 100 * slow * (80 + self.draw(60)) / 100).max(1);
+        let time_out = deadline.saturating_sub(self.now).max(1);
+        let silent = fault == Fault::Silent || fault == Fault::DropsClass(class);
+        let unlucky = self.draw(100);
+        let (wait, outcome) = match fault {
+            Fault::Errs => (MS + self.draw(3 * MS), Outcome::Errored),
+            Fault::RefusesConnections => (200 + self.draw(MS), Outcome::Refused),
+            Fault::Full => (300 + self.draw(MS), Outcome::Saturated),
+            _ if silent || run >= time_out => (time_out, Outcome::Overdue),
+            _ if unlucky == 0 => (run / 2 + 1, Outcome::Errored),
+            _ if unlucky == 1 => (run / 3 + 1, Outcome::Severed),
+            _ if unlucky == 2 => (50, Outcome::Superseded),
+            _ => (run, Outcome::Completed),
+        };
+        let end = Due::End {
+            query,
+            attempt,
+            outcome,
+        };
+        self.later(wait, end);
+        if !silent {
+            self.progress(query, attempt, run.min(time_out), lacks);
+        }
+    }
+
+    /// Notes of progress, lines for memory and loads, spills, the begin of a stream.
+    fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, lacks: f64) {
+        if self.scenario.settings.note_period.is_some() {
+            for part in 1..4 {
+                let progress = match self.draw(24) {
+                    0 => Progress::WaitsForMemory,
+                    1 => Progress::WaitsForLoad,
+                    2 => Progress::Done(0.01),
+                    3 if lacks > 0.0 => Progress::Spills(lacks),
+                    _ => Progress::Done(part as f64 / 4.0),
+                };
+                let note = Due::Progress {
+                    query,
+                    attempt,
+                    progress,
+                };
+                self.later(run * part / 4, note);
+            }
+        }
+        if self.one_in(12) {
+            self.later(run * 9 / 10, Due::Streams(query));
+        }
+    }
+
+    pub(super) fn end(&mut self, query: QueryId, attempt: u32, outcome: Outcome) -> Option<Event> {
+        if !self.is_out(query, attempt) {
+            return None;
+        }
+        let settled = outcome == Outcome::Completed;
+        let asked = self.asked.get_mut(&query)?;
+        let (engine, sent) = asked.out.take()?;
+        let (work, memory_mb) = (asked.work, asked.memory_mb);
+        if asked.finished || settled {
+            self.asked.remove(&query);
+        }
+        self.engines[engine as usize].out -= 1;
+        let elapsed = self.now - sent;
+        let cost = (settled && self.scenario.tells_cost).then_some(Cost { work, memory_mb });
+        let load = self.load(engine);
+        Some(Event::Ended(Ended {
+            query,
+            attempt,
+            engine,
+            outcome,
+            settled,
+            elapsed,
+            cost,
+            load,
+        }))
+    }
+
+    fn load(&mut self, engine: EngineId) -> Load {
+        if !self.scenario.reports || self.one_in(4) {
+            return Load::default();
+        }
+        let out = self.engines[engine as usize].out;
+        let busy = (self.draw(50) as f64 + 12.0 * f64::from(out)) / 100.0;
+        Load {
+            utilisation: Some(busy),
+            disks: self.one_in(3).then_some(busy * 0.9),
+            memory: Some(0.5),
+            waiting: None,
+        }
+    }
+
+    /// Something happens to the engines, or to those who share them.
+    pub(super) fn disturb(&mut self) -> Event {
+        let wait = 1 + self.draw(120 * MS);
+        self.later(wait, Due::Disturb);
+        let engine = self.draw(u64::from(self.scenario.engines)) as EngineId;
+        match self.draw(14) {
+            0..=3 => self.strike(engine),
+            4 => Event::Cordon {
+                engine,
+                out: !self.one_in(4),
+            },
+            5 => Event::Cordon { engine, out: false },
+            6 => Event::Fleet {
+                gateways: (self.scenario.settings.gateways.unwrap_or(1) as u64 + self.draw(3))
+                    as u32,
+            },
+            7 => self.list(ListScope::Stale),
+            8 => self.list(ListScope::Broken),
+            9 => self.list(ListScope::Whole),
+            10 => {
+                let load = self.load(engine);
+                let answered = self.engines[engine as usize].fault != Fault::Silent;
+                Event::Probed {
+                    engine,
+                    answered,
+                    load,
+                }
+            }
+            _ => self.list(ListScope::Patch),
+        }
+    }
+
+    /// An engine, or at times a third of them, gets a fault or loses it.
+    fn strike(&mut self, engine: EngineId) -> Event {
+        let fault = match self.draw(16) {
+            0 => Fault::Slow,
+            1 => Fault::Errs,
+            2 => Fault::Silent,
+            3 => Fault::RefusesConnections,
+            4 => Fault::Full,
+            5 | 6 => Fault::DropsClass(self.draw(3) as u32),
+            _ => Fault::None,
+        };
+        let step = if self.one_in(12) { 2 } else { 40 };
+        let first = engine as usize % step;
+        for machine in self.engines.iter_mut().skip(first).step_by(step) {
+            machine.fault = fault;
+        }
+        Event::Woke
+    }
+
+    /// What the list says; a patch changes one engine.
+    pub(super) fn list(&mut self, scope: ListScope) -> Event {
+        let mut engines = Vec::new();
+        match scope {
+            ListScope::Whole | ListScope::Stale => {
+                // One that is left out is gone.
+                let left_out = self.draw(20 * u64::from(self.scenario.engines));
+                let kept = |m: &&Machine| u64::from(m.line.id) != left_out;
+                engines.extend(self.engines.iter().filter(kept).map(|m| m.line));
+            }
+            ListScope::Patch => {
+                let id = self.draw(u64::from(self.scenario.engines)) as usize;
+                let restarted = self.one_in(2).then_some(self.now);
+                let state = match self.draw(8) {
+                    0 => EngineState::Draining,
+                    1 => EngineState::Gone,
+                    _ => EngineState::Ready,
+                };
+                let line = &mut self.engines[id].line;
+                line.state = state;
+                line.started = restarted.or(line.started);
+                engines.push(*line);
+            }
+            ListScope::Broken => {}
+        }
+        Event::Engines { scope, engines }
+    }
+}
--- /dev/null
+++ b/policy/tests/trace/scenarios.rs
@@ -0,0 +1,207 @@
+//! The scenarios: settings of both kinds, few and many engines.
+
+use violetgate_policy::interface::{Class, DedupGroup, Effect, Kind, ResendBudget};
+use violetgate_policy::Settings;
+
+use super::{Scenario, MS, S};
+
+fn class(effect: Effect) -> Class {
+    Class {
+        deadline: Some(10 * S),
+        aim: Some(2 * S),
+        late_worth: Some(0.8),
+        effect,
+        threads: Some(1.0),
+        ..Class::default()
+    }
+}
+
+/// Classes of each effect, bound and unbound, in order by key, loads and those that wait for them.
+fn classes() -> Vec<Class> {
+    let short = Class {
+        aim: Some(600 * MS),
+        worth: Some(4.0),
+        late_worth: Some(0.1),
+        ..class(Effect::Idempotent)
+    };
+    let long = Class {
+        aim_stretch: Some(2.0),
+        threads: Some(4.0),
+        waits_for_loads: true,
+        ..class(Effect::Idempotent)
+    };
+    let deduplicated = |dedup_group, window| Class {
+        dedup_group,
+        dedup_window: Some(window),
+        ..class(Effect::Deduplicated)
+    };
+    let by_key = Class {
+        by_arrival: true,
+        ..deduplicated(DedupGroup::Zone, 3 * S)
+    };
+    let load = Class {
+        is_load: true,
+        threads: Some(2.0),
+        ..class(Effect::Idempotent)
+    };
+    let bound = Class {
+        only_zones: Some(vec![0, 1]),
+        only_kinds: Some(vec![0]),
+        ..short.clone()
+    };
+    vec![
+        short,
+        long,
+        class(Effect::AtMostOnce),
+        deduplicated(DedupGroup::All, 4 * S),
+        by_key,
+        load,
+        bound,
+        deduplicated(DedupGroup::Cell, 3 * S),
+    ]
+}
+
+fn kinds() -> Vec<Kind> {
+    let kind = |cores, memory_mb| Kind {
+        cores: Some(cores),
+        memory_mb: Some(memory_mb),
+    };
+    vec![kind(4.0, 1_000.0), kind(8.0, 2_000.0)]
+}
+
+/// Everything that can be told is told.
+fn rich(gateways: u32) -> Settings {
+    Settings {
+        gateways: Some(gateways),
+        zone: Some(1),
+        classes: classes(),
+        kinds: kinds(),
+        tenant_quota_per_s: vec![Some(20.0), None],
+        over_share_worth: Some(0.5),
+        can_cancel: true,
+        can_probe: true,
+        reports_by_probe: false,
+        reports_utilisation: true,
+        max_attempts: Some(4),
+        second_copies: false,
+        max_retry_after: Some(3 * S),
+        grants: true,
+        most_grant: Some(0.6),
+        priorities: true,
+        note_period: Some(400 * MS),
+        grace_to_answer: Some(20 * MS),
+        cold_share: Some(0.2),
+        cold: Some(5 * S),
+        fall_multiple: Some(1.5),
+        fall: Some(S),
+        turn_gap: Some(300 * MS),
+        resend_budget: Some(budget()),
+        list_on_request: true,
+    }
+}
+
+/// Nothing but classes and kinds.
+fn bare(gateways: Option<u32>) -> Settings {
+    Settings {
+        gateways,
+        classes: classes(),
+        kinds: kinds(),
+        ..Settings::default()
+    }
+}
+
+fn budget() -> ResendBudget {
+    ResendBudget {
+        free: 4.0,
+        share: 0.3,
+        span: 2 * S,
+    }
+}
+
+/// A scenario with reports and costs; `load` is the mean time between arrivals.
+fn scenario(seed: u64, engines: u32, gap: u64, settings: Settings) -> Scenario {
+    Scenario {
+        seed,
+        engines,
+        events: 15_000,
+        gap: gap * MS,
+        tells_cost: true,
+        reports: true,
+        settings,
+    }
+}
+
+/// Without reports and costs.
+fn untold(scenario: Scenario) -> Scenario {
+    Scenario {
+        tells_cost: false,
+        reports: false,
+        ..scenario
+    }
+}
+
+/// All scenarios, each with its name.
+pub fn all() -> Vec<(&'static str, Scenario)> {
+    let without_notes = |settings| Settings {
+        note_period: None,
+        ..settings
+    };
+    let without_reports = |settings| Settings {
+        reports_utilisation: false,
+        ..settings
+    };
+    let cancels = |settings| Settings {
+        can_cancel: true,
+        max_attempts: Some(3),
+        ..settings
+    };
+    let unlimited = Settings {
+        resend_budget: None,
+        zone: None,
+        ..rich(2)
+    };
+    let nothing_known = Settings {
+        classes: vec![Class::default(); 3],
+        ..Settings::default()
+    };
+    vec![
+        ("8 engines, all told", scenario(1, 8, 10, rich(1))),
+        (
+            "8 engines, 3 gateways, overload",
+            scenario(2, 8, 5, unlimited),
+        ),
+        ("8 engines, bare", untold(scenario(3, 8, 10, bare(None)))),
+        (
+            "8 engines, nothing known",
+            untold(scenario(4, 8, 20, nothing_known)),
+        ),
+        (
+            "8 engines, no notes, no costs",
+            untold(scenario(5, 8, 10, without_reports(without_notes(rich(2))))),
+        ),
+        ("80 engines, all told", scenario(6, 80, 2, rich(12))),
+        (
+            "80 engines, no costs, grants",
+            untold(scenario(7, 80, 3, without_reports(rich(10)))),
+        ),
+        ("80 engines, thin parts", scenario(8, 80, 10, rich(100))),
+        (
+            "80 engines, thin parts, untold",
+            untold(scenario(9, 80, 10, cancels(bare(Some(100))))),
+        ),
+        (
+            "300 engines, sampled",
+            scenario(10, 300, 4, without_notes(rich(200))),
+        ),
+        (
+            "300 engines, sampled, untold",
+            untold(scenario(
+                11,
+                300,
+                4,
+                without_reports(without_notes(rich(150))),
+            )),
+        ),
+        ("300 engines, all looked at", scenario(12, 300, 2, rich(8))),
+    ]
+}
