--- a/gateway/src/asked.rs
+++ b/gateway/src/asked.rs
@@ -151,12 +151,12 @@
             id,
             class: class as u32,
             tenant: tenant as u32,
-            work: number(self.work, Part::Work)?.map(|ms| (ms * 1e3) as Micros),
-            memory_mb: number(self.memory, Part::Memory)?.filter(|mb| *mb > 0.0),
+            estimated_work: number(self.work, Part::Work)?.map(|ms| (ms * 1e3) as Micros),
+            estimated_memory_mb: number(self.memory, Part::Memory)?.filter(|mb| *mb > 0.0),
             time_left: (budget * 1e3) as Micros,
-            tables: tables::group(self.statement),
-            key,
-            repeat: self.again.is_some(),
+            table_group: tables::group(self.statement),
+            ordering_key: key,
+            is_client_retry: self.again.is_some(),
         };
         Ok(Request {
             query,
--- a/gateway/src/bus.rs
+++ b/gateway/src/bus.rs
@@ -433,7 +433,7 @@
         self.place.hold(event.offset, Some(&topology));
         tell(
             if topology.full {
-                ListScope::Whole
+                ListScope::Snapshot
             } else {
                 ListScope::Patch
             },
--- a/gateway/src/dispatch.rs
+++ b/gateway/src/dispatch.rs
@@ -13,9 +13,10 @@
 use async_io::Timer;
 use futures_lite::Future;
 use violetgate_policy::interface::{
-    Cost, Effect, Ended, EngineId, ListScope, Load, Micros, NewQuery, Outcome, Progress, QueryId,
+    AttemptEnded, Cost, EngineId, Idempotency, ListScope, LoadReport, Micros, NewQuery, Outcome,
+    Progress, QueryId,
 };
-use violetgate_policy::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, EngineCounts, Event, Gateway, Settings};
 
 use crate::clock::Clock;
 use crate::exchange::{
@@ -44,7 +45,7 @@
 /// A request without its answer, or with an attempt still out.
 struct Open {
     exchange: Rc<Exchange>,
-    effect: Effect,
+    effect: Idempotency,
     /// Where engines discard repeats, for how long, and when the first attempt left that they may have seen.
     window: Option<Micros>,
     first: Option<Micros>,
@@ -59,7 +60,7 @@
 pub struct Dispatch {
     clock: Clock,
     gateway: RefCell<Gateway>,
-    effects: Vec<(Effect, Option<Micros>)>,
+    effects: Vec<(Idempotency, Option<Micros>)>,
     engines: Rc<dyn Engines>,
     /// Whether anything may be sent, where that is not always so.
     fence: Option<Rc<dyn Fence>>,
@@ -90,7 +91,7 @@
             effects: settings
                 .classes
                 .iter()
-                .map(|c| (c.effect, c.dedup_window))
+                .map(|c| (c.idempotency, c.dedup_window))
                 .collect(),
             gateway: RefCell::new(Gateway::new(settings, seed)),
             engines,
@@ -99,7 +100,7 @@
             closed: Cell::new(false),
             open: RefCell::default(),
             spent: RefCell::default(),
-            events: RefCell::new(VecDeque::from([Event::Woke])),
+            events: RefCell::new(VecDeque::from([Event::TimerFired])),
             running: Cell::new(false),
             timers: RefCell::default(),
             armed: Cell::new(Micros::MAX),
@@ -113,30 +114,31 @@
         // The module hears of it before the attempts that it ends, and before any further send.
         self.events
             .borrow_mut()
-            .push_back(Event::Engines { scope, engines });
+            .push_back(Event::EngineList { scope, engines });
         self.engines.list(scope, listed);
         self.run();
     }
 
     /// How many engines are listed, and how many of those are avoided.
     #[must_use]
-    pub fn listed(&self) -> (usize, usize) {
-        self.gateway.borrow().listed()
+    pub fn engine_counts(&self) -> EngineCounts {
+        self.gateway.borrow().engine_counts()
     }
 
     /// So many gateways share the engines from now on.
     pub fn fleet(&self, gateways: u32) {
         self.events
             .borrow_mut()
-            .push_back(Event::Fleet { gateways });
+            .push_back(Event::FleetSize { gateways });
         self.run();
     }
 
     /// Takes an operator's call: nothing more to an engine, or again.
     pub fn cordon(&self, engine: EngineId, out: bool) {
-        self.events
-            .borrow_mut()
-            .push_back(Event::Cordon { engine, out });
+        self.events.borrow_mut().push_back(Event::Cordon {
+            engine,
+            cordoned: out,
+        });
         self.engines.cordon(engine, out);
         self.run();
     }
@@ -216,8 +218,8 @@
             let Some(first) = first else { break };
             self.timers.borrow_mut().remove(&first);
             match first.1 {
-                Due::Wake => self.events.borrow_mut().push_back(Event::Woke),
-                Due::Overdue(id, number) => self.give_up(id, number, Outcome::Overdue),
+                Due::Wake => self.events.borrow_mut().push_back(Event::TimerFired),
+                Due::Overdue(id, number) => self.give_up(id, number, Outcome::TimedOut),
             }
         }
         self.run();
@@ -256,7 +258,7 @@
 
     fn carry_out(&self, action: Action) {
         match action {
-            Action::Terms {
+            Action::SetResources {
                 query,
                 memory_mb,
                 priority,
@@ -279,14 +281,14 @@
                 engine,
                 timeout,
             } => self.send(query, engine, timeout),
-            Action::Cancel { query, attempt } => self.give_up(query, attempt, Outcome::Recalled),
-            Action::Refuse { query, retry_after } => {
+            Action::Cancel { query, attempt } => self.give_up(query, attempt, Outcome::Cancelled),
+            Action::Reject { query, retry_after } => {
                 self.settle(query, Answer::Refused { retry_after })
             }
             Action::Fail { query } => self.settle(query, Answer::Failed),
-            Action::Wake { at } => self.schedule(at, Due::Wake),
+            Action::SetTimer { at } => self.schedule(at, Due::Wake),
             // The event bus is always followed.
-            Action::Follow => {}
+            Action::SubscribeEngineList => {}
         }
     }
 
@@ -308,7 +310,7 @@
                 .settle(fence::turned_away(o.effect, number, Answer::Stale));
         }
         if o.answered || o.out.is_some() || until <= now {
-            let end = ended(id, number, engine, Outcome::Superseded, o.answered, 0, None);
+            let end = ended(id, number, engine, Outcome::NeverSent, o.answered, 0, None);
             if !may_send && o.out.is_none() {
                 self.strike(&mut open, id);
             }
@@ -353,11 +355,7 @@
             .is_some_and(|out| out.number == number);
         if is_out {
             let written = self.engines.cancel(id);
-            let outcome = if written {
-                outcome
-            } else {
-                Outcome::Superseded
-            };
+            let outcome = if written { outcome } else { Outcome::NeverSent };
             self.ended(AttemptEnd {
                 query: id,
                 number,
@@ -397,7 +395,7 @@
             .and_then(|o| o.out.as_ref())
             .map(|out| out.number);
         if let Some(number) = number.filter(|_| self.engines.recall(id)) {
-            let outcome = Outcome::Superseded;
+            let outcome = Outcome::NeverSent;
             self.ended(AttemptEnd {
                 query: id,
                 number,
@@ -418,15 +416,15 @@
     elapsed: Micros,
     cost: Option<Cost>,
 ) -> Event {
-    Event::Ended(Ended {
+    Event::AttemptEnded(AttemptEnded {
         query,
         attempt,
         engine,
         outcome,
-        settled,
+        query_answered: settled,
         elapsed,
         cost,
-        load: Load::default(),
+        load: LoadReport::default(),
     })
 }
 
@@ -438,7 +436,7 @@
             .get(&query)
             .and_then(|o| o.out.as_ref().map(|out| out.number));
         if out == Some(number) {
-            self.events.borrow_mut().push_back(Event::Note {
+            self.events.borrow_mut().push_back(Event::Progress {
                 query,
                 attempt: number,
                 progress: news,
@@ -457,7 +455,7 @@
         };
         if !matches!(
             end.outcome,
-            Outcome::Saturated | Outcome::Refused | Outcome::Superseded
+            Outcome::Overloaded | Outcome::ConnectionRefused | Outcome::NeverSent
         ) {
             o.first = o.first.or(Some(out.sent));
         }
--- a/gateway/src/dispatch/intake.rs
+++ b/gateway/src/dispatch/intake.rs
@@ -28,7 +28,7 @@
             .unwrap_or_default();
         let exchange = Rc::clone(exchange);
         let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
-        let window = window.filter(|_| effect == Effect::Deduplicated);
+        let window = window.filter(|_| effect == Idempotency::Deduplicated);
         let (level, first, out) = (None, None, None);
         let (answered, attempts, grant_mb) = (false, 0, 0);
         open.insert(
@@ -48,7 +48,7 @@
         drop(open);
         self.events
             .borrow_mut()
-            .push_back(Event::Arrived(NewQuery { time_left, ..query }));
+            .push_back(Event::QueryArrived(NewQuery { time_left, ..query }));
         self.run();
         true
     }
@@ -65,7 +65,7 @@
         drop(open);
         self.events
             .borrow_mut()
-            .push_back(Event::ClientGone { query });
+            .push_back(Event::ClientDisconnected { query });
         self.run();
         self.recall(query);
     }
--- a/gateway/src/dispatch/tests.rs
+++ b/gateway/src/dispatch/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::exchange::Request;
 use futures_lite::FutureExt;
-use violetgate_policy::interface::{Class, Engine, EngineState, Kind};
+use violetgate_policy::interface::{Class, Engine, EngineKind, EngineState};
 
 /// An engine side that notes what it is told and ends nothing by itself: the notes, whether its fence is shut, whether
 /// what it has still waits for a connection, and by when attempts had to begin.
@@ -65,14 +65,14 @@
 fn of_class(engines: u32, class: Class, more: Settings) -> (Rc<Dispatch>, Rc<Notes>) {
     let class = Class {
         deadline: Some(60_000_000),
-        aim: Some(60_000_000),
-        worth: Some(1.0),
+        latency_objective: Some(60_000_000),
+        priority_weight: Some(1.0),
         ..class
     };
     let settings = Settings {
         gateways: Some(1),
         classes: vec![class],
-        kinds: vec![Kind {
+        engine_kinds: vec![EngineKind {
             cores: Some(8.0),
             memory_mb: None,
         }],
@@ -104,7 +104,7 @@
             addr,
         })
         .collect();
-    d.news(ListScope::Whole, &list);
+    d.news(ListScope::Snapshot, &list);
     (d, notes)
 }
 
@@ -165,7 +165,7 @@
         !d.submit(&exchange),
         "an id that is open is not taken again"
     );
-    d.ended(end(1, 0, Outcome::Severed));
+    d.ended(end(1, 0, Outcome::ConnectionLost));
     d.ended(end(1, 0, Outcome::Completed));
     assert!(answer(&exchange).is_none());
     d.ended(end(1, 1, Outcome::Completed));
@@ -229,7 +229,7 @@
     let (d, _) = dispatch(1);
     for (id, budget, kept) in [(1, 6_000_000, 275_000), (2, 400_000, 100_000)] {
         let mut keyed = request(&d, id, budget);
-        keyed.query.key = Some(7 + id);
+        keyed.query.ordering_key = Some(7 + id);
         let exchange = Exchange::new(keyed);
         assert!(d.submit(&exchange));
         let at = exchange.request.received + budget - kept;
@@ -262,7 +262,7 @@
     let (d, notes) = dispatch(2);
     let (one, two) = (ask(&d, 1, 60_000_000), ask(&d, 2, 60_000_000));
     notes.1.set(true);
-    d.ended(end(1, 0, Outcome::Severed));
+    d.ended(end(1, 0, Outcome::ConnectionLost));
     assert!(matches!(answer(&one), Some(Answer::Stale)));
     d.shut();
     d.ended(end(2, 0, Outcome::Completed));
@@ -287,7 +287,7 @@
     let (d, notes) = dispatch(1);
     let _exchange = ask(&d, 1, 60_000_000);
     for priority in [3, 3, 2] {
-        d.carry_out(Action::Terms {
+        d.carry_out(Action::SetResources {
             query: 1,
             memory_mb: 0.0,
             priority,
@@ -309,12 +309,12 @@
     let (d, notes) = with(
         2,
         Settings {
-            grants: true,
+            memory_grants: true,
             ..Settings::default()
         },
     );
     let mut wanted = request(&d, 1, 60_000_000);
-    wanted.query.memory_mb = Some(100.0);
+    wanted.query.estimated_memory_mb = Some(100.0);
     let exchange = Exchange::new(wanted);
     assert!(d.submit(&exchange));
     let first = notes.0.borrow().last().unwrap().clone();
@@ -322,12 +322,12 @@
         first.starts_with("send 1.0 ") && first.contains(" with 1"),
         "{first}"
     );
-    d.carry_out(Action::Terms {
+    d.carry_out(Action::SetResources {
         query: 1,
         memory_mb: 333.4,
         priority: 1,
     });
-    d.ended(end(1, 0, Outcome::Severed));
+    d.ended(end(1, 0, Outcome::ConnectionLost));
     let second = notes.0.borrow().last().unwrap().clone();
     assert!(
         second.starts_with("send 1.1 ") && !second.contains("333"),
@@ -342,16 +342,16 @@
     let (d, notes) = with(
         2,
         Settings {
-            note_period: Some(1_000_000),
+            progress_period: Some(1_000_000),
             ..Settings::default()
         },
     );
     let _exchange = ask(&d, 1, 60_000_000);
     let sends = |d: &Dispatch| d.open.borrow().get(&1).map_or(0, |o| o.attempts);
-    d.noted(1, 7, Progress::WaitsForMemory);
-    d.noted(8, 0, Progress::WaitsForMemory);
+    d.noted(1, 7, Progress::WaitingForMemory);
+    d.noted(8, 0, Progress::WaitingForMemory);
     assert!(sends(&d) == 1 && !notes.0.borrow().iter().any(|n| n == "cancel 1"));
-    d.noted(1, 0, Progress::WaitsForMemory);
+    d.noted(1, 0, Progress::WaitingForMemory);
     assert!(
         sends(&d) == 2 && notes.0.borrow().iter().any(|n| n == "cancel 1"),
         "{:?}",
@@ -363,12 +363,16 @@
 /// withdrawn, it went out once its connection came up, to run for nobody. One that has begun is left to the module.
 #[test]
 fn what_waits_for_a_connection_ends_with_its_client() {
-    for effect in [Effect::Idempotent, Effect::Deduplicated, Effect::AtMostOnce] {
+    for idempotency in [
+        Idempotency::Idempotent,
+        Idempotency::Deduplicated,
+        Idempotency::AtMostOnce,
+    ] {
         for waits in [true, false] {
             let (d, notes) = of_class(
                 1,
                 Class {
-                    effect,
+                    idempotency,
                     ..Class::default()
                 },
                 Settings::default(),
@@ -384,12 +388,12 @@
             let over = d.open.borrow().is_empty();
             assert!(
                 taken_back && answer(&exchange).is_none(),
-                "{effect:?} {waits}: {:?}",
+                "{idempotency:?} {waits}: {:?}",
                 notes.0.borrow()
             );
-            assert!(over || !waits, "{effect:?}: it goes on waiting");
+            assert!(over || !waits, "{idempotency:?}: it goes on waiting");
             assert!(
-                over || effect != Effect::Idempotent,
+                over || idempotency != Idempotency::Idempotent,
                 "{waits}: one that may be repeated is withdrawn"
             );
         }
@@ -402,7 +406,7 @@
     let (d, notes) = of_class(
         1,
         Class {
-            effect: Effect::AtMostOnce,
+            idempotency: Idempotency::AtMostOnce,
             ..Class::default()
         },
         Settings::default(),
@@ -420,15 +424,15 @@
 fn a_repeat_begins_within_the_deduplication_window() {
     let window = Some(2_000_000);
     let class = Class {
-        effect: Effect::Deduplicated,
+        idempotency: Idempotency::Deduplicated,
         dedup_window: window,
         ..Class::default()
     };
     let (d, notes) = of_class(3, class, Settings::default());
     let exchange = ask(&d, 1, 30_000_000);
-    d.ended(end(1, 0, Outcome::Refused));
+    d.ended(end(1, 0, Outcome::ConnectionRefused));
     let before = d.now();
-    d.ended(end(1, 1, Outcome::Severed));
+    d.ended(end(1, 1, Outcome::ConnectionLost));
     let by = notes.3.borrow().clone();
     assert_eq!(
         by[..2],
--- a/gateway/src/engine/codec.rs
+++ b/gateway/src/engine/codec.rs
@@ -141,10 +141,10 @@
 /// What a note says; one of a kind that is not known says nothing.
 fn note(news: &str, amount: f64) -> Option<Progress> {
     match news {
-        "advance" => Some(Progress::Done(amount)),
-        "disk" => Some(Progress::Spills(amount)),
-        "stall" if amount == 1.0 => Some(Progress::WaitsForMemory),
-        "stall" if amount == 2.0 => Some(Progress::WaitsForLoad),
+        "advance" => Some(Progress::FractionDone(amount)),
+        "disk" => Some(Progress::Spilling(amount)),
+        "stall" if amount == 1.0 => Some(Progress::WaitingForMemory),
+        "stall" if amount == 2.0 => Some(Progress::WaitingForBulkLoad),
         _ => None,
     }
 }
--- a/gateway/src/engine/conn.rs
+++ b/gateway/src/engine/conn.rs
@@ -217,7 +217,7 @@
         let number = |id: QueryId| self.state.borrow().open.get(&id).map(|s| s.attempt.number);
         let mut ends = Vec::new();
         for id in ids {
-            ends.extend(number(id).map(|n| (id, n, Outcome::Superseded, None, Pages::new())));
+            ends.extend(number(id).map(|n| (id, n, Outcome::NeverSent, None, Pages::new())));
             self.cancel(id, self.idle_since.get());
         }
         ends
@@ -320,9 +320,9 @@
             return Ok(None);
         };
         let outcome = match reply.word {
-            Word::Refused => Outcome::Saturated,
-            Word::Stale => Outcome::Superseded,
-            Word::Error => Outcome::Errored,
+            Word::Refused => Outcome::Overloaded,
+            Word::Stale => Outcome::NeverSent,
+            Word::Error => Outcome::Error,
             // Once its answer has begun, there is no more news of it.
             Word::Progress => {
                 let news = reply.note.filter(|_| slot.pages.is_empty());
@@ -399,7 +399,7 @@
                 ends.push((
                     id,
                     slot.attempt.number,
-                    Outcome::Severed,
+                    Outcome::ConnectionLost,
                     None,
                     Pages::new(),
                 ));
--- a/gateway/src/engine/conn/tests.rs
+++ b/gateway/src/engine/conn/tests.rs
@@ -53,7 +53,7 @@
         .map(|e| (e.0, e.2))
         .collect();
     ends.sort_unstable_by_key(|e| e.0);
-    assert_eq!(ends, [(2, Outcome::Superseded), (3, Outcome::Superseded)]);
+    assert_eq!(ends, [(2, Outcome::NeverSent), (3, Outcome::NeverSent)]);
     conn.serve(attempt(4), 0);
     let (ends, unsent) = conn.end("connect_refused");
     assert!(ends.is_empty());
@@ -89,7 +89,7 @@
         .into_iter()
         .map(|e| (e.0, e.2))
         .collect();
-    assert_eq!(ends, [(2, Outcome::Severed)]);
+    assert_eq!(ends, [(2, Outcome::ConnectionLost)]);
     let mut sent = String::new();
     engine.read_to_string(&mut sent).unwrap();
     let serve = |id| format!("serve {id:016x} sort=lookup,patience=2,level=2 8\r\nSELECT 1\r\n");
@@ -201,10 +201,10 @@
         }
     }
     let all = [
-        Progress::Done(0.25),
-        Progress::Spills(96.5),
-        Progress::WaitsForMemory,
-        Progress::WaitsForLoad,
+        Progress::FractionDone(0.25),
+        Progress::Spilling(96.5),
+        Progress::WaitingForMemory,
+        Progress::WaitingForBulkLoad,
     ];
     assert_eq!(news, all.map(|n| (1, 2, n)));
     assert!(used == bytes.len() && conn.ended.get().is_none());
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/engine/pool.rs
@@ -150,7 +150,13 @@
                 // One connection reset is no dead engine: what was not written takes the next one.
                 self.place(attempt, tries);
             } else {
-                ends.push((query, number, Outcome::Refused, None, Pages::new()));
+                ends.push((
+                    query,
+                    number,
+                    Outcome::ConnectionRefused,
+                    None,
+                    Pages::new(),
+                ));
             }
         }
         self.report(ends);
@@ -246,11 +252,11 @@
         let barred = self.barred.borrow().contains(&attempt.engine) || !self.may_send();
         let Some(listed) = listed.filter(|l| l.engine.state == EngineState::Ready && !barred)
         else {
-            return self.report(never(Outcome::Superseded));
+            return self.report(never(Outcome::NeverSent));
         };
         let trail = attempt.exchange.trail.borrow().clone();
         let Some(conn) = self.pick(&listed, &trail) else {
-            return self.report(never(Outcome::Refused));
+            return self.report(never(Outcome::ConnectionRefused));
         };
         self.at.borrow_mut().insert(query, Rc::clone(&conn));
         conn.serve(attempt, tries);
@@ -405,7 +411,7 @@
 
     fn list(&self, scope: ListScope, engines: &[Listed]) {
         let mut listed = self.listed.borrow_mut();
-        if matches!(scope, ListScope::Whole | ListScope::Stale) {
+        if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
             listed
                 .values_mut()
                 .for_each(|l| l.engine.state = EngineState::Gone);
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/engine/pool/tests.rs
@@ -48,7 +48,7 @@
         state: EngineState::Ready,
         started: None,
     };
-    pool.list(ListScope::Whole, &[Listed { engine, addr }]);
+    pool.list(ListScope::Snapshot, &[Listed { engine, addr }]);
     (pool, ends)
 }
 
@@ -150,7 +150,7 @@
     send(&pool, 2);
     assert_eq!(
         ends.0.take(),
-        [(1, Outcome::Superseded), (2, Outcome::Superseded)]
+        [(1, Outcome::NeverSent), (2, Outcome::NeverSent)]
     );
     pool.cordon(0, false);
     send(&pool, 3);
@@ -176,10 +176,10 @@
         assert!(first.id != last().id && last().load() == 1 && ends.0.borrow().is_empty());
     }
     pool.end(&last(), CONNECT_ERROR);
-    assert_eq!(ends.0.take(), [(1, Outcome::Refused)]);
+    assert_eq!(ends.0.take(), [(1, Outcome::ConnectionRefused)]);
     send(&pool, 2);
     pool.end(&last(), "connect_refused");
-    assert_eq!(ends.0.take(), [(2, Outcome::Refused)]);
+    assert_eq!(ends.0.take(), [(2, Outcome::ConnectionRefused)]);
 }
 
 /// An engine closes a connection at rest, and its close is here, unread, as the next attempt leaves: it takes a new
@@ -197,7 +197,7 @@
     send(&engine.pool, 2);
     let (_second, got) = engine.serves();
     assert!(got.starts_with("serve 0000000000000002 "), "{got}");
-    assert_eq!(engine.ends.0.take(), [(1, Outcome::Saturated)]);
+    assert_eq!(engine.ends.0.take(), [(1, Outcome::Overloaded)]);
 }
 
 /// A connection at rest that is well is used again, whatever its age.
@@ -220,7 +220,7 @@
     let engine = Played::new(3);
     send_by(&engine.pool, 1, 0);
     engine.until("it ends", || engine.ends.0.borrow().len() == 1);
-    assert_eq!(engine.ends.0.take(), [(1, Outcome::Superseded)]);
+    assert_eq!(engine.ends.0.take(), [(1, Outcome::NeverSent)]);
     send(&engine.pool, 2);
     let (_stream, got) = engine.serves();
     assert!(
@@ -244,7 +244,7 @@
         .write_all(b"0000000000000002 refused - 0\r\n\r\n")
         .unwrap();
     engine.until("it ends by itself", || engine.ends.0.borrow().len() == 1);
-    assert_eq!(engine.ends.0.take(), [(2, Outcome::Saturated)]);
+    assert_eq!(engine.ends.0.take(), [(2, Outcome::Overloaded)]);
 }
 
 /// An answer that begins and then trickles, byte by byte, is cut short in time counted from its beginning, not from its
@@ -267,7 +267,7 @@
             }
             !engine.ends.0.borrow().is_empty()
         });
-        assert_eq!(engine.ends.0.take(), [(1, Outcome::Severed)]);
+        assert_eq!(engine.ends.0.take(), [(1, Outcome::ConnectionLost)]);
         assert!(engine.pool.conns.borrow().is_empty());
     }
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -46,7 +46,7 @@
     pub fn deadline(&self) -> Micros {
         let left = self.query.time_left;
         let kept = TRANSIT
-            + if self.query.key.is_some() {
+            + if self.query.ordering_key.is_some() {
                 KEY_HELD
             } else {
                 0
--- a/gateway/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -3,7 +3,7 @@
 //! Where several instances agree on their state, one that can't confirm its copy may not route on it. It must never
 //! hold a request back until it can: another instance may serve it at once.
 
-use violetgate_policy::interface::Effect;
+use violetgate_policy::interface::Idempotency;
 
 use crate::exchange::Answer;
 
@@ -16,9 +16,9 @@
 /// The answer to a request that may not be sent (again), after so many attempts: a refusal where another try does no
 /// harm, else a failure.
 #[must_use]
-pub fn turned_away(effect: Effect, attempts: u32, refusal: Answer) -> Answer {
+pub fn turned_away(idempotency: Idempotency, attempts: u32, refusal: Answer) -> Answer {
     // A repeat of a deduplicated request may have to stay with its engines: it fails instead.
-    if effect == Effect::Idempotent || attempts == 0 {
+    if idempotency == Idempotency::Idempotent || attempts == 0 {
         refusal
     } else {
         Answer::Failed
@@ -32,17 +32,17 @@
     /// Only what surely did no harm is told to go elsewhere.
     #[test]
     fn what_may_have_run_is_not_sent_elsewhere() {
-        for (effect, attempts, harmless) in [
-            (Effect::Idempotent, 0, true),
-            (Effect::Idempotent, 3, true),
-            (Effect::Deduplicated, 0, true),
-            (Effect::Deduplicated, 1, false),
+        for (idempotency, attempts, harmless) in [
+            (Idempotency::Idempotent, 0, true),
+            (Idempotency::Idempotent, 3, true),
+            (Idempotency::Deduplicated, 0, true),
+            (Idempotency::Deduplicated, 1, false),
         ] {
-            let answer = turned_away(effect, attempts, Answer::Stale);
+            let answer = turned_away(idempotency, attempts, Answer::Stale);
             assert_eq!(
                 matches!(answer, Answer::Stale),
                 harmless,
-                "{effect:?} {attempts}"
+                "{idempotency:?} {attempts}"
             );
         }
     }
--- a/gateway/src/keyed.rs
+++ b/gateway/src/keyed.rs
@@ -12,7 +12,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use sha2::{Digest, Sha256};
-use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
+use violetgate_policy::interface::{Class, Idempotency, Micros, QueryId};
 use violetgate_result_store::{Budget, Ending, Grant, Keys, Print, Seen};
 
 use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
@@ -72,7 +72,7 @@
         most: usize,
     ) -> Rc<Self> {
         let window = |c: &Class| {
-            (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
+            (c.idempotency == Idempotency::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
         };
         let now = inner.now();
         Rc::new_cyclic(|me| Keyed {
@@ -218,7 +218,7 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    hash.update(request.query.key.map_or([0; 9], |k| {
+    hash.update(request.query.ordering_key.map_or([0; 9], |k| {
         let mut bytes = [1; 9];
         bytes
             .iter_mut()
--- a/gateway/src/operations.rs
+++ b/gateway/src/operations.rs
@@ -150,14 +150,14 @@
     }
 
     fn figures(&self) -> String {
-        let (known, skipped) = self.parts.dispatch.listed();
+        let engines = self.parts.dispatch.engine_counts();
         let shares_control = self.parts.daemon.is_some() || self.parts.fleet.is_some();
         let bus = if shares_control {
             self.bus_figures()
         } else {
             String::new()
         };
-        self.parts.stats.text(known, skipped)
+        self.parts.stats.text(engines.listed, engines.avoided)
             + &bus
             + &self
                 .parts
--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -5,8 +5,8 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use violetgate_policy::interface::{
-    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
-    Outcome, QueryId, ResendBudget,
+    AttemptEnded, Class, Cost, Engine, EngineId, EngineKind, EngineState, ListScope, LoadReport,
+    Micros, NewQuery, Outcome, QueryId, RetryBudget,
 };
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
@@ -41,8 +41,8 @@
 fn settings(gateways: u32) -> Settings {
     let class = Class {
         deadline: Some(10 * SECOND),
-        aim: Some(SECOND),
-        late_worth: Some(0.5),
+        latency_objective: Some(SECOND),
+        late_weight_fraction: Some(0.5),
         threads: Some(1.0),
         ..Class::default()
     };
@@ -50,16 +50,16 @@
         gateways: Some(gateways),
         zone: Some(3),
         classes: vec![class],
-        kinds: vec![Kind {
+        engine_kinds: vec![EngineKind {
             cores: Some(64.0),
             memory_mb: None,
         }],
         can_cancel: true,
         max_attempts: Some(5),
-        resend_budget: Some(ResendBudget {
-            free: 3.0,
-            share: 0.1,
-            span: 5 * SECOND,
+        retry_budget: Some(RetryBudget {
+            min_retries: 3.0,
+            retry_ratio: 0.1,
+            window: 5 * SECOND,
         }),
         ..Settings::default()
     }
@@ -68,8 +68,8 @@
 impl Loop {
     fn new(engines: u32, gateways: u32) -> Self {
         let mut gateway = Gateway::new(settings(gateways), 7);
-        let list = Event::Engines {
-            scope: ListScope::Whole,
+        let list = Event::EngineList {
+            scope: ListScope::Snapshot,
             engines: (0..engines).map(engine).collect(),
         };
         gateway.handle(SECOND, &[list], &mut Vec::new());
@@ -91,25 +91,25 @@
         self.next += 1;
         let asked = NewQuery {
             id: self.next,
-            work: Some(WORK),
+            estimated_work: Some(WORK),
             time_left: 10 * SECOND,
             ..NewQuery::default()
         };
-        self.handle(Event::Arrived(asked));
+        self.handle(Event::QueryArrived(asked));
         if self.out.len() >= OUT {
             if let Some((query, engine)) = self.out.pop_front() {
-                self.handle(Event::Ended(Ended {
+                self.handle(Event::AttemptEnded(AttemptEnded {
                     query,
                     attempt: 0,
                     engine,
                     outcome: Outcome::Completed,
-                    settled: true,
+                    query_answered: true,
                     elapsed: WORK,
                     cost: Some(Cost {
                         work: WORK,
                         memory_mb: 1.0,
                     }),
-                    load: Load::default(),
+                    load: LoadReport::default(),
                 }));
             }
         }
@@ -121,7 +121,7 @@
             started,
             ..engine(id)
         }];
-        self.handle(Event::Engines {
+        self.handle(Event::EngineList {
             scope: ListScope::Patch,
             engines,
         });
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -24,6 +24,15 @@
     pub(crate) own: u64,
 }
 
+/// Counts of engines, for the embedding's metrics.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EngineCounts {
+    /// Engines in the list that are not gone.
+    pub listed: usize,
+    /// Those of them that are cordoned, or ejected as outliers.
+    pub avoided: usize,
+}
+
 impl Gateway {
     /// Creates a gateway that knows no engines yet.
     #[must_use]
@@ -44,19 +53,19 @@
         }
     }
 
-    /// How many engines are listed, and how many of those are avoided: called out, or ejected.
+    /// Counts the listed engines, and those of them that get no queries.
     #[must_use]
-    pub fn listed(&self) -> (usize, usize) {
+    pub fn engine_counts(&self) -> EngineCounts {
         let listed = || {
             self.nodes
                 .values()
                 .filter(|n| n.listed.state != EngineState::Gone)
         };
         let ejected = |n: &&Node| n.listed.state == EngineState::Ready && !self.healthy(n);
-        (
-            listed().count(),
-            listed().filter(|n| n.barred || ejected(n)).count(),
-        )
+        EngineCounts {
+            listed: listed().count(),
+            avoided: listed().filter(|n| n.barred || ejected(n)).count(),
+        }
     }
 
     /// The settings of a query's class.
@@ -66,7 +75,7 @@
 
     /// The pace of news: the note period, else the shortest aim or deadline.
     pub(crate) fn period(&self) -> Micros {
-        self.s.note_period.unwrap_or(self.shortest_aim()).max(1)
+        self.s.progress_period.unwrap_or(self.shortest_aim()).max(1)
     }
 
     /// The shortest aim, or deadline, of any class.
@@ -74,7 +83,7 @@
         self.s
             .classes
             .iter()
-            .filter_map(|c| c.aim.or(c.deadline))
+            .filter_map(|c| c.latency_objective.or(c.deadline))
             .min()
             .unwrap_or(1_000_000)
     }
@@ -107,7 +116,7 @@
                 .unwrap_or(Micros::MAX)
         {
             self.book.wake = Some(at);
-            actions.push(Action::Wake { at });
+            actions.push(Action::SetTimer { at });
         }
     }
 
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -6,9 +6,9 @@
 
 mod gateway;
 pub mod interface;
-pub mod rules;
+mod rules;
 mod state;
 pub mod wire;
 
-pub use gateway::Gateway;
+pub use gateway::{EngineCounts, Gateway};
 pub use interface::{Action, Event, Settings};
--- a/policy/src/rules.rs
+++ b/policy/src/rules.rs
@@ -8,8 +8,8 @@
 
 pub use crate::gateway::Gateway;
 use crate::interface::{
-    Action, Cost, DedupGroup, Effect, Ended, Engine, EngineId, EngineState, Event, Kind, ListScope,
-    Load, Micros, NewQuery, Outcome, Progress, QueryId,
+    Action, AttemptEnded, Cost, DedupGroup, Engine, EngineId, EngineKind, EngineState, Event,
+    Idempotency, ListScope, LoadReport, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 use crate::state::{lot, micros, secs, Attempt, Counts, Health, Node, Query};
 
@@ -121,32 +121,32 @@
         self.survey();
         for event in events {
             match event {
-                Event::Engines { scope, engines } => self.list(*scope, engines, actions),
-                Event::Cordon { engine, out } => self.cordon(*engine, *out),
-                Event::Arrived(asked) => self.arrive(asked, actions),
-                Event::Note {
+                Event::EngineList { scope, engines } => self.list(*scope, engines, actions),
+                Event::Cordon { engine, cordoned } => self.cordon(*engine, *cordoned),
+                Event::QueryArrived(asked) => self.arrive(asked, actions),
+                Event::Progress {
                     query,
                     attempt,
                     progress,
                 } => self.note(*query, *attempt, *progress, actions),
-                Event::Started { query } => self.book.stream(*query),
-                Event::Ended(end) => {
+                Event::ResponseStarted { query } => self.book.stream(*query),
+                Event::AttemptEnded(end) => {
                     self.report(end.engine, end.load);
                     self.ended(end, actions);
                 }
-                Event::ClientGone { query } => self.gone(*query, actions),
-                Event::Probed {
+                Event::ClientDisconnected { query } => self.gone(*query, actions),
+                Event::HealthChecked {
                     engine,
-                    answered,
+                    passed,
                     load,
                 } => {
                     self.report(*engine, *load);
-                    if !answered {
+                    if !passed {
                         self.failure(*engine, FAIL_GAIN);
                     }
                 }
-                Event::Fleet { gateways } => self.share(*gateways),
-                Event::Woke => {}
+                Event::FleetSize { gateways } => self.share(*gateways),
+                Event::TimerFired => {}
             }
         }
         self.survey();
@@ -178,8 +178,8 @@
 
     fn aim_for(&self, q: &Query, work: f64) -> Micros {
         let c = self.class_of(q);
-        let stretch = c.aim_stretch.unwrap_or(0.0) * work / q.threads;
-        c.aim.map_or(q.deadline, |a| {
+        let stretch = c.objective_stretch.unwrap_or(0.0) * work / q.threads;
+        c.latency_objective.map_or(q.deadline, |a| {
             (q.arrived + a + micros(stretch)).min(q.deadline)
         })
     }
@@ -190,7 +190,8 @@
     /// or paces are far off, since what might still have been in time is given up.
     fn aim_is_all(&self, q: &Query) -> bool {
         let c = self.class_of(q);
-        let poor = c.effect == Effect::Idempotent && c.late_worth.unwrap_or(1.0) < POOR_WHEN_LATE;
+        let poor = c.idempotency == Idempotency::Idempotent
+            && c.late_weight_fraction.unwrap_or(1.0) < POOR_WHEN_LATE;
         poor && (self.book.held > usize::from(q.held) || self.learned[q.slot].late > LATE_SHARE)
     }
 
@@ -210,14 +211,20 @@
         // A repeat's aim began with its first try. How long ago that was shows in the time it brings, once
         // that is less than a whole try; what is not marked passes for a first try.
         let (whole, own) = (class.deadline.unwrap_or(0), asked.time_left);
-        l.whole_try = l.whole_try.max(if asked.repeat { 0 } else { own });
-        let again = asked.repeat && own + self.s.grace_to_answer.unwrap_or(0) < l.whole_try;
+        l.whole_try = l.whole_try.max(if asked.is_client_retry { 0 } else { own });
+        let again = asked.is_client_retry && own + self.s.answer_grace.unwrap_or(0) < l.whole_try;
         let age = if again { whole.saturating_sub(own) } else { 0 };
-        let blind = BLIND_WORK * secs(class.aim.or(class.deadline).unwrap_or(asked.time_left));
+        let blind = BLIND_WORK
+            * secs(
+                class
+                    .latency_objective
+                    .or(class.deadline)
+                    .unwrap_or(asked.time_left),
+            );
         let mean = l.work.known().unwrap_or(blind);
-        let estimate = asked.work.filter(|w| *w > 0).map(secs);
+        let estimate = asked.estimated_work.filter(|w| *w > 0).map(secs);
         let work = estimate.map_or(mean, |e| e * l.work_ratio.known().unwrap_or(1.0));
-        let memory = match asked.memory_mb {
+        let memory = match asked.estimated_memory_mb {
             Some(m) => l
                 .memory_fit
                 .expect(m)
@@ -240,11 +247,13 @@
             asked: asked.clone(),
             ..Query::default()
         };
-        self.fleet.worth.learn(class.worth.unwrap_or(1.0), FIT_GAIN);
+        self.fleet
+            .priority_weight
+            .learn(class.priority_weight.unwrap_or(1.0), FIT_GAIN);
         self.fleet.work.learn(q.work, FIT_GAIN);
         let id = asked.id;
         let none_held = self.book.queues[slot].is_empty();
-        if let Some(key) = asked.key.filter(|_| class.by_arrival) {
+        if let Some(key) = asked.ordering_key.filter(|_| class.ordered_by_key) {
             self.book
                 .turns
                 .entry(key)
@@ -272,7 +281,9 @@
         let run = self.run(q);
         let deadline = secs(c.deadline.unwrap_or(Micros::MAX).min(q.asked.time_left));
         let t = (deadline - run).max(LEAST_T * deadline);
-        let aim = c.aim.map_or(deadline, |a| secs(a).min(deadline));
+        let aim = c
+            .latency_objective
+            .map_or(deadline, |a| secs(a).min(deadline));
         let by_aim = (aim - run).max(LEAST_T * aim).min(t);
         let late = (self.learned[q.slot].late / LATE_SHARE).min(1.0);
         (t + (by_aim - t) * late).max(1e-3)
@@ -302,7 +313,7 @@
             // A key may rest with nobody before this one; then no event tells that its rest is over.
             let rest = q
                 .asked
-                .key
+                .ordering_key
                 .and_then(|k| self.book.turns.get(&k)?.rest)
                 .filter(|r| r.0 > self.now);
             self.give_up_at(q).min(rest.map_or(Micros::MAX, |r| r.0))
@@ -325,7 +336,7 @@
         }
         let keyed = q
             .risk
-            .filter(|_| self.class_of(q).effect == Effect::Deduplicated);
+            .filter(|_| self.class_of(q).idempotency == Idempotency::Deduplicated);
         let window = keyed.map_or(Micros::MAX, |r| {
             r.1 + self.class_of(q).dedup_window.unwrap_or(0)
         });
@@ -337,7 +348,7 @@
     /// Rule 1: whatever the policy waits for, a query is looked at no later than its deadline; one with an
     /// attempt out a little after it, within the grace, since the attempt's own time-out comes then.
     fn schedule(&mut self, id: QueryId, at: Micros) {
-        let slack = self.s.grace_to_answer.unwrap_or(0) / 2;
+        let slack = self.s.answer_grace.unwrap_or(0) / 2;
         if let Some(q) = self.book.get(id) {
             let last = if q.out.is_some() {
                 q.deadline + slack
--- a/policy/src/rules/attempts.rs
+++ b/policy/src/rules/attempts.rs
@@ -19,14 +19,18 @@
         }
         let most = n
             .memory_mb
-            .map_or(f64::MAX, |m| m * self.s.most_grant.unwrap_or(1.0));
+            .map_or(f64::MAX, |m| m * self.s.max_grant_fraction.unwrap_or(1.0));
         let (memory, work, threads, slot) = (q.memory.min(most), q.work, q.threads, q.slot);
         let first_check = self.patience(q, self.now);
         let cold = self.warmth(n) < 1.0;
         let priority = self.priority(q);
-        let grant = if self.s.grants { memory.round() } else { 0.0 };
+        let grant = if self.s.memory_grants {
+            memory.round()
+        } else {
+            0.0
+        };
         if grant > 0.0 || self.s.priorities {
-            actions.push(Action::Terms {
+            actions.push(Action::SetResources {
                 query: id,
                 memory_mb: grant,
                 priority,
@@ -58,7 +62,7 @@
         });
         self.book.extra.extend(again.then_some(now));
         self.book
-            .drop_before(now.saturating_sub(self.s.resend_budget.map_or(0, |b| b.span)));
+            .drop_before(now.saturating_sub(self.s.retry_budget.map_or(0, |b| b.window)));
         self.schedule(id, now + first_check);
         true
     }
@@ -78,16 +82,16 @@
         let Some(q) = self.book.get(id) else { return };
         let c = self.class_of(q);
         let certain = q.out.is_none() && !q.may_have_run;
-        let may_refuse = match c.effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated => certain || c.dedup_group == DedupGroup::All,
-            Effect::AtMostOnce => certain,
+        let may_refuse = match c.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Deduplicated => certain || c.dedup_group == DedupGroup::All,
+            Idempotency::AtMostOnce => certain,
         };
         if may_refuse {
             // The wait here is short where engines, not queues, are full; they free no sooner than in a run.
             let back = self.est_wait().max(self.run(q));
             let retry_after = micros(back).min(self.s.max_retry_after.unwrap_or(0));
-            actions.push(Action::Refuse {
+            actions.push(Action::Reject {
                 query: id,
                 retry_after,
             });
@@ -117,7 +121,7 @@
         let Some(q) = self.book.get(id).filter(|q| q.finished && q.out.is_none()) else {
             return;
         };
-        let (key, seq) = (q.asked.key, q.seq);
+        let (key, seq) = (q.asked.ordering_key, q.seq);
         self.book.remove(id);
         let Some((key, turn)) = key.and_then(|k| Some((k, self.book.turns.get_mut(&k)?))) else {
             return;
@@ -142,7 +146,7 @@
         }
     }
 
-    pub(super) fn ended(&mut self, end: &Ended, actions: &mut Vec<Action>) {
+    pub(super) fn ended(&mut self, end: &AttemptEnded, actions: &mut Vec<Action>) {
         let (id, outcome) = (end.query, end.outcome);
         let now = self.now;
         let Some(q) = self
@@ -154,19 +158,19 @@
         };
         let Some(a) = q.out.take() else { return };
         q.avoid = Some(a.engine);
-        q.finished |= end.settled;
+        q.finished |= end.query_answered;
         let ran = !matches!(
             outcome,
-            Outcome::Saturated | Outcome::Refused | Outcome::Superseded
+            Outcome::Overloaded | Outcome::ConnectionRefused | Outcome::NeverSent
         );
         q.may_have_run |= ran;
-        let erred = if outcome == Outcome::Errored {
+        let erred = if outcome == Outcome::Error {
             q.erred.replace(a.engine)
         } else {
             q.erred
         };
-        let at_fault = outcome == Outcome::Errored && erred.is_some();
-        let (key, seq, threads, slot) = (q.asked.key, q.seq, q.threads, q.slot);
+        let at_fault = outcome == Outcome::Error && erred.is_some();
+        let (key, seq, threads, slot) = (q.asked.ordering_key, q.seq, q.threads, q.slot);
         if let Some(n) = self.nodes.get_mut(&a.engine) {
             n.end(id, a.priority, threads, a.memory);
             q.risk = q.risk.or(ran.then_some((n.listed, a.sent)));
@@ -174,9 +178,9 @@
         self.book.end(slot, a.priority, threads);
         if matches!(
             outcome,
-            Outcome::Overdue | Outcome::Severed | Outcome::Recalled
+            Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled
         ) {
-            let until = now + self.s.turn_gap.unwrap_or(0);
+            let until = now + self.s.key_release_delay.unwrap_or(0);
             if let Some(turn) = key.and_then(|k| self.book.turns.get_mut(&k)) {
                 turn.rest = Some((until, seq));
             }
@@ -193,23 +197,23 @@
             // where that can't come or it was on trial. One that errs twice ends: further tries, which would
             // use up the ration, are no better, and would eject engine after engine. It hurts where most
             // engines err.
-            Outcome::Errored => {
+            Outcome::Error => {
                 let tried = self.nodes.get(&a.engine).is_some_and(|n| n.health.ejected);
                 if tried || self.book.get(id).is_some_and(|q| !self.repeatable(q)) {
                     self.erred(a.engine);
                 }
             }
-            Outcome::Refused => self.failure(a.engine, 1.0),
+            Outcome::ConnectionRefused => self.failure(a.engine, 1.0),
             // One connection broke, maybe for what was on it; an engine that died refuses the next.
-            Outcome::Severed => self.failure(a.engine, FAIL_GAIN),
-            Outcome::Saturated => {
+            Outcome::ConnectionLost => self.failure(a.engine, FAIL_GAIN),
+            Outcome::Overloaded => {
                 let until = now + self.periods(FULL_REST);
                 self.nodes
                     .get_mut(&a.engine)
                     .into_iter()
                     .for_each(|n| n.line_until = until);
             }
-            Outcome::Overdue | Outcome::Recalled | Outcome::Superseded => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NeverSent => {}
         }
         let Some(q) = self.book.get(id) else { return };
         if q.finished {
@@ -245,16 +249,19 @@
         let shown = cost.map(|c| secs(c.work)).or(alone.then_some(time));
         let work = shown.unwrap_or(q.work).max(1e-4);
         l.work.learn(work, GAIN);
-        if let (Some(w), Some(shown)) = (q.asked.work, shown) {
+        if let (Some(w), Some(shown)) = (q.asked.estimated_work, shown) {
             l.work_ratio.learn(shown / secs(w).max(1e-6), GAIN);
         }
-        if cost.is_none() && self.s.grants && !a.spills {
+        if cost.is_none() && self.s.memory_grants && !a.spills {
             l.grant -= GRANT_STEP * SPILL_SHARE;
         }
         if let Some(c) = cost {
             l.memory.learn(c.memory_mb, GAIN);
-            l.memory_fit
-                .learn(q.asked.memory_mb.unwrap_or(0.0), c.memory_mb, FIT_GAIN);
+            l.memory_fit.learn(
+                q.asked.estimated_memory_mb.unwrap_or(0.0),
+                c.memory_mb,
+                FIT_GAIN,
+            );
         }
         l.late += GAIN * (f64::from(u8::from(late)) - l.late);
         l.silent -= GAIN * l.silent;
@@ -301,7 +308,7 @@
             } else {
                 NEAR_UNLOADED
             };
-            let busy = self.fleet.utilisation.known().is_some_and(|u| u > KNEE);
+            let busy = self.fleet.cpu_utilisation.known().is_some_and(|u| u > KNEE);
             if calm && !busy && pace > near && used > IN_USE * self.fleet.room {
                 self.fleet.widened = (self.fleet.widened + step).min(self.gateways);
             } else if pace < FAR_FROM_UNLOADED || (late && !calm) {
@@ -332,10 +339,13 @@
         };
         let Some(a) = q.out.as_mut() else { return };
         a.heard = now;
-        a.waits = matches!(progress, Progress::WaitsForMemory | Progress::WaitsForLoad);
+        a.waits = matches!(
+            progress,
+            Progress::WaitingForMemory | Progress::WaitingForBulkLoad
+        );
         let (engine, sent, priority) = (a.engine, a.sent, a.priority);
         let mut short = false;
-        if let (Progress::Spills(missing), true) = (progress, self.s.grants) {
+        if let (Progress::Spilling(missing), true) = (progress, self.s.memory_grants) {
             let (need, first) = (
                 a.memory + missing.clamp(0.0, 1e9),
                 !std::mem::replace(&mut a.spills, true),
@@ -351,7 +361,7 @@
         }
         if let Some(n) = self.nodes.get_mut(&engine) {
             n.heard = now;
-            if progress == Progress::WaitsForMemory {
+            if progress == Progress::WaitingForMemory {
                 // Guards against grants beyond the memory, whoever made them: everything sent would stand in
                 // line. One cut a period; it hurts where one huge query alone waits.
                 if n.line_until <= now {
@@ -363,9 +373,9 @@
         let Some(q) = self.book.get(id) else { return };
         // A line shows at once and nothing is lost by leaving it; the last attempt stays for better reasons.
         let spare = q.attempts + 1 < self.s.max_attempts.unwrap_or(u32::MAX);
-        if short || (progress == Progress::WaitsForMemory && spare) {
+        if short || (progress == Progress::WaitingForMemory && spare) {
             self.move_on(id, actions);
-        } else if let Progress::Done(share) = progress {
+        } else if let Progress::FractionDone(share) = progress {
             // A share that is no number counts as nearly none.
             let (t, share) = (secs(now - sent).max(1e-3), share.max(0.0).clamp(1e-3, 1.0));
             let (total, expected) = (t / share, self.run(q));
@@ -396,7 +406,7 @@
     /// How long after `sent` an attempt may give no sign. Without notes, until a fresh start can only just
     /// meet the aim, whatever ails it, within runs of a usual query of its class, as estimates scatter.
     fn patience(&self, q: &Query, sent: Micros) -> Micros {
-        if self.s.note_period.is_some() {
+        if self.s.progress_period.is_some() {
             return self.periods(SILENT_NOTES);
         }
         let usual =
@@ -407,7 +417,7 @@
 
     /// What silence says of an engine: without notes the less the more of the class's attempts end in it.
     fn blame(&self, q: &Query) -> f64 {
-        let usual = if self.s.note_period.is_some() {
+        let usual = if self.s.progress_period.is_some() {
             0.0
         } else {
             self.learned[q.slot].silent
@@ -446,7 +456,7 @@
             let (engine, sent, cancelled, waits) =
                 (a.engine, a.sent.max(a.heard), a.cancelled, a.waits);
             let known = a.silent;
-            if now >= q.deadline + self.s.grace_to_answer.unwrap_or(0) / 2 {
+            if now >= q.deadline + self.s.answer_grace.unwrap_or(0) / 2 {
                 self.finish(id, actions);
                 return;
             }
--- a/policy/src/rules/fleet.rs
+++ b/policy/src/rules/fleet.rs
@@ -20,14 +20,14 @@
     /// The part of its capacity that an engine has surely reached: from the cold share up to all of it,
     /// slowly at first, since how it grows is not told.
     pub(super) fn warmth(&self, n: &Node) -> f64 {
-        let (Some(start), Some(cold)) = (n.started(), self.s.cold) else {
+        let (Some(start), Some(cold)) = (n.started(), self.s.slow_start_window) else {
             return 1.0;
         };
         let age = secs(self.now.saturating_sub(start)) / secs(cold.max(1));
         if age >= 1.0 {
             return 1.0;
         }
-        let from = self.s.cold_share.unwrap_or(0.0).min(1.0);
+        let from = self.s.slow_start_initial_fraction.unwrap_or(0.0).min(1.0);
         from + (1.0 - from) * age * age
     }
 
@@ -52,7 +52,7 @@
     }
 
     fn survey_all(&mut self) {
-        let span = self.s.fall.unwrap_or(0).max(1);
+        let span = self.s.collapse_window.unwrap_or(0).max(1);
         for n in self
             .nodes
             .values_mut()
@@ -103,10 +103,12 @@
     }
 
     pub(super) fn list(&mut self, scope: ListScope, engines: &[Engine], actions: &mut Vec<Action>) {
-        if self.s.list_on_request && matches!(scope, ListScope::Stale | ListScope::Broken) {
-            actions.push(Action::Follow);
+        if self.s.list_needs_subscription
+            && matches!(scope, ListScope::StaleSnapshot | ListScope::WatchFailed)
+        {
+            actions.push(Action::SubscribeEngineList);
         }
-        if matches!(scope, ListScope::Whole | ListScope::Stale) {
+        if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
             self.order.clear();
             self.fleet.surveyed_at = 0;
             for n in self.nodes.values_mut() {
@@ -116,7 +118,7 @@
         for e in engines {
             let kind = self
                 .s
-                .kinds
+                .engine_kinds
                 .get(e.kind as usize)
                 .cloned()
                 .unwrap_or_default();
@@ -174,19 +176,19 @@
     }
 
     /// A load report: the bound widens while utilisation is below the knee.
-    pub(super) fn report(&mut self, engine: EngineId, load: Load) {
+    pub(super) fn report(&mut self, engine: EngineId, load: LoadReport) {
         // Cores or disks, whichever are shorter.
         let told = load
-            .utilisation
+            .cpu_utilisation
             .into_iter()
-            .chain(load.disks)
+            .chain(load.disk_utilisation)
             .filter(|u| *u >= 0.0);
         let (Some(u), Some(n)) = (told.reduce(f64::max), self.nodes.get(&engine)) else {
             return;
         };
         let base = self.base_bound(n.cores);
-        self.fleet.utilisation.learn(u.min(1.0), GAIN);
-        let usual = self.fleet.utilisation.mean;
+        self.fleet.cpu_utilisation.learn(u.min(1.0), GAIN);
+        let usual = self.fleet.cpu_utilisation.mean;
         let Some(n) = self.nodes.get_mut(&engine) else {
             return;
         };
@@ -223,13 +225,14 @@
     /// How long an ejected engine rests: so long that the trials of all of them cost no more than a part of
     /// the ration, since each at a bad engine takes a further attempt, and all gateways make them.
     fn rest(&self) -> Micros {
-        let Some(b) = self.s.resend_budget else {
+        let Some(b) = self.s.retry_budget else {
             return self.periods(REST);
         };
         let ejected = 1 + self.counts().ejected;
-        let ration = b.free + b.share * self.book.taken_since(self.now.saturating_sub(b.span));
+        let ration = b.min_retries
+            + b.retry_ratio * self.book.taken_since(self.now.saturating_sub(b.window));
         self.periods(REST).max(micros(
-            ejected as f64 * secs(b.span) / (TRIALS * ration.max(1.0)),
+            ejected as f64 * secs(b.window) / (TRIALS * ration.max(1.0)),
         ))
     }
 
--- a/policy/src/rules/placing.rs
+++ b/policy/src/rules/placing.rs
@@ -8,8 +8,8 @@
         if !self.s.priorities {
             return 1;
         }
-        let usual = self.fleet.worth.mean / self.fleet.work.mean.max(1e-6);
-        let earns = self.class_of(q).worth.unwrap_or(1.0) / q.work / usual.max(1e-6);
+        let usual = self.fleet.priority_weight.mean / self.fleet.work.mean.max(1e-6);
+        let earns = self.class_of(q).priority_weight.unwrap_or(1.0) / q.work / usual.max(1e-6);
         3u8.saturating_sub((-earns.log2()).ceil().clamp(0.0, 3.0) as u8)
     }
 
@@ -30,8 +30,8 @@
 
     /// Whether engines are so few, or this gateway's part of each so large, that each query looks at all.
     pub(crate) fn looks_at_all(&self) -> bool {
-        let part = |k: &Kind| self.base_bound(k.cores.unwrap_or(1.0)) < 1.0;
-        self.nodes.len() <= ALL_LOOKED_AT || !self.s.kinds.iter().all(part)
+        let part = |k: &EngineKind| self.base_bound(k.cores.unwrap_or(1.0)) < 1.0;
+        self.nodes.len() <= ALL_LOOKED_AT || !self.s.engine_kinds.iter().all(part)
     }
 
     /// The engine that a query goes to. Of many, a few are drawn among homes, as many as the rate keeps in
@@ -45,7 +45,7 @@
                 .best(id, None, self.nodes.values().filter(near).count() as f64)
                 .0;
         }
-        let span = self.s.resend_budget.map_or(1.0, |b| secs(b.span.max(1)));
+        let span = self.s.retry_budget.map_or(1.0, |b| secs(b.window.max(1)));
         let homes = (self.book.taken.len() as f64 / span / HOME_RATE).max(HOMES) as usize;
         let mut found = None;
         for near in [true, false] {
@@ -152,7 +152,7 @@
     /// stayed within that sum on average, as those of all gateways may be twice what engines bear.
     fn fleet_bears(&self, q: &Query) -> bool {
         let ahead = self.ahead(q, &self.book.threads_out);
-        let bears = self.fleet.utilisation.mean < KNEE || self.fleet.credit >= 0.0;
+        let bears = self.fleet.cpu_utilisation.mean < KNEE || self.fleet.credit >= 0.0;
         ahead + q.threads <= self.fleet.room + 1e-9 || (self.book.out[q.slot] == 0 && bears)
     }
 
@@ -171,7 +171,7 @@
     fn fits(&self, q: &Query, n: &Node) -> bool {
         let c = self.class_of(q);
         if n.health.ejected && !self.fleet.mostly_bad {
-            let safe = c.effect == Effect::Idempotent;
+            let safe = c.idempotency == Idempotency::Idempotent;
             return safe && n.out.is_empty() && n.health.rest_until <= self.now;
         }
         let of_class = |id: &QueryId| self.book.get(*id).is_some_and(|o| o.slot == q.slot);
@@ -206,22 +206,22 @@
         let blocked = |id: &QueryId| {
             self.book.get(*id).is_some_and(|o| {
                 let other = self.class_of(o);
-                o.asked.tables == q.asked.tables
-                    && ((other.is_load && (c.is_load || c.waits_for_loads))
-                        || (c.is_load && other.waits_for_loads))
+                o.asked.table_group == q.asked.table_group
+                    && ((other.is_bulk_load && (c.is_bulk_load || c.waits_for_bulk_loads))
+                        || (c.is_bulk_load && other.waits_for_bulk_loads))
             })
         };
-        !((c.is_load || c.waits_for_loads) && n.out.iter().any(blocked))
+        !((c.is_bulk_load || c.waits_for_bulk_loads) && n.out.iter().any(blocked))
     }
 
     /// Rules 2 to 7 for one send, whatever the policy above wants.
     pub(super) fn legal(&self, q: &Query, n: &Node) -> bool {
         let c = self.class_of(q);
         let placed = c
-            .only_zones
+            .allowed_zones
             .as_ref()
             .is_none_or(|z| z.contains(&n.listed.zone))
-            && c.only_kinds
+            && c.allowed_kinds
                 .as_ref()
                 .is_none_or(|k| k.contains(&n.listed.kind));
         !q.finished
@@ -238,15 +238,18 @@
 
     /// Rules 2 and 7: whether any further attempt is allowed at all.
     pub(super) fn may_repeat(&self, q: &Query) -> bool {
-        let effect = self.class_of(q).effect;
+        let effect = self.class_of(q).idempotency;
         q.attempts < self.s.max_attempts.unwrap_or(u32::MAX).max(1)
-            && !(effect == Effect::AtMostOnce && q.may_have_run)
+            && !(effect == Idempotency::AtMostOnce && q.may_have_run)
     }
 
     /// Rule 2, deduplicated classes: only to engines that discard the repeat, while they remember.
     pub(super) fn in_group(&self, q: &Query, e: &Engine) -> bool {
         let c = self.class_of(q);
-        let Some((first, at)) = q.risk.filter(|_| c.effect == Effect::Deduplicated) else {
+        let Some((first, at)) = q
+            .risk
+            .filter(|_| c.idempotency == Idempotency::Deduplicated)
+        else {
             return true;
         };
         let same = match c.dedup_group {
@@ -267,13 +270,14 @@
             .or(q.out.as_ref().map(|a| a.sent))
             .unwrap_or(self.now);
         let soon = self.now + self.period() < first + c.dedup_window.unwrap_or(0);
-        let dropped = c.effect == Effect::Deduplicated && c.dedup_group == DedupGroup::All && soon;
-        c.effect == Effect::Idempotent || dropped
+        let dropped =
+            c.idempotency == Idempotency::Deduplicated && c.dedup_group == DedupGroup::All && soon;
+        c.idempotency == Idempotency::Idempotent || dropped
     }
 
     /// Rule 5.
     pub(super) fn has_turn(&self, q: &Query) -> bool {
-        let Some(turn) = q.asked.key.and_then(|k| self.book.turns.get(&k)) else {
+        let Some(turn) = q.asked.ordering_key.and_then(|k| self.book.turns.get(&k)) else {
             return true;
         };
         let first = turn
@@ -288,7 +292,8 @@
 
     /// Rule 4: the work sent to a cold engine in any span stays within a part of this gateway's share.
     fn cold_bears(&self, q: &Query, n: &Node) -> bool {
-        let (Some(multiple), Some(fall)) = (self.s.fall_multiple, self.s.fall) else {
+        let (Some(multiple), Some(fall)) = (self.s.collapse_load_multiple, self.s.collapse_window)
+        else {
             return true;
         };
         let warmth = self.warmth(n);
@@ -324,10 +329,11 @@
 
     /// Rule 7.
     pub(super) fn within_budget(&self) -> bool {
-        let Some(b) = self.s.resend_budget else {
+        let Some(b) = self.s.retry_budget else {
             return true;
         };
-        let from = self.now.saturating_sub(b.span);
-        self.book.extra_since(from) + 1.0 <= b.free + b.share * self.book.taken_since(from)
+        let from = self.now.saturating_sub(b.window);
+        self.book.extra_since(from) + 1.0
+            <= b.min_retries + b.retry_ratio * self.book.taken_since(from)
     }
 }
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -245,9 +245,9 @@
     pub mu_work: f64,
     pub mu_time: f64,
     /// Worth and work of the queries taken.
-    pub worth: Track,
+    pub priority_weight: Track,
     pub work: Track,
-    pub utilisation: Track,
+    pub cpu_utilisation: Track,
     /// Thread-seconds of its room that were not used, or that were used beyond it, up to a time.
     pub credit: f64,
     pub credit_at: Micros,
--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -22,7 +22,7 @@
     for id in 3..60 {
         let actions = b.ask(query(id, S));
         assert_eq!(sent(&actions, id), None);
-        if let Some(Action::Refuse { retry_after, .. }) = actions.first() {
+        if let Some(Action::Reject { retry_after, .. }) = actions.first() {
             refusals.push((id, *retry_after));
         }
     }
@@ -48,7 +48,7 @@
         let id = id + again;
         assert!(refused(
             &b.ask(NewQuery {
-                repeat: true,
+                is_client_retry: true,
                 ..query(id, S)
             }),
             id
@@ -143,15 +143,15 @@
     let play = |seed| {
         let mut g = Gateway::new(settings(vec![class(S)], 2.0), seed);
         let mut out = Vec::new();
-        let list = Event::Engines {
-            scope: ListScope::Whole,
+        let list = Event::EngineList {
+            scope: ListScope::Snapshot,
             engines: (0..5).map(engine).collect(),
         };
         g.handle(S, &[list], &mut out);
         for id in 1..200 {
             g.handle(
                 S + id * MS,
-                &[Event::Arrived(query(id, 300 * MS))],
+                &[Event::QueryArrived(query(id, 300 * MS))],
                 &mut out,
             );
         }
@@ -165,12 +165,12 @@
 fn odd_but_legal_input_is_taken_calmly() {
     let mut s = settings(vec![], 0.0);
     s.gateways = Some(0);
-    s.note_period = None;
+    s.progress_period = None;
     let mut b = Bench::new(s, vec![]);
     let odd = NewQuery {
         id: 1,
         class: 99,
-        work: Some(0),
+        estimated_work: Some(0),
         time_left: 0,
         ..NewQuery::default()
     };
@@ -183,12 +183,12 @@
     b.note(
         77,
         0,
-        violetgate_policy::interface::Progress::Done(f64::NAN),
+        violetgate_policy::interface::Progress::FractionDone(f64::NAN),
     );
     b.patch(engine(3));
     assert_eq!(sent(&b.ask(query(2, u64::MAX / 4)), 2), Some(3));
-    b.event(Event::Engines {
-        scope: ListScope::Whole,
+    b.event(Event::EngineList {
+        scope: ListScope::Snapshot,
         engines: vec![],
     });
     assert!(!refused(&b.end(2, 0, 3, Outcome::Completed), 2));
--- a/policy/tests/any_day.rs
+++ b/policy/tests/any_day.rs
@@ -8,8 +8,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use violetgate_policy::interface::{
-    Class, Effect, Engine, EngineId, EngineState, ListScope, Micros, NewQuery, Outcome, Progress,
-    QueryId, ResendBudget,
+    Class, Engine, EngineId, EngineState, Idempotency, ListScope, Micros, NewQuery, Outcome,
+    Progress, QueryId, RetryBudget,
 };
 use violetgate_policy::{Action, Event, Settings};
 
@@ -72,8 +72,8 @@
                         ensure(extra <= 2.0 + 0.2 * taken, "over the budget")?;
                     }
                 }
-                Action::Refuse { query, .. } | Action::Fail { query } => {
-                    let refusal = matches!(action, Action::Refuse { .. });
+                Action::Reject { query, .. } | Action::Fail { query } => {
+                    let refusal = matches!(action, Action::Reject { .. });
                     let q = self
                         .queries
                         .get_mut(&query)
@@ -106,26 +106,26 @@
 fn fleet() -> Settings {
     // Two of the four classes have lost causes: their late answers earn nothing.
     let hasty = Class {
-        aim: Some(2 * S),
-        late_worth: Some(0.0),
+        latency_objective: Some(2 * S),
+        late_weight_fraction: Some(0.0),
         ..class(10 * S)
     };
     let bound = Class {
-        only_zones: Some(vec![1]),
+        allowed_zones: Some(vec![1]),
         ..hasty.clone()
     };
     let keyed = Class {
         dedup_window: Some(WINDOW),
-        ..with_effect(Effect::Deduplicated)
+        ..with_effect(Idempotency::Deduplicated)
     };
     let mut s = settings(
-        vec![hasty, with_effect(Effect::AtMostOnce), bound, keyed],
+        vec![hasty, with_effect(Idempotency::AtMostOnce), bound, keyed],
         4.0,
     );
-    s.resend_budget = Some(ResendBudget {
-        free: 2.0,
-        share: 0.2,
-        span: SPAN,
+    s.retry_budget = Some(RetryBudget {
+        min_retries: 2.0,
+        retry_ratio: 0.2,
+        window: SPAN,
     });
     s
 }
@@ -156,9 +156,9 @@
                 .map(|(id, _)| *id)
                 .collect();
             for id in due {
-                end(&mut b, &mut c, id, Outcome::Overdue)?;
+                end(&mut b, &mut c, id, Outcome::TimedOut)?;
             }
-            let woke = b.event(Event::Woke);
+            let woke = b.event(Event::TimerFired);
             c.actions(b.now, &woke)?;
             c.overdue(b.now)?;
         }
@@ -177,7 +177,7 @@
                 let asked = NewQuery {
                     class,
                     time_left: left,
-                    repeat,
+                    is_client_retry: repeat,
                     ..query(id, (which % 40) * 50 * MS)
                 };
                 c.queries.insert(
@@ -195,20 +195,20 @@
             (4..=6, Some(id)) => {
                 let all = [
                     Outcome::Completed,
-                    Outcome::Errored,
-                    Outcome::Saturated,
-                    Outcome::Refused,
-                    Outcome::Severed,
-                    Outcome::Recalled,
+                    Outcome::Error,
+                    Outcome::Overloaded,
+                    Outcome::ConnectionRefused,
+                    Outcome::ConnectionLost,
+                    Outcome::Cancelled,
                 ];
                 end(&mut b, &mut c, id, all[(which / 7) as usize % all.len()])?;
             }
             (7, Some(id)) => {
                 let attempt = c.queries[&id].sends - 1;
                 let news = [
-                    Progress::Done(0.01),
-                    Progress::WaitsForMemory,
-                    Progress::Spills(9.0),
+                    Progress::FractionDone(0.01),
+                    Progress::WaitingForMemory,
+                    Progress::Spilling(9.0),
                 ];
                 let actions = b.note(id, attempt, news[which as usize % 3]);
                 c.actions(b.now, &actions)?;
@@ -236,15 +236,15 @@
                 let (scope, engines) = match which % 3 {
                     0 => (ListScope::Patch, vec![member(id, state)]),
                     1 => (
-                        ListScope::Whole,
+                        ListScope::Snapshot,
                         (0..4).map(|e| member(e, state_of(e))).collect(),
                     ),
                     _ => (
-                        ListScope::Stale,
+                        ListScope::StaleSnapshot,
                         (0..4).map(|e| member(e, state_of(e))).collect(),
                     ),
                 };
-                let list = Event::Engines { scope, engines };
+                let list = Event::EngineList { scope, engines };
                 let actions = b.event(list);
                 c.actions(b.now, &actions)?;
             }
@@ -274,7 +274,7 @@
 fn end(b: &mut Bench, c: &mut Checker, id: QueryId, outcome: Outcome) -> Result<(), String> {
     let q = c.queries.get_mut(&id).ok_or("unknown")?;
     let engine = q.out.take().ok_or("nothing out")?;
-    let ran = !matches!(outcome, Outcome::Saturated | Outcome::Refused);
+    let ran = !matches!(outcome, Outcome::Overloaded | Outcome::ConnectionRefused);
     q.may_have_run |= ran;
     q.risk_at = q.risk_at.or(ran.then_some(q.sent_at));
     if outcome == Outcome::Completed && q.finals == 0 {
@@ -308,7 +308,7 @@
         engine,
         timeout: 0,
     };
-    let refuse = Action::Refuse {
+    let refuse = Action::Reject {
         query: 1,
         retry_after: 0,
     };
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use violetgate_policy::interface::{
-    Class, Effect, Ended, Engine, EngineId, EngineState, Kind, ListScope, Micros, NewQuery,
-    Outcome, Progress, QueryId,
+    AttemptEnded, Class, Engine, EngineId, EngineKind, EngineState, Idempotency, ListScope, Micros,
+    NewQuery, Outcome, Progress, QueryId,
 };
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
@@ -13,15 +13,15 @@
 pub fn class(deadline: Micros) -> Class {
     Class {
         deadline: Some(deadline),
-        aim: Some(deadline),
-        late_worth: Some(1.0),
+        latency_objective: Some(deadline),
+        late_weight_fraction: Some(1.0),
         ..Class::default()
     }
 }
 
-pub fn with_effect(effect: Effect) -> Class {
+pub fn with_effect(idempotency: Idempotency) -> Class {
     Class {
-        effect,
+        idempotency,
         ..class(10 * S)
     }
 }
@@ -30,15 +30,15 @@
     Settings {
         gateways: Some(1),
         classes,
-        kinds: vec![Kind {
+        engine_kinds: vec![EngineKind {
             cores: Some(cores),
             memory_mb: None,
         }],
         can_cancel: true,
         max_attempts: Some(4),
         max_retry_after: Some(60 * S),
-        note_period: Some(S),
-        grace_to_answer: Some(20 * MS),
+        progress_period: Some(S),
+        answer_grace: Some(20 * MS),
         ..Settings::default()
     }
 }
@@ -69,8 +69,8 @@
             gateway: Gateway::new(settings, seed),
             now: S,
         };
-        bench.event(Event::Engines {
-            scope: ListScope::Whole,
+        bench.event(Event::EngineList {
+            scope: ListScope::Snapshot,
             engines,
         });
         bench
@@ -79,24 +79,24 @@
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, &[event], &mut actions);
-        actions.retain(|a| !matches!(a, Action::Wake { .. }));
+        actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
         actions
     }
 
     pub fn at(&mut self, now: Micros) -> Vec<Action> {
         self.now = now;
-        self.event(Event::Woke)
+        self.event(Event::TimerFired)
     }
 
     pub fn patch(&mut self, engine: Engine) -> Vec<Action> {
-        self.event(Event::Engines {
+        self.event(Event::EngineList {
             scope: ListScope::Patch,
             engines: vec![engine],
         })
     }
 
     pub fn ask(&mut self, query: NewQuery) -> Vec<Action> {
-        self.event(Event::Arrived(query))
+        self.event(Event::QueryArrived(query))
     }
 
     pub fn end(
@@ -118,21 +118,21 @@
         elapsed: Micros,
     ) -> Vec<Action> {
         let settled = outcome == Outcome::Completed;
-        let end = Ended {
+        let end = AttemptEnded {
             query,
             attempt,
             engine,
             outcome,
-            settled,
+            query_answered: settled,
             elapsed,
             cost: None,
             load: Default::default(),
         };
-        self.event(Event::Ended(end))
+        self.event(Event::AttemptEnded(end))
     }
 
     pub fn note(&mut self, query: QueryId, attempt: u32, progress: Progress) -> Vec<Action> {
-        self.event(Event::Note {
+        self.event(Event::Progress {
             query,
             attempt,
             progress,
@@ -143,7 +143,7 @@
 pub fn query(id: QueryId, work: Micros) -> NewQuery {
     NewQuery {
         id,
-        work: Some(work),
+        estimated_work: Some(work),
         time_left: 10 * S,
         ..NewQuery::default()
     }
@@ -160,7 +160,7 @@
 pub fn refused(actions: &[Action], id: QueryId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Refuse { query, .. } if *query == id))
+        .any(|a| matches!(a, Action::Reject { query, .. } if *query == id))
 }
 
 pub fn failed(actions: &[Action], id: QueryId) -> bool {
--- a/policy/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -6,8 +6,16 @@
 use violetgate_policy::interface::{Engine, EngineState, ListScope, Outcome};
 use violetgate_policy::Event;
 
+fn counts(b: &Bench) -> (usize, usize) {
+    let counts = b.gateway.engine_counts();
+    (counts.listed, counts.avoided)
+}
+
 fn call(b: &mut Bench, engine: u32, out: bool) {
-    b.event(Event::Cordon { engine, out });
+    b.event(Event::Cordon {
+        engine,
+        cordoned: out,
+    });
 }
 
 /// Whatever the list says, and however often it says it, nothing goes to an engine that is called out; one call
@@ -29,11 +37,11 @@
             ..engine(7)
         });
     }
-    b.event(Event::Engines {
-        scope: ListScope::Whole,
+    b.event(Event::EngineList {
+        scope: ListScope::Snapshot,
         engines: vec![engine(0), engine(1), engine(7)],
     });
-    assert_eq!(b.gateway.listed(), (3, 2));
+    assert_eq!(counts(&b), (3, 2));
     for id in 1..20 {
         assert!(matches!(
             sent(&b.ask(query(id, 100 * MS)), id),
@@ -41,7 +49,7 @@
         ));
     }
     call(&mut b, 0, false);
-    assert_eq!(b.gateway.listed(), (3, 1));
+    assert_eq!(counts(&b), (3, 1));
     assert_eq!(sent(&b.ask(query(20, 100 * MS)), 20), Some(0));
 }
 
@@ -51,12 +59,8 @@
     let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
     b.ask(query(1, 100 * MS));
     call(&mut b, 0, true);
-    b.end(1, 0, 0, Outcome::Refused);
-    assert_eq!(
-        b.gateway.listed(),
-        (1, 1),
-        "called out and ejected counts once"
-    );
+    b.end(1, 0, 0, Outcome::ConnectionRefused);
+    assert_eq!(counts(&b), (1, 1), "called out and ejected counts once");
     for step in 1..40 {
         assert!(sent(&b.at(S + step * 200 * MS), 1).is_none());
     }
@@ -67,19 +71,19 @@
 #[test]
 fn an_engine_called_back_is_cold_and_tried_at_once() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    (s.cold_share, s.cold) = (Some(0.25), Some(10 * S));
-    (s.fall_multiple, s.fall) = (Some(2.0), Some(S));
+    (s.slow_start_initial_fraction, s.slow_start_window) = (Some(0.25), Some(10 * S));
+    (s.collapse_load_multiple, s.collapse_window) = (Some(2.0), Some(S));
     let mut b = Bench::new(s, vec![engine(0), engine(1), engine(2)]);
     b.ask(query(1, 100 * MS));
     call(&mut b, 0, true);
-    b.event(Event::Probed {
+    b.event(Event::HealthChecked {
         engine: 0,
-        answered: false,
+        passed: false,
         load: Default::default(),
     });
     b.now = 20 * S;
     call(&mut b, 0, false);
-    assert_eq!(b.gateway.listed(), (3, 0));
+    assert_eq!(counts(&b), (3, 0));
     let first = sent(&b.ask(query(2, 100 * MS)), 2);
     assert_eq!(first, Some(0));
     assert_ne!(
--- a/policy/tests/fleet.rs
+++ b/policy/tests/fleet.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use common::*;
-use violetgate_policy::interface::{Ended, EngineId, Micros, Outcome, QueryId, ResendBudget};
+use violetgate_policy::interface::{AttemptEnded, EngineId, Micros, Outcome, QueryId, RetryBudget};
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const GATEWAYS: u32 = 100;
@@ -18,14 +18,14 @@
 type Engines<'a> = &'a dyn Fn(Micros, EngineId, u64) -> (Micros, Outcome);
 
 fn many() -> Settings {
-    let budget = ResendBudget {
-        free: 3.0,
-        share: 0.1,
-        span: 5 * S,
+    let budget = RetryBudget {
+        min_retries: 3.0,
+        retry_ratio: 0.1,
+        window: 5 * S,
     };
     Settings {
         gateways: Some(GATEWAYS),
-        resend_budget: Some(budget),
+        retry_budget: Some(budget),
         ..settings(vec![class(10 * S)], 8.0)
     }
 }
@@ -70,8 +70,8 @@
     let mut tries: BTreeMap<(usize, QueryId), u32> = BTreeMap::new();
     let list: Vec<_> = (0..ENGINES).map(engine).collect();
     for (g, gateway) in gateways.iter_mut().enumerate() {
-        let news = Event::Engines {
-            scope: violetgate_policy::interface::ListScope::Whole,
+        let news = Event::EngineList {
+            scope: violetgate_policy::interface::ListScope::Snapshot,
             engines: list.clone(),
         };
         gateway.handle(S, &[news], &mut Vec::new());
@@ -87,12 +87,12 @@
             let (elapsed, outcome) = engines(now, engine, id * 7 + u64::from(number));
             let ok = outcome == Outcome::Completed;
             *seen.ended.entry((now / S - 1, engine, ok)).or_default() += 1;
-            events.push(Event::Ended(Ended {
+            events.push(Event::AttemptEnded(AttemptEnded {
                 query: id,
                 attempt: number - 1,
                 engine,
                 outcome,
-                settled: ok,
+                query_answered: ok,
                 elapsed,
                 cost: None,
                 load: Default::default(),
@@ -100,10 +100,10 @@
         } else if id == 0 && number == 0 {
             next += 1;
             seen.asked += 1;
-            events.push(Event::Arrived(query(next, 150 * MS)));
+            events.push(Event::QueryArrived(query(next, 150 * MS)));
             due.insert((now + 140 * MS + draw(next) % (100 * MS), g, 0, 0, 0));
         } else {
-            events.push(Event::Woke);
+            events.push(Event::TimerFired);
         }
         let mut actions = Vec::new();
         gateways[g].handle(now, &events, &mut actions);
@@ -115,8 +115,8 @@
                     let (takes, _) = engines(now, engine, query * 7 + u64::from(*number));
                     due.insert((now + takes, g, query, *number, engine));
                 }
-                Action::Refuse { .. } => seen.refused += 1,
-                Action::Wake { at } => drop(due.insert((at, g, QueryId::MAX, 0, 0))),
+                Action::Reject { .. } => seen.refused += 1,
+                Action::SetTimer { at } => drop(due.insert((at, g, QueryId::MAX, 0, 0))),
                 _ => {}
             }
         }
@@ -128,7 +128,7 @@
 fn some_err(now: Micros, engine: EngineId, n: u64) -> (Micros, Outcome) {
     let bad = engine < BAD && (3 * S..13 * S).contains(&now) && draw(n) % 10 < 6;
     if bad {
-        (20 * MS, Outcome::Errored)
+        (20 * MS, Outcome::Error)
     } else {
         (150 * MS, Outcome::Completed)
     }
--- a/policy/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -29,17 +29,17 @@
         part, 8,
         "2 engines of 8 cores, 2 threads a core, a quarter of them"
     );
-    b.event(Event::Fleet { gateways: 2 });
+    b.event(Event::FleetSize { gateways: 2 });
     assert_eq!(
         room(&mut b, 1_000),
         7,
         "twice as much, less the one that waits already"
     );
-    b.event(Event::Fleet { gateways: 8 });
-    b.event(Event::ClientGone { query: 1 });
+    b.event(Event::FleetSize { gateways: 8 });
+    b.event(Event::ClientDisconnected { query: 1 });
     assert_eq!(sent(&b.ask(query(5_000, S)), 5_000), None);
     let mut fresh = Bench::new(of(4), vec![engine(0), engine(1)]);
-    fresh.event(Event::Fleet { gateways: 0 });
+    fresh.event(Event::FleetSize { gateways: 0 });
     assert_eq!(
         room(&mut fresh, 1),
         32,
@@ -52,10 +52,10 @@
 #[test]
 fn a_cold_engine_is_not_pushed_over_while_counts_change() {
     let cold = |told| Settings {
-        cold: Some(15 * S),
-        cold_share: Some(0.3),
-        fall_multiple: Some(2.5),
-        fall: Some(S),
+        slow_start_window: Some(15 * S),
+        slow_start_initial_fraction: Some(0.3),
+        collapse_load_multiple: Some(2.5),
+        collapse_window: Some(S),
         ..of(told)
     };
     for (first, second) in [(2, 2), (4, 2), (2, 3)] {
@@ -72,14 +72,14 @@
             for (g, b) in both.iter_mut().enumerate() {
                 b.now = now;
                 if step == 100 + 20 * g as u64 {
-                    b.event(Event::Fleet { gateways: second });
+                    b.event(Event::FleetSize { gateways: second });
                 }
                 id += 1;
                 if sent(&b.ask(query(id, 200 * MS)), id).is_some() {
                     out.push((now, 200 * MS));
                     running.push((now, g, id));
                 } else {
-                    b.event(Event::ClientGone { query: id });
+                    b.event(Event::ClientDisconnected { query: id });
                 }
                 for (_, _, id) in running
                     .iter()
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -7,7 +7,7 @@
 
 use common::*;
 use violetgate_policy::interface::{
-    Class, Engine, EngineId, EngineState, ListScope, NewQuery, Outcome, ResendBudget,
+    Class, Engine, EngineId, EngineState, ListScope, NewQuery, Outcome, RetryBudget,
 };
 use violetgate_policy::{Event, Settings};
 
@@ -22,15 +22,15 @@
 }
 
 fn fleet(classes: Vec<Class>) -> Settings {
-    let budget = ResendBudget {
-        free: 3.0,
-        share: 0.1,
-        span: 5 * S,
+    let budget = RetryBudget {
+        min_retries: 3.0,
+        retry_ratio: 0.1,
+        window: 5 * S,
     };
     Settings {
         gateways: Some(7_600),
         zone: Some(3),
-        resend_budget: Some(budget),
+        retry_budget: Some(budget),
         ..settings(classes, 8.0)
     }
 }
@@ -83,7 +83,7 @@
             ..in_zone(e)
         })
         .collect();
-    b.event(Event::Engines {
+    b.event(Event::EngineList {
         scope: ListScope::Patch,
         engines,
     });
@@ -96,8 +96,8 @@
     let mut b = bench(vec![class(10 * S)], 3);
     one_by_one(&mut b, 1, 50, 10 * MS, |id| query(id, 10 * MS));
     let engines = (ENGINES..2 * ENGINES).map(in_zone).collect();
-    b.event(Event::Engines {
-        scope: ListScope::Whole,
+    b.event(Event::EngineList {
+        scope: ListScope::Snapshot,
         engines,
     });
     let at = one_by_one(&mut b, 100, 50, 10 * MS, |id| query(id, 10 * MS));
@@ -111,7 +111,7 @@
     for e in (0..ENGINES).filter(|e| !spared(e)) {
         b.event(Event::Cordon {
             engine: e,
-            out: true,
+            cordoned: true,
         });
     }
     b.now += S;
@@ -126,7 +126,7 @@
 #[test]
 fn a_class_that_is_bound_to_a_far_zone_finds_no_engine() {
     let bound = Class {
-        only_zones: Some(vec![7]),
+        allowed_zones: Some(vec![7]),
         ..class(10 * S)
     };
     let mut b = bench(vec![class(10 * S), bound], 5);
@@ -147,15 +147,15 @@
     let mut connections = BTreeSet::new();
     for gateway in gateways {
         // A short span of the budget, over which the rate is taken, so that it is known soon.
-        let resend_budget = Some(ResendBudget {
-            free: 3.0,
-            share: 0.1,
-            span: S / 4,
+        let retry_budget = Some(RetryBudget {
+            min_retries: 3.0,
+            retry_ratio: 0.1,
+            window: S / 4,
         });
         let s = Settings {
             gateways: Some(760),
             zone: None,
-            resend_budget,
+            retry_budget,
             ..fleet(vec![class(10 * S)])
         };
         let mut b = Bench::seeded(s, (0..1_200).map(engine).collect(), gateway * 7919 + 3);
--- a/policy/tests/missing_signals.rs
+++ b/policy/tests/missing_signals.rs
@@ -4,13 +4,14 @@
 
 use common::*;
 use violetgate_policy::interface::{
-    Class, Cost, DedupGroup, Effect, Ended, Engine, Kind, Load, NewQuery, Outcome, Progress,
+    AttemptEnded, Class, Cost, DedupGroup, Engine, EngineKind, Idempotency, LoadReport, NewQuery,
+    Outcome, Progress,
 };
 use violetgate_policy::{Action, Event, Settings};
 
 fn grant(actions: &[Action], id: u64) -> Option<f64> {
     actions.iter().find_map(|a| match a {
-        Action::Terms {
+        Action::SetResources {
             query, memory_mb, ..
         } if *query == id => Some(*memory_mb),
         _ => None,
@@ -20,14 +21,14 @@
 /// A deployment without notes, with reports of 2 s of work whose aim is 1.5 s and 2.5 runs.
 fn without_notes() -> Settings {
     let report = Class {
-        aim: Some(1_500 * MS),
-        aim_stretch: Some(2.5),
+        latency_objective: Some(1_500 * MS),
+        objective_stretch: Some(2.5),
         threads: Some(2.0),
-        late_worth: Some(0.5),
+        late_weight_fraction: Some(0.5),
         ..class(25 * S)
     };
     Settings {
-        note_period: None,
+        progress_period: None,
         ..settings(vec![report], 8.0)
     }
 }
@@ -52,7 +53,7 @@
     // The aim is 4 s away and a fresh start takes one.
     assert!((2 * S..=3_050 * MS).contains(&moved), "moved after {moved}");
     assert_eq!(
-        sent(&b.end(1, 0, first, Outcome::Recalled), 1),
+        sent(&b.end(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
 }
@@ -71,10 +72,10 @@
         let outcome = if answered {
             Outcome::Completed
         } else {
-            Outcome::Recalled
+            Outcome::Cancelled
         };
         b.end_after(id, 0, e, outcome, step);
-        b.event(Event::ClientGone { query: id });
+        b.event(Event::ClientDisconnected { query: id });
         Some(e)
     };
     // One in six is silent, wherever it is.
@@ -100,7 +101,7 @@
         gateways: Some(60),
         ..settings(vec![class(10 * S)], 8.0)
     };
-    s.kinds.push(Kind {
+    s.engine_kinds.push(EngineKind {
         cores: Some(16.0),
         memory_mb: None,
     });
@@ -128,10 +129,10 @@
 
 fn granting() -> Settings {
     let mut s = Settings {
-        grants: true,
+        memory_grants: true,
         ..settings(vec![class(10 * S)], 8.0)
     };
-    s.kinds[0].memory_mb = Some(100_000.0);
+    s.engine_kinds[0].memory_mb = Some(100_000.0);
     s
 }
 
@@ -142,7 +143,7 @@
     let mut b = Bench::new(granting(), vec![engine(0), engine(1)]);
     let ask = |b: &mut Bench, id, need: f64| {
         let actions = b.ask(NewQuery {
-            memory_mb: Some(100.0),
+            estimated_memory_mb: Some(100.0),
             ..query(id, 50 * MS)
         });
         let (granted, e) = (
@@ -150,10 +151,10 @@
             sent(&actions, id).expect("room"),
         );
         let moves =
-            granted < need && cancelled(&b.note(id, 0, Progress::Spills(need - granted)), id);
+            granted < need && cancelled(&b.note(id, 0, Progress::Spilling(need - granted)), id);
         b.now += 50 * MS;
-        let actions = b.end_after(id, 0, e, Outcome::Recalled, 5 * MS);
-        b.event(Event::ClientGone { query: id });
+        let actions = b.end_after(id, 0, e, Outcome::Cancelled, 5 * MS);
+        b.event(Event::ClientDisconnected { query: id });
         (granted, moves.then(|| grant(&actions, id)).flatten())
     };
     let (first, again) = ask(&mut b, 1, 250.0);
@@ -167,7 +168,7 @@
     // It gives back what is not needed.
     for id in 100..200 {
         let actions = b.ask(NewQuery {
-            memory_mb: Some(100.0),
+            estimated_memory_mb: Some(100.0),
             ..query(id, 50 * MS)
         });
         let e = sent(&actions, id).expect("room");
@@ -178,7 +179,7 @@
 
 fn keyed() -> Settings {
     let load = Class {
-        effect: Effect::Deduplicated,
+        idempotency: Idempotency::Deduplicated,
         dedup_group: DedupGroup::All,
         dedup_window: Some(15 * S),
         ..class(25 * S)
@@ -200,15 +201,15 @@
         // Notes keep it from passing for silent.
         for step in 1..=wait / (500 * MS) {
             b.now = S + step * 500 * MS;
-            assert!(!cancelled(&b.note(1, 0, Progress::Done(0.95)), 1));
+            assert!(!cancelled(&b.note(1, 0, Progress::FractionDone(0.95)), 1));
         }
         assert_eq!(
-            cancelled(&b.note(1, 0, Progress::WaitsForMemory), 1),
+            cancelled(&b.note(1, 0, Progress::WaitingForMemory), 1),
             moves,
             "after {wait}"
         );
         if moves {
-            assert_eq!(sent(&b.end(1, 0, e, Outcome::Recalled), 1), Some(1 - e));
+            assert_eq!(sent(&b.end(1, 0, e, Outcome::Cancelled), 1), Some(1 - e));
         }
     }
 }
@@ -231,7 +232,7 @@
         ..engine(0)
     });
     b.now += S;
-    assert_eq!(sent(&b.end(1, 0, e, Outcome::Severed), 1), None);
+    assert_eq!(sent(&b.end(1, 0, e, Outcome::ConnectionLost), 1), None);
     let answered = (2..260)
         .find(|step| refused(&b.at(S + step * 100 * MS), 1))
         .expect("answered")
@@ -255,7 +256,7 @@
         reports_utilisation: true,
         ..settings(vec![wide], 8.0)
     };
-    s.note_period = None;
+    s.progress_period = None;
     let mut b = Bench::new(s, (0..20).map(engine).collect());
     let mut out = std::collections::VecDeque::new();
     let (mut id, mut held) = (0, 0.0);
@@ -266,24 +267,25 @@
         if out.front().is_some_and(|(_, _, at)| b.now >= at + 2 * S) {
             let (query, engine, _) = out.pop_front().expect("one is out");
             let mut more = Vec::new();
-            let end = Ended {
+            let end = AttemptEnded {
                 query,
                 attempt: 0,
                 engine,
                 outcome: Outcome::Completed,
-                settled: true,
+                query_answered: true,
                 elapsed: 2 * S,
                 cost: Some(Cost {
                     work: 8 * S,
                     memory_mb: 0.0,
                 }),
-                load: Load {
-                    utilisation: Some(0.3),
-                    disks: Some(busy),
-                    ..Load::default()
+                load: LoadReport {
+                    cpu_utilisation: Some(0.3),
+                    disk_utilisation: Some(busy),
+                    ..LoadReport::default()
                 },
             };
-            b.gateway.handle(b.now, &[Event::Ended(end)], &mut more);
+            b.gateway
+                .handle(b.now, &[Event::AttemptEnded(end)], &mut more);
             actions.extend(more);
         }
         out.extend(actions.iter().filter_map(|a| match a {
@@ -316,14 +318,14 @@
             reports_utilisation: true,
             ..settings(vec![class(10 * S)], 8.0)
         };
-        (s.gateways, s.note_period) = (Some(160), None);
+        (s.gateways, s.progress_period) = (Some(160), None);
         let mut b = Bench::new(s, (0..20).map(engine).collect());
-        let probed = |u| Event::Probed {
+        let probed = |u| Event::HealthChecked {
             engine: 0,
-            answered: true,
-            load: Load {
-                utilisation: Some(u),
-                ..Load::default()
+            passed: true,
+            load: LoadReport {
+                cpu_utilisation: Some(u),
+                ..LoadReport::default()
             },
         };
         b.event(probed(first));
@@ -337,7 +339,7 @@
                 };
                 out.push_back((id, e));
             }
-            b.event(Event::ClientGone { query: id });
+            b.event(Event::ClientDisconnected { query: id });
             b.now += 50 * MS;
             let (query, engine) = out.pop_front().expect("one is out");
             b.end_after(query, 0, engine, Outcome::Completed, S);
@@ -359,7 +361,7 @@
             reports_utilisation: true,
             ..settings(vec![class(10 * S)], 8.0)
         };
-        s.note_period = None;
+        s.progress_period = None;
         let mut b = Bench::new(s, (0..20).map(engine).collect());
         let (mut id, mut out) = (0, std::collections::VecDeque::new());
         for _ in 0..200 {
@@ -370,27 +372,27 @@
                 };
                 out.push_back((id, e));
             }
-            b.event(Event::ClientGone { query: id });
+            b.event(Event::ClientDisconnected { query: id });
             b.now += 50 * MS;
             let (query, engine) = out.pop_front().expect("one is out");
             // Spilling makes it slow: 0.6 of its unloaded pace.
-            let end = Ended {
+            let end = AttemptEnded {
                 query,
                 attempt: 0,
                 engine,
                 outcome: Outcome::Completed,
-                settled: true,
+                query_answered: true,
                 elapsed: 1_650 * MS,
                 cost: Some(Cost {
                     work: S,
                     memory_mb: 0.0,
                 }),
-                load: Load {
-                    utilisation: Some(busy),
-                    ..Load::default()
+                load: LoadReport {
+                    cpu_utilisation: Some(busy),
+                    ..LoadReport::default()
                 },
             };
-            b.event(Event::Ended(end));
+            b.event(Event::AttemptEnded(end));
         }
         out.len()
     };
--- a/policy/tests/resend_budget.rs
+++ b/policy/tests/resend_budget.rs
@@ -5,26 +5,26 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use common::*;
-use violetgate_policy::interface::{EngineId, Outcome, QueryId, ResendBudget};
+use violetgate_policy::interface::{EngineId, Outcome, QueryId, RetryBudget};
 use violetgate_policy::Action;
 
 /// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a third time.
 fn spent_budget() -> Bench {
     let mut s = settings(vec![class(10 * S)], 1.0);
-    s.resend_budget = Some(ResendBudget {
-        free: 1.0,
-        share: 0.0,
-        span: 5 * S,
+    s.retry_budget = Some(RetryBudget {
+        min_retries: 1.0,
+        retry_ratio: 0.0,
+        window: 5 * S,
     });
     let mut b = Bench::new(s, vec![engine(0)]);
     assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(0));
     assert_eq!(
-        sent(&b.end(1, 0, 0, Outcome::Superseded), 1),
+        sent(&b.end(1, 0, 0, Outcome::NeverSent), 1),
         Some(0),
         "the budget allows one"
     );
     assert_eq!(
-        sent(&b.end(1, 1, 0, Outcome::Superseded), 1),
+        sent(&b.end(1, 1, 0, Outcome::NeverSent), 1),
         None,
         "and no second one"
     );
@@ -101,10 +101,10 @@
 #[test]
 fn a_closed_loop_goes_on_while_some_of_its_queries_wait_for_budget() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    s.resend_budget = Some(ResendBudget {
-        free: 3.0,
-        share: 0.1,
-        span: 5 * S,
+    s.retry_budget = Some(RetryBudget {
+        min_retries: 3.0,
+        retry_ratio: 0.1,
+        window: 5 * S,
     });
     let mut b = Bench::new(s, (0..4).map(engine).collect());
     let mut out = Out::default();
@@ -113,7 +113,7 @@
     }
     // All that is out at first is lost before it began: more than the budget allows to send again.
     for _ in 0..out.out.len() {
-        out.end(&mut b, Outcome::Superseded);
+        out.end(&mut b, Outcome::NeverSent);
     }
     let mut answered = 0;
     while answered < 1000 && out.end(&mut b, Outcome::Completed) {
--- a/policy/tests/scale.rs
+++ b/policy/tests/scale.rs
@@ -46,7 +46,7 @@
                 };
                 out.push_back((id, e));
             }
-            b.event(violetgate_policy::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientDisconnected { query: id });
             b.now += 50 * MS;
             let (first, e) = out.pop_front().expect("one is always out");
             let freed = b.end_after(first, 0, e, Outcome::Completed, elapsed);
@@ -99,8 +99,12 @@
 fn sent_to_a_cold_engine(told: bool) -> (usize, f64) {
     let (gateways, fall) = (200, 2 * S);
     let mut s = many(gateways, vec![class(10 * S)]);
-    (s.cold_share, s.cold, s.fall_multiple, s.fall) =
-        (Some(0.3), Some(14 * S), Some(2.0), Some(fall));
+    (
+        s.slow_start_initial_fraction,
+        s.slow_start_window,
+        s.collapse_load_multiple,
+        s.collapse_window,
+    ) = (Some(0.3), Some(14 * S), Some(2.0), Some(fall));
     let cold = violetgate_policy::interface::Engine {
         started: Some(S),
         ..engine(0)
@@ -110,12 +114,12 @@
         ..engine(1)
     };
     let done = |query, engine, elapsed| {
-        violetgate_policy::Event::Ended(violetgate_policy::interface::Ended {
+        violetgate_policy::Event::AttemptEnded(violetgate_policy::interface::AttemptEnded {
             query,
             attempt: 0,
             engine,
             outcome: Outcome::Completed,
-            settled: true,
+            query_answered: true,
             elapsed,
             cost: told.then_some(violetgate_policy::interface::Cost {
                 work: 200 * MS,
@@ -124,7 +128,7 @@
             load: Default::default(),
         })
     };
-    let list = |scope, engines| violetgate_policy::Event::Engines { scope, engines };
+    let list = |scope, engines| violetgate_policy::Event::EngineList { scope, engines };
     let mut sends = Vec::new();
     for g in 0..u64::from(gateways) {
         let mut gateway = violetgate_policy::Gateway::new(s.clone(), g * 7919);
@@ -132,10 +136,10 @@
         // One answer of a warm engine, which then drains, tells what queries cost, if anything does.
         let first = [
             list(
-                violetgate_policy::interface::ListScope::Whole,
+                violetgate_policy::interface::ListScope::Snapshot,
                 vec![engine(1)],
             ),
-            violetgate_policy::Event::Arrived(query(1_000_000, 200 * MS)),
+            violetgate_policy::Event::QueryArrived(query(1_000_000, 200 * MS)),
             done(1_000_000, 1, 200 * MS),
             list(
                 violetgate_policy::interface::ListScope::Patch,
@@ -150,7 +154,7 @@
             actions.clear();
             gateway.handle(
                 now,
-                &[violetgate_policy::Event::Arrived(query(id, 200 * MS))],
+                &[violetgate_policy::Event::QueryArrived(query(id, 200 * MS))],
                 &mut actions,
             );
             if sent(&actions, id) == Some(0) {
@@ -159,7 +163,7 @@
             } else {
                 gateway.handle(
                     now,
-                    &[violetgate_policy::Event::ClientGone { query: id }],
+                    &[violetgate_policy::Event::ClientDisconnected { query: id }],
                     &mut actions,
                 );
             }
@@ -201,7 +205,7 @@
     s.max_attempts = Some(1);
     let mut b = Bench::new(s, (0..4).map(engine).collect());
     let lined = sent(&b.ask(query(1, S)), 1).expect("there is room");
-    b.note(1, 0, Progress::WaitsForMemory);
+    b.note(1, 0, Progress::WaitingForMemory);
     for step in 1..=30 {
         let actions = b.at(S + step * 100 * MS);
         assert!(
@@ -224,18 +228,18 @@
         vec![engine(0), engine(1)],
     );
     let first = sent(&b.ask(query(1, S)), 1).expect("there is room");
-    assert!(cancelled(&b.note(1, 0, Progress::WaitsForMemory), 1));
+    assert!(cancelled(&b.note(1, 0, Progress::WaitingForMemory), 1));
     assert_eq!(
-        sent(&b.end(1, 0, first, Outcome::Recalled), 1),
+        sent(&b.end(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
     // The last attempt is kept for faults.
-    b.note(1, 1, Progress::WaitsForMemory);
+    b.note(1, 1, Progress::WaitingForMemory);
     b.now += 2 * S;
-    let again = b.end(1, 1, 1 - first, Outcome::Recalled);
+    let again = b.end(1, 1, 1 - first, Outcome::Cancelled);
     let third = sent(&again, 1).expect("a third attempt");
     assert!(
-        !cancelled(&b.note(1, 2, Progress::WaitsForMemory), 1),
+        !cancelled(&b.note(1, 2, Progress::WaitingForMemory), 1),
         "third at {third} of four at most"
     );
 }
@@ -245,12 +249,12 @@
 #[test]
 fn scattered_estimates_give_some_far_too_much_memory_and_others_too_little() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    s.grants = true;
-    s.kinds[0].memory_mb = Some(100_000.0);
+    s.memory_grants = true;
+    s.engine_kinds[0].memory_mb = Some(100_000.0);
     let mut b = Bench::new(s, vec![engine(0)]);
     let ask = |b: &mut Bench, id, memory_mb| {
         let actions = b.ask(NewQuery {
-            memory_mb: Some(memory_mb),
+            estimated_memory_mb: Some(memory_mb),
             ..query(id, 50 * MS)
         });
         b.now += 50 * MS;
@@ -258,20 +262,20 @@
             work: 50 * MS,
             memory_mb: 100.0,
         };
-        b.event(violetgate_policy::Event::Ended(
-            violetgate_policy::interface::Ended {
+        b.event(violetgate_policy::Event::AttemptEnded(
+            violetgate_policy::interface::AttemptEnded {
                 query: id,
                 attempt: 0,
                 engine: 0,
                 outcome: Outcome::Completed,
-                settled: true,
+                query_answered: true,
                 elapsed: 50 * MS,
                 cost: Some(cost),
                 load: Default::default(),
             },
         ));
         actions.iter().find_map(|a| match a {
-            Action::Terms { memory_mb, .. } => Some(*memory_mb),
+            Action::SetResources { memory_mb, .. } => Some(*memory_mb),
             _ => None,
         })
     };
@@ -300,11 +304,11 @@
         if sent(&actions, id).is_some() {
             out.push_back(id);
         } else {
-            b.event(violetgate_policy::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientDisconnected { query: id });
             b.now += 10 * MS;
             let first = out.pop_front().expect("one is always out");
             if id < 10 {
-                b.note(first, 0, Progress::Done(f64::NAN));
+                b.note(first, 0, Progress::FractionDone(f64::NAN));
             }
             b.end(first, 0, 0, Outcome::Completed);
         }
@@ -326,9 +330,9 @@
     );
     let slow = sent(&b.ask(query(1, S)), 1).expect("there is room");
     b.now += S;
-    b.note(1, 0, Progress::Done(0.2));
-    b.event(violetgate_policy::Event::ClientGone { query: 1 });
-    b.end(1, 0, slow, Outcome::Recalled);
+    b.note(1, 0, Progress::FractionDone(0.2));
+    b.event(violetgate_policy::Event::ClientDisconnected { query: 1 });
+    b.end(1, 0, slow, Outcome::Cancelled);
     let visits = |b: &mut Bench, ids: std::ops::Range<u64>| {
         ids.filter(|id| {
             let e = sent(&b.ask(query(*id, 10 * MS)), *id).expect("there is room");
@@ -357,19 +361,19 @@
     b.now += 5 * S;
     let mut events: Vec<_> = (10..30)
         .map(|id| {
-            violetgate_policy::Event::Arrived(NewQuery {
+            violetgate_policy::Event::QueryArrived(NewQuery {
                 time_left: (id % 2) * 5 * S,
                 ..query(id, 100 * MS)
             })
         })
         .collect();
     events.extend((1..=4).zip(&at).map(|(query, engine)| {
-        violetgate_policy::Event::Ended(violetgate_policy::interface::Ended {
+        violetgate_policy::Event::AttemptEnded(violetgate_policy::interface::AttemptEnded {
             query,
             attempt: 0,
             engine: *engine,
             outcome: Outcome::Completed,
-            settled: true,
+            query_answered: true,
             elapsed: 100 * MS,
             cost: None,
             load: Default::default(),
@@ -435,7 +439,7 @@
             });
         });
         (1..=lined).for_each(|id| {
-            b.note(id, 0, Progress::WaitsForMemory);
+            b.note(id, 0, Progress::WaitingForMemory);
         });
         b.now += rest;
         (10..200)
@@ -470,12 +474,12 @@
             let e = sent(&b.ask(query(id, 100 * MS)), id).expect("somebody serves");
             b.now += 10 * MS;
             let outcome = if e < bad {
-                Outcome::Severed
+                Outcome::ConnectionLost
             } else {
                 Outcome::Completed
             };
             b.end(id, 0, e, outcome);
-            b.event(violetgate_policy::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientDisconnected { query: id });
         }
         let used = (100..160).filter_map(|id| sent(&b.ask(query(id, 100 * MS)), id));
         used.collect::<std::collections::BTreeSet<_>>()
@@ -495,7 +499,7 @@
         let mut b = Bench::new(
             settings(
                 vec![Class {
-                    aim: Some(S),
+                    latency_objective: Some(S),
                     ..class(10 * S)
                 }],
                 1.0,
@@ -506,7 +510,7 @@
             b.ask(query(id, 500 * MS));
             b.now += 3 * S;
             b.end_after(id, 0, 0, Outcome::Completed, elapsed);
-            b.event(violetgate_policy::Event::ClientGone { query: id });
+            b.event(violetgate_policy::Event::ClientDisconnected { query: id });
         }
         (100..200)
             .filter(|id| !refused(&b.ask(query(*id, 500 * MS)), *id))
--- a/policy/tests/seven_rules.rs
+++ b/policy/tests/seven_rules.rs
@@ -4,16 +4,20 @@
 
 use common::*;
 use violetgate_policy::interface::{
-    Class, DedupGroup, Effect, Engine, EngineState, NewQuery, Outcome, ResendBudget,
+    Class, DedupGroup, Engine, EngineState, Idempotency, NewQuery, Outcome, RetryBudget,
 };
 use violetgate_policy::{Action, Event};
 
-const NEVER_RAN: [Outcome; 3] = [Outcome::Saturated, Outcome::Refused, Outcome::Superseded];
+const NEVER_RAN: [Outcome; 3] = [
+    Outcome::Overloaded,
+    Outcome::ConnectionRefused,
+    Outcome::NeverSent,
+];
 const MAY_HAVE_RUN: [Outcome; 4] = [
-    Outcome::Errored,
-    Outcome::Overdue,
-    Outcome::Severed,
-    Outcome::Recalled,
+    Outcome::Error,
+    Outcome::TimedOut,
+    Outcome::ConnectionLost,
+    Outcome::Cancelled,
 ];
 
 fn draining(id: u32) -> Engine {
@@ -33,7 +37,7 @@
         let actions = if step == 0 {
             b.ask(query(1, 100 * MS))
         } else {
-            b.event(Event::Woke)
+            b.event(Event::TimerFired)
         };
         assert_eq!(sent(&actions, 1), None);
         if refused(&actions, 1) || failed(&actions, 1) {
@@ -52,9 +56,9 @@
         vec![engine(0), engine(1)],
     );
     let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
-    let actions = b.event(Event::ClientGone { query: 1 });
+    let actions = b.event(Event::ClientDisconnected { query: 1 });
     assert!(cancelled(&actions, 1) && !refused(&actions, 1) && !failed(&actions, 1));
-    assert_eq!(sent(&b.end(1, 0, e, Outcome::Errored), 1), None);
+    assert_eq!(sent(&b.end(1, 0, e, Outcome::Error), 1), None);
 }
 
 #[test]
@@ -62,7 +66,7 @@
     let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
     b.ask(query(1, 100 * MS));
     b.now = 11 * S;
-    let actions = b.end(1, 0, 0, Outcome::Overdue);
+    let actions = b.end(1, 0, 0, Outcome::TimedOut);
     assert!(refused(&actions, 1));
 }
 
@@ -70,7 +74,7 @@
 fn at_most_once_is_resent_only_when_it_never_ran() {
     for outcome in NEVER_RAN {
         let mut b = Bench::new(
-            settings(vec![with_effect(Effect::AtMostOnce)], 8.0),
+            settings(vec![with_effect(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
         let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
@@ -79,7 +83,7 @@
     }
     for outcome in MAY_HAVE_RUN {
         let mut b = Bench::new(
-            settings(vec![with_effect(Effect::AtMostOnce)], 8.0),
+            settings(vec![with_effect(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
         let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
@@ -95,7 +99,7 @@
     let c = Class {
         dedup_group: DedupGroup::Zone,
         dedup_window: Some(5 * S),
-        ..with_effect(Effect::Deduplicated)
+        ..with_effect(Idempotency::Deduplicated)
     };
     for (other_zone, wait, expect) in [(0, S, true), (1, S, false), (0, 6 * S, false)] {
         let mut b = Bench::new(settings(vec![c.clone()], 8.0), vec![zoned(0, 0)]);
@@ -103,7 +107,7 @@
         b.patch(draining(0));
         b.patch(zoned(1, other_zone));
         b.now += wait;
-        let actions = b.end(1, 0, 0, Outcome::Errored);
+        let actions = b.end(1, 0, 0, Outcome::Error);
         assert_eq!(
             sent(&actions, 1).is_some(),
             expect,
@@ -138,8 +142,8 @@
     for id in 1..6 {
         assert_eq!(sent(&b.ask(query(id, 100 * MS)), id), Some(1));
     }
-    b.event(Event::Engines {
-        scope: violetgate_policy::interface::ListScope::Whole,
+    b.event(Event::EngineList {
+        scope: violetgate_policy::interface::ListScope::Snapshot,
         engines: vec![engine(0)],
     });
     assert_eq!(
@@ -152,8 +156,12 @@
 #[test]
 fn a_cold_engine_gets_no_more_than_its_part_in_any_span() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    (s.gateways, s.cold_share, s.cold) = (Some(2), Some(0.25), Some(10 * S));
-    (s.fall_multiple, s.fall) = (Some(2.0), Some(S));
+    (
+        s.gateways,
+        s.slow_start_initial_fraction,
+        s.slow_start_window,
+    ) = (Some(2), Some(0.25), Some(10 * S));
+    (s.collapse_load_multiple, s.collapse_window) = (Some(2.0), Some(S));
     let cold = Engine {
         started: Some(S),
         ..engine(0)
@@ -177,15 +185,15 @@
 fn one_key_runs_one_at_a_time_in_order_and_rests() {
     let mut s = settings(
         vec![Class {
-            by_arrival: true,
+            ordered_by_key: true,
             ..class(10 * S)
         }],
         8.0,
     );
-    s.turn_gap = Some(2 * S);
+    s.key_release_delay = Some(2 * S);
     let mut b = Bench::new(s, vec![engine(0), engine(1)]);
     let keyed = |id, key| NewQuery {
-        key: Some(key),
+        ordering_key: Some(key),
         ..query(id, 100 * MS)
     };
     let e = sent(&b.ask(keyed(1, 5)), 1).expect("first in turn");
@@ -198,9 +206,9 @@
     // The second breaks off and gives up: the key rests before the third of it.
     b.ask(keyed(4, 5));
     b.now += S;
-    b.event(Event::ClientGone { query: 2 });
-    let actions = b.end(2, 0, 0, Outcome::Recalled);
-    let actions = [actions, b.end(2, 0, 1, Outcome::Recalled)].concat();
+    b.event(Event::ClientDisconnected { query: 2 });
+    let actions = b.end(2, 0, 0, Outcome::Cancelled);
+    let actions = [actions, b.end(2, 0, 1, Outcome::Cancelled)].concat();
     assert_eq!(sent(&actions, 4), None);
     let rested = b.now + 2 * S;
     assert_eq!(sent(&b.at(rested - MS), 4), None);
@@ -210,7 +218,7 @@
 #[test]
 fn a_bound_class_stays_within_its_zones_even_when_they_are_down() {
     let c = Class {
-        only_zones: Some(vec![1]),
+        allowed_zones: Some(vec![1]),
         ..class(10 * S)
     };
     let mut b = Bench::new(
@@ -224,7 +232,7 @@
         ],
     );
     assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(1));
-    assert_eq!(sent(&b.end(1, 0, 1, Outcome::Refused), 1), None);
+    assert_eq!(sent(&b.end(1, 0, 1, Outcome::ConnectionRefused), 1), None);
     b.patch(Engine {
         zone: 1,
         ..draining(1)
@@ -241,10 +249,10 @@
 #[test]
 fn further_attempts_stay_within_the_budget_at_its_edge() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    s.resend_budget = Some(ResendBudget {
-        free: 1.0,
-        share: 0.1,
-        span: 5 * S,
+    s.retry_budget = Some(RetryBudget {
+        min_retries: 1.0,
+        retry_ratio: 0.1,
+        window: 5 * S,
     });
     let mut b = Bench::new(s, (0..40).map(engine).collect());
     let mut at = Vec::new();
@@ -253,7 +261,7 @@
     }
     let mut resent = 0;
     for (i, e) in at.iter().enumerate() {
-        let actions = b.end(i as u64 + 1, 0, *e, Outcome::Saturated);
+        let actions = b.end(i as u64 + 1, 0, *e, Outcome::Overloaded);
         resent += actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
--- a/policy/tests/symptoms.rs
+++ b/policy/tests/symptoms.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use violetgate_policy::interface::{Class, Effect, Engine, NewQuery, Outcome, Progress};
+use violetgate_policy::interface::{Class, Engine, Idempotency, NewQuery, Outcome, Progress};
 use violetgate_policy::Event;
 
 /// Found with eleven gateways: each held one report at every engine and its look-ups waited seconds for it.
@@ -57,10 +57,10 @@
     let (mut answered, mut id) = (None, 100);
     for step in 1..2_300 {
         b.now = S + step * MS;
-        let mut actions = b.event(Event::Woke);
+        let mut actions = b.event(Event::TimerFired);
         if step % 10 == 0 && id < 130 {
             actions.extend(b.ask(query(id, 9 * S)));
-            actions.extend(b.event(Event::ClientGone { query: id }));
+            actions.extend(b.event(Event::ClientDisconnected { query: id }));
             id += 1;
         }
         if refused(&actions, 3) {
@@ -77,7 +77,7 @@
     let room = |aim| {
         let mut s = settings(
             vec![Class {
-                aim: Some(aim),
+                latency_objective: Some(aim),
                 ..class(10 * S)
             }],
             8.0,
@@ -91,7 +91,7 @@
             while out.len() < 30 {
                 id += 1;
                 if sent(&b.ask(query(id, S)), id).is_none() {
-                    b.event(Event::ClientGone { query: id });
+                    b.event(Event::ClientDisconnected { query: id });
                     break;
                 }
                 out.push_back(id);
@@ -106,7 +106,11 @@
                 S,
             );
             for id in out.clone() {
-                b.note(id, 0, violetgate_policy::interface::Progress::Done(0.9));
+                b.note(
+                    id,
+                    0,
+                    violetgate_policy::interface::Progress::FractionDone(0.9),
+                );
                 b.now += MS;
             }
         }
@@ -122,8 +126,8 @@
 /// A class whose late answers earn nothing.
 fn worthless_when_late() -> Class {
     Class {
-        aim: Some(2 * S),
-        late_worth: Some(0.0),
+        latency_objective: Some(2 * S),
+        late_weight_fraction: Some(0.0),
         ..class(10 * S)
     }
 }
@@ -135,7 +139,7 @@
     let mut b = Bench::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
     b.now += 60 * S;
     let repeat = |id, time_left| NewQuery {
-        repeat: true,
+        is_client_retry: true,
         time_left,
         ..query(id, 100 * MS)
     };
@@ -157,9 +161,9 @@
         "a first try has all its time"
     );
     // Recovery: with room for all, a late repeat is served at once.
-    b.event(Event::ClientGone { query: 3 });
-    b.event(Event::ClientGone { query: 11 });
-    b.event(Event::ClientGone { query: 12 });
+    b.event(Event::ClientDisconnected { query: 3 });
+    b.event(Event::ClientDisconnected { query: 11 });
+    b.event(Event::ClientDisconnected { query: 12 });
     out.iter().for_each(|id| {
         b.end(*id, 0, 0, Outcome::Completed);
     });
@@ -180,7 +184,7 @@
             b.ask(query(id, 500 * MS));
         });
         b.now += S;
-        let actions = b.note(1, 0, Progress::Done(share));
+        let actions = b.note(1, 0, Progress::FractionDone(share));
         assert!(
             cancelled(&actions, 1) || !refused(&actions, 1),
             "what is answered is withdrawn"
@@ -207,7 +211,7 @@
             b.ask(query(id, 500 * MS));
         });
         b.now += 1_700 * MS;
-        b.event(Event::Woke)
+        b.event(Event::TimerFired)
     };
     assert!(refused(&after_silence(true), 1));
     let alone = after_silence(false);
@@ -223,12 +227,12 @@
     let answered_at_its_aim = |held: bool| {
         let mut s = settings(vec![worthless_when_late()], 1.0);
         s.max_attempts = Some(1);
-        s.note_period = Some(10 * S);
+        s.progress_period = Some(10 * S);
         let mut b = Bench::new(s, vec![engine(0), engine(1)]);
         (1..=if held { 5 } else { 1 }).for_each(|id| {
             b.ask(query(id, 500 * MS));
         });
-        b.note(1, 0, Progress::WaitsForMemory);
+        b.note(1, 0, Progress::WaitingForMemory);
         let mut at = b.now;
         while !refused(&b.at(at), 1) && at < 9 * S {
             at += 100 * MS;
@@ -251,10 +255,10 @@
     });
     b.now += S;
     let after = b
-        .note(1, 0, Progress::Done(0.1))
+        .note(1, 0, Progress::FractionDone(0.1))
         .into_iter()
         .find_map(|a| match a {
-            violetgate_policy::Action::Refuse {
+            violetgate_policy::Action::Reject {
                 query: 1,
                 retry_after,
             } => Some(retry_after),
@@ -272,13 +276,13 @@
     type Lack = fn(&mut violetgate_policy::Settings);
     let lacks: [(&str, Lack); 8] = [
         ("gateways", |s| s.gateways = None),
-        ("notes", |s| s.note_period = None),
+        ("notes", |s| s.progress_period = None),
         ("cancel", |s| s.can_cancel = false),
         ("retry-after", |s| s.max_retry_after = None),
         ("attempts", |s| s.max_attempts = None),
-        ("cores", |s| s.kinds.clear()),
+        ("cores", |s| s.engine_kinds.clear()),
         ("aim and deadline", |s| {
-            (s.classes[0].aim, s.classes[0].deadline) = (None, None)
+            (s.classes[0].latency_objective, s.classes[0].deadline) = (None, None)
         }),
         ("classes", |s| s.classes.clear()),
     ];
@@ -288,7 +292,7 @@
             take(&mut s);
             let mut b = Bench::new(s, vec![engine(0), engine(1)]);
             let ask = |id| NewQuery {
-                work: estimates.then_some(500 * MS),
+                estimated_work: estimates.then_some(500 * MS),
                 ..query(id, 0)
             };
             let first: Vec<_> = (1..=40).map(|id| (id, b.ask(ask(id)))).collect();
@@ -301,7 +305,7 @@
             // Answers come one by one; what is freed goes to what is held, or that is given up in time.
             for _ in 0..400 {
                 b.now += 50 * MS;
-                let mut actions = b.event(Event::Woke);
+                let mut actions = b.event(Event::TimerFired);
                 if let Some((id, at)) = out.pop_first() {
                     actions.extend(b.end(id, 0, at, Outcome::Completed));
                     ended += 1;
@@ -330,10 +334,9 @@
     );
     for id in 1..=30 {
         let first = sent(&b.ask(query(id, 100 * MS)), id).expect("there is room");
-        let second =
-            sent(&b.end(id, 0, first, Outcome::Errored), id).expect("it may be the engine");
+        let second = sent(&b.end(id, 0, first, Outcome::Error), id).expect("it may be the engine");
         assert!(first != second);
-        let actions = b.end(id, 1, second, Outcome::Errored);
+        let actions = b.end(id, 1, second, Outcome::Error);
         assert!(
             refused(&actions, id) && sent(&actions, id).is_none(),
             "it is the query"
@@ -361,7 +364,7 @@
         b.now += 10 * MS;
         if first == 0 {
             erred += 1;
-            let second = sent(&b.end(id, 0, first, Outcome::Errored), id).expect("goes elsewhere");
+            let second = sent(&b.end(id, 0, first, Outcome::Error), id).expect("goes elsewhere");
             b.end(id, 1, second, Outcome::Completed);
         } else {
             b.end(id, 0, first, Outcome::Completed);
@@ -375,7 +378,7 @@
 #[test]
 fn a_class_shuns_engines_that_lose_it() {
     let mut s = settings(vec![class(10 * S), class(10 * S)], 8.0);
-    s.note_period = None;
+    s.progress_period = None;
     let mut b = Bench::new(s, (0..4).map(engine).collect());
     let (mut lost, mut others) = (0, 0);
     for id in 1..=200 {
@@ -407,13 +410,13 @@
             out.iter()
                 .for_each(|(other, at)| drop(b.end(*other, 0, *at, Outcome::Completed)));
             let actions = b.at(b.now + 2 * S);
-            let next = sent(&b.end(id, 0, engine, Outcome::Recalled), id);
+            let next = sent(&b.end(id, 0, engine, Outcome::Cancelled), id);
             assert!(
                 cancelled(&actions, id) && next.is_some_and(|e| e != engine),
                 "it moves on"
             );
-            b.event(Event::ClientGone { query: id });
-            b.end(id, 1, next.expect("it was sent"), Outcome::Recalled);
+            b.event(Event::ClientDisconnected { query: id });
+            b.end(id, 1, next.expect("it was sent"), Outcome::Cancelled);
         } else {
             others += u32::from(slot == 1 && engine < 2);
             b.end(id, 0, engine, Outcome::Completed);
@@ -439,8 +442,8 @@
             .filter(|e| *e == first)
             .count()
     };
-    assert!(sent_to_first(Outcome::Severed) >= 3);
-    assert_eq!(sent_to_first(Outcome::Refused), 0);
+    assert!(sent_to_first(Outcome::ConnectionLost) >= 3);
+    assert_eq!(sent_to_first(Outcome::ConnectionRefused), 0);
 }
 
 /// Found on sockets and on days with deploys: the first engine whose bound widened had the most free threads
@@ -457,7 +460,7 @@
                 id += 1;
                 let place = sent(&b.ask(query(id, 100 * MS)), id);
                 if place.is_none() {
-                    b.event(Event::ClientGone { query: id });
+                    b.event(Event::ClientDisconnected { query: id });
                 }
                 Some((id, place?))
             })
@@ -482,7 +485,7 @@
 #[test]
 fn a_cold_engine_holds_more_than_its_warmth() {
     let mut s = settings(vec![class(10 * S)], 8.0);
-    (s.cold_share, s.cold) = (Some(0.25), Some(10 * S));
+    (s.slow_start_initial_fraction, s.slow_start_window) = (Some(0.25), Some(10 * S));
     let mut b = Bench::new(
         s,
         vec![Engine {
@@ -516,7 +519,7 @@
             continue;
         }
         tried.push(b.now);
-        let again = sent(&b.end(id, 0, 0, Outcome::Refused), id);
+        let again = sent(&b.end(id, 0, 0, Outcome::ConnectionRefused), id);
         again
             .into_iter()
             .for_each(|e| drop(b.end(id, 1, e, Outcome::Completed)));
@@ -532,32 +535,37 @@
 /// nobody before the new query, which nothing woke until its time was nearly over.
 #[test]
 fn a_query_that_finds_its_key_at_rest_is_woken_when_the_rest_ends() {
-    let effect = Effect::Deduplicated;
+    let effect = Idempotency::Deduplicated;
     let keyed = Class {
-        by_arrival: true,
-        effect,
+        ordered_by_key: true,
+        idempotency: effect,
         dedup_window: Some(12 * S),
         ..class(10 * S)
     };
     let mut s = settings(vec![keyed], 8.0);
-    s.turn_gap = Some(300 * MS);
+    s.key_release_delay = Some(300 * MS);
     let mut b = Bench::new(s, vec![engine(0), engine(1)]);
     let load = |id| NewQuery {
-        key: Some(5),
+        ordering_key: Some(5),
         ..query(id, 500 * MS)
     };
     let at = sent(&b.ask(load(1)), 1).expect("sent at once");
-    assert!(cancelled(&b.event(Event::ClientGone { query: 1 }), 1));
-    b.event(Event::Ended(violetgate_policy::interface::Ended {
-        query: 1,
-        attempt: 0,
-        engine: at,
-        outcome: Outcome::Recalled,
-        settled: true,
-        elapsed: 100 * MS,
-        cost: None,
-        load: Default::default(),
-    }));
+    assert!(cancelled(
+        &b.event(Event::ClientDisconnected { query: 1 }),
+        1
+    ));
+    b.event(Event::AttemptEnded(
+        violetgate_policy::interface::AttemptEnded {
+            query: 1,
+            attempt: 0,
+            engine: at,
+            outcome: Outcome::Cancelled,
+            query_answered: true,
+            elapsed: 100 * MS,
+            cost: None,
+            load: Default::default(),
+        },
+    ));
     b.now += 100 * MS;
     assert!(sent(&b.ask(load(2)), 2).is_none(), "the key rests");
     assert!(sent(&b.at(S + 299 * MS), 2).is_none(), "and still does");
--- a/policy/tests/trace/digest.rs
+++ b/policy/tests/trace/digest.rs
@@ -25,7 +25,7 @@
 
     pub fn action(&mut self, now: Micros, action: &Action) {
         let words = match *action {
-            Action::Terms {
+            Action::SetResources {
                 query,
                 memory_mb,
                 priority,
@@ -36,10 +36,10 @@
                 timeout,
             } => [now, 2, query, u64::from(engine), timeout],
             Action::Cancel { query, attempt } => [now, 3, query, u64::from(attempt), 0],
-            Action::Refuse { query, retry_after } => [now, 4, query, retry_after, 0],
+            Action::Reject { query, retry_after } => [now, 4, query, retry_after, 0],
             Action::Fail { query } => [now, 5, query, 0, 0],
-            Action::Wake { at } => [now, 6, at, 0, 0],
-            Action::Follow => [now, 7, 0, 0, 0],
+            Action::SetTimer { at } => [now, 6, at, 0, 0],
+            Action::SubscribeEngineList => [now, 7, 0, 0, 0],
         };
         self.words(&words);
     }
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -1,8 +1,8 @@
 //! What is drawn: queries, how their attempts go, and what happens to the engines.
 
 use violetgate_policy::interface::{
-    Cost, Ended, Engine, EngineId, EngineState, ListScope, Load, Micros, NewQuery, Outcome,
-    Progress, QueryId,
+    AttemptEnded, Cost, Engine, EngineId, EngineState, ListScope, LoadReport, Micros, NewQuery,
+    Outcome, Progress, QueryId,
 };
 use violetgate_policy::Event;
 
@@ -66,13 +66,13 @@
             id,
             class,
             tenant: (id % 4) as u32,
-            work: (!self.one_in(4)).then_some(estimate),
-            memory_mb: (!self.one_in(3))
+            estimated_work: (!self.one_in(4)).then_some(estimate),
+            estimated_memory_mb: (!self.one_in(3))
                 .then_some(memory_mb * (50 + self.draw(100)) as f64 / 100.0),
             time_left,
-            tables: (!self.one_in(3)).then(|| self.draw(6)),
-            key: (!self.one_in(3)).then(|| self.draw(12)),
-            repeat,
+            table_group: (!self.one_in(3)).then(|| self.draw(6)),
+            ordering_key: (!self.one_in(3)).then(|| self.draw(12)),
+            is_client_retry: repeat,
         };
         if self.one_in(25) {
             let wait = self.draw(2 * S);
@@ -89,7 +89,7 @@
             finished: false,
         };
         self.asked.insert(id, kept);
-        Event::Arrived(asked)
+        Event::QueryArrived(asked)
     }
 
     pub(super) fn send(&mut self, query: QueryId, engine: EngineId) {
@@ -113,13 +113,13 @@
         let silent = fault == Fault::Silent || fault == Fault::DropsClass(class);
         let unlucky = self.draw(100);
         let (wait, outcome) = match fault {
-            Fault::Errs => (MS + self.draw(3 * MS), Outcome::Errored),
-            Fault::RefusesConnections => (200 + self.draw(MS), Outcome::Refused),
-            Fault::Full => (300 + self.draw(MS), Outcome::Saturated),
-            _ if silent || run >= time_out => (time_out, Outcome::Overdue),
-            _ if unlucky == 0 => (run / 2 + 1, Outcome::Errored),
-            _ if unlucky == 1 => (run / 3 + 1, Outcome::Severed),
-            _ if unlucky == 2 => (50, Outcome::Superseded),
+            Fault::Errs => (MS + self.draw(3 * MS), Outcome::Error),
+            Fault::RefusesConnections => (200 + self.draw(MS), Outcome::ConnectionRefused),
+            Fault::Full => (300 + self.draw(MS), Outcome::Overloaded),
+            _ if silent || run >= time_out => (time_out, Outcome::TimedOut),
+            _ if unlucky == 0 => (run / 2 + 1, Outcome::Error),
+            _ if unlucky == 1 => (run / 3 + 1, Outcome::ConnectionLost),
+            _ if unlucky == 2 => (50, Outcome::NeverSent),
             _ => (run, Outcome::Completed),
         };
         let end = Due::End {
@@ -135,14 +135,14 @@
 
     /// Notes of progress, lines for memory and loads, spills, the begin of a stream.
     fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, lacks: f64) {
-        if self.scenario.settings.note_period.is_some() {
+        if self.scenario.settings.progress_period.is_some() {
             for part in 1..4 {
                 let progress = match self.draw(24) {
-                    0 => Progress::WaitsForMemory,
-                    1 => Progress::WaitsForLoad,
-                    2 => Progress::Done(0.01),
-                    3 if lacks > 0.0 => Progress::Spills(lacks),
-                    _ => Progress::Done(part as f64 / 4.0),
+                    0 => Progress::WaitingForMemory,
+                    1 => Progress::WaitingForBulkLoad,
+                    2 => Progress::FractionDone(0.01),
+                    3 if lacks > 0.0 => Progress::Spilling(lacks),
+                    _ => Progress::FractionDone(part as f64 / 4.0),
                 };
                 let note = Due::Progress {
                     query,
@@ -172,29 +172,29 @@
         let elapsed = self.now - sent;
         let cost = (settled && self.scenario.tells_cost).then_some(Cost { work, memory_mb });
         let load = self.load(engine);
-        Some(Event::Ended(Ended {
+        Some(Event::AttemptEnded(AttemptEnded {
             query,
             attempt,
             engine,
             outcome,
-            settled,
+            query_answered: settled,
             elapsed,
             cost,
             load,
         }))
     }
 
-    fn load(&mut self, engine: EngineId) -> Load {
+    fn load(&mut self, engine: EngineId) -> LoadReport {
         if !self.scenario.reports || self.one_in(4) {
-            return Load::default();
+            return LoadReport::default();
         }
         let out = self.engines[engine as usize].out;
         let busy = (self.draw(50) as f64 + 12.0 * f64::from(out)) / 100.0;
-        Load {
-            utilisation: Some(busy),
-            disks: self.one_in(3).then_some(busy * 0.9),
-            memory: Some(0.5),
-            waiting: None,
+        LoadReport {
+            cpu_utilisation: Some(busy),
+            disk_utilisation: self.one_in(3).then_some(busy * 0.9),
+            memory_utilisation: Some(0.5),
+            memory_queue_length: None,
         }
     }
 
@@ -207,22 +207,25 @@
             0..=3 => self.strike(engine),
             4 => Event::Cordon {
                 engine,
-                out: !self.one_in(4),
+                cordoned: !self.one_in(4),
             },
-            5 => Event::Cordon { engine, out: false },
-            6 => Event::Fleet {
+            5 => Event::Cordon {
+                engine,
+                cordoned: false,
+            },
+            6 => Event::FleetSize {
                 gateways: (self.scenario.settings.gateways.unwrap_or(1) as u64 + self.draw(3))
                     as u32,
             },
-            7 => self.list(ListScope::Stale),
-            8 => self.list(ListScope::Broken),
-            9 => self.list(ListScope::Whole),
+            7 => self.list(ListScope::StaleSnapshot),
+            8 => self.list(ListScope::WatchFailed),
+            9 => self.list(ListScope::Snapshot),
             10 => {
                 let load = self.load(engine);
                 let answered = self.engines[engine as usize].fault != Fault::Silent;
-                Event::Probed {
+                Event::HealthChecked {
                     engine,
-                    answered,
+                    passed: answered,
                     load,
                 }
             }
@@ -246,14 +249,14 @@
         for machine in self.engines.iter_mut().skip(first).step_by(step) {
             machine.fault = fault;
         }
-        Event::Woke
+        Event::TimerFired
     }
 
     /// What the list says; a patch changes one engine.
     pub(super) fn list(&mut self, scope: ListScope) -> Event {
         let mut engines = Vec::new();
         match scope {
-            ListScope::Whole | ListScope::Stale => {
+            ListScope::Snapshot | ListScope::StaleSnapshot => {
                 // One that is left out is gone.
                 let left_out = self.draw(20 * u64::from(self.scenario.engines));
                 let kept = |m: &&Machine| u64::from(m.line.id) != left_out;
@@ -272,8 +275,8 @@
                 line.started = restarted.or(line.started);
                 engines.push(*line);
             }
-            ListScope::Broken => {}
+            ListScope::WatchFailed => {}
         }
-        Event::Engines { scope, engines }
+        Event::EngineList { scope, engines }
     }
 }
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -11,7 +11,7 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use violetgate_policy::interface::{EngineId, ListScope, Micros, Outcome, Progress, QueryId};
-use violetgate_policy::{Action, Event, Gateway, Settings};
+use violetgate_policy::{Action, EngineCounts, Event, Gateway, Settings};
 
 pub use digest::Digest;
 
@@ -135,7 +135,7 @@
             seen: Seen::default(),
             scenario,
         };
-        world.later(0, Due::List(ListScope::Whole));
+        world.later(0, Due::List(ListScope::Snapshot));
         world.later(1, Due::Arrive);
         world.later(50 * MS, Due::Disturb);
         world
@@ -176,7 +176,7 @@
             self.carry_out(action);
         }
         if self.one_in(16) {
-            let (listed, avoided) = self.gateway.listed();
+            let EngineCounts { listed, avoided } = self.gateway.engine_counts();
             self.digest.words(&[listed as u64, avoided as u64]);
             self.seen.most_avoided = self.seen.most_avoided.max(avoided);
         }
@@ -184,7 +184,7 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Terms {
+            Action::SetResources {
                 query, memory_mb, ..
             } => {
                 self.seen.terms += 1;
@@ -196,7 +196,7 @@
             Action::Cancel { query, attempt } => {
                 self.seen.cancels += 1;
                 let wait = 100 + self.draw(5 * MS);
-                let outcome = Outcome::Recalled;
+                let outcome = Outcome::Cancelled;
                 self.later(
                     wait,
                     Due::End {
@@ -206,7 +206,7 @@
                     },
                 );
             }
-            Action::Refuse { query, retry_after } => {
+            Action::Reject { query, retry_after } => {
                 self.seen.refusals += 1;
                 self.answered(query);
                 // Some clients come back.
@@ -218,13 +218,13 @@
                 self.seen.failures += 1;
                 self.answered(query);
             }
-            Action::Wake { at } => {
+            Action::SetTimer { at } => {
                 self.seen.wakes += 1;
                 self.later(at.saturating_sub(self.now), Due::Timer);
             }
-            Action::Follow => {
+            Action::SubscribeEngineList => {
                 self.seen.follows += 1;
-                self.later(20 * MS, Due::List(ListScope::Whole));
+                self.later(20 * MS, Due::List(ListScope::Snapshot));
             }
         }
     }
@@ -255,25 +255,25 @@
                 query,
                 attempt,
                 progress,
-            } => self.is_out(query, attempt).then_some(Event::Note {
+            } => self.is_out(query, attempt).then_some(Event::Progress {
                 query,
                 attempt,
                 progress,
             }),
             Due::Streams(query) => {
                 let asked = self.asked.get(&query)?;
-                (!asked.finished && asked.out.is_some()).then_some(Event::Started { query })
+                (!asked.finished && asked.out.is_some()).then_some(Event::ResponseStarted { query })
             }
             Due::ClientGone(query) => {
                 if self.asked.get(&query)?.finished {
                     return None;
                 }
                 self.answered(query);
-                Some(Event::ClientGone { query })
+                Some(Event::ClientDisconnected { query })
             }
             Due::Disturb => Some(self.disturb()),
             Due::List(scope) => Some(self.list(scope)),
-            Due::Timer => Some(Event::Woke),
+            Due::Timer => Some(Event::TimerFired),
         }
     }
 
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -1,16 +1,16 @@
 //! The scenarios: settings of both kinds, few and many engines.
 
-use violetgate_policy::interface::{Class, DedupGroup, Effect, Kind, ResendBudget};
+use violetgate_policy::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget};
 use violetgate_policy::Settings;
 
 use super::{Scenario, MS, S};
 
-fn class(effect: Effect) -> Class {
+fn class(idempotency: Idempotency) -> Class {
     Class {
         deadline: Some(10 * S),
-        aim: Some(2 * S),
-        late_worth: Some(0.8),
-        effect,
+        latency_objective: Some(2 * S),
+        late_weight_fraction: Some(0.8),
+        idempotency,
         threads: Some(1.0),
         ..Class::default()
     }
@@ -19,40 +19,40 @@
 /// Classes of each effect, bound and unbound, in order by key, loads and those that wait for them.
 fn classes() -> Vec<Class> {
     let short = Class {
-        aim: Some(600 * MS),
-        worth: Some(4.0),
-        late_worth: Some(0.1),
-        ..class(Effect::Idempotent)
+        latency_objective: Some(600 * MS),
+        priority_weight: Some(4.0),
+        late_weight_fraction: Some(0.1),
+        ..class(Idempotency::Idempotent)
     };
     let long = Class {
-        aim_stretch: Some(2.0),
+        objective_stretch: Some(2.0),
         threads: Some(4.0),
-        waits_for_loads: true,
-        ..class(Effect::Idempotent)
+        waits_for_bulk_loads: true,
+        ..class(Idempotency::Idempotent)
     };
     let deduplicated = |dedup_group, window| Class {
         dedup_group,
         dedup_window: Some(window),
-        ..class(Effect::Deduplicated)
+        ..class(Idempotency::Deduplicated)
     };
     let by_key = Class {
-        by_arrival: true,
+        ordered_by_key: true,
         ..deduplicated(DedupGroup::Zone, 3 * S)
     };
     let load = Class {
-        is_load: true,
+        is_bulk_load: true,
         threads: Some(2.0),
-        ..class(Effect::Idempotent)
+        ..class(Idempotency::Idempotent)
     };
     let bound = Class {
-        only_zones: Some(vec![0, 1]),
-        only_kinds: Some(vec![0]),
+        allowed_zones: Some(vec![0, 1]),
+        allowed_kinds: Some(vec![0]),
         ..short.clone()
     };
     vec![
         short,
         long,
-        class(Effect::AtMostOnce),
+        class(Idempotency::AtMostOnce),
         deduplicated(DedupGroup::All, 4 * S),
         by_key,
         load,
@@ -61,8 +61,8 @@
     ]
 }
 
-fn kinds() -> Vec<Kind> {
-    let kind = |cores, memory_mb| Kind {
+fn kinds() -> Vec<EngineKind> {
+    let kind = |cores, memory_mb| EngineKind {
         cores: Some(cores),
         memory_mb: Some(memory_mb),
     };
@@ -75,28 +75,28 @@
         gateways: Some(gateways),
         zone: Some(1),
         classes: classes(),
-        kinds: kinds(),
+        engine_kinds: kinds(),
         tenant_quota_per_s: vec![Some(20.0), None],
-        over_share_worth: Some(0.5),
+        over_quota_weight: Some(0.5),
         can_cancel: true,
-        can_probe: true,
-        reports_by_probe: false,
+        can_health_check: true,
+        reports_by_health_check: false,
         reports_utilisation: true,
         max_attempts: Some(4),
-        second_copies: false,
+        hedged_requests: false,
         max_retry_after: Some(3 * S),
-        grants: true,
-        most_grant: Some(0.6),
+        memory_grants: true,
+        max_grant_fraction: Some(0.6),
         priorities: true,
-        note_period: Some(400 * MS),
-        grace_to_answer: Some(20 * MS),
-        cold_share: Some(0.2),
-        cold: Some(5 * S),
-        fall_multiple: Some(1.5),
-        fall: Some(S),
-        turn_gap: Some(300 * MS),
-        resend_budget: Some(budget()),
-        list_on_request: true,
+        progress_period: Some(400 * MS),
+        answer_grace: Some(20 * MS),
+        slow_start_initial_fraction: Some(0.2),
+        slow_start_window: Some(5 * S),
+        collapse_load_multiple: Some(1.5),
+        collapse_window: Some(S),
+        key_release_delay: Some(300 * MS),
+        retry_budget: Some(budget()),
+        list_needs_subscription: true,
     }
 }
 
@@ -105,16 +105,16 @@
     Settings {
         gateways,
         classes: classes(),
-        kinds: kinds(),
+        engine_kinds: kinds(),
         ..Settings::default()
     }
 }
 
-fn budget() -> ResendBudget {
-    ResendBudget {
-        free: 4.0,
-        share: 0.3,
-        span: 2 * S,
+fn budget() -> RetryBudget {
+    RetryBudget {
+        min_retries: 4.0,
+        retry_ratio: 0.3,
+        window: 2 * S,
     }
 }
 
@@ -143,7 +143,7 @@
 /// All scenarios, each with its name.
 pub fn all() -> Vec<(&'static str, Scenario)> {
     let without_notes = |settings| Settings {
-        note_period: None,
+        progress_period: None,
         ..settings
     };
     let without_reports = |settings| Settings {
@@ -156,7 +156,7 @@
         ..settings
     };
     let unlimited = Settings {
-        resend_budget: None,
+        retry_budget: None,
         zone: None,
         ..rich(2)
     };
--- a/tools/acceptance/src/cold.rs
+++ b/tools/acceptance/src/cold.rs
@@ -1,8 +1,8 @@
 //! Many gateways before one cold engine, in injected time: what each decides alone, summed. It must never decide anything.
 
 use violetgate_policy::interface::{
-    Class, Cost, Ended, Engine, EngineId, EngineState, Kind, ListScope, Load, Micros, NewQuery,
-    Outcome, QueryId,
+    AttemptEnded, Class, Cost, Engine, EngineId, EngineKind, EngineState, ListScope, LoadReport,
+    Micros, NewQuery, Outcome, QueryId,
 };
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
@@ -24,25 +24,25 @@
 fn settings(gateways: u32, cores: f64) -> Settings {
     let class = Class {
         deadline: Some(10 * S),
-        aim: Some(10 * S),
-        late_worth: Some(1.0),
+        latency_objective: Some(10 * S),
+        late_weight_fraction: Some(1.0),
         ..Class::default()
     };
     Settings {
         gateways: Some(gateways),
         classes: vec![class],
-        kinds: vec![Kind {
+        engine_kinds: vec![EngineKind {
             cores: Some(cores),
             memory_mb: None,
         }],
         can_cancel: true,
         max_attempts: Some(4),
-        note_period: Some(S),
-        grace_to_answer: Some(20_000),
-        cold_share: Some(0.3),
-        cold: Some(COLD),
-        fall_multiple: Some(2.0),
-        fall: Some(FALL),
+        progress_period: Some(S),
+        answer_grace: Some(20_000),
+        slow_start_initial_fraction: Some(0.3),
+        slow_start_window: Some(COLD),
+        collapse_load_multiple: Some(2.0),
+        collapse_window: Some(FALL),
         ..Settings::default()
     }
 }
@@ -59,9 +59,9 @@
 }
 
 fn ask(id: QueryId) -> Event {
-    Event::Arrived(NewQuery {
+    Event::QueryArrived(NewQuery {
         id,
-        work: Some(WORK),
+        estimated_work: Some(WORK),
         time_left: 10 * S,
         ..NewQuery::default()
     })
@@ -72,13 +72,13 @@
         work: WORK,
         memory_mb: 0.0,
     });
-    let (outcome, load) = (Outcome::Completed, Load::default());
-    Event::Ended(Ended {
+    let (outcome, load) = (Outcome::Completed, LoadReport::default());
+    Event::AttemptEnded(AttemptEnded {
         query,
         attempt: 0,
         engine,
         outcome,
-        settled: true,
+        query_answered: true,
         elapsed,
         cost,
         load,
@@ -89,7 +89,7 @@
 /// seconds: when each was sent, counted from the engine's start, in order.
 #[must_use]
 pub fn sent_by(gateways: u32, cores: f64, seed: u64) -> Vec<Micros> {
-    let list = |scope, engine| Event::Engines {
+    let list = |scope, engine| Event::EngineList {
         scope,
         engines: vec![engine],
     };
@@ -98,7 +98,7 @@
         let mut gateway = Gateway::new(settings(gateways, cores), seed * 100_003 + g * 7_919);
         // One answer of a warm engine, which then drains, tells what queries cost.
         let first = [
-            list(ListScope::Whole, engine(1, EngineState::Ready, None)),
+            list(ListScope::Snapshot, engine(1, EngineState::Ready, None)),
             ask(1_000_000),
             done(1_000_000, 1, WORK),
             list(ListScope::Patch, engine(1, EngineState::Draining, None)),
@@ -115,7 +115,11 @@
                     .iter()
                     .any(|a| matches!(a, Action::Send { query, engine: 0, .. } if *query == id))
                 {
-                    gateway.handle(now, &[Event::ClientGone { query: id }], &mut Vec::new());
+                    gateway.handle(
+                        now,
+                        &[Event::ClientDisconnected { query: id }],
+                        &mut Vec::new(),
+                    );
                     break;
                 }
                 sends.push(now - S);
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -4,7 +4,8 @@
 use std::collections::VecDeque;
 
 use violetgate_policy::interface::{
-    Cost, Ended, Engine, EngineId, EngineState, ListScope, Load, Micros, NewQuery, Outcome, QueryId,
+    AttemptEnded, Cost, Engine, EngineId, EngineState, ListScope, LoadReport, Micros, NewQuery,
+    Outcome, QueryId,
 };
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
@@ -117,7 +118,7 @@
         self.now += GAP;
         if self.wake.is_some_and(|at| at <= self.now) {
             self.wake = None;
-            self.handle(Event::Woke);
+            self.handle(Event::TimerFired);
         }
         self.next += 1;
         let class = u32::from(self.next % REPORT_EVERY == 0);
@@ -125,11 +126,11 @@
         let query = NewQuery {
             id: self.next,
             class,
-            work: Some(work),
+            estimated_work: Some(work),
             time_left: TIME_LEFT,
             ..NewQuery::default()
         };
-        self.handle(Event::Arrived(query));
+        self.handle(Event::QueryArrived(query));
         while self.out.len() >= self.most_out {
             self.answer_oldest();
         }
@@ -140,18 +141,18 @@
             return;
         };
         let elapsed = (self.now - attempt.sent).max(GAP);
-        self.handle(Event::Ended(Ended {
+        self.handle(Event::AttemptEnded(AttemptEnded {
             query: attempt.query,
             attempt: 0,
             engine: attempt.engine,
             outcome: Outcome::Completed,
-            settled: true,
+            query_answered: true,
             elapsed,
             cost: Some(Cost {
                 work: elapsed,
                 memory_mb: 0.0,
             }),
-            load: Load::default(),
+            load: LoadReport::default(),
         }));
     }
 
@@ -162,11 +163,11 @@
 
     /// The whole list.
     pub fn whole_list(&mut self, count: u32) {
-        self.list(ListScope::Whole, engines(count));
+        self.list(ListScope::Snapshot, engines(count));
     }
 
     fn list(&mut self, scope: ListScope, engines: Vec<Engine>) {
-        self.handle(Event::Engines { scope, engines });
+        self.handle(Event::EngineList { scope, engines });
     }
 
     fn handle(&mut self, event: Event) {
@@ -182,9 +183,11 @@
                         sent: self.now,
                     });
                 }
-                Action::Refuse { .. } | Action::Fail { .. } => self.refused += 1,
-                Action::Wake { at } => self.wake = Some(at),
-                Action::Terms { .. } | Action::Cancel { .. } | Action::Follow => {}
+                Action::Reject { .. } | Action::Fail { .. } => self.refused += 1,
+                Action::SetTimer { at } => self.wake = Some(at),
+                Action::SetResources { .. }
+                | Action::Cancel { .. }
+                | Action::SubscribeEngineList => {}
             }
         }
     }
