--- a/tools/acceptance/src/bin/prove-daemon/operators.rs
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -6,60 +6,66 @@
 use rand_chacha::rand_core::RngCore;
 use serde_json::json;
 use violetgate_fake_upstreams::client::Reply;
-use violetgate_linearizability::{Call, Deed};
+use violetgate_linearizability::{Operation, OperationKind};
 
 use crate::scenario::{increment, lock, random_pause, Random, Scenario};
 
 /// One call of an operator, as it goes over HTTP and as the history records it.
-struct Operation {
+struct OperatorCall {
     method: &'static str,
     path: String,
     body: String,
-    call: Call,
+    kind: OperationKind,
 }
 
-impl Operation {
+impl OperatorCall {
     /// A write, a compare-and-swap or a read, each as likely.
     fn random(name: &str, rng: &mut Random) -> Self {
         let (old, new) = (rng.next_u64() % 5, rng.next_u64() % 5);
         let path = format!("/v1/state?key={name}&within_ms=1500");
         match rng.next_u64() % 3 {
-            0 => Operation {
+            0 => OperatorCall {
                 method: "PUT",
                 path,
                 body: new.to_string(),
-                call: Call::Put(new),
+                kind: OperationKind::Write(new),
             },
             1 => {
                 let transaction = json!({"checks": [{"key": name, "holds": old.to_string()}],
                     "then": [{"put": name, "value": new.to_string()}]});
-                Operation {
+                OperatorCall {
                     method: "POST",
                     path: "/v1/transactions?within_ms=1500".to_owned(),
                     body: transaction.to_string(),
-                    call: Call::Cas(old, new, None),
+                    kind: OperationKind::CompareAndSwap {
+                        expected: old,
+                        new,
+                        swapped: None,
+                    },
                 }
             }
-            _ => Operation {
+            _ => OperatorCall {
                 method: "GET",
                 path,
                 body: String::new(),
-                call: Call::Get(None),
+                kind: OperationKind::Read(None),
             },
         }
     }
 
     /// Takes what a reply says of the call. False: its fate is still unknown.
     fn complete(&mut self, reply: &Reply) -> bool {
-        match (&mut self.call, reply.status) {
-            (Call::Get(seen), 200) => {
+        match (&mut self.kind, reply.status) {
+            (OperationKind::Read(seen), 200) => {
                 *seen = reply.json()["value"]
                     .as_str()
                     .and_then(|value| value.parse().ok());
             }
-            (Call::Get(seen), 404) => *seen = None,
-            (Call::Put(_), 200) => {}
-            (Call::Cas(_, _, held), 200) => *held = reply.json()["held"].as_bool(),
+            (OperationKind::Read(seen), 404) => *seen = None,
+            (OperationKind::Write(_), 200) => {}
+            (OperationKind::CompareAndSwap { swapped, .. }, 200) => {
+                *swapped = reply.json()["held"].as_bool()
+            }
             _ => return false,
         }
         true
@@ -74,24 +80,24 @@
         number += 1;
         // Keys change, so that the history of each is short enough to be checked.
         let key = scenario.begun.elapsed().as_millis() as u64 / 1_200;
-        let mut operation = Operation::random(&format!("proof/{key}"), &mut rng);
+        let mut call = OperatorCall::random(&format!("proof/{key}"), &mut rng);
         let began = Instant::now();
         let id = format!("o-{operator}-{number}");
-        let ended = send_until_known(scenario, &mut operation, &id, began, &mut rng);
-        let read = matches!(operation.call, Call::Get(_));
+        let ended = send_until_known(scenario, &mut call, &id, began, &mut rng);
+        let read = matches!(call.kind, OperationKind::Read(_));
         increment(match ended {
             Some(_) => &scenario.tally.changes,
             None => &scenario.tally.unsure,
         });
         // A read that nobody answered says nothing.
         if ended.is_some() || !read {
-            let deed = Deed {
+            let operation = Operation {
                 key,
-                call: operation.call,
-                began: micros(began),
-                ended: ended.map(micros),
+                kind: call.kind,
+                started_at: micros(began),
+                finished_at: ended.map(micros),
             };
-            lock(&scenario.history).push(deed);
+            lock(&scenario.history).push(operation);
         }
         std::thread::sleep(random_pause(&mut rng, 5, 60));
     }
@@ -100,7 +106,7 @@
 /// Sends a call to one member after another for three seconds at most; when its fate became known.
 fn send_until_known(
     scenario: &Scenario<'_>,
-    operation: &mut Operation,
+    call: &mut OperatorCall,
     id: &str,
     began: Instant,
     rng: &mut Random,
@@ -108,13 +114,13 @@
     while began.elapsed() < Duration::from_secs(3) {
         let instance = scenario.cluster.any(rng.next_u64());
         let reply = instance.call(
-            operation.method,
-            &operation.path,
+            call.method,
+            &call.path,
             Some(id),
-            operation.body.as_bytes(),
+            call.body.as_bytes(),
             Duration::from_secs(2),
         );
-        if reply.is_ok_and(|reply| operation.complete(&reply)) {
+        if reply.is_ok_and(|reply| call.complete(&reply)) {
             return Some(Instant::now());
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -10,7 +10,7 @@
 use violetgate_acceptance::daemon::Cluster;
 use violetgate_acceptance::Verdict;
 use violetgate_fake_upstreams::{Fleet, Profile};
-use violetgate_linearizability::{first, fits};
+use violetgate_linearizability::{first_operations_on, is_linearizable};
 
 use crate::clients::run_client;
 use crate::faults::inject_faults;
@@ -55,9 +55,11 @@
     let findings = Findings {
         faults,
         settled,
-        checked_calls: (0..=keys).map(|key| first(&history, key).len()).sum(),
+        checked_calls: (0..=keys)
+            .map(|key| first_operations_on(&history, key).len())
+            .sum(),
         not_linearizable: (0..=keys)
-            .filter(|key| !fits(&first(&history, *key)))
+            .filter(|key| !is_linearizable(&first_operations_on(&history, *key)))
             .count() as u64,
     };
     describe(&scenario.tally, &findings);
--- a/tools/acceptance/src/bin/prove-daemon/scenario.rs
+++ b/tools/acceptance/src/bin/prove-daemon/scenario.rs
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use violetgate_acceptance::daemon::Cluster;
 use violetgate_fake_upstreams::Fleet;
-use violetgate_linearizability::Deed;
+use violetgate_linearizability::Operation;
 
 /// Longest time for which an instance may send on state that it can't confirm, and in which a cordon takes effect.
 pub const STALENESS_LIMIT: Duration = Duration::from_secs(2);
@@ -62,7 +62,7 @@
     pub tally: Tally,
     /// Since when an instance has been cut off from both others, by its id.
     pub isolated: Mutex<BTreeMap<u64, Instant>>,
-    pub history: Mutex<Vec<Deed>>,
+    pub history: Mutex<Vec<Operation>>,
     pub begun: Instant,
     pub over: AtomicBool,
     pub rid: AtomicU64,
