--- /dev/null
+++ b/gateway/tests/surface.rs
@@ -0,0 +1,459 @@
+//! What operators and clients see, as snapshots: help texts, settings, metrics, paths with the keys of their answers,
+//! and exit codes; and the small files that the processes of one instance share in `$TMPDIR`.
+//!
+//! Values that differ from run to run are masked. A refactoring leaves every snapshot as it is.
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
+
+mod support;
+
+use std::collections::BTreeMap;
+use std::fmt::Write as _;
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+use rustix::fs::FlockOperation;
+use serde_json::{json, Value};
+use support::{reserved, until, violetgate, Front, Http, Reply};
+
+/// Runs the program in an environment of its own: its exit code and all that it wrote.
+fn run(args: &[&str], environment: &[(&str, &str)]) -> (Option<i32>, String) {
+    let out = Command::new(env!("CARGO_BIN_EXE_violetgate"))
+        .args(args)
+        .env_clear()
+        .env("COLUMNS", "100")
+        .envs(environment.iter().copied())
+        .stdin(Stdio::null())
+        .output()
+        .unwrap();
+    let text = [out.stdout, out.stderr].concat();
+    (out.status.code(), String::from_utf8(text).unwrap())
+}
+
+/// The names of the subcommands that a help text lists.
+fn subcommands(help: &str) -> Vec<String> {
+    let listed = help
+        .lines()
+        .skip_while(|line| *line != "Commands:")
+        .skip(1)
+        .take_while(|line| !line.is_empty());
+    listed
+        .filter(|line| line.starts_with("  ") && !line.starts_with("   "))
+        .filter_map(|line| line.split_whitespace().next())
+        .filter(|name| *name != "help")
+        .map(str::to_owned)
+        .collect()
+}
+
+fn collect_help(command: &[String], all: &mut String) {
+    let mut args: Vec<&str> = command.iter().map(String::as_str).collect();
+    args.push("--help");
+    let (code, help) = run(&args, &[]);
+    assert_eq!(code, Some(0), "{args:?}");
+    writeln!(all, "$ violetgate {}\n{help}", args.join(" ")).unwrap();
+    for name in subcommands(&help) {
+        collect_help(&[command, &[name]].concat(), all);
+    }
+}
+
+#[test]
+fn help_texts_stay() {
+    let mut all = String::new();
+    collect_help(&[], &mut all);
+    assert!(all.matches("$ violetgate").count() > 20);
+    insta::assert_snapshot!("help", all);
+}
+
+#[test]
+fn settings_keys_and_defaults_stay() {
+    insta::assert_snapshot!("settings_reference", run(&["reference"], &[]).1);
+}
+
+/// Every way in which the program ends before it serves, with its exit code and what it says.
+#[test]
+fn errors_before_serving_stay() {
+    let folder = std::env::temp_dir().join(format!("violetgate-{}-surface", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let file = |name: &str, text: &str| {
+        let path = folder.join(name);
+        std::fs::write(&path, text).unwrap();
+        path.to_str().unwrap().to_owned()
+    };
+    let unknown = file(
+        "unknown.hcl",
+        "rest {\n  listen = \"127.0.0.1:1\"\n  resluts = 3\n}\nlgo {\n  format = \"json\"\n}\ncluster {\n  id = 0\n}\n",
+    );
+    let values = file(
+        "values.hcl",
+        "rest {\n  listen = \"nowhere\"\n  results = 0\n  max_body = 7\n  idle_timeout = \"1y\"\n}\n\
+         log {\n  format = \"xml\"\n}\nfleet {\n  name = \"\"\n  seeds = \"x\"\n}\n",
+    );
+    let syntax = file("syntax.hcl", "rest {\n  listen = \n");
+    let twice = file(
+        "twice.hcl",
+        "log {\n  format = \"text\"\n}\nlog {\n  format = \"json\"\n}\n",
+    );
+    let usable = file("usable.hcl", "log {\n  format = \"text\"\n}\n");
+    let json = file("config.json", "{\"seed\":\"1\"}");
+    let config = file(
+        "listen.json",
+        "{\"seed\":\"1\",\"bus\":\"127.0.0.1:1\",\"known\":{\"offset\":0},\"settings\":{}}",
+    );
+    let same = file(
+        "same.json",
+        "{\"seed\":\"1\",\"listen\":\"127.0.0.1:2\",\"management\":\"127.0.0.1:2\",\"bus\":\"127.0.0.1:1\",\
+         \"known\":{\"offset\":0},\"settings\":{}}",
+    );
+    let missing = folder.join("missing").to_str().unwrap().to_owned();
+    let mut all = String::new();
+    let mut show = |args: &[&str], environment: &[(&str, &str)]| {
+        let (code, text) = run(args, environment);
+        let shown = format!("$ {environment:?} violetgate {}", args.join(" "));
+        let block = format!("{shown}\n{text}exit code {code:?}\n\n");
+        all.push_str(&block.replace(folder.to_str().unwrap(), "FOLDER"));
+    };
+    for path in [
+        &unknown, &values, &syntax, &twice, &usable, &json, &config, &same, &missing,
+    ] {
+        show(&["check", path], &[]);
+    }
+    show(&["sreve"], &[]);
+    show(&["ctl"], &[]);
+    show(&["ctl", "--at", "127.0.0.1:1", "status"], &[]);
+    show(&["ctl", "--at", "nowhere", "status"], &[]);
+    show(&["members", "init", "--settings", &usable], &[]);
+    show(&["serve", "--settings", &unknown], &[]);
+    show(&["serve", "--settings", &missing], &[]);
+    show(&["serve", "--nothing"], &[]);
+    show(&[], &[]);
+    for path in [&missing, &json, &config, &same] {
+        show(&[], &[("PROXY_CONFIG", path)]);
+    }
+    std::fs::remove_dir_all(&folder).unwrap();
+    insta::assert_snapshot!("errors_before_serving", all);
+}
+
+/// Metrics with their values, and the labels that hold addresses, masked.
+fn mask_metrics(text: &str) -> String {
+    let mut masked = String::new();
+    for line in text.lines() {
+        let line = match line.rsplit_once(' ') {
+            Some((name, _)) if !line.starts_with('#') => format!("{name} _"),
+            _ => line.to_owned(),
+        };
+        let line = match line.split_once("address=\"") {
+            Some((before, rest)) => {
+                let (_, after) = rest.split_once('"').unwrap();
+                format!("{before}address=\"_\"{after}")
+            }
+            None => line,
+        };
+        writeln!(masked, "{line}").unwrap();
+    }
+    masked
+}
+
+/// The keys and kinds of values of a JSON document.
+fn shape(value: &Value) -> Value {
+    match value {
+        Value::Null | Value::Bool(_) => value.clone(),
+        Value::Number(_) => "number".into(),
+        Value::String(_) => "string".into(),
+        Value::Array(items) => items.first().map(shape).into_iter().collect(),
+        Value::Object(fields) => fields.iter().map(|(k, v)| (k.clone(), shape(v))).collect(),
+    }
+}
+
+/// A reply with its status, the names of its headers, and the shape of its body; errors with their texts.
+fn show_reply(all: &mut String, call: &str, reply: &Reply) {
+    let headers: BTreeMap<_, _> = reply.headers.iter().collect();
+    let names: Vec<_> = headers.keys().map(|name| name.as_str()).collect();
+    let kind = reply.headers.get("content-type").cloned();
+    let is_error = kind.as_deref() == Some("application/problem+json");
+    let body = serde_json::from_slice(&reply.body).map_or_else(
+        |_| reply.body.escape_ascii().to_string(),
+        |json: Value| if is_error { json } else { shape(&json) }.to_string(),
+    );
+    writeln!(
+        all,
+        "{call}\n  {} {kind:?} {}\n  {body}",
+        reply.status,
+        names.join(" ")
+    )
+    .unwrap();
+}
+
+fn show_call(all: &mut String, at: &str, method: &str, path: &str, body: &str) -> Reply {
+    let mut http = Http::open(at);
+    http.send(method, path, &[], body.as_bytes());
+    let reply = http.read();
+    show_reply(all, &format!("{method} {path} {body}"), &reply);
+    reply
+}
+
+#[test]
+fn rest_and_management_answers_stay() {
+    let front = Front::start(1, "", 12.0);
+    let mut all = String::new();
+    let ask = json!({"class": "report", "tenant": "north", "budget_ms": 30_000, "statement": "SELECT 1 /* rows=600 */"})
+        .to_string();
+    let at = front.rest.as_str();
+    let first = show_call(&mut all, at, "POST", "/v1/queries", &ask);
+    let next = first.next().unwrap();
+    let mut http = front.http();
+    let page = http.get(&next);
+    show_reply(&mut all, "GET the next page", &page);
+    for (method, path, body) in [
+        ("GET", "/v1/queries", ""),
+        ("POST", "/v1/queries", "{}"),
+        ("POST", "/v1/queries", "no json"),
+        (
+            "POST",
+            "/v1/queries",
+            "{\"class\":\"nothing\",\"budget_ms\":1,\"statement\":\"x\"}",
+        ),
+        ("GET", "/v1/results/nothing", ""),
+        ("GET", "/nothing", ""),
+    ] {
+        show_call(&mut all, at, method, path, body);
+    }
+    for (method, path, body) in [
+        ("GET", "/admin/health", ""),
+        ("PUT", "/admin/cordon", "{\"host\":\"e-1\"}"),
+        ("PUT", "/admin/cordon", "{\"host\":\"nobody\"}"),
+        ("PUT", "/admin/cordon", "{\"hots\":\"e-1\"}"),
+        ("PUT", "/admin/uncordon", "{\"host\":\"e-1\"}"),
+        ("PUT", "/admin/quiesce", ""),
+        ("PUT", "/admin/resume", ""),
+        ("GET", "/admin/resume", ""),
+        ("GET", "/admin/nothing", ""),
+    ] {
+        let (status, text) = front.call(method, path, body);
+        writeln!(
+            all,
+            "{method} {path} {body}\n  {status} {}",
+            text.escape_debug()
+        )
+        .unwrap();
+    }
+    writeln!(
+        all,
+        "{}",
+        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+    )
+    .unwrap();
+    insta::assert_snapshot!("rest_and_management", all);
+}
+
+fn member_block(folder: &Path, peer: &str, api: &str, subscribers: &str) -> String {
+    let member = folder.join("member");
+    format!(
+        "cluster {{\n  name = \"test\"\n  id = 1\n  folder = \"{}\"\n  listen = \"{peer}\"\n  api = \"{api}\"\n  \
+         subscribers_listen = \"{subscribers}\"\n  members = {{ \"1\" = \"{peer}\" }}\n}}\n",
+        member.display()
+    )
+}
+
+fn fleet_block(member: &str, listen: &str, seed: &str) -> String {
+    format!(
+        "fleet {{\n  name = \"surface\"\n  member = \"{member}\"\n  listen = \"{listen}\"\n  seeds = [\"{seed}\"]\n}}\n"
+    )
+}
+
+#[test]
+fn cluster_and_fleet_answers_stay() {
+    let (peer, api, subscribers, datagrams) = (reserved(), reserved(), reserved(), reserved());
+    let front = Front::begin(2, "", 12.0, |folder| {
+        member_block(folder, &peer, &api, &subscribers) + &fleet_block("n0", &datagrams, &datagrams)
+    });
+    let mut all = String::new();
+    for (method, path, body) in [
+        ("PUT", "/v1/state?key=k", "v"),
+        ("GET", "/v1/state?key=k", ""),
+        ("GET", "/v1/state?prefix=k", ""),
+        ("GET", "/v1/changes?after=0&prefix=k", ""),
+        (
+            "POST",
+            "/v1/transactions",
+            "{\"then\":[{\"put\":\"t\",\"value\":\"1\"}]}",
+        ),
+        ("POST", "/v1/leases", "{\"id\":1,\"ttl_ms\":60000}"),
+        ("DELETE", "/v1/leases?id=1", ""),
+        ("DELETE", "/v1/state?key=k", ""),
+        ("GET", "/v1/cluster", ""),
+        ("POST", "/v1/cluster/members", "{\"promote\":9}"),
+        ("PUT", "/v1/settings", "log {\n  format = \"text\"\n}\n"),
+        ("PUT", "/v1/settings", "rest {\n  results = 10\n}\n"),
+        ("GET", "/v1/settings", ""),
+        ("GET", "/v1/settings/versions", ""),
+        ("POST", "/v1/settings/rollback?version=1", ""),
+        ("PUT", "/v1/cordons?engine=e-1", ""),
+        ("DELETE", "/v1/cordons?engine=e-1", ""),
+        ("PUT", "/v1/drains", ""),
+        ("DELETE", "/v1/drains", ""),
+        ("GET", "/v1/fleet/progress", ""),
+        ("POST", "/v1/compactions?revision=2", ""),
+        ("GET", "/v1/changes?after=0", ""),
+        ("GET", "/v1/nothing", ""),
+    ] {
+        show_call(&mut all, &api, method, path, body);
+    }
+    let record = Http::open(&api).get("/v1/state?key=members/1").json();
+    let record: Value = serde_json::from_str(record["value"].as_str().unwrap()).unwrap();
+    writeln!(all, "members/1 {}", shape(&record)).unwrap();
+    until("the engine list is kept", || {
+        Http::open(&api).get("/v1/state?key=list").status == 200
+    });
+    let engine = Http::open(&api).get("/v1/state?key=engines/e-1").json();
+    let engine: Value = serde_json::from_str(engine["value"].as_str().unwrap()).unwrap();
+    writeln!(all, "engines/e-1 {}", shape(&engine)).unwrap();
+    until("the fleet is seen", || {
+        front.figure("svc_fleet_share") >= 1.0
+    });
+    writeln!(
+        all,
+        "{}",
+        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+    )
+    .unwrap();
+    insta::assert_snapshot!("cluster_and_fleet", all);
+}
+
+#[test]
+fn fleet_member_metrics_stay() {
+    let (first, second) = (reserved(), reserved());
+    let front = Front::begin(1, "", 12.0, |_| fleet_block("n0", &first, &first));
+    let _other = Front::begin(1, "", 12.0, |_| fleet_block("n1", &second, &first));
+    let alive = "member=\"n1\",";
+    until("the other member is alive", || {
+        let stats = front.call("GET", "/admin/stats", "").1;
+        stats.contains(alive) && stats.contains("state=\"alive\"")
+    });
+    let stats = mask_metrics(&front.call("GET", "/admin/stats", "").1);
+    let fleet: Vec<_> = stats
+        .lines()
+        .filter(|line| line.contains("svc_fleet"))
+        .collect();
+    insta::assert_snapshot!("fleet_members", fleet.join("\n"));
+}
+
+#[test]
+fn subscriber_metrics_stay() {
+    let nobody = reserved();
+    let mut front = Front::start(1, "", 12.0);
+    front.child.kill().unwrap();
+    front.child.wait().unwrap();
+    let settings = front.folder.join("violetgate.hcl");
+    let block = format!(
+        "cluster {{\n  role = \"subscriber\"\n  name = \"test\"\n  front_end = \"fe-1\"\n  \
+         observers = {{ \"2\" = \"{nobody}\" }}\n}}\n"
+    );
+    let text = std::fs::read_to_string(&settings).unwrap() + &block;
+    std::fs::write(&settings, text).unwrap();
+    front.start_again();
+    let mut all = String::new();
+    for (method, path, body) in [
+        ("GET", "/admin/health", ""),
+        ("PUT", "/admin/cordon", "{\"host\":\"e-1\"}"),
+        ("PUT", "/admin/quiesce", ""),
+    ] {
+        let (status, text) = front.call(method, path, body);
+        writeln!(
+            all,
+            "{method} {path} {body}\n  {status} {}",
+            text.escape_debug()
+        )
+        .unwrap();
+    }
+    writeln!(
+        all,
+        "{}",
+        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+    )
+    .unwrap();
+    insta::assert_snapshot!("subscriber", all);
+}
+
+/// The file of cordons is read at the start and written byte for byte as before.
+#[test]
+fn cordon_file_is_read_and_written_as_before() {
+    let fixture = include_bytes!("fixtures/cordons.json");
+    let mut front = Front::start(2, "", 12.0);
+    let path = front
+        .folder
+        .join(format!("violetgate-{}.cordons", front.listen));
+    assert!(!path.exists());
+    front.child.kill().unwrap();
+    front.child.wait().unwrap();
+    std::fs::write(&path, fixture).unwrap();
+    front.start_again();
+    front.healthy();
+    let cordon = |call: &str, host: &str| {
+        let body = format!("{{\"host\":\"{host}\"}}");
+        assert_eq!(front.call("PUT", call, &body).0, 200, "{call} {host}");
+        std::fs::read_to_string(&path).unwrap()
+    };
+    assert_eq!(cordon("/admin/cordon", "e-2"), r#"["e-2","s-1","s-2"]"#);
+    assert_eq!(
+        cordon("/admin/cordon", "e-1"),
+        r#"["e-1","e-2","s-1","s-2"]"#
+    );
+    cordon("/admin/uncordon", "e-1");
+    assert_eq!(cordon("/admin/uncordon", "e-2").as_bytes(), fixture);
+    let mut names: Vec<_> = std::fs::read_dir(&front.folder)
+        .unwrap()
+        .map(|e| e.unwrap().file_name().into_string().unwrap())
+        .map(|name| name.replace(&front.listen, "LISTEN"))
+        .collect();
+    names.sort();
+    let shared = [
+        "config.json",
+        "log",
+        "violetgate-LISTEN.cordons",
+        "violetgate-LISTEN.cordons.lock",
+        "violetgate-LISTEN.lock",
+        "violetgate.hcl",
+    ];
+    assert_eq!(names, shared);
+}
+
+/// The mark of a running process is an empty file with a shared lock: one that another process holds is noticed, and
+/// its end as well.
+#[test]
+fn mark_of_a_running_process_is_understood_as_before() {
+    let front = Front::start(1, "", 12.0);
+    let path = front
+        .folder
+        .join(format!("violetgate-{}.lock", front.listen));
+    assert_eq!(
+        std::fs::read(&path).unwrap(),
+        include_bytes!("fixtures/process_mark")
+    );
+    let log = || std::fs::read_to_string(front.folder.join("log")).unwrap();
+    let mark = std::fs::OpenOptions::new()
+        .read(true)
+        .write(true)
+        .open(&path)
+        .unwrap();
+    rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockShared).unwrap();
+    let exclusive = rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockExclusive);
+    assert!(exclusive.is_err(), "the program holds no lock");
+    until("the other process is noticed", || {
+        log().contains("violetgate is joined by another process: at most ")
+    });
+    drop(mark);
+    until("its end is noticed", || {
+        log().contains("violetgate is alone: at most ")
+    });
+}
+
+/// The program's own texts name what is at fault, whatever else is in them.
+#[test]
+fn version_names_the_program() {
+    let (well, text) = violetgate(&["--version"]);
+    assert!(well && text.starts_with("violetgate "), "{text}");
+}
