--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -3,6 +3,7 @@
 //! It knows nothing of clients, engines or the decisions: what a call means is behind [`Operations`].
 
 mod http;
+pub mod operations;
 
 use std::future::Future;
 use std::io::{Read, Write};
@@ -17,9 +18,9 @@
 use serde::Deserialize;
 
 use crate::clock::Clock;
+use crate::connection_limit::{ConnectionLimiter, ConnectionSlot, ConnectionState};
 use crate::log;
 use crate::net;
-use crate::room::{Guest, Room, Stage};
 use http::{Call, Status};
 
 /// Connections that are served at a time. They come out of the descriptors that neither clients nor engines
@@ -49,7 +50,7 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Called {
+pub enum OperationOutcome {
     /// It holds.
     Done,
     /// Nobody has that name.
@@ -61,7 +62,7 @@
 }
 
 /// A call under way.
-pub type Calling<'a> = Pin<Box<dyn Future<Output = Called> + 'a>>;
+pub type PendingOperation<'a> = Pin<Box<dyn Future<Output = OperationOutcome> + 'a>>;
 
 /// What operators may ask of the program.
 pub trait Operations {
@@ -70,9 +71,9 @@
     /// The figures, in the text format of Prometheus.
     fn figures(&self) -> String;
     /// Nothing more to an engine, until the call back; or uses it again.
-    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> Calling<'a>;
+    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> PendingOperation<'a>;
     /// Drains: clients are sent elsewhere until the call back; or takes clients again.
-    fn drain(&self, on: bool) -> Calling<'_>;
+    fn drain(&self, on: bool) -> PendingOperation<'_>;
 }
 
 /// The management side.
@@ -80,7 +81,7 @@
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     operations: Rc<dyn Operations>,
-    room: Room,
+    room: ConnectionLimiter,
 }
 
 impl Admin {
@@ -95,7 +96,7 @@
             executor,
             clock,
             operations,
-            room: Room::new(MOST),
+            room: ConnectionLimiter::new(MOST),
         })
     }
 
@@ -121,7 +122,12 @@
         }
     }
 
-    async fn drive(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr, guest: Rc<Guest>) {
+    async fn drive(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        peer: SocketAddr,
+        guest: Rc<ConnectionSlot>,
+    ) {
         let _ = stream.get_ref().set_nodelay(true);
         let mut input = Vec::new();
         let late = async {
@@ -146,7 +152,7 @@
             }
             Err(reason) => reason,
         };
-        guest.is(Stage::Busy, self.clock.now());
+        guest.is(ConnectionState::Busy, self.clock.now());
         drop(stream);
         self.room.leave(&guest);
         log::ended("management", peer, reason, u64::from(reason == "answered"));
@@ -219,15 +225,15 @@
     (status, format!("{text}\n"))
 }
 
-fn carried(called: Called, done: &str) -> (Status, String) {
+fn carried(called: OperationOutcome, done: &str) -> (Status, String) {
     match called {
-        Called::Done => told(Status::Ok, done),
-        Called::Unknown => told(Status::NotFound, &format!("no engine {done:?}")),
-        Called::Unagreed => told(
+        OperationOutcome::Done => told(Status::Ok, done),
+        OperationOutcome::Unknown => told(Status::NotFound, &format!("no engine {done:?}")),
+        OperationOutcome::Unagreed => told(
             Status::ServiceUnavailable,
             "not agreed on in its time; it may still come to hold: call again",
         ),
-        Called::NotAMember => told(
+        OperationOutcome::NotAMember => told(
             Status::Conflict,
             "this front end subscribes to a cluster: call at a member's API",
         ),
--- a/gateway/src/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -8,17 +8,17 @@
 use async_io::Timer;
 use violetgate_policy::interface::Micros;
 
-use crate::admin::{self, Called, Calling};
-use crate::bus::{Ids, Place};
+use super::{OperationOutcome, PendingOperation};
 use crate::clock::Clock;
-use crate::daemon::{Participant, Unagreed};
+use crate::cordon_file::{CordonFile, EngineNames};
+use crate::discovery::{DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
-use crate::door::Door;
+use crate::drain::DrainState;
 use crate::fleet::Fleet;
 use crate::log;
+use crate::replication::{Participant, ProposalError};
 use crate::rest::Rest;
 use crate::stats::Stats;
-use crate::store::{Names, Store};
 
 /// A bus that does not answer keeps a process from being called ready for this long; engines that serve are
 /// known from the configuration all the same.
@@ -32,21 +32,21 @@
 const WHO: &str = "management";
 
 /// What operators' calls reach.
-pub struct Parts {
+pub struct OperationTargets {
     /// Where the bus is, and whether it has told anything.
-    pub place: Rc<Place>,
+    pub place: Rc<DiscoverySource>,
     /// Engines' numbers by name.
-    pub ids: Rc<Ids>,
+    pub ids: Rc<EngineIds>,
     /// The decisions.
     pub dispatch: Rc<Dispatch>,
     /// Whether clients are let in.
-    pub door: Rc<Door>,
+    pub door: Rc<DrainState>,
     /// The figures.
     pub stats: Rc<Stats>,
     /// The REST front, if there is one.
     pub rest: Option<Rc<Rest>>,
     /// Engines called out, kept.
-    pub store: Store,
+    pub store: CordonFile,
     /// The cluster that agrees on all this, if there is one.
     pub daemon: Option<Participant>,
     /// The fleet that this front end is one of, if it is told of one.
@@ -57,16 +57,16 @@
 pub struct Operations {
     clock: Clock,
     start: Micros,
-    parts: Parts,
+    parts: OperationTargets,
     /// Engines that are called out.
-    cordons: RefCell<Names>,
+    cordons: RefCell<EngineNames>,
 }
 
 impl Operations {
     /// Creates it, once clients' address is bound and the list of the start is known, and calls out the engines
     /// that were called out before.
     #[must_use]
-    pub fn new(clock: Clock, parts: Parts) -> Rc<Self> {
+    pub fn new(clock: Clock, parts: OperationTargets) -> Rc<Self> {
         let me = Operations {
             clock,
             start: clock.now(),
@@ -106,7 +106,7 @@
         found.is_ok()
     }
 
-    fn adopt(&self, names: Names) {
+    fn adopt(&self, names: EngineNames) {
         let held = self.cordons.replace(names.clone());
         for name in held.symmetric_difference(&names) {
             let out = names.contains(name);
@@ -142,7 +142,7 @@
     }
 }
 
-impl admin::Operations for Operations {
+impl super::Operations for Operations {
     fn healthy(&self) -> bool {
         let heard =
             self.parts.place.heard() || self.clock.now() >= self.start + WAIT.as_micros() as Micros;
@@ -179,40 +179,40 @@
                 .unwrap_or_default()
     }
 
-    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> Calling<'a> {
+    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> PendingOperation<'a> {
         let Some(daemon) = &self.parts.daemon else {
             let called = if self.call(host, out) {
-                Called::Done
+                OperationOutcome::Done
             } else {
-                Called::Unknown
+                OperationOutcome::Unknown
             };
             return Box::pin(ready(called));
         };
         Box::pin(async move {
             if !self.parts.ids.known(host) {
-                return Called::Unknown;
+                return OperationOutcome::Unknown;
             }
             agreed(daemon.cordon(host, out, WHO, ANSWER).await)
         })
     }
 
-    fn drain(&self, on: bool) -> Calling<'_> {
+    fn drain(&self, on: bool) -> PendingOperation<'_> {
         let Some(daemon) = &self.parts.daemon else {
             if on {
                 self.parts.door.quiesce(self.clock.now());
             } else {
                 self.parts.door.resume();
             }
-            return Box::pin(ready(Called::Done));
+            return Box::pin(ready(OperationOutcome::Done));
         };
         Box::pin(async move { agreed(daemon.drain(on, WHO, ANSWER).await) })
     }
 }
 
-fn agreed(done: Result<(), Unagreed>) -> Called {
+fn agreed(done: Result<(), ProposalError>) -> OperationOutcome {
     match done {
-        Ok(()) => Called::Done,
-        Err(Unagreed::NotAMember) => Called::NotAMember,
-        Err(_) => Called::Unagreed,
+        Ok(()) => OperationOutcome::Done,
+        Err(ProposalError::NotAMember) => OperationOutcome::NotAMember,
+        Err(_) => OperationOutcome::Unagreed,
     }
 }
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -27,14 +27,14 @@
     /// The settings of the decisions.
     pub settings: Settings,
     /// The names by which the protocols call what the decisions number.
-    pub names: Names,
+    pub names: NameTable,
     /// Limits of engine connections.
     pub link: Link,
 }
 
 /// Names by number.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct NameTable {
     /// Classes, each with whether its requests carry an idempotency key.
     pub classes: Vec<(String, bool)>,
     /// Tenants.
@@ -187,7 +187,7 @@
             bus: addr("bus", &file.bus)?,
             known: (file.known.offset, file.known.batch),
             settings,
-            names: Names {
+            names: NameTable {
                 classes: own
                     .classes
                     .into_iter()
--- a/gateway/src/room.rs
+++ b/gateway/src/connection_limit.rs
@@ -13,15 +13,15 @@
 const MUTE: Micros = 250_000;
 /// A connection that became idle less long ago is left alone when idle ones are dismissed: a new connection's first
 /// request may be on its way.
-pub const FRESH: Micros = 50_000;
+pub const RECENTLY_IDLE: Micros = 50_000;
 /// One connection in so many may be just being closed beside those that count.
 const CLOSING: usize = 8;
 
 /// What a connection is at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum ConnectionState {
     /// It owes its start-up packet, or the rest of a message.
-    Mute,
+    AwaitingMessage,
     /// It may ask, and does not.
     Idle,
     /// It has a request open.
@@ -29,18 +29,18 @@
 }
 
 /// One connection, as the room knows it.
-pub struct Guest {
+pub struct ConnectionSlot {
     id: u64,
-    at: Cell<(Stage, Micros)>,
+    at: Cell<(ConnectionState, Micros)>,
     /// Until when its client may need this very process.
     owes: Cell<Micros>,
     leaves: Cell<Option<&'static str>>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Guest {
+impl ConnectionSlot {
     /// Notes what it is at from now on.
-    pub fn is(&self, stage: Stage, now: Micros) {
+    pub fn is(&self, stage: ConnectionState, now: Micros) {
         if self.at.get().0 != stage {
             self.at.set((stage, now));
         }
@@ -58,7 +58,7 @@
 
     /// It may ask, and does not.
     pub fn is_idle(&self) -> bool {
-        self.at.get().0 == Stage::Idle
+        self.at.get().0 == ConnectionState::Idle
     }
 
     /// Waits until it has to give way; the reason why.
@@ -85,10 +85,10 @@
 }
 
 /// All connections that count.
-pub struct Room {
+pub struct ConnectionLimiter {
     most: Cell<usize>,
     next: Cell<u64>,
-    guests: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    guests: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     closing: Rc<Cell<usize>>,
 }
 
@@ -101,11 +101,11 @@
     }
 }
 
-impl Room {
+impl ConnectionLimiter {
     /// Creates room for `most` connections.
     #[must_use]
     pub fn new(most: usize) -> Self {
-        Room {
+        ConnectionLimiter {
             most: Cell::new(most),
             next: Cell::new(0),
             guests: RefCell::default(),
@@ -138,15 +138,15 @@
     ///
     /// Guards against clients that connect and say nothing, or ask once and stay for good: left in the
     /// machine's queue instead, the usual clients' requests would count as taken and never be read.
-    pub fn enter(&self, now: Micros) -> Option<Rc<Guest>> {
+    pub fn enter(&self, now: Micros) -> Option<Rc<ConnectionSlot>> {
         if self.len() >= self.most.get() && !self.evict(now) {
             return None;
         }
         let id = self.next.get();
         self.next.set(id + 1);
-        let at = Cell::new((Stage::Mute, now));
+        let at = Cell::new((ConnectionState::AwaitingMessage, now));
         let (owes, leaves) = (Cell::new(0), Cell::new(None));
-        let guest = Rc::new(Guest {
+        let guest = Rc::new(ConnectionSlot {
             id,
             at,
             owes,
@@ -160,11 +160,11 @@
     /// Lets the first to give way go. False: all are busy.
     fn evict(&self, now: Micros) -> bool {
         let mut guests = self.guests.borrow_mut();
-        let rank = |g: &Guest| match g.at.get() {
-            (Stage::Mute, since) if now >= since + MUTE => Some((0, since)),
-            (Stage::Idle, since) => Some((1, since)),
-            (Stage::Mute, since) => Some((2, since)),
-            (Stage::Busy, _) => None,
+        let rank = |g: &ConnectionSlot| match g.at.get() {
+            (ConnectionState::AwaitingMessage, since) if now >= since + MUTE => Some((0, since)),
+            (ConnectionState::Idle, since) => Some((1, since)),
+            (ConnectionState::AwaitingMessage, since) => Some((2, since)),
+            (ConnectionState::Busy, _) => None,
         };
         let first = guests.values().filter_map(|g| Some((rank(g)?, g.id))).min();
         let first = first.and_then(|(_, id)| guests.remove(&id));
@@ -173,8 +173,9 @@
 
     /// Lets all go that have been idle for so long.
     pub fn dismiss_idle(&self, now: Micros, fresh: Micros, reason: &'static str) {
-        let idle = |g: &&Rc<Guest>| {
-            matches!(g.at.get(), (Stage::Idle, since) if now >= since + fresh) && g.owed() <= now
+        let idle = |g: &&Rc<ConnectionSlot>| {
+            matches!(g.at.get(), (ConnectionState::Idle, since) if now >= since + fresh)
+                && g.owed() <= now
         };
         self.guests
             .borrow()
@@ -204,7 +205,7 @@
     }
 
     /// Frees the place of a connection that has ended.
-    pub fn leave(&self, guest: &Guest) {
+    pub fn leave(&self, guest: &ConnectionSlot) {
         self.guests.borrow_mut().remove(&guest.id);
     }
 }
@@ -218,8 +219,13 @@
     /// one that has just come up only when nobody else is left.
     #[test]
     fn mute_and_idle_connections_give_way() {
-        let room = Room::new(4);
-        let stages = [Stage::Idle, Stage::Busy, Stage::Mute, Stage::Idle];
+        let room = ConnectionLimiter::new(4);
+        let stages = [
+            ConnectionState::Idle,
+            ConnectionState::Busy,
+            ConnectionState::AwaitingMessage,
+            ConnectionState::Idle,
+        ];
         let guests: Vec<_> = (0..)
             .zip(stages)
             .map(|(at, s)| (room.enter(at).unwrap(), s, at))
@@ -233,12 +239,12 @@
         };
         let young = room.enter(2 + MUTE).unwrap();
         assert_eq!(gone(), [false, false, true, false]);
-        room.enter(2 + MUTE).unwrap().is(Stage::Busy, 0);
+        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
         assert_eq!(gone(), [false, false, true, true]);
-        room.enter(2 + MUTE).unwrap().is(Stage::Busy, 0);
+        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
         assert_eq!(gone(), [true, false, true, true]);
         assert!(young.leaves.get().is_none());
-        room.enter(2 + MUTE).unwrap().is(Stage::Busy, 0);
+        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
         assert!(young.leaves.get().is_some());
         assert!(room.enter(2 + MUTE).is_none(), "all that are left are busy");
         room.leave(&guests[1].0);
--- a/gateway/src/store.rs
+++ b/gateway/src/cordon_file.rs
@@ -18,18 +18,18 @@
 const LOCK: (Duration, u32) = (Duration::from_millis(1), 50);
 
 /// Names of engines.
-pub type Names = BTreeSet<String>;
+pub type EngineNames = BTreeSet<String>;
 
 /// The file, and what stands beside it.
-pub struct Store {
+pub struct CordonFile {
     path: Option<PathBuf>,
 }
 
-impl Store {
+impl CordonFile {
     /// A store in a file; without one it keeps nothing.
     #[must_use]
     pub fn new(path: Option<PathBuf>) -> Self {
-        Store { path }
+        CordonFile { path }
     }
 
     /// What the file holds; `None` where there is no file.
@@ -37,7 +37,7 @@
     /// # Errors
     ///
     /// It can't be read, or is spoilt.
-    pub fn load(&self) -> std::io::Result<Option<Names>> {
+    pub fn load(&self) -> std::io::Result<Option<EngineNames>> {
         let Some(path) = &self.path else {
             return Ok(None);
         };
@@ -53,7 +53,7 @@
     /// Puts a name in or takes it out, whatever the other process has changed meanwhile; what holds then. A
     /// file that can't be read counts as what this process holds, and one that can't be written is logged: the
     /// change holds here all the same.
-    pub fn change(&self, held: &Names, name: &str, out: bool) -> Names {
+    pub fn change(&self, held: &EngineNames, name: &str, out: bool) -> EngineNames {
         let _lock = self
             .path
             .as_deref()
@@ -103,7 +103,7 @@
 }
 
 /// Writes aside and renames, so that a reader sees all of it or what was there before.
-fn write(path: &Path, names: &Names) -> std::io::Result<()> {
+fn write(path: &Path, names: &EngineNames) -> std::io::Result<()> {
     let aside = beside(path, ".new");
     std::fs::write(&aside, serde_json::to_vec(names)?)?;
     std::fs::rename(&aside, path)
@@ -114,7 +114,7 @@
 mod tests {
     use super::*;
 
-    fn names(names: &[&str]) -> Names {
+    fn names(names: &[&str]) -> EngineNames {
         names.iter().map(|n| (*n).to_owned()).collect()
     }
 
@@ -126,8 +126,8 @@
         std::fs::create_dir_all(&folder).unwrap();
         let path = folder.join("cordons");
         let (one, two) = (
-            Store::new(Some(path.clone())),
-            Store::new(Some(path.clone())),
+            CordonFile::new(Some(path.clone())),
+            CordonFile::new(Some(path.clone())),
         );
         assert_eq!(one.load().unwrap(), None);
         assert_eq!(one.change(&names(&[]), "s-1", true), names(&["s-1"]));
@@ -148,7 +148,7 @@
     #[test]
     fn without_a_folder_a_change_still_holds() {
         for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
-            let store = Store::new(path);
+            let store = CordonFile::new(path);
             assert_eq!(
                 store.change(&names(&["s-1"]), "s-2", true),
                 names(&["s-1", "s-2"])
--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -8,7 +8,7 @@
 use ureq::http::{Method, Request};
 use ureq::Agent;
 
-use crate::daemon::{request_id, MemberStep};
+use crate::replication::{request_id, MembershipStep};
 
 /// The pause before the members are asked again.
 pub(super) const PAUSE: Duration = Duration::from_millis(100);
@@ -164,7 +164,7 @@
         self.call(&Method::GET, path, &[])
     }
 
-    pub(super) fn step(&self, step: &MemberStep) -> Result<Told, String> {
+    pub(super) fn step(&self, step: &MembershipStep) -> Result<Told, String> {
         let body = serde_json::to_vec(step).map_err(|e| e.to_string())?;
         self.call(&Method::POST, "/v1/cluster/members", &body)
     }
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -8,7 +8,7 @@
 use violetgate_replica_runtime::{Beginning, Cluster};
 
 use super::client::{at, print, At, Client, PAUSE};
-use crate::daemon::MemberStep;
+use crate::replication::MembershipStep;
 use crate::settings;
 
 /// Makes members, and changes who belongs to a cluster.
@@ -123,14 +123,14 @@
     let step = match &members.call {
         MembersCall::Init { settings, join } => return begin(settings, *join, Vec::new()),
         MembersCall::List => return list(&client),
-        MembersCall::Add { id, listen, api } => MemberStep::Add {
+        MembersCall::Add { id, listen, api } => MembershipStep::Add {
             id: *id,
             listen: *listen,
             api: *api,
         },
-        MembersCall::Promote { id } => MemberStep::Promote(*id),
-        MembersCall::Remove { id } => MemberStep::Remove(*id),
-        MembersCall::Transfer { id } => MemberStep::Transfer(*id),
+        MembersCall::Promote { id } => MembershipStep::Promote(*id),
+        MembersCall::Remove { id } => MembershipStep::Remove(*id),
+        MembersCall::Transfer { id } => MembershipStep::Transfer(*id),
         MembersCall::Replace {
             old,
             id,
@@ -147,7 +147,7 @@
             }
             // A second run goes on where the first one ended.
             if !all.iter().any(|m| *at(m, "id") == json!(id)) {
-                client.step(&MemberStep::Add {
+                client.step(&MembershipStep::Add {
                     id: *id,
                     listen: *listen,
                     api: *api,
@@ -168,13 +168,13 @@
                 {
                     break;
                 }
-                match client.step(&MemberStep::Promote(*id)) {
+                match client.step(&MembershipStep::Promote(*id)) {
                     Err(e) if Instant::now() > until => return Err(e),
                     _ => std::thread::sleep(PAUSE * 5),
                 }
             }
             client.patient(Duration::from_secs(30));
-            MemberStep::Remove(*old)
+            MembershipStep::Remove(*old)
         }
     };
     client.step(&step)?;
--- a/gateway/src/bus.rs
+++ b/gateway/src/discovery.rs
@@ -15,8 +15,8 @@
 use serde_json::Value;
 use violetgate_policy::interface::{Engine, EngineId, EngineState, ListScope};
 
-use crate::config::Names;
-use crate::exchange::Listed;
+use crate::config::NameTable;
+use crate::exchange::ListedEngine;
 use crate::log;
 
 /// The bus says its last number each second; no whole line that is of use for longer than this is a break, however much
@@ -68,25 +68,25 @@
 }
 
 /// The engine list in the bus's own words: the last event's number, and engines by name.
-pub type Held = (u64, BTreeMap<String, Value>);
+pub type EngineListSnapshot = (u64, BTreeMap<String, Value>);
 
 /// Where the bus is; a new configuration may move it. And whether it has told anything yet.
-pub struct Place {
+pub struct DiscoverySource {
     addr: Cell<SocketAddr>,
     heard: Cell<bool>,
     /// Bytes sent to the bus and received from it.
     traffic: Cell<(u64, u64)>,
     /// What the bus told, where somebody keeps it; and what was kept, to begin with while the bus tells nothing.
-    held: Option<RefCell<Held>>,
-    offered: RefCell<Option<Held>>,
+    held: Option<RefCell<EngineListSnapshot>>,
+    offered: RefCell<Option<EngineListSnapshot>>,
     waker: RefCell<Option<Waker>>,
 }
 
-impl Place {
+impl DiscoverySource {
     /// Creates a place.
     #[must_use]
     pub fn new(addr: SocketAddr, keeps: bool) -> Self {
-        Place {
+        DiscoverySource {
             addr: Cell::new(addr),
             heard: Cell::new(false),
             traffic: Cell::default(),
@@ -98,7 +98,7 @@
 
     /// What the bus has told so far, if that is kept.
     #[must_use]
-    pub fn held(&self) -> Option<Held> {
+    pub fn held(&self) -> Option<EngineListSnapshot> {
         self.held.as_ref().map(|h| h.borrow().clone())
     }
 
@@ -109,7 +109,7 @@
     }
 
     /// Offers a list that was kept: it counts until the bus tells something, if it is newer than what is known.
-    pub fn offer(&self, held: Held) {
+    pub fn offer(&self, held: EngineListSnapshot) {
         if !self.heard.get() {
             *self.offered.borrow_mut() = Some(held);
         }
@@ -179,9 +179,9 @@
 
 /// The numbers by which the program knows engines, by the names that others use. A number stays with its name.
 #[derive(Default)]
-pub struct Ids(RefCell<HashMap<String, EngineId>>);
+pub struct EngineIds(RefCell<HashMap<String, EngineId>>);
 
-impl Ids {
+impl EngineIds {
     /// The number of an engine, in the list or not.
     pub fn number(&self, name: &str) -> EngineId {
         let mut ids = self.0.borrow_mut();
@@ -199,18 +199,18 @@
 }
 
 /// What is known of the engine list, and up to which number.
-pub struct Bus {
-    names: Names,
+pub struct DiscoveryClient {
+    names: NameTable,
     last: u64,
-    ids: Rc<Ids>,
-    place: Rc<Place>,
+    ids: Rc<EngineIds>,
+    place: Rc<DiscoverySource>,
 }
 
-impl Bus {
+impl DiscoveryClient {
     /// Creates a follower that knows nothing yet.
     #[must_use]
-    pub fn new(names: Names, ids: Rc<Ids>, place: Rc<Place>) -> Self {
-        Bus {
+    pub fn new(names: NameTable, ids: Rc<EngineIds>, place: Rc<DiscoverySource>) -> Self {
+        DiscoveryClient {
             names,
             last: 0,
             ids,
@@ -223,7 +223,7 @@
         &mut self,
         last: u64,
         batch: Vec<Value>,
-        tell: &mut dyn FnMut(ListScope, &[Listed]),
+        tell: &mut dyn FnMut(ListScope, &[ListedEngine]),
     ) {
         for event in batch {
             if let Err(e) = Happening::deserialize(&event)
@@ -238,7 +238,7 @@
     }
 
     /// Takes a list that was kept, if it is newer and the bus has told nothing yet.
-    fn take_offered(&mut self, tell: &mut dyn FnMut(ListScope, &[Listed])) {
+    fn take_offered(&mut self, tell: &mut dyn FnMut(ListScope, &[ListedEngine])) {
         let offered = self.place.offered.borrow_mut().take();
         let Some((last, engines)) =
             offered.filter(|(last, _)| *last > self.last && !self.place.heard())
@@ -268,7 +268,7 @@
     }
 
     /// Follows the bus for ever, wherever it moves.
-    pub async fn follow(mut self, tell: &mut dyn FnMut(ListScope, &[Listed])) {
+    pub async fn follow(mut self, tell: &mut dyn FnMut(ListScope, &[ListedEngine])) {
         let (mut pause, mut told) = (PAUSE, String::new());
         let place = Rc::clone(&self.place);
         let place = &*place;
@@ -308,8 +308,8 @@
     async fn session(
         &mut self,
         addr: SocketAddr,
-        tell: &mut dyn FnMut(ListScope, &[Listed]),
-        place: &Place,
+        tell: &mut dyn FnMut(ListScope, &[ListedEngine]),
+        place: &DiscoverySource,
         heard: &mut bool,
     ) -> String {
         let stream = match Async::<TcpStream>::connect(addr).or(late(CONNECT)).await {
@@ -373,7 +373,7 @@
     fn line(
         &mut self,
         line: &[u8],
-        tell: &mut dyn FnMut(ListScope, &[Listed]),
+        tell: &mut dyn FnMut(ListScope, &[ListedEngine]),
     ) -> Result<bool, String> {
         let value: Value = serde_json::from_slice(line).map_err(|e| format!("garbage: {e}"))?;
         if let Some(last) = value.as_u64() {
@@ -401,7 +401,7 @@
     fn take(
         &mut self,
         event: Happening,
-        tell: &mut dyn FnMut(ListScope, &[Listed]),
+        tell: &mut dyn FnMut(ListScope, &[ListedEngine]),
     ) -> Result<(), String> {
         let Some(topology) = event.topology else {
             self.place.hold(event.offset, None);
@@ -428,7 +428,7 @@
                 },
                 started: (s.started_ms > 0).then(|| s.started_ms.saturating_mul(1000)),
             };
-            listed.push(Listed { engine, addr });
+            listed.push(ListedEngine { engine, addr });
         }
         self.place.hold(event.offset, Some(&topology));
         tell(
--- a/gateway/src/bus/tests.rs
+++ b/gateway/src/discovery/tests.rs
@@ -20,8 +20,8 @@
     fn new() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         listener.set_nonblocking(true).unwrap();
-        let place = Rc::new(Place::new(listener.local_addr().unwrap(), false));
-        let mut bus = Bus::new(Names::default(), Rc::default(), place);
+        let place = Rc::new(DiscoverySource::new(listener.local_addr().unwrap(), false));
+        let mut bus = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
         bus.last = 5;
         let (executor, told) = (LocalExecutor::new(), Rc::new(Cell::new(0)));
         let count = Rc::clone(&told);
@@ -117,8 +117,8 @@
 /// that is known, nor what can't be read.
 #[test]
 fn only_lines_of_use_are_signs() {
-    let place = Rc::new(Place::new(([127, 0, 0, 1], 1).into(), false));
-    let mut bus = Bus::new(Names::default(), Rc::default(), place);
+    let place = Rc::new(DiscoverySource::new(([127, 0, 0, 1], 1).into(), false));
+    let mut bus = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
     bus.last = 5;
     let mut told = 0;
     let mut line = |line: &str| bus.line(line.as_bytes(), &mut |_, listed| told += listed.len());
--- a/gateway/src/dispatch.rs
+++ b/gateway/src/dispatch.rs
@@ -19,14 +19,15 @@
 
 use crate::clock::Clock;
 use crate::exchange::{
-    Answer, Attempt, AttemptEnd, Engines, Exchange, Intake as _, Listed, Reports, Served,
+    Answer, Attempt, AttemptEnd, AttemptEvents, Exchange, ListedEngine, RequestSink as _, Served,
+    UpstreamEngines,
 };
 use crate::fence::{self, Fence};
 
-mod intake;
-mod spent;
+mod recent_ids;
+mod request_sink;
 
-use spent::Spent;
+use recent_ids::RecentIds;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -60,14 +61,14 @@
     clock: Clock,
     gateway: RefCell<Gateway>,
     effects: Vec<(Effect, Option<Micros>)>,
-    engines: Rc<dyn Engines>,
+    engines: Rc<dyn UpstreamEngines>,
     /// Whether anything may be sent, where that is not always so.
     fence: Option<Rc<dyn Fence>>,
     turned_away: Cell<u64>,
     /// The process ends, and takes nothing any more.
     closed: Cell<bool>,
     open: RefCell<HashMap<QueryId, Open>>,
-    spent: RefCell<Spent>,
+    spent: RefCell<RecentIds>,
     events: RefCell<VecDeque<Event>>,
     running: Cell<bool>,
     timers: RefCell<BTreeSet<(Micros, Due)>>,
@@ -82,7 +83,7 @@
         clock: Clock,
         settings: Settings,
         seed: u64,
-        engines: Rc<dyn Engines>,
+        engines: Rc<dyn UpstreamEngines>,
         fence: Option<Rc<dyn Fence>>,
     ) -> Rc<Self> {
         Rc::new(Dispatch {
@@ -108,7 +109,7 @@
     }
 
     /// Takes news of the engine list.
-    pub fn news(&self, scope: ListScope, listed: &[Listed]) {
+    pub fn news(&self, scope: ListScope, listed: &[ListedEngine]) {
         let engines = listed.iter().map(|l| l.engine).collect();
         // The module hears of it before the attempts that it ends, and before any further send.
         self.events
@@ -147,12 +148,12 @@
     /// What is read later is answered so at once: begun now, it would be cut by the end.
     pub fn close(&self) {
         self.closed.set(true);
-        self.turn_away(&Answer::Closing, |_| true);
+        self.turn_away(&Answer::ShuttingDown, |_| true);
     }
 
     /// Gives every request that waits to be sent its answer, as the fence is shut. What is out may still come back.
     pub fn shut(&self) {
-        self.turn_away(&Answer::Stale, |o| o.out.is_none());
+        self.turn_away(&Answer::StateUnconfirmed, |o| o.out.is_none());
     }
 
     fn turn_away(&self, refusal: &Answer, which: impl Fn(&Open) -> bool) {
@@ -166,7 +167,7 @@
         for id in rest {
             if let Some(o) = self.open.borrow().get(&id) {
                 o.exchange
-                    .settle(fence::turned_away(o.effect, o.attempts, refusal.clone()));
+                    .complete(fence::turned_away(o.effect, o.attempts, refusal.clone()));
             }
             self.withdraw(id);
         }
@@ -304,8 +305,11 @@
         };
         let may_send = self.may_send();
         if !may_send && !std::mem::replace(&mut o.answered, true) {
-            o.exchange
-                .settle(fence::turned_away(o.effect, number, Answer::Stale));
+            o.exchange.complete(fence::turned_away(
+                o.effect,
+                number,
+                Answer::StateUnconfirmed,
+            ));
         }
         if o.answered || o.out.is_some() || until <= now {
             let end = ended(id, number, engine, Outcome::Superseded, o.answered, 0, None);
@@ -377,7 +381,7 @@
         let mut open = self.open.borrow_mut();
         let Some(o) = open.get_mut(&id) else { return };
         if !std::mem::replace(&mut o.answered, true) {
-            o.exchange.settle(answer);
+            o.exchange.complete(answer);
         }
         if o.out.is_none() {
             self.strike(&mut open, id);
@@ -430,7 +434,7 @@
     })
 }
 
-impl Reports for Dispatch {
+impl AttemptEvents for Dispatch {
     fn noted(&self, query: QueryId, number: u32, news: Progress) {
         let out = self
             .open
@@ -470,7 +474,7 @@
                 query: end.query,
                 attempt: end.number,
             };
-            o.exchange.settle(Answer::Served(Rc::new(served)));
+            o.exchange.complete(Answer::Served(Rc::new(served)));
         }
         let settled = o.answered;
         if settled {
--- a/gateway/src/dispatch/spent.rs
+++ b/gateway/src/dispatch/recent_ids.rs
@@ -6,22 +6,22 @@
 
 /// How long an id that was in use is not taken again. Ids are new with every request: one that comes again is a
 /// client's mistake, and its bytes may mean something else.
-pub(super) const SPENT: Micros = 10_000_000;
+pub(super) const RECENT_ID_LIFETIME: Micros = 10_000_000;
 
 /// Ids that were in use a short while ago.
 #[derive(Default)]
-pub(super) struct Spent {
+pub(super) struct RecentIds {
     pub ids: HashSet<QueryId>,
     pub by_age: VecDeque<(Micros, QueryId)>,
 }
 
-impl Spent {
+impl RecentIds {
     pub fn add(&mut self, id: QueryId, now: Micros) {
         while let Some((_, old)) = self
             .by_age
             .front()
             .copied()
-            .filter(|(at, _)| at + SPENT < now)
+            .filter(|(at, _)| at + RECENT_ID_LIFETIME < now)
         {
             self.by_age.pop_front();
             self.ids.remove(&old);
--- a/gateway/src/dispatch/intake.rs
+++ b/gateway/src/dispatch/request_sink.rs
@@ -1,17 +1,17 @@
 //! What client protocols ask of the dispatcher: requests in, and clients that no longer wait. It decides nothing.
 
 use super::*;
-use crate::exchange::Intake;
+use crate::exchange::RequestSink;
 
-impl Intake for Dispatch {
+impl RequestSink for Dispatch {
     fn submit(&self, exchange: &Rc<Exchange>) -> bool {
         let id = exchange.request.query.id;
         if self.closed.get() {
-            exchange.settle(Answer::Closing);
+            exchange.complete(Answer::ShuttingDown);
             return true;
         }
         if !self.may_send() {
-            exchange.settle(Answer::Stale);
+            exchange.complete(Answer::StateUnconfirmed);
             return true;
         }
         let mut open = self.open.borrow_mut();
--- a/gateway/src/dispatch/tests.rs
+++ b/gateway/src/dispatch/tests.rs
@@ -1,6 +1,6 @@
 //! What the dispatcher owes the module and the clients, without sockets.
 
-use super::spent::SPENT;
+use super::recent_ids::RECENT_ID_LIFETIME;
 use super::*;
 use crate::exchange::Request;
 use futures_lite::FutureExt;
@@ -22,7 +22,7 @@
     }
 }
 
-impl Engines for Notes {
+impl UpstreamEngines for Notes {
     fn send(&self, a: Attempt) {
         let id = a.exchange.request.query.id;
         self.3.borrow_mut().push(a.begin_by);
@@ -49,7 +49,7 @@
     fn cordon(&self, engine: EngineId, out: bool) {
         self.0.borrow_mut().push(format!("cordon {engine} {out}"));
     }
-    fn list(&self, _: ListScope, engines: &[Listed]) {
+    fn list(&self, _: ListScope, engines: &[ListedEngine]) {
         self.0.borrow_mut().push(format!("list {}", engines.len()));
     }
 }
@@ -99,7 +99,7 @@
     };
     let addr = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let list: Vec<_> = (0..engines)
-        .map(|id| Listed {
+        .map(|id| ListedEngine {
             engine: engine(id),
             addr,
         })
@@ -146,8 +146,8 @@
 /// Spent ids are forgotten in their time, so that they don't pile up.
 #[test]
 fn spent_ids_are_forgotten() {
-    let mut spent = Spent::default();
-    (0..1_000).for_each(|id| spent.add(id, id * SPENT / 10));
+    let mut spent = RecentIds::default();
+    (0..1_000).for_each(|id| spent.add(id, id * RECENT_ID_LIFETIME / 10));
     assert!(
         spent.ids.len() < 15 && spent.by_age.len() == spent.ids.len(),
         "{}",
@@ -263,12 +263,12 @@
     let (one, two) = (ask(&d, 1, 60_000_000), ask(&d, 2, 60_000_000));
     notes.1.set(true);
     d.ended(end(1, 0, Outcome::Severed));
-    assert!(matches!(answer(&one), Some(Answer::Stale)));
+    assert!(matches!(answer(&one), Some(Answer::StateUnconfirmed)));
     d.shut();
     d.ended(end(2, 0, Outcome::Completed));
     assert!(matches!(answer(&two), Some(Answer::Served(_))));
     let three = ask(&d, 3, 60_000_000);
-    assert!(matches!(answer(&three), Some(Answer::Stale)));
+    assert!(matches!(answer(&three), Some(Answer::StateUnconfirmed)));
     let sends = notes
         .0
         .borrow()
@@ -448,7 +448,7 @@
     let first = ask(&d, 1, 60_000_000);
     d.close();
     let second = ask(&d, 2, 60_000_000);
-    assert!(matches!(answer(&first), Some(Answer::Closing)));
-    assert!(matches!(answer(&second), Some(Answer::Closing)));
+    assert!(matches!(answer(&first), Some(Answer::ShuttingDown)));
+    assert!(matches!(answer(&second), Some(Answer::ShuttingDown)));
     assert!(!notes.0.borrow().iter().any(|n| n.starts_with("send 2")));
 }
--- a/gateway/src/door.rs
+++ b/gateway/src/drain.rs
@@ -12,7 +12,7 @@
 
 /// Whether clients are let in, and whether they may stay. None leaves with a request read, or half read.
 #[derive(Default)]
-pub struct Door {
+pub struct DrainState {
     /// Since when it drains.
     since: Cell<Option<Micros>>,
     handed_over: Cell<bool>,
@@ -20,7 +20,7 @@
     fenced: Cell<bool>,
 }
 
-impl Door {
+impl DrainState {
     /// Another process takes over: connections end from now on.
     pub fn hand_over(&self) {
         self.handed_over.set(true);
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,8 +1,8 @@
 //! The exchange: the one place where the client side and the engine side meet.
 //!
 //! A client protocol turns what it read into a [`Request`], opens an [`Exchange`] for it through
-//! [`Intake`] and waits for the [`Answer`]. An engine protocol carries out an [`Attempt`] at an exchange
-//! and tells of its end through [`Reports`]. Neither knows the other; nothing here knows a protocol.
+//! [`RequestSink`] and waits for the [`Answer`]. An engine protocol carries out an [`Attempt`] at an exchange
+//! and tells of its end through [`AttemptEvents`]. Neither knows the other; nothing here knows a protocol.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -59,7 +59,7 @@
 pub type Pages = Vec<Box<[u8]>>;
 
 /// The most bytes of a result; the engine side lets no more pass. 48,000 are allowed.
-pub const MAX_RESULT: usize = 64 * 1024;
+pub const MAX_RESULT_BYTES: usize = 64 * 1024;
 
 /// A whole result, and the attempt that made it.
 #[derive(Debug)]
@@ -91,17 +91,17 @@
         retry_after: Micros,
     },
     /// Turned away because this process ends; another try does no harm.
-    Closing,
+    ShuttingDown,
     /// Turned away because this instance can't confirm the state that it shares with others; another instance may
     /// serve it.
-    Stale,
+    StateUnconfirmed,
     /// Failed; it may have had its effect.
     Failed,
     /// Its idempotency key was used with another query; nothing ran.
-    Differs,
+    KeyConflict,
     /// An earlier query of its idempotency key may have had its effect, and a second one would not be discarded
     /// any more; nothing ran.
-    Unsure,
+    OutcomeUnknown,
 }
 
 /// A request on its way to its one answer.
@@ -111,7 +111,7 @@
     pub request: Request,
     /// The engine connections that earlier attempts used. A later attempt avoids them, so that a second copy
     /// of an answer to a dead attempt can't pass for an answer to a live one with the same id.
-    pub trail: RefCell<Vec<u64>>,
+    pub used_connections: RefCell<Vec<u64>>,
     state: RefCell<(Option<Answer>, Option<Waker>)>,
 }
 
@@ -121,13 +121,13 @@
     pub fn new(request: Request) -> Rc<Self> {
         Rc::new(Exchange {
             request,
-            trail: RefCell::default(),
+            used_connections: RefCell::default(),
             state: RefCell::default(),
         })
     }
 
     /// Gives the answer.
-    pub fn settle(&self, answer: Answer) {
+    pub fn complete(&self, answer: Answer) {
         let mut state = self.state.borrow_mut();
         state.0 = Some(answer);
         if let Some(waker) = state.1.take() {
@@ -152,7 +152,7 @@
 }
 
 /// What a client protocol may ask of the core.
-pub trait Intake {
+pub trait RequestSink {
     /// Takes a request in; its answer comes through the exchange. False: that id is open, or was just now.
     fn submit(&self, exchange: &Rc<Exchange>) -> bool;
     /// The client no longer waits.
@@ -196,7 +196,7 @@
 }
 
 /// Where the engine side tells how attempts ended.
-pub trait Reports {
+pub trait AttemptEvents {
     /// An attempt ended by itself.
     fn ended(&self, end: AttemptEnd);
     /// News of an attempt that is still out: whose, which, what.
@@ -205,7 +205,7 @@
 
 /// An engine of the list, and where it listens.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct ListedEngine {
     /// What the decisions need.
     pub engine: Engine,
     /// Where it listens.
@@ -213,8 +213,8 @@
 }
 
 /// What the core may ask of an engine protocol.
-pub trait Engines {
-    /// Starts an attempt. Its end comes through `Reports`, unless it is cancelled first.
+pub trait UpstreamEngines {
+    /// Starts an attempt. Its end comes through `AttemptEvents`, unless it is cancelled first.
     fn send(&self, attempt: Attempt);
     /// Gives an attempt up; nothing more is told of it. False: the engine surely never saw it.
     fn cancel(&self, query: QueryId) -> bool;
@@ -226,5 +226,5 @@
     /// old connections may not.
     fn cordon(&self, engine: EngineId, out: bool);
     /// News of the list. Attempts not yet written to an engine that wants no more end as never sent.
-    fn list(&self, scope: ListScope, engines: &[Listed]);
+    fn list(&self, scope: ListScope, engines: &[ListedEngine]);
 }
--- a/gateway/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -38,9 +38,9 @@
             (Effect::Deduplicated, 0, true),
             (Effect::Deduplicated, 1, false),
         ] {
-            let answer = turned_away(effect, attempts, Answer::Stale);
+            let answer = turned_away(effect, attempts, Answer::StateUnconfirmed);
             assert_eq!(
-                matches!(answer, Answer::Stale),
+                matches!(answer, Answer::StateUnconfirmed),
                 harmless,
                 "{effect:?} {attempts}"
             );
--- a/gateway/src/problem.rs
+++ b/gateway/src/http_error.rs
@@ -9,7 +9,7 @@
 
 /// Why a call over HTTP gets nothing else: application/problem+json (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Problem {
+pub struct HttpError {
     /// The status.
     pub status: StatusCode,
     /// The last part of its type.
@@ -22,11 +22,11 @@
     pub closes: bool,
 }
 
-impl Problem {
+impl HttpError {
     /// A problem of a kind.
     #[must_use]
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
-        Problem {
+        HttpError {
             status,
             kind,
             detail: detail.into(),
@@ -38,7 +38,7 @@
     /// With the time after which another try may fare better.
     #[must_use]
     pub fn after(self, retry_after: Micros) -> Self {
-        Problem {
+        HttpError {
             retry_after: Some(retry_after),
             ..self
         }
@@ -47,7 +47,7 @@
     /// With the end of the connection.
     #[must_use]
     pub fn closing(self) -> Self {
-        Problem {
+        HttpError {
             closes: true,
             ..self
         }
--- a/gateway/src/keyed.rs
+++ b/gateway/src/idempotency.rs
@@ -1,6 +1,6 @@
 //! Idempotency keys ahead of the decisions: of all queries of one key, by whichever front they come, one runs.
 //!
-//! It stands before an [`Intake`] as another one, and carries out what [`Keys`] says: a query that runs is handed
+//! It stands before an [`RequestSink`] as another one, and carries out what [`Keys`] says: a query that runs is handed
 //! on under an exchange of its own, so that it goes on while any of those that wait for it is there. It must
 //! never decide about a query that carries no key, and never send one again by itself.
 
@@ -15,7 +15,7 @@
 use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
 use violetgate_result_store::{Budget, Ending, Grant, Keys, Print, Seen};
 
-use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
+use crate::exchange::{Answer, Exchange, Request, RequestSink, Served, MAX_RESULT_BYTES};
 
 /// How many queries may wait for one key: a client and its impatient repeats.
 const JOINED: usize = 32;
@@ -46,9 +46,9 @@
 }
 
 /// The keys, and those that wait for them.
-pub struct Keyed {
-    me: Weak<Keyed>,
-    inner: Rc<dyn Intake>,
+pub struct IdempotencyLayer {
+    me: Weak<IdempotencyLayer>,
+    inner: Rc<dyn RequestSink>,
     executor: Rc<LocalExecutor<'static>>,
     /// For how long engines discard a repeat, by class; `None`: the class has no keys.
     windows: Vec<Option<Micros>>,
@@ -61,11 +61,11 @@
     replayed: Cell<u64>,
 }
 
-impl Keyed {
+impl IdempotencyLayer {
     /// Stands before `inner`, with room for `most` keys; recorded answers hold bytes of `budget`.
     #[must_use]
     pub fn new(
-        inner: Rc<dyn Intake>,
+        inner: Rc<dyn RequestSink>,
         executor: Rc<LocalExecutor<'static>>,
         classes: &[Class],
         budget: Budget,
@@ -75,7 +75,7 @@
             (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
         };
         let now = inner.now();
-        Rc::new_cyclic(|me| Keyed {
+        Rc::new_cyclic(|me| IdempotencyLayer {
             me: me.clone(),
             inner,
             executor,
@@ -124,10 +124,10 @@
                 .borrow_mut()
                 .ended(self.now(), key, Ending::Harmless);
             debug_assert_eq!(waiters, [id]);
-            exchange.settle(answer);
+            exchange.complete(answer);
         };
         // Reserved before it is admitted: an answer that could not be kept would leave a repeat nothing to meet.
-        let Some(grant) = self.budget.reserve(MAX_RESULT) else {
+        let Some(grant) = self.budget.reserve(MAX_RESULT_BYTES) else {
             harmless(Answer::Refused { retry_after: RETRY });
             return true;
         };
@@ -161,8 +161,8 @@
                 })
             }
             // What no engine connection ever had has surely not run.
-            Answer::Refused { .. } | Answer::Closing | Answer::Stale
-                if leader.trail.borrow().is_empty() =>
+            Answer::Refused { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
+                if leader.used_connections.borrow().is_empty() =>
             {
                 Ending::Harmless
             }
@@ -172,7 +172,7 @@
         for id in waiters {
             let waiter = self.waiting.borrow_mut().remove(&id);
             if let Some(waiter) = waiter {
-                waiter.exchange.settle(answer.clone());
+                waiter.exchange.complete(answer.clone());
             }
         }
         // It is the one that runs this: it may end by itself.
@@ -191,7 +191,7 @@
             let waiter = me.waiting.borrow_mut().remove(&id);
             if let Some(mut waiter) = waiter {
                 me.leave(&waiter.key, id);
-                exchange.settle(Answer::Failed);
+                exchange.complete(Answer::Failed);
                 waiter._late.take().into_iter().for_each(Task::detach);
             }
         })
@@ -235,7 +235,7 @@
     print
 }
 
-impl Intake for Keyed {
+impl RequestSink for IdempotencyLayer {
     fn submit(&self, exchange: &Rc<Exchange>) -> bool {
         let request = &exchange.request;
         let window = self
@@ -263,13 +263,13 @@
             }
             Seen::Replay(recorded) => {
                 self.replayed.set(self.replayed.get() + 1);
-                exchange.settle(Answer::Served(recorded.served));
+                exchange.complete(Answer::Served(recorded.served));
             }
-            Seen::Differs => exchange.settle(Answer::Differs),
-            Seen::Unsure => exchange.settle(Answer::Unsure),
+            Seen::Differs => exchange.complete(Answer::KeyConflict),
+            Seen::Unsure => exchange.complete(Answer::OutcomeUnknown),
             Seen::Full(wait) => {
                 let retry_after = if wait == 0 { RETRY } else { wait };
-                exchange.settle(Answer::Refused { retry_after });
+                exchange.complete(Answer::Refused { retry_after });
             }
         }
         true
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,35 +1,34 @@
-//! violetgate: a front end for query engines. Clients speak the PostgreSQL protocol, engines a line
-//! protocol; between them the decisions of `violetgate-policy` admit, hold and place every query.
+//! violetgate: a gateway for query engines. Clients speak the PostgreSQL protocol or HTTP, engines a line
+//! protocol; between them the decisions of `violetgate-policy` admit, queue and place every query.
 //!
-//! The program is a thin `main` over [`cli`]; this library holds everything else, a module a concern.
+//! The program is a thin `main` over [`cli`]; this library holds everything else, one concern to a module.
 
 mod admin;
-mod asked;
-mod bus;
 pub mod cli;
-mod client;
 mod clock;
 mod config;
+mod connection_limit;
 pub mod control;
+mod cordon_file;
 mod ctl;
-mod daemon;
 mod demo;
+mod discovery;
 mod dispatch;
-mod door;
-mod engine;
+mod drain;
 mod exchange;
 mod fence;
 mod fleet;
-mod keyed;
+mod http_error;
+mod idempotency;
 pub mod log;
 mod net;
-mod operations;
-mod presence;
-mod problem;
+mod postgres;
+mod replication;
+mod request_validation;
 mod rest;
-mod room;
 mod serve;
 pub mod settings;
+mod sibling_process;
 mod stats;
-mod store;
-mod tables;
+mod table_group;
+mod upstream;
--- a/gateway/src/client/fields.rs
+++ b/gateway/src/postgres/query_fields.rs
@@ -2,15 +2,15 @@
 
 use violetgate_policy::interface::Micros;
 
-use crate::asked::{self, Asked, Fault, Part};
-use crate::config::Names;
+use crate::config::NameTable;
 use crate::exchange::Request;
+use crate::request_validation::{self, InvalidField, RawRequest, RequestField};
 
 /// Whether a query is empty: white space, line comments and semicolons only. One that begins as a request
 /// does, with a comment for its fields, is a request that can't be used, and its client is owed an error.
 #[must_use]
 pub fn is_empty(sql: &[u8]) -> bool {
-    !sql.trim_ascii_start().starts_with(b"/*") && asked::says_nothing(sql)
+    !sql.trim_ascii_start().starts_with(b"/*") && request_validation::says_nothing(sql)
 }
 
 /// Reads a query's fields and statement.
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// A field is missing or can't be used; the text says which.
-pub fn request(sql: &[u8], names: &Names, received: Micros) -> Result<Request, String> {
+pub fn request(sql: &[u8], names: &NameTable, received: Micros) -> Result<Request, String> {
     let sql = sql.trim_ascii_start();
     let comment = sql
         .strip_prefix(b"/*")
@@ -26,7 +26,7 @@
     let end = memchr::memmem::find(comment, b"*/").ok_or("the comment with fields has no end")?;
     let (fields, statement) = comment.split_at_checked(end).unwrap_or_default();
     let statement = statement.get(2..).unwrap_or_default().trim_ascii_start();
-    if asked::says_nothing(statement) {
+    if request_validation::says_nothing(statement) {
         return Err("the statement is missing".to_owned());
     }
     let fields = std::str::from_utf8(fields)
@@ -48,7 +48,7 @@
     let [class, id, budget, tenant, token, work, memory, key, again] = found;
     // What is no number is none that can be believed, either.
     let number = |text: Option<&str>| text.map(|t| t.parse::<f64>().unwrap_or(f64::NAN));
-    let asked = Asked {
+    let asked = RawRequest {
         class,
         id,
         budget: number(budget),
@@ -62,22 +62,22 @@
     };
     asked
         .request(names, received)
-        .map_err(|Fault { part, what }| format!("field `{}` {what}", name(part)))
+        .map_err(|InvalidField { part, what }| format!("field `{}` {what}", name(part)))
 }
 
-const NAMES: [(Part, &str); 9] = [
-    (Part::Class, "method"),
-    (Part::Id, "rid"),
-    (Part::Budget, "budget"),
-    (Part::Tenant, "acct"),
-    (Part::Token, "token"),
-    (Part::Work, "est"),
-    (Part::Memory, "est_mb"),
-    (Part::Key, "obj"),
-    (Part::Again, "again"),
+const NAMES: [(RequestField, &str); 9] = [
+    (RequestField::Class, "method"),
+    (RequestField::Id, "rid"),
+    (RequestField::Budget, "budget"),
+    (RequestField::Tenant, "acct"),
+    (RequestField::Token, "token"),
+    (RequestField::Work, "est"),
+    (RequestField::Memory, "est_mb"),
+    (RequestField::Key, "obj"),
+    (RequestField::Again, "again"),
 ];
 
-fn name(part: Part) -> &'static str {
+fn name(part: RequestField) -> &'static str {
     NAMES
         .iter()
         .find(|(p, _)| *p == part)
--- a/gateway/src/client/session.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -16,18 +16,18 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::codec::{self, Malformed, Startup};
-use super::fields;
-use crate::config::Names;
-use crate::door::Door;
-use crate::exchange::{Answer, Exchange, Intake, Request};
+use super::query_fields;
+use crate::config::NameTable;
+use crate::connection_limit::{ConnectionLimiter, ConnectionSlot, ConnectionState, RECENTLY_IDLE};
+use crate::drain::DrainState;
+use crate::exchange::{Answer, Exchange, Request, RequestSink};
 use crate::log;
 use crate::net;
-use crate::room::{Guest, Room, Stage, FRESH};
 use crate::stats::{Ending, Stats};
 
-mod one;
+mod session;
 
-use one::Session;
+use session::Session;
 
 /// How long a client may take over its start-up packet, and over the rest of a message that it has begun,
 /// however it trickles in: one that says half of something is owed an error or a close within 3 s.
@@ -66,7 +66,7 @@
     /// The query at hand, or the one that is here and not yet read, is cancelled.
     cancelled: Cell<bool>,
     waker: RefCell<Option<Waker>>,
-    guest: Rc<Guest>,
+    guest: Rc<ConnectionSlot>,
     stream: Rc<Async<TcpStream>>,
 }
 
@@ -81,14 +81,14 @@
 /// All client connections.
 pub struct Sessions {
     executor: Rc<LocalExecutor<'static>>,
-    intake: Rc<dyn Intake>,
-    names: Names,
+    intake: Rc<dyn RequestSink>,
+    names: NameTable,
     stats: Rc<Stats>,
-    room: Room,
+    room: ConnectionLimiter,
     rng: RefCell<ChaCha8Rng>,
     keys: RefCell<HashMap<u32, Rc<Key>>>,
     busy: Cell<usize>,
-    door: Rc<Door>,
+    door: Rc<DrainState>,
 }
 
 impl Sessions {
@@ -96,10 +96,10 @@
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        intake: Rc<dyn Intake>,
-        names: Names,
+        intake: Rc<dyn RequestSink>,
+        names: NameTable,
         stats: Rc<Stats>,
-        door: Rc<Door>,
+        door: Rc<DrainState>,
         most: usize,
         rng: ChaCha8Rng,
     ) -> Rc<Self> {
@@ -108,7 +108,7 @@
             intake,
             names,
             stats,
-            room: Room::new(most),
+            room: ConnectionLimiter::new(most),
             rng: RefCell::new(rng),
             keys: RefCell::default(),
             busy: Cell::new(0),
@@ -132,7 +132,7 @@
         loop {
             let now = self.intake.now();
             if let Some(reason) = self.door.sends_home(now) {
-                self.room.dismiss_idle(now, FRESH, reason);
+                self.room.dismiss_idle(now, RECENTLY_IDLE, reason);
             }
             Timer::after(LOOK).await;
         }
@@ -260,7 +260,12 @@
         log::ended("client", peer, "too_many", 0);
     }
 
-    async fn drive(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr, guest: Rc<Guest>) {
+    async fn drive(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        peer: SocketAddr,
+        guest: Rc<ConnectionSlot>,
+    ) {
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Rc::new(stream);
         let mut session = Session {
@@ -293,7 +298,7 @@
         log::ended("client", peer, reason, requests);
     }
 
-    fn new_key(&self, guest: &Rc<Guest>, stream: &Rc<Async<TcpStream>>) -> (u32, Rc<Key>) {
+    fn new_key(&self, guest: &Rc<ConnectionSlot>, stream: &Rc<Async<TcpStream>>) -> (u32, Rc<Key>) {
         let mut rng = self.rng.borrow_mut();
         let mut keys = self.keys.borrow_mut();
         loop {
--- a/gateway/src/client/session/one.rs
+++ b/gateway/src/postgres/sessions/session.rs
@@ -4,7 +4,7 @@
 
 pub(super) struct Session<'a> {
     pub(super) sessions: &'a Rc<Sessions>,
-    pub(super) guest: &'a Rc<Guest>,
+    pub(super) guest: &'a Rc<ConnectionSlot>,
     pub(super) stream: Rc<Async<TcpStream>>,
     pub(super) input: Vec<u8>,
     /// When the last bytes were read.
@@ -39,10 +39,10 @@
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     let (stage, until, reason) = if self.input.is_empty() {
-                        (Stage::Idle, Instant::now() + IDLE, "idle")
+                        (ConnectionState::Idle, Instant::now() + IDLE, "idle")
                     } else {
                         let by = *whole_by.get_or_insert_with(|| Instant::now() + MESSAGE);
-                        (Stage::Mute, by, "message_timeout")
+                        (ConnectionState::AwaitingMessage, by, "message_timeout")
                     };
                     guest.is(stage, self.sessions.intake.now());
                     let late = async {
@@ -170,17 +170,17 @@
     async fn query(&mut self, sql: &[u8]) -> Result<(), Reason> {
         let sessions = Rc::clone(self.sessions);
         let _busy = Busy::new(&sessions.busy);
-        self.guest.is(Stage::Busy, self.read_at);
+        self.guest.is(ConnectionState::Busy, self.read_at);
         self.requests += 1;
         let mut counted = None;
-        if fields::is_empty(sql) {
+        if query_fields::is_empty(sql) {
             if sessions.door.is_closed() {
                 self.closing();
             } else {
                 codec::empty(&mut self.output);
             }
         } else {
-            match fields::request(sql, &sessions.names, self.read_at) {
+            match query_fields::request(sql, &sessions.names, self.read_at) {
                 Err(what) => self.fail("22023", &what),
                 Ok(request) => {
                     let open = sessions.stats.begin(request.query.class);
@@ -197,7 +197,8 @@
         // A cancel that came meanwhile meant this query, one that comes now may mean the next.
         self.is_cancelled();
         if self.input.is_empty() {
-            self.guest.is(Stage::Idle, self.sessions.intake.now());
+            self.guest
+                .is(ConnectionState::Idle, self.sessions.intake.now());
         }
         Ok(())
     }
@@ -320,11 +321,11 @@
                 codec::error(&mut self.output, "ERROR", "53000", &what, hint);
                 Ending::Refused
             }
-            Some(Answer::Closing) => {
+            Some(Answer::ShuttingDown) => {
                 self.closing();
                 Ending::Refused
             }
-            Some(Answer::Stale) => {
+            Some(Answer::StateUnconfirmed) => {
                 let hint = Some("Another instance may serve it.");
                 codec::error(
                     &mut self.output,
@@ -339,11 +340,11 @@
                 self.fail("58000", "the query failed; it may have had its effect");
                 Ending::Failed
             }
-            Some(Answer::Differs) => {
+            Some(Answer::KeyConflict) => {
                 self.fail("22023", "field `token` was used with another query");
                 Ending::Failed
             }
-            Some(Answer::Unsure) => {
+            Some(Answer::OutcomeUnknown) => {
                 self.fail(
                     "58000",
                     "an earlier query of this token failed; it may have had its effect",
--- a/gateway/src/client/session/tests.rs
+++ b/gateway/src/postgres/sessions/tests.rs
@@ -19,7 +19,7 @@
     open: RefCell<HashMap<QueryId, Rc<Exchange>>>,
 }
 
-impl Intake for Core {
+impl RequestSink for Core {
     fn submit(&self, exchange: &Rc<Exchange>) -> bool {
         let id = exchange.request.query.id;
         self.taken.borrow_mut().push(id);
@@ -38,7 +38,7 @@
 impl Core {
     fn refuse(&self, id: QueryId) {
         let exchange = self.open.borrow_mut().remove(&id).unwrap();
-        exchange.settle(Answer::Refused { retry_after: 0 });
+        exchange.complete(Answer::Refused { retry_after: 0 });
     }
 }
 
@@ -53,16 +53,16 @@
     fn new(most: usize) -> Self {
         let executor = Rc::new(LocalExecutor::new());
         let core = Rc::new(Core::default());
-        let names = Names {
+        let names = NameTable {
             classes: vec![("lookup".to_owned(), false)],
-            ..Names::default()
+            ..NameTable::default()
         };
         let sessions = Sessions::new(
             Rc::clone(&executor),
             Rc::<Core>::clone(&core),
             names,
             Rc::new(Stats::new(["lookup"].into_iter())),
-            Rc::new(Door::default()),
+            Rc::new(DrainState::default()),
             most,
             ChaCha8Rng::seed_from_u64(7),
         );
--- a/gateway/src/daemon/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -9,19 +9,19 @@
 use violetgate_replica::Answer;
 use violetgate_replica_runtime::{Answered, Call};
 
-use super::super::agreed::{self, Record};
-use super::super::figures::{until_in_force, BEHIND};
-use super::super::Unagreed;
+use super::super::metrics::{until_in_force, BEHIND};
+use super::super::shared_config::{self, MemberAddress};
+use super::super::ProposalError;
 use super::http::{bad, problem, told, Answering, Reply};
-use super::query::Asked;
+use super::query::ApiCall;
 use super::Api;
-use crate::problem::Problem;
+use crate::http_error::HttpError;
 use crate::settings;
 
 /// A step of the membership, as an operator writes it.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum MemberStep {
+pub enum MembershipStep {
     /// A new member: its id and where it is.
     Add {
         /// Its id.
@@ -80,45 +80,45 @@
         }))
     }
 
-    pub(super) async fn member(&self, call: &Asked) -> Answering {
+    pub(super) async fn member(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let step: MemberStep =
+        let step: MembershipStep =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
         let change = match step {
-            MemberStep::Add { id, listen, api } => {
+            MembershipStep::Add { id, listen, api } => {
                 // Where it is comes first, so that the leader finds it.
-                let record = Record {
+                let record = MemberAddress {
                     listen,
                     api,
                     born: None,
                 };
                 let known = self.daemon.status().members.highest;
                 if id <= known {
-                    return Err(Unagreed::Rejected(Rejected::IdUsed).into());
+                    return Err(ProposalError::Rejected(Rejected::IdUsed).into());
                 }
                 let txn = self
                     .daemon
                     .cluster
-                    .store(|s| agreed::member(s, id, &record));
+                    .store(|s| shared_config::member(s, id, &record));
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
                 Call::Change(Change::Add(id))
             }
-            MemberStep::Promote(id) => Call::Change(Change::Promote(id)),
-            MemberStep::Remove(id) => Call::Change(Change::Remove(id)),
-            MemberStep::Transfer(id) => Call::Transfer(id),
+            MembershipStep::Promote(id) => Call::Change(Change::Promote(id)),
+            MembershipStep::Remove(id) => Call::Change(Change::Remove(id)),
+            MembershipStep::Transfer(id) => Call::Transfer(id),
         };
         match self.daemon.cluster.agree(change, call.within).await {
             Answered::Yes(Answer::Changed) => {}
-            Answered::Yes(Answer::Rejected(why)) => return Err(Unagreed::Rejected(why).into()),
-            _ => return Err(Unagreed::Late.into()),
+            Answered::Yes(Answer::Rejected(why)) => return Err(ProposalError::Rejected(why).into()),
+            _ => return Err(ProposalError::Late.into()),
         }
         let _ = self.daemon.cluster.current(call.within).await;
         Ok(self.cluster())
     }
 
-    pub(super) async fn cordon(&self, call: &Asked, out: bool) -> Answering {
+    pub(super) async fn cordon(&self, call: &ApiCall, out: bool) -> Answering {
         call.query.only(&["engine"])?;
         let engine = call.query.needed("engine")?;
         let known = self
@@ -135,13 +135,13 @@
             ));
         }
         Self::held(
-            self.agree(call, agreed::cordon(&engine, out, &call.who))
+            self.agree(call, shared_config::cordon(&engine, out, &call.who))
                 .await?,
         )
     }
 
     /// Drains a member by its id, or a front end that subscribes by its name.
-    pub(super) async fn drain(&self, call: &Asked, on: bool) -> Answering {
+    pub(super) async fn drain(&self, call: &ApiCall, on: bool) -> Answering {
         call.query.only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
         let instance = match (member, call.query.text("front_end")) {
@@ -154,21 +154,21 @@
                 .to_string(),
         };
         Self::held(
-            self.agree(call, agreed::drain(&instance, on, &call.who))
+            self.agree(call, shared_config::drain(&instance, on, &call.who))
                 .await?,
         )
     }
 
-    fn known_member(&self, member: u64) -> Result<u64, Problem> {
+    fn known_member(&self, member: u64) -> Result<u64, HttpError> {
         if self.daemon.status().members.contains(member) {
             Ok(member)
         } else {
-            Err(Unagreed::Rejected(Rejected::Unknown).into())
+            Err(ProposalError::Rejected(Rejected::Unknown).into())
         }
     }
 
     /// How far all front ends that subscribe are, as observers reported it of late.
-    pub(super) fn fleet_progress(&self, call: &Asked) -> Answering {
+    pub(super) fn fleet_progress(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
         let totals = self.daemon.fleet_progress();
         let behind: Map<String, Value> = BEHIND
--- a/gateway/src/daemon/api/http.rs
+++ b/gateway/src/replication/api/http.rs
@@ -14,12 +14,12 @@
 use violetgate_raft::Rejected;
 use violetgate_replicated_state::{Compacted, Refused};
 
-use super::super::agreed::Unfit;
-use super::super::Unagreed;
-use crate::problem::Problem;
+use super::super::shared_config::SettingsRejection;
+use super::super::ProposalError;
+use crate::http_error::HttpError;
 
 pub(super) type Reply = Response<Full<Bytes>>;
-pub(super) type Answering = Result<Reply, Problem>;
+pub(super) type Answering = Result<Reply, HttpError>;
 
 /// Timers for hyper, on the one reactor.
 #[derive(Clone, Copy)]
@@ -49,11 +49,11 @@
     status: StatusCode,
     kind: &'static str,
     detail: impl Into<String>,
-) -> Problem {
-    Problem::new(status, kind, detail)
+) -> HttpError {
+    HttpError::new(status, kind, detail)
 }
 
-pub(super) fn bad(detail: impl Into<String>) -> Problem {
+pub(super) fn bad(detail: impl Into<String>) -> HttpError {
     problem(StatusCode::BAD_REQUEST, "invalid-request", detail)
 }
 
@@ -77,32 +77,32 @@
     )
 }
 
-impl From<Unagreed> for Problem {
-    fn from(why: Unagreed) -> Self {
+impl From<ProposalError> for HttpError {
+    fn from(why: ProposalError) -> Self {
         match why {
-            Unagreed::Late => problem(
+            ProposalError::Late => problem(
                 StatusCode::GATEWAY_TIMEOUT,
                 "outcome-unknown",
                 "not agreed on in its time; it may still come to be: ask again under the same Request-Id",
             ),
-            Unagreed::Refused(Refused::TooLarge) => problem(
+            ProposalError::Refused(Refused::TooLarge) => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
                 "a key, a value or the transaction is too large",
             ),
-            Unagreed::Refused(Refused::Full) => {
+            ProposalError::Refused(Refused::Full) => {
                 problem(StatusCode::INSUFFICIENT_STORAGE, "store-full", "the store is full")
             }
-            Unagreed::Refused(Refused::NoLease(id)) => {
+            ProposalError::Refused(Refused::NoLease(id)) => {
                 problem(StatusCode::NOT_FOUND, "no-such-lease", format!("there is no lease {id}"))
             }
-            Unagreed::Refused(Refused::Future) => bad("there is no such revision yet"),
-            Unagreed::NotAMember => problem(
+            ProposalError::Refused(Refused::Future) => bad("there is no such revision yet"),
+            ProposalError::NotAMember => problem(
                 StatusCode::CONFLICT,
                 "not-a-member",
                 "this front end subscribes: have it agreed on at a member's API",
             ),
-            Unagreed::Rejected(why) => {
+            ProposalError::Rejected(why) => {
                 let detail = match why {
                     Rejected::IdUsed => "this id was given before; ids are never used twice",
                     Rejected::Unknown => "there is no such member, or it is not of that kind",
@@ -116,10 +116,10 @@
     }
 }
 
-impl From<Unfit> for Problem {
-    fn from(why: Unfit) -> Self {
+impl From<SettingsRejection> for HttpError {
+    fn from(why: SettingsRejection) -> Self {
         match why {
-            Unfit::Problems(problems) => {
+            SettingsRejection::Problems(problems) => {
                 let lines: Vec<_> = problems.iter().map(ToString::to_string).collect();
                 problem(
                     StatusCode::UNPROCESSABLE_ENTITY,
@@ -127,13 +127,13 @@
                     lines.join("; "),
                 )
             }
-            Unfit::TooLong => bad("the settings are too long"),
-            Unfit::Replaced(now) => problem(
+            SettingsRejection::TooLong => bad("the settings are too long"),
+            SettingsRejection::Replaced(now) => problem(
                 StatusCode::CONFLICT,
                 "settings-replaced",
                 format!("version {now} holds"),
             ),
-            Unfit::Unknown => problem(
+            SettingsRejection::Unknown => problem(
                 StatusCode::NOT_FOUND,
                 "no-such-version",
                 "that version is not kept",
@@ -142,7 +142,7 @@
     }
 }
 
-impl From<Compacted> for Problem {
+impl From<Compacted> for HttpError {
     fn from(gone: Compacted) -> Self {
         let detail = format!(
             "that revision is compacted away: read anew, from {} at the earliest",
--- a/gateway/src/daemon/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -26,13 +26,13 @@
 use violetgate_replica_runtime::{Answered, Call};
 use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
 
-use super::{request_id, Daemon, Unagreed};
+use super::{request_id, ClusterMember, ProposalError};
+use crate::http_error::HttpError;
 use crate::log;
-use crate::problem::Problem;
 use http::{bad, problem, told, Answering, Timers};
-use query::{Asked, Query};
+use query::{ApiCall, Query};
 
-pub use cluster::MemberStep;
+pub use cluster::MembershipStep;
 
 /// Connections at a time; more are closed at once.
 const MOST: usize = 64;
@@ -46,7 +46,7 @@
 
 /// Takes connections for ever.
 pub async fn listen(
-    daemon: Rc<Daemon>,
+    daemon: Rc<ClusterMember>,
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
 ) {
@@ -74,7 +74,11 @@
     }
 }
 
-async fn serve(daemon: Rc<Daemon>, stream: Async<TcpStream>, peer: SocketAddr) -> &'static str {
+async fn serve(
+    daemon: Rc<ClusterMember>,
+    stream: Async<TcpStream>,
+    peer: SocketAddr,
+) -> &'static str {
     let _ = stream.get_ref().set_nodelay(true);
     let service = hyper::service::service_fn(move |request| {
         let daemon = Rc::clone(&daemon);
@@ -104,7 +108,7 @@
 
 /// One call.
 struct Api {
-    daemon: Rc<Daemon>,
+    daemon: Rc<ClusterMember>,
     peer: SocketAddr,
 }
 
@@ -126,7 +130,7 @@
             self.read(request).await?
         };
         let changes = method != Method::GET;
-        let call = Asked {
+        let call = ApiCall {
             query,
             body,
             id,
@@ -180,7 +184,7 @@
         done
     }
 
-    async fn read(&self, request: Request<Incoming>) -> Result<Vec<u8>, Problem> {
+    async fn read(&self, request: Request<Incoming>) -> Result<Vec<u8>, HttpError> {
         let whole = async {
             let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
             body.map(|b| b.to_bytes().to_vec()).map_err(|e| {
@@ -201,7 +205,7 @@
     }
 
     /// Waits until this member's copy is current.
-    async fn current(&self, call: &Asked) -> Result<(), Problem> {
+    async fn current(&self, call: &ApiCall) -> Result<(), HttpError> {
         if call.query.text("stale") == Some("true")
             || self.daemon.cluster.current(call.within).await
         {
@@ -212,14 +216,14 @@
         Err(problem(StatusCode::SERVICE_UNAVAILABLE, "isolated", detail).after(0))
     }
 
-    async fn agree(&self, call: &Asked, txn: Txn) -> Result<(Revision, bool), Problem> {
+    async fn agree(&self, call: &ApiCall, txn: Txn) -> Result<(Revision, bool), HttpError> {
         Ok(self
             .daemon
             .agree(call.id.clone(), &call.who, txn, call.within)
             .await?)
     }
 
-    async fn step(&self, call: &Asked, step: Step) -> Answering {
+    async fn step(&self, call: &ApiCall, step: Step) -> Answering {
         let request = call.id.clone().unwrap_or_else(request_id);
         let asked = Call::Propose {
             request,
@@ -231,10 +235,10 @@
                 Ok(told(&json!({"revision": revision})))
             }
             Answered::Yes(Answer::Done(Outcome::Refused(why))) => {
-                Err(Unagreed::Refused(why).into())
+                Err(ProposalError::Refused(why).into())
             }
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why).into()),
-            _ => Err(Unagreed::Late.into()),
+            Answered::Yes(Answer::Rejected(why)) => Err(ProposalError::Rejected(why).into()),
+            _ => Err(ProposalError::Late.into()),
         }
     }
 
--- a/gateway/src/daemon/api/query.rs
+++ b/gateway/src/replication/api/query.rs
@@ -10,9 +10,9 @@
 use serde_json::{json, Value};
 use violetgate_replicated_state::{Check, Op, Revision};
 
-use super::super::agreed;
+use super::super::shared_config;
 use super::http::{bad, problem};
-use crate::problem::Problem;
+use crate::http_error::HttpError;
 
 /// The time that a call has unless it says otherwise, and the most that it may say.
 const WITHIN: Duration = Duration::from_secs(5);
@@ -22,7 +22,7 @@
 const LONGEST_PAGE: usize = 1_000;
 
 /// What a call asks, beside its method and path.
-pub(super) struct Asked {
+pub(super) struct ApiCall {
     pub query: Query,
     pub body: Vec<u8>,
     /// The request's id; the same again gets the same outcome.
@@ -47,7 +47,7 @@
 /// A condition of a transaction, as a client writes it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct AskedCheck {
+pub(super) struct CheckBody {
     key: String,
     changed: Option<Revision>,
     holds: Option<String>,
@@ -57,7 +57,7 @@
 /// A change of a transaction, as a client writes it.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct AskedOp {
+pub(super) struct ChangeBody {
     put: Option<String>,
     delete: Option<String>,
     value: Option<String>,
@@ -68,13 +68,13 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[derive(Default)]
-pub(super) struct AskedTxn {
-    pub checks: Vec<AskedCheck>,
-    pub then: Vec<AskedOp>,
-    pub otherwise: Vec<AskedOp>,
+pub(super) struct TransactionBody {
+    pub checks: Vec<CheckBody>,
+    pub then: Vec<ChangeBody>,
+    pub otherwise: Vec<ChangeBody>,
 }
 
-fn bytes(text: Option<String>, base64: Option<String>) -> Result<Vec<u8>, Problem> {
+fn bytes(text: Option<String>, base64: Option<String>) -> Result<Vec<u8>, HttpError> {
     match (text, base64) {
         (Some(text), None) => Ok(text.into_bytes()),
         (None, Some(text)) => BASE64_STANDARD
@@ -85,16 +85,16 @@
 }
 
 /// Keys that have a meaning are changed by calls that check it.
-pub(super) fn free(key: String) -> Result<String, Problem> {
-    if agreed::RESERVED.iter().any(|r| key.starts_with(r)) {
+pub(super) fn free(key: String) -> Result<String, HttpError> {
+    if shared_config::RESERVED.iter().any(|r| key.starts_with(r)) {
         let detail = format!("`{key}` has a meaning of its own, and is changed by its own call");
         return Err(problem(StatusCode::FORBIDDEN, "reserved", detail));
     }
     Ok(key)
 }
 
-impl AskedCheck {
-    pub(super) fn read(self) -> Result<Check, Problem> {
+impl CheckBody {
+    pub(super) fn read(self) -> Result<Check, HttpError> {
         match self.changed {
             Some(revision) if self.holds.is_none() && self.holds_base64.is_none() => {
                 Ok(Check::Changed(self.key, revision))
@@ -108,8 +108,8 @@
     }
 }
 
-impl AskedOp {
-    pub(super) fn read(self) -> Result<Op, Problem> {
+impl ChangeBody {
+    pub(super) fn read(self) -> Result<Op, HttpError> {
         match (self.put, self.delete) {
             (Some(key), None) => {
                 let value = bytes(self.value, self.value_base64)?;
@@ -127,7 +127,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct AskedLease {
+pub(super) struct LeaseBody {
     pub id: u64,
     pub ttl_ms: u64,
 }
@@ -136,7 +136,7 @@
 pub(super) struct Query(HashMap<String, String>);
 
 impl Query {
-    pub(super) fn read(request: &Request<Incoming>) -> Result<Self, Problem> {
+    pub(super) fn read(request: &Request<Incoming>) -> Result<Self, HttpError> {
         let text = request.uri().query().unwrap_or_default();
         let pairs: Vec<(String, String)> =
             serde_urlencoded::from_str(text).map_err(|e| bad(format!("the query: {e}")))?;
@@ -144,7 +144,7 @@
     }
 
     /// Nothing but these may be asked: one that is misspelt would be passed over in silence.
-    pub(super) fn only(&self, names: &[&str]) -> Result<(), Problem> {
+    pub(super) fn only(&self, names: &[&str]) -> Result<(), HttpError> {
         match self
             .0
             .keys()
@@ -162,13 +162,13 @@
         self.0.get(name).map(String::as_str)
     }
 
-    pub(super) fn needed(&self, name: &str) -> Result<String, Problem> {
+    pub(super) fn needed(&self, name: &str) -> Result<String, HttpError> {
         self.text(name)
             .map(str::to_owned)
             .ok_or_else(|| bad(format!("`{name}` is missing")))
     }
 
-    pub(super) fn number(&self, name: &str) -> Result<Option<u64>, Problem> {
+    pub(super) fn number(&self, name: &str) -> Result<Option<u64>, HttpError> {
         let read = |t: &str| {
             t.parse()
                 .map_err(|_| bad(format!("`{name}` has to be a whole number")))
@@ -176,14 +176,14 @@
         self.text(name).map(read).transpose()
     }
 
-    pub(super) fn limit(&self) -> Result<usize, Problem> {
+    pub(super) fn limit(&self) -> Result<usize, HttpError> {
         Ok(self
             .number("limit")?
             .map_or(PAGE, |n| n as usize)
             .clamp(1, LONGEST_PAGE))
     }
 
-    pub(super) fn within(&self) -> Result<Duration, Problem> {
+    pub(super) fn within(&self) -> Result<Duration, HttpError> {
         Ok(self
             .number("within_ms")?
             .map_or(WITHIN, Duration::from_millis)
--- a/gateway/src/daemon/api/settings.rs
+++ b/gateway/src/replication/api/settings.rs
@@ -5,14 +5,14 @@
 use serde_json::json;
 use violetgate_replicated_state::Outcome;
 
-use super::super::agreed::{self, Unfit};
-use super::super::Unagreed;
+use super::super::shared_config::{self, SettingsRejection};
+use super::super::ProposalError;
 use super::http::{bad, reply, told, Answering};
-use super::query::Asked;
+use super::query::ApiCall;
 use super::Api;
 
 impl Api {
-    pub(super) async fn settings(&self, call: &Asked) -> Answering {
+    pub(super) async fn settings(&self, call: &ApiCall) -> Answering {
         call.query.only(&["version", "stale"])?;
         let asked = call.query.number("version")?;
         self.current(call).await?;
@@ -20,8 +20,8 @@
         let (version, text) = match asked {
             None => current.unwrap_or_default(),
             Some(v) => {
-                let text = self.daemon.cluster.store(|s| agreed::version(s, v));
-                (v, text.ok_or(Unfit::Unknown)?)
+                let text = self.daemon.cluster.store(|s| shared_config::version(s, v));
+                (v, text.ok_or(SettingsRejection::Unknown)?)
             }
         };
         let mut reply = reply(
@@ -36,7 +36,7 @@
     }
 
     /// Settings, or those of an earlier version, come to hold.
-    pub(super) async fn change_settings(&self, call: &Asked, back_to: Option<u64>) -> Answering {
+    pub(super) async fn change_settings(&self, call: &ApiCall, back_to: Option<u64>) -> Answering {
         // What an earlier try has already brought about is not looked at anew: its outcome is told.
         self.current(call).await?;
         let cluster = &self.daemon.cluster;
@@ -46,38 +46,40 @@
             .and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
         let (revision, held) = match done {
             Some(Outcome::Done { revision, held }) => (revision, held),
-            Some(Outcome::Refused(why)) => return Err(Unagreed::Refused(why).into()),
+            Some(Outcome::Refused(why)) => return Err(ProposalError::Refused(why).into()),
             None => {
                 let (_, txn) = match back_to {
-                    Some(version) => cluster.store(|s| agreed::roll_back(s, version))?,
+                    Some(version) => cluster.store(|s| shared_config::roll_back(s, version))?,
                     None => {
                         call.query.only(&["expect"])?;
                         let expect = call.query.number("expect")?;
                         let text = std::str::from_utf8(&call.body)
                             .map_err(|_| bad("the body is no text"))?;
-                        cluster.store(|s| agreed::settings(s, text, expect))?
+                        cluster.store(|s| shared_config::settings(s, text, expect))?
                     }
                 };
                 self.agree(call, txn).await?
             }
         };
         if !held {
-            let now = cluster.store(agreed::current_version);
-            return Err(Unfit::Replaced(now).into());
+            let now = cluster.store(shared_config::current_version);
+            return Err(SettingsRejection::Replaced(now).into());
         }
         // Where this member only passed it on, it may not have it yet.
         self.current(call).await?;
-        let version = cluster.store(|s| agreed::version_of(s, revision));
+        let version = cluster.store(|s| shared_config::version_of(s, revision));
         Ok(told(&json!({"revision": revision, "version": version})))
     }
 
-    pub(super) async fn versions(&self, call: &Asked) -> Answering {
+    pub(super) async fn versions(&self, call: &ApiCall) -> Answering {
         call.query.only(&["stale"])?;
         self.current(call).await?;
-        let (current, kept) = self
-            .daemon
-            .cluster
-            .store(|s| (agreed::current_version(s), agreed::versions(s)));
+        let (current, kept) = self.daemon.cluster.store(|s| {
+            (
+                shared_config::current_version(s),
+                shared_config::versions(s),
+            )
+        });
         let versions: Vec<_> = kept
             .iter()
             .map(|(v, r)| json!({"version": v, "revision": r}))
--- a/gateway/src/daemon/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -10,11 +10,13 @@
 use violetgate_replicated_state::{Check, Op, Step, Txn};
 
 use super::http::{bad, problem, reply, told, Answering};
-use super::query::{entry, free, value, Asked, AskedCheck, AskedLease, AskedOp, AskedTxn, LONGEST};
+use super::query::{
+    entry, free, value, ApiCall, ChangeBody, CheckBody, LeaseBody, TransactionBody, LONGEST,
+};
 use super::Api;
 
 impl Api {
-    pub(super) async fn state(&self, call: &Asked) -> Answering {
+    pub(super) async fn state(&self, call: &ApiCall) -> Answering {
         let query = &call.query;
         query.only(&["key", "prefix", "limit", "revision", "after", "stale"])?;
         let limit = query.limit()?;
@@ -56,7 +58,7 @@
         })
     }
 
-    pub(super) async fn put(&self, call: &Asked, sets: bool) -> Answering {
+    pub(super) async fn put(&self, call: &ApiCall, sets: bool) -> Answering {
         call.query.only(&["key", "if_revision", "lease"])?;
         let key = free(call.query.needed("key")?)?;
         let checks = call
@@ -88,20 +90,20 @@
         )
     }
 
-    pub(super) async fn transact(&self, call: &Asked) -> Answering {
+    pub(super) async fn transact(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let asked: AskedTxn =
+        let asked: TransactionBody =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        let ops = |ops: Vec<AskedOp>| {
+        let ops = |ops: Vec<ChangeBody>| {
             ops.into_iter()
-                .map(AskedOp::read)
+                .map(ChangeBody::read)
                 .collect::<Result<Vec<_>, _>>()
         };
         let txn = Txn {
             checks: asked
                 .checks
                 .into_iter()
-                .map(AskedCheck::read)
+                .map(CheckBody::read)
                 .collect::<Result<_, _>>()?,
             then: ops(asked.then)?,
             otherwise: ops(asked.otherwise)?,
@@ -111,7 +113,7 @@
     }
 
     /// Changes after a revision; with none, they are waited for.
-    pub(super) async fn changes(&self, call: &Asked) -> Answering {
+    pub(super) async fn changes(&self, call: &ApiCall) -> Answering {
         let query = &call.query;
         query.only(&["after", "prefix", "limit", "wait_ms"])?;
         let cluster = &self.daemon.cluster;
@@ -153,7 +155,7 @@
         }
     }
 
-    pub(super) async fn compact(&self, call: &Asked) -> Answering {
+    pub(super) async fn compact(&self, call: &ApiCall) -> Answering {
         call.query.only(&["revision"])?;
         let to = call
             .query
@@ -162,9 +164,9 @@
         self.step(call, Step::Compact(to)).await
     }
 
-    pub(super) async fn lease(&self, call: &Asked) -> Answering {
+    pub(super) async fn lease(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let asked: AskedLease =
+        let asked: LeaseBody =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
         self.step(
             call,
@@ -176,7 +178,7 @@
         .await
     }
 
-    pub(super) async fn release(&self, call: &Asked) -> Answering {
+    pub(super) async fn release(&self, call: &ApiCall) -> Answering {
         call.query.only(&["id"])?;
         let id = call
             .query
@@ -185,7 +187,7 @@
         self.step(call, Step::Release(id)).await
     }
 
-    pub(super) async fn snapshot(&self, call: &Asked) -> Answering {
+    pub(super) async fn snapshot(&self, call: &ApiCall) -> Answering {
         call.query.only(&["stale"])?;
         self.current(call).await?;
         let mut reply = reply(
--- a/gateway/src/daemon/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -3,12 +3,12 @@
 //! What a change means is [`agreed`]'s, which does no I/O; who agrees is the cluster's. It must never let anything be
 //! sent on state that it can't confirm: it is the program's [`Fence`].
 
-mod adoption;
-pub mod agreed;
 mod api;
-mod figures;
+mod metrics;
 mod participant;
-mod subscribed;
+mod reconcile;
+pub mod shared_config;
+mod subscriber;
 
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
@@ -26,14 +26,14 @@
 use crate::fence::Fence;
 use crate::log;
 use crate::settings::{self, Settings};
-use adoption::Adoption;
-use agreed::{List, Record, View};
-use figures::MemberFigures;
+use metrics::MemberFigures;
+use reconcile::Reconciler;
+use shared_config::{EngineListSnapshot, MemberAddress, SharedConfig};
 
-pub use adoption::Parts;
-pub use api::{listen, MemberStep};
+pub use api::{listen, MembershipStep};
 pub use participant::Participant;
-pub use subscribed::Subscribed;
+pub use reconcile::ControlTargets;
+pub use subscriber::ClusterSubscriber;
 
 /// How often the fence is looked at: what waits is told to go elsewhere within this time.
 const LOOK: Duration = Duration::from_millis(20);
@@ -44,7 +44,7 @@
 
 /// Why a call was not agreed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unagreed {
+pub enum ProposalError {
     /// Not in its time: it may still come to be. The same call under the same request id tells.
     Late,
     /// The store refused it.
@@ -56,17 +56,17 @@
 }
 
 /// This instance as a member.
-pub struct Daemon {
+pub struct ClusterMember {
     cluster: Rc<Cluster>,
     id: NodeId,
-    state: Adoption,
+    state: Reconciler,
     given: settings::Cluster,
     /// The service to subscribers, if this member is an observer.
     observer: Option<Rc<ObserverService>>,
     shut: Cell<bool>,
 }
 
-impl Fence for Daemon {
+impl Fence for ClusterMember {
     fn is_open(&self) -> bool {
         self.cluster.may_route().is_ok()
     }
@@ -86,7 +86,7 @@
     format!("r-{:032x}", u128::from_be_bytes(bytes))
 }
 
-impl Daemon {
+impl ClusterMember {
     /// Opens this member's folder and begins to take part. Nothing may be sent until its state is confirmed.
     ///
     /// # Errors
@@ -135,10 +135,10 @@
             ObserverService::start(&cluster, listen, config)
                 .map_err(|e| format!("`cluster.subscribers_listen`: {e}"))
         });
-        Ok(Rc::new(Daemon {
+        Ok(Rc::new(ClusterMember {
             cluster,
             id: given.id,
-            state: Adoption::new(given.id.to_string(), own),
+            state: Reconciler::new(given.id.to_string(), own),
             given: given.clone(),
             observer: observer.transpose()?,
             shut: Cell::new(true),
@@ -146,7 +146,7 @@
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: Parts) {
+    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
         self.state.attach(parts);
         let me = Rc::downgrade(self);
         // In the very turn in which it is applied: the gate may count it from then on.
@@ -164,7 +164,7 @@
         }
     }
 
-    fn take_members(&self, view: &View) {
+    fn take_members(&self, view: &SharedConfig) {
         let own = self
             .state
             .own()
@@ -219,7 +219,7 @@
         who: &str,
         txn: Txn,
         within: Duration,
-    ) -> Result<(Revision, bool), Unagreed> {
+    ) -> Result<(Revision, bool), ProposalError> {
         let request = request.unwrap_or_else(request_id);
         let call = Call::Propose {
             request,
@@ -228,9 +228,9 @@
         };
         match self.cluster.agree(call, within).await {
             Answered::Yes(Answer::Done(Outcome::Done { revision, held })) => Ok((revision, held)),
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(Unagreed::Refused(why)),
-            Answered::Yes(Answer::Rejected(why)) => Err(Unagreed::Rejected(why)),
-            _ => Err(Unagreed::Late),
+            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(ProposalError::Refused(why)),
+            Answered::Yes(Answer::Rejected(why)) => Err(ProposalError::Rejected(why)),
+            _ => Err(ProposalError::Late),
         }
     }
 
@@ -238,15 +238,15 @@
     ///
     /// # Errors
     ///
-    /// As [`Daemon::agree`].
+    /// As [`ClusterMember::agree`].
     pub async fn cordon(
         &self,
         engine: &str,
         out: bool,
         who: &str,
         within: Duration,
-    ) -> Result<(), Unagreed> {
-        self.agree(None, who, agreed::cordon(engine, out, who), within)
+    ) -> Result<(), ProposalError> {
+        self.agree(None, who, shared_config::cordon(engine, out, who), within)
             .await
             .map(|_| ())
     }
@@ -255,12 +255,12 @@
     ///
     /// # Errors
     ///
-    /// As [`Daemon::agree`].
-    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), Unagreed> {
+    /// As [`ClusterMember::agree`].
+    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), ProposalError> {
         self.agree(
             None,
             who,
-            agreed::drain(&self.id.to_string(), on, who),
+            shared_config::drain(&self.id.to_string(), on, who),
             within,
         )
         .await
@@ -323,7 +323,7 @@
     }
 }
 
-async fn look(of: Weak<Daemon>) {
+async fn look(of: Weak<ClusterMember>) {
     let (mut leader, mut lost) = (None, false);
     while let Some(daemon) = of.upgrade() {
         daemon.look();
@@ -346,19 +346,19 @@
 }
 
 /// Keeps this member's record, and as the leader the engine list.
-async fn keep(of: Weak<Daemon>) {
+async fn keep(of: Weak<ClusterMember>) {
     let mut told = false;
     while let Some(daemon) = of.upgrade() {
         if daemon.is_open() {
             let given = &daemon.given;
-            let record = Record {
+            let record = MemberAddress {
                 listen: given.listen,
                 api: given.api,
                 born: Some(daemon.cluster.born()),
             };
             let txn = daemon
                 .cluster
-                .store(|s| agreed::member(s, daemon.id, &record));
+                .store(|s| shared_config::member(s, daemon.id, &record));
             if let Some(txn) = txn {
                 let held = daemon.agree(None, "member", txn, WITHIN).await;
                 if held.is_ok_and(|(_, held)| !held) && !std::mem::replace(&mut told, true) {
@@ -371,13 +371,13 @@
                 let last = parts.place.last()?;
                 let newer = daemon
                     .cluster
-                    .store(agreed::list_last)
+                    .store(shared_config::list_last)
                     .is_none_or(|kept| kept < last);
                 parts.place.held().filter(|_| newer)
             });
             if let Some((last, engines)) = list {
-                let list = List { last, engines };
-                while let Some(txn) = daemon.cluster.store(|s| agreed::keep_list(s, &list)) {
+                let list = EngineListSnapshot { last, engines };
+                while let Some(txn) = daemon.cluster.store(|s| shared_config::keep_list(s, &list)) {
                     if !daemon
                         .agree(None, "bus", txn, WITHIN)
                         .await
--- a/gateway/src/daemon/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -5,9 +5,9 @@
 
 use async_executor::LocalExecutor;
 
-use super::adoption::Parts;
-use super::subscribed::Subscribed;
-use super::{Daemon, Unagreed};
+use super::reconcile::ControlTargets;
+use super::subscriber::ClusterSubscriber;
+use super::{ClusterMember, ProposalError};
 use crate::fence::Fence;
 use crate::settings::{self, ClusterRole, Settings};
 
@@ -15,9 +15,9 @@
 #[derive(Clone)]
 pub enum Participant {
     /// It agrees on the state with the other members.
-    Member(Rc<Daemon>),
+    Member(Rc<ClusterMember>),
     /// It follows what members agree on.
-    Subscriber(Rc<Subscribed>),
+    Subscriber(Rc<ClusterSubscriber>),
 }
 
 impl Participant {
@@ -33,15 +33,17 @@
         seed: u64,
     ) -> Result<Self, String> {
         Ok(match given.role {
-            ClusterRole::Member => Participant::Member(Daemon::start(executor, own, given, seed)?),
+            ClusterRole::Member => {
+                Participant::Member(ClusterMember::start(executor, own, given, seed)?)
+            }
             ClusterRole::Subscriber => {
-                Participant::Subscriber(Subscribed::start(executor, own, given, seed))
+                Participant::Subscriber(ClusterSubscriber::start(executor, own, given, seed))
             }
         })
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(&self, executor: &Rc<LocalExecutor<'static>>, parts: Parts) {
+    pub fn attach(&self, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
         match self {
             Participant::Member(member) => member.attach(executor, parts),
             Participant::Subscriber(subscriber) => subscriber.attach(executor, parts),
@@ -52,8 +54,8 @@
     #[must_use]
     pub fn fence(&self) -> Rc<dyn Fence> {
         match self {
-            Participant::Member(member) => Rc::<Daemon>::clone(member),
-            Participant::Subscriber(subscriber) => Rc::<Subscribed>::clone(subscriber),
+            Participant::Member(member) => Rc::<ClusterMember>::clone(member),
+            Participant::Subscriber(subscriber) => Rc::<ClusterSubscriber>::clone(subscriber),
         }
     }
 
@@ -107,10 +109,10 @@
         out: bool,
         who: &str,
         within: Duration,
-    ) -> Result<(), Unagreed> {
+    ) -> Result<(), ProposalError> {
         match self {
             Participant::Member(member) => member.cordon(engine, out, who, within).await,
-            Participant::Subscriber(_) => Err(Unagreed::NotAMember),
+            Participant::Subscriber(_) => Err(ProposalError::NotAMember),
         }
     }
 
@@ -119,7 +121,7 @@
     /// # Errors
     ///
     /// A member's drain was not agreed on, or is not known to be.
-    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), Unagreed> {
+    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), ProposalError> {
         match self {
             Participant::Member(member) => member.drain(on, who, within).await,
             Participant::Subscriber(subscriber) => {
--- a/gateway/src/daemon/adoption.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -6,48 +6,48 @@
 
 use violetgate_replicated_state::{Entries, Revision};
 
-use super::agreed::{self, List, Move, View};
-use crate::bus::{Ids, Place};
+use super::shared_config::{self, ConfigChange, EngineListSnapshot, SharedConfig};
 use crate::clock::Clock;
+use crate::discovery::{DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
-use crate::door::Door;
+use crate::drain::DrainState;
 use crate::log;
 use crate::rest::Rest;
-use crate::settings::{Agreed, Settings};
+use crate::settings::{Settings, SharedSettings};
 
 /// What agreed state reaches.
-pub struct Parts {
+pub struct ControlTargets {
     /// The one clock.
     pub clock: Clock,
     /// The decisions.
     pub dispatch: Rc<Dispatch>,
     /// Whether clients are let in.
-    pub door: Rc<Door>,
+    pub door: Rc<DrainState>,
     /// Engines' numbers by name.
-    pub ids: Rc<Ids>,
+    pub ids: Rc<EngineIds>,
     /// Where the bus is.
-    pub place: Rc<Place>,
+    pub place: Rc<DiscoverySource>,
     /// The REST front, if there is one.
     pub rest: Option<Rc<Rest>>,
 }
 
 /// The agreed state as this instance has adopted it.
-pub(super) struct Adoption {
+pub(super) struct Reconciler {
     /// By what name it is drained.
     instance: String,
-    parts: OnceCell<Parts>,
+    parts: OnceCell<ControlTargets>,
     /// This instance's own settings, under the agreed ones.
     own: RefCell<Settings>,
     seen: Cell<Option<Revision>>,
-    view: RefCell<View>,
+    view: RefCell<SharedConfig>,
     /// It was drained by itself, not by agreement.
     drained_here: Cell<bool>,
 }
 
-impl Adoption {
+impl Reconciler {
     /// Nothing is adopted yet.
     pub fn new(instance: String, own: &Settings) -> Self {
-        Adoption {
+        Reconciler {
             instance,
             parts: OnceCell::new(),
             own: RefCell::new(own.clone()),
@@ -58,18 +58,18 @@
     }
 
     /// Names what agreed state reaches. Nothing may be sent from then on until the state is confirmed.
-    pub fn attach(&self, parts: Parts) {
+    pub fn attach(&self, parts: ControlTargets) {
         parts.door.fence(true);
         let _ = self.parts.set(parts);
     }
 
     /// What agreed state reaches, once that is known.
-    pub fn parts(&self) -> Option<&Parts> {
+    pub fn parts(&self) -> Option<&ControlTargets> {
         self.parts.get()
     }
 
     /// What holds now.
-    pub fn view(&self) -> Ref<'_, View> {
+    pub fn view(&self) -> Ref<'_, SharedConfig> {
         self.view.borrow()
     }
 
@@ -84,7 +84,7 @@
         if self.seen.replace(Some(revision)) == Some(revision) {
             return false;
         }
-        let now = View::read(entries, &self.instance);
+        let now = SharedConfig::read(entries, &self.instance);
         let before = self.view.replace(now.clone());
         let Some(parts) = self.parts.get() else {
             return false;
@@ -92,24 +92,24 @@
         let mut members = false;
         for step in before.moves(&now) {
             match step {
-                Move::Cordon(name, out) => {
+                ConfigChange::Cordon(name, out) => {
                     log::line(format_args!(
                         "engine {name} is called {}",
                         if out { "out" } else { "back" }
                     ));
                     parts.dispatch.cordon(parts.ids.number(&name), out);
                 }
-                Move::Drain(_) => self.set_door(parts),
-                Move::Settings(settings) => {
+                ConfigChange::Drain(_) => self.set_door(parts),
+                ConfigChange::Settings(settings) => {
                     let version = settings.map_or(0, |s| s.0);
                     log::line(format_args!("cluster settings version={version} hold"));
                     self.take_settings(parts);
                 }
-                Move::Members => members = true,
+                ConfigChange::Members => members = true,
             }
         }
         if !parts.place.heard() {
-            if let Some(List { last, engines }) = agreed::list(entries) {
+            if let Some(EngineListSnapshot { last, engines }) = shared_config::list(entries) {
                 parts.place.offer((last, engines));
             }
         }
@@ -125,7 +125,7 @@
             .for_each(|parts| self.set_door(parts));
     }
 
-    fn set_door(&self, parts: &Parts) {
+    fn set_door(&self, parts: &ControlTargets) {
         if self.drained_here.get() || self.view.borrow().drained {
             parts.door.quiesce(parts.clock.now());
         } else {
@@ -137,7 +137,7 @@
     pub fn settings(&self) -> Settings {
         let own = self.own.borrow();
         let agreed = self.view.borrow().settings.clone();
-        match agreed.map(|(version, text)| (version, Agreed::parse(&text))) {
+        match agreed.map(|(version, text)| (version, SharedSettings::parse(&text))) {
             Some((_, Ok(agreed))) => agreed.over(&own),
             Some((version, Err(problems))) => {
                 // Another member, of another version of the program, has let it pass.
@@ -154,7 +154,7 @@
         }
     }
 
-    fn take_settings(&self, parts: &Parts) {
+    fn take_settings(&self, parts: &ControlTargets) {
         if let (Some(rest), Some(settings)) = (&parts.rest, &self.settings().rest) {
             rest.limit(settings);
         }
--- a/gateway/src/daemon/agreed.rs
+++ b/gateway/src/replication/shared_config.rs
@@ -19,7 +19,7 @@
 use serde_json::Value;
 use violetgate_replicated_state::{Check, Entries, Op, Revision, Txn, MAX_OPS, MAX_VALUE};
 
-use crate::settings::{Agreed, Problem};
+use crate::settings::{SettingsError, SharedSettings};
 
 /// Keys under these have a meaning, and are changed by calls of their own.
 pub const RESERVED: [&str; 6] = [
@@ -35,7 +35,7 @@
 
 /// Where a member is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct MemberAddress {
     /// For other members.
     pub listen: SocketAddr,
     /// For operators.
@@ -52,7 +52,7 @@
 
 /// What a state means for one instance.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct View {
+pub struct SharedConfig {
     /// Engines that are called out.
     pub cordons: BTreeSet<String>,
     /// This instance is drained.
@@ -60,12 +60,12 @@
     /// The agreed settings: version and text.
     pub settings: Option<(u64, String)>,
     /// The members that have told where they are.
-    pub members: BTreeMap<u64, Record>,
+    pub members: BTreeMap<u64, MemberAddress>,
 }
 
 /// What has to be done so that an instance is as agreed.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Move {
+pub enum ConfigChange {
     /// An engine is called out, or back.
     Cordon(String, bool),
     /// This instance is drained, or takes clients again.
@@ -127,7 +127,7 @@
     format!("settings/versions/{version:08}")
 }
 
-impl View {
+impl SharedConfig {
     /// What agreed state means for an instance: a member by its id, a front end that subscribes by its name.
     #[must_use]
     pub fn read(state: &impl Entries, me: &str) -> Self {
@@ -135,7 +135,7 @@
         let record = |(id, bytes): (String, Vec<u8>)| {
             Some((id.parse().ok()?, serde_json::from_slice(&bytes).ok()?))
         };
-        View {
+        SharedConfig {
             cordons: below(state, "cordons/").map(|(name, _)| name).collect(),
             drained: state.entry(&format!("drains/{me}")).is_some(),
             settings: current.and_then(|n| Some((n, version(state, n)?))),
@@ -145,25 +145,25 @@
 
     /// What has to be done where this held and `now` holds.
     #[must_use]
-    pub fn moves(&self, now: &View) -> Vec<Move> {
+    pub fn moves(&self, now: &SharedConfig) -> Vec<ConfigChange> {
         // What is out comes first: nothing may be sent to it in between.
         let out = now
             .cordons
             .difference(&self.cordons)
-            .map(|c| Move::Cordon(c.clone(), true));
+            .map(|c| ConfigChange::Cordon(c.clone(), true));
         let back = self
             .cordons
             .difference(&now.cordons)
-            .map(|c| Move::Cordon(c.clone(), false));
+            .map(|c| ConfigChange::Cordon(c.clone(), false));
         let mut moves: Vec<_> = out.chain(back).collect();
         if self.drained != now.drained {
-            moves.push(Move::Drain(now.drained));
+            moves.push(ConfigChange::Drain(now.drained));
         }
         if self.settings != now.settings {
-            moves.push(Move::Settings(now.settings.clone()));
+            moves.push(ConfigChange::Settings(now.settings.clone()));
         }
         if self.members != now.members {
-            moves.push(Move::Members);
+            moves.push(ConfigChange::Members);
         }
         moves
     }
@@ -223,10 +223,11 @@
 
 /// Records where a member is: held only while no other disk goes by its id.
 #[must_use]
-pub fn member(state: &impl Entries, id: u64, record: &Record) -> Option<Txn> {
+pub fn member(state: &impl Entries, id: u64, record: &MemberAddress) -> Option<Txn> {
     let key = format!("members/{id}");
     let held = state.entry(&key);
-    let before: Option<Record> = held.and_then(|(_, bytes)| serde_json::from_slice(bytes).ok());
+    let before: Option<MemberAddress> =
+        held.and_then(|(_, bytes)| serde_json::from_slice(bytes).ok());
     if before.as_ref() == Some(record) {
         return None;
     }
@@ -248,9 +249,9 @@
 
 /// Why settings are not proposed.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum SettingsRejection {
     /// What is wrong with the text, by line.
-    Problems(Vec<Problem>),
+    Problems(Vec<SettingsError>),
     /// It is too long.
     TooLong,
     /// Another version holds than the one that was to be replaced.
@@ -269,14 +270,14 @@
     state: &impl Entries,
     text: &str,
     expected: Option<u64>,
-) -> Result<(u64, Txn), Unfit> {
-    Agreed::parse(text).map_err(Unfit::Problems)?;
+) -> Result<(u64, Txn), SettingsRejection> {
+    SharedSettings::parse(text).map_err(SettingsRejection::Problems)?;
     if text.len() > MAX_VALUE {
-        return Err(Unfit::TooLong);
+        return Err(SettingsRejection::TooLong);
     }
     let current = current_version(state);
     if expected.is_some_and(|e| e != current) {
-        return Err(Unfit::Replaced(current));
+        return Err(SettingsRejection::Replaced(current));
     }
     let changed = state
         .entry("settings/current")
@@ -306,14 +307,14 @@
 /// # Errors
 ///
 /// It is not kept, or can't be used any more.
-pub fn roll_back(state: &impl Entries, to: u64) -> Result<(u64, Txn), Unfit> {
-    let text = version(state, to).ok_or(Unfit::Unknown)?;
+pub fn roll_back(state: &impl Entries, to: u64) -> Result<(u64, Txn), SettingsRejection> {
+    let text = version(state, to).ok_or(SettingsRejection::Unknown)?;
     settings(state, &text, None)
 }
 
 /// The engine list as the event bus told it: the last event's number, and engines by name in the bus's own words.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct List {
+pub struct EngineListSnapshot {
     /// The number.
     pub last: u64,
     /// The engines.
@@ -322,10 +323,10 @@
 
 /// The list that the members have kept.
 #[must_use]
-pub fn list(state: &impl Entries) -> Option<List> {
+pub fn list(state: &impl Entries) -> Option<EngineListSnapshot> {
     let engine =
         |(name, bytes): (String, Vec<u8>)| Some((name, serde_json::from_slice(&bytes).ok()?));
-    Some(List {
+    Some(EngineListSnapshot {
         last: number(state, "list")?,
         engines: below(state, "engines/").filter_map(engine).collect(),
     })
@@ -340,7 +341,7 @@
 /// The next change that makes the kept list this one, if it is newer; a long one takes several. The number goes in
 /// with the last, so that what is kept in between is followed from the number before.
 #[must_use]
-pub fn keep_list(state: &impl Entries, now: &List) -> Option<Txn> {
+pub fn keep_list(state: &impl Entries, now: &EngineListSnapshot) -> Option<Txn> {
     let kept = number(state, "list");
     if kept.is_some_and(|last| last >= now.last) {
         return None;
@@ -389,17 +390,17 @@
     #[test]
     fn moves_lead_from_one_view_to_the_next() {
         let mut store = Store::default();
-        let mut view = View::read(&store, "2");
+        let mut view = SharedConfig::read(&store, "2");
         let mut step = |txn| {
             assert!(apply(&mut store, txn));
-            let now = View::read(&store, "2");
+            let now = SharedConfig::read(&store, "2");
             let moves = view.moves(&now);
             view = now;
             moves
         };
         assert_eq!(
             step(cordon("e-1", true, "op")),
-            [Move::Cordon("e-1".to_owned(), true)]
+            [ConfigChange::Cordon("e-1".to_owned(), true)]
         );
         assert_eq!(step(cordon("e-1", true, "other")), []);
         let both = Txn {
@@ -411,13 +412,13 @@
             ..Txn::default()
         };
         let moves = [
-            Move::Cordon("e-2".to_owned(), true),
-            Move::Cordon("e-1".to_owned(), false),
+            ConfigChange::Cordon("e-2".to_owned(), true),
+            ConfigChange::Cordon("e-1".to_owned(), false),
         ];
         assert_eq!(step(both), moves);
         assert_eq!(step(drain("1", true, "op")), [], "another instance");
-        assert_eq!(step(drain("2", true, "op")), [Move::Drain(true)]);
-        assert_eq!(step(drain("2", false, "op")), [Move::Drain(false)]);
+        assert_eq!(step(drain("2", true, "op")), [ConfigChange::Drain(true)]);
+        assert_eq!(step(drain("2", false, "op")), [ConfigChange::Drain(false)]);
     }
 
     /// Settings are checked before they are proposed; of two at once one holds; an earlier version comes back as a new
@@ -428,20 +429,26 @@
         let text = |n: u64| format!("rest {{\n  results = {n}\n}}\n");
         assert!(matches!(
             settings(&store, "rest { results = 0 }", None),
-            Err(Unfit::Problems(_))
+            Err(SettingsRejection::Problems(_))
         ));
         let (one, first) = settings(&store, &text(1), Some(0)).unwrap();
         let (_, rival) = settings(&store, &text(9), Some(0)).unwrap();
         assert!(one == 1 && apply(&mut store, first) && !apply(&mut store, rival));
-        assert_eq!(settings(&store, &text(2), Some(0)), Err(Unfit::Replaced(1)));
+        assert_eq!(
+            settings(&store, &text(2), Some(0)),
+            Err(SettingsRejection::Replaced(1))
+        );
         for n in 2..=VERSIONS + 1 {
             let (version, txn) = settings(&store, &text(n), Some(n - 1)).unwrap();
             assert!(version == n && apply(&mut store, txn));
         }
-        assert_eq!(roll_back(&store, 1), Err(Unfit::Unknown));
+        assert_eq!(roll_back(&store, 1), Err(SettingsRejection::Unknown));
         let (version, txn) = roll_back(&store, 2).unwrap();
         assert!(apply(&mut store, txn));
-        assert_eq!(View::read(&store, "1").settings, Some((version, text(2))));
+        assert_eq!(
+            SharedConfig::read(&store, "1").settings,
+            Some((version, text(2)))
+        );
     }
 
     /// A list of any length is kept in steps, its number last; an older one changes nothing.
@@ -455,21 +462,21 @@
         };
         for (now, steps) in [
             (
-                List {
+                EngineListSnapshot {
                     last: 7,
                     engines: engines(300, 1),
                 },
                 3,
             ),
             (
-                List {
+                EngineListSnapshot {
                     last: 8,
                     engines: engines(2, 1),
                 },
                 3,
             ),
             (
-                List {
+                EngineListSnapshot {
                     last: 9,
                     engines: engines(2, 5),
                 },
@@ -484,7 +491,7 @@
             }
             assert_eq!((list(&store), keep_list(&store, &now)), (Some(now), None));
         }
-        assert_eq!(keep_list(&store, &List::default()), None);
+        assert_eq!(keep_list(&store, &EngineListSnapshot::default()), None);
     }
 
     /// A member's record follows its address, and not another disk.
@@ -492,7 +499,7 @@
     fn a_record_stays_with_its_disk() {
         let mut store = Store::default();
         let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-        let record = |port, born| Record {
+        let record = |port, born| MemberAddress {
             listen: at(port),
             api: at(port + 1),
             born,
@@ -507,7 +514,7 @@
             assert_eq!(apply(&mut store, txn), held, "{port} {born:?}");
         }
         assert_eq!(member(&store, 4, &record(3, Some(5))), None);
-        let view = View::read(&store, "1");
+        let view = SharedConfig::read(&store, "1");
         assert_eq!(view.disks(), BTreeMap::from([(4, 5)]));
         assert_eq!(
             view.addresses(&BTreeMap::from([(4, at(9))])),
--- a/gateway/src/daemon/subscribed.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -12,8 +12,8 @@
 use violetgate_raft::NodeId;
 use violetgate_replica_runtime::{SubscriberConfig, Subscription, SubscriptionStatus};
 
-use super::adoption::{Adoption, Parts};
-use super::figures::SubscriberFigures;
+use super::metrics::SubscriberFigures;
+use super::reconcile::{ControlTargets, Reconciler};
 use super::LOOK;
 use crate::fence::Fence;
 use crate::log;
@@ -25,13 +25,13 @@
 const LONGEST_LOOK: Duration = Duration::from_millis(250);
 
 /// This front end as a subscriber.
-pub struct Subscribed {
+pub struct ClusterSubscriber {
     subscription: Rc<Subscription>,
-    state: Adoption,
+    state: Reconciler,
     shut: Cell<bool>,
 }
 
-impl Fence for Subscribed {
+impl Fence for ClusterSubscriber {
     fn is_open(&self) -> bool {
         self.subscription.may_route().is_ok()
     }
@@ -55,7 +55,7 @@
     id.map_or("none".to_owned(), |id| id.to_string())
 }
 
-impl Subscribed {
+impl ClusterSubscriber {
     /// Begins to subscribe. Nothing may be sent until the state is confirmed.
     #[must_use]
     pub fn start(
@@ -66,8 +66,8 @@
     ) -> Rc<Self> {
         let subscription =
             Subscription::start(executor, config(given), given.observer_addresses(), seed);
-        let state = Adoption::new(given.front_end.clone(), own);
-        Rc::new(Subscribed {
+        let state = Reconciler::new(given.front_end.clone(), own);
+        Rc::new(ClusterSubscriber {
             subscription,
             state,
             shut: Cell::new(true),
@@ -75,7 +75,7 @@
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: Parts) {
+    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
         self.state.attach(parts);
         let me = Rc::downgrade(self);
         // In the very turn in which it is applied: the gate may count it from then on.
@@ -164,7 +164,7 @@
     }
 }
 
-async fn look(of: Weak<Subscribed>) {
+async fn look(of: Weak<ClusterSubscriber>) {
     let mut observer = None;
     while let Some(subscribed) = of.upgrade() {
         subscribed.look();
--- a/gateway/src/asked.rs
+++ b/gateway/src/request_validation.rs
@@ -4,9 +4,9 @@
 
 use violetgate_policy::interface::{Micros, NewQuery};
 
-use crate::config::Names;
+use crate::config::NameTable;
 use crate::exchange::Request;
-use crate::tables;
+use crate::table_group;
 
 /// The most of anything that is believed: a day of waiting or of work, in milliseconds, and as many megabytes.
 /// A figure beyond it is no estimate: taken as one, it would weigh more than all other queries together.
@@ -16,7 +16,7 @@
 
 /// A part of what is asked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum RequestField {
     /// The class.
     Class,
     /// The id.
@@ -41,16 +41,16 @@
 
 /// What is wrong with a part of it.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct InvalidField {
     /// Which part.
-    pub part: Part,
+    pub part: RequestField,
     /// What is wrong, to be read after the part's name.
     pub what: String,
 }
 
 /// What is asked, in the client's own spelling.
 #[derive(Debug, Default)]
-pub struct Asked<'a> {
+pub struct RawRequest<'a> {
     /// The class's name.
     pub class: Option<&'a str>,
     /// The id.
@@ -82,41 +82,41 @@
 /// Whether a statement says nothing: white space, comments and semicolons only.
 #[must_use]
 pub fn says_nothing(statement: &[u8]) -> bool {
-    tables::tokens(statement).all(|t| t == tables::Token::Other(b';'))
+    table_group::tokens(statement).all(|t| t == table_group::Token::Other(b';'))
 }
 
-impl Asked<'_> {
+impl RawRequest<'_> {
     /// Makes the request whose last byte came at `received`.
     ///
     /// # Errors
     ///
     /// A part is missing or can't be used.
-    pub fn request(self, names: &Names, received: Micros) -> Result<Request, Fault> {
-        let fault = |part, what: &str| Fault {
+    pub fn request(self, names: &NameTable, received: Micros) -> Result<Request, InvalidField> {
+        let fault = |part, what: &str| InvalidField {
             part,
             what: what.to_owned(),
         };
         let missing = |part| {
-            move || Fault {
+            move || InvalidField {
                 part,
                 what: "is missing".to_owned(),
             }
         };
-        let method = self.class.ok_or_else(missing(Part::Class))?;
+        let method = self.class.ok_or_else(missing(RequestField::Class))?;
         let class = names.classes.iter().position(|(n, _)| n == method);
-        let class =
-            class.ok_or_else(|| fault(Part::Class, &format!("names no class: {method:?}")))?;
+        let class = class
+            .ok_or_else(|| fault(RequestField::Class, &format!("names no class: {method:?}")))?;
         let keyed = names.classes.get(class).is_some_and(|c| c.1);
-        let rid = self.id.ok_or_else(missing(Part::Id))?;
-        let id = hex(rid).ok_or_else(|| fault(Part::Id, "is not 16 hex digits"))?;
-        let budget = self.budget.ok_or_else(missing(Part::Budget))?;
+        let rid = self.id.ok_or_else(missing(RequestField::Id))?;
+        let id = hex(rid).ok_or_else(|| fault(RequestField::Id, "is not 16 hex digits"))?;
+        let budget = self.budget.ok_or_else(missing(RequestField::Budget))?;
         let budget = measure(budget).filter(|ms| *ms > 0.0);
-        let budget = budget.ok_or_else(|| fault(Part::Budget, "is no span"))?;
+        let budget = budget.ok_or_else(|| fault(RequestField::Budget, "is no span"))?;
         let tenant = match self.tenant {
             None => 0,
             Some(name) => {
                 let place = names.tenants.iter().position(|n| n == name);
-                place.ok_or_else(|| fault(Part::Tenant, "names no tenant"))?
+                place.ok_or_else(|| fault(RequestField::Tenant, "names no tenant"))?
             }
         };
         let plain = |t: &&str| {
@@ -126,9 +126,9 @@
             // The engines' protocol lists its fields with commas.
             Some(token) => {
                 let usable = Some(token).filter(plain).filter(|t| !t.contains(','));
-                Some(usable.ok_or_else(|| fault(Part::Token, "can't be used"))?)
+                Some(usable.ok_or_else(|| fault(RequestField::Token, "can't be used"))?)
             }
-            None if keyed => return Err(missing(Part::Token)()),
+            None if keyed => return Err(missing(RequestField::Token)()),
             None => None,
         };
         let number = |value: Option<f64>, part| match value {
@@ -139,22 +139,24 @@
         };
         let key = match self.key {
             None => None,
-            Some(text) => Some(hex(text).ok_or_else(|| fault(Part::Key, "is not 16 hex digits"))?),
+            Some(text) => {
+                Some(hex(text).ok_or_else(|| fault(RequestField::Key, "is not 16 hex digits"))?)
+            }
         };
         if self.again.is_some_and(|mark| mark != "1") {
-            return Err(fault(Part::Again, "is not 1"));
+            return Err(fault(RequestField::Again, "is not 1"));
         }
         if says_nothing(self.statement) {
-            return Err(missing(Part::Statement)());
+            return Err(missing(RequestField::Statement)());
         }
         let query = NewQuery {
             id,
             class: class as u32,
             tenant: tenant as u32,
-            work: number(self.work, Part::Work)?.map(|ms| (ms * 1e3) as Micros),
-            memory_mb: number(self.memory, Part::Memory)?.filter(|mb| *mb > 0.0),
+            work: number(self.work, RequestField::Work)?.map(|ms| (ms * 1e3) as Micros),
+            memory_mb: number(self.memory, RequestField::Memory)?.filter(|mb| *mb > 0.0),
             time_left: (budget * 1e3) as Micros,
-            tables: tables::group(self.statement),
+            tables: table_group::group(self.statement),
             key,
             repeat: self.again.is_some(),
         };
--- a/gateway/src/rest/line.rs
+++ b/gateway/src/rest/connection_watch.rs
@@ -14,7 +14,7 @@
 use violetgate_policy::interface::Micros;
 
 use crate::clock::Clock;
-use crate::room::{Guest, Stage};
+use crate::connection_limit::{ConnectionSlot, ConnectionState};
 
 /// What a connection is at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,7 +43,7 @@
 /// What is known of a connection.
 pub struct Line {
     clock: Clock,
-    guest: Rc<Guest>,
+    guest: Rc<ConnectionSlot>,
     at: Cell<(At, Micros)>,
     /// Since when it has taken nothing, though there is more to write.
     blocked: Cell<Option<Micros>>,
@@ -56,7 +56,7 @@
 impl Line {
     /// A connection that has just come up.
     #[must_use]
-    pub fn new(clock: Clock, guest: Rc<Guest>) -> Rc<Self> {
+    pub fn new(clock: Clock, guest: Rc<ConnectionSlot>) -> Rc<Self> {
         let at = Cell::new((At::Idle, clock.now()));
         let (blocked, answered, unread) = (Cell::new(None), Cell::new(0), Cell::new(false));
         Rc::new(Line {
@@ -84,9 +84,9 @@
         self.at.set((at, now));
         self.guest.is(
             match at {
-                At::Idle => Stage::Idle,
-                At::Head => Stage::Mute,
-                At::Request | At::Answer => Stage::Busy,
+                At::Idle => ConnectionState::Idle,
+                At::Head => ConnectionState::AwaitingMessage,
+                At::Request | At::Answer => ConnectionState::Busy,
             },
             now,
         );
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -1,12 +1,12 @@
 //! The REST front: queries over HTTP/1.1, results in pages. docs/rest.md is its design, docs/openapi.yaml its
 //! description.
 //!
-//! It takes queries in through [`Intake`] as the PostgreSQL front does, and knows neither that nor the engines.
+//! It takes queries in through [`RequestSink`] as the PostgreSQL front does, and knows neither that nor the engines.
 //! It must never decide about a query: what is refused for load is the decision module's; what is refused for
 //! want of room for results, or for a key, the ledger's.
 
-mod calls;
-mod line;
+mod connection_watch;
+mod queries;
 mod wire;
 
 use std::cell::{Cell, RefCell};
@@ -34,17 +34,17 @@
 use violetgate_result_store::{Limits, Missing, Place, Results};
 
 use crate::clock::Clock;
-use crate::config::Names;
-use crate::door::Door;
-use crate::exchange::{Answer, Exchange, Intake, Served, MAX_RESULT};
-use crate::keyed::Keyed;
+use crate::config::NameTable;
+use crate::connection_limit::{ConnectionLimiter, ConnectionSlot, RECENTLY_IDLE};
+use crate::drain::DrainState;
+use crate::exchange::{Answer, Exchange, RequestSink, Served, MAX_RESULT_BYTES};
+use crate::http_error::HttpError;
+use crate::idempotency::IdempotencyLayer;
 use crate::log;
 use crate::net;
-use crate::problem::Problem;
-use crate::room::{Guest, Room, FRESH};
 use crate::settings;
 use crate::stats::{Ending, Stats};
-use line::{At, Line, Patience, Watched};
+use connection_watch::{At, Line, Patience, Watched};
 use wire::{Page, Route};
 
 /// The pause after the machine gave no connection.
@@ -78,23 +78,23 @@
     /// The one clock.
     pub clock: Clock,
     /// Where queries are taken in.
-    pub intake: Rc<dyn Intake>,
+    pub intake: Rc<dyn RequestSink>,
     /// The names of classes and tenants.
-    pub names: Names,
+    pub names: NameTable,
     /// The figures.
     pub stats: Rc<Stats>,
     /// Whether clients are let in.
-    pub door: Rc<Door>,
+    pub door: Rc<DrainState>,
     /// The results that are promised.
     pub results: Rc<RefCell<Results<Served>>>,
     /// The keys that are taken.
-    pub keyed: Rc<Keyed>,
+    pub keyed: Rc<IdempotencyLayer>,
 }
 
 /// The REST front.
 pub struct Rest {
     core: Core,
-    room: Room,
+    room: ConnectionLimiter,
     limits: RefCell<settings::Rest>,
     rng: RefCell<ChaCha8Rng>,
     busy: Cell<usize>,
@@ -106,7 +106,7 @@
 pub fn limits(settings: &settings::Rest) -> Limits {
     Limits {
         bytes: settings.results_bytes.0 as usize,
-        one: MAX_RESULT,
+        one: MAX_RESULT_BYTES,
         results: settings.results,
     }
 }
@@ -117,7 +117,7 @@
     pub fn new(core: Core, settings: &settings::Rest, most: usize, rng: ChaCha8Rng) -> Rc<Self> {
         Rc::new(Rest {
             core,
-            room: Room::new(most),
+            room: ConnectionLimiter::new(most),
             limits: RefCell::new(settings.clone()),
             rng: RefCell::new(rng),
             busy: Cell::new(0),
@@ -217,7 +217,7 @@
             let now = self.core.clock.now();
             self.core.results.borrow_mut().expire(now);
             if let Some(reason) = self.core.door.sends_home(now) {
-                self.room.dismiss_idle(now, FRESH, reason);
+                self.room.dismiss_idle(now, RECENTLY_IDLE, reason);
             }
         }
     }
@@ -253,7 +253,7 @@
                 .spawn(Rc::clone(self).drive(stream, peer, guest))
                 .detach(),
             None => {
-                let problem = Problem::new(
+                let problem = HttpError::new(
                     StatusCode::SERVICE_UNAVAILABLE,
                     "too-many-connections",
                     "every place is taken by a connection with a request open",
@@ -264,7 +264,12 @@
         }
     }
 
-    async fn drive(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr, guest: Rc<Guest>) {
+    async fn drive(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        peer: SocketAddr,
+        guest: Rc<ConnectionSlot>,
+    ) {
         let _ = stream.get_ref().set_nodelay(true);
         let stream = Rc::new(stream);
         let line = Line::new(self.core.clock, Rc::clone(&guest));
@@ -282,7 +287,7 @@
         self: &Rc<Self>,
         stream: &Rc<Async<TcpStream>>,
         line: &Rc<Line>,
-        guest: &Guest,
+        guest: &ConnectionSlot,
     ) -> &'static str {
         let (patience, max_head) = {
             let l = self.limits.borrow();
@@ -337,7 +342,7 @@
         .await;
         match ended {
             Err("head_timeout") => {
-                let problem = Problem::new(
+                let problem = HttpError::new(
                     StatusCode::REQUEST_TIMEOUT,
                     "request-timeout",
                     "the head of the request was not whole in time",
@@ -399,7 +404,7 @@
 }
 
 /// Writes a problem where no server does, in one write that an empty socket takes whole.
-fn raw(stream: &Async<TcpStream>, problem: &Problem) {
+fn raw(stream: &Async<TcpStream>, problem: &HttpError) {
     let body = problem.body();
     let head = format!(
         "HTTP/1.1 {}\r\ncontent-type: application/problem+json\r\ncontent-length: {}\r\nconnection: close\r\n\r\n",
--- a/gateway/src/rest/calls.rs
+++ b/gateway/src/rest/queries.rs
@@ -7,7 +7,7 @@
         &self,
         request: hyper::Request<Incoming>,
         line: &Line,
-    ) -> Result<Reply, Problem> {
+    ) -> Result<Reply, HttpError> {
         let (head, body) = request.into_parts();
         match wire::route(&head.method, head.uri.path()) {
             Route::Ask => {
@@ -16,12 +16,12 @@
             }
             Route::Page(id, n) => self.page(id, n, line),
             Route::Delete(id) => self.delete(id),
-            Route::Not(allow) => Err(Problem::new(
+            Route::Not(allow) => Err(HttpError::new(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "method-not-allowed",
                 format!("this path takes {allow}"),
             )),
-            Route::Nowhere => Err(Problem::new(
+            Route::Nowhere => Err(HttpError::new(
                 StatusCode::NOT_FOUND,
                 "no-such-path",
                 "no such path",
@@ -30,14 +30,14 @@
     }
 
     /// Reads a body whole, within its limits.
-    async fn read(&self, mut body: Incoming) -> Result<Vec<u8>, Problem> {
+    async fn read(&self, mut body: Incoming) -> Result<Vec<u8>, HttpError> {
         let (most, within) = {
             let limits = self.limits.borrow();
             (limits.max_body.0 as usize, limits.body_timeout.0)
         };
         let long = || {
             let detail = format!("a body has {most} bytes at most");
-            Problem::new(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", detail).closing()
+            HttpError::new(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", detail).closing()
         };
         // A length that is told is believed before a byte is read, and before `100 Continue` is said.
         if body.size_hint().lower() > most as u64 {
@@ -48,7 +48,7 @@
             while let Some(frame) = body.frame().await {
                 let frame = frame.map_err(|e| {
                     let detail = format!("the body can't be read: {e}");
-                    Problem::new(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
+                    HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
                 })?;
                 // Trailers say nothing that is heeded here.
                 let data = frame.into_data().unwrap_or_default();
@@ -62,7 +62,7 @@
         let late = async {
             Timer::after(within).await;
             let detail = "the body of the request was not whole in time";
-            Err(Problem::new(StatusCode::REQUEST_TIMEOUT, "request-timeout", detail).closing())
+            Err(HttpError::new(StatusCode::REQUEST_TIMEOUT, "request-timeout", detail).closing())
         };
         whole.or(late).await
     }
@@ -72,12 +72,12 @@
         headers: &hyper::HeaderMap,
         body: &[u8],
         line: &Line,
-    ) -> Result<Reply, Problem> {
+    ) -> Result<Reply, HttpError> {
         let core = &self.core;
         let received = core.clock.now();
         let draining = || {
             let detail = "this server takes no more queries; another one will";
-            Problem::new(StatusCode::SERVICE_UNAVAILABLE, "draining", detail).after(0)
+            HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "draining", detail).after(0)
         };
         for _ in 0..DRAWS {
             let rid = format!("{:016x}", self.rng.borrow_mut().next_u64());
@@ -95,7 +95,7 @@
                     open.ended(Ending::Refused);
                     let detail = "the results that are kept for other clients take all room";
                     let problem =
-                        Problem::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
+                        HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
                     return Err(problem.after(wait));
                 }
             };
@@ -117,24 +117,24 @@
                     return Ok(self.first_page(served, place, until, line));
                 }
                 Answer::Refused { retry_after } => {
-                    Problem::new(refused, "busy", "too busy to serve this query").after(retry_after)
+                    HttpError::new(refused, "busy", "too busy to serve this query").after(retry_after)
                 }
-                Answer::Closing => draining(),
-                Answer::Stale => {
+                Answer::ShuttingDown => draining(),
+                Answer::StateUnconfirmed => {
                     let detail = "this instance is cut off from the others; another one may serve it";
-                    Problem::new(refused, "isolated", detail).after(0)
+                    HttpError::new(refused, "isolated", detail).after(0)
                 }
-                Answer::Failed => Problem::new(
+                Answer::Failed => HttpError::new(
                     StatusCode::BAD_GATEWAY,
                     "failed",
                     "the query failed; it may have had its effect",
                 ),
-                Answer::Differs => Problem::new(
+                Answer::KeyConflict => HttpError::new(
                     StatusCode::UNPROCESSABLE_ENTITY,
                     "key-reused",
                     "this Idempotency-Key was used with another query",
                 ),
-                Answer::Unsure => Problem::new(
+                Answer::OutcomeUnknown => HttpError::new(
                     StatusCode::CONFLICT,
                     "outcome-unknown",
                     "an earlier query of this Idempotency-Key may have had its effect, and engines no longer \
@@ -148,7 +148,7 @@
             });
             return Err(problem);
         }
-        Err(Problem::new(
+        Err(HttpError::new(
             StatusCode::INTERNAL_SERVER_ERROR,
             "no-id",
             "no id could be drawn",
@@ -175,7 +175,7 @@
         page_of(&served, id, 1, id.map(|_| until))
     }
 
-    fn page(&self, id: &str, n: usize, line: &Line) -> Result<Reply, Problem> {
+    fn page(&self, id: &str, n: usize, line: &Line) -> Result<Reply, HttpError> {
         let found = self.core.results.borrow().find(self.core.clock.now(), id);
         let (served, token) = found.map_err(|m| self.missing(m))?;
         if n > served.pages.len() {
@@ -191,7 +191,7 @@
         Ok(page_of(&served, Some(id), n, Some(token.until)))
     }
 
-    fn delete(&self, id: &str) -> Result<Reply, Problem> {
+    fn delete(&self, id: &str) -> Result<Reply, HttpError> {
         let gone = self
             .core
             .results
@@ -203,11 +203,11 @@
         Ok(reply)
     }
 
-    fn missing(&self, missing: Missing) -> Problem {
+    fn missing(&self, missing: Missing) -> HttpError {
         match missing {
             Missing::Unknown => {
                 add(&self.counts.unknown);
-                Problem::new(
+                HttpError::new(
                     StatusCode::NOT_FOUND,
                     "no-such-page",
                     "nobody here has promised this page",
@@ -215,7 +215,7 @@
             }
             Missing::Gone => {
                 add(&self.counts.gone);
-                Problem::new(
+                HttpError::new(
                     StatusCode::GONE,
                     "result-gone",
                     "this result is no longer kept; ask again",
@@ -227,7 +227,7 @@
 
 /// A query that waits for its answer. Dropped before that, as when its client has left, it is withdrawn.
 struct Waits<'a> {
-    intake: &'a Rc<dyn Intake>,
+    intake: &'a Rc<dyn RequestSink>,
     query: Option<QueryId>,
 }
 
--- a/gateway/src/rest/wire.rs
+++ b/gateway/src/rest/wire.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize, Serializer};
 use violetgate_result_store::Micros;
 
-use crate::asked::{Asked, Fault, Part};
-use crate::config::Names;
+use crate::config::NameTable;
 use crate::exchange::Request;
-use crate::problem::Problem;
+use crate::http_error::HttpError;
+use crate::request_validation::{InvalidField, RawRequest, RequestField};
 
 /// What a path and a method ask for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -78,18 +78,18 @@
     order_key: Option<std::borrow::Cow<'a, str>>,
 }
 
-fn name(part: Part) -> &'static str {
+fn name(part: RequestField) -> &'static str {
     match part {
-        Part::Class => "class",
-        Part::Id => "id",
-        Part::Budget => "budget_ms",
-        Part::Tenant => "tenant",
-        Part::Token => "Idempotency-Key",
-        Part::Work => "estimate_ms",
-        Part::Memory => "estimate_mb",
-        Part::Key => "order_key",
-        Part::Again => "again",
-        Part::Statement => "statement",
+        RequestField::Class => "class",
+        RequestField::Id => "id",
+        RequestField::Budget => "budget_ms",
+        RequestField::Tenant => "tenant",
+        RequestField::Token => "Idempotency-Key",
+        RequestField::Work => "estimate_ms",
+        RequestField::Memory => "estimate_mb",
+        RequestField::Key => "order_key",
+        RequestField::Again => "again",
+        RequestField::Statement => "statement",
     }
 }
 
@@ -101,11 +101,11 @@
 pub fn ask(
     headers: &HeaderMap,
     body: &[u8],
-    names: &Names,
+    names: &NameTable,
     rid: &str,
     received: Micros,
-) -> Result<Request, Problem> {
-    let bad = |detail: String| Problem::new(StatusCode::BAD_REQUEST, "invalid-request", detail);
+) -> Result<Request, HttpError> {
+    let bad = |detail: String| HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail);
     let kind = headers
         .get(CONTENT_TYPE)
         .map(|v| v.to_str().unwrap_or_default());
@@ -117,7 +117,7 @@
     };
     if kind.is_some_and(|v| !json(v)) {
         let status = StatusCode::UNSUPPORTED_MEDIA_TYPE;
-        return Err(Problem::new(
+        return Err(HttpError::new(
             status,
             "unsupported-media-type",
             "the body has to be application/json",
@@ -159,7 +159,7 @@
             ));
         }
     }
-    let asked = Asked {
+    let asked = RawRequest {
         class,
         id: Some(rid),
         budget: ask.budget_ms,
@@ -173,7 +173,7 @@
     };
     asked
         .request(names, received)
-        .map_err(|Fault { part, what }| bad(format!("`{}` {what}", name(part))))
+        .map_err(|InvalidField { part, what }| bad(format!("`{}` {what}", name(part))))
 }
 
 /// One page of a result, as it is written.
@@ -265,12 +265,12 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn names() -> Names {
+    fn names() -> NameTable {
         let classes = vec![("report".to_owned(), false), ("load".to_owned(), true)];
-        Names {
+        NameTable {
             classes,
             tenants: vec!["north".to_owned()],
-            ..Names::default()
+            ..NameTable::default()
         }
     }
 
--- a/gateway/src/serve.rs
+++ b/gateway/src/serve.rs
@@ -17,24 +17,24 @@
 use violetgate_policy::interface::ListScope;
 use violetgate_result_store::{token, Results};
 
+use crate::admin::operations::{OperationTargets, Operations};
 use crate::admin::Admin;
-use crate::bus::{Bus, Ids, Place};
-use crate::client::session::Sessions;
 use crate::clock::Clock;
 use crate::config::Config;
-use crate::daemon::{self, Participant};
+use crate::cordon_file::CordonFile;
+use crate::discovery::{DiscoveryClient, DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
-use crate::door::Door;
-use crate::engine::pool::Pool;
-use crate::exchange::{Engines, Intake, Listed, Reports};
+use crate::drain::DrainState;
+use crate::exchange::{AttemptEvents, ListedEngine, RequestSink, UpstreamEngines};
 use crate::fleet::Fleet;
-use crate::keyed::Keyed;
-use crate::operations::{Operations, Parts};
-use crate::presence::Presence;
+use crate::idempotency::IdempotencyLayer;
+use crate::postgres::sessions::Sessions;
+use crate::replication::{self, Participant};
 use crate::rest::{self, Rest};
 use crate::settings::{self, ClusterRole, Settings};
+use crate::sibling_process::ProcessMark;
 use crate::stats::Stats;
-use crate::store::Store;
+use crate::upstream::pool::Pool;
 use crate::{log, net};
 
 /// After SIGTERM new requests go on coming for this long.
@@ -66,11 +66,11 @@
     /// management and for connections that are just being closed. Two processes that run beside each other
     /// stay within one's limit together. Usual clients hold a third of it at most, and soon all of them are with
     /// the new process: a room that is too small for them turns away, or cuts off, those that have just come.
-    fn of(sockets: usize, part: Part, rest: Option<&settings::Rest>) -> Self {
+    fn of(sockets: usize, part: ProcessRole, rest: Option<&settings::Rest>) -> Self {
         let (clients, engines) = match part {
-            Part::Alone => (sockets / 2, sockets / 4),
-            Part::Successor => (sockets * 3 / 8, sockets / 6),
-            Part::Predecessor => (sockets * 3 / 16, sockets / 10),
+            ProcessRole::Alone => (sockets / 2, sockets / 4),
+            ProcessRole::Successor => (sockets * 3 / 8, sockets / 6),
+            ProcessRole::Predecessor => (sockets * 3 / 16, sockets / 10),
         };
         let rest = rest.map_or(0, |r| r.max_connections.min(clients / 2));
         Share {
@@ -83,7 +83,7 @@
 
 /// What this process is at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Part {
+enum ProcessRole {
     Alone,
     /// It was started beside another, which is still here.
     Successor,
@@ -99,12 +99,12 @@
 }
 
 /// Keeps, for ever, to the share of the limits that is this process's.
-async fn keep_share(presence: &Presence, mut was: Part, sockets: usize, held: Held) {
+async fn keep_share(presence: &ProcessMark, mut was: ProcessRole, sockets: usize, held: Held) {
     loop {
         Timer::after(BESIDE).await;
         let part = match was {
-            _ if !presence.other() => Part::Alone,
-            Part::Alone => Part::Predecessor,
+            _ if !presence.other() => ProcessRole::Alone,
+            ProcessRole::Alone => ProcessRole::Predecessor,
             was => was,
         };
         if part != was {
@@ -112,7 +112,7 @@
             let share = Share::of(sockets, part, held.rest.as_ref().map(|r| &r.1));
             log::line(format_args!(
                 "violetgate is {}: at most {} clients and {} engine connections",
-                if part == Part::Alone {
+                if part == ProcessRole::Alone {
                     "alone"
                 } else {
                     "joined by another process"
@@ -137,21 +137,21 @@
 }
 
 /// Leaves this process's mark beside those of others of this front end.
-fn enter(listen: &SocketAddr) -> Presence {
+fn enter(listen: &SocketAddr) -> ProcessMark {
     let entered = match shared_file(listen, "lock") {
-        Some(path) => Presence::enter(&path).map_err(|e| format!("{}: {e}", path.display())),
+        Some(path) => ProcessMark::enter(&path).map_err(|e| format!("{}: {e}", path.display())),
         None => Err("TMPDIR is not set".to_owned()),
     };
     entered.unwrap_or_else(|e| {
         log::line(format_args!("violetgate takes itself to be alone: {e}"));
-        Presence::alone()
+        ProcessMark::alone()
     })
 }
 
 /// SIGHUP: reads the configuration and the settings anew. Of what they hold, the place of the bus can change in a
 /// running program, and the settings that say so; where either can't be used, nothing changes.
 fn reload(
-    place: &Place,
+    place: &DiscoverySource,
     settings: Option<&Path>,
     rest: Option<&Rest>,
     daemon: Option<&Participant>,
@@ -220,9 +220,9 @@
     let file = file.map(Path::to_path_buf);
 
     let part = if presence.other() {
-        Part::Successor
+        ProcessRole::Successor
     } else {
-        Part::Alone
+        ProcessRole::Alone
     };
     let share = Share::of(config.sockets, part, wanted);
     let stats = Rc::new(Stats::new(
@@ -241,26 +241,26 @@
         fence.clone(),
         share.engines,
     );
-    let engines: Rc<dyn Engines> = Rc::<Pool>::clone(&pool);
+    let engines: Rc<dyn UpstreamEngines> = Rc::<Pool>::clone(&pool);
     let gateways = config.settings.gateways.unwrap_or(1);
     let classes = config.settings.classes.clone();
     let dispatch = Dispatch::new(clock, config.settings, config.seed, engines, fence);
-    let reports: Rc<dyn Reports> = Rc::<Dispatch>::clone(&dispatch);
-    let reports: Weak<dyn Reports> = Rc::downgrade(&reports);
+    let reports: Rc<dyn AttemptEvents> = Rc::<Dispatch>::clone(&dispatch);
+    let reports: Weak<dyn AttemptEvents> = Rc::downgrade(&reports);
     pool.report_to(reports);
 
     let fleet = settings.fleet.as_ref();
     let fleet = fleet.map(|f| Fleet::start(&executor, f, clock, config.seed, gateways, &dispatch));
     let fleet = fleet.transpose()?.map(Rc::new);
 
-    let ids = Rc::new(Ids::default());
-    let place = Rc::new(Place::new(
+    let ids = Rc::new(EngineIds::default());
+    let place = Rc::new(DiscoverySource::new(
         config.bus,
         daemon.as_ref().is_some_and(Participant::keeps_list),
     ));
-    let mut bus = Bus::new(config.names.clone(), Rc::clone(&ids), Rc::clone(&place));
+    let mut bus = DiscoveryClient::new(config.names.clone(), Rc::clone(&ids), Rc::clone(&place));
     let news = Rc::clone(&dispatch);
-    let mut tell = move |scope: ListScope, listed: &[Listed]| news.news(scope, listed);
+    let mut tell = move |scope: ListScope, listed: &[ListedEngine]| news.news(scope, listed);
     bus.known(config.known.0, config.known.1, &mut tell);
 
     // The bus is the first task, so that its news come before requests read in the same turn.
@@ -279,8 +279,8 @@
         rng.set_stream(stream);
         rng
     };
-    let door = Rc::new(Door::default());
-    let decisions: Rc<dyn Intake> = Rc::<Dispatch>::clone(&dispatch);
+    let door = Rc::new(DrainState::default());
+    let decisions: Rc<dyn RequestSink> = Rc::<Dispatch>::clone(&dispatch);
     let front = |settings: &settings::Rest| {
         let mut secret = [0; 32];
         getrandom::fill(&mut secret).map_err(|e| format!("no random numbers for tokens: {e}"))?;
@@ -288,11 +288,11 @@
         let results = Results::new(sealer, rest::limits(settings), clock.now());
         let (budget, keys) = (results.budget().clone(), settings.idempotency_keys);
         let inner = Rc::clone(&decisions);
-        let keyed = Keyed::new(inner, Rc::clone(&executor), &classes, budget, keys);
+        let keyed = IdempotencyLayer::new(inner, Rc::clone(&executor), &classes, budget, keys);
         let core = rest::Core {
             executor: Rc::clone(&executor),
             clock,
-            intake: Rc::<Keyed>::clone(&keyed),
+            intake: Rc::<IdempotencyLayer>::clone(&keyed),
             names: config.names.clone(),
             stats: Rc::clone(&stats),
             door: Rc::clone(&door),
@@ -330,7 +330,7 @@
         executor.spawn(async move { rest.sweep().await }).detach();
     }
     if let Some(daemon) = &daemon {
-        let parts = daemon::Parts {
+        let parts = replication::ControlTargets {
             clock,
             dispatch: Rc::clone(&dispatch),
             door: Rc::clone(&door),
@@ -342,15 +342,15 @@
     }
     if let (Some(Participant::Member(member)), Some(listener)) = (&daemon, api_listener) {
         executor
-            .spawn(daemon::listen(
+            .spawn(replication::listen(
                 Rc::clone(member),
                 Rc::clone(&executor),
                 listener,
             ))
             .detach();
     }
-    let store = Store::new(shared_file(&config.listen, "cordons"));
-    let parts = Parts {
+    let store = CordonFile::new(shared_file(&config.listen, "cordons"));
+    let parts = OperationTargets {
         place: Rc::clone(&place),
         ids,
         dispatch: Rc::clone(&dispatch),
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -37,18 +37,18 @@
 /// Settings that members agree on: some of the keys that are taken while the program runs. They come before what an
 /// instance's own file says.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Agreed(Value);
+pub struct SharedSettings(Value);
 
-impl Agreed {
+impl SharedSettings {
     /// Reads their text, which has the form of a settings file.
     ///
     /// # Errors
     ///
     /// All that is wrong with it, by line.
-    pub fn parse(text: &str) -> Result<Self, Vec<Problem>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<SettingsError>> {
         checked(text, true)?;
         hcl::from_str(text)
-            .map(Agreed)
+            .map(SharedSettings)
             .map_err(|e| vec![whole(e.to_string())])
     }
 
@@ -73,7 +73,7 @@
 
 /// What is wrong with a file, and where.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Problem {
+pub struct SettingsError {
     /// The line, from 1.
     pub line: usize,
     /// `block.key`, or the block; empty where the file can't be read at all.
@@ -82,7 +82,7 @@
     pub text: String,
 }
 
-impl std::fmt::Display for Problem {
+impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let colon = if self.key.is_empty() { "" } else { ": " };
         write!(f, "{}: {}{colon}{}", self.line, self.key, self.text)
@@ -114,7 +114,7 @@
 /// # Errors
 ///
 /// All that is wrong with it, by line.
-pub fn parse(text: &str) -> Result<Settings, Vec<Problem>> {
+pub fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let lines = checked(text, false)?;
     // The tables and the types agree (tested below), so that this can't fail on what has passed them.
     let read: Settings = hcl::from_str(text).map_err(|e| vec![whole(e.to_string())])?;
@@ -129,7 +129,7 @@
     if let Some((block, (key, what))) = cluster.or(fleet) {
         let key = format!("{block}.{key}");
         let line = lines.get(&key).or(lines.get(block)).copied().unwrap_or(1);
-        return Err(vec![Problem {
+        return Err(vec![SettingsError {
             line,
             key,
             text: what.to_owned(),
@@ -138,8 +138,8 @@
     Ok(read)
 }
 
-fn whole(text: String) -> Problem {
-    Problem {
+fn whole(text: String) -> SettingsError {
+    SettingsError {
         line: 1,
         key: String::new(),
         text,
@@ -147,10 +147,10 @@
 }
 
 /// Checks a text against the tables; the lines of its blocks and keys. `agreed`: only what members may agree on.
-fn checked(text: &str, agreed: bool) -> Result<BTreeMap<String, usize>, Vec<Problem>> {
+fn checked(text: &str, agreed: bool) -> Result<BTreeMap<String, usize>, Vec<SettingsError>> {
     let body = hcl_edit::parser::parse_body(text).map_err(|e| {
         let text = format!("no HCL: {}", e.message());
-        vec![Problem {
+        vec![SettingsError {
             line: e.location().line(),
             key: String::new(),
             text,
@@ -173,7 +173,7 @@
 struct Check<'a> {
     text: &'a str,
     agreed: bool,
-    problems: Vec<Problem>,
+    problems: Vec<SettingsError>,
     lines: BTreeMap<String, usize>,
 }
 
@@ -184,7 +184,7 @@
     }
 
     fn wrong(&mut self, line: usize, key: impl Into<String>, text: impl Into<String>) {
-        self.problems.push(Problem {
+        self.problems.push(SettingsError {
             line,
             key: key.into(),
             text: text.into(),
--- a/gateway/src/presence.rs
+++ b/gateway/src/sibling_process.rs
@@ -10,9 +10,9 @@
 use rustix::process::{Flock, FlockType};
 
 /// This process's mark.
-pub struct Presence(Option<File>);
+pub struct ProcessMark(Option<File>);
 
-impl Presence {
+impl ProcessMark {
     /// Leaves the mark in a file. Where that can't be, this process takes itself to be alone.
     ///
     /// # Errors
@@ -26,13 +26,13 @@
             .truncate(false)
             .open(path)?;
         rustix::fs::fcntl_lock(&file, FlockOperation::NonBlockingLockShared)?;
-        Ok(Presence(Some(file)))
+        Ok(ProcessMark(Some(file)))
     }
 
     /// The presence of a process that has no such file.
     #[must_use]
     pub fn alone() -> Self {
-        Presence(None)
+        ProcessMark(None)
     }
 
     /// Whether another process holds its mark.
--- a/gateway/src/engine/conn.rs
+++ b/gateway/src/upstream/connection.rs
@@ -11,7 +11,7 @@
 use violetgate_policy::interface::{Cost, EngineId, Micros, Outcome, Progress, QueryId};
 
 use super::codec::{self, Parsed, Reply, Word};
-use crate::exchange::{Attempt, Pages, MAX_RESULT};
+use crate::exchange::{Attempt, Pages, MAX_RESULT_BYTES};
 use crate::stats::Stats;
 
 /// More pages than this are none either: at 6,000 bytes each it takes 8.
@@ -62,7 +62,7 @@
 }
 
 /// One connection to an engine.
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub id: u64,
     pub engine: EngineId,
     pub addr: SocketAddr,
@@ -78,7 +78,7 @@
     state: RefCell<State>,
 }
 
-impl Conn {
+impl Connection {
     pub fn new(
         id: u64,
         engine: EngineId,
@@ -86,7 +86,7 @@
         now: Micros,
         stats: Rc<Stats>,
     ) -> Rc<Self> {
-        Rc::new(Conn {
+        Rc::new(Connection {
             id,
             engine,
             addr,
@@ -129,7 +129,7 @@
     pub fn serve(&self, attempt: Attempt, tries: u32) {
         let mut s = self.state.borrow_mut();
         let id = attempt.exchange.request.query.id;
-        attempt.exchange.trail.borrow_mut().push(self.id);
+        attempt.exchange.used_connections.borrow_mut().push(self.id);
         s.queue.push_back(Command::Serve(id, attempt.number));
         let slot = Slot {
             attempt,
@@ -352,7 +352,7 @@
                 }
                 slot.bytes += reply.body.len();
                 let place = slot.pages.get_mut(at).filter(|p| p.is_none());
-                if slot.bytes > MAX_RESULT || !is_rows(reply.body) {
+                if slot.bytes > MAX_RESULT_BYTES || !is_rows(reply.body) {
                     return Err("garbage");
                 }
                 *place.ok_or("garbage")? = Some(reply.body.into());
--- a/gateway/src/engine/conn/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -29,8 +29,8 @@
     }
 }
 
-fn conn() -> Rc<Conn> {
-    Conn::new(
+fn conn() -> Rc<Connection> {
+    Connection::new(
         1,
         3,
         SocketAddr::from(([127, 0, 0, 1], 1)),
--- a/gateway/src/engine/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -1,5 +1,5 @@
 //! The engine side: the line protocol, its connections and the pool of them.
 
 pub mod codec;
-mod conn;
+mod connection;
 pub mod pool;
--- a/gateway/src/engine/pool.rs
+++ b/gateway/src/upstream/pool.rs
@@ -13,10 +13,10 @@
 use futures_lite::{future, FutureExt};
 use violetgate_policy::interface::{EngineId, EngineState, ListScope, Micros, Outcome, QueryId};
 
-use super::conn::{Conn, End, Said};
+use super::connection::{Connection, End, Said};
 use crate::clock::Clock;
 use crate::config::Link;
-use crate::exchange::{Attempt, AttemptEnd, Engines, Listed, Pages, Reports};
+use crate::exchange::{Attempt, AttemptEnd, AttemptEvents, ListedEngine, Pages, UpstreamEngines};
 use crate::fence::Fence;
 use crate::log;
 use crate::stats::Stats;
@@ -42,13 +42,13 @@
     fence: Option<Rc<dyn Fence>>,
     /// How many connections there may be.
     most: Cell<usize>,
-    reports: RefCell<Option<Weak<dyn Reports>>>,
-    listed: RefCell<BTreeMap<EngineId, Listed>>,
+    reports: RefCell<Option<Weak<dyn AttemptEvents>>>,
+    listed: RefCell<BTreeMap<EngineId, ListedEngine>>,
     /// Engines that get nothing, whatever the list says.
     barred: RefCell<BTreeSet<EngineId>>,
-    conns: RefCell<BTreeMap<u64, Rc<Conn>>>,
+    conns: RefCell<BTreeMap<u64, Rc<Connection>>>,
     /// Where the attempt of a query is out.
-    at: RefCell<HashMap<QueryId, Rc<Conn>>>,
+    at: RefCell<HashMap<QueryId, Rc<Connection>>>,
     next: Cell<u64>,
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Names the place where ends are told.
-    pub fn report_to(&self, reports: Weak<dyn Reports>) {
+    pub fn report_to(&self, reports: Weak<dyn AttemptEvents>) {
         *self.reports.borrow_mut() = Some(reports);
     }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    fn end(&self, conn: &Conn, reason: &'static str) {
+    fn end(&self, conn: &Connection, reason: &'static str) {
         // A machine that refuses or stays silent is no better at the next try.
         let other = conn.is_up() || reason == CONNECT_ERROR;
         let (mut ends, unsent) = conn.end(reason);
@@ -162,7 +162,7 @@
 
     /// Writes what the socket takes, but no request that was queued before the fence was shut, or that waited too
     /// long for its connection.
-    fn write(&self, conn: &Conn) -> Result<(), &'static str> {
+    fn write(&self, conn: &Connection) -> Result<(), &'static str> {
         let now = self.clock.now();
         if conn.is_up() {
             let all = !self.may_send();
@@ -175,7 +175,7 @@
         conn.flush(now)
     }
 
-    fn flush(&self, conn: &Rc<Conn>) {
+    fn flush(&self, conn: &Rc<Connection>) {
         let was_blocked = conn.blocked.get();
         if let Err(reason) = self.write(conn) {
             self.end(conn, reason);
@@ -201,9 +201,9 @@
 
     /// A connection to an engine that can take an attempt. Whatever breaks or spoils a connection costs all
     /// that is open on it, so each attempt gets one of its own, the one used last, as long as there is room.
-    fn pick(&self, listed: &Listed, trail: &[u64]) -> Option<Rc<Conn>> {
+    fn pick(&self, listed: &ListedEngine, trail: &[u64]) -> Option<Rc<Connection>> {
         let conns = self.conns.borrow();
-        let fits = |c: &&Rc<Conn>| {
+        let fits = |c: &&Rc<Connection>| {
             c.engine == listed.engine.id
                 && !c.retired.get()
                 && c.load() < self.link.streams
@@ -248,7 +248,7 @@
         else {
             return self.report(never(Outcome::Superseded));
         };
-        let trail = attempt.exchange.trail.borrow().clone();
+        let trail = attempt.exchange.used_connections.borrow().clone();
         let Some(conn) = self.pick(&listed, &trail) else {
             return self.report(never(Outcome::Refused));
         };
@@ -257,10 +257,10 @@
         self.flush(&conn);
     }
 
-    fn open(&self, listed: &Listed) -> Option<Rc<Conn>> {
+    fn open(&self, listed: &ListedEngine) -> Option<Rc<Connection>> {
         let id = self.next.get();
         self.next.set(id + 1);
-        let conn = Conn::new(
+        let conn = Connection::new(
             id,
             listed.engine.id,
             listed.addr,
@@ -274,7 +274,7 @@
         Some(conn)
     }
 
-    async fn drive(self: Rc<Self>, conn: Rc<Conn>) {
+    async fn drive(self: Rc<Self>, conn: Rc<Connection>) {
         let late = async {
             Timer::after(self.link.connect_timeout).await;
             Err(std::io::ErrorKind::TimedOut.into())
@@ -343,7 +343,7 @@
     }
 }
 
-impl Engines for Pool {
+impl UpstreamEngines for Pool {
     fn send(&self, attempt: Attempt) {
         self.place(attempt, 0);
     }
@@ -403,7 +403,7 @@
         }
     }
 
-    fn list(&self, scope: ListScope, engines: &[Listed]) {
+    fn list(&self, scope: ListScope, engines: &[ListedEngine]) {
         let mut listed = self.listed.borrow_mut();
         if matches!(scope, ListScope::Whole | ListScope::Stale) {
             listed
--- a/gateway/src/engine/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -9,7 +9,7 @@
 #[derive(Default)]
 struct Ends(RefCell<Vec<(QueryId, Outcome)>>);
 
-impl Reports for Ends {
+impl AttemptEvents for Ends {
     fn ended(&self, end: AttemptEnd) {
         self.0.borrow_mut().push((end.query, end.outcome));
     }
@@ -38,7 +38,7 @@
         most,
     );
     let ends = Rc::new(Ends::default());
-    let reports: Rc<dyn Reports> = Rc::<Ends>::clone(&ends);
+    let reports: Rc<dyn AttemptEvents> = Rc::<Ends>::clone(&ends);
     pool.report_to(Rc::downgrade(&reports));
     let engine = Engine {
         id: 0,
@@ -48,7 +48,7 @@
         state: EngineState::Ready,
         started: None,
     };
-    pool.list(ListScope::Whole, &[Listed { engine, addr }]);
+    pool.list(ListScope::Whole, &[ListedEngine { engine, addr }]);
     (pool, ends)
 }
 
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,5 +1,5 @@
 //! The whole program at the instants that most fail at: descriptors that run out while the bus is away, and an end with
-//! sessions at rest. What one session meets is forced in `src/client/session/tests.rs`.
+//! sessions at rest. What one session meets is forced in `src/postgres/sessions/tests.rs`.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -21,7 +21,7 @@
 const SHORT_SIZES: [u32; 3] = [80, 300, 1_000];
 /// Engines that have to be carried.
 const TARGET: u32 = 12_000;
-/// The longest line that the program takes: `MAX_LINE` in gateway/src/bus.rs.
+/// The longest line that the program takes: `MAX_LINE` in gateway/src/discovery.rs.
 const LONGEST_LINE: f64 = 1_048_576.0;
 /// How long the program may take to apply an event.
 const WAIT: Duration = Duration::from_secs(10);
--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -20,7 +20,9 @@
     #[error("violetgate ended at its start; the end of its log: {0}")]
     Program(String),
     /// The program under test does not follow the bus as expected.
-    #[error("violetgate {0}; compare gateway/src/bus.rs with tools/scale/src/engine_list.rs")]
+    #[error(
+        "violetgate {0}; compare gateway/src/discovery.rs with tools/scale/src/engine_list.rs"
+    )]
     Bus(&'static str),
     /// A process's figures under /proc could not be read.
     #[error("process {0} has no readable figures in /proc; the scale tests need Linux with /proc mounted")]
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -8,8 +8,8 @@
 
 use async_executor::{LocalExecutor, Task};
 use violetgate::control::{
-    Attempt, Bus, Clock, Config, Dispatch, Engines, Fence, Fleet, Ids, Listed, Parts, Place,
-    Subscribed,
+    Attempt, Clock, ClusterSubscriber, Config, ControlTargets, DiscoveryClient, DiscoverySource,
+    Dispatch, EngineIds, Fence, Fleet, ListedEngine, UpstreamEngines,
 };
 use violetgate::settings::{self, Settings};
 use violetgate_policy::interface::{EngineId, ListScope, QueryId};
@@ -51,7 +51,7 @@
 /// The engine side of a front end that has no engine connections: nothing is ever sent.
 struct NoEngines;
 
-impl Engines for NoEngines {
+impl UpstreamEngines for NoEngines {
     fn send(&self, _: Attempt) {}
 
     fn cancel(&self, _: QueryId) -> bool {
@@ -66,11 +66,11 @@
 
     fn cordon(&self, _: EngineId, _: bool) {}
 
-    fn list(&self, _: ListScope, _: &[Listed]) {}
+    fn list(&self, _: ListScope, _: &[ListedEngine]) {}
 }
 
 /// Asks the subscription before every send. It does not keep it: a front end that is dropped has to end.
-struct SubscriptionFence(Weak<Subscribed>);
+struct SubscriptionFence(Weak<ClusterSubscriber>);
 
 impl Fence for SubscriptionFence {
     fn is_open(&self) -> bool {
@@ -83,9 +83,9 @@
 /// A front end that runs.
 pub struct FrontEnd {
     driver: Option<Task<()>>,
-    subscribed: Option<Rc<Subscribed>>,
+    subscribed: Option<Rc<ClusterSubscriber>>,
     seen: Rc<RefCell<SeenChanges>>,
-    place: Rc<Place>,
+    place: Rc<DiscoverySource>,
     fleet: Option<Fleet>,
     _dispatch: Rc<Dispatch>,
     _executor: Rc<LocalExecutor<'static>>,
@@ -130,12 +130,12 @@
             None => None,
         };
         let (ids, place) = (
-            Rc::new(Ids::default()),
-            Rc::new(Place::new(config.bus, false)),
+            Rc::new(EngineIds::default()),
+            Rc::new(DiscoverySource::new(config.bus, false)),
         );
-        let mut bus = Bus::new(config.names, Rc::clone(&ids), Rc::clone(&place));
+        let mut bus = DiscoveryClient::new(config.names, Rc::clone(&ids), Rc::clone(&place));
         let news = template.runs(Part::Decisions).then(|| Rc::clone(&dispatch));
-        let mut tell = move |scope: ListScope, listed: &[Listed]| {
+        let mut tell = move |scope: ListScope, listed: &[ListedEngine]| {
             if let Some(dispatch) = &news {
                 dispatch.news(scope, listed);
             }
@@ -158,7 +158,7 @@
             let door = Rc::default();
             subscribed.attach(
                 &executor,
-                Parts {
+                ControlTargets {
                     clock,
                     dispatch,
                     door,
@@ -248,7 +248,7 @@
     executor: &Rc<LocalExecutor<'static>>,
     name: &str,
     seed: u64,
-) -> Result<Option<Rc<Subscribed>>, HollowError> {
+) -> Result<Option<Rc<ClusterSubscriber>>, HollowError> {
     if !template.runs(Part::Subscription) {
         return Ok(None);
     }
@@ -258,7 +258,7 @@
         part: "subscription",
     })?;
     name.clone_into(&mut given.front_end);
-    Ok(Some(Subscribed::start(
+    Ok(Some(ClusterSubscriber::start(
         executor,
         &template.settings,
         &given,
@@ -267,7 +267,7 @@
 }
 
 /// Checks what is applied, in the turn in which it is.
-fn watch(subscribed: &Subscribed, seen: &Rc<RefCell<SeenChanges>>) {
+fn watch(subscribed: &ClusterSubscriber, seen: &Rc<RefCell<SeenChanges>>) {
     let seen = Rc::clone(seen);
     subscribed
         .subscription()
