--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -16,7 +16,7 @@
 use crate::drain::DrainState;
 use crate::fleet::Fleet;
 use crate::log;
-use crate::replication::{Participant, ProposalError};
+use crate::replication::{CommitError, Participant};
 use crate::rest::Rest;
 use crate::stats::Stats;
 
@@ -209,10 +209,10 @@
     }
 }
 
-fn agreed(done: Result<(), ProposalError>) -> OperationOutcome {
+fn agreed(done: Result<(), CommitError>) -> OperationOutcome {
     match done {
         Ok(()) => OperationOutcome::Done,
-        Err(ProposalError::NotAMember) => OperationOutcome::NotAMember,
+        Err(CommitError::NotAMember) => OperationOutcome::NotAMember,
         Err(_) => OperationOutcome::Unagreed,
     }
 }
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -5,13 +5,13 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
-use violetgate_raft::{Change, Rejected, Role};
-use violetgate_replica::Answer;
+use violetgate_raft::{MembershipChange, ProposalError, Role};
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Answered, Call};
 
 use super::super::metrics::{until_in_force, BEHIND};
 use super::super::shared_config::{self, MemberAddress};
-use super::super::ProposalError;
+use super::super::CommitError;
 use super::http::{bad, problem, told, Answering, Reply};
 use super::query::ApiCall;
 use super::Api;
@@ -51,7 +51,7 @@
         let given = self.daemon.given.addresses();
         let members: Vec<_> = status
             .members
-            .all()
+            .ids()
             .map(|id| {
                 let record = view.members.get(&id);
                 let matched = status
@@ -75,7 +75,7 @@
             "routes": status.fresh.is_ok(),
             "state_age_ms": status.fresh.err().and_then(|s| s.age).map(|a| a / 1000),
             "stopped": self.daemon.cluster.lost(),
-            "highest_id": status.members.highest,
+            "highest_id": status.members.highest_id,
             "members": members,
         }))
     }
@@ -92,9 +92,9 @@
                     api,
                     born: None,
                 };
-                let known = self.daemon.status().members.highest;
+                let known = self.daemon.status().members.highest_id;
                 if id <= known {
-                    return Err(ProposalError::Rejected(Rejected::IdUsed).into());
+                    return Err(CommitError::Rejected(ProposalError::IdAlreadyUsed).into());
                 }
                 let txn = self
                     .daemon
@@ -103,16 +103,16 @@
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
-                Call::Change(Change::Add(id))
+                Call::Change(MembershipChange::AddLearner(id))
             }
-            MembershipStep::Promote(id) => Call::Change(Change::Promote(id)),
-            MembershipStep::Remove(id) => Call::Change(Change::Remove(id)),
+            MembershipStep::Promote(id) => Call::Change(MembershipChange::PromoteLearner(id)),
+            MembershipStep::Remove(id) => Call::Change(MembershipChange::Remove(id)),
             MembershipStep::Transfer(id) => Call::Transfer(id),
         };
         match self.daemon.cluster.agree(change, call.within).await {
-            Answered::Yes(Answer::Changed) => {}
-            Answered::Yes(Answer::Rejected(why)) => return Err(ProposalError::Rejected(why).into()),
-            _ => return Err(ProposalError::Late.into()),
+            Answered::Yes(Response::MembershipChanged) => {}
+            Answered::Yes(Response::Rejected(why)) => return Err(CommitError::Rejected(why).into()),
+            _ => return Err(CommitError::Late.into()),
         }
         let _ = self.daemon.cluster.current(call.within).await;
         Ok(self.cluster())
@@ -163,7 +163,7 @@
         if self.daemon.status().members.contains(member) {
             Ok(member)
         } else {
-            Err(ProposalError::Rejected(Rejected::Unknown).into())
+            Err(CommitError::Rejected(ProposalError::UnknownMember).into())
         }
     }
 
--- a/gateway/src/replication/api/http.rs
+++ b/gateway/src/replication/api/http.rs
@@ -11,11 +11,11 @@
 use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE};
 use hyper::{Response, StatusCode};
 use serde_json::Value;
-use violetgate_raft::Rejected;
-use violetgate_replicated_state::{Compacted, Refused};
+use violetgate_raft::ProposalError;
+use violetgate_replicated_state::{CommandError, Compacted};
 
 use super::super::shared_config::SettingsRejection;
-use super::super::ProposalError;
+use super::super::CommitError;
 use crate::http_error::HttpError;
 
 pub(super) type Reply = Response<Full<Bytes>>;
@@ -77,38 +77,38 @@
     )
 }
 
-impl From<ProposalError> for HttpError {
-    fn from(why: ProposalError) -> Self {
+impl From<CommitError> for HttpError {
+    fn from(why: CommitError) -> Self {
         match why {
-            ProposalError::Late => problem(
+            CommitError::Late => problem(
                 StatusCode::GATEWAY_TIMEOUT,
                 "outcome-unknown",
                 "not agreed on in its time; it may still come to be: ask again under the same Request-Id",
             ),
-            ProposalError::Refused(Refused::TooLarge) => problem(
+            CommitError::Refused(CommandError::TooLarge) => problem(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "too-large",
                 "a key, a value or the transaction is too large",
             ),
-            ProposalError::Refused(Refused::Full) => {
+            CommitError::Refused(CommandError::StoreFull) => {
                 problem(StatusCode::INSUFFICIENT_STORAGE, "store-full", "the store is full")
             }
-            ProposalError::Refused(Refused::NoLease(id)) => {
+            CommitError::Refused(CommandError::UnknownLease(id)) => {
                 problem(StatusCode::NOT_FOUND, "no-such-lease", format!("there is no lease {id}"))
             }
-            ProposalError::Refused(Refused::Future) => bad("there is no such revision yet"),
-            ProposalError::NotAMember => problem(
+            CommitError::Refused(CommandError::FutureRevision) => bad("there is no such revision yet"),
+            CommitError::NotAMember => problem(
                 StatusCode::CONFLICT,
                 "not-a-member",
                 "this front end subscribes: have it agreed on at a member's API",
             ),
-            ProposalError::Rejected(why) => {
+            CommitError::Rejected(why) => {
                 let detail = match why {
-                    Rejected::IdUsed => "this id was given before; ids are never used twice",
-                    Rejected::Unknown => "there is no such member, or it is not of that kind",
-                    Rejected::Behind => "it has not caught up yet; try again",
-                    Rejected::LastVoter => "the last voter can't leave",
-                    Rejected::NotLeader | Rejected::Pending | Rejected::Busy => "not now; try again",
+                    ProposalError::IdAlreadyUsed => "this id was given before; ids are never used twice",
+                    ProposalError::UnknownMember => "there is no such member, or it is not of that kind",
+                    ProposalError::LearnerBehind => "it has not caught up yet; try again",
+                    ProposalError::LastVoter => "the last voter can't leave",
+                    ProposalError::NotLeader | ProposalError::ChangeInProgress | ProposalError::Busy => "not now; try again",
                 };
                 problem(StatusCode::CONFLICT, "rejected", detail)
             }
@@ -146,7 +146,7 @@
     fn from(gone: Compacted) -> Self {
         let detail = format!(
             "that revision is compacted away: read anew, from {} at the earliest",
-            gone.first
+            gone.first_revision
         );
         problem(StatusCode::GONE, "compacted", detail)
     }
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -22,11 +22,11 @@
 use hyper::{Method, Request, StatusCode};
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
-use violetgate_replica::Answer;
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Answered, Call};
-use violetgate_replicated_state::{Outcome, Revision, Step, Txn};
+use violetgate_replicated_state::{Operation, Outcome, Revision, Txn};
 
-use super::{request_id, ClusterMember, ProposalError};
+use super::{request_id, ClusterMember, CommitError};
 use crate::http_error::HttpError;
 use crate::log;
 use http::{bad, problem, told, Answering, Timers};
@@ -223,7 +223,7 @@
             .await?)
     }
 
-    async fn step(&self, call: &ApiCall, step: Step) -> Answering {
+    async fn step(&self, call: &ApiCall, step: Operation) -> Answering {
         let request = call.id.clone().unwrap_or_else(request_id);
         let asked = Call::Propose {
             request,
@@ -231,14 +231,14 @@
             step,
         };
         match self.daemon.cluster.agree(asked, call.within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, .. })) => {
+            Answered::Yes(Response::Applied(Outcome::Applied { revision, .. })) => {
                 Ok(told(&json!({"revision": revision})))
             }
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => {
-                Err(ProposalError::Refused(why).into())
+            Answered::Yes(Response::Applied(Outcome::Rejected(why))) => {
+                Err(CommitError::Refused(why).into())
             }
-            Answered::Yes(Answer::Rejected(why)) => Err(ProposalError::Rejected(why).into()),
-            _ => Err(ProposalError::Late.into()),
+            Answered::Yes(Response::Rejected(why)) => Err(CommitError::Rejected(why).into()),
+            _ => Err(CommitError::Late.into()),
         }
     }
 
--- a/gateway/src/replication/api/settings.rs
+++ b/gateway/src/replication/api/settings.rs
@@ -6,7 +6,7 @@
 use violetgate_replicated_state::Outcome;
 
 use super::super::shared_config::{self, SettingsRejection};
-use super::super::ProposalError;
+use super::super::CommitError;
 use super::http::{bad, reply, told, Answering};
 use super::query::ApiCall;
 use super::Api;
@@ -45,8 +45,11 @@
             .as_ref()
             .and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
         let (revision, held) = match done {
-            Some(Outcome::Done { revision, held }) => (revision, held),
-            Some(Outcome::Refused(why)) => return Err(ProposalError::Refused(why).into()),
+            Some(Outcome::Applied {
+                revision,
+                conditions_held: held,
+            }) => (revision, held),
+            Some(Outcome::Rejected(why)) => return Err(CommitError::Refused(why).into()),
             None => {
                 let (_, txn) = match back_to {
                     Some(version) => cluster.store(|s| shared_config::roll_back(s, version))?,
--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -16,12 +16,12 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Config, NodeId, Rejected, Role};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{Config, NodeId, ProposalError, Role};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{
     Answered, Call, Cluster, FleetTotals, InForce, ObserverConfig, ObserverService, Options, Status,
 };
-use violetgate_replicated_state::{Outcome, Refused, Revision, Step, Store, Txn};
+use violetgate_replicated_state::{CommandError, Operation, Outcome, Revision, Store, Txn};
 
 use crate::fence::Fence;
 use crate::log;
@@ -44,13 +44,13 @@
 
 /// Why a call was not agreed on.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum ProposalError {
+pub enum CommitError {
     /// Not in its time: it may still come to be. The same call under the same request id tells.
     Late,
     /// The store refused it.
-    Refused(Refused),
+    Refused(CommandError),
     /// The step of the membership can't be taken.
-    Rejected(Rejected),
+    Rejected(ProposalError),
     /// This instance subscribes: only a member can have something agreed on.
     NotAMember,
 }
@@ -99,16 +99,16 @@
         seed: u64,
     ) -> Result<Rc<Self>, String> {
         let micros = |s: settings::Span| u64::try_from(s.0.as_micros()).unwrap_or(u64::MAX);
-        let core = Config {
+        let raft = Config {
             election: micros(given.election_timeout),
             heartbeat: micros(given.heartbeat),
             ..Config::default()
         };
-        let config = MemberConfig {
-            core,
-            snapshot_every: given.snapshot_every,
-            drain_limit: micros(given.drain_limit),
-            confirm_every: micros(given.confirm_every),
+        let config = ReplicaConfig {
+            raft,
+            snapshot_interval: given.snapshot_every,
+            max_staleness: micros(given.drain_limit),
+            confirm_interval: micros(given.confirm_every),
         };
         let options = Options {
             cluster: given.name.clone(),
@@ -219,18 +219,23 @@
         who: &str,
         txn: Txn,
         within: Duration,
-    ) -> Result<(Revision, bool), ProposalError> {
+    ) -> Result<(Revision, bool), CommitError> {
         let request = request.unwrap_or_else(request_id);
         let call = Call::Propose {
             request,
             who: who.to_owned(),
-            step: Step::Txn(txn),
+            step: Operation::Txn(txn),
         };
         match self.cluster.agree(call, within).await {
-            Answered::Yes(Answer::Done(Outcome::Done { revision, held })) => Ok((revision, held)),
-            Answered::Yes(Answer::Done(Outcome::Refused(why))) => Err(ProposalError::Refused(why)),
-            Answered::Yes(Answer::Rejected(why)) => Err(ProposalError::Rejected(why)),
-            _ => Err(ProposalError::Late),
+            Answered::Yes(Response::Applied(Outcome::Applied {
+                revision,
+                conditions_held: held,
+            })) => Ok((revision, held)),
+            Answered::Yes(Response::Applied(Outcome::Rejected(why))) => {
+                Err(CommitError::Refused(why))
+            }
+            Answered::Yes(Response::Rejected(why)) => Err(CommitError::Rejected(why)),
+            _ => Err(CommitError::Late),
         }
     }
 
@@ -245,7 +250,7 @@
         out: bool,
         who: &str,
         within: Duration,
-    ) -> Result<(), ProposalError> {
+    ) -> Result<(), CommitError> {
         self.agree(None, who, shared_config::cordon(engine, out, who), within)
             .await
             .map(|_| ())
@@ -256,7 +261,7 @@
     /// # Errors
     ///
     /// As [`ClusterMember::agree`].
-    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), ProposalError> {
+    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), CommitError> {
         self.agree(
             None,
             who,
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -7,7 +7,7 @@
 
 use super::reconcile::ControlTargets;
 use super::subscriber::ClusterSubscriber;
-use super::{ClusterMember, ProposalError};
+use super::{ClusterMember, CommitError};
 use crate::fence::Fence;
 use crate::settings::{self, ClusterRole, Settings};
 
@@ -109,10 +109,10 @@
         out: bool,
         who: &str,
         within: Duration,
-    ) -> Result<(), ProposalError> {
+    ) -> Result<(), CommitError> {
         match self {
             Participant::Member(member) => member.cordon(engine, out, who, within).await,
-            Participant::Subscriber(_) => Err(ProposalError::NotAMember),
+            Participant::Subscriber(_) => Err(CommitError::NotAMember),
         }
     }
 
@@ -121,7 +121,7 @@
     /// # Errors
     ///
     /// A member's drain was not agreed on, or is not known to be.
-    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), ProposalError> {
+    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), CommitError> {
         match self {
             Participant::Member(member) => member.drain(on, who, within).await,
             Participant::Subscriber(subscriber) => {
