--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -13,7 +13,7 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use sha2::{Digest, Sha256};
-use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
+use violetgate_policy::interface::{Class, Idempotency, Micros, QueryId};
 use violetgate_result_store::{
     ByteBudget, ByteReservation, ExecutionOutcome, IdempotencyKeys, KeyLookup, RequestFingerprint,
 };
@@ -75,7 +75,7 @@
         most: usize,
     ) -> Rc<Self> {
         let window = |c: &Class| {
-            (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
+            (c.idempotency == Idempotency::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
         };
         let now = inner.now();
         Rc::new_cyclic(|me| IdempotencyLayer {
@@ -221,7 +221,7 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    hash.update(request.query.key.map_or([0; 9], |k| {
+    hash.update(request.query.ordering_key.map_or([0; 9], |k| {
         let mut bytes = [1; 9];
         bytes
             .iter_mut()
--- a/gateway/src/request_validation.rs
+++ b/gateway/src/request_validation.rs
@@ -153,12 +153,12 @@
             id,
             class: class as u32,
             tenant: tenant as u32,
-            work: number(self.work, RequestField::Work)?.map(|ms| (ms * 1e3) as Micros),
-            memory_mb: number(self.memory, RequestField::Memory)?.filter(|mb| *mb > 0.0),
+            estimated_work: number(self.work, RequestField::Work)?.map(|ms| (ms * 1e3) as Micros),
+            estimated_memory_mb: number(self.memory, RequestField::Memory)?.filter(|mb| *mb > 0.0),
             time_left: (budget * 1e3) as Micros,
-            tables: table_group::group(self.statement),
-            key,
-            repeat: self.again.is_some(),
+            table_group: table_group::group(self.statement),
+            ordering_key: key,
+            is_client_retry: self.again.is_some(),
         };
         Ok(Request {
             query,
