--- a/cluster/raft/tests/simulation.rs
+++ b/cluster/raft/tests/simulation.rs
@@ -15,23 +15,27 @@
 use rand_chacha::ChaCha8Rng;
 use violetgate_raft::*;
 
+mod digest;
+
+use digest::Digest;
+
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000 * MS;
 
 /// What a member's disk holds, and what it is still writing.
 #[derive(Default, Clone)]
 struct Disk {
-    hard: Hard,
-    base: Meta,
+    hard: HardState,
+    base: SnapshotMetadata,
     state: Vec<(Index, Vec<u8>)>,
     entries: Vec<Entry>,
-    waiting: Vec<Write>,
+    waiting: Vec<StorageWrite>,
     /// Parts of a snapshot that come in.
     parts: Vec<u8>,
 }
 
 impl Disk {
-    fn write(&mut self, write: Write) {
+    fn write(&mut self, write: StorageWrite) {
         if let Some(hard) = write.hard {
             self.hard = hard;
         }
@@ -49,7 +53,7 @@
 
 struct Member {
     /// None: it is down.
-    node: Option<Node>,
+    node: Option<RaftNode>,
     disk: Disk,
     state: Vec<(Index, Vec<u8>)>,
     /// It stands still until then.
@@ -89,6 +93,8 @@
     snapshots: u64,
     changes: u64,
     sabotage: Sabotage,
+    /// Everything the nodes asked for, in order.
+    digest: Digest,
 }
 
 /// Faults put into the embedding on purpose: the checks have to notice them.
@@ -133,10 +139,11 @@
             snapshots: 0,
             changes: 0,
             sabotage,
+            digest: Digest::default(),
         };
-        let base = Meta {
-            members: Members::first(1..=count),
-            ..Meta::default()
+        let base = SnapshotMetadata {
+            members: Membership::bootstrap(1..=count),
+            ..SnapshotMetadata::default()
         };
         for id in 1..=count {
             world.join(id, base.clone());
@@ -156,7 +163,7 @@
         self.what.insert(self.serial, what);
     }
 
-    fn join(&mut self, id: NodeId, base: Meta) {
+    fn join(&mut self, id: NodeId, base: SnapshotMetadata) {
         let disk = Disk {
             base,
             ..Disk::default()
@@ -180,7 +187,7 @@
         let member = self.members.get_mut(&id).unwrap();
         let disk = &member.disk;
         member.state = disk.state.clone();
-        let node = Node::new(
+        let node = RaftNode::new(
             id,
             config(),
             seed,
@@ -199,7 +206,7 @@
     fn wind(&mut self, id: NodeId) {
         let now = self.now;
         let member = self.members.get_mut(&id).unwrap();
-        let Some(next) = member.node.as_ref().map(Node::next_tick) else {
+        let Some(next) = member.node.as_ref().map(RaftNode::next_tick) else {
             return;
         };
         let at = next.max(now + MS);
@@ -336,19 +343,19 @@
             }
             18 => drop(node.transfer(pick)),
             _ => {
-                let highest = node.members().highest + 1;
+                let highest = node.members().highest_id + 1;
                 let learner = node.members().learners.first().copied();
                 let full = node.members().voters.len() >= 5;
                 let step = match (learner, name % 3) {
-                    (Some(learner), 0 | 1) => Change::Promote(learner),
-                    (None, 0) if !full => Change::Add(highest),
-                    _ => Change::Remove(pick),
+                    (Some(learner), 0 | 1) => MembershipChange::PromoteLearner(learner),
+                    (None, 0) if !full => MembershipChange::AddLearner(highest),
+                    _ => MembershipChange::Remove(pick),
                 };
                 if node.change(step).is_ok() {
                     self.changes += 1;
-                    if let Change::Add(id) = step {
+                    if let MembershipChange::AddLearner(id) = step {
                         // It knows nobody, and learns all from the leader.
-                        self.join(id, Meta::default());
+                        self.join(id, SnapshotMetadata::default());
                     }
                 }
             }
@@ -427,8 +434,11 @@
     }
 
     fn carry_out(&mut self, id: NodeId, starts: u64, action: Action) {
+        self.digest.number(self.now);
+        self.digest.number(id);
+        digest_action(&mut self.digest, &action);
         match action {
-            Action::Write(write) => {
+            Action::Persist(write) => {
                 let slow = if self.draw(20) == 0 { 80 * MS } else { 2 * MS };
                 let span = MS / 2 + self.draw(slow);
                 let (seq, member) = (write.seq, self.members.get_mut(&id).unwrap());
@@ -493,7 +503,7 @@
                     if entry.index % 17 == 0 {
                         let node = member.node.as_mut().unwrap();
                         let members = node.log().members_at(entry.index);
-                        let base = Meta {
+                        let base = SnapshotMetadata {
                             index: entry.index,
                             term: entry.term,
                             members,
@@ -507,7 +517,7 @@
             }
             Action::ReadReady { ctx, index } => self.checked_read(ctx, index),
             Action::ReadFailed { .. } => {}
-            Action::LoadChunk { to, offset } => {
+            Action::LoadSnapshotChunk { to, offset } => {
                 let member = self.members.get_mut(&id).unwrap();
                 let bytes: Vec<u8> = (member.disk.state.iter())
                     .flat_map(|(i, c)| [&i.to_be_bytes()[..], c].concat())
@@ -523,7 +533,7 @@
                     to_byte == bytes.len(),
                 );
             }
-            Action::StoreChunk {
+            Action::StoreSnapshotChunk {
                 from,
                 meta,
                 offset,
@@ -625,7 +635,7 @@
             .members()
             .clone();
         let most = self.agreed.keys().next_back().copied().unwrap_or(0);
-        for id in members.all() {
+        for id in members.ids() {
             let node = self.members[&id].node.as_ref().unwrap();
             if node.commit() != most {
                 for (id, m) in &self.members {
@@ -648,6 +658,56 @@
     }
 }
 
+/// Adds one action in a form of its own: a number for its kind, then its parts as they are encoded for the wire.
+fn digest_action(digest: &mut Digest, action: &Action) {
+    match action {
+        Action::Persist(write) => {
+            digest.number(1);
+            digest.number(write.seq);
+            digest.encoded(&write.hard);
+            digest.encoded(&write.truncate);
+            digest.encoded(&write.append);
+        }
+        Action::Send(to, message) => {
+            digest.number(2);
+            digest.number(*to);
+            digest.encoded(message);
+        }
+        Action::Apply(entries) => {
+            digest.number(3);
+            digest.encoded(entries);
+        }
+        Action::ReadReady { ctx, index } => {
+            digest.number(4);
+            digest.number(*ctx);
+            digest.number(*index);
+        }
+        Action::ReadFailed { ctx } => {
+            digest.number(5);
+            digest.number(*ctx);
+        }
+        Action::LoadSnapshotChunk { to, offset } => {
+            digest.number(6);
+            digest.number(*to);
+            digest.number(*offset);
+        }
+        Action::StoreSnapshotChunk {
+            from,
+            meta,
+            offset,
+            data,
+            done,
+        } => {
+            digest.number(7);
+            digest.number(*from);
+            digest.encoded(meta);
+            digest.number(*offset);
+            digest.encoded(data);
+            digest.number(u64::from(*done));
+        }
+    }
+}
+
 trait Ids {
     fn clone_ids(&self) -> Vec<NodeId>;
 }
@@ -658,13 +718,19 @@
     }
 }
 
-/// Plays one seed; what was seen.
-fn play(seed: u64, sabotage: Sabotage) -> [u64; 5] {
+/// Plays one seed to its end.
+fn played(seed: u64, sabotage: Sabotage) -> World {
     let mut world = World::new(seed, 3 + seed % 2 * 2, sabotage);
     while world.now < 11 * SECOND {
         world.step();
     }
     world.settle();
+    world
+}
+
+/// Plays one seed; what was seen.
+fn play(seed: u64, sabotage: Sabotage) -> [u64; 5] {
+    let world = played(seed, sabotage);
     let commands = world.acknowledged.values().flatten().count() as u64;
     [
         commands,
@@ -711,3 +777,50 @@
         assert!(noticed, "a fault on purpose is not noticed");
     }
 }
+
+/// All that the nodes of a simulated cluster ask for, in order, is the same as in the version before the code was
+/// restructured (commit 5065b36). A change that alters a digest changes behaviour.
+#[test]
+fn actions_are_those_of_the_stored_digests() {
+    let digests: Vec<u64> = (0..DIGESTS.len() as u64)
+        .map(|group| {
+            let mut digest = Digest::default();
+            for seed in (0..SEEDS_PER_DIGEST).map(|n| 1_000 + group * SEEDS_PER_DIGEST + n) {
+                digest.number(played(seed, Sabotage::None).digest.value());
+            }
+            digest.value()
+        })
+        .collect();
+    assert_eq!(digests, DIGESTS, "{digests:#018x?}");
+}
+
+/// Seeds that go into one stored digest.
+const SEEDS_PER_DIGEST: u64 = 10;
+
+/// For seeds 1000 and up.
+const DIGESTS: [u64; 24] = [
+    0x62eb_452f_0515_f896,
+    0x86fa_583c_541f_fa01,
+    0xf8a0_881b_f6f2_c018,
+    0x1964_1527_71f7_d638,
+    0xf212_4d0a_74c4_c710,
+    0x4cac_27b7_05bf_d89e,
+    0xe09d_e4fc_1a2d_1f24,
+    0x05db_d355_ac11_7037,
+    0x902f_bd6f_edd1_0dd4,
+    0x5ebd_23e6_fdeb_c8ce,
+    0xf201_075b_d8cc_4701,
+    0x5632_f589_f0da_5435,
+    0xde25_962b_8485_b614,
+    0x2f53_fc57_f1db_70a0,
+    0x406e_4955_ccd4_9060,
+    0xfe4c_c357_bd5a_b3d8,
+    0x5df1_5b2d_7153_1ae8,
+    0xec6b_1976_cf02_c2f1,
+    0xb577_ebb5_1cb8_6595,
+    0x6ebf_06fd_f7c7_6710,
+    0x7fb8_dd9d_4398_3557,
+    0xb36b_6a08_e89a_1d0a,
+    0x3843_dd9b_41be_7636,
+    0xd2e9_4af0_af10_0eb5,
+];
--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -1,6 +1,6 @@
 //! Agreed state at work, over TCP.
 //!
-//! - [`ReplicaRuntime`] is a member: it carries out what [`violetgate_replica::Member`] asks for, with connections to the other
+//! - [`ReplicaRuntime`] is a member: it carries out what [`violetgate_replica::Replica`] asks for, with connections to the other
 //!   members ([`transport`]) and a disk that a thread of its own writes.
 //! - [`ObserverService`] serves a member's copy to front ends, [`Subscription`] is a front end's side of that. Both
 //!   carry out what the cores in [`violetgate_state_distribution`] ask for.
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -8,9 +8,9 @@
 
 use async_io::Timer;
 use futures_lite::FutureExt;
-use violetgate_raft::{Change, NodeId, Rejected, Role};
-use violetgate_replica::{Answer, Member, Ticket};
-use violetgate_replicated_state::Step;
+use violetgate_raft::{MembershipChange, NodeId, ProposalError, Role};
+use violetgate_replica::{CallId, Replica, Response};
+use violetgate_replicated_state::Operation;
 
 use super::status::ReplicaStatus;
 use super::ReplicaRuntime;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
     /// It was answered.
-    Completed(Answer),
+    Completed(Response),
     /// It was not, in the time that it had. A command may still come to be.
     TimedOut,
 }
@@ -34,18 +34,18 @@
 #[derive(Default)]
 /// Where the answer to one call is waited for.
 pub(super) struct Slot {
-    answer: RefCell<Option<Answer>>,
+    answer: RefCell<Option<Response>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl ReplicaRuntime {
-    fn ticket(&self) -> Ticket {
+    fn ticket(&self) -> CallId {
         self.last_ticket.set(self.last_ticket.get() + 1);
         self.last_ticket.get()
     }
 
     /// Makes one call, and waits for its answer for so long at most.
-    async fn call(&self, within: Duration, act: impl FnOnce(&mut Member, Ticket)) -> CallOutcome {
+    async fn call(&self, within: Duration, act: impl FnOnce(&mut Replica, CallId)) -> CallOutcome {
         let ticket = self.ticket();
         let slot = Rc::new(Slot::default());
         self.pending_calls
@@ -66,9 +66,9 @@
             Call::ChangeMembership(change) => self.change_membership(change, within).await,
             Call::TransferLeadership(to) => {
                 CallOutcome::Completed(match self.transfer_leadership(to) {
-                    Ok(()) => Answer::Changed,
-                    Err(Rejected::NotLeader) => Answer::NotLeader(self.status().leader),
-                    Err(why) => Answer::Rejected(why),
+                    Ok(()) => Response::MembershipChanged,
+                    Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
+                    Err(why) => Response::Rejected(why),
                 })
             }
         }
@@ -86,7 +86,7 @@
             .send(to, &Frame::ForwardCall { id: number, call });
         // One that is no longer held for the leader won't answer, or another one can sooner.
         let deposed = async {
-            while self.member.borrow().node().leader() == Some(to) {
+            while self.member.borrow().raft().leader() == Some(to) {
                 Timer::after(PAUSE / 2).await;
             }
             CallOutcome::TimedOut
@@ -112,16 +112,19 @@
                 Some(leader) if leader != id => {
                     self.there(leader, call.clone(), left.min(TRY)).await
                 }
-                _ => CallOutcome::Completed(Answer::NotLeader(None)),
+                _ => CallOutcome::Completed(Response::NotLeader(None)),
             };
             match answered {
-                CallOutcome::TimedOut | CallOutcome::Completed(Answer::Unsure) => unsure = true,
+                CallOutcome::TimedOut | CallOutcome::Completed(Response::OutcomeUnknown) => {
+                    unsure = true
+                }
                 CallOutcome::Completed(
-                    Answer::NotLeader(_) | Answer::Rejected(Rejected::Busy | Rejected::Pending),
+                    Response::NotLeader(_)
+                    | Response::Rejected(ProposalError::Busy | ProposalError::ChangeInProgress),
                 ) => {}
                 // A step that was taken by an earlier try can't be taken again.
-                CallOutcome::Completed(Answer::Rejected(_)) if unsure && self.taken(&call) => {
-                    return CallOutcome::Completed(Answer::Changed);
+                CallOutcome::Completed(Response::Rejected(_)) if unsure && self.taken(&call) => {
+                    return CallOutcome::Completed(Response::MembershipChanged);
                 }
                 told => return told,
             }
@@ -131,11 +134,13 @@
 
     fn taken(&self, call: &Call) -> bool {
         let member = self.member.borrow();
-        let members = member.members();
+        let members = member.membership();
         match call {
-            Call::ChangeMembership(Change::Add(id)) => members.contains(*id),
-            Call::ChangeMembership(Change::Promote(id)) => members.voters.contains(id),
-            Call::ChangeMembership(Change::Remove(id)) => !members.contains(*id),
+            Call::ChangeMembership(MembershipChange::AddLearner(id)) => members.contains(*id),
+            Call::ChangeMembership(MembershipChange::PromoteLearner(id)) => {
+                members.voters.contains(id)
+            }
+            Call::ChangeMembership(MembershipChange::Remove(id)) => !members.contains(*id),
             Call::Propose { .. } | Call::TransferLeadership(_) => false,
         }
     }
@@ -145,7 +150,7 @@
         &self,
         request: Option<String>,
         who: &str,
-        step: Step,
+        step: Operation,
         within: Duration,
     ) -> CallOutcome {
         self.call(within, |m, ticket| {
@@ -155,8 +160,12 @@
     }
 
     /// One step of the membership.
-    pub async fn change_membership(&self, change: Change, within: Duration) -> CallOutcome {
-        self.call(within, |m, ticket| m.change(ticket, change))
+    pub async fn change_membership(
+        &self,
+        change: MembershipChange,
+        within: Duration,
+    ) -> CallOutcome {
+        self.call(within, |m, ticket| m.change_membership(ticket, change))
             .await
     }
 
@@ -165,8 +174,8 @@
         let until = Instant::now() + within;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            if self.call(left.min(AGAIN), Member::read).await
-                == CallOutcome::Completed(Answer::Current)
+            if self.call(left.min(AGAIN), Replica::read).await
+                == CallOutcome::Completed(Response::ReadReady)
             {
                 return true;
             }
@@ -180,13 +189,13 @@
     /// # Errors
     ///
     /// It can't be.
-    pub fn transfer_leadership(&self, to: NodeId) -> Result<(), Rejected> {
-        self.with(|m| m.transfer(to))
+    pub fn transfer_leadership(&self, to: NodeId) -> Result<(), ProposalError> {
+        self.with(|m| m.transfer_leadership(to))
     }
 }
 
 impl Slot {
-    pub(super) fn fill(&self, answer: Answer) {
+    pub(super) fn fill(&self, answer: Response) {
         *self.answer.borrow_mut() = Some(answer);
         self.waker
             .borrow_mut()
@@ -221,11 +230,11 @@
 }
 
 /// Takes a call back that nobody waits for.
-struct Forget<'a>(&'a ReplicaRuntime, Ticket);
+struct Forget<'a>(&'a ReplicaRuntime, CallId);
 
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
         self.0.pending_calls.borrow_mut().remove(&self.1);
-        self.0.member.borrow_mut().forget(self.1);
+        self.0.member.borrow_mut().cancel(self.1);
     }
 }
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -60,7 +60,7 @@
     next: Cell<u64>,
     dropped: Cell<u64>,
     counter: Counter,
-    /// Members that this one does not hear and does not reach, for tests of cuts.
+    /// Membership that this one does not hear and does not reach, for tests of cuts.
     cut: RefCell<Vec<NodeId>>,
 }
 
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -2,9 +2,9 @@
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use violetgate_raft::{Change, Message, NodeId};
-use violetgate_replica::Answer;
-use violetgate_replicated_state::Step;
+use violetgate_raft::{MembershipChange, Message, NodeId};
+use violetgate_replica::Response;
+use violetgate_replicated_state::Operation;
 use violetgate_state_distribution::ProgressSummary;
 
 /// The version of this protocol. A member of another one is turned away, and says so in its log.
@@ -26,10 +26,10 @@
         /// Who asks.
         who: String,
         /// What for.
-        step: Step,
+        step: Operation,
     },
     /// A step of the membership.
-    ChangeMembership(Change),
+    ChangeMembership(MembershipChange),
     /// Leadership is to be handed over.
     TransferLeadership(NodeId),
 }
@@ -51,7 +51,7 @@
         /// The id that the call was sent with.
         id: u64,
         /// The answer.
-        answer: Answer,
+        answer: Response,
     },
     /// How far the sender's subscribers are. A member from before observers ends a connection over it, so that every
     /// member is upgraded before the first one serves subscribers; only such a one sends it.
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -22,7 +22,7 @@
     });
     let next = Frame::CallAnswer {
         id: 4,
-        answer: Answer::Changed,
+        answer: Response::MembershipChanged,
     };
     let mut bytes = Vec::new();
     assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
@@ -65,7 +65,7 @@
         },
         Frame::CallAnswer {
             id: 1,
-            answer: Answer::Changed,
+            answer: Response::MembershipChanged,
         },
         Frame::Progress(progress),
     ];
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-use violetgate_raft::{Entry, Members, Message, Meta, Payload, Rejected};
-use violetgate_replicated_state::{Check, Op, Outcome, Refused, Txn};
+use violetgate_raft::{Entry, Membership, Message, Payload, ProposalError, SnapshotMetadata};
+use violetgate_replicated_state::{CommandError, Condition, Mutation, Outcome, Txn};
 
 use violetgate_state_distribution::Laggard;
 
@@ -71,11 +71,11 @@
     }
 }
 
-fn members() -> Members {
-    Members {
+fn members() -> Membership {
+    Membership {
         voters: [1, 2, 300].into(),
         learners: [4].into(),
-        highest: 300,
+        highest_id: 300,
     }
 }
 
@@ -106,7 +106,7 @@
     let payloads = [
         Payload::Blank,
         Payload::Command(vec![5, 6, 255]),
-        Payload::Members(members()),
+        Payload::Membership(members()),
     ];
     let entries = (9..).zip(payloads).map(|(index, payload)| Entry {
         term: 3,
@@ -141,7 +141,7 @@
 }
 
 fn snapshots() -> Vec<Message> {
-    let meta = Meta {
+    let meta = SnapshotMetadata {
         index: 500,
         term: 3,
         members: members(),
@@ -167,38 +167,38 @@
     ]
 }
 
-fn steps() -> Vec<Step> {
+fn steps() -> Vec<Operation> {
     let txn = Txn {
-        checks: vec![
-            Check::Changed("k".to_owned(), 300),
-            Check::Holds("l".to_owned(), vec![1]),
+        conditions: vec![
+            Condition::RevisionIs("k".to_owned(), 300),
+            Condition::ValueIs("l".to_owned(), vec![1]),
         ],
         then: vec![
-            Op::Put {
+            Mutation::Put {
                 key: "k".to_owned(),
                 value: vec![2, 255],
                 lease: Some(7),
             },
-            Op::Put {
+            Mutation::Put {
                 key: "l".to_owned(),
                 value: Vec::new(),
                 lease: None,
             },
         ],
-        otherwise: vec![Op::Delete("k".to_owned())],
+        otherwise: vec![Mutation::Delete("k".to_owned())],
     };
     vec![
-        Step::Txn(txn),
-        Step::Lease {
+        Operation::Txn(txn),
+        Operation::GrantLease {
             id: 7,
-            span: 5_000_000,
+            ttl: 5_000_000,
         },
-        Step::Release(7),
-        Step::Expire {
+        Operation::RevokeLease(7),
+        Operation::ExpireLease {
             id: 7,
-            ends: 9_000_000,
+            expires_at: 9_000_000,
         },
-        Step::Compact(300),
+        Operation::Compact(300),
     ]
 }
 
@@ -210,44 +210,44 @@
     };
     let mut calls: Vec<Call> = steps().into_iter().map(propose).collect();
     calls.extend([
-        Call::ChangeMembership(Change::Add(300)),
-        Call::ChangeMembership(Change::Promote(4)),
-        Call::ChangeMembership(Change::Remove(5)),
+        Call::ChangeMembership(MembershipChange::AddLearner(300)),
+        Call::ChangeMembership(MembershipChange::PromoteLearner(4)),
+        Call::ChangeMembership(MembershipChange::Remove(5)),
         Call::TransferLeadership(2),
     ]);
     calls
 }
 
-fn answers() -> Vec<Answer> {
+fn answers() -> Vec<Response> {
     let refused_outcomes = [
-        Refused::TooLarge,
-        Refused::Full,
-        Refused::NoLease(7),
-        Refused::Future,
+        CommandError::TooLarge,
+        CommandError::StoreFull,
+        CommandError::UnknownLease(7),
+        CommandError::FutureRevision,
     ];
     let rejected = [
-        Rejected::NotLeader,
-        Rejected::Pending,
-        Rejected::IdUsed,
-        Rejected::Unknown,
-        Rejected::Behind,
-        Rejected::LastVoter,
-        Rejected::Busy,
+        ProposalError::NotLeader,
+        ProposalError::ChangeInProgress,
+        ProposalError::IdAlreadyUsed,
+        ProposalError::UnknownMember,
+        ProposalError::LearnerBehind,
+        ProposalError::LastVoter,
+        ProposalError::Busy,
     ];
-    let done = Outcome::Done {
+    let done = Outcome::Applied {
         revision: 300,
-        held: true,
+        conditions_held: true,
     };
     let mut answers = vec![
-        Answer::Done(done),
-        Answer::Changed,
-        Answer::Current,
-        Answer::NotLeader(None),
-        Answer::NotLeader(Some(300)),
-        Answer::Unsure,
+        Response::Applied(done),
+        Response::MembershipChanged,
+        Response::ReadReady,
+        Response::NotLeader(None),
+        Response::NotLeader(Some(300)),
+        Response::OutcomeUnknown,
     ];
-    answers.extend(refused_outcomes.map(|why| Answer::Done(Outcome::Refused(why))));
-    answers.extend(rejected.map(Answer::Rejected));
+    answers.extend(refused_outcomes.map(|why| Response::Applied(Outcome::Rejected(why))));
+    answers.extend(rejected.map(Response::Rejected));
     answers
 }
 
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -14,10 +14,10 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Change, NodeId, Role};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{MembershipChange, NodeId, Role};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{Bootstrap, Call, CallOutcome, ReplicaOptions, ReplicaRuntime};
-use violetgate_replicated_state::{Op, Outcome, Step, Txn};
+use violetgate_replicated_state::{Mutation, Operation, Outcome, Txn};
 
 const WAIT: Duration = Duration::from_secs(30);
 
@@ -61,9 +61,9 @@
             folder: self.folder.join(id.to_string()),
             listen: self.addrs[&id],
             members: self.addrs.clone(),
-            config: MemberConfig {
-                snapshot_every: 50,
-                ..MemberConfig::default()
+            config: ReplicaConfig {
+                snapshot_interval: 50,
+                ..ReplicaConfig::default()
             },
             seed: 7 + id,
         }
@@ -120,17 +120,17 @@
         let request = format!("put-{key}-{value}");
         let until = Instant::now() + WAIT;
         while Instant::now() < until {
-            let op = Op::Put {
+            let op = Mutation::Put {
                 key: key.to_owned(),
                 value: value.as_bytes().to_vec(),
                 lease: None,
             };
-            let step = Step::Txn(Txn {
+            let step = Operation::Txn(Txn {
                 then: vec![op],
                 ..Txn::default()
             });
             let leader = self.leader().await;
-            if let CallOutcome::Completed(Answer::Done(outcome)) = leader
+            if let CallOutcome::Completed(Response::Applied(outcome)) = leader
                 .propose(Some(request.clone()), "test", step, Duration::from_secs(1))
                 .await
             {
@@ -201,12 +201,12 @@
             Timer::after(Duration::from_millis(10)).await;
         }
         assert!(!leader.wait_until_current(Duration::from_millis(300)).await);
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: "a".to_owned(),
             value: b"2".to_vec(),
             lease: None,
         };
-        let step = Step::Txn(Txn {
+        let step = Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         });
@@ -214,7 +214,7 @@
             .propose(None, "test", step, Duration::from_millis(300))
             .await;
         assert!(
-            !matches!(answered, CallOutcome::Completed(Answer::Done(_))),
+            !matches!(answered, CallOutcome::Completed(Response::Applied(_))),
             "{answered:?}"
         );
         while !others.iter().any(|m| m.status().role == Role::Leader) {
@@ -243,9 +243,9 @@
         three.begin(4, Vec::new());
         let within = Duration::from_secs(2);
         for (change, done) in [
-            (Change::Add(4), 3),
-            (Change::Promote(4), 4),
-            (Change::Remove(2), 3),
+            (MembershipChange::AddLearner(4), 3),
+            (MembershipChange::PromoteLearner(4), 4),
+            (MembershipChange::Remove(2), 3),
         ] {
             let until = Instant::now() + WAIT;
             while three.leader().await.status().members.voters.len() != done
@@ -256,9 +256,11 @@
             }
         }
         let leader = three.leader().await;
-        let again = leader.change_membership(Change::Add(2), within).await;
+        let again = leader
+            .change_membership(MembershipChange::AddLearner(2), within)
+            .await;
         assert!(
-            matches!(again, CallOutcome::Completed(Answer::Rejected(_))),
+            matches!(again, CallOutcome::Completed(Response::Rejected(_))),
             "{again:?}"
         );
         three.members.remove(&2);
@@ -299,8 +301,8 @@
     let call = |n: u8| Call::Propose {
         request: format!("r-{n}"),
         who: "test".to_owned(),
-        step: Step::Txn(Txn {
-            then: vec![Op::Put {
+        step: Operation::Txn(Txn {
+            then: vec![Mutation::Put {
                 key: "k".to_owned(),
                 value: vec![n],
                 lease: None,
@@ -315,7 +317,7 @@
             assert!(
                 matches!(
                     first,
-                    CallOutcome::Completed(Answer::Done(Outcome::Done { .. }))
+                    CallOutcome::Completed(Response::Applied(Outcome::Applied { .. }))
                 ),
                 "{first:?}"
             );
@@ -327,7 +329,7 @@
         assert!(three.members[&1].wait_until_current(WAIT).await);
         assert_eq!(three.members[&1].status().revision, 3);
     }));
-    // Member 3 loses its disk, and one is made anew under its id: it could vote twice.
+    // Replica 3 loses its disk, and one is made anew under its id: it could vote twice.
     three.members.remove(&3);
     while three.executor.try_tick() {}
     std::fs::remove_dir_all(three.folder.join("3")).unwrap();
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -62,7 +62,7 @@
 
     pub(super) fn send_compacted(&mut self, id: ConnectionId, compacted: Compacted) {
         self.set_watch(id, Watch::Off);
-        let first = compacted.first;
+        let first = compacted.first_revision;
         self.send(id, ObserverMessage::Compacted { first }, 0);
     }
 
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -21,7 +21,7 @@
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Gate, Micros, Stale};
+use violetgate_replicated_state::{Micros, Stale, StalenessGuard};
 
 use crate::message::{ObserverMessage, PollId, SubscriberHello, SubscriberMessage};
 use crate::mutant::Mutant;
@@ -75,7 +75,7 @@
     replica: SubscriberReplica,
     /// Whether the replica is the cluster's; the empty one before the first snapshot is not.
     has_replica: bool,
-    gate: Gate,
+    gate: StalenessGuard,
     directory: ObserverDirectory,
     /// Connections and attempts: the watched observer, the standby, and one more that is under trial.
     connections: BTreeMap<NodeId, ObserverConnection>,
@@ -107,7 +107,7 @@
             now,
             replica: SubscriberReplica::default(),
             has_replica: false,
-            gate: Gate::new(config.drain_limit),
+            gate: StalenessGuard::new(config.drain_limit),
             directory: ObserverDirectory::new(&config.observers, config.backoff),
             connections: BTreeMap::new(),
             watched: None,
@@ -227,7 +227,7 @@
     /// How long from now requests may be routed without another confirmation, in microseconds; 0: they may not.
     #[must_use]
     pub fn time_until_stale(&self, now: Micros) -> Micros {
-        self.gate.remaining(now)
+        self.gate.remaining_validity(now)
     }
 
     /// Makes it decide wrongly.
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -26,7 +26,7 @@
         let Some(connection) = self.connections.get_mut(&observer) else {
             return;
         };
-        let gate_question = self.gate.ask(self.now);
+        let gate_question = self.gate.begin_confirmation(self.now);
         self.last_poll += 1;
         connection.poll_sent(self.now, self.last_poll, gate_question);
         let progress = SubscriberProgress {
@@ -76,10 +76,10 @@
             self.attempt_backoff = self.config.backoff.initial;
         }
         if let Some(gate_question) = connection.poll_answered(poll) {
-            self.gate.answered(gate_question, revision);
+            self.gate.confirmation_answered(gate_question, revision);
             if self.mutated(Mutant::AgeFromConfirmation) {
-                let late = self.gate.ask(self.now);
-                self.gate.answered(late, revision);
+                let late = self.gate.begin_confirmation(self.now);
+                self.gate.confirmation_answered(late, revision);
             }
         }
         self.directory.record_answer(observer);
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Entries, Gate, Micros, Revision};
+use violetgate_replicated_state::{Entries, Micros, Revision, StalenessGuard};
 
 use super::snapshot_download::SnapshotDownload;
 use super::Subscriber;
@@ -81,7 +81,7 @@
             return self.protocol_violation(observer, "a gap between changes");
         }
         self.replica.apply(received.to, &received.changes);
-        self.gate.applied(received.to);
+        self.gate.applied_up_to(received.to);
     }
 
     /// The wanted changes, or the revision of the snapshot under way, are compacted away.
@@ -131,8 +131,8 @@
     ) {
         self.replica = download.into_replica(revision);
         self.has_replica = true;
-        self.gate = Gate::new(self.config.drain_limit);
-        self.gate.applied(revision);
+        self.gate = StalenessGuard::new(self.config.drain_limit);
+        self.gate.applied_up_to(revision);
         for connection in self.connections.values_mut() {
             connection.forget_gate_questions();
         }
--- a/cluster/state-distribution/src/subscriber_replica.rs
+++ b/cluster/state-distribution/src/subscriber_replica.rs
@@ -61,7 +61,7 @@
         Some((entry.revision, entry.value.as_slice()))
     }
 
-    fn entries_below(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
         self.entries
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
--- a/cluster/state-distribution/tests/common/mod.rs
+++ b/cluster/state-distribution/tests/common/mod.rs
@@ -1,24 +1,24 @@
 //! Stores, entries and configurations that several tests share.
 #![allow(dead_code)]
 
-use violetgate_replicated_state::{Command, Op, Step, Store, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, Store, Txn};
 use violetgate_state_distribution::*;
 
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000 * MS;
 
 /// Applies a command to a store.
-pub fn apply(store: &mut Store, step: Step) {
+pub fn apply(store: &mut Store, step: Operation) {
     store.apply(&Command {
-        request: None,
-        who: "test".to_owned(),
+        request_id: None,
+        actor: "test".to_owned(),
         time: 0,
-        step,
+        operation: step,
     });
 }
 
 pub fn put(store: &mut Store, key: &str, value: &[u8]) {
-    let op = Op::Put {
+    let op = Mutation::Put {
         key: key.to_owned(),
         value: value.to_vec(),
         lease: None,
@@ -27,11 +27,11 @@
         then: vec![op],
         ..Txn::default()
     };
-    apply(store, Step::Txn(txn));
+    apply(store, Operation::Txn(txn));
 }
 
 pub fn compact(store: &mut Store, to: u64) {
-    apply(store, Step::Compact(to));
+    apply(store, Operation::Compact(to));
 }
 
 /// A store with so many revisions, each of which puts a key of its own with a value of 100 bytes.
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,13 +1,13 @@
 //! The gate with the hop, in every order of events, by stateright: a drain that is agreed on, an observer that applies
 //! it late, reads upstream that are slow or fail, polls and answers that are late, a front end that stands still.
-//! The very code of [`Observer`] and [`Gate`] runs in the model. Mutants of it have to be caught.
+//! The very code of [`Observer`] and [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use std::collections::VecDeque;
 use std::sync::OnceLock;
 
 use stateright::{Checker, Model, Property};
-use violetgate_replicated_state::{Command, Gate, Op, Step, Store, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, StalenessGuard, Store, Txn};
 use violetgate_state_distribution::*;
 
 /// The drain limit, in steps of time, and how far time goes.
@@ -21,21 +21,21 @@
 fn store(drained: bool) -> &'static Store {
     static STORES: OnceLock<[Store; 2]> = OnceLock::new();
     let stores = STORES.get_or_init(|| {
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: "drain".to_owned(),
             value: Vec::new(),
             lease: None,
         };
-        let step = Step::Txn(Txn {
+        let step = Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         });
         let mut after = Store::default();
         after.apply(&Command {
-            request: None,
-            who: "model".to_owned(),
+            request_id: None,
+            actor: "model".to_owned(),
             time: 0,
-            step,
+            operation: step,
         });
         [Store::default(), after]
     });
@@ -64,7 +64,7 @@
     reads: Vec<Read>,
     to_observer: VecDeque<u64>,
     to_front_end: VecDeque<ObserverMessage>,
-    gate: Gate,
+    gate: StalenessGuard,
     front_end_knows: bool,
     polls: u64,
 }
@@ -108,14 +108,14 @@
         match message {
             ObserverMessage::Changes { to, .. } => {
                 self.front_end_knows = true;
-                self.gate.applied(to);
+                self.gate.applied_up_to(to);
             }
             ObserverMessage::PollConfirmed { poll, revision } => {
                 if mutant == Some(Mutant::AgeFromConfirmation) {
-                    let late = self.gate.ask(self.now);
-                    self.gate.answered(late, revision);
+                    let late = self.gate.begin_confirmation(self.now);
+                    self.gate.confirmation_answered(late, revision);
                 }
-                self.gate.answered(poll, revision);
+                self.gate.confirmation_answered(poll, revision);
             }
             _ => {}
         }
@@ -162,7 +162,7 @@
             reads: Vec::new(),
             to_observer: VecDeque::new(),
             to_front_end: VecDeque::new(),
-            gate: Gate::new(LIMIT),
+            gate: StalenessGuard::new(LIMIT),
             front_end_knows: false,
             polls: 0,
         }]
@@ -200,7 +200,7 @@
             }
             Event::Ask if s.polls < POLLS => {
                 s.polls += 1;
-                let poll = s.gate.ask(s.now);
+                let poll = s.gate.begin_confirmation(s.now);
                 s.to_observer.push_back(poll);
             }
             Event::ArriveAtObserver => {
--- a/cluster/state-distribution/tests/pair/mod.rs
+++ b/cluster/state-distribution/tests/pair/mod.rs
@@ -116,8 +116,8 @@
     pub fn assert_same(&self) {
         assert_eq!(self.subscriber.replica().revision(), self.store.revision());
         assert_eq!(
-            self.subscriber.replica().entries_below(""),
-            self.store.entries_below("")
+            self.subscriber.replica().entries_with_prefix(""),
+            self.store.entries_with_prefix("")
         );
     }
 }
--- a/cluster/state-distribution/tests/snapshot_resume.rs
+++ b/cluster/state-distribution/tests/snapshot_resume.rs
@@ -55,7 +55,7 @@
     assert_eq!(
         (
             subscriber.replica().revision(),
-            subscriber.replica().entries_below("").len()
+            subscriber.replica().entries_with_prefix("").len()
         ),
         (9, 2)
     );
@@ -83,7 +83,7 @@
     assert_eq!(
         (
             subscriber.replica().revision(),
-            subscriber.replica().entries_below("").len()
+            subscriber.replica().entries_with_prefix("").len()
         ),
         (21, 1)
     );
--- a/cluster/state-distribution/tests/world/scenario.rs
+++ b/cluster/state-distribution/tests/world/scenario.rs
@@ -1,7 +1,7 @@
 //! A drawn course of a whole fleet: changes are agreed on while connections break, links are cut, processes stop, die
 //! and return, and the history is compacted; at the end all is mended and every front end has to be current.
 
-use violetgate_replicated_state::{Op, Step, Txn};
+use violetgate_replicated_state::{Mutation, Operation, Txn};
 use violetgate_state_distribution::ObserverConfig;
 
 use super::{World, MS, SECOND};
@@ -23,12 +23,12 @@
         0 => {
             let back = world.random(30);
             let to = world.truth.revision().saturating_sub(back);
-            world.agree(Step::Compact(to));
+            world.agree(Operation::Compact(to));
         }
         1..=3 => {
             let key = format!("key-{:03}", world.random(16));
-            world.agree(Step::Txn(Txn {
-                then: vec![Op::Delete(key)],
+            world.agree(Operation::Txn(Txn {
+                then: vec![Mutation::Delete(key)],
                 ..Txn::default()
             }));
         }
--- a/gateway/src/daemon/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -5,23 +5,23 @@
 use hyper::StatusCode;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Map, Value};
-use violetgate_raft::{Change, Rejected, Role};
-use violetgate_replica::Answer;
+use violetgate_raft::{MembershipChange, ProposalError, Role};
+use violetgate_replica::Response;
 use violetgate_replica_runtime::{Call, CallOutcome};
 
-use super::super::agreed::{self, Record};
-use super::super::figures::{until_in_force, BEHIND};
-use super::super::Unagreed;
+use super::super::metrics::{until_in_force, BEHIND};
+use super::super::shared_config::{self, MemberAddress};
+use super::super::CommitError;
 use super::http::{bad, problem, told, Answering, Reply};
-use super::query::Asked;
+use super::query::ApiCall;
 use super::Api;
-use crate::problem::Problem;
+use crate::http_error::HttpError;
 use crate::settings;
 
 /// A step of the membership, as an operator writes it.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum MemberStep {
+pub enum MembershipStep {
     /// A new member: its id and where it is.
     Add {
         /// Its id.
@@ -51,7 +51,7 @@
         let given = self.daemon.given.addresses();
         let members: Vec<_> = status
             .members
-            .all()
+            .ids()
             .map(|id| {
                 let record = view.members.get(&id);
                 let matched = status
@@ -75,52 +75,54 @@
             "routes": status.freshness.is_ok(),
             "state_age_ms": status.freshness.err().and_then(|s| s.age).map(|a| a / 1000),
             "stopped": self.daemon.cluster.stop_reason(),
-            "highest_id": status.members.highest,
+            "highest_id": status.members.highest_id,
             "members": members,
         }))
     }
 
-    pub(super) async fn member(&self, call: &Asked) -> Answering {
+    pub(super) async fn member(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let step: MemberStep =
+        let step: MembershipStep =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
         let change = match step {
-            MemberStep::Add { id, listen, api } => {
+            MembershipStep::Add { id, listen, api } => {
                 // Where it is comes first, so that the leader finds it.
-                let record = Record {
+                let record = MemberAddress {
                     listen,
                     api,
                     born: None,
                 };
-                let known = self.daemon.status().members.highest;
+                let known = self.daemon.status().members.highest_id;
                 if id <= known {
-                    return Err(Unagreed::Rejected(Rejected::IdUsed).into());
+                    return Err(CommitError::Rejected(ProposalError::IdAlreadyUsed).into());
                 }
                 let txn = self
                     .daemon
                     .cluster
-                    .store(|s| agreed::member(s, id, &record));
+                    .store(|s| shared_config::member(s, id, &record));
                 if let Some(txn) = txn {
                     self.daemon.agree(None, &call.who, txn, call.within).await?;
                 }
-                Call::ChangeMembership(Change::Add(id))
+                Call::ChangeMembership(MembershipChange::AddLearner(id))
             }
-            MemberStep::Promote(id) => Call::ChangeMembership(Change::Promote(id)),
-            MemberStep::Remove(id) => Call::ChangeMembership(Change::Remove(id)),
-            MemberStep::Transfer(id) => Call::TransferLeadership(id),
+            MembershipStep::Promote(id) => {
+                Call::ChangeMembership(MembershipChange::PromoteLearner(id))
+            }
+            MembershipStep::Remove(id) => Call::ChangeMembership(MembershipChange::Remove(id)),
+            MembershipStep::Transfer(id) => Call::TransferLeadership(id),
         };
         match self.daemon.cluster.submit(change, call.within).await {
-            CallOutcome::Completed(Answer::Changed) => {}
-            CallOutcome::Completed(Answer::Rejected(why)) => {
-                return Err(Unagreed::Rejected(why).into())
+            CallOutcome::Completed(Response::MembershipChanged) => {}
+            CallOutcome::Completed(Response::Rejected(why)) => {
+                return Err(CommitError::Rejected(why).into())
             }
-            _ => return Err(Unagreed::Late.into()),
+            _ => return Err(CommitError::Late.into()),
         }
         let _ = self.daemon.cluster.wait_until_current(call.within).await;
         Ok(self.cluster())
     }
 
-    pub(super) async fn cordon(&self, call: &Asked, out: bool) -> Answering {
+    pub(super) async fn cordon(&self, call: &ApiCall, out: bool) -> Answering {
         call.query.only(&["engine"])?;
         let engine = call.query.needed("engine")?;
         let known = self
@@ -137,13 +139,13 @@
             ));
         }
         Self::held(
-            self.agree(call, agreed::cordon(&engine, out, &call.who))
+            self.agree(call, shared_config::cordon(&engine, out, &call.who))
                 .await?,
         )
     }
 
     /// Drains a member by its id, or a front end that subscribes by its name.
-    pub(super) async fn drain(&self, call: &Asked, on: bool) -> Answering {
+    pub(super) async fn drain(&self, call: &ApiCall, on: bool) -> Answering {
         call.query.only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
         let instance = match (member, call.query.text("front_end")) {
@@ -156,21 +158,21 @@
                 .to_string(),
         };
         Self::held(
-            self.agree(call, agreed::drain(&instance, on, &call.who))
+            self.agree(call, shared_config::drain(&instance, on, &call.who))
                 .await?,
         )
     }
 
-    fn known_member(&self, member: u64) -> Result<u64, Problem> {
+    fn known_member(&self, member: u64) -> Result<u64, HttpError> {
         if self.daemon.status().members.contains(member) {
             Ok(member)
         } else {
-            Err(Unagreed::Rejected(Rejected::Unknown).into())
+            Err(CommitError::Rejected(ProposalError::UnknownMember).into())
         }
     }
 
     /// How far all front ends that subscribe are, as observers reported it of late.
-    pub(super) fn fleet_progress(&self, call: &Asked) -> Answering {
+    pub(super) fn fleet_progress(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
         let totals = self.daemon.fleet_progress();
         let behind: Map<String, Value> = BEHIND
--- a/gateway/src/daemon/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -7,14 +7,16 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::json;
-use violetgate_replicated_state::{Check, Op, Step, Txn};
+use violetgate_replicated_state::{Condition, Mutation, Operation, Txn};
 
 use super::http::{bad, problem, reply, told, Answering};
-use super::query::{entry, free, value, Asked, AskedCheck, AskedLease, AskedOp, AskedTxn, LONGEST};
+use super::query::{
+    entry, free, value, ApiCall, ChangeBody, CheckBody, LeaseBody, TransactionBody, LONGEST,
+};
 use super::Api;
 
 impl Api {
-    pub(super) async fn state(&self, call: &Asked) -> Answering {
+    pub(super) async fn state(&self, call: &ApiCall) -> Answering {
         let query = &call.query;
         query.only(&["key", "prefix", "limit", "revision", "after", "stale"])?;
         let limit = query.limit()?;
@@ -56,30 +58,30 @@
         })
     }
 
-    pub(super) async fn put(&self, call: &Asked, sets: bool) -> Answering {
+    pub(super) async fn put(&self, call: &ApiCall, sets: bool) -> Answering {
         call.query.only(&["key", "if_revision", "lease"])?;
         let key = free(call.query.needed("key")?)?;
         let checks = call
             .query
             .number("if_revision")?
-            .map(|r| Check::Changed(key.clone(), r))
+            .map(|r| Condition::RevisionIs(key.clone(), r))
             .into_iter()
             .collect();
         let lease = call.query.number("lease")?;
         let op = if sets {
-            Op::Put {
+            Mutation::Put {
                 key,
                 value: call.body.clone(),
                 lease,
             }
         } else {
-            Op::Delete(key)
+            Mutation::Delete(key)
         };
         Self::held(
             self.agree(
                 call,
                 Txn {
-                    checks,
+                    conditions: checks,
                     then: vec![op],
                     ..Txn::default()
                 },
@@ -88,20 +90,20 @@
         )
     }
 
-    pub(super) async fn transact(&self, call: &Asked) -> Answering {
+    pub(super) async fn transact(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let asked: AskedTxn =
+        let asked: TransactionBody =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        let ops = |ops: Vec<AskedOp>| {
+        let ops = |ops: Vec<ChangeBody>| {
             ops.into_iter()
-                .map(AskedOp::read)
+                .map(ChangeBody::read)
                 .collect::<Result<Vec<_>, _>>()
         };
         let txn = Txn {
-            checks: asked
+            conditions: asked
                 .checks
                 .into_iter()
-                .map(AskedCheck::read)
+                .map(CheckBody::read)
                 .collect::<Result<_, _>>()?,
             then: ops(asked.then)?,
             otherwise: ops(asked.otherwise)?,
@@ -111,7 +113,7 @@
     }
 
     /// Changes after a revision; with none, they are waited for.
-    pub(super) async fn changes(&self, call: &Asked) -> Answering {
+    pub(super) async fn changes(&self, call: &ApiCall) -> Answering {
         let query = &call.query;
         query.only(&["after", "prefix", "limit", "wait_ms"])?;
         let cluster = &self.daemon.cluster;
@@ -146,46 +148,46 @@
                 .iter()
                 .map(|c| {
                     let (name, value) = c.value.as_ref().map_or(("deleted", true.into()), |v| value(v));
-                    json!({"revision": c.revision, "key": c.key, name: value, "who": c.who, "time_us": c.time})
+                    json!({"revision": c.revision, "key": c.key, name: value, "who": c.actor, "time_us": c.time})
                 })
                 .collect();
             return Ok(told(&json!({"revision": to, "changes": changes})));
         }
     }
 
-    pub(super) async fn compact(&self, call: &Asked) -> Answering {
+    pub(super) async fn compact(&self, call: &ApiCall) -> Answering {
         call.query.only(&["revision"])?;
         let to = call
             .query
             .number("revision")?
             .ok_or_else(|| bad("`revision` is missing"))?;
-        self.step(call, Step::Compact(to)).await
+        self.step(call, Operation::Compact(to)).await
     }
 
-    pub(super) async fn lease(&self, call: &Asked) -> Answering {
+    pub(super) async fn lease(&self, call: &ApiCall) -> Answering {
         call.query.only(&[])?;
-        let asked: AskedLease =
+        let asked: LeaseBody =
             serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
         self.step(
             call,
-            Step::Lease {
+            Operation::GrantLease {
                 id: asked.id,
-                span: asked.ttl_ms.saturating_mul(1000),
+                ttl: asked.ttl_ms.saturating_mul(1000),
             },
         )
         .await
     }
 
-    pub(super) async fn release(&self, call: &Asked) -> Answering {
+    pub(super) async fn release(&self, call: &ApiCall) -> Answering {
         call.query.only(&["id"])?;
         let id = call
             .query
             .number("id")?
             .ok_or_else(|| bad("`id` is missing"))?;
-        self.step(call, Step::Release(id)).await
+        self.step(call, Operation::RevokeLease(id)).await
     }
 
-    pub(super) async fn snapshot(&self, call: &Asked) -> Answering {
+    pub(super) async fn snapshot(&self, call: &ApiCall) -> Answering {
         call.query.only(&["stale"])?;
         self.current(call).await?;
         let mut reply = reply(
