--- /dev/null
+++ b/policy/src/attempt/completion.rs
@@ -0,0 +1,107 @@
+//! What an answer teaches: the work and memory of its class, the speed of its engine and of the
+//! fleet, whether answers come late, and through them the limits on threads and memory.
+
+use crate::concurrency_limit::LimitSample;
+use crate::interface::{AttemptEnded, Micros};
+use crate::memory_grant::raise_memory_quota;
+use crate::outlier_detection::record_success;
+use crate::speed::{ANSWER_SPEED_GAIN, CLASS_GAIN, MIN_WORK_S};
+use crate::state::{Attempt, EngineRecord};
+use crate::units::seconds;
+use crate::Gateway;
+
+/// The fraction of this gateway's even part up to which an engine counts as lightly used, so that
+/// the time of an answer shows its work.
+const LIGHT_USE_FRACTION: f64 = 0.4;
+const MIN_THREAD_SECONDS: f64 = 1e-4;
+
+/// An answer, as far as it teaches.
+#[derive(Debug, Clone, Copy)]
+struct CompletionSample {
+    class: usize,
+    threads: f64,
+    thread_seconds: f64,
+    /// Work in seconds on one thread, as reported or shown by the time; otherwise as expected.
+    work: f64,
+    /// The same, only if reported or shown.
+    measured_work: Option<f64>,
+    estimated_work: Option<Micros>,
+    is_late: bool,
+}
+
+impl CompletionSample {
+    /// Work per thread-second.
+    fn speed(&self) -> f64 {
+        self.work / self.thread_seconds
+    }
+}
+
+impl Gateway {
+    /// Learns from an answer.
+    pub(super) fn record_completion(&mut self, ended: &AttemptEnded, attempt: &Attempt) {
+        let Some(sample) = self.completion_sample(ended, attempt) else {
+            return;
+        };
+        self.record_class_sample(&sample);
+        self.record_memory_need(ended.query, ended.cost, attempt.has_spilled);
+        self.record_fleet_speed(sample.work, sample.thread_seconds);
+        let speed = sample.speed();
+        self.record_engine_speed(attempt.engine, attempt.priority, speed, ANSWER_SPEED_GAIN);
+        let Some(engine) = self.engines.get_mut(&attempt.engine) else {
+            return;
+        };
+        engine.last_sign_at = self.now;
+        engine.awaits_first_answer = false;
+        raise_memory_quota(engine, self.now);
+        record_success(engine, sample.class);
+        self.adjust_limits_after_answer(&LimitSample {
+            engine: attempt.engine,
+            threads: sample.threads,
+            speed,
+            has_cost: ended.cost.is_some(),
+            is_late: sample.is_late,
+            late_fraction: self.class_stats[sample.class].late_fraction,
+        });
+    }
+
+    fn completion_sample(
+        &self,
+        ended: &AttemptEnded,
+        attempt: &Attempt,
+    ) -> Option<CompletionSample> {
+        let query = self.queries.get(ended.query)?;
+        let thread_seconds = (query.threads * seconds(ended.elapsed)).max(MIN_THREAD_SECONDS);
+        let reported = ended.cost.map(|cost| seconds(cost.work));
+        let engine = self.engines.get(&attempt.engine);
+        let is_lightly_used = engine.is_some_and(|engine| self.is_lightly_used(engine));
+        let measured_work = reported.or(is_lightly_used.then_some(thread_seconds));
+        Some(CompletionSample {
+            class: query.class,
+            threads: query.threads,
+            thread_seconds,
+            work: measured_work.unwrap_or(query.work).max(MIN_WORK_S),
+            measured_work,
+            estimated_work: query.request.estimated_work,
+            // By when the answer came, not by when this gateway got to handle it.
+            is_late: attempt.sent_at + ended.elapsed > self.objective_at(query),
+        })
+    }
+
+    /// Whether an engine is lightly used by this gateway, and not mostly by others.
+    fn is_lightly_used(&self, engine: &EngineRecord) -> bool {
+        let base = self.base_thread_limit(engine.cores);
+        base >= 1.0 && engine.threads_in_use() < LIGHT_USE_FRACTION * base
+    }
+
+    fn record_class_sample(&mut self, sample: &CompletionSample) {
+        let stats = &mut self.class_stats[sample.class];
+        stats.work.record(sample.work, CLASS_GAIN);
+        if let (Some(estimate), Some(measured)) = (sample.estimated_work, sample.measured_work) {
+            let ratio = measured / seconds(estimate).max(1e-6);
+            stats.work_ratio.record(ratio, CLASS_GAIN);
+        }
+        let lateness = f64::from(u8::from(sample.is_late));
+        stats.late_fraction += CLASS_GAIN * (lateness - stats.late_fraction);
+        stats.silent_fraction -= CLASS_GAIN * stats.silent_fraction;
+    }
+}
--- /dev/null
+++ b/policy/src/attempt/ending.rs
@@ -0,0 +1,122 @@
+//! An attempt ends: its capacity is released, its outcome is learned from, and the query is
+//! retried or answered.
+
+use crate::interface::{Action, AttemptEnded, EngineId, Outcome, QueryId};
+use crate::outlier_detection::EjectionReason;
+use crate::retry::{RetryDecision, StopReason};
+use crate::state::{Attempt, FirstRun};
+use crate::Gateway;
+
+/// Control periods for which nothing is sent to an engine that rejected an attempt since it is
+/// full.
+const OVERLOAD_BACKOFF_PERIODS: f64 = 0.25;
+
+/// An attempt that has ended, taken from its query.
+#[derive(Debug)]
+struct TakenAttempt {
+    attempt: Attempt,
+    /// The engine that answered an earlier attempt of the query with an error.
+    earlier_error: Option<EngineId>,
+}
+
+impl Gateway {
+    /// Handles the end of an attempt.
+    pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
+        let Some(taken) = self.take_attempt(ended) else {
+            return;
+        };
+        self.release_capacity(ended.query, &taken.attempt, ended.outcome);
+        self.hold_key_after(ended.query, ended.outcome);
+        self.record_outcome(ended, &taken);
+        let failed_twice = ended.outcome == Outcome::Error && taken.earlier_error.is_some();
+        self.retry_or_answer(ended.query, failed_twice, actions);
+    }
+
+    /// Takes the attempt from its query; `None` if it is not the one that is out.
+    fn take_attempt(&mut self, ended: &AttemptEnded) -> Option<TakenAttempt> {
+        let query = self.queries.get_mut(ended.query)?;
+        if ended.attempt + 1 != query.attempts {
+            return None;
+        }
+        let attempt = query.attempt.take()?;
+        query.last_engine = Some(attempt.engine);
+        query.is_finished |= ended.query_answered;
+        query.may_have_run |= ended.outcome.may_have_run();
+        let earlier_error = query.error_engine;
+        if ended.outcome == Outcome::Error {
+            query.error_engine = Some(attempt.engine);
+        }
+        Some(TakenAttempt {
+            attempt,
+            earlier_error,
+        })
+    }
+
+    fn release_capacity(&mut self, id: QueryId, attempt: &Attempt, outcome: Outcome) {
+        let Some(query) = self.queries.get_mut(id) else {
+            return;
+        };
+        let (class, threads) = (query.class, query.threads);
+        if let Some(engine) = self.engines.get_mut(&attempt.engine) {
+            engine.release_attempt(id, attempt.priority, threads, attempt.granted_mb);
+            if outcome.may_have_run() && query.first_run.is_none() {
+                query.first_run = Some(FirstRun {
+                    engine: engine.listed,
+                    sent_at: attempt.sent_at,
+                });
+            }
+        }
+        self.queries
+            .release_attempt(class, attempt.priority, threads);
+    }
+
+    /// Learns from the outcome of an attempt.
+    fn record_outcome(&mut self, ended: &AttemptEnded, taken: &TakenAttempt) {
+        let engine = taken.attempt.engine;
+        if let Some(reason) = self.blame_for_end(ended.query, engine, ended.outcome) {
+            self.record_failure(engine, reason);
+        }
+        match ended.outcome {
+            Outcome::Completed => {
+                // The query was well, so the engine that answered it with an error is at fault.
+                let other = taken.earlier_error.filter(|other| *other != engine);
+                if let Some(other) = other {
+                    self.record_failure(other, EjectionReason::Error);
+                }
+                self.record_completion(ended, &taken.attempt);
+            }
+            Outcome::Overloaded => {
+                let until = self.now + self.control_periods(OVERLOAD_BACKOFF_PERIODS);
+                if let Some(engine) = self.engines.get_mut(&engine) {
+                    engine.backoff_until = until;
+                }
+            }
+            Outcome::Error
+            | Outcome::TimedOut
+            | Outcome::ConnectionRefused
+            | Outcome::ConnectionLost
+            | Outcome::Cancelled
+            | Outcome::NeverSent => {}
+        }
+    }
+
+    fn retry_or_answer(&mut self, id: QueryId, failed_twice: bool, actions: &mut Vec<Action>) {
+        let Some(query) = self.queries.get(id) else {
+            return;
+        };
+        if query.is_finished {
+            return self.remove_if_done(id);
+        }
+        match self.retry_decision(query, failed_twice) {
+            RetryDecision::Retry => self.enqueue(id),
+            RetryDecision::Stop(StopReason::ObjectiveUnachievable) => self.give_up(id, actions),
+            RetryDecision::Stop(
+                StopReason::DeadlineTooClose
+                | StopReason::NoEligibleEngine
+                | StopReason::FailedTwice
+                | StopReason::AttemptsSpent
+                | StopReason::NotIdempotent,
+            ) => self.answer_finally(id, actions),
+        }
+    }
+}
--- /dev/null
+++ b/policy/src/attempt/silence.rs
@@ -0,0 +1,150 @@
+//! A query's check is due: its attempt gave no sign for too long, or it is queued too long.
+//!
+//! Decides: when an attempt counts as silent, and what follows. Inputs: the time since its last
+//! sign, the progress period, or without progress reports the expected run, in microseconds;
+//! signs that its engine gave to others. Reason: an engine that hangs or loses queries answers
+//! nothing, so that only its silence shows it.
+
+use crate::interface::{Action, EngineId, Micros, QueryId};
+use crate::speed::CLASS_GAIN;
+use crate::state::Query;
+use crate::units::{micros, seconds};
+use crate::Gateway;
+
+/// Control periods without a sign after which an attempt is silent, where progress is reported.
+const SILENT_PERIODS: f64 = 1.7;
+/// Usual runs without an answer after which an attempt is silent, where no progress is reported:
+/// the bounds of the time after which a new attempt could just meet the objective.
+const MIN_SILENT_RUNS: f64 = 3.0;
+const MAX_SILENT_RUNS: f64 = 6.0;
+
+/// An attempt as its check finds it.
+#[derive(Debug, Clone, Copy)]
+struct CheckedAttempt {
+    engine: EngineId,
+    class: usize,
+    last_sign_at: Micros,
+    is_silent: bool,
+    /// It was silent at an earlier check.
+    was_silent: bool,
+    is_queued_at_engine: bool,
+    cancelled: bool,
+    is_unachievable: bool,
+    next_check_at: Micros,
+}
+
+impl Gateway {
+    /// Handles a query whose check is due.
+    pub(crate) fn on_check_due(&mut self, id: QueryId, actions: &mut Vec<Action>) {
+        let is_open = |query: &&Query| !query.is_finished && !query.is_streaming;
+        let Some(query) = self.queries.get(id).filter(is_open) else {
+            return;
+        };
+        match self.checked_attempt(query) {
+            Some(_) if self.now >= query.deadline + self.time_out_slack() => {
+                self.answer_finally(id, actions);
+            }
+            Some(checked) => self.check_attempt(id, &checked, actions),
+            None if self.now >= self.give_up_at(query) => self.give_up(id, actions),
+            None => self.enqueue(id),
+        }
+    }
+
+    fn checked_attempt(&self, query: &Query) -> Option<CheckedAttempt> {
+        let attempt = query.attempt.as_ref()?;
+        let last_sign_at = attempt.sent_at.max(attempt.last_progress_at);
+        let limit = self.silence_limit(query, last_sign_at);
+        let is_silent = self.now >= last_sign_at + limit;
+        let counted_from = if is_silent { self.now } else { last_sign_at };
+        Some(CheckedAttempt {
+            engine: attempt.engine,
+            class: query.class,
+            last_sign_at,
+            is_silent,
+            was_silent: attempt.was_silent,
+            is_queued_at_engine: attempt.is_queued_at_engine,
+            cancelled: attempt.cancelled,
+            is_unachievable: self.objective_is_unachievable(query),
+            next_check_at: counted_from + limit,
+        })
+    }
+
+    fn check_attempt(&mut self, id: QueryId, checked: &CheckedAttempt, actions: &mut Vec<Action>) {
+        if !checked.cancelled {
+            if checked.is_silent {
+                self.blame_for_silence(checked);
+                self.count_silence(id, checked.class);
+            }
+            if checked.is_unachievable {
+                return self.give_up(id, actions);
+            }
+            if checked.is_silent {
+                self.move_elsewhere(id, actions);
+            }
+        }
+        self.schedule_check(id, checked.next_check_at);
+    }
+
+    /// A silent attempt speaks against its engine if that gave no other sign either, and
+    /// otherwise against the engine with queries of this class. One that is queued there is
+    /// expected to be silent: it moves, but the engine is well.
+    fn blame_for_silence(&mut self, checked: &CheckedAttempt) {
+        if checked.is_queued_at_engine {
+            return;
+        }
+        let engine = self.engines.get(&checked.engine);
+        if engine.is_none_or(|engine| engine.last_sign_at <= checked.last_sign_at) {
+            let silent_fraction = self.class_stats[checked.class].silent_fraction;
+            self.record_silence(checked.engine, silent_fraction);
+        } else if !checked.was_silent {
+            self.record_silence_of_class(checked.engine, checked.class);
+        }
+    }
+
+    fn count_silence(&mut self, id: QueryId, class: usize) {
+        let query = self.queries.get_mut(id);
+        if let Some(attempt) = query.and_then(|query| query.attempt.as_mut()) {
+            attempt.was_silent = true;
+        }
+        let silent_fraction = &mut self.class_stats[class].silent_fraction;
+        *silent_fraction += CLASS_GAIN * (1.0 - *silent_fraction);
+    }
+
+    /// How long an attempt may give no sign since a time. Without progress reports, until a new
+    /// attempt could just meet the objective, within some usual runs, since estimates scatter.
+    pub(super) fn silence_limit(&self, query: &Query, since: Micros) -> Micros {
+        if self.settings.progress_period.is_some() {
+            return self.control_periods(SILENT_PERIODS);
+        }
+        let usual = self.usual_run(query);
+        let left = seconds(self.objective_at(query).saturating_sub(since));
+        let latest_restart = left - self.expected_run(query);
+        let limit = latest_restart.min(MAX_SILENT_RUNS * usual);
+        micros(limit.max(MIN_SILENT_RUNS * usual)).max(1)
+    }
+
+    /// Cancels an attempt so that the query can go elsewhere, if there is another engine, enough
+    /// time, and a duplicate does no harm.
+    pub(super) fn move_elsewhere(&mut self, id: QueryId, actions: &mut Vec<Action>) {
+        let query = self.queries.get(id);
+        if query.is_some_and(|query| self.may_move(query)) {
+            self.cancel_attempt(id, actions);
+        }
+    }
+
+    fn may_move(&self, query: &Query) -> bool {
+        let Some(attempt) = &query.attempt else {
+            return false;
+        };
+        let mut engines = self.engines.iter();
+        let has_alternative =
+            engines.any(|(id, engine)| *id != attempt.engine && self.is_available(engine));
+        let has_time = self.now + micros(self.expected_run(query)) < query.deadline;
+        has_alternative
+            && has_time
+            && self.is_safe_to_duplicate(query)
+            && !query.is_streaming
+            && self.repetition_limit(query).is_none()
+            && self.retry_budget_allows()
+    }
+}
--- /dev/null
+++ b/policy/src/engine_list.rs
@@ -0,0 +1,96 @@
+//! What follows from the engine list and from operators' cordons.
+//!
+//! Decides: which engines are known and in use, what is kept of an engine that restarts, and when
+//! the list is subscribed to. Inputs: snapshots and patches of the list, and cordons. Reason: an
+//! engine with a new start time is a new process, of which nothing that was learned holds; a
+//! cordon holds whatever the list says.
+
+use crate::interface::{Action, Engine, EngineId, EngineState, ListScope};
+use crate::state::{EngineRecord, InitialLimits};
+use crate::Gateway;
+
+/// The cores of an engine whose kind is unknown.
+const DEFAULT_CORES: f64 = 1.0;
+
+impl Gateway {
+    /// Handles the engine list, or a change of it.
+    pub(crate) fn on_engine_list(
+        &mut self,
+        scope: ListScope,
+        engines: &[Engine],
+        actions: &mut Vec<Action>,
+    ) {
+        let is_doubtful = matches!(scope, ListScope::StaleSnapshot | ListScope::WatchFailed);
+        if self.settings.list_needs_subscription && is_doubtful {
+            actions.push(Action::SubscribeEngineList);
+        }
+        if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
+            self.mark_all_gone();
+        }
+        for engine in engines {
+            self.update_engine(engine);
+        }
+        self.update_fleet_totals();
+    }
+
+    /// Handles an operator's cordon, or its end. An engine that is uncordoned has been restarted:
+    /// it warms up from now on, and nothing that was learned of it holds.
+    pub(crate) fn on_cordon(&mut self, engine: EngineId, cordoned: bool) {
+        let changed = if cordoned {
+            self.fleet.cordoned.insert(engine)
+        } else {
+            self.fleet.cordoned.remove(&engine)
+        };
+        let Some(record) = self.engines.get(&engine).filter(|_| changed) else {
+            return;
+        };
+        let limits = self.initial_limits(record.cores);
+        let now = self.now;
+        let Some(record) = self.engines.get_mut(&engine) else {
+            return;
+        };
+        record.cordoned = cordoned;
+        if !cordoned {
+            let (cores, memory_mb) = (record.cores, record.memory_mb);
+            record.restart(EngineRecord::new(record.listed, cores, memory_mb, limits));
+            record.uncordoned_at = Some(now);
+            record.awaits_first_answer = true;
+        }
+    }
+
+    /// A snapshot lists all engines that are not gone.
+    fn mark_all_gone(&mut self) {
+        self.sampler.clear();
+        self.fleet.totals_at = 0;
+        for engine in self.engines.values_mut() {
+            engine.listed.state = EngineState::Gone;
+        }
+    }
+
+    /// Takes in one entry of the list.
+    fn update_engine(&mut self, listed: &Engine) {
+        let kind = self.settings.engine_kinds.get(listed.kind as usize);
+        let memory_mb = kind.and_then(|kind| kind.memory_mb);
+        let cores = kind.and_then(|kind| kind.cores);
+        let cores = cores.filter(|cores| *cores >= 1.0).unwrap_or(DEFAULT_CORES);
+        let limits = self.initial_limits(cores);
+        let fresh = || EngineRecord::new(*listed, cores, memory_mb, limits);
+        let mut engine = self.engines.remove(&listed.id).unwrap_or_else(fresh);
+        if engine.listed.started != listed.started {
+            engine.restart(fresh());
+        }
+        engine.listed = *listed;
+        engine.cordoned = self.fleet.cordoned.contains(&listed.id);
+        self.engines.insert(listed.id, engine);
+        self.sampler.update(listed);
+    }
+
+    /// What a new process is taken to bear: this gateway's even part, at the speed of the fleet.
+    fn initial_limits(&self, cores: f64) -> InitialLimits {
+        InitialLimits {
+            thread_limit: self.base_thread_limit(cores),
+            memory_quota: 1.0 / self.gateways,
+            speed: self.fleet_speed(),
+        }
+    }
+}
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -1,27 +1,30 @@
-//! What one gateway consists of. Nothing is decided here: the decisions are in `src/rules.rs`.
+//! One gateway: its state, and the order in which it handles events.
 
 use std::collections::BTreeMap;
 
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::interface::{Action, Class, EngineId, EngineState, Micros, Settings};
-use crate::rules::LOOK_EVERY;
-use crate::state::{micros, secs, Book, Counts, Fleet, Learned, Node, Order, Query};
+use crate::interface::{Action, Class, EngineId, EngineState, Event, Micros, Settings};
+use crate::state::{ClassStats, EngineRecord, EngineSampler, FleetStats, Query, QueryTable};
 
 /// The decisions of one gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    pub(crate) s: Settings,
+    pub(crate) settings: Settings,
+    /// Gateways that share the engines, this one included; at least 1.
     pub(crate) gateways: f64,
+    /// Makes this gateway's choices differ from those of others.
+    pub(crate) seed: u64,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) now: Micros,
-    pub(crate) nodes: BTreeMap<EngineId, Node>,
-    pub(crate) order: Order,
-    pub(crate) book: Book,
-    pub(crate) learned: Vec<Learned>,
-    pub(crate) fleet: Fleet,
-    pub(crate) own: u64,
+    pub(crate) engines: BTreeMap<EngineId, EngineRecord>,
+    pub(crate) sampler: EngineSampler,
+    pub(crate) queries: QueryTable,
+    pub(crate) class_stats: Vec<ClassStats>,
+    pub(crate) fleet: FleetStats,
+    /// When the timer that was last set fires.
+    pub(crate) timer_at: Option<Micros>,
 }
 
 /// Counts of engines, for the embedding's metrics.
@@ -34,22 +37,67 @@
 }
 
 impl Gateway {
-    /// Creates a gateway that knows no engines yet.
+    /// Creates a gateway that knows no engines yet. The seed fixes all its random choices; each
+    /// gateway of a fleet has one of its own.
     #[must_use]
     pub fn new(mut settings: Settings, seed: u64) -> Self {
+        // Queries of classes that the settings do not name share a last class without settings.
         settings.classes.push(Class::default());
         let classes = settings.classes.len();
         Gateway {
             gateways: f64::from(settings.gateways.unwrap_or(1).max(1)),
+            seed,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            own: seed,
             now: 0,
-            nodes: BTreeMap::new(),
-            order: Order::new(seed, settings.zone),
-            book: Book::new(classes),
-            learned: vec![Learned::default(); classes],
-            fleet: Fleet::default(),
-            s: settings,
+            engines: BTreeMap::new(),
+            sampler: EngineSampler::new(seed, settings.zone),
+            queries: QueryTable::new(classes),
+            class_stats: vec![ClassStats::default(); classes],
+            fleet: FleetStats::default(),
+            timer_at: None,
+            settings,
+        }
+    }
+
+    /// Handles what happened at `now`, in order, and appends what is to be done about it.
+    pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
+        self.now = now.max(self.now);
+        self.update_fleet_totals();
+        for event in events {
+            self.on_event(event, actions);
+        }
+        self.update_fleet_totals();
+        self.run_due_checks(actions);
+        self.dispatch_queued(actions);
+        self.set_timer(actions);
+    }
+
+    fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::EngineList { scope, engines } => self.on_engine_list(*scope, engines, actions),
+            Event::Cordon { engine, cordoned } => self.on_cordon(*engine, *cordoned),
+            Event::QueryArrived(request) => self.on_query_arrived(request, actions),
+            Event::Progress {
+                query,
+                attempt,
+                progress,
+            } => self.on_progress(*query, *attempt, *progress, actions),
+            Event::ResponseStarted { query } => self.on_response_started(*query),
+            Event::AttemptEnded(ended) => {
+                self.on_load_report(ended.engine, ended.load);
+                self.on_attempt_ended(ended, actions);
+            }
+            Event::ClientDisconnected { query } => self.on_client_disconnected(*query, actions),
+            Event::HealthChecked {
+                engine,
+                passed,
+                load,
+            } => {
+                self.on_load_report(*engine, *load);
+                self.on_health_check(*engine, *passed);
+            }
+            Event::FleetSize { gateways } => self.on_fleet_size(*gateways),
+            Event::TimerFired => {}
         }
     }
 
@@ -57,75 +105,26 @@
     #[must_use]
     pub fn engine_counts(&self) -> EngineCounts {
         let listed = || {
-            self.nodes
-                .values()
-                .filter(|n| n.listed.state != EngineState::Gone)
+            let engines = self.engines.values();
+            engines.filter(|engine| engine.listed.state != EngineState::Gone)
+        };
+        let is_avoided = |engine: &&EngineRecord| {
+            let is_ready = engine.listed.state == EngineState::Ready;
+            engine.cordoned || (is_ready && !self.is_available(engine))
         };
-        let ejected = |n: &&Node| n.listed.state == EngineState::Ready && !self.healthy(n);
         EngineCounts {
             listed: listed().count(),
-            avoided: listed().filter(|n| n.barred || ejected(n)).count(),
+            avoided: listed().filter(is_avoided).count(),
         }
     }
 
     /// The settings of a query's class.
-    pub(crate) fn class_of(&self, q: &Query) -> &Class {
-        &self.s.classes[q.slot]
-    }
-
-    /// The pace of news: the note period, else the shortest aim or deadline.
-    pub(crate) fn period(&self) -> Micros {
-        self.s.progress_period.unwrap_or(self.shortest_aim()).max(1)
+    pub(crate) fn class_of(&self, query: &Query) -> &Class {
+        &self.settings.classes[query.class]
     }
 
-    /// The shortest aim, or deadline, of any class.
-    pub(crate) fn shortest_aim(&self) -> Micros {
-        self.s
-            .classes
-            .iter()
-            .filter_map(|c| c.latency_objective.or(c.deadline))
-            .min()
-            .unwrap_or(1_000_000)
-    }
-
-    /// A share of the period.
-    pub(crate) fn periods(&self, share: f64) -> Micros {
-        micros(share * secs(self.period())).max(1)
-    }
-
-    /// Asks to be woken when the next query is due, or soon while some are held.
-    pub(crate) fn ask_wake(&mut self, actions: &mut Vec<Action>) {
-        // Room can also open by itself: a rest ends, a line empties, a cold engine bears more.
-        let held = self.book.queues.iter().any(|q| !q.is_empty());
-        let soon = if held {
-            self.now + self.periods(LOOK_EVERY)
-        } else {
-            Micros::MAX
-        };
-        let at = self
-            .book
-            .due
-            .first()
-            .map_or(soon, |due| due.0.min(soon))
-            .max(self.now + 1);
-        if at
-            < self
-                .book
-                .wake
-                .filter(|w| *w > self.now)
-                .unwrap_or(Micros::MAX)
-        {
-            self.book.wake = Some(at);
-            actions.push(Action::SetTimer { at });
-        }
-    }
-
-    /// The counts of engines: of this moment, or where there are many as they were last counted.
-    pub(crate) fn counts(&self) -> Counts {
-        if self.looks_at_all() {
-            Counts::of(self.nodes.values(), self.fleet.mostly_bad)
-        } else {
-            self.fleet.counts.clone()
-        }
+    /// What is learned of a query's class.
+    pub(crate) fn stats_of(&self, query: &Query) -> &ClassStats {
+        &self.class_stats[query.class]
     }
 }
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -75,9 +75,9 @@
         /// The engine's load report.
         load: LoadReport,
     },
-    /// The number of gateways that share the engines changed. The sender makes sure that the quotas
-    /// of all gateways, each by the number that it was last given, never add up to more than the
-    /// whole.
+    /// The number of gateways that share the engines changed. The sender makes sure that the
+    /// quotas of all gateways, each by the number that it was last given, never add up to more
+    /// than the whole.
     FleetSize {
         /// How many, this one included; 0 counts as 1.
         gateways: u32,
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -122,8 +122,8 @@
     pub slow_start_initial_fraction: Option<f64>,
     /// Time after its start at which an engine has its full capacity.
     pub slow_start_window: Option<Micros>,
-    /// An engine that is still warming up fails when it gets more than this multiple of its present
-    /// capacity throughout the `collapse_window`.
+    /// An engine that is still warming up fails when it gets more than this multiple of its
+    /// present capacity throughout the `collapse_window`.
     pub collapse_load_multiple: Option<f64>,
     /// See `collapse_load_multiple`.
     pub collapse_window: Option<Micros>,
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,13 +1,60 @@
-//! Decisions for a *gateway*: the front that admits queries, holds them in virtual queues and hands
-//! them to query engines with limited memory.
+//! Decisions for a *gateway*: the front end that admits queries, queues them, and sends them to
+//! query engines with limited threads and memory.
 //!
-//! [`Gateway`] does no input or output and keeps no clock. An embedding feeds it [`Event`]s with the time
-//! at which they happened and carries out the [`Action`]s that it returns. See [`interface`] for an example.
+//! [`Gateway`] does no input or output and keeps no clock. An embedding passes it [`Event`]s with
+//! the time at which they happened, and carries out the [`Action`]s that it returns. See
+//! [`interface`] for an example.
+//!
+//! # Where each rule is
+//!
+//! [`Gateway::handle`] lists what happens at each call. Each rule has a module of its own:
+//!
+//! | module | question |
+//! | --- | --- |
+//! | `admission` | Is a query that arrives sent, queued or rejected? |
+//! | `queueing` | Which queued query goes next, and in which order do those of one key run? |
+//! | `deadline` | When does a query have to be answered, and when is it given up? |
+//! | `placement` | Which engine does a query go to? |
+//! | `eligibility` | Is this send allowed at all? |
+//! | `capacity` | Does an engine have room for a query now? |
+//! | `concurrency_limit` | How many threads may this gateway use at an engine, and in all? |
+//! | `memory_grant` | How much memory is a query granted, and this gateway at an engine? |
+//! | `slow_start` | How much work does an engine get while it warms up? |
+//! | `outlier_detection` | Which engines are ejected, and when are they tried again? |
+//! | `retry` | Does a query get a further attempt? |
+//! | `attempt` | What follows from an attempt's start, progress, silence and end? |
+//! | `final_answer` | Is a query rejected or failed, and what becomes of its attempt? |
+//! | `priority` | How do queries rank against each other at a busy engine? |
+//! | `engine_list` | What follows from the engine list and from cordons? |
+//! | `speed` | How fast do engines work, and how long will a query run? |
+//! | `fleet_totals` | What do all engines together bear? |
+//! | `timers` | When does the gateway look again without an event? |
+//!
+//! `state` holds what a gateway remembers, `estimators` how it learns from samples.
 
+mod admission;
+mod attempt;
+mod capacity;
+mod concurrency_limit;
+mod deadline;
+mod eligibility;
+mod engine_list;
+mod estimators;
+mod final_answer;
+mod fleet_totals;
 mod gateway;
 pub mod interface;
-mod rules;
+mod memory_grant;
+mod outlier_detection;
+mod placement;
+mod priority;
+mod queueing;
+mod retry;
+mod slow_start;
+mod speed;
 mod state;
+mod timers;
+mod units;
 pub mod wire;
 
 pub use gateway::{EngineCounts, Gateway};
--- /dev/null
+++ b/policy/src/memory_grant.rs
@@ -0,0 +1,116 @@
+//! How much memory a query is granted, and how much of an engine's memory this gateway grants.
+//!
+//! Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory, a
+//! fraction from 0 to 1. Inputs: estimates that come with queries, the needs that answers report
+//! or, where they report none, how often queries spill to disk, and engines' reports of queries
+//! that wait for memory. Reason: a grant that is too small makes a query spill, which is slow;
+//! one that is too large keeps others waiting.
+
+use crate::interface::{Cost, NewQuery, QueryId};
+use crate::speed::CLASS_GAIN;
+use crate::state::{EngineRecord, Query};
+use crate::Gateway;
+
+use crate::concurrency_limit::IN_USE_FRACTION;
+
+/// A grant is the expected need plus this many deviations.
+const GRANT_DEVIATIONS: f64 = 1.3;
+/// The grant as a multiple of the estimate, before any need or spill was seen.
+const INITIAL_GRANT_MULTIPLE: f64 = 1.25;
+/// Weight of a need in the regression on estimates.
+const REGRESSION_GAIN: f64 = 0.02;
+/// Where needs are not reported: the fraction of queries that is to spill, and the step by which
+/// the logarithm of grants moves at a spill (up) and without one (down), so that this fraction
+/// results.
+const TARGET_SPILL_FRACTION: f64 = 0.2;
+const GRANT_LOG_STEP: f64 = 0.3;
+/// The most megabytes that a query is taken to lack.
+const MAX_MISSING_MB: f64 = 1e9;
+/// A report that a query waits for memory cuts the quota to this fraction of it ...
+const QUOTA_CUT: f64 = 0.7;
+/// ... and each answer raises it by this much while it is in use.
+const QUOTA_STEP: f64 = 0.02;
+
+impl Gateway {
+    /// The memory in megabytes that a query is to be granted; 0 where nothing is known.
+    pub(crate) fn expected_grant(&self, class: usize, request: &NewQuery) -> f64 {
+        let stats = &self.class_stats[class];
+        let Some(estimate) = request.estimated_memory_mb else {
+            return stats.memory_mb.known().map_or(0.0, |mean| {
+                mean + GRANT_DEVIATIONS * stats.memory_mb.deviation
+            });
+        };
+        match stats.memory_regression.predict(estimate) {
+            Some(need) => (need.mean + GRANT_DEVIATIONS * need.variance.sqrt()).exp(),
+            None => INITIAL_GRANT_MULTIPLE * estimate * stats.log_grant_correction.exp(),
+        }
+    }
+
+    /// The grant of a query on an engine, which no query gets more than a fraction of.
+    pub(crate) fn grant_on(&self, query: &Query, engine: &EngineRecord) -> f64 {
+        let fraction = self.settings.max_grant_fraction.unwrap_or(1.0);
+        let most = engine
+            .memory_mb
+            .map_or(f64::MAX, |memory| memory * fraction);
+        query.memory_mb.min(most)
+    }
+
+    /// Learns from the answer to a query what queries of its class need.
+    pub(crate) fn record_memory_need(&mut self, query: QueryId, cost: Option<Cost>, spilled: bool) {
+        let Some(query) = self.queries.get(query) else {
+            return;
+        };
+        let stats = &mut self.class_stats[query.class];
+        if let Some(cost) = cost {
+            stats.memory_mb.record(cost.memory_mb, CLASS_GAIN);
+            let estimate = query.request.estimated_memory_mb.unwrap_or(0.0);
+            let regression = &mut stats.memory_regression;
+            regression.record(estimate, cost.memory_mb, REGRESSION_GAIN);
+        } else if self.settings.memory_grants && !spilled {
+            stats.log_grant_correction -= GRANT_LOG_STEP * TARGET_SPILL_FRACTION;
+        }
+    }
+
+    /// Learns that an attempt spills. Returns whether it lacks so much that it should start again
+    /// with a larger grant.
+    pub(crate) fn on_spill(&mut self, id: QueryId, missing_mb: f64) -> bool {
+        if !self.settings.memory_grants {
+            return false;
+        }
+        let Some(query) = self.queries.get_mut(id) else {
+            return false;
+        };
+        let Some(attempt) = query.attempt.as_mut() else {
+            return false;
+        };
+        let need = attempt.granted_mb + missing_mb.clamp(0.0, MAX_MISSING_MB);
+        if std::mem::replace(&mut attempt.has_spilled, true) {
+            return false;
+        }
+        let correction = &mut self.class_stats[query.class].log_grant_correction;
+        *correction += GRANT_LOG_STEP * (1.0 - TARGET_SPILL_FRACTION);
+        let lacks_much = query.attempts == 1 && missing_mb > TARGET_SPILL_FRACTION * need;
+        if lacks_much {
+            query.memory_mb = need;
+        }
+        lacks_much
+    }
+}
+
+/// Cuts this gateway's quota of an engine where queries wait for memory, whoever granted too
+/// much. There is one cut until the engine's backoff ends.
+pub(crate) fn cut_memory_quota(engine: &mut EngineRecord, now: u64, gateways: f64) {
+    if engine.backoff_until <= now {
+        let least = QUOTA_CUT / gateways;
+        engine.memory_quota = (engine.memory_quota * QUOTA_CUT).max(least);
+    }
+}
+
+/// Raises this gateway's quota of an engine after an answer, while the quota is in use.
+pub(crate) fn raise_memory_quota(engine: &mut EngineRecord, now: u64) {
+    let memory_mb = engine.memory_mb.unwrap_or(f64::MAX);
+    let is_in_use = engine.granted_mb > IN_USE_FRACTION * engine.memory_quota * memory_mb;
+    if is_in_use && engine.backoff_until <= now {
+        engine.memory_quota = (engine.memory_quota + QUOTA_STEP).min(1.0);
+    }
+}
--- /dev/null
+++ b/policy/src/placement.rs
@@ -0,0 +1,275 @@
+//! Which engine a query goes to.
+//!
+//! Decides: the engine with the highest [`PlacementScore`] among those that are allowed and have
+//! room. Inputs: the engines' free threads, zones, warm-up and recent load, and this gateway's
+//! seed. Where engines are few, or this gateway's part of each is large, each query scans all of
+//! them. Of many, it samples a few, from as many engines near the front of this gateway's own
+//! order as the rate of queries keeps in use (its home engines), then from ever more until one is
+//! idle. Reason: a scan of thousands of engines for each query would take too long, and an engine
+//! that a gateway comes back to often has a warm connection and up-to-date statistics. Sampling
+//! does badly where few engines fit.
+
+use rand_chacha::rand_core::RngCore;
+
+use crate::interface::{EngineId, EngineKind, Micros, QueryId};
+use crate::state::{stable_hash_fraction, EngineRecord, Query, Region};
+use crate::units::seconds;
+use crate::Gateway;
+
+/// Up to so many engines each query scans all of them.
+pub(crate) const MAX_SCANNED_ENGINES: usize = 128;
+/// Engines in a sample.
+const SAMPLE_SIZE: usize = 16;
+/// Each sample is drawn from so many times as many engines as the one before.
+const SAMPLE_GROWTH: usize = 4;
+/// Where no sampled engine fits, all are searched; at most this often.
+const SEARCH_INTERVAL_US: Micros = 10_000;
+/// Home engines of a gateway at least, and queries a second for each further one.
+const MIN_HOME_ENGINES: f64 = 10.0;
+const QUERIES_PER_S_PER_HOME_ENGINE: f64 = 8.0;
+/// The window of arrivals where there is no retry budget to define one.
+const DEFAULT_RATE_WINDOW_S: f64 = 1.0;
+/// Control periods after which an engine's headroom counts no more.
+const HEADROOM_FADE_PERIODS: f64 = 4.0;
+const MIN_WARM_FRACTION: f64 = 1e-3;
+
+/// How well an engine suits a query. The fields are compared in this order, higher first.
+#[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
+struct PlacementScore {
+    /// The last attempt did not end there.
+    is_another_engine: bool,
+    /// It was uncordoned and has not answered since, and the query suits a first trial. Without a
+    /// trial it would look the least free while it warms up.
+    wants_first_trial: bool,
+    /// Threads that this gateway's even part leaves free. What a limit has grown by only says
+    /// whether a query fits: otherwise the first engine to grow would attract all queries of all
+    /// gateways.
+    free_threads: f64,
+    /// It is in this gateway's zone.
+    is_in_own_zone: bool,
+    /// It is one of this gateway's home engines.
+    is_home: bool,
+    /// How much less loaded than usual it was last seen.
+    headroom: f64,
+    /// Where this gateway's part of each engine is less than a thread: a random draw by which
+    /// each engine comes first with a probability proportional to its limit. Otherwise all
+    /// gateways would choose the largest kind.
+    weighted_draw: f64,
+}
+
+impl PlacementScore {
+    const WORST: PlacementScore = PlacementScore {
+        is_another_engine: false,
+        wants_first_trial: false,
+        free_threads: f64::NEG_INFINITY,
+        is_in_own_zone: false,
+        is_home: false,
+        headroom: 0.0,
+        weighted_draw: 0.0,
+    };
+}
+
+/// The engines among which the best is sought.
+#[derive(Debug)]
+enum Candidates {
+    /// All of them. The first ones of this gateway's own order are its homes; `nearby` engines
+    /// are available in its zone.
+    All { nearby: f64 },
+    /// A sample, mostly of homes already; all count as homes.
+    Sample(Vec<EngineId>),
+    /// All of them, since no sample fits; none counts as a home.
+    FullSearch,
+}
+
+impl Candidates {
+    /// The number of engines of which the homes are the first ones.
+    fn home_population(&self) -> f64 {
+        match self {
+            Candidates::All { nearby } => *nearby,
+            Candidates::Sample(_) => 0.0,
+            Candidates::FullSearch => f64::MAX,
+        }
+    }
+}
+
+/// The best of some candidates.
+#[derive(Debug, Clone, Copy)]
+struct Placement {
+    engine: Option<EngineId>,
+    /// It has threads free, and the last attempt did not end there.
+    is_idle: bool,
+}
+
+impl Gateway {
+    /// Whether engines are so few, or this gateway's part of each so large, that each query scans
+    /// all of them.
+    pub(crate) fn scans_all_engines(&self) -> bool {
+        let is_thin = |kind: &EngineKind| self.has_thin_part(kind.cores.unwrap_or(1.0));
+        self.engines.len() <= MAX_SCANNED_ENGINES || !self.settings.engine_kinds.iter().all(is_thin)
+    }
+
+    /// The engine that a query goes to, if it may go anywhere now.
+    pub(crate) fn choose_engine(&mut self, id: QueryId) -> Option<EngineId> {
+        let query = self.queries.get(id)?;
+        if !self.fleet_has_capacity(query) {
+            return None;
+        }
+        if self.scans_all_engines() {
+            let nearby = self.count_nearby() as f64;
+            return self.best_of(id, &Candidates::All { nearby }).engine;
+        }
+        let sampled = self.choose_from_samples(id);
+        sampled.or_else(|| self.search_all(id))
+    }
+
+    /// Samples ever more engines, first in this gateway's zone and then everywhere, until one is
+    /// idle. Otherwise the latest one that fits is taken.
+    fn choose_from_samples(&mut self, id: QueryId) -> Option<EngineId> {
+        let homes = self.home_engines();
+        let mut found = None;
+        for region in [Region::OwnZone, Region::Everywhere] {
+            let (mut among, listed) = (homes, self.sampler.len(region));
+            while among < SAMPLE_GROWTH * listed {
+                let sample = self
+                    .sampler
+                    .sample(region, among, SAMPLE_SIZE, &mut self.rng);
+                let best = self.best_of(id, &Candidates::Sample(sample));
+                if best.is_idle {
+                    return best.engine;
+                }
+                found = best.engine.or(found);
+                among *= SAMPLE_GROWTH;
+            }
+        }
+        found
+    }
+
+    /// Searches all engines, unless that was done a moment ago.
+    fn search_all(&mut self, id: QueryId) -> Option<EngineId> {
+        if self.now < self.fleet.full_search_at + SEARCH_INTERVAL_US {
+            return None;
+        }
+        self.fleet.full_search_at = self.now;
+        self.best_of(id, &Candidates::FullSearch).engine
+    }
+
+    /// How many engines this gateway's rate of queries keeps in use.
+    fn home_engines(&self) -> usize {
+        let budget = self.settings.retry_budget;
+        let window = budget.map_or(DEFAULT_RATE_WINDOW_S, |budget| {
+            seconds(budget.window.max(1))
+        });
+        let rate = self.queries.history.remembered_arrivals() as f64 / window;
+        (rate / QUERIES_PER_S_PER_HOME_ENGINE).max(MIN_HOME_ENGINES) as usize
+    }
+
+    /// Available engines in this gateway's zone.
+    fn count_nearby(&self) -> usize {
+        let engines = self.engines.values();
+        engines
+            .filter(|engine| self.is_in_own_zone(engine) && self.is_available(engine))
+            .count()
+    }
+
+    /// The candidate with the highest score among those that are allowed and have room; one of
+    /// them at random where several have it.
+    fn best_of(&mut self, id: QueryId, candidates: &Candidates) -> Placement {
+        let Some(query) = self.queries.get(id) else {
+            return Placement {
+                engine: None,
+                is_idle: false,
+            };
+        };
+        let mut best: Vec<EngineId> = Vec::new();
+        let mut highest = PlacementScore::WORST;
+        let home_population = candidates.home_population();
+        let (all, sample) = match candidates {
+            Candidates::Sample(sample) => (None, sample.as_slice()),
+            Candidates::All { .. } | Candidates::FullSearch => (Some(&self.engines), &[][..]),
+        };
+        let all = all.into_iter().flatten();
+        let sampled = sample
+            .iter()
+            .filter_map(|id| self.engines.get_key_value(id));
+        for (&engine_id, engine) in all.chain(sampled) {
+            if self.check_send(query, engine).is_err()
+                || self.check_capacity(query, engine).is_err()
+            {
+                continue;
+            }
+            let is_thin = self.has_thin_part(engine.cores);
+            let draw = is_thin.then(|| (f64::from(self.rng.next_u32()) + 0.5) / 4_294_967_296.0);
+            let is_home = is_thin
+                && stable_hash_fraction(self.seed, engine_id) * home_population < MIN_HOME_ENGINES;
+            let score = self.placement_score(query, engine, draw, is_home);
+            if score > highest {
+                highest = score;
+                best.clear();
+            }
+            if score >= highest {
+                best.push(engine_id);
+            }
+        }
+        let index = if best.len() > 1 {
+            self.rng.next_u32() as usize % best.len()
+        } else {
+            0
+        };
+        Placement {
+            engine: best.get(index).copied(),
+            is_idle: highest.is_another_engine && highest.free_threads >= 0.0,
+        }
+    }
+
+    /// The score of an engine for a query; `draw` is a random number from 0 to 1 where this
+    /// gateway's part of the engine is less than a thread.
+    fn placement_score(
+        &self,
+        query: &Query,
+        engine: &EngineRecord,
+        draw: Option<f64>,
+        is_home: bool,
+    ) -> PlacementScore {
+        let limit = self.thread_limit(engine);
+        let warm_fraction = self.warm_fraction(engine);
+        let (own_threads, weighted_draw) = match draw {
+            // The slow start draw already limits an engine that warms up, so its weight does not.
+            Some(draw) => (
+                0.0,
+                draw.ln() / (limit / warm_fraction.max(MIN_WARM_FRACTION)),
+            ),
+            None if limit > 0.0 => (self.base_thread_limit(engine.cores) * warm_fraction, 0.0),
+            None => (0.0, 0.0),
+        };
+        PlacementScore {
+            is_another_engine: query.last_engine != Some(engine.listed.id),
+            wants_first_trial: self.wants_first_trial(query, engine),
+            free_threads: own_threads - self.competing_threads(query, &engine.threads),
+            is_in_own_zone: self.is_in_own_zone(engine),
+            is_home,
+            headroom: self.recent_headroom(engine),
+            weighted_draw,
+        }
+    }
+
+    /// An engine that was uncordoned is tried by one short query that may be repeated.
+    fn wants_first_trial(&self, query: &Query, engine: &EngineRecord) -> bool {
+        let is_short = query.work <= self.fleet.work.mean;
+        engine.awaits_first_answer
+            && engine.running.is_empty()
+            && is_short
+            && self.is_safe_to_duplicate(query)
+    }
+
+    /// An engine's headroom; it fades, since all gateways that saw it act on it.
+    fn recent_headroom(&self, engine: &EngineRecord) -> f64 {
+        let lifetime = HEADROOM_FADE_PERIODS * seconds(self.control_period());
+        let age = seconds(self.now - engine.headroom_at) / lifetime;
+        engine.headroom * (1.0 - age).max(0.0)
+    }
+
+    fn is_in_own_zone(&self, engine: &EngineRecord) -> bool {
+        let zone = self.settings.zone;
+        zone.is_none_or(|zone| zone == engine.listed.zone)
+    }
+}
--- /dev/null
+++ b/policy/src/speed.rs
@@ -0,0 +1,113 @@
+//! How fast engines work, and how long a query will run.
+//!
+//! Decides: the expected work and run time of a query. Inputs: estimates that come with queries
+//! and the costs and times of answers. Work is in seconds on one thread, speed in seconds of work
+//! per thread-second: 1 for an engine that runs a query as if alone, less as queries share cores.
+//! Reason: admission, deadlines and limits all need to know how long a query will take as things
+//! are.
+
+use crate::interface::{EngineId, NewQuery};
+use crate::priority::PRIORITY_WEIGHTS;
+use crate::state::Query;
+use crate::units::seconds;
+use crate::Gateway;
+
+/// The fleet's speed remembers this many queries of mean work of each class.
+const FLEET_MEMORY_QUERIES: f64 = 40.0;
+/// The part of that memory which counts as done at speed 1 from the start.
+const PRIOR_FRACTION: f64 = 0.1;
+/// One answer replaces at most this part of the memory.
+const MAX_ANSWER_FRACTION: f64 = 0.5;
+/// Bounds of the fleet's speed.
+const MIN_FLEET_SPEED: f64 = 0.02;
+const MAX_FLEET_SPEED: f64 = 50.0;
+/// Bounds of the speed that one sample may show.
+pub(crate) const MIN_SAMPLE_SPEED: f64 = 0.01;
+pub(crate) const MAX_SAMPLE_SPEED: f64 = 10.0;
+/// Work of a query of which nothing is known, as a fraction of its objective.
+const UNKNOWN_WORK_FRACTION: f64 = 0.2;
+/// The least work that a query is taken to be.
+pub(crate) const MIN_WORK_S: f64 = 1e-4;
+/// Weight of a sample in the moving means of a class.
+pub(crate) const CLASS_GAIN: f64 = 0.05;
+/// Weight of an answer in the speed of its engine, and of the fleet where parts are thin.
+pub(crate) const ANSWER_SPEED_GAIN: f64 = 0.15;
+/// Weight of a progress report in the speed of its engine.
+pub(crate) const PROGRESS_SPEED_GAIN: f64 = 0.05;
+
+impl Gateway {
+    /// Expected work of a new query: its estimate, corrected as estimates of its class turned
+    /// out; without one, the mean of its class.
+    pub(crate) fn expected_work(&self, class_index: usize, request: &NewQuery) -> f64 {
+        let class = &self.settings.classes[class_index];
+        let stats = &self.class_stats[class_index];
+        let objective = class.latency_objective.or(class.deadline);
+        let unknown = UNKNOWN_WORK_FRACTION * seconds(objective.unwrap_or(request.time_left));
+        let mean = stats.work.known().unwrap_or(unknown);
+        let estimate = request.estimated_work.filter(|work| *work > 0);
+        let work = estimate.map_or(mean, |estimate| {
+            seconds(estimate) * stats.work_ratio.known().unwrap_or(1.0)
+        });
+        work.max(MIN_WORK_S)
+    }
+
+    /// The speed of the fleet: a moving ratio of work done to the thread-seconds that it took.
+    pub(crate) fn fleet_speed(&self) -> f64 {
+        let prior = self.work_of_each_class().max(1e-3) * FLEET_MEMORY_QUERIES * PRIOR_FRACTION;
+        ((self.fleet.work_done + prior) / (self.fleet.thread_seconds + prior))
+            .clamp(MIN_FLEET_SPEED, MAX_FLEET_SPEED)
+    }
+
+    /// Expected run time of a query in seconds, at the speed of the fleet.
+    pub(crate) fn expected_run(&self, query: &Query) -> f64 {
+        query.work / (query.threads * self.fleet_speed())
+    }
+
+    /// Expected run time in seconds of a query that is at least as much work as is usual in its
+    /// class.
+    pub(crate) fn usual_run(&self, query: &Query) -> f64 {
+        let class_work = self.stats_of(query).work.known().unwrap_or(0.0);
+        class_work.max(query.work) / (query.threads * self.fleet_speed())
+    }
+
+    /// Learns the fleet's speed from an answer.
+    pub(crate) fn record_fleet_speed(&mut self, work: f64, thread_seconds: f64) {
+        let memory = FLEET_MEMORY_QUERIES * self.work_of_each_class();
+        let kept = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
+        self.fleet.work_done = self.fleet.work_done * kept + work;
+        self.fleet.thread_seconds = self.fleet.thread_seconds * kept + thread_seconds;
+    }
+
+    /// Learns an engine's speed from an attempt there. An attempt of low priority says less,
+    /// since it yields to others.
+    pub(crate) fn record_engine_speed(
+        &mut self,
+        engine: EngineId,
+        priority: u8,
+        speed: f64,
+        gain: f64,
+    ) {
+        let weight = if self.settings.priorities {
+            PRIORITY_WEIGHTS[usize::from(priority)] / PRIORITY_WEIGHTS[3]
+        } else {
+            1.0
+        };
+        let headroom = weight * ((speed / self.fleet_speed()).min(1.0) - 1.0);
+        if let Some(engine) = self.engines.get_mut(&engine) {
+            engine.headroom = headroom;
+            engine.headroom_at = self.now;
+            let log_sample = speed.clamp(MIN_SAMPLE_SPEED, MAX_SAMPLE_SPEED).ln();
+            let log_speed = engine.speed.ln();
+            engine.speed = (log_speed + gain * weight * (log_sample - log_speed)).exp();
+        }
+    }
+
+    /// The sum of the classes' mean work.
+    fn work_of_each_class(&self) -> f64 {
+        let means = self
+            .class_stats
+            .iter()
+            .filter_map(|stats| stats.work.known());
+        means.sum()
+    }
+}
--- /dev/null
+++ b/policy/src/state/fleet_stats.rs
@@ -0,0 +1,44 @@
+//! What is learned of the fleet of engines as a whole, and totals over it.
+
+use std::collections::BTreeSet;
+
+use super::HealthCounts;
+use crate::estimators::MovingMean;
+use crate::interface::{EngineId, Micros};
+
+/// What is learned of the fleet as a whole.
+#[derive(Debug, Default)]
+pub(crate) struct FleetStats {
+    /// Engines that operators cordoned, in the list or not.
+    pub cordoned: BTreeSet<EngineId>,
+    /// Moving sum of work done, in seconds on one thread.
+    pub work_done: f64,
+    /// Moving sum of the thread-seconds that it took.
+    pub thread_seconds: f64,
+    /// Priority weights of the queries that arrive.
+    pub priority_weight: MovingMean,
+    /// Work of the queries that arrive, in seconds on one thread.
+    pub work: MovingMean,
+    /// Utilisation as load reports tell it, 0 to 1.
+    pub utilisation: MovingMean,
+    /// Thread-seconds of capacity that were left unused (above 0) or overdrawn, as of a time.
+    pub capacity_credit: f64,
+    pub capacity_credit_at: Micros,
+    /// Logarithm of the moving speed of answers, whichever engine gave them.
+    pub log_speed: f64,
+    /// When the totals below were last taken over all engines.
+    pub totals_at: Micros,
+    /// When all engines were last searched for one that fits.
+    pub full_search_at: Micros,
+    /// The engines as they were last counted.
+    pub counts: HealthCounts,
+    /// Ejection is ignored, since over half of the engines in use are ejected.
+    pub ejection_suspended: bool,
+    /// Threads that all available engines together bear from this gateway.
+    pub thread_capacity: f64,
+    /// The same without engines that are backing off.
+    pub open_thread_capacity: f64,
+    /// Growth of this gateway's thread limits, as a fraction of their base, where the base is
+    /// less than one thread an engine.
+    pub limit_growth: f64,
+}
--- /dev/null
+++ b/policy/src/state/query_table.rs
@@ -0,0 +1,181 @@
+//! The table of open queries: queues by class, attempts by class and priority, checks by time.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{KeyOrder, Query, RetryHistory, ThreadsByPriority};
+use crate::interface::{Micros, QueryId};
+
+/// Queued queries by their sequence number.
+type Queue = BTreeMap<u64, QueryId>;
+
+/// All open queries.
+#[derive(Debug, Default)]
+pub(crate) struct QueryTable {
+    queries: BTreeMap<QueryId, Query>,
+    /// One queue for each class.
+    queues: Vec<Queue>,
+    /// Those of the queues that have had no attempt yet.
+    untried_queues: Vec<Queue>,
+    /// When queries are to be checked.
+    checks: BTreeSet<(Micros, QueryId)>,
+    /// Queued queries, those included that their key keeps out of the queues.
+    queued: usize,
+    queued_work: f64,
+    /// Attempts out, by class.
+    attempts_out: Vec<usize>,
+    /// Threads of all attempts out.
+    pub threads_out: ThreadsByPriority,
+    /// Open queries by ordering key.
+    pub keys: BTreeMap<u64, KeyOrder>,
+    /// Queries that have arrived, ever.
+    pub arrivals: u64,
+    pub history: RetryHistory,
+}
+
+impl QueryTable {
+    pub fn new(classes: usize) -> Self {
+        QueryTable {
+            queues: vec![Queue::new(); classes],
+            untried_queues: vec![Queue::new(); classes],
+            attempts_out: vec![0; classes],
+            ..QueryTable::default()
+        }
+    }
+
+    pub fn get(&self, id: QueryId) -> Option<&Query> {
+        self.queries.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: QueryId) -> Option<&mut Query> {
+        self.queries.get_mut(&id)
+    }
+
+    pub fn contains(&self, id: QueryId) -> bool {
+        self.queries.contains_key(&id)
+    }
+
+    /// Counts an arrival and returns its sequence number.
+    pub fn next_sequence(&mut self, now: Micros) -> u64 {
+        self.history.record_arrival(now);
+        self.arrivals += 1;
+        self.arrivals
+    }
+
+    pub fn insert(&mut self, query: Query) {
+        self.queries.insert(query.request.id, query);
+    }
+
+    /// Removes a query from the table, its queue and the checks.
+    pub fn remove(&mut self, id: QueryId) {
+        self.leave_queue(id);
+        if let Some(query) = self.queries.remove(&id) {
+            self.checks.remove(&(query.check_at, id));
+        }
+    }
+
+    /// Counts a query as queued; it is in no queue yet.
+    pub fn count_as_queued(&mut self, id: QueryId) {
+        let waits = |query: &&mut Query| !query.is_queued && !query.is_finished;
+        if let Some(query) = self.queries.get_mut(&id).filter(waits) {
+            query.is_queued = true;
+            self.queued += 1;
+            self.queued_work += query.work;
+        }
+    }
+
+    /// Puts a query that counts as queued into its queue.
+    pub fn enter_queue(&mut self, id: QueryId) {
+        if let Some(query) = self.queries.get(&id).filter(|query| query.is_queued) {
+            self.queues[query.class].insert(query.sequence, id);
+            if query.attempts == 0 {
+                self.untried_queues[query.class].insert(query.sequence, id);
+            }
+        }
+    }
+
+    pub fn leave_queue(&mut self, id: QueryId) {
+        if let Some(query) = self.queries.get_mut(&id).filter(|query| query.is_queued) {
+            query.is_queued = false;
+            self.queues[query.class].remove(&query.sequence);
+            self.untried_queues[query.class].remove(&query.sequence);
+            self.queued -= 1;
+            // Started anew at 0, so that rounding errors do not add up.
+            self.queued_work = if self.queued == 0 {
+                0.0
+            } else {
+                self.queued_work - query.work
+            };
+        }
+    }
+
+    /// The oldest query of each queue, the oldest of them first; with `untried_only`, of those
+    /// that have had no attempt yet.
+    pub fn queue_heads(&self, untried_only: bool) -> Vec<QueryId> {
+        let queues = if untried_only {
+            &self.untried_queues
+        } else {
+            &self.queues
+        };
+        let mut heads: Vec<_> = queues.iter().filter_map(Queue::first_key_value).collect();
+        heads.sort_unstable();
+        heads.into_iter().map(|(_, id)| *id).collect()
+    }
+
+    pub fn queue_is_empty(&self, class: usize) -> bool {
+        self.queues[class].is_empty()
+    }
+
+    /// Whether any queue holds a query.
+    pub fn any_queued(&self) -> bool {
+        self.queues.iter().any(|queue| !queue.is_empty())
+    }
+
+    /// How many queries count as queued.
+    pub fn queued(&self) -> usize {
+        self.queued
+    }
+
+    /// The work of all queries that count as queued, in seconds on one thread.
+    pub fn queued_work(&self) -> f64 {
+        self.queued_work
+    }
+
+    pub fn count_attempt(&mut self, class: usize, priority: u8, threads: f64) {
+        self.attempts_out[class] += 1;
+        self.threads_out[usize::from(priority)] += threads;
+    }
+
+    pub fn release_attempt(&mut self, class: usize, priority: u8, threads: f64) {
+        self.attempts_out[class] -= 1;
+        self.threads_out[usize::from(priority)] -= threads;
+        if self.attempts_out.iter().all(|attempts| *attempts == 0) {
+            self.threads_out = ThreadsByPriority::default();
+        }
+    }
+
+    /// How many attempts of a class are out.
+    pub fn attempts_out(&self, class: usize) -> usize {
+        self.attempts_out[class]
+    }
+
+    /// Sets when a query is to be checked next.
+    pub fn set_check(&mut self, id: QueryId, at: Micros) {
+        if let Some(query) = self.queries.get_mut(&id) {
+            self.checks.remove(&(query.check_at, id));
+            query.check_at = at;
+            self.checks.insert((at, id));
+        }
+    }
+
+    /// When the next check is due.
+    pub fn first_check(&self) -> Option<Micros> {
+        self.checks.first().map(|(at, _)| *at)
+    }
+
+    /// Takes the next query whose check is due.
+    pub fn take_due_check(&mut self, now: Micros) -> Option<QueryId> {
+        let (at, id) = self.checks.first().copied().filter(|(at, _)| *at <= now)?;
+        self.checks.remove(&(at, id));
+        Some(id)
+    }
+}
--- /dev/null
+++ b/policy/src/state/retry_history.rs
@@ -0,0 +1,46 @@
+//! When queries arrived and when further attempts left, as far back as the retry budget looks.
+
+use std::collections::VecDeque;
+
+use crate::interface::Micros;
+
+/// Times of arrivals and of retries, in order.
+#[derive(Debug, Default)]
+pub(crate) struct RetryHistory {
+    arrivals: VecDeque<Micros>,
+    retries: VecDeque<Micros>,
+}
+
+impl RetryHistory {
+    pub fn record_arrival(&mut self, now: Micros) {
+        self.arrivals.push_back(now);
+    }
+
+    pub fn record_retry(&mut self, now: Micros) {
+        self.retries.push_back(now);
+    }
+
+    /// Forgets what happened before a time.
+    pub fn forget_before(&mut self, time: Micros) {
+        for history in [&mut self.retries, &mut self.arrivals] {
+            while history.front().is_some_and(|at| *at < time) {
+                history.pop_front();
+            }
+        }
+    }
+
+    /// All arrivals that are remembered.
+    pub fn remembered_arrivals(&self) -> usize {
+        self.arrivals.len()
+    }
+
+    /// How many queries arrived after a time.
+    pub fn arrivals_since(&self, time: Micros) -> f64 {
+        (self.arrivals.len() - self.arrivals.partition_point(|at| *at <= time)) as f64
+    }
+
+    /// How many retries left at a time or later.
+    pub fn retries_since(&self, time: Micros) -> f64 {
+        (self.retries.len() - self.retries.partition_point(|at| *at < time)) as f64
+    }
+}
--- a/policy/src/wire.rs
+++ b/policy/src/wire.rs
@@ -1,8 +1,8 @@
 //! The codec of the simulator's JSON: one line in, one line out.
 //!
-//! The simulator has names of its own for most things. They are written down once, as serde renames
-//! and as the constants of [`command`] and [`report_field`]; everything else uses the terms of
-//! [`crate::interface`]. Nothing is decided here.
+//! The simulator has names of its own for most things. They are written down once, as serde
+//! renames and as the constants of `command` and `report_field`; everything else uses the
+//! terms of [`crate::interface`]. Nothing is decided here.
 //!
 //! - `adapter`: the gateways of one process, and the lines that come in and go out;
 //! - `event`: the form of an event and its conversion to [`crate::Event`];
--- a/policy/src/wire/adapter.rs
+++ b/policy/src/wire/adapter.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// All the gateways of one process. They share nothing but the engine lists that are sent once for
-/// all of them.
+/// All the gateways of one process. They share nothing but the engine lists that are sent once
+/// for all of them.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u32, Instance>,
--- a/policy/src/wire/event.rs
+++ b/policy/src/wire/event.rs
@@ -16,7 +16,8 @@
 const HAS_ESTIMATE: u32 = 1;
 /// Bit of `state-bits`: the client marked the query as a retry.
 const IS_CLIENT_RETRY: u32 = 2;
-/// `stats` of an answer: the low bits hold the memory in units, the others the work in milliseconds.
+/// `stats` of an answer: the low bits hold the memory in units, the others the work in
+/// milliseconds.
 const MEMORY_BITS: u32 = 12;
 const MEMORY_UNIT_MB: f64 = 4.0;
 const MICROS_PER_MILLISECOND: u64 = 1000;
