--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -1,6 +1,7 @@
 //! Agreed state by the number of instances, each a member as `violetgate serve` makes it: what the leader spends at
 //! rest, the questions that it answers, how long a change takes until all have applied it, and how many may route.
 
+mod costs;
 mod group;
 mod relay;
 
@@ -20,23 +21,19 @@
 
 use crate::error::ScaleError;
 use crate::figures::{Break, Figures, Options};
-use crate::slope::{Budget, Slope};
 use crate::usage::{median, process_cpu, thread_cpu};
+use costs::{Costs, IdleCosts, Slopes};
 use group::{start_member, Growth, Others, Place, Shared, LEADER, VOTERS};
 use relay::Counts;
 
-const ROLE: &str = "agreed_state";
 /// Around 65 every size is measured: that is where the transport's limit on connections is expected to show.
 const SIZES: [u64; 10] = [3, 5, 9, 17, 33, 49, 60, 65, 66, 70];
 const SHORT_SIZES: [u64; 3] = [3, 5, 9];
 /// Instances that have to be carried.
 const TARGET: f64 = 7_600.0;
-/// The leader's loop is one thread: it has a core at most.
-const CORE_US_PER_S: f64 = 1_000_000.0;
-/// A change has to be in force everywhere within ten seconds.
-const CHANGE_BUDGET_MS: f64 = 10_000.0;
-const REST: Duration = Duration::from_secs(2);
-const SHORT_REST: Duration = Duration::from_millis(250);
+/// How long a group is left idle while its costs are measured.
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
+const SHORT_IDLE_WINDOW: Duration = Duration::from_millis(250);
 const CHANGES: u64 = 20;
 const SHORT_CHANGES: u64 = 5;
 /// How often a window is measured until one leader has led through it.
@@ -113,100 +110,6 @@
     Ok(())
 }
 
-/// What is spent, and said to the leader, while nothing changes.
-struct Rest {
-    leader_us_per_s: f64,
-    others_us_per_s: f64,
-    process_us_per_s: f64,
-    questions_per_s: f64,
-    messages_per_s: f64,
-    bytes_per_s: f64,
-}
-
-/// What a group of one size costs.
-struct Costs {
-    rest: Rest,
-    other_us_per_s: f64,
-    change_ms: f64,
-    slowest_change_ms: f64,
-    change_cpu_us: f64,
-    changes: u64,
-}
-
-struct Slopes {
-    leader: Slope,
-    other: Slope,
-    questions: Slope,
-    messages: Slope,
-    received: Slope,
-    change: Slope,
-    slowest_change: Slope,
-    change_cpu: Slope,
-}
-
-impl Default for Slopes {
-    fn default() -> Self {
-        let slope = |name, unit, budget: Option<f64>| Slope {
-            role: ROLE,
-            name,
-            unit,
-            size_of: "instances",
-            budget: budget.map(|cost| Budget {
-                cost,
-                target: TARGET,
-            }),
-            points: Vec::new(),
-        };
-        Slopes {
-            leader: slope("leader_at_rest", "us_per_s", Some(CORE_US_PER_S)),
-            other: slope("other_at_rest", "us_per_s", None),
-            questions: slope("questions", "per_s", None),
-            messages: slope("leader_received_messages", "per_s", None),
-            received: slope("leader_received_bytes", "per_s", None),
-            change: slope("change_everywhere", "ms", Some(CHANGE_BUDGET_MS)),
-            slowest_change: slope("slowest_change_everywhere", "ms", None),
-            change_cpu: slope("change_cpu", "us", None),
-        }
-    }
-}
-
-impl Slopes {
-    fn push(&mut self, size: f64, costs: &Costs) {
-        self.leader.push(size, costs.rest.leader_us_per_s);
-        self.other.push(size, costs.other_us_per_s);
-        self.questions.push(size, costs.rest.questions_per_s);
-        self.messages.push(size, costs.rest.messages_per_s);
-        self.received.push(size, costs.rest.bytes_per_s);
-        self.change.push(size, costs.change_ms);
-        self.slowest_change.push(size, costs.slowest_change_ms);
-        self.change_cpu.push(size, costs.change_cpu_us);
-    }
-
-    fn record(&self, figures: &mut Figures) {
-        let Slopes {
-            leader,
-            other,
-            questions,
-            messages,
-            received,
-            change,
-            slowest_change,
-            change_cpu,
-        } = self;
-        let all = [
-            leader,
-            other,
-            questions,
-            messages,
-            received,
-            change,
-            slowest_change,
-            change_cpu,
-        ];
-        all.into_iter().for_each(|slope| slope.record(figures));
-    }
-}
-
 /// Members that agree: the leader here, the others on their own thread. The place goes last.
 struct Group {
     leader: Rc<Cluster>,
@@ -309,13 +212,16 @@
     /// Costs at rest and of changes.
     async fn costs(&mut self, options: &Options, size: u64) -> Result<Costs, ScaleError> {
         let (window, changes) = if options.short {
-            (SHORT_REST, SHORT_CHANGES)
+            (SHORT_IDLE_WINDOW, SHORT_CHANGES)
         } else {
-            (REST, CHANGES)
+            (IDLE_WINDOW, CHANGES)
         };
         // The quieter one of two windows: other processes only add.
-        let (first, second) = (self.rest(window).await?, self.rest(window).await?);
-        let rest = if first.leader_us_per_s < second.leader_us_per_s {
+        let (first, second) = (
+            self.idle_costs(window).await?,
+            self.idle_costs(window).await?,
+        );
+        let idle = if first.leader_us_per_s < second.leader_us_per_s {
             first
         } else {
             second
@@ -326,26 +232,26 @@
             took_ms.push(self.change(size).await?.as_secs_f64() * 1e3);
         }
         let used_us = (process_cpu() - process).as_secs_f64() * 1e6;
-        let at_rest_us = rest.process_us_per_s * begun.elapsed().as_secs_f64();
+        let at_rest_us = idle.process_us_per_s * begun.elapsed().as_secs_f64();
         Ok(Costs {
             slowest_change_ms: took_ms.iter().copied().fold(0.0, f64::max),
             change_ms: median(took_ms),
             change_cpu_us: (used_us - at_rest_us) / changes as f64,
-            other_us_per_s: rest.others_us_per_s / (size - 1) as f64,
-            rest,
+            other_us_per_s: idle.others_us_per_s / (size - 1) as f64,
+            idle,
             changes,
         })
     }
 
     /// What is spent while nothing changes. A window in which another member came to lead is measured anew.
-    async fn rest(&mut self, window: Duration) -> Result<Rest, ScaleError> {
+    async fn idle_costs(&mut self, window: Duration) -> Result<IdleCosts, ScaleError> {
         for _ in 0..MOST_WINDOWS {
             self.lead().await?;
             let term = self.leader.status().term;
-            let rest = self.window(window).await;
+            let idle = self.window(window).await;
             let status = self.leader.status();
             if status.role == Role::Leader && status.term == term {
-                return Ok(rest);
+                return Ok(idle);
             }
             self.repeated_windows += 1;
         }
@@ -355,7 +261,7 @@
         })
     }
 
-    async fn window(&self, window: Duration) -> Rest {
+    async fn window(&self, window: Duration) -> IdleCosts {
         let begun = Instant::now();
         let (leader, others, process) = (thread_cpu(), self.shared.others_cpu(), process_cpu());
         let Counts {
@@ -369,7 +275,7 @@
         let us_per_s = |used: Duration| used.as_secs_f64() * 1e6 / seconds;
         let [questions_before, frames_before, bytes_before] = received;
         let per_s = |count: &AtomicU64, before| (count.load(Relaxed) - before) as f64 / seconds;
-        Rest {
+        IdleCosts {
             leader_us_per_s: us_per_s(thread_cpu() - leader),
             others_us_per_s: us_per_s(self.shared.others_cpu() - others),
             process_us_per_s: us_per_s(process_cpu() - process),
--- /dev/null
+++ b/tools/scale/src/agreed_state/costs.rs
@@ -0,0 +1,108 @@
+//! What a group of instances costs, and the slopes of these costs by its size.
+
+use super::TARGET;
+use crate::figures::Figures;
+use crate::slope::{Budget, Slope};
+
+const ROLE: &str = "agreed_state";
+/// The leader's loop is one thread: it has a core at most.
+const CORE_US_PER_S: f64 = 1_000_000.0;
+/// A change has to be in force everywhere within ten seconds.
+const CHANGE_BUDGET_MS: f64 = 10_000.0;
+
+/// What a group spends, and what its leader receives, while nothing changes.
+pub struct IdleCosts {
+    pub leader_us_per_s: f64,
+    pub others_us_per_s: f64,
+    pub process_us_per_s: f64,
+    pub questions_per_s: f64,
+    pub messages_per_s: f64,
+    pub bytes_per_s: f64,
+}
+
+/// What a group of one size costs.
+pub struct Costs {
+    pub idle: IdleCosts,
+    pub other_us_per_s: f64,
+    pub change_ms: f64,
+    pub slowest_change_ms: f64,
+    pub change_cpu_us: f64,
+    pub changes: u64,
+}
+
+/// Each cost by the number of instances.
+pub struct Slopes {
+    leader: Slope,
+    other: Slope,
+    questions: Slope,
+    messages: Slope,
+    received: Slope,
+    change: Slope,
+    slowest_change: Slope,
+    change_cpu: Slope,
+}
+
+impl Default for Slopes {
+    fn default() -> Self {
+        let slope = |name, unit, budget: Option<f64>| Slope {
+            role: ROLE,
+            name,
+            unit,
+            size_of: "instances",
+            budget: budget.map(|cost| Budget {
+                cost,
+                target: TARGET,
+            }),
+            points: Vec::new(),
+        };
+        Slopes {
+            leader: slope("leader_at_rest", "us_per_s", Some(CORE_US_PER_S)),
+            other: slope("other_at_rest", "us_per_s", None),
+            questions: slope("questions", "per_s", None),
+            messages: slope("leader_received_messages", "per_s", None),
+            received: slope("leader_received_bytes", "per_s", None),
+            change: slope("change_everywhere", "ms", Some(CHANGE_BUDGET_MS)),
+            slowest_change: slope("slowest_change_everywhere", "ms", None),
+            change_cpu: slope("change_cpu", "us", None),
+        }
+    }
+}
+
+impl Slopes {
+    /// Adds the costs of a group of `size` instances.
+    pub fn push(&mut self, size: f64, costs: &Costs) {
+        self.leader.push(size, costs.idle.leader_us_per_s);
+        self.other.push(size, costs.other_us_per_s);
+        self.questions.push(size, costs.idle.questions_per_s);
+        self.messages.push(size, costs.idle.messages_per_s);
+        self.received.push(size, costs.idle.bytes_per_s);
+        self.change.push(size, costs.change_ms);
+        self.slowest_change.push(size, costs.slowest_change_ms);
+        self.change_cpu.push(size, costs.change_cpu_us);
+    }
+
+    /// Fits all slopes and adds them to the figures.
+    pub fn record(&self, figures: &mut Figures) {
+        let Slopes {
+            leader,
+            other,
+            questions,
+            messages,
+            received,
+            change,
+            slowest_change,
+            change_cpu,
+        } = self;
+        let all = [
+            leader,
+            other,
+            questions,
+            messages,
+            received,
+            change,
+            slowest_change,
+            change_cpu,
+        ];
+        all.into_iter().for_each(|slope| slope.record(figures));
+    }
+}
