--- a/gateway/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -38,9 +38,9 @@
             (Idempotency::Deduplicated, 0, true),
             (Idempotency::Deduplicated, 1, false),
         ] {
-            let answer = turned_away(idempotency, attempts, Answer::Stale);
+            let answer = turned_away(idempotency, attempts, Answer::StateUnconfirmed);
             assert_eq!(
-                matches!(answer, Answer::Stale),
+                matches!(answer, Answer::StateUnconfirmed),
                 harmless,
                 "{idempotency:?} {attempts}"
             );
