--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -12,8 +12,8 @@
 use violetgate_replica::{CallId, Replica, Response};
 use violetgate_replicated_state::Operation;
 
-use super::status::Status;
-use super::Cluster;
+use super::status::ReplicaStatus;
+use super::ReplicaRuntime;
 use crate::wire::{Call, Frame};
 
 /// How often a call that got no answer is made again, under the same request id.
@@ -24,11 +24,11 @@
 
 /// How a call ended for its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answered {
+pub enum CallOutcome {
     /// It was answered.
-    Yes(Response),
+    Completed(Response),
     /// It was not, in the time that it had. A command may still come to be.
-    Late,
+    TimedOut,
 }
 
 #[derive(Default)]
@@ -38,17 +38,19 @@
     waker: RefCell<Option<Waker>>,
 }
 
-impl Cluster {
+impl ReplicaRuntime {
     fn ticket(&self) -> CallId {
-        self.next.set(self.next.get() + 1);
-        self.next.get()
+        self.last_ticket.set(self.last_ticket.get() + 1);
+        self.last_ticket.get()
     }
 
     /// Makes one call, and waits for its answer for so long at most.
-    async fn call(&self, within: Duration, act: impl FnOnce(&mut Replica, CallId)) -> Answered {
+    async fn call(&self, within: Duration, act: impl FnOnce(&mut Replica, CallId)) -> CallOutcome {
         let ticket = self.ticket();
         let slot = Rc::new(Slot::default());
-        self.waiting.borrow_mut().insert(ticket, Rc::clone(&slot));
+        self.pending_calls
+            .borrow_mut()
+            .insert(ticket, Rc::clone(&slot));
         // Whichever way this ends, nobody waits for it any more: also where its future is dropped.
         let _forget = Forget(self, ticket);
         self.with(|m| act(m, ticket));
@@ -56,48 +58,53 @@
     }
 
     /// Carries a call out here, if this member leads.
-    pub(super) async fn here(&self, call: Call, within: Duration) -> Answered {
+    pub(super) async fn here(&self, call: Call, within: Duration) -> CallOutcome {
         match call {
             Call::Propose { request, who, step } => {
                 self.propose(Some(request), &who, step, within).await
             }
-            Call::Change(change) => self.change(change, within).await,
-            Call::Transfer(to) => Answered::Yes(match self.transfer(to) {
-                Ok(()) => Response::MembershipChanged,
-                Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
-                Err(why) => Response::Rejected(why),
-            }),
+            Call::ChangeMembership(change) => self.change_membership(change, within).await,
+            Call::TransferLeadership(to) => {
+                CallOutcome::Completed(match self.transfer_leadership(to) {
+                    Ok(()) => Response::MembershipChanged,
+                    Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
+                    Err(why) => Response::Rejected(why),
+                })
+            }
         }
     }
 
     /// Has another member carry a call out.
-    async fn there(&self, to: NodeId, call: Call, within: Duration) -> Answered {
+    async fn there(&self, to: NodeId, call: Call, within: Duration) -> CallOutcome {
         let number = self.ticket();
         let slot = Rc::new(Slot::default());
-        self.asked.borrow_mut().insert(number, Rc::clone(&slot));
+        self.forwarded_calls
+            .borrow_mut()
+            .insert(number, Rc::clone(&slot));
         let _forget = Unask(self, number);
-        self.transport.send(to, &Frame::Ask(number, call));
+        self.transport
+            .send(to, &Frame::ForwardCall { id: number, call });
         // One that is no longer held for the leader won't answer, or another one can sooner.
         let deposed = async {
             while self.member.borrow().raft().leader() == Some(to) {
                 Timer::after(PAUSE / 2).await;
             }
-            Answered::Late
+            CallOutcome::TimedOut
         };
         slot.filled(within).or(deposed).await
     }
 
     /// Has a call agreed on, whoever leads: asked again, under its one request id, until its fate is known or its
-    /// time is over. [`Answered::Late`]: it may still come to be; the same call again tells.
-    pub async fn agree(&self, call: Call, within: Duration) -> Answered {
+    /// time is over. [`CallOutcome::TimedOut`]: it may still come to be; the same call again tells.
+    pub async fn submit(&self, call: Call, within: Duration) -> CallOutcome {
         let until = Instant::now() + within;
         let mut unsure = false;
         loop {
             let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() || self.lost.borrow().is_some() {
-                return Answered::Late;
+            if left.is_zero() || self.stop_reason.borrow().is_some() {
+                return CallOutcome::TimedOut;
             }
-            let Status {
+            let ReplicaStatus {
                 id, role, leader, ..
             } = self.status();
             let answered = match leader {
@@ -105,17 +112,19 @@
                 Some(leader) if leader != id => {
                     self.there(leader, call.clone(), left.min(TRY)).await
                 }
-                _ => Answered::Yes(Response::NotLeader(None)),
+                _ => CallOutcome::Completed(Response::NotLeader(None)),
             };
             match answered {
-                Answered::Late | Answered::Yes(Response::OutcomeUnknown) => unsure = true,
-                Answered::Yes(
+                CallOutcome::TimedOut | CallOutcome::Completed(Response::OutcomeUnknown) => {
+                    unsure = true
+                }
+                CallOutcome::Completed(
                     Response::NotLeader(_)
                     | Response::Rejected(ProposalError::Busy | ProposalError::ChangeInProgress),
                 ) => {}
                 // A step that was taken by an earlier try can't be taken again.
-                Answered::Yes(Response::Rejected(_)) if unsure && self.taken(&call) => {
-                    return Answered::Yes(Response::MembershipChanged);
+                CallOutcome::Completed(Response::Rejected(_)) if unsure && self.taken(&call) => {
+                    return CallOutcome::Completed(Response::MembershipChanged);
                 }
                 told => return told,
             }
@@ -127,10 +136,12 @@
         let member = self.member.borrow();
         let members = member.membership();
         match call {
-            Call::Change(MembershipChange::AddLearner(id)) => members.contains(*id),
-            Call::Change(MembershipChange::PromoteLearner(id)) => members.voters.contains(id),
-            Call::Change(MembershipChange::Remove(id)) => !members.contains(*id),
-            Call::Propose { .. } | Call::Transfer(_) => false,
+            Call::ChangeMembership(MembershipChange::AddLearner(id)) => members.contains(*id),
+            Call::ChangeMembership(MembershipChange::PromoteLearner(id)) => {
+                members.voters.contains(id)
+            }
+            Call::ChangeMembership(MembershipChange::Remove(id)) => !members.contains(*id),
+            Call::Propose { .. } | Call::TransferLeadership(_) => false,
         }
     }
 
@@ -141,7 +152,7 @@
         who: &str,
         step: Operation,
         within: Duration,
-    ) -> Answered {
+    ) -> CallOutcome {
         self.call(within, |m, ticket| {
             m.propose(ticket, request, who.to_owned(), step)
         })
@@ -149,17 +160,22 @@
     }
 
     /// One step of the membership.
-    pub async fn change(&self, change: MembershipChange, within: Duration) -> Answered {
+    pub async fn change_membership(
+        &self,
+        change: MembershipChange,
+        within: Duration,
+    ) -> CallOutcome {
         self.call(within, |m, ticket| m.change_membership(ticket, change))
             .await
     }
 
     /// Waits until the store is current, by asking again where no answer comes. False: it was not, in that time.
-    pub async fn current(&self, within: Duration) -> bool {
+    pub async fn wait_until_current(&self, within: Duration) -> bool {
         let until = Instant::now() + within;
         while Instant::now() < until {
             let left = until.saturating_duration_since(Instant::now());
-            if self.call(left.min(AGAIN), Replica::read).await == Answered::Yes(Response::ReadReady)
+            if self.call(left.min(AGAIN), Replica::read).await
+                == CallOutcome::Completed(Response::ReadReady)
             {
                 return true;
             }
@@ -173,7 +189,7 @@
     /// # Errors
     ///
     /// It can't be.
-    pub fn transfer(&self, to: NodeId) -> Result<(), ProposalError> {
+    pub fn transfer_leadership(&self, to: NodeId) -> Result<(), ProposalError> {
         self.with(|m| m.transfer_leadership(to))
     }
 }
@@ -188,9 +204,9 @@
             .for_each(Waker::wake);
     }
 
-    pub(super) async fn filled(&self, within: Duration) -> Answered {
+    pub(super) async fn filled(&self, within: Duration) -> CallOutcome {
         let answered = poll_fn(|cx| match self.answer.borrow_mut().take() {
-            Some(answer) => Poll::Ready(Answered::Yes(answer)),
+            Some(answer) => Poll::Ready(CallOutcome::Completed(answer)),
             None => {
                 *self.waker.borrow_mut() = Some(cx.waker().clone());
                 Poll::Pending
@@ -198,27 +214,27 @@
         });
         let late = async {
             Timer::after(within).await;
-            Answered::Late
+            CallOutcome::TimedOut
         };
         answered.or(late).await
     }
 }
 
-/// Takes a question back that nobody waits for.
-struct Unask<'a>(&'a Cluster, u64);
+/// Takes a poll back that nobody waits for.
+struct Unask<'a>(&'a ReplicaRuntime, u64);
 
 impl Drop for Unask<'_> {
     fn drop(&mut self) {
-        self.0.asked.borrow_mut().remove(&self.1);
+        self.0.forwarded_calls.borrow_mut().remove(&self.1);
     }
 }
 
 /// Takes a call back that nobody waits for.
-struct Forget<'a>(&'a Cluster, CallId);
+struct Forget<'a>(&'a ReplicaRuntime, CallId);
 
 impl Drop for Forget<'_> {
     fn drop(&mut self) {
-        self.0.waiting.borrow_mut().remove(&self.1);
+        self.0.pending_calls.borrow_mut().remove(&self.1);
         self.0.member.borrow_mut().cancel(self.1);
     }
 }
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -3,12 +3,12 @@
 use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
 
-use super::Cluster;
+use super::ReplicaRuntime;
 use crate::clock::boot;
 
 /// What a member is at.
 #[derive(Debug, Clone)]
-pub struct Status {
+pub struct ReplicaStatus {
     /// Its id.
     pub id: NodeId,
     /// What it is.
@@ -26,18 +26,18 @@
     /// The store's revision, as it is applied here.
     pub revision: Revision,
     /// Whether state may be routed on, or how old it is.
-    pub fresh: Result<(), Stale>,
+    pub freshness: Result<(), Stale>,
     /// For a leader, what each other member is known to have.
     pub progress: Vec<(NodeId, Index)>,
 }
 
-impl Cluster {
+impl ReplicaRuntime {
     /// What the member is at.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let member = self.member.borrow();
         let node = member.raft();
-        Status {
+        ReplicaStatus {
             id: node.id(),
             role: node.role(),
             term: node.term(),
@@ -46,7 +46,7 @@
             applied: member.applied(),
             members: member.membership().clone(),
             revision: member.store().revision(),
-            fresh: member.may_route(boot()),
+            freshness: member.may_route(boot()),
             progress: node.progress(),
         }
     }
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -8,7 +8,7 @@
 use violetgate_state_distribution::ProgressSummary;
 
 /// The version of this protocol. A member of another one is turned away, and says so in its log.
-pub const VERSION: u16 = 1;
+pub const PROTOCOL_VERSION: u16 = 1;
 /// The longest frame: a transaction of 128 entries of 64 KiB fits.
 pub const LONGEST: usize = 16 << 20;
 /// The longest greeting.
@@ -29,20 +29,30 @@
         step: Operation,
     },
     /// A step of the membership.
-    Change(MembershipChange),
+    ChangeMembership(MembershipChange),
     /// Leadership is to be handed over.
-    Transfer(NodeId),
+    TransferLeadership(NodeId),
 }
 
 /// What stands in a frame after the greeting.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Frame {
     /// Of the consensus.
-    Core(Message),
-    /// A client of the sender asks for this; the sender's number for it.
-    Ask(u64, Call),
-    /// How what goes by that number ended.
-    Told(u64, Response),
+    Raft(Message),
+    /// A call that the receiver is to carry out, as it is taken for the leader.
+    ForwardCall {
+        /// The sender's id of the call.
+        id: u64,
+        /// The call.
+        call: Call,
+    },
+    /// The answer to a forwarded call.
+    CallAnswer {
+        /// The id that the call was sent with.
+        id: u64,
+        /// The answer.
+        answer: Response,
+    },
     /// How far the sender's subscribers are. A member from before observers ends a connection over it, so that every
     /// member is upgraded before the first one serves subscribers; only such a one sends it.
     Progress(ProgressSummary),
@@ -53,7 +63,7 @@
 pub struct Hello {
     /// `VGCL`, so that whoever speaks something else is noticed at once.
     pub magic: [u8; 4],
-    /// [`VERSION`].
+    /// [`PROTOCOL_VERSION`].
     pub version: u16,
     /// The cluster.
     pub cluster: String,
@@ -69,7 +79,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Welcome {
     /// Why not; nothing: frames may follow.
-    pub refused: Option<String>,
+    pub rejected: Option<String>,
     /// What was drawn when this member's disk was made.
     pub born: u64,
 }
@@ -80,7 +90,7 @@
     pub fn new(cluster: &str, from: NodeId, to: NodeId, born: u64) -> Self {
         Hello {
             magic: *b"VGCL",
-            version: VERSION,
+            version: PROTOCOL_VERSION,
             cluster: cluster.to_owned(),
             from,
             to,
@@ -94,9 +104,9 @@
     pub fn refused(&self, cluster: &str, me: NodeId, known: Option<u64>) -> Option<String> {
         if self.magic != *b"VGCL" {
             Some("this is no member".to_owned())
-        } else if self.version != VERSION {
+        } else if self.version != PROTOCOL_VERSION {
             Some(format!(
-                "it speaks version {}, this is version {VERSION}",
+                "it speaks version {}, this is version {PROTOCOL_VERSION}",
                 self.version
             ))
         } else if self.cluster != cluster {
@@ -167,116 +177,4 @@
 
 #[cfg(test)]
 #[allow(clippy::unwrap_used, clippy::indexing_slicing)]
-mod tests {
-    use super::*;
-    use violetgate_raft::{Entry, LogPosition, Payload};
-
-    /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
-    #[test]
-    fn frames_come_in_any_pieces() {
-        let entries = vec![Entry {
-            term: 3,
-            index: 9,
-            payload: Payload::Command(vec![5; 40]),
-        }];
-        let message = Frame::Core(Message::AppendEntries {
-            term: 3,
-            previous: LogPosition { term: 2, index: 8 },
-            entries,
-            commit: 7,
-            round: 11,
-        });
-        let next = Frame::Told(4, Response::MembershipChanged);
-        let mut bytes = Vec::new();
-        assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
-        for cut in 0..bytes.len() {
-            let read = take::<Frame>(&bytes[..cut], LONGEST).unwrap();
-            assert!(read.is_none_or(|(m, size)| m == message && size <= cut));
-        }
-        let (_, size) = take::<Frame>(&bytes, LONGEST).unwrap().unwrap();
-        assert_eq!(
-            take::<Frame>(&bytes[size..], LONGEST).unwrap().unwrap().0,
-            next
-        );
-        assert!(take::<Frame>(&bytes, 10).is_err());
-        for at in 4..12 {
-            let mut bent = bytes.clone();
-            bent[at] ^= 0x55;
-            let _ = take::<Frame>(&bent, LONGEST);
-        }
-    }
-
-    /// Frames keep their numbers, so that members of another age read those that they know.
-    #[test]
-    fn frames_keep_their_numbers() {
-        let progress = ProgressSummary {
-            revision: 7,
-            serving: 2,
-            ..ProgressSummary::default()
-        };
-        let frames = [
-            Frame::Core(Message::AppendEntries {
-                term: 1,
-                previous: LogPosition::default(),
-                entries: Vec::new(),
-                commit: 0,
-                round: 0,
-            }),
-            Frame::Ask(1, Call::Transfer(2)),
-            Frame::Told(1, Response::MembershipChanged),
-            Frame::Progress(progress),
-        ];
-        for (number, message) in frames.iter().enumerate() {
-            let bytes = frame(message).unwrap();
-            assert_eq!(usize::from(bytes[HEAD]), number);
-            assert_eq!(&take::<Frame>(&bytes, LONGEST).unwrap().unwrap().0, message);
-        }
-    }
-
-    /// Who is turned away, and why.
-    #[test]
-    fn strangers_are_turned_away() {
-        let hello = Hello::new("c", 2, 1, 5);
-        assert_eq!(hello.refused("c", 1, Some(5)), None);
-        for (hello, says) in [
-            (
-                Hello {
-                    magic: *b"GET ",
-                    ..hello.clone()
-                },
-                "no member",
-            ),
-            (
-                Hello {
-                    version: 9,
-                    ..hello.clone()
-                },
-                "version 9",
-            ),
-            (
-                Hello {
-                    cluster: "d".to_owned(),
-                    ..hello.clone()
-                },
-                "cluster \"d\"",
-            ),
-            (
-                Hello {
-                    to: 3,
-                    ..hello.clone()
-                },
-                "looks for member 3",
-            ),
-            (
-                Hello {
-                    from: 1,
-                    ..hello.clone()
-                },
-                "this member's id",
-            ),
-            (Hello { born: 6, ..hello }, "another disk"),
-        ] {
-            assert!(hello.refused("c", 1, Some(5)).unwrap().contains(says));
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -0,0 +1,305 @@
+//! Each frame between members as an earlier release encodes it. Both directions are compared: an instance of that
+//! release and a new one work together during an upgrade.
+
+use std::collections::BTreeMap;
+use std::fmt::Debug;
+
+use violetgate_raft::{
+    AppendOutcome, Entry, LogPosition, Membership, Message, Payload, ProposalError, SnapshotChunk,
+    SnapshotMetadata,
+};
+use violetgate_replicated_state::{CommandError, Condition, Mutation, Outcome, Txn};
+
+use violetgate_state_distribution::Laggard;
+
+use crate::wire::*;
+
+/// One frame a line: its name here, and its bytes in hexadecimal, with the length before them.
+const FIXTURES: &str = include_str!("../../../tests/fixtures/frames.txt");
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits = |at| u8::from_str_radix(&text[at..at + 2], 16).unwrap();
+    (0..text.len()).step_by(2).map(digits).collect()
+}
+
+/// The fixtures, and the frames that were compared with theirs.
+struct Comparison {
+    stored: BTreeMap<&'static str, &'static str>,
+    differing: Vec<String>,
+}
+
+impl Comparison {
+    fn new() -> Self {
+        let stored = FIXTURES.lines().map(|line| line.split_once(' ').unwrap());
+        Comparison {
+            stored: stored.collect(),
+            differing: Vec::new(),
+        }
+    }
+
+    fn compare<T>(&mut self, name: &str, message: &T)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        let encoded = hex(&frame(message).unwrap());
+        let stored = self.stored.remove(name).unwrap_or_default();
+        if encoded != stored {
+            self.differing.push(format!("{name} {encoded}"));
+            return;
+        }
+        let bytes = unhex(stored);
+        let (decoded, size) = take::<T>(&bytes, LONGEST).unwrap().unwrap();
+        assert_eq!(size, bytes.len(), "{name}");
+        assert_eq!(&decoded, message, "{name}");
+        assert_eq!(hex(&frame(&decoded).unwrap()), stored, "{name}");
+    }
+
+    fn compare_all<T>(&mut self, group: &str, messages: impl IntoIterator<Item = T>)
+    where
+        T: Serialize + DeserializeOwned + PartialEq + Debug,
+    {
+        for (number, message) in messages.into_iter().enumerate() {
+            self.compare(&format!("{group}_{number}"), &message);
+        }
+    }
+
+    fn finish(self) {
+        let found = self.differing.join("\n");
+        assert!(found.is_empty(), "differ from the stored ones:\n{found}");
+        assert!(self.stored.is_empty(), "not compared: {:?}", self.stored);
+    }
+}
+
+fn members() -> Membership {
+    Membership {
+        voters: [1, 2, 300].into(),
+        learners: [4].into(),
+        highest_id: 300,
+    }
+}
+
+fn votes() -> Vec<Message> {
+    vec![
+        Message::RequestPreVote {
+            term: 200,
+            last_log: LogPosition {
+                term: 199,
+                index: 7,
+            },
+        },
+        Message::PreVoteResponse {
+            term: 200,
+            granted: true,
+        },
+        Message::RequestVote {
+            term: 200,
+            last_log: LogPosition {
+                term: 199,
+                index: 7,
+            },
+            leadership_transfer: true,
+        },
+        Message::VoteResponse {
+            term: 200,
+            granted: false,
+        },
+        Message::TimeoutNow { term: 200 },
+    ]
+}
+
+fn replication() -> Vec<Message> {
+    let payloads = [
+        Payload::Blank,
+        Payload::Command(vec![5, 6, 255]),
+        Payload::Membership(members()),
+    ];
+    let entries = (9..).zip(payloads).map(|(index, payload)| Entry {
+        term: 3,
+        index,
+        payload,
+    });
+    let response = |outcome| Message::AppendResponse {
+        term: 3,
+        outcome,
+        round: 400,
+    };
+    vec![
+        Message::AppendEntries {
+            term: 3,
+            previous: LogPosition { term: 2, index: 8 },
+            entries: entries.collect(),
+            commit: 7,
+            round: 400,
+        },
+        response(AppendOutcome::Matched(11)),
+        response(AppendOutcome::Conflict(4)),
+        Message::ReadIndex { read_id: 1_000 },
+        Message::ReadIndexResponse {
+            read_id: 1_000,
+            index: Some(11),
+        },
+        Message::ReadIndexResponse {
+            read_id: 1_000,
+            index: None,
+        },
+    ]
+}
+
+fn snapshots() -> Vec<Message> {
+    let metadata = SnapshotMetadata {
+        index: 500,
+        term: 3,
+        membership: members(),
+    };
+    vec![
+        Message::InstallSnapshot {
+            term: 3,
+            chunk: SnapshotChunk {
+                metadata,
+                offset: 262_144,
+                data: vec![1, 2, 3],
+                is_last: true,
+            },
+        },
+        Message::SnapshotResponse {
+            term: 3,
+            index: 500,
+            next_offset: Some(262_147),
+        },
+        Message::SnapshotResponse {
+            term: 3,
+            index: 500,
+            next_offset: None,
+        },
+    ]
+}
+
+fn steps() -> Vec<Operation> {
+    let txn = Txn {
+        conditions: vec![
+            Condition::RevisionIs("k".to_owned(), 300),
+            Condition::ValueIs("l".to_owned(), vec![1]),
+        ],
+        then: vec![
+            Mutation::Put {
+                key: "k".to_owned(),
+                value: vec![2, 255],
+                lease: Some(7),
+            },
+            Mutation::Put {
+                key: "l".to_owned(),
+                value: Vec::new(),
+                lease: None,
+            },
+        ],
+        otherwise: vec![Mutation::Delete("k".to_owned())],
+    };
+    vec![
+        Operation::Txn(txn),
+        Operation::GrantLease {
+            id: 7,
+            ttl: 5_000_000,
+        },
+        Operation::RevokeLease(7),
+        Operation::ExpireLease {
+            id: 7,
+            expires_at: 9_000_000,
+        },
+        Operation::Compact(300),
+    ]
+}
+
+fn calls() -> Vec<Call> {
+    let propose = |step| Call::Propose {
+        request: "r-1".to_owned(),
+        who: "operator".to_owned(),
+        step,
+    };
+    let mut calls: Vec<Call> = steps().into_iter().map(propose).collect();
+    calls.extend([
+        Call::ChangeMembership(MembershipChange::AddLearner(300)),
+        Call::ChangeMembership(MembershipChange::PromoteLearner(4)),
+        Call::ChangeMembership(MembershipChange::Remove(5)),
+        Call::TransferLeadership(2),
+    ]);
+    calls
+}
+
+fn answers() -> Vec<Response> {
+    let refused_outcomes = [
+        CommandError::TooLarge,
+        CommandError::StoreFull,
+        CommandError::UnknownLease(7),
+        CommandError::FutureRevision,
+    ];
+    let rejected = [
+        ProposalError::NotLeader,
+        ProposalError::ChangeInProgress,
+        ProposalError::IdAlreadyUsed,
+        ProposalError::UnknownMember,
+        ProposalError::LearnerBehind,
+        ProposalError::LastVoter,
+        ProposalError::Busy,
+    ];
+    let done = Outcome::Applied {
+        revision: 300,
+        conditions_held: true,
+    };
+    let mut answers = vec![
+        Response::Applied(done),
+        Response::MembershipChanged,
+        Response::ReadReady,
+        Response::NotLeader(None),
+        Response::NotLeader(Some(300)),
+        Response::OutcomeUnknown,
+    ];
+    answers.extend(refused_outcomes.map(|why| Response::Applied(Outcome::Rejected(why))));
+    answers.extend(rejected.map(Response::Rejected));
+    answers
+}
+
+fn welcomes() -> [Welcome; 2] {
+    let welcome = Welcome {
+        rejected: None,
+        born: 1 << 60,
+    };
+    let rejected = Some("this is no member".to_owned());
+    [
+        welcome.clone(),
+        Welcome {
+            rejected,
+            ..welcome
+        },
+    ]
+}
+
+#[test]
+fn frames_are_encoded_and_decoded_as_by_an_earlier_release() {
+    let mut comparison = Comparison::new();
+    comparison.compare("hello", &Hello::new("lahore", 300, 2, 1 << 60));
+    comparison.compare_all("welcome", welcomes());
+    comparison.compare_all("vote", votes().into_iter().map(Frame::Raft));
+    comparison.compare_all("replication", replication().into_iter().map(Frame::Raft));
+    comparison.compare_all("snapshot", snapshots().into_iter().map(Frame::Raft));
+    let ask = |call| Frame::ForwardCall { id: 1_000, call };
+    comparison.compare_all("call", calls().into_iter().map(ask));
+    let told = |answer| Frame::CallAnswer { id: 1_000, answer };
+    comparison.compare_all("answer", answers().into_iter().map(told));
+    let summary = ProgressSummary {
+        revision: 300,
+        serving: 1_900,
+        not_serving: 3,
+        least_applied: Some(298),
+        behind: [1, 2, 3, 400],
+        laggards: vec![Laggard {
+            name: "front-end-7".to_owned(),
+            applied: 298,
+        }],
+    };
+    comparison.compare("progress", &Frame::Progress(summary));
+    comparison.finish();
+}
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -11,8 +11,8 @@
 use violetgate_raft::{MembershipChange, NodeId};
 use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{
-    Answered, Beginning, Call, Cluster, ObserverConfig, ObserverService, Options, SubscriberConfig,
-    Subscription,
+    Bootstrap, Call, CallOutcome, ObserverConfig, ObserverService, ReplicaOptions, ReplicaRuntime,
+    SubscriberConfig, Subscription,
 };
 use violetgate_replicated_state::{Entries, Mutation, Operation, Outcome, Revision, Txn};
 
@@ -27,7 +27,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     folder: PathBuf,
     addresses: BTreeMap<NodeId, SocketAddr>,
-    pub members: BTreeMap<NodeId, Rc<Cluster>>,
+    pub members: BTreeMap<NodeId, Rc<ReplicaRuntime>>,
     /// Where observers serve.
     pub serving_at: BTreeMap<NodeId, SocketAddr>,
     pub services: BTreeMap<NodeId, Rc<ObserverService>>,
@@ -87,18 +87,18 @@
                 Vec::new()
             };
             let folder = fleet.folder.join(id.to_string());
-            let from = Beginning {
-                members,
-                state: Vec::new(),
+            let from = Bootstrap {
+                initial_members: members,
+                initial_state: Vec::new(),
             };
-            Cluster::begin(CLUSTER, id, &folder, 100 + id, from).unwrap();
+            ReplicaRuntime::initialize(CLUSTER, id, &folder, 100 + id, from).unwrap();
             fleet.start_member(id);
         }
         fleet
     }
 
     fn start_member(&mut self, id: NodeId) {
-        let options = Options {
+        let options = ReplicaOptions {
             cluster: CLUSTER.to_owned(),
             id,
             folder: self.folder.join(id.to_string()),
@@ -111,13 +111,13 @@
             seed: 7 + id,
         };
         self.members
-            .insert(id, Cluster::start(&self.executor, &options).unwrap());
+            .insert(id, ReplicaRuntime::start(&self.executor, &options).unwrap());
     }
 
     /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
-            self.agree(Call::Change(MembershipChange::AddLearner(id)))
+            self.agree(Call::ChangeMembership(MembershipChange::AddLearner(id)))
                 .await;
             self.serve_at(id, &change).await;
         }
@@ -168,7 +168,7 @@
         self.requests += 1;
         loop {
             let member = Rc::clone(self.members.values().next().unwrap());
-            if let Answered::Yes(answer) = member.agree(call.clone(), WAIT).await {
+            if let CallOutcome::Completed(answer) = member.submit(call.clone(), WAIT).await {
                 return answer;
             }
         }
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -4,6 +4,8 @@
 
 mod check;
 mod network;
+pub mod scenario;
+mod trace;
 mod upstream;
 
 use std::cmp::Reverse;
@@ -17,6 +19,7 @@
 
 pub use check::Seen;
 use network::Connection;
+pub use trace::Trace;
 
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000 * MS;
@@ -32,7 +35,7 @@
     ToObserver(ConnectionId),
     ToSubscriber(ConnectionId),
     /// An end of a connection learns that the other one is gone.
-    SubscriberLost(usize, NodeId, u64, Option<Refusal>),
+    SubscriberLost(usize, NodeId, u64, Option<Rejection>),
     ObserverLost(NodeId, ConnectionId),
     /// An observer applies what was agreed.
     Apply(NodeId),
@@ -96,6 +99,8 @@
     agreed: Vec<u64>,
     fingerprints: Vec<u64>,
     pub seen: Seen,
+    /// A digest of all that the cores do, where one is wanted.
+    pub trace: Option<Trace>,
     observer_config: ObserverConfig,
     subscriber_config: SubscriberConfig,
     #[cfg(feature = "mutants")]
@@ -127,6 +132,7 @@
             agreed: vec![0],
             fingerprints: vec![check::fingerprint(&Store::default())],
             seen: Seen::default(),
+            trace: None,
             subscriber_config: SubscriberConfig::default_for(
                 &config.cluster,
                 "front-end",
@@ -297,8 +303,8 @@
             Event::Connect(n, id, attempt, hello) => self.connect(n, id, attempt, hello),
             Event::ToObserver(id) => self.deliver_to_observer(id),
             Event::ToSubscriber(id) => self.deliver_to_subscriber(id),
-            Event::SubscriberLost(n, id, attempt, refusal) => {
-                self.subscriber_lost(n, id, attempt, refusal)
+            Event::SubscriberLost(n, id, attempt, rejection) => {
+                self.subscriber_lost(n, id, attempt, rejection)
             }
             Event::ObserverLost(id, connection) => self.observer_lost(id, connection),
             Event::Apply(id) => self.apply(id),
@@ -306,6 +312,7 @@
             Event::ReadFailed(id, starts, read) => self.read_failed(id, starts, read),
             Event::CheckAll => {
                 self.check_all();
+                self.trace_states();
                 self.plan(self.now + 20 * MS, Event::CheckAll);
             }
         }
@@ -347,19 +354,24 @@
             let Some(core) = self.observers.get_mut(&id).unwrap().core.as_mut() else {
                 return;
             };
-            let actions = core.actions();
+            let actions = core.take_actions();
             if actions.is_empty() {
                 break;
             }
             for action in actions {
+                self.trace_observer(id, &action);
                 match action {
-                    ObserverAction::Send(connection, message) => {
-                        self.send_to_subscriber(connection, message)
+                    ObserverAction::Send {
+                        connection,
+                        message,
+                    } => self.send_to_subscriber(connection, message),
+                    ObserverAction::Close {
+                        connection,
+                        rejection,
+                    } => {
+                        self.end_by_observer(connection, Some(rejection));
                     }
-                    ObserverAction::Close(connection, refusal) => {
-                        self.end_by_observer(connection, Some(refusal));
-                    }
-                    ObserverAction::Read(read) => self.begin_read(id, read),
+                    ObserverAction::BeginRead(read) => self.begin_read(id, read),
                 }
             }
         }
@@ -377,11 +389,18 @@
 
     /// Carries out what a subscriber wants done, checks it, and plans its next tick.
     pub(crate) fn after_subscriber(&mut self, n: usize) {
-        for action in self.subscribers[n].core.actions() {
+        for action in self.subscribers[n].core.take_actions() {
+            self.trace_subscriber(n, &action);
             match action {
-                SubscriberAction::Connect(id, hello) => self.begin_connect(n, id, hello),
+                SubscriberAction::Connect {
+                    observer: id,
+                    hello,
+                } => self.begin_connect(n, id, hello),
                 SubscriberAction::Disconnect(id) => self.disconnect_by_subscriber(n, id),
-                SubscriberAction::Send(id, message) => self.send_to_observer(n, id, message),
+                SubscriberAction::Send {
+                    observer: id,
+                    message,
+                } => self.send_to_observer(n, id, message),
             }
         }
         self.check_replica(n);
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -4,6 +4,7 @@
 use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
 use violetgate_state_distribution::*;
 
+use super::trace::Record;
 use super::{check, Event, World, MS};
 
 impl World {
@@ -65,11 +66,13 @@
             process.store.apply(command);
         }
         process.applied = to;
+        self.trace(id, Record::Applied(to));
+        let process = self.observers.get_mut(&id).unwrap();
         process
             .core
             .as_mut()
             .unwrap()
-            .applied(self.now, &process.store);
+            .store_applied(self.now, &process.store);
         self.end_reads(id);
         self.plan_apply(id);
         self.after_observer(id);
@@ -114,10 +117,8 @@
             .partition(|(index, _)| *index <= applied);
         process.reads = rest;
         let done: Vec<(usize, ReadId)> = done;
-        if let Some(core) = &mut process.core {
-            for (_, read) in done {
-                core.read_ended(self.now, read, true, &process.store);
-            }
+        for (_, read) in done {
+            self.read_completed(id, read, true);
         }
     }
 
@@ -126,9 +127,22 @@
         if process.starts != starts {
             return;
         }
-        if let Some(core) = &mut process.core {
-            core.read_ended(self.now, read, false, &process.store);
+        if process.core.is_some() {
+            self.read_completed(id, read, false);
             self.after_observer(id);
         }
     }
+
+    fn read_completed(&mut self, id: NodeId, read: ReadId, current: bool) {
+        let process = self.observers.get_mut(&id).unwrap();
+        if let Some(core) = &mut process.core {
+            let result = if current {
+                ReadResult::Current
+            } else {
+                ReadResult::Failed
+            };
+            core.read_completed(self.now, read, result, &process.store);
+            self.trace(id, Record::ReadEnded(read, current));
+        }
+    }
 }
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -5,10 +5,10 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use violetgate_replica_runtime::{Beginning, Cluster};
+use violetgate_replica_runtime::{Bootstrap, ReplicaRuntime};
 
 use super::client::{at, print, At, Client, PAUSE};
-use crate::daemon::MemberStep;
+use crate::replication::MembershipStep;
 use crate::settings;
 
 /// Makes members, and changes who belongs to a cluster.
@@ -89,8 +89,11 @@
     } else {
         given.addresses().into_keys().collect()
     };
-    let from = Beginning { members, state };
-    Cluster::begin(
+    let from = Bootstrap {
+        initial_members: members,
+        initial_state: state,
+    };
+    ReplicaRuntime::initialize(
         &given.name,
         given.id,
         &given.folder,
@@ -123,14 +126,14 @@
     let step = match &members.call {
         MembersCall::Init { settings, join } => return begin(settings, *join, Vec::new()),
         MembersCall::List => return list(&client),
-        MembersCall::Add { id, listen, api } => MemberStep::Add {
+        MembersCall::Add { id, listen, api } => MembershipStep::Add {
             id: *id,
             listen: *listen,
             api: *api,
         },
-        MembersCall::Promote { id } => MemberStep::Promote(*id),
-        MembersCall::Remove { id } => MemberStep::Remove(*id),
-        MembersCall::Transfer { id } => MemberStep::Transfer(*id),
+        MembersCall::Promote { id } => MembershipStep::Promote(*id),
+        MembersCall::Remove { id } => MembershipStep::Remove(*id),
+        MembersCall::Transfer { id } => MembershipStep::Transfer(*id),
         MembersCall::Replace {
             old,
             id,
@@ -147,7 +150,7 @@
             }
             // A second run goes on where the first one ended.
             if !all.iter().any(|m| *at(m, "id") == json!(id)) {
-                client.step(&MemberStep::Add {
+                client.step(&MembershipStep::Add {
                     id: *id,
                     listen: *listen,
                     api: *api,
@@ -168,13 +171,13 @@
                 {
                     break;
                 }
-                match client.step(&MemberStep::Promote(*id)) {
+                match client.step(&MembershipStep::Promote(*id)) {
                     Err(e) if Instant::now() > until => return Err(e),
                     _ => std::thread::sleep(PAUSE * 5),
                 }
             }
             client.patient(Duration::from_secs(30));
-            MemberStep::Remove(*old)
+            MembershipStep::Remove(*old)
         }
     };
     client.step(&step)?;
--- a/gateway/src/daemon/subscribed.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -12,8 +12,8 @@
 use violetgate_raft::NodeId;
 use violetgate_replica_runtime::{SubscriberConfig, Subscription, SubscriptionStatus};
 
-use super::adoption::{Adoption, Parts};
-use super::figures::SubscriberFigures;
+use super::metrics::SubscriberFigures;
+use super::reconcile::{ControlTargets, Reconciler};
 use super::LOOK;
 use crate::fence::Fence;
 use crate::log;
@@ -25,13 +25,13 @@
 const LONGEST_LOOK: Duration = Duration::from_millis(250);
 
 /// This front end as a subscriber.
-pub struct Subscribed {
+pub struct ClusterSubscriber {
     subscription: Rc<Subscription>,
-    state: Adoption,
+    state: Reconciler,
     shut: Cell<bool>,
 }
 
-impl Fence for Subscribed {
+impl Fence for ClusterSubscriber {
     fn is_open(&self) -> bool {
         self.subscription.may_route().is_ok()
     }
@@ -43,9 +43,9 @@
     let defaults = SubscriberConfig::default_for(&given.name, &given.front_end, observers);
     SubscriberConfig {
         drain_limit: micros(given.drain_limit.0),
-        confirm_every: micros(given.confirm_every.0),
-        answer_within: defaults
-            .answer_within
+        poll_interval: micros(given.confirm_every.0),
+        poll_timeout: defaults
+            .poll_timeout
             .min(micros(given.drain_limit.0 / ANSWERS_IN_LIMIT)),
         ..defaults
     }
@@ -55,7 +55,7 @@
     id.map_or("none".to_owned(), |id| id.to_string())
 }
 
-impl Subscribed {
+impl ClusterSubscriber {
     /// Begins to subscribe. Nothing may be sent until the state is confirmed.
     #[must_use]
     pub fn start(
@@ -66,8 +66,8 @@
     ) -> Rc<Self> {
         let subscription =
             Subscription::start(executor, config(given), given.observer_addresses(), seed);
-        let state = Adoption::new(given.front_end.clone(), own);
-        Rc::new(Subscribed {
+        let state = Reconciler::new(given.front_end.clone(), own);
+        Rc::new(ClusterSubscriber {
             subscription,
             state,
             shut: Cell::new(true),
@@ -75,7 +75,7 @@
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: Parts) {
+    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
         self.state.attach(parts);
         let me = Rc::downgrade(self);
         // In the very turn in which it is applied: the gate may count it from then on.
@@ -144,47 +144,47 @@
         let SubscriptionStatus {
             revision,
             watched,
-            reserve,
-            fresh,
-            refusal,
+            standby,
+            freshness,
+            rejection,
         } = self.status();
-        let (watched, reserve) = (number(watched), number(reserve));
+        let (watched, standby) = (number(watched), number(standby));
         if !shut {
             return log::line(format_args!(
-                "cluster sends again: revision={revision} observer={watched} reserve={reserve}"
+                "cluster sends again: revision={revision} observer={watched} reserve={standby}"
             ));
         }
-        let age = fresh.err().and_then(|stale| stale.age);
+        let age = freshness.err().and_then(|stale| stale.age);
         let age = age.map_or("unknown".to_owned(), |age| (age / 1000).to_string());
-        let refused = refusal.map_or("none".to_owned(), |why| format!("{}: {why}", why.code()));
+        let refused = rejection.map_or("none".to_owned(), |why| format!("{}: {why}", why.code()));
         log::line(format_args!(
             "cluster reason=stale sends nothing: age_ms={age} revision={revision} observer={watched} \
-             reserve={reserve} refused={refused}"
+             reserve={standby} refused={refused}"
         ));
     }
 }
 
-async fn look(of: Weak<Subscribed>) {
+async fn look(of: Weak<ClusterSubscriber>) {
     let mut observer = None;
     while let Some(subscribed) = of.upgrade() {
         subscribed.look();
         let SubscriptionStatus {
             watched,
-            reserve,
+            standby,
             revision,
             ..
         } = subscribed.status();
         if observer != watched {
             observer = watched;
-            let (watched, reserve) = (number(watched), number(reserve));
+            let (watched, standby) = (number(watched), number(standby));
             log::line(format_args!(
-                "cluster observer={watched} reserve={reserve} revision={revision}"
+                "cluster observer={watched} reserve={standby} revision={revision}"
             ));
         }
         // An open gate can't shut before that: fifty looks a second would be most of what control costs.
         let pause = subscribed
             .subscription
-            .remaining()
+            .time_until_stale()
             .clamp(LOOK, LONGEST_LOOK);
         drop(subscribed);
         Timer::after(pause).await;
