--- a/fleet/membership-udp/src/frame.rs
+++ b/fleet/membership-udp/src/frame.rs
@@ -1,122 +1,81 @@
-//! A datagram of the fleet: who is meant by it, in what version, and one message. It does no I/O.
+//! The form of a datagram: a magic number, the protocol's version, the fleet's name and one message, by postcard.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use violetgate_membership::Message;
 
-/// The version of this protocol. A front end of another one is turned away, and the log says so.
-pub const VERSION: u16 = 1;
-/// The longest datagram: what 16 claims with the longest names come to, with room.
-pub const LONGEST: usize = 8 << 10;
-/// `VGFL`, so that whatever speaks something else is noticed at once.
+/// The version of this protocol. A gateway of another one is rejected, and the log says so.
+pub const PROTOCOL_VERSION: u16 = 1;
+/// The longest datagram, in bytes: more than any message needs.
+pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
+/// `VGFL`: tells the fleet's datagrams from those of other protocols.
 const MAGIC: [u8; 4] = *b"VGFL";
+/// How much of another fleet's name is repeated in an error, in characters.
+const MAX_REPORTED_NAME_CHARS: usize = 64;
 
-/// Why a datagram is not heeded.
+/// Why a datagram is rejected. The texts say what an operator can check.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Refused {
-    /// It is none of the fleet's.
+pub enum FrameError {
+    /// It is of another protocol.
     #[error("no datagram of a fleet: something else sends to this address")]
-    Stranger,
-    /// Another version.
-    #[error("it speaks version {0} of the fleet's protocol, this is version {VERSION}: finish the upgrade")]
-    Version(u16),
-    /// Another fleet.
+    UnknownProtocol,
+    /// It has another version.
+    #[error("it speaks version {0} of the fleet's protocol, this is version {PROTOCOL_VERSION}: finish the upgrade")]
+    UnsupportedVersion(u16),
+    /// It is of another fleet.
     #[error("it belongs to fleet {0:?}: check `fleet.name` and `fleet.seeds` in its settings")]
-    Fleet(String),
-    /// It can't be read.
+    OtherFleet(String),
+    /// It can't be decoded.
     #[error("it can't be read: check that all front ends run the same build")]
-    Garbage,
+    Malformed,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct Header {
     magic: [u8; 4],
     version: u16,
 }
 
-/// Writes a datagram; `None`: the message is longer than any that is sent.
+/// Encodes a datagram; `None` if the message is longer than any that may be sent.
 #[must_use]
-pub fn write(fleet: &str, message: &Message) -> Option<Vec<u8>> {
-    let head = Head {
+pub fn encode(fleet: &str, message: &Message) -> Option<Vec<u8>> {
+    let header = Header {
         magic: MAGIC,
-        version: VERSION,
+        version: PROTOCOL_VERSION,
     };
-    postcard::to_stdvec(&(head, fleet, message))
+    postcard::to_stdvec(&(header, fleet, message))
         .ok()
-        .filter(|bytes| bytes.len() <= LONGEST)
+        .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
 }
 
-/// Reads a datagram of this fleet.
+/// Decodes a datagram of this fleet.
 ///
 /// # Errors
 ///
-/// It is none that can be heeded; the error says what to look at.
-pub fn read(fleet: &str, bytes: &[u8]) -> Result<Message, Refused> {
-    // The head comes first and by itself: the rest may have another form in another version.
-    let (head, rest) = postcard::take_from_bytes::<Head>(bytes).map_err(|_| Refused::Stranger)?;
-    if head.magic != MAGIC {
-        return Err(Refused::Stranger);
+/// [`FrameError`] if the datagram is rejected.
+pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, FrameError> {
+    // The header is decoded by itself: what follows may have another form in another version.
+    let (header, rest) =
+        postcard::take_from_bytes::<Header>(bytes).map_err(|_| FrameError::UnknownProtocol)?;
+    if header.magic != MAGIC {
+        return Err(FrameError::UnknownProtocol);
     }
-    if head.version != VERSION {
-        return Err(Refused::Version(head.version));
+    if header.version != PROTOCOL_VERSION {
+        return Err(FrameError::UnsupportedVersion(header.version));
     }
-    let (theirs, rest) = postcard::take_from_bytes::<&str>(rest).map_err(|_| Refused::Garbage)?;
-    if theirs != fleet {
-        return Err(Refused::Fleet(theirs.chars().take(64).collect()));
+    let (other_fleet, rest) =
+        postcard::take_from_bytes::<&str>(rest).map_err(|_| FrameError::Malformed)?;
+    if other_fleet != fleet {
+        let name = other_fleet.chars().take(MAX_REPORTED_NAME_CHARS).collect();
+        return Err(FrameError::OtherFleet(name));
     }
-    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| Refused::Garbage)?;
+    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| FrameError::Malformed)?;
     if rest.is_empty() {
         Ok(message)
     } else {
-        Err(Refused::Garbage)
+        Err(FrameError::Malformed)
     }
 }
 
 #[cfg(test)]
-#[allow(clippy::unwrap_used, clippy::indexing_slicing)]
-mod tests {
-    use super::*;
-    use violetgate_membership::{Body, Claim, State, MOST_CLAIMS};
-
-    fn message(claims: usize) -> Message {
-        let name: String = "n".repeat(64);
-        let claim = Claim {
-            name: name.as_str().into(),
-            addr: "[2001:db8::ffff:ffff]:65535".parse().unwrap(),
-            life: u64::MAX,
-            turn: u32::MAX,
-            state: State::Suspect,
-            by: Some(name.as_str().into()),
-        };
-        Message {
-            body: Body::PingFor(u64::MAX, name.as_str().into(), claim.addr),
-            claims: vec![claim; claims],
-        }
-    }
-
-    /// The longest message fits, what is cut or bent anywhere is turned away, and so are strangers, by what they are.
-    #[test]
-    fn only_whole_datagrams_of_this_fleet_are_read() {
-        let longest = message(MOST_CLAIMS);
-        let bytes = write("wards", &longest).unwrap();
-        assert_eq!(read("wards", &bytes), Ok(longest));
-        for end in 0..bytes.len() {
-            assert!(read("wards", &bytes[..end]).is_err(), "cut at {end}");
-        }
-        assert_eq!(
-            read("others", &bytes),
-            Err(Refused::Fleet("wards".to_owned()))
-        );
-        assert_eq!(read("wards", b"GET / HTTP/1.1"), Err(Refused::Stranger));
-        let mut newer = bytes.clone();
-        newer[4] = 9;
-        assert_eq!(read("wards", &newer), Err(Refused::Version(9)));
-        let more = [&bytes[..], b"x"].concat();
-        assert_eq!(read("wards", &more), Err(Refused::Garbage));
-        for at in 0..bytes.len() {
-            let mut bent = bytes.clone();
-            bent[at] ^= 0x41;
-            let _ = read("wards", &bent);
-        }
-    }
-}
+mod tests;
--- a/fleet/membership-udp/tests/datagrams.rs
+++ b/fleet/membership-udp/tests/datagrams.rs
@@ -2,57 +2,80 @@
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
-use violetgate_membership::{Body, BucketSet, Claim, Message, State, ViewSums, Want, BUCKETS};
-use violetgate_membership_udp::frame::{read, write};
+use violetgate_membership::{
+    BucketRequest, BucketSet, BucketSums, MemberState, MemberUpdate, Message, MessageBody,
+    BUCKET_COUNT,
+};
+use violetgate_membership_udp::frame::{decode, encode};
 
 const FLEET: &str = "lahore";
 
-fn claim(name: &str, state: State, accuser: Option<&str>) -> Claim {
-    Claim {
+fn update(name: &str, state: MemberState, accuser: Option<&str>) -> MemberUpdate {
+    MemberUpdate {
         name: name.into(),
         addr: "10.20.30.40:7946".parse().unwrap(),
-        life: 1_700_000_000_123_456,
-        turn: 3,
+        incarnation: 1_700_000_000_123_456,
+        refutations: 3,
         state,
-        by: accuser.map(Into::into),
+        accuser: accuser.map(Into::into),
     }
 }
 
-/// One of each message, as the stored datagrams hold them.
+/// One of each message; the labels are those of the stored datagrams.
 fn messages() -> Vec<(&'static str, Message)> {
     let target = "[2001:db8::7]:7946".parse().unwrap();
-    let sums = ViewSums {
-        known: 40,
-        sums: (0..BUCKETS as u32).map(|bucket| bucket * 77_777).collect(),
+    let sums = BucketSums {
+        known_members: 40,
+        sums: (0..BUCKET_COUNT as u32)
+            .map(|bucket| bucket * 77_777)
+            .collect(),
     };
-    let want = Want {
-        buckets: [0, 7, 8, 100, BUCKETS - 1]
+    let request = BucketRequest {
+        buckets: [0, 7, 8, 100, BUCKET_COUNT - 1]
             .into_iter()
             .collect::<BucketSet>(),
         mutual: true,
     };
     let bodies = vec![
-        ("ping", Body::Ping(300)),
-        ("ack", Body::Ack(u64::MAX)),
-        ("ping-for", Body::PingFor(9, "gateway-b".into(), target)),
-        ("ack-for", Body::AckFor(9, "gateway-b".into())),
-        ("tell", Body::Tell),
-        ("compare", Body::Compare(0x0123_4567_89ab_cdef)),
-        ("sums", Body::Sums(sums)),
-        ("want", Body::Want(want)),
-        ("piece", Body::Piece),
+        ("ping", MessageBody::Ping { sequence: 300 }),
+        ("ack", MessageBody::Ack { sequence: u64::MAX }),
+        (
+            "ping-for",
+            MessageBody::IndirectPing {
+                sequence: 9,
+                target: "gateway-b".into(),
+                addr: target,
+            },
+        ),
+        (
+            "ack-for",
+            MessageBody::IndirectAck {
+                sequence: 9,
+                target: "gateway-b".into(),
+            },
+        ),
+        ("tell", MessageBody::Gossip),
+        (
+            "compare",
+            MessageBody::ViewDigest {
+                digest: 0x0123_4567_89ab_cdef,
+            },
+        ),
+        ("sums", MessageBody::BucketSums(sums)),
+        ("want", MessageBody::BucketRequest(request)),
+        ("piece", MessageBody::BucketTransfer),
     ];
-    let own = claim("gateway-a", State::Alive, None);
-    let claims = vec![
+    let own = update("gateway-a", MemberState::Alive, None);
+    let updates = vec![
         own.clone(),
         own,
-        claim("gateway-b", State::Suspect, Some("gateway-c")),
-        claim("gateway-c", State::Dead, None),
-        claim("gateway-d", State::Left, None),
+        update("gateway-b", MemberState::Suspect, Some("gateway-c")),
+        update("gateway-c", MemberState::Dead, None),
+        update("gateway-d", MemberState::Left, None),
     ];
     let message = |(name, body)| {
-        let claims = claims.clone();
-        (name, Message { body, claims })
+        let updates = updates.clone();
+        (name, Message { body, updates })
     };
     bodies.into_iter().map(message).collect()
 }
@@ -62,7 +85,7 @@
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let lines: String = messages()
         .iter()
-        .map(|(name, message)| format!("{name} {}\n", hex(&write(FLEET, message).unwrap())))
+        .map(|(name, message)| format!("{name} {}\n", hex(&encode(FLEET, message).unwrap())))
         .collect();
     let stored = include_str!("fixtures/datagrams.txt");
     assert_eq!(lines, stored, "\n{lines}");
@@ -71,9 +94,9 @@
         let bytes: Vec<u8> = (0..digits.len() / 2)
             .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).unwrap())
             .collect();
-        let heard = read(FLEET, &bytes).unwrap();
+        let heard = decode(FLEET, &bytes).unwrap();
         assert_eq!(&heard, message, "{name}");
-        assert!(heard.sender().is_ok(), "{name}");
-        assert_eq!(write(FLEET, &heard).unwrap(), bytes, "{name}");
+        assert!(heard.validated_sender().is_ok(), "{name}");
+        assert_eq!(encode(FLEET, &heard).unwrap(), bytes, "{name}");
     }
 }
--- a/fleet/membership/src/message.rs
+++ b/fleet/membership/src/message.rs
@@ -1,160 +1,142 @@
-//! What members say to each other. Each message begins with its sender's claim of itself; claims of others ride along.
+//! The messages between members. They travel by postcard: the order of variants and fields is the wire format.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::claim::{Claim, Name, State};
-use crate::digest::BUCKETS;
+use crate::member_update::{MemberName, MemberState, MemberUpdate, MAX_NAME_BYTES};
+use crate::view_digest::{BucketSet, BUCKET_COUNT};
 
-/// The most claims in one message: with the longest names it stays under 4 KiB, with usual ones under 1,400 bytes.
-pub const MOST_CLAIMS: usize = 16;
+/// The most updates in one message. With the longest names it stays under 4 KiB, with usual ones under 1,400 bytes.
+pub const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
 /// What a message is for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Body {
-    /// Answer me.
-    Ping(u64),
-    /// The answer, under the number of the ping.
-    Ack(u64),
-    /// Ping that one for me.
-    PingFor(u64, Name, SocketAddr),
-    /// It has answered a ping made for you.
-    AckFor(u64, Name),
-    /// Claims only.
-    Tell,
-    /// What my view comes to; say what you hold if yours is another. A sender that reads [`Body::Sums`] repeats its own
-    /// claim as the second one, which changes nothing for a build that does not.
-    Compare(u64),
-    /// What my view comes to by bucket of names. This and what follows goes only to those that read it.
-    Sums(ViewSums),
-    /// Send me your claims of these buckets.
-    Want(Want),
-    /// Claims that were asked for: what the receiver does not know of is no news to others.
-    Piece,
+pub enum MessageBody {
+    /// A probe, to be answered with [`MessageBody::Ack`].
+    Ping {
+        /// The prober's number for it.
+        sequence: u64,
+    },
+    /// The answer to a probe.
+    Ack {
+        /// The probe's number.
+        sequence: u64,
+    },
+    /// A request to probe another member, as its observer has no answer.
+    IndirectPing {
+        /// The observer's number for its probe.
+        sequence: u64,
+        /// The member to probe.
+        target: MemberName,
+        /// Where the observer knows it to be.
+        addr: SocketAddr,
+    },
+    /// The target of an indirect probe has answered.
+    IndirectAck {
+        /// The number of the observer's probe.
+        sequence: u64,
+        /// The member that has answered.
+        target: MemberName,
+    },
+    /// Nothing but updates.
+    Gossip,
+    /// The digest of the sender's view; a receiver whose view differs answers with [`MessageBody::BucketSums`].
+    ///
+    /// A sender that reads bucket sums repeats its own update as the second one, which has no effect on a build that
+    /// doesn't read them.
+    ViewDigest {
+        /// The sum over all buckets.
+        digest: u64,
+    },
+    /// The digests of the sender's buckets. This message and those after it go only to members that read them.
+    BucketSums(BucketSums),
+    /// A request for the updates in some buckets.
+    BucketRequest(BucketRequest),
+    /// Updates that were requested: members that the receiver doesn't know are not passed on as gossip.
+    BucketTransfer,
 }
 
-/// A view by buckets.
+/// A view's digests by bucket.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ViewSums {
-    /// How many others the sender knows.
-    pub known: u32,
-    /// A sum for each of the [`BUCKETS`] buckets.
+pub struct BucketSums {
+    /// How many other members the sender knows.
+    pub known_members: u32,
+    /// A sum for each of the [`BUCKET_COUNT`] buckets.
     pub sums: Vec<u32>,
 }
 
-/// A request for claims.
+/// A request for the updates in some buckets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Want {
-    /// Of which buckets.
+pub struct BucketRequest {
+    /// The buckets.
     pub buckets: BucketSet,
-    /// The sender has other claims in these buckets; ask for them.
+    /// Whether the receiver should request the sender's updates in these buckets in turn.
     pub mutual: bool,
 }
 
-/// Some of the buckets, a bit for each.
-#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct BucketSet(Vec<u8>);
-
-impl BucketSet {
-    /// Whether a bucket is among them.
-    #[must_use]
-    pub fn contains(&self, bucket: usize) -> bool {
-        self.0
-            .get(bucket / 8)
-            .is_some_and(|byte| byte & (1 << (bucket % 8)) != 0)
-    }
-
-    /// All that are among them.
-    pub fn iter(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..BUCKETS).filter(|bucket| self.contains(*bucket))
-    }
-
-    /// Whether there is none.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.0.iter().all(|byte| *byte == 0)
-    }
-}
-
-impl FromIterator<usize> for BucketSet {
-    fn from_iter<I: IntoIterator<Item = usize>>(buckets: I) -> Self {
-        let mut bytes = vec![0u8; BUCKETS / 8];
-        for bucket in buckets {
-            bytes
-                .get_mut(bucket / 8)
-                .into_iter()
-                .for_each(|byte| *byte |= 1 << (bucket % 8));
-        }
-        BucketSet(bytes)
-    }
-}
-
-/// One message.
+/// A message between members.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
     /// What it is for.
-    pub body: Body,
-    /// The sender's claim of itself, then claims of others.
-    pub claims: Vec<Claim>,
+    pub body: MessageBody,
+    /// The sender's update of itself, then updates of others.
+    pub updates: Vec<MemberUpdate>,
 }
 
-/// Why a message is not heeded.
+/// Why a message is rejected. The texts say what an operator can check.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Unfit {
-    /// It has no claim of its sender, or too many claims.
-    #[error("a message with {0} claims: check that all front ends run the same version")]
-    Claims(usize),
-    /// A claim can't be used.
-    #[error(
-        "a claim of {0:?} that can't be used: check the names and addresses in its `fleet` block"
-    )]
-    Claim(String),
-    /// Its sender claims something other than to be alive, or to have left.
+pub enum InvalidMessage {
+    /// It has no update of its sender, or more than [`MAX_UPDATES_PER_MESSAGE`] updates.
+    #[error("a message with {0} updates: check that all gateways run the same version")]
+    UpdateCount(usize),
+    /// One of its updates is not usable.
+    #[error("an invalid update of {0:?}: check the names and addresses in its `fleet` block")]
+    InvalidUpdate(String),
+    /// Its sender says of itself neither that it is alive nor that it has left.
     #[error(
-        "a message of {0:?}, which does not claim to be alive: check that all run the same version"
+        "a message of {0:?}, which does not say that it is alive: check that all run the same version"
     )]
-    Sender(String),
-    /// It has another number of buckets.
-    #[error("a message with sums of {0} buckets: check that all front ends run the same version")]
-    Buckets(usize),
+    SenderNotAlive(String),
+    /// Its sender divides views into another number of buckets.
+    #[error("a message with {0} digest buckets: check that all gateways run the same version")]
+    BucketCount(usize),
 }
 
 impl Message {
-    /// Whether it can be heeded; the sender's claim.
+    /// Validates the message and returns its sender's update of itself.
     ///
     /// # Errors
     ///
-    /// It can't; the error says what to look at.
-    pub fn sender(&self) -> Result<&Claim, Unfit> {
-        let first = self
-            .claims
+    /// [`InvalidMessage`] if the message is to be rejected.
+    pub fn validated_sender(&self) -> Result<&MemberUpdate, InvalidMessage> {
+        let sender = self
+            .updates
             .first()
-            .filter(|_| self.claims.len() <= MOST_CLAIMS);
-        let first = first.ok_or(Unfit::Claims(self.claims.len()))?;
-        if let Some(bad) = self.claims.iter().find(|c| !c.is_sound()) {
-            return Err(Unfit::Claim(
-                bad.name.chars().take(crate::LONGEST_NAME).collect(),
-            ));
+            .filter(|_| self.updates.len() <= MAX_UPDATES_PER_MESSAGE)
+            .ok_or(InvalidMessage::UpdateCount(self.updates.len()))?;
+        if let Some(invalid) = self.updates.iter().find(|update| !update.is_valid()) {
+            let name = invalid.name.chars().take(MAX_NAME_BYTES).collect();
+            return Err(InvalidMessage::InvalidUpdate(name));
         }
-        if !matches!(first.state, State::Alive | State::Left) {
-            return Err(Unfit::Sender(first.name.to_string()));
+        if !matches!(sender.state, MemberState::Alive | MemberState::Left) {
+            return Err(InvalidMessage::SenderNotAlive(sender.name.to_string()));
         }
-        let buckets = match &self.body {
-            Body::Sums(view) => view.sums.len(),
-            Body::Want(want) => want.buckets.0.len() * 8,
-            _ => BUCKETS,
+        let bucket_count = match &self.body {
+            MessageBody::BucketSums(view) => view.sums.len(),
+            MessageBody::BucketRequest(request) => request.buckets.bucket_count(),
+            _ => BUCKET_COUNT,
         };
-        if buckets != BUCKETS {
-            return Err(Unfit::Buckets(buckets));
+        if bucket_count != BUCKET_COUNT {
+            return Err(InvalidMessage::BucketCount(bucket_count));
         }
-        Ok(first)
+        Ok(sender)
     }
 
-    /// Whether the sender of a comparison reads sums by bucket.
+    /// Whether the sender of a [`MessageBody::ViewDigest`] reads [`MessageBody::BucketSums`].
     #[must_use]
-    pub fn reads_sums(&self) -> bool {
-        self.claims.len() > 1 && self.claims.first() == self.claims.get(1)
+    pub fn sender_reads_bucket_sums(&self) -> bool {
+        self.updates.len() > 1 && self.updates.first() == self.updates.get(1)
     }
 }
--- /dev/null
+++ b/fleet/membership/src/reconnect.rs
@@ -0,0 +1,87 @@
+//! Contacting dead members and seeds now and then, which heals a split; and forgetting those that departed long ago.
+
+use std::net::SocketAddr;
+
+use rand_chacha::rand_core::RngCore;
+
+use crate::member_update::{MemberName, MemberState, MemberUpdate};
+use crate::membership::{Action, Membership, SeedAddr};
+use crate::peer::Peer;
+
+/// How often a second a dead member is contacted by all others together, about.
+const CONTACTS_PER_S: usize = 8;
+/// How many addresses one member contacts at a time.
+const MAX_CONTACTS: usize = 2;
+
+impl Membership {
+    /// Sends the view's digest to some dead members, and to seeds at which nobody is known, if that is due.
+    pub(crate) fn contact_departed(&mut self, actions: &mut Vec<Action>) {
+        if self.now < self.schedule.next_reconnect_at {
+            return;
+        }
+        self.schedule.next_reconnect_at = self.now + self.config.probe_interval;
+        let mut addrs = self.dead_addrs();
+        addrs.extend(self.unoccupied_seeds());
+        for _ in 0..self.contact_count(addrs.len()) {
+            let index = (self.rng.next_u64() % addrs.len() as u64) as usize;
+            let to = addrs.swap_remove(index);
+            let departed = self.peers.departed().find(|peer| peer.update.addr == to);
+            let update = departed.map(|peer| MemberUpdate::clone(&peer.update));
+            let message = self.view_digest_message(update);
+            actions.push(Action::Send { to, message });
+        }
+    }
+
+    fn dead_addrs(&self) -> Vec<SocketAddr> {
+        let departed = self.peers.departed();
+        let dead = departed.filter(|peer| peer.update.state == MemberState::Dead);
+        dead.map(|peer| peer.update.addr).collect()
+    }
+
+    /// How many of so many addresses to contact. In a large fleet most members leave it to others, so that a member
+    /// that is back is not flooded.
+    fn contact_count(&mut self, addr_count: usize) -> usize {
+        let count = addr_count.min(MAX_CONTACTS);
+        let enough = CONTACTS_PER_S * addr_count;
+        let by_all_members = count * self.peers.serving_count();
+        if enough < by_all_members && self.rng.next_u64() % by_all_members as u64 >= enough as u64 {
+            return 0;
+        }
+        count
+    }
+
+    /// The seeds at which no member is known. Which member is at a seed is remembered, so that the whole table is
+    /// searched only while none is.
+    fn unoccupied_seeds(&mut self) -> Vec<SocketAddr> {
+        let mut unoccupied = Vec::new();
+        for SeedAddr { addr, member } in &mut self.seeds {
+            let is_at_seed = |peer: &Peer| peer.update.addr == *addr;
+            let remembered = member.as_ref().and_then(|name| self.peers.get(name));
+            if remembered.is_some_and(is_at_seed) {
+                continue;
+            }
+            let found = self.peers.values().find(|peer| is_at_seed(peer));
+            *member = found.map(|peer| MemberName::clone(&peer.update.name));
+            if member.is_none() {
+                unoccupied.push(*addr);
+            }
+        }
+        unoccupied
+    }
+
+    /// Forgets the members that departed long ago, if that is due.
+    pub(crate) fn forget_departed(&mut self) {
+        if self.now < self.schedule.next_forget_at {
+            return;
+        }
+        self.schedule.next_forget_at = self.now + self.config.probe_interval;
+        let is_over = |peer: &&Peer| self.now >= peer.state_since + self.config.forget_after;
+        let departed = self.peers.departed().filter(is_over);
+        let names: Vec<MemberName> = departed
+            .map(|peer| MemberName::clone(&peer.update.name))
+            .collect();
+        for name in names {
+            self.peers.remove(&name);
+        }
+    }
+}
--- /dev/null
+++ b/fleet/membership/src/ticker.rs
@@ -0,0 +1,28 @@
+//! The entry for the passing of time.
+
+use crate::config::Mutant;
+use crate::membership::{Action, Membership};
+use crate::Micros;
+
+impl Membership {
+    /// Does what is due: to be called every 50 ms or so. A call that comes late tells that this process was paused.
+    pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.now = now.max(self.now);
+        let pause = self.health.record_tick(self.now);
+        if self.has_stopped() {
+            return;
+        }
+        if let Some(pause) = pause.filter(|_| !self.has_mutant(Mutant::TrustsItselfAfterPause)) {
+            self.recover_from_pause(pause);
+        }
+        self.health.check_recovery(self.peers.serving_count());
+        self.check_probes(actions);
+        self.send_probes(actions);
+        self.declare_deaths(actions);
+        self.contact_departed(actions);
+        self.send_gossip(actions);
+        self.compare_views(actions);
+        self.continue_transfers(actions);
+        self.forget_departed();
+    }
+}
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -5,8 +5,10 @@
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
-use violetgate_membership::{Member, MembershipConfig, SharesConfig, State};
-use violetgate_membership_udp::{Link, News, Options};
+use violetgate_membership::{
+    FleetSizeConfig, Identity, LinkState, Member, MemberState, MembershipConfig,
+};
+use violetgate_membership_udp::{MembershipEvent, MembershipNode, Options};
 
 use crate::clock::Clock;
 use crate::dispatch::Dispatch;
@@ -16,15 +18,15 @@
 /// This front end's part in its fleet.
 pub struct Fleet {
     clock: Clock,
-    link: Rc<Link>,
+    node: Rc<MembershipNode>,
 }
 
-fn word(state: State) -> &'static str {
+fn word(state: MemberState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspected",
-        State::Dead => "dead",
-        State::Left => "left",
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspected",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
     }
 }
 
@@ -45,106 +47,114 @@
         let micros = |s: settings::Span| u64::try_from(s.0.as_micros()).unwrap_or(u64::MAX);
         let options = Options {
             fleet: given.name.clone(),
-            member: given.member.as_str().into(),
+            identity: Identity {
+                name: given.member.as_str().into(),
+                addr: given.reached_at(),
+                incarnation: clock.now(),
+            },
             listen: given.listen,
-            address: given.reached_at(),
             seeds: given.seeds.clone(),
             config: MembershipConfig {
-                probe_every: micros(given.probe_every),
-                reply: micros(given.reply_within),
-                suspect_for: micros(given.suspect_for),
+                probe_interval: micros(given.probe_every),
+                probe_timeout: micros(given.reply_within),
+                suspicion_timeout: micros(given.suspect_for),
                 ..MembershipConfig::default()
             },
-            shares: SharesConfig {
-                told,
-                settle: micros(given.settle),
-                step: micros(given.step),
+            fleet_size: FleetSizeConfig {
+                configured_size: told,
+                settle_time: micros(given.settle),
+                step_interval: micros(given.step),
             },
-            life: clock.now(),
-            seed,
+            rng_seed: seed,
         };
         let decisions = Rc::clone(dispatch);
-        let tell = move |news| match news {
-            News::Share(count) => {
+        let on_event = move |event| match event {
+            MembershipEvent::FleetSizeChanged(count) => {
                 log::line(format_args!(
                     "fleet: this front end reckons with {count}, itself included"
                 ));
                 decisions.fleet(count);
             }
-            News::Member(name, state) => {
-                log::line(format_args!("fleet: {name} is {}", word(state)))
+            MembershipEvent::MemberStateChanged { member, state } => {
+                log::line(format_args!("fleet: {member} is {}", word(state)))
             }
-            News::Link(name, true) => {
+            MembershipEvent::LinkChanged {
+                member,
+                link: LinkState::Cut,
+            } => {
                 log::line(format_args!(
-                    "fleet: the link to {name} is cut, others reach it"
+                    "fleet: the link to {member} is cut, others reach it"
                 ));
             }
-            News::Link(name, false) => {
-                log::line(format_args!("fleet: the link to {name} is whole again"))
-            }
-            News::Superseded => {
+            MembershipEvent::LinkChanged {
+                member,
+                link: LinkState::Restored,
+            } => log::line(format_args!("fleet: the link to {member} is whole again")),
+            MembershipEvent::Superseded => {
                 log::line(
                     "fleet: a newer process has this front end's name, this one has left the fleet",
                 );
             }
-            News::TurnedAway(from, why) => {
+            MembershipEvent::DatagramRejected { from, reason } => {
                 log::line(format_args!(
-                    "fleet: datagrams of {from} are turned away: {why}"
+                    "fleet: datagrams of {from} are turned away: {reason}"
                 ));
             }
-            News::Waits(at) => {
+            MembershipEvent::AddressInUse(at) => {
                 log::line(format_args!(
                     "fleet: another process holds {at}; this one takes part once that has ended"
                 ));
             }
-            News::Full(name) => {
+            MembershipEvent::TableFull { rejected } => {
                 log::line(format_args!(
-                    "fleet: no room for {name}, too many are known"
+                    "fleet: no room for {rejected}, too many are known"
                 ));
             }
         };
-        let link = Link::start(
+        let node = MembershipNode::start(
             executor,
             options,
             Box::new(move || clock.now()),
-            Box::new(tell),
+            Box::new(on_event),
         );
-        let link = link.map_err(|e| format!("`fleet.listen` {}: {e}", given.listen))?;
+        let node = node.map_err(|e| format!("`fleet.listen` {}: {e}", given.listen))?;
         log::line(format_args!(
             "violetgate is {} of fleet {} at {}, told of {told} front ends",
             given.member, given.name, given.listen
         ));
-        Ok(Fleet { clock, link })
+        Ok(Fleet { clock, node })
     }
 
     /// This process ends, of its own will.
     pub fn leave(&self) {
-        self.link.leave();
+        self.node.leave();
     }
 
     /// Bytes of datagrams sent and received since the start.
     #[must_use]
     pub fn traffic(&self) -> (u64, u64) {
-        self.link.traffic()
+        let counters = self.node.counters();
+        (counters.sent_bytes, counters.received_bytes)
     }
 
     /// How many front ends this one sees, itself included.
     #[must_use]
     pub fn share(&self) -> u32 {
-        self.link.share()
+        self.node.fleet_size()
     }
 
     /// The figures, in the text format of Prometheus.
     #[must_use]
     pub fn figures(&self) -> String {
         let now = self.clock.now();
-        let mut out = format!("svc_fleet_share {}\n", self.link.share());
+        let mut out = format!("svc_fleet_share {}\n", self.node.fleet_size());
         let _ = writeln!(
             out,
             "svc_fleet_doubts_itself {}",
-            u8::from(self.link.doubts_itself())
+            u8::from(self.node.is_recovering_from_pause())
         );
-        let (turned_away, unsent) = self.link.losses();
+        let counters = self.node.counters();
+        let (turned_away, unsent) = (counters.rejected, counters.unsent);
         let _ = writeln!(
             out,
             "svc_fleet_turned_away_total {turned_away}\nsvc_fleet_unsent_total {unsent}"
@@ -158,20 +168,20 @@
             name,
             addr,
             state,
-            since,
-            cut,
+            state_since,
+            link_cut_since,
             ..
-        } in self.link.members()
+        } in self.node.members()
         {
-            let age = now.saturating_sub(since) / 1_000_000;
+            let age = now.saturating_sub(state_since) / 1_000_000;
             let labels = format!("member=\"{name}\",address=\"{addr}\"");
             let _ = writeln!(
                 out,
                 "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {age}",
                 word(state)
             );
-            if let Some(cut) = cut {
-                let age = now.saturating_sub(cut) / 1_000_000;
+            if let Some(cut_since) = link_cut_since {
+                let age = now.saturating_sub(cut_since) / 1_000_000;
                 let _ = writeln!(out, "svc_fleet_link_cut_seconds{{{labels}}} {age}");
             }
         }
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -10,7 +10,7 @@
 
 /// Sizes of the short form.
 const SHORT_SIZES: [usize; 2] = [100, 300];
-/// Sizes of the whole form. The core knows at most [`MembershipConfig::most`] others; larger sizes are left out.
+/// Sizes of the whole form. The core knows at most [`MembershipConfig::max_members`] others; larger sizes are left out.
 const SIZES: [usize; 5] = [300, 600, 1_000, 2_000, 4_000];
 /// Cases of the short form: those that are soon played.
 const SHORT_CASES: [Case; 2] = [Case::Rest, Case::Start];
@@ -25,7 +25,7 @@
 #[derive(Debug, Error)]
 pub enum MembershipError {
     /// The setting for the most members leaves no size to measure.
-    #[error("the membership's limit of {0} members is under every size to measure: raise `MembershipConfig::most`")]
+    #[error("the membership's limit of {0} members is under every size to measure: raise `MembershipConfig::max_members`")]
     NoSize(usize),
 }
 
@@ -36,11 +36,11 @@
 /// There is no size that the core takes.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), MembershipError> {
     let config = MembershipConfig::default();
-    let fits = |size: &usize| *size <= config.most;
+    let fits = |size: &usize| *size <= config.max_members;
     let all: &[usize] = if options.short { &SHORT_SIZES } else { &SIZES };
     let sizes: Vec<usize> = all.iter().copied().filter(fits).collect();
     if sizes.is_empty() {
-        return Err(MembershipError::NoSize(config.most));
+        return Err(MembershipError::NoSize(config.max_members));
     }
     let cases: &[Case] = if options.short {
         &SHORT_CASES
--- a/tools/simulator/src/queue.rs
+++ b/tools/simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of their times, and in the order in which they were added where times are equal.
+//! Events in the order of their times, and of equal times in the order in which they were added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -27,7 +27,7 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// The earliest is the greatest: the heap gives the greatest first.
+    /// The earliest entry is the greatest, since the heap returns the greatest first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.number).cmp(&(self.at, self.number))
     }
@@ -60,7 +60,7 @@
         self.next_number += 1;
     }
 
-    /// The next event, if it comes by then.
+    /// Removes the next event if it comes at `until` at the latest.
     pub fn pop_until(&mut self, until: Micros) -> Option<(Micros, E)> {
         if self.heap.peek().is_none_or(|entry| entry.at > until) {
             return None;
@@ -68,13 +68,12 @@
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// What was to come after a time comes at another, in the order in which it was added.
-    pub fn hasten(&mut self, after: Micros, to: Micros) {
+    /// Moves the events after one time to another, in the order in which they were added.
+    pub fn reschedule_after(&mut self, after: Micros, to: Micros) {
         let mut entries = std::mem::take(&mut self.heap).into_vec();
-        entries
-            .iter_mut()
-            .filter(|entry| entry.at > after)
-            .for_each(|entry| entry.at = to);
+        for entry in entries.iter_mut().filter(|entry| entry.at > after) {
+            entry.at = to;
+        }
         self.heap = entries.into();
     }
 }
--- a/tools/simulator/src/faults.rs
+++ b/tools/simulator/src/faults.rs
@@ -1,38 +1,72 @@
-//! What goes wrong in a run, and an index of it by member: a large fleet asks for each message and each turn.
+//! What goes wrong in a run, with an index by member: a large fleet consults it for each message and each tick.
 
 use violetgate_membership::Micros;
 
-/// Messages from some to some others are lost in a span.
+/// In a span of time all messages from some members to some others are lost.
 #[derive(Debug, Clone)]
 pub struct Cut {
-    /// From these.
+    /// The senders.
     pub from: Vec<usize>,
-    /// To these.
+    /// The receivers.
     pub to: Vec<usize>,
-    /// From then on.
+    /// When it begins, in microseconds.
     pub begin: Micros,
-    /// Until then.
+    /// When it ends.
     pub end: Micros,
 }
 
-/// What happens in a run.
+/// A process stands still for a span of time; what it is sent meanwhile arrives when it goes on.
+#[derive(Debug, Clone, Copy)]
+pub struct Pause {
+    /// The member.
+    pub member: usize,
+    /// When it begins, in microseconds.
+    pub begin: Micros,
+    /// When it ends.
+    pub end: Micros,
+}
+
+/// Something happens to a member.
+#[derive(Debug, Clone, Copy)]
+pub struct MemberEvent {
+    /// The member.
+    pub member: usize,
+    /// When, in microseconds.
+    pub at: Micros,
+}
+
+/// What goes wrong in a run.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
-    /// The share of messages that are lost.
+    /// The fraction of messages that are lost, from 0 to 1.
     pub loss: f64,
-    /// Messages take 1 ms and up to this much longer.
+    /// Messages take 1 ms and up to this much longer, in microseconds.
     pub jitter: Micros,
-    /// A process stands still: which, from when, until when. What comes meanwhile is there when it goes on.
-    pub pauses: Vec<(usize, Micros, Micros)>,
+    /// Processes that stand still.
+    pub pauses: Vec<Pause>,
     /// Links that are cut.
     pub cuts: Vec<Cut>,
-    /// A process dies without a word, at that time.
-    pub deaths: Vec<(usize, Micros)>,
-    /// A process says that it leaves, and goes.
-    pub leaves: Vec<(usize, Micros)>,
+    /// Processes that die without a message.
+    pub deaths: Vec<MemberEvent>,
+    /// Processes that leave the fleet and end.
+    pub leaves: Vec<MemberEvent>,
 }
 
-/// A cut with its members as flags.
+impl Cut {
+    /// Cuts the links between two groups in both directions.
+    #[must_use]
+    pub fn both_ways(first: &[usize], second: &[usize], begin: Micros, end: Micros) -> Vec<Cut> {
+        let one_way = |from: &[usize], to: &[usize]| Cut {
+            from: from.to_vec(),
+            to: to.to_vec(),
+            begin,
+            end,
+        };
+        vec![one_way(first, second), one_way(second, first)]
+    }
+}
+
+/// A cut with a flag for each member.
 #[derive(Debug, Clone)]
 struct CutIndex {
     from: Vec<bool>,
@@ -41,36 +75,35 @@
     end: Micros,
 }
 
-/// A fault plan by member.
+/// A fault plan, by member.
 #[derive(Debug, Clone)]
 pub(crate) struct FaultIndex {
     plan: FaultPlan,
     deaths: Vec<Option<Micros>>,
     leaves: Vec<Option<Micros>>,
-    pauses: Vec<Vec<(Micros, Micros)>>,
+    pauses: Vec<Vec<Pause>>,
     cuts: Vec<CutIndex>,
 }
 
 impl FaultIndex {
-    /// The index of a plan for so many members.
-    pub fn new(plan: FaultPlan, count: usize) -> Self {
-        let mut pauses = vec![Vec::new(); count];
-        for (i, from, to) in &plan.pauses {
-            pauses
-                .get_mut(*i)
-                .into_iter()
-                .for_each(|p| p.push((*from, *to)));
+    /// Indexes a plan for so many members.
+    pub fn new(plan: FaultPlan, member_count: usize) -> Self {
+        let mut pauses = vec![Vec::new(); member_count];
+        for pause in &plan.pauses {
+            if let Some(of_member) = pauses.get_mut(pause.member) {
+                of_member.push(*pause);
+            }
         }
-        let cut = |c: &Cut| CutIndex {
-            from: flags(&c.from, count),
-            to: flags(&c.to, count),
-            begin: c.begin,
-            end: c.end,
-        };
+        let cuts = plan.cuts.iter().map(|cut| CutIndex {
+            from: flags(&cut.from, member_count),
+            to: flags(&cut.to, member_count),
+            begin: cut.begin,
+            end: cut.end,
+        });
         FaultIndex {
-            deaths: earliest(&plan.deaths, count),
-            leaves: earliest(&plan.leaves, count),
-            cuts: plan.cuts.iter().map(cut).collect(),
+            deaths: first_events(&plan.deaths, member_count),
+            leaves: first_events(&plan.leaves, member_count),
+            cuts: cuts.collect(),
             pauses,
             plan,
         }
@@ -82,57 +115,55 @@
     }
 
     /// Whether a member has died by then.
-    pub fn died(&self, i: usize, at: Micros) -> bool {
-        self.deaths
-            .get(i)
-            .copied()
-            .flatten()
-            .is_some_and(|death| death <= at)
+    pub fn has_died(&self, member: usize, now: Micros) -> bool {
+        has_happened(&self.deaths, member, now)
     }
 
     /// Whether a member has left by then.
-    pub fn left(&self, i: usize, at: Micros) -> bool {
-        self.leaves
-            .get(i)
-            .copied()
-            .flatten()
-            .is_some_and(|leave| leave <= at)
+    pub fn has_left(&self, member: usize, now: Micros) -> bool {
+        has_happened(&self.leaves, member, now)
     }
 
     /// When a member that stands still goes on.
-    pub fn paused_until(&self, i: usize, at: Micros) -> Option<Micros> {
-        let pauses = self.pauses.get(i).into_iter().flatten();
-        pauses
-            .filter(|(from, to)| (*from..*to).contains(&at))
-            .map(|(_, to)| *to)
-            .max()
+    pub fn paused_until(&self, member: usize, now: Micros) -> Option<Micros> {
+        let pauses = self.pauses.get(member).into_iter().flatten();
+        let current = pauses.filter(|pause| (pause.begin..pause.end).contains(&now));
+        current.map(|pause| pause.end).max()
     }
 
-    /// Whether nothing passes from one to another.
-    pub fn is_cut(&self, from: usize, to: usize, at: Micros) -> bool {
-        let holds = |flags: &[bool], i: usize| flags.get(i).copied().unwrap_or(false);
-        self.cuts
-            .iter()
-            .any(|c| (c.begin..c.end).contains(&at) && holds(&c.from, from) && holds(&c.to, to))
+    /// Whether nothing passes from one member to another.
+    pub fn is_cut(&self, from: usize, to: usize, now: Micros) -> bool {
+        let is_among = |flags: &[bool], member: usize| flags.get(member).copied().unwrap_or(false);
+        self.cuts.iter().any(|cut| {
+            (cut.begin..cut.end).contains(&now)
+                && is_among(&cut.from, from)
+                && is_among(&cut.to, to)
+        })
     }
 }
 
-fn flags(members: &[usize], count: usize) -> Vec<bool> {
-    let mut flags = vec![false; count];
+fn has_happened(events: &[Option<Micros>], member: usize, now: Micros) -> bool {
+    let event = events.get(member).copied().flatten();
+    event.is_some_and(|at| at <= now)
+}
+
+fn flags(members: &[usize], member_count: usize) -> Vec<bool> {
+    let mut flags = vec![false; member_count];
     for member in members {
-        flags
-            .get_mut(*member)
-            .into_iter()
-            .for_each(|flag| *flag = true);
+        if let Some(flag) = flags.get_mut(*member) {
+            *flag = true;
+        }
     }
     flags
 }
 
-fn earliest(events: &[(usize, Micros)], count: usize) -> Vec<Option<Micros>> {
-    let mut times: Vec<Option<Micros>> = vec![None; count];
-    for (member, at) in events {
-        let time = times.get_mut(*member).into_iter();
-        time.for_each(|time| *time = Some(time.map_or(*at, |t| t.min(*at))));
+/// The first of each member's events.
+fn first_events(events: &[MemberEvent], member_count: usize) -> Vec<Option<Micros>> {
+    let mut times: Vec<Option<Micros>> = vec![None; member_count];
+    for event in events {
+        if let Some(first) = times.get_mut(event.member) {
+            *first = Some(first.map_or(event.at, |at| at.min(event.at)));
+        }
     }
     times
 }
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -1,26 +1,31 @@
-//! What a fleet of so many members costs in a few situations: bytes, messages, processor time, memory, and how long
-//! until all views are right again. The members are the real core; only the network and the clock are simulated.
+//! What a fleet costs in a few situations, by size: bytes, messages, processor time, memory, and how long it takes until
+//! all views are right again. The members are the real core; only the network and the clock are simulated.
 
+use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
 
 use violetgate_membership::{MembershipConfig, Micros};
 
-use crate::{Cut, FaultPlan, World, S};
+use crate::{Cut, FaultPlan, MemberEvent, Traffic, World, SECOND};
 
-/// How often it is looked whether all views are right.
-const LOOK_EVERY: Micros = S / 4;
-/// Between two restarts of a rollout: 100 a minute.
-const RESTART_EVERY: Micros = 600_000;
-/// How long a restarted process is away.
-const RESTART_TAKES: Micros = 2 * S;
-/// Delay of the network beyond 1 ms.
-const JITTER: Micros = 2_000;
-/// How long a case goes on once all views are right: news is told on for that long.
-const QUIET: Micros = 15 * S;
-/// Quiet time before each case.
-const SETTLE: Micros = 10 * S;
+/// How often the views are checked.
+const CHECK_INTERVAL_US: Micros = SECOND / 4;
+/// Time between two restarts of a rollout: 100 a minute.
+const RESTART_INTERVAL_US: Micros = 600_000;
+/// How long a process takes to restart.
+const RESTART_DURATION_US: Micros = 2 * SECOND;
+/// Delay of the network beyond 1 ms, at most.
+const JITTER_US: Micros = 2_000;
+/// How long a case goes on once all views are right: gossip goes on for that long.
+const QUIET_TIME_US: Micros = 15 * SECOND;
+/// Quiet time before each case: the first ticks and comparisons are no part of it.
+const SETTLE_TIME_US: Micros = 10 * SECOND;
+/// After how many events the time limit is checked.
+const EVENTS_PER_TIME_CHECK: u64 = 1_024;
+/// The incarnation of the first processes; that of a restarted one is larger by the simulated time.
+const FIRST_INCARNATION: u64 = 1_000;
 
-/// A situation.
+/// A situation of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
     /// Nothing happens.
@@ -38,7 +43,7 @@
 }
 
 impl Case {
-    /// All of them.
+    /// All cases.
     pub const ALL: [Case; 6] = [
         Case::Rest,
         Case::Change,
@@ -77,11 +82,11 @@
     pub messages_per_s: f64,
     /// Processor time of the members' own code, microseconds.
     pub cpu_us_per_s: f64,
-    /// How long after the (last) change all views were right; none: not within the case.
+    /// How many seconds after the (last) change all views were right; `None` if they were not within the case.
     pub known_s: Option<f64>,
     /// The same by change, where a case has more than one.
     pub known_each_s: Vec<Option<f64>>,
-    /// How often a view held a member for dead that ran. Those across a cut are among them.
+    /// How often a view declared a member dead that ran; those across a cut are among them.
     pub false_declarations: u64,
     /// Growth of this process's resident memory by member: meaningful where a process plays one case.
     pub memory_bytes: u64,
@@ -93,124 +98,132 @@
     pub cut_short: bool,
 }
 
-/// A case at work: the fleet and what it has sent.
-struct Run {
-    world: World,
-    count: usize,
-    config: MembershipConfig,
-    began: Micros,
-    before: Vec<(u64, u64)>,
-    second: Micros,
-    peak: u64,
-    burst: u64,
-    ends: Instant,
-    over: bool,
-    known: Vec<Option<f64>>,
-}
-
-/// Plays a case with so many members; it ends early once it has taken longer than `at_most`.
+/// Simulates a case with so many members; it ends early once it has taken longer than `time_limit`.
 #[must_use]
 pub fn play(
     case: Case,
-    count: usize,
+    member_count: usize,
     config: &MembershipConfig,
     seed: u64,
-    at_most: Duration,
+    time_limit: Duration,
 ) -> Load {
     let (started, memory) = (Instant::now(), resident_bytes());
-    let mut run = Run::new(case, count, config, seed, started + at_most);
+    let mut run = Run::new(case, member_count, config, seed, started + time_limit);
     match case {
-        Case::Rest => run.until(run.now() + 20 * S),
-        Case::Change => change(&mut run),
-        Case::Fifth => fifth(&mut run),
-        Case::Halves => halves(&mut run),
-        Case::Rollout => rollout(&mut run),
-        Case::Start => run.known_and_quiet_within(120 * S),
+        Case::Rest => run.run_until(run.now() + 20 * SECOND),
+        Case::Change => play_death_and_return(&mut run),
+        Case::Fifth => play_deaths_of_a_fifth(&mut run),
+        Case::Halves => play_split(&mut run),
+        Case::Rollout => play_rollout(&mut run),
+        Case::Start => run.measure_settling_then_quiet(120 * SECOND),
     }
-    run.load(started, memory)
+    run.into_load(started, memory)
 }
 
-fn change(run: &mut Run) {
-    let one = run.count / 2;
-    run.world.kill(one);
-    run.known_within(50 * S);
-    run.restart(one);
-    run.known_within(50 * S);
+fn play_death_and_return(run: &mut Run) {
+    let member = run.member_count / 2;
+    run.world.kill(member);
+    run.measure_settling(50 * SECOND);
+    run.restart(member);
+    run.measure_settling(50 * SECOND);
 }
 
-fn fifth(run: &mut Run) {
-    let dying: Vec<usize> = (0..run.count).filter(|i| i % 5 == 4).collect();
-    dying.iter().for_each(|i| run.world.kill(*i));
-    run.known_and_quiet_within(60 * S);
-    dying.iter().for_each(|i| run.restart(*i));
-    run.known_and_quiet_within(60 * S);
+fn play_deaths_of_a_fifth(run: &mut Run) {
+    let dying: Vec<usize> = (0..run.member_count).filter(|i| i % 5 == 4).collect();
+    for member in &dying {
+        run.world.kill(*member);
+    }
+    run.measure_settling_then_quiet(60 * SECOND);
+    for member in &dying {
+        run.restart(*member);
+    }
+    run.measure_settling_then_quiet(60 * SECOND);
 }
 
-fn halves(run: &mut Run) {
-    let (low, high): (Vec<usize>, Vec<usize>) = (0..run.count).partition(|i| *i < run.count / 2);
-    let heals = run.now() + 180 * S;
-    let cut = |from: &[usize], to: &[usize]| Cut {
-        from: from.to_vec(),
-        to: to.to_vec(),
-        begin: 0,
-        end: heals,
-    };
-    let cuts = vec![cut(&low, &high), cut(&high, &low)];
+fn play_split(run: &mut Run) {
+    let all = 0..run.member_count;
+    let (low, high): (Vec<usize>, Vec<usize>) = all.partition(|i| *i < run.member_count / 2);
+    let heals_at = run.now() + 180 * SECOND;
     run.world.set_faults(FaultPlan {
-        jitter: JITTER,
-        cuts,
+        jitter: JITTER_US,
+        cuts: Cut::both_ways(&low, &high, 0, heals_at),
         ..FaultPlan::default()
     });
-    run.until(heals);
-    run.known_and_quiet_within(60 * S);
+    run.run_until(heals_at);
+    run.measure_settling_then_quiet(60 * SECOND);
 }
 
-fn rollout(run: &mut Run) {
-    let steps = 60 * S / RESTART_EVERY;
-    let mut away: Vec<(Micros, usize)> = Vec::new();
+fn play_rollout(run: &mut Run) {
+    let steps = 60 * SECOND / RESTART_INTERVAL_US;
+    let mut restarts: Vec<MemberEvent> = Vec::new();
     for step in 0..steps {
-        let next = (step as usize * 7) % run.count;
-        run.world.leave(next);
-        away.push((run.now() + RESTART_TAKES, next));
-        run.until(run.now() + RESTART_EVERY);
-        run.restart_due(&mut away);
+        let member = (step as usize * 7) % run.member_count;
+        run.world.leave(member);
+        let at = run.now() + RESTART_DURATION_US;
+        restarts.push(MemberEvent { member, at });
+        run.run_until(run.now() + RESTART_INTERVAL_US);
+        run.restart_due(&mut restarts);
     }
-    run.until(run.now() + RESTART_TAKES);
-    run.restart_due(&mut away);
-    run.known_and_quiet_within(60 * S);
+    run.run_until(run.now() + RESTART_DURATION_US);
+    run.restart_due(&mut restarts);
+    run.measure_settling_then_quiet(60 * SECOND);
+}
+
+/// A case that is being simulated: the fleet and what it has sent.
+struct Run {
+    world: World,
+    member_count: usize,
+    config: MembershipConfig,
+    began_at: Micros,
+    /// What each member had sent when the current second began.
+    traffic_before: Vec<Traffic>,
+    second_ends_at: Micros,
+    /// The most bytes that all members together have sent in a second.
+    max_fleet_bytes: u64,
+    /// The most bytes that one member has sent in a second.
+    max_member_bytes: u64,
+    time_limit: Instant,
+    is_over_limit: bool,
+    /// For each change, after how many seconds all views were right.
+    settled_after_s: Vec<Option<f64>>,
 }
 
 impl Run {
-    fn new(case: Case, count: usize, config: &MembershipConfig, seed: u64, ends: Instant) -> Self {
+    fn new(
+        case: Case,
+        member_count: usize,
+        config: &MembershipConfig,
+        seed: u64,
+        time_limit: Instant,
+    ) -> Self {
         let faults = FaultPlan {
-            jitter: JITTER,
+            jitter: JITTER_US,
             ..FaultPlan::default()
         };
         let mut world = match case {
-            Case::Start => World::new(count, seed, config, faults),
-            _ => World::settled_fleet(count, seed, config, faults),
+            Case::Start => World::new(member_count, seed, config, faults),
+            _ => World::settled_fleet(member_count, seed, config, faults),
         };
-        world.records = false;
+        world.records_changes = false;
         if case != Case::Start {
-            // The first turns and comparisons after the start are no part of the case.
-            let _ = world.run(SETTLE, |_| Ok(()));
+            let _ = world.run(SETTLE_TIME_US);
         }
         world.core_time = Duration::ZERO;
         world.false_declarations = 0;
-        world.sent.iter_mut().for_each(|sent| *sent = (0, 0));
-        let began = world.now();
+        world.traffic.fill(Traffic::default());
+        let began_at = world.now();
         Run {
             world,
-            count,
+            member_count,
             config: config.clone(),
-            began,
-            before: vec![(0, 0); count],
-            second: began + S,
-            peak: 0,
-            burst: 0,
-            ends,
-            over: false,
-            known: Vec::new(),
+            began_at,
+            traffic_before: vec![Traffic::default(); member_count],
+            second_ends_at: began_at + SECOND,
+            max_fleet_bytes: 0,
+            max_member_bytes: 0,
+            time_limit,
+            is_over_limit: false,
+            settled_after_s: Vec::new(),
         }
     }
 
@@ -218,107 +231,110 @@
         self.world.now()
     }
 
-    /// Plays on until a time.
-    fn until(&mut self, until: Micros) {
-        while self.now() < until && !self.over {
-            let next = until.min(self.second).min(self.now() + LOOK_EVERY);
-            let ends = self.ends;
-            let stopped = self.world.run(next, |world| match world.events % 1_024 {
-                0 if Instant::now() > ends => Err(String::new()),
-                _ => Ok(()),
+    /// Runs until a simulated time, or until the time limit.
+    fn run_until(&mut self, until: Micros) {
+        while self.now() < until && !self.is_over_limit {
+            let next_check = self.now() + CHECK_INTERVAL_US;
+            let next = until.min(self.second_ends_at).min(next_check);
+            let time_limit = self.time_limit;
+            let ran = self.world.run_while(next, |world| {
+                let is_check = world.event_count % EVENTS_PER_TIME_CHECK == 0;
+                if is_check && Instant::now() > time_limit {
+                    ControlFlow::Break(())
+                } else {
+                    ControlFlow::Continue(())
+                }
             });
-            self.over = stopped.is_err();
-            if self.now() >= self.second {
+            self.is_over_limit = !matches!(ran, Ok(ControlFlow::Continue(())));
+            if self.now() >= self.second_ends_at {
                 self.end_second();
             }
         }
     }
 
     fn end_second(&mut self) {
-        let sent: Vec<u64> = self
-            .world
-            .sent
-            .iter()
-            .zip(&self.before)
-            .map(|(now, old)| now.0 - old.0)
+        let traffic = self.world.traffic.iter().zip(&self.traffic_before);
+        let bytes: Vec<u64> = traffic
+            .map(|(now, before)| now.bytes - before.bytes)
             .collect();
-        self.peak = self.peak.max(sent.iter().sum());
-        self.burst = self.burst.max(sent.iter().copied().max().unwrap_or(0));
-        self.before.clone_from(&self.world.sent);
-        self.second += S;
+        self.max_fleet_bytes = self.max_fleet_bytes.max(bytes.iter().sum());
+        let busiest = bytes.iter().copied().max().unwrap_or(0);
+        self.max_member_bytes = self.max_member_bytes.max(busiest);
+        self.traffic_before.clone_from(&self.world.traffic);
+        self.second_ends_at += SECOND;
     }
 
-    /// Plays a span, and notes when in it all views were right.
-    fn known_within(&mut self, span: Micros) {
-        self.look(span, span);
+    /// Runs for a span, and records when in it all views were right.
+    fn measure_settling(&mut self, span: Micros) {
+        self.run_and_check(span, span);
     }
 
-    /// The same, but ends a while after that.
-    fn known_and_quiet_within(&mut self, span: Micros) {
-        self.look(span, QUIET);
+    /// The same, but ends some quiet time after all views were right.
+    fn measure_settling_then_quiet(&mut self, span: Micros) {
+        self.run_and_check(span, QUIET_TIME_US);
     }
 
-    fn look(&mut self, span: Micros, after: Micros) {
-        let began = self.now();
-        let (mut known, mut ends) = (None, began + span);
-        while self.now() < ends && !self.over {
-            self.until((self.now() + LOOK_EVERY).min(ends));
-            if known.is_none() && self.world.settled() {
-                known = Some((self.now() - began) as f64 / S as f64);
-                ends = ends.min(self.now() + after);
+    fn run_and_check(&mut self, span: Micros, quiet_time: Micros) {
+        let began_at = self.now();
+        let mut settled_after_s = None;
+        let mut ends_at = began_at + span;
+        while self.now() < ends_at && !self.is_over_limit {
+            self.run_until((self.now() + CHECK_INTERVAL_US).min(ends_at));
+            if settled_after_s.is_none() && self.world.is_settled() {
+                settled_after_s = Some((self.now() - began_at) as f64 / SECOND as f64);
+                ends_at = ends_at.min(self.now() + quiet_time);
             }
         }
-        self.known.push(known);
+        self.settled_after_s.push(settled_after_s);
     }
 
-    fn restart(&mut self, i: usize) {
-        // Lives are Unix microseconds; the first ones are 1,000.
-        let life = 1_000 + self.now();
+    fn restart(&mut self, member: usize) {
+        let incarnation = FIRST_INCARNATION + self.now();
         let config = self.config.clone();
-        self.world.restart(i, &config, life);
+        self.world.restart(member, &config, incarnation);
     }
 
-    fn restart_due(&mut self, away: &mut Vec<(Micros, usize)>) {
+    fn restart_due(&mut self, restarts: &mut Vec<MemberEvent>) {
         let now = self.now();
-        let (due, later): (Vec<_>, Vec<_>) = away.drain(..).partition(|(at, _)| *at <= now);
-        *away = later;
-        due.into_iter().for_each(|(_, i)| self.restart(i));
+        let (due, later): (Vec<_>, Vec<_>) = restarts.drain(..).partition(|event| event.at <= now);
+        *restarts = later;
+        for event in due {
+            self.restart(event.member);
+        }
     }
 
-    fn load(self, started: Instant, memory: u64) -> Load {
-        let simulated = (self.now() - self.began) as f64 / S as f64;
-        let member_seconds = (simulated * self.count as f64).max(f64::MIN_POSITIVE);
-        let (bytes, messages) = self
-            .world
-            .sent
-            .iter()
-            .fold((0, 0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        let busiest = self.world.sent.iter().map(|s| s.0).max().unwrap_or(0);
-        let slowest = self.known.iter().copied().collect::<Option<Vec<f64>>>();
+    fn into_load(self, started: Instant, memory: u64) -> Load {
+        let simulated_s = (self.now() - self.began_at) as f64 / SECOND as f64;
+        let member_seconds = (simulated_s * self.member_count as f64).max(f64::MIN_POSITIVE);
+        let traffic = &self.world.traffic;
+        let bytes: u64 = traffic.iter().map(|member| member.bytes).sum();
+        let messages: u64 = traffic.iter().map(|member| member.messages).sum();
+        let busiest = traffic.iter().map(|member| member.bytes).max().unwrap_or(0);
+        let settled_after_s: Option<Vec<f64>> = self.settled_after_s.iter().copied().collect();
         Load {
             bytes_per_s: bytes as f64 / member_seconds,
-            busiest_bytes_per_s: busiest as f64 / simulated.max(f64::MIN_POSITIVE),
-            peak_bytes_per_s: self.peak as f64 / self.count as f64,
-            burst_bytes: self.burst,
+            busiest_bytes_per_s: busiest as f64 / simulated_s.max(f64::MIN_POSITIVE),
+            peak_bytes_per_s: self.max_fleet_bytes as f64 / self.member_count as f64,
+            burst_bytes: self.max_member_bytes,
             messages_per_s: messages as f64 / member_seconds,
             cpu_us_per_s: self.world.core_time.as_micros() as f64 / member_seconds,
-            known_s: slowest.and_then(|known| known.into_iter().reduce(f64::max)),
-            known_each_s: self.known,
+            known_s: settled_after_s.and_then(|times| times.into_iter().reduce(f64::max)),
+            known_each_s: self.settled_after_s,
             false_declarations: self.world.false_declarations,
-            memory_bytes: resident_bytes().saturating_sub(memory) / self.count as u64,
-            simulated_s: simulated,
+            memory_bytes: resident_bytes().saturating_sub(memory) / self.member_count as u64,
+            simulated_s,
             played_s: started.elapsed().as_secs_f64(),
-            cut_short: self.over,
+            cut_short: self.is_over_limit,
         }
     }
 }
 
-/// Resident memory of this process; 0 where the system does not say.
+/// Resident memory of this process in bytes; 0 where the system does not say.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line
         .and_then(|line| line.split_whitespace().next())
-        .and_then(|n| n.parse::<u64>().ok());
+        .and_then(|number| number.parse::<u64>().ok());
     kilobytes.unwrap_or(0) * 1_024
 }
--- a/tools/simulator/tests/fleet.rs
+++ b/tools/simulator/tests/fleet.rs
@@ -2,212 +2,191 @@
 
 #![allow(clippy::unwrap_used)]
 
-use violetgate_membership::{MembershipConfig, State};
-use violetgate_simulator::{name, number, Cut, FaultPlan, World, S};
+use violetgate_membership::{LinkState, MemberState, MembershipConfig};
+use violetgate_simulator::{
+    member_name, member_number, Cut, FaultPlan, MemberEvent, Pause, World, SECOND,
+};
 
-fn world(count: usize, seed: u64, faults: FaultPlan) -> World {
-    World::new(count, seed, &MembershipConfig::default(), faults)
+fn new_world(member_count: usize, seed: u64, faults: FaultPlan) -> World {
+    World::new(member_count, seed, &MembershipConfig::default(), faults)
 }
 
-fn quiet(_: &World) -> Result<(), String> {
-    Ok(())
+fn cut_world(member_count: usize, seed: u64, cuts: Vec<Cut>) -> World {
+    let faults = FaultPlan {
+        cuts,
+        ..FaultPlan::default()
+    };
+    new_world(member_count, seed, faults)
 }
 
-fn both_ways(a: &[usize], b: &[usize], begin: u64, end: u64) -> Vec<Cut> {
-    let cut = |from: &[usize], to: &[usize]| Cut {
-        from: from.to_vec(),
-        to: to.to_vec(),
-        begin,
-        end,
-    };
-    vec![cut(a, b), cut(b, a)]
+/// How often a member was declared dead by views for which `by` holds.
+fn declarations(world: &World, by: impl Fn(usize) -> bool, of: impl Fn(usize) -> bool) -> usize {
+    world
+        .view_changes
+        .iter()
+        .filter(|change| change.state == MemberState::Dead)
+        .filter(|change| by(change.observer) && of(change.subject))
+        .count()
 }
 
-/// All find each other from a few seeds, and a death reaches all in time; the dead one's share is then known.
 #[test]
-fn a_death_reaches_all() {
-    let mut w = world(
-        12,
-        1,
-        FaultPlan {
-            deaths: vec![(4, 10 * S)],
-            ..FaultPlan::default()
-        },
-    );
-    w.run(5 * S, quiet).unwrap();
-    assert!(w.agrees() && w.serving(0) == 12);
-    w.run(16 * S, quiet).unwrap();
-    assert!(
-        w.last_to_know(4, 10 * S).unwrap() < 5 * S && w.serving(0) == 11 && w.false_deaths() == 0
-    );
+fn death_is_known_to_all_in_time() {
+    let deaths = vec![MemberEvent {
+        member: 4,
+        at: 10 * SECOND,
+    }];
+    let faults = FaultPlan {
+        deaths,
+        ..FaultPlan::default()
+    };
+    let mut world = new_world(12, 1, faults);
+    world.run(5 * SECOND).unwrap();
+    assert!(world.agrees() && world.serving_count(0) == 12);
+    world.run(16 * SECOND).unwrap();
+    assert!(world.time_until_all_know(4, 10 * SECOND).unwrap() < 5 * SECOND);
+    assert!(world.serving_count(0) == 11 && world.false_deaths() == 0);
 }
 
-/// One that leaves is known as left, not dead, and soon.
 #[test]
-fn leaving_is_no_death() {
-    let mut w = world(
-        12,
-        2,
-        FaultPlan {
-            leaves: vec![(3, 10 * S)],
-            ..FaultPlan::default()
-        },
-    );
-    w.run(12 * S, quiet).unwrap();
-    let states: Vec<State> = (0..12)
-        .filter(|i| *i != 3)
-        .flat_map(|i| w.view(i).find(|m| m.name == name(3)))
-        .map(|m| m.state)
+fn member_that_leaves_is_known_as_left_and_not_dead() {
+    let leaves = vec![MemberEvent {
+        member: 3,
+        at: 10 * SECOND,
+    }];
+    let faults = FaultPlan {
+        leaves,
+        ..FaultPlan::default()
+    };
+    let mut world = new_world(12, 2, faults);
+    world.run(12 * SECOND).unwrap();
+    let states: Vec<MemberState> = (0..12)
+        .filter(|observer| *observer != 3)
+        .flat_map(|observer| world.view(observer).find(|m| m.name == member_name(3)))
+        .map(|member| member.state)
         .collect();
+    assert_eq!(states.len(), 11);
     assert!(
-        states.len() == 11 && states.iter().all(|s| *s == State::Left),
+        states.iter().all(|state| *state == MemberState::Left),
         "{states:?}"
     );
 }
 
-/// A pause of two seconds of a third, amid loss and jitter, kills nobody; nor do those that wake accuse the others.
+/// A third pauses for two seconds, amid loss and jitter; those that resume accuse nobody either.
 #[test]
-fn pauses_are_no_deaths() {
+fn short_pauses_lead_to_no_deaths() {
     for seed in 0..20 {
-        let pauses = (0..8)
-            .map(|i| {
-                (
-                    i * 3,
-                    10 * S + i as u64 * 40_000,
-                    12 * S + i as u64 * 40_000,
-                )
-            })
-            .collect();
-        let mut w = world(
-            24,
-            seed,
-            FaultPlan {
-                loss: 0.3,
-                jitter: S / 5,
-                pauses,
-                ..FaultPlan::default()
-            },
-        );
-        w.run(30 * S, quiet).unwrap();
-        assert_eq!(w.false_deaths(), 0, "seed {seed}");
+        let pause = |number: usize| {
+            let offset = number as u64 * 40_000;
+            Pause {
+                member: number * 3,
+                begin: 10 * SECOND + offset,
+                end: 12 * SECOND + offset,
+            }
+        };
+        let faults = FaultPlan {
+            loss: 0.3,
+            jitter: SECOND / 5,
+            pauses: (0..8).map(pause).collect(),
+            ..FaultPlan::default()
+        };
+        let mut world = new_world(24, seed, faults);
+        world.run(30 * SECOND).unwrap();
+        assert_eq!(world.false_deaths(), 0, "seed {seed}");
     }
 }
 
-/// A process that stood still for longer than anyone waits is taken for dead, learns of it when it wakes, and is
-/// believed again; it has told of nobody's death meanwhile.
+/// A process that pauses for longer than anyone waits is declared dead, learns of it when it resumes, and comes back;
+/// it has declared nobody dead meanwhile.
 #[test]
-fn one_that_slept_too_long_comes_back() {
-    let mut w = world(
-        9,
-        3,
-        FaultPlan {
-            pauses: vec![(2, 10 * S, 30 * S)],
-            ..FaultPlan::default()
-        },
-    );
-    w.run(29 * S, quiet).unwrap();
-    assert!(w.seen.iter().any(|s| s.of == 2 && s.state == State::Dead));
-    w.run(34 * S, quiet).unwrap();
-    assert!(w.agrees(), "all alive again");
-    assert!(w.seen.iter().all(|s| s.by != 2 || s.state != State::Dead));
+fn member_comes_back_after_a_long_pause() {
+    let pauses = vec![Pause {
+        member: 2,
+        begin: 10 * SECOND,
+        end: 30 * SECOND,
+    }];
+    let faults = FaultPlan {
+        pauses,
+        ..FaultPlan::default()
+    };
+    let mut world = new_world(9, 3, faults);
+    world.run(29 * SECOND).unwrap();
+    assert!(declarations(&world, |_| true, |subject| subject == 2) > 0);
+    world.run(34 * SECOND).unwrap();
+    assert!(world.agrees(), "all alive again");
+    assert_eq!(declarations(&world, |observer| observer == 2, |_| true), 0);
 }
 
-/// Cut off from all, a process suspects them, tells nobody dead, and goes on reckoning with all of them.
+/// Cut off from all, a member suspects them, declares nobody dead, and goes on reckoning with all of them.
 #[test]
-fn one_that_is_cut_off_kills_nobody() {
+fn isolated_member_declares_nobody_dead() {
     let others: Vec<usize> = (1..9).collect();
-    let mut w = world(
-        9,
-        4,
-        FaultPlan {
-            cuts: both_ways(&[0], &others, 10 * S, 40 * S),
-            ..FaultPlan::default()
-        },
-    );
-    w.run(39 * S, quiet).unwrap();
-    assert!(w.seen.iter().all(|s| s.by != 0 || s.state != State::Dead));
-    assert_eq!(w.serving(0), 9);
-    assert_eq!(w.serving(5), 8, "the others have noticed");
-    w.run(46 * S, quiet).unwrap();
-    assert!(w.agrees());
+    let cuts = Cut::both_ways(&[0], &others, 10 * SECOND, 40 * SECOND);
+    let mut world = cut_world(9, 4, cuts);
+    world.run(39 * SECOND).unwrap();
+    assert_eq!(declarations(&world, |observer| observer == 0, |_| true), 0);
+    assert_eq!(world.serving_count(0), 9);
+    assert_eq!(world.serving_count(5), 8, "the others have noticed");
+    world.run(46 * SECOND).unwrap();
+    assert!(world.agrees());
 }
 
-/// A link cut between two that all others reach kills neither, and one of the two says that it is cut.
+/// A link is cut between two members that all others reach: neither dies, and one of them reports the cut.
 #[test]
-fn a_cut_link_is_no_death() {
-    for (a, b) in [(0, 1), (1, 2), (2, 4), (3, 4)] {
-        let mut w = world(
-            5,
-            5,
-            FaultPlan {
-                cuts: both_ways(&[a], &[b], 10 * S, 60 * S),
-                ..FaultPlan::default()
-            },
-        );
-        w.run(50 * S, quiet).unwrap();
-        assert_eq!(w.false_deaths(), 0);
-        assert!(
-            w.links
-                .iter()
-                .any(|(_, x, y, cut)| *cut && [(a, b), (b, a)].contains(&(*x, *y))),
-            "{a} {b}"
-        );
-        w.run(70 * S, quiet).unwrap();
-        assert!(
-            (0..5).all(|i| w.view(i).all(|m| m.cut.is_none())),
-            "it is whole again"
-        );
+fn cut_link_is_reported_and_no_death() {
+    for (first, second) in [(0, 1), (1, 2), (2, 4), (3, 4)] {
+        let cuts = Cut::both_ways(&[first], &[second], 10 * SECOND, 60 * SECOND);
+        let mut world = cut_world(5, 5, cuts);
+        world.run(50 * SECOND).unwrap();
+        assert_eq!(world.false_deaths(), 0);
+        let ends = [(first, second), (second, first)];
+        let is_reported = world.link_changes.iter().any(|change| {
+            change.link == LinkState::Cut && ends.contains(&(change.observer, change.subject))
+        });
+        assert!(is_reported, "{first} {second}");
+        world.run(70 * SECOND).unwrap();
+        let has_no_cut = |observer| world.view(observer).all(|m| m.link_cut_since.is_none());
+        assert!((0..5).all(has_no_cut), "it is restored");
     }
 }
 
-/// One that sends and hears nothing falls once, and stays fallen until it hears again.
+/// A member that sends and receives nothing is declared dead once, and stays so until it receives again.
 #[test]
-fn one_that_hears_nothing_settles() {
-    let others: Vec<usize> = (1..10).collect();
+fn member_that_receives_nothing_does_not_flap() {
     let cut = Cut {
-        from: others,
+        from: (1..10).collect(),
         to: vec![0],
-        begin: 10 * S,
-        end: 100 * S,
+        begin: 10 * SECOND,
+        end: 100 * SECOND,
     };
-    let mut w = world(
-        10,
-        6,
-        FaultPlan {
-            cuts: vec![cut],
-            ..FaultPlan::default()
-        },
-    );
-    w.run(99 * S, quiet).unwrap();
-    let told = |i: usize| {
-        w.seen
-            .iter()
-            .filter(|s| s.by == i && s.of == 0 && s.at > 10 * S)
+    let mut world = cut_world(10, 6, vec![cut]);
+    world.run(99 * SECOND).unwrap();
+    let changes_by = |observer: usize| {
+        let changes = world.view_changes.iter();
+        changes
+            .filter(|change| change.observer == observer && change.subject == 0)
+            .filter(|change| change.at > 10 * SECOND)
             .count()
     };
-    assert!((1..10).all(|i| told(i) <= 2), "suspected, then dead");
-    w.run(105 * S, quiet).unwrap();
-    assert!(w.agrees());
+    assert!(
+        (1..10).all(|observer| changes_by(observer) <= 2),
+        "suspected, then dead"
+    );
+    world.run(105 * SECOND).unwrap();
+    assert!(world.agrees());
 }
 
-/// Halves that each took the other for dead are one again soon after the split heals.
+/// Two halves that have declared each other dead.
 #[test]
-fn halves_become_one_again() {
-    let (a, b): (Vec<usize>, Vec<usize>) = ((0..10).collect(), (10..20).collect());
-    let mut w = world(
-        20,
-        7,
-        FaultPlan {
-            cuts: both_ways(&a, &b, 10 * S, 60 * S),
-            ..FaultPlan::default()
-        },
-    );
-    w.run(60 * S, quiet).unwrap();
-    let dead = w
+fn halves_agree_soon_after_a_split_heals() {
+    let (low, high): (Vec<usize>, Vec<usize>) = ((0..10).collect(), (10..20).collect());
+    let cuts = Cut::both_ways(&low, &high, 10 * SECOND, 60 * SECOND);
+    let mut world = cut_world(20, 7, cuts);
+    world.run(60 * SECOND).unwrap();
+    let dead = world
         .view(0)
-        .filter(|m| m.state == State::Dead && number(&m.name) >= 10)
+        .filter(|member| member.state == MemberState::Dead && member_number(&member.name) >= 10)
         .count();
-    assert!(dead >= 5, "{dead} of ten held for dead across the split");
-    w.run(70 * S, quiet).unwrap();
-    assert!(w.agrees());
+    assert!(dead >= 5, "{dead} of ten declared dead across the split");
+    world.run(70 * SECOND).unwrap();
+    assert!(world.agrees());
 }
--- a/tools/simulator/tests/load.rs
+++ b/tools/simulator/tests/load.rs
@@ -1,53 +1,48 @@
-//! What cases cost is counted, the same each time, and tells when all views are right.
+//! What cases cost is counted, the same each time, and says when all views are right.
 
 use std::time::Duration;
 
 use violetgate_membership::MembershipConfig;
 use violetgate_simulator::load::{play, Case, Load};
 
-fn played(case: Case) -> Load {
-    play(
-        case,
-        24,
-        &MembershipConfig::default(),
-        7,
-        Duration::from_secs(600),
-    )
+fn play_small_fleet(case: Case) -> Load {
+    let time_limit = Duration::from_secs(600);
+    play(case, 24, &MembershipConfig::default(), 7, time_limit)
 }
 
-/// The same seed gives the same counts.
 #[test]
-fn counts_do_not_depend_on_the_machine() {
-    let (first, again) = (played(Case::Start), played(Case::Start));
-    let counts = |l: &Load| {
+fn same_seed_gives_the_same_counts() {
+    let first = play_small_fleet(Case::Start);
+    let again = play_small_fleet(Case::Start);
+    let counts = |load: &Load| {
         (
-            l.bytes_per_s,
-            l.busiest_bytes_per_s,
-            l.messages_per_s,
-            l.known_s,
-            l.burst_bytes,
+            load.bytes_per_s,
+            load.busiest_bytes_per_s,
+            load.messages_per_s,
+            load.known_s,
+            load.burst_bytes,
         )
     };
     assert_eq!(counts(&first), counts(&again));
     assert!(first.known_s.is_some_and(|known| known < 10.0), "{first:?}");
 }
 
-/// A fleet at rest sends little, and nobody that runs is declared dead unless a cut hides it.
+/// A fleet at rest sends little, and no member that runs is declared dead unless a cut hides it.
 #[test]
 fn each_case_ends_with_right_views() {
-    let rest = played(Case::Rest);
+    let rest = play_small_fleet(Case::Rest);
     assert!(
         rest.bytes_per_s < 1_000.0 && rest.peak_bytes_per_s >= rest.bytes_per_s,
         "{rest:?}"
     );
     for case in [Case::Change, Case::Fifth, Case::Rollout] {
-        let load = played(case);
+        let load = play_small_fleet(case);
         assert!(
             load.known_s.is_some() && load.false_declarations == 0,
             "{case:?}: {load:?}"
         );
     }
-    let halves = played(Case::Halves);
+    let halves = play_small_fleet(Case::Halves);
     assert!(
         halves.known_s.is_some() && halves.false_declarations > 0,
         "{halves:?}"
--- a/tools/simulator/tests/trace_digest/driver.rs
+++ b/tools/simulator/tests/trace_digest/driver.rs
@@ -4,8 +4,8 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use violetgate_membership::{Action, Membership, MembershipConfig, Message};
-use violetgate_simulator::S;
+use violetgate_membership::{Action, Identity, LinkState, Membership, MembershipConfig, Message};
+use violetgate_simulator::SECOND;
 
 /// FNV-1a over everything that is written to it.
 pub struct Fnv(pub u64);
@@ -90,18 +90,16 @@
 
 fn member(scenario: &Scenario, number: usize, began: u64) -> Membership {
     let mut config = MembershipConfig::default();
-    config.most = scenario.capacity.unwrap_or(config.most);
+    config.max_members = scenario.capacity.unwrap_or(config.max_members);
     let name = format!("gateway-{number}");
     let seeds = [addr(0), addr(1)];
     let seed = scenario.seed * 1_000 + number as u64 + began;
-    Membership::new(
-        config,
-        name.as_str().into(),
-        addr(number),
-        5_000 + began,
-        &seeds,
-        seed,
-    )
+    let identity = Identity {
+        name: name.as_str().into(),
+        addr: addr(number),
+        incarnation: 5_000 + began,
+    };
+    Membership::new(config, identity, &seeds, seed)
 }
 
 impl Fleet {
@@ -122,11 +120,11 @@
             fleet.add(at, i, Event::Tick);
         }
         for (i, at) in fleet.scenario.leaves.clone() {
-            fleet.add(at * S, i, Event::Leave);
+            fleet.add(at * SECOND, i, Event::Leave);
         }
         for (i, _, back) in fleet.scenario.deaths.clone() {
             back.into_iter()
-                .for_each(|at| fleet.add(at * S, i, Event::Restart));
+                .for_each(|at| fleet.add(at * SECOND, i, Event::Restart));
         }
         fleet
     }
@@ -140,11 +138,11 @@
         let deaths = self.scenario.deaths.iter();
         deaths
             .filter(|d| d.0 == i)
-            .any(|d| now >= d.1 * S && d.2.is_none_or(|back| now < back * S))
+            .any(|d| now >= d.1 * SECOND && d.2.is_none_or(|back| now < back * SECOND))
     }
 
     pub fn digest(mut self) -> u64 {
-        let end = self.scenario.seconds * S;
+        let end = self.scenario.seconds * SECOND;
         while let Some(Reverse((now, _, i, event))) = self.queue.pop() {
             if now > end {
                 break;
@@ -168,8 +166,8 @@
             .scenario
             .pauses
             .iter()
-            .find(|p| p.0 == i && (p.1 * S..p.2 * S).contains(&now));
-        if let Some(until) = pause.map(|p| p.2 * S) {
+            .find(|p| p.0 == i && (p.1 * SECOND..p.2 * SECOND).contains(&now));
+        if let Some(until) = pause.map(|p| p.2 * SECOND) {
             self.add(until, i, event);
             return;
         }
@@ -183,11 +181,11 @@
         let mut actions = Vec::new();
         match event {
             Event::Tick => {
-                member.turn(now, &mut actions);
+                member.tick(now, &mut actions);
                 self.add(now + 50_000, i, Event::Tick);
             }
             Event::Deliver(at) => {
-                let heard = member.hear(now, &self.messages[at], &mut actions);
+                let heard = member.handle_message(now, &self.messages[at], &mut actions);
                 self.hash.number(u64::from(heard.is_ok()));
             }
             Event::Leave => {
@@ -198,7 +196,7 @@
         for action in actions {
             self.carry_out(now, i, action);
         }
-        if now / S != (now + 50_000) / S && i % 7 == 0 {
+        if now / SECOND != (now + 50_000) / SECOND && i % 7 == 0 {
             self.write_view(i);
         }
     }
@@ -207,7 +205,7 @@
         self.hash.number(now);
         self.hash.number(i as u64);
         match action {
-            Action::Send(to, message) => {
+            Action::Send { to, message } => {
                 self.hash.number(1);
                 self.hash.text(&to.to_string());
                 let bytes = postcard::to_stdvec(&message).unwrap();
@@ -215,20 +213,20 @@
                 self.hash.bytes(&bytes);
                 self.send(now, i, to, message);
             }
-            Action::Changed(name, state) => {
+            Action::StateChanged { member, state } => {
                 self.hash.number(2);
-                self.hash.text(&name);
+                self.hash.text(&member);
                 self.hash.number(state as u64);
             }
-            Action::Link(name, cut) => {
+            Action::LinkChanged { member, link } => {
                 self.hash.number(3);
-                self.hash.text(&name);
-                self.hash.number(u64::from(cut));
+                self.hash.text(&member);
+                self.hash.number(u64::from(link == LinkState::Cut));
             }
             Action::Superseded => self.hash.number(4),
-            Action::Full(name) => {
+            Action::TableFull { rejected } => {
                 self.hash.number(5);
-                self.hash.text(&name);
+                self.hash.text(&rejected);
             }
         }
     }
@@ -240,7 +238,7 @@
         let lost = self.draw.below(100) < self.scenario.loss;
         let delay = 1_000 + self.draw.below(4_000);
         let cut = self.scenario.cuts.iter().any(|(a, b, begin, end)| {
-            a.contains(&from) && b.contains(&to) && (begin * S..end * S).contains(&now)
+            a.contains(&from) && b.contains(&to) && (begin * SECOND..end * SECOND).contains(&now)
         });
         let stale = self
             .scenario
@@ -267,18 +265,18 @@
         };
         let hash = &mut self.hash;
         hash.number(member.digest());
-        hash.number(u64::from(member.serving()));
-        hash.number(u64::from(member.doubts_itself()));
-        hash.number(member.news_dropped());
-        hash.number(member.exchanges_dropped());
+        hash.number(u64::from(member.serving_count()));
+        hash.number(u64::from(member.is_recovering_from_pause()));
+        hash.number(member.gossip_dropped());
+        hash.number(member.anti_entropy_dropped());
         for other in member.members() {
             hash.text(&other.name);
             hash.text(&other.addr.to_string());
             hash.number(other.state as u64);
-            hash.number(other.since);
-            hash.number(other.cut.map_or(u64::MAX, |at| at));
-            hash.number(other.life);
-            hash.number(u64::from(other.turn));
+            hash.number(other.state_since);
+            hash.number(other.link_cut_since.unwrap_or(u64::MAX));
+            hash.number(other.incarnation);
+            hash.number(u64::from(other.refutations));
         }
     }
 }
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -6,10 +6,11 @@
 mod driver;
 
 use violetgate_membership::{
-    Action, Body, Claim, Membership, MembershipConfig, Message, Shares, SharesConfig, State,
+    Action, FleetSize, FleetSizeConfig, Identity, LinkState, MemberState, MemberUpdate, Membership,
+    MembershipConfig, Message, MessageBody,
 };
 use violetgate_simulator::load::{play, Case};
-use violetgate_simulator::{Cut, FaultPlan, World, S};
+use violetgate_simulator::{Cut, FaultPlan, MemberEvent, Pause, World, SECOND};
 
 use crate::driver::{Fleet, Fnv, Lcg, Scenario};
 
@@ -120,6 +121,21 @@
     check("forgotten", scenario, 0xd23d_cfbc_0500_7e8c);
 }
 
+fn pause(member: usize, begin_s: u64, end_s: u64) -> Pause {
+    Pause {
+        member,
+        begin: begin_s * SECOND,
+        end: end_s * SECOND,
+    }
+}
+
+fn event(member: usize, at_s: u64) -> MemberEvent {
+    MemberEvent {
+        member,
+        at: at_s * SECOND,
+    }
+}
+
 /// The simulator itself: what it records and counts in a world with all kinds of faults.
 #[test]
 fn the_simulated_world_records_what_it_did() {
@@ -127,47 +143,51 @@
         let faults = FaultPlan {
             loss: 0.05,
             jitter: 20_000,
-            pauses: vec![(1, 8 * S, 11 * S), (5, 12 * S, 30 * S)],
+            pauses: vec![pause(1, 8, 11), pause(5, 12, 30)],
             cuts: vec![Cut {
                 from: vec![2, 3],
                 to: vec![4],
-                begin: 10 * S,
-                end: 22 * S,
+                begin: 10 * SECOND,
+                end: 22 * SECOND,
             }],
-            deaths: vec![(6, 14 * S)],
-            leaves: vec![(7, 16 * S)],
+            deaths: vec![event(6, 14)],
+            leaves: vec![event(7, 16)],
         };
         let config = MembershipConfig::default();
         let mut world = World::new(20, seed, &config, faults);
-        world.run(25 * S, |_| Ok(())).unwrap();
-        world.restart(6, &config, 1_000 + 25 * S);
+        world.run(25 * SECOND).unwrap();
+        world.restart(6, &config, 1_000 + 25 * SECOND);
         world.kill(8);
         world.leave(9);
-        world.wake();
-        world.run(50 * S, |_| Ok(())).unwrap();
+        world.resume_paused();
+        world.run(50 * SECOND).unwrap();
         let mut hash = Fnv::new();
-        for seen in &world.seen {
-            hash.number(seen.at);
-            hash.number(seen.by as u64);
-            hash.number(seen.of as u64);
-            hash.number(seen.state as u64);
+        for change in &world.view_changes {
+            hash.number(change.at);
+            hash.number(change.observer as u64);
+            hash.number(change.subject as u64);
+            hash.number(change.state as u64);
         }
-        for (at, by, of, cut) in &world.links {
-            hash.number(*at);
-            hash.number(*by as u64);
-            hash.number(*of as u64);
-            hash.number(u64::from(*cut));
+        for change in &world.link_changes {
+            hash.number(change.at);
+            hash.number(change.observer as u64);
+            hash.number(change.subject as u64);
+            hash.number(u64::from(change.link == LinkState::Cut));
         }
-        for (bytes, messages) in &world.sent {
-            hash.number(*bytes);
-            hash.number(*messages);
+        for traffic in &world.traffic {
+            hash.number(traffic.bytes);
+            hash.number(traffic.messages);
         }
-        hash.number(world.events);
+        hash.number(world.event_count);
         hash.number(world.false_declarations);
         hash.number(world.false_deaths() as u64);
         hash.number(u64::from(world.agrees()));
-        hash.number(u64::from(world.settled()));
-        hash.number(world.last_to_know(8, 25 * S).unwrap_or(u64::MAX));
+        hash.number(u64::from(world.is_settled()));
+        hash.number(
+            world
+                .time_until_all_know(8, 25 * SECOND)
+                .unwrap_or(u64::MAX),
+        );
         assert_eq!(hash.0, expected, "seed {seed}: {:#018x}", hash.0);
     }
 }
@@ -205,18 +225,18 @@
     let mut hash = Fnv::new();
     let mut draw = Lcg(77);
     for _ in 0..200 {
-        let config = SharesConfig {
-            told: draw.below(12) as u32,
-            settle: draw.below(20) * S,
-            step: draw.below(4) * S,
+        let config = FleetSizeConfig {
+            configured_size: draw.below(12) as u32,
+            settle_time: draw.below(20) * SECOND,
+            step_interval: draw.below(4) * SECOND,
         };
-        let mut now = draw.below(100 * S);
-        let mut size = Shares::new(config, now);
+        let mut now = draw.below(100 * SECOND);
+        let mut size = FleetSize::new(config, now);
         for _ in 0..300 {
-            now += draw.below(3 * S);
-            let changed = size.see(draw.below(15) as u32, now);
+            now += draw.below(3 * SECOND);
+            let changed = size.observe(draw.below(15) as u32, now);
             hash.number(u64::from(changed));
-            hash.number(u64::from(size.count()));
+            hash.number(u64::from(size.size()));
         }
     }
     assert_eq!(hash.0, 0x707b_3178_e38f_e4ca, "{:#018x}", hash.0);
@@ -226,36 +246,44 @@
 #[test]
 fn the_older_process_of_a_name_stops_as_it_did() {
     let addr = |port| std::net::SocketAddr::from(([10, 2, 0, 1], port));
-    let claim = |name: &str, life, turn, state| Claim {
+    let update = |name: &str, incarnation, refutations, state| MemberUpdate {
         name: name.into(),
         addr: addr(7_000),
-        life,
-        turn,
+        incarnation,
+        refutations,
         state,
-        by: (state == State::Suspect).then(|| "other".into()),
+        accuser: (state == MemberState::Suspect).then(|| "other".into()),
     };
     let config = MembershipConfig::default();
-    let mut member = Membership::new(config, "own".into(), addr(7_001), 500, &[], 3);
+    let identity = Identity {
+        name: "own".into(),
+        addr: addr(7_001),
+        incarnation: 500,
+    };
+    let mut member = Membership::new(config, identity, &[], 3);
     let mut hash = Fnv::new();
-    for (now, claims) in [
-        (S, vec![claim("own", 400, 9, State::Dead)]),
-        (2 * S, vec![claim("own", 500, 0, State::Suspect)]),
-        (3 * S, vec![claim("own", 500, 0, State::Dead)]),
-        (4 * S, vec![claim("own", 500, 7, State::Left)]),
-        (5 * S, vec![claim("own", 600, 0, State::Alive)]),
-        (6 * S, vec![claim("own", 700, 0, State::Alive)]),
+    for (now, updates) in [
+        (SECOND, vec![update("own", 400, 9, MemberState::Dead)]),
+        (
+            2 * SECOND,
+            vec![update("own", 500, 0, MemberState::Suspect)],
+        ),
+        (3 * SECOND, vec![update("own", 500, 0, MemberState::Dead)]),
+        (4 * SECOND, vec![update("own", 500, 7, MemberState::Left)]),
+        (5 * SECOND, vec![update("own", 600, 0, MemberState::Alive)]),
+        (6 * SECOND, vec![update("own", 700, 0, MemberState::Alive)]),
     ] {
-        let other = claim("other", 10, 0, State::Alive);
-        let claims = std::iter::once(other).chain(claims).collect();
+        let other = update("other", 10, 0, MemberState::Alive);
+        let updates = std::iter::once(other).chain(updates).collect();
         let mut actions = Vec::new();
-        let body = Body::Ping(now);
+        let body = MessageBody::Ping { sequence: now };
         member
-            .hear(now, &Message { body, claims }, &mut actions)
+            .handle_message(now, &Message { body, updates }, &mut actions)
             .unwrap();
-        member.turn(now + S / 2, &mut actions);
+        member.tick(now + SECOND / 2, &mut actions);
         for action in actions {
             match action {
-                Action::Send(to, message) => {
+                Action::Send { to, message } => {
                     hash.text(&to.to_string());
                     postcard::to_stdvec(&message)
                         .unwrap()
@@ -263,15 +291,15 @@
                         .for_each(|byte| hash.number(u64::from(*byte)));
                 }
                 Action::Superseded => hash.number(4),
-                Action::Changed(name, state) => {
-                    hash.text(&name);
+                Action::StateChanged { member, state } => {
+                    hash.text(&member);
                     hash.number(state as u64);
                 }
-                Action::Link(..) | Action::Full(_) => hash.number(3),
+                Action::LinkChanged { .. } | Action::TableFull { .. } => hash.number(3),
             }
         }
-        hash.number(u64::from(member.serving()));
-        hash.number(u64::from(member.own_claim().turn));
+        hash.number(u64::from(member.serving_count()));
+        hash.number(u64::from(member.own_update().refutations));
     }
     assert_eq!(hash.0, 0x497b_618b_b704_ad69, "{:#018x}", hash.0);
 }
