--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -2,7 +2,7 @@
 
 mod calls;
 mod disk_worker;
-mod fleet;
+mod fleet_reports;
 mod status;
 
 use std::cell::{Cell, RefCell};
@@ -17,9 +17,9 @@
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use violetgate_raft::{Index, Members, Meta, NodeId, Rejected};
-use violetgate_raft_storage::{Disk, Folder, Identity};
-use violetgate_replica::{Answer, Effect, Found, Member, MemberConfig, Ticket};
+use violetgate_raft::{Index, Membership, NodeId, ProposalError, SnapshotMetadata};
+use violetgate_raft_storage::{FsDirectory, Identity, RaftStorage};
+use violetgate_replica::{CallId, Effect, InitialState, Replica, ReplicaConfig, Response};
 use violetgate_replicated_state::{Stale, Store};
 
 use crate::clock::{boot, wall, Alarm};
@@ -28,15 +28,15 @@
 use calls::{Slot, TRY};
 use disk_worker::{write_for_ever, Done, Job};
 
-pub use calls::Answered;
-pub use status::Status;
+pub use calls::CallOutcome;
+pub use status::ReplicaStatus;
 
 /// Calls of other members that are carried out at a time; more are turned away, and come again.
 const MOST_ASKED: usize = 1_000;
 
 /// What a member is told at its start.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct ReplicaOptions {
     /// The cluster's name.
     pub cluster: String,
     /// This member's id.
@@ -48,83 +48,85 @@
     /// All members that are known, with their addresses.
     pub members: BTreeMap<NodeId, SocketAddr>,
     /// How it behaves.
-    pub config: MemberConfig,
+    pub config: ReplicaConfig,
     /// For random numbers.
     pub seed: u64,
 }
 
 /// What begins a member's folder.
 #[derive(Debug, Clone)]
-pub struct Beginning {
+pub struct Bootstrap {
     /// The first members, or none for one that joins a cluster that runs.
-    pub members: Vec<NodeId>,
+    pub initial_members: Vec<NodeId>,
     /// A saved state to begin with; empty: nothing.
-    pub state: Vec<u8>,
+    pub initial_state: Vec<u8>,
 }
 
 /// What is called with the store once more is applied to it.
-pub type OnApplied = Rc<dyn Fn(&Store)>;
+pub type AppliedCallback = Rc<dyn Fn(&Store)>;
 
 /// A member at work.
-pub struct Cluster {
-    me: Weak<Cluster>,
-    member: RefCell<Member>,
-    born: u64,
+pub struct ReplicaRuntime {
+    me: Weak<ReplicaRuntime>,
+    member: RefCell<Replica>,
+    disk_id: u64,
     transport: Rc<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     /// Called in the very turn in which more is applied, before anything else can be decided on it.
-    applied: RefCell<Vec<OnApplied>>,
+    applied: RefCell<Vec<AppliedCallback>>,
     /// How far front ends are, as observers report it.
-    fleet: RefCell<fleet::Reports>,
+    fleet: RefCell<fleet_reports::Reports>,
     told: Cell<Index>,
     /// Calls that other members carry out for this one, and how many this one carries out for others.
-    asked: RefCell<BTreeMap<u64, Rc<Slot>>>,
+    forwarded_calls: RefCell<BTreeMap<u64, Rc<Slot>>>,
     carrying: Cell<usize>,
     jobs: mpsc::Sender<Job>,
-    waiting: RefCell<BTreeMap<Ticket, Rc<Slot>>>,
-    next: Cell<Ticket>,
+    pending_calls: RefCell<BTreeMap<CallId, Rc<Slot>>>,
+    last_ticket: Cell<CallId>,
     alarm: Rc<Alarm>,
     /// Those that wait for the state to move on, and why nothing can be written any more.
     watchers: RefCell<Vec<Waker>>,
-    lost: RefCell<Option<String>>,
+    stop_reason: RefCell<Option<String>>,
     tasks: RefCell<Vec<Task<()>>>,
 }
 
-impl Cluster {
+impl ReplicaRuntime {
     /// Makes a member's folder. It is done once: a folder that is lost can't be made again under the same id, as its
     /// promises are lost with it.
     ///
     /// # Errors
     ///
     /// The folder is somebody's already, or can't be written.
-    pub fn begin(
+    pub fn initialize(
         cluster: &str,
         id: NodeId,
         folder: &Path,
         born: u64,
-        from: Beginning,
+        bootstrap: Bootstrap,
     ) -> Result<(), String> {
         let place = folder.display();
-        let files = Folder::new(folder).map_err(|e| format!("{place}: {e}"))?;
+        let files = FsDirectory::new(folder).map_err(|e| format!("{place}: {e}"))?;
         let identity = Identity {
             cluster: cluster.to_owned(),
-            member: id,
-            born,
+            replica_id: id,
+            incarnation: born,
         };
         // A state to begin with is the first entry, so that one that has nothing is sent it.
-        let index = Index::from(!from.state.is_empty());
-        let base = match from.members {
-            members if members.is_empty() => Meta::default(),
-            members => Meta {
+        let index = Index::from(!bootstrap.initial_state.is_empty());
+        let base = match bootstrap.initial_members {
+            members if members.is_empty() => SnapshotMetadata::default(),
+            members => SnapshotMetadata {
                 index,
-                members: Members::first(members),
-                ..Meta::default()
+                members: Membership::bootstrap(members),
+                ..SnapshotMetadata::default()
             },
         };
-        if !from.state.is_empty() {
-            Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
+        if !bootstrap.initial_state.is_empty() {
+            Store::load(&bootstrap.initial_state)
+                .map_err(|e| format!("this is no saved state: {e}"))?;
         }
-        Disk::create(files, &identity, &base, &from.state).map_err(|e| format!("{place}: {e}"))?;
+        RaftStorage::create(files, &identity, &base, &bootstrap.initial_state)
+            .map_err(|e| format!("{place}: {e}"))?;
         Ok(())
     }
 
@@ -135,9 +137,9 @@
     /// Its folder or its address can't be used; the text says why.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        options: &Options,
+        options: &ReplicaOptions,
     ) -> Result<Rc<Self>, String> {
-        let Options {
+        let ReplicaOptions {
             cluster,
             id,
             folder,
@@ -147,58 +149,58 @@
             seed,
         } = options.clone();
         let place = folder.display().to_string();
-        let files = || Folder::new(&folder).map_err(|e| format!("{place}: {e}"));
+        let files = || FsDirectory::new(&folder).map_err(|e| format!("{place}: {e}"));
         let (disk, kept) =
-            Disk::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
-        let born = kept.born;
-        if kept.cut > 0 {
+            RaftStorage::open(files()?, &cluster, id).map_err(|e| format!("{place}: {e}"))?;
+        let born = kept.incarnation;
+        if kept.discarded_bytes > 0 {
             tracing::info!(
                 "cluster cut {} bytes of a write that was under way off {place}",
-                kept.cut
+                kept.discarded_bytes
             );
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
-        let found = Found {
+        let found = InitialState {
             hard: kept.hard,
             base: kept.base,
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Member::new(id, config, seed, found, boot())?;
+        let member = Replica::new(id, config, seed, found, boot())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
             .name("disk".to_owned())
             .spawn(move || write_for_ever(disk, &work, &tell))
             .map_err(|e| format!("a thread for the disk: {e}"))?;
-        let me = Rc::new_cyclic(|me: &Weak<Cluster>| {
+        let me = Rc::new_cyclic(|me: &Weak<ReplicaRuntime>| {
             let of = me.clone();
             let incoming = Box::new(move |from, frame| {
                 if let Some(cluster) = of.upgrade() {
                     cluster.hear(from, frame);
                 }
             });
-            Cluster {
+            ReplicaRuntime {
                 me: me.clone(),
                 told: Cell::new(member.applied()),
                 member: RefCell::new(member),
-                born,
+                disk_id: born,
                 transport: Transport::new(Rc::clone(executor), &cluster, id, born, incoming),
                 executor: Rc::clone(executor),
                 applied: RefCell::default(),
                 fleet: RefCell::default(),
-                asked: RefCell::default(),
+                forwarded_calls: RefCell::default(),
                 carrying: Cell::new(0),
                 jobs,
-                waiting: RefCell::default(),
-                next: Cell::new(0),
+                pending_calls: RefCell::default(),
+                last_ticket: Cell::new(0),
                 alarm: Rc::default(),
                 watchers: RefCell::default(),
-                lost: RefCell::default(),
+                stop_reason: RefCell::default(),
                 tasks: RefCell::default(),
             }
         });
-        me.transport.peers(&members);
+        me.transport.set_peers(&members);
         let tasks = [
             executor.spawn(Rc::clone(&me.transport).listen(listener)),
             executor.spawn(keep_time(Rc::downgrade(&me), Rc::clone(&me.alarm))),
@@ -211,7 +213,7 @@
     /// This member's id.
     #[must_use]
     pub fn id(&self) -> NodeId {
-        self.member.borrow().node().id()
+        self.member.borrow().raft().id()
     }
 
     /// What its tasks run on.
@@ -226,7 +228,7 @@
     }
 
     /// Does something with the member, told the time first, and carries out what follows.
-    fn with<T>(&self, act: impl FnOnce(&mut Member) -> T) -> T {
+    fn with<T>(&self, act: impl FnOnce(&mut Replica) -> T) -> T {
         let (now, wall) = (boot(), wall());
         let done = {
             let mut member = self.member.borrow_mut();
@@ -238,27 +240,27 @@
     }
 
     fn pump(&self) {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return;
         }
         let mut writes = Vec::new();
         loop {
-            let effects = self.member.borrow_mut().effects();
+            let effects = self.member.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             for effect in effects {
                 match effect {
                     // All of a turn is one job, and one sync.
-                    Effect::Write(write) => writes.push(write),
-                    Effect::Send(to, message) => self.transport.send(to, &Frame::Core(message)),
-                    Effect::Answer(ticket, answer) => self.answer(ticket, answer),
-                    Effect::Keep(meta, state) => {
+                    Effect::Persist(write) => writes.push(write),
+                    Effect::Send(to, message) => self.transport.send(to, &Frame::Raft(message)),
+                    Effect::Respond(ticket, answer) => self.answer(ticket, answer),
+                    Effect::SaveSnapshot(meta, state) => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Keep(meta, state.to_vec()));
                     }
-                    Effect::Install(from, meta, state) => {
-                        let follows = self.member.borrow().follows(&meta);
+                    Effect::InstallSnapshot(from, meta, state) => {
+                        let follows = self.member.borrow().entries_after(&meta);
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Install(from, meta, state.to_vec(), follows));
                     }
@@ -284,35 +286,41 @@
 
     fn lose(&self, what: String) {
         tracing::info!("cluster member stops: {what}");
-        *self.lost.borrow_mut() = Some(what);
+        *self.stop_reason.borrow_mut() = Some(what);
         self.watchers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
-    fn answer(&self, ticket: Ticket, answer: Answer) {
-        let slot = self.waiting.borrow().get(&ticket).cloned();
+    fn answer(&self, ticket: CallId, answer: Response) {
+        let slot = self.pending_calls.borrow().get(&ticket).cloned();
         slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
     }
 
     /// What another member says.
     fn hear(&self, from: NodeId, frame: Frame) {
         match frame {
-            Frame::Core(message) => self.with(|m| m.step(from, message)),
+            Frame::Raft(message) => self.with(|m| m.step(from, message)),
             Frame::Progress(summary) => self.progress_came(from, summary),
-            Frame::Told(number, answer) => {
-                let slot = self.asked.borrow().get(&number).cloned();
+            Frame::CallAnswer { id: number, answer } => {
+                let slot = self.forwarded_calls.borrow().get(&number).cloned();
                 slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
             }
-            Frame::Ask(number, _) if self.carrying.get() >= MOST_ASKED => {
-                self.transport
-                    .send(from, &Frame::Told(number, Answer::Rejected(Rejected::Busy)));
+            Frame::ForwardCall { id: number, .. } if self.carrying.get() >= MOST_ASKED => {
+                self.transport.send(
+                    from,
+                    &Frame::CallAnswer {
+                        id: number,
+                        answer: Response::Rejected(ProposalError::Busy),
+                    },
+                );
             }
-            Frame::Ask(number, call) => {
+            Frame::ForwardCall { id: number, call } => {
                 let Some(me) = self.me.upgrade() else { return };
                 self.carrying.set(self.carrying.get() + 1);
                 let carried = async move {
                     // One that gets no answer asks again.
-                    if let Answered::Yes(answer) = me.here(call, TRY).await {
-                        me.transport.send(from, &Frame::Told(number, answer));
+                    if let CallOutcome::Completed(answer) = me.here(call, TRY).await {
+                        me.transport
+                            .send(from, &Frame::CallAnswer { id: number, answer });
                     }
                     me.carrying.set(me.carrying.get() - 1);
                 };
@@ -323,12 +331,12 @@
 
     /// What was drawn when this member's disk was made.
     #[must_use]
-    pub fn born(&self) -> u64 {
-        self.born
+    pub fn disk_id(&self) -> u64 {
+        self.disk_id
     }
 
     /// Adds to what is called in the very turn in which more is applied; it is called at once, too.
-    pub fn on_applied(&self, f: OnApplied) {
+    pub fn on_applied(&self, f: AppliedCallback) {
         f(self.member.borrow().store());
         self.applied.borrow_mut().push(f);
     }
@@ -350,16 +358,16 @@
     ///
     /// The state is too old, or nothing can be written any more.
     pub fn may_route(&self) -> Result<(), Stale> {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return Err(Stale { age: None });
         }
         self.member.borrow().may_route(boot())
     }
 
     /// Waits until more is applied here, or the member stops.
-    pub async fn moved(&self, from: Index) {
+    pub async fn wait_for_apply(&self, from: Index) {
         poll_fn(|cx| {
-            if self.member.borrow().applied() != from || self.lost.borrow().is_some() {
+            if self.member.borrow().applied() != from || self.stop_reason.borrow().is_some() {
                 return Poll::Ready(());
             }
             self.watchers.borrow_mut().push(cx.waker().clone());
@@ -370,13 +378,13 @@
 
     /// Why the member has stopped, if it has.
     #[must_use]
-    pub fn lost(&self) -> Option<String> {
-        self.lost.borrow().clone()
+    pub fn stop_reason(&self) -> Option<String> {
+        self.stop_reason.borrow().clone()
     }
 }
 
 /// Tells the member the time whenever it wants to be.
-async fn keep_time(of: Weak<Cluster>, alarm: Rc<Alarm>) {
+async fn keep_time(of: Weak<ReplicaRuntime>, alarm: Rc<Alarm>) {
     while let Some(cluster) = of.upgrade() {
         cluster.with(|_| ());
         alarm.set(cluster.member.borrow().next_tick());
@@ -385,14 +393,14 @@
     }
 }
 
-async fn hear_disk(of: Weak<Cluster>, done: Receiver<Done>) {
+async fn hear_disk(of: Weak<ReplicaRuntime>, done: Receiver<Done>) {
     while let Ok(done) = done.recv().await {
         let Some(cluster) = of.upgrade() else { return };
         match done {
             Done::Persisted(seq) => cluster.with(|m| m.persisted(seq)),
-            Done::Kept(index) => cluster.with(|m| m.kept(index)),
+            Done::Kept(index) => cluster.with(|m| m.snapshot_saved(index)),
             Done::Installed(from, meta, state) => {
-                cluster.with(|m| m.installed(from, meta, Rc::new(state)))
+                cluster.with(|m| m.snapshot_installed(from, meta, Rc::new(state)))
             }
             Done::Full(what) => tracing::info!("cluster can't write for now: {what}"),
             Done::Lost(what) => cluster.lose(what),
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,14 +1,14 @@
 //! What a member is at, for operators and tests.
 
-use violetgate_raft::{Index, Members, NodeId, Role, Term};
+use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
 
-use super::Cluster;
+use super::ReplicaRuntime;
 use crate::clock::boot;
 
 /// What a member is at.
 #[derive(Debug, Clone)]
-pub struct Status {
+pub struct ReplicaStatus {
     /// Its id.
     pub id: NodeId,
     /// What it is.
@@ -22,31 +22,31 @@
     /// The same, applied.
     pub applied: Index,
     /// The members.
-    pub members: Members,
+    pub members: Membership,
     /// The store's revision, as it is applied here.
     pub revision: Revision,
     /// Whether state may be routed on, or how old it is.
-    pub fresh: Result<(), Stale>,
+    pub freshness: Result<(), Stale>,
     /// For a leader, what each other member is known to have.
     pub progress: Vec<(NodeId, Index)>,
 }
 
-impl Cluster {
+impl ReplicaRuntime {
     /// What the member is at.
     #[must_use]
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let member = self.member.borrow();
-        let node = member.node();
-        Status {
+        let node = member.raft();
+        ReplicaStatus {
             id: node.id(),
             role: node.role(),
             term: node.term(),
             leader: node.leader(),
             commit: node.commit(),
             applied: member.applied(),
-            members: member.members().clone(),
+            members: member.membership().clone(),
             revision: member.store().revision(),
-            fresh: member.may_route(boot()),
+            freshness: member.may_route(boot()),
             progress: node.progress(),
         }
     }
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -8,13 +8,13 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::{Change, NodeId};
-use violetgate_replica::{Answer, MemberConfig};
+use violetgate_raft::{MembershipChange, NodeId};
+use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{
-    Answered, Beginning, Call, Cluster, ObserverConfig, ObserverService, Options, SubscriberConfig,
-    Subscription,
+    Bootstrap, Call, CallOutcome, ObserverConfig, ObserverService, ReplicaOptions, ReplicaRuntime,
+    SubscriberConfig, Subscription,
 };
-use violetgate_replicated_state::{Entries, Op, Outcome, Revision, Step, Txn};
+use violetgate_replicated_state::{Entries, Mutation, Operation, Outcome, Revision, Txn};
 
 /// How long anything may take on a busy machine.
 pub const WAIT: Duration = Duration::from_secs(60);
@@ -27,7 +27,7 @@
     pub executor: Rc<LocalExecutor<'static>>,
     folder: PathBuf,
     addresses: BTreeMap<NodeId, SocketAddr>,
-    pub members: BTreeMap<NodeId, Rc<Cluster>>,
+    pub members: BTreeMap<NodeId, Rc<ReplicaRuntime>>,
     /// Where observers serve.
     pub serving_at: BTreeMap<NodeId, SocketAddr>,
     pub services: BTreeMap<NodeId, Rc<ObserverService>>,
@@ -87,37 +87,38 @@
                 Vec::new()
             };
             let folder = fleet.folder.join(id.to_string());
-            let from = Beginning {
-                members,
-                state: Vec::new(),
+            let from = Bootstrap {
+                initial_members: members,
+                initial_state: Vec::new(),
             };
-            Cluster::begin(CLUSTER, id, &folder, 100 + id, from).unwrap();
+            ReplicaRuntime::initialize(CLUSTER, id, &folder, 100 + id, from).unwrap();
             fleet.start_member(id);
         }
         fleet
     }
 
     fn start_member(&mut self, id: NodeId) {
-        let options = Options {
+        let options = ReplicaOptions {
             cluster: CLUSTER.to_owned(),
             id,
             folder: self.folder.join(id.to_string()),
             listen: self.addresses[&id],
             members: self.addresses.clone(),
-            config: MemberConfig {
-                snapshot_every: 1_000,
-                ..MemberConfig::default()
+            config: ReplicaConfig {
+                snapshot_interval: 1_000,
+                ..ReplicaConfig::default()
             },
             seed: 7 + id,
         };
         self.members
-            .insert(id, Cluster::start(&self.executor, &options).unwrap());
+            .insert(id, ReplicaRuntime::start(&self.executor, &options).unwrap());
     }
 
     /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
-            self.agree(Call::Change(Change::Add(id))).await;
+            self.agree(Call::ChangeMembership(MembershipChange::AddLearner(id)))
+                .await;
             self.serve_at(id, &change).await;
         }
     }
@@ -163,37 +164,37 @@
     }
 
     /// Has a call agreed on by whoever leads.
-    pub async fn agree(&mut self, call: Call) -> Answer {
+    pub async fn agree(&mut self, call: Call) -> Response {
         self.requests += 1;
         loop {
             let member = Rc::clone(self.members.values().next().unwrap());
-            if let Answered::Yes(answer) = member.agree(call.clone(), WAIT).await {
+            if let CallOutcome::Completed(answer) = member.submit(call.clone(), WAIT).await {
                 return answer;
             }
         }
     }
 
     /// Takes a step, once; the revision after it.
-    pub async fn step(&mut self, step: Step) -> Revision {
+    pub async fn step(&mut self, step: Operation) -> Revision {
         let call = Call::Propose {
             request: format!("r-{}", self.requests),
             who: "test".to_owned(),
             step,
         };
         match self.agree(call).await {
-            Answer::Done(Outcome::Done { revision, .. }) => revision,
+            Response::Applied(Outcome::Applied { revision, .. }) => revision,
             other => panic!("{other:?}"),
         }
     }
 
     /// Sets a key; the revision that it made.
     pub async fn put(&mut self, key: &str, value: &[u8]) -> Revision {
-        let op = Op::Put {
+        let op = Mutation::Put {
             key: key.to_owned(),
             value: value.to_vec(),
             lease: None,
         };
-        self.step(Step::Txn(Txn {
+        self.step(Operation::Txn(Txn {
             then: vec![op],
             ..Txn::default()
         }))
@@ -213,10 +214,10 @@
     /// Every front end holds the very entries that a member has.
     pub fn same_everywhere(&self) {
         let member = self.members.values().next().unwrap();
-        let held = member.store(|store| store.entries_below(""));
+        let held = member.store(|store| store.entries_with_prefix(""));
         for subscription in &self.subscriptions {
             assert_eq!(
-                subscription.replica(|replica| replica.entries_below("")),
+                subscription.replica(|replica| replica.entries_with_prefix("")),
                 held
             );
         }
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -1,19 +1,20 @@
 //! The voters, as an observer sees them: one history of commands that it applies late, and reads that may be slow.
 
 use violetgate_raft::NodeId;
-use violetgate_replicated_state::{Command, Op, Step, Txn};
+use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
 use violetgate_state_distribution::*;
 
+use super::trace::Record;
 use super::{check, Event, World, MS};
 
 impl World {
     /// The voters agree on a command.
-    pub fn agree(&mut self, step: Step) {
+    pub fn agree(&mut self, step: Operation) {
         let command = Command {
-            request: None,
-            who: "test".to_owned(),
+            request_id: None,
+            actor: "test".to_owned(),
             time: self.now,
-            step,
+            operation: step,
         };
         self.truth.apply(&command);
         self.history.push(command);
@@ -27,13 +28,13 @@
     }
 
     pub fn put(&mut self, keys: &[(u64, usize)]) {
-        let put = |(key, bytes): &(u64, usize)| Op::Put {
+        let put = |(key, bytes): &(u64, usize)| Mutation::Put {
             key: format!("key-{key:03}"),
             value: vec![(self.now % 251) as u8; *bytes],
             lease: None,
         };
         let then = keys.iter().map(put).collect();
-        self.agree(Step::Txn(Txn {
+        self.agree(Operation::Txn(Txn {
             then,
             ..Txn::default()
         }));
@@ -65,11 +66,13 @@
             process.store.apply(command);
         }
         process.applied = to;
+        self.trace(id, Record::Applied(to));
+        let process = self.observers.get_mut(&id).unwrap();
         process
             .core
             .as_mut()
             .unwrap()
-            .applied(self.now, &process.store);
+            .store_applied(self.now, &process.store);
         self.end_reads(id);
         self.plan_apply(id);
         self.after_observer(id);
@@ -114,10 +117,8 @@
             .partition(|(index, _)| *index <= applied);
         process.reads = rest;
         let done: Vec<(usize, ReadId)> = done;
-        if let Some(core) = &mut process.core {
-            for (_, read) in done {
-                core.read_ended(self.now, read, true, &process.store);
-            }
+        for (_, read) in done {
+            self.read_completed(id, read, true);
         }
     }
 
@@ -126,9 +127,22 @@
         if process.starts != starts {
             return;
         }
-        if let Some(core) = &mut process.core {
-            core.read_ended(self.now, read, false, &process.store);
+        if process.core.is_some() {
+            self.read_completed(id, read, false);
             self.after_observer(id);
         }
     }
+
+    fn read_completed(&mut self, id: NodeId, read: ReadId, current: bool) {
+        let process = self.observers.get_mut(&id).unwrap();
+        if let Some(core) = &mut process.core {
+            let result = if current {
+                ReadResult::Current
+            } else {
+                ReadResult::Failed
+            };
+            core.read_completed(self.now, read, result, &process.store);
+            self.trace(id, Record::ReadEnded(read, current));
+        }
+    }
 }
--- a/gateway/src/keyed.rs
+++ b/gateway/src/idempotency.rs
@@ -1,6 +1,6 @@
 //! Idempotency keys ahead of the decisions: of all queries of one key, by whichever front they come, one runs.
 //!
-//! It stands before an [`Intake`] as another one, and carries out what
+//! It stands before an [`RequestSink`] as another one, and carries out what
 //! [`IdempotencyKeys`] says: a query that runs is handed
 //! on under an exchange of its own, so that it goes on while any of those that wait for it is there. It must
 //! never decide about a query that carries no key, and never send one again by itself.
@@ -13,12 +13,12 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use sha2::{Digest, Sha256};
-use violetgate_policy::interface::{Class, Effect, Micros, QueryId};
+use violetgate_policy::interface::{Class, Idempotency, Micros, QueryId};
 use violetgate_result_store::{
     ByteBudget, ByteReservation, ExecutionOutcome, IdempotencyKeys, KeyLookup, RequestFingerprint,
 };
 
-use crate::exchange::{Answer, Exchange, Intake, Request, Served, MAX_RESULT};
+use crate::exchange::{Answer, Exchange, Request, RequestSink, Served, MAX_RESULT_BYTES};
 
 /// How many queries may wait for one key: a client and its impatient repeats.
 const JOINED: usize = 32;
@@ -49,9 +49,9 @@
 }
 
 /// The keys, and those that wait for them.
-pub struct Keyed {
-    me: Weak<Keyed>,
-    inner: Rc<dyn Intake>,
+pub struct IdempotencyLayer {
+    me: Weak<IdempotencyLayer>,
+    inner: Rc<dyn RequestSink>,
     executor: Rc<LocalExecutor<'static>>,
     /// For how long engines discard a repeat, by class; `None`: the class has no keys.
     windows: Vec<Option<Micros>>,
@@ -64,21 +64,21 @@
     replayed: Cell<u64>,
 }
 
-impl Keyed {
+impl IdempotencyLayer {
     /// Stands before `inner`, with room for `most` keys; recorded answers hold bytes of `budget`.
     #[must_use]
     pub fn new(
-        inner: Rc<dyn Intake>,
+        inner: Rc<dyn RequestSink>,
         executor: Rc<LocalExecutor<'static>>,
         classes: &[Class],
         budget: ByteBudget,
         most: usize,
     ) -> Rc<Self> {
         let window = |c: &Class| {
-            (c.effect == Effect::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
+            (c.idempotency == Idempotency::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
         };
         let now = inner.now();
-        Rc::new_cyclic(|me| Keyed {
+        Rc::new_cyclic(|me| IdempotencyLayer {
             me: me.clone(),
             inner,
             executor,
@@ -127,10 +127,10 @@
                     .borrow_mut()
                     .finish(self.now(), key, ExecutionOutcome::NoEffect);
             debug_assert_eq!(waiters, [id]);
-            exchange.settle(answer);
+            exchange.complete(answer);
         };
         // Reserved before it is admitted: an answer that could not be kept would leave a repeat nothing to meet.
-        let Some(grant) = self.budget.reserve(MAX_RESULT) else {
+        let Some(grant) = self.budget.reserve(MAX_RESULT_BYTES) else {
             harmless(Answer::Refused { retry_after: RETRY });
             return true;
         };
@@ -164,8 +164,8 @@
                 })
             }
             // What no engine connection ever had has surely not run.
-            Answer::Refused { .. } | Answer::Closing | Answer::Stale
-                if leader.trail.borrow().is_empty() =>
+            Answer::Refused { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
+                if leader.used_connections.borrow().is_empty() =>
             {
                 ExecutionOutcome::NoEffect
             }
@@ -175,7 +175,7 @@
         for id in waiters {
             let waiter = self.waiting.borrow_mut().remove(&id);
             if let Some(waiter) = waiter {
-                waiter.exchange.settle(answer.clone());
+                waiter.exchange.complete(answer.clone());
             }
         }
         // It is the one that runs this: it may end by itself.
@@ -194,7 +194,7 @@
             let waiter = me.waiting.borrow_mut().remove(&id);
             if let Some(mut waiter) = waiter {
                 me.leave(&waiter.key, id);
-                exchange.settle(Answer::Failed);
+                exchange.complete(Answer::Failed);
                 waiter._late.take().into_iter().for_each(Task::detach);
             }
         })
@@ -221,7 +221,7 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    hash.update(request.query.key.map_or([0; 9], |k| {
+    hash.update(request.query.ordering_key.map_or([0; 9], |k| {
         let mut bytes = [1; 9];
         bytes
             .iter_mut()
@@ -238,7 +238,7 @@
     print
 }
 
-impl Intake for Keyed {
+impl RequestSink for IdempotencyLayer {
     fn submit(&self, exchange: &Rc<Exchange>) -> bool {
         let request = &exchange.request;
         let window = self
@@ -266,13 +266,13 @@
             }
             KeyLookup::Replay(recorded) => {
                 self.replayed.set(self.replayed.get() + 1);
-                exchange.settle(Answer::Served(recorded.served));
+                exchange.complete(Answer::Served(recorded.served));
             }
-            KeyLookup::KeyConflict => exchange.settle(Answer::Differs),
-            KeyLookup::OutcomeUnknown => exchange.settle(Answer::Unsure),
+            KeyLookup::KeyConflict => exchange.complete(Answer::KeyConflict),
+            KeyLookup::OutcomeUnknown => exchange.complete(Answer::OutcomeUnknown),
             KeyLookup::Full { retry_after: wait } => {
                 let retry_after = if wait == 0 { RETRY } else { wait };
-                exchange.settle(Answer::Refused { retry_after });
+                exchange.complete(Answer::Refused { retry_after });
             }
         }
         true
