--- a/cluster/raft-storage/src/directory.rs
+++ b/cluster/raft-storage/src/directory.rs
@@ -14,7 +14,8 @@
     fn list(&self) -> Result<Vec<String>>;
     /// The content of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>>;
-    /// Appends to a file, which is created if it doesn't exist. After an error any part may have been written.
+    /// Appends to a file, which is created if it doesn't exist. After an error any part may have
+    /// been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
     /// Cuts a file off at a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
@@ -28,7 +29,7 @@
     fn remove(&mut self, name: &str) -> Result<()>;
 }
 
-/// A folder of the file system. The file that was last appended to stays open.
+/// A folder of the file system. The file of the last append is held open.
 #[derive(Debug)]
 pub struct FsDirectory {
     path: PathBuf,
--- a/cluster/raft-storage/src/error.rs
+++ b/cluster/raft-storage/src/error.rs
@@ -5,10 +5,12 @@
 /// Why storage can't be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The disk is full, or takes nothing for another reason. Nothing was written, and the same may be retried.
+    /// The disk is full, or takes nothing for another reason. Nothing was written, and the same
+    /// may be retried.
     #[error("nothing can be written for now: {0}")]
     WriteFailed(#[source] io::Error),
-    /// It is not known what is durable, so nothing can be written any more: the replica has to stop.
+    /// It is not known what is durable, so nothing can be written any more: the replica has to
+    /// stop.
     #[error("nothing can be written any more: {0}")]
     DurabilityUnknown(String),
     /// What is on disk is damaged. The replica has to be replaced by a new one.
@@ -58,14 +60,14 @@
         source: postcard::Error,
     },
     /// An entry is missing.
-    #[error("{file}: record at {offset}: entry {found} where {expected} should be")]
+    #[error("{file}: record at {offset}: entry {actual} where {expected} should be")]
     MissingEntry {
         /// The file.
         file: String,
         /// The place of the record, in bytes.
         offset: usize,
-        /// The index that was found.
-        found: u64,
+        /// The index in the record.
+        actual: u64,
         /// The index that comes next in the log.
         expected: u64,
     },
@@ -87,7 +89,7 @@
 
 impl Corruption {
     /// For `map_err` on the I/O of a file.
-    pub(crate) fn io(file: &str) -> impl FnOnce(io::Error) -> Corruption + '_ {
+    pub(crate) fn io_error(file: &str) -> impl FnOnce(io::Error) -> Corruption + '_ {
         move |source| Corruption::Io {
             file: file.to_owned(),
             source,
@@ -104,7 +106,7 @@
         /// A file that is there.
         file: String,
     },
-    /// The folder was never made for a replica, or has lost its identity.
+    /// The folder was never made for a replica, or its identity is missing.
     #[error("this folder is no member's; one that lost its disk joins anew")]
     Unowned,
     /// The folder is another replica's.
--- a/cluster/raft-storage/src/identity.rs
+++ b/cluster/raft-storage/src/identity.rs
@@ -5,14 +5,15 @@
 /// The file with the identity.
 pub(crate) const IDENTITY_FILE: &str = "member";
 
-/// The owner of a folder. A replica that has lost its disk has lost its promises with it, and has to join again under
-/// another id.
+/// The owner of a folder. Without its disk a replica has no record of its votes, and has
+/// to join again under another id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The name of the cluster.
     pub cluster: String,
     /// The id of the replica.
     pub replica_id: u64,
-    /// Drawn at random when the folder was made: another disk under the same id has another one.
+    /// A random number from when the folder was made: another disk under the same id has another
+    /// one.
     pub incarnation: u64,
 }
--- a/cluster/raft-storage/src/lib.rs
+++ b/cluster/raft-storage/src/lib.rs
@@ -1,4 +1,5 @@
-//! Durable storage of a replica: who it is, its hard state (term and vote), its log and its latest snapshot.
+//! Durable storage of a replica: who it is, its hard state (term and vote), its log and its latest
+//! snapshot.
 //!
 //! | file | content |
 //! | --- | --- |
@@ -8,12 +9,13 @@
 //! | `*.new` | a file that was being written; it has no meaning |
 //!
 //! A record is its length and a checksum (4 bytes each, little-endian), then a postcard value. One
-//! [`StorageWrite`](violetgate_raft::StorageWrite) is one record, so it is there completely or not at all.
+//! [`StorageWrite`](violetgate_raft::StorageWrite) is one record, so it is there completely or not
+//! at all.
 //!
-//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can cut a file at any byte, fail a sync or fill
-//! the disk. A write is durable when [`RaftStorage::write`] returns, and not before. After a failed sync nothing is
-//! written any more: the operating system may have dropped what it could not write, so a retry could only seem to
-//! succeed.
+//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can cut a file at any byte,
+//! fail a sync or fill the disk. A write is durable when [`RaftStorage::write`] returns, and not
+//! before. After a failed sync nothing is written any more: the operating system may have dropped
+//! what it could not write, so a retry could only seem to succeed.
 //!
 //! ```
 //! use violetgate_raft::{HardState, Membership, SnapshotMetadata, StorageWrite};
--- a/cluster/raft-storage/src/record.rs
+++ b/cluster/raft-storage/src/record.rs
@@ -28,7 +28,7 @@
     hasher.finalize()
 }
 
-/// A record that was found.
+/// A complete and undamaged record.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RawRecord<'a> {
     pub(crate) content: &'a [u8],
@@ -45,7 +45,8 @@
         let content = rest
             .get(..length as usize)
             .filter(|content| content.len() <= MAX_CONTENT_BYTES)?;
-        // An empty record is none: a file that the system has extended with zeros holds no records.
+        // An empty record is none: a file that the system has extended with zeros holds no
+        // records.
         let is_valid =
             length > 0 && checksum(length, content) == u32::from_le_bytes(*stored_checksum);
         is_valid.then_some(RawRecord {
--- a/cluster/raft-storage/src/recovery.rs
+++ b/cluster/raft-storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Opening a replica's storage: what is read back, and what an interrupted write may have left.
+//! Opening a replica's storage: what is read back, and how an interrupted write is discarded.
 
 use violetgate_raft::{Entry, HardState, Index, SnapshotMetadata, StorageWrite};
 
@@ -11,7 +11,7 @@
 /// What a replica's storage held when it was opened.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RecoveredState {
-    /// The number that was drawn when the folder was made.
+    /// The random number from when the folder was made.
     pub incarnation: u64,
     /// The term and the vote.
     pub hard_state: HardState,
@@ -45,7 +45,7 @@
         cluster: &str,
         replica_id: u64,
     ) -> Result<(Self, RecoveredState), StorageError> {
-        let mut files = directory.list().map_err(Corruption::io("folder"))?;
+        let mut files = directory.list().map_err(Corruption::io_error("folder"))?;
         files.sort();
         let identity = read_identity(&directory, &files, cluster, replica_id)?;
         let snapshot = load_latest_snapshot(&mut directory, &files)?;
@@ -79,12 +79,15 @@
                 file: file.to_owned(),
                 source,
             })?;
-        let bytes = self.directory.read(file).map_err(Corruption::io(file))?;
+        let bytes = self
+            .directory
+            .read(file)
+            .map_err(Corruption::io_error(file))?;
         let valid_bytes = self.replay(file, &bytes, recovered)?;
         let rest = bytes.get(valid_bytes..).unwrap_or_default();
         if !rest.is_empty() {
-            // Only the very last write can have been interrupted. What is damaged before a valid record, or in an
-            // earlier segment, was durable once.
+            // Only the very last write can have been interrupted. What is damaged before a valid
+            // record, or in an earlier segment, was durable once.
             if !is_last || contains_record(rest) {
                 let (file, offset) = (file.to_owned(), valid_bytes);
                 return Err(Corruption::DamagedRecord { file, offset }.into());
@@ -92,8 +95,10 @@
             recovered.discarded_bytes = rest.len();
             self.directory
                 .truncate(file, valid_bytes as u64)
-                .map_err(Corruption::io(file))?;
-            self.directory.sync(file).map_err(Corruption::io(file))?;
+                .map_err(Corruption::io_error(file))?;
+            self.directory
+                .sync(file)
+                .map_err(Corruption::io_error(file))?;
         }
         self.segments.push(Segment {
             number,
@@ -103,7 +108,8 @@
         Ok(())
     }
 
-    /// Applies the records from the start of a segment to what is recovered; how many bytes they are.
+    /// Applies the records from the start of a segment to what is recovered; how many bytes they
+    /// are.
     fn replay(
         &mut self,
         file: &str,
@@ -122,7 +128,7 @@
             replay_entries(record, recovered).map_err(|gap| Corruption::MissingEntry {
                 file: file.to_owned(),
                 offset,
-                found: gap.found,
+                actual: gap.actual,
                 expected: gap.expected,
             })?;
             offset += raw.size;
@@ -130,8 +136,8 @@
         Ok(offset)
     }
 
-    /// After a crash between another replica's snapshot and the record that removes the old log, the old log is still
-    /// there: what has an older term than the snapshot can't follow it.
+    /// After a crash between another replica's snapshot and the record that removes the old log,
+    /// the old log is still there: what has an older term than the snapshot can't follow it.
     fn discard_older_log(&mut self, recovered: &mut RecoveredState) -> Result<(), StorageError> {
         let snapshot_term = recovered.snapshot.term;
         let is_older = |first: &Entry| first.term < snapshot_term;
@@ -148,7 +154,7 @@
 
 /// An entry whose index is not the next.
 struct IndexGap {
-    found: Index,
+    actual: Index,
     expected: Index,
 }
 
@@ -164,8 +170,8 @@
     for entry in uncovered.filter(|entry| entry.index > snapshot_index) {
         let expected = recovered.last_index() + 1;
         if entry.index != expected {
-            let found = entry.index;
-            return Err(IndexGap { found, expected });
+            let actual = entry.index;
+            return Err(IndexGap { actual, expected });
         }
         recovered.entries.push(entry);
     }
@@ -192,19 +198,19 @@
     }
     let bytes = directory
         .read(IDENTITY_FILE)
-        .map_err(Corruption::io(IDENTITY_FILE))?;
-    let found: Identity = decode_file(IDENTITY_FILE, &bytes)?;
-    if found.cluster != cluster || found.replica_id != replica_id {
+        .map_err(Corruption::io_error(IDENTITY_FILE))?;
+    let identity: Identity = decode_file(IDENTITY_FILE, &bytes)?;
+    if identity.cluster != cluster || identity.replica_id != replica_id {
         return Err(OwnershipError::OtherReplica {
-            replica_id: found.replica_id,
-            cluster: found.cluster,
+            replica_id: identity.replica_id,
+            cluster: identity.cluster,
         }
         .into());
     }
-    Ok(found)
+    Ok(identity)
 }
 
-/// Reads the latest snapshot, and removes what a crash has left of others.
+/// Reads the latest snapshot, and removes incomplete and outdated ones.
 fn load_latest_snapshot(
     directory: &mut impl Directory,
     files: &[String],
@@ -217,7 +223,9 @@
         .rev()
         .find(|file| is_snapshot(file) && !is_temporary(file))
         .ok_or(Corruption::NoSnapshot)?;
-    let bytes = directory.read(latest).map_err(Corruption::io(latest))?;
+    let bytes = directory
+        .read(latest)
+        .map_err(Corruption::io_error(latest))?;
     let snapshot = decode_file(latest, &bytes)?;
     for file in files {
         if file != latest && (is_snapshot(file) || is_temporary(file)) {
--- a/cluster/raft-storage/src/segment.rs
+++ b/cluster/raft-storage/src/segment.rs
@@ -74,14 +74,16 @@
     fn append_to_segment(&mut self, segment: Segment, bytes: &[u8]) -> Result<(), StorageError> {
         let file = segment_file(segment.number);
         if let Err(error) = self.directory.append(&file, bytes) {
-            // A part may be there, and would be taken for an interrupted write: it is removed, or the storage stops.
+            // A part may be there, and would be taken for an interrupted write: it is removed, or
+            // the storage stops.
             let undone = self.directory.truncate(&file, segment.bytes as u64);
             return Err(self.append_failed(&file, error, undone));
         }
-        // After a failed sync the system may have dropped what it could not write: a retry could only seem to work.
+        // After a failed sync the system may have dropped what it could not write: a retry could
+        // only seem to work.
         self.directory
             .sync(&file)
-            .map_err(|e| self.durability_lost(format!("{file}: sync: {e}")))
+            .map_err(|e| self.fail_permanently(format!("{file}: sync: {e}")))
     }
 
     /// The latest segment, or a new one where it is full.
@@ -109,7 +111,7 @@
         }
         self.directory
             .sync(&file)
-            .map_err(|e| self.durability_lost(format!("{file}: sync: {e}")))?;
+            .map_err(|e| self.fail_permanently(format!("{file}: sync: {e}")))?;
         self.sync_directory()?;
         let segment = Segment {
             number,
@@ -129,12 +131,12 @@
     ) -> StorageError {
         match undone {
             Ok(()) => StorageError::WriteFailed(error),
-            Err(again) => self.durability_lost(format!("{file}: {error}, and then {again}")),
+            Err(again) => self.fail_permanently(format!("{file}: {error}, and then {again}")),
         }
     }
 
-    /// Removes the segments that a snapshot up to `index` covers. One that can't be removed is replayed without effect
-    /// at the next start.
+    /// Removes the segments that a snapshot up to `index` covers. One that can't be removed is
+    /// replayed without effect at the next start.
     pub(crate) fn remove_covered_segments(&mut self, index: Index) {
         while let [first, _, ..] = self.segments.as_slice() {
             let file = segment_file(first.number);
--- a/cluster/raft-storage/src/snapshot.rs
+++ b/cluster/raft-storage/src/snapshot.rs
@@ -29,7 +29,8 @@
 }
 
 impl<D: Directory> RaftStorage<D> {
-    /// Saves a snapshot in place of the one before, and removes the segments that it covers. Entries after it stay.
+    /// Saves a snapshot in place of the one before, and removes the segments that it covers.
+    /// Entries after it stay.
     ///
     /// # Errors
     ///
@@ -54,8 +55,8 @@
         Ok(())
     }
 
-    /// Installs another replica's snapshot in place of everything but the hard state. `following` are the entries after
-    /// it that stay.
+    /// Installs another replica's snapshot in place of everything but the hard state. `following`
+    /// are the entries after it that stay.
     ///
     /// # Errors
     ///
@@ -78,8 +79,8 @@
     /// Writes a file under a temporary name, and renames it once it is complete and durable.
     pub(crate) fn replace_file(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = temporary_file(file);
-        let is_left_over = |files: Vec<String>| files.contains(&temporary);
-        if self.directory.list().is_ok_and(is_left_over) {
+        let is_remnant = |files: Vec<String>| files.contains(&temporary);
+        if self.directory.list().is_ok_and(is_remnant) {
             self.directory
                 .remove(&temporary)
                 .map_err(StorageError::WriteFailed)?;
@@ -90,10 +91,10 @@
         }
         self.directory
             .sync(&temporary)
-            .map_err(|e| self.durability_lost(format!("{temporary}: sync: {e}")))?;
+            .map_err(|e| self.fail_permanently(format!("{temporary}: sync: {e}")))?;
         self.directory
             .rename(&temporary, file)
-            .map_err(|e| self.durability_lost(format!("{temporary}: rename: {e}")))?;
+            .map_err(|e| self.fail_permanently(format!("{temporary}: rename: {e}")))?;
         self.sync_directory()
     }
 }
--- a/cluster/raft-storage/src/storage.rs
+++ b/cluster/raft-storage/src/storage.rs
@@ -17,7 +17,7 @@
     /// The last entry of the latest snapshot.
     pub(crate) snapshot_index: Index,
     /// Why nothing can be written any more.
-    durability_lost: Option<String>,
+    failure: Option<String>,
 }
 
 impl<D: Directory> RaftStorage<D> {
@@ -28,12 +28,12 @@
             hard_state: HardState::default(),
             segments: Vec::new(),
             snapshot_index,
-            durability_lost: None,
+            failure: None,
         }
     }
 
-    /// Creates the storage of a new replica, with a first snapshot: of an empty or a given state that names the first
-    /// members, or of nothing that names nobody, for a replica that joins.
+    /// Creates the storage of a new replica, with a first snapshot: of an empty or a given state
+    /// that names the first members, or of nothing that names nobody, for a replica that joins.
     ///
     /// # Errors
     ///
@@ -60,35 +60,35 @@
 
     /// Fails if nothing may be written any more.
     pub(crate) fn ensure_usable(&self) -> Result<(), StorageError> {
-        match &self.durability_lost {
+        match &self.failure {
             Some(cause) => Err(StorageError::DurabilityUnknown(cause.clone())),
             None => Ok(()),
         }
     }
 
     /// From now on nothing is written any more.
-    pub(crate) fn durability_lost(&mut self, cause: String) -> StorageError {
-        self.durability_lost = Some(cause.clone());
+    pub(crate) fn fail_permanently(&mut self, cause: String) -> StorageError {
+        self.failure = Some(cause.clone());
         StorageError::DurabilityUnknown(cause)
     }
 
     pub(crate) fn sync_directory(&mut self) -> Result<(), StorageError> {
         self.directory
             .sync_dir()
-            .map_err(|e| self.durability_lost(format!("folder: sync: {e}")))
+            .map_err(|e| self.fail_permanently(format!("folder: sync: {e}")))
     }
 }
 
-/// Fails if the folder holds more than an interrupted creation leaves.
+/// Fails if the folder holds more than an interrupted creation may have written.
 fn ensure_unused(directory: &impl Directory) -> Result<(), StorageError> {
     let first_snapshot = snapshot_file(0);
-    let left_overs = [
+    let remnants = [
         temporary_file(&first_snapshot),
         temporary_file(IDENTITY_FILE),
         first_snapshot,
     ];
     let files = directory.list().map_err(StorageError::WriteFailed)?;
-    match files.into_iter().find(|file| !left_overs.contains(file)) {
+    match files.into_iter().find(|file| !remnants.contains(file)) {
         Some(file) => Err(OwnershipError::InUse { file }.into()),
         None => Ok(()),
     }
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -1,5 +1,5 @@
-//! A replica's folder as commit 5065b36 wrote it: it is opened with all that it holds, and equal writes make equal
-//! bytes.
+//! A replica's folder as commit 5065b36 wrote it: it is opened with all that it holds, and equal
+//! writes make equal bytes.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use std::collections::BTreeMap;
@@ -66,11 +66,11 @@
     }
 }
 
-fn members() -> Membership {
-    let mut members = Membership::bootstrap([1, 2, 3]);
-    members.learners = [4].into();
-    members.highest_id = 4;
-    members
+fn membership() -> Membership {
+    let mut membership = Membership::bootstrap([1, 2, 3]);
+    membership.learners = [4].into();
+    membership.highest_id = 4;
+    membership
 }
 
 fn entry(term: u64, index: u64, payload: Payload) -> Entry {
@@ -84,7 +84,7 @@
 fn first_entries() -> Vec<Entry> {
     vec![
         entry(1, 1, Payload::Blank),
-        entry(1, 2, Payload::Membership(members())),
+        entry(1, 2, Payload::Membership(membership())),
         entry(1, 3, Payload::Command(b"three".to_vec())),
         entry(1, 4, Payload::Command(b"four".to_vec())),
         entry(1, 5, Payload::Command(b"five, overwritten".to_vec())),
@@ -103,7 +103,7 @@
     SnapshotMetadata {
         index: 3,
         term: 1,
-        membership: members(),
+        membership: membership(),
     }
 }
 
@@ -111,13 +111,13 @@
     Some(HardState { term, vote })
 }
 
-/// The life that the stored folder has seen.
+/// Writes what the stored folder holds.
 fn write_folder() -> RaftStorage<Memory> {
     let base = SnapshotMetadata {
         membership: Membership::bootstrap([1, 2, 3]),
         ..SnapshotMetadata::default()
     };
-    let (mut disk, _) =
+    let (mut storage, _) =
         RaftStorage::create(Memory::default(), &identity(), &base, b"begin").unwrap();
     let batch = [
         StorageWrite {
@@ -131,8 +131,9 @@
             ..StorageWrite::default()
         },
     ];
-    disk.write(&batch).unwrap();
-    disk.save_snapshot(&snapshot(), b"state up to three")
+    storage.write(&batch).unwrap();
+    storage
+        .save_snapshot(&snapshot(), b"state up to three")
         .unwrap();
     let conflict = StorageWrite {
         sequence: 3,
@@ -140,8 +141,8 @@
         truncate_from: Some(5),
         append: later_entries(),
     };
-    disk.write(&[conflict]).unwrap();
-    disk
+    storage.write(&[conflict]).unwrap();
+    storage
 }
 
 #[test]
@@ -155,23 +156,28 @@
 fn a_stored_folder_is_opened_with_all_that_it_holds() {
     let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
     let files = Memory(BTreeMap::from(stored));
-    let (disk, kept) = RaftStorage::open(files.clone(), "fixture", 2).unwrap();
-    assert_eq!(kept.incarnation, 0x1234_5678_9abc_def0);
-    assert_eq!(Some(kept.hard_state), vote(3, Some(3)));
-    assert_eq!(kept.snapshot, snapshot());
-    assert_eq!(kept.state, b"state up to three");
+    let (storage, recovered) = RaftStorage::open(files.clone(), "fixture", 2).unwrap();
+    assert_eq!(recovered.incarnation, 0x1234_5678_9abc_def0);
+    assert_eq!(Some(recovered.hard_state), vote(3, Some(3)));
+    assert_eq!(recovered.snapshot, snapshot());
+    assert_eq!(recovered.state, b"state up to three");
     let mut entries = vec![first_entries()[3].clone()];
     entries.extend(later_entries());
-    assert_eq!(kept.entries, entries);
-    assert_eq!(kept.discarded_bytes, 0);
-    assert_eq!(disk.log_bytes(), STORED[0].1.len());
-    assert_eq!(disk.into_directory().0, files.0, "opening changes nothing");
+    assert_eq!(recovered.entries, entries);
+    assert_eq!(recovered.discarded_bytes, 0);
+    assert_eq!(storage.log_bytes(), STORED[0].1.len());
+    assert_eq!(
+        storage.into_directory().0,
+        files.0,
+        "opening changes nothing"
+    );
 }
 
-/// Segments that are too long to be stored here, by their lengths and checksums; and what replaces them.
+/// Segments that are too long to be stored here, by their lengths and checksums; and what replaces
+/// them.
 #[test]
 fn segments_are_as_long_as_they_were_and_hold_the_same() {
-    let (mut disk, _) = RaftStorage::create(
+    let (mut storage, _) = RaftStorage::create(
         Memory::default(),
         &identity(),
         &SnapshotMetadata::default(),
@@ -185,7 +191,7 @@
             append: vec![entry(index, index, payload)],
             ..StorageWrite::default()
         };
-        disk.write(&[write]).unwrap();
+        storage.write(&[write]).unwrap();
     }
     let summary = |files: &Memory| -> Vec<String> {
         let files = files.0.iter();
@@ -193,18 +199,20 @@
             .map(|(name, bytes)| format!("{name} {} {:08x}", bytes.len(), crc32fast::hash(bytes)))
             .collect()
     };
-    let files = disk.into_directory();
+    let files = storage.into_directory();
     let before = summary(&files);
-    let (mut disk, kept) = RaftStorage::open(files, "fixture", 2).unwrap();
-    assert_eq!((kept.entries.len(), kept.hard_state.term), (8, 8));
+    let (mut storage, recovered) = RaftStorage::open(files, "fixture", 2).unwrap();
+    assert_eq!((recovered.entries.len(), recovered.hard_state.term), (8, 8));
     let theirs = SnapshotMetadata {
         index: 90,
         term: 9,
-        membership: members(),
+        membership: membership(),
     };
-    let follows = [entry(9, 91, Payload::Blank)];
-    disk.install_snapshot(&theirs, b"theirs", &follows).unwrap();
-    let after = summary(&disk.into_directory());
+    let following = [entry(9, 91, Payload::Blank)];
+    storage
+        .install_snapshot(&theirs, b"theirs", &following)
+        .unwrap();
+    let after = summary(&storage.into_directory());
     assert_eq!(before, BEFORE);
     assert_eq!(after, AFTER);
 }
--- a/cluster/raft/src/action.rs
+++ b/cluster/raft/src/action.rs
@@ -1,14 +1,14 @@
-//! What a node asks of its caller.
+//! What a node requests from its caller.
 
 use crate::{Entry, HardState, Index, Message, NodeId, SnapshotChunk};
 
-/// One thing to be done by the caller. The actions of [`RaftNode::take_actions`](crate::RaftNode::take_actions) are
-/// to be carried out in their order.
+/// One thing to be done by the caller. The actions of
+/// [`RaftNode::take_actions`](crate::RaftNode::take_actions) are to be carried out in their order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Make this durable, then call [`RaftNode::persisted`](crate::RaftNode::persisted).
     Persist(StorageWrite),
-    /// Send a message. It may be lost, delayed, duplicated or reordered.
+    /// Send a message. It may be dropped, delayed, duplicated or reordered.
     Send {
         /// The receiver.
         to: NodeId,
@@ -38,8 +38,8 @@
         offset: u64,
     },
     /// Store a part of a snapshot aside, then call
-    /// [`RaftNode::snapshot_chunk_stored`](crate::RaftNode::snapshot_chunk_stored). After the last chunk the snapshot
-    /// replaces the state machine's state and the log, durably, before
+    /// [`RaftNode::snapshot_chunk_stored`](crate::RaftNode::snapshot_chunk_stored). After the last
+    /// chunk the snapshot replaces the state machine's state and the log, durably, before
     /// [`RaftNode::snapshot_installed`](crate::RaftNode::snapshot_installed) is called.
     StoreSnapshotChunk {
         /// The leader that sent it.
--- a/cluster/raft/src/commit.rs
+++ b/cluster/raft/src/commit.rs
@@ -4,8 +4,9 @@
 use crate::{Action, Index, LogPosition, RaftNode};
 
 impl RaftNode {
-    /// Commits what a majority has durably, if the last of it is of the leader's own term. An entry of an earlier
-    /// term that a majority has may still be overwritten (section 5.4.2 of the paper).
+    /// Commits what a majority has durably, if the last of it is of the leader's own term. An
+    /// entry of an earlier term that a majority has may still be overwritten (section 5.4.2 of the
+    /// paper).
     pub(crate) fn advance_commit(&mut self) {
         let Some(index) = self.majority_index() else {
             return;
--- a/cluster/raft/src/config.rs
+++ b/cluster/raft/src/config.rs
@@ -5,8 +5,8 @@
 /// How a node behaves. All nodes of a cluster should have the same settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// How long a follower waits for a leader before it campaigns, in microseconds. The actual time-out is drawn anew
-    /// each time between this and twice this.
+    /// How long a follower waits for a leader before it campaigns, in microseconds. The actual
+    /// time-out is random, between this and twice this.
     pub election_timeout: Micros,
     /// How often a leader sends heartbeats, in microseconds.
     pub heartbeat_interval: Micros,
@@ -16,8 +16,8 @@
     pub max_inflight_messages: usize,
     /// The most bytes of proposed but uncommitted entries; above this, proposals are rejected.
     pub max_uncommitted_bytes: usize,
-    /// The most entries that a learner may lack to be promoted.
-    pub max_promotion_lag: u64,
+    /// The most entries that a learner may be missing when it is promoted.
+    pub promotion_threshold: u64,
     /// The most entries in one [`Action::Apply`](crate::Action::Apply).
     pub max_apply_batch: usize,
 }
@@ -30,7 +30,7 @@
             max_message_bytes: 64 << 10,
             max_inflight_messages: 16,
             max_uncommitted_bytes: 8 << 20,
-            max_promotion_lag: 1_000,
+            promotion_threshold: 1_000,
             max_apply_batch: 4_096,
         }
     }
--- a/cluster/raft/src/durability.rs
+++ b/cluster/raft/src/durability.rs
@@ -148,7 +148,8 @@
         self.actions.push(Action::Persist(write));
     }
 
-    /// Sends a message that depends on all writes so far: it leaves once they are durable. A node may send to itself.
+    /// Sends a message that depends on all writes so far: it is sent once they are durable. A node
+    /// may send to itself.
     pub(crate) fn send_when_durable(&mut self, to: NodeId, message: Message) {
         if self.writes.in_progress.is_empty() {
             self.deliver(to, message);
--- a/cluster/raft/src/election.rs
+++ b/cluster/raft/src/election.rs
@@ -1,7 +1,7 @@
 //! Elections: time-outs, pre-votes, votes, and the beginning and the end of a leadership.
 //!
-//! A node campaigns only after a majority has said by pre-vote that it would win, so that one that was cut off
-//! doesn't end a leadership that works when it comes back.
+//! A node campaigns only after a majority has said by pre-vote that it would win, so that one that
+//! was cut off doesn't end a leadership that works when it comes back.
 
 use std::collections::BTreeSet;
 
@@ -14,9 +14,9 @@
 /// Why a node campaigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CampaignReason {
-    /// It heard of no leader, and a majority would vote for it.
+    /// There was no message from a leader, and a majority would vote for it.
     Timeout,
-    /// The leader has asked it to.
+    /// The leader has requested it.
     LeadershipTransfer,
 }
 
@@ -35,8 +35,8 @@
         }
     }
 
-    /// A voter may campaign. So may a node whose removal is in its log but, as far as it knows, not committed: it may
-    /// have the only log that the others' votes need.
+    /// A voter may campaign. So may a node whose removal is in its log but, as far as it knows,
+    /// not committed: it may have the only log that the others' votes need.
     fn may_campaign(&self) -> bool {
         let is_voter = |membership: &Membership| membership.voters.contains(&self.id);
         let removal_uncommitted = self.membership.index > self.commit;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Begins a new term and asks for votes in it.
+    /// Begins a new term and requests votes in it.
     pub(crate) fn campaign(&mut self, reason: CampaignReason) {
         self.hard_state = HardState {
             term: self.hard_state.term + 1,
@@ -119,7 +119,7 @@
         }
         let is_current = term == self.hard_state.term + 1;
         if let RoleState::PreCandidate { votes } = &mut self.role {
-            if is_current && wins(votes, from, &self.membership.membership) {
+            if is_current && elects(votes, from, &self.membership.membership) {
                 self.campaign(CampaignReason::Timeout);
             }
         }
@@ -159,13 +159,13 @@
         }
         let is_current = term == self.hard_state.term;
         if let RoleState::Candidate { votes } = &mut self.role {
-            if is_current && wins(votes, from, &self.membership.membership) {
+            if is_current && elects(votes, from, &self.membership.membership) {
                 self.become_leader();
             }
         }
     }
 
-    /// Whether a leader was heard from so recently that a campaign would only disturb.
+    /// Whether a leader was active so recently that a campaign would only disturb.
     fn has_live_leader(&self) -> bool {
         match self.role {
             RoleState::Leader(_) => true,
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Follows in the given term, which is the current one or newer. Pending reads of a leader fail.
+    /// Follows in the given term, which is the current one or newer. Pending reads of a leader
+    /// fail.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
@@ -217,7 +218,8 @@
         self.leader = leader;
     }
 
-    /// A leader has sent something. Returns whether it leads the current term; an older one is ignored.
+    /// A leader has sent something. Returns whether it leads the current term; an older one is
+    /// ignored.
     pub(crate) fn accept_leader(&mut self, from: NodeId, term: Term) -> bool {
         if term < self.hard_state.term {
             return false;
@@ -230,7 +232,7 @@
 }
 
 /// Adds a vote; whether the votes are a majority now.
-fn wins(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
+fn elects(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
     votes.insert(from);
     membership.is_quorum(|id| votes.contains(&id))
 }
--- a/cluster/raft/src/entry.rs
+++ b/cluster/raft/src/entry.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// The term and index of an entry. Positions are ordered as Raft compares logs: the later term is more up to date,
-/// and within a term the higher index.
+/// The term and index of an entry. Positions are ordered as Raft compares logs: the later term is
+/// more up to date, and within a term the higher index.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/cluster/raft/src/leadership_transfer.rs
+++ b/cluster/raft/src/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership transfer: the leader brings a voter up to date and tells it to campaign at once.
+//! Leadership transfer: the leader brings a voter up to date and makes it campaign at once.
 
 use crate::election::CampaignReason;
 use crate::role::RoleState;
@@ -13,7 +13,8 @@
 }
 
 impl RaftNode {
-    /// Transfers leadership to a voter. No proposals are accepted meanwhile, for an election time-out at most.
+    /// Transfers leadership to a voter. No proposals are accepted meanwhile, for an election
+    /// time-out at most.
     ///
     /// # Errors
     ///
@@ -32,7 +33,7 @@
         Ok(())
     }
 
-    /// Tells the target of a transfer to campaign, once it has the whole log.
+    /// Makes the target of a transfer campaign, once it has the complete log.
     pub(crate) fn try_finish_transfer(&mut self, peer: NodeId) {
         let RoleState::Leader(leader) = &self.role else {
             return;
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -1,13 +1,16 @@
-//! The Raft consensus algorithm (Ongaro and Ousterhout) without I/O: the replicas' agreement on one log.
+//! The Raft consensus algorithm (Ongaro and Ousterhout) without I/O: the replicas' agreement on
+//! one log.
 //!
-//! [`RaftNode`] is driven by its caller: it is given time ([`RaftNode::tick`]), messages ([`RaftNode::step`]),
-//! proposals and completed writes, and returns what is to be persisted, sent and applied as a list of [`Action`]s. It
-//! reads no clock, opens no socket or file and draws its random numbers from a seed, so that a failed run can be
-//! replayed. No vote, term or entry is sent before it is durable: messages that depend on a write are held back until
+//! [`RaftNode`] is driven by its caller: it is given time ([`RaftNode::tick`]), messages
+//! ([`RaftNode::step`]), proposals and completed writes, and returns what is to be persisted, sent
+//! and applied as a list of [`Action`]s. It reads no clock, opens no socket or file and draws its
+//! random numbers from a seed, so that a failed run can be replayed. No vote, term or entry is
+//! sent before it is durable: messages that depend on a write are held back until
 //! [`RaftNode::persisted`] confirms it.
 //!
-//! Besides elections and replication it has pre-votes, linearizable reads by the read-index protocol, snapshots in
-//! chunks, leadership transfer, and membership changes of one replica at a time. Entries are opaque bytes.
+//! Besides elections and replication it has pre-votes, linearizable reads by the read-index
+//! protocol, snapshots in chunks, leadership transfer, and membership changes of one replica at a
+//! time. Entries are opaque bytes.
 //!
 //! ```
 //! use violetgate_raft::{Action, Config, Membership, RaftNode, Restored, Role, SnapshotMetadata};
--- a/cluster/raft/src/log.rs
+++ b/cluster/raft/src/log.rs
@@ -1,5 +1,5 @@
-//! The log as a node sees it: the entries since the latest snapshot, in memory. Keeping them durable is the caller's
-//! task.
+//! The log as a node sees it: the entries since the latest snapshot, in memory. Making them
+//! durable is the caller's task.
 
 use std::collections::VecDeque;
 
@@ -74,7 +74,8 @@
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The entries from `from` to `to`, both included, up to `max_bytes`, but at least one if there is one.
+    /// The entries from `from` to `to`, both included, up to `max_bytes`, but at least one if
+    /// there is one.
     #[must_use]
     pub fn slice(&self, from: Index, to: Index, max_bytes: usize) -> Vec<Entry> {
         let mut slice = Vec::new();
@@ -97,9 +98,9 @@
 
     /// Removes the entries from `from` on.
     pub fn truncate(&mut self, from: Index) {
-        let kept = from.saturating_sub(self.base.index + 1);
+        let remaining = from.saturating_sub(self.base.index + 1);
         self.entries
-            .truncate(usize::try_from(kept).unwrap_or(usize::MAX));
+            .truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
     /// Discards the entries up to a snapshot that is durable.
@@ -114,7 +115,8 @@
         self.base = snapshot;
     }
 
-    /// Begins anew after a snapshot from the leader. Entries that follow it stay if they continue the same log.
+    /// Begins anew after a snapshot from the leader. Entries that follow it stay if they continue
+    /// the same log.
     pub fn reset(&mut self, snapshot: SnapshotMetadata) {
         if self.contains(snapshot.position()) && snapshot.index >= self.base.index {
             self.compact(snapshot);
@@ -124,7 +126,8 @@
         }
     }
 
-    /// The membership at the end of the log. A node uses it from the moment it appends it, committed or not.
+    /// The membership at the end of the log. A node uses it from the moment it appends it,
+    /// committed or not.
     #[must_use]
     pub fn membership(&self) -> EffectiveMembership {
         let latest = self.entries.iter().rev().find_map(|entry| {
--- a/cluster/raft/src/membership.rs
+++ b/cluster/raft/src/membership.rs
@@ -1,5 +1,5 @@
-//! The membership of a cluster, and the changes of it that are safe: one replica at a time, so that any majority
-//! before a change and any majority after it share a replica.
+//! The membership of a cluster, and the changes of it that are safe: one replica at a time, so
+//! that any majority before a change and any majority after it share a replica.
 
 use std::collections::BTreeSet;
 
@@ -17,8 +17,8 @@
     pub voters: BTreeSet<NodeId>,
     /// Replicas that receive the log but neither vote nor count.
     pub learners: BTreeSet<NodeId>,
-    /// The highest id ever assigned. A replica that was removed, or has lost its disk, never returns under its old
-    /// id: it could vote twice in a term that it has forgotten.
+    /// The highest id ever assigned. A replica that was removed, or whose disk was replaced, never
+    /// returns under its old id: it could vote twice in a term that it has forgotten.
     pub highest_id: NodeId,
 }
 
--- a/cluster/raft/src/membership_change.rs
+++ b/cluster/raft/src/membership_change.rs
@@ -6,8 +6,8 @@
 use crate::{LogPosition, MembershipChange, NodeId, Payload, ProposalError, RaftNode};
 
 impl RaftNode {
-    /// Proposes one change of the membership; the position of its entry. It takes effect at once, and is safe when it
-    /// is committed.
+    /// Proposes one change of the membership; the position of its entry. It takes effect at once,
+    /// and is safe when it is committed.
     ///
     /// # Errors
     ///
@@ -19,8 +19,8 @@
         let RoleState::Leader(leader) = &self.role else {
             return Err(ProposalError::NotLeader);
         };
-        // Two changes at a time, or one before an entry of this term is committed, could make two majorities that
-        // share no replica.
+        // Two changes at a time, or one before an entry of this term is committed, could make two
+        // majorities that share no replica.
         let uncommitted = self.membership.index > self.commit || leader.first_index > self.commit;
         if uncommitted || leader.transfer.is_some() {
             return Err(ProposalError::ChangeInProgress);
@@ -42,8 +42,8 @@
     /// Whether a learner lacks few enough entries to be promoted.
     fn has_caught_up(&self, leader: &LeaderState, id: NodeId) -> bool {
         leader.progress.get(&id).is_some_and(|progress| {
-            let lag = self.log.last_index().saturating_sub(progress.match_index);
-            lag <= self.config.max_promotion_lag
+            let missing = self.log.last_index().saturating_sub(progress.match_index);
+            missing <= self.config.promotion_threshold
         })
     }
 
--- a/cluster/raft/src/message.rs
+++ b/cluster/raft/src/message.rs
@@ -1,6 +1,7 @@
 //! The messages between nodes, named as in the Raft paper.
 //!
-//! They are encoded by postcard: the order of variants and fields is the wire format, the names are free.
+//! They are encoded by postcard: the order of variants and fields is the wire format, the names
+//! are free.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,7 +10,7 @@
 /// What one node sends to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks whether the receiver would vote for the sender; it changes nothing at the receiver.
+    /// Queries whether the receiver would vote for the sender; it changes nothing at the receiver.
     RequestPreVote {
         /// The term that the sender would begin.
         term: Term,
@@ -18,18 +19,19 @@
     },
     /// The answer to [`Message::RequestPreVote`].
     PreVoteResponse {
-        /// The term that was asked for if granted, else the responder's own term.
+        /// The requested term if granted, else the responder's own term.
         term: Term,
         /// Whether the responder would vote for the sender.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     RequestVote {
         /// The term that the candidate begins.
         term: Term,
         /// The candidate's last entry.
         last_log: LogPosition,
-        /// The leader itself has asked the sender to campaign: its lease on leadership doesn't protect it.
+        /// The leader itself has requested the campaign: its lease on leadership doesn't
+        /// protect it.
         leadership_transfer: bool,
     },
     /// The answer to [`Message::RequestVote`].
@@ -77,19 +79,19 @@
         /// The next byte wanted; `None`: the snapshot is complete and installed.
         next_offset: Option<u64>,
     },
-    /// Asks the leader for a read index.
+    /// Requests a read index from the leader.
     ReadIndex {
         /// The sender's id of the read.
         read_id: u64,
     },
     /// The answer to [`Message::ReadIndex`].
     ReadIndexResponse {
-        /// The id that was asked with.
+        /// The id of the request.
         read_id: u64,
-        /// The read index; `None`: the responder is not a leader that can tell.
+        /// The read index; `None`: the responder is not the leader.
         index: Option<Index>,
     },
-    /// Tells the receiver to campaign at once: the leader transfers its leadership.
+    /// Makes the receiver campaign at once: the leader transfers its leadership.
     TimeoutNow {
         /// The leader's term.
         term: Term,
--- a/cluster/raft/src/progress.rs
+++ b/cluster/raft/src/progress.rs
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Probes again from where the logs are known to match if messages that left before `deadline` are unanswered:
-    /// they, or the answers to them, were lost.
-    pub(crate) fn restart_if_lost(&mut self, deadline: Micros) {
+    /// Probes again from where the logs are known to match if messages that were sent before
+    /// `deadline` are unanswered: they, or the answers to them, were dropped.
+    pub(crate) fn restart_if_timed_out(&mut self, deadline: Micros) {
         if !self.in_flight.is_empty() && self.unacknowledged_since < deadline {
             self.probe_from(self.match_index + 1);
         }
@@ -91,13 +91,13 @@
         self.next_index = self.next_index.max(match_index + 1);
     }
 
-    /// The peer's log doesn't match before `next_index`; probing goes on at or below `hint + 1`. Returns whether that
-    /// moves anything: a stale or duplicated answer doesn't.
+    /// The peer's log doesn't match before `next_index`; probing goes on at or below `hint + 1`.
+    /// Returns whether that changes anything: a stale or duplicated answer doesn't.
     pub(crate) fn on_conflict(&mut self, hint: Index, last_index: Index) -> bool {
         let next_index = (hint + 1).max(self.match_index + 1).min(last_index + 1);
-        let moves = self.mode == ReplicationMode::Replicate || next_index < self.next_index;
+        let changes = self.mode == ReplicationMode::Replicate || next_index < self.next_index;
         self.probe_from(next_index);
-        moves
+        changes
     }
 
     /// Entries up to `end` were sent.
@@ -108,7 +108,8 @@
         self.in_flight.push_back(end);
     }
 
-    /// Begins or repeats the transfer of a snapshot: the offset of the chunk to send now, if it is time.
+    /// Begins or repeats the transfer of a snapshot: the offset of the chunk to send now, if it is
+    /// time.
     pub(crate) fn snapshot_chunk_due(&mut self, now: Micros, retry_after: Micros) -> Option<u64> {
         let offset = match self.snapshot {
             Some(transfer) if now < transfer.sent_at + retry_after => return None,
--- a/cluster/raft/src/raft_node.rs
+++ b/cluster/raft/src/raft_node.rs
@@ -12,8 +12,8 @@
     SnapshotMetadata, Term,
 };
 
-/// What a node's durable storage holds when it starts. A new cluster's nodes begin with an empty snapshot that names
-/// the first members, a node that joins with one that names nobody.
+/// What a node's durable storage holds when it starts. A new cluster's nodes begin with an empty
+/// snapshot that names the first members, a node that joins with one that names nobody.
 #[derive(Debug, Clone, Default)]
 pub struct Restored {
     /// The term and the vote.
@@ -39,7 +39,7 @@
     pub(crate) commit: Index,
     pub(crate) applied: Index,
     pub(crate) election_deadline: Micros,
-    /// When a leader was last heard from.
+    /// When the last message from a leader came.
     pub(crate) leader_seen_at: Micros,
     pub(crate) writes: WriteTracker,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
@@ -47,7 +47,8 @@
 }
 
 impl RaftNode {
-    /// A node as its storage has it. `seed` feeds the random election time-outs; `now` is in microseconds.
+    /// A node as its storage has it. `seed` feeds the random election time-outs; `now` is in
+    /// microseconds.
     #[must_use]
     pub fn new(id: NodeId, config: Config, seed: u64, restored: Restored, now: Micros) -> Self {
         let commit = restored.snapshot.index;
@@ -149,7 +150,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Advances the clock to `now`, in microseconds. To be called before anything else is done at a new time.
+    /// Advances the clock to `now`, in microseconds. To be called before anything else is done at
+    /// a new time.
     pub fn tick(&mut self, now: Micros) {
         self.now = now.max(self.now);
         if matches!(self.role, RoleState::Leader(_)) {
--- a/cluster/raft/src/read_index.rs
+++ b/cluster/raft/src/read_index.rs
@@ -1,8 +1,8 @@
 //! Linearizable reads by the read-index protocol (section 6.4 of Ongaro's thesis).
 //!
-//! The leader notes its commit index, and answers with it once a majority has responded to a heartbeat round that
-//! began after the read: so it was still the leader when it was asked. Whoever has applied all up to that index may
-//! serve the read.
+//! The leader notes its commit index, and answers with it once a majority has responded to a
+//! heartbeat round that began after the read: so it was still the leader when the read began.
+//! Whoever has applied all up to that index may serve the read.
 
 use crate::role::RoleState;
 use crate::{Action, Index, Message, NodeId, RaftNode};
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRead {
     pub(crate) read_id: u64,
-    /// Who asked; the leader itself, if nobody else did.
+    /// The node that requested it, possibly the leader itself.
     pub(crate) from: NodeId,
     /// The read index.
     index: Index,
@@ -20,8 +20,9 @@
 }
 
 impl RaftNode {
-    /// Asks up to which entry this node must have applied to serve a linearizable read. The answer is
-    /// [`Action::ReadReady`] or [`Action::ReadFailed`], or none where messages are lost: then the caller asks again.
+    /// Requests the index that this node must have applied to serve a linearizable read. The
+    /// answer is [`Action::ReadReady`] or [`Action::ReadFailed`], or none where messages are
+    /// dropped: then the caller retries.
     pub fn read_index(&mut self, read_id: u64) {
         match (&self.role, self.leader) {
             (RoleState::Leader(_), _) => self.begin_read(self.id, read_id),
@@ -37,7 +38,8 @@
         leader.pending_reads.push(PendingRead {
             read_id,
             from,
-            // Until an entry of its own term is committed, a leader doesn't know what was committed before it.
+            // Until an entry of its own term is committed, a leader doesn't know what was
+            // committed before it.
             index: self.commit.max(leader.first_index),
             round: leader.round + 1,
         });
@@ -74,7 +76,7 @@
         });
     }
 
-    /// Answers whoever asked; `None`: this node can't tell.
+    /// Answers the node that requested the read; `None`: this node is not the leader.
     pub(crate) fn answer_read(&mut self, from: NodeId, read_id: u64, index: Option<Index>) {
         if from == self.id {
             self.on_read_index_response(read_id, index);
--- a/cluster/raft/src/replication.rs
+++ b/cluster/raft/src/replication.rs
@@ -6,8 +6,8 @@
     Action, AppendOutcome, Entry, Index, LogPosition, Message, NodeId, Payload, RaftNode, Term,
 };
 
-/// Unanswered messages are taken for lost after this many heartbeat intervals.
-const LOST_AFTER_HEARTBEATS: u64 = 2;
+/// Unanswered messages time out after this many heartbeat intervals.
+const TIMEOUT_IN_HEARTBEATS: u64 = 2;
 
 /// The entries of one [`Message::AppendEntries`], as a follower handles them.
 struct AppendRequest {
@@ -17,14 +17,15 @@
 }
 
 impl RaftNode {
-    /// Steps down if a majority has not answered for an election time-out; otherwise sends heartbeats when due.
+    /// Steps down if a majority has not answered for an election time-out; otherwise sends
+    /// heartbeats when due.
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
-        // A leader that a majority has not answered for so long was cut off, or stood still: another may lead by
-        // now. This is checked before anything else is done at the new time.
+        // A leader that a majority has not answered for so long was cut off, or stood still:
+        // another may lead by now. This is checked before anything else is done at the new time.
         let oldest = now.saturating_sub(self.config.election_timeout);
         let (id, progress) = (self.id, &leader.progress);
         let is_alive = |peer: NodeId| {
@@ -43,17 +44,18 @@
         }
     }
 
-    /// Begins a heartbeat round: every peer gets a message that also carries the entries that it lacks.
+    /// Begins a heartbeat round: every peer gets a message that also carries the entries that it
+    /// lacks.
     pub(crate) fn begin_heartbeat_round(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
         leader.round += 1;
         leader.has_unsent = false;
-        let patience = LOST_AFTER_HEARTBEATS * self.config.heartbeat_interval;
+        let patience = TIMEOUT_IN_HEARTBEATS * self.config.heartbeat_interval;
         let deadline = self.now.saturating_sub(patience);
         for progress in leader.progress.values_mut() {
-            progress.restart_if_lost(deadline);
+            progress.restart_if_timed_out(deadline);
         }
         for peer in self.peers() {
             if !self.send_entries(peer) {
@@ -80,7 +82,8 @@
         }
     }
 
-    /// Sends a peer the entries that it lacks, as far as its window allows. Returns whether any were sent.
+    /// Sends a peer the entries that it lacks, as far as its window allows. Returns whether any
+    /// were sent.
     pub(crate) fn send_entries(&mut self, to: NodeId) -> bool {
         let mut sent_any = false;
         while let Some(entries) = self.next_entries(to) {
@@ -98,7 +101,8 @@
         sent_any
     }
 
-    /// The entries that may be sent to a peer now. A peer whose next entry is compacted away gets a snapshot instead.
+    /// The entries that may be sent to a peer now. A peer whose next entry is compacted away gets
+    /// a snapshot instead.
     fn next_entries(&mut self, to: NodeId) -> Option<Vec<Entry>> {
         let now = self.now;
         let last = self.log.last_index();
@@ -131,8 +135,8 @@
         let Some(progress) = leader.progress.get(&to) else {
             return;
         };
-        // A heartbeat refers to the last entry that the peer is known to have; while that is searched for, it
-        // probes, too.
+        // A heartbeat refers to the last entry that the peer is known to have; while that is
+        // searched for, it probes, too.
         let is_heartbeat = entries.is_empty() && progress.mode == ReplicationMode::Replicate;
         let previous_index = if is_heartbeat {
             progress.match_index
@@ -234,8 +238,8 @@
         self.persist_entries(truncate_from, new_entries);
     }
 
-    /// Where the logs may match, for the leader to try next: not beyond this log, and before all entries of the
-    /// conflicting term.
+    /// Where the logs may match, for the leader to try next: not beyond this log, and before all
+    /// entries of the conflicting term.
     fn conflict_hint(&self, previous: LogPosition) -> Index {
         let mut hint = self.log.last_index().min(previous.index.saturating_sub(1));
         let conflicting = self.log.term(hint);
@@ -282,11 +286,11 @@
         let Some(progress) = self.responding_peer(from, round) else {
             return;
         };
-        let moves = progress.on_conflict(hint, last);
+        let changes = progress.on_conflict(hint, last);
         self.confirm_reads();
-        // A stale answer is not answered in turn: the next heartbeat probes again. Otherwise every duplicated message
-        // would begin an exchange that never ends.
-        if moves {
+        // A stale answer is not answered again: the next heartbeat probes again. Otherwise every
+        // duplicated message would begin an exchange that never ends.
+        if changes {
             self.send_entries(from);
         }
     }
--- a/cluster/raft/src/role.rs
+++ b/cluster/raft/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a node, and what it keeps only while it has one of them.
+//! The roles of a node, and the state that belongs to one of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
 pub enum Role {
     /// It follows a leader, or waits for one.
     Follower,
-    /// It asks for votes or pre-votes.
+    /// It requests votes or pre-votes.
     Candidate,
     /// It leads.
     Leader,
@@ -42,7 +42,7 @@
     }
 }
 
-/// What only a leader keeps.
+/// The state of a leader.
 #[derive(Default)]
 pub(crate) struct LeaderState {
     /// What is known of each other node.
--- a/cluster/raft/src/snapshot.rs
+++ b/cluster/raft/src/snapshot.rs
@@ -1,4 +1,5 @@
-//! Snapshots: log compaction, and their transfer in chunks to a node whose next entry is compacted away.
+//! Snapshots: log compaction, and their transfer in chunks to a node whose next entry is compacted
+//! away.
 
 use serde::{Deserialize, Serialize};
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A chunk of the latest snapshot, as [`Action::LoadSnapshotChunk`] asked for.
+    /// A chunk of the latest snapshot, as [`Action::LoadSnapshotChunk`] requested.
     pub fn snapshot_chunk_loaded(&mut self, to: NodeId, chunk: SnapshotChunk) {
         let term = self.hard_state.term;
         if self.role() == crate::Role::Leader {
--- a/cluster/raft/tests/encoding.rs
+++ b/cluster/raft/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of each message, entry and stored value, as commit 5065b36 encodes them: replicas of that version and of
-//! this one work together during an upgrade, and read each other's disks.
+//! The bytes of each message, entry and stored value, as commit 5065b36 encodes them: replicas of
+//! that version and of this one work together during an upgrade, and read each other's disks.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Debug;
@@ -10,7 +10,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
-/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back as it was.
+/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back
+/// as it was.
 #[derive(Default)]
 struct Encoded(String);
 
--- a/cluster/raft/tests/membership_model.rs
+++ b/cluster/raft/tests/membership_model.rs
@@ -1,63 +1,180 @@
-//! Changes of the membership, checked in every order of events by stateright: elections, replication to any member
-//! or none, commits by the majority of whatever the log names, and steps as [`Membership::after_change`] makes them. Models
-//! in which a rule of the core is left out have to be caught.
+//! Membership changes, checked in every order of events by stateright: elections, replication to
+//! any node or none, commits by the majority of whatever membership the log names, and changes as
+//! [`Membership::after_change`] makes them. Models that leave out a rule of the implementation
+//! have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
 use violetgate_raft::{Membership, MembershipChange, NodeId};
 
 const NODES: usize = 4;
-const TERMS: u8 = 3;
-const ENTRIES: usize = 4;
+const MAX_TERM: u8 = 3;
+const MAX_ENTRIES: usize = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    /// As the core does it.
+    /// As it is implemented.
     Real,
-    /// A step before an entry of the leader's own term is agreed on.
-    BeforeOwnEntry,
-    /// Further steps before the first is agreed on.
-    ManyAtATime,
+    /// A change may come before an entry of the leader's own term is committed.
+    ChangeBeforeOwnEntry,
+    /// Further changes may come before the first is committed.
+    ConcurrentChanges,
 }
 
-/// An entry: its term, and the voters from it on, or nothing.
-type Entry = (u8, Option<Vec<NodeId>>);
+/// An entry of a log.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct Entry {
+    term: u8,
+    /// The voters from this entry on, if it changes them.
+    voters: Option<Vec<NodeId>>,
+}
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Node {
     term: u8,
     log: Vec<Entry>,
+    /// How many entries are committed, as far as it knows.
     commit: usize,
-    /// The first entry of its leadership, while it leads.
-    leads: Option<usize>,
+    /// The length of its log when it became the leader, while it leads.
+    leads_since: Option<usize>,
+}
+
+impl Node {
+    fn membership(&self) -> Membership {
+        let voters = self.log.iter().rev().find_map(|entry| entry.voters.clone());
+        Membership::bootstrap(voters.unwrap_or_else(|| (1..=NODES as NodeId).collect()))
+    }
+
+    /// What votes compare: the term of the last entry, then the length.
+    fn up_to_date(&self) -> (u8, usize) {
+        (
+            self.log.last().map_or(0, |entry| entry.term),
+            self.log.len(),
+        )
+    }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     nodes: Vec<Node>,
-    agreed: Vec<Entry>,
+    committed: Vec<Entry>,
     changes: u8,
-    /// Something agreed on was agreed on otherwise.
-    broken: bool,
+    /// Different entries were committed at the same index.
+    diverged: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
-    /// One is elected by these, in this term.
-    Elect(usize, u8, u8),
-    /// One gets all that a leader has.
-    Replicate(usize, usize),
-    Commit(usize),
-    Remove(usize, NodeId),
+    /// A node is elected by these (one bit each) in this term.
+    Elect { node: usize, by: u8, term: u8 },
+    /// A node gets all that a leader has.
+    Replicate { leader: usize, to: usize },
+    /// A leader commits what a majority has.
+    Commit { leader: usize },
+    /// A leader proposes to remove a node.
+    Remove { leader: usize, id: NodeId },
 }
 
-fn members(node: &Node) -> Membership {
-    let voters = node.log.iter().rev().find_map(|(_, v)| v.clone());
-    Membership::bootstrap(voters.unwrap_or_else(|| (1..=NODES as NodeId).collect()))
+fn id_of(node: usize) -> NodeId {
+    node as NodeId + 1
 }
 
-fn id(node: usize) -> NodeId {
-    node as NodeId + 1
+fn node_of(id: NodeId) -> usize {
+    id as usize - 1
+}
+
+impl State {
+    /// Elects a node. `None`: it is not elected.
+    fn elect(&mut self, node: usize, by: u8, term: u8) -> Option<()> {
+        let membership = self.nodes[node].membership();
+        let candidate = self.nodes[node].up_to_date();
+        let votes = |voter: usize| by >> voter & 1 == 1;
+        let may_vote = |voter: usize| {
+            let other = &self.nodes[voter];
+            voter == node || (other.term < term && other.up_to_date() <= candidate)
+        };
+        let is_elected = membership.voters.contains(&id_of(node))
+            && membership.is_quorum(|id| votes(node_of(id)))
+            && (0..NODES)
+                .filter(|voter| votes(*voter))
+                .all(|voter| may_vote(voter) && membership.voters.contains(&id_of(voter)));
+        if !is_elected || self.nodes[node].log.len() >= MAX_ENTRIES {
+            return None;
+        }
+        for voter in (0..NODES).filter(|voter| votes(*voter)) {
+            self.nodes[voter].term = term;
+            self.nodes[voter].leads_since = None;
+        }
+        let leader = &mut self.nodes[node];
+        leader.leads_since = Some(leader.log.len());
+        leader.log.push(Entry { term, voters: None });
+        Some(())
+    }
+
+    /// Copies a leader's log. `None`: the node knows a later term.
+    fn replicate(&mut self, leader: usize, to: usize) -> Option<()> {
+        let leader = self.nodes[leader].clone();
+        let follower = &mut self.nodes[to];
+        if follower.term > leader.term {
+            return None;
+        }
+        if follower.term < leader.term {
+            follower.leads_since = None;
+        }
+        follower.term = leader.term;
+        follower.log = leader.log;
+        Some(())
+    }
+
+    /// Commits the longest part of a leader's log that a majority has. `None`: there is none.
+    fn commit(&mut self, leader: usize) -> Option<()> {
+        let node = self.nodes[leader].clone();
+        let membership = node.membership();
+        let has = |id: NodeId, length: usize| {
+            let other = &self.nodes[node_of(id)];
+            other.term == node.term && other.log.get(..length) == node.log.get(..length)
+        };
+        let length = (1..=node.log.len()).rev().find(|length| {
+            node.log[*length - 1].term == node.term && membership.is_quorum(|id| has(id, *length))
+        })?;
+        self.nodes[leader].commit = length;
+        for (at, entry) in node.log.iter().take(length).enumerate() {
+            match self.committed.get(at) {
+                Some(before) => self.diverged |= before != entry,
+                None => self.committed.push(entry.clone()),
+            }
+        }
+        Some(())
+    }
+
+    /// Proposes to remove a node. `None`: the rules of the variant don't allow it.
+    fn remove(&mut self, variant: Variant, leader: usize, id: NodeId) -> Option<()> {
+        let node = &self.nodes[leader];
+        let own_entry_committed = node.leads_since.is_some_and(|since| node.commit > since)
+            || variant == Variant::ChangeBeforeOwnEntry;
+        let last_change = node.log.iter().rposition(|entry| entry.voters.is_some());
+        let change_committed = node.commit >= last_change.map_or(0, |at| at + 1)
+            || variant == Variant::ConcurrentChanges;
+        let change = MembershipChange::Remove(id);
+        let membership = node.membership().after_change(change).ok()?;
+        // Uncommitted changes reach a majority of their own only with the third.
+        let max_changes = if variant == Variant::ConcurrentChanges {
+            3
+        } else {
+            2
+        };
+        let is_full = self.changes >= max_changes || node.log.len() >= MAX_ENTRIES;
+        if !own_entry_committed || !change_committed || is_full {
+            return None;
+        }
+        self.changes += 1;
+        let entry = Entry {
+            term: node.term,
+            voters: Some(membership.voters.into_iter().collect()),
+        };
+        self.nodes[leader].log.push(entry);
+        Some(())
+    }
 }
 
 impl Model for Variant {
@@ -67,126 +184,61 @@
     fn init_states(&self) -> Vec<State> {
         vec![State {
             nodes: vec![Node::default(); NODES],
-            agreed: Vec::new(),
+            committed: Vec::new(),
             changes: 0,
-            broken: false,
+            diverged: false,
         }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Event>) {
-        for n in 0..NODES {
-            // A majority and not more: others' votes change nothing but their term.
-            let most = members(&s.nodes[n]).quorum() as u32;
-            let by = (0..1u8 << NODES).filter(|by| by >> n & 1 == 1 && by.count_ones() == most);
-            // Elections that fail leave terms out.
-            out.extend(by.flat_map(|by| {
-                (s.nodes[n].term + 1..=TERMS).map(move |term| Event::Elect(n, by, term))
+    fn actions(&self, state: &State, out: &mut Vec<Event>) {
+        for node in 0..NODES {
+            // A majority and not more: other votes change nothing but their term.
+            let quorum = state.nodes[node].membership().quorum() as u32;
+            let voters =
+                (0..1u8 << NODES).filter(|by| by >> node & 1 == 1 && by.count_ones() == quorum);
+            // Elections that fail skip terms.
+            let next_term = state.nodes[node].term + 1;
+            out.extend(voters.flat_map(|by| {
+                (next_term..=MAX_TERM).map(move |term| Event::Elect { node, by, term })
             }));
-            if s.nodes[n].leads.is_some() {
-                out.extend(
-                    (0..NODES)
-                        .filter(|to| *to != n)
-                        .map(|to| Event::Replicate(n, to)),
-                );
-                out.push(Event::Commit(n));
-                out.extend((0..NODES).map(|m| Event::Remove(n, id(m))));
+            if state.nodes[node].leads_since.is_some() {
+                let leader = node;
+                let others = (0..NODES).filter(|to| *to != leader);
+                out.extend(others.map(|to| Event::Replicate { leader, to }));
+                out.push(Event::Commit { leader });
+                out.extend((0..NODES).map(|gone| Event::Remove {
+                    leader,
+                    id: id_of(gone),
+                }));
             }
         }
     }
 
     fn next_state(&self, last: &State, event: Event) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match event {
-            Event::Elect(n, by, term) => {
-                let voters = members(&s.nodes[n]);
-                let newest = |node: &Node| (node.log.last().map_or(0, |e| e.0), node.log.len());
-                let mine = newest(&s.nodes[n]);
-                let votes = |m: usize| by >> m & 1 == 1;
-                let willing =
-                    |m: usize| m == n || (s.nodes[m].term < term && newest(&s.nodes[m]) <= mine);
-                let good = voters.voters.contains(&id(n))
-                    && voters.is_quorum(|m| votes(m as usize - 1))
-                    && (0..NODES)
-                        .filter(|m| votes(*m))
-                        .all(|m| willing(m) && voters.voters.contains(&id(m)));
-                if !good || s.nodes[n].log.len() >= ENTRIES {
-                    return None;
-                }
-                for m in (0..NODES).filter(|m| votes(*m)) {
-                    s.nodes[m].term = term;
-                    s.nodes[m].leads = None;
-                }
-                s.nodes[n].leads = Some(s.nodes[n].log.len());
-                s.nodes[n].log.push((term, None));
-            }
-            Event::Replicate(n, to) => {
-                let leader = s.nodes[n].clone();
-                if s.nodes[to].term > leader.term {
-                    return None;
-                }
-                if s.nodes[to].term < leader.term {
-                    s.nodes[to].leads = None;
-                }
-                (s.nodes[to].term, s.nodes[to].log) = (leader.term, leader.log);
-            }
-            Event::Commit(n) => {
-                let leader = s.nodes[n].clone();
-                let voters = members(&leader);
-                let has = |m: NodeId, len: usize| {
-                    let node = &s.nodes[m as usize - 1];
-                    node.term == leader.term && node.log.get(..len) == leader.log.get(..len)
-                };
-                let best = (1..=leader.log.len()).rev().find(|len| {
-                    leader.log[*len - 1].0 == leader.term && voters.is_quorum(|m| has(m, *len))
-                })?;
-                s.nodes[n].commit = best;
-                for (at, entry) in leader.log.iter().take(best).enumerate() {
-                    match s.agreed.get(at) {
-                        Some(before) => s.broken |= before != entry,
-                        None => s.agreed.push(entry.clone()),
-                    }
-                }
-            }
-            Event::Remove(n, gone) => {
-                let leader = &s.nodes[n];
-                let own = leader.leads.is_some_and(|first| leader.commit > first)
-                    || *self == Variant::BeforeOwnEntry;
-                let named = leader
-                    .log
-                    .iter()
-                    .rposition(|(_, v)| v.is_some())
-                    .map_or(0, |at| at + 1);
-                let settled = leader.commit >= named || *self == Variant::ManyAtATime;
-                let next = members(leader)
-                    .after_change(MembershipChange::Remove(gone))
-                    .ok()?;
-                // Steps that are not settled reach a majority of their own only with the third.
-                let most = if *self == Variant::ManyAtATime { 3 } else { 2 };
-                if !own || !settled || s.changes >= most || leader.log.len() >= ENTRIES {
-                    return None;
-                }
-                s.changes += 1;
-                let term = leader.term;
-                s.nodes[n]
-                    .log
-                    .push((term, Some(next.voters.into_iter().collect())));
-            }
+            Event::Elect { node, by, term } => state.elect(node, by, term)?,
+            Event::Replicate { leader, to } => state.replicate(leader, to)?,
+            Event::Commit { leader } => state.commit(leader)?,
+            Event::Remove { leader, id } => state.remove(*self, leader, id)?,
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("what is agreed on stays", |_, s: &State| !s.broken),
-            Property::sometimes("a step is agreed on", |_, s: &State| {
-                s.agreed.iter().any(|e| e.1.is_some())
+            Property::always(COMMITTED_STAYS, |_, state: &State| !state.diverged),
+            Property::sometimes("a change is committed", |_, state: &State| {
+                state.committed.iter().any(|entry| entry.voters.is_some())
             }),
         ]
     }
 }
 
+const COMMITTED_STAYS: &str = "what is committed stays committed";
+
 #[test]
-fn what_is_agreed_on_stays_whoever_leaves() {
+fn committed_entries_survive_membership_changes() {
     let checker = Variant::Real
         .checker()
         .threads(2)
@@ -202,8 +254,8 @@
 }
 
 #[test]
-fn rules_that_are_left_out_are_missed() {
-    for variant in [Variant::BeforeOwnEntry, Variant::ManyAtATime] {
+fn missing_rules_are_caught() {
+    for variant in [Variant::ChangeBeforeOwnEntry, Variant::ConcurrentChanges] {
         let checker = variant
             .checker()
             .threads(2)
@@ -211,7 +263,7 @@
             .spawn_bfs()
             .join();
         assert!(
-            checker.discovery("what is agreed on stays").is_some(),
+            checker.discovery(COMMITTED_STAYS).is_some(),
             "{variant:?} is not caught"
         );
     }
--- a/cluster/raft/tests/simulation/actions.rs
+++ b/cluster/raft/tests/simulation/actions.rs
@@ -164,8 +164,8 @@
     }
 }
 
-/// Adds an action to a digest in a form of its own: a number for its kind, then its parts as they are encoded for the
-/// wire.
+/// Adds an action to a digest in a form of its own: a number for its kind, then its parts as they
+/// are encoded for the wire.
 fn add_action(digest: &mut Digest, action: &Action) {
     match action {
         Action::Persist(write) => {
--- a/cluster/raft/tests/simulation/checks.rs
+++ b/cluster/raft/tests/simulation/checks.rs
@@ -1,4 +1,5 @@
-//! What was seen so far, and what must never happen: the safety properties of Raft, and linearizable reads.
+//! What was seen so far, and what must never happen: the safety properties of Raft, and
+//! linearizable reads.
 
 use std::collections::BTreeMap;
 
--- a/cluster/raft/tests/simulation/client.rs
+++ b/cluster/raft/tests/simulation/client.rs
@@ -1,4 +1,5 @@
-//! Clients and operators: commands, reads, leadership transfers and membership changes, at any replica.
+//! Clients and operators: commands, reads, leadership transfers and membership changes, at any
+//! replica.
 
 use violetgate_raft::*;
 
--- a/cluster/raft/tests/simulation/cluster.rs
+++ b/cluster/raft/tests/simulation/cluster.rs
@@ -59,7 +59,7 @@
     Config {
         max_message_bytes: 256,
         max_inflight_messages: 3,
-        max_promotion_lag: 3,
+        promotion_threshold: 3,
         max_apply_batch: 4,
         ..Config::default()
     }
--- a/cluster/raft/tests/simulation/main.rs
+++ b/cluster/raft/tests/simulation/main.rs
@@ -1,7 +1,7 @@
-//! Whole clusters in one thread, on simulated time, network and disks: loss, delay, reordering, duplication,
-//! partitions, crashes with writes that are not durable yet, pauses, membership changes and snapshots. The safety
-//! properties are checked after every step. A failure prints its seed; `SEED=n` replays that one alone, `SEEDS=n` runs
-//! more of them.
+//! Whole clusters in one thread, on simulated time, network and disks: loss, delay, reordering,
+//! duplication, partitions, crashes with writes that are not durable yet, pauses, membership
+//! changes and snapshots. The safety properties are checked after every step. A failure prints its
+//! seed; `SEED=n` replays that one alone, `SEEDS=n` runs more of them.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -84,8 +84,9 @@
     }
 }
 
-/// All that the nodes of a simulated cluster ask for, in order, is the same as in the version before the code was
-/// restructured (commit 5065b36). A change that alters a digest changes behaviour.
+/// All that the nodes of a simulated cluster ask for, in order, is the same as in the version
+/// before the code was restructured (commit 5065b36). A change that alters a digest changes
+/// behaviour.
 #[test]
 fn actions_match_the_stored_digests() {
     let digests: Vec<u64> = (0..DIGESTS.len() as u64)
--- a/cluster/raft/tests/simulation/replica.rs
+++ b/cluster/raft/tests/simulation/replica.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Replaces the log by another replica's snapshot, after all writes that were begun before, as on a real disk.
+    /// Replaces the log by another replica's snapshot, after all writes that were begun before, as
+    /// on a real disk.
     pub fn install(&mut self, metadata: SnapshotMetadata, state: AppliedCommands) {
         for write in std::mem::take(&mut self.unwritten) {
             self.write(write);
--- a/cluster/replica/src/effect.rs
+++ b/cluster/replica/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a replica asks of its caller, and how it responds to calls.
+//! What a replica requests from its caller, and how it responds to calls.
 
 use std::rc::Rc;
 
@@ -22,12 +22,13 @@
     NotLeader(Option<NodeId>),
     /// It was rejected, and nothing was done.
     Rejected(ProposalError),
-    /// Leadership was lost before it was committed. It may still be: repeat it under the same request id.
+    /// The leader was deposed before it was committed. It may still be: repeat it under the same
+    /// request id.
     OutcomeUnknown,
 }
 
-/// One thing to be done by the caller. The effects of [`Replica::take_effects`](crate::Replica::take_effects) are to
-/// be carried out in their order.
+/// One thing to be done by the caller. The effects of
+/// [`Replica::take_effects`](crate::Replica::take_effects) are to be carried out in their order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Make this durable, then call [`Replica::persisted`](crate::Replica::persisted).
@@ -46,15 +47,16 @@
         /// The response.
         response: Response,
     },
-    /// Save this snapshot durably, then call [`Replica::snapshot_saved`](crate::Replica::snapshot_saved).
+    /// Save this snapshot durably, then call
+    /// [`Replica::snapshot_saved`](crate::Replica::snapshot_saved).
     SaveSnapshot {
         /// What it stands for.
         metadata: SnapshotMetadata,
         /// The encoded state.
         state: Rc<Vec<u8>>,
     },
-    /// Put this snapshot of the leader's in place of everything on disk but the hard state, then call
-    /// [`Replica::snapshot_installed`](crate::Replica::snapshot_installed).
+    /// Put this snapshot of the leader's in place of everything on disk but the hard state, then
+    /// call [`Replica::snapshot_installed`](crate::Replica::snapshot_installed).
     InstallSnapshot {
         /// The leader that sent it.
         from: NodeId,
--- a/cluster/replica/src/lib.rs
+++ b/cluster/replica/src/lib.rs
@@ -1,10 +1,13 @@
-//! One replica of the cluster, without I/O: Raft, the replicated state and the staleness guard tied together.
+//! One replica of the cluster, without I/O: Raft, the replicated state and the staleness guard
+//! tied together.
 //!
-//! A client's command is answered once it is committed and applied here, and not before. If leadership is lost
-//! meanwhile, its outcome is unknown, and it may be repeated under its request id. A read is answered once the store
-//! holds everything that was committed before it was asked; a replica never answers by its own copy alone.
+//! A client's command is answered once it is committed and applied here, and not before. If the
+//! leader is deposed meanwhile, its outcome is unknown, and it may be repeated under its request
+//! id. A read is answered once the store holds everything that was committed before the call; a
+//! replica never answers by its own copy alone.
 //!
-//! The caller passes in time, messages, calls and completed storage work, and carries out the [`Effect`]s.
+//! The caller passes in time, messages, calls and completed storage work, and carries out the
+//! [`Effect`]s.
 //!
 //! ```
 //! use violetgate_raft::{Membership, SnapshotMetadata};
--- a/cluster/replica/src/proposals.rs
+++ b/cluster/replica/src/proposals.rs
@@ -52,7 +52,8 @@
 }
 
 impl Replica {
-    /// Proposes a client's command. `request_id` makes it safe to repeat; the command's time is set here.
+    /// Proposes a client's command. `request_id` makes it safe to repeat; the command's time is
+    /// set here.
     pub fn propose(
         &mut self,
         call: CallId,
@@ -98,8 +99,8 @@
         }
     }
 
-    /// Proposes the end of the leases that have expired. A proposal that is lost is repeated by the next tick; one too
-    /// many changes nothing.
+    /// Proposes the end of the leases that have expired. A proposal that is dropped is repeated by
+    /// the next tick; one too many changes nothing.
     pub(crate) fn propose_lease_expiries(&mut self) {
         for operation in self.store.expired_leases(self.wall_clock) {
             let command = Command {
--- a/cluster/replica/src/reads.rs
+++ b/cluster/replica/src/reads.rs
@@ -74,8 +74,8 @@
 }
 
 impl Replica {
-    /// A client's read: answered by [`Response::ReadReady`] once the store may be read. Where messages are lost it is
-    /// not answered, and has to be repeated.
+    /// A client's read: answered by [`Response::ReadReady`] once the store may be read. Where
+    /// messages are dropped it is not answered, and has to be repeated.
     pub fn read(&mut self, call: CallId) {
         if self.reads.is_full() {
             return self.respond(call, Response::Rejected(ProposalError::Busy));
--- a/cluster/replica/src/replica.rs
+++ b/cluster/replica/src/replica.rs
@@ -43,7 +43,8 @@
 }
 
 impl Replica {
-    /// A replica as its storage has it. `seed` feeds Raft's random time-outs; `now` is in microseconds.
+    /// A replica as its storage has it. `seed` feeds Raft's random time-outs; `now` is in
+    /// microseconds.
     ///
     /// # Errors
     ///
@@ -85,8 +86,8 @@
         })
     }
 
-    /// The replicated state, as far as it is applied here. To be read after [`Response::ReadReady`], or where old state
-    /// is good enough.
+    /// The replicated state, as far as it is applied here. To be read after
+    /// [`Response::ReadReady`], or where old state is good enough.
     #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
@@ -125,7 +126,8 @@
         self.raft.next_tick().min(self.confirm_at)
     }
 
-    /// Advances time, in microseconds: `now` on the clock that counts suspended time, `wall_clock` since the epoch.
+    /// Advances time, in microseconds: `now` on the clock that counts suspended time, `wall_clock`
+    /// since the epoch.
     pub fn tick(&mut self, now: Micros, wall_clock: Micros) {
         self.wall_clock = wall_clock;
         self.raft.tick(now);
--- a/cluster/replica/src/snapshots.rs
+++ b/cluster/replica/src/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots: saving the own state, sending it to replicas that lag behind, and taking in the leader's.
+//! Snapshots: saving the own state, sending it to replicas that are far behind, and taking in the
+//! leader's.
 
 use std::rc::Rc;
 
@@ -94,8 +95,8 @@
         self.raft.snapshot_chunk_loaded(to, chunk);
     }
 
-    /// Takes in a chunk of the leader's snapshot. What turns out to be no state, or is too long, is asked for again
-    /// from its beginning.
+    /// Takes in a chunk of the leader's snapshot. What is no valid state, or is too long,
+    /// is requested again from its beginning.
     pub(crate) fn store_snapshot_chunk(&mut self, from: NodeId, chunk: SnapshotChunk) {
         let received = &mut self.snapshots.received;
         received.truncate(clamped(chunk.offset));
--- a/cluster/replica/tests/encoding.rs
+++ b/cluster/replica/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! The bytes of each answer, as commit 5065b36 encodes them for another replica that has forwarded a call.
+//! The bytes of each answer, as commit 5065b36 encodes them for another replica that has forwarded
+//! a call.
 #![allow(clippy::unwrap_used)]
 
 use violetgate_raft::ProposalError;
--- a/cluster/replicated-state/src/command.rs
+++ b/cluster/replicated-state/src/command.rs
@@ -1,6 +1,7 @@
 //! The commands that replicas agree on, and their outcomes.
 //!
-//! They are stored and sent in postcard's encoding: the order of variants and fields is the format, the names are free.
+//! They are stored and sent in postcard's encoding: the order of variants and fields is the
+//! format, the names are free.
 
 use serde::{Deserialize, Serialize};
 
@@ -56,7 +57,7 @@
     },
     /// Ends a lease at its holder's request.
     RevokeLease(u64),
-    /// Ends a lease that has expired. If it was renewed meanwhile, it stays.
+    /// Ends a lease that has expired. If it was renewed meanwhile, nothing happens.
     ExpireLease {
         /// The lease's id.
         id: u64,
@@ -70,12 +71,13 @@
 /// A command for the state machine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Command {
-    /// The idempotency key, chosen by the client: a repeated request gets the same outcome and changes nothing.
+    /// The idempotency key, chosen by the client: a repeated request gets the same outcome and
+    /// changes nothing.
     pub request_id: Option<String>,
-    /// Who asked for it, for the change log.
+    /// Who made the request, for the change log.
     pub actor: String,
-    /// The proposing leader's wall-clock time in microseconds. The store's time never goes back, even if a leader's
-    /// does.
+    /// The proposing leader's wall-clock time in microseconds. The store's time never goes back,
+    /// even if a leader's does.
     pub time: Micros,
     /// What to do.
     pub operation: Operation,
@@ -105,7 +107,8 @@
     Applied {
         /// The store's revision after it.
         revision: Revision,
-        /// For a transaction, whether its conditions held; for the expiry of a lease, whether it was ended.
+        /// For a transaction, whether its conditions held; for the expiry of a lease, whether it
+        /// was ended.
         conditions_held: bool,
     },
     /// It did nothing.
--- a/cluster/replicated-state/src/entries.rs
+++ b/cluster/replicated-state/src/entries.rs
@@ -1,4 +1,5 @@
-//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's copy without history.
+//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's
+//! copy without history.
 
 use crate::{Revision, Store};
 
@@ -10,7 +11,8 @@
     /// A key's value, and the revision that last changed it.
     fn entry(&self, key: &str) -> Option<(Revision, &[u8])>;
 
-    /// All keys that begin with `prefix`, in order, with the revisions that last changed them and their values.
+    /// All keys that begin with `prefix`, in order, with the revisions that last changed them and
+    /// their values.
     fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)>;
 }
 
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -1,11 +1,11 @@
 //! The replicated state machine, without I/O.
 //!
-//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that every replica that has
-//!   applied the same commands has the same state, to the byte.
+//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that
+//!   every replica that has applied the same commands has the same state, to the byte.
 //! - [`StalenessGuard`]: whether this replica's copy is recent enough to route requests by.
 //!
-//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the guard is given the
-//! time. Times and spans are in microseconds.
+//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the
+//! guard is given the time. Times and spans are in microseconds.
 //!
 //! ```
 //! use violetgate_replicated_state::{Command, Mutation, Operation, Outcome, Store, Txn};
--- a/cluster/replicated-state/src/staleness_guard.rs
+++ b/cluster/replicated-state/src/staleness_guard.rs
@@ -1,11 +1,12 @@
-//! The guard between the replicated state and routing: no request is routed by a copy that was not confirmed within the
-//! limit.
+//! The guard between the replicated state and routing: no request is routed by a copy that was not
+//! confirmed within the limit.
 //!
-//! A copy is confirmed by a linearizable read: the confirmation is begun, a majority acknowledges the leader after that,
-//! and everything up to the read index is applied here. The copy is then as recent as the beginning of the
-//! confirmation, by this replica's own clock; clocks of different machines are never compared. The clock has to count
-//! the time during which the process or the machine is suspended (`CLOCK_BOOTTIME`): one that wakes up finds its copy
-//! stale. A replica that is cut off, one that came back with an old disk, and one whose leader is deposed without
+//! A copy is confirmed by a linearizable read: the confirmation is begun, a majority acknowledges
+//! the leader after that, and everything up to the read index is applied here. The copy is then as
+//! recent as the beginning of the confirmation, by this replica's own clock; clocks of different
+//! machines are never compared. The clock has to count the time during which the process or the
+//! machine is suspended (`CLOCK_BOOTTIME`): one that wakes up finds its copy stale. A replica that
+//! is cut off, one that came back with an old disk, and one whose leader is deposed without
 //! knowing it fail in the same way: none of their confirmations is answered.
 
 use std::collections::BTreeMap;
@@ -33,7 +34,7 @@
     read_index: Option<u64>,
 }
 
-/// Tells whether this replica's copy of the state is recent enough.
+/// Decides whether this replica's copy of the state is recent enough.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct StalenessGuard {
     /// The age from which on a copy is stale.
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Begins a confirmation. Returns its id; the cluster has to be asked from now on and not before.
+    /// Begins a confirmation. Returns its id; the read index has to be requested from now on and
+    /// not before.
     pub fn begin_confirmation(&mut self, now: Micros) -> u64 {
         self.last_id += 1;
         let pending = PendingConfirmation {
@@ -106,7 +108,8 @@
     ///
     /// # Errors
     ///
-    /// The copy is stale, or the clock has gone back, which it never should: then the age is not known.
+    /// The copy is stale, or the clock went back, which it never should: then the age is not
+    /// known.
     pub fn check(&self, now: Micros) -> Result<(), Stale> {
         match self.age(now) {
             Some(age) if age < self.limit => Ok(()),
@@ -114,7 +117,8 @@
         }
     }
 
-    /// For how long from now requests may be routed without another confirmation, in microseconds; 0: not at all.
+    /// For how long from now requests may be routed without another confirmation, in microseconds;
+    /// 0: not at all.
     #[must_use]
     pub fn remaining_validity(&self, now: Micros) -> Micros {
         self.age(now)
--- a/cluster/replicated-state/src/staleness_guard/tests.rs
+++ b/cluster/replicated-state/src/staleness_guard/tests.rs
@@ -2,8 +2,8 @@
 
 const LIMIT: Micros = 2_000_000;
 
-/// An answer that names an entry that is not applied yet confirms nothing; late answers never make the copy younger; time
-/// during which the process slept counts.
+/// An answer that names an entry that is not applied yet confirms nothing; late answers never make
+/// the copy younger; time during which the process slept counts.
 #[test]
 fn the_age_counts_from_the_question_and_not_from_the_answer() {
     let mut guard = StalenessGuard::new(LIMIT);
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -110,7 +110,7 @@
         self.requests.outcome(request_id)
     }
 
-    /// The whole state as bytes. Equal states are equal bytes on every replica.
+    /// The complete state as bytes. Equal states are equal bytes on every replica.
     #[must_use]
     pub fn to_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
--- a/cluster/replicated-state/src/store/idempotency.rs
+++ b/cluster/replicated-state/src/store/idempotency.rs
@@ -1,4 +1,5 @@
-//! Idempotency: the outcomes of recent requests, so that a repeated one is answered and not carried out again.
+//! Idempotency: the outcomes of recent requests, so that a repeated one is answered and not
+//! carried out again.
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/cluster/replicated-state/src/store/leases.rs
+++ b/cluster/replicated-state/src/store/leases.rs
@@ -5,7 +5,8 @@
 use crate::{CommandError, Micros, Mutation, Operation};
 
 impl Store {
-    /// The leases that have expired at `now` (microseconds of wall-clock time), as commands for the leader to propose.
+    /// The leases that have expired at `now` (microseconds of wall-clock time), as commands for
+    /// the leader to propose.
     #[must_use]
     pub fn expired_leases(&self, now: Micros) -> Vec<Operation> {
         let leases = self.leases.iter();
@@ -30,7 +31,8 @@
         Ok(())
     }
 
-    /// Ends a lease if it still has the expiry that the leader saw, and that has passed; whether it was ended.
+    /// Ends a lease if it still has the expiry that the leader saw, and that has passed; whether
+    /// it was ended.
     pub(super) fn expire_lease(&mut self, id: u64, expires_at: Micros, actor: &str) -> bool {
         let is_expired = self.leases.get(&id) == Some(&expires_at) && expires_at <= self.time;
         if is_expired {
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -25,7 +25,7 @@
     pub(super) lease: Option<u64>,
 }
 
-/// What was asked for is compacted away.
+/// The requested revision is compacted away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("compacted away: the earliest revision is {first_revision}")]
 pub struct Compacted {
@@ -45,8 +45,8 @@
 }
 
 impl Store {
-    /// One page of the keys that begin with `prefix`, after the key `after`, `limit` at most, all as of one revision.
-    /// The first page (`at` is `None`) chooses the current one.
+    /// One page of the keys that begin with `prefix`, after the key `after`, `limit` at most, all
+    /// as of one revision. The first page (`at` is `None`) chooses the current one.
     ///
     /// # Errors
     ///
@@ -107,8 +107,8 @@
             return;
         }
         self.first_revision = revision;
-        // Whatever version can be discarded was followed, or ended, by a change that is discarded now: no other key
-        // has to be looked at.
+        // Whatever version can be discarded was followed, or ended, by a change that is discarded
+        // now: no other key has to be looked at.
         while self
             .changes
             .front()
@@ -131,8 +131,8 @@
             .rposition(|version| version.revision <= revision)
             .unwrap_or(0);
         versions.drain(..valid);
-        let is_gone = matches!(versions.as_slice(), [only] if only.value.is_none() && only.revision <= revision);
-        if is_gone {
+        let is_deleted = matches!(versions.as_slice(), [only] if only.value.is_none() && only.revision <= revision);
+        if is_deleted {
             self.keys.remove(key);
         }
     }
--- a/cluster/replicated-state/src/store/transactions.rs
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -91,7 +91,8 @@
         Ok(())
     }
 
-    /// Makes changes, all in one revision. The deletion of a key that doesn't exist leaves no trace.
+    /// Makes changes, all in one revision. The deletion of a key that doesn't exist makes no
+    /// trace.
     pub(super) fn commit_mutations(&mut self, mutations: &[Mutation], actor: &str) {
         let revision = self.revision + 1;
         for mutation in mutations {
--- a/cluster/replicated-state/src/store/watches.rs
+++ b/cluster/replicated-state/src/store/watches.rs
@@ -21,12 +21,13 @@
 }
 
 impl Store {
-    /// The changes after a revision of keys that begin with `prefix`, oldest first, about `limit` of them. Changes of
-    /// one revision are never separated.
+    /// The changes after a revision of keys that begin with `prefix`, oldest first, about `limit`
+    /// of them. Changes of one revision are never separated.
     ///
     /// # Errors
     ///
-    /// Some of them are compacted away: the watcher has to list the keys anew instead of missing changes.
+    /// Some of them are compacted away: the watcher has to list the keys anew instead of missing
+    /// changes.
     pub fn changes(
         &self,
         after: Revision,
@@ -37,19 +38,19 @@
         let start = self
             .changes
             .partition_point(|change| change.revision <= after);
-        let mut found: Vec<KeyChange> = Vec::new();
+        let mut matching: Vec<KeyChange> = Vec::new();
         let later = self.changes.range(start..);
         for change in later.filter(|change| change.key.starts_with(prefix)) {
-            let is_full = found.len() >= limit.max(1);
-            let begins_revision = found
+            let is_full = matching.len() >= limit.max(1);
+            let begins_revision = matching
                 .last()
                 .is_some_and(|last| last.revision != change.revision);
             if is_full && begins_revision {
                 break;
             }
-            found.push(change.clone());
+            matching.push(change.clone());
         }
-        Ok(found)
+        Ok(matching)
     }
 
     /// Adds a change to the log. The last of several changes of a key in one revision counts.
--- a/cluster/replicated-state/tests/encoding.rs
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of commands, outcomes and a whole store, as commit 5065b36 encodes them: replicas of that version and of
-//! this one read each other's entries and snapshots.
+//! The bytes of commands, outcomes and a whole store, as commit 5065b36 encodes them: replicas of
+//! that version and of this one read each other's entries and snapshots.
 #![allow(clippy::unwrap_used)]
 
 use std::fmt::Debug;
@@ -10,7 +10,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
-/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back as it was.
+/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back
+/// as it was.
 #[derive(Default)]
 struct Encoded(String);
 
@@ -119,7 +120,8 @@
 /// What the old version saved is read, and holds what it held.
 #[test]
 fn a_stored_snapshot_is_read_with_all_that_it_holds() {
-    // The last snapshot stands before the outcomes: after ten commands, each followed by the store.
+    // The last snapshot stands before the outcomes: after ten commands, each followed by the
+    // store.
     let hex = FIXTURE.lines().nth(19).unwrap();
     let bytes: Vec<u8> = (0..hex.len() / 2)
         .map(|n| u8::from_str_radix(hex.get(2 * n..2 * n + 2).unwrap(), 16).unwrap())
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -41,10 +41,11 @@
 }
 
 proptest! {
-    /// Every revision that can be read is as it was, page by page, whatever is written between the pages; watches
-    /// miss nothing and tell what is compacted away; a saved store is the same store.
+    /// Every revision that can be read is as it was, page by page, whatever is written between the
+    /// pages; watches miss nothing and report what is compacted away; a decoded snapshot is the
+    /// same store.
     #[test]
-    fn every_revision_stays_as_it_was(
+    fn every_revision_reads_as_it_was(
         steps in proptest::collection::vec((proptest::collection::vec(op(), 1..4), 0u8..8, 1usize..4), 1..60),
     ) {
         let mut store = Store::default();
@@ -79,7 +80,7 @@
             let then: State = states[at as usize].iter().filter(|(k, _)| k.starts_with('a')).map(|(k, v)| (k.clone(), v.clone())).collect();
             prop_assert_eq!(listed, then);
             if what == 0 {
-                // Up to somewhere behind: what a watcher has not seen yet may go, and it is told.
+                // What a watcher has not seen yet may be compacted away, and it learns of that.
                 first = first.max(store.revision().saturating_sub(limit as u64));
                 store.apply(&command(Operation::Compact(first)));
             }
@@ -111,16 +112,16 @@
         }
     }
 
-    /// What is no saved store is an error.
+    /// Bytes that are no snapshot are an error.
     #[test]
-    fn noise_is_no_store(bytes in proptest::collection::vec(any::<u8>(), 0..60)) {
+    fn random_bytes_are_no_snapshot(bytes in proptest::collection::vec(any::<u8>(), 0..60)) {
         prop_assert!(Store::from_snapshot(&bytes).is_err());
     }
 }
 
-/// A transaction is all or nothing under its conditions; of two that compare and set, one wins.
+/// A transaction makes all of its changes or none.
 #[test]
-fn of_two_that_compare_and_set_one_wins() {
+fn of_two_that_compare_and_swap_one_wins() {
     let mut store = Store::default();
     let set = |seen, value| {
         let checks = vec![Condition::RevisionIs("limit".to_owned(), seen)];
@@ -164,9 +165,9 @@
     );
 }
 
-/// The same request again gets the same outcome and changes nothing, though the state has moved on.
+/// A repeated request gets the same outcome and changes nothing, though others came in between.
 #[test]
-fn a_request_is_carried_out_once() {
+fn a_repeated_request_is_carried_out_once() {
     let mut store = Store::default();
     let mut first = command(Operation::Txn(txn(vec![put("a", 1)])));
     first.request_id = Some("r-1".to_owned());
@@ -178,9 +179,10 @@
     assert_eq!(loaded.apply(&first), outcome, "also after a snapshot");
 }
 
-/// A lease that has run out takes its keys along; one renewed since it was seen to end stays; time never goes back.
+/// An expired lease deletes its keys; one renewed since its expiry was seen is not ended; time
+/// never goes back.
 #[test]
-fn a_lease_takes_its_keys_along() {
+fn an_expired_lease_deletes_its_keys() {
     let mut store = Store::default();
     let at = |time, step| Command {
         time,
--- a/cluster/replicated-state/tests/staleness_guard_model.rs
+++ b/cluster/replicated-state/tests/staleness_guard_model.rs
@@ -1,6 +1,7 @@
-//! The gate before routing, checked in every order of events by stateright: a drain that is agreed on, questions and
-//! answers that are late or lost, a member that is cut off, or stands still and wakes. The very code of [`StalenessGuard`]
-//! runs in the model; models in which it is left out, or fooled, have to be caught.
+//! The staleness guard, checked in every order of events by stateright: a drain that is committed,
+//! confirmations and answers that are late or dropped, a replica that is cut off, or sleeps and
+//! wakes up. The code of [`StalenessGuard`] itself runs in the model; models in which it is
+//! ignored or used wrongly have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use stateright::{Checker, Model, Property};
@@ -9,54 +10,55 @@
 /// The drain limit, in steps of time, and how far time goes.
 const LIMIT: u64 = 3;
 const END: u64 = 9;
-/// Questions that the member asks at most.
-const QUESTIONS: u64 = 3;
+/// The most confirmations.
+const MAX_CONFIRMATIONS: u64 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
     /// As it is.
     Real,
-    /// Nobody asks the gate.
-    NoGate,
-    /// A copy counts as young as the answer, not the question.
-    ByAnswer,
-    /// An answer counts before what it names is applied.
+    /// The guard is ignored.
+    NoGuard,
+    /// The age counts from the answer, not from the beginning.
+    AgeFromAnswer,
+    /// An answer counts before its read index is applied.
     Unapplied,
-    /// The member's clock stands while it does.
-    ClockStops,
+    /// The replica's clock stops while it sleeps.
+    ClockStopsInSleep,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    /// The member's own clock.
+    /// The replica's own clock.
     clock: u64,
-    /// When the drain was agreed on.
+    /// When the drain was committed.
     drained: Option<u64>,
-    /// The member has applied it.
+    /// The replica has applied it.
     knows: bool,
     cut: bool,
-    gate: StalenessGuard,
-    /// Questions on their way, and answers, with the entry that each names.
-    asked: Vec<u64>,
+    guard: StalenessGuard,
+    /// Confirmations on their way.
+    unanswered: Vec<u64>,
+    /// Answers on their way: the id of the confirmation, and its read index.
     answers: Vec<(u64, u64)>,
-    questions: u64,
+    confirmations: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
     Tick,
-    /// The member stands still for longer than the limit.
+    /// The replica sleeps for longer than the limit.
     Sleep,
     Drain,
     Cut,
     Heal,
     Ask,
-    /// A majority answers a question.
+    /// A majority answers a confirmation.
     Answer(usize),
     /// The answer arrives.
     Arrive(usize),
-    /// The drain is replicated to the member, and applied.
+    /// The drain is replicated to the replica, and applied.
     Apply,
 }
 
@@ -71,14 +73,14 @@
             drained: None,
             knows: false,
             cut: false,
-            gate: StalenessGuard::new(LIMIT),
-            asked: Vec::new(),
+            guard: StalenessGuard::new(LIMIT),
+            unanswered: Vec::new(),
             answers: Vec::new(),
-            questions: 0,
+            confirmations: 0,
         }]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Event>) {
+    fn actions(&self, state: &State, out: &mut Vec<Event>) {
         out.extend([
             Event::Tick,
             Event::Sleep,
@@ -88,78 +90,81 @@
             Event::Drain,
             Event::Apply,
         ]);
-        out.extend((0..s.asked.len()).map(Event::Answer));
-        out.extend((0..s.answers.len()).map(Event::Arrive));
+        out.extend((0..state.unanswered.len()).map(Event::Answer));
+        out.extend((0..state.answers.len()).map(Event::Arrive));
     }
 
     fn next_state(&self, last: &State, event: Event) -> Option<State> {
-        let mut s = last.clone();
+        let mut state = last.clone();
         match event {
-            Event::Tick => (s.now, s.clock) = (s.now + 1, s.clock + 1),
+            Event::Tick => (state.now, state.clock) = (state.now + 1, state.clock + 1),
             Event::Sleep => {
-                s.now += LIMIT + 1;
-                if *self != Variant::ClockStops {
-                    s.clock += LIMIT + 1;
+                state.now += LIMIT + 1;
+                if *self != Variant::ClockStopsInSleep {
+                    state.clock += LIMIT + 1;
                 }
             }
-            Event::Drain => s.drained = Some(s.drained.xor(Some(s.now))?),
-            Event::Cut => s.cut = true,
-            Event::Heal => s.cut = false,
-            Event::Ask if s.questions < QUESTIONS => {
-                s.questions += 1;
-                let question = s.gate.begin_confirmation(s.clock);
-                s.asked.push(question);
+            Event::Drain => state.drained = Some(state.drained.xor(Some(state.now))?),
+            Event::Cut => state.cut = true,
+            Event::Heal => state.cut = false,
+            Event::Ask if state.confirmations < MAX_CONFIRMATIONS => {
+                state.confirmations += 1;
+                let id = state.guard.begin_confirmation(state.clock);
+                state.unanswered.push(id);
             }
             Event::Ask => return None,
-            Event::Answer(n) if !s.cut => {
-                let question = s.asked.remove(n);
-                s.answers.push((question, u64::from(s.drained.is_some())));
+            Event::Answer(n) if !state.cut => {
+                let id = state.unanswered.remove(n);
+                state.answers.push((id, u64::from(state.drained.is_some())));
             }
             // An answer that is on its way arrives, whatever is cut later.
             Event::Arrive(n) => {
-                let (question, mut index) = s.answers.remove(n);
+                let (id, mut index) = state.answers.remove(n);
                 if *self == Variant::Unapplied {
                     index = 0;
                 }
-                if *self == Variant::ByAnswer {
-                    let late = s.gate.begin_confirmation(s.clock);
-                    s.gate.confirmation_answered(late, index);
+                if *self == Variant::AgeFromAnswer {
+                    let late = state.guard.begin_confirmation(state.clock);
+                    state.guard.confirmation_answered(late, index);
                 }
-                s.gate.confirmation_answered(question, index);
+                state.guard.confirmation_answered(id, index);
             }
-            Event::Apply if s.drained.is_some() && !s.cut && !s.knows => {
-                s.knows = true;
-                s.gate.applied_up_to(1);
+            Event::Apply if state.drained.is_some() && !state.cut && !state.knows => {
+                state.knows = true;
+                state.guard.applied_up_to(1);
             }
             Event::Answer(_) | Event::Apply => return None,
         }
-        (s != *last).then_some(s)
+        (state != *last).then_some(state)
     }
 
-    fn within_boundary(&self, s: &State) -> bool {
-        s.now <= END
+    fn within_boundary(&self, state: &State) -> bool {
+        state.now <= END
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
                 "nothing goes to a drained engine past the limit",
-                |variant: &Variant, s: &State| {
-                    let open = *variant == Variant::NoGate || s.gate.check(s.clock).is_ok();
-                    let routes = open && !s.knows;
-                    !(routes && s.drained.is_some_and(|at| s.now >= at + LIMIT))
+                |variant: &Variant, state: &State| {
+                    let open =
+                        *variant == Variant::NoGuard || state.guard.check(state.clock).is_ok();
+                    let routes = open && !state.knows;
+                    !(routes && state.drained.is_some_and(|at| state.now >= at + LIMIT))
                 },
             ),
-            Property::sometimes("it routes", |_, s: &State| s.gate.check(s.clock).is_ok()),
-            Property::sometimes("it routes on, knowing the drain", |_, s: &State| {
-                s.knows && s.gate.check(s.clock).is_ok()
+            Property::sometimes("it routes", |_, state: &State| {
+                state.guard.check(state.clock).is_ok()
+            }),
+            Property::sometimes("it routes, knowing the drain", |_, state: &State| {
+                state.knows && state.guard.check(state.clock).is_ok()
             }),
         ]
     }
 }
 
 #[test]
-fn nothing_goes_out_on_old_state_in_any_order_of_events() {
+fn nothing_is_routed_by_stale_state_in_any_order_of_events() {
     let checker = Variant::Real.checker().spawn_bfs().join();
     println!(
         "{} states, {} of them different",
@@ -171,12 +176,12 @@
 }
 
 #[test]
-fn gates_that_are_wrong_are_caught() {
+fn faulty_guards_are_caught() {
     for variant in [
-        Variant::NoGate,
-        Variant::ByAnswer,
+        Variant::NoGuard,
+        Variant::AgeFromAnswer,
         Variant::Unapplied,
-        Variant::ClockStops,
+        Variant::ClockStopsInSleep,
     ] {
         let checker = variant.checker().spawn_bfs().join();
         let found = checker.discovery("nothing goes to a drained engine past the limit");
--- a/tools/linearizability/src/lib.rs
+++ b/tools/linearizability/src/lib.rs
@@ -1,8 +1,8 @@
 //! A linearizability checker for histories of operations on single keys, after Wing and Gong.
 //!
-//! A history is linearizable if some total order of its operations explains every answer, where each operation takes
-//! effect at one moment between its start and its end. The search is exponential in the worst case, so the length of
-//! a history is bounded by [`MAX_OPERATIONS`].
+//! A history is linearizable if some total order of its operations explains every answer, where
+//! each operation takes effect at one moment between its start and its end. The search is
+//! exponential in the worst case, so the length of a history is bounded by [`MAX_OPERATIONS`].
 //!
 //! ```
 //! use violetgate_linearizability::{is_linearizable, Operation, OperationKind};
@@ -53,8 +53,8 @@
     pub kind: OperationKind,
     /// When the client began, in microseconds.
     pub started_at: u64,
-    /// When the client got its answer, in microseconds. `None`: the outcome is not known, and the operation may take
-    /// effect at any time after its start, or never.
+    /// When the client got its answer, in microseconds. `None`: the outcome is not known, and the
+    /// operation may take effect at any time after its start, or never.
     pub finished_at: Option<u64>,
 }
 
@@ -90,7 +90,8 @@
     .can_finish(State::default())
 }
 
-/// Where the search stands: the operations that have taken effect, one bit each, and the value after them.
+/// Where the search stands: the operations that have taken effect, one bit each, and the value
+/// after them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct State {
     done: u128,
@@ -103,23 +104,24 @@
 }
 
 impl Search<'_> {
-    /// Whether the operations that are left can follow in some order.
+    /// Whether the remaining operations can follow in some order.
     fn can_finish(&mut self, state: State) -> bool {
         let operations = self.operations;
-        let left: Vec<_> = operations
+        let remaining: Vec<_> = operations
             .iter()
             .enumerate()
             .filter(|(bit, _)| state.done >> bit & 1 == 0)
             .collect();
-        if left.iter().all(|(_, o)| o.finished_at.is_none()) {
+        if remaining.iter().all(|(_, o)| o.finished_at.is_none()) {
             return true;
         }
         if !self.visited.insert(state) {
             return false;
         }
-        // The next operation can't have started after another one that is left had finished.
-        let earliest_end = left.iter().filter_map(|(_, o)| o.finished_at).min();
-        left.into_iter()
+        // The next operation can't have started after another remaining one had finished.
+        let earliest_end = remaining.iter().filter_map(|(_, o)| o.finished_at).min();
+        remaining
+            .into_iter()
             .filter(|(_, o)| earliest_end.is_none_or(|end| o.started_at <= end))
             .any(|(bit, operation)| {
                 let done = state.done | 1 << bit;
@@ -129,7 +131,8 @@
     }
 }
 
-/// What the key holds after an operation; `None` if the operation can't have been answered so at this value.
+/// What the key holds after an operation; `None` if the operation can't have been answered so at
+/// this value.
 fn value_after(kind: OperationKind, value: Option<u64>) -> Option<Option<u64>> {
     match kind {
         OperationKind::Write(new) => Some(Some(new)),
