--- a/hot-restart/tests/trace_digest.rs
+++ b/hot-restart/tests/trace_digest.rs
@@ -8,8 +8,10 @@
 use std::os::unix::net::UnixStream;
 
 use async_io::Async;
-use violetgate_hot_restart::carrier::Carrier;
-use violetgate_hot_restart::{Action, Message, New, Old, Refusal, LONGEST, PATIENCE};
+use violetgate_hot_restart::connection::HandoverConnection;
+use violetgate_hot_restart::{
+    Action, Message, Predecessor, Refusal, Successor, MAX_PART_BYTES, STEP_TIMEOUT_US,
+};
 
 /// FNV-1a over everything that is written to it.
 struct Fnv(u64);
@@ -44,17 +46,19 @@
 
 fn write_action(hash: &mut Fnv, action: &Action) {
     let (number, bytes) = match action {
-        Action::Say(message) => (1, postcard::to_stdvec(message).unwrap()),
-        Action::Pass(message) => (2, postcard::to_stdvec(message).unwrap()),
-        Action::SayPart(part) => (3, part.to_le_bytes().to_vec()),
-        Action::Accept(accept) => (4, vec![u8::from(*accept)]),
-        Action::Keys(accept) => (5, vec![u8::from(*accept)]),
-        Action::SayYours => (6, vec![]),
-        Action::Hold => (7, vec![]),
-        Action::Adopt(part, bytes) => (8, [&part.to_le_bytes()[..], bytes].concat()),
-        Action::AdoptLast(bytes) => (9, bytes.clone()),
-        Action::ListenBeside => (10, vec![]),
-        Action::HangUp => (11, vec![]),
+        Action::Send(message) => (1, postcard::to_stdvec(message).unwrap()),
+        Action::SendWithSockets(message) => (2, postcard::to_stdvec(message).unwrap()),
+        Action::SendPart(part) => (3, part.to_le_bytes().to_vec()),
+        Action::StartAcceptingClients => (4, vec![1]),
+        Action::StopAcceptingClients => (4, vec![0]),
+        Action::StartAcceptingKeys => (5, vec![1]),
+        Action::StopAcceptingKeys => (5, vec![0]),
+        Action::SendOwnership => (6, vec![]),
+        Action::KeepSockets => (7, vec![]),
+        Action::AdoptPart { number, bytes } => (8, [&number.to_le_bytes()[..], bytes].concat()),
+        Action::AdoptChanges(bytes) => (9, bytes.clone()),
+        Action::ListenOnOwnSocket => (10, vec![]),
+        Action::Disconnect => (11, vec![]),
     };
     hash.number(number);
     hash.number(bytes.len() as u64);
@@ -65,28 +69,34 @@
 fn message(draw: &mut Lcg) -> Message {
     match draw.below(13) {
         0 | 1 => Message::Hello {
-            least: draw.below(3) as u16,
-            most: draw.below(4) as u16,
+            min_version: draw.below(3) as u16,
+            max_version: draw.below(4) as u16,
         },
         2 => Message::Refuse(
-            [Refusal::Version, Refusal::Taken, Refusal::Leaving][draw.below(3) as usize],
+            [
+                Refusal::NoCommonVersion,
+                Refusal::HandoverInProgress,
+                Refusal::ShuttingDown,
+            ][draw.below(3) as usize],
         ),
         3 | 4 => Message::Offer {
             version: draw.below(3) as u16,
-            parts: draw.below(3) as u32,
+            part_count: draw.below(3) as u32,
         },
         5 | 6 => {
             let long = draw.below(10) == 0;
-            Message::Part {
+            Message::StatePart {
                 number: draw.below(2) as u32,
-                bytes: vec![draw.below(256) as u8; if long { LONGEST + 1 } else { 3 }],
+                bytes: vec![draw.below(256) as u8; if long { MAX_PART_BYTES + 1 } else { 3 }],
             }
         }
-        7 | 8 => Message::Holds(draw.below(4) as u32),
+        7 | 8 => Message::PartsReceived {
+            next: draw.below(4) as u32,
+        },
         9 => Message::Ready,
-        10 => Message::Yours(vec![draw.below(256) as u8; 2]),
-        11 => Message::Ended(vec![draw.below(256) as u8; 4]),
-        _ => Message::Done,
+        10 => Message::TransferOwnership(vec![draw.below(256) as u8; 2]),
+        11 => Message::InFlightCompleted(vec![draw.below(256) as u8; 4]),
+        _ => Message::Drained,
     }
 }
 
@@ -95,28 +105,28 @@
     let mut hash = Fnv::new();
     let mut draw = Lcg(1);
     for _ in 0..5_000 {
-        let mut old = Old::new();
+        let mut predecessor = Predecessor::new();
         let mut now = draw.below(1_000_000_000);
         for _ in 0..20 {
-            now += draw.below(PATIENCE / 4);
+            now += draw.below(STEP_TIMEOUT_US / 4);
             match draw.below(16) {
-                0 => old.tick(now),
-                1 => old.lost(),
-                2 => old.done(),
-                3 => old.ended(vec![draw.below(256) as u8]),
-                4 if draw.below(4) == 0 => old.leave(),
-                _ => old.hear(&message(&mut draw), draw.below(3) as u32, now),
+                0 => predecessor.handle_timeout(now),
+                1 => predecessor.handle_disconnect(),
+                2 => predecessor.report_drained(),
+                3 => predecessor.report_completion(vec![draw.below(256) as u8]),
+                4 if draw.below(4) == 0 => predecessor.shut_down(),
+                _ => predecessor.handle_message(&message(&mut draw), draw.below(3) as u32, now),
             }
-            for action in old.actions() {
+            for action in predecessor.take_actions() {
                 write_action(&mut hash, &action);
             }
-            hash.number(old.next_tick().unwrap_or(u64::MAX));
-            hash.number(u64::from(old.has_given()));
-            hash.number(match old.may_begin() {
+            hash.number(predecessor.next_timeout().unwrap_or(u64::MAX));
+            hash.number(u64::from(predecessor.has_handed_over()));
+            hash.number(match predecessor.check_available() {
                 Ok(()) => 0,
-                Err(Refusal::Version) => 1,
-                Err(Refusal::Taken) => 2,
-                Err(Refusal::Leaving) => 3,
+                Err(Refusal::NoCommonVersion) => 1,
+                Err(Refusal::HandoverInProgress) => 2,
+                Err(Refusal::ShuttingDown) => 3,
             });
         }
     }
@@ -129,40 +139,40 @@
     let mut draw = Lcg(2);
     for _ in 0..5_000 {
         let mut now = draw.below(1_000_000_000);
-        let mut new = New::ask(now);
+        let mut successor = Successor::start(now);
         let mut next_part = 0;
         for _ in 0..20 {
-            now += draw.below(PATIENCE / 4);
+            now += draw.below(STEP_TIMEOUT_US / 4);
             match draw.below(16) {
-                0 => new.tick(now),
-                1 if draw.below(3) == 0 => new.lost(),
-                2 => new.gone(),
+                0 => successor.handle_timeout(now),
+                1 if draw.below(3) == 0 => successor.handle_disconnect(),
+                2 => successor.handle_predecessor_exit(),
                 3..=8 => {
                     // What the other end would say next, so that conversations get to their end.
                     let message = match next_part {
                         0 => Message::Offer {
                             version: 1,
-                            parts: 1,
+                            part_count: 1,
                         },
-                        1 => Message::Part {
+                        1 => Message::StatePart {
                             number: 0,
                             bytes: vec![1, 2, 3],
                         },
-                        2 => Message::Yours(vec![9, 9]),
-                        _ => Message::Ended(vec![8]),
+                        2 => Message::TransferOwnership(vec![9, 9]),
+                        _ => Message::InFlightCompleted(vec![8]),
                     };
                     next_part += 1;
-                    new.hear(message, now);
+                    successor.handle_message(message, now);
                 }
                 9..=12 => {}
                 _ if draw.below(3) > 0 => {}
-                _ => new.hear(message(&mut draw), now),
+                _ => successor.handle_message(message(&mut draw), now),
             }
-            for action in new.actions() {
+            for action in successor.take_actions() {
                 write_action(&mut hash, &action);
             }
-            hash.number(new.next_tick().unwrap_or(u64::MAX));
-            hash.number(u64::from(new.is_owner()));
+            hash.number(successor.next_timeout().unwrap_or(u64::MAX));
+            hash.number(u64::from(successor.is_owner()));
         }
     }
     assert_eq!(hash.0, 0xc18f_f6a7_fade_d73a, "{:#018x}", hash.0);
@@ -174,40 +184,40 @@
         (
             "hello",
             Message::Hello {
-                least: 1,
-                most: 300,
+                min_version: 1,
+                max_version: 300,
             },
         ),
-        ("refuse-version", Message::Refuse(Refusal::Version)),
-        ("refuse-taken", Message::Refuse(Refusal::Taken)),
-        ("refuse-leaving", Message::Refuse(Refusal::Leaving)),
+        ("refuse-version", Message::Refuse(Refusal::NoCommonVersion)),
+        ("refuse-taken", Message::Refuse(Refusal::HandoverInProgress)),
+        ("refuse-leaving", Message::Refuse(Refusal::ShuttingDown)),
         (
             "offer",
             Message::Offer {
                 version: 1,
-                parts: 70_000,
+                part_count: 70_000,
             },
         ),
         (
             "part",
-            Message::Part {
+            Message::StatePart {
                 number: 4,
                 bytes: vec![0, 1, 2, 253, 254, 255],
             },
         ),
-        ("holds", Message::Holds(129)),
+        ("holds", Message::PartsReceived { next: 129 }),
         ("ready", Message::Ready),
-        ("yours", Message::Yours(vec![7; 5])),
-        ("ended", Message::Ended(vec![1, 2])),
-        ("done", Message::Done),
+        ("yours", Message::TransferOwnership(vec![7; 5])),
+        ("ended", Message::InFlightCompleted(vec![1, 2])),
+        ("done", Message::Drained),
     ]
 }
 
 fn written(message: &Message) -> Vec<u8> {
     let (ours, mut theirs) = UnixStream::pair().unwrap();
-    let carrier = Carrier::over(Async::new(ours).unwrap()).unwrap();
-    async_io::block_on(carrier.say(message, &[])).unwrap();
-    drop(carrier);
+    let connection = HandoverConnection::new(Async::new(ours).unwrap()).unwrap();
+    async_io::block_on(connection.send(message, &[])).unwrap();
+    drop(connection);
     let mut bytes = Vec::new();
     theirs.read_to_end(&mut bytes).unwrap();
     bytes
@@ -215,9 +225,12 @@
 
 fn read(bytes: &[u8]) -> Message {
     let (ours, mut theirs) = UnixStream::pair().unwrap();
-    let mut carrier = Carrier::over(Async::new(ours).unwrap()).unwrap();
+    let mut connection = HandoverConnection::new(Async::new(ours).unwrap()).unwrap();
     theirs.write_all(bytes).unwrap();
-    async_io::block_on(carrier.hear()).unwrap().unwrap().0
+    async_io::block_on(connection.receive())
+        .unwrap()
+        .unwrap()
+        .message
 }
 
 #[test]
