--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -3,7 +3,7 @@
 mod fixtures;
 
 use super::*;
-use violetgate_raft::{Entry, Payload};
+use violetgate_raft::{Entry, LogPosition, Payload};
 
 /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
 #[test]
@@ -13,9 +13,9 @@
         index: 9,
         payload: Payload::Command(vec![5; 40]),
     }];
-    let message = Frame::Raft(Message::Append {
+    let message = Frame::Raft(Message::AppendEntries {
         term: 3,
-        prev: (2, 8),
+        previous: LogPosition { term: 2, index: 8 },
         entries,
         commit: 7,
         round: 11,
@@ -52,9 +52,9 @@
         ..ProgressSummary::default()
     };
     let frames = [
-        Frame::Raft(Message::Append {
+        Frame::Raft(Message::AppendEntries {
             term: 1,
-            prev: (0, 0),
+            previous: LogPosition { term: 0, index: 0 },
             entries: Vec::new(),
             commit: 0,
             round: 0,
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -4,7 +4,10 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-use violetgate_raft::{Entry, Membership, Message, Payload, ProposalError, SnapshotMetadata};
+use violetgate_raft::{
+    AppendOutcome, Entry, LogPosition, Membership, Message, Payload, ProposalError, SnapshotChunk,
+    SnapshotMetadata,
+};
 use violetgate_replicated_state::{CommandError, Condition, Mutation, Outcome, Txn};
 
 use violetgate_state_distribution::Laggard;
@@ -81,20 +84,26 @@
 
 fn votes() -> Vec<Message> {
     vec![
-        Message::PreVote {
+        Message::RequestPreVote {
             term: 200,
-            last: (199, 7),
+            last_log: LogPosition {
+                term: 199,
+                index: 7,
+            },
         },
-        Message::PreVoteReply {
+        Message::PreVoteResponse {
             term: 200,
             granted: true,
         },
-        Message::Vote {
+        Message::RequestVote {
             term: 200,
-            last: (199, 7),
-            transfer: true,
+            last_log: LogPosition {
+                term: 199,
+                index: 7,
+            },
+            leadership_transfer: true,
         },
-        Message::VoteReply {
+        Message::VoteResponse {
             term: 200,
             granted: false,
         },
@@ -113,56 +122,58 @@
         index,
         payload,
     });
-    let reply = |matched| Message::AppendReply {
+    let response = |outcome| Message::AppendResponse {
         term: 3,
-        matched,
+        outcome,
         round: 400,
     };
     vec![
-        Message::Append {
+        Message::AppendEntries {
             term: 3,
-            prev: (2, 8),
+            previous: LogPosition { term: 2, index: 8 },
             entries: entries.collect(),
             commit: 7,
             round: 400,
         },
-        reply(Ok(11)),
-        reply(Err(4)),
-        Message::Read { ctx: 1_000 },
-        Message::ReadReply {
-            ctx: 1_000,
+        response(AppendOutcome::Matched(11)),
+        response(AppendOutcome::Conflict(4)),
+        Message::ReadIndex { read_id: 1_000 },
+        Message::ReadIndexResponse {
+            read_id: 1_000,
             index: Some(11),
         },
-        Message::ReadReply {
-            ctx: 1_000,
+        Message::ReadIndexResponse {
+            read_id: 1_000,
             index: None,
         },
     ]
 }
 
 fn snapshots() -> Vec<Message> {
-    let meta = SnapshotMetadata {
+    let metadata = SnapshotMetadata {
         index: 500,
         term: 3,
-        members: members(),
+        membership: members(),
     };
     vec![
-        Message::Snapshot {
+        Message::InstallSnapshot {
             term: 3,
-            meta,
-            offset: 262_144,
-            data: vec![1, 2, 3],
-            done: true,
+            chunk: SnapshotChunk {
+                metadata,
+                offset: 262_144,
+                data: vec![1, 2, 3],
+                is_last: true,
+            },
         },
-        Message::SnapshotReply {
+        Message::SnapshotResponse {
             term: 3,
             index: 500,
-            next: Some(262_147),
+            next_offset: Some(262_147),
         },
-        Message::SnapshotReply {
+        Message::SnapshotResponse {
             term: 3,
             index: 500,
-            next: None,
+            next_offset: None,
         },
     ]
 }
