--- a/fleet/membership-udp/src/frame.rs
+++ b/fleet/membership-udp/src/frame.rs
@@ -1,4 +1,5 @@
-//! The form of a datagram: a magic number, the protocol's version, the fleet's name and one message, by postcard.
+//! The form of a datagram: a magic number, the protocol's version, the fleet's name and one
+//! message, by postcard.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,7 +9,7 @@
 pub const PROTOCOL_VERSION: u16 = 1;
 /// The longest datagram, in bytes: more than any message needs.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
-/// `VGFL`: tells the fleet's datagrams from those of other protocols.
+/// `VGFL`: distinguishes the fleet's datagrams from those of other protocols.
 const MAGIC: [u8; 4] = *b"VGFL";
 /// How much of another fleet's name is repeated in an error, in characters.
 const MAX_REPORTED_NAME_CHARS: usize = 64;
--- a/fleet/membership-udp/src/lib.rs
+++ b/fleet/membership-udp/src/lib.rs
@@ -1,7 +1,8 @@
-//! A member of the fleet on a UDP socket: carries the datagrams of [`violetgate_membership`] and ticks it every 50 ms.
+//! A member of the fleet on a UDP socket: carries the datagrams of [`violetgate_membership`] and
+//! ticks it every 50 ms.
 //!
-//! Nothing is decided here: which members are alive is the core's decision. The socket is never waited for: what it
-//! doesn't take at once is lost, as any datagram may be.
+//! Nothing is decided here: which members are alive is the core's decision. The socket is never
+//! waited for: what it doesn't take at once is lost, as any datagram may be.
 //!
 //! ```no_run
 //! use std::time::Instant;
--- a/fleet/membership-udp/src/node.rs
+++ b/fleet/membership-udp/src/node.rs
@@ -22,7 +22,7 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// How often an address that another process holds is tried again.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// After how many datagrams other tasks come to their turn.
+/// After how many datagrams other tasks may run.
 const DATAGRAMS_PER_YIELD: usize = 64;
 
 /// What a node reports to the program.
@@ -58,7 +58,8 @@
         /// The member that is not added.
         rejected: MemberName,
     },
-    /// Another process holds the address: this one takes part once that has ended, as in an upgrade.
+    /// Another process holds the address: this one takes part once that has ended, as in an
+    /// upgrade.
     AddressInUse(SocketAddr),
 }
 
@@ -115,8 +116,8 @@
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the settings are not valid, or the address can't be bound for another reason than being in
-    /// use.
+    /// [`StartError`] if the settings are not valid, or the address can't be bound for another
+    /// reason than being in use.
     pub fn start(
         executor: &LocalExecutor<'static>,
         options: Options,
@@ -203,7 +204,8 @@
 
     async fn tick_forever(&self) {
         loop {
-            // The tick precedes what waits at the socket: a process that was paused has to notice that first.
+            // The tick precedes what waits at the socket: a process that was paused has to notice
+            // that first.
             self.tick();
             Timer::after(TICK_INTERVAL).await;
         }
--- a/fleet/membership-udp/src/rejection_log.rs
+++ b/fleet/membership-udp/src/rejection_log.rs
@@ -1,4 +1,5 @@
-//! Rejected datagrams are reported once a minute for each address, so that a stranger can't flood the log.
+//! Rejected datagrams are reported once a minute for each address, so that a stranger can't flood
+//! the log.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
--- a/fleet/membership-udp/tests/datagrams.rs
+++ b/fleet/membership-udp/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams that the previous release wrote are read, and written alike: a fleet is upgraded one gateway at a time.
+//! Datagrams that the previous release wrote are read, and written alike: a fleet is upgraded one
+//! gateway at a time.
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
--- a/fleet/membership/src/anti_entropy.rs
+++ b/fleet/membership/src/anti_entropy.rs
@@ -1,12 +1,16 @@
-//! Anti-entropy: the comparison of views, which makes up for lost gossip at a cost that follows the difference.
+//! Anti-entropy: the comparison of views, which makes up for lost gossip at a cost that follows the
+//! difference.
 //!
 //! 1. A member sends the digest of its view ([`MessageBody::ViewDigest`]).
-//! 2. A receiver whose digest differs answers with a sum for each bucket of names ([`MessageBody::BucketSums`]).
-//! 3. The updates of the buckets that differ are requested in both directions ([`MessageBody::BucketRequest`]).
+//! 2. A receiver whose digest differs answers with a sum for each bucket of names
+//!    ([`MessageBody::BucketSums`]).
+//! 3. The updates of the buckets that differ are requested in both directions
+//!    ([`MessageBody::BucketRequest`]).
 //! 4. They are sent in several messages ([`MessageBody::BucketTransfer`]).
 //!
-//! No state is kept between the steps: a lost message is made up for by the next comparison, and a late transfer is
-//! merged like any other update. What a member sends for this is limited to a budget of bytes a second.
+//! No state is kept between the steps: a lost message is made up for by the next comparison, and a
+//! late transfer is merged like any other update. What a member sends for this is limited to a
+//! budget of bytes a second.
 
 use std::net::SocketAddr;
 
@@ -21,7 +25,7 @@
 
 /// The most updates that are requested of one member at a time, and that are sent for one request.
 const MAX_REQUESTED_UPDATES: usize = 256;
-/// From so many differing buckets on, this member has missed a lot and compares more often.
+/// From so many differing buckets on, this member has missed much and compares more often.
 const MANY_BUCKETS: usize = 16;
 /// Bytes of a datagram beside its updates, headers included.
 const MESSAGE_OVERHEAD_BYTES: u64 = 64;
@@ -113,7 +117,8 @@
             .collect()
     }
 
-    /// Requests the updates of the buckets in which another member's view differs, as many as it may send soon.
+    /// Requests the updates of the buckets in which another member's view differs, as many as it
+    /// may send soon.
     pub(crate) fn on_bucket_sums(
         &mut self,
         theirs: &BucketSums,
@@ -130,7 +135,8 @@
         }
         let differing: BucketSet = differing.into_iter().collect();
         let mut requestable = self.anti_entropy.requestable(&differing, self.now);
-        // From a random bucket on, so that several members are asked for different ones at the same time.
+        // From a random bucket on, so that several members get requests for different ones at the
+        // same time.
         let start = (self.rng.next_u64() % requestable.len().max(1) as u64) as usize;
         requestable.rotate_left(start);
         requestable.truncate(self.buckets_per_request(theirs.known_members));
@@ -168,8 +174,8 @@
         self.send_without_gossip(to, MessageBody::BucketRequest(request), actions);
     }
 
-    /// Sends the updates of the buckets that another member requests; it holds others in them, which are requested in
-    /// turn.
+    /// Sends the updates of the buckets that another member requests; it holds others in them,
+    /// which are requested in turn.
     pub(crate) fn on_bucket_request(
         &mut self,
         request: &BucketRequest,
@@ -183,7 +189,8 @@
             names: names.into(),
             body: MessageBody::BucketTransfer,
         });
-        // Requested before anything is sent, or the other would send back what it has just received.
+        // Requested before anything is sent, or the other would send back what it has just
+        // received.
         if request.mutual {
             let requestable = self.anti_entropy.requestable(&request.buckets, self.now);
             let request = BucketRequest {
--- a/fleet/membership/src/config.rs
+++ b/fleet/membership/src/config.rs
@@ -1,5 +1,5 @@
-//! How a member behaves. All members of a fleet need the same settings, or the slowest decides how soon a death is
-//! known.
+//! How a member behaves. All members of a fleet need the same settings, or the slowest decides how
+//! soon a death is known.
 
 use thiserror::Error;
 
@@ -16,7 +16,7 @@
     pub suspicion_timeout: Micros,
     /// How many observers probe each member.
     pub observers_per_member: usize,
-    /// How many members are asked for an indirect probe where one has no answer.
+    /// How many indirect probes are requested where one has no answer.
     pub indirect_probes: usize,
     /// Time between two rounds of gossip.
     pub gossip_interval: Micros,
@@ -111,7 +111,8 @@
     }
 }
 
-/// A wrong decision, for tests that have to notice it. Without the feature `mutants` none is ever made.
+/// A wrong decision, for tests that have to notice it. Without the feature `mutants` none is ever
+/// made.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
--- a/fleet/membership/src/dissemination.rs
+++ b/fleet/membership/src/dissemination.rs
@@ -1,4 +1,5 @@
-//! How updates reach the others: along with every message, in rounds of gossip, and at once when this member leaves.
+//! How updates reach the others: along with every message, in rounds of gossip, and at once when
+//! this member leaves.
 
 use crate::member_update::{MemberName, MemberState, MemberUpdate};
 use crate::membership::{Action, Membership};
@@ -30,8 +31,8 @@
         (TRANSMIT_FACTOR * fleet_size.log2()).ceil() as u32
     }
 
-    /// What is known of a member that is not taken for alive. It is sent along with each message to that member, which
-    /// can only refute what it receives.
+    /// What is known of a member that is not taken for alive. It is sent along with each message to
+    /// that member, which can only refute what it receives.
     pub(crate) fn update_to_refute(&self, name: &MemberName) -> Option<MemberUpdate> {
         let peer = self.peers.get(name)?;
         (peer.update.state != MemberState::Alive).then(|| MemberUpdate::clone(&peer.update))
--- a/fleet/membership/src/failure_detector.rs
+++ b/fleet/membership/src/failure_detector.rs
@@ -1,7 +1,9 @@
-//! Failure detection by probes: direct probes, indirect probes through other members, suspicion, and death.
+//! Failure detection by probes: direct probes, indirect probes through other members, suspicion,
+//! and death.
 //!
-//! A silence that may be this process's own accuses nobody (Lifeguard): after a pause it suspects no one until it has
-//! heard others again, and the worse its local health, the longer it waits.
+//! A silence that may be this process's own accuses nobody (Lifeguard): after a pause it suspects
+//! no one until it receives messages of others again, and the worse its local health, the longer it
+//! waits.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -25,14 +27,14 @@
 const PROBE_JITTER_DIVISOR: Micros = 10;
 
 impl Membership {
-    /// This process was paused for `pause`: probes that it sent before are no longer waited for, and the time in which
-    /// others could not reach it does not count against them.
+    /// This process was paused for `pause`: probes that it sent before are no longer waited for,
+    /// and the time in which others could not reach it does not count against them.
     pub(crate) fn recover_from_pause(&mut self, pause: Micros) {
         self.probes.clear();
         self.health.begin_recovery();
         for peer in self.peers.values_mut() {
             peer.state_since = (peer.state_since + pause).min(self.now);
-            peer.last_heard_at = (peer.last_heard_at + pause).min(self.now);
+            peer.last_message_at = (peer.last_message_at + pause).min(self.now);
             peer.next_probe_at = peer.next_probe_at.min(self.now);
         }
     }
@@ -79,7 +81,8 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Asks for indirect probes where a probe has no answer, and ends the probes that have none after that either.
+    /// Asks for indirect probes where a probe has no answer, and ends the probes that have none
+    /// after that either.
     pub(crate) fn check_probes(&mut self, actions: &mut Vec<Action>) {
         let timeout = self.config.probe_timeout;
         for sequence in self.probes.awaiting_indirect(self.now, timeout) {
@@ -113,13 +116,14 @@
         self.send_ping(&target, addr, sequence, actions);
     }
 
-    /// A probe has had no direct answer: the link is cut, the member is suspected, or this process can't tell.
+    /// A probe has had no direct answer: the link is cut, the member is suspected, or this process
+    /// may be at fault.
     fn on_probe_timeout(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
-        let is_deaf = !self.has_heard_recently();
+        let receives_nothing = !self.has_recent_message();
         if probe.indirect_acked && !self.has_mutant(Mutant::TreatsCutLinkAsFailure) {
             return self.set_link(&probe.target, LinkState::Cut, actions);
         }
-        self.health.worsen(u32::from(is_deaf));
+        self.health.worsen(u32::from(receives_nothing));
         if self.health.is_recovering() {
             return;
         }
@@ -128,7 +132,7 @@
             return;
         };
         // A message of its own has arrived since: it runs, and doesn't receive this member's.
-        if peer.last_heard_at > probe.sent_at {
+        if peer.last_message_at > probe.sent_at {
             return self.set_link(&probe.target, LinkState::Cut, actions);
         }
         let suspicion = MemberUpdate {
@@ -139,10 +143,10 @@
         self.merge(suspicion, UpdateSource::Gossip, actions);
     }
 
-    fn has_heard_recently(&self) -> bool {
+    fn has_recent_message(&self) -> bool {
         self.peers
             .values()
-            .any(|peer| self.now.saturating_sub(peer.last_heard_at) < self.config.probe_interval)
+            .any(|peer| self.now.saturating_sub(peer.last_message_at) < self.config.probe_interval)
     }
 
     /// Handles the answer to a probe, one of this member or one made for another observer.
@@ -162,7 +166,7 @@
         }
     }
 
-    /// Handles the news that another member has had an answer.
+    /// Handles the report that another member has had an answer.
     pub(crate) fn on_indirect_ack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(sequence) {
             probe.indirect_acked = true;
@@ -227,9 +231,9 @@
 
     /// Whether a suspect is to be declared dead by this member.
     ///
-    /// It takes two observers without an answer, this one among them, or one where there is no second. Both may be cut
-    /// off, so the more observers have not accused the member, the longer it takes; and a member that still sends
-    /// messages of its own is not dead.
+    /// It takes two observers without an answer, this one among them, or one where there is no
+    /// second. Both may be cut off, so the more observers have not accused the member, the longer
+    /// it takes; and a member that still sends messages of its own is not dead.
     fn is_confirmed_dead(&self, peer: &Peer) -> bool {
         let own_name = &self.own.name;
         let timeout = self.health.extend(self.config.suspicion_timeout);
@@ -251,12 +255,13 @@
             && accusing >= observers.len().min(needed)
             && self.now
                 >= peer.state_since + suspicion_span(peer, timeout, observers.len() - accusing)
-            && self.now >= peer.last_heard_at + timeout / 2
+            && self.now >= peer.last_message_at + timeout / 2
     }
 }
 
-/// How long a suspicion lasts until death: half the timeout more for each observer that has not accused the member,
-/// and twice as long for each revival, or the view of a member that flaps would never settle.
+/// How long a suspicion lasts until death: half the timeout more for each observer that has not
+/// accused the member, and twice as long for each revival, or the view of a member that flaps would
+/// never settle.
 fn suspicion_span(peer: &Peer, timeout: Micros, not_accusing: usize) -> Micros {
     let span = timeout + timeout * not_accusing as u64 / 2;
     span << peer.revivals.min(MAX_TIMEOUT_DOUBLINGS)
--- a/fleet/membership/src/fleet_size.rs
+++ b/fleet/membership/src/fleet_size.rs
@@ -1,17 +1,20 @@
 //! The number of gateways by which a process divides the capacity of an engine.
 //!
-//! It rises at once when the view grows and falls slowly when members die, so that the parts that all gateways take
-//! never add up to more than the whole while their views differ. It is never below the number in the view, nor, before
-//! the view has settled, below the number that the settings state.
+//! It rises at once when the view grows and falls slowly when members die, so that the parts that
+//! all gateways take never add up to more than the whole while their views differ. It is never
+//! below the number in the view, nor, before the view has settled, below the number that the
+//! settings state.
 
 use crate::Micros;
 
 /// How the fleet size follows the view. Spans are in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSizeConfig {
-    /// The number of gateways that the settings state: a lower one holds only once the view has settled.
+    /// The number of gateways that the settings state: a lower one holds only once the view has
+    /// settled.
     pub configured_size: u32,
-    /// How long a lower number has to hold before it is followed: longer than any two views may differ.
+    /// How long a lower number has to hold before it is followed: longer than any two views may
+    /// differ.
     pub settle_time: Micros,
     /// Time between two steps down, each by one.
     pub step_interval: Micros,
@@ -47,7 +50,8 @@
         self.size
     }
 
-    /// Follows the view, in which `serving` gateways may be serving now. Returns whether the size has changed.
+    /// Follows the view, in which `serving` gateways may be serving now. Returns whether the size
+    /// has changed.
     pub fn observe(&mut self, serving: u32, now: Micros) -> bool {
         let serving = serving.max(1);
         let size_before = self.size;
--- a/fleet/membership/src/gossip_queue.rs
+++ b/fleet/membership/src/gossip_queue.rs
@@ -1,8 +1,8 @@
-//! Updates that are still to be passed on: each is sent a limited number of times, the least often sent first, from a
-//! queue of bounded length.
+//! Updates that are still to be passed on: each is sent a limited number of times, the least often
+//! sent first, from a queue of bounded length.
 //!
-//! Taking and replacing updates costs the logarithm of the queue's length, since a whole fleet that starts at once
-//! fills it.
+//! Taking and replacing updates costs the logarithm of the queue's length, since a whole fleet that
+//! starts at once fills it.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,8 @@
 /// Receiving a queued update from another member counts as so many transmissions of it.
 const RECEIPT_WEIGHT: u32 = 3;
 
-/// The order of the queue: the least often sent first, then deaths and suspicions, which are more urgent, then by age.
+/// The order of the queue: the least often sent first, then deaths and suspicions, which are more
+/// urgent, then by age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     transmissions: u32,
@@ -34,7 +35,8 @@
 }
 
 impl GossipQueue {
-    /// Queues an update in place of those that it supersedes. A full queue drops what has been sent most often.
+    /// Queues an update in place of those that it supersedes. A full queue drops what has been sent
+    /// most often.
     pub fn push(&mut self, update: MemberUpdate) {
         let queued = self.by_member.get(&update.name).cloned();
         for position in queued.unwrap_or_default() {
@@ -58,7 +60,8 @@
         self.queue.is_empty()
     }
 
-    /// Takes the next updates to send, up to `max_updates`. Each is sent `transmit_limit` times in all.
+    /// Takes the next updates to send, up to `max_updates`. Each is sent `transmit_limit` times in
+    /// all.
     pub fn take_next(&mut self, max_updates: usize, transmit_limit: u32) -> Vec<MemberUpdate> {
         let positions: Vec<Position> = self.queue.keys().take(max_updates).copied().collect();
         let mut taken = Vec::with_capacity(positions.len());
@@ -75,8 +78,8 @@
         taken
     }
 
-    /// Another member has sent a queued update: it counts as sent several times. Else each member of a fleet that
-    /// starts at once would receive all names many times over.
+    /// Another member has sent a queued update: it counts as sent several times. Else each member
+    /// of a fleet that starts at once would receive all names many times over.
     pub fn record_receipt(&mut self, update: &MemberUpdate, transmit_limit: u32) {
         let positions = self.by_member.get(&update.name).into_iter().flatten();
         let is_same = |position: &&Position| self.queue.get(*position) == Some(update);
--- a/fleet/membership/src/lib.rs
+++ b/fleet/membership/src/lib.rs
@@ -1,13 +1,16 @@
-//! Membership of a fleet of gateways: each member's own view of which others are alive, for up to some thousands.
+//! Membership of a fleet of gateways: each member's own view of which others are alive, for up to
+//! some thousands.
 //!
-//! The protocol is SWIM's (probes, indirect probes, suspicion, refutation, gossip) with Rapid's fixed observers,
-//! Lifeguard's local health, and anti-entropy between views. [`Membership`] takes messages and the time, and returns
-//! [`Action`]s; it does no I/O, reads no clock and draws random numbers from a seed. [`FleetSize`] derives from the
-//! view the number of gateways that decisions reckon with. `docs/membership.md` has the options and figures.
+//! The protocol is SWIM's (probes, indirect probes, suspicion, refutation, gossip) with Rapid's
+//! fixed observers, Lifeguard's local health, and anti-entropy between views. [`Membership`] takes
+//! messages and the time, and returns [`Action`]s; it does no I/O, reads no clock and draws random
+//! numbers from a seed. [`FleetSize`] derives from the view the number of gateways that decisions
+//! reckon with. `docs/membership.md` has the options and figures.
 //!
-//! One rule stands above the others: no member is declared dead on the word of one that can't tell the other's silence
-//! from its own. A death takes two observers (one where there is no second), and a process that was paused suspects
-//! nobody until it has heard others again.
+//! One rule stands above the others: no member is declared dead on the word of one that can't
+//! distinguish the other's silence from its own. A death takes two observers (one where there is no
+//! second), and a process that was paused suspects nobody until it receives messages of others
+//! again.
 //!
 //! ```
 //! use violetgate_membership::{Action, Identity, Membership, MembershipConfig};
--- a/fleet/membership/src/local_health.rs
+++ b/fleet/membership/src/local_health.rs
@@ -1,5 +1,5 @@
-//! Whether this process can trust its own observations, after Lifeguard's local health: a process that was paused, or
-//! that receives little, has to expect that the silence of others is its own.
+//! Whether this process can trust its own observations, after Lifeguard's local health: a process
+//! that was paused, or that receives little, has to expect that the silence of others is its own.
 
 use std::collections::BTreeSet;
 
@@ -8,8 +8,9 @@
 
 /// A tick that comes this much after the one before means that the process was paused.
 const PAUSE_THRESHOLD_US: Micros = 200_000;
-/// After a pause it suspects nobody until it has heard so many others, where there are so many.
-const HEARD_AFTER_PAUSE: usize = 3;
+/// After a pause it suspects nobody until it has messages of so many others, where there are so
+/// many.
+const SENDERS_AFTER_PAUSE: usize = 3;
 /// The worst health score.
 const MAX_SCORE: u32 = 8;
 /// How much a pause adds to the score.
@@ -21,8 +22,8 @@
     /// From 0, healthy, to [`MAX_SCORE`].
     score: u32,
     last_tick_at: Option<Micros>,
-    /// Whom it has heard since a pause, until that is enough.
-    heard_since_pause: Option<BTreeSet<MemberName>>,
+    /// The members whose messages it has received since a pause, until these are enough.
+    senders_since_pause: Option<BTreeSet<MemberName>>,
 }
 
 impl LocalHealth {
@@ -33,31 +34,32 @@
         (gap > PAUSE_THRESHOLD_US).then_some(gap)
     }
 
-    /// The process was paused: from now on it suspects nobody until it has heard enough others.
+    /// The process was paused: from now on it suspects nobody until it has messages of enough
+    /// others.
     pub fn begin_recovery(&mut self) {
-        self.heard_since_pause = Some(BTreeSet::new());
+        self.senders_since_pause = Some(BTreeSet::new());
         self.worsen(PAUSE_SCORE);
     }
 
     /// A message of a member has arrived.
-    pub fn record_heard(&mut self, name: &MemberName) {
-        if let Some(heard) = &mut self.heard_since_pause {
-            heard.insert(MemberName::clone(name));
+    pub fn record_sender(&mut self, name: &MemberName) {
+        if let Some(senders) = &mut self.senders_since_pause {
+            senders.insert(MemberName::clone(name));
         }
     }
 
-    /// Ends the recovery from a pause once enough of the serving members have been heard.
+    /// Ends the recovery from a pause once it has messages of enough of the serving members.
     pub fn check_recovery(&mut self, serving_count: usize) {
-        let needed = HEARD_AFTER_PAUSE.min(serving_count);
-        let heard = self.heard_since_pause.as_ref();
-        if heard.is_some_and(|heard| heard.len() >= needed) {
-            self.heard_since_pause = None;
+        let needed = SENDERS_AFTER_PAUSE.min(serving_count);
+        let senders = self.senders_since_pause.as_ref();
+        if senders.is_some_and(|senders| senders.len() >= needed) {
+            self.senders_since_pause = None;
         }
     }
 
-    /// Whether it was paused and has not heard enough others since.
+    /// Whether it was paused and has no messages of enough others since.
     pub fn is_recovering(&self) -> bool {
-        self.heard_since_pause.is_some()
+        self.senders_since_pause.is_some()
     }
 
     /// Raises the score.
--- a/fleet/membership/src/member_update.rs
+++ b/fleet/membership/src/member_update.rs
@@ -1,7 +1,7 @@
 //! What is said of a member, and which of two updates takes precedence.
 //!
-//! Precedence depends on the updates alone, not on when or by whom they arrive, so views that have received the same
-//! updates in any order are equal.
+//! Precedence depends on the updates alone, not on when or by whom they arrive, so views that have
+//! received the same updates in any order are equal.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,8 +48,8 @@
 
 /// The order of updates of one member: the greater one holds.
 ///
-/// A newer incarnation comes first, then having left, then the later refutation, then the worse state. So a refutation
-/// overrides any suspicion or death that it answers.
+/// A newer incarnation comes first, then having left, then the later refutation, then the worse
+/// state. So a refutation overrides any suspicion or death that it answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     /// When the member's process started.
--- a/fleet/membership/src/membership.rs
+++ b/fleet/membership/src/membership.rs
@@ -1,8 +1,8 @@
 //! One gateway's view of the fleet: its state and what can be read of it.
 //!
 //! The modules above change it, each for one concern: [`crate::merging`], [`crate::dissemination`],
-//! [`crate::failure_detector`], [`crate::anti_entropy`] and [`crate::reconnect`]; [`crate::message_handler`] and
-//! [`crate::ticker`] are the entries.
+//! [`crate::failure_detector`], [`crate::anti_entropy`] and [`crate::reconnect`];
+//! [`crate::message_handler`] and [`crate::ticker`] are the entries.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -47,7 +47,8 @@
         /// The link's new state.
         link: LinkState,
     },
-    /// A process with this member's name and a newer incarnation has appeared: this one has to stop.
+    /// A process with this member's name and a newer incarnation has appeared: this one has to
+    /// stop.
     Superseded,
     /// A member is not added to the view, as [`MembershipConfig::max_members`] are known.
     TableFull {
@@ -80,7 +81,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct SeedAddr {
     pub addr: SocketAddr,
-    /// The member that was found there.
+    /// The member that was last known there.
     pub member: Option<MemberName>,
 }
 
@@ -114,8 +115,8 @@
 }
 
 impl Membership {
-    /// Creates a member that knows only itself and `seeds`, the addresses at which others may be found. `rng_seed`
-    /// makes its random choices.
+    /// Creates a member that knows only itself and `seeds`, the addresses at which others may be
+    /// found. `rng_seed` makes its random choices.
     #[must_use]
     pub fn new(
         config: MembershipConfig,
@@ -172,7 +173,8 @@
         &self.own
     }
 
-    /// Copies the view of another member, as if this one had long been up. Nothing of it is gossiped or reported.
+    /// Copies the view of another member, as if this one had long been up. Nothing of it is
+    /// gossiped or reported.
     pub fn adopt_view(&mut self, other: &Membership) {
         let mut peers = other.peers.clone();
         peers.remove(&self.own.name);
@@ -206,7 +208,8 @@
         self.peers.get(name).map(|peer| peer.update.incarnation)
     }
 
-    /// Whether its process was paused and has not heard enough others since to suspect anybody.
+    /// Whether its process was paused and has no messages of enough others since to suspect
+    /// anybody.
     #[must_use]
     pub fn is_recovering_from_pause(&self) -> bool {
         self.health.is_recovering()
@@ -217,8 +220,8 @@
         self.peers.values().map(Member::from)
     }
 
-    /// How many gateways may be serving, this one included. Suspects count, since they may only be unreachable from
-    /// here.
+    /// How many gateways may be serving, this one included. Suspects count, since they may only be
+    /// unreachable from here.
     #[must_use]
     pub fn serving_count(&self) -> u32 {
         u32::try_from(self.peers.serving_count())
@@ -232,7 +235,8 @@
         self.gossip.dropped
     }
 
-    /// How many comparisons and requests were not answered, for lack of budget or because of too many transfers.
+    /// How many comparisons and requests were not answered, for lack of budget or because of too
+    /// many transfers.
     #[must_use]
     pub fn anti_entropy_dropped(&self) -> u64 {
         self.anti_entropy.dropped
--- a/fleet/membership/src/merging.rs
+++ b/fleet/membership/src/merging.rs
@@ -9,7 +9,7 @@
 use crate::membership::{Action, Membership};
 use crate::peer::Peer;
 
-/// The most accusers that are kept of one suspicion.
+/// The most accusers that are stored of one suspicion.
 const MAX_ACCUSERS: usize = 8;
 
 /// How an update has come.
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Whether an update is merged though a newer one is known: a wrong decision that tests have to notice.
+    /// Whether an update is merged though a newer one is known: a wrong decision that tests have to
+    /// notice.
     fn accepts_outdated(&self, update: &MemberUpdate, known: &Peer, source: UpdateSource) -> bool {
         let is_alive = update.state == MemberState::Alive;
         let is_same_incarnation = known.update.incarnation == update.incarnation;
@@ -103,7 +104,7 @@
         if known.update.state == update.state {
             peer.state_since = known.state_since;
         }
-        peer.last_heard_at = known.last_heard_at;
+        peer.last_message_at = known.last_message_at;
         peer.next_probe_at = known.next_probe_at;
         if is_same_incarnation {
             peer.link_cut_since = known.link_cut_since;
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Stores a peer, keeps the rings in step, and reports a change of its state.
+    /// Stores a peer, updates the rings, and reports a change of its state.
     fn store(&mut self, peer: Peer, actions: &mut Vec<Action>) {
         let member = MemberName::clone(&peer.update.name);
         let state = peer.update.state;
@@ -143,7 +144,8 @@
         }
     }
 
-    /// What others say of this member: a newer incarnation supersedes it, a suspicion or a death is refuted.
+    /// What others say of this member: a newer incarnation supersedes it, a suspicion or a death is
+    /// refuted.
     fn merge_own(&mut self, update: &MemberUpdate, actions: &mut Vec<Action>) {
         let is_newer = update.incarnation > self.own.incarnation;
         if is_newer && !self.has_mutant(Mutant::IgnoresIncarnation) {
--- a/fleet/membership/src/message.rs
+++ b/fleet/membership/src/message.rs
@@ -1,4 +1,5 @@
-//! The messages between members. They travel by postcard: the order of variants and fields is the wire format.
+//! The messages between members. They travel by postcard: the order of variants and fields is the
+//! wire format.
 
 use std::net::SocketAddr;
 
@@ -8,7 +9,8 @@
 use crate::member_update::{MemberName, MemberState, MemberUpdate, MAX_NAME_BYTES};
 use crate::view_digest::{BucketSet, BUCKET_COUNT};
 
-/// The most updates in one message. With the longest names it stays under 4 KiB, with usual ones under 1,400 bytes.
+/// The most updates in one message. With the longest names it stays under 4 KiB, with usual ones
+/// under 1,400 bytes.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
 /// What a message is for.
@@ -42,19 +44,22 @@
     },
     /// Nothing but updates.
     Gossip,
-    /// The digest of the sender's view; a receiver whose view differs answers with [`MessageBody::BucketSums`].
+    /// The digest of the sender's view; a receiver whose view differs answers with
+    /// [`MessageBody::BucketSums`].
     ///
-    /// A sender that reads bucket sums repeats its own update as the second one, which has no effect on a build that
-    /// doesn't read them.
+    /// A sender that reads bucket sums repeats its own update as the second one, which has no
+    /// effect on a build that doesn't read them.
     ViewDigest {
         /// The sum over all buckets.
         digest: u64,
     },
-    /// The digests of the sender's buckets. This message and those after it go only to members that read them.
+    /// The digests of the sender's buckets. This message and those after it go only to members that
+    /// read them.
     BucketSums(BucketSums),
     /// A request for the updates in some buckets.
     BucketRequest(BucketRequest),
-    /// Updates that were requested: members that the receiver doesn't know are not passed on as gossip.
+    /// Updates that were requested: members that the receiver doesn't know are not passed on as
+    /// gossip.
     BucketTransfer,
 }
 
--- a/fleet/membership/src/message_handler.rs
+++ b/fleet/membership/src/message_handler.rs
@@ -9,8 +9,8 @@
 use crate::Micros;
 
 impl Membership {
-    /// Handles a message. Answers go to the address in its sender's update, not to where the datagram came from, which
-    /// address translation may have changed.
+    /// Handles a message. Answers go to the address in its sender's update, not to where the
+    /// datagram came from, which address translation may have changed.
     ///
     /// # Errors
     ///
@@ -33,7 +33,7 @@
         let known = self.peers.get(&sender.name);
         // A message of an older incarnation proves nothing of the current one.
         if known.is_some_and(|peer| peer.update.incarnation == sender.incarnation) {
-            self.record_heard(sender, &message.body, actions);
+            self.record_message_of(sender, &message.body, actions);
             self.answer(message, sender, actions);
         }
         Ok(())
@@ -54,9 +54,9 @@
         }
     }
 
-    /// Records that a member's own message has arrived; one that is taken for dead is notified, since it can only
-    /// refute what it knows.
-    fn record_heard(
+    /// Records that a member's own message has arrived; one that is taken for dead is notified,
+    /// since it can only refute what it knows.
+    fn record_message_of(
         &mut self,
         sender: &MemberUpdate,
         body: &MessageBody,
@@ -66,8 +66,8 @@
             return;
         };
         if peer.is_serving() {
-            peer.last_heard_at = self.now;
-            self.health.record_heard(&sender.name);
+            peer.last_message_at = self.now;
+            self.health.record_sender(&sender.name);
             return;
         }
         let needs_no_notice = matches!(
--- a/fleet/membership/src/observer_rings.rs
+++ b/fleet/membership/src/observer_rings.rs
@@ -1,8 +1,8 @@
-//! Which member observes which, as in Rapid: on each of a few rings, ordered by hash, a member is observed by the one
-//! before it.
+//! Which member observes which, as in Rapid: on each of a few rings, ordered by hash, a member is
+//! observed by the one before it.
 //!
-//! All members compute the rings from their views, so each is observed by the same few others whatever the size of the
-//! fleet, and each sends a constant number of probes.
+//! All members compute the rings from their views, so each is observed by the same few others
+//! whatever the size of the fleet, and each sends a constant number of probes.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
--- a/fleet/membership/src/peer.rs
+++ b/fleet/membership/src/peer.rs
@@ -17,7 +17,7 @@
     /// The observers that have no answer, as of this number of refutations.
     pub accusers: BTreeSet<MemberName>,
     /// When a message of its own last arrived.
-    pub last_heard_at: Micros,
+    pub last_message_at: Micros,
     /// Since when it answers indirect probes only.
     pub link_cut_since: Option<Micros>,
     /// When it is to be probed next.
@@ -34,7 +34,7 @@
         Peer {
             state_since: now,
             accusers: update.accuser.iter().cloned().collect(),
-            last_heard_at: now,
+            last_message_at: now,
             link_cut_since: None,
             next_probe_at: now,
             revivals: 0,
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Whether it may be serving: then it is on the observer rings. A suspect counts, since it may only be
-    /// unreachable from here.
+    /// Whether it may be serving: then it is on the observer rings. A suspect counts, since it may
+    /// only be unreachable from here.
     pub fn is_serving(&self) -> bool {
         matches!(self.update.state, MemberState::Alive | MemberState::Suspect)
     }
--- a/fleet/membership/src/peer_table.rs
+++ b/fleet/membership/src/peer_table.rs
@@ -1,7 +1,7 @@
 //! The table of all other members, with the indexes that keep the cost of a tick constant.
 //!
-//! Every change of a peer's update goes through [`PeerTable::insert`] and [`PeerTable::remove`], so that no index can
-//! differ from the table.
+//! Every change of a peer's update goes through [`PeerTable::insert`] and [`PeerTable::remove`], so
+//! that no index can differ from the table.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -107,7 +107,8 @@
         self.peers.remove(name);
     }
 
-    /// Removes a peer's update from the indexes by state and from the digests; returns its serving index.
+    /// Removes a peer's update from the indexes by state and from the digests; returns its serving
+    /// index.
     fn remove_from_indexes(&mut self, name: &MemberName) -> Option<u32> {
         let old = self.peers.get(name)?;
         self.digests.remove(&old.update);
@@ -131,7 +132,8 @@
         }
     }
 
-    /// Draws up to `count` different serving members other than `excluded`; returns their addresses.
+    /// Draws up to `count` different serving members other than `excluded`; returns their
+    /// addresses.
     pub fn random_serving(
         &self,
         count: usize,
@@ -141,11 +143,11 @@
         let serving_count = self.serving.len();
         let excluded_index = self.peers.get(excluded).and_then(|peer| peer.serving_index);
         let wanted = count.min(serving_count - usize::from(excluded_index.is_some()));
-        let mut drawn = BTreeSet::new();
+        let mut chosen = BTreeSet::new();
         let mut addrs = Vec::with_capacity(wanted);
         while addrs.len() < wanted {
             let index = (rng.next_u64() % serving_count as u64) as u32;
-            if Some(index) != excluded_index && drawn.insert(index) {
+            if Some(index) != excluded_index && chosen.insert(index) {
                 let name = self.serving.get(index as usize);
                 let peer = name.and_then(|name| self.peers.get(name));
                 addrs.extend(peer.map(|peer| peer.update.addr));
--- a/fleet/membership/src/probe_table.rs
+++ b/fleet/membership/src/probe_table.rs
@@ -1,4 +1,5 @@
-//! The probes that are in flight: those of this member, and those that it makes for other observers.
+//! The probes that are in flight: those of this member, and those that it makes for other
+//! observers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
     pub target: MemberName,
     pub addr: SocketAddr,
     pub sent_at: Micros,
-    /// Whether other members have been asked to probe the target.
+    /// Whether indirect probes have been requested from others for the target.
     pub indirect_requested: bool,
     /// Whether another member has had an answer.
     pub indirect_acked: bool,
@@ -64,7 +65,8 @@
         self.last_sequence
     }
 
-    /// Adds a probe for another observer; returns its sequence number, or `None` if there are too many.
+    /// Adds a probe for another observer; returns its sequence number, or `None` if there are too
+    /// many.
     pub fn add_relayed(&mut self, probe: RelayedProbe) -> Option<u64> {
         if self.relayed.len() >= MAX_RELAYED {
             return None;
@@ -86,7 +88,8 @@
         self.relayed.remove(&sequence)
     }
 
-    /// The numbers of the probes without an answer after `timeout` for which no other member has been asked.
+    /// The numbers of the probes without an answer after `timeout` for which no indirect probe has
+    /// been requested.
     pub fn awaiting_indirect(&self, now: Micros, timeout: Micros) -> Vec<u64> {
         self.matching(|probe| !probe.indirect_requested && now >= probe.sent_at + timeout)
     }
--- a/fleet/membership/src/reconnect.rs
+++ b/fleet/membership/src/reconnect.rs
@@ -1,4 +1,5 @@
-//! Contacting dead members and seeds now and then, which heals a split; and forgetting those that departed long ago.
+//! Contacting dead members and seeds now and then, which heals a split; and forgetting those that
+//! departed long ago.
 
 use std::net::SocketAddr;
 
@@ -14,7 +15,8 @@
 const MAX_CONTACTS: usize = 2;
 
 impl Membership {
-    /// Sends the view's digest to some dead members, and to seeds at which nobody is known, if that is due.
+    /// Sends the view's digest to some dead members, and to seeds at which nobody is known, if that
+    /// is due.
     pub(crate) fn contact_departed(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.schedule.next_reconnect_at {
             return;
@@ -38,8 +40,8 @@
         dead.map(|peer| peer.update.addr).collect()
     }
 
-    /// How many of so many addresses to contact. In a large fleet most members leave it to others, so that a member
-    /// that is back is not flooded.
+    /// How many of so many addresses to contact. In a large fleet most members leave it to others,
+    /// so that a member that is back is not flooded.
     fn contact_count(&mut self, addr_count: usize) -> usize {
         let count = addr_count.min(MAX_CONTACTS);
         let enough = CONTACTS_PER_S * addr_count;
@@ -50,8 +52,8 @@
         count
     }
 
-    /// The seeds at which no member is known. Which member is at a seed is remembered, so that the whole table is
-    /// searched only while none is.
+    /// The seeds at which no member is known. Which member is at a seed is remembered, so that the
+    /// whole table is searched only while none is.
     fn unoccupied_seeds(&mut self) -> Vec<SocketAddr> {
         let mut unoccupied = Vec::new();
         for SeedAddr { addr, member } in &mut self.seeds {
@@ -60,8 +62,8 @@
             if remembered.is_some_and(is_at_seed) {
                 continue;
             }
-            let found = self.peers.values().find(|peer| is_at_seed(peer));
-            *member = found.map(|peer| MemberName::clone(&peer.update.name));
+            let occupant = self.peers.values().find(|peer| is_at_seed(peer));
+            *member = occupant.map(|peer| MemberName::clone(&peer.update.name));
             if member.is_none() {
                 unoccupied.push(*addr);
             }
--- a/fleet/membership/src/stable_hash.rs
+++ b/fleet/membership/src/stable_hash.rs
@@ -1,4 +1,5 @@
-//! A hash that is the same on every gateway and in every release: ring positions and digest buckets depend on it.
+//! A hash that is the same on every gateway and in every release: ring positions and digest buckets
+//! depend on it.
 
 /// Hashes a name with a salt: FNV-1a followed by the finalizer of SplitMix64, which mixes all bits.
 #[must_use]
--- a/fleet/membership/src/ticker.rs
+++ b/fleet/membership/src/ticker.rs
@@ -5,7 +5,8 @@
 use crate::Micros;
 
 impl Membership {
-    /// Does what is due: to be called every 50 ms or so. A call that comes late tells that this process was paused.
+    /// Does what is due: to be called every 50 ms or so. A call that comes late means that this
+    /// process was paused.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         let pause = self.health.record_tick(self.now);
--- a/fleet/membership/src/transfers.rs
+++ b/fleet/membership/src/transfers.rs
@@ -1,4 +1,5 @@
-//! The state of anti-entropy: a budget of bytes, transfers under way, and when each bucket may be requested again.
+//! The state of anti-entropy: a budget of bytes, transfers under way, and when each bucket may be
+//! requested again.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,8 +13,8 @@
 const MAX_TRANSFERS: usize = 4;
 /// A bucket that was requested is requested again, from anyone, after this at the earliest.
 pub(crate) const REQUEST_INTERVAL_US: Micros = 1_000_000;
-/// After the start, and after a large difference, so many comparisons come [`REQUEST_INTERVAL_US`] after each other,
-/// or until one finds little.
+/// After the start, and after a large difference, so many comparisons come [`REQUEST_INTERVAL_US`]
+/// after each other, or until one finds little.
 const EAGER_COMPARISONS: u32 = 8;
 
 /// What may be sent at once after a quiet time, in seconds of the budget.
@@ -61,8 +62,8 @@
     }
 }
 
-/// Updates on their way to one member. Only names are kept, and looked up when they are sent, so that what is sent is
-/// never older than the view.
+/// Updates on their way to one member. Only names are kept, and looked up when they are sent, so
+/// that what is sent is never older than the view.
 #[derive(Debug, Clone)]
 pub(crate) struct Transfer {
     pub to: SocketAddr,
@@ -79,7 +80,8 @@
     eager_comparisons: u32,
     /// When each bucket may be requested again.
     requestable_at: Vec<Micros>,
-    /// Comparisons and requests that were not answered, for lack of budget or because of too many transfers.
+    /// Comparisons and requests that were not answered, for lack of budget or because of too many
+    /// transfers.
     pub dropped: u64,
 }
 
@@ -100,7 +102,8 @@
         self.budget.try_spend(bytes, now)
     }
 
-    /// Begins a transfer in place of an earlier one to the same member, which requests again what it still lacks.
+    /// Begins a transfer in place of an earlier one to the same member, which requests again what
+    /// it still lacks.
     pub fn add_transfer(&mut self, transfer: Transfer) {
         self.transfers.retain(|other| other.to != transfer.to);
         if self.transfers.len() >= MAX_TRANSFERS {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The transfer whose turn it is.
+    /// The transfer that is sent next.
     pub fn current_transfer(&self) -> Option<&Transfer> {
         self.transfers.front()
     }
@@ -151,12 +154,12 @@
         is_eager
     }
 
-    /// A comparison has found a large difference: more are to come soon.
+    /// A comparison has shown a large difference: more are to come soon.
     pub fn compare_eagerly(&mut self) {
         self.eager_comparisons = EAGER_COMPARISONS;
     }
 
-    /// A comparison has found little.
+    /// A comparison has shown little.
     pub fn compare_at_leisure(&mut self) {
         self.eager_comparisons = 0;
     }
--- a/fleet/membership/src/view_digest.rs
+++ b/fleet/membership/src/view_digest.rs
@@ -1,4 +1,5 @@
-//! Digests of a view by bucket of names: two views that differ in a few updates differ in as few buckets.
+//! Digests of a view by bucket of names: two views that differ in a few updates differ in as few
+//! buckets.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +18,8 @@
     (stable_hash(name, BUCKET_SALT) % BUCKET_COUNT as u64) as usize
 }
 
-/// An update's part of the digest of its bucket. It must not depend on the accuser, which differs between views.
+/// An update's part of the digest of its bucket. It must not depend on the accuser, which differs
+/// between views.
 fn digest_of(update: &MemberUpdate) -> u64 {
     let precedence = update.precedence();
     let salt = precedence.incarnation
@@ -52,7 +54,8 @@
         }
     }
 
-    /// The lower half of each digest. Two buckets that differ show the same sum with a probability of 2^-32.
+    /// The lower half of each digest. Two buckets that differ show the same sum with a probability
+    /// of 2^-32.
     #[must_use]
     pub fn truncated(&self) -> Vec<u32> {
         self.0.iter().map(|sum| *sum as u32).collect()
@@ -88,7 +91,7 @@
         self.0.iter().all(|byte| *byte == 0)
     }
 
-    /// For how many buckets it has room: [`BUCKET_COUNT`] unless its sender's build has another number.
+    /// How many buckets it can hold: [`BUCKET_COUNT`] unless its sender's build has another number.
     pub(crate) fn bucket_count(&self) -> usize {
         self.0.len() * 8
     }
--- a/fleet/membership/tests/anti_entropy/main.rs
+++ b/fleet/membership/tests/anti_entropy/main.rs
@@ -1,5 +1,5 @@
-//! Two members that compare their views: whatever these differ in, they are equal after some rounds, at a cost that
-//! follows the difference, whatever messages are lost or late.
+//! Two members that compare their views: whatever these differ in, they are equal after some
+//! rounds, at a cost that follows the difference, whatever messages are lost or late.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 #[cfg(feature = "mutants")]
@@ -33,7 +33,8 @@
     sent.collect()
 }
 
-/// One update of 4,000 differs: one bucket is exchanged, not the view, and the newer update holds on both sides.
+/// One update of 4,000 differs: one bucket is exchanged, not the view, and the newer update holds
+/// on both sides.
 #[test]
 fn views_that_differ_in_one_update_exchange_one_bucket() {
     let all = updates(0..4_000);
@@ -137,7 +138,8 @@
     assert_eq!(pair.members[0].digest(), before);
 }
 
-/// A build that does not read bucket sums gets updates as before, and one that reads them is not sent the whole view.
+/// A build that does not read bucket sums gets updates as before, and one that reads them is not
+/// sent the whole view.
 #[test]
 fn older_build_is_sent_updates_that_it_reads() {
     let mut member = default_member(2);
--- a/hot-restart/src/connection.rs
+++ b/hot-restart/src/connection.rs
@@ -1,7 +1,8 @@
 //! The connection between the two processes: a Unix socket in a folder that both share.
 //!
-//! A frame is the length of a message (4 bytes, little-endian) and the message by postcard. Listening sockets are
-//! passed as file descriptors along with the first byte of a frame. A peer of another user is rejected.
+//! A frame is the length of a message (4 bytes, little-endian) and the message by postcard.
+//! Listening sockets are passed as file descriptors along with the first byte of a frame. A peer of
+//! another user is rejected.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, IoSlice, IoSliceMut};
@@ -59,7 +60,7 @@
     TooManySockets,
     /// The system has dropped sockets that were passed.
     #[error("sockets were lost on their way")]
-    SocketsLost,
+    SocketsDropped,
 }
 
 /// A message and the sockets that came with it.
@@ -79,11 +80,13 @@
     sockets: VecDeque<OwnedFd>,
 }
 
-/// Listens for successors. A socket file that a dead process has left is replaced, that of a living one is not.
+/// Listens for successors. A socket file that a dead process has left is replaced, that of a living
+/// one is not.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::AddrInUse`] if a process listens there; others if the path is too long or Unix sockets are refused.
+/// [`ErrorKind::AddrInUse`] if a process listens there; others if the path is too long or Unix
+/// sockets are refused.
 pub fn listen(path: &Path) -> std::io::Result<Async<UnixListener>> {
     match UnixStream::connect(path) {
         Ok(_) => return Err(ErrorKind::AddrInUse.into()),
@@ -100,7 +103,8 @@
 ///
 /// # Errors
 ///
-/// [`ConnectionError::Io`] if nobody listens there, [`ConnectionError::OtherUser`] if the process is another user's.
+/// [`ConnectionError::Io`] if nobody listens there, [`ConnectionError::OtherUser`] if the process
+/// is another user's.
 pub async fn connect(path: &Path) -> Result<HandoverConnection, ConnectionError> {
     HandoverConnection::new(Async::<UnixStream>::connect(path).await?)
 }
@@ -167,8 +171,8 @@
             }
             let mut buffer = [0; READ_BYTES];
             let read = self.stream.read_with(|s| read(s, &mut buffer)).await?;
-            if read.has_lost_sockets {
-                return Err(ConnectionError::SocketsLost);
+            if read.has_dropped_sockets {
+                return Err(ConnectionError::SocketsDropped);
             }
             if self.sockets.len() + read.sockets.len() > MAX_SOCKETS {
                 return Err(ConnectionError::TooManySockets);
@@ -224,7 +228,7 @@
 struct Read {
     bytes: usize,
     sockets: Vec<OwnedFd>,
-    has_lost_sockets: bool,
+    has_dropped_sockets: bool,
 }
 
 fn read(stream: &UnixStream, buffer: &mut [u8]) -> std::io::Result<Read> {
@@ -242,6 +246,6 @@
     Ok(Read {
         bytes: received.bytes,
         sockets,
-        has_lost_sockets: received.flags.contains(ReturnFlags::CTRUNC),
+        has_dropped_sockets: received.flags.contains(ReturnFlags::CTRUNC),
     })
 }
--- a/hot-restart/src/lib.rs
+++ b/hot-restart/src/lib.rs
@@ -1,12 +1,14 @@
-//! The protocol between a running process and its successor during a hot restart: who accepts clients, who accepts
-//! idempotency keys, and what the predecessor knows that the successor needs.
+//! The protocol between a running process and its successor during a hot restart: who accepts
+//! clients, who accepts idempotency keys, and what the predecessor knows that the successor needs.
 //!
-//! [`Predecessor`] and [`Successor`] are the two ends as state machines without I/O: messages and the time go in,
-//! [`Action`]s come out. [`connection`] carries the messages over a Unix socket. `docs/hot-restart.md` is the design.
+//! [`Predecessor`] and [`Successor`] are the two ends as state machines without I/O: messages and
+//! the time go in, [`Action`]s come out. [`connection`] carries the messages over a Unix socket.
+//! `docs/hot-restart.md` is the design.
 //!
-//! Two invariants hold whatever is lost, late or refused: never do both processes accept idempotency keys, and the
-//! clients' port is never without a process that accepts. Until the predecessor has transferred ownership it serves
-//! as before; a successor whose handover fails serves on a listening socket of its own beside the predecessor.
+//! Two invariants hold whatever is lost, late or refused: never do both processes accept
+//! idempotency keys, and the clients' port is never without a process that accepts. Until the
+//! predecessor has transferred ownership it serves as before; a successor whose handover fails
+//! serves on a listening socket of its own beside the predecessor.
 //!
 //! ```
 //! use violetgate_hot_restart::{Action, Message, Predecessor, Successor};
@@ -40,7 +42,8 @@
 /// A moment or a span in microseconds.
 pub type Micros = u64;
 
-/// How long either end waits for the other's next message before it gives up the handover, in microseconds.
+/// How long either end waits for the other's next message before it gives up the handover, in
+/// microseconds.
 pub const STEP_TIMEOUT_US: Micros = 2_000_000;
 
 /// What the program has to do, in the order given.
@@ -60,8 +63,8 @@
     StartAcceptingKeys,
     /// Accept no further idempotency keys.
     StopAcceptingKeys,
-    /// Send [`Message::TransferOwnership`] with what has changed since the parts were made. Nothing new may be
-    /// accepted once that is made.
+    /// Send [`Message::TransferOwnership`] with what has changed since the parts were made. Nothing
+    /// new may be accepted once that is made.
     SendOwnership,
     /// Keep the listening sockets that came with the last message.
     KeepSockets,
@@ -72,7 +75,8 @@
         /// Its content.
         bytes: Vec<u8>,
     },
-    /// Take over what has changed since the parts were made, or what has completed since the transfer.
+    /// Take over what has changed since the parts were made, or what has completed since the
+    /// transfer.
     AdoptChanges(Vec<u8>),
     /// Listen on a socket of one's own beside the predecessor: the handover has failed.
     ListenOnOwnSocket,
--- a/hot-restart/src/message.rs
+++ b/hot-restart/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between the two processes. They are encoded by postcard, so the order of variants and fields is the
-//! wire format and must not change.
+//! The messages between the two processes. They are encoded by postcard, so the order of variants
+//! and fields is the wire format and must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -77,7 +77,8 @@
     },
     /// Successor: it can serve.
     Ready,
-    /// Predecessor: the successor owns clients and keys from here on; what has changed since the parts were made.
+    /// Predecessor: the successor owns clients and keys from here on; what has changed since the
+    /// parts were made.
     TransferOwnership(Vec<u8>),
     /// Predecessor: a request that was in flight at the transfer has completed.
     InFlightCompleted(Vec<u8>),
--- a/hot-restart/src/predecessor.rs
+++ b/hot-restart/src/predecessor.rs
@@ -17,7 +17,8 @@
 
 /// The predecessor's end of a handover.
 ///
-/// It accepts clients and keys until it has transferred ownership, and again once the successor is known to be dead.
+/// It accepts clients and keys until it has transferred ownership, and again once the successor is
+/// known to be dead.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     phase: Phase,
@@ -64,7 +65,8 @@
     ///
     /// # Errors
     ///
-    /// [`Refusal::HandoverInProgress`] while another successor has one, [`Refusal::ShuttingDown`] at the end.
+    /// [`Refusal::HandoverInProgress`] while another successor has one, [`Refusal::ShuttingDown`]
+    /// at the end.
     pub fn check_available(&self) -> Result<(), Refusal> {
         match self.phase {
             Phase::Serving => Ok(()),
@@ -139,7 +141,8 @@
         ]);
     }
 
-    /// A request that was in flight at the transfer has completed; `bytes` is what the successor has to know of it.
+    /// A request that was in flight at the transfer has completed; `bytes` is what the successor
+    /// has to know of it.
     pub fn report_completion(&mut self, bytes: Vec<u8>) {
         if self.phase == Phase::HandedOver {
             let completed = Message::InFlightCompleted(bytes);
@@ -154,7 +157,8 @@
         }
     }
 
-    /// The connection has closed. A successor keeps it open for as long as it lives, so it has died.
+    /// The connection has closed. A successor holds it open for as long as it lives, so it has
+    /// died.
     pub fn handle_disconnect(&mut self) {
         let had_handed_over = self.phase == Phase::HandedOver;
         if self.phase != Phase::ShuttingDown {
@@ -173,7 +177,8 @@
         }
     }
 
-    /// The process is to end. A transfer under way is given up: the successor falls back to a socket of its own.
+    /// The process is to end. A transfer under way is given up: the successor falls back to a
+    /// socket of its own.
     pub fn shut_down(&mut self) {
         if self.phase == Phase::HandedOver {
             return;
--- a/hot-restart/src/successor.rs
+++ b/hot-restart/src/successor.rs
@@ -17,14 +17,14 @@
     Ready { deadline: Micros },
     /// It owns clients and keys; the predecessor may still report what completes there.
     Owner,
-    /// It serves clients on its own socket; keys belong to the predecessor until that is gone.
+    /// It serves clients on its own socket; keys belong to the predecessor until that has ended.
     BesidePredecessor,
 }
 
 /// The successor's end of a handover.
 ///
-/// It accepts clients once it owns them, or on its own socket where the handover fails; it accepts keys once it owns
-/// them, or once the predecessor is gone.
+/// It accepts clients once it owns them, or on its own socket where the handover fails; it accepts
+/// keys once it owns them, or once the predecessor has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Successor {
     phase: Phase,
@@ -145,14 +145,15 @@
         }
     }
 
-    /// Gives the handover up if its deadline has passed, unless the transfer of ownership may be under way.
+    /// Gives the handover up if its deadline has passed, unless the transfer of ownership may be
+    /// under way.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout().is_none_or(|deadline| deadline > now) {
             return;
         }
         if matches!(self.phase, Phase::Ready { .. }) {
-            // A transfer that is under way can't be refused any more, only waited for: the predecessor sends it,
-            // disconnects, or dies.
+            // A transfer that is under way can't be refused any more, only waited for: the
+            // predecessor sends it, disconnects, or dies.
             let deadline = now.saturating_add(STEP_TIMEOUT_US);
             self.phase = Phase::Ready { deadline };
             return;
--- a/hot-restart/tests/connection.rs
+++ b/hot-restart/tests/connection.rs
@@ -1,5 +1,5 @@
-//! The connection over real Unix sockets: listeners are passed with their queues, frames arrive whole or not at all, and
-//! what dead processes leave is no obstacle.
+//! The connection over real Unix sockets: listeners are passed with their queues, frames arrive
+//! whole or not at all, and what dead processes leave is no obstacle.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use std::io::{ErrorKind, Read, Write};
@@ -42,8 +42,8 @@
     (connection, theirs)
 }
 
-/// A client that connected before the listener was passed is accepted by the process that got it, though the one that
-/// had it has closed it.
+/// A client that connected before the listener was passed is accepted by the process that got it,
+/// though the one that had it has closed it.
 #[test]
 fn listener_is_passed_with_its_queue() {
     let folder = TestFolder::new("queue");
--- a/hot-restart/tests/model/main.rs
+++ b/hot-restart/tests/model/main.rs
@@ -1,5 +1,6 @@
-//! Both ends in every order of events: messages in flight, either process killed at any step, timeouts, a shutdown. Never
-//! do both accept keys; and once nothing is in flight, whoever lives accepts clients.
+//! Both ends in every order of events: messages in flight, either process killed at any step,
+//! timeouts, a shutdown. Never do both accept keys; and once nothing is in flight, whoever lives
+//! accepts clients.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod processes;
@@ -39,7 +40,8 @@
         let predecessor = state.predecessor.as_ref();
         let successor = state.successor.as_ref();
         let has_timeout = predecessor.is_some_and(|p| p.next_timeout().is_some());
-        // A successor that has waited once for the transfer of ownership waits on in the same state.
+        // A successor that has waited once for the transfer of ownership waits on in the same
+        // state.
         let has_first_timeout =
             successor.is_some_and(|s| s.next_timeout() == Some(STEP_TIMEOUT_US));
         let exit_is_news = predecessor.is_none() && successor.is_some() && !state.knows_exit;
--- a/hot-restart/tests/trace_digest.rs
+++ b/hot-restart/tests/trace_digest.rs
@@ -1,6 +1,6 @@
-//! Both ends do exactly what they did when these digests were taken: drawn streams of events, with every action
-//! written as bytes by the test itself, in one FNV-1a hash for each end. And frames that the previous release wrote
-//! are read, and written alike.
+//! Both ends do exactly what they did when these digests were taken: drawn streams of events, with
+//! every action written as bytes by the test itself, in one FNV-1a hash for each end. And frames
+//! that the previous release wrote are read, and written alike.
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
--- a/result-store/benches/timer_wheel.rs
+++ b/result-store/benches/timer_wheel.rs
@@ -1,5 +1,5 @@
-//! The timing wheel against a heap and an ordered set: a steady state in which each entry that comes due is
-//! replaced by a new one, as results are that expire.
+//! The timing wheel against a heap and an ordered set, in a steady state: each entry that expires
+//! is replaced by a new one, as cached results are.
 #![allow(missing_docs)]
 
 use std::cmp::Reverse;
@@ -9,76 +9,104 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use violetgate_result_store::TimerWheel;
 
-/// Entries put in, and handed out, for each round.
-const ROUND: u64 = 1_000;
-const SPAN: u64 = 20_000_000;
+/// About how many entries expire, and are added, in each iteration.
+const ENTRIES_PER_ITERATION: u64 = 1_000;
+/// The longest time until an entry expires, in microseconds.
+const MAX_DELAY_US: u64 = 20_000_000;
 
-struct Draw(u64);
+/// A linear congruential generator of delays.
+struct RandomDelays(u64);
 
-impl Draw {
-    fn next(&mut self) -> u64 {
+impl RandomDelays {
+    fn next_delay(&mut self) -> u64 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.0 >> 20) % SPAN
+        (self.0 >> 20) % MAX_DELAY_US
     }
 }
 
-fn steady(c: &mut Criterion) {
-    let mut group = c.benchmark_group("steady state");
+/// How far time advances in an iteration, with so many entries.
+fn step(entries: u64) -> u64 {
+    MAX_DELAY_US / 2 * ENTRIES_PER_ITERATION / entries
+}
+
+/// An iteration with the timing wheel.
+fn wheel_iteration(entries: u64) -> impl FnMut() {
+    let (mut delays, mut now, mut wheel) = (RandomDelays(7), 0, TimerWheel::new(0));
+    for number in 0..entries {
+        wheel.insert(delays.next_delay(), number);
+    }
+    move || {
+        now += step(entries);
+        let mut expired = 0;
+        wheel.advance(now, |number| expired ^= black_box(number));
+        while (wheel.len() as u64) < entries {
+            wheel.insert(now + delays.next_delay(), expired);
+        }
+    }
+}
+
+/// An iteration with a heap.
+fn heap_iteration(entries: u64) -> impl FnMut() {
+    let (mut delays, mut now, mut heap) = (RandomDelays(7), 0, BinaryHeap::new());
+    for number in 0..entries {
+        heap.push(Reverse((delays.next_delay(), number)));
+    }
+    move || {
+        now += step(entries);
+        let mut expired = 0;
+        while heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
+            expired ^= heap
+                .pop()
+                .map_or(0, |Reverse((_, number))| black_box(number));
+        }
+        while (heap.len() as u64) < entries {
+            heap.push(Reverse((now + delays.next_delay(), expired)));
+        }
+    }
+}
+
+/// An iteration with an ordered set.
+fn ordered_set_iteration(entries: u64) -> impl FnMut() {
+    let (mut delays, mut now, mut set) = (RandomDelays(7), 0, BTreeSet::new());
+    let mut added = 0u64;
+    for number in 0..entries {
+        set.insert((delays.next_delay(), number));
+    }
+    move || {
+        now += step(entries);
+        while let Some((at, number)) = set.first().copied().filter(|(at, _)| *at <= now) {
+            set.remove(&(at, number));
+            black_box(number);
+        }
+        while (set.len() as u64) < entries {
+            added += 1;
+            // Above all numbers of the first entries.
+            set.insert((now + delays.next_delay(), added | 1 << 40));
+        }
+    }
+}
+
+fn steady_state(criterion: &mut Criterion) {
+    let mut group = criterion.benchmark_group("steady state");
     group
-        .throughput(Throughput::Elements(ROUND))
+        .throughput(Throughput::Elements(ENTRIES_PER_ITERATION))
         .sample_size(20);
     for entries in [1_000u64, 100_000, 1_000_000] {
-        // As much time a round as makes about one round's entries come due.
-        let step = SPAN / 2 * ROUND / entries;
-        group.bench_function(BenchmarkId::new("wheel", entries), |b| {
-            let (mut draw, mut now, mut wheel) = (Draw(7), 0, TimerWheel::new(0));
-            (0..entries).for_each(|n| wheel.insert(draw.next(), n));
-            b.iter(|| {
-                now += step;
-                let mut out = 0;
-                wheel.advance(now, |n| out ^= black_box(n));
-                while (wheel.len() as u64) < entries {
-                    wheel.insert(now + draw.next(), out);
-                }
-            });
+        group.bench_function(BenchmarkId::new("wheel", entries), |bencher| {
+            bencher.iter(wheel_iteration(entries));
         });
-        group.bench_function(BenchmarkId::new("heap", entries), |b| {
-            let (mut draw, mut now, mut heap) = (Draw(7), 0, BinaryHeap::new());
-            (0..entries).for_each(|n| heap.push(Reverse((draw.next(), n))));
-            b.iter(|| {
-                now += step;
-                let mut out = 0;
-                while heap.peek().is_some_and(|Reverse((at, _))| *at <= now) {
-                    out ^= heap.pop().map_or(0, |Reverse((_, n))| black_box(n));
-                }
-                while (heap.len() as u64) < entries {
-                    heap.push(Reverse((now + draw.next(), out)));
-                }
-            });
+        group.bench_function(BenchmarkId::new("heap", entries), |bencher| {
+            bencher.iter(heap_iteration(entries));
         });
-        group.bench_function(BenchmarkId::new("ordered set", entries), |b| {
-            let (mut draw, mut now, mut set, mut n) = (Draw(7), 0, BTreeSet::new(), 0u64);
-            (0..entries).for_each(|n| {
-                set.insert((draw.next(), n));
-            });
-            b.iter(|| {
-                now += step;
-                while let Some((at, n)) = set.first().copied().filter(|(at, _)| *at <= now) {
-                    set.remove(&(at, n));
-                    black_box(n);
-                }
-                while (set.len() as u64) < entries {
-                    n += 1;
-                    set.insert((now + draw.next(), n | 1 << 40));
-                }
-            });
+        group.bench_function(BenchmarkId::new("ordered set", entries), |bencher| {
+            bencher.iter(ordered_set_iteration(entries));
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, steady);
+criterion_group!(benches, steady_state);
 criterion_main!(benches);
--- a/result-store/src/byte_budget.rs
+++ b/result-store/src/byte_budget.rs
@@ -1,4 +1,5 @@
-//! A budget of bytes. Whatever occupies bytes holds a [`ByteReservation`], which returns them when it is dropped.
+//! A budget of bytes. Whatever occupies bytes holds a [`ByteReservation`], which returns them when
+//! it is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -35,7 +36,7 @@
         self.0.capacity.set(capacity);
     }
 
-    /// Reserves bytes; `None` if fewer are left.
+    /// Reserves bytes; `None` if fewer are available.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<ByteReservation> {
         let reserved = self.reserved().checked_add(bytes)?;
--- a/result-store/src/idempotency.rs
+++ b/result-store/src/idempotency.rs
@@ -1,11 +1,13 @@
 //! Idempotency keys: which are in use, which requests wait for them, and what answers a repeat.
 //!
-//! A key is in use from its first request until its class's deduplication window after that request's end:
+//! A key is in use from its first request until its class's deduplication window after that
+//! request's end:
 //!
 //! - while the request runs, repeats join it and get the same answer;
 //! - once it completed, repeats get the recorded answer;
 //! - if it had no effect, the key is free at once;
-//! - if its outcome is unknown, a repeat may execute only while engines still discard a second execution.
+//! - if its outcome is unknown, a repeat may execute only while engines still discard a second
+//!   execution.
 //!
 //! The table is bounded. When full it rejects new keys; it never evicts one that is in use.
 
@@ -19,7 +21,8 @@
 /// How a request with a key is to be answered.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyLookup<A> {
-    /// Execute it, and report its end with [`IdempotencyKeys::finish`] or [`IdempotencyKeys::abandon`].
+    /// Execute it, and report its end with [`IdempotencyKeys::finish`] or
+    /// [`IdempotencyKeys::abandon`].
     Execute,
     /// An earlier request of the key is in flight: wait for its answer.
     JoinInFlight,
@@ -27,7 +30,8 @@
     Replay(A),
     /// The key is in use by a different request.
     KeyConflict,
-    /// The outcome of an earlier request is unknown, and a second execution might take effect twice.
+    /// The outcome of an earlier request is unknown, and a second execution might take effect
+    /// twice.
     OutcomeUnknown,
     /// The table is full, or too many requests wait for the key.
     Full {
@@ -57,12 +61,13 @@
 #[derive(Debug)]
 struct KeyEntry<W, A> {
     fingerprint: RequestFingerprint,
-    /// When the key's first request came: engines discard repeats at least for `dedup_window` from then on.
+    /// When the key's first request came: engines discard repeats at least for `dedup_window` from
+    /// then on.
     first_request_at: Micros,
     dedup_window: Micros,
     /// When the entry expires, unless it is in flight; [`NEVER`] until an execution has ended.
     expires_at: Micros,
-    /// Tells this entry from others that used the same key before or after.
+    /// Distinguishes this entry from others that used the same key before or after.
     generation: u64,
     state: KeyState<W, A>,
 }
@@ -114,7 +119,8 @@
 
     /// Decides how a request with `key` is to be answered.
     ///
-    /// `dedup_window` is for how long, in microseconds, the engines of the request's class discard a repeat.
+    /// `dedup_window` is for how long, in microseconds, the engines of the request's class discard
+    /// a repeat.
     pub fn begin(
         &mut self,
         now: Micros,
@@ -178,7 +184,8 @@
 
     /// Removes a waiter that no longer waits.
     ///
-    /// Returns `true` if it was the last one: the caller then cancels the execution, whose outcome counts as unknown.
+    /// Returns `true` if it was the last one: the caller then cancels the execution, whose outcome
+    /// counts as unknown.
     pub fn abandon(&mut self, now: Micros, key: &str, waiter: &W) -> bool {
         let Some(KeyEntry {
             state: KeyState::InFlight { waiters },
--- a/result-store/src/idempotency/tests.rs
+++ b/result-store/src/idempotency/tests.rs
@@ -20,7 +20,8 @@
     keys.begin(now, key, FINGERPRINT, WINDOW, waiter)
 }
 
-/// In flight, repeats join up to a limit; then they get the answer for the window; then the key is new.
+/// In flight, repeats join up to a limit; then they get the answer for the window; then the key is
+/// new.
 #[test]
 fn repeat_joins_then_replays_then_executes_anew() {
     let mut keys = small_table();
@@ -49,8 +50,9 @@
     assert_eq!(begin(&mut keys, WINDOW + 5, "a", 5), KeyLookup::Execute);
 }
 
-/// A rejection frees the key at once; an unknown outcome lets it execute again while engines discard a second one,
-/// and no longer; a rejection of the second execution does not make the first one harmless.
+/// A rejection frees the key at once; an unknown outcome lets it execute again while engines
+/// discard a second one, and no longer; a rejection of the second execution does not make the first
+/// one harmless.
 #[test]
 fn unknown_outcome_is_executed_again_only_within_the_window() {
     let mut keys = small_table();
@@ -76,7 +78,8 @@
     assert_eq!(begin(&mut keys, 2 * WINDOW + 9, "a", 4), KeyLookup::Execute);
 }
 
-/// The request runs while anybody waits for it; with the last waiter it is cancelled, and may have taken effect.
+/// The request runs while anybody waits for it; with the last waiter it is cancelled, and may have
+/// taken effect.
 #[test]
 fn last_waiter_to_abandon_cancels_the_execution() {
     let mut keys = small_table();
--- a/result-store/src/lib.rs
+++ b/result-store/src/lib.rs
@@ -1,10 +1,13 @@
-//! State that a gateway keeps for its clients between requests: cached result pages and idempotency keys.
+//! State that a gateway holds for its clients between requests: cached result pages and idempotency
+//! keys.
 //!
-//! Nothing here does I/O or reads a clock: the time is an argument of each call, in microseconds. Which endpoint a
-//! request goes to and whether it is retried is decided elsewhere (`violetgate-policy`).
+//! Nothing here does I/O or reads a clock: the time is an argument of each call, in microseconds.
+//! Which endpoint a request goes to and whether it is retried is decided elsewhere
+//! (`violetgate-policy`).
 //!
 //! - [`ByteBudget`]: bytes that results may occupy, reserved before a request is admitted.
-//! - [`ResultCache`]: results whose pages may be fetched until they expire, under sealed [`PageToken`]s.
+//! - [`ResultCache`]: results whose pages may be fetched until they expire, under sealed
+//!   [`PageToken`]s.
 //! - [`IdempotencyKeys`]: keys in use, the requests that wait for them, and what answers a repeat.
 //! - [`TimerWheel`]: expiries at a constant cost an entry.
 //!
--- a/result-store/src/page_token.rs
+++ b/result-store/src/page_token.rs
@@ -1,7 +1,8 @@
 //! Tokens with which clients ask for pages of a cached result.
 //!
-//! A token is opaque to clients and sealed with a key that only this process has; it names the result and its expiry.
-//! A forged one, or one of another process, is rejected in the same time whatever is wrong with it.
+//! A token is opaque to clients and sealed with a key that only this process has; it names the
+//! result and its expiry. A forged one, or one of another process, is rejected in the same time
+//! whatever is wrong with it.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -77,7 +78,8 @@
     /// Reads a token's text; `None` if this key has not sealed it.
     #[must_use]
     pub fn open(&self, text: &str) -> Option<PageToken> {
-        // Text that is no token at all is verified like one, so that the time taken tells nothing.
+        // Text that is no token at all is verified like one, so that the time taken reveals
+        // nothing.
         let mut bytes = [0u8; BODY_BYTES + SEAL_BYTES];
         let is_well_formed = text.len() == TOKEN_LENGTH
             && URL_SAFE_NO_PAD.decode_slice(text, &mut bytes) == Ok(BODY_BYTES + SEAL_BYTES);
--- a/result-store/src/result_cache.rs
+++ b/result-store/src/result_cache.rs
@@ -1,8 +1,8 @@
 //! Cached results, whose pages a client may fetch with a token until the result expires.
 //!
-//! A result is complete when it enters the cache, so that a page never depends on the engine that made it. Its bytes
-//! were reserved before its request was admitted, and only its expiry or its client removes it: a full cache rejects
-//! new requests, it never evicts.
+//! A result is complete when it enters the cache, so that a page never depends on the engine that
+//! made it. Its bytes were reserved before its request was admitted, and only its expiry or its
+//! client removes it: a full cache rejects new requests, it never evicts.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
     Gone,
 }
 
-/// The cache has no slot left.
+/// The cache is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StoreFull {
     /// After how long, in microseconds, the first cached result expires; 0 if there is none.
@@ -209,8 +209,8 @@
     ///
     /// [`LookupError`] as for [`ResultCache::get`].
     pub fn delete(&mut self, now: Micros, token_text: &str) -> Result<(), LookupError> {
-        let found = self.get(now, token_text)?;
-        self.entries.remove(&found.token.result_id);
+        let cached = self.get(now, token_text)?;
+        self.entries.remove(&cached.token.result_id);
         Ok(())
     }
 
--- a/result-store/src/timer_wheel.rs
+++ b/result-store/src/timer_wheel.rs
@@ -1,8 +1,9 @@
 //! A hierarchical timing wheel: expiries at a constant cost an entry, however many there are.
 //!
-//! Each level has 64 slots, and each slot of a level spans the whole level below. An entry lies in the lowest level that
-//! distinguishes its tick from now, and moves down as that comes nearer, five times at most. A bit for each slot says
-//! whether it holds anything, so that empty time costs nothing.
+//! Each level has 64 slots, and each slot of a level spans the whole level below. An entry lies in
+//! the lowest level that distinguishes its tick from now, and moves down as that comes nearer, five
+//! times at most. A bit for each slot says whether it holds anything, so that empty time costs
+//! nothing.
 //!
 //! Entries can't be removed: their owner ignores an expiry that no longer applies.
 
@@ -13,8 +14,8 @@
 /// Each level has 2^6 slots.
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
-/// Six levels of 64 slots span 2^36 ticks, two years. What expires later waits in the last slot and is placed anew
-/// when that comes up.
+/// Six levels of 64 slots span 2^36 ticks, two years. What expires later waits in the last slot and
+/// is placed anew when that comes up.
 const LEVELS: usize = 6;
 const SPAN_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
 
@@ -114,15 +115,16 @@
         }
         let shift = level as u32 * SLOT_BITS;
         let current_slot = (self.current_tick >> shift) as usize & (SLOTS - 1);
-        // Slots are used in a circle that begins after the current one (only the last level ever comes round).
-        let slots_after_next = occupied
+        // Slots are used in a circle that begins after the current one (only the last level ever
+        // comes round).
+        let empty_slots_between = occupied
             .rotate_right((current_slot as u32 + 1) % SLOTS as u32)
             .trailing_zeros();
-        let slots_ahead = u64::from(slots_after_next) + 1;
+        let slots_to_next = u64::from(empty_slots_between) + 1;
         Some(UpcomingSlot {
-            tick: ((self.current_tick >> shift) + slots_ahead) << shift,
+            tick: ((self.current_tick >> shift) + slots_to_next) << shift,
             level,
-            slot: (current_slot + slots_ahead as usize) & (SLOTS - 1),
+            slot: (current_slot + slots_to_next as usize) & (SLOTS - 1),
         })
     }
 
--- a/result-store/tests/model/idempotency.rs
+++ b/result-store/tests/model/idempotency.rs
@@ -165,9 +165,9 @@
 }
 
 proptest! {
-    /// Of all requests of a key one executes at a time; what completed is replayed for the window and no longer;
-    /// what may have taken effect is executed again only within the window of the first; every waiter is notified
-    /// once.
+    /// Of all requests of a key one executes at a time; what completed is replayed for the window
+    /// and no longer; what may have taken effect is executed again only within the window of the
+    /// first; every waiter is notified once.
     #[test]
     fn keys_answer_as_a_plain_model_does(
         calls in proptest::collection::vec((0u8..6, 0usize..4, 0u8..2, 1u64..9_000), 1..200),
--- a/result-store/tests/model/main.rs
+++ b/result-store/tests/model/main.rs
@@ -1,4 +1,5 @@
-//! The store against plain models, lists that are searched from end to end, under any order of calls.
+//! The store against plain models, lists that are searched from end to end, under any order of
+//! calls.
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
--- a/result-store/tests/model/result_cache.rs
+++ b/result-store/tests/model/result_cache.rs
@@ -59,8 +59,8 @@
 }
 
 proptest! {
-    /// A result is cached until it expires and not a moment longer, only its client removes it before, and what is
-    /// reserved never exceeds the budget.
+    /// A result is cached until it expires and not a moment longer, only its client removes it
+    /// before, and what is reserved never exceeds the budget.
     #[test]
     fn results_stay_until_they_expire_or_are_deleted(calls in proptest::collection::vec(call(), 1..120)) {
         let mut now = 1_000_000;
--- a/result-store/tests/trace_digest.rs
+++ b/result-store/tests/trace_digest.rs
@@ -1,5 +1,5 @@
-//! The store answers exactly as it did when these digests were taken: drawn streams of calls, with every answer
-//! written as bytes by the test itself, in one FNV-1a hash for each kind.
+//! The store answers exactly as it did when these digests were taken: drawn streams of calls, with
+//! every answer written as bytes by the test itself, in one FNV-1a hash for each kind.
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
@@ -7,7 +7,7 @@
 
 use violetgate_result_store::{
     AttemptId, ByteBudget, ExecutionOutcome, IdempotencyKeys, KeyLookup, LookupError, NewResult,
-    PageToken, ResultCache, ResultLimits, TimerWheel, TokenSealer,
+    PageToken, ResultCache, ResultLimits, ResultSlot, TimerWheel, TokenSealer,
 };
 
 /// FNV-1a over everything that is written to it.
@@ -110,93 +110,127 @@
     });
 }
 
+/// A cache, the slots that are reserved in it and the tokens that it gave out.
+struct CacheCalls {
+    cache: ResultCache<u64>,
+    slots: Vec<ResultSlot>,
+    tokens: Vec<String>,
+    draw: Lcg,
+    now: u64,
+}
+
+const LIMITS: ResultLimits = ResultLimits {
+    total_bytes: 10_000,
+    max_result_bytes: 900,
+    max_results: 15,
+};
+
+impl CacheCalls {
+    fn new(seed: u64) -> Self {
+        let mut draw = Lcg(seed);
+        let now = 1_700_000_000_000_000 + draw.below(1_000_000_000);
+        let sealer = TokenSealer::new(&[seed as u8; 32]);
+        CacheCalls {
+            cache: ResultCache::new(sealer, LIMITS, now),
+            slots: Vec::new(),
+            tokens: vec!["no token".to_owned()],
+            draw,
+            now,
+        }
+    }
+
+    fn make_call(&mut self, call: u64, hash: &mut Fnv) {
+        self.now += self.draw.below(100_000);
+        match self.draw.below(12) {
+            0..=3 => self.reserve(hash),
+            4 | 5 => self.insert(call, hash),
+            6 => drop(self.slots.pop()),
+            7 | 8 => self.get(hash),
+            9 => {
+                let token = self.drawn_token();
+                match self.cache.delete(self.now, &token) {
+                    Ok(()) => hash.number(9),
+                    Err(error) => write_error(hash, error),
+                }
+            }
+            10 => hash.number(self.cache.expire(self.now) as u64),
+            _ => {
+                if self.draw.below(30) == 0 {
+                    let total_bytes = 4_000 + self.draw.below(10_000) as usize;
+                    self.cache.set_limits(ResultLimits {
+                        total_bytes,
+                        ..LIMITS
+                    });
+                }
+                hash.number(self.cache.next_expiry().unwrap_or(u64::MAX));
+            }
+        }
+        hash.number(self.cache.len() as u64);
+        hash.number(u64::from(self.cache.is_empty()));
+        hash.number(self.cache.budget().reserved() as u64);
+        hash.number(self.cache.budget().capacity() as u64);
+    }
+
+    fn drawn_token(&mut self) -> String {
+        let index = self.draw.below(self.tokens.len() as u64) as usize;
+        self.tokens[index].clone()
+    }
+
+    fn reserve(&mut self, hash: &mut Fnv) {
+        match self.cache.reserve(self.now) {
+            Ok(slot) => {
+                hash.number(1);
+                self.slots.push(slot);
+            }
+            Err(full) => {
+                hash.number(2);
+                hash.number(full.retry_after);
+            }
+        }
+    }
+
+    fn insert(&mut self, call: u64, hash: &mut Fnv) {
+        let Some(slot) = self.slots.pop() else {
+            return;
+        };
+        let bytes = self.draw.below(1_200) as usize;
+        let result = NewResult {
+            pages: Rc::new(call),
+            bytes,
+            origin: AttemptId {
+                request: call,
+                attempt: 7,
+            },
+            expires_at: self.now + self.draw.below(5_000_000),
+        };
+        let text = self.cache.insert(slot, result);
+        hash.text(text.as_bytes());
+        self.tokens.push(text);
+    }
+
+    fn get(&mut self, hash: &mut Fnv) {
+        let token = self.drawn_token();
+        match self.cache.get(self.now, &token) {
+            Ok(cached) => {
+                let token = cached.token;
+                hash.number(*cached.pages);
+                hash.number(token.result_id);
+                hash.number(token.origin.request);
+                hash.number(token.expires_at);
+                hash.number(u64::from(token.origin.attempt));
+            }
+            Err(error) => write_error(hash, error),
+        }
+    }
+}
+
 #[test]
 fn cached_results_answer_as_they_did() {
     let mut hash = Fnv::new();
     for seed in 100..120u64 {
-        let mut draw = Lcg(seed);
-        let mut now = 1_700_000_000_000_000 + draw.below(1_000_000_000);
-        let limits = ResultLimits {
-            total_bytes: 10_000,
-            max_result_bytes: 900,
-            max_results: 15,
-        };
-        let mut results: ResultCache<u64> =
-            ResultCache::new(TokenSealer::new(&[seed as u8; 32]), limits, now);
-        let mut slots = Vec::new();
-        let mut tokens: Vec<String> = vec!["no token".to_owned()];
+        let mut calls = CacheCalls::new(seed);
         for call in 0..3_000u64 {
-            now += draw.below(100_000);
-            match draw.below(12) {
-                0..=3 => match results.reserve(now) {
-                    Ok(slot) => {
-                        hash.number(1);
-                        slots.push(slot);
-                    }
-                    Err(full) => {
-                        hash.number(2);
-                        hash.number(full.retry_after);
-                    }
-                },
-                4 | 5 => {
-                    if let Some(slot) = slots.pop() {
-                        let bytes = draw.below(1_200) as usize;
-                        let result = NewResult {
-                            pages: Rc::new(call),
-                            bytes,
-                            origin: AttemptId {
-                                request: call,
-                                attempt: 7,
-                            },
-                            expires_at: now + draw.below(5_000_000),
-                        };
-                        let text = results.insert(slot, result);
-                        hash.text(text.as_bytes());
-                        tokens.push(text);
-                    }
-                }
-                6 => drop(slots.pop()),
-                7 | 8 => {
-                    let token = &tokens[draw.below(tokens.len() as u64) as usize];
-                    match results.get(now, token) {
-                        Ok(found) => {
-                            let token = found.token;
-                            for number in [
-                                *found.pages,
-                                token.result_id,
-                                token.origin.request,
-                                token.expires_at,
-                            ] {
-                                hash.number(number);
-                            }
-                            hash.number(u64::from(token.origin.attempt));
-                        }
-                        Err(error) => write_error(&mut hash, error),
-                    }
-                }
-                9 => {
-                    let token = &tokens[draw.below(tokens.len() as u64) as usize];
-                    match results.delete(now, token) {
-                        Ok(()) => hash.number(9),
-                        Err(error) => write_error(&mut hash, error),
-                    }
-                }
-                10 => hash.number(results.expire(now) as u64),
-                _ => {
-                    if draw.below(30) == 0 {
-                        let total_bytes = 4_000 + draw.below(10_000) as usize;
-                        results.set_limits(ResultLimits {
-                            total_bytes,
-                            ..limits
-                        });
-                    }
-                    hash.number(results.next_expiry().unwrap_or(u64::MAX));
-                }
-            }
-            hash.number(results.len() as u64);
-            hash.number(u64::from(results.is_empty()));
-            hash.number(results.budget().reserved() as u64);
-            hash.number(results.budget().capacity() as u64);
+            calls.make_call(call, &mut hash);
         }
     }
     assert_eq!(hash.0, 0x8001_a0f3_acff_d299, "{:#018x}", hash.0);
--- a/tools/simulator/src/agreement.rs
+++ b/tools/simulator/src/agreement.rs
@@ -16,7 +16,8 @@
                 .all(|member| self.sees_all_running(*member, running.len()))
     }
 
-    /// Whether all running members have the same view, in which the running ones are alive and the others departed.
+    /// Whether all running members have the same view, in which the running ones are alive and the
+    /// others departed.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         let Some(first) = self.running_members().next() else {
@@ -72,7 +73,8 @@
             .count()
     }
 
-    /// How long after a death, in microseconds, the last running member declared it; `None` if one has not yet.
+    /// How long after a death, in microseconds, the last running member declared it; `None` if one
+    /// has not yet.
     #[must_use]
     pub fn time_until_all_know(&self, subject: usize, died_at: Micros) -> Option<Micros> {
         let others = self.running_members().filter(|member| *member != subject);
--- a/tools/simulator/src/bin/measure-membership.rs
+++ b/tools/simulator/src/bin/measure-membership.rs
@@ -1,4 +1,5 @@
-//! What membership costs by size, one case in a process: `measure-membership CASE SIZE [SEED [AT_MOST_SECONDS]]`.
+//! What membership costs by size, one case in a process: `measure-membership CASE SIZE [SEED
+//! [AT_MOST_SECONDS]]`.
 
 use std::process::ExitCode;
 use std::time::Duration;
--- a/tools/simulator/src/bin/prove-membership/main.rs
+++ b/tools/simulator/src/bin/prove-membership/main.rs
@@ -1,4 +1,5 @@
-//! Checks the membership's figures in a simulated fleet: `prove-membership [--seeds N] [--short] [--full]`.
+//! Checks the membership's figures in a simulated fleet: `prove-membership [--seeds N] [--short]
+//! [--full]`.
 
 mod scenarios;
 
@@ -22,7 +23,7 @@
 /// The size of the small quiet fleet.
 const SMALL_FLEET: usize = 50;
 
-/// What the command line asks for.
+/// The options of the command line.
 struct Options {
     is_short: bool,
     is_full: bool,
@@ -69,11 +70,11 @@
         for (size, seeds) in sizes {
             let has_false_death =
                 |seed: &u64| scenarios::has_false_death_in_rough_network(size, *seed, 40 * SECOND);
-            let found = (0..seeds).filter(has_false_death).count();
+            let failed = (0..seeds).filter(has_false_death).count();
             println!(
-                "pauses, 30% loss, 200 ms jitter: {size} members, {seeds} seeds, {found} with a false death"
+                "pauses, 30% loss, 200 ms jitter: {size} members, {seeds} seeds, {failed} with a false death"
             );
-            total += found;
+            total += failed;
         }
         total
     }
--- a/tools/simulator/src/bin/prove-membership/scenarios.rs
+++ b/tools/simulator/src/bin/prove-membership/scenarios.rs
@@ -23,8 +23,8 @@
     World::new(member_count, seed, &MembershipConfig::default(), faults)
 }
 
-/// Pauses of 0.5 and 2 s of up to a third at a time, 30% loss, 200 ms jitter: whether a running member was declared
-/// dead.
+/// Pauses of 0.5 and 2 s of up to a third at a time, 30% loss, 200 ms jitter: whether a running
+/// member was declared dead.
 pub fn has_false_death_in_rough_network(member_count: usize, seed: u64, until: Micros) -> bool {
     let faults = FaultPlan {
         loss: 0.3,
@@ -74,7 +74,8 @@
     pauses
 }
 
-/// Deaths in a faultless network: how long after each the last of the others knew, `None` if one did not.
+/// Deaths in a faultless network: how long after each the last of the others knew, `None` if one
+/// did not.
 pub fn death_detection_times(
     member_count: usize,
     seed: u64,
@@ -124,7 +125,8 @@
     ReceivesOnly,
 }
 
-/// A member whose links work in one direction only: the most changes of it in one view and one minute.
+/// A member whose links work in one direction only: the most changes of it in one view and one
+/// minute.
 pub fn max_flaps_of_one_sided_member(member_count: usize, seed: u64, link: OneSidedLink) -> usize {
     let others: Vec<usize> = (1..member_count).collect();
     let (from, to) = match link {
--- a/tools/simulator/src/faults.rs
+++ b/tools/simulator/src/faults.rs
@@ -1,4 +1,5 @@
-//! What goes wrong in a run, with an index by member: a large fleet consults it for each message and each tick.
+//! What goes wrong in a run, with an index by member: a large fleet consults it for each message
+//! and each tick.
 
 use violetgate_membership::Micros;
 
--- a/tools/simulator/src/lib.rs
+++ b/tools/simulator/src/lib.rs
@@ -1,7 +1,9 @@
-//! A simulated fleet: real members ([`violetgate_membership`]) in a simulated network and time, from a seed.
+//! A simulated fleet: real members ([`violetgate_membership`]) in a simulated network and time,
+//! from a seed.
 //!
-//! The network loses and delays messages; processes pause, die, leave and restart; links are cut one way or both. The
-//! simulator records what each view reports and knows what is true. It never decides anything for a member.
+//! The network loses and delays messages; processes pause, die, leave and restart; links are cut
+//! one way or both. The simulator records what each view reports and knows what is true. It never
+//! decides anything for a member.
 //!
 //! ```
 //! use violetgate_membership::MembershipConfig;
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -1,5 +1,6 @@
-//! What a fleet costs in a few situations, by size: bytes, messages, processor time, memory, and how long it takes until
-//! all views are right again. The members are the real core; only the network and the clock are simulated.
+//! What a fleet costs in a few situations, by size: bytes, messages, processor time, memory, and
+//! how long it takes until all views are right again. The members are the real core; only the
+//! network and the clock are simulated.
 
 use std::ops::ControlFlow;
 use std::time::{Duration, Instant};
@@ -82,13 +83,15 @@
     pub messages_per_s: f64,
     /// Processor time of the members' own code, microseconds.
     pub cpu_us_per_s: f64,
-    /// How many seconds after the (last) change all views were right; `None` if they were not within the case.
+    /// How many seconds after the (last) change all views were right; `None` if they were not
+    /// within the case.
     pub known_s: Option<f64>,
     /// The same by change, where a case has more than one.
     pub known_each_s: Vec<Option<f64>>,
     /// How often a view declared a member dead that ran; those across a cut are among them.
     pub false_declarations: u64,
-    /// Growth of this process's resident memory by member: meaningful where a process plays one case.
+    /// Growth of this process's resident memory by member: meaningful where a process plays one
+    /// case.
     pub memory_bytes: u64,
     /// Simulated seconds.
     pub simulated_s: f64,
--- a/tools/simulator/src/naming.rs
+++ b/tools/simulator/src/naming.rs
@@ -1,4 +1,5 @@
-//! The members of a simulated fleet are numbered from 0; their names and addresses follow from that.
+//! The members of a simulated fleet are numbered from 0; their names and addresses follow from
+//! that.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
--- a/tools/simulator/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -195,7 +195,8 @@
         self.run_while(until, never_stop).map(|_| ())
     }
 
-    /// Runs until a time, or until `check` breaks. It is called after each event that a member has handled.
+    /// Runs until a time, or until `check` breaks. It is called after each event that a member has
+    /// handled.
     ///
     /// # Errors
     ///
--- a/tools/simulator/tests/anti_entropy.rs
+++ b/tools/simulator/tests/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! Anti-entropy in a fleet: many members that join at once, under loss too, and the form of its messages.
+//! Anti-entropy in a fleet: many members that join at once, under loss too, and the form of its
+//! messages.
 
 #![allow(clippy::unwrap_used)]
 
--- a/tools/simulator/tests/fleet.rs
+++ b/tools/simulator/tests/fleet.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// A process that pauses for longer than anyone waits is declared dead, learns of it when it resumes, and comes back;
-/// it has declared nobody dead meanwhile.
+/// A process that pauses for longer than anyone waits is declared dead, learns of it when it
+/// resumes, and comes back; it has declared nobody dead meanwhile.
 #[test]
 fn member_comes_back_after_a_long_pause() {
     let pauses = vec![Pause {
@@ -116,7 +116,8 @@
     assert_eq!(declarations(&world, |observer| observer == 2, |_| true), 0);
 }
 
-/// Cut off from all, a member suspects them, declares nobody dead, and goes on reckoning with all of them.
+/// Cut off from all, a member suspects them, declares nobody dead, and goes on reckoning with all
+/// of them.
 #[test]
 fn isolated_member_declares_nobody_dead() {
     let others: Vec<usize> = (1..9).collect();
@@ -130,7 +131,8 @@
     assert!(world.agrees());
 }
 
-/// A link is cut between two members that all others reach: neither dies, and one of them reports the cut.
+/// A link is cut between two members that all others reach: neither dies, and one of them reports
+/// the cut.
 #[test]
 fn cut_link_is_reported_and_no_death() {
     for (first, second) in [(0, 1), (1, 2), (2, 4), (3, 4)] {
@@ -149,7 +151,8 @@
     }
 }
 
-/// A member that sends and receives nothing is declared dead once, and stays so until it receives again.
+/// A member that sends and receives nothing is declared dead once, and stays so until it receives
+/// again.
 #[test]
 fn member_that_receives_nothing_does_not_flap() {
     let cut = Cut {
--- a/tools/simulator/tests/model/main.rs
+++ b/tools/simulator/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Three members in every order of one-sided cuts and one pause, checked with stateright: whoever is reached both ways
-//! again is alive to all, and none is declared dead for a cut link or for another's pause. With the feature `mutants`,
-//! builds that decide wrongly are caught.
+//! Three members in every order of one-sided cuts and one pause, checked with stateright: whoever
+//! is reached both ways again is alive to all, and none is declared dead for a cut link or for
+//! another's pause. With the feature `mutants`, builds that decide wrongly are caught.
 #![allow(clippy::unwrap_used)]
 
 #[cfg(feature = "mutants")]
--- a/tools/simulator/tests/model/mutants.rs
+++ b/tools/simulator/tests/model/mutants.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// A member pauses while it suspects another, which refutes meanwhile. If it trusts itself when it resumes, it declares
-/// that one dead before it reads anything.
+/// A member pauses while it suspects another, which refutes meanwhile. If it trusts itself when it
+/// resumes, it declares that one dead before it reads anything.
 #[test]
 fn member_that_trusts_itself_after_a_pause_is_caught() {
     let deaths = |config: &MembershipConfig, suspect: usize| {
@@ -89,8 +89,8 @@
     assert!(deaths(&mutant(Mutant::ConfirmsFailureAlone)) > 0);
 }
 
-/// Whether an update that arrives late brings a dead member back. It says that the member is alive, with no
-/// refutations, in the given incarnation.
+/// Whether an update that arrives late brings a dead member back. It says that the member is alive,
+/// with no refutations, in the given incarnation.
 fn revives_dead_member(config: &MembershipConfig, incarnation: u64) -> bool {
     let mut world = World::new(5, 6, config, FaultPlan::default());
     world.run(5 * SECOND).unwrap();
--- a/tools/simulator/tests/trace_digest/driver.rs
+++ b/tools/simulator/tests/trace_digest/driver.rs
@@ -1,4 +1,5 @@
-//! Drives members of a small fleet by their interface alone, and writes all that they send and report into a hash.
+//! Drives members of a small fleet by their interface alone, and writes all that they send and
+//! report into a hash.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -1,5 +1,6 @@
-//! The membership core sends and reports exactly what it did when these digests were taken: all actions of fleets in
-//! fixed scenarios, in order, as bytes that the test itself writes, in one FNV-1a hash for each scenario.
+//! The membership core sends and reports exactly what it did when these digests were taken: all
+//! actions of fleets in fixed scenarios, in order, as bytes that the test itself writes, in one
+//! FNV-1a hash for each scenario.
 
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
