--- /dev/null
+++ b/cluster/replica-runtime/src/framing.rs
@@ -0,0 +1,184 @@
+//! Reading and writing frames on one connection, and the time limits that all connections of this package share.
+
+use std::cell::RefCell;
+use std::io::{Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::time::Duration;
+
+use async_io::{Async, Timer};
+use futures_lite::FutureExt;
+use serde::de::DeserializeOwned;
+
+use crate::close_reason::CloseReason;
+use crate::wire::{self, Decoded};
+
+/// How long an attempt to connect may take.
+pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a greeting, or the answer to one, may take.
+pub(crate) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long the other side may read nothing.
+pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long the other side may take to read why its connection ends.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How many bytes of what the other side still sends are skipped meanwhile.
+const MAX_SKIPPED_BYTES: usize = 1 << 20;
+/// Bytes that are read at a time.
+const READ_BYTES: usize = 16 << 10;
+/// Bytes of memory that a connection keeps between two frames.
+const IDLE_BUFFER_BYTES: usize = 4 << 10;
+
+thread_local! {
+    /// All connections read through one buffer, so that an idle connection holds none.
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
+}
+
+/// Fails with a reason after a time. Raced against an operation, it limits the operation's time.
+pub(crate) async fn fail_after<T>(limit: Duration, reason: CloseReason) -> Result<T, CloseReason> {
+    Timer::after(limit).await;
+    Err(reason)
+}
+
+/// Connects within [`CONNECT_TIMEOUT`], without delaying small frames.
+pub(crate) async fn connect(
+    address: std::net::SocketAddr,
+) -> Result<Async<TcpStream>, CloseReason> {
+    let connecting = async {
+        let connected = Async::<TcpStream>::connect(address).await;
+        connected.map_err(|_| CloseReason::ConnectFailed)
+    };
+    let timeout = fail_after(CONNECT_TIMEOUT, CloseReason::ConnectTimeout);
+    let stream = connecting.or(timeout).await?;
+    disable_nagle(&stream);
+    Ok(stream)
+}
+
+/// Has small frames sent at once. Where that fails they are only slower.
+pub(crate) fn disable_nagle(stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().set_nodelay(true);
+}
+
+/// Reads frames from a connection.
+#[derive(Default)]
+pub(crate) struct FrameReader {
+    bytes: Vec<u8>,
+    /// Where the next frame begins in `bytes`.
+    start: usize,
+}
+
+impl FrameReader {
+    /// The bytes read and not decoded yet.
+    pub(crate) fn buffered(&self) -> &[u8] {
+        self.bytes.get(self.start..).unwrap_or_default()
+    }
+
+    /// Decodes the next message, if its frame is complete.
+    pub(crate) fn next<T: DeserializeOwned>(
+        &mut self,
+        max_bytes: usize,
+    ) -> Result<Option<Decoded<T>>, CloseReason> {
+        let Some(decoded) = wire::decode_frame::<T>(self.buffered(), max_bytes)? else {
+            self.bytes.drain(..self.start);
+            self.start = 0;
+            return Ok(None);
+        };
+        self.start += decoded.frame_bytes;
+        if self.start >= self.bytes.len() {
+            self.start = 0;
+            self.bytes.clear();
+            self.bytes.shrink_to(IDLE_BUFFER_BYTES);
+        }
+        Ok(Some(decoded))
+    }
+
+    /// Reads more bytes.
+    pub(crate) async fn fill(&mut self, stream: &Async<TcpStream>) -> Result<(), CloseReason> {
+        let bytes = &mut self.bytes;
+        let read = stream.read_with(|mut stream| {
+            READ_BUFFER.with(|buffer| {
+                let mut buffer = buffer.borrow_mut();
+                let count = stream.read(&mut buffer)?;
+                bytes.extend_from_slice(buffer.get(..count).unwrap_or_default());
+                Ok(count)
+            })
+        });
+        match read.await {
+            Ok(0) => Err(CloseReason::Closed),
+            Ok(_) => Ok(()),
+            Err(_) => Err(CloseReason::Reset),
+        }
+    }
+
+    /// Reads until the next message is complete.
+    pub(crate) async fn read_message<T: DeserializeOwned>(
+        &mut self,
+        stream: &Async<TcpStream>,
+        max_bytes: usize,
+    ) -> Result<Decoded<T>, CloseReason> {
+        loop {
+            if let Some(decoded) = self.next(max_bytes)? {
+                return Ok(decoded);
+            }
+            self.fill(stream).await?;
+        }
+    }
+
+    /// Reads a greeting, or the answer to one, within [`HELLO_TIMEOUT`].
+    pub(crate) async fn read_hello<T: DeserializeOwned>(
+        &mut self,
+        stream: &Async<TcpStream>,
+    ) -> Result<T, CloseReason> {
+        let reading = self.read_message(stream, wire::MAX_HELLO_BYTES);
+        let timeout = fail_after(HELLO_TIMEOUT, CloseReason::HelloTimeout);
+        let decoded = reading.or(timeout).await?;
+        Ok(decoded.message)
+    }
+}
+
+/// Writes some of the bytes; how many.
+pub(crate) async fn write_some(
+    stream: &Async<TcpStream>,
+    bytes: &[u8],
+    stall_timeout: Duration,
+) -> Result<usize, CloseReason> {
+    let writing = async {
+        let written = stream.write_with(|mut stream| stream.write(bytes)).await;
+        written.map_err(|_| CloseReason::Reset)
+    };
+    let timeout = fail_after(stall_timeout, CloseReason::Stalled);
+    writing.or(timeout).await
+}
+
+/// Writes all of the bytes.
+pub(crate) async fn write_all(
+    stream: &Async<TcpStream>,
+    mut bytes: &[u8],
+) -> Result<(), CloseReason> {
+    while !bytes.is_empty() {
+        let written = write_some(stream, bytes, STALL_TIMEOUT).await?;
+        bytes = bytes.get(written..).unwrap_or_default();
+    }
+    Ok(())
+}
+
+/// Closes this side of a connection and waits shortly for the other one. A socket that is closed with unread input resets
+/// the connection, and what was written last could be lost.
+pub(crate) async fn linger(stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().shutdown(Shutdown::Write);
+    let skipping = async {
+        let mut skipped = 0;
+        let mut buffer = [0; 512];
+        while skipped < MAX_SKIPPED_BYTES {
+            match stream
+                .read_with(|mut stream| stream.read(&mut buffer))
+                .await
+            {
+                Ok(0) | Err(_) => break,
+                Ok(count) => skipped += count,
+            }
+        }
+    };
+    let timeout = async {
+        Timer::after(LINGER_TIMEOUT).await;
+    };
+    skipping.or(timeout).await;
+}
--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -8,7 +8,8 @@
 //! It decides nothing: who leads, what is agreed on and whether state may be routed on is decided by the cores.
 
 mod clock;
-mod connection;
+mod close_reason;
+mod framing;
 mod observer_service;
 mod runtime;
 mod send_queue;
@@ -24,7 +25,7 @@
 pub use subscription::{ReplicaCallback, Subscription, SubscriptionStatus};
 pub use traffic_stats::TrafficStats;
 pub use violetgate_state_distribution::{
-    FleetTotals, ObserverConfig, ProgressSummary, Rejection, RevisionInForce, SubscriberConfig,
-    SubscriberReplica,
+    FleetTotals, InvalidSubscriberConfig, ObserverConfig, ProgressSummary, Rejection,
+    RevisionInForce, SubscriberConfig, SubscriberReplica,
 };
 pub use wire::{Call, Frame};
--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -1,41 +1,36 @@
-//! An observer's carrier: it takes subscribers' connections and carries out what the core asks for.
+//! Serves a replica's copy of the state to subscribers: accepts their connections and carries out the actions of the
+//! [`Observer`] core.
+//!
+//! - [`listener`]: accepting connections and their greetings.
+//! - [`subscriber_connection`]: one connection, from its greeting to its end.
 
+mod listener;
 mod subscriber_connection;
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
 use async_executor::Task;
-use async_io::{Async, Timer};
-use futures_lite::future;
 use violetgate_replicated_state::{Micros, Store};
 use violetgate_state_distribution::{
-    ConnectionId, Observer, ObserverAction, ObserverConfig, ObserverMessage, ObserverWelcome,
-    ProgressSummary, ReadId, ReadResult, Rejection, SubscriberHello, MAX_MESSAGE_BYTES,
+    ConnectionId, InvalidObserverConfig, Observer, ObserverAction, ObserverConfig, ObserverMessage,
+    ProgressSummary, ReadId, ReadResult, Rejection, MAX_MESSAGE_BYTES,
 };
 
-use crate::clock::{boot, Alarm};
+use crate::clock::{boot_time, TickTimer};
+use crate::close_reason::CloseReason;
 use crate::runtime::ReplicaRuntime;
 use crate::send_queue::{SendQueue, SharedFrame};
-use crate::traffic_stats::{Counter, TrafficStats};
+use crate::traffic_stats::{TrafficCounter, TrafficStats};
 use crate::wire;
 
-/// How often all members are sent how far this observer's subscribers are.
-const PROGRESS_EVERY: Micros = 250_000;
-/// How long one read of the cluster may take; the core gives it up then, too.
-const READ_WITHIN: Duration = Duration::from_millis(400);
-/// Connections that have not greeted yet; beyond them the oldest gives way.
-const MOST_UNGREETED: usize = 512;
-/// How long a subscriber may take nothing; the core turns it away before, so that it can see why.
-const PATIENCE: Duration = Duration::from_secs(15);
-/// Connections that the machine may hold until they are accepted. The standard library's 128 are gone at once where
-/// thousands of front ends come back together; what is dropped then comes again only after a second.
-const BACKLOG: i32 = 4_096;
-/// The pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// How often all replicas are sent how far this observer's subscribers are.
+const PROGRESS_INTERVAL_US: Micros = 250_000;
+/// How long one linearizable read may take; the core abandons it then, too.
+const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why an observer can't serve subscribers.
 #[derive(Debug, thiserror::Error)]
@@ -50,78 +45,82 @@
         /// What is wrong with it.
         source: std::io::Error,
     },
+    /// Its configuration lets nothing through.
+    #[error(transparent)]
+    Config(#[from] InvalidObserverConfig),
 }
 
-/// A subscriber that has greeted.
-struct Greeted {
-    send_queue: Rc<SendQueue>,
+/// A subscriber whose greeting was accepted.
+struct AcceptedSubscriber {
+    queue: Rc<SendQueue>,
     task: Task<()>,
 }
 
-/// A member's service to subscribers. It ends with the last reference to it.
+/// The last message sent, so that one which goes to many connections one after another is encoded once.
+struct EncodedMessage {
+    message: ObserverMessage,
+    frame: SharedFrame,
+}
+
+/// A replica's service to subscribers. It ends with the last reference to it.
 pub struct ObserverService {
-    me: Weak<ObserverService>,
-    cluster: Rc<ReplicaRuntime>,
+    weak_self: Weak<ObserverService>,
+    replica: Rc<ReplicaRuntime>,
     address: SocketAddr,
     core: RefCell<Observer>,
-    queue_limit: usize,
-    alarm: Rc<Alarm>,
-    progress_at: Cell<Micros>,
+    max_queued_bytes: usize,
+    tick_timer: Rc<TickTimer>,
+    next_progress_at: Cell<Micros>,
     next_connection: Cell<ConnectionId>,
-    ungreeted: RefCell<BTreeMap<ConnectionId, Task<()>>>,
-    greeted: RefCell<BTreeMap<ConnectionId, Greeted>>,
-    counter: Counter,
+    /// Connections whose greeting was not accepted yet.
+    unaccepted: RefCell<BTreeMap<ConnectionId, Task<()>>>,
+    accepted: RefCell<BTreeMap<ConnectionId, AcceptedSubscriber>>,
+    counter: TrafficCounter,
     tasks: RefCell<Vec<Task<()>>>,
 }
 
 impl ObserverService {
-    /// Begins to serve a member's copy at an address, on the member's executor.
+    /// Begins to serve a replica's copy at an address, on the replica's executor.
     ///
     /// # Errors
     ///
-    /// The address can't be used.
+    /// The address can't be used, or the configuration is not valid.
     pub fn start(
-        cluster: &Rc<ReplicaRuntime>,
+        replica: &Rc<ReplicaRuntime>,
         listen: SocketAddr,
         config: ObserverConfig,
     ) -> Result<Rc<Self>, ServiceError> {
-        let failed = |source| ServiceError::Listen {
+        config.validate()?;
+        let listener = listener::bind(listen).map_err(|source| ServiceError::Listen {
             address: listen,
             source,
-        };
-        let listener = Async::<TcpListener>::bind(listen).map_err(failed)?;
-        // Listening once more only makes the machine's queue longer.
-        rustix::net::listen(listener.get_ref(), BACKLOG).map_err(|error| failed(error.into()))?;
-        let address = listener.get_ref().local_addr().map_err(failed)?;
-        let now = boot();
-        let service = Rc::new_cyclic(|me| ObserverService {
-            me: me.clone(),
-            cluster: Rc::clone(cluster),
-            address,
-            queue_limit: config.send_queue_bytes.saturating_add(MAX_MESSAGE_BYTES),
+        })?;
+        let now = boot_time();
+        let service = Rc::new_cyclic(|weak_self| ObserverService {
+            weak_self: weak_self.clone(),
+            replica: Rc::clone(replica),
+            address: listener.address,
+            max_queued_bytes: config.send_queue_bytes.saturating_add(MAX_MESSAGE_BYTES),
             core: RefCell::new(Observer::new(config, now)),
-            alarm: Rc::default(),
-            progress_at: Cell::new(now),
+            tick_timer: Rc::default(),
+            next_progress_at: Cell::new(now),
             next_connection: Cell::new(1),
-            ungreeted: RefCell::default(),
-            greeted: RefCell::default(),
-            counter: Counter::default(),
+            unaccepted: RefCell::default(),
+            accepted: RefCell::default(),
+            counter: TrafficCounter::default(),
             tasks: RefCell::default(),
         });
-        let me = Rc::downgrade(&service);
-        cluster.on_applied(Rc::new(move |store| {
-            me.upgrade()
-                .into_iter()
-                .for_each(|service| service.applied(store));
+        let weak = Rc::downgrade(&service);
+        replica.on_applied(Rc::new(move |store| {
+            if let Some(service) = weak.upgrade() {
+                service.store_applied(store);
+            }
         }));
+        let weak = || Rc::downgrade(&service);
+        let executor = replica.executor();
         let tasks = [
-            cluster
-                .executor()
-                .spawn(listen_for_subscribers(Rc::downgrade(&service), listener)),
-            cluster.executor().spawn(keep_time(
-                Rc::downgrade(&service),
-                Rc::clone(&service.alarm),
-            )),
+            executor.spawn(listener::accept_all(weak(), listener.socket)),
+            executor.spawn(tick_when_due(weak(), Rc::clone(&service.tick_timer))),
         ];
         service.tasks.borrow_mut().extend(tasks);
         Ok(service)
@@ -136,7 +135,7 @@
     /// How far this observer's subscribers are.
     #[must_use]
     pub fn progress(&self) -> ProgressSummary {
-        self.core.borrow().progress(boot())
+        self.core.borrow().progress(boot_time())
     }
 
     /// Subscribers connected now.
@@ -148,208 +147,140 @@
     /// Messages and bytes exchanged with subscribers.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
-        self.counter.traffic()
+        self.counter.stats()
     }
 
-    fn applied(&self, store: &Store) {
-        self.core.borrow_mut().store_applied(boot(), store);
-        self.carry_out();
+    /// Called while the replica's store is borrowed: the core is driven with that very store.
+    fn store_applied(&self, store: &Store) {
+        let now = boot_time();
+        self.core.borrow_mut().store_applied(now, store);
+        self.carry_out_actions();
     }
 
-    /// Does something with the core, and carries out what follows.
-    fn with<T>(&self, act: impl FnOnce(&mut Observer, Micros, &Store) -> T) -> T {
-        let done = self
-            .cluster
-            .store(|store| act(&mut self.core.borrow_mut(), boot(), store));
-        self.carry_out();
-        done
+    /// Calls the core, and carries out the actions that follow.
+    fn drive<T>(&self, call: impl FnOnce(&mut Observer, Micros, &Store) -> T) -> T {
+        let result = self
+            .replica
+            .store(|store| call(&mut self.core.borrow_mut(), boot_time(), store));
+        self.carry_out_actions();
+        result
     }
 
-    fn carry_out(&self) {
+    fn carry_out_actions(&self) {
         loop {
             let actions = self.core.borrow_mut().take_actions();
             if actions.is_empty() {
                 break;
             }
-            // What goes to many connections one after another is encoded once.
-            let mut last: Option<(ObserverMessage, SharedFrame)> = None;
+            let mut last_encoded = None;
             for action in actions {
                 match action {
                     ObserverAction::Send {
                         connection,
                         message,
-                    } => self.send(connection, message, &mut last),
+                    } => self.send(connection, message, &mut last_encoded),
                     ObserverAction::Close {
                         connection,
                         rejection,
-                    } => self.refuse(connection, rejection),
-                    ObserverAction::BeginRead(read) => self.read(read),
+                    } => self.reject(connection, rejection),
+                    ObserverAction::BeginRead(read) => self.begin_read(read),
                 }
             }
         }
-        self.alarm
-            .set(self.core.borrow().next_tick().min(self.progress_at.get()));
+        self.schedule_tick();
+    }
+
+    fn schedule_tick(&self) {
+        let next_tick = self.core.borrow().next_tick();
+        self.tick_timer
+            .set(next_tick.min(self.next_progress_at.get()));
     }
 
     fn send(
         &self,
         to: ConnectionId,
         message: ObserverMessage,
-        last: &mut Option<(ObserverMessage, SharedFrame)>,
+        last_encoded: &mut Option<EncodedMessage>,
     ) {
-        let same = last.as_ref().filter(|(encoded, _)| *encoded == message);
-        let frame = match same {
-            Some((_, frame)) => Rc::clone(frame),
-            None => match wire::frame(&message) {
-                Some(frame) => Rc::new(frame),
-                None => return self.drop_connection(to, "frame_too_long"),
+        let same = last_encoded.take_if(|encoded| encoded.message == message);
+        let encoded = match same {
+            Some(encoded) => encoded,
+            None => match wire::encode_frame(&message) {
+                Ok(frame) => EncodedMessage {
+                    message,
+                    frame: Rc::new(frame),
+                },
+                Err(reason) => return self.drop_connection(to, reason),
             },
         };
-        let send_queue = self.send_queue(to);
-        let sent = send_queue.is_some_and(|send_queue| send_queue.push(Rc::clone(&frame)));
-        if sent {
-            self.counter.sent(frame.len());
+        let queue = self.send_queue(to);
+        if queue.is_some_and(|queue| queue.push(Rc::clone(&encoded.frame))) {
+            self.counter.sent(encoded.frame.len());
         } else {
-            self.drop_connection(to, "too_slow");
+            self.drop_connection(to, CloseReason::TooSlow);
         }
-        *last = Some((message, frame));
+        *last_encoded = Some(encoded);
     }
 
-    fn send_queue(&self, of: ConnectionId) -> Option<Rc<SendQueue>> {
-        self.greeted
-            .borrow()
-            .get(&of)
-            .map(|greeted| Rc::clone(&greeted.send_queue))
+    fn send_queue(&self, id: ConnectionId) -> Option<Rc<SendQueue>> {
+        let accepted = self.accepted.borrow();
+        accepted.get(&id).map(|it| Rc::clone(&it.queue))
     }
 
-    /// Tells a subscriber why it is turned away, and closes its connection once that has left. The core has forgotten
-    /// it.
-    fn refuse(&self, connection: ConnectionId, rejection: Rejection) {
-        let Some(send_queue) = self.send_queue(connection) else {
+    /// Sends a subscriber the reason why its connection ends, and closes it after that. The core has forgotten it.
+    fn reject(&self, id: ConnectionId, rejection: Rejection) {
+        let Some(queue) = self.send_queue(id) else {
             return;
         };
         let code = rejection.code();
-        if let Some(frame) = wire::frame(&ObserverMessage::Rejected(rejection)) {
-            send_queue.push(Rc::new(frame));
+        if let Ok(frame) = wire::encode_frame(&ObserverMessage::Rejected(rejection)) {
+            // A full queue has no place for the reason; the connection ends all the same.
+            let _ = queue.push(Rc::new(frame));
         }
-        send_queue.finish(code);
+        queue.finish(CloseReason::Rejected(code));
     }
 
-    /// Ends a connection at once.
-    fn drop_connection(&self, connection: ConnectionId, reason: &'static str) {
-        if let Some(send_queue) = self.send_queue(connection) {
-            send_queue.abort(reason);
-            self.core.borrow_mut().disconnected(boot(), connection);
+    /// Closes a connection at once.
+    fn drop_connection(&self, id: ConnectionId, reason: CloseReason) {
+        if let Some(queue) = self.send_queue(id) {
+            queue.abort(reason);
+            self.core.borrow_mut().disconnected(boot_time(), id);
         }
     }
 
-    /// Asks the cluster whether the copy is current, for all polls that came so far.
-    fn read(&self, read: ReadId) {
-        let (me, cluster) = (self.me.clone(), Rc::clone(&self.cluster));
-        let asked = async move {
-            let current = cluster.wait_until_current(READ_WITHIN).await;
-            let result = if current {
+    /// Begins a linearizable read, which confirms all polls that came so far.
+    fn begin_read(&self, read: ReadId) {
+        let (weak, replica) = (self.weak_self.clone(), Rc::clone(&self.replica));
+        let reading = async move {
+            let result = if replica.wait_until_current(READ_TIMEOUT).await {
                 ReadResult::Current
             } else {
                 ReadResult::Failed
             };
-            if let Some(service) = me.upgrade() {
-                service.with(|core, now, store| core.read_completed(now, read, result, store));
+            if let Some(service) = weak.upgrade() {
+                service.drive(|core, now, store| core.read_completed(now, read, result, store));
             }
         };
-        self.cluster.executor().spawn(asked).detach();
+        self.replica.executor().spawn(reading).detach();
     }
 
     fn tick(&self) {
-        self.with(|core, now, store| core.tick(now, store));
-        let now = boot();
-        if now >= self.progress_at.get() {
-            self.progress_at.set(now.saturating_add(PROGRESS_EVERY));
-            self.cluster.report_progress(self.progress());
-            self.alarm
-                .set(self.core.borrow().next_tick().min(self.progress_at.get()));
-        }
-    }
-
-    fn accept(&self, stream: Async<TcpStream>, peer: SocketAddr) {
-        let mut ungreeted = self.ungreeted.borrow_mut();
-        if ungreeted.len() >= MOST_UNGREETED {
-            ungreeted.pop_first();
-            tracing::info!("a subscriber's connection ended reason=greeting_gave_way");
-        }
-        let id = self.next_connection.get();
-        self.next_connection.set(id + 1);
-        let task = self.cluster.executor().spawn(subscriber_connection::serve(
-            self.me.clone(),
-            id,
-            stream,
-            peer,
-        ));
-        ungreeted.insert(id, task);
-    }
-
-    /// A subscriber has greeted: the answer, and its queue if it is taken.
-    fn greet(
-        &self,
-        id: ConnectionId,
-        hello: &SubscriberHello,
-    ) -> (ObserverWelcome, Option<Rc<SendQueue>>) {
-        let welcome = self.with(|core, now, store| core.accept(now, id, hello, store));
-        if welcome.rejected.is_some() {
-            return (welcome, None);
-        }
-        let Some(task) = self.ungreeted.borrow_mut().remove(&id) else {
-            self.with(|core, now, _| core.disconnected(now, id));
-            return (welcome, None);
-        };
-        let send_queue = SendQueue::new(self.queue_limit, PATIENCE);
-        self.greeted.borrow_mut().insert(
-            id,
-            Greeted {
-                send_queue: Rc::clone(&send_queue),
-                task,
-            },
-        );
-        (welcome, Some(send_queue))
-    }
-
-    /// A connection has ended; its task ends with this call.
-    fn ended(&self, id: ConnectionId) {
-        if let Some(task) = self.ungreeted.borrow_mut().remove(&id) {
-            task.detach();
-        }
-        let greeted = self.greeted.borrow_mut().remove(&id);
-        if let Some(Greeted { send_queue, task }) = greeted {
-            task.detach();
-            // The core has forgotten those that it turned away.
-            if !send_queue.is_ending() {
-                self.with(|core, now, _| core.disconnected(now, id));
-            }
-        }
-    }
-}
-
-async fn listen_for_subscribers(of: Weak<ObserverService>, listener: Async<TcpListener>) {
-    loop {
-        let accepted = listener.accept().await;
-        let Some(service) = of.upgrade() else { return };
-        match accepted {
-            Ok((stream, peer)) => service.accept(stream, peer),
-            Err(e) => {
-                drop(service);
-                tracing::info!("subscribers' accept failed: {e}");
-                Timer::after(ACCEPT_PAUSE).await;
-            }
+        self.drive(|core, now, store| core.tick(now, store));
+        let now = boot_time();
+        if now >= self.next_progress_at.get() {
+            self.next_progress_at
+                .set(now.saturating_add(PROGRESS_INTERVAL_US));
+            self.replica.report_progress(self.progress());
+            self.schedule_tick();
         }
-        future::yield_now().await;
     }
 }
 
-/// Tells the core the time whenever it wants to be.
-async fn keep_time(of: Weak<ObserverService>, alarm: Rc<Alarm>) {
-    while let Some(service) = of.upgrade() {
+/// Calls the core's tick whenever it is due.
+async fn tick_when_due(weak: Weak<ObserverService>, timer: Rc<TickTimer>) {
+    while let Some(service) = weak.upgrade() {
         service.tick();
         drop(service);
-        alarm.due().await;
+        timer.wait().await;
     }
 }
--- /dev/null
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -0,0 +1,111 @@
+//! Accepting subscribers' connections, and their greetings.
+
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use async_io::{Async, Timer};
+use futures_lite::future;
+use violetgate_state_distribution::{ConnectionId, ObserverWelcome, SubscriberHello};
+
+use super::{subscriber_connection, AcceptedSubscriber, ObserverService};
+use crate::send_queue::SendQueue;
+
+/// Connections whose greeting was not accepted yet; beyond them the oldest is closed.
+const MAX_UNACCEPTED: usize = 512;
+/// How long a subscriber may read nothing; the core rejects it before, so that it can see why.
+const STALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// Connections that the kernel holds until they are accepted. The standard library's 128 are exceeded where thousands of
+/// front ends return together, and a connection that is dropped then is retried only after a second.
+const BACKLOG: i32 = 4_096;
+/// The delay after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// A socket that listens, and its address.
+pub(super) struct Listener {
+    pub socket: Async<TcpListener>,
+    pub address: SocketAddr,
+}
+
+pub(super) fn bind(listen: SocketAddr) -> std::io::Result<Listener> {
+    let socket = Async::<TcpListener>::bind(listen)?;
+    // The standard library has called `listen` with its own backlog; the second call raises that.
+    rustix::net::listen(socket.get_ref(), BACKLOG)?;
+    let address = socket.get_ref().local_addr()?;
+    Ok(Listener { socket, address })
+}
+
+/// Accepts connections until the service is dropped.
+pub(super) async fn accept_all(weak: Weak<ObserverService>, socket: Async<TcpListener>) {
+    loop {
+        let accepted = socket.accept().await;
+        let Some(service) = weak.upgrade() else {
+            return;
+        };
+        match accepted {
+            Ok((stream, peer)) => service.accept(stream, peer),
+            Err(error) => {
+                drop(service);
+                tracing::info!("subscribers' accept failed: {error}");
+                Timer::after(ACCEPT_RETRY_DELAY).await;
+            }
+        }
+        future::yield_now().await;
+    }
+}
+
+/// The answer to a greeting, and the queue of the subscriber if it was accepted.
+pub(super) struct HelloAnswer {
+    pub welcome: ObserverWelcome,
+    pub queue: Option<Rc<SendQueue>>,
+}
+
+impl ObserverService {
+    fn accept(&self, stream: Async<TcpStream>, peer: SocketAddr) {
+        let mut unaccepted = self.unaccepted.borrow_mut();
+        if unaccepted.len() >= MAX_UNACCEPTED {
+            unaccepted.pop_first();
+            tracing::info!("a subscriber's connection ended reason=greeting_gave_way");
+        }
+        let id = self.next_connection.get();
+        self.next_connection.set(id + 1);
+        let serving = subscriber_connection::serve(self.weak_self.clone(), id, stream, peer);
+        unaccepted.insert(id, self.replica.executor().spawn(serving));
+    }
+
+    /// Handles a subscriber's greeting.
+    pub(super) fn handle_hello(&self, id: ConnectionId, hello: &SubscriberHello) -> HelloAnswer {
+        let welcome = self.drive(|core, now, store| core.accept(now, id, hello, store));
+        let mut answer = HelloAnswer {
+            welcome,
+            queue: None,
+        };
+        if answer.welcome.rejected.is_some() {
+            return answer;
+        }
+        let Some(task) = self.unaccepted.borrow_mut().remove(&id) else {
+            self.drive(|core, now, _| core.disconnected(now, id));
+            return answer;
+        };
+        let queue = SendQueue::new(self.max_queued_bytes, STALL_TIMEOUT);
+        answer.queue = Some(Rc::clone(&queue));
+        let subscriber = AcceptedSubscriber { queue, task };
+        self.accepted.borrow_mut().insert(id, subscriber);
+        answer
+    }
+
+    /// A connection has ended; its task, which calls this, ends after the call.
+    pub(super) fn connection_ended(&self, id: ConnectionId) {
+        if let Some(task) = self.unaccepted.borrow_mut().remove(&id) {
+            task.detach();
+        }
+        let accepted = self.accepted.borrow_mut().remove(&id);
+        if let Some(AcceptedSubscriber { queue, task }) = accepted {
+            task.detach();
+            // The core has forgotten those that it rejected.
+            if !queue.is_ending() {
+                self.drive(|core, now, _| core.disconnected(now, id));
+            }
+        }
+    }
+}
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -1,4 +1,4 @@
-//! One subscriber's connection at an observer: its greeting, then messages both ways.
+//! One subscriber's connection: its greeting, then messages in both directions.
 
 use std::future::pending;
 use std::net::{SocketAddr, TcpStream};
@@ -11,168 +11,205 @@
     PROTOCOL_VERSION,
 };
 
+use super::listener::HelloAnswer;
 use super::ObserverService;
-use crate::connection::{frame, late, linger, write, Input, GREET};
+use crate::close_reason::CloseReason;
+use crate::framing::{disable_nagle, linger, write_all, FrameReader};
 use crate::send_queue::SendQueue;
 use crate::wire;
 
-/// The longest message of a subscriber: a place in a snapshot names one key.
-const LONGEST_REQUEST: usize = 16 << 10;
+/// The longest message of a subscriber: a snapshot cursor holds one key.
+const MAX_REQUEST_BYTES: usize = 16 << 10;
+/// The name in logs of a subscriber whose greeting can't be read.
+const UNKNOWN_NAME: &str = "unknown";
+
+/// One connection of the service.
+struct SubscriberStream<'a> {
+    service: &'a Weak<ObserverService>,
+    id: ConnectionId,
+    stream: &'a Async<TcpStream>,
+}
+
+/// A subscriber whose greeting was accepted.
+struct Accepted {
+    name: String,
+    queue: Rc<SendQueue>,
+}
+
+/// The end of a connection, for the log.
+struct ConnectionEnd {
+    name: String,
+    reason: CloseReason,
+}
 
 /// Serves a subscriber until its connection ends.
 pub(super) async fn serve(
-    of: Weak<ObserverService>,
+    service: Weak<ObserverService>,
     id: ConnectionId,
     stream: Async<TcpStream>,
     peer: SocketAddr,
 ) {
-    let (name, reason) = converse(&of, id, &stream).await;
-    if let Some(service) = of.upgrade() {
-        service.ended(id);
+    let connection = SubscriberStream {
+        service: &service,
+        id,
+        stream: &stream,
+    };
+    let ConnectionEnd { name, reason } = connection.run().await;
+    if let Some(service) = service.upgrade() {
+        service.connection_ended(id);
     }
     tracing::info!("subscriber {name} at {peer} ended reason={reason}");
 }
 
-/// Who it was, and why its connection ended.
-async fn converse(
-    of: &Weak<ObserverService>,
-    id: ConnectionId,
-    stream: &Async<TcpStream>,
-) -> (String, &'static str) {
-    let _ = stream.get_ref().set_nodelay(true);
-    let mut input = Input::default();
-    let (name, send_queue) = match greet(of, id, stream, &mut input).await {
-        Ok(greeted) => greeted,
-        Err((name, reason)) => return (name, reason),
-    };
-    let reading = read(of, id, stream, &mut input);
-    let writing = send_queue.write_to(stream, |waiting| {
-        if let Some(service) = of.upgrade() {
-            service.with(|core, _, store| core.bytes_queued(id, waiting, store));
+impl SubscriberStream<'_> {
+    async fn run(&self) -> ConnectionEnd {
+        disable_nagle(self.stream);
+        let mut reader = FrameReader::default();
+        let Accepted { name, queue } = match self.greet(&mut reader).await {
+            Ok(accepted) => accepted,
+            Err(end) => return end,
+        };
+        let writing = queue.write_to(self.stream, |queued| self.bytes_queued(queued));
+        let reason = match writing.or(self.receive_all(&mut reader)).await {
+            CloseReason::Stalled => CloseReason::TooSlow,
+            reason => reason,
+        };
+        if queue.is_ending() {
+            linger(self.stream).await;
         }
-    });
-    let reason = match writing.or(reading).await {
-        "stalled" => "too_slow",
-        reason => reason,
-    };
-    if send_queue.is_ending() {
-        linger(stream).await;
+        ConnectionEnd { name, reason }
     }
-    (name, reason)
-}
 
-/// Takes the greeting and answers it; the subscriber's name and queue.
-async fn greet(
-    of: &Weak<ObserverService>,
-    id: ConnectionId,
-    stream: &Async<TcpStream>,
-    input: &mut Input,
-) -> Result<(String, Rc<SendQueue>), (String, &'static str)> {
-    let nobody = || "unknown".to_owned();
-    let greeting = frame::<SubscriberHello>(stream, input, wire::GREETING);
-    let hello = match greeting.or(late("greeting_timeout", GREET)).await {
-        Ok(hello) => hello,
-        Err("frame_too_long" | "garbage") => {
-            let rejection = unreadable(input.rest());
-            let code = rejection.code();
-            turn_away(of, stream, rejection).await;
-            return Err((nobody(), code));
+    fn bytes_queued(&self, queued: usize) {
+        if let Some(service) = self.service.upgrade() {
+            service.drive(|core, _, store| core.bytes_queued(self.id, queued, store));
         }
-        Err(reason) => return Err((nobody(), reason)),
-    };
-    let greeted = of.upgrade().map(|service| service.greet(id, &hello));
-    let Some((welcome, send_queue)) = greeted else {
-        return Err((hello.name, "stopped"));
-    };
-    let answered = answer(stream, &welcome).await;
-    match (send_queue, welcome.rejected) {
-        (_, Some(rejection)) => {
-            linger(stream).await;
-            Err((hello.name, rejection.code()))
+    }
+
+    /// Reads the greeting and answers it.
+    async fn greet(&self, reader: &mut FrameReader) -> Result<Accepted, ConnectionEnd> {
+        let hello = match reader.read_hello::<SubscriberHello>(self.stream).await {
+            Ok(hello) => hello,
+            Err(reason) => return Err(self.greeting_failed(reason, reader).await),
+        };
+        let name = hello.name.clone();
+        let Some(service) = self.service.upgrade() else {
+            let reason = CloseReason::Stopped;
+            return Err(ConnectionEnd { name, reason });
+        };
+        let HelloAnswer { welcome, queue } = service.handle_hello(self.id, &hello);
+        drop(service);
+        let answered = self.write_welcome(&welcome).await;
+        if let Some(rejection) = welcome.rejected {
+            linger(self.stream).await;
+            let reason = CloseReason::Rejected(rejection.code());
+            return Err(ConnectionEnd { name, reason });
+        }
+        match (queue, answered) {
+            (Some(queue), Ok(())) => Ok(Accepted { name, queue }),
+            (Some(_), Err(reason)) => Err(ConnectionEnd { name, reason }),
+            (None, _) => Err(ConnectionEnd {
+                name,
+                reason: CloseReason::Stopped,
+            }),
         }
-        (Some(send_queue), None) => match answered {
-            Ok(()) => Ok((hello.name, send_queue)),
-            Err(reason) => Err((hello.name, reason)),
-        },
-        (None, None) => Err((hello.name, "stopped")),
     }
-}
 
-/// Why a greeting that can't be read is turned away: one of another version may have other fields.
-fn unreadable(bytes: &[u8]) -> Rejection {
-    let body = bytes.get(wire::HEAD..).unwrap_or_default();
-    match postcard::from_bytes::<([u8; 4], u16)>(body) {
-        Ok((PROTOCOL_MAGIC, theirs)) if theirs != PROTOCOL_VERSION => Rejection::WrongVersion {
-            theirs,
-            ours: PROTOCOL_VERSION,
-        },
-        _ => Rejection::NotASubscriber,
+    /// Answers a greeting that can't be read, where the other side may still read why.
+    async fn greeting_failed(&self, reason: CloseReason, reader: &FrameReader) -> ConnectionEnd {
+        let name = UNKNOWN_NAME.to_owned();
+        if !matches!(
+            reason,
+            CloseReason::FrameTooLong | CloseReason::MalformedFrame
+        ) {
+            return ConnectionEnd { name, reason };
+        }
+        let rejection = unreadable_hello(reader.buffered());
+        let reason = CloseReason::Rejected(rejection.code());
+        self.reject_unread(rejection).await;
+        ConnectionEnd { name, reason }
     }
-}
 
-async fn turn_away(of: &Weak<ObserverService>, stream: &Async<TcpStream>, rejection: Rejection) {
-    let (revision, subscribers) = of.upgrade().map_or((0, 0), |service| {
-        (service.progress().revision, service.subscribers())
-    });
-    let subscribers = u32::try_from(subscribers).unwrap_or(u32::MAX);
-    let welcome = ObserverWelcome {
-        rejected: Some(rejection),
-        revision,
-        subscribers,
-        capacity: 0,
-    };
-    if answer(stream, &welcome).await.is_ok() {
-        linger(stream).await;
+    async fn reject_unread(&self, rejection: Rejection) {
+        let mut welcome = ObserverWelcome {
+            rejected: Some(rejection),
+            revision: 0,
+            subscribers: 0,
+            capacity: 0,
+        };
+        if let Some(service) = self.service.upgrade() {
+            welcome.revision = service.progress().revision;
+            welcome.subscribers = u32::try_from(service.subscribers()).unwrap_or(u32::MAX);
+        }
+        if self.write_welcome(&welcome).await.is_ok() {
+            linger(self.stream).await;
+        }
     }
-}
 
-async fn answer(stream: &Async<TcpStream>, welcome: &ObserverWelcome) -> Result<(), &'static str> {
-    let answer = wire::frame(welcome).ok_or("frame_too_long")?;
-    write(stream, &answer).await
-}
+    async fn write_welcome(&self, welcome: &ObserverWelcome) -> Result<(), CloseReason> {
+        let frame = wire::encode_frame(welcome)?;
+        write_all(self.stream, &frame).await
+    }
 
-/// Takes messages until the connection ends. One that breaks the protocol is told so by the writing side.
-async fn read(
-    of: &Weak<ObserverService>,
-    id: ConnectionId,
-    stream: &Async<TcpStream>,
-    input: &mut Input,
-) -> &'static str {
-    loop {
+    /// Receives messages until the connection ends. Where this side ends it, this waits, as the writing side has yet to
+    /// send the reason.
+    async fn receive_all(&self, reader: &mut FrameReader) -> CloseReason {
+        loop {
+            match self.receive_buffered(reader) {
+                Ok(Received::All) => {}
+                Ok(Received::ConnectionIsEnding) => return pending().await,
+                Err(reason) => return reason,
+            }
+            if let Err(reason) = reader.fill(self.stream).await {
+                return reason;
+            }
+            future::yield_now().await;
+        }
+    }
+
+    /// Passes on the messages that are complete.
+    fn receive_buffered(&self, reader: &mut FrameReader) -> Result<Received, CloseReason> {
         loop {
-            let taken = input.take::<SubscriberMessage>(LONGEST_REQUEST);
-            let Some(service) = of.upgrade() else {
-                return "stopped";
-            };
-            match taken {
-                Ok(Some((message, size))) => {
-                    service.counter.received(size);
-                    service.with(|core, now, store| core.receive(now, id, message, store));
+            let next = reader.next::<SubscriberMessage>(MAX_REQUEST_BYTES);
+            let service = self.service.upgrade().ok_or(CloseReason::Stopped)?;
+            match next {
+                Ok(Some(received)) => {
+                    service.counter.received(received.frame_bytes);
+                    service.drive(|core, now, store| {
+                        core.receive(now, self.id, received.message, store);
+                    });
                 }
-                Ok(None) => break,
-                Err(what) => {
-                    service.with(|core, now, _| core.disconnected(now, id));
-                    service.refuse(
-                        id,
-                        Rejection::ProtocolViolation {
-                            detail: what.to_owned(),
-                        },
-                    );
-                    drop(service);
-                    return pending().await;
+                Ok(None) => return Ok(Received::All),
+                Err(reason) => {
+                    service.drive(|core, now, _| core.disconnected(now, self.id));
+                    let detail = reason.to_string();
+                    service.reject(self.id, Rejection::ProtocolViolation { detail });
+                    return Ok(Received::ConnectionIsEnding);
                 }
             }
-            if service
-                .send_queue(id)
-                .is_none_or(|send_queue| send_queue.is_ending())
-            {
-                drop(service);
-                return pending().await;
+            let queue = service.send_queue(self.id);
+            if queue.is_none_or(|queue| queue.is_ending()) {
+                return Ok(Received::ConnectionIsEnding);
             }
         }
-        if let Err(reason) = input.read(stream).await {
-            return reason;
-        }
-        future::yield_now().await;
+    }
+}
+
+enum Received {
+    /// All messages that were complete.
+    All,
+    /// This side has ended the connection over one of them.
+    ConnectionIsEnding,
+}
+
+/// Why a greeting that can't be read is rejected: a greeting of another version may have other fields.
+fn unreadable_hello(frame: &[u8]) -> Rejection {
+    let body = frame.get(wire::FRAME_HEADER_BYTES..).unwrap_or_default();
+    match postcard::from_bytes::<([u8; 4], u16)>(body) {
+        Ok((PROTOCOL_MAGIC, theirs)) if theirs != PROTOCOL_VERSION => Rejection::WrongVersion {
+            theirs,
+            ours: PROTOCOL_VERSION,
+        },
+        _ => Rejection::NotASubscriber,
     }
 }
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -22,7 +22,7 @@
 use violetgate_replica::{CallId, Effect, InitialState, Replica, ReplicaConfig, Response};
 use violetgate_replicated_state::{Stale, Store};
 
-use crate::clock::{boot, wall, Alarm};
+use crate::clock::{boot_time, wall_time, TickTimer};
 use crate::transport::Transport;
 use crate::wire::Frame;
 use calls::{Slot, TRY};
@@ -83,7 +83,7 @@
     jobs: mpsc::Sender<Job>,
     pending_calls: RefCell<BTreeMap<CallId, Rc<Slot>>>,
     last_ticket: Cell<CallId>,
-    alarm: Rc<Alarm>,
+    alarm: Rc<TickTimer>,
     /// Those that wait for the state to move on, and why nothing can be written any more.
     watchers: RefCell<Vec<Waker>>,
     stop_reason: RefCell<Option<String>>,
@@ -166,7 +166,7 @@
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Replica::new(id, config, seed, found, boot())?;
+        let member = Replica::new(id, config, seed, found, boot_time())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
@@ -229,7 +229,7 @@
 
     /// Does something with the member, told the time first, and carries out what follows.
     fn with<T>(&self, act: impl FnOnce(&mut Replica) -> T) -> T {
-        let (now, wall) = (boot(), wall());
+        let (now, wall) = (boot_time(), wall_time());
         let done = {
             let mut member = self.member.borrow_mut();
             member.tick(now, wall);
@@ -361,7 +361,7 @@
         if self.stop_reason.borrow().is_some() {
             return Err(Stale { age: None });
         }
-        self.member.borrow().may_route(boot())
+        self.member.borrow().may_route(boot_time())
     }
 
     /// Waits until more is applied here, or the member stops.
@@ -384,12 +384,12 @@
 }
 
 /// Tells the member the time whenever it wants to be.
-async fn keep_time(of: Weak<ReplicaRuntime>, alarm: Rc<Alarm>) {
+async fn keep_time(of: Weak<ReplicaRuntime>, alarm: Rc<TickTimer>) {
     while let Some(cluster) = of.upgrade() {
         cluster.with(|_| ());
         alarm.set(cluster.member.borrow().next_tick());
         drop(cluster);
-        alarm.due().await;
+        alarm.wait().await;
     }
 }
 
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -8,7 +8,7 @@
 
 use super::status::ReplicaStatus;
 use super::ReplicaRuntime;
-use crate::clock::boot;
+use crate::clock::boot_time;
 use crate::wire::Frame;
 
 /// A report of an observer counts for so long.
@@ -46,7 +46,10 @@
     /// How far all front ends are, as observers have reported it of late.
     #[must_use]
     pub fn fleet_progress(&self) -> FleetTotals {
-        self.fleet.borrow().progress.totals(boot(), PROGRESS_FRESH)
+        self.fleet
+            .borrow()
+            .progress
+            .totals(boot_time(), PROGRESS_FRESH)
     }
 
     /// The latest revision that was in force at all serving front ends, and when it was.
@@ -70,6 +73,6 @@
         let member = self.member.borrow();
         self.fleet
             .borrow_mut()
-            .take(boot(), from, summary, member.membership());
+            .take(boot_time(), from, summary, member.membership());
     }
 }
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -4,7 +4,7 @@
 use violetgate_replicated_state::{Revision, Stale};
 
 use super::ReplicaRuntime;
-use crate::clock::boot;
+use crate::clock::boot_time;
 
 /// What a member is at.
 #[derive(Debug, Clone)]
@@ -46,7 +46,7 @@
             applied: member.applied(),
             members: member.membership().clone(),
             revision: member.store().revision(),
-            freshness: member.may_route(boot()),
+            freshness: member.may_route(boot_time()),
             progress: node.progress(),
         }
     }
--- a/cluster/replica-runtime/src/send_queue.rs
+++ b/cluster/replica-runtime/src/send_queue.rs
@@ -1,51 +1,51 @@
-//! What waits to be written on one connection, bounded in bytes.
+//! The frames queued for one connection, bounded in bytes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::poll_fn;
-use std::io::Write;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 use std::time::Duration;
 
 use async_io::Async;
-use futures_lite::FutureExt;
 
-use crate::connection::late;
+use crate::close_reason::CloseReason;
+use crate::framing::write_some;
 
 /// A frame; one that goes to many connections is held once.
 pub(crate) type SharedFrame = Rc<Vec<u8>>;
 
 /// The queue of one connection.
 pub(crate) struct SendQueue {
-    limit: usize,
-    /// How long the other side may take nothing.
-    patience: Duration,
+    max_bytes: usize,
+    /// How long the other side may read nothing.
+    stall_timeout: Duration,
     frames: RefCell<VecDeque<SharedFrame>>,
     bytes: Cell<usize>,
-    /// The connection ends for this reason once all is written.
-    last: Cell<Option<&'static str>>,
+    /// Set once the connection is to end: after what is queued was written.
+    end: Cell<Option<CloseReason>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl SendQueue {
-    /// An empty queue that takes no more than `limit` bytes, and ends where the other side takes nothing for so long.
-    pub(crate) fn new(limit: usize, patience: Duration) -> Rc<Self> {
+    /// An empty queue of at most `max_bytes`.
+    pub(crate) fn new(max_bytes: usize, stall_timeout: Duration) -> Rc<Self> {
         Rc::new(SendQueue {
-            limit,
-            patience,
+            max_bytes,
+            stall_timeout,
             frames: RefCell::default(),
             bytes: Cell::new(0),
-            last: Cell::new(None),
+            end: Cell::new(None),
             waker: RefCell::default(),
         })
     }
 
-    /// Appends a frame. False: the queue is full, or ends, and nothing was appended.
+    /// Appends a frame, unless the queue is full or ends.
+    #[must_use]
     pub(crate) fn push(&self, frame: SharedFrame) -> bool {
         let bytes = self.bytes.get() + frame.len();
-        if bytes > self.limit || self.last.get().is_some() {
+        if bytes > self.max_bytes || self.is_ending() {
             return false;
         }
         self.bytes.set(bytes);
@@ -54,73 +54,68 @@
         true
     }
 
-    /// Ends the connection for this reason once what waits is written.
-    pub(crate) fn finish(&self, reason: &'static str) {
-        if self.last.get().is_none() {
-            self.last.set(Some(reason));
+    /// Ends the connection once what is queued was written.
+    pub(crate) fn finish(&self, reason: CloseReason) {
+        if !self.is_ending() {
+            self.end.set(Some(reason));
             self.wake();
         }
     }
 
-    /// Ends the connection for this reason at once; what waits is dropped.
-    pub(crate) fn abort(&self, reason: &'static str) {
+    /// Ends the connection at once; what is queued is dropped.
+    pub(crate) fn abort(&self, reason: CloseReason) {
         self.frames.borrow_mut().clear();
         self.bytes.set(0);
         self.finish(reason);
     }
 
-    /// The connection is about to end, for a reason of this side.
+    /// Whether this side is about to end the connection.
     pub(crate) fn is_ending(&self) -> bool {
-        self.last.get().is_some()
+        self.end.get().is_some()
     }
 
     fn wake(&self) {
-        self.waker
-            .borrow_mut()
-            .take()
-            .into_iter()
-            .for_each(Waker::wake);
+        if let Some(waker) = self.waker.borrow_mut().take() {
+            waker.wake();
+        }
     }
 
-    /// Writes what comes until the queue ends or the connection breaks; the reason. `written` is called with the bytes
-    /// that still wait each time some were written.
+    /// Writes what is queued until the queue ends or the connection fails. `on_written` is called after each write, with
+    /// the number of bytes that are still queued.
     pub(crate) async fn write_to(
         &self,
         stream: &Async<TcpStream>,
-        mut written: impl FnMut(usize),
-    ) -> &'static str {
+        mut on_written: impl FnMut(usize),
+    ) -> CloseReason {
         loop {
-            let Some(frame) = self.next().await else {
-                return self.last.get().unwrap_or("closed");
+            let frame = match self.next().await {
+                Ok(frame) => frame,
+                Err(reason) => return reason,
             };
             let mut rest = frame.as_slice();
             while !rest.is_empty() {
-                let some = async {
-                    stream
-                        .write_with(|mut s| s.write(rest))
-                        .await
-                        .map_err(|_| "reset")
-                };
-                let n = match some.or(late("stalled", self.patience)).await {
-                    Ok(n) => n,
+                let written = match write_some(stream, rest, self.stall_timeout).await {
+                    Ok(written) => written,
                     Err(reason) => return reason,
                 };
-                rest = rest.get(n..).unwrap_or_default();
-                self.bytes.set(self.bytes.get().saturating_sub(n));
-                written(self.bytes.get());
+                rest = rest.get(written..).unwrap_or_default();
+                let queued = self.bytes.get().saturating_sub(written);
+                self.bytes.set(queued);
+                on_written(queued);
             }
         }
     }
 
-    async fn next(&self) -> Option<SharedFrame> {
-        poll_fn(|cx| {
+    /// The next frame, or why there will be none.
+    async fn next(&self) -> Result<SharedFrame, CloseReason> {
+        poll_fn(|context| {
             if let Some(frame) = self.frames.borrow_mut().pop_front() {
-                return Poll::Ready(Some(frame));
+                return Poll::Ready(Ok(frame));
             }
-            if self.last.get().is_some() {
-                return Poll::Ready(None);
+            if let Some(reason) = self.end.get() {
+                return Poll::Ready(Err(reason));
             }
-            *self.waker.borrow_mut() = Some(cx.waker().clone());
+            *self.waker.borrow_mut() = Some(context.waker().clone());
             Poll::Pending
         })
         .await
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -1,4 +1,4 @@
-//! A front end's side of the distribution: it connects to observers as the core asks, and keeps the replica.
+//! A front end's subscription: connects to observers as the [`Subscriber`] core asks, and holds the replica.
 
 mod observer_connection;
 
@@ -12,108 +12,120 @@
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision, Stale};
 use violetgate_state_distribution::{
-    HeldObservers, Rejection, Subscriber, SubscriberAction, SubscriberConfig, SubscriberHello,
-    SubscriberMessage, SubscriberReplica,
+    HeldObservers, InvalidSubscriberConfig, Rejection, Subscriber, SubscriberAction,
+    SubscriberConfig, SubscriberHello, SubscriberMessage, SubscriberReplica,
 };
 
-use crate::clock::{boot, Alarm};
-use crate::connection::STALLED;
+use crate::clock::{boot_time, TickTimer};
+use crate::close_reason::CloseReason;
+use crate::framing::STALL_TIMEOUT;
 use crate::send_queue::SendQueue;
-use crate::traffic_stats::{Counter, TrafficStats};
+use crate::traffic_stats::{TrafficCounter, TrafficStats};
 use crate::wire;
+use observer_connection::ConnectionContext;
 
-/// Bytes that may wait for one observer: polls and requests are short and few.
-const QUEUE_LIMIT: usize = 64 << 10;
+/// The most bytes queued for one observer: polls and requests are short and few.
+const MAX_QUEUED_BYTES: usize = 64 << 10;
 
-/// What is called with the replica once more is applied to it.
+/// Called with the replica whenever more is applied to it.
 pub type ReplicaCallback = Rc<dyn Fn(&SubscriberReplica)>;
 
-/// What a subscription is at.
+/// The state of a subscription, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscriptionStatus {
     /// The replica's revision.
     pub revision: Revision,
-    /// The observer that it watches.
+    /// The observer that sends changes.
     pub watched: Option<NodeId>,
-    /// The observer that it holds in standby.
+    /// The observer that takes over when the watched one fails.
     pub standby: Option<NodeId>,
-    /// Whether state may be routed on, or how old it is.
+    /// Whether requests may be routed on the replica, or how old it is.
     pub freshness: Result<(), Stale>,
-    /// Why an observer turned this front end away last, while that is in force.
+    /// The last rejection by an observer that has not accepted this front end since.
     pub rejection: Option<Rejection>,
 }
 
+/// Identifies a connection among all that a subscription has made.
+type ConnectionNumber = u64;
+
 /// A connection to an observer, or an attempt at one.
 struct ObserverConnection {
-    number: u64,
-    send_queue: Rc<SendQueue>,
+    number: ConnectionNumber,
+    queue: Rc<SendQueue>,
     task: Task<()>,
 }
 
 /// A front end's subscription. It ends with the last reference to it.
 pub struct Subscription {
-    me: Weak<Subscription>,
+    weak_self: Weak<Subscription>,
     executor: Rc<LocalExecutor<'static>>,
     addresses: BTreeMap<NodeId, SocketAddr>,
     core: RefCell<Subscriber>,
-    alarm: Rc<Alarm>,
-    observer_connections: RefCell<BTreeMap<NodeId, ObserverConnection>>,
-    next_link: Cell<u64>,
+    tick_timer: Rc<TickTimer>,
+    connections: RefCell<BTreeMap<NodeId, ObserverConnection>>,
+    next_connection: Cell<ConnectionNumber>,
     /// Why the last connection to each observer ended.
-    last_ends: RefCell<BTreeMap<NodeId, &'static str>>,
-    on_applied: RefCell<Vec<ReplicaCallback>>,
-    told: Cell<Revision>,
-    counter: Counter,
-    timer: RefCell<Option<Task<()>>>,
+    last_ends: RefCell<BTreeMap<NodeId, CloseReason>>,
+    callbacks: RefCell<Vec<ReplicaCallback>>,
+    /// The revision that the callbacks were last called with.
+    notified_revision: Cell<Revision>,
+    counter: TrafficCounter,
+    tick_task: RefCell<Option<Task<()>>>,
 }
 
 impl Subscription {
-    /// Begins to subscribe to the observers at these addresses. Nothing may be sent until its state is confirmed.
-    #[must_use]
+    /// Begins to subscribe to the observers at these addresses. Nothing may be routed until the state is confirmed.
+    ///
+    /// # Errors
+    ///
+    /// The replica can't be kept fresh with this configuration.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         config: SubscriberConfig,
         addresses: BTreeMap<NodeId, SocketAddr>,
         seed: u64,
-    ) -> Rc<Self> {
-        let subscription = Rc::new_cyclic(|me| Subscription {
-            me: me.clone(),
+    ) -> Result<Rc<Self>, InvalidSubscriberConfig> {
+        config.validate()?;
+        let subscription = Rc::new_cyclic(|weak_self| Subscription {
+            weak_self: weak_self.clone(),
             executor: Rc::clone(executor),
             addresses,
-            core: RefCell::new(Subscriber::new(config, seed, boot())),
-            alarm: Rc::default(),
-            observer_connections: RefCell::default(),
-            next_link: Cell::new(1),
+            core: RefCell::new(Subscriber::new(config, seed, boot_time())),
+            tick_timer: Rc::default(),
+            connections: RefCell::default(),
+            next_connection: Cell::new(1),
             last_ends: RefCell::default(),
-            on_applied: RefCell::default(),
-            told: Cell::new(0),
-            counter: Counter::default(),
-            timer: RefCell::default(),
+            callbacks: RefCell::default(),
+            notified_revision: Cell::new(0),
+            counter: TrafficCounter::default(),
+            tick_task: RefCell::default(),
         });
-        let timer = keep_time(Rc::downgrade(&subscription), Rc::clone(&subscription.alarm));
-        *subscription.timer.borrow_mut() = Some(executor.spawn(timer));
-        subscription
+        let timer = Rc::clone(&subscription.tick_timer);
+        let ticking = tick_when_due(Rc::downgrade(&subscription), timer);
+        *subscription.tick_task.borrow_mut() = Some(executor.spawn(ticking));
+        Ok(subscription)
     }
 
-    /// Adds to what is called in the very turn in which more is applied; it is called at once, too.
-    pub fn on_applied(&self, f: ReplicaCallback) {
-        f(self.core.borrow().replica());
-        self.on_applied.borrow_mut().push(f);
+    /// Adds a callback. It is called at once, and then whenever more is applied, before anything else can be decided on
+    /// the new state.
+    pub fn on_applied(&self, callback: ReplicaCallback) {
+        callback(self.core.borrow().replica());
+        self.callbacks.borrow_mut().push(callback);
     }
 
-    /// Whether a send may leave now on the state that is here.
+    /// Whether requests may be routed on the replica now.
     ///
     /// # Errors
     ///
-    /// The state is too old.
+    /// The replica is too old.
     pub fn may_route(&self) -> Result<(), Stale> {
-        self.core.borrow().may_route(boot())
+        self.core.borrow().may_route(boot_time())
     }
 
-    /// How long sends may go on from now without another confirmation; zero: none may leave.
+    /// How long from now requests may be routed without another confirmation; zero: they may not.
     #[must_use]
     pub fn time_until_stale(&self) -> Duration {
-        Duration::from_micros(self.core.borrow().time_until_stale(boot()))
+        Duration::from_micros(self.core.borrow().time_until_stale(boot_time()))
     }
 
     /// Reads the replica as it is applied here.
@@ -121,7 +133,7 @@
         read(self.core.borrow().replica())
     }
 
-    /// What it is at.
+    /// The state of the subscription.
     #[must_use]
     pub fn status(&self) -> SubscriptionStatus {
         let core = self.core.borrow();
@@ -130,21 +142,21 @@
             revision: core.replica().revision(),
             watched,
             standby,
-            freshness: core.may_route(boot()),
+            freshness: core.may_route(boot_time()),
             rejection: core.rejection().cloned(),
         }
     }
 
-    /// Messages and bytes exchanged with observers, greetings among them.
+    /// Messages and bytes exchanged with observers, greetings included.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
-        self.counter.traffic()
+        self.counter.stats()
     }
 
-    /// Does something with the core, and carries out what follows.
-    fn with(&self, act: impl FnOnce(&mut Subscriber, Micros)) {
-        act(&mut self.core.borrow_mut(), boot());
-        self.tell_applied();
+    /// Calls the core, and carries out the actions that follow.
+    fn drive(&self, call: impl FnOnce(&mut Subscriber, Micros)) {
+        call(&mut self.core.borrow_mut(), boot_time());
+        self.notify_applied();
         loop {
             let actions = self.core.borrow_mut().take_actions();
             if actions.is_empty() {
@@ -154,102 +166,99 @@
                 match action {
                     SubscriberAction::Connect { observer, hello } => self.connect(observer, hello),
                     SubscriberAction::Disconnect(observer) => {
-                        drop(self.observer_connections.borrow_mut().remove(&observer))
+                        self.connections.borrow_mut().remove(&observer);
                     }
                     SubscriberAction::Send { observer, message } => self.send(observer, &message),
                 }
             }
         }
-        self.alarm.set(self.core.borrow().next_tick());
+        self.tick_timer.set(self.core.borrow().next_tick());
     }
 
-    /// Tells what was applied, before anything else can be decided on it.
-    fn tell_applied(&self) {
+    /// Calls the callbacks if more was applied.
+    fn notify_applied(&self) {
         let core = self.core.borrow();
         let replica = core.replica();
-        if self.told.replace(replica.revision()) == replica.revision() {
+        if self.notified_revision.replace(replica.revision()) == replica.revision() {
             return;
         }
-        let callbacks = self.on_applied.borrow().clone();
-        callbacks.iter().for_each(|f| f(replica));
+        let callbacks = self.callbacks.borrow().clone();
+        callbacks.iter().for_each(|callback| callback(replica));
     }
 
     fn connect(&self, observer: NodeId, hello: SubscriberHello) {
         let Some(address) = self.addresses.get(&observer).copied() else {
-            return self.core.borrow_mut().disconnected(boot(), observer, None);
+            let now = boot_time();
+            return self.core.borrow_mut().disconnected(now, observer, None);
         };
-        let number = self.next_link.get();
-        self.next_link.set(number + 1);
-        let send_queue = SendQueue::new(QUEUE_LIMIT, STALLED);
-        let place = observer_connection::Place {
-            of: self.me.clone(),
+        let number = self.next_connection.get();
+        self.next_connection.set(number + 1);
+        let queue = SendQueue::new(MAX_QUEUED_BYTES, STALL_TIMEOUT);
+        let context = ConnectionContext {
+            subscription: self.weak_self.clone(),
             observer,
             number,
             address,
         };
-        let task = self.executor.spawn(observer_connection::keep(
-            place,
-            hello,
-            Rc::clone(&send_queue),
-        ));
-        self.observer_connections.borrow_mut().insert(
-            observer,
-            ObserverConnection {
-                number,
-                send_queue,
-                task,
-            },
-        );
+        let running = observer_connection::run(context, hello, Rc::clone(&queue));
+        let connection = ObserverConnection {
+            number,
+            queue,
+            task: self.executor.spawn(running),
+        };
+        self.connections.borrow_mut().insert(observer, connection);
     }
 
     fn send(&self, observer: NodeId, message: &SubscriberMessage) {
-        let send_queue = self
-            .observer_connections
-            .borrow()
-            .get(&observer)
-            .map(|link| Rc::clone(&link.send_queue));
-        let Some(send_queue) = send_queue else { return };
-        match wire::frame(message) {
-            Some(frame) => {
+        let connections = self.connections.borrow();
+        let Some(queue) = connections.get(&observer).map(|it| &it.queue) else {
+            return;
+        };
+        match wire::encode_frame(message) {
+            Ok(frame) => {
                 self.counter.sent(frame.len());
-                if !send_queue.push(Rc::new(frame)) {
-                    send_queue.abort("queue_full");
+                if !queue.push(Rc::new(frame)) {
+                    queue.abort(CloseReason::QueueFull);
                 }
             }
-            None => send_queue.abort("frame_too_long"),
+            Err(reason) => queue.abort(reason),
         }
     }
 
-    /// Whether this is the connection to an observer that the core knows of.
-    fn holds(&self, observer: NodeId, number: u64) -> bool {
-        self.observer_connections
-            .borrow()
-            .get(&observer)
-            .is_some_and(|link| link.number == number)
+    /// Whether the core still uses this connection to an observer.
+    fn is_current(&self, observer: NodeId, number: ConnectionNumber) -> bool {
+        let connections = self.connections.borrow();
+        let current = connections.get(&observer);
+        current.is_some_and(|current| current.number == number)
     }
 
-    /// Whether the connection to an observer ends for another reason than the one before.
-    fn ends_anew(&self, observer: NodeId, reason: &'static str) -> bool {
+    /// Records why a connection to an observer ended; whether the one before ended for another reason.
+    fn record_end(&self, observer: NodeId, reason: CloseReason) -> bool {
         self.last_ends.borrow_mut().insert(observer, reason) != Some(reason)
     }
 
-    /// A connection has ended, or could not be made; its task ends with this call.
-    fn ended(&self, observer: NodeId, number: u64, rejection: Option<&Rejection>) {
-        if !self.holds(observer, number) {
+    /// A connection has ended, or could not be made; its task, which calls this, ends after the call.
+    fn connection_ended(
+        &self,
+        observer: NodeId,
+        number: ConnectionNumber,
+        rejection: Option<&Rejection>,
+    ) {
+        if !self.is_current(observer, number) {
             return;
         }
-        if let Some(link) = self.observer_connections.borrow_mut().remove(&observer) {
-            link.task.detach();
+        if let Some(connection) = self.connections.borrow_mut().remove(&observer) {
+            connection.task.detach();
         }
-        self.with(|core, now| core.disconnected(now, observer, rejection));
+        self.drive(|core, now| core.disconnected(now, observer, rejection));
     }
 }
 
-/// Tells the core the time whenever it wants to be.
-async fn keep_time(of: Weak<Subscription>, alarm: Rc<Alarm>) {
-    while let Some(subscription) = of.upgrade() {
-        subscription.with(|core, now| core.tick(now));
+/// Calls the core's tick whenever it is due.
+async fn tick_when_due(weak: Weak<Subscription>, timer: Rc<TickTimer>) {
+    while let Some(subscription) = weak.upgrade() {
+        subscription.drive(|core, now| core.tick(now));
         drop(subscription);
-        alarm.due().await;
+        timer.wait().await;
     }
 }
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a subscription to an observer.
+//! One connection of a subscription to an observer: its greeting, then messages in both directions.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::{Rc, Weak};
@@ -10,158 +10,160 @@
     ObserverMessage, ObserverWelcome, Rejection, SubscriberHello, MAX_MESSAGE_BYTES,
 };
 
-use super::Subscription;
-use crate::connection::{frame, late, write, Input, CONNECT, GREET};
+use super::{ConnectionNumber, Subscription};
+use crate::close_reason::CloseReason;
+use crate::framing::{connect, write_all, FrameReader};
 use crate::send_queue::SendQueue;
-use crate::wire;
+use crate::wire::{self, Decoded};
 
 /// Which connection of which subscription it is.
-pub(super) struct Place {
-    pub of: Weak<Subscription>,
+pub(super) struct ConnectionContext {
+    pub subscription: Weak<Subscription>,
     pub observer: NodeId,
-    pub number: u64,
+    pub number: ConnectionNumber,
     pub address: SocketAddr,
 }
 
 /// Why a connection ended.
-enum End {
-    /// The observer turned this front end away.
+enum ConnectionEnd {
+    /// The observer has rejected this front end.
     Rejected(Rejection),
-    /// It broke, or never came up.
-    Broken(&'static str),
+    /// It failed, or was never made.
+    Closed(CloseReason),
 }
 
-impl From<&'static str> for End {
-    fn from(reason: &'static str) -> Self {
-        End::Broken(reason)
+impl From<CloseReason> for ConnectionEnd {
+    fn from(reason: CloseReason) -> Self {
+        ConnectionEnd::Closed(reason)
     }
 }
 
-/// Connects, greets, and carries messages until the connection ends.
-pub(super) async fn keep(place: Place, hello: SubscriberHello, send_queue: Rc<SendQueue>) {
-    let mut greeted = false;
-    let end = match converse(&place, &hello, &send_queue, &mut greeted).await {
-        Ok(never) => match never {},
-        Err(end) => end,
-    };
-    let Place {
-        of,
-        observer,
-        number,
-        address,
-    } = place;
-    let Some(subscription) = of.upgrade() else {
-        return;
-    };
-    // Attempts that fail alike one after another are logged once.
-    if subscription.ends_anew(observer, end.code()) || greeted {
-        match &end {
-            End::Rejected(rejection) => {
-                let code = rejection.code();
-                tracing::info!(
-                    "observer {observer} at {address} refused reason={code}: {rejection}"
-                );
-            }
-            End::Broken(reason) => {
-                tracing::info!("observer {observer} at {address} ended reason={reason}")
-            }
+impl ConnectionEnd {
+    fn reason(&self) -> CloseReason {
+        match self {
+            ConnectionEnd::Rejected(rejection) => CloseReason::Rejected(rejection.code()),
+            ConnectionEnd::Closed(reason) => *reason,
         }
     }
-    subscription.ended(observer, number, end.rejection());
-}
 
-impl End {
-    fn code(&self) -> &'static str {
+    fn rejection(&self) -> Option<&Rejection> {
         match self {
-            End::Rejected(rejection) => rejection.code(),
-            End::Broken(reason) => reason,
+            ConnectionEnd::Rejected(rejection) => Some(rejection),
+            ConnectionEnd::Closed(_) => None,
         }
     }
 
-    fn rejection(&self) -> Option<&Rejection> {
+    fn log(&self, observer: NodeId, address: SocketAddr) {
+        let reason = self.reason();
         match self {
-            End::Rejected(rejection) => Some(rejection),
-            End::Broken(_) => None,
+            ConnectionEnd::Rejected(rejection) => tracing::info!(
+                "observer {observer} at {address} refused reason={reason}: {rejection}"
+            ),
+            ConnectionEnd::Closed(_) => {
+                tracing::info!("observer {observer} at {address} ended reason={reason}");
+            }
         }
     }
 }
 
-async fn converse(
-    place: &Place,
-    hello: &SubscriberHello,
-    send_queue: &SendQueue,
-    greeted: &mut bool,
-) -> Result<std::convert::Infallible, End> {
-    let connecting = async {
-        Async::<TcpStream>::connect(place.address)
-            .await
-            .map_err(|_| "connect_error")
+/// Connects, greets, and carries messages until the connection ends.
+pub(super) async fn run(context: ConnectionContext, hello: SubscriberHello, queue: Rc<SendQueue>) {
+    let mut accepted = false;
+    let end = context.exchange(&hello, &queue, &mut accepted).await;
+    let ConnectionContext {
+        subscription,
+        observer,
+        number,
+        address,
+    } = context;
+    let Some(subscription) = subscription.upgrade() else {
+        return;
     };
-    let stream = connecting.or(late("connect_timeout", CONNECT)).await?;
-    let _ = stream.get_ref().set_nodelay(true);
-    let mut input = Input::default();
-    let welcome = greet(place, hello, &stream, &mut input).await?;
-    if let Some(rejection) = welcome.rejected {
-        return Err(End::Rejected(rejection));
+    // Attempts that fail alike one after another are logged once.
+    if subscription.record_end(observer, end.reason()) || accepted {
+        end.log(observer, address);
     }
-    *greeted = true;
-    place
-        .subscription()?
-        .with(|core, now| core.connected(now, place.observer, &welcome));
-    let reading = async { Err(read(place, &stream, &mut input).await) };
-    let writing = async { Err(End::Broken(send_queue.write_to(&stream, |_| ()).await)) };
-    writing.or(reading).await
+    subscription.connection_ended(observer, number, end.rejection());
 }
 
-async fn greet(
-    place: &Place,
-    hello: &SubscriberHello,
-    stream: &Async<TcpStream>,
-    input: &mut Input,
-) -> Result<ObserverWelcome, &'static str> {
-    let greeting = wire::frame(hello).ok_or("frame_too_long")?;
-    write(stream, &greeting).await?;
-    place.subscription()?.counter.sent(greeting.len());
-    let answer = frame::<ObserverWelcome>(stream, input, wire::GREETING);
-    answer.or(late("greeting_timeout", GREET)).await
-}
+impl ConnectionContext {
+    fn subscription(&self) -> Result<Rc<Subscription>, CloseReason> {
+        self.subscription.upgrade().ok_or(CloseReason::Stopped)
+    }
 
-async fn read(place: &Place, stream: &Async<TcpStream>, input: &mut Input) -> End {
-    loop {
+    /// Runs the connection until its end. `accepted` is set once the observer has accepted the greeting.
+    async fn exchange(
+        &self,
+        hello: &SubscriberHello,
+        queue: &SendQueue,
+        accepted: &mut bool,
+    ) -> ConnectionEnd {
+        let mut reader = FrameReader::default();
+        let stream = match self.open(hello, &mut reader).await {
+            Ok(stream) => stream,
+            Err(end) => return end,
+        };
+        *accepted = true;
+        let writing = async { ConnectionEnd::Closed(queue.write_to(&stream, |_| ()).await) };
+        writing.or(self.receive_all(&stream, &mut reader)).await
+    }
+
+    /// Connects and greets the observer.
+    async fn open(
+        &self,
+        hello: &SubscriberHello,
+        reader: &mut FrameReader,
+    ) -> Result<Async<TcpStream>, ConnectionEnd> {
+        let stream = connect(self.address).await?;
+        let greeting = wire::encode_frame(hello)?;
+        write_all(&stream, &greeting).await?;
+        self.subscription()?.counter.sent(greeting.len());
+        let welcome: ObserverWelcome = reader.read_hello(&stream).await?;
+        if let Some(rejection) = welcome.rejected {
+            return Err(ConnectionEnd::Rejected(rejection));
+        }
+        self.subscription()?
+            .drive(|core, now| core.connected(now, self.observer, &welcome));
+        Ok(stream)
+    }
+
+    async fn receive_all(
+        &self,
+        stream: &Async<TcpStream>,
+        reader: &mut FrameReader,
+    ) -> ConnectionEnd {
         loop {
-            match input.take::<ObserverMessage>(MAX_MESSAGE_BYTES) {
-                Ok(Some((message, size))) => {
-                    if let Err(end) = place.received(message, size) {
-                        return end;
-                    }
-                }
-                Ok(None) => break,
-                Err(reason) => return reason.into(),
+            if let Err(end) = self.receive_buffered(reader) {
+                return end;
             }
+            if let Err(reason) = reader.fill(stream).await {
+                return reason.into();
+            }
+            future::yield_now().await;
         }
-        if let Err(reason) = input.read(stream).await {
-            return reason.into();
-        }
-        future::yield_now().await;
     }
-}
 
-impl Place {
-    fn subscription(&self) -> Result<Rc<Subscription>, &'static str> {
-        self.of.upgrade().ok_or("stopped")
+    /// Passes on the messages that are complete.
+    fn receive_buffered(&self, reader: &mut FrameReader) -> Result<(), ConnectionEnd> {
+        while let Some(received) = reader.next(MAX_MESSAGE_BYTES)? {
+            self.receive(received)?;
+        }
+        Ok(())
     }
 
-    fn received(&self, message: ObserverMessage, size: usize) -> Result<(), End> {
+    fn receive(&self, received: Decoded<ObserverMessage>) -> Result<(), ConnectionEnd> {
         let subscription = self.subscription()?;
-        // The core may have given this connection up over an earlier message.
-        if !subscription.holds(self.observer, self.number) {
-            return Err(End::Broken("given_up"));
+        // The core may have closed this connection over an earlier message.
+        if !subscription.is_current(self.observer, self.number) {
+            return Err(CloseReason::ClosedByCore.into());
         }
-        subscription.counter.received(size);
-        if let ObserverMessage::Rejected(rejection) = message {
-            return Err(End::Rejected(rejection));
+        subscription.counter.received(received.frame_bytes);
+        match received.message {
+            ObserverMessage::Rejected(rejection) => Err(ConnectionEnd::Rejected(rejection)),
+            message => {
+                subscription.drive(|core, now| core.receive(now, self.observer, message));
+                Ok(())
+            }
         }
-        subscription.with(|core, now| core.receive(now, self.observer, message));
-        Ok(())
     }
 }
--- a/cluster/replica-runtime/src/traffic_stats.rs
+++ b/cluster/replica-runtime/src/traffic_stats.rs
@@ -1,40 +1,42 @@
-//! How much a side of a connection has written and read.
+//! How much was exchanged on the connections of one side.
 
 use std::cell::Cell;
 
-/// Messages and bytes since the start, with their frames.
+/// Messages and bytes since the start, frame headers included.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficStats {
-    /// Messages written.
+    /// Messages sent.
     pub messages_sent: u64,
-    /// Messages read.
+    /// Messages received.
     pub messages_received: u64,
-    /// Bytes written.
+    /// Bytes sent.
     pub bytes_sent: u64,
-    /// Bytes read.
+    /// Bytes received.
     pub bytes_received: u64,
 }
 
-/// Counts them.
+/// Counts what is exchanged.
 #[derive(Debug, Default)]
-pub(crate) struct Counter(Cell<TrafficStats>);
+pub(crate) struct TrafficCounter(Cell<TrafficStats>);
 
-impl Counter {
+impl TrafficCounter {
+    /// One message was sent.
     pub(crate) fn sent(&self, bytes: usize) {
-        let mut traffic = self.0.get();
-        traffic.messages_sent += 1;
-        traffic.bytes_sent += bytes as u64;
-        self.0.set(traffic);
+        let mut stats = self.0.get();
+        stats.messages_sent += 1;
+        stats.bytes_sent += bytes as u64;
+        self.0.set(stats);
     }
 
+    /// One message was received.
     pub(crate) fn received(&self, bytes: usize) {
-        let mut traffic = self.0.get();
-        traffic.messages_received += 1;
-        traffic.bytes_received += bytes as u64;
-        self.0.set(traffic);
+        let mut stats = self.0.get();
+        stats.messages_received += 1;
+        stats.bytes_received += bytes as u64;
+        self.0.set(stats);
     }
 
-    pub(crate) fn traffic(&self) -> TrafficStats {
+    pub(crate) fn stats(&self) -> TrafficStats {
         self.0.get()
     }
 }
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -1,346 +1,216 @@
-//! Connections between members: one each way, made by the one that sends; framed, bounded, made again when they break.
-//! A message that finds its queue full is dropped: the core asks again for what matters.
+//! The connections between replicas.
+//!
+//! Each replica makes one connection to each other one, on which it sends and never receives: [`outgoing`]. Those that
+//! the others make to it are [`incoming`]. A connection that fails is made again after a backoff. A message that finds
+//! its queue full is dropped: Raft sends again what matters.
+
+mod incoming;
+mod outgoing;
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, VecDeque};
-use std::future::poll_fn;
-use std::io::Read;
+use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::{Rc, Weak};
-use std::task::{Poll, Waker};
 use std::time::Duration;
 
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use futures_lite::{future, FutureExt};
+use futures_lite::future;
 use violetgate_raft::NodeId;
 
-use crate::connection::{frame, late, sized_frame, write, Input, CONNECT, GREET};
-use crate::traffic_stats::{Counter, TrafficStats};
-use crate::wire::{self, Frame, Hello, Welcome};
+use crate::traffic_stats::{TrafficCounter, TrafficStats};
+use crate::wire::{self, Frame, Hello};
+use outgoing::PeerQueue;
 
-/// Bytes that wait for one member.
-const QUEUE: usize = 32 << 20;
-/// The pause before another try, doubled up to the last at each one that fails.
-const PAUSE: Duration = Duration::from_millis(20);
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// The most bytes queued for one replica.
+const MAX_QUEUED_BYTES: usize = 32 << 20;
 /// The most connections that others may have here.
-const MOST: usize = 64;
-
-/// Where messages that come are told.
-pub type Incoming = Box<dyn Fn(NodeId, Frame)>;
+const MAX_INCOMING: usize = 64;
+/// The delay after an accept that failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-#[derive(Default)]
-struct Queue {
-    frames: RefCell<VecDeque<Vec<u8>>>,
-    bytes: Cell<usize>,
-    waker: RefCell<Option<Waker>>,
-}
+/// Called with each message received and the replica that sent it.
+pub type FrameHandler = Box<dyn Fn(NodeId, Frame)>;
 
+/// A replica that may be sent to.
 struct Peer {
-    addr: SocketAddr,
-    queue: Rc<Queue>,
+    address: SocketAddr,
+    queue: Rc<PeerQueue>,
+    /// Keeps the connection; ends with the peer.
     _task: Task<()>,
 }
 
-/// The connections of one member.
+/// The connections of one replica. They end with it.
 pub struct Transport {
-    me: Weak<Transport>,
+    weak_self: Weak<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     cluster: String,
     id: NodeId,
-    born: u64,
-    /// By what numbers the disks of members go, as far as it is agreed on.
-    disks: RefCell<BTreeMap<NodeId, u64>>,
+    disk_id: u64,
+    /// The ids of replicas' disks, as far as they are committed.
+    known_disks: RefCell<BTreeMap<NodeId, u64>>,
     peers: RefCell<BTreeMap<NodeId, Peer>>,
-    incoming: Incoming,
-    /// Connections of others, by number, and the numbers of those that have ended. They end with this transport.
-    heard: RefCell<BTreeMap<u64, Task<()>>>,
-    ended: Rc<RefCell<Vec<u64>>>,
-    next: Cell<u64>,
-    dropped: Cell<u64>,
-    counter: Counter,
-    /// Membership that this one does not hear and does not reach, for tests of cuts.
-    cut: RefCell<Vec<NodeId>>,
+    on_frame: FrameHandler,
+    incoming: RefCell<BTreeMap<u64, Task<()>>>,
+    /// Incoming connections that have ended and whose tasks can be dropped.
+    ended_incoming: Rc<RefCell<Vec<u64>>>,
+    next_incoming: Cell<u64>,
+    dropped_messages: Cell<u64>,
+    counter: TrafficCounter,
+    /// Replicas with which no messages are exchanged, for tests of network partitions.
+    blocked: RefCell<Vec<NodeId>>,
 }
 
 impl Transport {
-    /// The transport of a member, which knows no others yet.
+    /// The transport of a replica that knows no others yet.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         cluster: &str,
         id: NodeId,
-        born: u64,
-        incoming: Incoming,
+        disk_id: u64,
+        on_frame: FrameHandler,
     ) -> Rc<Self> {
-        Rc::new_cyclic(|me| Transport {
-            me: me.clone(),
+        Rc::new_cyclic(|weak_self| Transport {
+            weak_self: weak_self.clone(),
             executor,
             cluster: cluster.to_owned(),
             id,
-            born,
-            disks: RefCell::default(),
+            disk_id,
+            known_disks: RefCell::default(),
             peers: RefCell::default(),
-            incoming,
-            heard: RefCell::default(),
-            ended: Rc::default(),
-            next: Cell::new(0),
-            dropped: Cell::new(0),
-            counter: Counter::default(),
-            cut: RefCell::default(),
+            on_frame,
+            incoming: RefCell::default(),
+            ended_incoming: Rc::default(),
+            next_incoming: Cell::new(0),
+            dropped_messages: Cell::new(0),
+            counter: TrafficCounter::default(),
+            blocked: RefCell::default(),
         })
     }
 
-    /// Names the members that may be sent to, and where they are. Connections to others end.
-    pub fn set_peers(&self, known: &BTreeMap<NodeId, SocketAddr>) {
+    /// Sets the replicas that may be sent to, and their addresses. Connections to others are closed.
+    pub fn set_peers(&self, addresses: &BTreeMap<NodeId, SocketAddr>) {
         let mut peers = self.peers.borrow_mut();
-        peers.retain(|id, peer| known.get(id) == Some(&peer.addr));
-        for (id, addr) in known.iter().filter(|(id, _)| **id != self.id) {
-            let Some(me) = self.me.upgrade() else { return };
-            let (id, addr) = (*id, *addr);
-            peers.entry(id).or_insert_with(|| {
-                let queue = Rc::new(Queue::default());
-                let task = me
-                    .executor
-                    .spawn(keep(self.me.clone(), id, addr, Rc::clone(&queue)));
-                Peer {
-                    addr,
-                    queue,
-                    _task: task,
-                }
-            });
+        peers.retain(|id, peer| addresses.get(id) == Some(&peer.address));
+        for (id, address) in addresses.iter().filter(|(id, _)| **id != self.id) {
+            peers
+                .entry(*id)
+                .or_insert_with(|| self.connect_to(*id, *address));
+        }
+    }
+
+    fn connect_to(&self, id: NodeId, address: SocketAddr) -> Peer {
+        let queue = Rc::new(PeerQueue::default());
+        let transport = self.weak_self.clone();
+        let keeping = outgoing::keep_connected(transport, id, address, Rc::clone(&queue));
+        Peer {
+            address,
+            queue,
+            _task: self.executor.spawn(keeping),
         }
     }
 
-    /// Names the disks of members: one that comes with another disk is turned away, as it may have forgotten what
-    /// it promised.
-    pub fn set_known_disks(&self, known: BTreeMap<NodeId, u64>) {
-        *self.disks.borrow_mut() = known;
+    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it may have lost its term
+    /// and vote.
+    pub fn set_known_disks(&self, disks: BTreeMap<NodeId, u64>) {
+        *self.known_disks.borrow_mut() = disks;
     }
 
-    /// Messages dropped so far, as their queue was full.
+    fn known_disk(&self, id: NodeId) -> Option<u64> {
+        self.known_disks.borrow().get(&id).copied()
+    }
+
+    /// Whether a replica's disk is another one than is committed.
+    fn is_unknown_disk(&self, id: NodeId, disk_id: u64) -> bool {
+        self.known_disk(id).is_some_and(|known| known != disk_id)
+    }
+
+    /// Messages dropped so far because their queue was full.
     #[must_use]
     pub fn dropped_messages(&self) -> u64 {
-        self.dropped.get()
+        self.dropped_messages.get()
     }
 
-    /// Messages and bytes exchanged with members, greetings aside.
+    /// Messages and bytes exchanged with other replicas, greetings aside.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
-        self.counter.traffic()
+        self.counter.stats()
     }
 
-    /// Hears and reaches these no more, until told otherwise: a cut, for tests and drills.
+    /// Exchanges no messages with these replicas until the next call, for tests of network partitions.
     pub fn block_peers(&self, ids: &[NodeId]) {
-        *self.cut.borrow_mut() = ids.to_vec();
+        *self.blocked.borrow_mut() = ids.to_vec();
+    }
+
+    fn is_blocked(&self, id: NodeId) -> bool {
+        self.blocked.borrow().contains(&id)
     }
 
-    /// Sends a message, if there is room for it.
+    /// Queues a message, unless the queue is full.
     pub fn send(&self, to: NodeId, message: &Frame) {
-        if self.cut.borrow().contains(&to) {
+        if self.is_blocked(to) {
             return;
         }
         let peers = self.peers.borrow();
         let Some(peer) = peers.get(&to) else { return };
-        let mut frame = Vec::new();
-        let queue = &peer.queue;
-        if !wire::put(&mut frame, message) || queue.bytes.get() + frame.len() > QUEUE {
-            self.dropped.set(self.dropped.get() + 1);
-            return;
+        match wire::encode_frame(message) {
+            Ok(frame) if peer.queue.bytes() + frame.len() <= MAX_QUEUED_BYTES => {
+                self.counter.sent(frame.len());
+                peer.queue.push(frame);
+            }
+            _ => self.dropped_messages.set(self.dropped_messages.get() + 1),
         }
-        queue.bytes.set(queue.bytes.get() + frame.len());
-        self.counter.sent(frame.len());
-        queue.frames.borrow_mut().push_back(frame);
-        queue
-            .waker
-            .borrow_mut()
-            .take()
-            .into_iter()
-            .for_each(Waker::wake);
     }
 
-    /// Takes connections for ever.
+    fn hello(&self, to: NodeId) -> Hello {
+        Hello::new(&self.cluster, self.id, to, self.disk_id)
+    }
+
+    /// Accepts connections until the task is dropped.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
-                Ok((stream, peer)) => self.welcome(stream, peer),
-                Err(e) => {
-                    tracing::info!("member accept failed: {e}");
-                    Timer::after(PAUSE).await;
+                Ok((stream, peer)) => self.accept(stream, peer),
+                Err(error) => {
+                    tracing::info!("member accept failed: {error}");
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
             future::yield_now().await;
         }
     }
 
-    fn welcome(&self, stream: Async<TcpStream>, peer: SocketAddr) {
-        let mut heard = self.heard.borrow_mut();
-        self.ended
-            .borrow_mut()
-            .drain(..)
-            .for_each(|n| drop(heard.remove(&n)));
-        if heard.len() >= MOST {
+    fn accept(&self, stream: Async<TcpStream>, peer: SocketAddr) {
+        let mut incoming = self.incoming.borrow_mut();
+        for number in self.ended_incoming.borrow_mut().drain(..) {
+            incoming.remove(&number);
+        }
+        if incoming.len() >= MAX_INCOMING {
             return tracing::info!("member {peer} ended reason=too_many");
         }
-        let n = self.next.get();
-        self.next.set(n + 1);
-        let (me, ended) = (self.me.clone(), Rc::clone(&self.ended));
+        let number = self.next_incoming.get();
+        self.next_incoming.set(number + 1);
+        let transport = self.weak_self.clone();
+        let ended = Rc::clone(&self.ended_incoming);
         let task = self.executor.spawn(async move {
-            let reason = hear(&me, &stream).await;
-            ended.borrow_mut().push(n);
-            tracing::info!("member {peer} ended reason={reason}");
+            let end = incoming::serve(&transport, &stream).await;
+            ended.borrow_mut().push(number);
+            tracing::info!("member {peer} ended reason={end}");
         });
-        heard.insert(n, task);
+        incoming.insert(number, task);
     }
 }
 
-/// Hears one member out; the reason why it ended.
-async fn hear(of: &Weak<Transport>, stream: &Async<TcpStream>) -> String {
-    let _ = stream.get_ref().set_nodelay(true);
-    let mut input = Input::default();
-    let greeting = frame::<Hello>(stream, &mut input, wire::GREETING);
-    let hello = match greeting.or(late("greeting_timeout", GREET)).await {
-        Ok(hello) => hello,
-        Err(reason) => return reason.to_owned(),
-    };
-    let Some((refused, born)) = of.upgrade().map(|t| {
-        let known = t.disks.borrow().get(&hello.from).copied();
-        (hello.refused(&t.cluster, t.id, known), t.born)
-    }) else {
-        return "stopped".to_owned();
-    };
-    let mut answer = Vec::new();
-    wire::put(
-        &mut answer,
-        &Welcome {
-            rejected: refused.clone(),
-            born,
-        },
-    );
-    if let Err(reason) = write(stream, &answer).await {
-        return reason.to_owned();
-    }
-    if let Some(why) = refused {
-        return format!("refused: {why}");
-    }
-    loop {
-        let (message, size) = match sized_frame::<Frame>(stream, &mut input, wire::LONGEST).await {
-            Ok(read) => read,
-            Err(reason) => return reason.to_owned(),
-        };
-        let Some(transport) = of.upgrade() else {
-            return "stopped".to_owned();
-        };
-        // It may have become known that this member's disk is another one.
-        if transport
-            .disks
-            .borrow()
-            .get(&hello.from)
-            .is_some_and(|born| *born != hello.born)
-        {
-            return format!("refused: member {} had another disk", hello.from);
-        }
-        transport.counter.received(size);
-        if !transport.cut.borrow().contains(&hello.from) {
-            (transport.incoming)(hello.from, message);
-        }
-    }
-}
-
-/// Keeps a connection to a member for ever, and writes what waits for it.
-async fn keep(of: Weak<Transport>, id: NodeId, addr: SocketAddr, queue: Rc<Queue>) {
-    let (mut pause, mut told) = (PAUSE, String::new());
-    loop {
-        let hello = match of.upgrade() {
-            Some(transport) => Hello::new(&transport.cluster, transport.id, id, transport.born),
-            None => return,
-        };
-        let mut greeted = false;
-        let reason = talk(&of, &hello, addr, &queue, &mut greeted).await;
-        if greeted || reason != told {
-            tracing::info!("member {id} at {addr} ended reason={reason}");
-        }
-        told = reason;
-        pause = if greeted {
-            PAUSE
-        } else {
-            (pause * 2).min(LONGEST_PAUSE)
-        };
-        // What waited for a connection that is not there is old by the time there is one.
-        queue.frames.borrow_mut().clear();
-        queue.bytes.set(0);
-        Timer::after(pause).await;
-    }
-}
-
-async fn talk(
-    of: &Weak<Transport>,
-    hello: &Hello,
-    addr: SocketAddr,
-    queue: &Queue,
-    greeted: &mut bool,
-) -> String {
-    let connect = async {
-        Async::<TcpStream>::connect(addr)
-            .await
-            .map_err(|_| "connect_error")
-    };
-    let stream = match connect.or(late("connect_timeout", CONNECT)).await {
-        Ok(stream) => stream,
-        Err(reason) => return reason.to_owned(),
-    };
-    let _ = stream.get_ref().set_nodelay(true);
-    let mut greeting = Vec::new();
-    wire::put(&mut greeting, hello);
-    if let Err(reason) = write(&stream, &greeting).await {
-        return reason.to_owned();
-    }
-    let mut input = Input::default();
-    let welcome = frame::<Welcome>(&stream, &mut input, wire::GREETING)
-        .or(late("greeting_timeout", GREET))
-        .await;
-    match welcome {
-        Ok(Welcome {
-            rejected: None,
-            born,
-        }) => {
-            let known = of
-                .upgrade()
-                .and_then(|t| t.disks.borrow().get(&hello.to).copied());
-            if known.is_some_and(|known| known != born) {
-                return format!("refused: member {} had another disk", hello.to);
-            }
-            *greeted = true;
-        }
-        Ok(Welcome {
-            rejected: Some(why),
-            ..
-        }) => return format!("refused: {why}"),
-        Err(reason) => return reason.to_owned(),
-    }
-    loop {
-        let next = poll_fn(|cx| {
-            let frame = queue.frames.borrow_mut().pop_front();
-            if let Some(frame) = frame {
-                queue.bytes.set(queue.bytes.get() - frame.len());
-                return Poll::Ready(Ok(frame));
-            }
-            *queue.waker.borrow_mut() = Some(cx.waker().clone());
-            Poll::Pending
-        });
-        // The other side says nothing more: what can be read is its end.
-        let ended = async {
-            let mut byte = [0];
-            let _ = stream.read_with(|mut s| s.read(&mut byte)).await;
-            Err("closed")
-        };
-        let written = match next.or(ended).await {
-            Ok(frame) => write(&stream, &frame).await,
-            Err(reason) => Err(reason),
-        };
-        if let Err(reason) = written {
-            return reason.to_owned();
-        }
-    }
+/// Why a connection between replicas ended. Its text is the reason in logs.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+enum PeerConnectionEnd {
+    #[error(transparent)]
+    Closed(#[from] crate::close_reason::CloseReason),
+    /// One side has rejected the other, for this reason.
+    #[error("refused: {0}")]
+    Rejected(String),
+    /// The other side's disk is not the one that is committed.
+    #[error("refused: member {0} had another disk")]
+    UnknownDisk(NodeId),
 }
--- /dev/null
+++ b/cluster/replica-runtime/src/transport/incoming.rs
@@ -0,0 +1,77 @@
+//! Connections that other replicas make to this one: a greeting, then messages.
+
+use std::net::TcpStream;
+use std::rc::{Rc, Weak};
+
+use async_io::Async;
+
+use super::{PeerConnectionEnd, Transport};
+use crate::close_reason::CloseReason;
+use crate::framing::{disable_nagle, write_all, FrameReader};
+use crate::wire::{self, Decoded, Frame, Hello, Welcome};
+
+/// Handles a connection until it ends; why it did.
+pub(super) async fn serve(
+    transport: &Weak<Transport>,
+    stream: &Async<TcpStream>,
+) -> PeerConnectionEnd {
+    match receive_all(transport, stream).await {
+        Ok(never) => match never {},
+        Err(end) => end,
+    }
+}
+
+async fn receive_all(
+    weak: &Weak<Transport>,
+    stream: &Async<TcpStream>,
+) -> Result<std::convert::Infallible, PeerConnectionEnd> {
+    disable_nagle(stream);
+    let mut reader = FrameReader::default();
+    let hello: Hello = reader.read_hello(stream).await?;
+    answer_hello(weak, stream, &hello).await?;
+    loop {
+        let received = reader.read_message(stream, wire::MAX_FRAME_BYTES).await?;
+        upgrade(weak)?.receive(&hello, received)?;
+    }
+}
+
+fn upgrade(weak: &Weak<Transport>) -> Result<Rc<Transport>, CloseReason> {
+    weak.upgrade().ok_or(CloseReason::Stopped)
+}
+
+async fn answer_hello(
+    weak: &Weak<Transport>,
+    stream: &Async<TcpStream>,
+    hello: &Hello,
+) -> Result<(), PeerConnectionEnd> {
+    let welcome = upgrade(weak)?.welcome(hello);
+    let answer = wire::encode_frame(&welcome)?;
+    write_all(stream, &answer).await?;
+    match welcome.rejected {
+        Some(reason) => Err(PeerConnectionEnd::Rejected(reason)),
+        None => Ok(()),
+    }
+}
+
+impl Transport {
+    fn welcome(&self, hello: &Hello) -> Welcome {
+        let known_disk = self.known_disk(hello.from);
+        let checked = hello.check(&self.cluster, self.id, known_disk);
+        Welcome {
+            rejected: checked.err().map(|rejection| rejection.to_string()),
+            disk_id: self.disk_id,
+        }
+    }
+
+    fn receive(&self, hello: &Hello, received: Decoded<Frame>) -> Result<(), PeerConnectionEnd> {
+        // The committed disk may have changed since the greeting.
+        if self.is_unknown_disk(hello.from, hello.disk_id) {
+            return Err(PeerConnectionEnd::UnknownDisk(hello.from));
+        }
+        self.counter.received(received.frame_bytes);
+        if !self.is_blocked(hello.from) {
+            (self.on_frame)(hello.from, received.message);
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -0,0 +1,147 @@
+//! The connection to one other replica: made again whenever it ends, and used for sending only.
+
+use std::cell::{Cell, RefCell};
+use std::collections::VecDeque;
+use std::future::poll_fn;
+use std::io::Read;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::{Rc, Weak};
+use std::task::{Poll, Waker};
+use std::time::Duration;
+
+use async_io::{Async, Timer};
+use futures_lite::FutureExt;
+use violetgate_raft::NodeId;
+
+use super::{PeerConnectionEnd, Transport};
+use crate::close_reason::CloseReason;
+use crate::framing::{connect, write_all, FrameReader};
+use crate::wire::{self, Hello, Welcome};
+
+/// The delay before another attempt, doubled at each one that fails.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+
+/// The frames queued for one replica.
+#[derive(Default)]
+pub(super) struct PeerQueue {
+    frames: RefCell<VecDeque<Vec<u8>>>,
+    bytes: Cell<usize>,
+    waker: RefCell<Option<Waker>>,
+}
+
+impl PeerQueue {
+    pub fn bytes(&self) -> usize {
+        self.bytes.get()
+    }
+
+    pub fn push(&self, frame: Vec<u8>) {
+        self.bytes.set(self.bytes.get() + frame.len());
+        self.frames.borrow_mut().push_back(frame);
+        if let Some(waker) = self.waker.borrow_mut().take() {
+            waker.wake();
+        }
+    }
+
+    fn clear(&self) {
+        self.frames.borrow_mut().clear();
+        self.bytes.set(0);
+    }
+
+    async fn next(&self) -> Vec<u8> {
+        poll_fn(|context| {
+            let Some(frame) = self.frames.borrow_mut().pop_front() else {
+                *self.waker.borrow_mut() = Some(context.waker().clone());
+                return Poll::Pending;
+            };
+            self.bytes.set(self.bytes.get() - frame.len());
+            Poll::Ready(frame)
+        })
+        .await
+    }
+}
+
+/// Whether the other replica accepted the greeting of the last attempt.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Greeting {
+    NotAccepted,
+    Accepted,
+}
+
+/// Keeps a connection to a replica until the transport is dropped, and writes what is queued for it.
+pub(super) async fn keep_connected(
+    transport: Weak<Transport>,
+    id: NodeId,
+    address: SocketAddr,
+    queue: Rc<PeerQueue>,
+) {
+    let mut backoff = INITIAL_BACKOFF;
+    let mut last_end = None;
+    loop {
+        let Some(hello) = transport.upgrade().map(|transport| transport.hello(id)) else {
+            return;
+        };
+        let mut greeting = Greeting::NotAccepted;
+        let end = match send_all(&transport, &hello, address, &queue, &mut greeting).await {
+            Ok(never) => match never {},
+            Err(end) => end,
+        };
+        let accepted = greeting == Greeting::Accepted;
+        // Attempts that fail alike one after another are logged once.
+        if accepted || last_end.as_ref() != Some(&end) {
+            tracing::info!("member {id} at {address} ended reason={end}");
+        }
+        last_end = Some(end);
+        backoff = if accepted {
+            INITIAL_BACKOFF
+        } else {
+            (backoff * 2).min(MAX_BACKOFF)
+        };
+        // What was queued for this connection is outdated by the time there is another.
+        queue.clear();
+        Timer::after(backoff).await;
+    }
+}
+
+/// Connects, and writes what is queued until the connection ends.
+async fn send_all(
+    transport: &Weak<Transport>,
+    hello: &Hello,
+    address: SocketAddr,
+    queue: &PeerQueue,
+    greeting: &mut Greeting,
+) -> Result<std::convert::Infallible, PeerConnectionEnd> {
+    let stream = connect(address).await?;
+    greet(transport, hello, &stream).await?;
+    *greeting = Greeting::Accepted;
+    loop {
+        let next = async { Ok(queue.next().await) };
+        let frame = next.or(closed_by_peer(&stream)).await?;
+        write_all(&stream, &frame).await?;
+    }
+}
+
+async fn greet(
+    transport: &Weak<Transport>,
+    hello: &Hello,
+    stream: &Async<TcpStream>,
+) -> Result<(), PeerConnectionEnd> {
+    write_all(stream, &wire::encode_frame(hello)?).await?;
+    let welcome: Welcome = FrameReader::default().read_hello(stream).await?;
+    if let Some(reason) = welcome.rejected {
+        return Err(PeerConnectionEnd::Rejected(reason));
+    }
+    let transport = transport.upgrade();
+    if transport.is_some_and(|transport| transport.is_unknown_disk(hello.to, welcome.disk_id)) {
+        return Err(PeerConnectionEnd::UnknownDisk(hello.to));
+    }
+    Ok(())
+}
+
+/// Waits until the connection ends. The other replica sends nothing on it after the greeting: what can be read is the
+/// end.
+async fn closed_by_peer(stream: &Async<TcpStream>) -> Result<Vec<u8>, CloseReason> {
+    let mut byte = [0];
+    let _ = stream.read_with(|mut stream| stream.read(&mut byte)).await;
+    Err(CloseReason::Closed)
+}
--- /dev/null
+++ b/cluster/replica-runtime/src/wire/codec.rs
@@ -0,0 +1,54 @@
+//! Frames: the length of a message in four bytes, little-endian, then the message.
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use super::MAX_FRAME_BYTES;
+use crate::close_reason::CloseReason;
+
+/// Bytes before a message: its length.
+pub(crate) const FRAME_HEADER_BYTES: usize = 4;
+
+/// A message, and the bytes of its frame.
+#[derive(Debug, PartialEq, Eq)]
+pub(crate) struct Decoded<T> {
+    pub message: T,
+    pub frame_bytes: usize,
+}
+
+/// The frame of a message; fails if it would be too long.
+pub(crate) fn encode_frame(message: &impl Serialize) -> Result<Vec<u8>, CloseReason> {
+    let too_long = CloseReason::FrameTooLong;
+    let mut frame =
+        postcard::to_extend(message, vec![0; FRAME_HEADER_BYTES]).map_err(|_| too_long)?;
+    let length = frame.len().saturating_sub(FRAME_HEADER_BYTES);
+    if length > MAX_FRAME_BYTES {
+        return Err(too_long);
+    }
+    let length = u32::try_from(length).map_err(|_| too_long)?;
+    let header = frame.first_chunk_mut().ok_or(too_long)?;
+    *header = length.to_le_bytes();
+    Ok(frame)
+}
+
+/// The first message in the bytes read so far; `None`: its frame is not complete yet.
+pub(crate) fn decode_frame<T: DeserializeOwned>(
+    bytes: &[u8],
+    max_bytes: usize,
+) -> Result<Option<Decoded<T>>, CloseReason> {
+    let Some((header, rest)) = bytes.split_first_chunk() else {
+        return Ok(None);
+    };
+    let length = u32::from_le_bytes(*header) as usize;
+    if length > max_bytes {
+        return Err(CloseReason::FrameTooLong);
+    }
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
+    let message = postcard::from_bytes(body).map_err(|_| CloseReason::MalformedFrame)?;
+    Ok(Some(Decoded {
+        message,
+        frame_bytes: FRAME_HEADER_BYTES + length,
+    }))
+}
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -3,11 +3,13 @@
 mod fixtures;
 
 use super::*;
-use violetgate_raft::{Entry, Payload};
+use violetgate_raft::{Entry, Message, Payload};
+use violetgate_replica::Response;
+use violetgate_state_distribution::ProgressSummary;
 
 /// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
 #[test]
-fn frames_come_in_any_pieces() {
+fn frames_are_decoded_however_they_are_cut() {
     let entries = vec![Entry {
         term: 3,
         index: 9,
@@ -25,27 +27,34 @@
         answer: Response::MembershipChanged,
     };
     let mut bytes = Vec::new();
-    assert!(put(&mut bytes, &message) && put(&mut bytes, &next));
+    bytes.extend(encode_frame(&message).unwrap());
+    bytes.extend(encode_frame(&next).unwrap());
     for cut in 0..bytes.len() {
-        let read = take::<Frame>(&bytes[..cut], LONGEST).unwrap();
-        assert!(read.is_none_or(|(m, size)| m == message && size <= cut));
+        let read = decode_frame::<Frame>(&bytes[..cut], MAX_FRAME_BYTES).unwrap();
+        assert!(read.is_none_or(|read| read.message == message && read.frame_bytes <= cut));
     }
-    let (_, size) = take::<Frame>(&bytes, LONGEST).unwrap().unwrap();
+    let first = decode_frame::<Frame>(&bytes, MAX_FRAME_BYTES)
+        .unwrap()
+        .unwrap();
+    let rest = &bytes[first.frame_bytes..];
     assert_eq!(
-        take::<Frame>(&bytes[size..], LONGEST).unwrap().unwrap().0,
+        decode_frame::<Frame>(rest, MAX_FRAME_BYTES)
+            .unwrap()
+            .unwrap()
+            .message,
         next
     );
-    assert!(take::<Frame>(&bytes, 10).is_err());
+    assert!(decode_frame::<Frame>(&bytes, 10).is_err());
     for at in 4..12 {
         let mut bent = bytes.clone();
         bent[at] ^= 0x55;
-        let _ = take::<Frame>(&bent, LONGEST);
+        let _ = decode_frame::<Frame>(&bent, MAX_FRAME_BYTES);
     }
 }
 
 /// Frames keep their numbers, so that members of another age read those that they know.
 #[test]
-fn frames_keep_their_numbers() {
+fn frame_variants_keep_their_numbers() {
     let progress = ProgressSummary {
         revision: 7,
         serving: 2,
@@ -70,17 +79,23 @@
         Frame::Progress(progress),
     ];
     for (number, message) in frames.iter().enumerate() {
-        let bytes = frame(message).unwrap();
-        assert_eq!(usize::from(bytes[HEAD]), number);
-        assert_eq!(&take::<Frame>(&bytes, LONGEST).unwrap().unwrap().0, message);
+        let bytes = encode_frame(message).unwrap();
+        assert_eq!(usize::from(bytes[FRAME_HEADER_BYTES]), number);
+        assert_eq!(
+            &decode_frame::<Frame>(&bytes, MAX_FRAME_BYTES)
+                .unwrap()
+                .unwrap()
+                .message,
+            message
+        );
     }
 }
 
 /// Who is turned away, and why.
 #[test]
-fn strangers_are_turned_away() {
+fn greetings_of_others_are_rejected_with_their_reason() {
     let hello = Hello::new("c", 2, 1, 5);
-    assert_eq!(hello.refused("c", 1, Some(5)), None);
+    assert_eq!(hello.check("c", 1, Some(5)), Ok(()));
     for (hello, says) in [
         (
             Hello {
@@ -117,8 +132,18 @@
             },
             "this member's id",
         ),
-        (Hello { born: 6, ..hello }, "another disk"),
+        (
+            Hello {
+                disk_id: 6,
+                ..hello
+            },
+            "another disk",
+        ),
     ] {
-        assert!(hello.refused("c", 1, Some(5)).unwrap().contains(says));
+        assert!(hello
+            .check("c", 1, Some(5))
+            .unwrap_err()
+            .to_string()
+            .contains(says));
     }
 }
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -4,10 +4,15 @@
 use std::collections::BTreeMap;
 use std::fmt::Debug;
 
-use violetgate_raft::{Entry, Membership, Message, Payload, ProposalError, SnapshotMetadata};
-use violetgate_replicated_state::{CommandError, Condition, Mutation, Outcome, Txn};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use violetgate_raft::{
+    Entry, Membership, MembershipChange, Message, Payload, ProposalError, SnapshotMetadata,
+};
+use violetgate_replica::Response;
+use violetgate_replicated_state::{CommandError, Condition, Mutation, Operation, Outcome, Txn};
 
-use violetgate_state_distribution::Laggard;
+use violetgate_state_distribution::{Laggard, ProgressSummary};
 
 use crate::wire::*;
 
@@ -42,17 +47,21 @@
     where
         T: Serialize + DeserializeOwned + PartialEq + Debug,
     {
-        let encoded = hex(&frame(message).unwrap());
+        let encoded = hex(&encode_frame(message).unwrap());
         let stored = self.stored.remove(name).unwrap_or_default();
         if encoded != stored {
             self.differing.push(format!("{name} {encoded}"));
             return;
         }
         let bytes = unhex(stored);
-        let (decoded, size) = take::<T>(&bytes, LONGEST).unwrap().unwrap();
-        assert_eq!(size, bytes.len(), "{name}");
-        assert_eq!(&decoded, message, "{name}");
-        assert_eq!(hex(&frame(&decoded).unwrap()), stored, "{name}");
+        let decoded = decode_frame::<T>(&bytes, MAX_FRAME_BYTES).unwrap().unwrap();
+        assert_eq!(decoded.frame_bytes, bytes.len(), "{name}");
+        assert_eq!(&decoded.message, message, "{name}");
+        assert_eq!(
+            hex(&encode_frame(&decoded.message).unwrap()),
+            stored,
+            "{name}"
+        );
     }
 
     fn compare_all<T>(&mut self, group: &str, messages: impl IntoIterator<Item = T>)
@@ -254,7 +263,7 @@
 fn welcomes() -> [Welcome; 2] {
     let welcome = Welcome {
         rejected: None,
-        born: 1 << 60,
+        disk_id: 1 << 60,
     };
     let rejected = Some("this is no member".to_owned());
     [
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -158,7 +158,8 @@
                 config,
                 self.serving_at.clone(),
                 1_000 + number as u64,
-            );
+            )
+            .unwrap();
             self.subscriptions.push(subscription);
         }
     }
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -37,7 +37,9 @@
                 Participant::Member(ClusterMember::start(executor, own, given, seed)?)
             }
             ClusterRole::Subscriber => {
-                Participant::Subscriber(ClusterSubscriber::start(executor, own, given, seed))
+                let subscriber = ClusterSubscriber::start(executor, own, given, seed)
+                    .map_err(|error| format!("`cluster`: {error}"))?;
+                Participant::Subscriber(subscriber)
             }
         })
     }
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -10,7 +10,9 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use violetgate_raft::NodeId;
-use violetgate_replica_runtime::{SubscriberConfig, Subscription, SubscriptionStatus};
+use violetgate_replica_runtime::{
+    InvalidSubscriberConfig, SubscriberConfig, Subscription, SubscriptionStatus,
+};
 
 use super::metrics::SubscriberFigures;
 use super::reconcile::{ControlTargets, Reconciler};
@@ -57,21 +59,24 @@
 
 impl ClusterSubscriber {
     /// Begins to subscribe. Nothing may be sent until the state is confirmed.
-    #[must_use]
+    ///
+    /// # Errors
+    ///
+    /// The state can't be kept fresh with these settings.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         own: &Settings,
         given: &settings::Cluster,
         seed: u64,
-    ) -> Rc<Self> {
+    ) -> Result<Rc<Self>, InvalidSubscriberConfig> {
         let subscription =
-            Subscription::start(executor, config(given), given.observer_addresses(), seed);
+            Subscription::start(executor, config(given), given.observer_addresses(), seed)?;
         let state = Reconciler::new(given.front_end.clone(), own);
-        Rc::new(ClusterSubscriber {
+        Ok(Rc::new(ClusterSubscriber {
             subscription,
             state,
             shut: Cell::new(true),
-        })
+        }))
     }
 
     /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
--- a/tools/scale/src/hollow.rs
+++ b/tools/scale/src/hollow.rs
@@ -46,6 +46,9 @@
         /// Why.
         cause: String,
     },
+    /// The settings of the subscription can't keep a front end's state fresh.
+    #[error(transparent)]
+    Subscription(#[from] violetgate_state_distribution::InvalidSubscriberConfig),
 }
 
 /// The whole run: real control processes, real front ends and hollow ones; its figures, held to their bounds.
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -258,12 +258,8 @@
         part: "subscription",
     })?;
     name.clone_into(&mut given.front_end);
-    Ok(Some(ClusterSubscriber::start(
-        executor,
-        &template.settings,
-        &given,
-        seed,
-    )))
+    let subscriber = ClusterSubscriber::start(executor, &template.settings, &given, seed)?;
+    Ok(Some(subscriber))
 }
 
 /// Checks what is applied, in the turn in which it is.
