--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -117,12 +117,12 @@
             members if members.is_empty() => SnapshotMetadata::default(),
             members => SnapshotMetadata {
                 index,
-                members: Membership::bootstrap(members),
+                membership: Membership::bootstrap(members),
                 ..SnapshotMetadata::default()
             },
         };
         if !bootstrap.initial_state.is_empty() {
-            Store::load(&bootstrap.initial_state)
+            Store::from_snapshot(&bootstrap.initial_state)
                 .map_err(|e| format!("this is no saved state: {e}"))?;
         }
         RaftStorage::create(files, &identity, &base, &bootstrap.initial_state)
@@ -161,12 +161,13 @@
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
         let found = InitialState {
-            hard: kept.hard,
-            base: kept.base,
+            hard_state: kept.hard_state,
+            snapshot: kept.snapshot,
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Replica::new(id, config, seed, found, boot_time())?;
+        let member =
+            Replica::new(id, config, seed, found, boot_time()).map_err(|e| e.to_string())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
@@ -253,13 +254,20 @@
                 match effect {
                     // All of a turn is one job, and one sync.
                     Effect::Persist(write) => writes.push(write),
-                    Effect::Send(to, message) => self.transport.send(to, &Frame::Raft(message)),
-                    Effect::Respond(ticket, answer) => self.answer(ticket, answer),
-                    Effect::SaveSnapshot(meta, state) => {
+                    Effect::Send { to, message } => self.transport.send(to, &Frame::Raft(message)),
+                    Effect::Respond { call, response } => self.answer(call, response),
+                    Effect::SaveSnapshot {
+                        metadata: meta,
+                        state,
+                    } => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Keep(meta, state.to_vec()));
                     }
-                    Effect::InstallSnapshot(from, meta, state) => {
+                    Effect::InstallSnapshot {
+                        from,
+                        metadata: meta,
+                        state,
+                    } => {
                         let follows = self.member.borrow().entries_after(&meta);
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Install(from, meta, state.to_vec(), follows));
@@ -344,7 +352,7 @@
     /// The whole state as bytes, to be saved.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
-        self.member.borrow().store().save()
+        self.member.borrow().store().to_snapshot()
     }
 
     /// Reads the store as it is applied here.
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -3,7 +3,7 @@
 mod fixtures;
 
 use super::*;
-use violetgate_raft::{Entry, Message, Payload};
+use violetgate_raft::{Entry, LogPosition, Message, Payload};
 use violetgate_replica::Response;
 use violetgate_state_distribution::ProgressSummary;
 
@@ -15,9 +15,9 @@
         index: 9,
         payload: Payload::Command(vec![5; 40]),
     }];
-    let message = Frame::Raft(Message::Append {
+    let message = Frame::Raft(Message::AppendEntries {
         term: 3,
-        prev: (2, 8),
+        previous: LogPosition { term: 2, index: 8 },
         entries,
         commit: 7,
         round: 11,
@@ -61,9 +61,9 @@
         ..ProgressSummary::default()
     };
     let frames = [
-        Frame::Raft(Message::Append {
+        Frame::Raft(Message::AppendEntries {
             term: 1,
-            prev: (0, 0),
+            previous: LogPosition { term: 0, index: 0 },
             entries: Vec::new(),
             commit: 0,
             round: 0,
