--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -1,4 +1,5 @@
-//! What a statement and a patch of the engine list cost the decisions, by the number of engines: `cargo bench`.
+//! What a statement and a patch of the engine list cost the decisions, by the number of engines:
+//! `cargo bench`.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -6,13 +6,14 @@
 use violetgate_policy::interface::{Class, Engine, EngineState, NewQuery, Outcome, Progress};
 use violetgate_policy::{Action, Event};
 
-/// One core, one gateway: two threads. Two queries fill it, each further one of 1 s adds half a second of wait.
-fn full() -> Bench {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
+/// One core, one gateway: two threads. Two queries fill it, each further one of 1 s adds half a
+/// second of wait.
+fn full() -> TestGateway {
+    let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
     for id in 1..=2 {
-        assert_eq!(sent(&b.ask(query(id, S)), id), Some(0));
+        assert_eq!(sent_to(&gateway.arrive(query(id, S)), id), Some(0));
     }
-    b
+    gateway
 }
 
 /// A class whose late answers earn nothing.
@@ -26,16 +27,17 @@
 
 #[test]
 fn queries_are_queued_up_to_the_threshold_and_rejected_beyond_it() {
-    let mut b = full();
+    let mut gateway = full();
     let mut refusals = Vec::new();
     for id in 3..60 {
-        let actions = b.ask(query(id, S));
-        assert_eq!(sent(&actions, id), None);
+        let actions = gateway.arrive(query(id, S));
+        assert_eq!(sent_to(&actions, id), None);
         if let Some(Action::Reject { retry_after, .. }) = actions.first() {
             refusals.push((id, *retry_after));
         }
     }
-    // T is 10 s less the run of 1 s; a wait of 9 s is 18 held queries. The slope spans some either way.
+    // T is 10 s less the run of 1 s; a wait of 9 s is 18 held queries. The slope spans some
+    // either way.
     let (first, retry_after) = refusals[0];
     assert!((12..=32).contains(&first), "first refused: {first}");
     let held = (first - 3) as f64;
@@ -48,15 +50,15 @@
 
 #[test]
 fn retrying_at_once_meets_the_same_draw() {
-    let mut b = full();
+    let mut gateway = full();
     let mut id = 3;
-    while !refused(&b.ask(query(id, S)), id) {
+    while !is_rejected(&gateway.arrive(query(id, S)), id) {
         id += 1;
     }
     for again in 1..50 {
         let id = id + again;
-        assert!(refused(
-            &b.ask(NewQuery {
+        assert!(is_rejected(
+            &gateway.arrive(NewQuery {
                 is_client_retry: true,
                 ..query(id, S)
             }),
@@ -72,17 +74,17 @@
         ..engine(id)
     };
     let admitted = |drained: u32| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(vec![class(2 * S)], 1.0),
             (0..6).map(engine).collect(),
         );
         (0..drained).for_each(|id| {
-            b.patch(draining(id));
+            gateway.patch_list(draining(id));
         });
         (1..200)
             .filter(|id| {
-                !refused(
-                    &b.ask(NewQuery {
+                !is_rejected(
+                    &gateway.arrive(NewQuery {
                         time_left: 2 * S,
                         ..query(*id, S)
                     }),
@@ -102,23 +104,23 @@
 #[test]
 fn engines_that_back_off_do_not_count_in_the_predicted_wait() {
     let admitted = |lined: u64, rest| {
-        let mut s = settings(vec![class(2 * S)], 1.0);
-        s.max_attempts = Some(1);
-        let mut b = Bench::new(s, (0..6).map(engine).collect());
+        let mut config = settings(vec![class(2 * S)], 1.0);
+        config.max_attempts = Some(1);
+        let mut gateway = TestGateway::new(config, (0..6).map(engine).collect());
         (1..=6).for_each(|id| {
-            b.ask(NewQuery {
+            gateway.arrive(NewQuery {
                 time_left: 9 * S,
                 ..query(id, S)
             });
         });
         (1..=lined).for_each(|id| {
-            b.note(id, 0, Progress::WaitingForMemory);
+            gateway.report_progress(id, 0, Progress::WaitingForMemory);
         });
-        b.now += rest;
+        gateway.now += rest;
         (10..200)
             .filter(|id| {
-                !refused(
-                    &b.ask(NewQuery {
+                !is_rejected(
+                    &gateway.arrive(NewQuery {
                         time_left: 2 * S,
                         ..query(*id, S)
                     }),
@@ -139,7 +141,7 @@
 #[test]
 fn answers_count_as_late_by_when_they_came() {
     let admitted = |elapsed| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(
                 vec![Class {
                     latency_objective: Some(S),
@@ -150,13 +152,13 @@
             vec![engine(0)],
         );
         for id in 1..=20 {
-            b.ask(query(id, 500 * MS));
-            b.now += 3 * S;
-            b.end_after(id, 0, 0, Outcome::Completed, elapsed);
-            b.event(Event::ClientDisconnected { query: id });
+            gateway.arrive(query(id, 500 * MS));
+            gateway.now += 3 * S;
+            gateway.end_attempt_after(id, 0, 0, Outcome::Completed, elapsed);
+            gateway.handle(Event::ClientDisconnected { query: id });
         }
         (100..200)
-            .filter(|id| !refused(&b.ask(query(*id, 500 * MS)), *id))
+            .filter(|id| !is_rejected(&gateway.arrive(query(*id, 500 * MS)), *id))
             .count()
     };
     let (came_in_time, came_late) = (admitted(500 * MS), admitted(3 * S));
@@ -169,16 +171,16 @@
 /// The queue is short, but engines free no threads before a run.
 #[test]
 fn retry_after_is_at_least_a_run_where_engines_are_full() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![worthless_when_late()], 1.0),
         vec![engine(0), engine(1)],
     );
     (1..=5).for_each(|id| {
-        b.ask(query(id, 500 * MS));
+        gateway.arrive(query(id, 500 * MS));
     });
-    b.now += S;
-    let after = b
-        .note(1, 0, Progress::FractionDone(0.1))
+    gateway.now += S;
+    let after = gateway
+        .report_progress(1, 0, Progress::FractionDone(0.1))
         .into_iter()
         .find_map(|a| match a {
             Action::Reject {
--- a/policy/tests/attempts.rs
+++ b/policy/tests/attempts.rs
@@ -50,23 +50,29 @@
 /// The last attempt is kept for faults.
 #[test]
 fn a_query_that_waits_for_memory_moves_to_another_engine() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    let first = sent(&b.ask(query(1, S)), 1).expect("there is room");
-    assert!(cancelled(&b.note(1, 0, Progress::WaitingForMemory), 1));
+    let first = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    assert!(is_cancelled(
+        &gateway.report_progress(1, 0, Progress::WaitingForMemory),
+        1
+    ));
     assert_eq!(
-        sent(&b.end(1, 0, first, Outcome::Cancelled), 1),
+        sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
     // The last attempt is kept for faults.
-    b.note(1, 1, Progress::WaitingForMemory);
-    b.now += 2 * S;
-    let again = b.end(1, 1, 1 - first, Outcome::Cancelled);
-    let third = sent(&again, 1).expect("a third attempt");
+    gateway.report_progress(1, 1, Progress::WaitingForMemory);
+    gateway.now += 2 * S;
+    let again = gateway.end_attempt(1, 1, 1 - first, Outcome::Cancelled);
+    let third = sent_to(&again, 1).expect("a third attempt");
     assert!(
-        !cancelled(&b.note(1, 2, Progress::WaitingForMemory), 1),
+        !is_cancelled(
+            &gateway.report_progress(1, 2, Progress::WaitingForMemory),
+            1
+        ),
         "third at {third} of four at most"
     );
 }
@@ -74,37 +80,37 @@
 #[test]
 fn a_silent_attempt_is_given_up_while_others_wait_and_moved_otherwise() {
     let after_silence = |held: bool| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(vec![worthless_when_late()], 1.0),
             vec![engine(0), engine(1)],
         );
         (1..=if held { 5 } else { 1 }).for_each(|id| {
-            b.ask(query(id, 500 * MS));
+            gateway.arrive(query(id, 500 * MS));
         });
-        b.now += 1_700 * MS;
-        b.event(Event::TimerFired)
+        gateway.now += 1_700 * MS;
+        gateway.handle(Event::TimerFired)
     };
-    assert!(refused(&after_silence(true), 1));
+    assert!(is_rejected(&after_silence(true), 1));
     let alone = after_silence(false);
     assert!(
-        !refused(&alone, 1) && cancelled(&alone, 1),
+        !is_rejected(&alone, 1) && is_cancelled(&alone, 1),
         "alone it is moved"
     );
 }
 
 #[test]
 fn a_slow_attempt_is_moved_before_its_objective_without_progress_reports() {
-    let mut b = Bench::new(without_notes(), vec![engine(0), engine(1)]);
-    let first = sent(&b.ask(report(1)), 1).expect("there is room");
+    let mut gateway = TestGateway::new(without_notes(), vec![engine(0), engine(1)]);
+    let first = sent_to(&gateway.arrive(report(1)), 1).expect("there is room");
     let moved = (0..100)
-        .find(|step| cancelled(&b.at(S + step * 50 * MS), 1))
+        .find(|step| is_cancelled(&gateway.advance_to(S + step * 50 * MS), 1))
         .expect("moved")
         * 50
         * MS;
     // The aim is 4 s away and a fresh start takes one.
     assert!((2 * S..=3_050 * MS).contains(&moved), "moved after {moved}");
     assert_eq!(
-        sent(&b.end(1, 0, first, Outcome::Cancelled), 1),
+        sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
 }
@@ -112,24 +118,33 @@
 #[test]
 fn a_deduplicated_query_that_waits_for_memory_moves_only_within_its_window() {
     for (wait, moves) in [(S, true), (14_500 * MS, false)] {
-        let mut b = Bench::new(keyed(), vec![engine(0), engine(1)]);
+        let mut gateway = TestGateway::new(keyed(), vec![engine(0), engine(1)]);
         let load = NewQuery {
             time_left: 25 * S,
             ..query(1, 2 * S)
         };
-        let e = sent(&b.ask(load), 1).expect("there is room");
+        let target = sent_to(&gateway.arrive(load), 1).expect("there is room");
         // Notes keep it from passing for silent.
         for step in 1..=wait / (500 * MS) {
-            b.now = S + step * 500 * MS;
-            assert!(!cancelled(&b.note(1, 0, Progress::FractionDone(0.95)), 1));
+            gateway.now = S + step * 500 * MS;
+            assert!(!is_cancelled(
+                &gateway.report_progress(1, 0, Progress::FractionDone(0.95)),
+                1
+            ));
         }
         assert_eq!(
-            cancelled(&b.note(1, 0, Progress::WaitingForMemory), 1),
+            is_cancelled(
+                &gateway.report_progress(1, 0, Progress::WaitingForMemory),
+                1
+            ),
             moves,
             "after {wait}"
         );
         if moves {
-            assert_eq!(sent(&b.end(1, 0, e, Outcome::Cancelled), 1), Some(1 - e));
+            assert_eq!(
+                sent_to(&gateway.end_attempt(1, 0, target, Outcome::Cancelled), 1),
+                Some(1 - target)
+            );
         }
     }
 }
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn with_effect(idempotency: Idempotency) -> Class {
+pub fn with_idempotency(idempotency: Idempotency) -> Class {
     Class {
         idempotency,
         ..class(10 * S)
@@ -54,62 +54,62 @@
     }
 }
 
-pub struct Bench {
-    pub gateway: Gateway,
+pub struct TestGateway {
+    pub inner: Gateway,
     pub now: Micros,
 }
 
-impl Bench {
+impl TestGateway {
     pub fn new(settings: Settings, engines: Vec<Engine>) -> Self {
         Self::seeded(settings, engines, 7)
     }
 
     pub fn seeded(settings: Settings, engines: Vec<Engine>, seed: u64) -> Self {
-        let mut bench = Bench {
-            gateway: Gateway::new(settings, seed),
+        let mut gateway = TestGateway {
+            inner: Gateway::new(settings, seed),
             now: S,
         };
-        bench.event(Event::EngineList {
+        gateway.handle(Event::EngineList {
             scope: ListScope::Snapshot,
             engines,
         });
-        bench
+        gateway
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.handle(self.now, &[event], &mut actions);
+        self.inner.handle(self.now, &[event], &mut actions);
         actions.retain(|a| !matches!(a, Action::SetTimer { .. }));
         actions
     }
 
-    pub fn at(&mut self, now: Micros) -> Vec<Action> {
+    pub fn advance_to(&mut self, now: Micros) -> Vec<Action> {
         self.now = now;
-        self.event(Event::TimerFired)
+        self.handle(Event::TimerFired)
     }
 
-    pub fn patch(&mut self, engine: Engine) -> Vec<Action> {
-        self.event(Event::EngineList {
+    pub fn patch_list(&mut self, engine: Engine) -> Vec<Action> {
+        self.handle(Event::EngineList {
             scope: ListScope::Patch,
             engines: vec![engine],
         })
     }
 
-    pub fn ask(&mut self, query: NewQuery) -> Vec<Action> {
-        self.event(Event::QueryArrived(query))
+    pub fn arrive(&mut self, query: NewQuery) -> Vec<Action> {
+        self.handle(Event::QueryArrived(query))
     }
 
-    pub fn end(
+    pub fn end_attempt(
         &mut self,
         query: QueryId,
         attempt: u32,
         engine: EngineId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.end_after(query, attempt, engine, outcome, 100 * MS)
+        self.end_attempt_after(query, attempt, engine, outcome, 100 * MS)
     }
 
-    pub fn end_after(
+    pub fn end_attempt_after(
         &mut self,
         query: QueryId,
         attempt: u32,
@@ -128,11 +128,16 @@
             cost: None,
             load: Default::default(),
         };
-        self.event(Event::AttemptEnded(end))
+        self.handle(Event::AttemptEnded(end))
     }
 
-    pub fn note(&mut self, query: QueryId, attempt: u32, progress: Progress) -> Vec<Action> {
-        self.event(Event::Progress {
+    pub fn report_progress(
+        &mut self,
+        query: QueryId,
+        attempt: u32,
+        progress: Progress,
+    ) -> Vec<Action> {
+        self.handle(Event::Progress {
             query,
             attempt,
             progress,
@@ -150,26 +155,26 @@
 }
 
 /// Where the query was sent, if it was.
-pub fn sent(actions: &[Action], id: QueryId) -> Option<EngineId> {
+pub fn sent_to(actions: &[Action], id: QueryId) -> Option<EngineId> {
     actions.iter().find_map(|a| match a {
         Action::Send { query, engine, .. } if *query == id => Some(*engine),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action], id: QueryId) -> bool {
+pub fn is_rejected(actions: &[Action], id: QueryId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { query, .. } if *query == id))
 }
 
-pub fn failed(actions: &[Action], id: QueryId) -> bool {
+pub fn is_failed(actions: &[Action], id: QueryId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Fail { query } if *query == id))
 }
 
-pub fn cancelled(actions: &[Action], id: QueryId) -> bool {
+pub fn is_cancelled(actions: &[Action], id: QueryId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Cancel { query, .. } if *query == id))
--- a/policy/tests/concurrency_limit.rs
+++ b/policy/tests/concurrency_limit.rs
@@ -18,13 +18,13 @@
 /// "One query always fits" on each engine must not add up over many gateways.
 #[test]
 fn all_gateways_together_stay_within_what_engines_bear() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         many(200, vec![class(10 * S)]),
         (0..50).map(engine).collect(),
     );
     // 2 x 8 cores x 50 engines / 200 gateways: four threads are this gateway's part.
     let out = (1..=40)
-        .filter(|id| sent(&b.ask(query(*id, S)), *id).is_some())
+        .filter(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count();
     assert_eq!(out, 4);
 }
@@ -33,24 +33,24 @@
 /// back when they are not.
 #[test]
 fn the_limit_of_a_busy_gateway_grows_and_shrinks_with_the_speed_of_answers() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         many(200, vec![class(10 * S)]),
         (0..50).map(engine).collect(),
     );
     let (mut id, mut out) = (0, VecDeque::new());
-    let mut keep_full = |b: &mut Bench, elapsed, rounds| {
+    let mut keep_full = |gateway: &mut TestGateway, elapsed, rounds| {
         for _ in 0..rounds {
             loop {
                 id += 1;
-                let Some(e) = sent(&b.ask(query(id, S)), id) else {
+                let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, e));
+                out.push_back((id, target));
             }
-            b.event(Event::ClientDisconnected { query: id });
-            b.now += 50 * MS;
-            let (first, e) = out.pop_front().expect("one is always out");
-            let freed = b.end_after(first, 0, e, Outcome::Completed, elapsed);
+            gateway.handle(Event::ClientDisconnected { query: id });
+            gateway.now += 50 * MS;
+            let (first, target) = out.pop_front().expect("one is always out");
+            let freed = gateway.end_attempt_after(first, 0, target, Outcome::Completed, elapsed);
             out.extend(freed.iter().filter_map(|a| match a {
                 Action::Send { query, engine, .. } => Some((*query, *engine)),
                 _ => None,
@@ -58,31 +58,31 @@
         }
         out.len()
     };
-    let grown = keep_full(&mut b, S, 200);
+    let grown = keep_full(&mut gateway, S, 200);
     assert!(grown > 10, "grown to {grown}");
-    let shrunk = keep_full(&mut b, 5 * S, 2_000);
+    let shrunk = keep_full(&mut gateway, 5 * S, 2_000);
     assert!(shrunk <= grown / 2, "back from {grown} to {shrunk}");
 }
 
 /// The wire cannot carry such a fraction; a user of the library can.
 #[test]
 fn a_progress_fraction_that_is_not_a_number_does_not_stop_growth() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.gateways = Some(4);
-    let mut b = Bench::new(s, vec![engine(0)]);
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.gateways = Some(4);
+    let mut gateway = TestGateway::new(config, vec![engine(0)]);
     let mut out = VecDeque::new();
     for id in 1..=200 {
-        let actions = b.ask(query(id, 100 * MS));
-        if sent(&actions, id).is_some() {
+        let actions = gateway.arrive(query(id, 100 * MS));
+        if sent_to(&actions, id).is_some() {
             out.push_back(id);
         } else {
-            b.event(Event::ClientDisconnected { query: id });
-            b.now += 10 * MS;
+            gateway.handle(Event::ClientDisconnected { query: id });
+            gateway.now += 10 * MS;
             let first = out.pop_front().expect("one is always out");
             if id < 10 {
-                b.note(first, 0, Progress::FractionDone(f64::NAN));
+                gateway.report_progress(first, 0, Progress::FractionDone(f64::NAN));
             }
-            b.end(first, 0, 0, Outcome::Completed);
+            gateway.end_attempt(first, 0, 0, Outcome::Completed);
         }
     }
     assert!(
@@ -98,11 +98,11 @@
         threads: Some(4.0),
         ..class(10 * S)
     };
-    let mut s = settings(vec![class(10 * S), wide], 8.0);
-    s.gateways = Some(11);
-    let mut b = Bench::new(s, vec![engine(0)]);
-    assert!(sent(
-        &b.ask(NewQuery {
+    let mut config = settings(vec![class(10 * S), wide], 8.0);
+    config.gateways = Some(11);
+    let mut gateway = TestGateway::new(config, vec![engine(0)]);
+    assert!(sent_to(
+        &gateway.arrive(NewQuery {
             class: 1,
             ..query(1, 4 * S)
         }),
@@ -110,15 +110,15 @@
     )
     .is_some());
     assert!(
-        sent(&b.ask(query(2, 100 * MS)), 2).is_some(),
+        sent_to(&gateway.arrive(query(2, 100 * MS)), 2).is_some(),
         "one query of each class fits"
     );
     assert!(
-        sent(&b.ask(query(3, 100 * MS)), 3).is_none(),
+        sent_to(&gateway.arrive(query(3, 100 * MS)), 3).is_none(),
         "the bound is full"
     );
-    assert!(sent(
-        &b.ask(NewQuery {
+    assert!(sent_to(
+        &gateway.arrive(NewQuery {
             class: 1,
             ..query(4, 4 * S)
         }),
@@ -131,33 +131,34 @@
 #[test]
 fn limits_do_not_grow_while_answers_come_late() {
     let room = |aim| {
-        let mut s = settings(
+        let mut config = settings(
             vec![Class {
                 latency_objective: Some(aim),
                 ..class(10 * S)
             }],
             8.0,
         );
-        s.gateways = Some(4);
-        let mut b = Bench::new(s, vec![engine(0)]);
+        config.gateways = Some(4);
+        let mut gateway = TestGateway::new(config, vec![engine(0)]);
         let mut out = VecDeque::new();
         let mut id = 0;
         for _ in 0..200 {
-            // The engine is kept full; each answer comes after 1 s and by its estimate looks unloaded.
+            // The engine is kept full; each answer comes after 1 s and by its estimate looks
+            // unloaded.
             while out.len() < 30 {
                 id += 1;
-                if sent(&b.ask(query(id, S)), id).is_none() {
-                    b.event(Event::ClientDisconnected { query: id });
+                if sent_to(&gateway.arrive(query(id, S)), id).is_none() {
+                    gateway.handle(Event::ClientDisconnected { query: id });
                     break;
                 }
                 out.push_back(id);
             }
-            b.now += S;
+            gateway.now += S;
             let first = out.pop_front().expect("one is always out");
-            b.end_after(first, 0, 0, Outcome::Completed, S);
+            gateway.end_attempt_after(first, 0, 0, Outcome::Completed, S);
             for id in out.clone() {
-                b.note(id, 0, Progress::FractionDone(0.9));
-                b.now += MS;
+                gateway.report_progress(id, 0, Progress::FractionDone(0.9));
+                gateway.now += MS;
             }
         }
         out.len()
--- a/policy/tests/deadline.rs
+++ b/policy/tests/deadline.rs
@@ -29,26 +29,26 @@
 
 #[test]
 fn a_queued_query_is_answered_by_its_deadline_when_its_expected_run_shrinks() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
+    let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
     for id in 1..=2 {
-        b.ask(query(id, 9 * S));
+        gateway.arrive(query(id, 9 * S));
     }
     // Held, with an expected run that would give it up early; then fast answers shorten that run.
-    b.ask(NewQuery {
+    gateway.arrive(NewQuery {
         time_left: 2 * S + 3 * MS,
         ..query(3, 4 * S)
     });
     let (mut answered, mut id) = (None, 100);
     for step in 1..2_300 {
-        b.now = S + step * MS;
-        let mut actions = b.event(Event::TimerFired);
+        gateway.now = S + step * MS;
+        let mut actions = gateway.handle(Event::TimerFired);
         if step % 10 == 0 && id < 130 {
-            actions.extend(b.ask(query(id, 9 * S)));
-            actions.extend(b.event(Event::ClientDisconnected { query: id }));
+            actions.extend(gateway.arrive(query(id, 9 * S)));
+            actions.extend(gateway.handle(Event::ClientDisconnected { query: id }));
             id += 1;
         }
-        if refused(&actions, 3) {
-            answered.get_or_insert(b.now);
+        if is_rejected(&actions, 3) {
+            answered.get_or_insert(gateway.now);
         }
     }
     assert!(answered.expect("answered") <= S + 2 * S + 3 * MS);
@@ -58,8 +58,8 @@
 /// served.
 #[test]
 fn a_client_retry_past_its_objective_is_rejected_while_others_wait() {
-    let mut b = Bench::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
-    b.now += 60 * S;
+    let mut gateway = TestGateway::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
+    gateway.now += 60 * S;
     let repeat = |id, time_left| NewQuery {
         is_client_retry: true,
         time_left,
@@ -67,49 +67,49 @@
     };
     // Two run, one is held: others want the room.
     let out: Vec<_> = (1..=3)
-        .filter(|id| sent(&b.ask(query(*id, 100 * MS)), *id).is_some())
+        .filter(|id| sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some())
         .collect();
     assert_eq!(out, [1, 2]);
     assert!(
-        refused(&b.ask(repeat(10, 7 * S)), 10),
+        is_rejected(&gateway.arrive(repeat(10, 7 * S)), 10),
         "its aim passed a second ago"
     );
     assert!(
-        !refused(&b.ask(repeat(11, 9 * S)), 11),
+        !is_rejected(&gateway.arrive(repeat(11, 9 * S)), 11),
         "it has a second left"
     );
     assert!(
-        !refused(&b.ask(query(12, 100 * MS)), 12),
+        !is_rejected(&gateway.arrive(query(12, 100 * MS)), 12),
         "a first try has all its time"
     );
     // Recovery: with room for all, a late repeat is served at once.
-    b.event(Event::ClientDisconnected { query: 3 });
-    b.event(Event::ClientDisconnected { query: 11 });
-    b.event(Event::ClientDisconnected { query: 12 });
+    gateway.handle(Event::ClientDisconnected { query: 3 });
+    gateway.handle(Event::ClientDisconnected { query: 11 });
+    gateway.handle(Event::ClientDisconnected { query: 12 });
     out.iter().for_each(|id| {
-        b.end(*id, 0, 0, Outcome::Completed);
+        gateway.end_attempt(*id, 0, 0, Outcome::Completed);
     });
-    assert!(sent(&b.ask(repeat(20, 7 * S)), 20).is_some());
+    assert!(sent_to(&gateway.arrive(repeat(20, 7 * S)), 20).is_some());
 }
 
 #[test]
 fn an_attempt_that_can_only_be_late_is_given_up_while_others_wait() {
     let halfway = |held: bool, share| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(vec![worthless_when_late()], 1.0),
             vec![engine(0), engine(1)],
         );
         let last = if held { 5 } else { 4 };
         (1..=last).for_each(|id| {
-            b.ask(query(id, 500 * MS));
+            gateway.arrive(query(id, 500 * MS));
         });
-        b.now += S;
-        let actions = b.note(1, 0, Progress::FractionDone(share));
+        gateway.now += S;
+        let actions = gateway.report_progress(1, 0, Progress::FractionDone(share));
         assert!(
-            cancelled(&actions, 1) || !refused(&actions, 1),
+            is_cancelled(&actions, 1) || !is_rejected(&actions, 1),
             "what is answered is withdrawn"
         );
-        refused(&actions, 1)
+        is_rejected(&actions, 1)
     };
     assert!(
         halfway(true, 0.1),
@@ -122,16 +122,16 @@
 #[test]
 fn a_query_that_waits_for_memory_past_its_objective_is_given_up_while_others_wait() {
     let answered_at_its_aim = |held: bool| {
-        let mut s = settings(vec![worthless_when_late()], 1.0);
-        s.max_attempts = Some(1);
-        s.progress_period = Some(10 * S);
-        let mut b = Bench::new(s, vec![engine(0), engine(1)]);
+        let mut config = settings(vec![worthless_when_late()], 1.0);
+        config.max_attempts = Some(1);
+        config.progress_period = Some(10 * S);
+        let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
         (1..=if held { 5 } else { 1 }).for_each(|id| {
-            b.ask(query(id, 500 * MS));
+            gateway.arrive(query(id, 500 * MS));
         });
-        b.note(1, 0, Progress::WaitingForMemory);
-        let mut at = b.now;
-        while !refused(&b.at(at), 1) && at < 9 * S {
+        gateway.report_progress(1, 0, Progress::WaitingForMemory);
+        let mut at = gateway.now;
+        while !is_rejected(&gateway.advance_to(at), 1) && at < 9 * S {
             at += 100 * MS;
         }
         at < 4 * S
@@ -143,23 +143,29 @@
 /// It may have run, and no engine would discard a duplicate any more.
 #[test]
 fn a_deduplicated_query_is_answered_once_its_window_is_over() {
-    let mut b = Bench::new(keyed(), vec![engine(0)]);
-    let e = sent(
-        &b.ask(NewQuery {
+    let mut gateway = TestGateway::new(keyed(), vec![engine(0)]);
+    let target = sent_to(
+        &gateway.arrive(NewQuery {
             time_left: 25 * S,
             ..query(1, 2 * S)
         }),
         1,
     )
     .expect("there is room");
-    b.patch(Engine {
+    gateway.patch_list(Engine {
         state: EngineState::Draining,
         ..engine(0)
     });
-    b.now += S;
-    assert_eq!(sent(&b.end(1, 0, e, Outcome::ConnectionLost), 1), None);
+    gateway.now += S;
+    assert_eq!(
+        sent_to(
+            &gateway.end_attempt(1, 0, target, Outcome::ConnectionLost),
+            1
+        ),
+        None
+    );
     let answered = (2..260)
-        .find(|step| refused(&b.at(S + step * 100 * MS), 1))
+        .find(|step| is_rejected(&gateway.advance_to(S + step * 100 * MS), 1))
         .expect("answered")
         * 100
         * MS;
--- a/policy/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, engine, query, sent, settings, Bench, MS, S};
+use common::{class, engine, query, sent_to, settings, TestGateway, MS, S};
 use violetgate_policy::interface::{Engine, Outcome, Settings};
 use violetgate_policy::Event;
 
@@ -14,9 +14,9 @@
 }
 
 /// How many more queries find room now.
-fn room(b: &mut Bench, first: u64) -> u64 {
+fn room(gateway: &mut TestGateway, first: u64) -> u64 {
     (first..first + 100)
-        .take_while(|id| sent(&b.ask(query(*id, S)), *id).is_some())
+        .take_while(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count() as u64
 }
 
@@ -24,23 +24,23 @@
 /// its part.
 #[test]
 fn thread_limits_follow_the_number_of_gateways() {
-    let mut b = Bench::new(of(4), vec![engine(0), engine(1)]);
-    let part = room(&mut b, 1);
+    let mut gateway = TestGateway::new(of(4), vec![engine(0), engine(1)]);
+    let part = room(&mut gateway, 1);
     assert_eq!(
         part, 8,
         "2 engines of 8 cores, 2 threads a core, a quarter of them"
     );
-    b.event(Event::FleetSize { gateways: 2 });
+    gateway.handle(Event::FleetSize { gateways: 2 });
     assert_eq!(
-        room(&mut b, 1_000),
+        room(&mut gateway, 1_000),
         7,
         "twice as much, less the one that waits already"
     );
-    b.event(Event::FleetSize { gateways: 8 });
-    b.event(Event::ClientDisconnected { query: 1 });
-    assert_eq!(sent(&b.ask(query(5_000, S)), 5_000), None);
-    let mut fresh = Bench::new(of(4), vec![engine(0), engine(1)]);
-    fresh.event(Event::FleetSize { gateways: 0 });
+    gateway.handle(Event::FleetSize { gateways: 8 });
+    gateway.handle(Event::ClientDisconnected { query: 1 });
+    assert_eq!(sent_to(&gateway.arrive(query(5_000, S)), 5_000), None);
+    let mut fresh = TestGateway::new(of(4), vec![engine(0), engine(1)]);
+    fresh.handle(Event::FleetSize { gateways: 0 });
     assert_eq!(
         room(&mut fresh, 1),
         32,
@@ -48,8 +48,8 @@
     );
 }
 
-/// Whatever number two gateways are given and in whatever order, as long as it is no less than how
-/// many there are, the work that both send within the collapse window stays within what the
+/// Whatever number two gateways are given and in whatever order, as long as it is no less than
+/// how many there are, the work that both send within the collapse window stays within what the
 /// settings allow.
 #[test]
 fn a_warming_engine_is_not_overloaded_while_the_number_of_gateways_changes() {
@@ -65,29 +65,29 @@
             started: Some(S),
             ..engine(0)
         };
-        let mut both = [7, 8].map(|seed| Bench::seeded(cold(first), vec![fresh], seed));
+        let mut both = [7, 8].map(|seed| TestGateway::seeded(cold(first), vec![fresh], seed));
         let mut out: Vec<(u64, u64)> = Vec::new();
         let mut running: Vec<(u64, usize, u64)> = Vec::new();
         let mut id = 0;
         for step in 0..400u64 {
             let now = S + step * 10 * MS;
-            for (g, b) in both.iter_mut().enumerate() {
-                b.now = now;
+            for (g, gateway) in both.iter_mut().enumerate() {
+                gateway.now = now;
                 if step == 100 + 20 * g as u64 {
-                    b.event(Event::FleetSize { gateways: second });
+                    gateway.handle(Event::FleetSize { gateways: second });
                 }
                 id += 1;
-                if sent(&b.ask(query(id, 200 * MS)), id).is_some() {
+                if sent_to(&gateway.arrive(query(id, 200 * MS)), id).is_some() {
                     out.push((now, 200 * MS));
                     running.push((now, g, id));
                 } else {
-                    b.event(Event::ClientDisconnected { query: id });
+                    gateway.handle(Event::ClientDisconnected { query: id });
                 }
                 for (_, _, id) in running
                     .iter()
                     .filter(|(at, of, _)| *of == g && at + 300 * MS == now)
                 {
-                    b.end_after(*id, 0, 0, Outcome::Completed, 300 * MS);
+                    gateway.end_attempt_after(*id, 0, 0, Outcome::Completed, 300 * MS);
                 }
             }
             let span: u64 = out
--- a/policy/tests/hard_rules.rs
+++ b/policy/tests/hard_rules.rs
@@ -1,5 +1,5 @@
-//! The rules that hold whatever else is decided: the forbidden send or answer does not happen, the
-//! allowed one does.
+//! The rules that hold whatever else is decided: the forbidden send or answer does not happen,
+//! the allowed one does.
 
 mod common;
 
@@ -31,20 +31,20 @@
 
 #[test]
 fn a_queued_query_is_answered_once_and_before_its_deadline() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![draining(0)]);
+    let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 8.0), vec![draining(0)]);
     let mut answers = 0;
     let mut first = 0;
     for step in 0..300 {
-        b.now = S + step * 50 * MS;
+        gateway.now = S + step * 50 * MS;
         let actions = if step == 0 {
-            b.ask(query(1, 100 * MS))
+            gateway.arrive(query(1, 100 * MS))
         } else {
-            b.event(Event::TimerFired)
+            gateway.handle(Event::TimerFired)
         };
-        assert_eq!(sent(&actions, 1), None);
-        if refused(&actions, 1) || failed(&actions, 1) {
+        assert_eq!(sent_to(&actions, 1), None);
+        if is_rejected(&actions, 1) || is_failed(&actions, 1) {
             answers += 1;
-            first = b.now;
+            first = gateway.now;
         }
     }
     assert_eq!(answers, 1);
@@ -53,45 +53,51 @@
 
 #[test]
 fn nothing_is_sent_after_the_client_has_disconnected() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
-    let actions = b.event(Event::ClientDisconnected { query: 1 });
-    assert!(cancelled(&actions, 1) && !refused(&actions, 1) && !failed(&actions, 1));
-    assert_eq!(sent(&b.end(1, 0, e, Outcome::Error), 1), None);
+    let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+    let actions = gateway.handle(Event::ClientDisconnected { query: 1 });
+    assert!(is_cancelled(&actions, 1) && !is_rejected(&actions, 1) && !is_failed(&actions, 1));
+    assert_eq!(
+        sent_to(&gateway.end_attempt(1, 0, target, Outcome::Error), 1),
+        None
+    );
 }
 
 #[test]
 fn an_attempt_that_times_out_at_the_deadline_is_answered_at_once() {
-    let mut b = Bench::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
-    b.ask(query(1, 100 * MS));
-    b.now = 11 * S;
-    let actions = b.end(1, 0, 0, Outcome::TimedOut);
-    assert!(refused(&actions, 1));
+    let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
+    gateway.arrive(query(1, 100 * MS));
+    gateway.now = 11 * S;
+    let actions = gateway.end_attempt(1, 0, 0, Outcome::TimedOut);
+    assert!(is_rejected(&actions, 1));
 }
 
 #[test]
 fn an_at_most_once_query_is_retried_only_if_it_never_ran() {
     for outcome in NEVER_RAN {
-        let mut b = Bench::new(
-            settings(vec![with_effect(Idempotency::AtMostOnce)], 8.0),
+        let mut gateway = TestGateway::new(
+            settings(vec![with_idempotency(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
-        let again = sent(&b.end(1, 0, e, outcome), 1);
-        assert_eq!(again, Some(1 - e), "{outcome:?}");
+        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        let again = sent_to(&gateway.end_attempt(1, 0, target, outcome), 1);
+        assert_eq!(again, Some(1 - target), "{outcome:?}");
     }
     for outcome in MAY_HAVE_RUN {
-        let mut b = Bench::new(
-            settings(vec![with_effect(Idempotency::AtMostOnce)], 8.0),
+        let mut gateway = TestGateway::new(
+            settings(vec![with_idempotency(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let e = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
-        let actions = b.end(1, 0, e, outcome);
-        assert_eq!(sent(&actions, 1), None, "{outcome:?}");
-        assert!(failed(&actions, 1) && !refused(&actions, 1), "{outcome:?}");
+        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        let actions = gateway.end_attempt(1, 0, target, outcome);
+        assert_eq!(sent_to(&actions, 1), None, "{outcome:?}");
+        assert!(
+            is_failed(&actions, 1) && !is_rejected(&actions, 1),
+            "{outcome:?}"
+        );
     }
 }
 
@@ -101,22 +107,22 @@
     let c = Class {
         dedup_group: DedupGroup::Zone,
         dedup_window: Some(5 * S),
-        ..with_effect(Idempotency::Deduplicated)
+        ..with_idempotency(Idempotency::Deduplicated)
     };
     for (other_zone, wait, expect) in [(0, S, true), (1, S, false), (0, 6 * S, false)] {
-        let mut b = Bench::new(settings(vec![c.clone()], 8.0), vec![zoned(0, 0)]);
-        assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(0));
-        b.patch(draining(0));
-        b.patch(zoned(1, other_zone));
-        b.now += wait;
-        let actions = b.end(1, 0, 0, Outcome::Error);
+        let mut gateway = TestGateway::new(settings(vec![c.clone()], 8.0), vec![zoned(0, 0)]);
+        assert_eq!(sent_to(&gateway.arrive(query(1, 100 * MS)), 1), Some(0));
+        gateway.patch_list(draining(0));
+        gateway.patch_list(zoned(1, other_zone));
+        gateway.now += wait;
+        let actions = gateway.end_attempt(1, 0, 0, Outcome::Error);
         assert_eq!(
-            sent(&actions, 1).is_some(),
+            sent_to(&actions, 1).is_some(),
             expect,
             "zone {other_zone}, after {wait}"
         );
         assert!(
-            !refused(&actions, 1),
+            !is_rejected(&actions, 1),
             "a refusal would promise that a retry is harmless"
         );
     }
@@ -124,32 +130,32 @@
 
 #[test]
 fn two_attempts_are_never_out() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    assert!(sent(&b.ask(query(1, 100 * MS)), 1).is_some());
+    assert!(sent_to(&gateway.arrive(query(1, 100 * MS)), 1).is_some());
     for step in 1..60 {
-        assert_eq!(sent(&b.at(S + step * 100 * MS), 1), None);
+        assert_eq!(sent_to(&gateway.advance_to(S + step * 100 * MS), 1), None);
     }
 }
 
 #[test]
 fn a_draining_or_removed_engine_gets_nothing_new() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    b.patch(draining(0));
+    gateway.patch_list(draining(0));
     for id in 1..6 {
-        assert_eq!(sent(&b.ask(query(id, 100 * MS)), id), Some(1));
+        assert_eq!(sent_to(&gateway.arrive(query(id, 100 * MS)), id), Some(1));
     }
-    b.event(Event::EngineList {
+    gateway.handle(Event::EngineList {
         scope: violetgate_policy::interface::ListScope::Snapshot,
         engines: vec![engine(0)],
     });
     assert_eq!(
-        sent(&b.ask(query(9, 100 * MS)), 9),
+        sent_to(&gateway.arrive(query(9, 100 * MS)), 9),
         Some(0),
         "it came back, the other vanished"
     );
@@ -157,64 +163,68 @@
 
 #[test]
 fn a_warming_engine_gets_no_more_than_its_part_in_any_window() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
+    let mut config = settings(vec![class(10 * S)], 8.0);
     (
-        s.gateways,
-        s.slow_start_initial_fraction,
-        s.slow_start_window,
+        config.gateways,
+        config.slow_start_initial_fraction,
+        config.slow_start_window,
     ) = (Some(2), Some(0.25), Some(10 * S));
-    (s.collapse_load_multiple, s.collapse_window) = (Some(2.0), Some(S));
+    (config.collapse_load_multiple, config.collapse_window) = (Some(2.0), Some(S));
     let cold = Engine {
         started: Some(S),
         ..engine(0)
     };
-    let mut b = Bench::new(s, vec![cold]);
+    let mut gateway = TestGateway::new(config, vec![cold]);
     let mut work = 0.0;
     for id in 1..100 {
-        let actions = b.ask(query(id, 100 * MS));
-        if sent(&actions, id).is_some() {
+        let actions = gateway.arrive(query(id, 100 * MS));
+        if sent_to(&actions, id).is_some() {
             work += 0.1;
-            b.end(id, 0, 0, Outcome::Completed);
+            gateway.end_attempt(id, 0, 0, Outcome::Completed);
         }
     }
     // Half of 2 x 8 cores x 0.25 x 1 s would topple it alone; this gateway is one of two.
     assert!(work > 0.0 && work <= 2.0, "sent {work} s of work");
-    b.now = S + 11 * S;
-    assert_eq!(sent(&b.ask(query(200, 2 * S)), 200), Some(0), "warm again");
+    gateway.now = S + 11 * S;
+    assert_eq!(
+        sent_to(&gateway.arrive(query(200, 2 * S)), 200),
+        Some(0),
+        "warm again"
+    );
 }
 
 #[test]
 fn queries_of_one_key_run_one_at_a_time_in_order_and_are_held() {
-    let mut s = settings(
+    let mut config = settings(
         vec![Class {
             ordered_by_key: true,
             ..class(10 * S)
         }],
         8.0,
     );
-    s.key_release_delay = Some(2 * S);
-    let mut b = Bench::new(s, vec![engine(0), engine(1)]);
+    config.key_release_delay = Some(2 * S);
+    let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
     let keyed = |id, key| NewQuery {
         ordering_key: Some(key),
         ..query(id, 100 * MS)
     };
-    let e = sent(&b.ask(keyed(1, 5)), 1).expect("first in turn");
-    assert_eq!(sent(&b.ask(keyed(2, 5)), 2), None);
+    let target = sent_to(&gateway.arrive(keyed(1, 5)), 1).expect("first in turn");
+    assert_eq!(sent_to(&gateway.arrive(keyed(2, 5)), 2), None);
     assert!(
-        sent(&b.ask(keyed(3, 6)), 3).is_some(),
+        sent_to(&gateway.arrive(keyed(3, 6)), 3).is_some(),
         "another key is free"
     );
-    assert!(sent(&b.end(1, 0, e, Outcome::Completed), 2).is_some());
+    assert!(sent_to(&gateway.end_attempt(1, 0, target, Outcome::Completed), 2).is_some());
     // The second breaks off and gives up: the key rests before the third of it.
-    b.ask(keyed(4, 5));
-    b.now += S;
-    b.event(Event::ClientDisconnected { query: 2 });
-    let actions = b.end(2, 0, 0, Outcome::Cancelled);
-    let actions = [actions, b.end(2, 0, 1, Outcome::Cancelled)].concat();
-    assert_eq!(sent(&actions, 4), None);
-    let rested = b.now + 2 * S;
-    assert_eq!(sent(&b.at(rested - MS), 4), None);
-    assert!(sent(&b.at(rested + 60 * MS), 4).is_some());
+    gateway.arrive(keyed(4, 5));
+    gateway.now += S;
+    gateway.handle(Event::ClientDisconnected { query: 2 });
+    let actions = gateway.end_attempt(2, 0, 0, Outcome::Cancelled);
+    let actions = [actions, gateway.end_attempt(2, 0, 1, Outcome::Cancelled)].concat();
+    assert_eq!(sent_to(&actions, 4), None);
+    let rested = gateway.now + 2 * S;
+    assert_eq!(sent_to(&gateway.advance_to(rested - MS), 4), None);
+    assert!(sent_to(&gateway.advance_to(rested + 60 * MS), 4).is_some());
 }
 
 #[test]
@@ -223,7 +233,7 @@
         allowed_zones: Some(vec![1]),
         ..class(10 * S)
     };
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![c], 8.0),
         vec![
             engine(0),
@@ -233,37 +243,40 @@
             },
         ],
     );
-    assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(1));
-    assert_eq!(sent(&b.end(1, 0, 1, Outcome::ConnectionRefused), 1), None);
-    b.patch(Engine {
+    assert_eq!(sent_to(&gateway.arrive(query(1, 100 * MS)), 1), Some(1));
+    assert_eq!(
+        sent_to(&gateway.end_attempt(1, 0, 1, Outcome::ConnectionRefused), 1),
+        None
+    );
+    gateway.patch_list(Engine {
         zone: 1,
         ..draining(1)
     });
     let mut answered = false;
     for step in 1..200 {
-        let actions = b.at(S + step * 50 * MS);
-        assert_eq!(sent(&actions, 1), None);
-        answered |= refused(&actions, 1);
+        let actions = gateway.advance_to(S + step * 50 * MS);
+        assert_eq!(sent_to(&actions, 1), None);
+        answered |= is_rejected(&actions, 1);
     }
     assert!(answered);
 }
 
 #[test]
 fn retries_stay_within_the_budget_at_its_edge() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.retry_budget = Some(RetryBudget {
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.retry_budget = Some(RetryBudget {
         min_retries: 1.0,
         retry_ratio: 0.1,
         window: 5 * S,
     });
-    let mut b = Bench::new(s, (0..40).map(engine).collect());
+    let mut gateway = TestGateway::new(config, (0..40).map(engine).collect());
     let mut at = Vec::new();
     for id in 1..=10 {
-        at.push(sent(&b.ask(query(id, 100 * MS)), id).expect("there is room"));
+        at.push(sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"));
     }
     let mut resent = 0;
-    for (i, e) in at.iter().enumerate() {
-        let actions = b.end(i as u64 + 1, 0, *e, Outcome::Overloaded);
+    for (i, target) in at.iter().enumerate() {
+        let actions = gateway.end_attempt(i as u64 + 1, 0, *target, Outcome::Overloaded);
         resent += actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
--- a/policy/tests/home_engines.rs
+++ b/policy/tests/home_engines.rs
@@ -25,15 +25,15 @@
 }
 
 /// So many queries one after the other: where they went.
-fn one_by_one(b: &mut Bench, from: u64, count: u64) -> Vec<EngineId> {
+fn one_by_one(gateway: &mut TestGateway, from: u64, count: u64) -> Vec<EngineId> {
     let mut at = Vec::new();
     for id in from..from + count {
-        let Some(e) = sent(&b.ask(query(id, 100 * MS)), id) else {
+        let Some(target) = sent_to(&gateway.arrive(query(id, 100 * MS)), id) else {
             continue;
         };
-        at.push(e);
-        b.now += 100 * MS;
-        b.end(id, 0, e, Outcome::Completed);
+        at.push(target);
+        gateway.now += 100 * MS;
+        gateway.end_attempt(id, 0, target, Outcome::Completed);
     }
     at
 }
@@ -41,8 +41,8 @@
 #[test]
 fn a_gateway_with_thin_parts_uses_few_engines() {
     for seed in 0..20 {
-        let mut b = Bench::seeded(many(), all(), seed);
-        let at = one_by_one(&mut b, 1, 150);
+        let mut gateway = TestGateway::seeded(many(), all(), seed);
+        let at = one_by_one(&mut gateway, 1, 150);
         let met: BTreeSet<_> = at.iter().collect();
         assert!(
             at.len() == 150 && (3..=20).contains(&met.len()),
@@ -54,11 +54,11 @@
 
 #[test]
 fn the_homes_of_all_gateways_spread_evenly() {
-    let mut load: BTreeMap<EngineId, u32> = (0..ENGINES).map(|e| (e, 0)).collect();
+    let mut load: BTreeMap<EngineId, u32> = (0..ENGINES).map(|target| (target, 0)).collect();
     for gateway in 0..u64::from(GATEWAYS) {
-        let mut b = Bench::seeded(many(), all(), gateway * 7919 + 3);
-        for e in one_by_one(&mut b, 1, 40) {
-            *load.entry(e).or_default() += 1;
+        let mut gateway = TestGateway::seeded(many(), all(), gateway * 7919 + 3);
+        for target in one_by_one(&mut gateway, 1, 40) {
+            *load.entry(target).or_default() += 1;
         }
     }
     let mean = f64::from(load.values().sum::<u32>()) / f64::from(ENGINES);
@@ -72,19 +72,19 @@
 
 #[test]
 fn other_engines_serve_while_homes_are_busy_or_gone() {
-    let mut b = Bench::seeded(many(), all(), 11);
-    let homes: BTreeSet<_> = one_by_one(&mut b, 1, 150).into_iter().collect();
+    let mut gateway = TestGateway::seeded(many(), all(), 11);
+    let homes: BTreeSet<_> = one_by_one(&mut gateway, 1, 150).into_iter().collect();
     // All of them leave at once: the next queries go elsewhere, and come back to some few again.
-    for e in &homes {
-        b.patch(Engine {
+    for target in &homes {
+        gateway.patch_list(Engine {
             state: EngineState::Gone,
-            ..engine(*e)
+            ..engine(*target)
         });
     }
-    let after = one_by_one(&mut b, 1_000, 60);
-    assert!(after.len() == 60 && after.iter().all(|e| !homes.contains(e)));
+    let after = one_by_one(&mut gateway, 1_000, 60);
+    assert!(after.len() == 60 && after.iter().all(|target| !homes.contains(target)));
     // More at once than it has engines of its own.
-    let mut b = Bench::seeded(
+    let mut gateway = TestGateway::seeded(
         Settings {
             gateways: Some(20),
             ..many()
@@ -93,7 +93,7 @@
         11,
     );
     let out: Vec<_> = (1..=40)
-        .filter_map(|id| sent(&b.ask(query(id, S)), id))
+        .filter_map(|id| sent_to(&gateway.arrive(query(id, S)), id))
         .collect();
     let met: BTreeSet<_> = out.iter().collect();
     assert!(
@@ -106,10 +106,10 @@
 
 #[test]
 fn engines_that_come_and_go_move_few_homes() {
-    let mut b = Bench::seeded(many(), all(), 5);
-    let before: BTreeSet<_> = one_by_one(&mut b, 1, 150).into_iter().collect();
-    (ENGINES..ENGINES + 4).for_each(|e| drop(b.patch(engine(e))));
-    let after: BTreeSet<_> = one_by_one(&mut b, 1_000, 150).into_iter().collect();
+    let mut gateway = TestGateway::seeded(many(), all(), 5);
+    let before: BTreeSet<_> = one_by_one(&mut gateway, 1, 150).into_iter().collect();
+    (ENGINES..ENGINES + 4).for_each(|target| drop(gateway.patch_list(engine(target))));
+    let after: BTreeSet<_> = one_by_one(&mut gateway, 1_000, 150).into_iter().collect();
     let stayed = before.intersection(&after).count();
     assert!(
         stayed + 2 >= before.len().min(after.len()),
--- a/policy/tests/load_reports.rs
+++ b/policy/tests/load_reports.rs
@@ -8,27 +8,30 @@
 use violetgate_policy::interface::{AttemptEnded, Class, Cost, LoadReport, Outcome};
 use violetgate_policy::{Action, Event, Settings};
 
-/// One gateway of many with wide queries always at hand: how many threads it holds on average over 60 s of answers
-/// after two seconds each, with reports that engines are busy or idle.
+/// One gateway of many with wide queries always at hand: how many threads it holds on average
+/// over 60 s of answers after two seconds each, with reports that engines are busy or idle.
 fn mean_threads(busy: f64) -> f64 {
     let wide = Class {
         threads: Some(4.0),
         ..class(10 * S)
     };
-    let mut s = Settings {
+    let mut config = Settings {
         gateways: Some(160),
         reports_utilisation: true,
         ..settings(vec![wide], 8.0)
     };
-    s.progress_period = None;
-    let mut b = Bench::new(s, (0..20).map(engine).collect());
+    config.progress_period = None;
+    let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
     let mut out = VecDeque::new();
     let (mut id, mut held) = (0, 0.0);
     for step in 0..600 {
-        b.now = S + step * 100 * MS;
+        gateway.now = S + step * 100 * MS;
         id += 1;
-        let mut actions = b.ask(query(id, 8 * S));
-        if out.front().is_some_and(|(_, _, at)| b.now >= at + 2 * S) {
+        let mut actions = gateway.arrive(query(id, 8 * S));
+        if out
+            .front()
+            .is_some_and(|(_, _, at)| gateway.now >= at + 2 * S)
+        {
             let (query, engine, _) = out.pop_front().expect("one is out");
             let mut more = Vec::new();
             let end = AttemptEnded {
@@ -48,12 +51,13 @@
                     ..LoadReport::default()
                 },
             };
-            b.gateway
-                .handle(b.now, &[Event::AttemptEnded(end)], &mut more);
+            gateway
+                .inner
+                .handle(gateway.now, &[Event::AttemptEnded(end)], &mut more);
             actions.extend(more);
         }
         out.extend(actions.iter().filter_map(|a| match a {
-            Action::Send { query, engine, .. } => Some((*query, *engine, b.now)),
+            Action::Send { query, engine, .. } => Some((*query, *engine, gateway.now)),
             _ => None,
         }));
         held += 4.0 * out.len() as f64 / 600.0;
@@ -77,12 +81,12 @@
 #[test]
 fn one_report_out_of_range_does_not_stop_growth() {
     let grown = |first: f64| {
-        let mut s = Settings {
+        let mut config = Settings {
             reports_utilisation: true,
             ..settings(vec![class(10 * S)], 8.0)
         };
-        (s.gateways, s.progress_period) = (Some(160), None);
-        let mut b = Bench::new(s, (0..20).map(engine).collect());
+        (config.gateways, config.progress_period) = (Some(160), None);
+        let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
         let probed = |u| Event::HealthChecked {
             engine: 0,
             passed: true,
@@ -91,21 +95,21 @@
                 ..LoadReport::default()
             },
         };
-        b.event(probed(first));
+        gateway.handle(probed(first));
         let (mut id, mut out) = (0, VecDeque::new());
         for _ in 0..200 {
-            b.event(probed(0.2));
+            gateway.handle(probed(0.2));
             loop {
                 id += 1;
-                let Some(e) = sent(&b.ask(query(id, S)), id) else {
+                let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, e));
+                out.push_back((id, target));
             }
-            b.event(Event::ClientDisconnected { query: id });
-            b.now += 50 * MS;
+            gateway.handle(Event::ClientDisconnected { query: id });
+            gateway.now += 50 * MS;
             let (query, engine) = out.pop_front().expect("one is out");
-            b.end_after(query, 0, engine, Outcome::Completed, S);
+            gateway.end_attempt_after(query, 0, engine, Outcome::Completed, S);
         }
         out.len()
     };
@@ -117,24 +121,24 @@
 #[test]
 fn the_limit_of_a_busy_gateway_grows_while_reports_say_idle() {
     let held = |busy: f64| {
-        let mut s = Settings {
+        let mut config = Settings {
             gateways: Some(160),
             reports_utilisation: true,
             ..settings(vec![class(10 * S)], 8.0)
         };
-        s.progress_period = None;
-        let mut b = Bench::new(s, (0..20).map(engine).collect());
+        config.progress_period = None;
+        let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
         let (mut id, mut out) = (0, VecDeque::new());
         for _ in 0..200 {
             loop {
                 id += 1;
-                let Some(e) = sent(&b.ask(query(id, S)), id) else {
+                let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, e));
+                out.push_back((id, target));
             }
-            b.event(Event::ClientDisconnected { query: id });
-            b.now += 50 * MS;
+            gateway.handle(Event::ClientDisconnected { query: id });
+            gateway.now += 50 * MS;
             let (query, engine) = out.pop_front().expect("one is out");
             // Spilling makes it slow: 0.6 of its unloaded pace.
             let end = AttemptEnded {
@@ -153,7 +157,7 @@
                     ..LoadReport::default()
                 },
             };
-            b.event(Event::AttemptEnded(end));
+            gateway.handle(Event::AttemptEnded(end));
         }
         out.len()
     };
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -35,13 +35,13 @@
     }
 }
 
-fn bench(classes: Vec<Class>, seed: u64) -> Bench {
-    Bench::seeded(fleet(classes), (0..ENGINES).map(in_zone).collect(), seed)
+fn bench(classes: Vec<Class>, seed: u64) -> TestGateway {
+    TestGateway::seeded(fleet(classes), (0..ENGINES).map(in_zone).collect(), seed)
 }
 
 /// So many queries one after the other, `gap` apart: where they went.
 fn one_by_one(
-    b: &mut Bench,
+    gateway: &mut TestGateway,
     from: u64,
     count: u64,
     gap: u64,
@@ -49,20 +49,20 @@
 ) -> Vec<EngineId> {
     let mut at = Vec::new();
     for id in from..from + count {
-        let Some(e) = sent(&b.ask(of(id)), id) else {
+        let Some(target) = sent_to(&gateway.arrive(of(id)), id) else {
             continue;
         };
-        at.push(e);
-        b.now += gap;
-        b.end(id, 0, e, Outcome::Completed);
+        at.push(target);
+        gateway.now += gap;
+        gateway.end_attempt(id, 0, target, Outcome::Completed);
     }
     at
 }
 
 #[test]
 fn a_gateway_with_few_queries_uses_few_of_thousands_of_engines() {
-    let mut b = bench(vec![class(10 * S)], 1);
-    let at = one_by_one(&mut b, 1, 300, 100 * MS, |id| query(id, 50 * MS));
+    let mut gateway = bench(vec![class(10 * S)], 1);
+    let at = one_by_one(&mut gateway, 1, 300, 100 * MS, |id| query(id, 50 * MS));
     let met: BTreeSet<_> = at.iter().collect();
     assert!(
         at.len() == 300 && met.len() <= 30,
@@ -70,52 +70,55 @@
         met.len(),
         at.len()
     );
-    assert!(at.iter().all(|e| e % ZONES == 3), "all in its own zone");
+    assert!(
+        at.iter().all(|target| target % ZONES == 3),
+        "all in its own zone"
+    );
 }
 
 #[test]
 fn engines_of_other_zones_serve_when_a_zone_is_lost() {
-    let mut b = bench(vec![class(10 * S)], 2);
-    let lost = (0..ENGINES).filter(|e| e % ZONES == 3);
+    let mut gateway = bench(vec![class(10 * S)], 2);
+    let lost = (0..ENGINES).filter(|target| target % ZONES == 3);
     let engines = lost
-        .map(|e| Engine {
+        .map(|target| Engine {
             state: EngineState::Gone,
-            ..in_zone(e)
+            ..in_zone(target)
         })
         .collect();
-    b.event(Event::EngineList {
+    gateway.handle(Event::EngineList {
         scope: ListScope::Patch,
         engines,
     });
-    let at = one_by_one(&mut b, 1, 100, 10 * MS, |id| query(id, 10 * MS));
-    assert!(at.len() == 100 && at.iter().all(|e| e % ZONES != 3));
+    let at = one_by_one(&mut gateway, 1, 100, 10 * MS, |id| query(id, 10 * MS));
+    assert!(at.len() == 100 && at.iter().all(|target| target % ZONES != 3));
 }
 
 #[test]
 fn a_snapshot_of_other_engines_is_used_at_once() {
-    let mut b = bench(vec![class(10 * S)], 3);
-    one_by_one(&mut b, 1, 50, 10 * MS, |id| query(id, 10 * MS));
+    let mut gateway = bench(vec![class(10 * S)], 3);
+    one_by_one(&mut gateway, 1, 50, 10 * MS, |id| query(id, 10 * MS));
     let engines = (ENGINES..2 * ENGINES).map(in_zone).collect();
-    b.event(Event::EngineList {
+    gateway.handle(Event::EngineList {
         scope: ListScope::Snapshot,
         engines,
     });
-    let at = one_by_one(&mut b, 100, 50, 10 * MS, |id| query(id, 10 * MS));
-    assert!(at.len() == 50 && at.iter().all(|e| *e >= ENGINES));
+    let at = one_by_one(&mut gateway, 100, 50, 10 * MS, |id| query(id, 10 * MS));
+    assert!(at.len() == 50 && at.iter().all(|target| *target >= ENGINES));
 }
 
 #[test]
 fn usable_engines_are_found_among_hundreds_of_cordoned_ones() {
-    let mut b = bench(vec![class(10 * S)], 4);
-    let spared = |e: &EngineId| *e == 1_234;
-    for e in (0..ENGINES).filter(|e| !spared(e)) {
-        b.event(Event::Cordon {
-            engine: e,
+    let mut gateway = bench(vec![class(10 * S)], 4);
+    let spared = |target: &EngineId| *target == 1_234;
+    for target in (0..ENGINES).filter(|target| !spared(target)) {
+        gateway.handle(Event::Cordon {
+            engine: target,
             cordoned: true,
         });
     }
-    b.now += S;
-    let at = one_by_one(&mut b, 1, 20, 100 * MS, |id| query(id, 10 * MS));
+    gateway.now += S;
+    let at = one_by_one(&mut gateway, 1, 20, 100 * MS, |id| query(id, 10 * MS));
     assert!(
         at.len() == 20 && at.iter().all(spared),
         "{} of 20 sent",
@@ -129,13 +132,13 @@
         allowed_zones: Some(vec![7]),
         ..class(10 * S)
     };
-    let mut b = bench(vec![class(10 * S), bound], 5);
-    let at = one_by_one(&mut b, 1, 50, 100 * MS, |id| NewQuery {
+    let mut gateway = bench(vec![class(10 * S), bound], 5);
+    let at = one_by_one(&mut gateway, 1, 50, 100 * MS, |id| NewQuery {
         class: 1,
         ..query(id, 10 * MS)
     });
     assert!(
-        at.len() == 50 && at.iter().all(|e| e % ZONES == 7),
+        at.len() == 50 && at.iter().all(|target| target % ZONES == 7),
         "{} of 50 sent",
         at.len()
     );
@@ -143,27 +146,28 @@
 
 /// Busiest and mean of what gateways send to each engine of 1,200 when each keeps to its homes.
 fn spread(gateways: impl Iterator<Item = u64>) -> (BTreeSet<(u64, EngineId)>, f64, f64) {
-    let mut load: BTreeMap<EngineId, u32> = (0..1_200).map(|e| (e, 0)).collect();
+    let mut load: BTreeMap<EngineId, u32> = (0..1_200).map(|target| (target, 0)).collect();
     let mut connections = BTreeSet::new();
-    for gateway in gateways {
+    for number in gateways {
         // A short span of the budget, over which the rate is taken, so that it is known soon.
         let retry_budget = Some(RetryBudget {
             min_retries: 3.0,
             retry_ratio: 0.1,
             window: S / 4,
         });
-        let s = Settings {
+        let config = Settings {
             gateways: Some(760),
             zone: None,
             retry_budget,
             ..fleet(vec![class(10 * S)])
         };
-        let mut b = Bench::seeded(s, (0..1_200).map(engine).collect(), gateway * 7919 + 3);
+        let mut gateway =
+            TestGateway::seeded(config, (0..1_200).map(engine).collect(), number * 7919 + 3);
         // Some 1,842 statements a second, once there are as many homes as that needs.
-        one_by_one(&mut b, 1, 500, MS / 2, |id| query(id, MS));
-        for e in one_by_one(&mut b, 2_000, 500, MS / 2, |id| query(id, MS)) {
-            *load.entry(e).or_default() += 1;
-            connections.insert((gateway, e));
+        one_by_one(&mut gateway, 1, 500, MS / 2, |id| query(id, MS));
+        for target in one_by_one(&mut gateway, 2_000, 500, MS / 2, |id| query(id, MS)) {
+            *load.entry(target).or_default() += 1;
+            connections.insert((number, target));
         }
     }
     let mean = f64::from(load.values().sum::<u32>()) / load.len() as f64;
--- a/policy/tests/memory_grant.rs
+++ b/policy/tests/memory_grant.rs
@@ -16,31 +16,31 @@
 }
 
 fn granting() -> Settings {
-    let mut s = Settings {
+    let mut config = Settings {
         memory_grants: true,
         ..settings(vec![class(10 * S)], 8.0)
     };
-    s.engine_kinds[0].memory_mb = Some(100_000.0);
-    s
+    config.engine_kinds[0].memory_mb = Some(100_000.0);
+    config
 }
 
 #[test]
 fn grants_follow_needs_where_estimates_scatter() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.memory_grants = true;
-    s.engine_kinds[0].memory_mb = Some(100_000.0);
-    let mut b = Bench::new(s, vec![engine(0)]);
-    let ask = |b: &mut Bench, id, memory_mb| {
-        let actions = b.ask(NewQuery {
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.memory_grants = true;
+    config.engine_kinds[0].memory_mb = Some(100_000.0);
+    let mut gateway = TestGateway::new(config, vec![engine(0)]);
+    let request = |gateway: &mut TestGateway, id, memory_mb| {
+        let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(memory_mb),
             ..query(id, 50 * MS)
         });
-        b.now += 50 * MS;
+        gateway.now += 50 * MS;
         let cost = Cost {
             work: 50 * MS,
             memory_mb: 100.0,
         };
-        b.event(Event::AttemptEnded(AttemptEnded {
+        gateway.handle(Event::AttemptEnded(AttemptEnded {
             query: id,
             attempt: 0,
             engine: 0,
@@ -56,10 +56,10 @@
         })
     };
     for id in 1..=300 {
-        ask(&mut b, id, if id % 2 == 0 { 30.0 } else { 300.0 });
+        request(&mut gateway, id, if id % 2 == 0 { 30.0 } else { 300.0 });
     }
     for (id, estimate) in [(301, 30.0), (302, 300.0)] {
-        let granted = ask(&mut b, id, estimate).expect("a grant");
+        let granted = request(&mut gateway, id, estimate).expect("a grant");
         assert!(
             (90.0..130.0).contains(&granted),
             "granted {granted} on an estimate of {estimate}"
@@ -69,39 +69,42 @@
 
 #[test]
 fn grants_follow_spills_where_needs_are_not_reported() {
-    let mut b = Bench::new(granting(), vec![engine(0), engine(1)]);
-    let ask = |b: &mut Bench, id, need: f64| {
-        let actions = b.ask(NewQuery {
+    let mut gateway = TestGateway::new(granting(), vec![engine(0), engine(1)]);
+    let request = |gateway: &mut TestGateway, id, need: f64| {
+        let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(100.0),
             ..query(id, 50 * MS)
         });
-        let (granted, e) = (
+        let (granted, target) = (
             grant(&actions, id).expect("a grant"),
-            sent(&actions, id).expect("room"),
+            sent_to(&actions, id).expect("room"),
         );
-        let moves =
-            granted < need && cancelled(&b.note(id, 0, Progress::Spilling(need - granted)), id);
-        b.now += 50 * MS;
-        let actions = b.end_after(id, 0, e, Outcome::Cancelled, 5 * MS);
-        b.event(Event::ClientDisconnected { query: id });
+        let moves = granted < need
+            && is_cancelled(
+                &gateway.report_progress(id, 0, Progress::Spilling(need - granted)),
+                id,
+            );
+        gateway.now += 50 * MS;
+        let actions = gateway.end_attempt_after(id, 0, target, Outcome::Cancelled, 5 * MS);
+        gateway.handle(Event::ClientDisconnected { query: id });
         (granted, moves.then(|| grant(&actions, id)).flatten())
     };
-    let (first, again) = ask(&mut b, 1, 250.0);
+    let (first, again) = request(&mut gateway, 1, 250.0);
     assert_eq!(first, 125.0);
     assert_eq!(again, Some(250.0), "sent again with what it lacked");
     for id in 2..30 {
-        ask(&mut b, id, 250.0);
+        request(&mut gateway, id, 250.0);
     }
-    let (later, _) = ask(&mut b, 30, 250.0);
+    let (later, _) = request(&mut gateway, 30, 250.0);
     assert!(later > 200.0, "still granted {later}");
     // It gives back what is not needed.
     for id in 100..200 {
-        let actions = b.ask(NewQuery {
+        let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(100.0),
             ..query(id, 50 * MS)
         });
-        let e = sent(&actions, id).expect("room");
-        b.end_after(id, 0, e, Outcome::Completed, 50 * MS);
+        let target = sent_to(&actions, id).expect("room");
+        gateway.end_attempt_after(id, 0, target, Outcome::Completed, 50 * MS);
     }
-    assert!(ask(&mut b, 300, 50.0).0 < 125.0);
+    assert!(request(&mut gateway, 300, 50.0).0 < 125.0);
 }
--- a/policy/tests/missing_settings.rs
+++ b/policy/tests/missing_settings.rs
@@ -22,49 +22,55 @@
 fn every_query_is_served_or_answered_whatever_setting_is_missing() {
     type Lack = fn(&mut Settings);
     let lacks: [(&str, Lack); 8] = [
-        ("gateways", |s| s.gateways = None),
-        ("notes", |s| s.progress_period = None),
-        ("cancel", |s| s.can_cancel = false),
-        ("retry-after", |s| s.max_retry_after = None),
-        ("attempts", |s| s.max_attempts = None),
-        ("cores", |s| s.engine_kinds.clear()),
-        ("aim and deadline", |s| {
-            (s.classes[0].latency_objective, s.classes[0].deadline) = (None, None)
+        ("gateways", |config| config.gateways = None),
+        ("notes", |config| config.progress_period = None),
+        ("cancel", |config| config.can_cancel = false),
+        ("retry-after", |config| config.max_retry_after = None),
+        ("attempts", |config| config.max_attempts = None),
+        ("cores", |config| config.engine_kinds.clear()),
+        ("aim and deadline", |config| {
+            (
+                config.classes[0].latency_objective,
+                config.classes[0].deadline,
+            ) = (None, None)
         }),
-        ("classes", |s| s.classes.clear()),
+        ("classes", |config| config.classes.clear()),
     ];
     for (lack, take) in lacks {
         for estimates in [true, false] {
-            let mut s = settings(vec![worthless_when_late()], 1.0);
-            take(&mut s);
-            let mut b = Bench::new(s, vec![engine(0), engine(1)]);
-            let ask = |id| NewQuery {
+            let mut config = settings(vec![worthless_when_late()], 1.0);
+            take(&mut config);
+            let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
+            let request = |id| NewQuery {
                 estimated_work: estimates.then_some(500 * MS),
                 ..query(id, 0)
             };
-            let first: Vec<_> = (1..=40).map(|id| (id, b.ask(ask(id)))).collect();
+            let first: Vec<_> = (1..=40)
+                .map(|id| (id, gateway.arrive(request(id))))
+                .collect();
             let mut out: BTreeMap<_, _> = first
                 .iter()
-                .filter_map(|(id, a)| Some((*id, sent(a, *id)?)))
+                .filter_map(|(id, a)| Some((*id, sent_to(a, *id)?)))
                 .collect();
-            let mut ended = first.iter().filter(|(id, a)| refused(a, *id)).count();
+            let mut ended = first.iter().filter(|(id, a)| is_rejected(a, *id)).count();
             assert!(out.len() >= 2, "without {lack}: {} sent", out.len());
-            // Answers come one by one; what is freed goes to what is held, or that is given up in time.
+            // Answers come one by one; what is freed goes to what is held, or that is given up in
+            // time.
             for _ in 0..400 {
-                b.now += 50 * MS;
-                let mut actions = b.event(Event::TimerFired);
+                gateway.now += 50 * MS;
+                let mut actions = gateway.handle(Event::TimerFired);
                 if let Some((id, at)) = out.pop_first() {
-                    actions.extend(b.end(id, 0, at, Outcome::Completed));
+                    actions.extend(gateway.end_attempt(id, 0, at, Outcome::Completed));
                     ended += 1;
                 }
                 (1..=40).for_each(|id| {
-                    out.extend(sent(&actions, id).map(|e| (id, e)));
-                    ended += usize::from(refused(&actions, id));
+                    out.extend(sent_to(&actions, id).map(|target| (id, target)));
+                    ended += usize::from(is_rejected(&actions, id));
                 });
             }
             assert_eq!(ended, 40, "without {lack}, estimates: {estimates}");
             assert!(
-                sent(&b.ask(ask(100)), 100).is_some(),
+                sent_to(&gateway.arrive(request(100)), 100).is_some(),
                 "without {lack} room does not come back"
             );
         }
--- a/policy/tests/outlier_detection.rs
+++ b/policy/tests/outlier_detection.rs
@@ -33,21 +33,21 @@
 /// Engines report once that a query waits for memory; the silence after it is expected.
 #[test]
 fn silence_of_a_query_that_waits_for_memory_ejects_no_engine() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.max_attempts = Some(1);
-    let mut b = Bench::new(s, (0..4).map(engine).collect());
-    let lined = sent(&b.ask(query(1, S)), 1).expect("there is room");
-    b.note(1, 0, Progress::WaitingForMemory);
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.max_attempts = Some(1);
+    let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
+    let lined = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    gateway.report_progress(1, 0, Progress::WaitingForMemory);
     for step in 1..=30 {
-        let actions = b.at(S + step * 100 * MS);
+        let actions = gateway.advance_to(S + step * 100 * MS);
         assert!(
-            !cancelled(&actions, 1),
+            !is_cancelled(&actions, 1),
             "its only attempt still stands in line"
         );
     }
-    let used = (2..20).filter_map(|id| sent(&b.ask(query(id, 10 * MS)), id));
+    let used = (2..20).filter_map(|id| sent_to(&gateway.arrive(query(id, 10 * MS)), id));
     assert!(
-        used.filter(|e| *e == lined).count() > 1,
+        used.filter(|target| *target == lined).count() > 1,
         "the line is over and the engine still trusted"
     );
 }
@@ -57,22 +57,23 @@
 #[test]
 fn ejection_is_ignored_while_most_engines_are_ejected() {
     let reset = |bad: u32| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(vec![class(10 * S)], 8.0),
             (0..6).map(engine).collect(),
         );
         for id in 1..=30 {
-            let e = sent(&b.ask(query(id, 100 * MS)), id).expect("somebody serves");
-            b.now += 10 * MS;
-            let outcome = if e < bad {
+            let target =
+                sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("somebody serves");
+            gateway.now += 10 * MS;
+            let outcome = if target < bad {
                 Outcome::ConnectionLost
             } else {
                 Outcome::Completed
             };
-            b.end(id, 0, e, outcome);
-            b.event(Event::ClientDisconnected { query: id });
+            gateway.end_attempt(id, 0, target, outcome);
+            gateway.handle(Event::ClientDisconnected { query: id });
         }
-        let used = (100..160).filter_map(|id| sent(&b.ask(query(id, 100 * MS)), id));
+        let used = (100..160).filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id));
         used.collect::<BTreeSet<_>>()
     };
     assert!(!reset(1).contains(&0), "a single bad engine rests");
@@ -84,45 +85,47 @@
 
 #[test]
 fn queries_that_fail_on_every_engine_eject_none() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1), engine(2)],
     );
     for id in 1..=30 {
-        let first = sent(&b.ask(query(id, 100 * MS)), id).expect("there is room");
-        let second = sent(&b.end(id, 0, first, Outcome::Error), id).expect("it may be the engine");
+        let first = sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room");
+        let second = sent_to(&gateway.end_attempt(id, 0, first, Outcome::Error), id)
+            .expect("it may be the engine");
         assert!(first != second);
-        let actions = b.end(id, 1, second, Outcome::Error);
+        let actions = gateway.end_attempt(id, 1, second, Outcome::Error);
         assert!(
-            refused(&actions, id) && sent(&actions, id).is_none(),
+            is_rejected(&actions, id) && sent_to(&actions, id).is_none(),
             "it is the query"
         );
-        b.now += 10 * MS;
+        gateway.now += 10 * MS;
     }
     let places: BTreeSet<_> = (101..=103)
-        .filter_map(|id| sent(&b.ask(query(id, 100 * MS)), id))
+        .filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id))
         .collect();
     assert_eq!(places.len(), 3, "all engines are still in use");
 }
 
 #[test]
 fn an_engine_that_fails_queries_that_others_serve_is_ejected() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1), engine(2)],
     );
     let mut erred = 0;
     for id in 1..=60 {
-        let Some(first) = sent(&b.ask(query(id, 100 * MS)), id) else {
+        let Some(first) = sent_to(&gateway.arrive(query(id, 100 * MS)), id) else {
             continue;
         };
-        b.now += 10 * MS;
+        gateway.now += 10 * MS;
         if first == 0 {
             erred += 1;
-            let second = sent(&b.end(id, 0, first, Outcome::Error), id).expect("goes elsewhere");
-            b.end(id, 1, second, Outcome::Completed);
+            let second = sent_to(&gateway.end_attempt(id, 0, first, Outcome::Error), id)
+                .expect("goes elsewhere");
+            gateway.end_attempt(id, 1, second, Outcome::Completed);
         } else {
-            b.end(id, 0, first, Outcome::Completed);
+            gateway.end_attempt(id, 0, first, Outcome::Completed);
         }
     }
     assert!((2..=8).contains(&erred), "it erred {erred} times");
@@ -131,26 +134,26 @@
 /// Other classes still use these engines.
 #[test]
 fn a_class_avoids_engines_that_lose_its_queries() {
-    let mut s = settings(vec![class(10 * S), class(10 * S)], 8.0);
-    s.progress_period = None;
-    let mut b = Bench::new(s, (0..4).map(engine).collect());
+    let mut config = settings(vec![class(10 * S), class(10 * S)], 8.0);
+    config.progress_period = None;
+    let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
     let (mut lost, mut others) = (0, 0);
     for id in 1..=200 {
         let slot = u32::from(id % 2 == 0);
-        let actions = b.ask(NewQuery {
+        let actions = gateway.arrive(NewQuery {
             class: slot,
             ..query(id, 100 * MS)
         });
-        let engine = sent(&actions, id).expect("there is room");
-        b.now += 50 * MS;
+        let engine = sent_to(&actions, id).expect("there is room");
+        gateway.now += 50 * MS;
         if slot == 0 && engine < 2 {
             lost += 1;
-            b.now += 50 * MS;
+            gateway.now += 50 * MS;
             // Others are answered there meanwhile.
             let others = 1_000 * id..1_000 * id + 12;
-            let ask = |other| {
-                let at = sent(
-                    &b.ask(NewQuery {
+            let request = |other| {
+                let at = sent_to(
+                    &gateway.arrive(NewQuery {
                         class: 1,
                         ..query(other, 100 * MS)
                     }),
@@ -158,22 +161,23 @@
                 );
                 (other, at.expect("there is room"))
             };
-            let out: Vec<_> = others.map(ask).collect();
+            let out: Vec<_> = others.map(request).collect();
             assert!(out.iter().any(|(_, at)| *at == engine));
-            b.now += 100 * MS;
-            out.iter()
-                .for_each(|(other, at)| drop(b.end(*other, 0, *at, Outcome::Completed)));
-            let actions = b.at(b.now + 2 * S);
-            let next = sent(&b.end(id, 0, engine, Outcome::Cancelled), id);
+            gateway.now += 100 * MS;
+            out.iter().for_each(|(other, at)| {
+                drop(gateway.end_attempt(*other, 0, *at, Outcome::Completed))
+            });
+            let actions = gateway.advance_to(gateway.now + 2 * S);
+            let next = sent_to(&gateway.end_attempt(id, 0, engine, Outcome::Cancelled), id);
             assert!(
-                cancelled(&actions, id) && next.is_some_and(|e| e != engine),
+                is_cancelled(&actions, id) && next.is_some_and(|target| target != engine),
                 "it moves on"
             );
-            b.event(Event::ClientDisconnected { query: id });
-            b.end(id, 1, next.expect("it was sent"), Outcome::Cancelled);
+            gateway.handle(Event::ClientDisconnected { query: id });
+            gateway.end_attempt(id, 1, next.expect("it was sent"), Outcome::Cancelled);
         } else {
             others += u32::from(slot == 1 && engine < 2);
-            b.end(id, 0, engine, Outcome::Completed);
+            gateway.end_attempt(id, 0, engine, Outcome::Completed);
         }
     }
     assert!(lost < 25, "{lost} were lost");
@@ -184,15 +188,15 @@
 #[test]
 fn one_lost_connection_ejects_no_engine() {
     let sent_to_first = |outcome| {
-        let mut b = Bench::new(
+        let mut gateway = TestGateway::new(
             settings(vec![class(10 * S)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let first = sent(&b.ask(query(1, 100 * MS)), 1).expect("there is room");
-        b.end(1, 0, first, outcome);
+        let first = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        gateway.end_attempt(1, 0, first, outcome);
         (2..=9)
-            .filter_map(|id| sent(&b.ask(query(id, 100 * MS)), id))
-            .filter(|e| *e == first)
+            .filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id))
+            .filter(|target| *target == first)
             .count()
     };
     assert!(sent_to_first(Outcome::ConnectionLost) >= 3);
@@ -202,26 +206,29 @@
 /// A fault may end at any time, and until the next trial the capacity of its engine is unused.
 #[test]
 fn an_ejected_engine_is_tried_at_least_every_two_periods() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1), engine(2)],
     );
     let mut tried = Vec::new();
     for step in 0..400 {
-        b.now = S + step * 100 * MS;
+        gateway.now = S + step * 100 * MS;
         let id = 1 + step;
-        let Some(e) = sent(&b.ask(query(id, 100 * MS)), id) else {
+        let Some(target) = sent_to(&gateway.arrive(query(id, 100 * MS)), id) else {
             continue;
         };
-        if e != 0 {
-            b.end(id, 0, e, Outcome::Completed);
+        if target != 0 {
+            gateway.end_attempt(id, 0, target, Outcome::Completed);
             continue;
         }
-        tried.push(b.now);
-        let again = sent(&b.end(id, 0, 0, Outcome::ConnectionRefused), id);
+        tried.push(gateway.now);
+        let again = sent_to(
+            &gateway.end_attempt(id, 0, 0, Outcome::ConnectionRefused),
+            id,
+        );
         again
             .into_iter()
-            .for_each(|e| drop(b.end(id, 1, e, Outcome::Completed)));
+            .for_each(|target| drop(gateway.end_attempt(id, 1, target, Outcome::Completed)));
     }
     let gaps: Vec<_> = tried.windows(2).map(|w| w[1] - w[0]).collect();
     assert!(
@@ -233,29 +240,29 @@
 /// A quiet gateway gets no other sign from an engine.
 #[test]
 fn silence_that_is_usual_for_a_class_ejects_no_engine() {
-    let mut b = Bench::new(without_notes(), (0..8).map(engine).collect());
+    let mut gateway = TestGateway::new(without_notes(), (0..8).map(engine).collect());
     let mut id = 0;
-    let mut ask = |b: &mut Bench, answered: bool| {
+    let mut request = |gateway: &mut TestGateway, answered: bool| {
         id += 1;
-        let e = sent(&b.ask(report(id)), id)?;
+        let target = sent_to(&gateway.arrive(report(id)), id)?;
         let step = if answered { S } else { 8 * S };
-        b.at(b.now + step);
+        gateway.advance_to(gateway.now + step);
         let outcome = if answered {
             Outcome::Completed
         } else {
             Outcome::Cancelled
         };
-        b.end_after(id, 0, e, outcome, step);
-        b.event(Event::ClientDisconnected { query: id });
-        Some(e)
+        gateway.end_attempt_after(id, 0, target, outcome, step);
+        gateway.handle(Event::ClientDisconnected { query: id });
+        Some(target)
     };
     // One in six is silent, wherever it is.
     for i in 0..120 {
-        ask(&mut b, i % 6 != 0);
+        request(&mut gateway, i % 6 != 0);
     }
     let mut sends = [0; 8];
     for id in 1_000..1_030 {
-        sends[sent(&b.ask(report(id)), id).expect("there is room") as usize] += 1;
+        sends[sent_to(&gateway.arrive(report(id)), id).expect("there is room") as usize] += 1;
     }
     let trusted = sends.iter().filter(|n| **n > 1).count();
     assert!(
--- a/policy/tests/placement.rs
+++ b/policy/tests/placement.rs
@@ -15,12 +15,12 @@
 
 #[test]
 fn the_engine_with_most_free_threads_is_chosen() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1), engine(2)],
     );
     let mut at: Vec<_> = (1..=3)
-        .map(|id| sent(&b.ask(query(id, S)), id).expect("there is room"))
+        .map(|id| sent_to(&gateway.arrive(query(id, S)), id).expect("there is room"))
         .collect();
     at.sort_unstable();
     assert_eq!(at, [0, 1, 2]);
@@ -34,25 +34,25 @@
             threads: Some(4.0),
             ..class(10 * S)
         };
-        let mut s = settings(vec![class(10 * S), long], 2.0);
-        s.priorities = priorities;
-        let mut b = Bench::new(s, vec![engine(0)]);
+        let mut config = settings(vec![class(10 * S), long], 2.0);
+        config.priorities = priorities;
+        let mut gateway = TestGateway::new(config, vec![engine(0)]);
         for id in 1..=30 {
-            let actions = b.ask(query(id, 100 * MS));
-            b.end(id, 0, 0, Outcome::Completed);
-            assert!(sent(&actions, id).is_some());
+            let actions = gateway.arrive(query(id, 100 * MS));
+            gateway.end_attempt(id, 0, 0, Outcome::Completed);
+            assert!(sent_to(&actions, id).is_some());
         }
         let long = |id| NewQuery {
             class: 1,
             ..query(id, 8 * S)
         };
-        assert!(sent(&b.ask(long(100)), 100).is_some());
+        assert!(sent_to(&gateway.arrive(long(100)), 100).is_some());
         assert!(
-            sent(&b.ask(long(101)), 101).is_none(),
+            sent_to(&gateway.arrive(long(101)), 101).is_none(),
             "the engine is full for its like"
         );
-        assert!(sent(&b.ask(query(102, 100 * MS)), 102).is_some());
-        sent(&b.ask(query(103, 100 * MS)), 103).is_none()
+        assert!(sent_to(&gateway.arrive(query(102, 100 * MS)), 102).is_some());
+        sent_to(&gateway.arrive(query(103, 100 * MS)), 103).is_none()
     };
     assert!(held(false) && !held(true));
 }
@@ -61,57 +61,63 @@
 /// counts in ties, and fades.
 #[test]
 fn slow_engines_are_avoided_until_their_headroom_has_faded() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         many(200, vec![class(10 * S)]),
         (0..10).map(engine).collect(),
     );
-    let slow = sent(&b.ask(query(1, S)), 1).expect("there is room");
-    b.now += S;
-    b.note(1, 0, Progress::FractionDone(0.2));
-    b.event(Event::ClientDisconnected { query: 1 });
-    b.end(1, 0, slow, Outcome::Cancelled);
-    let visits = |b: &mut Bench, ids: std::ops::Range<u64>| {
+    let slow = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    gateway.now += S;
+    gateway.report_progress(1, 0, Progress::FractionDone(0.2));
+    gateway.handle(Event::ClientDisconnected { query: 1 });
+    gateway.end_attempt(1, 0, slow, Outcome::Cancelled);
+    let visits = |gateway: &mut TestGateway, ids: std::ops::Range<u64>| {
         ids.filter(|id| {
-            let e = sent(&b.ask(query(*id, 10 * MS)), *id).expect("there is room");
-            b.now += 10 * MS;
-            b.end_after(*id, 0, e, Outcome::Completed, 10 * MS);
-            e == slow
+            let target = sent_to(&gateway.arrive(query(*id, 10 * MS)), *id).expect("there is room");
+            gateway.now += 10 * MS;
+            gateway.end_attempt_after(*id, 0, target, Outcome::Completed, 10 * MS);
+            target == slow
         })
         .count()
     };
-    assert_eq!(visits(&mut b, 2..102), 0);
-    b.now += 10 * S;
-    assert!(visits(&mut b, 102..202) > 0, "what was seen has faded");
+    assert_eq!(visits(&mut gateway, 2..102), 0);
+    gateway.now += 10 * S;
+    assert!(
+        visits(&mut gateway, 102..202) > 0,
+        "what was seen has faded"
+    );
 }
 
 #[test]
 fn an_engine_whose_limit_has_grown_does_not_attract_all_queries() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.gateways = Some(3);
-    let mut b = Bench::new(s, vec![engine(0)]);
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.gateways = Some(3);
+    let mut gateway = TestGateway::new(config, vec![engine(0)]);
     let mut id = 0;
-    let mut serve = |b: &mut Bench, n: usize| {
+    let mut serve = |gateway: &mut TestGateway, n: usize| {
         let out: Vec<_> = (0..n)
             .filter_map(|_| {
                 id += 1;
-                let place = sent(&b.ask(query(id, 100 * MS)), id);
+                let place = sent_to(&gateway.arrive(query(id, 100 * MS)), id);
                 if place.is_none() {
-                    b.event(Event::ClientDisconnected { query: id });
+                    gateway.handle(Event::ClientDisconnected { query: id });
                 }
                 Some((id, place?))
             })
             .collect();
-        b.now += 100 * MS;
-        out.iter()
-            .for_each(|(id, e)| drop(b.end(*id, 0, *e, Outcome::Completed)));
-        out.into_iter().map(|(_, e)| e).collect::<Vec<_>>()
+        gateway.now += 100 * MS;
+        out.iter().for_each(|(id, target)| {
+            drop(gateway.end_attempt(*id, 0, *target, Outcome::Completed))
+        });
+        out.into_iter()
+            .map(|(_, target)| target)
+            .collect::<Vec<_>>()
     };
-    (0..30).for_each(|_| drop(serve(&mut b, 16)));
-    assert!(serve(&mut b, 30).len() > 10, "its bound has widened");
-    (1..4).for_each(|e| drop(b.patch(engine(e))));
-    let places = serve(&mut b, 16);
+    (0..30).for_each(|_| drop(serve(&mut gateway, 16)));
+    assert!(serve(&mut gateway, 30).len() > 10, "its bound has widened");
+    (1..4).for_each(|target| drop(gateway.patch_list(engine(target))));
+    let places = serve(&mut gateway, 16);
     assert!(
-        (0..4).all(|e| places.iter().filter(|p| **p == e).count() == 4),
+        (0..4).all(|target| places.iter().filter(|p| **p == target).count() == 4),
         "{places:?}"
     );
 }
@@ -119,16 +125,16 @@
 /// With limits under a thread the larger kind always has the most free threads.
 #[test]
 fn small_engines_get_their_part_from_many_gateways() {
-    let mut s = Settings {
+    let mut config = Settings {
         gateways: Some(60),
         ..settings(vec![class(10 * S)], 8.0)
     };
-    s.engine_kinds.push(EngineKind {
+    config.engine_kinds.push(EngineKind {
         cores: Some(16.0),
         memory_mb: None,
     });
-    let mut b = Bench::new(
-        s,
+    let mut gateway = TestGateway::new(
+        config,
         (0..8)
             .map(|id| Engine {
                 kind: id % 2,
@@ -137,10 +143,10 @@
             .collect(),
     );
     let small = (1..=600).filter(|id| {
-        let e = sent(&b.ask(query(*id, 50 * MS)), *id).expect("there is room");
-        b.now += 50 * MS;
-        b.end_after(*id, 0, e, Outcome::Completed, 50 * MS);
-        e % 2 == 0
+        let target = sent_to(&gateway.arrive(query(*id, 50 * MS)), *id).expect("there is room");
+        gateway.now += 50 * MS;
+        gateway.end_attempt_after(*id, 0, target, Outcome::Completed, 50 * MS);
+        target % 2 == 0
     });
     let small = small.count();
     assert!(
--- a/policy/tests/queueing.rs
+++ b/policy/tests/queueing.rs
@@ -8,20 +8,20 @@
 
 #[test]
 fn the_oldest_head_of_all_queues_goes_first() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S), class(10 * S)], 1.0),
         vec![engine(0)],
     );
-    b.ask(query(1, S));
-    b.ask(NewQuery {
+    gateway.arrive(query(1, S));
+    gateway.arrive(NewQuery {
         class: 1,
         ..query(2, S)
     });
-    b.ask(NewQuery {
+    gateway.arrive(NewQuery {
         class: 1,
         ..query(3, S)
     });
-    b.ask(query(4, S));
+    gateway.arrive(query(4, S));
     let sends = |actions: &[Action]| -> Vec<u64> {
         actions
             .iter()
@@ -35,7 +35,7 @@
             .collect()
     };
     assert_eq!(
-        sends(&b.end(1, 0, 0, Outcome::Completed)),
+        sends(&gateway.end_attempt(1, 0, 0, Outcome::Completed)),
         [3, 4],
         "the older first, whatever its class"
     );
@@ -47,11 +47,11 @@
         threads: Some(2.0),
         ..class(10 * S)
     };
-    let mut b = Bench::new(settings(vec![wide, class(10 * S)], 1.0), vec![engine(0)]);
-    b.ask(query(1, S));
+    let mut gateway = TestGateway::new(settings(vec![wide, class(10 * S)], 1.0), vec![engine(0)]);
+    gateway.arrive(query(1, S));
     assert_eq!(
-        sent(
-            &b.ask(NewQuery {
+        sent_to(
+            &gateway.arrive(NewQuery {
                 class: 1,
                 ..query(2, S)
             }),
@@ -59,20 +59,26 @@
         ),
         Some(0)
     );
-    b.ask(NewQuery {
+    gateway.arrive(NewQuery {
         class: 1,
         ..query(3, S)
     });
-    b.ask(query(4, S));
-    b.ask(NewQuery {
+    gateway.arrive(query(4, S));
+    gateway.arrive(NewQuery {
         class: 1,
         ..query(5, S)
     });
     // One wide query runs; another finds two threads too few, the younger narrow one does not.
-    let actions = b.end(2, 0, 0, Outcome::Completed);
-    assert_eq!((sent(&actions, 3), sent(&actions, 4)), (Some(0), None));
-    let actions = b.end(1, 0, 0, Outcome::Completed);
-    assert_eq!((sent(&actions, 4), sent(&actions, 5)), (Some(0), None));
+    let actions = gateway.end_attempt(2, 0, 0, Outcome::Completed);
+    assert_eq!(
+        (sent_to(&actions, 3), sent_to(&actions, 4)),
+        (Some(0), None)
+    );
+    let actions = gateway.end_attempt(1, 0, 0, Outcome::Completed);
+    assert_eq!(
+        (sent_to(&actions, 4), sent_to(&actions, 5)),
+        (Some(0), None)
+    );
 }
 
 /// No event reports the end of the hold.
@@ -85,19 +91,19 @@
         dedup_window: Some(12 * S),
         ..class(10 * S)
     };
-    let mut s = settings(vec![keyed], 8.0);
-    s.key_release_delay = Some(300 * MS);
-    let mut b = Bench::new(s, vec![engine(0), engine(1)]);
+    let mut config = settings(vec![keyed], 8.0);
+    config.key_release_delay = Some(300 * MS);
+    let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
     let load = |id| NewQuery {
         ordering_key: Some(5),
         ..query(id, 500 * MS)
     };
-    let at = sent(&b.ask(load(1)), 1).expect("sent at once");
-    assert!(cancelled(
-        &b.event(Event::ClientDisconnected { query: 1 }),
+    let at = sent_to(&gateway.arrive(load(1)), 1).expect("sent at once");
+    assert!(is_cancelled(
+        &gateway.handle(Event::ClientDisconnected { query: 1 }),
         1
     ));
-    b.event(Event::AttemptEnded(AttemptEnded {
+    gateway.handle(Event::AttemptEnded(AttemptEnded {
         query: 1,
         attempt: 0,
         engine: at,
@@ -107,8 +113,17 @@
         cost: None,
         load: Default::default(),
     }));
-    b.now += 100 * MS;
-    assert!(sent(&b.ask(load(2)), 2).is_none(), "the key rests");
-    assert!(sent(&b.at(S + 299 * MS), 2).is_none(), "and still does");
-    assert!(sent(&b.at(S + 300 * MS), 2).is_some(), "its rest is over");
+    gateway.now += 100 * MS;
+    assert!(
+        sent_to(&gateway.arrive(load(2)), 2).is_none(),
+        "the key rests"
+    );
+    assert!(
+        sent_to(&gateway.advance_to(S + 299 * MS), 2).is_none(),
+        "and still does"
+    );
+    assert!(
+        sent_to(&gateway.advance_to(S + 300 * MS), 2).is_some(),
+        "its rest is over"
+    );
 }
--- a/policy/tests/retry_budget.rs
+++ b/policy/tests/retry_budget.rs
@@ -8,48 +8,50 @@
 use violetgate_policy::interface::{EngineId, Outcome, QueryId, RetryBudget};
 use violetgate_policy::Action;
 
-/// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a third time.
-fn spent_budget() -> Bench {
-    let mut s = settings(vec![class(10 * S)], 1.0);
-    s.retry_budget = Some(RetryBudget {
+/// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a
+/// third time.
+fn spent_budget() -> TestGateway {
+    let mut config = settings(vec![class(10 * S)], 1.0);
+    config.retry_budget = Some(RetryBudget {
         min_retries: 1.0,
         retry_ratio: 0.0,
         window: 5 * S,
     });
-    let mut b = Bench::new(s, vec![engine(0)]);
-    assert_eq!(sent(&b.ask(query(1, 100 * MS)), 1), Some(0));
+    let mut gateway = TestGateway::new(config, vec![engine(0)]);
+    assert_eq!(sent_to(&gateway.arrive(query(1, 100 * MS)), 1), Some(0));
     assert_eq!(
-        sent(&b.end(1, 0, 0, Outcome::NeverSent), 1),
+        sent_to(&gateway.end_attempt(1, 0, 0, Outcome::NeverSent), 1),
         Some(0),
         "the budget allows one"
     );
     assert_eq!(
-        sent(&b.end(1, 1, 0, Outcome::NeverSent), 1),
+        sent_to(&gateway.end_attempt(1, 1, 0, Outcome::NeverSent), 1),
         None,
         "and no second one"
     );
-    b
+    gateway
 }
 
-fn asked(b: &mut Bench, id: QueryId) -> Vec<Action> {
-    b.ask(query(id, 100 * MS))
+fn asked(gateway: &mut TestGateway, id: QueryId) -> Vec<Action> {
+    gateway.arrive(query(id, 100 * MS))
 }
 
 #[test]
 fn a_query_without_retry_budget_does_not_block_first_attempts() {
-    let mut b = spent_budget();
+    let mut gateway = spent_budget();
     for id in 2..=3 {
         assert_eq!(
-            sent(&asked(&mut b, id), id),
+            sent_to(&asked(&mut gateway, id), id),
             Some(0),
             "query {id}: the engine is free"
         );
     }
-    // Both threads are taken: the next two wait, and each takes the place of one that is answered.
+    // Both threads are taken: the next two wait, and each takes the place of one that is
+    // answered.
     for id in 4..=5 {
-        assert_eq!(sent(&asked(&mut b, id), id), None);
+        assert_eq!(sent_to(&asked(&mut gateway, id), id), None);
         assert_eq!(
-            sent(&b.end(id - 2, 0, 0, Outcome::Completed), id),
+            sent_to(&gateway.end_attempt(id - 2, 0, 0, Outcome::Completed), id),
             Some(0),
             "query {id}"
         );
@@ -58,14 +60,14 @@
 
 #[test]
 fn the_oldest_retry_comes_first_once_there_is_budget() {
-    let mut b = spent_budget();
-    asked(&mut b, 2);
-    asked(&mut b, 3);
-    assert_eq!(sent(&asked(&mut b, 4), 4), None);
-    b.now += 6 * S;
-    let actions = b.end(2, 0, 0, Outcome::Completed);
+    let mut gateway = spent_budget();
+    asked(&mut gateway, 2);
+    asked(&mut gateway, 3);
+    assert_eq!(sent_to(&asked(&mut gateway, 4), 4), None);
+    gateway.now += 6 * S;
+    let actions = gateway.end_attempt(2, 0, 0, Outcome::Completed);
     assert_eq!(
-        (sent(&actions, 1), sent(&actions, 4)),
+        (sent_to(&actions, 1), sent_to(&actions, 4)),
         (Some(0), None),
         "query 1 is the oldest"
     );
@@ -88,11 +90,11 @@
         }
     }
 
-    fn end(&mut self, b: &mut Bench, outcome: Outcome) -> bool {
+    fn end(&mut self, gateway: &mut TestGateway, outcome: Outcome) -> bool {
         let Some((id, engine)) = self.out.pop_front() else {
             return false;
         };
-        let actions = b.end_after(id, self.attempts[&id] - 1, engine, outcome, MS);
+        let actions = gateway.end_attempt_after(id, self.attempts[&id] - 1, engine, outcome, MS);
         self.take(&actions);
         true
     }
@@ -100,26 +102,27 @@
 
 #[test]
 fn a_closed_loop_goes_on_while_some_of_its_queries_wait_for_budget() {
-    let mut s = settings(vec![class(10 * S)], 8.0);
-    s.retry_budget = Some(RetryBudget {
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    config.retry_budget = Some(RetryBudget {
         min_retries: 3.0,
         retry_ratio: 0.1,
         window: 5 * S,
     });
-    let mut b = Bench::new(s, (0..4).map(engine).collect());
+    let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
     let mut out = Out::default();
     for id in 1..=100 {
-        out.take(&asked(&mut b, id));
+        out.take(&asked(&mut gateway, id));
     }
-    // All that is out at first is lost before it began: more than the budget allows to send again.
+    // All that is out at first is lost before it began: more than the budget allows to send
+    // again.
     for _ in 0..out.out.len() {
-        out.end(&mut b, Outcome::NeverSent);
+        out.end(&mut gateway, Outcome::NeverSent);
     }
     let mut answered = 0;
-    while answered < 1000 && out.end(&mut b, Outcome::Completed) {
+    while answered < 1000 && out.end(&mut gateway, Outcome::Completed) {
         answered += 1;
-        b.now += MS;
-        out.take(&asked(&mut b, 100 + answered));
+        gateway.now += MS;
+        out.take(&asked(&mut gateway, 100 + answered));
     }
     assert_eq!(
         answered, 1000,
--- a/policy/tests/robustness.rs
+++ b/policy/tests/robustness.rs
@@ -33,10 +33,10 @@
 
 #[test]
 fn odd_but_legal_input_is_handled() {
-    let mut s = settings(vec![], 0.0);
-    s.gateways = Some(0);
-    s.progress_period = None;
-    let mut b = Bench::new(s, vec![]);
+    let mut config = settings(vec![], 0.0);
+    config.gateways = Some(0);
+    config.progress_period = None;
+    let mut gateway = TestGateway::new(config, vec![]);
     let odd = NewQuery {
         id: 1,
         class: 99,
@@ -44,34 +44,37 @@
         time_left: 0,
         ..NewQuery::default()
     };
-    let actions = b.ask(odd);
+    let actions = gateway.arrive(odd);
     assert!(
-        refused(&actions, 1),
+        is_rejected(&actions, 1),
         "its time is already over: {actions:?}"
     );
-    b.end(77, 3, 9, Outcome::Completed);
-    b.note(77, 0, Progress::FractionDone(f64::NAN));
-    b.patch(engine(3));
-    assert_eq!(sent(&b.ask(query(2, u64::MAX / 4)), 2), Some(3));
-    b.event(Event::EngineList {
+    gateway.end_attempt(77, 3, 9, Outcome::Completed);
+    gateway.report_progress(77, 0, Progress::FractionDone(f64::NAN));
+    gateway.patch_list(engine(3));
+    assert_eq!(sent_to(&gateway.arrive(query(2, u64::MAX / 4)), 2), Some(3));
+    gateway.handle(Event::EngineList {
         scope: ListScope::Snapshot,
         engines: vec![],
     });
-    assert!(!refused(&b.end(2, 0, 3, Outcome::Completed), 2));
+    assert!(!is_rejected(
+        &gateway.end_attempt(2, 0, 3, Outcome::Completed),
+        2
+    ));
 }
 
 /// A gateway that stood still gets seconds of events in one batch: what cannot be in time is
 /// answered in that batch, the rest is served.
 #[test]
 fn a_batch_after_a_stall_is_answered_at_once_and_blames_no_engine() {
-    let mut b = Bench::new(
+    let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
     let at: Vec<_> = (1..=4)
-        .map(|id| sent(&b.ask(query(id, 100 * MS)), id).expect("there is room"))
+        .map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"))
         .collect();
-    b.now += 5 * S;
+    gateway.now += 5 * S;
     let mut events: Vec<_> = (10..30)
         .map(|id| {
             Event::QueryArrived(NewQuery {
@@ -93,11 +96,11 @@
         })
     }));
     let mut actions = Vec::new();
-    b.gateway.handle(b.now, &events, &mut actions);
+    gateway.inner.handle(gateway.now, &events, &mut actions);
     for id in 10..30 {
-        assert_eq!(refused(&actions, id), id % 2 == 0, "query {id}");
-        assert_eq!(sent(&actions, id).is_some(), id % 2 == 1, "query {id}");
+        assert_eq!(is_rejected(&actions, id), id % 2 == 0, "query {id}");
+        assert_eq!(sent_to(&actions, id).is_some(), id % 2 == 1, "query {id}");
     }
-    let engines: BTreeSet<_> = (10..30).filter_map(|id| sent(&actions, id)).collect();
+    let engines: BTreeSet<_> = (10..30).filter_map(|id| sent_to(&actions, id)).collect();
     assert_eq!(engines.len(), 2, "both engines still serve");
 }
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -1,6 +1,6 @@
-//! A rough embedding on simulated time: it draws events from a fixed seed, plays the engines' part, and digests
-//! every action that the gateway returns. The digest is made over numbers that this file writes, so that it does
-//! not depend on any name of the module.
+//! A rough embedding on simulated time: it draws events from a fixed seed, plays the engines'
+//! part, and digests every action that the gateway returns. The digest is made over numbers that
+//! this file writes, so that it does not depend on any name of the module.
 
 mod digest;
 mod load;
@@ -155,7 +155,8 @@
         self.draw(times) == 0
     }
 
-    /// Takes what is due next, at times with what comes right after it, and lets the gateway handle it.
+    /// Takes what is due next, at times with what comes right after it, and lets the gateway
+    /// handle it.
     fn step(&mut self) {
         let mut events = Vec::new();
         let batch = 1 + self.draw(3);
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -16,7 +16,8 @@
     }
 }
 
-/// Classes of each effect, bound and unbound, in order by key, loads and those that wait for them.
+/// Classes of each effect, bound and unbound, in order by key, loads and those that wait for
+/// them.
 fn classes() -> Vec<Class> {
     let short = Class {
         latency_objective: Some(600 * MS),
@@ -140,21 +141,29 @@
     }
 }
 
-/// All scenarios, each with its name.
-pub fn all() -> Vec<(&'static str, Scenario)> {
-    let without_notes = |settings| Settings {
+fn without_notes(settings: Settings) -> Settings {
+    Settings {
         progress_period: None,
         ..settings
-    };
-    let without_reports = |settings| Settings {
+    }
+}
+
+fn without_reports(settings: Settings) -> Settings {
+    Settings {
         reports_utilisation: false,
         ..settings
-    };
-    let cancels = |settings| Settings {
+    }
+}
+
+fn with_cancel(settings: Settings) -> Settings {
+    Settings {
         can_cancel: true,
         max_attempts: Some(3),
         ..settings
-    };
+    }
+}
+
+fn few_engines() -> Vec<(&'static str, Scenario)> {
     let unlimited = Settings {
         retry_budget: None,
         zone: None,
@@ -164,6 +173,7 @@
         classes: vec![Class::default(); 3],
         ..Settings::default()
     };
+    let no_notes = without_reports(without_notes(rich(2)));
     vec![
         ("8 engines, all told", scenario(1, 8, 10, rich(1))),
         (
@@ -177,8 +187,14 @@
         ),
         (
             "8 engines, no notes, no costs",
-            untold(scenario(5, 8, 10, without_reports(without_notes(rich(2))))),
+            untold(scenario(5, 8, 10, no_notes)),
         ),
+    ]
+}
+
+fn many_engines() -> Vec<(&'static str, Scenario)> {
+    let no_notes = without_reports(without_notes(rich(150)));
+    vec![
         ("80 engines, all told", scenario(6, 80, 2, rich(12))),
         (
             "80 engines, no costs, grants",
@@ -187,7 +203,7 @@
         ("80 engines, thin parts", scenario(8, 80, 10, rich(100))),
         (
             "80 engines, thin parts, untold",
-            untold(scenario(9, 80, 10, cancels(bare(Some(100))))),
+            untold(scenario(9, 80, 10, with_cancel(bare(Some(100))))),
         ),
         (
             "300 engines, sampled",
@@ -195,13 +211,13 @@
         ),
         (
             "300 engines, sampled, untold",
-            untold(scenario(
-                11,
-                300,
-                4,
-                without_reports(without_notes(rich(150))),
-            )),
+            untold(scenario(11, 300, 4, no_notes)),
         ),
         ("300 engines, all looked at", scenario(12, 300, 2, rich(8))),
     ]
 }
+
+/// All scenarios, each with its name.
+pub fn all() -> Vec<(&'static str, Scenario)> {
+    few_engines().into_iter().chain(many_engines()).collect()
+}
--- a/policy/tests/trace_digest.rs
+++ b/policy/tests/trace_digest.rs
@@ -1,5 +1,5 @@
-//! The decisions over drawn streams of events: all actions in order, with their times, are those of the build that
-//! the digests were made with. A change that alters one alters a decision.
+//! The decisions over drawn streams of events: all actions in order, with their times, are those
+//! of the build that the digests were made with. A change that alters one alters a decision.
 
 mod trace;
 
