--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -2,7 +2,7 @@
 
 mod calls;
 mod disk_worker;
-mod fleet;
+mod fleet_reports;
 mod status;
 
 use std::cell::{Cell, RefCell};
@@ -28,15 +28,15 @@
 use calls::{Slot, TRY};
 use disk_worker::{write_for_ever, Done, Job};
 
-pub use calls::Answered;
-pub use status::Status;
+pub use calls::CallOutcome;
+pub use status::ReplicaStatus;
 
 /// Calls of other members that are carried out at a time; more are turned away, and come again.
 const MOST_ASKED: usize = 1_000;
 
 /// What a member is told at its start.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct ReplicaOptions {
     /// The cluster's name.
     pub cluster: String,
     /// This member's id.
@@ -55,54 +55,54 @@
 
 /// What begins a member's folder.
 #[derive(Debug, Clone)]
-pub struct Beginning {
+pub struct Bootstrap {
     /// The first members, or none for one that joins a cluster that runs.
-    pub members: Vec<NodeId>,
+    pub initial_members: Vec<NodeId>,
     /// A saved state to begin with; empty: nothing.
-    pub state: Vec<u8>,
+    pub initial_state: Vec<u8>,
 }
 
 /// What is called with the store once more is applied to it.
-pub type OnApplied = Rc<dyn Fn(&Store)>;
+pub type AppliedCallback = Rc<dyn Fn(&Store)>;
 
 /// A member at work.
-pub struct Cluster {
-    me: Weak<Cluster>,
+pub struct ReplicaRuntime {
+    me: Weak<ReplicaRuntime>,
     member: RefCell<Replica>,
-    born: u64,
+    disk_id: u64,
     transport: Rc<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     /// Called in the very turn in which more is applied, before anything else can be decided on it.
-    applied: RefCell<Vec<OnApplied>>,
+    applied: RefCell<Vec<AppliedCallback>>,
     /// How far front ends are, as observers report it.
-    fleet: RefCell<fleet::Reports>,
+    fleet: RefCell<fleet_reports::Reports>,
     told: Cell<Index>,
     /// Calls that other members carry out for this one, and how many this one carries out for others.
-    asked: RefCell<BTreeMap<u64, Rc<Slot>>>,
+    forwarded_calls: RefCell<BTreeMap<u64, Rc<Slot>>>,
     carrying: Cell<usize>,
     jobs: mpsc::Sender<Job>,
-    waiting: RefCell<BTreeMap<CallId, Rc<Slot>>>,
-    next: Cell<CallId>,
+    pending_calls: RefCell<BTreeMap<CallId, Rc<Slot>>>,
+    last_ticket: Cell<CallId>,
     alarm: Rc<Alarm>,
     /// Those that wait for the state to move on, and why nothing can be written any more.
     watchers: RefCell<Vec<Waker>>,
-    lost: RefCell<Option<String>>,
+    stop_reason: RefCell<Option<String>>,
     tasks: RefCell<Vec<Task<()>>>,
 }
 
-impl Cluster {
+impl ReplicaRuntime {
     /// Makes a member's folder. It is done once: a folder that is lost can't be made again under the same id, as its
     /// promises are lost with it.
     ///
     /// # Errors
     ///
     /// The folder is somebody's already, or can't be written.
-    pub fn begin(
+    pub fn initialize(
         cluster: &str,
         id: NodeId,
         folder: &Path,
         born: u64,
-        from: Beginning,
+        bootstrap: Bootstrap,
     ) -> Result<(), String> {
         let place = folder.display();
         let files = FsDirectory::new(folder).map_err(|e| format!("{place}: {e}"))?;
@@ -112,19 +112,20 @@
             incarnation: born,
         };
         // A state to begin with is the first entry, so that one that has nothing is sent it.
-        let index = Index::from(!from.state.is_empty());
-        let base = match from.members {
+        let index = Index::from(!bootstrap.initial_state.is_empty());
+        let base = match bootstrap.initial_members {
             members if members.is_empty() => SnapshotMetadata::default(),
             members => SnapshotMetadata {
                 index,
-                members: Membership::bootstrap(members),
+                membership: Membership::bootstrap(members),
                 ..SnapshotMetadata::default()
             },
         };
-        if !from.state.is_empty() {
-            Store::load(&from.state).map_err(|e| format!("this is no saved state: {e}"))?;
+        if !bootstrap.initial_state.is_empty() {
+            Store::from_snapshot(&bootstrap.initial_state)
+                .map_err(|e| format!("this is no saved state: {e}"))?;
         }
-        RaftStorage::create(files, &identity, &base, &from.state)
+        RaftStorage::create(files, &identity, &base, &bootstrap.initial_state)
             .map_err(|e| format!("{place}: {e}"))?;
         Ok(())
     }
@@ -136,9 +137,9 @@
     /// Its folder or its address can't be used; the text says why.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        options: &Options,
+        options: &ReplicaOptions,
     ) -> Result<Rc<Self>, String> {
-        let Options {
+        let ReplicaOptions {
             cluster,
             id,
             folder,
@@ -160,46 +161,46 @@
         }
         let listener = Async::<TcpListener>::bind(listen).map_err(|e| format!("{listen}: {e}"))?;
         let found = InitialState {
-            hard: kept.hard,
-            base: kept.base,
+            hard_state: kept.hard_state,
+            snapshot: kept.snapshot,
             state: kept.state,
             entries: kept.entries,
         };
-        let member = Replica::new(id, config, seed, found, boot())?;
+        let member = Replica::new(id, config, seed, found, boot()).map_err(|e| e.to_string())?;
         let (jobs, work) = mpsc::channel();
         let (tell, done) = async_channel::unbounded();
         std::thread::Builder::new()
             .name("disk".to_owned())
             .spawn(move || write_for_ever(disk, &work, &tell))
             .map_err(|e| format!("a thread for the disk: {e}"))?;
-        let me = Rc::new_cyclic(|me: &Weak<Cluster>| {
+        let me = Rc::new_cyclic(|me: &Weak<ReplicaRuntime>| {
             let of = me.clone();
             let incoming = Box::new(move |from, frame| {
                 if let Some(cluster) = of.upgrade() {
                     cluster.hear(from, frame);
                 }
             });
-            Cluster {
+            ReplicaRuntime {
                 me: me.clone(),
                 told: Cell::new(member.applied()),
                 member: RefCell::new(member),
-                born,
+                disk_id: born,
                 transport: Transport::new(Rc::clone(executor), &cluster, id, born, incoming),
                 executor: Rc::clone(executor),
                 applied: RefCell::default(),
                 fleet: RefCell::default(),
-                asked: RefCell::default(),
+                forwarded_calls: RefCell::default(),
                 carrying: Cell::new(0),
                 jobs,
-                waiting: RefCell::default(),
-                next: Cell::new(0),
+                pending_calls: RefCell::default(),
+                last_ticket: Cell::new(0),
                 alarm: Rc::default(),
                 watchers: RefCell::default(),
-                lost: RefCell::default(),
+                stop_reason: RefCell::default(),
                 tasks: RefCell::default(),
             }
         });
-        me.transport.peers(&members);
+        me.transport.set_peers(&members);
         let tasks = [
             executor.spawn(Rc::clone(&me.transport).listen(listener)),
             executor.spawn(keep_time(Rc::downgrade(&me), Rc::clone(&me.alarm))),
@@ -239,7 +240,7 @@
     }
 
     fn pump(&self) {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return;
         }
         let mut writes = Vec::new();
@@ -252,13 +253,20 @@
                 match effect {
                     // All of a turn is one job, and one sync.
                     Effect::Persist(write) => writes.push(write),
-                    Effect::Send(to, message) => self.transport.send(to, &Frame::Core(message)),
-                    Effect::Respond(ticket, answer) => self.answer(ticket, answer),
-                    Effect::SaveSnapshot(meta, state) => {
+                    Effect::Send { to, message } => self.transport.send(to, &Frame::Raft(message)),
+                    Effect::Respond { call, response } => self.answer(call, response),
+                    Effect::SaveSnapshot {
+                        metadata: meta,
+                        state,
+                    } => {
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Keep(meta, state.to_vec()));
                     }
-                    Effect::InstallSnapshot(from, meta, state) => {
+                    Effect::InstallSnapshot {
+                        from,
+                        metadata: meta,
+                        state,
+                    } => {
                         let follows = self.member.borrow().entries_after(&meta);
                         self.job(Job::Write(std::mem::take(&mut writes)));
                         self.job(Job::Install(from, meta, state.to_vec(), follows));
@@ -285,37 +293,41 @@
 
     fn lose(&self, what: String) {
         tracing::info!("cluster member stops: {what}");
-        *self.lost.borrow_mut() = Some(what);
+        *self.stop_reason.borrow_mut() = Some(what);
         self.watchers.borrow_mut().drain(..).for_each(Waker::wake);
     }
 
     fn answer(&self, ticket: CallId, answer: Response) {
-        let slot = self.waiting.borrow().get(&ticket).cloned();
+        let slot = self.pending_calls.borrow().get(&ticket).cloned();
         slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
     }
 
     /// What another member says.
     fn hear(&self, from: NodeId, frame: Frame) {
         match frame {
-            Frame::Core(message) => self.with(|m| m.step(from, message)),
+            Frame::Raft(message) => self.with(|m| m.step(from, message)),
             Frame::Progress(summary) => self.progress_came(from, summary),
-            Frame::Told(number, answer) => {
-                let slot = self.asked.borrow().get(&number).cloned();
+            Frame::CallAnswer { id: number, answer } => {
+                let slot = self.forwarded_calls.borrow().get(&number).cloned();
                 slot.into_iter().for_each(|slot| slot.fill(answer.clone()));
             }
-            Frame::Ask(number, _) if self.carrying.get() >= MOST_ASKED => {
+            Frame::ForwardCall { id: number, .. } if self.carrying.get() >= MOST_ASKED => {
                 self.transport.send(
                     from,
-                    &Frame::Told(number, Response::Rejected(ProposalError::Busy)),
+                    &Frame::CallAnswer {
+                        id: number,
+                        answer: Response::Rejected(ProposalError::Busy),
+                    },
                 );
             }
-            Frame::Ask(number, call) => {
+            Frame::ForwardCall { id: number, call } => {
                 let Some(me) = self.me.upgrade() else { return };
                 self.carrying.set(self.carrying.get() + 1);
                 let carried = async move {
                     // One that gets no answer asks again.
-                    if let Answered::Yes(answer) = me.here(call, TRY).await {
-                        me.transport.send(from, &Frame::Told(number, answer));
+                    if let CallOutcome::Completed(answer) = me.here(call, TRY).await {
+                        me.transport
+                            .send(from, &Frame::CallAnswer { id: number, answer });
                     }
                     me.carrying.set(me.carrying.get() - 1);
                 };
@@ -326,12 +338,12 @@
 
     /// What was drawn when this member's disk was made.
     #[must_use]
-    pub fn born(&self) -> u64 {
-        self.born
+    pub fn disk_id(&self) -> u64 {
+        self.disk_id
     }
 
     /// Adds to what is called in the very turn in which more is applied; it is called at once, too.
-    pub fn on_applied(&self, f: OnApplied) {
+    pub fn on_applied(&self, f: AppliedCallback) {
         f(self.member.borrow().store());
         self.applied.borrow_mut().push(f);
     }
@@ -339,7 +351,7 @@
     /// The whole state as bytes, to be saved.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
-        self.member.borrow().store().save()
+        self.member.borrow().store().to_snapshot()
     }
 
     /// Reads the store as it is applied here.
@@ -353,16 +365,16 @@
     ///
     /// The state is too old, or nothing can be written any more.
     pub fn may_route(&self) -> Result<(), Stale> {
-        if self.lost.borrow().is_some() {
+        if self.stop_reason.borrow().is_some() {
             return Err(Stale { age: None });
         }
         self.member.borrow().may_route(boot())
     }
 
     /// Waits until more is applied here, or the member stops.
-    pub async fn moved(&self, from: Index) {
+    pub async fn wait_for_apply(&self, from: Index) {
         poll_fn(|cx| {
-            if self.member.borrow().applied() != from || self.lost.borrow().is_some() {
+            if self.member.borrow().applied() != from || self.stop_reason.borrow().is_some() {
                 return Poll::Ready(());
             }
             self.watchers.borrow_mut().push(cx.waker().clone());
@@ -373,13 +385,13 @@
 
     /// Why the member has stopped, if it has.
     #[must_use]
-    pub fn lost(&self) -> Option<String> {
-        self.lost.borrow().clone()
+    pub fn stop_reason(&self) -> Option<String> {
+        self.stop_reason.borrow().clone()
     }
 }
 
 /// Tells the member the time whenever it wants to be.
-async fn keep_time(of: Weak<Cluster>, alarm: Rc<Alarm>) {
+async fn keep_time(of: Weak<ReplicaRuntime>, alarm: Rc<Alarm>) {
     while let Some(cluster) = of.upgrade() {
         cluster.with(|_| ());
         alarm.set(cluster.member.borrow().next_tick());
@@ -388,7 +400,7 @@
     }
 }
 
-async fn hear_disk(of: Weak<Cluster>, done: Receiver<Done>) {
+async fn hear_disk(of: Weak<ReplicaRuntime>, done: Receiver<Done>) {
     while let Ok(done) = done.recv().await {
         let Some(cluster) = of.upgrade() else { return };
         match done {
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -16,7 +16,7 @@
 use violetgate_raft::NodeId;
 
 use crate::connection::{frame, late, sized_frame, write, Input, CONNECT, GREET};
-use crate::traffic::{Counter, Traffic};
+use crate::traffic_stats::{Counter, TrafficStats};
 use crate::wire::{self, Frame, Hello, Welcome};
 
 /// Bytes that wait for one member.
@@ -60,7 +60,7 @@
     next: Cell<u64>,
     dropped: Cell<u64>,
     counter: Counter,
-    /// Members that this one does not hear and does not reach, for tests of cuts.
+    /// Membership that this one does not hear and does not reach, for tests of cuts.
     cut: RefCell<Vec<NodeId>>,
 }
 
@@ -93,7 +93,7 @@
     }
 
     /// Names the members that may be sent to, and where they are. Connections to others end.
-    pub fn peers(&self, known: &BTreeMap<NodeId, SocketAddr>) {
+    pub fn set_peers(&self, known: &BTreeMap<NodeId, SocketAddr>) {
         let mut peers = self.peers.borrow_mut();
         peers.retain(|id, peer| known.get(id) == Some(&peer.addr));
         for (id, addr) in known.iter().filter(|(id, _)| **id != self.id) {
@@ -115,24 +115,24 @@
 
     /// Names the disks of members: one that comes with another disk is turned away, as it may have forgotten what
     /// it promised.
-    pub fn disks(&self, known: BTreeMap<NodeId, u64>) {
+    pub fn set_known_disks(&self, known: BTreeMap<NodeId, u64>) {
         *self.disks.borrow_mut() = known;
     }
 
     /// Messages dropped so far, as their queue was full.
     #[must_use]
-    pub fn dropped(&self) -> u64 {
+    pub fn dropped_messages(&self) -> u64 {
         self.dropped.get()
     }
 
     /// Messages and bytes exchanged with members, greetings aside.
     #[must_use]
-    pub fn traffic(&self) -> Traffic {
+    pub fn traffic(&self) -> TrafficStats {
         self.counter.traffic()
     }
 
     /// Hears and reaches these no more, until told otherwise: a cut, for tests and drills.
-    pub fn cut(&self, ids: &[NodeId]) {
+    pub fn block_peers(&self, ids: &[NodeId]) {
         *self.cut.borrow_mut() = ids.to_vec();
     }
 
@@ -214,7 +214,7 @@
     wire::put(
         &mut answer,
         &Welcome {
-            refused: refused.clone(),
+            rejected: refused.clone(),
             born,
         },
     );
@@ -302,7 +302,7 @@
         .await;
     match welcome {
         Ok(Welcome {
-            refused: None,
+            rejected: None,
             born,
         }) => {
             let known = of
@@ -314,7 +314,8 @@
             *greeted = true;
         }
         Ok(Welcome {
-            refused: Some(why), ..
+            rejected: Some(why),
+            ..
         }) => return format!("refused: {why}"),
         Err(reason) => return reason.to_owned(),
     }
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -16,7 +16,7 @@
 use async_io::Timer;
 use violetgate_raft::{MembershipChange, NodeId, Role};
 use violetgate_replica::{ReplicaConfig, Response};
-use violetgate_replica_runtime::{Answered, Beginning, Call, Cluster, Options};
+use violetgate_replica_runtime::{Bootstrap, Call, CallOutcome, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::{Mutation, Operation, Outcome, Txn};
 
 const WAIT: Duration = Duration::from_secs(30);
@@ -25,7 +25,7 @@
     executor: Rc<LocalExecutor<'static>>,
     folder: PathBuf,
     addrs: BTreeMap<NodeId, SocketAddr>,
-    members: BTreeMap<NodeId, Rc<Cluster>>,
+    members: BTreeMap<NodeId, Rc<ReplicaRuntime>>,
 }
 
 impl Drop for Three {
@@ -54,8 +54,8 @@
         }
     }
 
-    fn options(&self, id: NodeId) -> Options {
-        Options {
+    fn options(&self, id: NodeId) -> ReplicaOptions {
+        ReplicaOptions {
             cluster: "test".to_owned(),
             id,
             folder: self.folder.join(id.to_string()),
@@ -71,11 +71,11 @@
 
     /// Makes a member's folder and starts it.
     fn begin(&mut self, id: NodeId, members: Vec<NodeId>) {
-        let from = Beginning {
-            members,
-            state: Vec::new(),
+        let from = Bootstrap {
+            initial_members: members,
+            initial_state: Vec::new(),
         };
-        Cluster::begin(
+        ReplicaRuntime::initialize(
             "test",
             id,
             &self.folder.join(id.to_string()),
@@ -91,7 +91,7 @@
         // One that has just been dropped may hold its address until its tasks are gone.
         let until = Instant::now() + WAIT;
         loop {
-            match Cluster::start(&self.executor, &options) {
+            match ReplicaRuntime::start(&self.executor, &options) {
                 Ok(member) => {
                     self.members.insert(id, member);
                     return;
@@ -102,10 +102,11 @@
         }
     }
 
-    async fn leader(&self) -> Rc<Cluster> {
+    async fn leader(&self) -> Rc<ReplicaRuntime> {
         let until = Instant::now() + WAIT;
         loop {
-            let leads = |m: &&Rc<Cluster>| m.status().role == Role::Leader && m.may_route().is_ok();
+            let leads =
+                |m: &&Rc<ReplicaRuntime>| m.status().role == Role::Leader && m.may_route().is_ok();
             if let Some(leader) = self.members.values().find(leads) {
                 return Rc::clone(leader);
             }
@@ -129,7 +130,7 @@
                 ..Txn::default()
             });
             let leader = self.leader().await;
-            if let Answered::Yes(Response::Applied(outcome)) = leader
+            if let CallOutcome::Completed(Response::Applied(outcome)) = leader
                 .propose(Some(request.clone()), "test", step, Duration::from_secs(1))
                 .await
             {
@@ -143,7 +144,7 @@
     async fn all_hold(&self, key: &str, value: &str) {
         for (id, member) in &self.members {
             assert!(
-                member.current(WAIT).await,
+                member.wait_until_current(WAIT).await,
                 "{id} is not current: {:?}",
                 member.status()
             );
@@ -187,7 +188,7 @@
     async_io::block_on(executor.run(async {
         three.put("a", "1").await;
         let leader = three.leader().await;
-        leader.transport().cut(&[1, 2, 3]);
+        leader.transport().block_peers(&[1, 2, 3]);
         let others: Vec<_> = three
             .members
             .values()
@@ -199,7 +200,7 @@
             assert!(Instant::now() < until, "it routes on");
             Timer::after(Duration::from_millis(10)).await;
         }
-        assert!(!leader.current(Duration::from_millis(300)).await);
+        assert!(!leader.wait_until_current(Duration::from_millis(300)).await);
         let op = Mutation::Put {
             key: "a".to_owned(),
             value: b"2".to_vec(),
@@ -213,7 +214,7 @@
             .propose(None, "test", step, Duration::from_millis(300))
             .await;
         assert!(
-            !matches!(answered, Answered::Yes(Response::Applied(_))),
+            !matches!(answered, CallOutcome::Completed(Response::Applied(_))),
             "{answered:?}"
         );
         while !others.iter().any(|m| m.status().role == Role::Leader) {
@@ -221,7 +222,7 @@
             Timer::after(Duration::from_millis(10)).await;
         }
         three.put("a", "3").await;
-        leader.transport().cut(&[]);
+        leader.transport().block_peers(&[]);
         three.all_hold("a", "3").await;
         // Its gate asks for itself, every 250 ms.
         while leader.may_route().is_err() {
@@ -251,13 +252,15 @@
                 || !three.leader().await.status().members.contains(4)
             {
                 assert!(Instant::now() < until, "{change:?} is never done");
-                three.leader().await.change(change, within).await;
+                three.leader().await.change_membership(change, within).await;
             }
         }
         let leader = three.leader().await;
-        let again = leader.change(MembershipChange::AddLearner(2), within).await;
+        let again = leader
+            .change_membership(MembershipChange::AddLearner(2), within)
+            .await;
         assert!(
-            matches!(again, Answered::Yes(Response::Rejected(_))),
+            matches!(again, CallOutcome::Completed(Response::Rejected(_))),
             "{again:?}"
         );
         three.members.remove(&2);
@@ -268,18 +271,21 @@
     while three.executor.try_tick() {}
     let folder = three.folder.join("3");
     std::fs::remove_file(folder.join("member")).unwrap();
-    let refused = Cluster::start(&three.executor, &three.options(3))
+    let rejected = ReplicaRuntime::start(&three.executor, &three.options(3))
         .err()
         .unwrap_or_default();
-    assert!(refused.contains("this folder is no member's"), "{refused}");
-    let begun = Cluster::begin(
+    assert!(
+        rejected.contains("this folder is no member's"),
+        "{rejected}"
+    );
+    let begun = ReplicaRuntime::initialize(
         "test",
         3,
         &folder,
         1,
-        Beginning {
-            members: vec![],
-            state: vec![],
+        Bootstrap {
+            initial_members: vec![],
+            initial_state: vec![],
         },
     );
     assert!(begun.unwrap_err().contains("a member's already"));
@@ -307,23 +313,23 @@
     async_io::block_on(executor.run(async {
         for n in 1..=3 {
             let id = u64::from(n);
-            let first = three.members[&id].agree(call(n), WAIT).await;
+            let first = three.members[&id].submit(call(n), WAIT).await;
             assert!(
                 matches!(
                     first,
-                    Answered::Yes(Response::Applied(Outcome::Applied { .. }))
+                    CallOutcome::Completed(Response::Applied(Outcome::Applied { .. }))
                 ),
                 "{first:?}"
             );
             assert_eq!(
-                three.members[&(id % 3 + 1)].agree(call(n), WAIT).await,
+                three.members[&(id % 3 + 1)].submit(call(n), WAIT).await,
                 first
             );
         }
-        assert!(three.members[&1].current(WAIT).await);
+        assert!(three.members[&1].wait_until_current(WAIT).await);
         assert_eq!(three.members[&1].status().revision, 3);
     }));
-    // Member 3 loses its disk, and one is made anew under its id: it could vote twice.
+    // Replica 3 loses its disk, and one is made anew under its id: it could vote twice.
     three.members.remove(&3);
     while three.executor.try_tick() {}
     std::fs::remove_dir_all(three.folder.join("3")).unwrap();
@@ -331,15 +337,19 @@
     three
         .members
         .values()
-        .for_each(|m| m.transport().disks(disks.clone()));
-    let from = Beginning {
-        members: vec![1, 2, 3],
-        state: vec![],
+        .for_each(|m| m.transport().set_known_disks(disks.clone()));
+    let from = Bootstrap {
+        initial_members: vec![1, 2, 3],
+        initial_state: vec![],
     };
-    Cluster::begin("test", 3, &three.folder.join("3"), 7, from).unwrap();
+    ReplicaRuntime::initialize("test", 3, &three.folder.join("3"), 7, from).unwrap();
     three.start(3);
     async_io::block_on(executor.run(async {
-        assert!(!three.members[&3].current(Duration::from_secs(2)).await);
+        assert!(
+            !three.members[&3]
+                .wait_until_current(Duration::from_secs(2))
+                .await
+        );
         assert_eq!(
             (
                 three.members[&3].status().applied,
@@ -348,7 +358,7 @@
             (0, 0)
         );
         assert!(
-            three.members[&1].current(WAIT).await,
+            three.members[&1].wait_until_current(WAIT).await,
             "the two others go on"
         );
     }));
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -23,7 +23,7 @@
 use serde_json::json;
 use smol_hyper::rt::FuturesIo;
 use violetgate_replica::Response;
-use violetgate_replica_runtime::{Answered, Call};
+use violetgate_replica_runtime::{Call, CallOutcome};
 use violetgate_replicated_state::{Operation, Outcome, Revision, Txn};
 
 use super::{request_id, ClusterMember, CommitError};
@@ -207,7 +207,7 @@
     /// Waits until this member's copy is current.
     async fn current(&self, call: &ApiCall) -> Result<(), HttpError> {
         if call.query.text("stale") == Some("true")
-            || self.daemon.cluster.current(call.within).await
+            || self.daemon.cluster.wait_until_current(call.within).await
         {
             return Ok(());
         }
@@ -230,14 +230,16 @@
             who: call.who.clone(),
             step,
         };
-        match self.daemon.cluster.agree(asked, call.within).await {
-            Answered::Yes(Response::Applied(Outcome::Applied { revision, .. })) => {
+        match self.daemon.cluster.submit(asked, call.within).await {
+            CallOutcome::Completed(Response::Applied(Outcome::Applied { revision, .. })) => {
                 Ok(told(&json!({"revision": revision})))
             }
-            Answered::Yes(Response::Applied(Outcome::Rejected(why))) => {
+            CallOutcome::Completed(Response::Applied(Outcome::Rejected(why))) => {
                 Err(CommitError::Refused(why).into())
             }
-            Answered::Yes(Response::Rejected(why)) => Err(CommitError::Rejected(why).into()),
+            CallOutcome::Completed(Response::Rejected(why)) => {
+                Err(CommitError::Rejected(why).into())
+            }
             _ => Err(CommitError::Late.into()),
         }
     }
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -16,7 +16,7 @@
 use async_io::Timer;
 use violetgate_raft::{MembershipChange, NodeId, Role};
 use violetgate_replica::Response;
-use violetgate_replica_runtime::{Answered, Call, Cluster};
+use violetgate_replica_runtime::{Call, CallOutcome, ReplicaRuntime};
 use violetgate_replicated_state::{Mutation, Operation, Outcome, Revision, Txn};
 
 use crate::error::ScaleError;
@@ -112,7 +112,7 @@
 
 /// Members that agree: the leader here, the others on their own thread. The place goes last.
 struct Group {
-    leader: Rc<Cluster>,
+    leader: Rc<ReplicaRuntime>,
     others: Others,
     shared: Arc<Shared>,
     counts: Arc<Counts>,
@@ -168,14 +168,17 @@
             .filter(|id| !VOTERS.contains(id))
             .collect();
         self.others.grow(Growth { new, addresses })?;
-        self.leader.transport().peers(&self.listens);
+        self.leader.transport().set_peers(&self.listens);
         self.lead().await?;
         for id in joining {
             let added = self
                 .leader
-                .agree(Call::Change(MembershipChange::AddLearner(id)), SETTLE)
+                .submit(
+                    Call::ChangeMembership(MembershipChange::AddLearner(id)),
+                    SETTLE,
+                )
                 .await;
-            if added != Answered::Yes(Response::MembershipChanged) {
+            if added != CallOutcome::Completed(Response::MembershipChanged) {
                 return Err(ScaleError::Member {
                     id,
                     reason: format!("it was not added: {added:?}"),
@@ -199,7 +202,10 @@
                 return Ok(());
             }
             if self.leader.status().role != Role::Leader {
-                let _ = self.leader.agree(Call::Transfer(LEADER), HAND_OVER).await;
+                let _ = self
+                    .leader
+                    .submit(Call::TransferLeadership(LEADER), HAND_OVER)
+                    .await;
             }
             Timer::after(LOOK).await;
         }
@@ -305,8 +311,10 @@
             step,
         };
         let begun = Instant::now();
-        let revision = match self.leader.agree(call, APPLY).await {
-            Answered::Yes(Response::Applied(Outcome::Applied { revision, .. })) => revision,
+        let revision = match self.leader.submit(call, APPLY).await {
+            CallOutcome::Completed(Response::Applied(Outcome::Applied { revision, .. })) => {
+                revision
+            }
             _ => {
                 return Err(ScaleError::Late {
                     what: "a change",
