--- /dev/null
+++ b/policy/tests/slow_start.rs
@@ -0,0 +1,147 @@
+//! Engines that warm up.
+
+mod common;
+
+use common::*;
+use violetgate_policy::interface::{
+    AttemptEnded, Cost, Engine, EngineId, EngineState, ListScope, Micros, Outcome, QueryId,
+};
+use violetgate_policy::{Event, Gateway, Settings};
+
+const GATEWAYS: u32 = 200;
+const COLLAPSE_WINDOW: Micros = 2 * S;
+
+/// Whether engines report what queries cost.
+#[derive(Clone, Copy, PartialEq)]
+enum Costs {
+    Reported,
+    Unknown,
+}
+
+/// What all gateways sent to a warming engine.
+struct SentToWarming {
+    /// Queries in its first two windows.
+    early: usize,
+    /// The largest part in any window of what the engine then bears.
+    largest_part: f64,
+}
+
+fn completed(query: QueryId, engine: EngineId, elapsed: Micros, costs: Costs) -> Event {
+    let cost = Cost {
+        work: 200 * MS,
+        memory_mb: 0.0,
+    };
+    Event::AttemptEnded(AttemptEnded {
+        query,
+        attempt: 0,
+        engine,
+        outcome: Outcome::Completed,
+        query_answered: true,
+        elapsed,
+        cost: (costs == Costs::Reported).then_some(cost),
+        load: Default::default(),
+    })
+}
+
+/// When one gateway sends queries to warming engine 0. Before that, one answer of engine 1, which
+/// then drains, shows what queries cost, if anything does.
+fn sends_of(number: u64, config: &Settings, costs: Costs) -> Vec<Micros> {
+    let list = |scope, engines| Event::EngineList { scope, engines };
+    let warming = Engine {
+        started: Some(S),
+        ..engine(0)
+    };
+    let drains = Engine {
+        state: EngineState::Draining,
+        ..engine(1)
+    };
+    let first = [
+        list(ListScope::Snapshot, vec![engine(1)]),
+        Event::QueryArrived(query(1_000_000, 200 * MS)),
+        completed(1_000_000, 1, 200 * MS, costs),
+        list(ListScope::Patch, vec![warming, drains]),
+    ];
+    let mut gateway = Gateway::new(config.clone(), number * 7919);
+    let mut actions = Vec::new();
+    gateway.handle(S, &first, &mut actions);
+    // One in ten has a query every 50 ms, the others every second.
+    let gap = if number % 10 == 0 { 50 * MS } else { S };
+    let mut sends = Vec::new();
+    for step in 0..10 * S / gap {
+        let (now, id) = (S + step * gap, step + 1);
+        actions.clear();
+        let arrives = Event::QueryArrived(query(id, 200 * MS));
+        gateway.handle(now, &[arrives], &mut actions);
+        let ends = if sent_to(&actions, id) == Some(0) {
+            sends.push(now);
+            completed(id, 0, 10 * MS, costs)
+        } else {
+            Event::ClientDisconnected { query: id }
+        };
+        gateway.handle(now, &[ends], &mut actions);
+    }
+    sends
+}
+
+/// What independent gateways with unequal traffic and a query always at hand send to one warming
+/// engine.
+fn sent_to_warming_engine(costs: Costs) -> SentToWarming {
+    let config = Settings {
+        gateways: Some(GATEWAYS),
+        slow_start_initial_fraction: Some(0.3),
+        slow_start_window: Some(14 * S),
+        collapse_load_multiple: Some(2.0),
+        collapse_window: Some(COLLAPSE_WINDOW),
+        ..settings(vec![class(10 * S)], 8.0)
+    };
+    let gateways = 0..u64::from(GATEWAYS);
+    let mut sends: Vec<_> = gateways
+        .flat_map(|number| sends_of(number, &config, costs))
+        .collect();
+    sends.sort_unstable();
+    // 2 x 8 cores for 2 s make 160 queries of 0.2 s when warm, 48 at the start.
+    let bears = |at: Micros| 160.0 * (0.3 + 0.7 * ((at - S) as f64 / 14e6).powi(2));
+    let in_window = |from: Micros| {
+        let window = from..from + COLLAPSE_WINDOW;
+        sends.iter().filter(|at| window.contains(at)).count()
+    };
+    let parts = sends.iter().map(|at| in_window(*at) as f64 / bears(*at));
+    let early_end = S + 2 * COLLAPSE_WINDOW;
+    SentToWarming {
+        early: sends.iter().filter(|at| **at < early_end).count(),
+        largest_part: parts.fold(0.0, f64::max),
+    }
+}
+
+/// Where the part of each gateway is less than a query, a warming engine still gets some, more
+/// where costs are reported, and in no window more than it bears.
+#[test]
+fn a_warming_engine_gets_queries_from_many_gateways_and_never_too_many() {
+    let unknown = sent_to_warming_engine(Costs::Unknown);
+    let reported = sent_to_warming_engine(Costs::Reported);
+    let (early, early_reported) = (unknown.early, reported.early);
+    assert!(
+        early >= 5 && early_reported >= 45,
+        "sent early: {early}, {early_reported} where costs are reported"
+    );
+    let largest = unknown.largest_part.max(reported.largest_part);
+    assert!(largest <= 1.0, "largest part in a window: {largest}");
+}
+
+/// Its threads are slow, but as many.
+#[test]
+fn the_limit_of_a_warming_engine_shrinks_with_the_root_of_its_warmth() {
+    let mut config = settings(vec![class(10 * S)], 8.0);
+    (config.slow_start_initial_fraction, config.slow_start_window) = (Some(0.25), Some(10 * S));
+    let mut gateway = TestGateway::new(
+        config,
+        vec![Engine {
+            started: Some(S),
+            ..engine(0)
+        }],
+    );
+    let out = (1..30)
+        .filter(|id| sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some())
+        .count();
+    assert_eq!(out, 8, "half of 16 threads at a quarter of the warmth");
+}
