--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -2,104 +2,14 @@
 //! operations.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use std::collections::BTreeMap;
-use std::io::{Error, ErrorKind, Result};
+use std::path::PathBuf;
 
 use violetgate_raft::{Entry, HardState, Membership, Payload, SnapshotMetadata, StorageWrite};
-use violetgate_raft_storage::{Directory, FsDirectory, Identity, RaftStorage, StorageError};
+use violetgate_raft_storage::{FsDirectory, Identity, RaftStorage, RecoveredState, StorageError};
 
-/// A disk in memory that fails on demand.
-#[derive(Debug, Clone, Default)]
-struct Memory {
-    files: BTreeMap<String, Vec<u8>>,
-    /// Operations until a crash, after which all fail.
-    operations_until_crash: Option<usize>,
-    /// Bytes that still fit.
-    free_bytes: Option<usize>,
-    syncs_fail: bool,
-}
+mod memory;
 
-impl Memory {
-    fn operate(&mut self) -> Result<()> {
-        match &mut self.operations_until_crash {
-            Some(0) => Err(Error::other("crashed")),
-            Some(n) => {
-                *n -= 1;
-                Ok(())
-            }
-            None => Ok(()),
-        }
-    }
-}
-
-impl Directory for Memory {
-    fn list(&self) -> Result<Vec<String>> {
-        Ok(self.files.keys().cloned().collect())
-    }
-    fn read(&self, name: &str) -> Result<Vec<u8>> {
-        self.files
-            .get(name)
-            .cloned()
-            .ok_or_else(|| ErrorKind::NotFound.into())
-    }
-    fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        // A crash in the middle of an append writes a part.
-        let result = self.operate();
-        let fits = self
-            .free_bytes
-            .unwrap_or(usize::MAX)
-            .min(if result.is_ok() {
-                usize::MAX
-            } else {
-                bytes.len() / 2
-            });
-        let part = &bytes[..fits.min(bytes.len())];
-        if self.operations_until_crash != Some(0) || result.is_err() {
-            self.files
-                .entry(name.to_owned())
-                .or_default()
-                .extend_from_slice(part);
-        }
-        result?;
-        if let Some(free) = &mut self.free_bytes {
-            *free -= part.len();
-        }
-        if part.len() < bytes.len() {
-            Err(ErrorKind::StorageFull.into())
-        } else {
-            Ok(())
-        }
-    }
-    fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
-        self.operate()?;
-        self.files.get_mut(name).unwrap().truncate(length as usize);
-        Ok(())
-    }
-    fn sync(&mut self, _: &str) -> Result<()> {
-        self.operate()?;
-        if self.syncs_fail {
-            Err(Error::other("sync"))
-        } else {
-            Ok(())
-        }
-    }
-    fn sync_dir(&mut self) -> Result<()> {
-        self.operate()
-    }
-    fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.operate()?;
-        let bytes = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
-        self.files.insert(to.to_owned(), bytes);
-        Ok(())
-    }
-    fn remove(&mut self, name: &str) -> Result<()> {
-        self.operate()?;
-        self.files
-            .remove(name)
-            .map(drop)
-            .ok_or_else(|| ErrorKind::NotFound.into())
-    }
-}
+use memory::Memory;
 
 fn identity() -> Identity {
     Identity {
@@ -143,42 +53,66 @@
         .0
 }
 
+/// What a storage with these files recovers.
+fn recover(files: &Memory) -> RecoveredState {
+    RaftStorage::open(files.clone(), "c", 1).unwrap().1
+}
+
+/// A log of several writes, with what is recovered after each.
+struct WrittenLog {
+    files: Memory,
+    /// The file of the log.
+    name: String,
+    /// Bytes of the log, and what is recovered from them: at first and after each write.
+    complete: Vec<(usize, RecoveredState)>,
+}
+
+impl WrittenLog {
+    fn new() -> Self {
+        let mut files = new_storage().into_directory();
+        let mut complete = vec![(0, recover(&files))];
+        for write in [
+            write(1, None, 1..4),
+            write(2, Some(3), 3..6),
+            write(2, None, 6..7),
+            write(3, None, 0..0),
+        ] {
+            let mut storage = RaftStorage::open(files, "c", 1).unwrap().0;
+            storage.write(&[write]).unwrap();
+            let bytes = storage.log_bytes();
+            files = storage.into_directory();
+            complete.push((bytes, recover(&files)));
+        }
+        let is_log = |name: &&String| name.starts_with("log-");
+        let name = files.files.keys().find(is_log).unwrap().clone();
+        WrittenLog {
+            files,
+            name,
+            complete,
+        }
+    }
+
+    fn bytes(&self) -> &[u8] {
+        &self.files.files[&self.name]
+    }
+
+    fn with_bytes(&self, bytes: Vec<u8>) -> Memory {
+        let mut files = self.files.clone();
+        files.files.insert(self.name.clone(), bytes);
+        files
+    }
+}
+
 /// Truncated at any byte, the log holds exactly the complete writes, and takes new ones.
 #[test]
 fn a_truncated_log_holds_complete_writes_only() {
-    let writes = [
-        write(1, None, 1..4),
-        write(2, Some(3), 3..6),
-        write(2, None, 6..7),
-        write(3, None, 0..0),
-    ];
-    let mut storage = new_storage();
-    let mut complete = vec![(
-        storage.log_bytes(),
-        RaftStorage::open(storage.into_directory(), "c", 1)
-            .unwrap()
-            .1,
-    )];
-    let mut files = new_storage().into_directory();
-    for w in &writes {
-        storage = RaftStorage::open(files, "c", 1).unwrap().0;
-        storage.write(std::slice::from_ref(w)).unwrap();
-        let bytes = storage.log_bytes();
-        files = storage.into_directory();
-        complete.push((bytes, RaftStorage::open(files.clone(), "c", 1).unwrap().1));
-    }
-    let log = files
-        .files
-        .keys()
-        .find(|n| n.starts_with("log-"))
-        .unwrap()
-        .clone();
-    let all = files.files[&log].clone();
-    for cut in 0..=all.len() {
-        let mut cut_files = files.clone();
-        cut_files.files.insert(log.clone(), all[..cut].to_vec());
-        let (mut storage, recovered) = RaftStorage::open(cut_files, "c", 1).unwrap();
-        let (bytes, expected) = complete.iter().rev().find(|(b, _)| *b <= cut).unwrap();
+    let log = WrittenLog::new();
+    assert_eq!(new_storage().log_bytes(), log.complete[0].0);
+    for cut in 0..=log.bytes().len() {
+        let files = log.with_bytes(log.bytes()[..cut].to_vec());
+        let (mut storage, recovered) = RaftStorage::open(files, "c", 1).unwrap();
+        let mut complete = log.complete.iter().rev();
+        let (bytes, expected) = complete.find(|(b, _)| *b <= cut).unwrap();
         assert_eq!(
             (recovered.hard_state, &recovered.entries),
             (expected.hard_state, &expected.entries),
@@ -188,24 +122,24 @@
             assert_eq!(recovered.discarded_bytes, cut - bytes);
         }
         storage.write(&[write(9, Some(1), 1..2)]).unwrap();
-        let reopened = RaftStorage::open(storage.into_directory(), "c", 1)
-            .unwrap()
-            .1;
+        let reopened = recover(&storage.into_directory());
         assert_eq!(
             (reopened.hard_state.term, reopened.entries),
             (9, vec![entry(1, 9)])
         );
     }
-    // A flipped bit in a write that others follow: the write was durable once, so it is reported
-    // and not discarded.
-    for at in 0..complete[2].0 {
-        let mut damaged = files.clone();
-        damaged.files.get_mut(&log).unwrap()[at] ^= 4;
+}
+
+/// The write was durable once, so the damage is reported and not discarded.
+#[test]
+fn a_flipped_bit_in_a_write_that_others_follow_is_reported() {
+    let log = WrittenLog::new();
+    for at in 0..log.complete[2].0 {
+        let mut bytes = log.bytes().to_vec();
+        bytes[at] ^= 4;
+        let opened = RaftStorage::open(log.with_bytes(bytes), "c", 1);
         assert!(
-            matches!(
-                RaftStorage::open(damaged, "c", 1),
-                Err(StorageError::Corrupt(_))
-            ),
+            matches!(opened, Err(StorageError::Corrupt(_))),
             "bit at {at}"
         );
     }
@@ -271,26 +205,25 @@
 /// incomplete.
 #[test]
 fn a_crash_between_any_operations_keeps_what_was_durable() {
-    let run = |storage: &mut RaftStorage<Memory>,
-               done: &mut (u64, u64)|
-     -> std::result::Result<(), StorageError> {
-        for round in 1..6u64 {
-            let from = (round - 1) * 4 + 1;
-            storage.write(&[write(round, None, from..from + 4)])?;
-            done.0 = from + 3;
-            let members = Membership::bootstrap([1, 2, 3]);
-            storage.save_snapshot(
-                &SnapshotMetadata {
-                    index: from + 1,
-                    term: round,
-                    membership: members,
-                },
-                &[round as u8; 30],
-            )?;
-            done.1 = from + 1;
-        }
-        Ok(())
-    };
+    let run =
+        |storage: &mut RaftStorage<Memory>, done: &mut (u64, u64)| -> Result<(), StorageError> {
+            for round in 1..6u64 {
+                let from = (round - 1) * 4 + 1;
+                storage.write(&[write(round, None, from..from + 4)])?;
+                done.0 = from + 3;
+                let members = Membership::bootstrap([1, 2, 3]);
+                storage.save_snapshot(
+                    &SnapshotMetadata {
+                        index: from + 1,
+                        term: round,
+                        membership: members,
+                    },
+                    &[round as u8; 30],
+                )?;
+                done.1 = from + 1;
+            }
+            Ok(())
+        };
     for operations in 0..60 {
         let mut files = new_storage().into_directory();
         files.operations_until_crash = Some(operations);
@@ -353,43 +286,63 @@
     ));
 }
 
-/// Segments follow each other and are removed; another replica's snapshot replaces the log.
-#[test]
-fn segments_and_snapshots_work_on_real_files() {
-    let path = std::env::temp_dir().join(format!("violetgate-raft-storage-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&path);
-    let (mut storage, _) =
-        RaftStorage::create(FsDirectory::new(&path).unwrap(), &identity(), &base(), &[]).unwrap();
-    let large = |index| Entry {
-        term: 1,
-        index,
-        payload: Payload::Command(vec![7; 3 << 20]),
-    };
-    for index in 1..=8 {
+/// A folder in the file system, which is removed with it.
+struct TemporaryFolder(PathBuf);
+
+impl TemporaryFolder {
+    fn new(name: &str) -> Self {
+        let name = format!("violetgate-raft-storage-{name}-{}", std::process::id());
+        let path = std::env::temp_dir().join(name);
+        let _ = std::fs::remove_dir_all(&path);
+        TemporaryFolder(path)
+    }
+
+    /// A storage with 8 entries of 3 MiB in several segments.
+    fn storage(&self) -> RaftStorage<FsDirectory> {
+        let directory = FsDirectory::new(&self.0).unwrap();
+        let (mut storage, _) = RaftStorage::create(directory, &identity(), &base(), &[]).unwrap();
+        for index in 1..=8 {
+            let large = Entry {
+                term: 1,
+                index,
+                payload: Payload::Command(vec![7; 3 << 20]),
+            };
+            storage.write(&[append(large)]).unwrap();
+        }
         storage
-            .write(&[StorageWrite {
-                append: vec![large(index)],
-                ..StorageWrite::default()
-            }])
-            .unwrap();
     }
+}
+
+impl Drop for TemporaryFolder {
+    fn drop(&mut self) {
+        std::fs::remove_dir_all(&self.0).unwrap();
+    }
+}
+
+fn append(entry: Entry) -> StorageWrite {
+    StorageWrite {
+        append: vec![entry],
+        ..StorageWrite::default()
+    }
+}
+
+fn snapshot(index: u64, term: u64) -> SnapshotMetadata {
+    SnapshotMetadata {
+        index,
+        term,
+        membership: base().membership,
+    }
+}
+
+#[test]
+fn a_saved_snapshot_removes_the_segments_that_it_covers() {
+    let folder = TemporaryFolder::new("save");
+    let mut storage = folder.storage();
     let before = storage.log_bytes();
-    storage
-        .save_snapshot(
-            &SnapshotMetadata {
-                index: 7,
-                term: 1,
-                membership: base().membership,
-            },
-            b"state",
-        )
-        .unwrap();
-    assert!(
-        storage.log_bytes() < before / 2,
-        "{} of {before}",
-        storage.log_bytes()
-    );
-    let (mut storage, recovered) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
+    storage.save_snapshot(&snapshot(7, 1), b"state").unwrap();
+    let after = storage.log_bytes();
+    assert!(after < before / 2, "{after} of {before}");
+    let (_, recovered) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
     assert_eq!(
         (
             recovered.snapshot.index,
@@ -398,29 +351,21 @@
         ),
         (7, b"state".to_vec(), 1)
     );
+}
+
+#[test]
+fn an_installed_snapshot_replaces_the_log() {
+    let folder = TemporaryFolder::new("install");
+    let mut storage = folder.storage();
+    storage.save_snapshot(&snapshot(7, 1), b"state").unwrap();
+    let (mut storage, _) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
     storage
-        .install_snapshot(
-            &SnapshotMetadata {
-                index: 90,
-                term: 4,
-                membership: base().membership,
-            },
-            b"theirs",
-            &[],
-        )
-        .unwrap();
-    storage
-        .write(&[StorageWrite {
-            append: vec![entry(91, 4)],
-            ..StorageWrite::default()
-        }])
+        .install_snapshot(&snapshot(90, 4), b"theirs", &[])
         .unwrap();
-    let recovered = RaftStorage::open(storage.into_directory(), "c", 1)
-        .unwrap()
-        .1;
+    storage.write(&[append(entry(91, 4))]).unwrap();
+    let (_, recovered) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
     assert_eq!(
         (recovered.snapshot.index, recovered.state, recovered.entries),
         (90, b"theirs".to_vec(), vec![entry(91, 4)])
     );
-    std::fs::remove_dir_all(&path).unwrap();
 }
--- /dev/null
+++ b/cluster/raft-storage/tests/memory/mod.rs
@@ -0,0 +1,99 @@
+//! A directory in memory, for tests of what happens when the disk fails.
+
+use std::collections::BTreeMap;
+use std::io::{Error, ErrorKind, Result};
+
+use violetgate_raft_storage::Directory;
+
+/// A disk in memory that fails on demand.
+#[derive(Debug, Clone, Default)]
+pub struct Memory {
+    pub files: BTreeMap<String, Vec<u8>>,
+    /// Operations until a crash, after which all fail.
+    pub operations_until_crash: Option<usize>,
+    /// Bytes that still fit.
+    pub free_bytes: Option<usize>,
+    pub syncs_fail: bool,
+}
+
+impl Memory {
+    fn operate(&mut self) -> Result<()> {
+        match &mut self.operations_until_crash {
+            Some(0) => Err(Error::other("crashed")),
+            Some(n) => {
+                *n -= 1;
+                Ok(())
+            }
+            None => Ok(()),
+        }
+    }
+}
+
+impl Directory for Memory {
+    fn list(&self) -> Result<Vec<String>> {
+        Ok(self.files.keys().cloned().collect())
+    }
+    fn read(&self, name: &str) -> Result<Vec<u8>> {
+        self.files
+            .get(name)
+            .cloned()
+            .ok_or_else(|| ErrorKind::NotFound.into())
+    }
+    fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
+        // A crash in the middle of an append writes a part.
+        let result = self.operate();
+        let fits = self
+            .free_bytes
+            .unwrap_or(usize::MAX)
+            .min(if result.is_ok() {
+                usize::MAX
+            } else {
+                bytes.len() / 2
+            });
+        let part = &bytes[..fits.min(bytes.len())];
+        if self.operations_until_crash != Some(0) || result.is_err() {
+            self.files
+                .entry(name.to_owned())
+                .or_default()
+                .extend_from_slice(part);
+        }
+        result?;
+        if let Some(free) = &mut self.free_bytes {
+            *free -= part.len();
+        }
+        if part.len() < bytes.len() {
+            Err(ErrorKind::StorageFull.into())
+        } else {
+            Ok(())
+        }
+    }
+    fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
+        self.operate()?;
+        self.files.get_mut(name).unwrap().truncate(length as usize);
+        Ok(())
+    }
+    fn sync(&mut self, _: &str) -> Result<()> {
+        self.operate()?;
+        if self.syncs_fail {
+            Err(Error::other("sync"))
+        } else {
+            Ok(())
+        }
+    }
+    fn sync_dir(&mut self) -> Result<()> {
+        self.operate()
+    }
+    fn rename(&mut self, from: &str, to: &str) -> Result<()> {
+        self.operate()?;
+        let bytes = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
+        self.files.insert(to.to_owned(), bytes);
+        Ok(())
+    }
+    fn remove(&mut self, name: &str) -> Result<()> {
+        self.operate()?;
+        self.files
+            .remove(name)
+            .map(drop)
+            .ok_or_else(|| ErrorKind::NotFound.into())
+    }
+}
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -3,10 +3,13 @@
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use std::collections::BTreeMap;
-use std::io::{ErrorKind, Result};
 
 use violetgate_raft::{Entry, HardState, Membership, Payload, SnapshotMetadata, StorageWrite};
-use violetgate_raft_storage::{Directory, Identity, RaftStorage};
+use violetgate_raft_storage::{Identity, RaftStorage};
+
+mod memory;
+
+use memory::Memory;
 
 const STORED: [(&str, &[u8]); 3] = [
     (
@@ -20,44 +23,6 @@
     ),
 ];
 
-/// Files in memory.
-#[derive(Debug, Clone, Default)]
-struct Memory(BTreeMap<String, Vec<u8>>);
-
-impl Directory for Memory {
-    fn list(&self) -> Result<Vec<String>> {
-        Ok(self.0.keys().cloned().collect())
-    }
-    fn read(&self, name: &str) -> Result<Vec<u8>> {
-        let bytes = self.0.get(name).cloned();
-        bytes.ok_or_else(|| ErrorKind::NotFound.into())
-    }
-    fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        let file = self.0.entry(name.to_owned()).or_default();
-        file.extend_from_slice(bytes);
-        Ok(())
-    }
-    fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
-        self.0.get_mut(name).unwrap().truncate(length as usize);
-        Ok(())
-    }
-    fn sync(&mut self, _: &str) -> Result<()> {
-        Ok(())
-    }
-    fn sync_dir(&mut self) -> Result<()> {
-        Ok(())
-    }
-    fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        let bytes = self.0.remove(from).unwrap();
-        self.0.insert(to.to_owned(), bytes);
-        Ok(())
-    }
-    fn remove(&mut self, name: &str) -> Result<()> {
-        let removed = self.0.remove(name);
-        removed.map(drop).ok_or_else(|| ErrorKind::NotFound.into())
-    }
-}
-
 fn identity() -> Identity {
     Identity {
         cluster: "fixture".to_owned(),
@@ -149,13 +114,16 @@
 fn equal_writes_make_the_stored_bytes() {
     let files = write_folder().into_directory();
     let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
-    assert_eq!(files.0, BTreeMap::from(stored));
+    assert_eq!(files.files, BTreeMap::from(stored));
 }
 
 #[test]
 fn a_stored_folder_is_opened_with_all_that_it_holds() {
     let stored = STORED.map(|(name, bytes)| (name.to_owned(), bytes.to_vec()));
-    let files = Memory(BTreeMap::from(stored));
+    let files = Memory {
+        files: BTreeMap::from(stored),
+        ..Memory::default()
+    };
     let (storage, recovered) = RaftStorage::open(files.clone(), "fixture", 2).unwrap();
     assert_eq!(recovered.incarnation, 0x1234_5678_9abc_def0);
     assert_eq!(Some(recovered.hard_state), vote(3, Some(3)));
@@ -167,8 +135,8 @@
     assert_eq!(recovered.discarded_bytes, 0);
     assert_eq!(storage.log_bytes(), STORED[0].1.len());
     assert_eq!(
-        storage.into_directory().0,
-        files.0,
+        storage.into_directory().files,
+        files.files,
         "opening changes nothing"
     );
 }
@@ -194,7 +162,7 @@
         storage.write(&[write]).unwrap();
     }
     let summary = |files: &Memory| -> Vec<String> {
-        let files = files.0.iter();
+        let files = files.files.iter();
         files
             .map(|(name, bytes)| format!("{name} {} {:08x}", bytes.len(), crc32fast::hash(bytes)))
             .collect()
--- a/cluster/raft/src/raft_node.rs
+++ b/cluster/raft/src/raft_node.rs
@@ -1,5 +1,7 @@
 //! One node: its state, its clock, and the way of each message to the rule that handles it.
 
+use std::collections::BTreeMap;
+
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -123,14 +125,14 @@
 
     /// On a leader, the last entry that each other node is known to have; empty otherwise.
     #[must_use]
-    pub fn progress(&self) -> Vec<(NodeId, Index)> {
+    pub fn match_indexes(&self) -> BTreeMap<NodeId, Index> {
         match &self.role {
             RoleState::Leader(leader) => leader
                 .progress
                 .iter()
                 .map(|(id, progress)| (*id, progress.match_index))
                 .collect(),
-            _ => Vec::new(),
+            _ => BTreeMap::new(),
         }
     }
 
--- a/cluster/raft/tests/simulation/checks.rs
+++ b/cluster/raft/tests/simulation/checks.rs
@@ -125,7 +125,7 @@
                 node.log().last(),
                 node.log().base().index,
                 node.membership(),
-                node.progress()
+                node.match_indexes()
             );
         }
     }
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,5 +1,7 @@
 //! What a member is at, for operators and tests.
 
+use std::collections::BTreeMap;
+
 use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
 
@@ -28,7 +30,7 @@
     /// Whether state may be routed on, or how old it is.
     pub freshness: Result<(), Stale>,
     /// For a leader, what each other member is known to have.
-    pub progress: Vec<(NodeId, Index)>,
+    pub progress: BTreeMap<NodeId, Index>,
 }
 
 impl ReplicaRuntime {
@@ -47,7 +49,7 @@
             members: member.membership().clone(),
             revision: member.store().revision(),
             freshness: member.may_route(boot_time()),
-            progress: node.progress(),
+            progress: node.match_indexes(),
         }
     }
 }
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -148,7 +148,7 @@
                 "{id} is not current: {:?}",
                 member.status()
             );
-            let held = member.store(|s| s.get(key).map(|(_, v)| v.clone()));
+            let held = member.store(|s| s.get(key).map(|current| current.value.to_vec()));
             assert_eq!(held.as_deref(), Some(value.as_bytes()), "{id}");
         }
     }
--- a/cluster/replica/tests/linearizable/clients.rs
+++ b/cluster/replica/tests/linearizable/clients.rs
@@ -171,7 +171,7 @@
             (Response::ReadReady, OperationKind::Read(_)) => {
                 let store = self.server(server).replica().store();
                 let value = store.get(&key_name(operation.key));
-                let seen = value.map(|(_, bytes)| u64::from(bytes[0]));
+                let seen = value.map(|current| u64::from(current.value[0]));
                 self.end_operation(client, Some(OperationKind::Read(seen)));
             }
             (Response::NotLeader(Some(leader)), _) => self.ask_next(client, leader),
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -22,7 +22,8 @@
 //! assert_eq!(outcome, Outcome::Applied { revision: 1, conditions_held: true });
 //! // The same request again changes nothing.
 //! assert_eq!(store.apply(&command), outcome);
-//! assert_eq!(store.get("limit"), Some((1, &b"300".to_vec())));
+//! let limit = store.get("limit").unwrap();
+//! assert_eq!((limit.revision, limit.value), (1, b"300".as_slice()));
 //! ```
 
 mod command;
@@ -31,7 +32,7 @@
 mod store;
 
 pub use command::{Command, CommandError, Condition, Mutation, Operation, Outcome, Txn};
-pub use entries::Entries;
+pub use entries::{CurrentValue, Entries, KeyValue};
 pub use staleness_guard::{Stale, StalenessGuard};
 pub use store::{Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY, MAX_OPS, MAX_VALUE};
 
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Command, CommandError, Micros, Operation, Outcome, Revision};
+use crate::{Command, CommandError, CurrentValue, Micros, Operation, Outcome, Revision};
 
 mod idempotency;
 mod leases;
@@ -52,12 +52,15 @@
         self.revision
     }
 
-    /// A key's current value, and the revision that last changed it.
+    /// A key's current value; `None` if the key doesn't exist.
     #[must_use]
-    pub fn get(&self, key: &str) -> Option<(Revision, &Vec<u8>)> {
+    pub fn get(&self, key: &str) -> Option<CurrentValue<'_>> {
         let latest = self.keys.get(key)?.last()?;
         let value = latest.value.as_ref()?;
-        Some((latest.revision, &value.bytes))
+        Some(CurrentValue {
+            revision: latest.revision,
+            value: &value.bytes,
+        })
     }
 
     /// Applies a committed command.
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Store;
-use crate::Revision;
+use crate::{CurrentValue, KeyValue, Revision};
 
 /// The most changes in the history; beyond it, the oldest are compacted away.
 const MAX_CHANGES: usize = 100_000;
@@ -38,8 +38,8 @@
 pub struct Listing {
     /// The revision of all pages.
     pub revision: Revision,
-    /// Keys, the revisions that last changed them, and their values.
-    pub entries: Vec<(String, Revision, Vec<u8>)>,
+    /// The keys of this page.
+    pub entries: Vec<KeyValue>,
     /// The key after which the next page begins, if there is one.
     pub next: Option<String>,
 }
@@ -67,15 +67,19 @@
             .take_while(|(key, _)| key.starts_with(prefix))
             .filter(|(key, _)| Some(key.as_str()) != after)
             .filter_map(|(key, versions)| {
-                let (changed, bytes) = value_at(versions, revision)?;
-                Some((key.clone(), changed, bytes.to_vec()))
+                let current = value_at(versions, revision)?;
+                Some(KeyValue {
+                    key: key.clone(),
+                    revision: current.revision,
+                    value: current.value.to_vec(),
+                })
             });
         // One more than the page, to know whether another page follows.
         let limit = limit.max(1);
         let mut entries: Vec<_> = existing.take(limit.saturating_add(1)).collect();
         let has_more = entries.len() > limit;
         entries.truncate(limit);
-        let last_key = entries.last().map(|(key, ..)| key.clone());
+        let last_key = entries.last().map(|entry| entry.key.clone());
         Ok(Listing {
             revision,
             entries,
@@ -138,9 +142,12 @@
     }
 }
 
-/// What a key held as of a revision, and the revision that last changed it.
-fn value_at(versions: &[Version], revision: Revision) -> Option<(Revision, &[u8])> {
+/// What a key held as of a revision.
+fn value_at(versions: &[Version], revision: Revision) -> Option<CurrentValue<'_>> {
     let version = versions.iter().rev().find(|v| v.revision <= revision)?;
     let value = version.value.as_ref()?;
-    Some((version.revision, &value.bytes))
+    Some(CurrentValue {
+        revision: version.revision,
+        value: &value.bytes,
+    })
 }
--- a/cluster/replicated-state/src/store/transactions.rs
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -62,11 +62,11 @@
     fn holds(&self, condition: &Condition) -> bool {
         match condition {
             Condition::RevisionIs(key, expected) => {
-                self.get(key).map_or(0, |(revision, _)| revision) == *expected
-            }
-            Condition::ValueIs(key, expected) => {
-                self.get(key).is_some_and(|(_, value)| value == expected)
+                self.get(key).map_or(0, |current| current.revision) == *expected
             }
+            Condition::ValueIs(key, expected) => self
+                .get(key)
+                .is_some_and(|current| current.value == expected.as_slice()),
         }
     }
 
@@ -119,7 +119,7 @@
 
     /// Adds a version of a key. The last of several in one revision counts.
     fn set_version(&mut self, key: &str, version: Version) {
-        if let Some(bytes) = self.get(key).map(|(_, value)| value.len()) {
+        if let Some(bytes) = self.get(key).map(|current| current.value.len()) {
             self.live_size.subtract(key, bytes);
         }
         if let Some(value) = &version.value {
--- a/cluster/replicated-state/tests/encoding.rs
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -134,7 +134,11 @@
     assert_eq!(loaded, store);
     assert_eq!(loaded.revision(), 5);
     let listing = loaded.list("", None, None, 10).unwrap();
-    let limit = ("settings/limit".to_owned(), 2, b"300".to_vec());
+    let limit = KeyValue {
+        key: "settings/limit".to_owned(),
+        revision: 2,
+        value: b"300".to_vec(),
+    };
     assert_eq!(listing.entries, [limit]);
     assert_eq!(
         loaded.outcome("request-2"),
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -32,6 +32,10 @@
     }
 }
 
+fn current(revision: Revision, value: &[u8]) -> Option<CurrentValue<'_>> {
+    Some(CurrentValue { revision, value })
+}
+
 fn op() -> impl Strategy<Value = Mutation> {
     let key = "[ab]{1,2}";
     prop_oneof![
@@ -73,7 +77,7 @@
             let mut listed = State::new();
             loop {
                 prop_assert!(page.entries.len() <= limit && page.revision == at);
-                listed.extend(page.entries.iter().map(|(k, _, v)| (k.clone(), v.clone())));
+                listed.extend(page.entries.iter().map(|e| (e.key.clone(), e.value.clone())));
                 let Some(next) = page.next else { break };
                 page = store.list("a", Some(at), Some(&next), limit).unwrap();
             }
@@ -94,7 +98,7 @@
                         prop_assert!(watched < first);
                         let all = store.list("", None, None, usize::MAX).unwrap();
                         watched = all.revision;
-                        seen = all.entries.into_iter().map(|(k, _, v)| (k, v)).collect();
+                        seen = all.entries.into_iter().map(|e| (e.key, e.value)).collect();
                     }
                 }
                 prop_assert_eq!(&seen, &states[watched as usize]);
@@ -104,7 +108,7 @@
                 if back < first {
                     prop_assert_eq!(read, Err(Compacted { first_revision: first }));
                 } else {
-                    let read: State = read.unwrap().entries.into_iter().map(|(k, _, v)| (k, v)).collect();
+                    let read: State = read.unwrap().entries.into_iter().map(|e| (e.key, e.value)).collect();
                     prop_assert_eq!(&read, &states[back as usize]);
                 }
             }
@@ -145,7 +149,7 @@
             conditions_held: false
         }
     );
-    assert_eq!(store.get("by"), Some((1, &vec![1])));
+    assert_eq!(store.get("by"), current(1, &[1]));
     assert_eq!(
         store.apply(&set(1, 3)),
         Outcome::Applied {
@@ -174,7 +178,7 @@
     let outcome = store.apply(&first);
     store.apply(&command(Operation::Txn(txn(vec![put("a", 2)]))));
     assert_eq!(store.apply(&first), outcome);
-    assert_eq!(store.get("a"), Some((2, &vec![2])));
+    assert_eq!(store.get("a"), current(2, &[2]));
     let mut loaded = Store::from_snapshot(&store.to_snapshot()).unwrap();
     assert_eq!(loaded.apply(&first), outcome, "also after a snapshot");
 }
@@ -234,7 +238,7 @@
     ));
     assert_eq!(
         (store.get("duty"), store.get("other")),
-        (None, Some((1, &vec![1])))
+        (None, current(1, &[1]))
     );
     assert_eq!(
         store.apply(&at(211, Operation::Txn(txn(vec![hung])))),
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -93,17 +93,17 @@
         let page = store.list("", revision, after.as_deref(), READ_LIMIT)?;
         revision = Some(page.revision);
         last = page.next.is_none();
-        for (key, changed, value) in page.entries {
+        for entry in page.entries {
             if bytes >= max_bytes {
                 last = false;
                 break;
             }
-            bytes += entry_bytes(&key, Some(&value));
-            after = Some(key.clone());
+            bytes += entry_bytes(&entry.key, Some(&entry.value));
+            after = Some(entry.key.clone());
             entries.push(SnapshotEntry {
-                key,
-                revision: changed,
-                value,
+                key: entry.key,
+                revision: entry.revision,
+                value: entry.value,
             });
         }
     }
--- a/cluster/state-distribution/src/subscriber_replica.rs
+++ b/cluster/state-distribution/src/subscriber_replica.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_replicated_state::{Entries, Revision};
+use violetgate_replicated_state::{CurrentValue, Entries, KeyValue, Revision};
 
 use crate::message::EntryChange;
 
@@ -56,16 +56,23 @@
         self.revision
     }
 
-    fn entry(&self, key: &str) -> Option<(Revision, &[u8])> {
+    fn entry(&self, key: &str) -> Option<CurrentValue<'_>> {
         let entry = self.entries.get(key)?;
-        Some((entry.revision, entry.value.as_slice()))
+        Some(CurrentValue {
+            revision: entry.revision,
+            value: &entry.value,
+        })
     }
 
-    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<KeyValue> {
         self.entries
             .range(prefix.to_owned()..)
             .take_while(|(key, _)| key.starts_with(prefix))
-            .map(|(key, entry)| (key.clone(), entry.revision, entry.value.clone()))
+            .map(|(key, entry)| KeyValue {
+                key: key.clone(),
+                revision: entry.revision,
+                value: entry.value.clone(),
+            })
             .collect()
     }
 }
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -54,11 +54,7 @@
             .ids()
             .map(|id| {
                 let record = view.members.get(&id);
-                let matched = status
-                    .progress
-                    .iter()
-                    .find(|(m, _)| *m == id)
-                    .map(|(_, at)| *at);
+                let matched = status.progress.get(&id).copied();
                 json!({
                     "id": id,
                     "voter": status.members.voters.contains(&id),
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::json;
-use violetgate_replicated_state::{Condition, Mutation, Operation, Txn};
+use violetgate_replicated_state::{Condition, CurrentValue, Mutation, Operation, Txn};
 
 use super::http::{bad, problem, reply, told, Answering};
 use super::query::{
@@ -24,21 +24,21 @@
         self.current(call).await?;
         self.daemon.cluster.store(|store| {
             if let Some(key) = query.text("key") {
-                let (revision, bytes) = store.get(key).ok_or_else(|| {
+                let CurrentValue { revision, value } = store.get(key).ok_or_else(|| {
                     problem(
                         StatusCode::NOT_FOUND,
                         "no-such-key",
                         format!("there is no `{key}`"),
                     )
                 })?;
-                return Ok(told(&entry(key, revision, bytes)));
+                return Ok(told(&entry(key, revision, value)));
             }
             let prefix = query.text("prefix").unwrap_or_default();
             let listing = store.list(prefix, at, query.text("after"), limit)?;
             let entries: Vec<_> = listing
                 .entries
                 .iter()
-                .map(|(k, r, v)| entry(k, *r, v))
+                .map(|e| entry(&e.key, e.revision, &e.value))
                 .collect();
             let next = listing.next.map(|after| {
                 let pairs = [
--- a/gateway/src/replication/shared_config.rs
+++ b/gateway/src/replication/shared_config.rs
@@ -80,22 +80,23 @@
 
 fn below(state: &impl Entries, prefix: &'static str) -> impl Iterator<Item = (String, Vec<u8>)> {
     let listed = state.entries_with_prefix(prefix).into_iter();
-    listed.map(|(key, _, value)| {
-        (
-            key.get(prefix.len()..).unwrap_or_default().to_owned(),
-            value,
-        )
+    listed.map(|entry| {
+        let rest = entry.key.get(prefix.len()..).unwrap_or_default();
+        (rest.to_owned(), entry.value)
     })
 }
 
 fn number(state: &impl Entries, key: &str) -> Option<u64> {
-    std::str::from_utf8(state.entry(key)?.1).ok()?.parse().ok()
+    std::str::from_utf8(state.entry(key)?.value)
+        .ok()?
+        .parse()
+        .ok()
 }
 
 /// The text of a version of the settings.
 #[must_use]
 pub fn version(state: &impl Entries, version: u64) -> Option<String> {
-    let (_, text) = state.entry(&version_key(version))?;
+    let text = state.entry(&version_key(version))?.value;
     String::from_utf8(text.to_vec()).ok()
 }
 
@@ -112,7 +113,7 @@
     let listed = state.entries_with_prefix(prefix);
     listed
         .iter()
-        .filter_map(|(key, at, _)| Some((key.get(prefix.len()..)?.parse().ok()?, *at)))
+        .filter_map(|entry| Some((entry.key.get(prefix.len()..)?.parse().ok()?, entry.revision)))
         .collect()
 }
 
@@ -229,11 +230,11 @@
     let key = format!("members/{id}");
     let held = state.entry(&key);
     let before: Option<MemberAddress> =
-        held.and_then(|(_, bytes)| serde_json::from_slice(bytes).ok());
+        held.and_then(|current| serde_json::from_slice(current.value).ok());
     if before.as_ref() == Some(record) {
         return None;
     }
-    let changed = held.map_or(0, |(revision, _)| revision);
+    let changed = held.map_or(0, |current| current.revision);
     // Another disk under the same id changes nothing: the condition can't hold.
     let foreign = before
         .and_then(|b| b.born)
@@ -283,7 +284,7 @@
     }
     let changed = state
         .entry("settings/current")
-        .map_or(0, |(revision, _)| revision);
+        .map_or(0, |current| current.revision);
     let next = current + 1;
     let mut then = vec![
         put(version_key(next), text),
@@ -367,7 +368,7 @@
     if then.len() < MAX_OPS {
         then.push(put("list".to_owned(), now.last.to_string()));
     }
-    let changed = state.entry("list").map_or(0, |(revision, _)| revision);
+    let changed = state.entry("list").map_or(0, |list| list.revision);
     Some(Txn {
         conditions: vec![Condition::RevisionIs("list".to_owned(), changed)],
         then,
--- a/tools/scale/src/hollow/changes.rs
+++ b/tools/scale/src/hollow/changes.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use violetgate_replicated_state::{Entries, Revision};
+use violetgate_replicated_state::{CurrentValue, Entries, Revision};
 
 /// Changes whose keys are kept.
 pub const WINDOW: u64 = 256;
@@ -102,7 +102,10 @@
             self.faults.out_of_order += 1;
         }
         self.revision = revision;
-        let Some(latest) = entries.entry(LATEST).and_then(|(_, value)| number(value)) else {
+        let Some(latest) = entries
+            .entry(LATEST)
+            .and_then(|latest| number(latest.value))
+        else {
             return;
         };
         if latest < self.sequence.last {
@@ -123,7 +126,7 @@
     /// The last change has to be as it was, unless it was deleted since.
     fn check_last(&mut self, entries: &impl Entries) {
         let held = entries.entry(&key(self.sequence.last));
-        if held.is_some_and(|(revision, _)| revision != self.change_revision) {
+        if held.is_some_and(|current| current.revision != self.change_revision) {
             self.faults.doubled += 1;
         }
     }
@@ -133,7 +136,7 @@
             self.sequence.first = wanted;
         }
         self.sequence.last = wanted;
-        let Some((revision, value)) = entries.entry(&key(wanted)) else {
+        let Some(CurrentValue { revision, value }) = entries.entry(&key(wanted)) else {
             self.faults.lost += 1;
             return;
         };
@@ -170,5 +173,5 @@
 fn first(entries: &impl Entries) -> Option<u64> {
     let kept = entries.entries_with_prefix(PREFIX);
     kept.first()
-        .and_then(|(key, _, _)| key.strip_prefix(PREFIX)?.parse().ok())
+        .and_then(|entry| entry.key.strip_prefix(PREFIX)?.parse().ok())
 }
--- a/tools/scale/tests/hollow_changes.rs
+++ b/tools/scale/tests/hollow_changes.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_replicated_state::{Entries, Revision};
+use violetgate_replicated_state::{CurrentValue, Entries, KeyValue, Revision};
 use violetgate_scale::hollow::changes::{
     key, transaction, Digest, Faults, SeenChanges, LATEST, WINDOW,
 };
@@ -20,19 +20,24 @@
         self.revision
     }
 
-    fn entry(&self, key: &str) -> Option<(Revision, &[u8])> {
-        self.entries
-            .get(key)
-            .map(|(revision, value)| (*revision, value.as_slice()))
+    fn entry(&self, key: &str) -> Option<CurrentValue<'_>> {
+        self.entries.get(key).map(|(revision, value)| CurrentValue {
+            revision: *revision,
+            value,
+        })
     }
 
-    fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Revision, Vec<u8>)> {
+    fn entries_with_prefix(&self, prefix: &str) -> Vec<KeyValue> {
         let below = self
             .entries
             .iter()
             .filter(|(key, _)| key.starts_with(prefix));
         below
-            .map(|(key, (revision, value))| (key.clone(), *revision, value.clone()))
+            .map(|(key, (revision, value))| KeyValue {
+                key: key.clone(),
+                revision: *revision,
+                value: value.clone(),
+            })
             .collect()
     }
 }
