--- a/gateway/src/discovery.rs
+++ b/gateway/src/discovery.rs
@@ -424,7 +424,7 @@
                 state: match s.state {
                     State::InService => EngineState::Ready,
                     State::Terminating => EngineState::Draining,
-                    State::Terminated => EngineState::Gone,
+                    State::Terminated => EngineState::Removed,
                 },
                 started: (s.started_ms > 0).then(|| s.started_ms.saturating_mul(1000)),
             };
--- a/gateway/src/upstream/pool.rs
+++ b/gateway/src/upstream/pool.rs
@@ -414,7 +414,7 @@
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
             listed
                 .values_mut()
-                .for_each(|l| l.engine.state = EngineState::Gone);
+                .for_each(|l| l.engine.state = EngineState::Removed);
         }
         let mut moved = Vec::new();
         for l in engines {
@@ -424,10 +424,14 @@
                 moved.push(l.engine.id);
             }
         }
-        let state = |e: EngineId| listed.get(&e).map_or(EngineState::Gone, |l| l.engine.state);
+        let state = |e: EngineId| {
+            listed
+                .get(&e)
+                .map_or(EngineState::Removed, |l| l.engine.state)
+        };
         let mut ends = Vec::new();
         for conn in self.conns.borrow().values() {
-            if moved.contains(&conn.engine) || state(conn.engine) == EngineState::Gone {
+            if moved.contains(&conn.engine) || state(conn.engine) == EngineState::Removed {
                 conn.retired.set(true);
             }
             if conn.retired.get() || state(conn.engine) != EngineState::Ready {
--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -12,7 +12,7 @@
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const SECOND: Micros = 1_000_000;
-/// Statements that a front end of the fleet ahead gets in a second.
+/// Statements that a gateway of a large fleet gets in a second.
 const STATEMENTS_PER_SECOND: u64 = 1_842;
 /// Statements that are out at a time.
 const OUT: usize = 20;
--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -1,16 +1,16 @@
 //! Whether a query that arrives is sent at once, queued, or rejected.
 //!
-//! Decides: [`AdmissionDecision`]. Inputs: the predicted wait (queued work over what the engines
-//! do for this gateway) and the threshold, the wait with which a query can still be in time; both
-//! in seconds. A query that finds an engine goes at once. Otherwise it is queued with a
-//! probability that falls from 1 to 0 as the predicted wait passes the threshold (a logistic
-//! function, after M. Mazzucco, "Virtual queues from scratch, Part 4"). Reason: a queue that is
-//! longer than clients wait makes every query late.
-
-use rand_chacha::rand_core::RngCore;
+//! - Decides: [`AdmissionDecision`].
+//! - Inputs: the predicted wait (queued work over what the engines do for this gateway) and the
+//!   threshold, the longest wait with which the query can still be in time; both in seconds.
+//! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability that
+//!   falls from 1 to 0 as the predicted wait passes the threshold (a logistic function, after M.
+//!   Mazzucco, "Virtual queues from scratch, Part 4").
+//! - Reason: a queue that is longer than clients wait makes every query late.
 
 use crate::deadline::HIGH_LATE_FRACTION;
 use crate::interface::{Action, EngineId, Micros, NewQuery, QueryId};
+use crate::placement::draw_fraction;
 use crate::priority::ARRIVAL_GAIN;
 use crate::state::Query;
 use crate::units::{micros, seconds};
@@ -22,8 +22,8 @@
 /// late).
 const MIN_THRESHOLD_FRACTION: f64 = 0.5;
 const MIN_THRESHOLD_S: f64 = 1e-3;
-/// All queries of a class share one draw for this fraction of the threshold, so that a client
-/// that asks again at once gets the same answer.
+/// All queries of a class use one draw for this fraction of the threshold, so that a client
+/// that retries at once gets the same answer.
 const SHARED_DRAW_FRACTION: f64 = 0.1;
 
 /// What becomes of a query that arrives.
@@ -102,7 +102,7 @@
     }
 
     /// Enters a query in the table, with what is expected of it. Returns how long ago its client
-    /// first asked.
+    /// first sent it.
     fn register_query(&mut self, class_index: usize, request: &NewQuery) -> Micros {
         let sequence = self.queries.next_sequence(self.now);
         let age = self.age_of_request(class_index, request);
@@ -134,7 +134,7 @@
         age
     }
 
-    /// Whether a query may wait, by the draw that its class shares for a while.
+    /// Whether a query may wait, by the draw that all queries of its class use for a while.
     fn admits_to_queue(&mut self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(id) else {
             return false;
@@ -144,7 +144,7 @@
         let probability = admission_probability(self.predicted_wait(), threshold);
         let stats = &mut self.class_stats[class];
         if stats.admission_draw_until <= self.now {
-            stats.admission_draw = (f64::from(self.rng.next_u32()) + 0.5) / 4_294_967_296.0;
+            stats.admission_draw = draw_fraction(&mut self.rng);
             stats.admission_draw_until = self.now + micros(SHARED_DRAW_FRACTION * threshold);
         }
         stats.admission_draw < probability
@@ -172,7 +172,7 @@
 }
 
 /// The threshold in seconds: the deadline less the expected run. As answers of the class come
-/// late, which earn less, it moves to the same figure made from the objective.
+/// late, which earn less, it approaches the same figure made from the objective.
 fn wait_threshold(inputs: &ThresholdInputs) -> f64 {
     let in_time_for =
         |limit: f64| (limit - inputs.expected_run).max(MIN_THRESHOLD_FRACTION * limit);
--- a/policy/src/attempt.rs
+++ b/policy/src/attempt.rs
@@ -1,8 +1,8 @@
 //! The life of an attempt.
 //!
-//! - `sending`: it leaves;
-//! - `progress`: it reports how far it is, and may be moved or given up for that;
-//! - `silence`: it gives no sign for too long;
+//! - `sending`: it is sent;
+//! - `progress`: it reports how far it is, and may be rerouted or given up for that;
+//! - `silence`: it is silent for too long;
 //! - `ending`: it ends, its capacity is released, and the query is retried or answered;
 //! - `completion`: what an answer teaches.
 //!
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -10,8 +10,8 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// The fraction of this gateway's even part up to which an engine counts as lightly used, so that
-/// the time of an answer shows its work.
+/// The fraction of this gateway's fair share up to which an engine counts as lightly used, so
+/// that the time of an answer shows its work.
 const LIGHT_USE_FRACTION: f64 = 0.4;
 const MIN_THREAD_SECONDS: f64 = 1e-4;
 
@@ -50,7 +50,7 @@
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
             return;
         };
-        engine.last_sign_at = self.now;
+        engine.last_active_at = self.now;
         engine.awaits_first_answer = false;
         raise_memory_quota(engine, self.now);
         record_success(engine, sample.class);
--- a/policy/src/attempt/progress.rs
+++ b/policy/src/attempt/progress.rs
@@ -1,9 +1,12 @@
-//! An attempt reports how far it is.
+//! An attempt reports its progress.
 //!
-//! Decides: [`ProgressDecision`]. Inputs: the fraction of its work that is done, the time that
-//! took, memory that it lacks, and whether it is queued at the engine; the expected run and the
-//! predicted wait of a new attempt, in seconds. Reason: an attempt that is stuck or far slower
-//! than expected is better off elsewhere, as long as a new one would be done well before it.
+//! - Decides: [`ProgressDecision`].
+//! - Inputs: the fraction of its work that is done, the time that took, memory that it lacks, and
+//!   whether it is queued at the engine; the expected run and the predicted wait of a new attempt,
+//!   in seconds.
+//! - Reason: an attempt that is stuck or far slower than expected is better off elsewhere, as
+//!   long
+//!   as a new one would be done well before it.
 
 use crate::interface::{Action, EngineId, Micros, Progress, QueryId};
 use crate::memory_grant::cut_memory_quota;
@@ -15,7 +18,7 @@
 
 /// An attempt is slow that takes this many times its expected run in all ...
 const SLOW_RUN_FACTOR: f64 = 3.0;
-/// ... and moves if it still takes this many times as long as a new attempt.
+/// ... and is rerouted if it still takes this many times as long as a new attempt.
 const REMAINING_RUN_FACTOR: f64 = 2.0;
 /// Control periods for which nothing is sent to an engine where queries wait for memory.
 const MEMORY_BACKOFF_PERIODS: f64 = 1.2;
@@ -29,7 +32,7 @@
     /// The attempt goes on.
     Continue,
     /// It is cancelled, so that the query is sent elsewhere.
-    Move,
+    Reroute,
     /// The query is given up.
     GiveUp,
 }
@@ -47,7 +50,7 @@
 struct RunEstimate {
     /// Run time in all, in seconds.
     total: f64,
-    /// Time that is left, in seconds.
+    /// Time to the end, in seconds.
     remaining: f64,
     /// Work per thread-second.
     speed: f64,
@@ -74,16 +77,16 @@
             return;
         };
         match progress {
-            Progress::Spilling(_) if restart_with_more => self.move_elsewhere(id, actions),
-            // Nothing is lost by leaving a queue; the last attempt is kept for better reasons.
+            Progress::Spilling(_) if restart_with_more => self.reroute(id, actions),
+            // A queued attempt has done no work yet; the last attempt is reserved for faults.
             Progress::WaitingForMemory if self.has_spare_attempt(query) => {
-                self.move_elsewhere(id, actions);
+                self.reroute(id, actions);
             }
             Progress::FractionDone(fraction) => {
                 let run = self.estimate_run(query, reporting.sent_at, fraction);
                 match self.progress_decision(query, &run) {
                     ProgressDecision::GiveUp => return self.give_up(id, actions),
-                    ProgressDecision::Move => self.move_elsewhere(id, actions),
+                    ProgressDecision::Reroute => self.reroute(id, actions),
                     ProgressDecision::Continue => {}
                 }
                 let Reporting {
@@ -96,7 +99,7 @@
         self.schedule_check_after_progress(id);
     }
 
-    /// Notes the report with its attempt; `None` if that is not the one that is out.
+    /// Records the report with its attempt; `None` if that is not the one that is out.
     fn record_progress(
         &mut self,
         id: QueryId,
@@ -120,14 +123,14 @@
         })
     }
 
-    /// Notes the report with its engine. One where queries wait for memory is left alone for a
+    /// Records the report with its engine. One where queries wait for memory gets nothing for a
     /// while.
     fn record_progress_of_engine(&mut self, engine: EngineId, progress: Progress) {
         let backoff_until = self.now + self.control_periods(MEMORY_BACKOFF_PERIODS);
         let Some(engine) = self.engines.get_mut(&engine) else {
             return;
         };
-        engine.last_sign_at = self.now;
+        engine.last_active_at = self.now;
         if progress == Progress::WaitingForMemory {
             cut_memory_quota(engine, self.now, self.gateways);
             engine.backoff_until = backoff_until;
@@ -166,7 +169,7 @@
         let is_late = ends_at > self.objective_at(query);
         let is_slow = run.total > SLOW_RUN_FACTOR * expected;
         if is_late && is_slow && run.remaining > REMAINING_RUN_FACTOR * new_attempt {
-            ProgressDecision::Move
+            ProgressDecision::Reroute
         } else {
             ProgressDecision::Continue
         }
--- a/policy/src/attempt/sending.rs
+++ b/policy/src/attempt/sending.rs
@@ -1,4 +1,4 @@
-//! An attempt leaves.
+//! An attempt is sent.
 //!
 //! Carries out a placement: sets grant and priority where engines heed them, counts the threads
 //! and memory that the attempt takes, and schedules the first check for silence.
@@ -26,7 +26,7 @@
 
 impl Gateway {
     /// Sends an attempt of a query to an engine, if that is allowed. This is the only place where
-    /// an attempt leaves. Returns whether it did.
+    /// an attempt is sent. Returns whether it did.
     pub(crate) fn send(
         &mut self,
         query: QueryId,
--- a/policy/src/attempt/silence.rs
+++ b/policy/src/attempt/silence.rs
@@ -1,9 +1,11 @@
-//! A query's check is due: its attempt gave no sign for too long, or it is queued too long.
+//! A query's check is due: its attempt was silent for too long, or it is queued too long.
 //!
-//! Decides: when an attempt counts as silent, and what follows. Inputs: the time since its last
-//! sign, the progress period, or without progress reports the expected run, in microseconds;
-//! signs that its engine gave to others. Reason: an engine that hangs or loses queries answers
-//! nothing, so that only its silence shows it.
+//! - Decides: when an attempt counts as silent, and what follows.
+//! - Inputs: the time since it was last active, the progress period, or without progress reports
+//!   the expected run, in microseconds; other activity of its engine.
+//! - Reason: an engine that hangs or loses queries answers nothing, so that only its silence
+//!   shows
+//!   it.
 
 use crate::interface::{Action, EngineId, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -11,7 +13,8 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// Control periods without a sign after which an attempt is silent, where progress is reported.
+/// Control periods without activity after which an attempt is silent, where progress is
+/// reported.
 const SILENT_PERIODS: f64 = 1.7;
 /// Usual runs without an answer after which an attempt is silent, where no progress is reported:
 /// the bounds of the time after which a new attempt could just meet the objective.
@@ -23,7 +26,7 @@
 struct CheckedAttempt {
     engine: EngineId,
     class: usize,
-    last_sign_at: Micros,
+    last_active_at: Micros,
     is_silent: bool,
     /// It was silent at an earlier check.
     was_silent: bool,
@@ -52,14 +55,14 @@
 
     fn checked_attempt(&self, query: &Query) -> Option<CheckedAttempt> {
         let attempt = query.attempt.as_ref()?;
-        let last_sign_at = attempt.sent_at.max(attempt.last_progress_at);
-        let limit = self.silence_limit(query, last_sign_at);
-        let is_silent = self.now >= last_sign_at + limit;
-        let counted_from = if is_silent { self.now } else { last_sign_at };
+        let last_active_at = attempt.sent_at.max(attempt.last_progress_at);
+        let limit = self.silence_limit(query, last_active_at);
+        let is_silent = self.now >= last_active_at + limit;
+        let counted_from = if is_silent { self.now } else { last_active_at };
         Some(CheckedAttempt {
             engine: attempt.engine,
             class: query.class,
-            last_sign_at,
+            last_active_at,
             is_silent,
             was_silent: attempt.was_silent,
             is_queued_at_engine: attempt.is_queued_at_engine,
@@ -79,21 +82,21 @@
                 return self.give_up(id, actions);
             }
             if checked.is_silent {
-                self.move_elsewhere(id, actions);
+                self.reroute(id, actions);
             }
         }
         self.schedule_check(id, checked.next_check_at);
     }
 
-    /// A silent attempt speaks against its engine if that gave no other sign either, and
+    /// A silent attempt speaks against its engine if that was silent to others too, and
     /// otherwise against the engine with queries of this class. One that is queued there is
-    /// expected to be silent: it moves, but the engine is well.
+    /// expected to be silent: it is rerouted, but the engine is well.
     fn blame_for_silence(&mut self, checked: &CheckedAttempt) {
         if checked.is_queued_at_engine {
             return;
         }
         let engine = self.engines.get(&checked.engine);
-        if engine.is_none_or(|engine| engine.last_sign_at <= checked.last_sign_at) {
+        if engine.is_none_or(|engine| engine.last_active_at <= checked.last_active_at) {
             let silent_fraction = self.class_stats[checked.class].silent_fraction;
             self.record_silence(checked.engine, silent_fraction);
         } else if !checked.was_silent {
@@ -110,29 +113,29 @@
         *silent_fraction += CLASS_GAIN * (1.0 - *silent_fraction);
     }
 
-    /// How long an attempt may give no sign since a time. Without progress reports, until a new
+    /// How long an attempt may be silent since a time. Without progress reports, until a new
     /// attempt could just meet the objective, within some usual runs, since estimates scatter.
     pub(super) fn silence_limit(&self, query: &Query, since: Micros) -> Micros {
         if self.settings.progress_period.is_some() {
             return self.control_periods(SILENT_PERIODS);
         }
         let usual = self.usual_run(query);
-        let left = seconds(self.objective_at(query).saturating_sub(since));
-        let latest_restart = left - self.expected_run(query);
+        let remaining = seconds(self.objective_at(query).saturating_sub(since));
+        let latest_restart = remaining - self.expected_run(query);
         let limit = latest_restart.min(MAX_SILENT_RUNS * usual);
         micros(limit.max(MIN_SILENT_RUNS * usual)).max(1)
     }
 
     /// Cancels an attempt so that the query can go elsewhere, if there is another engine, enough
     /// time, and a duplicate does no harm.
-    pub(super) fn move_elsewhere(&mut self, id: QueryId, actions: &mut Vec<Action>) {
+    pub(super) fn reroute(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let query = self.queries.get(id);
-        if query.is_some_and(|query| self.may_move(query)) {
+        if query.is_some_and(|query| self.may_reroute(query)) {
             self.cancel_attempt(id, actions);
         }
     }
 
-    fn may_move(&self, query: &Query) -> bool {
+    fn may_reroute(&self, query: &Query) -> bool {
         let Some(attempt) = &query.attempt else {
             return false;
         };
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -1,9 +1,10 @@
-//! Whether an engine has room for a query now.
+//! Whether an engine has capacity for a query now.
 //!
-//! Decides: [`NoCapacity`], or that a query fits. Inputs: the engine's health, its backoff, this
-//! gateway's threads and memory there against their limits, and the bulk loads there. Reason: an
-//! engine that gets more than it can run at once makes all its queries late; the gateway queues
-//! them instead, and sends each where it can run.
+//! - Decides: [`NoCapacity`], or that a query fits.
+//! - Inputs: the engine's health, its backoff, this gateway's threads and memory there against
+//!   their limits, and the bulk loads there.
+//! - Reason: an engine that gets more than it can run at once makes all its queries late. The
+//!   gateway queues them instead, and sends each where it can run.
 
 use crate::interface::{Idempotency, QueryId};
 use crate::state::{EngineRecord, Query};
@@ -27,8 +28,8 @@
 }
 
 impl Gateway {
-    /// Whether an engine has room for a query. One without any query of this gateway always has,
-    /// unless it is ejected or backing off.
+    /// Whether an engine has capacity for a query. One without any query of this gateway always
+    /// has, unless it is ejected or backing off.
     pub(crate) fn check_capacity(
         &self,
         query: &Query,
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,12 +1,15 @@
 //! How many threads this gateway may use at an engine, and in all.
 //!
-//! Decides: the thread limit of each engine, its growth and decrease, and whether one more query
-//! stays within the limits of the whole fleet. Inputs: the cores of the engine, the number of
-//! gateways that share it, its speed (work per thread-second, against the fleet's), utilisation
-//! from load reports (0 to 1), and late answers. Each gateway starts with its even part. The
-//! limit grows while an engine is near its unloaded speed, or reports that it is not busy, and
-//! this gateway uses what it has; it shrinks back to the even part as answers slow down. Reason:
-//! other gateways may use less than their part, but none sees what the others send.
+//! - Decides: the thread limit of each engine, its growth and decrease, and whether one more
+//!   query
+//!   is within the limits of the fleet.
+//! - Inputs: the cores of the engine, the number of gateways that use it, its speed (work per
+//!   thread-second, against the fleet's), utilisation from load reports (0 to 1), and late
+//!   answers.
+//! - Rule: each gateway starts with its fair share. A limit grows while the engine is near its
+//!   unloaded speed, or reports that it is not busy, and this gateway uses what it has; it shrinks
+//!   back to the fair share as answers slow down.
+//! - Reason: other gateways may use less than their share, but none sees what the others send.
 
 use crate::capacity::THREAD_ROUNDING;
 use crate::deadline::HIGH_LATE_FRACTION;
@@ -25,14 +28,14 @@
 const BUSY_UTILISATION: f64 = 0.8;
 /// A limit grows only while more than this fraction of it is in use.
 pub(crate) const IN_USE_FRACTION: f64 = 0.6;
-/// The factor by which a load report moves a limit.
+/// The factor by which a load report changes a limit.
 const REPORT_FACTOR: f64 = 1.2;
-/// The part of its own threads by which an answer moves a limit.
+/// The fraction of its own threads by which an answer changes a limit.
 const ANSWER_STEP: f64 = 0.25;
 /// An engine below this fraction of the fleet's speed gets one query at a time.
 const SLOW_ENGINE_FRACTION: f64 = 0.35;
 
-/// Which way a limit moves.
+/// How a limit changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LimitChange {
     /// Engines have capacity to spare.
@@ -60,7 +63,7 @@
     class_is_in_time: bool,
 }
 
-/// An answer, as far as it moves limits.
+/// An answer, as far as limits depend on it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitSample {
     pub engine: EngineId,
@@ -76,7 +79,7 @@
 }
 
 impl Gateway {
-    /// The even part of each gateway, in threads at an engine with so many cores.
+    /// The fair share of each gateway, in threads at an engine with so many cores.
     pub(crate) fn base_thread_limit(&self, cores: f64) -> f64 {
         THREADS_PER_CORE * cores / self.gateways
     }
@@ -86,9 +89,9 @@
         THREADS_PER_CORE * cores
     }
 
-    /// Whether this gateway's part of an engine is less than a thread, so that it meets each
+    /// Whether this gateway's share of an engine is less than a thread, so that it meets each
     /// engine too seldom to learn its limit.
-    pub(crate) fn has_thin_part(&self, cores: f64) -> bool {
+    pub(crate) fn has_fractional_share(&self, cores: f64) -> bool {
         self.base_thread_limit(cores) < 1.0
     }
 
@@ -98,7 +101,7 @@
         if engine.speed < SLOW_ENGINE_FRACTION * self.fleet_speed() {
             return 0.0;
         }
-        let growth = if self.has_thin_part(engine.cores) {
+        let growth = if self.has_fractional_share(engine.cores) {
             1.0 + self.fleet.limit_growth
         } else {
             1.0
@@ -107,10 +110,10 @@
         engine.thread_limit * growth * self.warm_fraction(engine).sqrt()
     }
 
-    /// Whether one more query stays within the sum of all limits: with many gateways, "one query
-    /// always fits on each engine" would be many times what engines bear. One query of each class
-    /// always goes, unless engines report that they are busy and this gateway has overdrawn its
-    /// capacity.
+    /// Whether one more query is within the sum of all limits: with many gateways, "one query
+    /// always fits on each engine" would be many times what engines sustain. One query of each
+    /// class always goes, unless engines report that they are busy and this gateway has overdrawn
+    /// its capacity.
     pub(crate) fn fleet_has_capacity(&self, query: &Query) -> bool {
         let threads = self.competing_threads(query, &self.queries.threads_out) + query.threads;
         let has_spare = self.fleet.utilisation.mean < BUSY_UTILISATION;
@@ -119,7 +122,7 @@
             || (self.queries.attempts_out(query.class) == 0 && may_exceed)
     }
 
-    /// More or fewer gateways share the engines: this one's parts follow, with what they have
+    /// More or fewer gateways share the engines: this one's shares follow, with what they have
     /// grown.
     pub(crate) fn on_fleet_size(&mut self, gateways: u32) {
         let ratio = self.gateways / f64::from(gateways.max(1));
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Moves an engine's limit by its load report; cores or disks, whichever are busier.
+    /// Changes an engine's limit by its load report; cores or disks, whichever are busier.
     pub(crate) fn on_load_report(&mut self, engine: EngineId, load: LoadReport) {
         let reported = load
             .cpu_utilisation
@@ -151,7 +154,7 @@
         };
         engine.headroom = usual - utilisation;
         engine.headroom_at = self.now;
-        // One engine says little of a fleet of which each part is thin; there answers move the
+        // With fractional shares one engine says little of the fleet; there answers change the
         // limit.
         if base < 1.0 {
             return;
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Moves the limit of an engine, or of the fleet where parts are thin, by an answer.
+    /// Changes the limit of an engine, or of the fleet where shares are fractional, by an answer.
     pub(crate) fn adjust_limits_after_answer(&mut self, sample: &LimitSample) {
         let Some(engine) = self.engines.get(&sample.engine) else {
             return;
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -1,11 +1,12 @@
 //! When a query has to be answered, and when it is given up.
 //!
-//! Decides: the time by which an answer earns its full weight (the objective), whether that can
-//! still be met, and when a queued query is given up. Inputs: the deadline and objective of its
-//! class and its client, its expected run time, and, for deduplicated queries, the time at which
-//! engines forget its first attempt; all in microseconds. Reason: a query that cannot be in time
-//! only delays those that can, and their clients' retries keep an overload going that has long
-//! ended.
+//! - Decides: the time by which an answer earns its full weight (the objective), whether that can
+//!   still be met, and when a queued query is given up.
+//! - Inputs: the deadline and objective of its class and its client, its expected run time, and,
+//!   for deduplicated queries, the time at which engines forget its first attempt; all in
+//!   microseconds.
+//! - Reason: a query that cannot be in time only delays those that can, and the retries of its
+//!   client prolong an overload.
 
 use crate::interface::{Idempotency, Micros, NewQuery, QueryId};
 use crate::state::Query;
@@ -17,12 +18,12 @@
 const LITTLE_LATE_WEIGHT: f64 = 0.5;
 /// The fraction of late answers at which a class counts as late.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
-/// A queued query is sent with at least this part of its client's time left.
+/// A queued query is sent with at least this part of its client's time to go.
 const MAX_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
-    /// How long ago the client of a request first asked. A client's retry brings less time than a
-    /// whole first request; what is not marked as a retry counts as a first request.
+    /// How long ago the client first sent a request. A retry brings less time than a first
+    /// request; what is not marked as a retry counts as a first request.
     pub(crate) fn age_of_request(&mut self, class: usize, request: &NewQuery) -> Micros {
         let deadline = self.settings.classes[class].deadline.unwrap_or(0);
         let grace = self.settings.answer_grace.unwrap_or(0);
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Whether a query is not worth its run once its objective is missed: late answers of its
+    /// Whether an answer to a query is useless once its objective is missed: late answers of its
     /// class earn little, and other queries wait or are late too.
     pub(crate) fn is_useless_when_late(&self, query: &Query) -> bool {
         let class = self.class_of(query);
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -1,10 +1,10 @@
 //! Whether a send is allowed at all.
 //!
-//! Decides: [`SendDenied`], or that an attempt of a query may go to an engine. Inputs: the state
-//! of the query, the class's bounds on zones, kinds and repetition, the engine's state in the
-//! list, and the limits on retries and on engines that are warming up. Reason: these constraints
-//! hold whatever placement would like; every send passes them, once when an engine is chosen and
-//! again when the attempt leaves.
+//! - Decides: [`SendDenied`], or that an attempt of a query may go to an engine.
+//! - Inputs: the state of the query, the class's bounds on zones, kinds and repetition, the
+//!   engine's state in the list, and the limits on retries and on engines that are warming up.
+//! - Reason: these constraints hold whatever placement prefers. Every send passes them, once when
+//!   an engine is chosen and again when the attempt is sent.
 
 use crate::interface::Engine;
 use crate::state::{EngineRecord, Query};
@@ -29,7 +29,7 @@
     OutsideDedupGroup,
     /// An earlier query of its key comes first.
     KeyOrder,
-    /// The engine warms up and has had its part of work.
+    /// The engine warms up and has had its share of work.
     EngineWarmingUp,
     /// The retry budget is spent.
     RetryBudgetSpent,
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -1,9 +1,10 @@
 //! What follows from the engine list and from operators' cordons.
 //!
-//! Decides: which engines are known and in use, what is kept of an engine that restarts, and when
-//! the list is subscribed to. Inputs: snapshots and patches of the list, and cordons. Reason: an
-//! engine with a new start time is a new process, of which nothing that was learned holds; a
-//! cordon holds whatever the list says.
+//! - Decides: which engines are known and in use, what is remembered of an engine that restarts,
+//!   and when the list is subscribed to.
+//! - Inputs: snapshots and patches of the list, and cordons.
+//! - Reason: an engine with a new start time is a new process, of which nothing that was learned
+//!   holds; a cordon holds whatever the list says.
 
 use crate::interface::{Action, Engine, EngineId, EngineState, ListScope};
 use crate::state::{EngineRecord, InitialLimits};
@@ -25,7 +26,7 @@
             actions.push(Action::SubscribeEngineList);
         }
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
-            self.mark_all_gone();
+            self.mark_all_removed();
         }
         for engine in engines {
             self.update_engine(engine);
@@ -58,12 +59,12 @@
         }
     }
 
-    /// A snapshot lists all engines that are not gone.
-    fn mark_all_gone(&mut self) {
+    /// A snapshot lists all engines that are not removed.
+    fn mark_all_removed(&mut self) {
         self.sampler.clear();
         self.fleet.totals_at = 0;
         for engine in self.engines.values_mut() {
-            engine.listed.state = EngineState::Gone;
+            engine.listed.state = EngineState::Removed;
         }
     }
 
@@ -85,7 +86,8 @@
         self.sampler.update(listed);
     }
 
-    /// What a new process is taken to bear: this gateway's even part, at the speed of the fleet.
+    /// What a new process is taken to sustain: this gateway's fair share, at the speed of the
+    /// fleet.
     fn initial_limits(&self, cores: f64) -> InitialLimits {
         InitialLimits {
             thread_limit: self.base_thread_limit(cores),
--- a/policy/src/estimators.rs
+++ b/policy/src/estimators.rs
@@ -1,5 +1,5 @@
 //! Estimators that learn from samples as they come: a moving mean with its deviation, and a
-//! regression in logarithms. Neither keeps its samples.
+//! regression in logarithms. Neither stores its samples.
 
 /// A moving mean with its mean absolute deviation. The first samples count as in a plain mean.
 #[derive(Debug, Clone, Copy, Default)]
--- a/policy/src/final_answer.rs
+++ b/policy/src/final_answer.rs
@@ -1,9 +1,11 @@
-//! The final answer to a query, and what becomes of its attempt.
+//! The final answer to a query without a result, and what becomes of its attempt.
 //!
-//! Decides: whether a query that gets no result is rejected or failed, the retry-after time in
-//! microseconds, and whether its attempt is cancelled. Inputs: the idempotency of its class,
-//! whether it may have run, the predicted wait and the expected run. Reason: a client may retry
-//! after a rejection without harm, so only queries that may have had their effect are failed.
+//! - Decides: whether the query is rejected or failed, the retry-after time in microseconds, and
+//!   whether its attempt is cancelled.
+//! - Inputs: the idempotency of its class, whether it may have run, the predicted wait and the
+//!   expected run.
+//! - Reason: a client may retry after a rejection without harm, so only queries that may have had
+//!   their effect are failed.
 
 use crate::interface::{Action, DedupGroup, Idempotency, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -22,7 +24,7 @@
 
 impl Gateway {
     /// Gives the final answer to a query, at once, and cancels its attempt where that does no
-    /// harm. This is the only place where a final answer leaves.
+    /// harm. This is the only place where a final answer is given.
     pub(crate) fn answer_finally(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.queries.leave_queue(id);
         let is_open = |query: &&mut Query| !query.is_finished && !query.is_streaming;
@@ -88,7 +90,7 @@
     }
 
     /// How long the client should wait: the predicted wait, but at least an expected run, since
-    /// engines that are full have no room before.
+    /// engines that are full free no threads before.
     fn retry_after(&self, query: &Query) -> Micros {
         let wait = self.predicted_wait().max(self.expected_run(query));
         micros(wait).min(self.settings.max_retry_after.unwrap_or(0))
--- a/policy/src/fleet_totals.rs
+++ b/policy/src/fleet_totals.rs
@@ -1,10 +1,12 @@
-//! What all engines together bear from this gateway.
+//! The capacity of all engines together for this gateway.
 //!
-//! Decides: the thread capacity of the fleet, whether ejection is suspended, and the capacity
-//! credit. Inputs: the thread limits and health of all engines, and the threads in use. Threads
-//! are counted as such, credit in thread-seconds. Reason: limits change with time and with each
-//! answer, so that sums kept up to date would have to be corrected at each; a pass over all
-//! engines is cheap for few engines, and for many it is made only every [`MAX_TOTALS_AGE_US`].
+//! - Decides: the thread capacity of the fleet, whether ejection is suspended, and the capacity
+//!   credit.
+//! - Inputs: the thread limits and health of all engines, and the threads in use. Credit is in
+//!   thread-seconds.
+//! - Reason: limits change with time and with each answer, so that running sums would have to be
+//!   corrected at each. A pass over all engines is cheap for few engines, and for many it is made
+//!   only every [`MAX_TOTALS_AGE_US`].
 
 use crate::interface::Micros;
 use crate::placement::MAX_SCANNED_ENGINES;
@@ -14,8 +16,8 @@
 
 /// The age at which totals over many engines are taken anew.
 const MAX_TOTALS_AGE_US: Micros = 100_000;
-/// The most credit is what the fleet bears in one shortest objective; the most debt is this many
-/// times that.
+/// The most credit is what the fleet sustains in one shortest objective; the most debt is this
+/// many times that.
 const MAX_DEBT_OBJECTIVES: f64 = 12.0;
 
 impl Gateway {
@@ -57,7 +59,7 @@
         self.fleet.open_thread_capacity = open_capacity;
     }
 
-    /// Adds the thread-seconds that were left unused since the last time, or takes off those that
+    /// Adds the thread-seconds that were unused since the last time, or takes off those that
     /// were overdrawn.
     fn update_capacity_credit(&mut self) {
         let elapsed = seconds(self.now - self.fleet.capacity_credit_at);
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -30,7 +30,7 @@
 /// Counts of engines, for the embedding's metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Engines in the list that are not gone.
+    /// Engines in the list that are not removed.
     pub listed: usize,
     /// Those of them that are cordoned, or ejected as outliers.
     pub avoided: usize,
@@ -106,7 +106,7 @@
     pub fn engine_counts(&self) -> EngineCounts {
         let listed = || {
             let engines = self.engines.values();
-            engines.filter(|engine| engine.listed.state != EngineState::Gone)
+            engines.filter(|engine| engine.listed.state != EngineState::Removed)
         };
         let is_avoided = |engine: &&EngineRecord| {
             let is_ready = engine.listed.state == EngineState::Ready;
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings and events go in, actions come out.
 //!
 //! All times are integer microseconds on one clock that never goes backwards. A setting that the
-//! operator leaves out is `None`; the rule that uses it defines what its absence means.
+//! operator omits is `None`; the rule that uses it defines what its absence means.
 //!
 //! ```
 //! use violetgate_policy::interface::{
--- a/policy/src/interface/action.rs
+++ b/policy/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! What a gateway asks its embedding to do.
+//! What a gateway has its embedding do.
 
 use super::{EngineId, Micros, QueryId};
 
@@ -9,7 +9,7 @@
     SetResources {
         /// The query.
         query: QueryId,
-        /// Megabytes; 0 leaves the grant to the engine.
+        /// Megabytes; with 0 the engine decides.
         memory_mb: f64,
         /// 0 (lowest) to 3 (highest).
         priority: u8,
--- a/policy/src/interface/engine.rs
+++ b/policy/src/interface/engine.rs
@@ -2,7 +2,7 @@
 
 use super::Micros;
 
-/// An engine, numbered by the embedding; the number stays with the machine, not with its address.
+/// An engine, numbered by the embedding; the number belongs to the machine, not to its address.
 pub type EngineId = u32;
 
 /// The state of an engine in the list.
@@ -13,7 +13,7 @@
     /// It finishes the queries that it has and takes no more.
     Draining,
     /// It was removed.
-    Gone,
+    Removed,
 }
 
 /// One entry of the engine list.
@@ -36,9 +36,9 @@
 /// How much of the engine list an event carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
-    /// The whole list; engines that it leaves out are gone.
+    /// The full list; engines that it does not hold are removed.
     Snapshot,
-    /// The whole list as it was known before a restart of this gateway; it may be out of date.
+    /// The full list as it was known before a restart of this gateway; it may be out of date.
     StaleSnapshot,
     /// Changed entries only.
     Patch,
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -43,7 +43,7 @@
         /// `true`: send it nothing more; `false`: it was restarted and may be used again.
         cordoned: bool,
     },
-    /// A client sent a query; it is owed one final answer.
+    /// A client sent a query; it gets exactly one final answer.
     QueryArrived(NewQuery),
     /// A running attempt reported its progress.
     Progress {
--- a/policy/src/interface/query.rs
+++ b/policy/src/interface/query.rs
@@ -22,7 +22,7 @@
     pub time_left: Micros,
     /// The group of tables that it reads.
     pub table_group: Option<u64>,
-    /// Queries with the same key run in order, where the class asks for that.
+    /// Queries with the same key run in order, where the class is ordered by key.
     pub ordering_key: Option<u64>,
     /// The client marked it as a retry of its own.
     pub is_client_retry: bool,
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -127,7 +127,7 @@
     pub collapse_load_multiple: Option<f64>,
     /// See `collapse_load_multiple`.
     pub collapse_window: Option<Micros>,
-    /// How long an ordering key stays blocked after an attempt that may still run.
+    /// How long an ordering key is blocked after an attempt that may still run.
     pub key_release_delay: Option<Micros>,
     /// The budget for attempts beyond the first.
     pub retry_budget: Option<RetryBudget>,
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions for a *gateway*: the front end that admits queries, queues them, and sends them to
 //! query engines with limited threads and memory.
 //!
-//! [`Gateway`] does no input or output and keeps no clock. An embedding passes it [`Event`]s with
+//! [`Gateway`] does no input or output and has no clock. An embedding passes it [`Event`]s with
 //! the time at which they happened, and carries out the [`Action`]s that it returns. See
 //! [`interface`] for an example.
 //!
@@ -16,7 +16,7 @@
 //! | `deadline` | When does a query have to be answered, and when is it given up? |
 //! | `placement` | Which engine does a query go to? |
 //! | `eligibility` | Is this send allowed at all? |
-//! | `capacity` | Does an engine have room for a query now? |
+//! | `capacity` | Does an engine have capacity for a query now? |
 //! | `concurrency_limit` | How many threads may this gateway use at an engine, and in all? |
 //! | `memory_grant` | How much memory is a query granted, and this gateway at an engine? |
 //! | `slow_start` | How much work does an engine get while it warms up? |
@@ -27,8 +27,8 @@
 //! | `priority` | How do queries rank against each other at a busy engine? |
 //! | `engine_list` | What follows from the engine list and from cordons? |
 //! | `speed` | How fast do engines work, and how long will a query run? |
-//! | `fleet_totals` | What do all engines together bear? |
-//! | `timers` | When does the gateway look again without an event? |
+//! | `fleet_totals` | What is the capacity of all engines together? |
+//! | `timers` | When does the gateway act without an event? |
 //!
 //! `state` holds what a gateway remembers, `estimators` how it learns from samples.
 
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -1,10 +1,13 @@
 //! How much memory a query is granted, and how much of an engine's memory this gateway grants.
 //!
-//! Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory, a
-//! fraction from 0 to 1. Inputs: estimates that come with queries, the needs that answers report
-//! or, where they report none, how often queries spill to disk, and engines' reports of queries
-//! that wait for memory. Reason: a grant that is too small makes a query spill, which is slow;
-//! one that is too large keeps others waiting.
+//! - Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory,
+//!   a
+//!   fraction from 0 to 1.
+//! - Inputs: estimates that come with queries, the needs that answers report or, where they
+//!   report
+//!   none, how often queries spill to disk, and reports of queries that wait for memory.
+//! - Reason: a grant that is too small makes a query spill, which is slow; one that is too large
+//!   makes others wait.
 
 use crate::interface::{Cost, NewQuery, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -20,7 +23,7 @@
 /// Weight of a need in the regression on estimates.
 const REGRESSION_GAIN: f64 = 0.02;
 /// Where needs are not reported: the fraction of queries that is to spill, and the step by which
-/// the logarithm of grants moves at a spill (up) and without one (down), so that this fraction
+/// the logarithm of grants rises at a spill and falls without one, so that this fraction
 /// results.
 const TARGET_SPILL_FRACTION: f64 = 0.2;
 const GRANT_LOG_STEP: f64 = 0.3;
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,10 +1,13 @@
 //! Which engines are ejected as outliers, and when they are tried again.
 //!
-//! Decides: the failure rate of each engine, in all and for each class, ejection, and the time
-//! until the next trial. Inputs: how attempts end, failed health checks, attempts that are silent
-//! for too long, and the retry budget, since each trial of a bad engine costs a retry. Reason: an
-//! engine that fails fast looks free and would attract all queries. Where over half of the
-//! engines are ejected, the cause is shared and ejection is ignored.
+//! - Decides: the failure rate of each engine, in all and for each class, ejection, and the time
+//!   until the next trial.
+//! - Inputs: how attempts end, failed health checks, attempts that are silent for too long, and
+//!   the retry budget, since each trial of a bad engine costs a retry.
+//! - Rule: a moving failure rate above a threshold ejects an engine; a success in a trial lowers
+//!   it. Where over half of the engines are ejected, the cause is not theirs and ejection is
+//!   ignored.
+//! - Reason: an engine that fails fast seems free and would attract all queries.
 
 use crate::concurrency_limit::FAR_BELOW_UNLOADED_SPEED;
 use crate::deadline::HIGH_LATE_FRACTION;
@@ -15,10 +18,10 @@
 
 /// Weight of a failure in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Weight of a refused connection, which leaves no doubt.
+/// Weight of a refused connection; the engine is surely down.
 const CONNECTION_REFUSED_WEIGHT: f64 = 1.0;
 /// How much more an error weighs where this gateway meets an engine too seldom to count errors.
-const THIN_PART_ERROR_FACTOR: f64 = 2.0;
+const FRACTIONAL_SHARE_ERROR_FACTOR: f64 = 2.0;
 /// The failure rate above which an engine is ejected, and below which it is trusted again.
 const EJECTION_RATE: f64 = 0.4;
 const TRUST_RATE: f64 = 0.12;
@@ -82,7 +85,7 @@
     pub(crate) fn record_failure(&mut self, engine: EngineId, reason: EjectionReason) {
         let weight = match reason {
             EjectionReason::Error if self.meets_seldom(engine) => {
-                THIN_PART_ERROR_FACTOR * FAILURE_WEIGHT
+                FRACTIONAL_SHARE_ERROR_FACTOR * FAILURE_WEIGHT
             }
             EjectionReason::ConnectionRefused => CONNECTION_REFUSED_WEIGHT,
             EjectionReason::Error
@@ -99,8 +102,8 @@
         }
     }
 
-    /// Counts an attempt that gave no sign for too long, at an engine that gave no other sign
-    /// either. Without progress reports that says the less, the more attempts of the class are
+    /// Counts an attempt that was silent for too long, at an engine that was silent to others
+    /// too. Without progress reports that says the less, the more attempts of the class are
     /// silent.
     pub(crate) fn record_silence(&mut self, engine: EngineId, class_silent_fraction: f64) {
         let usual = if self.settings.progress_period.is_some() {
@@ -112,7 +115,7 @@
         self.record_failure_of_weight(engine, weight);
     }
 
-    /// Counts an attempt that gave no sign for too long while its engine answered others fast:
+    /// Counts an attempt that was silent for too long while its engine answered others fast:
     /// the engine is not slow, it loses queries, maybe those of one class only. The class avoids
     /// the engine and returns by trials, while other classes keep it.
     pub(crate) fn record_silence_of_class(&mut self, engine: EngineId, class: usize) {
@@ -148,10 +151,10 @@
         }
     }
 
-    /// Whether this gateway's part of an engine is thin.
+    /// Whether this gateway's share of an engine is less than a thread.
     fn meets_seldom(&self, engine: EngineId) -> bool {
         let engine = self.engines.get(&engine);
-        engine.is_some_and(|engine| self.has_thin_part(engine.cores))
+        engine.is_some_and(|engine| self.has_fractional_share(engine.cores))
     }
 
     /// How long an ejected engine goes without a trial: so long that the trials of all of them
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -1,13 +1,17 @@
 //! Which engine a query goes to.
 //!
-//! Decides: the engine with the highest [`PlacementScore`] among those that are allowed and have
-//! room. Inputs: the engines' free threads, zones, warm-up and recent load, and this gateway's
-//! seed. Where engines are few, or this gateway's part of each is large, each query scans all of
-//! them. Of many, it samples a few, from as many engines near the front of this gateway's own
-//! order as the rate of queries keeps in use (its home engines), then from ever more until one is
-//! idle. Reason: a scan of thousands of engines for each query would take too long, and an engine
-//! that a gateway comes back to often has a warm connection and up-to-date statistics. Sampling
-//! does badly where few engines fit.
+//! - Decides: the engine with the highest [`PlacementScore`] among those that are allowed
+//!   ([`eligibility`](crate::eligibility)) and have capacity ([`capacity`](crate::capacity)).
+//! - Inputs: the free threads of each engine, its zone, warm-up and recent load, and this
+//!   gateway's seed.
+//! - Rule: where engines are few, or this gateway's share of each is large, each query scans all
+//!   of
+//!   them. Of many, it samples a few: first from this gateway's subset, as many engines as its
+//!   rate of queries occupies, then from ever more until one is idle.
+//! - Reason: a scan of thousands of engines for each query would take too long, and an engine
+//!   that
+//!   a gateway uses often has a warm connection and up-to-date statistics. Sampling does badly
+//!   where few engines fit.
 
 use rand_chacha::rand_core::RngCore;
 
@@ -24,9 +28,9 @@
 const SAMPLE_GROWTH: usize = 4;
 /// Where no sampled engine fits, all are searched; at most this often.
 const SEARCH_INTERVAL_US: Micros = 10_000;
-/// Home engines of a gateway at least, and queries a second for each further one.
-const MIN_HOME_ENGINES: f64 = 10.0;
-const QUERIES_PER_S_PER_HOME_ENGINE: f64 = 8.0;
+/// Engines in the subset of a gateway at least, and queries a second for each further one.
+const MIN_SUBSET_SIZE: f64 = 10.0;
+const QUERIES_PER_S_PER_SUBSET_ENGINE: f64 = 8.0;
 /// The window of arrivals where there is no retry budget to define one.
 const DEFAULT_RATE_WINDOW_S: f64 = 1.0;
 /// Control periods after which an engine's headroom counts no more.
@@ -38,20 +42,20 @@
 struct PlacementScore {
     /// The last attempt did not end there.
     is_another_engine: bool,
-    /// It was uncordoned and has not answered since, and the query suits a first trial. Without a
-    /// trial it would look the least free while it warms up.
+    /// It was uncordoned and has not answered since, and the query suits a first trial. Without
+    /// that it would come last, as the least free, while it warms up.
     wants_first_trial: bool,
-    /// Threads that this gateway's even part leaves free. What a limit has grown by only says
-    /// whether a query fits: otherwise the first engine to grow would attract all queries of all
+    /// Free threads of this gateway's fair share. The growth of a limit only matters for whether
+    /// a query fits: otherwise the first engine to grow would attract all queries of all
     /// gateways.
     free_threads: f64,
     /// It is in this gateway's zone.
     is_in_own_zone: bool,
-    /// It is one of this gateway's home engines.
-    is_home: bool,
+    /// It is in this gateway's subset.
+    is_in_subset: bool,
     /// How much less loaded than usual it was last seen.
     headroom: f64,
-    /// Where this gateway's part of each engine is less than a thread: a random draw by which
+    /// Where this gateway's share of each engine is less than a thread: a random draw by which
     /// each engine comes first with a probability proportional to its limit. Otherwise all
     /// gateways would choose the largest kind.
     weighted_draw: f64,
@@ -63,7 +67,7 @@
         wants_first_trial: false,
         free_threads: f64::NEG_INFINITY,
         is_in_own_zone: false,
-        is_home: false,
+        is_in_subset: false,
         headroom: 0.0,
         weighted_draw: 0.0,
     };
@@ -72,18 +76,18 @@
 /// The engines among which the best is sought.
 #[derive(Debug)]
 enum Candidates {
-    /// All of them. The first ones of this gateway's own order are its homes; `nearby` engines
+    /// All of them. The first ones of this gateway's own order are its subset; `nearby` engines
     /// are available in its zone.
     All { nearby: f64 },
-    /// A sample, mostly of homes already; all count as homes.
+    /// A sample, taken from the subset first; all count as part of it.
     Sample(Vec<EngineId>),
-    /// All of them, since no sample fits; none counts as a home.
+    /// All of them, since no sampled one fits; none counts as part of the subset.
     FullSearch,
 }
 
 impl Candidates {
-    /// The number of engines of which the homes are the first ones.
-    fn home_population(&self) -> f64 {
+    /// The number of engines of which the subset is the first part.
+    fn subset_population(&self) -> f64 {
         match self {
             Candidates::All { nearby } => *nearby,
             Candidates::Sample(_) => 0.0,
@@ -92,6 +96,53 @@
     }
 }
 
+/// The candidates with the highest score so far.
+#[derive(Debug)]
+struct BestCandidates {
+    score: PlacementScore,
+    engines: Vec<EngineId>,
+}
+
+impl Default for BestCandidates {
+    fn default() -> Self {
+        BestCandidates {
+            score: PlacementScore::WORST,
+            engines: Vec::new(),
+        }
+    }
+}
+
+impl BestCandidates {
+    fn offer(&mut self, engine: EngineId, score: PlacementScore) {
+        if score > self.score {
+            self.score = score;
+            self.engines.clear();
+        }
+        if score >= self.score {
+            self.engines.push(engine);
+        }
+    }
+
+    /// One of the best at random.
+    fn pick(&self, rng: &mut impl RngCore) -> Placement {
+        let count = self.engines.len();
+        let index = if count > 1 {
+            rng.next_u32() as usize % count
+        } else {
+            0
+        };
+        Placement {
+            engine: self.engines.get(index).copied(),
+            is_idle: self.score.is_another_engine && self.score.free_threads >= 0.0,
+        }
+    }
+}
+
+/// A random number between 0 and 1, neither of them included.
+pub(crate) fn draw_fraction(rng: &mut impl RngCore) -> f64 {
+    (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0
+}
+
 /// The best of some candidates.
 #[derive(Debug, Clone, Copy)]
 struct Placement {
@@ -101,11 +152,13 @@
 }
 
 impl Gateway {
-    /// Whether engines are so few, or this gateway's part of each so large, that each query scans
-    /// all of them.
+    /// Whether engines are so few, or this gateway's share of each so large, that each query
+    /// scans all of them.
     pub(crate) fn scans_all_engines(&self) -> bool {
-        let is_thin = |kind: &EngineKind| self.has_thin_part(kind.cores.unwrap_or(1.0));
-        self.engines.len() <= MAX_SCANNED_ENGINES || !self.settings.engine_kinds.iter().all(is_thin)
+        let is_fractional =
+            |kind: &EngineKind| self.has_fractional_share(kind.cores.unwrap_or(1.0));
+        self.engines.len() <= MAX_SCANNED_ENGINES
+            || !self.settings.engine_kinds.iter().all(is_fractional)
     }
 
     /// The engine that a query goes to, if it may go anywhere now.
@@ -125,10 +178,10 @@
     /// Samples ever more engines, first in this gateway's zone and then everywhere, until one is
     /// idle. Otherwise the latest one that fits is taken.
     fn choose_from_samples(&mut self, id: QueryId) -> Option<EngineId> {
-        let homes = self.home_engines();
-        let mut found = None;
+        let subset = self.subset_size();
+        let mut best_fit = None;
         for region in [Region::OwnZone, Region::Everywhere] {
-            let (mut among, listed) = (homes, self.sampler.len(region));
+            let (mut among, listed) = (subset, self.sampler.len(region));
             while among < SAMPLE_GROWTH * listed {
                 let sample = self
                     .sampler
@@ -137,11 +190,11 @@
                 if best.is_idle {
                     return best.engine;
                 }
-                found = best.engine.or(found);
+                best_fit = best.engine.or(best_fit);
                 among *= SAMPLE_GROWTH;
             }
         }
-        found
+        best_fit
     }
 
     /// Searches all engines, unless that was done a moment ago.
@@ -153,14 +206,14 @@
         self.best_of(id, &Candidates::FullSearch).engine
     }
 
-    /// How many engines this gateway's rate of queries keeps in use.
-    fn home_engines(&self) -> usize {
+    /// How many engines this gateway's rate of queries occupies.
+    fn subset_size(&self) -> usize {
         let budget = self.settings.retry_budget;
         let window = budget.map_or(DEFAULT_RATE_WINDOW_S, |budget| {
             seconds(budget.window.max(1))
         });
         let rate = self.queries.history.remembered_arrivals() as f64 / window;
-        (rate / QUERIES_PER_S_PER_HOME_ENGINE).max(MIN_HOME_ENGINES) as usize
+        (rate / QUERIES_PER_S_PER_SUBSET_ENGINE).max(MIN_SUBSET_SIZE) as usize
     }
 
     /// Available engines in this gateway's zone.
@@ -171,18 +224,13 @@
             .count()
     }
 
-    /// The candidate with the highest score among those that are allowed and have room; one of
-    /// them at random where several have it.
+    /// The candidate with the highest score among those that are allowed and have capacity.
     fn best_of(&mut self, id: QueryId, candidates: &Candidates) -> Placement {
+        let mut best = BestCandidates::default();
         let Some(query) = self.queries.get(id) else {
-            return Placement {
-                engine: None,
-                is_idle: false,
-            };
+            return best.pick(&mut self.rng);
         };
-        let mut best: Vec<EngineId> = Vec::new();
-        let mut highest = PlacementScore::WORST;
-        let home_population = candidates.home_population();
+        let subset_population = candidates.subset_population();
         let (all, sample) = match candidates {
             Candidates::Sample(sample) => (None, sample.as_slice()),
             Candidates::All { .. } | Candidates::FullSearch => (Some(&self.engines), &[][..]),
@@ -192,43 +240,28 @@
             .iter()
             .filter_map(|id| self.engines.get_key_value(id));
         for (&engine_id, engine) in all.chain(sampled) {
-            if self.check_send(query, engine).is_err()
-                || self.check_capacity(query, engine).is_err()
-            {
+            let is_allowed = self.check_send(query, engine).is_ok();
+            if !is_allowed || self.check_capacity(query, engine).is_err() {
                 continue;
             }
-            let is_thin = self.has_thin_part(engine.cores);
-            let draw = is_thin.then(|| (f64::from(self.rng.next_u32()) + 0.5) / 4_294_967_296.0);
-            let is_home = is_thin
-                && stable_hash_fraction(self.seed, engine_id) * home_population < MIN_HOME_ENGINES;
-            let score = self.placement_score(query, engine, draw, is_home);
-            if score > highest {
-                highest = score;
-                best.clear();
-            }
-            if score >= highest {
-                best.push(engine_id);
-            }
-        }
-        let index = if best.len() > 1 {
-            self.rng.next_u32() as usize % best.len()
-        } else {
-            0
-        };
-        Placement {
-            engine: best.get(index).copied(),
-            is_idle: highest.is_another_engine && highest.free_threads >= 0.0,
+            let is_fractional = self.has_fractional_share(engine.cores);
+            let draw = is_fractional.then(|| draw_fraction(&mut self.rng));
+            let is_in_subset = is_fractional
+                && stable_hash_fraction(self.seed, engine_id) * subset_population < MIN_SUBSET_SIZE;
+            let score = self.placement_score(query, engine, draw, is_in_subset);
+            best.offer(engine_id, score);
         }
+        best.pick(&mut self.rng)
     }
 
     /// The score of an engine for a query; `draw` is a random number from 0 to 1 where this
-    /// gateway's part of the engine is less than a thread.
+    /// gateway's share of the engine is less than a thread.
     fn placement_score(
         &self,
         query: &Query,
         engine: &EngineRecord,
         draw: Option<f64>,
-        is_home: bool,
+        is_in_subset: bool,
     ) -> PlacementScore {
         let limit = self.thread_limit(engine);
         let warm_fraction = self.warm_fraction(engine);
@@ -246,7 +279,7 @@
             wants_first_trial: self.wants_first_trial(query, engine),
             free_threads: own_threads - self.competing_threads(query, &engine.threads),
             is_in_own_zone: self.is_in_own_zone(engine),
-            is_home,
+            is_in_subset,
             headroom: self.recent_headroom(engine),
             weighted_draw,
         }
--- a/policy/src/queueing.rs
+++ b/policy/src/queueing.rs
@@ -1,10 +1,12 @@
-//! Which queued query goes next, and in which order queries of one key run.
+//! Which queued query is sent next, and in which order queries of one key run.
 //!
-//! Decides: when a queue is entered, and which query is sent as capacity opens: the oldest one at
-//! the head of any queue that an engine fits. Inputs: the order of arrival, the ordering keys of
-//! queries and their open attempts, and whether the retry budget is spent. Each class has a queue
-//! of its own, so that a query that fits nowhere holds up only its own class. Reason: in order of
-//! arrival no query is passed over for ever.
+//! - Decides: when a query enters its queue, and which one is sent as capacity opens.
+//! - Inputs: the order of arrival, the ordering keys of queries and their open attempts, and
+//!   whether the retry budget is spent.
+//! - Rule: each class has a queue. The oldest query at the head of any queue is sent, if it fits
+//!   on an engine; otherwise the next oldest head.
+//! - Reason: in order of arrival no query is passed over for ever, and a query that fits nowhere
+//!   holds up its own class only.
 
 use crate::interface::{Action, EngineId, Micros, Outcome, QueryId};
 use crate::state::{KeyHold, Query};
@@ -40,8 +42,8 @@
     /// The next query to send, with its engine. While the retry budget is spent, queries that had
     /// an attempt must not hold up those behind them that had none.
     fn next_to_send(&mut self) -> Option<(QueryId, EngineId)> {
-        let untried_only = !self.retry_budget_allows();
-        let heads = self.queries.queue_heads(untried_only);
+        let first_attempts_only = !self.retry_budget_allows();
+        let heads = self.queries.queue_heads(first_attempts_only);
         heads
             .into_iter()
             .find_map(|id| Some((id, self.choose_engine(id)?)))
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,11 +1,11 @@
 //! Whether a query gets a further attempt.
 //!
-//! Decides: [`RetryDecision`] once an attempt has ended, and the limits that every further
-//! attempt keeps: the number of attempts, whether the query may run twice and where, and the
-//! retry budget. Inputs: the class's idempotency and deduplication window (microseconds), the
-//! time left, the expected run, and the retries of the budget's window. Reason: retries hide
-//! faults of single engines, but add load, and a query that may have run must not run again where
-//! that would have an effect.
+//! - Decides: [`RetryDecision`] once an attempt has ended, and the limits on every further
+//!   attempt: their number, whether the query may run twice and where, and the retry budget.
+//! - Inputs: the class's idempotency and deduplication window (microseconds), the time to the
+//!   deadline, the expected run, and the retries of the budget's window.
+//! - Reason: retries hide faults of single engines, but add load, and a query that may have run
+//!   must not run again where that would have an effect.
 
 use crate::interface::{DedupGroup, Engine, Idempotency, Micros, RetryBudget};
 use crate::state::Query;
@@ -119,7 +119,7 @@
         first_run.or(running).unwrap_or(self.now)
     }
 
-    /// Whether the retry budget has room for a further attempt.
+    /// Whether the retry budget allows a further attempt.
     pub(crate) fn retry_budget_allows(&self) -> bool {
         let Some(budget) = self.settings.retry_budget else {
             return true;
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -1,13 +1,16 @@
 //! How much work an engine gets while it warms up.
 //!
-//! Decides: the fraction of its capacity that an engine surely has by now, and whether a query
-//! may go to it. Inputs: when its process started, the slow start window, the initial fraction,
-//! and the load (a multiple of its present capacity, throughout the collapse window) under which
-//! it fails; times in microseconds, work in seconds on one thread. Reason: an engine with cold
-//! caches that gets its full load at once fails, and no gateway sees what the others send. So
-//! each keeps to its part of what the engine bears; where that part is less than a query, each
-//! draws whether it may send one, so that the sum over all gateways stays within what the engine
-//! bears, deviations included.
+//! - Decides: the fraction of its capacity that an engine surely has by now, and whether a query
+//!   may go to it.
+//! - Inputs: when its process started, the slow start window, the initial fraction, and the load
+//!   (a multiple of its present capacity, throughout the collapse window) under which it fails;
+//!   times in microseconds, work in seconds on one thread.
+//! - Rule: each gateway sends no more than its share of what the engine sustains. Where that
+//!   share
+//!   is less than a query, each draws whether it may send one, so that the sum over all gateways
+//!   is within what the engine sustains, deviations included.
+//! - Reason: an engine with empty caches that gets its full load at once fails, and no gateway
+//!   sees what the others send.
 
 use rand_chacha::rand_core::RngCore;
 
@@ -17,7 +20,7 @@
 
 /// The fraction used of the load under which an engine would fail.
 const SAFETY_FRACTION: f64 = 0.5;
-/// The sum over all gateways stays this many deviations below what an engine bears.
+/// The sum over all gateways is this many deviations below what an engine sustains.
 const SAFETY_DEVIATIONS: f64 = 4.0;
 /// How much rarer sends are before a gateway's own first window begins. All gateways learn of an
 /// engine at once, and these sends come on top of those of the window.
@@ -97,7 +100,7 @@
     }
 }
 
-/// The mean load by independent queries of so much work that stays the safety deviations below
+/// The mean load by independent queries of so much work that is the safety deviations below
 /// what is bearable.
 fn safe_mean_load(work: f64, bearable: f64) -> f64 {
     let spread = SAFETY_DEVIATIONS / 2.0 * (work / bearable).sqrt();
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -1,10 +1,11 @@
 //! How fast engines work, and how long a query will run.
 //!
-//! Decides: the expected work and run time of a query. Inputs: estimates that come with queries
-//! and the costs and times of answers. Work is in seconds on one thread, speed in seconds of work
-//! per thread-second: 1 for an engine that runs a query as if alone, less as queries share cores.
-//! Reason: admission, deadlines and limits all need to know how long a query will take as things
-//! are.
+//! - Decides: the expected work and run time of a query.
+//! - Inputs: estimates that come with queries, and the costs and times of answers. Work is in
+//!   seconds on one thread, speed in seconds of work per thread-second: 1 for an engine that runs
+//!   a query as if alone, less as queries compete for cores.
+//! - Reason: admission, deadlines and limits need to know how long a query will take under the
+//!   present load.
 
 use crate::interface::{EngineId, NewQuery};
 use crate::priority::PRIORITY_WEIGHTS;
@@ -30,7 +31,7 @@
 pub(crate) const MIN_WORK_S: f64 = 1e-4;
 /// Weight of a sample in the moving means of a class.
 pub(crate) const CLASS_GAIN: f64 = 0.05;
-/// Weight of an answer in the speed of its engine, and of the fleet where parts are thin.
+/// Weight of an answer in the speed of its engine, and of the fleet where shares are fractional.
 pub(crate) const ANSWER_SPEED_GAIN: f64 = 0.15;
 /// Weight of a progress report in the speed of its engine.
 pub(crate) const PROGRESS_SPEED_GAIN: f64 = 0.05;
@@ -73,9 +74,9 @@
     /// Learns the fleet's speed from an answer.
     pub(crate) fn record_fleet_speed(&mut self, work: f64, thread_seconds: f64) {
         let memory = FLEET_MEMORY_QUERIES * self.work_of_each_class();
-        let kept = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
-        self.fleet.work_done = self.fleet.work_done * kept + work;
-        self.fleet.thread_seconds = self.fleet.thread_seconds * kept + thread_seconds;
+        let retained = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
+        self.fleet.work_done = self.fleet.work_done * retained + work;
+        self.fleet.thread_seconds = self.fleet.thread_seconds * retained + thread_seconds;
     }
 
     /// Learns an engine's speed from an attempt there. An attempt of low priority says less,
--- a/policy/src/state/engine_record.rs
+++ b/policy/src/state/engine_record.rs
@@ -32,7 +32,7 @@
     pub until: Micros,
 }
 
-/// What a new process is taken to bear and to do until it is known better.
+/// What a new process is taken to sustain until there is experience with it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InitialLimits {
     /// Threads that this gateway may use there.
@@ -65,8 +65,8 @@
     /// How much less loaded than usual it last was, as a fraction, and when that was seen.
     pub headroom: f64,
     pub headroom_at: Micros,
-    /// When it last gave a sign of life to this gateway.
-    pub last_sign_at: Micros,
+    /// When this gateway last got an answer or a progress report from it.
+    pub last_active_at: Micros,
     pub health: Health,
     /// The same for the queries of one class, by the index of the class.
     pub class_health: BTreeMap<usize, Health>,
@@ -96,7 +96,7 @@
             speed: limits.speed,
             headroom: 0.0,
             headroom_at: 0,
-            last_sign_at: 0,
+            last_active_at: 0,
             health: Health::default(),
             class_health: BTreeMap::new(),
             backoff_until: 0,
--- a/policy/src/state/engine_sampler.rs
+++ b/policy/src/state/engine_sampler.rs
@@ -14,8 +14,8 @@
     Everywhere,
 }
 
-/// A number from 0 to 1 that stays with a gateway and an engine, and is as good as drawn at
-/// random for each pair (SplitMix64).
+/// A number from 0 to 1 that is fixed for a gateway and an engine, and as good as random for each
+/// pair (SplitMix64).
 pub(crate) fn stable_hash_fraction(gateway: u64, engine: EngineId) -> f64 {
     let mut hash = gateway
         ^ u64::from(engine)
@@ -60,13 +60,13 @@
         self.own_zone.clear();
     }
 
-    /// Takes in an entry of the engine list: an engine that is gone loses its place.
+    /// Takes in an entry of the engine list: an engine that is removed loses its place.
     pub fn update(&mut self, engine: &Engine) {
         let place = Place {
             hash_bits: stable_hash_fraction(self.gateway, engine.id).to_bits(),
             engine: engine.id,
         };
-        let listed = engine.state != EngineState::Gone;
+        let listed = engine.state != EngineState::Removed;
         set_listed(&mut self.everywhere, place, listed);
         if self.zone.is_some() {
             let in_zone = self.zone == Some(engine.zone);
--- a/policy/src/state/engine_sampler/tests.rs
+++ b/policy/src/state/engine_sampler/tests.rs
@@ -22,7 +22,7 @@
     match number {
         0 => EngineState::Ready,
         1 => EngineState::Draining,
-        _ => EngineState::Gone,
+        _ => EngineState::Removed,
     }
 }
 
@@ -55,7 +55,7 @@
             sampler.update(&change);
             listed.insert(id, change);
         }
-        listed.retain(|_, engine| engine.state != EngineState::Gone);
+        listed.retain(|_, engine| engine.state != EngineState::Removed);
         let in_zone = |engine: &&Engine| zone.is_none_or(|zone| zone == engine.zone);
         let own = listed.values().filter(in_zone).map(|engine| engine.id);
         prop_assert_eq!(places(&sampler, Region::OwnZone), sorted_by_hash(gateway, own));
--- a/policy/src/state/fleet_stats.rs
+++ b/policy/src/state/fleet_stats.rs
@@ -19,9 +19,9 @@
     pub priority_weight: MovingMean,
     /// Work of the queries that arrive, in seconds on one thread.
     pub work: MovingMean,
-    /// Utilisation as load reports tell it, 0 to 1.
+    /// Utilisation from load reports, 0 to 1.
     pub utilisation: MovingMean,
-    /// Thread-seconds of capacity that were left unused (above 0) or overdrawn, as of a time.
+    /// Thread-seconds of capacity that were unused (above 0) or overdrawn, as of a time.
     pub capacity_credit: f64,
     pub capacity_credit_at: Micros,
     /// Logarithm of the moving speed of answers, whichever engine gave them.
@@ -34,7 +34,7 @@
     pub counts: HealthCounts,
     /// Ejection is ignored, since over half of the engines in use are ejected.
     pub ejection_suspended: bool,
-    /// Threads that all available engines together bear from this gateway.
+    /// The thread limits of all available engines together.
     pub thread_capacity: f64,
     /// The same without engines that are backing off.
     pub open_thread_capacity: f64,
--- a/policy/src/state/query.rs
+++ b/policy/src/state/query.rs
@@ -36,7 +36,7 @@
     pub class: usize,
     /// Its place in the order of arrival.
     pub sequence: u64,
-    /// When its client first asked, also if that was with an earlier request.
+    /// When its client first sent it, maybe in an earlier request.
     pub first_requested_at: Micros,
     pub deadline: Micros,
     /// Expected work, in seconds on one thread.
--- a/policy/src/state/query_table.rs
+++ b/policy/src/state/query_table.rs
@@ -15,10 +15,10 @@
     /// One queue for each class.
     queues: Vec<Queue>,
     /// Those of the queues that have had no attempt yet.
-    untried_queues: Vec<Queue>,
+    first_attempt_queues: Vec<Queue>,
     /// When queries are to be checked.
     checks: BTreeSet<(Micros, QueryId)>,
-    /// Queued queries, those included that their key keeps out of the queues.
+    /// Queued queries, those included that wait for their key outside of the queues.
     queued: usize,
     queued_work: f64,
     /// Attempts out, by class.
@@ -36,7 +36,7 @@
     pub fn new(classes: usize) -> Self {
         QueryTable {
             queues: vec![Queue::new(); classes],
-            untried_queues: vec![Queue::new(); classes],
+            first_attempt_queues: vec![Queue::new(); classes],
             attempts_out: vec![0; classes],
             ..QueryTable::default()
         }
@@ -88,7 +88,7 @@
         if let Some(query) = self.queries.get(&id).filter(|query| query.is_queued) {
             self.queues[query.class].insert(query.sequence, id);
             if query.attempts == 0 {
-                self.untried_queues[query.class].insert(query.sequence, id);
+                self.first_attempt_queues[query.class].insert(query.sequence, id);
             }
         }
     }
@@ -97,7 +97,7 @@
         if let Some(query) = self.queries.get_mut(&id).filter(|query| query.is_queued) {
             query.is_queued = false;
             self.queues[query.class].remove(&query.sequence);
-            self.untried_queues[query.class].remove(&query.sequence);
+            self.first_attempt_queues[query.class].remove(&query.sequence);
             self.queued -= 1;
             // Started anew at 0, so that rounding errors do not add up.
             self.queued_work = if self.queued == 0 {
@@ -108,11 +108,11 @@
         }
     }
 
-    /// The oldest query of each queue, the oldest of them first; with `untried_only`, of those
-    /// that have had no attempt yet.
-    pub fn queue_heads(&self, untried_only: bool) -> Vec<QueryId> {
-        let queues = if untried_only {
-            &self.untried_queues
+    /// The oldest query of each queue, the oldest of them first; with `first_attempts_only`, of
+    /// those that have had no attempt yet.
+    pub fn queue_heads(&self, first_attempts_only: bool) -> Vec<QueryId> {
+        let queues = if first_attempts_only {
+            &self.first_attempt_queues
         } else {
             &self.queues
         };
--- a/policy/src/state/retry_history.rs
+++ b/policy/src/state/retry_history.rs
@@ -1,4 +1,4 @@
-//! When queries arrived and when further attempts left, as far back as the retry budget looks.
+//! When queries arrived and when further attempts were sent, over the window of the retry budget.
 
 use std::collections::VecDeque;
 
@@ -39,7 +39,7 @@
         (self.arrivals.len() - self.arrivals.partition_point(|at| *at <= time)) as f64
     }
 
-    /// How many retries left at a time or later.
+    /// How many retries were sent at a time or later.
     pub fn retries_since(&self, time: Micros) -> f64 {
         (self.retries.len() - self.retries.partition_point(|at| *at < time)) as f64
     }
--- a/policy/src/timers.rs
+++ b/policy/src/timers.rs
@@ -1,9 +1,10 @@
-//! When the gateway looks again without an event.
+//! When the gateway acts without an event.
 //!
-//! Decides: when the next timer fires, and which queries are checked then. Inputs: the time at
-//! which each query is to be checked (`deadline`, `attempt`), whether any query is queued, and
-//! the control period, all in microseconds. Reason: capacity can also open without an event, when
-//! a backoff ends or an engine that is warming up bears more.
+//! - Decides: when the next timer fires, and which queries are checked then.
+//! - Inputs: the time at which each query is to be checked, whether any query is queued, and the
+//!   control period, all in microseconds.
+//! - Reason: capacity can also open without an event, when a backoff ends or the limit of an
+//!   engine that is warming up grows.
 
 use crate::interface::{Action, Micros};
 use crate::units::{micros, seconds};
--- a/policy/src/wire/event.rs
+++ b/policy/src/wire/event.rs
@@ -95,7 +95,7 @@
     #[serde(rename = "terminating")]
     Draining,
     #[serde(rename = "terminated")]
-    Gone,
+    Removed,
 }
 
 #[derive(Debug, Clone, Copy, Deserialize)]
@@ -135,7 +135,7 @@
         match state {
             WireState::Ready => EngineState::Ready,
             WireState::Draining => EngineState::Draining,
-            WireState::Gone => EngineState::Gone,
+            WireState::Removed => EngineState::Removed,
         }
     }
 }
@@ -241,7 +241,7 @@
         }
     }
 
-    /// The report of a row. Values that are missing, or are no fraction or count, are left out.
+    /// The report of a row. Values that are missing, or are no fraction or count, are `None`.
     fn report(&self, row: Option<&[f64]>) -> LoadReport {
         let value = |place: Option<usize>| {
             let value = place.and_then(|place| row?.get(place).copied());
--- a/policy/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -28,7 +28,11 @@
     call(&mut gateway, 0, true);
     call(&mut gateway, 0, true);
     call(&mut gateway, 7, true); // before the list has it
-    for state in [EngineState::Draining, EngineState::Gone, EngineState::Ready] {
+    for state in [
+        EngineState::Draining,
+        EngineState::Removed,
+        EngineState::Ready,
+    ] {
         gateway.patch_list(Engine { state, ..engine(0) });
         gateway.patch_list(Engine {
             state,
--- a/policy/tests/home_engines.rs
+++ b/policy/tests/home_engines.rs
@@ -77,7 +77,7 @@
     // All of them leave at once: the next queries go elsewhere, and come back to some few again.
     for target in &homes {
         gateway.patch_list(Engine {
-            state: EngineState::Gone,
+            state: EngineState::Removed,
             ..engine(*target)
         });
     }
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -82,7 +82,7 @@
     let lost = (0..ENGINES).filter(|target| target % ZONES == 3);
     let engines = lost
         .map(|target| Engine {
-            state: EngineState::Gone,
+            state: EngineState::Removed,
             ..in_zone(target)
         })
         .collect();
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -267,7 +267,7 @@
                 let restarted = self.one_in(2).then_some(self.now);
                 let state = match self.draw(8) {
                     0 => EngineState::Draining,
-                    1 => EngineState::Gone,
+                    1 => EngineState::Removed,
                     _ => EngineState::Ready,
                 };
                 let line = &mut self.engines[id].line;
