--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -1,11 +1,48 @@
-//! Agreed state at work, over TCP.
+//! Runs replicas, observers and subscribers over TCP, on one thread each with a second one for the disk.
 //!
-//! - [`ReplicaRuntime`] is a member: it carries out what [`violetgate_replica::Replica`] asks for, with connections to the other
-//!   members ([`transport`]) and a disk that a thread of its own writes.
-//! - [`ObserverService`] serves a member's copy to front ends, [`Subscription`] is a front end's side of that. Both
-//!   carry out what the cores in [`violetgate_state_distribution`] ask for.
+//! - [`ReplicaRuntime`] runs a [`Replica`](violetgate_replica::Replica): its connections to other replicas
+//!   ([`transport`]), its storage and its timer.
+//! - [`ObserverService`] serves a replica's copy to front ends; [`Subscription`] is a front end's side of that. They run
+//!   the cores of [`violetgate_state_distribution`].
 //!
-//! It decides nothing: who leads, what is agreed on and whether state may be routed on is decided by the cores.
+//! Nothing is decided here: who leads, what is committed and whether requests may be routed is decided by the cores.
+//!
+//! A cluster of one replica:
+//!
+//! ```
+//! use std::collections::BTreeMap;
+//! use std::net::TcpListener;
+//! use std::rc::Rc;
+//! use std::time::Duration;
+//!
+//! use async_executor::LocalExecutor;
+//! use violetgate_replica::ReplicaConfig;
+//! use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
+//!
+//! # fn main() -> Result<(), Box<dyn std::error::Error>> {
+//! let folder = std::env::temp_dir().join(format!("replica-example-{}", std::process::id()));
+//! let bootstrap = Bootstrap { initial_members: vec![1], initial_state: Vec::new() };
+//! ReplicaRuntime::initialize("example", 1, &folder, 42, bootstrap)?;
+//!
+//! let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+//! let options = ReplicaOptions {
+//!     cluster: "example".to_owned(),
+//!     id: 1,
+//!     folder: folder.clone(),
+//!     listen,
+//!     members: BTreeMap::from([(1, listen)]),
+//!     config: ReplicaConfig::default(),
+//!     seed: 7,
+//! };
+//! let executor = Rc::new(LocalExecutor::new());
+//! let replica = ReplicaRuntime::start(&executor, &options)?;
+//! let is_current = replica.wait_until_current(Duration::from_secs(30));
+//! assert!(async_io::block_on(executor.run(is_current)));
+//! # drop(replica);
+//! # std::fs::remove_dir_all(folder)?;
+//! # Ok(())
+//! # }
+//! ```
 
 mod clock;
 mod close_reason;
@@ -20,7 +57,8 @@
 
 pub use observer_service::{ObserverService, ServiceError};
 pub use runtime::{
-    AppliedCallback, Bootstrap, CallOutcome, ReplicaOptions, ReplicaRuntime, ReplicaStatus,
+    AppliedCallback, Bootstrap, CallOutcome, InitializeError, MatchedIndex, ReplicaOptions,
+    ReplicaRuntime, ReplicaStatus, StartError, StopReason,
 };
 pub use subscription::{ReplicaCallback, Subscription, SubscriptionStatus};
 pub use traffic_stats::TrafficStats;
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -1,4 +1,4 @@
-//! How far all front ends are, as observers report it to all members.
+//! How far all front ends are, as observers report it to all replicas.
 
 use std::collections::BTreeSet;
 
@@ -11,68 +11,76 @@
 use crate::clock::boot_time;
 use crate::wire::Frame;
 
-/// A report of an observer counts for so long.
-const PROGRESS_FRESH: Micros = 1_000_000;
+/// An observer whose last report is older than this counts as silent.
+const REPORT_FRESH_FOR_US: Micros = 1_000_000;
 
-/// What observers reported, and which did.
+/// The reports, and the observers that sent them.
 #[derive(Default)]
-pub(super) struct Reports {
+pub(super) struct FleetReports {
     progress: FleetProgress,
     observers: BTreeSet<NodeId>,
 }
 
-impl Reports {
-    fn take(&mut self, now: Micros, from: NodeId, summary: ProgressSummary, members: &Membership) {
-        let gone: Vec<_> = self
-            .observers
-            .iter()
-            .filter(|id| !members.contains(**id))
-            .copied()
-            .collect();
-        for id in gone {
-            self.observers.remove(&id);
-            self.progress.forget(id);
-        }
-        // One that is no member any more is no observer either.
-        if members.contains(from) {
-            self.observers.insert(from);
-            self.progress.report(now, from, summary);
-            self.progress.record(now, PROGRESS_FRESH);
+impl FleetReports {
+    fn record(
+        &mut self,
+        now: Micros,
+        observer: NodeId,
+        summary: ProgressSummary,
+        membership: &Membership,
+    ) {
+        self.forget_removed(membership);
+        if membership.contains(observer) {
+            self.observers.insert(observer);
+            self.progress.report(now, observer, summary);
+            self.progress.record(now, REPORT_FRESH_FOR_US);
         }
     }
+
+    fn forget_removed(&mut self, membership: &Membership) {
+        let progress = &mut self.progress;
+        self.observers.retain(|id| {
+            let is_member = membership.contains(*id);
+            if !is_member {
+                progress.forget(*id);
+            }
+            is_member
+        });
+    }
 }
 
 impl ReplicaRuntime {
-    /// How far all front ends are, as observers have reported it of late.
+    /// How far all front ends are, as observers have reported it recently.
     #[must_use]
     pub fn fleet_progress(&self) -> FleetTotals {
-        self.fleet
-            .borrow()
-            .progress
-            .totals(boot_time(), PROGRESS_FRESH)
+        let reports = self.fleet_reports.borrow();
+        reports.progress.totals(boot_time(), REPORT_FRESH_FOR_US)
     }
 
     /// The latest revision that was in force at all serving front ends, and when it was.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
-        self.fleet.borrow().progress.in_force().last().copied()
+        let reports = self.fleet_reports.borrow();
+        reports.progress.in_force().last().copied()
     }
 
-    /// Reports how far this member's subscribers are to all members, this one among them.
+    /// Reports how far this replica's subscribers are to all replicas, this one included.
     pub(crate) fn report_progress(&self, summary: ProgressSummary) {
         let ReplicaStatus { id, members, .. } = self.status();
         let frame = Frame::Progress(summary.clone());
-        members
-            .ids()
-            .filter(|to| *to != id)
-            .for_each(|to| self.transport.send(to, &frame));
-        self.progress_came(id, summary);
+        for to in members.ids().filter(|to| *to != id) {
+            self.transport.send(to, &frame);
+        }
+        self.record_progress(id, summary);
     }
 
-    pub(super) fn progress_came(&self, from: NodeId, summary: ProgressSummary) {
-        let member = self.member.borrow();
-        self.fleet
-            .borrow_mut()
-            .take(boot_time(), from, summary, member.membership());
+    pub(super) fn record_progress(&self, observer: NodeId, summary: ProgressSummary) {
+        let replica = self.replica.borrow();
+        self.fleet_reports.borrow_mut().record(
+            boot_time(),
+            observer,
+            summary,
+            replica.membership(),
+        );
     }
 }
--- /dev/null
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -0,0 +1,161 @@
+//! Calls that any replica may make: carried out by the leader, whichever it is, and retried until their outcome is known.
+
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+use violetgate_raft::{MembershipChange, NodeId, ProposalError, Role};
+use violetgate_replica::{CallId, Response};
+
+use super::calls::CallOutcome;
+use super::pending_answer::PendingEntry;
+use super::status::ReplicaStatus;
+use super::ReplicaRuntime;
+use crate::wire::{Call, Frame};
+
+/// How long one attempt may take before the call is made again.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
+/// The delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
+/// How often it is checked that the replica which carries out a call is still taken for the leader.
+const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// The most calls of other replicas that are carried out at a time. More are rejected, and retried by their callers.
+const MAX_CALLS_FOR_OTHERS: usize = 1_000;
+
+/// Whether an earlier attempt may have taken effect.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum EarlierAttempts {
+    HadNoEffect,
+    MayHaveTakenEffect,
+}
+
+impl ReplicaRuntime {
+    /// Has a call carried out by whoever leads. It is made again, under its one request id, until its outcome is known
+    /// or the time is over. After [`CallOutcome::TimedOut`] it may still be committed; the same call again tells.
+    pub async fn submit(&self, call: Call, timeout: Duration) -> CallOutcome {
+        let deadline = Instant::now() + timeout;
+        let mut earlier = EarlierAttempts::HadNoEffect;
+        loop {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() || self.has_stopped() {
+                return CallOutcome::TimedOut;
+            }
+            let outcome = self.attempt(&call, remaining.min(ATTEMPT_TIMEOUT)).await;
+            match outcome {
+                CallOutcome::TimedOut | CallOutcome::Completed(Response::OutcomeUnknown) => {
+                    earlier = EarlierAttempts::MayHaveTakenEffect;
+                }
+                CallOutcome::Completed(response) if is_retried(&response) => {}
+                // A change that an earlier attempt has made can't be made again.
+                CallOutcome::Completed(Response::Rejected(_))
+                    if earlier == EarlierAttempts::MayHaveTakenEffect
+                        && self.has_taken_effect(&call) =>
+                {
+                    return CallOutcome::Completed(Response::MembershipChanged);
+                }
+                outcome => return outcome,
+            }
+            Timer::after(RETRY_DELAY.min(remaining)).await;
+        }
+    }
+
+    /// Makes a call once, here or at the leader.
+    async fn attempt(&self, call: &Call, timeout: Duration) -> CallOutcome {
+        let ReplicaStatus {
+            id, role, leader, ..
+        } = self.status();
+        match leader {
+            _ if role == Role::Leader => self.carry_out_here(call.clone(), timeout).await,
+            Some(leader) if leader != id => self.forward(leader, call.clone(), timeout).await,
+            _ => CallOutcome::Completed(Response::NotLeader(None)),
+        }
+    }
+
+    /// Carries a call out here, if this replica leads.
+    async fn carry_out_here(&self, call: Call, timeout: Duration) -> CallOutcome {
+        match call {
+            Call::Propose { request, who, step } => {
+                self.propose(Some(request), &who, step, timeout).await
+            }
+            Call::ChangeMembership(change) => self.change_membership(change, timeout).await,
+            Call::TransferLeadership(to) => {
+                let response = match self.transfer_leadership(to) {
+                    Ok(()) => Response::MembershipChanged,
+                    Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
+                    Err(error) => Response::Rejected(error),
+                };
+                CallOutcome::Completed(response)
+            }
+        }
+    }
+
+    /// Has another replica carry a call out.
+    async fn forward(&self, leader: NodeId, call: Call, timeout: Duration) -> CallOutcome {
+        let id = self.next_call_id();
+        let entry = PendingEntry::new(&self.forwarded_calls, id);
+        self.transport
+            .send(leader, &Frame::ForwardCall { id, call });
+        entry.wait(timeout).or(self.until_deposed(leader)).await
+    }
+
+    /// Waits until a replica is no longer taken for the leader: it won't answer, or another one can sooner.
+    async fn until_deposed(&self, leader: NodeId) -> CallOutcome {
+        while self.replica.borrow().raft().leader() == Some(leader) {
+            Timer::after(LEADER_CHECK_INTERVAL).await;
+        }
+        CallOutcome::TimedOut
+    }
+
+    /// Whether the membership is already as a call wants it.
+    fn has_taken_effect(&self, call: &Call) -> bool {
+        let replica = self.replica.borrow();
+        let membership = replica.membership();
+        match call {
+            Call::ChangeMembership(MembershipChange::AddLearner(id)) => membership.contains(*id),
+            Call::ChangeMembership(MembershipChange::PromoteLearner(id)) => {
+                membership.voters.contains(id)
+            }
+            Call::ChangeMembership(MembershipChange::Remove(id)) => !membership.contains(*id),
+            Call::Propose { .. } | Call::TransferLeadership(_) => false,
+        }
+    }
+
+    /// Another replica has answered a call that was forwarded to it.
+    pub(super) fn on_forwarded_answer(&self, id: CallId, answer: Response) {
+        let pending = self.forwarded_calls.borrow().get(&id).cloned();
+        if let Some(pending) = pending {
+            pending.fill(answer);
+        }
+    }
+
+    /// Carries a call out for another replica, and sends it the answer. A caller that gets none retries.
+    pub(super) fn carry_out_for(&self, from: NodeId, id: CallId, call: Call) {
+        if self.calls_for_others.get() >= MAX_CALLS_FOR_OTHERS {
+            let answer = Response::Rejected(ProposalError::Busy);
+            return self.transport.send(from, &Frame::CallAnswer { id, answer });
+        }
+        let Some(runtime) = self.weak_self.upgrade() else {
+            return;
+        };
+        self.calls_for_others.set(self.calls_for_others.get() + 1);
+        let carrying_out = async move {
+            let outcome = runtime.carry_out_here(call, ATTEMPT_TIMEOUT).await;
+            if let CallOutcome::Completed(answer) = outcome {
+                let answer = Frame::CallAnswer { id, answer };
+                runtime.transport.send(from, &answer);
+            }
+            let count = runtime.calls_for_others.get();
+            runtime.calls_for_others.set(count - 1);
+        };
+        self.executor.spawn(carrying_out).detach();
+    }
+}
+
+/// Whether a call that was answered like this had no effect and may succeed later.
+fn is_retried(response: &Response) -> bool {
+    matches!(
+        response,
+        Response::NotLeader(_)
+            | Response::Rejected(ProposalError::Busy | ProposalError::ChangeInProgress)
+    )
+}
--- /dev/null
+++ b/cluster/replica-runtime/src/runtime/startup.rs
@@ -0,0 +1,202 @@
+//! Starting a replica on its folder.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::net::{SocketAddr, TcpListener};
+use std::path::{Path, PathBuf};
+use std::rc::{Rc, Weak};
+use std::sync::mpsc;
+
+use async_channel::Receiver;
+use async_executor::LocalExecutor;
+use async_io::Async;
+use violetgate_raft::NodeId;
+use violetgate_raft_storage::{
+    FsDirectory, OwnershipError, RaftStorage, RecoveredState, StorageError,
+};
+use violetgate_replica::{InitialState, Replica, ReplicaConfig, ReplicaError};
+
+use super::storage_worker::{self, StorageEvent, StorageJob};
+use super::{on_storage_events, tick_when_due, ReplicaRuntime};
+use crate::clock::boot_time;
+use crate::transport::{FrameHandler, Transport};
+
+/// What a replica needs to start.
+#[derive(Debug, Clone)]
+pub struct ReplicaOptions {
+    /// The cluster's name.
+    pub cluster: String,
+    /// This replica's id.
+    pub id: NodeId,
+    /// Its folder, made by [`ReplicaRuntime::initialize`].
+    pub folder: PathBuf,
+    /// Where it listens for other replicas.
+    pub listen: SocketAddr,
+    /// The addresses of all replicas that are known.
+    pub members: BTreeMap<NodeId, SocketAddr>,
+    /// Its limits and intervals.
+    pub config: ReplicaConfig,
+    /// The seed of its random numbers.
+    pub seed: u64,
+}
+
+/// Why a replica can't start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// Its folder can't be used.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The folder.
+        folder: PathBuf,
+        /// What is wrong with it.
+        source: std::io::Error,
+    },
+    /// What its folder holds can't be used.
+    #[error("{}: {source}", folder.display())]
+    Storage {
+        /// The folder.
+        folder: PathBuf,
+        /// What is wrong with it.
+        source: StorageError,
+    },
+    /// Its address can't be used.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What is wrong with it.
+        source: std::io::Error,
+    },
+    /// Its configuration or its snapshot can't be used.
+    #[error(transparent)]
+    Replica(#[from] ReplicaError),
+    /// The system gives no thread.
+    #[error("a thread for the disk: {0}")]
+    Thread(std::io::Error),
+}
+
+impl StartError {
+    /// Whether the folder is no replica's: [`ReplicaRuntime::initialize`] makes one.
+    #[must_use]
+    pub fn is_uninitialized_folder(&self) -> bool {
+        matches!(
+            self,
+            StartError::Storage {
+                source: StorageError::NotOwned(OwnershipError::Unowned),
+                ..
+            }
+        )
+    }
+}
+
+/// A replica's storage, and what it held.
+struct OpenedStorage {
+    storage: RaftStorage<FsDirectory>,
+    recovered: RecoveredState,
+}
+
+/// The two ends of the storage thread's channels.
+struct StorageThread {
+    jobs: mpsc::Sender<StorageJob>,
+    events: Receiver<StorageEvent>,
+}
+
+impl ReplicaRuntime {
+    /// Opens a replica's folder and begins to take part.
+    ///
+    /// # Errors
+    ///
+    /// Its folder, its address or its configuration can't be used.
+    pub fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        options: &ReplicaOptions,
+    ) -> Result<Rc<Self>, StartError> {
+        let OpenedStorage { storage, recovered } = open_storage(options)?;
+        let address = options.listen;
+        let listener = Async::<TcpListener>::bind(address)
+            .map_err(|source| StartError::Listen { address, source })?;
+        let disk_id = recovered.incarnation;
+        let initial = InitialState {
+            hard_state: recovered.hard_state,
+            snapshot: recovered.snapshot,
+            state: recovered.state,
+            entries: recovered.entries,
+        };
+        let ReplicaOptions {
+            id, config, seed, ..
+        } = *options;
+        let replica = Replica::new(id, config, seed, initial, boot_time())?;
+        let StorageThread { jobs, events } = start_storage_thread(storage)?;
+        let runtime = Rc::new_cyclic(|weak_self: &Weak<ReplicaRuntime>| {
+            let on_frame = frame_handler(weak_self.clone());
+            let cluster = &options.cluster;
+            ReplicaRuntime {
+                weak_self: weak_self.clone(),
+                notified_index: Cell::new(replica.applied()),
+                replica: RefCell::new(replica),
+                disk_id,
+                transport: Transport::new(Rc::clone(executor), cluster, id, disk_id, on_frame),
+                executor: Rc::clone(executor),
+                callbacks: RefCell::default(),
+                fleet_reports: RefCell::default(),
+                forwarded_calls: RefCell::default(),
+                calls_for_others: Cell::new(0),
+                storage_jobs: jobs,
+                pending_calls: RefCell::default(),
+                last_call: Cell::new(0),
+                tick_timer: Rc::default(),
+                apply_wakers: RefCell::default(),
+                stop_reason: RefCell::default(),
+                tasks: RefCell::default(),
+            }
+        });
+        runtime.transport.set_peers(&options.members);
+        let weak = || Rc::downgrade(&runtime);
+        let tasks = [
+            executor.spawn(Rc::clone(&runtime.transport).listen(listener)),
+            executor.spawn(tick_when_due(weak(), Rc::clone(&runtime.tick_timer))),
+            executor.spawn(on_storage_events(weak(), events)),
+        ];
+        runtime.tasks.borrow_mut().extend(tasks);
+        Ok(runtime)
+    }
+}
+
+fn frame_handler(weak: Weak<ReplicaRuntime>) -> FrameHandler {
+    Box::new(move |from, frame| {
+        if let Some(runtime) = weak.upgrade() {
+            runtime.on_frame(from, frame);
+        }
+    })
+}
+
+fn open_storage(options: &ReplicaOptions) -> Result<OpenedStorage, StartError> {
+    let folder: &Path = &options.folder;
+    let directory = FsDirectory::new(folder).map_err(|source| StartError::Folder {
+        folder: folder.to_owned(),
+        source,
+    })?;
+    let opened = RaftStorage::open(directory, &options.cluster, options.id);
+    let (storage, recovered) = opened.map_err(|source| StartError::Storage {
+        folder: folder.to_owned(),
+        source,
+    })?;
+    if recovered.discarded_bytes > 0 {
+        tracing::info!(
+            "cluster cut {} bytes of a write that was under way off {}",
+            recovered.discarded_bytes,
+            folder.display()
+        );
+    }
+    Ok(OpenedStorage { storage, recovered })
+}
+
+fn start_storage_thread(storage: RaftStorage<FsDirectory>) -> Result<StorageThread, StartError> {
+    let (jobs, queued_jobs) = mpsc::channel();
+    let (report, events) = async_channel::unbounded();
+    std::thread::Builder::new()
+        .name("disk".to_owned())
+        .spawn(move || storage_worker::run(storage, &queued_jobs, &report))
+        .map_err(StartError::Thread)?;
+    Ok(StorageThread { jobs, events })
+}
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,4 +1,4 @@
-//! What a member is at, for operators and tests.
+//! The state of a replica, for operators and tests.
 
 use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
@@ -6,48 +6,60 @@
 use super::ReplicaRuntime;
 use crate::clock::boot_time;
 
-/// What a member is at.
+/// How far another replica's log matches the leader's.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct MatchedIndex {
+    /// The replica.
+    pub id: NodeId,
+    /// The last index at which its log is known to match.
+    pub index: Index,
+}
+
+/// The state of a replica.
 #[derive(Debug, Clone)]
 pub struct ReplicaStatus {
     /// Its id.
     pub id: NodeId,
-    /// What it is.
+    /// Its role in Raft.
     pub role: Role,
     /// The term.
     pub term: Term,
-    /// The leader that it knows.
+    /// The leader, as far as it is known here.
     pub leader: Option<NodeId>,
-    /// The last entry that is agreed on, and the last one that is applied here.
+    /// The last index that is known here to be committed.
     pub commit: Index,
-    /// The same, applied.
+    /// The last index that is applied here.
     pub applied: Index,
-    /// The members.
+    /// The membership.
     pub members: Membership,
     /// The store's revision, as it is applied here.
     pub revision: Revision,
-    /// Whether state may be routed on, or how old it is.
+    /// Whether requests may be routed on the state, or how old it is.
     pub freshness: Result<(), Stale>,
-    /// For a leader, what each other member is known to have.
-    pub progress: Vec<(NodeId, Index)>,
+    /// At the leader, how far each other replica is; elsewhere empty.
+    pub progress: Vec<MatchedIndex>,
 }
 
 impl ReplicaRuntime {
-    /// What the member is at.
+    /// The state of this replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
-        let member = self.member.borrow();
-        let node = member.raft();
+        let replica = self.replica.borrow();
+        let raft = replica.raft();
+        let progress = raft.progress().into_iter();
         ReplicaStatus {
-            id: node.id(),
-            role: node.role(),
-            term: node.term(),
-            leader: node.leader(),
-            commit: node.commit(),
-            applied: member.applied(),
-            members: member.membership().clone(),
-            revision: member.store().revision(),
-            freshness: member.may_route(boot_time()),
-            progress: node.progress(),
+            id: raft.id(),
+            role: raft.role(),
+            term: raft.term(),
+            leader: raft.leader(),
+            commit: raft.commit(),
+            applied: replica.applied(),
+            members: replica.membership().clone(),
+            revision: replica.store().revision(),
+            freshness: replica.may_route(boot_time()),
+            progress: progress
+                .map(|(id, index)| MatchedIndex { id, index })
+                .collect(),
         }
     }
 }
--- /dev/null
+++ b/cluster/replica-runtime/src/runtime/storage_worker.rs
@@ -0,0 +1,169 @@
+//! The thread that writes to disk: its jobs, its reports, and its loop.
+//!
+//! Jobs are carried out in their order. Consecutive writes are joined and made durable by one sync.
+
+use std::sync::mpsc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use violetgate_raft::{Entry, Index, NodeId, SnapshotMetadata, StorageWrite};
+use violetgate_raft_storage::{FsDirectory, RaftStorage, StorageError};
+
+/// The delay before a write that failed, as on a full disk, is retried.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
+
+/// What the thread is asked for.
+pub(super) enum StorageJob {
+    Write(Vec<StorageWrite>),
+    SaveSnapshot {
+        metadata: SnapshotMetadata,
+        state: Vec<u8>,
+    },
+    InstallSnapshot {
+        /// The leader that sent it.
+        from: NodeId,
+        metadata: SnapshotMetadata,
+        state: Vec<u8>,
+        /// The entries of the log that remain after the snapshot.
+        entries_after: Vec<Entry>,
+    },
+}
+
+/// What the thread reports.
+pub(super) enum StorageEvent {
+    /// All writes up to this one are durable.
+    Persisted {
+        sequence: u64,
+    },
+    SnapshotSaved {
+        index: Index,
+    },
+    SnapshotInstalled {
+        from: NodeId,
+        metadata: SnapshotMetadata,
+        state: Vec<u8>,
+    },
+    /// A write failed, and is retried until it succeeds.
+    WriteFailed(std::io::Error),
+    /// Nothing can be written any more. The thread ends.
+    Failed(StorageError),
+}
+
+/// Why the thread ends.
+enum WorkerEnd {
+    /// The runtime was dropped.
+    RuntimeDropped,
+    Failed(StorageError),
+}
+
+/// Carries out jobs until the runtime is dropped or the storage fails.
+pub(super) fn run(
+    storage: RaftStorage<FsDirectory>,
+    jobs: &mpsc::Receiver<StorageJob>,
+    events: &Sender<StorageEvent>,
+) {
+    let mut worker = StorageWorker {
+        storage,
+        jobs,
+        events,
+        next_job: None,
+    };
+    while let Some(job) = worker.next_job() {
+        let reported = worker.carry_out(job).and_then(|event| worker.report(event));
+        match reported {
+            Ok(()) => {}
+            Err(WorkerEnd::RuntimeDropped) => return,
+            Err(WorkerEnd::Failed(error)) => {
+                // If nobody receives it, there is nobody left to stop.
+                let _ = worker.report(StorageEvent::Failed(error));
+                return;
+            }
+        }
+    }
+}
+
+struct StorageWorker<'a> {
+    storage: RaftStorage<FsDirectory>,
+    jobs: &'a mpsc::Receiver<StorageJob>,
+    events: &'a Sender<StorageEvent>,
+    /// A job that was received and not carried out yet.
+    next_job: Option<StorageJob>,
+}
+
+impl StorageWorker<'_> {
+    fn next_job(&mut self) -> Option<StorageJob> {
+        self.next_job.take().or_else(|| self.jobs.recv().ok())
+    }
+
+    fn report(&self, event: StorageEvent) -> Result<(), WorkerEnd> {
+        let sent = self.events.send_blocking(event);
+        sent.map_err(|_| WorkerEnd::RuntimeDropped)
+    }
+
+    fn carry_out(&mut self, job: StorageJob) -> Result<StorageEvent, WorkerEnd> {
+        match job {
+            StorageJob::Write(mut writes) => {
+                self.add_queued_writes(&mut writes);
+                self.retry(|storage| storage.write(&writes))?;
+                let sequence = writes.iter().map(|write| write.sequence).max();
+                Ok(StorageEvent::Persisted {
+                    sequence: sequence.unwrap_or(0),
+                })
+            }
+            StorageJob::SaveSnapshot { metadata, state } => {
+                self.retry(|storage| storage.save_snapshot(&metadata, &state))?;
+                let index = metadata.index;
+                Ok(StorageEvent::SnapshotSaved { index })
+            }
+            StorageJob::InstallSnapshot {
+                from,
+                metadata,
+                state,
+                entries_after,
+            } => {
+                self.retry(|storage| storage.install_snapshot(&metadata, &state, &entries_after))?;
+                Ok(StorageEvent::SnapshotInstalled {
+                    from,
+                    metadata,
+                    state,
+                })
+            }
+        }
+    }
+
+    /// Adds the writes that are queued directly behind.
+    fn add_queued_writes(&mut self, writes: &mut Vec<StorageWrite>) {
+        while let Ok(job) = self.jobs.try_recv() {
+            match job {
+                StorageJob::Write(more) => writes.extend(more),
+                other => {
+                    self.next_job = Some(other);
+                    return;
+                }
+            }
+        }
+    }
+
+    /// Repeats an operation while the disk takes nothing, which is reported once.
+    fn retry(
+        &mut self,
+        mut operation: impl FnMut(&mut RaftStorage<FsDirectory>) -> Result<(), StorageError>,
+    ) -> Result<(), WorkerEnd> {
+        let mut is_reported = false;
+        loop {
+            match operation(&mut self.storage) {
+                Ok(()) => return Ok(()),
+                Err(StorageError::WriteFailed(error)) => {
+                    if !std::mem::replace(&mut is_reported, true) {
+                        self.report(StorageEvent::WriteFailed(error))?;
+                    }
+                    if self.events.is_closed() {
+                        return Err(WorkerEnd::RuntimeDropped);
+                    }
+                    std::thread::sleep(WRITE_RETRY_DELAY);
+                }
+                Err(error) => return Err(WorkerEnd::Failed(error)),
+            }
+        }
+    }
+}
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -96,7 +96,10 @@
                     self.members.insert(id, member);
                     return;
                 }
-                Err(e) => assert!(Instant::now() < until && e.contains("in use"), "{e}"),
+                Err(e) => assert!(
+                    Instant::now() < until && e.to_string().contains("in use"),
+                    "{e}"
+                ),
             }
             while self.executor.try_tick() {}
         }
@@ -273,6 +276,7 @@
     std::fs::remove_file(folder.join("member")).unwrap();
     let rejected = ReplicaRuntime::start(&three.executor, &three.options(3))
         .err()
+        .map(|error| error.to_string())
         .unwrap_or_default();
     assert!(
         rejected.contains("this folder is no member's"),
@@ -288,7 +292,10 @@
             initial_state: vec![],
         },
     );
-    assert!(begun.unwrap_err().contains("a member's already"));
+    assert!(begun
+        .unwrap_err()
+        .to_string()
+        .contains("a member's already"));
 }
 
 /// Any member has a call agreed on, by whoever leads, and asked again it has the outcome that it had; a member that
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -99,7 +99,8 @@
         &given.folder,
         u64::from_be_bytes(born),
         from,
-    )?;
+    )
+    .map_err(|error| error.to_string())?;
     let how = if join {
         "joins"
     } else {
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -57,8 +57,8 @@
                 let matched = status
                     .progress
                     .iter()
-                    .find(|(m, _)| *m == id)
-                    .map(|(_, at)| *at);
+                    .find(|matched| matched.id == id)
+                    .map(|matched| matched.index);
                 json!({
                     "id": id,
                     "voter": status.members.voters.contains(&id),
@@ -74,7 +74,7 @@
             "commit": status.commit, "applied": status.applied, "revision": status.revision,
             "routes": status.freshness.is_ok(),
             "state_age_ms": status.freshness.err().and_then(|s| s.age).map(|a| a / 1000),
-            "stopped": self.daemon.cluster.stop_reason(),
+            "stopped": self.daemon.cluster.stop_reason().map(|reason| reason.to_string()),
             "highest_id": status.members.highest_id,
             "members": members,
         }))
--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -121,7 +121,7 @@
             seed,
         };
         let cluster = ReplicaRuntime::start(executor, &options).map_err(|e| {
-            if e.contains("no member's") {
+            if e.is_uninitialized_folder() {
                 format!("`cluster.folder`: {e} (`violetgate members init` makes one)")
             } else {
                 format!("`cluster`: {e}")
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/agreed_state/group.rs
@@ -88,7 +88,8 @@
         initial_members: members,
         initial_state: Vec::new(),
     };
-    ReplicaRuntime::initialize(CLUSTER, id, &folder, place.1 ^ id, beginning).map_err(failed)?;
+    ReplicaRuntime::initialize(CLUSTER, id, &folder, place.1 ^ id, beginning)
+        .map_err(|error| failed(error.to_string()))?;
     let options = ReplicaOptions {
         cluster: CLUSTER.to_owned(),
         id,
@@ -98,7 +99,8 @@
         config: ReplicaConfig::default(),
         seed: place.1.wrapping_add(id),
     };
-    let member = ReplicaRuntime::start(executor, &options).map_err(failed)?;
+    let member =
+        ReplicaRuntime::start(executor, &options).map_err(|error| failed(error.to_string()))?;
     let notes = Arc::clone(shared);
     member.on_applied(Rc::new(move |store| {
         notes.lock().insert(id, (store.revision(), Instant::now()));
