--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -82,8 +82,7 @@
         age: Micros,
         is_first_in_queue: bool,
     ) -> AdmissionDecision {
-        let query = self.queries.get(id);
-        if age > 0 && query.is_some_and(|query| self.objective_is_unachievable(query)) {
+        if age > 0 && self.is_unachievable(id) {
             return AdmissionDecision::Reject(RejectReason::ObjectiveUnachievable);
         }
         let engine = is_first_in_queue.then(|| self.choose_engine(id)).flatten();
@@ -96,6 +95,11 @@
         }
     }
 
+    fn is_unachievable(&self, id: QueryId) -> bool {
+        let query = self.queries.get(id);
+        query.is_some_and(|query| self.objective_is_unachievable(query))
+    }
+
     /// The index of a query's class; classes that the settings do not name share the last one.
     fn class_index(&self, request: &NewQuery) -> usize {
         (request.class as usize).min(self.settings.classes.len() - 1)
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -3,7 +3,7 @@
 
 use crate::concurrency_limit::LimitSample;
 use crate::interface::{AttemptEnded, Micros};
-use crate::memory_grant::raise_memory_quota;
+use crate::memory_grant::{raise_memory_quota, MemorySample};
 use crate::outlier_detection::record_success;
 use crate::speed::{ANSWER_SPEED_GAIN, CLASS_GAIN, MIN_WORK_S};
 use crate::state::{Attempt, EngineRecord};
@@ -26,6 +26,7 @@
     /// The same, only if reported or shown.
     measured_work: Option<f64>,
     estimated_work: Option<Micros>,
+    memory: MemorySample,
     is_late: bool,
 }
 
@@ -43,7 +44,7 @@
             return;
         };
         self.record_class_sample(&sample);
-        self.record_memory_need(ended.query, ended.cost, attempt.has_spilled);
+        self.record_memory_need(sample.class, &sample.memory);
         self.record_fleet_speed(sample.work, sample.thread_seconds);
         let speed = sample.speed();
         self.record_engine_speed(attempt.engine, attempt.priority, speed, ANSWER_SPEED_GAIN);
@@ -54,8 +55,10 @@
         engine.awaits_first_answer = false;
         raise_memory_quota(engine, self.now);
         record_success(engine, sample.class);
+        let cores = engine.cores;
         self.adjust_limits_after_answer(&LimitSample {
             engine: attempt.engine,
+            fair_share: self.fair_share_of(cores),
             threads: sample.threads,
             speed,
             has_cost: ended.cost.is_some(),
@@ -82,6 +85,11 @@
             work: measured_work.unwrap_or(query.work).max(MIN_WORK_S),
             measured_work,
             estimated_work: query.request.estimated_work,
+            memory: MemorySample {
+                estimate_mb: query.request.estimated_memory_mb,
+                cost: ended.cost,
+                has_spilled: attempt.has_spilled,
+            },
             // By when the answer came, not by when this gateway got to handle it.
             is_late: attempt.sent_at + ended.elapsed > self.objective_at(query),
         })
@@ -89,7 +97,7 @@
 
     /// Whether an engine is lightly used by this gateway, and not mostly by others.
     fn is_lightly_used(&self, engine: &EngineRecord) -> bool {
-        let base = self.base_thread_limit(engine.cores);
+        let base = self.fair_share_of(engine.cores);
         base >= 1.0 && engine.threads_in_use() < LIGHT_USE_FRACTION * base
     }
 
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -67,6 +67,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitSample {
     pub engine: EngineId,
+    /// This gateway's fair share of its threads.
+    pub fair_share: f64,
     /// Threads of the query.
     pub threads: f64,
     /// Work per thread-second.
@@ -80,7 +82,7 @@
 
 impl Gateway {
     /// The fair share of each gateway, in threads at an engine with so many cores.
-    pub(crate) fn base_thread_limit(&self, cores: f64) -> f64 {
+    pub(crate) fn fair_share_of(&self, cores: f64) -> f64 {
         THREADS_PER_CORE * cores / self.gateways
     }
 
@@ -92,7 +94,7 @@
     /// Whether this gateway's share of an engine is less than a thread, so that it meets each
     /// engine too seldom to learn its limit.
     pub(crate) fn has_fractional_share(&self, cores: f64) -> bool {
-        self.base_thread_limit(cores) < 1.0
+        self.fair_share_of(cores) < 1.0
     }
 
     /// The threads that this gateway may use at an engine now; 0 means one query at a time, which
@@ -144,7 +146,7 @@
         let (Some(utilisation), Some(record)) = (busiest, self.engines.get(&engine)) else {
             return;
         };
-        let base = self.base_thread_limit(record.cores);
+        let base = self.fair_share_of(record.cores);
         self.fleet
             .utilisation
             .record(utilisation.min(1.0), CLASS_GAIN);
@@ -173,18 +175,14 @@
 
     /// Changes the limit of an engine, or of the fleet where shares are fractional, by an answer.
     pub(crate) fn adjust_limits_after_answer(&mut self, sample: &LimitSample) {
-        let Some(engine) = self.engines.get(&sample.engine) else {
-            return;
-        };
-        let base = self.base_thread_limit(engine.cores);
-        if base < 1.0 {
+        if sample.fair_share < 1.0 {
             self.adjust_fleet_limit(sample);
         } else {
-            self.adjust_engine_limit(sample, base);
+            self.adjust_engine_limit(sample);
         }
     }
 
-    fn adjust_engine_limit(&mut self, sample: &LimitSample, base: f64) {
+    fn adjust_engine_limit(&mut self, sample: &LimitSample) {
         let may_grow = !self.settings.reports_utilisation;
         let Some(engine) = self.engines.get_mut(&sample.engine) else {
             return;
@@ -204,7 +202,10 @@
                 let limit = engine.thread_limit + step;
                 engine.thread_limit = limit.min(Self::max_thread_limit(engine.cores));
             }
-            LimitChange::Shrink => engine.thread_limit = (engine.thread_limit - step).max(base),
+            LimitChange::Shrink => {
+                let limit = engine.thread_limit - step;
+                engine.thread_limit = limit.max(sample.fair_share);
+            }
             LimitChange::Keep => {}
         }
     }
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -42,14 +42,17 @@
         query: &Query,
         engine: &EngineRecord,
     ) -> Result<(), SendDenied> {
-        let rules = [
-            (!query.is_finished, SendDenied::QueryFinished),
-            (query.attempt.is_none(), SendDenied::AttemptOut),
-            (self.now < query.deadline, SendDenied::DeadlinePassed),
-            (engine.in_use(), SendDenied::EngineNotInUse),
-        ];
-        if let Some((_, denied)) = rules.into_iter().find(|(holds, _)| !holds) {
-            return Err(denied);
+        if query.is_finished {
+            return Err(SendDenied::QueryFinished);
+        }
+        if query.attempt.is_some() {
+            return Err(SendDenied::AttemptOut);
+        }
+        if self.now >= query.deadline {
+            return Err(SendDenied::DeadlinePassed);
+        }
+        if !engine.in_use() {
+            return Err(SendDenied::EngineNotInUse);
         }
         if !self.is_within_bounds(query, &engine.listed) {
             return Err(SendDenied::OutsideBounds);
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -90,7 +90,7 @@
     /// fleet.
     fn initial_limits(&self, cores: f64) -> InitialLimits {
         InitialLimits {
-            thread_limit: self.base_thread_limit(cores),
+            thread_limit: self.fair_share_of(cores),
             memory_quota: 1.0 / self.gateways,
             speed: self.fleet_speed(),
         }
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -34,6 +34,16 @@
 /// ... and each answer raises it by this much while it is in use.
 const QUOTA_STEP: f64 = 0.02;
 
+/// An answer, as far as grants depend on it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct MemorySample {
+    /// The estimate that came with the query, in megabytes.
+    pub estimate_mb: Option<f64>,
+    /// What the query cost, if the engine reports it.
+    pub cost: Option<Cost>,
+    pub has_spilled: bool,
+}
+
 impl Gateway {
     /// The memory in megabytes that a query is to be granted; 0 where nothing is known.
     pub(crate) fn expected_grant(&self, class: usize, request: &NewQuery) -> f64 {
@@ -58,18 +68,15 @@
         query.memory_mb.min(most)
     }
 
-    /// Learns from the answer to a query what queries of its class need.
-    pub(crate) fn record_memory_need(&mut self, query: QueryId, cost: Option<Cost>, spilled: bool) {
-        let Some(query) = self.queries.get(query) else {
-            return;
-        };
-        let stats = &mut self.class_stats[query.class];
-        if let Some(cost) = cost {
+    /// Learns from an answer what queries of its class need.
+    pub(crate) fn record_memory_need(&mut self, class: usize, sample: &MemorySample) {
+        let stats = &mut self.class_stats[class];
+        if let Some(cost) = sample.cost {
             stats.memory_mb.record(cost.memory_mb, CLASS_GAIN);
-            let estimate = query.request.estimated_memory_mb.unwrap_or(0.0);
+            let estimate = sample.estimate_mb.unwrap_or(0.0);
             let regression = &mut stats.memory_regression;
             regression.record(estimate, cost.memory_mb, REGRESSION_GAIN);
-        } else if self.settings.memory_grants && !spilled {
+        } else if self.settings.memory_grants && !sample.has_spilled {
             stats.log_grant_correction -= GRANT_LOG_STEP * TARGET_SPILL_FRACTION;
         }
     }
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -271,7 +271,7 @@
                 0.0,
                 draw.ln() / (limit / warm_fraction.max(MIN_WARM_FRACTION)),
             ),
-            None if limit > 0.0 => (self.base_thread_limit(engine.cores) * warm_fraction, 0.0),
+            None if limit > 0.0 => (self.fair_share_of(engine.cores) * warm_fraction, 0.0),
             None => (0.0, 0.0),
         };
         PlacementScore {
