--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -54,7 +54,11 @@
             .ids()
             .map(|id| {
                 let record = view.members.get(&id);
-                let matched = status.progress.get(&id).copied();
+                let matched = status
+                    .progress
+                    .iter()
+                    .find(|matched| matched.id == id)
+                    .map(|matched| matched.index);
                 json!({
                     "id": id,
                     "voter": status.members.voters.contains(&id),
@@ -70,7 +74,7 @@
             "commit": status.commit, "applied": status.applied, "revision": status.revision,
             "routes": status.freshness.is_ok(),
             "state_age_ms": status.freshness.err().and_then(|s| s.age).map(|a| a / 1000),
-            "stopped": self.daemon.cluster.stop_reason(),
+            "stopped": self.daemon.cluster.stop_reason().map(|reason| reason.to_string()),
             "highest_id": status.members.highest_id,
             "members": members,
         }))
