--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -34,7 +34,10 @@
 pub use command::{Command, CommandError, Condition, Mutation, Operation, Outcome, Txn};
 pub use entries::{CurrentValue, Entries, KeyValue};
 pub use staleness_guard::{Stale, StalenessGuard};
-pub use store::{Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY, MAX_OPS, MAX_VALUE};
+pub use store::{
+    Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY_BYTES, MAX_TXN_LENGTH,
+    MAX_VALUE_BYTES,
+};
 
 /// A moment or a span in microseconds.
 pub type Micros = u64;
--- a/cluster/replicated-state/src/staleness_guard.rs
+++ b/cluster/replicated-state/src/staleness_guard.rs
@@ -20,7 +20,8 @@
 const MAX_PENDING: usize = 64;
 
 /// The copy is too old to route by.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("the replicated state is stale")]
 pub struct Stale {
     /// How old it is, in microseconds; `None`: it was never confirmed.
     pub age: Option<Micros>,
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -13,7 +13,7 @@
 mod watches;
 
 pub use revisions::{Compacted, Listing};
-pub use transactions::{MAX_KEY, MAX_OPS, MAX_VALUE};
+pub use transactions::{MAX_KEY_BYTES, MAX_TXN_LENGTH, MAX_VALUE_BYTES};
 pub use watches::KeyChange;
 
 use idempotency::RequestOutcomes;
--- a/cluster/replicated-state/src/store/transactions.rs
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -7,11 +7,11 @@
 use crate::{CommandError, Condition, Mutation, Txn};
 
 /// The longest key, in bytes.
-pub const MAX_KEY: usize = 512;
+pub const MAX_KEY_BYTES: usize = 512;
 /// The longest value, in bytes.
-pub const MAX_VALUE: usize = 64 << 10;
+pub const MAX_VALUE_BYTES: usize = 64 << 10;
 /// The most conditions, and the most changes, of one transaction.
-pub const MAX_OPS: usize = 128;
+pub const MAX_TXN_LENGTH: usize = 128;
 /// The most keys in the store.
 const MAX_KEYS: usize = 1_000_000;
 /// The most bytes of current keys and values in the store.
@@ -49,7 +49,7 @@
         } else {
             &txn.otherwise
         };
-        if mutations.len().max(txn.conditions.len()) > MAX_OPS {
+        if mutations.len().max(txn.conditions.len()) > MAX_TXN_LENGTH {
             return Err(CommandError::TooLarge);
         }
         self.check_limits(mutations)?;
@@ -77,7 +77,7 @@
             let Mutation::Put { key, value, lease } = mutation else {
                 continue;
             };
-            if key.is_empty() || key.len() > MAX_KEY || value.len() > MAX_VALUE {
+            if key.is_empty() || key.len() > MAX_KEY_BYTES || value.len() > MAX_VALUE_BYTES {
                 return Err(CommandError::TooLarge);
             }
             if let Some(id) = lease.filter(|id| !self.leases.contains_key(id)) {
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -159,7 +159,7 @@
     );
     let large = Mutation::Put {
         key: "x".to_owned(),
-        value: vec![0; MAX_VALUE + 1],
+        value: vec![0; MAX_VALUE_BYTES + 1],
         lease: None,
     };
     let refused = store.apply(&command(Operation::Txn(txn(vec![put("y", 1), large]))));
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -3,7 +3,7 @@
 //! A request is answered at once if its revision is applied here, a slot is free and the subscriber's queue is short
 //! enough. Otherwise it waits for that.
 
-use violetgate_replicated_state::{Store, MAX_KEY};
+use violetgate_replicated_state::{Store, MAX_KEY_BYTES};
 
 use super::batch::snapshot_chunk;
 use super::subscriber_connection::SnapshotRequest;
@@ -20,7 +20,7 @@
         store: &Store,
     ) {
         let key_bytes = from.as_ref().map_or(0, |cursor| cursor.after_key.len());
-        if key_bytes > MAX_KEY {
+        if key_bytes > MAX_KEY_BYTES {
             let detail = format!("a snapshot from a key of {key_bytes} bytes");
             return self.close(id, Rejection::ProtocolViolation { detail });
         }
--- a/cluster/state-distribution/src/subscriber/snapshot_download.rs
+++ b/cluster/state-distribution/src/subscriber/snapshot_download.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_replicated_state::{Revision, MAX_KEY};
+use violetgate_replicated_state::{Revision, MAX_KEY_BYTES};
 
 use super::replication::ReceivedChunk;
 use crate::message::{SnapshotCursor, SnapshotEntry};
@@ -91,7 +91,7 @@
     let mut previous = chunk.after.as_deref().unwrap_or_default();
     for entry in &chunk.entries {
         let key = entry.key.as_str();
-        if key <= previous || key.len() > MAX_KEY || entry.revision > chunk.revision {
+        if key <= previous || key.len() > MAX_KEY_BYTES || entry.revision > chunk.revision {
             return Err(ChunkError::KeysOutOfOrder);
         }
         previous = key;
--- a/gateway/src/replication/shared_config.rs
+++ b/gateway/src/replication/shared_config.rs
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use violetgate_replicated_state::{
-    Condition, Entries, Mutation, Revision, Txn, MAX_OPS, MAX_VALUE,
+    Condition, Entries, Mutation, Revision, Txn, MAX_TXN_LENGTH, MAX_VALUE_BYTES,
 };
 
 use crate::settings::{SettingsError, SharedSettings};
@@ -275,7 +275,7 @@
     expected: Option<u64>,
 ) -> Result<(u64, Txn), SettingsRejection> {
     SharedSettings::parse(text).map_err(SettingsRejection::Problems)?;
-    if text.len() > MAX_VALUE {
+    if text.len() > MAX_VALUE_BYTES {
         return Err(SettingsRejection::TooLong);
     }
     let current = current_version(state);
@@ -364,8 +364,8 @@
         .map(|k| Mutation::Delete(format!("engines/{k}")));
     let new = wanted.iter().filter(|(k, v)| held.get(*k) != Some(*v));
     let new = new.map(|(k, v)| put(format!("engines/{k}"), v.clone()));
-    let mut then: Vec<_> = gone.chain(new).take(MAX_OPS).collect();
-    if then.len() < MAX_OPS {
+    let mut then: Vec<_> = gone.chain(new).take(MAX_TXN_LENGTH).collect();
+    if then.len() < MAX_TXN_LENGTH {
         then.push(put("list".to_owned(), now.last.to_string()));
     }
     let changed = state.entry("list").map_or(0, |list| list.revision);
