--- a/gateway/src/dispatch/request_sink.rs
+++ b/gateway/src/dispatch/request_sink.rs
@@ -27,7 +27,7 @@
             .copied()
             .unwrap_or_default();
         let exchange = Rc::clone(exchange);
-        let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
+        let client_timeout = exchange.request.deadline().saturating_sub(self.clock.now());
         let window = window.filter(|_| effect == Idempotency::Deduplicated);
         let (level, first, out) = (None, None, None);
         let (answered, attempts, grant_mb) = (false, 0, 0);
@@ -48,7 +48,10 @@
         drop(open);
         self.events
             .borrow_mut()
-            .push_back(Event::QueryArrived(NewQuery { time_left, ..query }));
+            .push_back(Event::QueryArrived(NewQuery {
+                client_timeout,
+                ..query
+            }));
         self.run();
         true
     }
--- a/gateway/src/dispatch/tests.rs
+++ b/gateway/src/dispatch/tests.rs
@@ -108,11 +108,11 @@
     (d, notes)
 }
 
-fn request(d: &Dispatch, id: QueryId, time_left: Micros) -> Request {
+fn request(d: &Dispatch, id: QueryId, client_timeout: Micros) -> Request {
     Request {
         query: NewQuery {
             id,
-            time_left,
+            client_timeout,
             ..NewQuery::default()
         },
         received: d.now(),
@@ -123,8 +123,8 @@
     }
 }
 
-fn ask(d: &Dispatch, id: QueryId, time_left: Micros) -> Rc<Exchange> {
-    let exchange = Exchange::new(request(d, id, time_left));
+fn ask(d: &Dispatch, id: QueryId, client_timeout: Micros) -> Rc<Exchange> {
+    let exchange = Exchange::new(request(d, id, client_timeout));
     assert!(d.submit(&exchange));
     exchange
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -17,7 +17,7 @@
 /// One client's request: what the decisions need, and the bytes that pass on as they came.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What the decisions need; its `time_left` counts from `received`.
+    /// What the decisions need; its `client_timeout` counts from `received`.
     pub query: NewQuery,
     /// When its last byte was read.
     pub received: Micros,
@@ -44,7 +44,7 @@
     /// The last moment at which an answer still reaches the client.
     #[must_use]
     pub fn deadline(&self) -> Micros {
-        let left = self.query.time_left;
+        let left = self.query.client_timeout;
         let kept = TRANSIT
             + if self.query.ordering_key.is_some() {
                 KEY_HELD
--- a/gateway/src/request_validation.rs
+++ b/gateway/src/request_validation.rs
@@ -155,7 +155,7 @@
             tenant: tenant as u32,
             estimated_work: number(self.work, RequestField::Work)?.map(|ms| (ms * 1e3) as Micros),
             estimated_memory_mb: number(self.memory, RequestField::Memory)?.filter(|mb| *mb > 0.0),
-            time_left: (budget * 1e3) as Micros,
+            client_timeout: (budget * 1e3) as Micros,
             table_group: table_group::group(self.statement),
             ordering_key: key,
             is_client_retry: self.again.is_some(),
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -99,7 +99,7 @@
                     return Err(problem.after(store.retry_after));
                 }
             };
-            let until = received.saturating_add(request.query.time_left);
+            let until = received.saturating_add(request.query.client_timeout);
             let exchange = Exchange::new(request);
             if !core.intake.submit(&exchange) {
                 continue;
--- a/gateway/src/rest/wire.rs
+++ b/gateway/src/rest/wire.rs
@@ -292,7 +292,7 @@
             for body in [&body[..], GOOD.as_bytes().get(..cut).unwrap(), &bent] {
                 let read = ask(&headers, body, &names(), "00000000000000a1", 5);
                 if let Ok(request) = read {
-                    prop_assert!(request.query.time_left <= 86_400_000_000 && request.token.is_some());
+                    prop_assert!(request.query.client_timeout <= 86_400_000_000 && request.token.is_some());
                 }
             }
             for method in [Method::GET, Method::POST, Method::DELETE] {
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -7,7 +7,7 @@
 fn attempt(id: QueryId) -> Attempt {
     let query = NewQuery {
         id,
-        time_left: 1_000_000,
+        client_timeout: 1_000_000,
         ..NewQuery::default()
     };
     let request = Request {
--- a/gateway/src/upstream/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -59,7 +59,7 @@
 fn send_by(pool: &Pool, id: QueryId, begin_by: Micros) {
     let query = NewQuery {
         id,
-        time_left: 1_000_000,
+        client_timeout: 1_000_000,
         ..NewQuery::default()
     };
     let request = Request {
--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -90,13 +90,13 @@
     fn statement(&mut self) {
         self.now += SECOND / STATEMENTS_PER_SECOND;
         self.next += 1;
-        let asked = NewQuery {
+        let request = NewQuery {
             id: self.next,
             estimated_work: Some(WORK),
-            time_left: 10 * SECOND,
+            client_timeout: 10 * SECOND,
             ..NewQuery::default()
         };
-        self.handle(Event::QueryArrived(asked));
+        self.handle(Event::QueryArrived(request));
         if self.out.len() >= OUT {
             if let Some((query, engine)) = self.out.pop_front() {
                 self.handle(Event::AttemptEnded(AttemptEnded {
--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -114,7 +114,7 @@
         let query = Query {
             sequence,
             first_requested_at: self.now.saturating_sub(age),
-            deadline: self.now + request.time_left,
+            deadline: self.now + request.client_timeout,
             work: self.expected_work(class_index, request),
             threads: class
                 .threads
@@ -164,7 +164,7 @@
     fn admission_threshold(&self, query: &Query) -> f64 {
         let class = self.class_of(query);
         let deadline = class.deadline.unwrap_or(Micros::MAX);
-        let deadline = seconds(deadline.min(query.request.time_left));
+        let deadline = seconds(deadline.min(query.request.client_timeout));
         let objective = class.latency_objective;
         wait_threshold(&ThresholdInputs {
             deadline,
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -29,11 +29,11 @@
         let grace = self.settings.answer_grace.unwrap_or(0);
         let longest = &mut self.class_stats[class].longest_first_request;
         if !request.is_client_retry {
-            *longest = (*longest).max(request.time_left);
+            *longest = (*longest).max(request.client_timeout);
             return 0;
         }
-        if request.time_left + grace < *longest {
-            deadline.saturating_sub(request.time_left)
+        if request.client_timeout + grace < *longest {
+            deadline.saturating_sub(request.client_timeout)
         } else {
             0
         }
@@ -85,7 +85,7 @@
         let forgotten_at = first_run.map_or(Micros::MAX, |first| {
             first.sent_at + class.dedup_window.unwrap_or(0)
         });
-        let max_run = query.request.time_left / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
         query
             .deadline
             .saturating_sub(run.min(max_run))
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -22,7 +22,7 @@
 //! };
 //! let list = Event::EngineList { scope: ListScope::Snapshot, engines: vec![engine] };
 //! gateway.handle(0, &[list], &mut actions);
-//! let query = NewQuery { id: 1, time_left: 6_000_000, ..NewQuery::default() };
+//! let query = NewQuery { id: 1, client_timeout: 6_000_000, ..NewQuery::default() };
 //! gateway.handle(5_000, &[Event::QueryArrived(query)], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { query: 1, engine: 0, .. })));
 //! ```
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -76,8 +76,8 @@
         load: LoadReport,
     },
     /// The number of gateways that share the engines changed. The sender makes sure that the
-    /// quotas of all gateways, each by the number that it was last given, never add up to more
-    /// than the whole.
+    /// quotas of all gateways, each by the number that it was last given, never exceed
+    /// the total.
     FleetSize {
         /// How many, this one included; 0 counts as 1.
         gateways: u32,
--- a/policy/src/interface/query.rs
+++ b/policy/src/interface/query.rs
@@ -19,7 +19,7 @@
     /// Estimated memory in megabytes.
     pub estimated_memory_mb: Option<f64>,
     /// Time until the client gives up on this request.
-    pub time_left: Micros,
+    pub client_timeout: Micros,
     /// The group of tables that it reads.
     pub table_group: Option<u64>,
     /// Queries with the same key run in order, where the class is ordered by key.
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -45,7 +45,7 @@
     /// Whether a query gets a further attempt; `failed_twice` says that two attempts ended in
     /// errors.
     pub(crate) fn retry_decision(&self, query: &Query, failed_twice: bool) -> RetryDecision {
-        let max_run = query.request.time_left / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
         let run = micros(self.expected_run(query)).min(max_run);
         if self.now + run >= query.deadline {
             return RetryDecision::Stop(StopReason::DeadlineTooClose);
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -43,7 +43,7 @@
         let class = &self.settings.classes[class_index];
         let stats = &self.class_stats[class_index];
         let objective = class.latency_objective.or(class.deadline);
-        let unknown = UNKNOWN_WORK_FRACTION * seconds(objective.unwrap_or(request.time_left));
+        let unknown = UNKNOWN_WORK_FRACTION * seconds(objective.unwrap_or(request.client_timeout));
         let mean = stats.work.known().unwrap_or(unknown);
         let estimate = request.estimated_work.filter(|work| *work > 0);
         let work = estimate.map_or(mean, |estimate| {
--- a/policy/src/state/fleet_stats.rs
+++ b/policy/src/state/fleet_stats.rs
@@ -1,4 +1,4 @@
-//! What is learned of the fleet of engines as a whole, and totals over it.
+//! What is learned of the fleet of engines, and its totals.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use crate::estimators::MovingMean;
 use crate::interface::{EngineId, Micros};
 
-/// What is learned of the fleet as a whole.
+/// What is learned of the fleet.
 #[derive(Debug, Default)]
 pub(crate) struct FleetStats {
     /// Engines that operators cordoned, in the list or not.
--- a/policy/src/wire/event.rs
+++ b/policy/src/wire/event.rs
@@ -49,7 +49,7 @@
     #[serde(rename = "order-key")]
     ordering_key: Option<String>,
     #[serde(rename = "remaining")]
-    time_left: Option<f64>,
+    client_timeout: Option<f64>,
     #[serde(rename = "tables")]
     table_group: Option<f64>,
     #[serde(rename = "project")]
@@ -192,7 +192,7 @@
             tenant: self.tenant.unwrap_or(0),
             estimated_work: estimate.map(micros),
             estimated_memory_mb: self.estimated_memory_mb.filter(|mb| *mb > 0.0),
-            time_left: micros(need(self.time_left, "remaining")?),
+            client_timeout: micros(need(self.client_timeout, "remaining")?),
             table_group: self.table_group.map(|group| group.max(0.0) as u64),
             ordering_key,
             is_client_retry: bits & IS_CLIENT_RETRY != 0,
--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -85,7 +85,7 @@
             .filter(|id| {
                 !is_rejected(
                     &gateway.arrive(NewQuery {
-                        time_left: 2 * S,
+                        client_timeout: 2 * S,
                         ..query(*id, S)
                     }),
                     *id,
@@ -109,7 +109,7 @@
         let mut gateway = TestGateway::new(config, (0..6).map(engine).collect());
         (1..=6).for_each(|id| {
             gateway.arrive(NewQuery {
-                time_left: 9 * S,
+                client_timeout: 9 * S,
                 ..query(id, S)
             });
         });
@@ -121,7 +121,7 @@
             .filter(|id| {
                 !is_rejected(
                     &gateway.arrive(NewQuery {
-                        time_left: 2 * S,
+                        client_timeout: 2 * S,
                         ..query(*id, S)
                     }),
                     *id,
--- a/policy/tests/any_events.rs
+++ b/policy/tests/any_events.rs
@@ -112,18 +112,18 @@
 
     fn arrive(&mut self, step: Step) -> Result<(), String> {
         let id = step.number + 1;
-        let time_left = (step.which % 80 + 1) * 100 * MS;
+        let client_timeout = (step.which % 80 + 1) * 100 * MS;
         let class = (step.which % 4) as u32;
         let seen = Seen {
             class,
-            deadline: self.gateway.now + time_left,
+            deadline: self.gateway.now + client_timeout,
             ..Seen::default()
         };
         self.checker.queries.insert(id, seen);
         self.checker.asks.push(self.gateway.now);
         self.handle(Event::QueryArrived(NewQuery {
             class,
-            time_left,
+            client_timeout,
             is_client_retry: step.which % 5 == 0,
             ..query(id, (step.which % 40) * 50 * MS)
         }))
--- a/policy/tests/attempts.rs
+++ b/policy/tests/attempts.rs
@@ -32,7 +32,7 @@
 
 fn report(id: u64) -> NewQuery {
     NewQuery {
-        time_left: 25 * S,
+        client_timeout: 25 * S,
         ..query(id, 2 * S)
     }
 }
@@ -120,7 +120,7 @@
     for (wait, moves) in [(S, true), (14_500 * MS, false)] {
         let mut gateway = TestGateway::new(keyed(), vec![engine(0), engine(1)]);
         let load = NewQuery {
-            time_left: 25 * S,
+            client_timeout: 25 * S,
             ..query(1, 2 * S)
         };
         let target = sent_to(&gateway.arrive(load), 1).expect("there is room");
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -149,7 +149,7 @@
     NewQuery {
         id,
         estimated_work: Some(work),
-        time_left: 10 * S,
+        client_timeout: 10 * S,
         ..NewQuery::default()
     }
 }
--- a/policy/tests/deadline.rs
+++ b/policy/tests/deadline.rs
@@ -35,7 +35,7 @@
     }
     // Held, with an expected run that would give it up early; then fast answers shorten that run.
     gateway.arrive(NewQuery {
-        time_left: 2 * S + 3 * MS,
+        client_timeout: 2 * S + 3 * MS,
         ..query(3, 4 * S)
     });
     let (mut answered, mut id) = (None, 100);
@@ -60,9 +60,9 @@
 fn a_client_retry_past_its_objective_is_rejected_while_others_wait() {
     let mut gateway = TestGateway::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
     gateway.now += 60 * S;
-    let repeat = |id, time_left| NewQuery {
+    let repeat = |id, client_timeout| NewQuery {
         is_client_retry: true,
-        time_left,
+        client_timeout,
         ..query(id, 100 * MS)
     };
     // Two run, one is held: others want the room.
@@ -146,7 +146,7 @@
     let mut gateway = TestGateway::new(keyed(), vec![engine(0)]);
     let target = sent_to(
         &gateway.arrive(NewQuery {
-            time_left: 25 * S,
+            client_timeout: 25 * S,
             ..query(1, 2 * S)
         }),
         1,
--- a/policy/tests/outlier_detection.rs
+++ b/policy/tests/outlier_detection.rs
@@ -25,7 +25,7 @@
 
 fn report(id: u64) -> NewQuery {
     NewQuery {
-        time_left: 25 * S,
+        client_timeout: 25 * S,
         ..query(id, 2 * S)
     }
 }
--- a/policy/tests/robustness.rs
+++ b/policy/tests/robustness.rs
@@ -41,7 +41,7 @@
         id: 1,
         class: 99,
         estimated_work: Some(0),
-        time_left: 0,
+        client_timeout: 0,
         ..NewQuery::default()
     };
     let actions = gateway.arrive(odd);
@@ -78,7 +78,7 @@
     let mut events: Vec<_> = (10..30)
         .map(|id| {
             Event::QueryArrived(NewQuery {
-                time_left: (id % 2) * 5 * S,
+                client_timeout: (id % 2) * 5 * S,
                 ..query(id, 100 * MS)
             })
         })
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -56,7 +56,7 @@
         let work = (5 + self.draw(60)) * MS * if long { 10 } else { 1 };
         let memory_mb = (10 + self.draw(300)) as f64;
         let repeat = self.one_in(6);
-        let time_left = if repeat {
+        let client_timeout = if repeat {
             (1 + self.draw(30)) * 100 * MS
         } else {
             10 * S
@@ -69,7 +69,7 @@
             estimated_work: (!self.one_in(4)).then_some(estimate),
             estimated_memory_mb: (!self.one_in(3))
                 .then_some(memory_mb * (50 + self.draw(100)) as f64 / 100.0),
-            time_left,
+            client_timeout,
             table_group: (!self.one_in(3)).then(|| self.draw(6)),
             ordering_key: (!self.one_in(3)).then(|| self.draw(12)),
             is_client_retry: repeat,
@@ -80,7 +80,7 @@
         }
         let kept = Asked {
             class,
-            deadline: self.now + time_left,
+            deadline: self.now + client_timeout,
             work,
             memory_mb,
             attempts: 0,
--- a/tools/acceptance/src/cold.rs
+++ b/tools/acceptance/src/cold.rs
@@ -62,7 +62,7 @@
     Event::QueryArrived(NewQuery {
         id,
         estimated_work: Some(WORK),
-        time_left: 10 * S,
+        client_timeout: 10 * S,
         ..NewQuery::default()
     })
 }
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -127,7 +127,7 @@
             id: self.next,
             class,
             estimated_work: Some(work),
-            time_left: TIME_LEFT,
+            client_timeout: TIME_LEFT,
             ..NewQuery::default()
         };
         self.handle(Event::QueryArrived(query));
