--- a/fake-upstreams/src/counts.rs
+++ b/fake-upstreams/src/counts.rs
@@ -1,24 +1,24 @@
-//! What has reached the engines: attempts by request and by key, pages asked for, and sends to engines that were
-//! listed as draining.
+//! What has reached the engines: attempts by request and by key, pages, and attempts at engines
+//! that were draining or cordoned.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// For how long every engine drops a repeat of a key, as the protocol's deployment has it.
-const WINDOW: Duration = Duration::from_secs(12);
+/// For how long every engine discards a repeat of an idempotency key.
+const DEDUP_WINDOW: Duration = Duration::from_secs(12);
 
 /// Counts since the start of the fleet.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
-    /// Attempts that came whole, by request id.
+    /// Attempts that arrived complete, by request id.
     pub by_request: HashMap<String, u32>,
-    /// Megabytes that the last attempt of a request was granted; 0: the engine's own choice.
+    /// Megabytes that the last attempt of a request was granted; 0 if the engine was to choose.
     pub reserved: BTreeMap<String, u64>,
-    /// Attempts that came whole, by idempotency key.
+    /// Attempts that arrived complete, by idempotency key.
     pub by_key: HashMap<String, u32>,
-    /// How often a key had its effect: repeats within the window are dropped.
+    /// How often a key took effect: repeats within the window are discarded.
     pub effects: HashMap<String, u32>,
-    /// Further pages asked for, by request id and page.
+    /// Further pages that were requested, by request id and page number.
     pub pages: HashMap<(String, usize), u32>,
     /// Attempts by engine.
     pub by_engine: BTreeMap<String, u32>,
@@ -26,17 +26,17 @@
     pub cancels: u32,
     /// Attempts that are running.
     pub running: u32,
-    /// The same, at its highest.
+    /// The most attempts that were running at a time.
     pub most_running: u32,
-    /// The longest time after its drain was told at which an engine got an attempt.
+    /// The longest time after the drain of an engine at which it got an attempt.
     pub latest_after_drain: Duration,
-    /// The same after an operator's call out that was agreed on.
-    pub latest_after_call: Duration,
-    /// Attempts that came to engines that were called out, within that time.
-    pub after_calls: u32,
-    called_out: BTreeMap<String, Instant>,
-    drained: BTreeMap<String, Instant>,
-    taken: HashMap<String, Instant>,
+    /// The longest time after the cordon of an engine at which it got an attempt.
+    pub latest_after_cordon: Duration,
+    /// Attempts at engines that were cordoned.
+    pub after_cordon: u32,
+    cordoned_at: BTreeMap<String, Instant>,
+    drained_at: BTreeMap<String, Instant>,
+    last_effect_at: HashMap<String, Instant>,
 }
 
 impl Counts {
@@ -46,49 +46,57 @@
         self.by_engine.values().sum()
     }
 
-    pub(crate) fn drained(&mut self, engine: &str) {
-        self.drained
+    /// An engine is draining from now on, if it was not before.
+    pub(crate) fn record_drain(&mut self, engine: &str) {
+        self.drained_at
             .entry(engine.to_owned())
             .or_insert_with(Instant::now);
     }
 
-    pub(crate) fn called(&mut self, engine: &str, out: bool) {
-        if out {
-            self.called_out
+    /// An engine is cordoned from now on, if it was not before; or no longer.
+    pub(crate) fn record_cordon(&mut self, engine: &str, is_cordoned: bool) {
+        if is_cordoned {
+            self.cordoned_at
                 .entry(engine.to_owned())
                 .or_insert_with(Instant::now);
         } else {
-            self.called_out.remove(engine);
+            self.cordoned_at.remove(engine);
         }
     }
 
-    pub(crate) fn attempt(&mut self, engine: &str, rid: &str, key: Option<&str>) {
-        *self.by_request.entry(rid.to_owned()).or_default() += 1;
+    /// An attempt has arrived complete.
+    pub(crate) fn record_attempt(&mut self, engine: &str, request_id: &str, key: Option<&str>) {
+        *self.by_request.entry(request_id.to_owned()).or_default() += 1;
         *self.by_engine.entry(engine.to_owned()).or_default() += 1;
-        if let Some(told) = self.drained.get(engine) {
-            self.latest_after_drain = self.latest_after_drain.max(told.elapsed());
+        if let Some(drained_at) = self.drained_at.get(engine) {
+            self.latest_after_drain = self.latest_after_drain.max(drained_at.elapsed());
         }
-        if let Some(told) = self.called_out.get(engine) {
-            self.latest_after_call = self.latest_after_call.max(told.elapsed());
-            self.after_calls += 1;
+        if let Some(cordoned_at) = self.cordoned_at.get(engine) {
+            self.latest_after_cordon = self.latest_after_cordon.max(cordoned_at.elapsed());
+            self.after_cordon += 1;
         }
         if let Some(key) = key {
             *self.by_key.entry(key.to_owned()).or_default() += 1;
         }
     }
 
+    /// A further page was requested.
+    pub(crate) fn record_page(&mut self, request_id: &str, page: usize) {
+        *self.pages.entry((request_id.to_owned(), page)).or_default() += 1;
+    }
+
     /// An attempt has begun to run.
-    pub(crate) fn began(&mut self) {
+    pub(crate) fn record_start(&mut self) {
         self.running += 1;
         self.most_running = self.most_running.max(self.running);
     }
 
-    /// An attempt has run to its end: a key has its effect, unless it had it within the window.
-    pub(crate) fn ran(&mut self, key: Option<&str>) {
+    /// An attempt has run to its end: its key takes effect, unless it did within the window.
+    pub(crate) fn record_effect(&mut self, key: Option<&str>) {
         let Some(key) = key else { return };
         let now = Instant::now();
-        let before = self.taken.insert(key.to_owned(), now);
-        if before.is_none_or(|at| now.duration_since(at) > WINDOW) {
+        let last = self.last_effect_at.insert(key.to_owned(), now);
+        if last.is_none_or(|at| now.duration_since(at) > DEDUP_WINDOW) {
             *self.effects.entry(key.to_owned()).or_default() += 1;
         }
     }
--- /dev/null
+++ b/fake-upstreams/src/engine/mod.rs
@@ -0,0 +1,215 @@
+//! A fake engine: the line protocol in full, with the faults that engines are known for.
+
+mod command;
+mod connection;
+
+use std::io::{ErrorKind, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::{Duration, Instant};
+
+use async_executor::{Executor, Task};
+use async_io::{Async, Timer};
+
+use crate::counts::Counts;
+use crate::engine::connection::Connection;
+use crate::lock;
+
+/// How long to wait for an address that a process just killed may still hold.
+const BIND_TIMEOUT: Duration = Duration::from_secs(2);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(2);
+/// How often it is checked whether a fault is over.
+const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+
+/// What all engines of a fleet are like.
+#[derive(Debug, Clone, Copy)]
+pub struct Profile {
+    /// Requests that one engine takes at a time; it refuses more.
+    pub sessions: u32,
+    /// By which factor work takes longer just after a start; it falls to 1 within `warm_up`.
+    pub start_slowdown: f64,
+    /// How long an engine takes to warm up.
+    pub warm_up: Duration,
+}
+
+impl Default for Profile {
+    fn default() -> Self {
+        Profile {
+            sessions: 64,
+            start_slowdown: 3.0,
+            warm_up: Duration::from_secs(5),
+        }
+    }
+}
+
+/// A fault of an engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum Fault {
+    /// None.
+    #[default]
+    None,
+    /// It reads, and sends nothing until the fault is removed: a process that stands still.
+    Stall,
+    /// Its machine has vanished: it neither reads nor sends anything.
+    Vanish,
+    /// It resets the connection once a request has arrived complete, without executing it.
+    ResetOnServe,
+    /// It executes a request, and resets the connection instead of answering.
+    ResetOnAnswer,
+    /// Its further pages are noise.
+    SpoilPages,
+    /// It answers, and resets the connection when a further page is requested.
+    ResetOnPage,
+    /// It is full.
+    Refuse,
+    /// It answers everything with an error, and executes nothing.
+    Err,
+}
+
+pub(crate) struct Engine {
+    pub addr: SocketAddr,
+    /// When it started; `None`: it has long been warm.
+    pub started_at: Option<Instant>,
+    id: String,
+    profile: Profile,
+    fault: Mutex<Fault>,
+    counts: Arc<Mutex<Counts>>,
+    /// Requests that it has now.
+    session_count: AtomicU32,
+    /// How many requests it has executed.
+    executed: AtomicU32,
+    streams: Mutex<Vec<Arc<Async<TcpStream>>>>,
+    accepting: Mutex<Option<Task<()>>>,
+}
+
+impl Engine {
+    pub fn start(
+        executor: &Arc<Executor<'static>>,
+        id: &str,
+        addr: Option<SocketAddr>,
+        profile: Profile,
+        started_at: Option<Instant>,
+        counts: Arc<Mutex<Counts>>,
+    ) -> std::io::Result<Arc<Self>> {
+        let listener = bind(addr.unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0))))?;
+        let engine = Arc::new(Engine {
+            addr: listener.get_ref().local_addr()?,
+            started_at,
+            id: id.to_owned(),
+            profile,
+            fault: Mutex::default(),
+            counts,
+            session_count: AtomicU32::new(0),
+            executed: AtomicU32::new(0),
+            streams: Mutex::default(),
+            accepting: Mutex::default(),
+        });
+        let accepting = Arc::clone(&engine).accept(Arc::clone(executor), listener);
+        *lock(&engine.accepting) = Some(executor.spawn(accepting));
+        Ok(engine)
+    }
+
+    async fn accept(
+        self: Arc<Self>,
+        executor: Arc<Executor<'static>>,
+        listener: Async<TcpListener>,
+    ) {
+        while let Ok((stream, _)) = listener.accept().await {
+            let _ = stream.get_ref().set_nodelay(true);
+            let stream = Arc::new(stream);
+            lock(&self.streams).push(Arc::clone(&stream));
+            let engine = Arc::clone(&self);
+            let connection = Connection::new(engine, Arc::clone(&executor), stream);
+            executor.spawn(connection.serve()).detach();
+        }
+    }
+
+    pub fn set_fault(&self, fault: Fault) {
+        *lock(&self.fault) = fault;
+    }
+
+    pub fn kill(&self) {
+        lock(&self.accepting).take();
+        for stream in lock(&self.streams).drain(..) {
+            reset(&stream);
+        }
+    }
+
+    fn has_fault(&self, fault: Fault) -> bool {
+        *lock(&self.fault) == fault
+    }
+
+    async fn wait_while_faulty(&self, faults: &[Fault]) {
+        while faults.contains(&*lock(&self.fault)) {
+            Timer::after(FAULT_CHECK_INTERVAL).await;
+        }
+    }
+
+    fn is_full(&self) -> bool {
+        self.session_count.load(Ordering::Relaxed) >= self.profile.sessions
+    }
+
+    fn record_attempt(&self, request_id: &str, key: Option<&str>, reserved_mb: u64) {
+        let mut counts = lock(&self.counts);
+        counts.record_attempt(&self.id, request_id, key);
+        counts.reserved.insert(request_id.to_owned(), reserved_mb);
+    }
+
+    fn begin_request(&self) {
+        self.session_count.fetch_add(1, Ordering::Relaxed);
+        lock(&self.counts).record_start();
+    }
+
+    fn end_request(&self) {
+        self.session_count.fetch_sub(1, Ordering::Relaxed);
+        lock(&self.counts).running -= 1;
+    }
+
+    /// A mark of an execution, different for each.
+    fn next_mark(&self) -> String {
+        let executed = self.executed.fetch_add(1, Ordering::Relaxed);
+        format!("{}/{executed}", self.id)
+    }
+
+    /// By which factor work takes longer now.
+    fn slowdown(&self) -> f64 {
+        let warm_up = self.profile.warm_up;
+        let age = self.started_at.map_or(warm_up, |at| at.elapsed());
+        let warmth = (age.as_secs_f64() / warm_up.as_secs_f64().max(1e-3)).min(1.0);
+        self.profile.start_slowdown + (1.0 - self.profile.start_slowdown) * warmth
+    }
+}
+
+fn bind(addr: SocketAddr) -> std::io::Result<Async<TcpListener>> {
+    let deadline = Instant::now() + BIND_TIMEOUT;
+    loop {
+        match Async::<TcpListener>::bind(addr) {
+            Err(error) if error.kind() == ErrorKind::AddrInUse && Instant::now() < deadline => {
+                std::thread::sleep(BIND_RETRY_INTERVAL);
+            }
+            bound => return bound,
+        }
+    }
+}
+
+/// Writes an answer. Answers of several tasks don't mix: each is small, and loopback takes it at
+/// once; where it takes only a part, the rest is written before anything else, as all tasks run on
+/// one thread.
+async fn write_all(stream: &Async<TcpStream>, text: &str) -> std::io::Result<()> {
+    let mut bytes = text.as_bytes();
+    while !bytes.is_empty() {
+        let written = match stream.get_ref().write(bytes) {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                stream.write_with(|mut s| s.write(bytes)).await?
+            }
+            done => done?,
+        };
+        bytes = bytes.get(written..).unwrap_or_default();
+    }
+    Ok(())
+}
+
+fn reset(stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().shutdown(Shutdown::Both);
+}
--- /dev/null
+++ b/fake-upstreams/src/event_bus.rs
@@ -0,0 +1,174 @@
+//! The fake event bus: numbered events of the engine list, and the last number each second.
+
+use std::io::{Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use async_executor::Executor;
+use async_io::{Async, Timer};
+use event_listener::Event;
+use futures_lite::FutureExt;
+use serde_json::{json, Value};
+
+use crate::lock;
+
+/// How often the last number is sent.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Connections that the kernel queues until they are accepted: a large fleet may connect at once.
+const BACKLOG: i32 = 4_096;
+/// The longest first line of a client.
+const MAX_HELLO_BYTES: usize = 64;
+
+/// What an event says of the engine list.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum ListUpdate {
+    /// All engines.
+    Snapshot,
+    /// Those that have changed.
+    Patch,
+}
+
+pub(crate) struct EventBus {
+    pub addr: SocketAddr,
+    state: Mutex<State>,
+    /// Watchers wait for it: thousands of them cost nothing while nothing happens.
+    changed: Event,
+}
+
+#[derive(Default)]
+struct State {
+    events: Vec<Value>,
+    /// How often the connections open at the time were silenced.
+    silence_count: u64,
+    connections: Vec<Arc<Async<TcpStream>>>,
+}
+
+impl EventBus {
+    pub fn start(executor: &Arc<Executor<'static>>) -> std::io::Result<Arc<Self>> {
+        let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
+        // Listening once more only makes the kernel's queue longer.
+        rustix::net::listen(listener.get_ref(), BACKLOG)?;
+        let bus = Arc::new(EventBus {
+            addr: listener.get_ref().local_addr()?,
+            state: Mutex::default(),
+            changed: Event::new(),
+        });
+        let accepting = Arc::clone(&bus).accept(Arc::clone(executor), listener);
+        executor.spawn(accepting).detach();
+        Ok(bus)
+    }
+
+    async fn accept(
+        self: Arc<Self>,
+        executor: Arc<Executor<'static>>,
+        listener: Async<TcpListener>,
+    ) {
+        while let Ok((stream, _)) = listener.accept().await {
+            let stream = Arc::new(stream);
+            lock(&self.state).connections.push(Arc::clone(&stream));
+            let bus = Arc::clone(&self);
+            let serving = async move {
+                let _ = bus.serve(&stream).await;
+                let _ = stream.get_ref().shutdown(Shutdown::Both);
+                let connections = &mut lock(&bus.state).connections;
+                connections.retain(|other| !Arc::ptr_eq(other, &stream));
+            };
+            executor.spawn(serving).detach();
+        }
+    }
+
+    /// All events so far.
+    pub fn events(&self) -> Vec<Value> {
+        lock(&self.state).events.clone()
+    }
+
+    pub fn publish(&self, update: ListUpdate, servers: &[Value]) {
+        let is_full = update == ListUpdate::Snapshot;
+        let mut state = lock(&self.state);
+        let offset = state.events.len() + 1;
+        let topology = json!({"version": offset, "full": is_full, "servers": servers});
+        state
+            .events
+            .push(json!({"offset": offset, "topology": topology}));
+        drop(state);
+        self.changed.notify(usize::MAX);
+    }
+
+    pub fn close_connections(&self) {
+        for stream in lock(&self.state).connections.drain(..) {
+            let _ = stream.get_ref().shutdown(Shutdown::Both);
+        }
+    }
+
+    /// Sends nothing more on the connections that are open now, and leaves them open.
+    pub fn silence_connections(&self) {
+        lock(&self.state).silence_count += 1;
+        self.changed.notify(usize::MAX);
+    }
+
+    async fn serve(&self, stream: &Async<TcpStream>) -> std::io::Result<()> {
+        let silence_count = lock(&self.state).silence_count;
+        let Some(mut next) = read_hello(stream).await? else {
+            return Ok(());
+        };
+        let mut heartbeat = Timer::after(HEARTBEAT_INTERVAL);
+        loop {
+            let changed = self.changed.listen();
+            if lock(&self.state).silence_count > silence_count {
+                return read_to_end(stream).await;
+            }
+            for line in self.lines_from(next) {
+                write_all(stream, line.as_bytes()).await?;
+                next += 1;
+            }
+            let event = async {
+                changed.await;
+                false
+            };
+            let heartbeat_due = async {
+                (&mut heartbeat).await;
+                true
+            };
+            if event.or(heartbeat_due).await {
+                write_all(stream, format!("{next}\n").as_bytes()).await?;
+                heartbeat = Timer::after(HEARTBEAT_INTERVAL);
+            }
+        }
+    }
+
+    fn lines_from(&self, offset: usize) -> Vec<String> {
+        let state = lock(&self.state);
+        let events = state.events.iter().skip(offset);
+        events.map(|event| format!("{event}\n")).collect()
+    }
+}
+
+/// Reads a client's first line; returns the offset that it names.
+async fn read_hello(stream: &Async<TcpStream>) -> std::io::Result<Option<usize>> {
+    let mut line = Vec::new();
+    let mut byte = [0];
+    while !line.ends_with(b"\n") && line.len() < MAX_HELLO_BYTES {
+        if stream.read_with(|mut s| s.read(&mut byte)).await? == 0 {
+            return Ok(None);
+        }
+        line.extend_from_slice(&byte);
+    }
+    let line = String::from_utf8_lossy(&line);
+    let offset = line.trim().strip_prefix("from ");
+    Ok(offset.and_then(|offset| offset.parse().ok()))
+}
+
+async fn read_to_end(stream: &Async<TcpStream>) -> std::io::Result<()> {
+    let mut byte = [0];
+    while stream.read_with(|mut s| s.read(&mut byte)).await? > 0 {}
+    Ok(())
+}
+
+async fn write_all(stream: &Async<TcpStream>, mut bytes: &[u8]) -> std::io::Result<()> {
+    while !bytes.is_empty() {
+        let written = stream.write_with(|mut s| s.write(bytes)).await?;
+        bytes = bytes.get(written..).unwrap_or_default();
+    }
+    Ok(())
+}
--- a/fake-upstreams/tests/protocol.rs
+++ b/fake-upstreams/tests/protocol.rs
@@ -1,5 +1,5 @@
-//! The bytes that engines and the event bus send are exactly what they were when these lines were recorded: the gateway
-//! and the demo are tested against them.
+//! The bytes that engines and the event bus send are exactly what they were when these lines were
+//! recorded: the gateway and the demo are tested against them.
 
 #![allow(clippy::unwrap_used)]
 
@@ -9,7 +9,8 @@
 
 use violetgate_fake_upstreams::{Fault, Fleet, Profile};
 
-/// A profile whose work takes the same time from the start on, since fleets start their engines warm.
+/// A profile whose work takes the same time from the start on, since fleets start their engines
+/// warm.
 fn fleet(engines: usize) -> Fleet {
     Fleet::start(engines, Profile::default()).unwrap()
 }
--- a/gateway/tests/cluster.rs
+++ b/gateway/tests/cluster.rs
@@ -116,7 +116,7 @@
     ] {
         let gone = api.get(path);
         assert_eq!(
-            (gone.status, gone.kind().as_str()),
+            (gone.status, gone.problem_type().as_str()),
             (410, "compacted"),
             "{path}"
         );
@@ -145,7 +145,7 @@
         "3",
     );
     assert_eq!(
-        (stale.status, stale.kind().as_str()),
+        (stale.status, stale.problem_type().as_str()),
         (412, "condition-failed")
     );
     let txn = json!({"checks": [{"key": "k", "holds": "2"}, {"key": "new", "changed": 0}],
@@ -199,7 +199,7 @@
     ] {
         let told = api.call(method, path, &[], body);
         assert_eq!(
-            (told.status, told.kind().as_str()),
+            (told.status, told.problem_type().as_str()),
             (status, kind),
             "{method} {path}"
         );
@@ -239,7 +239,7 @@
     assert_eq!(apply(&mut api, 2, 0, "s-1").body, one.body, "asked again");
     let late = apply(&mut api, 5, 0, "s-2");
     assert_eq!(
-        (late.status, late.kind().as_str()),
+        (late.status, late.problem_type().as_str()),
         (409, "settings-replaced")
     );
     let statement = format!("SELECT 1 /* {} */", "x".repeat(3_000));
@@ -287,11 +287,11 @@
         Api::new(&at).get("/v1/state?key=cordons/e-1").json()["value"],
         "{\"by\":\"management\"}"
     );
-    front.fleet.called("e-1", true);
+    front.fleet.record_cordon("e-1", true);
     (0..20).for_each(|_| assert_eq!(front.ask(&lookup, None).status, 200));
     front.restart_piped();
     (0..20).for_each(|_| assert_eq!(front.ask(&lookup, None).status, 200));
-    assert_eq!(front.fleet.counts().after_calls, 0);
+    assert_eq!(front.fleet.counts().after_cordon, 0);
     let mut api = Api::new(&at);
     assert_eq!(
         api.call("DELETE", "/v1/cordons?engine=e-1", &[], "").status,
@@ -299,7 +299,7 @@
     );
     until("it is used again", || {
         front.ask(&lookup, None);
-        front.fleet.counts().after_calls > 0
+        front.fleet.counts().after_cordon > 0
     });
     // A drain of this instance.
     assert_eq!(api.call("PUT", "/v1/drains", &[], "").status, 200);
@@ -346,14 +346,23 @@
     assert_eq!(status, 503);
     let lookup = json!({"class": "lookup", "budget_ms": 10_000, "statement": "SELECT 1"});
     let told = front.ask(&lookup, None);
-    assert_eq!((told.status, told.kind().as_str()), (503, "isolated"));
+    assert_eq!(
+        (told.status, told.problem_type().as_str()),
+        (503, "isolated")
+    );
     let sql = "/* method=lookup,rid=00000000000000a1,budget=10000 */ SELECT 1";
     assert_eq!(front.pg().query(sql), Err("57P03".to_owned()));
     assert_eq!(front.fleet.counts().attempts(), 0);
-    assert_eq!(calls.get("/v1/state?within_ms=200").kind(), "isolated");
+    assert_eq!(
+        calls.get("/v1/state?within_ms=200").problem_type(),
+        "isolated"
+    );
     assert_eq!(calls.get("/v1/state?stale=true").status, 200);
     let put = calls.call("PUT", "/v1/state?key=k&within_ms=200", &[], "x");
-    assert_eq!((put.status, put.kind().as_str()), (504, "outcome-unknown"));
+    assert_eq!(
+        (put.status, put.problem_type().as_str()),
+        (504, "outcome-unknown")
+    );
     assert_eq!(calls.get("/v1/cluster").json()["routes"], false);
 }
 
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -13,7 +13,7 @@
 
 use serde_json::{json, Value};
 use support::{connect, reserved, until, WAIT};
-use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{settings, Fleet, Profile};
 
 /// Time between notes of progress that the settings promise, in seconds. An attempt without a note for 1.7 of these
@@ -96,7 +96,7 @@
             folder,
         };
         until("it is healthy", || {
-            let mut http = Http::over(connect(&front.management), WAIT).unwrap();
+            let mut http = HttpClient::new(connect(&front.management), WAIT).unwrap();
             http.get("/admin/health").is_ok_and(|r| r.status == 200)
         });
         front
@@ -104,12 +104,12 @@
 
     /// The rows, or the error's text.
     fn ask(&self, fields: &str, statement: &str) -> Result<usize, String> {
-        let mut pg = Pg::over(connect(&self.listen), WAIT).unwrap();
+        let mut pg = PostgresClient::new(connect(&self.listen), WAIT).unwrap();
         pg.send(&format!("/* {fields} */ {statement}")).unwrap();
         pg.read()
             .unwrap()
             .map(|rows| rows.len())
-            .map_err(|_| pg.text().to_owned())
+            .map_err(|_| pg.error_text().to_owned())
     }
 }
 
@@ -192,7 +192,7 @@
             front.fleet.remove(&id);
         }
         until("nobody is listed", || {
-            let mut http = Http::over(connect(&front.management), WAIT).unwrap();
+            let mut http = HttpClient::new(connect(&front.management), WAIT).unwrap();
             let text = String::from_utf8(http.get("/admin/stats").unwrap().body).unwrap();
             text.lines().any(|l| l == "svc_known_engines 0")
         });
--- a/gateway/tests/openapi.rs
+++ b/gateway/tests/openapi.rs
@@ -179,7 +179,7 @@
         (n, last) = (n + 1, front.ask(&ask("report", 20_000, wide), None));
         page.check(ASK, "post", &last);
     }
-    assert_eq!(last.kind(), "results-full");
+    assert_eq!(last.problem_type(), "results-full");
 
     let path = first.next().unwrap();
     let id = first.json()["id"].as_str().unwrap().to_owned();
--- a/gateway/tests/rest.rs
+++ b/gateway/tests/rest.rs
@@ -130,7 +130,10 @@
     let rows = front.pg().query(&sql(1, "k-1", 7, statement)).unwrap();
     assert_eq!(rows, answers[0].rows());
     let other = front.ask(&load(7, "ms=1"), Some("k-1"));
-    assert_eq!((other.status, other.kind().as_str()), (422, "key-reused"));
+    assert_eq!(
+        (other.status, other.problem_type().as_str()),
+        (422, "key-reused")
+    );
     assert_eq!(front.ask(&load(8, "ms=300"), Some("k-1")).status, 422);
     assert_eq!(
         front.pg().query(&sql(2, "k-1", 7, "SELECT 2")),
@@ -214,7 +217,10 @@
     let front = Front::start(1, "  idempotency_keys = 1", WINDOW);
     let first = front.ask(&load(1, ""), Some("k-1"));
     let second = front.ask(&load(1, ""), Some("k-2"));
-    assert_eq!((second.status, second.kind().as_str()), (503, "busy"));
+    assert_eq!(
+        (second.status, second.problem_type().as_str()),
+        (503, "busy")
+    );
     assert!(second.headers["retry-after"].parse::<u64>().unwrap() >= 1);
     assert_eq!(front.ask(&load(1, ""), Some("k-1")).body, first.body);
 }
@@ -234,7 +240,7 @@
         assert!(page.status == 410 || page.body == body.body, "{page:?}");
         page.status == 410
     });
-    assert_eq!(http.get(&path).kind(), "result-gone");
+    assert_eq!(http.get(&path).problem_type(), "result-gone");
     until("its bytes are free", || {
         front.figure("svc_rest_results_bytes") == 0.0
     });
@@ -246,7 +252,7 @@
     );
     let unknown = http.get(&format!("/v1/queries/{}/pages/2", "A".repeat(id.len())));
     assert_eq!(
-        (unknown.status, unknown.kind().as_str()),
+        (unknown.status, unknown.problem_type().as_str()),
         (404, "no-such-page")
     );
     for at in 0..id.len() {
@@ -298,7 +304,7 @@
     for _ in 0..5 {
         let refused = front.ask(&ask, None);
         assert_eq!(
-            (refused.status, refused.kind().as_str()),
+            (refused.status, refused.problem_type().as_str()),
             (503, "results-full")
         );
         assert!(refused.headers["retry-after"].parse::<u64>().unwrap() >= 1);
@@ -340,13 +346,13 @@
         2,
     );
     assert_eq!(front.call("PUT", "/admin/quiesce", "").0, 200);
-    assert!(idle.ended(), "an idle connection is sent home");
+    assert!(idle.is_closed(), "an idle connection is sent home");
     let second = owed.get(&first.next().unwrap());
     assert_eq!(second.status, 200);
     until("queries are turned back", || {
         let reply = front.ask(&report(30_000, "rows=2"), None);
         assert!(
-            reply.status == 200 || reply.kind() == "draining",
+            reply.status == 200 || reply.problem_type() == "draining",
             "{reply:?}"
         );
         reply.status == 503
@@ -356,7 +362,7 @@
         (third.status, third.headers["connection"].as_str()),
         (200, "close")
     );
-    assert!(third.next().is_none() && owed.ended());
+    assert!(third.next().is_none() && owed.is_closed());
     assert_eq!(front.call("PUT", "/admin/resume", "").0, 200);
     assert_eq!(front.ask(&report(30_000, "rows=2"), None).status, 200);
 }
@@ -378,7 +384,7 @@
     let second = owed.get(&first.next().unwrap());
     let third = owed.get(&second.next().unwrap());
     assert_eq!((second.status, third.status), (200, 200));
-    assert!(owed.ended());
+    assert!(owed.is_closed());
     assert_eq!(exit(&mut old), Some(0));
 
     let mut owed = front.http();
@@ -399,10 +405,10 @@
     half.raw(b"POST /v1/queries HTTP/1.1\r\nhost");
     let reply = half.read();
     assert_eq!(
-        (reply.status, reply.kind().as_str()),
+        (reply.status, reply.problem_type().as_str()),
         (408, "request-timeout")
     );
-    assert!(half.ended());
+    assert!(half.is_closed());
     let mut half = front.http();
     half.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{");
     assert_eq!(half.read().status, 408);
@@ -419,7 +425,7 @@
     );
     let reply = huge.read();
     assert_eq!(
-        (reply.status, reply.kind().as_str()),
+        (reply.status, reply.problem_type().as_str()),
         (413, "body-too-large")
     );
     let mut endless = front.http();
@@ -556,7 +562,7 @@
         http.send("POST", "/v1/queries", &[], body.as_bytes());
         let reply = http.read();
         assert_eq!(
-            (reply.status, reply.kind().as_str()),
+            (reply.status, reply.problem_type().as_str()),
             (400, "invalid-request"),
             "{body}"
         );
@@ -571,7 +577,7 @@
     );
     assert_eq!(http.read().status, 415);
     http.ask(&report(30_000, ""), Some("k"));
-    assert_eq!(http.read().kind(), "invalid-request");
+    assert_eq!(http.read().problem_type(), "invalid-request");
     assert_eq!(
         front.fleet.counts().attempts(),
         5,
@@ -614,14 +620,17 @@
     let failed = front.ask(&report(2_000, "fail"), None);
     assert!(
         matches!(
-            (failed.status, failed.kind().as_str()),
+            (failed.status, failed.problem_type().as_str()),
             (502, "failed") | (503, "busy")
         ),
         "{failed:?}"
     );
     front.fleet.fault("e-1", Fault::Refuse);
     let refused = front.ask(&report(400, "rows=2"), None);
-    assert_eq!((refused.status, refused.kind().as_str()), (503, "busy"));
+    assert_eq!(
+        (refused.status, refused.problem_type().as_str()),
+        (503, "busy")
+    );
     let mut rest = Vec::new();
     let mut raw = front.http();
     raw.raw(b"GET /v1/queries HTTP/1.0\r\n\r\n");
--- a/gateway/tests/subscriber.rs
+++ b/gateway/tests/subscriber.rs
@@ -135,9 +135,9 @@
     });
     assert!(cluster.progress()["last_in_force"]["revision"].as_u64() >= Some(revision));
     assert!(front.figure("svc_cluster_revision") >= revision as f64);
-    front.fleet.called("e-1", true);
+    front.fleet.record_cordon("e-1", true);
     (0..20).for_each(|_| assert_eq!(front.ask(&lookup(), None).status, 200));
-    assert_eq!(front.fleet.counts().after_calls, 0);
+    assert_eq!(front.fleet.counts().after_cordon, 0);
     assert_eq!(cluster.observer.figure("svc_cluster_subscribers "), 1.0);
     assert_eq!(cluster.voter.figure("svc_cluster_serving "), 1.0);
     assert_eq!(front.figure("svc_cluster_observer "), 2.0);
@@ -153,7 +153,7 @@
         assert_eq!(
             cluster
                 .call("PUT", &format!("/v1/drains?{query}"), "")
-                .kind(),
+                .problem_type(),
             kind
         );
     }
@@ -174,7 +174,7 @@
     until("it sends nothing", || {
         front.ask(&lookup(), None).status == 503
     });
-    assert_eq!(front.ask(&lookup(), None).kind(), "isolated");
+    assert_eq!(front.ask(&lookup(), None).problem_type(), "isolated");
     let attempts = front.fleet.counts().attempts();
     assert_eq!(front.call("GET", "/admin/health", "").0, 503);
     assert_eq!(front.ask(&lookup(), None).status, 503);
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -161,7 +161,8 @@
     /// Waits until the process is ready and listens for REST.
     pub fn healthy(&self) {
         // A process that has ended resets what waits to be accepted: its log says why.
-        let health = || client::Http::over(connect(&self.management), WAIT)?.get("/admin/health");
+        let health =
+            || client::HttpClient::new(connect(&self.management), WAIT)?.get("/admin/health");
         let told = |e| {
             let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
             panic!("{e}; the log of its first start: {log}")
@@ -252,25 +253,25 @@
 }
 
 /// An HTTP connection whose failures fail the test.
-pub struct Http(client::Http);
+pub struct Http(client::HttpClient);
 
 impl Deref for Http {
-    type Target = client::Http;
+    type Target = client::HttpClient;
 
-    fn deref(&self) -> &client::Http {
+    fn deref(&self) -> &client::HttpClient {
         &self.0
     }
 }
 
 impl DerefMut for Http {
-    fn deref_mut(&mut self) -> &mut client::Http {
+    fn deref_mut(&mut self) -> &mut client::HttpClient {
         &mut self.0
     }
 }
 
 impl Http {
     pub fn open(addr: &str) -> Self {
-        Http(client::Http::over(connect(addr), WAIT).unwrap())
+        Http(client::HttpClient::new(connect(addr), WAIT).unwrap())
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
@@ -282,7 +283,7 @@
     }
 
     pub fn ask(&mut self, ask: &Value, key: Option<&str>) {
-        self.0.ask(ask, key).unwrap();
+        self.0.send_query(ask, key).unwrap();
     }
 
     pub fn get(&mut self, path: &str) -> Reply {
@@ -295,7 +296,7 @@
 }
 
 /// A PostgreSQL session whose failures fail the test.
-pub struct Pg(client::Pg);
+pub struct Pg(client::PostgresClient);
 
 impl Pg {
     pub fn open(addr: &str) -> Self {
@@ -303,7 +304,7 @@
     }
 
     pub fn over(stream: TcpStream) -> Self {
-        Pg(client::Pg::over(stream, WAIT).unwrap())
+        Pg(client::PostgresClient::new(stream, WAIT).unwrap())
     }
 
     pub fn send(&mut self, sql: &str) {
--- a/tools/acceptance/src/bin/prove-daemon/clients.rs
+++ b/tools/acceptance/src/bin/prove-daemon/clients.rs
@@ -170,7 +170,10 @@
     let Ok(mut http) = instance.http(ANSWER_TIMEOUT) else {
         return AttemptOutcome::Refused;
     };
-    match http.ask(&ask, key.map(|k| k.0)).and_then(|()| http.read()) {
+    match http
+        .send_query(&ask, key.map(|k| k.0))
+        .and_then(|()| http.read())
+    {
         Ok(reply) if reply.status == 200 => AttemptOutcome::Served(reply.rows()),
         Ok(reply) if reply.status == 503 => AttemptOutcome::Refused,
         Ok(_) => AttemptOutcome::Failed,
--- a/tools/acceptance/src/bin/prove-daemon/cost.rs
+++ b/tools/acceptance/src/bin/prove-daemon/cost.rs
@@ -35,7 +35,10 @@
                 scope.spawn(move || {
                     let mut took = histogram();
                     let connected = std::net::TcpStream::connect(&leader.api).and_then(|s| {
-                        violetgate_fake_upstreams::client::Http::over(s, Duration::from_secs(5))
+                        violetgate_fake_upstreams::client::HttpClient::new(
+                            s,
+                            Duration::from_secs(5),
+                        )
                     });
                     let Ok(mut http) = connected else { return took };
                     while begun.elapsed() < span {
--- a/tools/acceptance/src/bin/prove-daemon/operators.rs
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -151,11 +151,11 @@
         if !agreed("PUT", engine, &mut rng) {
             return;
         }
-        scenario.fleet.called(engine, true);
+        scenario.fleet.record_cordon(engine, true);
         increment(&scenario.tally.cordons);
         std::thread::sleep(random_pause(&mut rng, 2_500, 4_000));
         // From the call on it may be used again.
-        scenario.fleet.called(engine, false);
+        scenario.fleet.record_cordon(engine, false);
         if !agreed("DELETE", engine, &mut rng) {
             return;
         }
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -138,7 +138,7 @@
     verdict.exactly("sent_on_stale_state", count(&tally.stale), 0);
     verdict.at_most(
         "send_after_call_out_s",
-        counts.latest_after_call.as_secs_f64(),
+        counts.latest_after_cordon.as_secs_f64(),
         STALENESS_LIMIT.as_secs_f64(),
     );
     verdict.exactly("not_linearizable", findings.not_linearizable, 0);
--- a/tools/acceptance/src/bin/prove-fleet-rules.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules.rs
@@ -13,9 +13,9 @@
 use clap::Parser;
 use rustix::process::Signal;
 use violetgate_acceptance::{cold, ended, Verdict};
-use violetgate_fake_upstreams::client::Pg;
+use violetgate_fake_upstreams::client::PostgresClient;
 use violetgate_fake_upstreams::Fault;
-use violetgate_fleet_harness::{Process, Rig};
+use violetgate_fleet_harness::{FleetHarness, GatewayProcess};
 
 /// Holds several front ends to the rules that they keep together.
 #[derive(Parser)]
@@ -85,7 +85,7 @@
 
     /// One client: a session at each front end, one request at a time, now here and now there.
     fn run(&self) {
-        let mut sessions: Vec<Option<Pg>> = self.listens.iter().map(|_| None).collect();
+        let mut sessions: Vec<Option<PostgresClient>> = self.listens.iter().map(|_| None).collect();
         while !self.over.load(Ordering::Relaxed) {
             let n = self.next.fetch_add(1, Ordering::Relaxed);
             let (class, tenant) = (CLASSES[n as usize % 3], TENANTS[n as usize / 3 % 2]);
@@ -100,14 +100,21 @@
         }
     }
 
-    fn ask(&self, sessions: &mut [Option<Pg>], n: u64, class: &str, tenant: &str) -> bool {
+    fn ask(
+        &self,
+        sessions: &mut [Option<PostgresClient>],
+        n: u64,
+        class: &str,
+        tenant: &str,
+    ) -> bool {
         let rid = (n + 1) << 8;
         let (mut at, mut again) = (n as usize % sessions.len(), 0);
         let until = Instant::now() + WAIT;
         while Instant::now() < until {
             let rested = sessions[at].is_some();
             if !rested {
-                let opened = TcpStream::connect(self.listens[at]).and_then(|s| Pg::over(s, WAIT));
+                let opened =
+                    TcpStream::connect(self.listens[at]).and_then(|s| PostgresClient::new(s, WAIT));
                 sessions[at] = opened.ok();
             }
             let Some(pg) = &mut sessions[at] else {
@@ -150,12 +157,12 @@
 }
 
 /// Sessions whose clients write a query and go before it is read: the process stands still meanwhile.
-fn leave_unread(process: &Process, count: u64) -> Result<Vec<String>> {
+fn leave_unread(process: &GatewayProcess, count: u64) -> Result<Vec<String>> {
     let mut open = Vec::new();
     for n in 0..count {
         let stream = TcpStream::connect(process.listen)?;
         open.push((
-            Pg::over(stream.try_clone()?, WAIT)?,
+            PostgresClient::new(stream.try_clone()?, WAIT)?,
             stream,
             0xdead_0000_0000 + n,
         ));
@@ -171,9 +178,9 @@
     Ok(rids)
 }
 
-fn in_progress(process: &Process) -> f64 {
+fn in_progress(process: &GatewayProcess) -> f64 {
     process
-        .figures()
+        .metrics()
         .get("svc_in_progress")
         .copied()
         .unwrap_or(f64::NAN)
@@ -181,17 +188,17 @@
 
 /// Clients whose requests wait for a further attempt, as all engines are full, leave: nothing of them is sent once that is
 /// seen. How many attempts were.
-fn leave_waiting(rig: &Rig, count: u64) -> Result<u64> {
+fn leave_waiting(rig: &FleetHarness, count: u64) -> Result<u64> {
     let engines = rig.engines();
     engines
         .ids()
         .iter()
         .for_each(|id| engines.fault(id, Fault::Refuse));
-    let process = &rig.all[0];
+    let process = &rig.processes[0];
     let (mut open, mut rids) = (Vec::new(), Vec::new());
     for n in 0..count {
         let rid = 0xbeef_0000_0000 + n;
-        let mut pg = Pg::over(TcpStream::connect(process.listen)?, WAIT)?;
+        let mut pg = PostgresClient::new(TcpStream::connect(process.listen)?, WAIT)?;
         pg.send(&statement("lookup", "north", rid))?;
         rids.push(format!("{rid:016x}"));
         open.push(pg);
@@ -199,7 +206,7 @@
     let tried = engines.wait_for(|c| rids.iter().any(|rid| c.by_request.contains_key(rid)));
     drop(open);
     let gone = rig
-        .wait(WAIT, |rig| in_progress(&rig.all[0]) == 0.0)
+        .wait_until(WAIT, |rig| in_progress(&rig.processes[0]) == 0.0)
         .is_some();
     if !tried || !gone {
         return Err(std::io::Error::other(format!(
@@ -216,16 +223,20 @@
         .ids()
         .iter()
         .for_each(|id| engines.fault(id, Fault::None));
-    let _ = rig.wait(WAIT, |rig| rig.all[0].serves(0xfeed_0000_0001));
-    let _ = rig.wait(WAIT, |rig| rig.all[0].serves(0xfeed_0000_0002));
+    let _ = rig.wait_until(WAIT, |rig| {
+        rig.processes[0].serves_request(0xfeed_0000_0001)
+    });
+    let _ = rig.wait_until(WAIT, |rig| {
+        rig.processes[0].serves_request(0xfeed_0000_0002)
+    });
     Ok(u64::from(sum() - before))
 }
 
-fn ready(rig: &mut Rig, i: usize) -> Option<Duration> {
+fn ready(rig: &mut FleetHarness, i: usize) -> Option<Duration> {
     let rid = 0xabcd_0000_0000 + ((i as u64) << 16);
     let tries = AtomicU64::new(0);
-    rig.wait(Duration::from_secs(30), |rig| {
-        rig.all[i].serves(rid + tries.fetch_add(1, Ordering::Relaxed))
+    rig.wait_until(Duration::from_secs(30), |rig| {
+        rig.processes[i].serves_request(rid + tries.fetch_add(1, Ordering::Relaxed))
     })
 }
 
@@ -248,7 +259,7 @@
 
     let program: PathBuf = std::env::current_exe()?.with_file_name("violetgate");
     let count = if given.short { 3 } else { 6 };
-    let mut rig = Rig::start(&program, count, 100 + given.seed, "")?;
+    let mut rig = FleetHarness::start(&program, count, 100 + given.seed, "")?;
     for i in 0..count {
         ready(&mut rig, i);
     }
@@ -259,7 +270,7 @@
     );
     let mut slowest = Duration::ZERO;
     let clients = 4 * count;
-    let listens = rig.all.iter().map(|p| p.listen).collect();
+    let listens = rig.processes.iter().map(|p| p.listen).collect();
     let load = Load {
         listens,
         next: &next,
@@ -271,13 +282,13 @@
         println!("{count} processes, {clients} clients; restarts one by one:");
         for round in 0..if given.short { 1 } else { 3 } {
             for i in 0..count {
-                rig.all[i].signal(Signal::TERM);
-                let ended = rig.all[i].ends(Duration::from_secs(6));
+                rig.processes[i].signal(Signal::TERM);
+                let ended = rig.processes[i].wait_for_exit(Duration::from_secs(6));
                 if !ended {
-                    rig.all[i].kill();
+                    rig.processes[i].kill();
                 }
                 let begun = Instant::now();
-                let _ = rig.all[i].start();
+                let _ = rig.processes[i].start();
                 slowest =
                     slowest.max(ready(&mut rig, i).map_or(Duration::MAX, |_| begun.elapsed()));
                 println!(
@@ -287,7 +298,7 @@
             }
         }
         println!("all watches fall silent, and an engine drains:");
-        rig.engines().mute_bus();
+        rig.engines().silence_bus();
         rig.engines().drain("e-1");
         std::thread::sleep(Duration::from_secs(4));
         over.store(true, Ordering::Relaxed);
@@ -307,7 +318,7 @@
     );
 
     println!("clients leave before they are read, and while they wait:");
-    let unread = leave_unread(&rig.all[1], 20)?;
+    let unread = leave_unread(&rig.processes[1], 20)?;
     let _ = ready(&mut rig, 1);
     let counts = rig.engines().counts();
     let sent = unread
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -19,8 +19,8 @@
 /// Plays the mix of requests through replaced engines and holds the answers to the rules.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let profile = Profile {
-        cold_factor: 2.0,
-        cold: Duration::from_secs(1),
+        start_slowdown: 2.0,
+        warm_up: Duration::from_secs(1),
         ..Profile::default()
     };
     let fleet = Fleet::start(5, profile)?;
@@ -153,7 +153,7 @@
 /// A result of five pages, one of which is asked for twice.
 fn paged_result(program: &Program, tally: &Tally) -> Result<()> {
     let mut http = program.http()?;
-    http.ask(&query_body("report", "ms=2 rows=500 width=55"), None)?;
+    http.send_query(&query_body("report", "ms=2 rows=500 width=55"), None)?;
     let Some(first) = tally.http(http.read()) else {
         return Ok(());
     };
@@ -189,7 +189,7 @@
     let mut body = query_body("load", hints);
     body["order_key"] = order.as_str().into();
     let mut http = program.http()?;
-    http.ask(&body, Some(&key))?;
+    http.send_query(&body, Some(&key))?;
     match n / 4 % 3 {
         0 => {
             let mut pg = program.pg()?;
@@ -207,7 +207,7 @@
         }
         1 => {
             let one = tally.http(http.read());
-            http.ask(&body, Some(&key))?;
+            http.send_query(&body, Some(&key))?;
             let two = tally.http(http.read());
             if let (Some(one), Some(two)) = (one, two) {
                 tally
@@ -218,7 +218,7 @@
         _ => {
             drop(http);
             let mut again = program.http()?;
-            again.ask(&body, Some(&key))?;
+            again.send_query(&body, Some(&key))?;
             if let Some(reply) = tally.http(again.read()) {
                 tally.whole(&reply.rows(), 5);
             }
--- a/tools/acceptance/src/bin/prove-rest/memory.rs
+++ b/tools/acceptance/src/bin/prove-rest/memory.rs
@@ -21,7 +21,7 @@
     let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let mut body = query_body("report", &format!("ms=0 rows={ROWS} width={ROW_BYTES}"));
     let mut http = program.http()?;
-    let mut get = |body: &Value| http.ask(body, None).and_then(|()| http.read());
+    let mut get = |body: &Value| http.send_query(body, None).and_then(|()| http.read());
     for _ in 0..50 {
         get(&body)?;
     }
--- a/tools/acceptance/src/bin/prove-rest/throughput.rs
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 use violetgate_acceptance::{open_loop, Met, Program, Verdict};
-use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{Fleet, Profile};
 
 use crate::requests::{query_body, query_text};
@@ -123,8 +123,8 @@
 }
 
 fn load_postgres(program: &Program, query: &Query, load: Load) -> Result<(Met, Duration)> {
-    let clients: Vec<Pg> = (0..CLIENTS).map(|_| program.pg()).collect::<Result<_>>()?;
-    let each = |mut pg: Pg| {
+    let clients: Vec<PostgresClient> = (0..CLIENTS).map(|_| program.pg()).collect::<Result<_>>()?;
+    let each = |mut pg: PostgresClient| {
         move |_| {
             pg.send(&query_text(query.class, query.hints, "")).is_ok()
                 && matches!(pg.read(), Ok(Ok(_)))
@@ -140,13 +140,13 @@
     load: Load,
     paths: &Mutex<Vec<String>>,
 ) -> Result<(Met, Duration)> {
-    let clients: Vec<Http> = (0..CLIENTS)
+    let clients: Vec<HttpClient> = (0..CLIENTS)
         .map(|_| program.http())
         .collect::<Result<_>>()?;
     let body: &Value = &query_body(query.class, query.hints);
-    let each = |mut http: Http| {
+    let each = |mut http: HttpClient| {
         move |_| {
-            let Ok(reply) = http.ask(body, None).and_then(|()| http.read()) else {
+            let Ok(reply) = http.send_query(body, None).and_then(|()| http.read()) else {
                 return false;
             };
             if let Some(next) = reply.next().filter(|_| reply.status == 200) {
@@ -160,10 +160,10 @@
 }
 
 fn load_later_pages(program: &Program, paths: &[String], load: Load) -> Result<(Met, Duration)> {
-    let clients: Vec<Http> = (0..CLIENTS)
+    let clients: Vec<HttpClient> = (0..CLIENTS)
         .map(|_| program.http())
         .collect::<Result<_>>()?;
-    let each = |mut http: Http| {
+    let each = |mut http: HttpClient| {
         move |number: u64| {
             let path = paths.get(number as usize % paths.len().max(1));
             path.is_some_and(|path| http.get(path).is_ok_and(|reply| reply.status == 200))
--- a/tools/acceptance/src/bin/prove-rest/token_timing.rs
+++ b/tools/acceptance/src/bin/prove-rest/token_timing.rs
@@ -15,7 +15,7 @@
     let fleet = Fleet::start(2, Profile::default())?;
     let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let mut http = program.http()?;
-    http.ask(&query_body("report", "ms=0 rows=300 width=55"), None)?;
+    http.send_query(&query_body("report", "ms=0 rows=300 width=55"), None)?;
     let id = http.read()?.json()["id"]
         .as_str()
         .unwrap_or_default()
--- a/tools/acceptance/src/bin/prove-run.rs
+++ b/tools/acceptance/src/bin/prove-run.rs
@@ -11,7 +11,7 @@
 use clap::Parser;
 use object::{Object, ObjectSymbol};
 use violetgate_acceptance::{ended, free, Verdict};
-use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{Fleet, Profile};
 
 /// Holds the program that is deployed against what a platform asks of it.
@@ -120,7 +120,7 @@
     let proc = PathBuf::from(format!("/proc/{}", child.0.id()));
     let until = Instant::now() + WAIT;
     let health = || {
-        let mut http = Http::over(std::net::TcpStream::connect(&management)?, WAIT)?;
+        let mut http = HttpClient::new(std::net::TcpStream::connect(&management)?, WAIT)?;
         http.get("/admin/health")
     };
     while !health().is_ok_and(|r| r.status == 200) {
@@ -131,7 +131,7 @@
     }
     let mut served = 0;
     for n in 0..200_u64 {
-        let mut pg = Pg::over(std::net::TcpStream::connect(&listen)?, WAIT)?;
+        let mut pg = PostgresClient::new(std::net::TcpStream::connect(&listen)?, WAIT)?;
         let sql =
             format!("/* method=lookup,rid={n:016x},budget=9000 */ SELECT day FROM sales_17.plan");
         pg.send(&sql)?;
--- a/tools/acceptance/src/daemon.rs
+++ b/tools/acceptance/src/daemon.rs
@@ -12,7 +12,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
-use violetgate_fake_upstreams::client::{Http, Pg, Reply};
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient, Reply};
 use violetgate_fake_upstreams::Fleet;
 
 use crate::free;
@@ -156,8 +156,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn http(&self, wait: Duration) -> Result<Http> {
-        Http::over(connect(&self.rest)?, wait)
+    pub fn http(&self, wait: Duration) -> Result<HttpClient> {
+        HttpClient::new(connect(&self.rest)?, wait)
     }
 
     /// A PostgreSQL session.
@@ -165,8 +165,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn pg(&self, wait: Duration) -> Result<Pg> {
-        Pg::over(connect(&self.listen)?, wait)
+    pub fn pg(&self, wait: Duration) -> Result<PostgresClient> {
+        PostgresClient::new(connect(&self.listen)?, wait)
     }
 
     /// One call to its API.
@@ -182,7 +182,7 @@
         body: &[u8],
         wait: Duration,
     ) -> Result<Reply> {
-        let mut http = Http::over(connect(&self.api)?, wait)?;
+        let mut http = HttpClient::new(connect(&self.api)?, wait)?;
         let headers: Vec<_> = id.iter().map(|id| ("request-id", *id)).collect();
         http.send(method, path, &headers, body)?;
         http.read()
--- a/tools/acceptance/src/lib.rs
+++ b/tools/acceptance/src/lib.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use violetgate_fake_upstreams::client::{Http, Pg};
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::Fleet;
 
 /// How long a client waits for anything.
@@ -128,8 +128,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn http(&self) -> Result<Http> {
-        Http::over(TcpStream::connect(&self.rest)?, WAIT)
+    pub fn http(&self) -> Result<HttpClient> {
+        HttpClient::new(TcpStream::connect(&self.rest)?, WAIT)
     }
 
     /// A PostgreSQL session.
@@ -137,8 +137,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn pg(&self) -> Result<Pg> {
-        Pg::over(TcpStream::connect(&self.listen)?, WAIT)
+    pub fn pg(&self) -> Result<PostgresClient> {
+        PostgresClient::new(TcpStream::connect(&self.listen)?, WAIT)
     }
 }
 
--- a/tools/fleet-harness/src/relay.rs
+++ b/tools/fleet-harness/src/relay.rs
@@ -1,119 +1,175 @@
-//! What lies between the members: a datagram relay before each, which knows by its source who sent what, and loses,
-//! delays, doubles or cuts by ordered pair. It must never read what it passes on.
+//! What lies between the members: a datagram relay in front of each, which knows by its source who
+//! sent a datagram, and loses, delays, duplicates or cuts by ordered pair. It never reads what it
+//! relays.
 
 use std::collections::BTreeMap;
 use std::io::Result;
 use std::net::{SocketAddr, UdpSocket};
-use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How a link treats what is sent over it.
+/// How often delayed datagrams are checked, and whether the relay has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// More than any datagram of the fleet.
+const BUFFER_BYTES: usize = 16 << 10;
+
+/// The faults of one direction of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Ills {
-    /// Nothing passes.
-    pub cut: bool,
-    /// The share that is lost.
+pub struct LinkFaults {
+    /// Whether nothing passes.
+    pub is_cut: bool,
+    /// The fraction of datagrams that are lost, from 0 to 1.
     pub loss: f64,
-    /// The share that comes twice.
-    pub doubled: f64,
-    /// Each comes later by up to this.
-    pub delay: Duration,
+    /// The fraction of datagrams that arrive twice, from 0 to 1.
+    pub duplication: f64,
+    /// By how much a datagram is delayed at most.
+    pub max_delay: Duration,
+}
+
+/// One direction of a link, by the members' numbers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Direction {
+    from: usize,
+    to: usize,
 }
 
-type Links = Arc<Mutex<BTreeMap<(usize, usize), Ills>>>;
+type Links = Arc<Mutex<BTreeMap<Direction, LinkFaults>>>;
 
-/// The relays before all members.
+/// The relays in front of all members.
 pub struct Relay {
     links: Links,
-    over: Arc<AtomicBool>,
+    has_ended: Arc<AtomicBool>,
     /// Where each member is reached by the others.
-    pub before: Vec<SocketAddr>,
+    pub addrs: Vec<SocketAddr>,
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.over.store(true, SeqCst);
+        self.has_ended.store(true, Ordering::SeqCst);
     }
 }
 
 impl Relay {
-    /// Relays before members that listen at these addresses. Draws follow from the seed.
+    /// Starts relays in front of members that listen at these addresses. The seed makes the random
+    /// choices.
     ///
     /// # Errors
     ///
-    /// The machine gives no address.
-    pub fn new(members: &[SocketAddr], seed: u64) -> Result<Self> {
-        let (links, over) = (Links::default(), Arc::new(AtomicBool::new(false)));
-        let mut before = Vec::new();
-        for (to, addr) in members.iter().copied().enumerate() {
+    /// A socket can't be bound.
+    pub fn new(member_addrs: &[SocketAddr], seed: u64) -> Result<Self> {
+        let links = Links::default();
+        let has_ended = Arc::new(AtomicBool::new(false));
+        let mut addrs = Vec::new();
+        for (to, member_addr) in member_addrs.iter().enumerate() {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
-            socket.set_read_timeout(Some(Duration::from_millis(5)))?;
-            before.push(socket.local_addr()?);
-            let (links, over) = (Arc::clone(&links), Arc::clone(&over));
-            let members = members.to_vec();
-            let rng = ChaCha8Rng::seed_from_u64(seed.wrapping_add(to as u64));
-            std::thread::spawn(move || pass(&socket, (to, addr), &members, &links, &over, rng));
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
+            addrs.push(socket.local_addr()?);
+            let relay = MemberRelay {
+                socket,
+                to,
+                member_addr: *member_addr,
+                member_addrs: member_addrs.to_vec(),
+                links: Arc::clone(&links),
+                has_ended: Arc::clone(&has_ended),
+                rng: ChaCha8Rng::seed_from_u64(seed.wrapping_add(to as u64)),
+                delayed: Vec::new(),
+            };
+            std::thread::spawn(move || relay.run());
         }
         Ok(Relay {
             links,
-            over,
-            before,
+            has_ended,
+            addrs,
         })
     }
 
-    /// Sets how one direction of a link fares.
-    pub fn set(&self, from: usize, to: usize, ills: Ills) {
-        self.links
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .insert((from, to), ills);
+    /// Sets the faults of one direction of a link.
+    pub fn set(&self, from: usize, to: usize, faults: LinkFaults) {
+        let mut links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        links.insert(Direction { from, to }, faults);
     }
 
-    /// The same for all links.
-    pub fn set_all(&self, ills: Ills) {
-        let all = self.before.len();
-        (0..all)
-            .flat_map(|a| (0..all).map(move |b| (a, b)))
-            .for_each(|(a, b)| self.set(a, b, ills));
+    /// Sets the faults of all links.
+    pub fn set_all(&self, faults: LinkFaults) {
+        for from in 0..self.addrs.len() {
+            for to in 0..self.addrs.len() {
+                self.set(from, to, faults);
+            }
+        }
     }
 }
 
-fn pass(
-    socket: &UdpSocket,
-    (to, addr): (usize, SocketAddr),
-    members: &[SocketAddr],
-    links: &Links,
-    over: &AtomicBool,
-    mut rng: ChaCha8Rng,
-) {
-    let mut waiting: Vec<(Instant, Vec<u8>)> = Vec::new();
-    let mut buffer = [0; 16 << 10];
-    while !over.load(SeqCst) {
-        if let Ok((size, from)) = socket.recv_from(&mut buffer) {
-            let from = members
-                .iter()
-                .position(|m| *m == from)
-                .unwrap_or(usize::MAX);
-            let links = links.lock().unwrap_or_else(PoisonError::into_inner);
-            let ills = links.get(&(from, to)).copied().unwrap_or_default();
-            let mut draw = || rng.next_u32() as f64 / f64::from(u32::MAX);
-            if !ills.cut && draw() >= ills.loss {
-                let times = 1 + usize::from(draw() < ills.doubled);
-                for _ in 0..times {
-                    let bytes = buffer.get(..size).unwrap_or_default().to_vec();
-                    waiting.push((Instant::now() + ills.delay.mul_f64(draw()), bytes));
-                }
+/// The relay in front of one member.
+struct MemberRelay {
+    socket: UdpSocket,
+    /// The member's number.
+    to: usize,
+    member_addr: SocketAddr,
+    member_addrs: Vec<SocketAddr>,
+    links: Links,
+    has_ended: Arc<AtomicBool>,
+    rng: ChaCha8Rng,
+    delayed: Vec<DelayedDatagram>,
+}
+
+struct DelayedDatagram {
+    due_at: Instant,
+    bytes: Vec<u8>,
+}
+
+impl MemberRelay {
+    fn run(mut self) {
+        let mut buffer = [0; BUFFER_BYTES];
+        while !self.has_ended.load(Ordering::SeqCst) {
+            if let Ok((size, from)) = self.socket.recv_from(&mut buffer) {
+                self.accept(buffer.get(..size).unwrap_or_default(), from);
             }
+            self.send_due();
         }
+    }
+
+    /// Draws what happens to a datagram.
+    fn accept(&mut self, bytes: &[u8], from: SocketAddr) {
+        let faults = self.faults_from(from);
+        if faults.is_cut || self.random_fraction() < faults.loss {
+            return;
+        }
+        let copies = 1 + usize::from(self.random_fraction() < faults.duplication);
+        for _ in 0..copies {
+            let delay = faults.max_delay.mul_f64(self.random_fraction());
+            self.delayed.push(DelayedDatagram {
+                due_at: Instant::now() + delay,
+                bytes: bytes.to_vec(),
+            });
+        }
+    }
+
+    fn faults_from(&self, addr: SocketAddr) -> LinkFaults {
+        let from = self.member_addrs.iter().position(|member| *member == addr);
+        let direction = Direction {
+            from: from.unwrap_or(usize::MAX),
+            to: self.to,
+        };
+        let links = self.links.lock().unwrap_or_else(PoisonError::into_inner);
+        links.get(&direction).copied().unwrap_or_default()
+    }
+
+    fn random_fraction(&mut self) -> f64 {
+        f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
+    }
+
+    fn send_due(&mut self) {
         let now = Instant::now();
-        let (due, later): (Vec<_>, Vec<_>) = waiting.into_iter().partition(|(at, _)| *at <= now);
-        waiting = later;
-        for (_, bytes) in due {
-            let _ = socket.send_to(&bytes, addr);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.delayed)
+            .into_iter()
+            .partition(|datagram| datagram.due_at <= now);
+        self.delayed = later;
+        for datagram in due {
+            let _ = self.socket.send_to(&datagram.bytes, self.member_addr);
         }
     }
 }
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -4,7 +4,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use violetgate_fake_upstreams::client::Pg;
+use violetgate_fake_upstreams::client::PostgresClient;
 use violetgate_fake_upstreams::{Fleet, Profile};
 
 use crate::error::ScaleError;
@@ -124,8 +124,8 @@
     ]
 }
 
-fn session(program: &Program) -> Result<Pg, ScaleError> {
-    let connect = || Pg::over(TcpStream::connect(&program.listen)?, WAIT);
+fn session(program: &Program) -> Result<PostgresClient, ScaleError> {
+    let connect = || PostgresClient::new(TcpStream::connect(&program.listen)?, WAIT);
     connect().map_err(ScaleError::io("open a client's session"))
 }
 
@@ -180,7 +180,7 @@
     }
 }
 
-fn ask(mut client: Pg, requests: std::ops::Range<usize>) -> std::io::Result<usize> {
+fn ask(mut client: PostgresClient, requests: std::ops::Range<usize>) -> std::io::Result<usize> {
     let mut served = 0;
     for request in requests {
         client.send(&format!(
--- a/tools/scale/src/whole_run/changes.rs
+++ b/tools/scale/src/whole_run/changes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde_json::Value;
-use violetgate_fake_upstreams::client::{Http, Reply};
+use violetgate_fake_upstreams::client::{HttpClient, Reply};
 use violetgate_replicated_state::{Micros, Revision};
 
 use super::children::Inputs;
@@ -35,7 +35,7 @@
     id: Option<&str>,
     body: &[u8],
 ) -> std::io::Result<Reply> {
-    let mut http = Http::over(TcpStream::connect_timeout(&at, CONNECT)?, CALL)?;
+    let mut http = HttpClient::new(TcpStream::connect_timeout(&at, CONNECT)?, CALL)?;
     let headers: Vec<_> = id.iter().map(|id| ("request-id", *id)).collect();
     http.send(method, path, &headers, body)?;
     http.read()
--- a/tools/scale/src/whole_run/control.rs
+++ b/tools/scale/src/whole_run/control.rs
@@ -8,7 +8,7 @@
 
 use serde_json::{json, Value};
 use violetgate_fake_upstreams::Fleet;
-use violetgate_fleet_harness::Process;
+use violetgate_fleet_harness::GatewayProcess;
 
 use super::changes::call;
 use super::layout::{Layout, Port};
@@ -30,7 +30,7 @@
 pub(super) struct Member {
     pub id: u64,
     pub api: SocketAddr,
-    pub process: Process,
+    pub process: GatewayProcess,
 }
 
 impl Member {
@@ -103,7 +103,7 @@
         let settings = settings(plan, layout, &folder, id);
         let settings = layout.write(&folder, "violetgate.hcl", &settings)?;
         init(program, &settings, id > plan.voters)?;
-        let mut process = Process::new(&name, listen, management, folder, program);
+        let mut process = GatewayProcess::new(&name, listen, management, folder, program);
         process
             .start()
             .map_err(WholeRunError::machine("start a control process"))?;
@@ -186,7 +186,7 @@
     pub(super) fn voters_messages(&self) -> f64 {
         let voters = self.members.iter().take(self.voters);
         let messages = voters.map(|voter| {
-            let figures = voter.process.figures();
+            let figures = voter.process.metrics();
             MESSAGES
                 .iter()
                 .map(|name| figures.get(*name).copied().unwrap_or(f64::NAN))
@@ -206,7 +206,7 @@
     pub(super) fn crashed(&self) -> u64 {
         self.members
             .iter()
-            .map(|member| member.process.crashed)
+            .map(|member| member.process.crash_count)
             .sum()
     }
 }
--- a/tools/scale/src/whole_run/real.rs
+++ b/tools/scale/src/whole_run/real.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use violetgate_fake_upstreams::Fleet;
-use violetgate_fleet_harness::Process;
+use violetgate_fleet_harness::GatewayProcess;
 use violetgate_replicated_state::{Micros, Revision};
 
 use super::layout::{Layout, Port};
@@ -41,7 +41,7 @@
 
 /// All real front ends.
 pub(super) struct RealFrontEnds {
-    processes: Arc<Mutex<Vec<Process>>>,
+    processes: Arc<Mutex<Vec<GatewayProcess>>>,
     watched: Arc<Mutex<Vec<Watched>>>,
     stop: Arc<AtomicBool>,
     watcher: Option<JoinHandle<()>>,
@@ -53,7 +53,9 @@
         if let Some(watcher) = self.watcher.take() {
             let _ = watcher.join();
         }
-        lock(&self.processes).iter_mut().for_each(Process::kill);
+        lock(&self.processes)
+            .iter_mut()
+            .for_each(GatewayProcess::kill);
     }
 }
 
@@ -86,7 +88,7 @@
             config["management"] = management.to_string().into();
             layout.write(&folder, "config.json", &config.to_string())?;
             layout.write(&folder, "violetgate.hcl", &settings(index))?;
-            let mut process = Process::new(&name, listen, management, folder, program);
+            let mut process = GatewayProcess::new(&name, listen, management, folder, program);
             process
                 .start()
                 .map_err(WholeRunError::machine("start a real front end"))?;
@@ -128,14 +130,14 @@
     pub(super) fn pids(&self) -> Vec<u32> {
         lock(&self.processes)
             .iter()
-            .filter_map(Process::pid)
+            .filter_map(GatewayProcess::pid)
             .collect()
     }
 
     /// Bytes of control sent and received so far, over all of them.
     pub(super) fn traffic(&self) -> f64 {
         let processes = lock(&self.processes);
-        let figures = processes.iter().map(Process::figures);
+        let figures = processes.iter().map(GatewayProcess::metrics);
         figures
             .map(|f| TRAFFIC.iter().filter_map(|name| f.get(*name)).sum::<f64>())
             .sum()
@@ -146,7 +148,7 @@
         lock(&self.processes)
             .iter()
             .enumerate()
-            .filter(|(n, process)| process.serves(*n as u64 + 1))
+            .filter(|(n, process)| process.serves_request(*n as u64 + 1))
             .count()
     }
 
@@ -154,15 +156,15 @@
     pub(super) fn log(&self) -> String {
         lock(&self.processes)
             .first()
-            .map(Process::log)
+            .map(GatewayProcess::log)
             .unwrap_or_default()
     }
 }
 
-fn watch(processes: &Mutex<Vec<Process>>, watched: &Mutex<Vec<Watched>>, stop: &AtomicBool) {
+fn watch(processes: &Mutex<Vec<GatewayProcess>>, watched: &Mutex<Vec<Watched>>, stop: &AtomicBool) {
     while !stop.load(Ordering::Relaxed) {
         for (process, watched_index) in lock(processes).iter().zip(0..) {
-            let figures = process.figures();
+            let figures = process.metrics();
             let at = now();
             let Some(revision) = figures.get("svc_cluster_revision").map(|r| *r as Revision) else {
                 continue;
