--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -46,7 +46,7 @@
     pub fn status(&self) -> ReplicaStatus {
         let replica = self.replica.borrow();
         let raft = replica.raft();
-        let progress = raft.progress().into_iter();
+        let progress = raft.match_indexes().into_iter();
         ReplicaStatus {
             id: raft.id(),
             role: raft.role(),
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -1,10 +1,13 @@
 //! How much memory a query is granted, and how much of an engine's memory this gateway grants.
 //!
-//! Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory, a
-//! fraction from 0 to 1. Inputs: estimates that come with queries, the needs that answers report
-//! or, where they report none, how often queries spill to disk, and engines' reports of queries
-//! that wait for memory. Reason: a grant that is too small makes a query spill, which is slow;
-//! one that is too large keeps others waiting.
+//! - Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory,
+//!   a
+//!   fraction from 0 to 1.
+//! - Inputs: estimates that come with queries, the needs that answers report or, where they
+//!   report
+//!   none, how often queries spill to disk, and reports of queries that wait for memory.
+//! - Reason: a grant that is too small makes a query spill, which is slow; one that is too large
+//!   makes others wait.
 
 use crate::interface::{Cost, NewQuery, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -20,7 +23,7 @@
 /// Weight of a need in the regression on estimates.
 const REGRESSION_GAIN: f64 = 0.02;
 /// Where needs are not reported: the fraction of queries that is to spill, and the step by which
-/// the logarithm of grants moves at a spill (up) and without one (down), so that this fraction
+/// the logarithm of grants rises at a spill and falls without one, so that this fraction
 /// results.
 const TARGET_SPILL_FRACTION: f64 = 0.2;
 const GRANT_LOG_STEP: f64 = 0.3;
@@ -31,6 +34,16 @@
 /// ... and each answer raises it by this much while it is in use.
 const QUOTA_STEP: f64 = 0.02;
 
+/// An answer, as far as grants depend on it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct MemorySample {
+    /// The estimate that came with the query, in megabytes.
+    pub estimate_mb: Option<f64>,
+    /// What the query cost, if the engine reports it.
+    pub cost: Option<Cost>,
+    pub has_spilled: bool,
+}
+
 impl Gateway {
     /// The memory in megabytes that a query is to be granted; 0 where nothing is known.
     pub(crate) fn expected_grant(&self, class: usize, request: &NewQuery) -> f64 {
@@ -55,18 +68,15 @@
         query.memory_mb.min(most)
     }
 
-    /// Learns from the answer to a query what queries of its class need.
-    pub(crate) fn record_memory_need(&mut self, query: QueryId, cost: Option<Cost>, spilled: bool) {
-        let Some(query) = self.queries.get(query) else {
-            return;
-        };
-        let stats = &mut self.class_stats[query.class];
-        if let Some(cost) = cost {
+    /// Learns from an answer what queries of its class need.
+    pub(crate) fn record_memory_need(&mut self, class: usize, sample: &MemorySample) {
+        let stats = &mut self.class_stats[class];
+        if let Some(cost) = sample.cost {
             stats.memory_mb.record(cost.memory_mb, CLASS_GAIN);
-            let estimate = query.request.estimated_memory_mb.unwrap_or(0.0);
+            let estimate = sample.estimate_mb.unwrap_or(0.0);
             let regression = &mut stats.memory_regression;
             regression.record(estimate, cost.memory_mb, REGRESSION_GAIN);
-        } else if self.settings.memory_grants && !spilled {
+        } else if self.settings.memory_grants && !sample.has_spilled {
             stats.log_grant_correction -= GRANT_LOG_STEP * TARGET_SPILL_FRACTION;
         }
     }
