--- a/cluster/raft-storage/tests/error_texts.rs
+++ b/cluster/raft-storage/tests/error_texts.rs
@@ -1,5 +1,9 @@
 //! The texts of storage errors, which operators see at a failed start, are as in commit 5065b36.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use violetgate_raft::{Entry, Membership, Payload, SnapshotMetadata, StorageWrite};
 use violetgate_raft_storage::{Identity, RaftStorage};
--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -1,6 +1,11 @@
 //! Files cut at every byte, syncs that fail, a disk that is full, and a crash between any two
 //! operations.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use std::path::PathBuf;
 
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -1,6 +1,10 @@
 //! A replica's folder as commit 5065b36 wrote it: it is opened with all that it holds, and equal
 //! writes make equal bytes.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use std::collections::BTreeMap;
 
--- a/cluster/raft/src/config.rs
+++ b/cluster/raft/src/config.rs
@@ -2,6 +2,9 @@
 
 use crate::Micros;
 
+#[cfg(test)]
+mod tests;
+
 /// How a node behaves. All nodes of a cluster should have the same settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
--- /dev/null
+++ b/cluster/raft/src/heartbeat.rs
@@ -0,0 +1,77 @@
+//! The clock of a leader: heartbeat rounds, and stepping down without a majority.
+//!
+//! Each round has a number that its responses repeat. So the leader knows which peers have answered
+//! after a given moment, which is what linearizable reads need.
+
+use crate::role::RoleState;
+use crate::{NodeId, RaftNode};
+
+/// Unanswered messages time out after this many heartbeat intervals.
+const TIMEOUT_IN_HEARTBEATS: u64 = 2;
+
+impl RaftNode {
+    /// Steps down if a majority has not answered for an election time-out; otherwise sends
+    /// heartbeats when due.
+    pub(crate) fn tick_leader(&mut self) {
+        let now = self.now;
+        let RoleState::Leader(leader) = &mut self.role else {
+            return;
+        };
+        // A leader that a majority has not answered for so long was cut off, or stood still:
+        // another may lead by now. This is checked before anything else is done at the new time.
+        let oldest = now.saturating_sub(self.config.election_timeout);
+        let (id, progress) = (self.id, &leader.progress);
+        let is_alive = |peer: NodeId| {
+            peer == id
+                || progress
+                    .get(&peer)
+                    .is_some_and(|p| p.last_response >= oldest)
+        };
+        if !self.membership.membership.is_quorum(is_alive) {
+            return self.become_follower(self.hard_state.term, None);
+        }
+        leader.transfer.take_if(|t| t.deadline <= now);
+        if now >= leader.next_heartbeat {
+            leader.next_heartbeat = now + self.config.heartbeat_interval;
+            self.begin_heartbeat_round();
+        }
+    }
+
+    /// Begins a heartbeat round: every peer gets a message that also carries the entries that it
+    /// lacks.
+    pub(crate) fn begin_heartbeat_round(&mut self) {
+        let RoleState::Leader(leader) = &mut self.role else {
+            return;
+        };
+        leader.round += 1;
+        leader.has_unsent = false;
+        let patience = TIMEOUT_IN_HEARTBEATS * self.config.heartbeat_interval;
+        let deadline = self.now.saturating_sub(patience);
+        for progress in leader.progress.values_mut() {
+            progress.restart_if_timed_out(deadline);
+        }
+        for peer in self.peers() {
+            if !self.send_entries(peer) {
+                self.send_append(peer, Vec::new());
+            }
+        }
+        self.confirm_reads();
+    }
+
+    /// Sends what was appended since the last call; if a read waits for a round, begins one.
+    pub(crate) fn send_unsent(&mut self) {
+        let RoleState::Leader(leader) = &mut self.role else {
+            return;
+        };
+        if !std::mem::take(&mut leader.has_unsent) {
+            return;
+        }
+        let round = leader.round;
+        if leader.pending_reads.iter().any(|read| read.round > round) {
+            return self.begin_heartbeat_round();
+        }
+        for peer in self.peers() {
+            self.send_entries(peer);
+        }
+    }
+}
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -45,11 +45,13 @@
 //! ```
 
 mod action;
+mod append_entries;
 mod commit;
 mod config;
 mod durability;
 mod election;
 mod entry;
+mod heartbeat;
 mod leadership_transfer;
 mod log;
 mod membership;
--- a/cluster/raft/tests/encoding.rs
+++ b/cluster/raft/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! The bytes of each message, entry and stored value, as commit 5065b36 encodes them: replicas of
 //! that version and of this one work together during an upgrade, and read each other's disks.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
 
--- a/cluster/raft/tests/membership_model.rs
+++ b/cluster/raft/tests/membership_model.rs
@@ -2,7 +2,11 @@
 //! any node or none, commits by the majority of whatever membership the log names, and changes as
 //! [`Membership::after_change`] makes them. Models that leave out a rule of the implementation
 //! have to be caught.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use stateright::{Checker, Model, Property};
 use violetgate_raft::{Membership, MembershipChange, NodeId};
--- a/cluster/replica/src/config.rs
+++ b/cluster/replica/src/config.rs
@@ -9,13 +9,15 @@
 /// How a replica behaves.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaConfig {
-    /// The settings of Raft.
+    /// The settings of Raft; of the settings file, `election_timeout` and `heartbeat` go here.
     pub raft: Config,
-    /// A snapshot is saved after this many entries.
+    /// A snapshot is saved after this many entries; `snapshot_every` in the settings file.
     pub snapshot_interval: u64,
-    /// State that was not confirmed for this long is not routed by, in microseconds.
+    /// State that was not confirmed for this long is not routed by, in microseconds;
+    /// `drain_limit` in the settings file.
     pub max_staleness: Micros,
     /// How often the state is confirmed, in microseconds; a fraction of `max_staleness`.
+    /// `confirm_every` in the settings file.
     pub confirm_interval: Micros,
 }
 
--- a/cluster/replica/tests/encoding.rs
+++ b/cluster/replica/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! The bytes of each answer, as commit 5065b36 encodes them for another replica that has forwarded
 //! a call.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use violetgate_raft::ProposalError;
 use violetgate_replica::Response;
--- a/cluster/replica/tests/linearizable/main.rs
+++ b/cluster/replica/tests/linearizable/main.rs
@@ -6,7 +6,8 @@
     clippy::unwrap_used,
     clippy::panic,
     clippy::indexing_slicing,
-    clippy::expect_used
+    clippy::expect_used,
+    reason = "a test fails by panicking"
 )]
 
 mod clients;
--- a/cluster/replicated-state/tests/encoding.rs
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! The bytes of commands, outcomes and a whole store, as commit 5065b36 encodes them: replicas of
 //! that version and of this one read each other's entries and snapshots.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
 
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -1,5 +1,9 @@
 //! The store against a plain model that keeps every state it ever had.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use std::collections::BTreeMap;
 
--- a/cluster/replicated-state/tests/staleness_guard_model.rs
+++ b/cluster/replicated-state/tests/staleness_guard_model.rs
@@ -2,7 +2,11 @@
 //! confirmations and answers that are late or dropped, a replica that is cut off, or sleeps and
 //! wakes up. The code of [`StalenessGuard`] itself runs in the model; models in which it is
 //! ignored or used wrongly have to be caught.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by panicking"
+)]
 
 use stateright::{Checker, Model, Property};
 use violetgate_replicated_state::StalenessGuard;
