--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -3,9 +3,9 @@
 //! - Decides: [`AdmissionDecision`].
 //! - Inputs: the predicted wait (queued work over what the engines do for this gateway) and the
 //!   threshold, the longest wait with which the query can still be in time; both in seconds.
-//! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability that
-//!   falls from 1 to 0 as the predicted wait passes the threshold (a logistic function, after M.
-//!   Mazzucco, "Virtual queues from scratch, Part 4").
+//! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability
+//!   that falls from 1 to 0 as the predicted wait passes the threshold (a logistic function,
+//!   after M. Mazzucco, "Virtual queues from scratch, Part 4").
 //! - Reason: a queue that is longer than clients wait makes every query late.
 
 use crate::deadline::HIGH_LATE_FRACTION;
--- a/policy/src/attempt/progress.rs
+++ b/policy/src/attempt/progress.rs
@@ -1,12 +1,11 @@
 //! An attempt reports its progress.
 //!
 //! - Decides: [`ProgressDecision`].
-//! - Inputs: the fraction of its work that is done, the time that took, memory that it lacks, and
-//!   whether it is queued at the engine; the expected run and the predicted wait of a new attempt,
-//!   in seconds.
+//! - Inputs: the fraction of its work that is done, the time that took, memory that it lacks,
+//!   and whether it is queued at the engine; the expected run and the predicted wait of a new
+//!   attempt, in seconds.
 //! - Reason: an attempt that is stuck or far slower than expected is better off elsewhere, as
-//!   long
-//!   as a new one would be done well before it.
+//!   long as a new one would be done well before it.
 
 use crate::interface::{Action, EngineId, Micros, Progress, QueryId};
 use crate::memory_grant::cut_memory_quota;
--- a/policy/src/attempt/silence.rs
+++ b/policy/src/attempt/silence.rs
@@ -1,11 +1,10 @@
 //! A query's check is due: its attempt was silent for too long, or it is queued too long.
 //!
 //! - Decides: when an attempt counts as silent, and what follows.
-//! - Inputs: the time since it was last active, the progress period, or without progress reports
-//!   the expected run, in microseconds; other activity of its engine.
+//! - Inputs: the time since it was last active, the progress period, or without progress
+//!   reports the expected run, in microseconds; other activity of its engine.
 //! - Reason: an engine that hangs or loses queries answers nothing, so that only its silence
-//!   shows
-//!   it.
+//!   shows it.
 
 use crate::interface::{Action, EngineId, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
--- a/policy/src/bin/violetgate-simhost.rs
+++ b/policy/src/bin/violetgate-simhost.rs
@@ -1,40 +1,58 @@
-//! Links the decision module to the simulator: one line in, one line out, until input ends.
+//! Runs the decision module under the simulator: one line in, one line out, until input ends.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-use violetgate_policy::wire::Adapter;
+use violetgate_policy::wire::{Adapter, WireError};
+
+/// Why the program ends early.
+#[derive(Debug, thiserror::Error)]
+enum HostError {
+    /// A line could not be read.
+    #[error("line {number}: {error}")]
+    Read {
+        /// The number of the line, from 1.
+        number: u64,
+        #[source]
+        error: io::Error,
+    },
+    /// A line is malformed.
+    #[error("line {number}: {error}")]
+    Malformed {
+        /// The number of the line, from 1.
+        number: u64,
+        #[source]
+        error: WireError,
+    },
+    /// A reply could not be written.
+    #[error("{0}")]
+    Write(#[source] io::Error),
+}
 
 fn main() -> ExitCode {
-    match run() {
+    match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("violetgate-simhost: {what}");
+        Err(error) => {
+            eprintln!("violetgate-simhost: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let mut input = io::stdin().lock();
-    let mut output = io::stdout().lock();
+fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), HostError> {
     let mut adapter = Adapter::new();
     let mut line = String::new();
     for number in 1u64.. {
         line.clear();
-        if input
-            .read_line(&mut line)
-            .map_err(|e| format!("line {number}: {e}"))?
-            == 0
-        {
+        let read = input.read_line(&mut line);
+        if read.map_err(|error| HostError::Read { number, error })? == 0 {
             break;
         }
-        let reply = adapter
-            .line(&line)
-            .map_err(|e| format!("line {number}: {e}"))?;
+        let reply = adapter.line(&line);
+        let reply = reply.map_err(|error| HostError::Malformed { number, error })?;
         writeln!(output, "{reply}")
             .and_then(|()| output.flush())
-            .map_err(|e| e.to_string())?;
+            .map_err(HostError::Write)?;
     }
     Ok(())
 }
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -10,6 +10,9 @@
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
+/// Sums of threads are compared with this tolerance.
+pub(crate) const THREAD_ROUNDING: f64 = 1e-9;
+
 /// Why a query does not fit on an engine now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum NoCapacity {
@@ -121,9 +124,6 @@
     }
 }
 
-/// Sums of threads are compared with this tolerance.
-pub(crate) const THREAD_ROUNDING: f64 = 1e-9;
-
 fn memory_quota_blocks(query: &Query, engine: &EngineRecord) -> bool {
     engine.memory_mb.is_some_and(|memory_mb| {
         query.memory_mb > 0.0
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,14 +1,13 @@
 //! How many threads this gateway may use at an engine, and in all.
 //!
 //! - Decides: the thread limit of each engine, its growth and decrease, and whether one more
-//!   query
-//!   is within the limits of the fleet.
+//!   query is within the limits of the fleet.
 //! - Inputs: the cores of the engine, the number of gateways that use it, its speed (work per
 //!   thread-second, against the fleet's), utilisation from load reports (0 to 1), and late
 //!   answers.
 //! - Rule: each gateway starts with its fair share. A limit grows while the engine is near its
-//!   unloaded speed, or reports that it is not busy, and this gateway uses what it has; it shrinks
-//!   back to the fair share as answers slow down.
+//!   unloaded speed, or reports that it is not busy, and this gateway uses what it has; it
+//!   shrinks back to the fair share as answers slow down.
 //! - Reason: other gateways may use less than their share, but none sees what the others send.
 
 use crate::capacity::THREAD_ROUNDING;
@@ -124,8 +123,8 @@
             || (self.queries.attempts_out(query.class) == 0 && may_exceed)
     }
 
-    /// More or fewer gateways share the engines: this one's shares follow, with what they have
-    /// grown.
+    /// More or fewer gateways share the engines: the limits of this one follow, growth
+    /// included.
     pub(crate) fn on_fleet_size(&mut self, gateways: u32) {
         let ratio = self.gateways / f64::from(gateways.max(1));
         self.gateways /= ratio;
@@ -142,7 +141,9 @@
             .cpu_utilisation
             .into_iter()
             .chain(load.disk_utilisation);
-        let busiest = reported.filter(|part| *part >= 0.0).reduce(f64::max);
+        let busiest = reported
+            .filter(|utilisation| *utilisation >= 0.0)
+            .reduce(f64::max);
         let (Some(utilisation), Some(record)) = (busiest, self.engines.get(&engine)) else {
             return;
         };
@@ -233,7 +234,7 @@
             } else {
                 NEAR_UNLOADED_SPEED
             },
-            may_grow: !utilisation.is_some_and(|part| part > BUSY_UTILISATION),
+            may_grow: !utilisation.is_some_and(|busy| busy > BUSY_UTILISATION),
             is_in_use: threads > IN_USE_FRACTION * self.fleet.thread_capacity,
             is_late: sample.is_late,
             class_is_in_time: sample.late_fraction < HIGH_LATE_FRACTION,
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -1,9 +1,9 @@
 //! When a query has to be answered, and when it is given up.
 //!
-//! - Decides: the time by which an answer earns its full weight (the objective), whether that can
-//!   still be met, and when a queued query is given up.
-//! - Inputs: the deadline and objective of its class and its client, its expected run time, and,
-//!   for deduplicated queries, the time at which engines forget its first attempt; all in
+//! - Decides: the time by which an answer earns its full weight (the objective), whether that
+//!   can still be met, and when a queued query is given up.
+//! - Inputs: the deadline and objective of its class and its client, its expected run time,
+//!   and, for deduplicated queries, the time at which engines forget its first attempt; all in
 //!   microseconds.
 //! - Reason: a query that cannot be in time only delays those that can, and the retries of its
 //!   client prolong an overload.
@@ -18,7 +18,7 @@
 const LITTLE_LATE_WEIGHT: f64 = 0.5;
 /// The fraction of late answers at which a class counts as late.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
-/// A queued query is sent with at least this part of its client's time to go.
+/// The expected run of a queued query counts as no more than its client's timeout over this.
 const MAX_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -3,8 +3,8 @@
 //! - Decides: [`SendDenied`], or that an attempt of a query may go to an engine.
 //! - Inputs: the state of the query, the class's bounds on zones, kinds and repetition, the
 //!   engine's state in the list, and the limits on retries and on engines that are warming up.
-//! - Reason: these constraints hold whatever placement prefers. Every send passes them, once when
-//!   an engine is chosen and again when the attempt is sent.
+//! - Reason: these constraints hold whatever placement prefers. Every send passes them, once
+//!   when an engine is chosen and again when the attempt is sent.
 
 use crate::interface::Engine;
 use crate::state::{EngineRecord, Query};
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -1,10 +1,10 @@
 //! What follows from the engine list and from operators' cordons.
 //!
-//! - Decides: which engines are known and in use, what is remembered of an engine that restarts,
-//!   and when the list is subscribed to.
+//! - Decides: which engines are known and in use, what is remembered of an engine that
+//!   restarts, and when the list is subscribed to.
 //! - Inputs: snapshots and patches of the list, and cordons.
-//! - Reason: an engine with a new start time is a new process, of which nothing that was learned
-//!   holds; a cordon holds whatever the list says.
+//! - Reason: an engine with a new start time is a new process, of which nothing that was
+//!   learned holds; a cordon holds whatever the list says.
 
 use crate::interface::{Action, Engine, EngineId, EngineState, ListScope};
 use crate::state::{EngineRecord, InitialLimits};
--- a/policy/src/final_answer.rs
+++ b/policy/src/final_answer.rs
@@ -1,11 +1,11 @@
 //! The final answer to a query without a result, and what becomes of its attempt.
 //!
-//! - Decides: whether the query is rejected or failed, the retry-after time in microseconds, and
-//!   whether its attempt is cancelled.
+//! - Decides: whether the query is rejected or failed, the retry-after time in microseconds,
+//!   and whether its attempt is cancelled.
 //! - Inputs: the idempotency of its class, whether it may have run, the predicted wait and the
 //!   expected run.
-//! - Reason: a client may retry after a rejection without harm, so only queries that may have had
-//!   their effect are failed.
+//! - Reason: a client may retry after a rejection without harm, so only queries that may have
+//!   had their effect are failed.
 
 use crate::interface::{Action, DedupGroup, Idempotency, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
--- a/policy/src/fleet_totals.rs
+++ b/policy/src/fleet_totals.rs
@@ -4,9 +4,9 @@
 //!   credit.
 //! - Inputs: the thread limits and health of all engines, and the threads in use. Credit is in
 //!   thread-seconds.
-//! - Reason: limits change with time and with each answer, so that running sums would have to be
-//!   corrected at each. A pass over all engines is cheap for few engines, and for many it is made
-//!   only every [`MAX_TOTALS_AGE_US`].
+//! - Reason: limits change with time and with each answer, so that running sums would have to
+//!   be corrected at each. A pass over all engines is cheap for few engines, and for many it is
+//!   made only every [`MAX_TOTALS_AGE_US`].
 
 use crate::interface::Micros;
 use crate::placement::MAX_SCANNED_ENGINES;
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -1,13 +1,11 @@
 //! How much memory a query is granted, and how much of an engine's memory this gateway grants.
 //!
-//! - Decides: the grant of a query in megabytes, and this gateway's quota of an engine's memory,
-//!   a
-//!   fraction from 0 to 1.
+//! - Decides: the grant of a query in megabytes, and this gateway's quota of an engine's
+//!   memory, a fraction from 0 to 1.
 //! - Inputs: estimates that come with queries, the needs that answers report or, where they
-//!   report
-//!   none, how often queries spill to disk, and reports of queries that wait for memory.
-//! - Reason: a grant that is too small makes a query spill, which is slow; one that is too large
-//!   makes others wait.
+//!   report none, how often queries spill to disk, and reports of queries that wait for memory.
+//! - Reason: a grant that is too small makes a query spill, which is slow; one that is too
+//!   large makes others wait.
 
 use crate::interface::{Cost, NewQuery, QueryId};
 use crate::speed::CLASS_GAIN;
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,16 +1,15 @@
 //! Which engines are ejected as outliers, and when they are tried again.
 //!
-//! - Decides: the failure rate of each engine, in all and for each class, ejection, and the time
-//!   until the next trial.
+//! - Decides: the failure rate of each engine, in all and for each class, ejection, and the
+//!   time until the next trial.
 //! - Inputs: how attempts end, failed health checks, attempts that are silent for too long, and
 //!   the retry budget, since each trial of a bad engine costs a retry.
-//! - Rule: a moving failure rate above a threshold ejects an engine; a success in a trial lowers
-//!   it. Where over half of the engines are ejected, the cause is not theirs and ejection is
-//!   ignored.
+//! - Rule: a moving failure rate above a threshold ejects an engine; a success in a trial
+//!   lowers it. Where over half of the engines are ejected, the cause is not theirs and
+//!   ejection is ignored.
 //! - Reason: an engine that fails fast seems free and would attract all queries.
 
 use crate::concurrency_limit::FAR_BELOW_UNLOADED_SPEED;
-use crate::deadline::HIGH_LATE_FRACTION;
 use crate::interface::{EngineId, Micros, Outcome, QueryId};
 use crate::state::{EngineRecord, Health, HealthCounts};
 use crate::units::{micros, seconds};
@@ -25,10 +24,12 @@
 /// The failure rate above which an engine is ejected, and below which it is trusted again.
 const EJECTION_RATE: f64 = 0.4;
 const TRUST_RATE: f64 = 0.12;
+/// The fraction of silent attempts of a class at which one says little of its engine.
+const USUAL_SILENT_FRACTION: f64 = 0.1;
 /// Control periods from an ejection to the first trial; doubled so many times at failed trials.
 const EJECTION_PERIODS: f64 = 1.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 1;
-/// The part of the retry budget that trials of ejected engines may take.
+/// The fraction of the retry budget that trials of ejected engines may take.
 const TRIAL_BUDGET_FRACTION: f64 = 0.25;
 /// A class avoids the engines that fail it only while one engine in this many serves it.
 const MIN_SERVING_DIVISOR: usize = 3;
@@ -111,7 +112,7 @@
         } else {
             class_silent_fraction
         };
-        let weight = (1.0 - usual / HIGH_LATE_FRACTION).max(FAILURE_WEIGHT);
+        let weight = (1.0 - usual / USUAL_SILENT_FRACTION).max(FAILURE_WEIGHT);
         self.record_failure_of_weight(engine, weight);
     }
 
@@ -129,7 +130,7 @@
     }
 
     /// Whether so many engines serve a class that it may avoid the others; otherwise the cause is
-    /// shared.
+    /// not theirs.
     pub(crate) fn enough_engines_serve(&self, class: usize) -> bool {
         let counts = self.health_counts();
         MIN_SERVING_DIVISOR * counts.serving(class) >= counts.healthy
@@ -158,7 +159,7 @@
     }
 
     /// How long an ejected engine goes without a trial: so long that the trials of all of them
-    /// take no more than their part of the retry budget.
+    /// take no more than their fraction of the retry budget.
     fn ejection_time(&self) -> Micros {
         let shortest = self.control_periods(EJECTION_PERIODS);
         let Some(budget) = self.settings.retry_budget else {
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -4,14 +4,12 @@
 //!   ([`eligibility`](crate::eligibility)) and have capacity ([`capacity`](crate::capacity)).
 //! - Inputs: the free threads of each engine, its zone, warm-up and recent load, and this
 //!   gateway's seed.
-//! - Rule: where engines are few, or this gateway's share of each is large, each query scans all
-//!   of
-//!   them. Of many, it samples a few: first from this gateway's subset, as many engines as its
-//!   rate of queries occupies, then from ever more until one is idle.
+//! - Rule: where engines are few, or this gateway's share of each is large, each query scans
+//!   all of them. Of many, it samples a few: first from this gateway's subset, as many engines
+//!   as its rate of queries occupies, then from ever more until one is idle.
 //! - Reason: a scan of thousands of engines for each query would take too long, and an engine
-//!   that
-//!   a gateway uses often has a warm connection and up-to-date statistics. Sampling does badly
-//!   where few engines fit.
+//!   that a gateway uses often has a warm connection and up-to-date statistics. Sampling does
+//!   badly where few engines fit.
 
 use rand_chacha::rand_core::RngCore;
 
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -1,10 +1,9 @@
 //! How queries rank against each other at a busy engine.
 //!
-//! - Decides: the priority of an attempt, 0 (lowest) to 3, and how many threads a query competes
-//!   with.
+//! - Decides: the priority of an attempt, 0 (lowest) to 3, and how many threads a query
+//!   competes with.
 //! - Inputs: the priority weight of its class, its expected work in seconds on one thread, and
-//!   the
-//!   means of both over all queries.
+//!   the means of both over all queries.
 //! - Reason: where not all can be in time, those that earn the most weight for their work come
 //!   first. Without priorities at the engines all queries rank alike.
 
--- a/policy/src/queueing.rs
+++ b/policy/src/queueing.rs
@@ -3,10 +3,10 @@
 //! - Decides: when a query enters its queue, and which one is sent as capacity opens.
 //! - Inputs: the order of arrival, the ordering keys of queries and their open attempts, and
 //!   whether the retry budget is spent.
-//! - Rule: each class has a queue. The oldest query at the head of any queue is sent, if it fits
-//!   on an engine; otherwise the next oldest head.
-//! - Reason: in order of arrival no query is passed over for ever, and a query that fits nowhere
-//!   holds up its own class only.
+//! - Rule: each class has a queue. The oldest query at the head of any queue is sent, if it
+//!   fits on an engine; otherwise the next oldest head.
+//! - Reason: in order of arrival no query is passed over for ever, and a query that fits
+//!   nowhere holds up its own class only.
 
 use crate::interface::{Action, EngineId, Micros, Outcome, QueryId};
 use crate::state::{KeyHold, Query};
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -12,7 +12,7 @@
 use crate::units::micros;
 use crate::Gateway;
 
-/// A retry has to leave time for a run, but for no more than this part of the client's time.
+/// The expected run of a retry counts as no more than its client's timeout over this.
 const MAX_RUN_DIVISOR: u64 = 4;
 
 /// What follows once an attempt of a query has ended.
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -1,14 +1,13 @@
 //! How much work an engine gets while it warms up.
 //!
-//! - Decides: the fraction of its capacity that an engine surely has by now, and whether a query
-//!   may go to it.
-//! - Inputs: when its process started, the slow start window, the initial fraction, and the load
-//!   (a multiple of its present capacity, throughout the collapse window) under which it fails;
-//!   times in microseconds, work in seconds on one thread.
+//! - Decides: the fraction of its capacity that an engine surely has by now, and whether a
+//!   query may go to it.
+//! - Inputs: when its process started, the slow start window, the initial fraction, and the
+//!   load (a multiple of its present capacity, throughout the collapse window) under which it
+//!   fails; times in microseconds, work in seconds on one thread.
 //! - Rule: each gateway sends no more than its share of what the engine sustains. Where that
-//!   share
-//!   is less than a query, each draws whether it may send one, so that the sum over all gateways
-//!   is within what the engine sustains, deviations included.
+//!   share is less than a query, each draws whether it may send one, so that the sum over all
+//!   gateways is within what the engine sustains, deviations included.
 //! - Reason: an engine with empty caches that gets its full load at once fails, and no gateway
 //!   sees what the others send.
 
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -2,8 +2,8 @@
 //!
 //! - Decides: the expected work and run time of a query.
 //! - Inputs: estimates that come with queries, and the costs and times of answers. Work is in
-//!   seconds on one thread, speed in seconds of work per thread-second: 1 for an engine that runs
-//!   a query as if alone, less as queries compete for cores.
+//!   seconds on one thread, speed in seconds of work per thread-second: 1 for an engine that
+//!   runs a query as if alone, less as queries compete for cores.
 //! - Reason: admission, deadlines and limits need to know how long a query will take under the
 //!   present load.
 
--- a/policy/src/timers.rs
+++ b/policy/src/timers.rs
@@ -1,8 +1,8 @@
 //! When the gateway acts without an event.
 //!
 //! - Decides: when the next timer fires, and which queries are checked then.
-//! - Inputs: the time at which each query is to be checked, whether any query is queued, and the
-//!   control period, all in microseconds.
+//! - Inputs: the time at which each query is to be checked, whether any query is queued, and
+//!   the control period, all in microseconds.
 //! - Reason: capacity can also open without an event, when a backoff ends or the limit of an
 //!   engine that is warming up grows.
 
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -6,7 +6,7 @@
 };
 use violetgate_policy::Event;
 
-use super::{Asked, Due, Fault, World, MS, S};
+use super::{Due, Fault, KnownQuery, World, MS, S};
 
 /// An engine as it really is.
 pub struct Machine {
@@ -62,7 +62,7 @@
             10 * S
         };
         let estimate = 1 + work * (40 + self.draw(160)) / 100;
-        let asked = NewQuery {
+        let request = NewQuery {
             id,
             class,
             tenant: (id % 4) as u32,
@@ -76,9 +76,9 @@
         };
         if self.one_in(25) {
             let wait = self.draw(2 * S);
-            self.later(wait, Due::ClientGone(id));
+            self.later(wait, Due::ClientDisconnects(id));
         }
-        let kept = Asked {
+        let known = KnownQuery {
             class,
             deadline: self.now + client_timeout,
             work,
@@ -88,21 +88,21 @@
             granted_mb: 0.0,
             finished: false,
         };
-        self.asked.insert(id, kept);
-        Event::QueryArrived(asked)
+        self.known.insert(id, known);
+        Event::QueryArrived(request)
     }
 
     pub(super) fn send(&mut self, query: QueryId, engine: EngineId) {
         self.seen.sends += 1;
-        let Some(asked) = self.asked.get_mut(&query) else {
+        let Some(known) = self.known.get_mut(&query) else {
             return;
         };
-        self.seen.further_sends += u32::from(asked.attempts > 0);
-        let attempt = asked.attempts;
-        asked.attempts += 1;
-        asked.out = Some((engine, self.now));
-        let (class, work, deadline) = (asked.class, asked.work, asked.deadline);
-        let lacks = asked.memory_mb - asked.granted_mb;
+        self.seen.further_sends += u32::from(known.attempts > 0);
+        let attempt = known.attempts;
+        known.attempts += 1;
+        known.out = Some((engine, self.now));
+        let (class, work, deadline) = (known.class, known.work, known.deadline);
+        let lacks = known.memory_mb - known.granted_mb;
         let machine = &mut self.engines[engine as usize];
         machine.out += 1;
         let fault = machine.fault;
@@ -162,15 +162,15 @@
             return None;
         }
         let settled = outcome == Outcome::Completed;
-        let asked = self.asked.get_mut(&query)?;
-        let (engine, sent) = asked.out.take()?;
-        let (work, memory_mb) = (asked.work, asked.memory_mb);
-        if asked.finished || settled {
-            self.asked.remove(&query);
+        let known = self.known.get_mut(&query)?;
+        let (engine, sent) = known.out.take()?;
+        let (work, memory_mb) = (known.work, known.memory_mb);
+        if known.finished || settled {
+            self.known.remove(&query);
         }
         self.engines[engine as usize].out -= 1;
         let elapsed = self.now - sent;
-        let cost = (settled && self.scenario.tells_cost).then_some(Cost { work, memory_mb });
+        let cost = (settled && self.scenario.reports_cost).then_some(Cost { work, memory_mb });
         let load = self.load(engine);
         Some(Event::AttemptEnded(AttemptEnded {
             query,
@@ -201,7 +201,7 @@
     /// Something happens to the engines, or to those who share them.
     pub(super) fn disturb(&mut self) -> Event {
         let wait = 1 + self.draw(120 * MS);
-        self.later(wait, Due::Disturb);
+        self.later(wait, Due::EngineFault);
         let engine = self.draw(u64::from(self.scenario.engines)) as EngineId;
         match self.draw(14) {
             0..=3 => self.strike(engine),
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -25,8 +25,8 @@
     pub events: u32,
     /// Mean time between arrivals.
     pub gap: Micros,
-    /// Engines tell what an answer cost.
-    pub tells_cost: bool,
+    /// Engines report what an answer cost.
+    pub reports_cost: bool,
     /// Load reports come with answers and probes.
     pub reports: bool,
     pub settings: Settings,
@@ -52,7 +52,7 @@
     /// A new query; the next one follows.
     Arrive,
     /// A query of a client that was refused.
-    ComeBack,
+    ClientRetry,
     End {
         query: QueryId,
         attempt: u32,
@@ -64,14 +64,14 @@
         progress: Progress,
     },
     Streams(QueryId),
-    ClientGone(QueryId),
-    Disturb,
+    ClientDisconnects(QueryId),
+    EngineFault,
     List(ListScope),
     Timer,
 }
 
 /// What the embedding knows of a query.
-struct Asked {
+struct KnownQuery {
     class: u32,
     deadline: Micros,
     work: Micros,
@@ -105,7 +105,7 @@
     due: BTreeMap<(Micros, u64), Due>,
     sequence: u64,
     next_query: QueryId,
-    asked: BTreeMap<QueryId, Asked>,
+    known: BTreeMap<QueryId, KnownQuery>,
     engines: Vec<load::Machine>,
     digest: Digest,
     seen: Seen,
@@ -129,7 +129,7 @@
             due: BTreeMap::new(),
             sequence: 0,
             next_query: 0,
-            asked: BTreeMap::new(),
+            known: BTreeMap::new(),
             engines: load::machines(scenario.engines),
             digest: Digest::default(),
             seen: Seen::default(),
@@ -137,7 +137,7 @@
         };
         world.later(0, Due::List(ListScope::Snapshot));
         world.later(1, Due::Arrive);
-        world.later(50 * MS, Due::Disturb);
+        world.later(50 * MS, Due::EngineFault);
         world
     }
 
@@ -189,8 +189,8 @@
                 query, memory_mb, ..
             } => {
                 self.seen.terms += 1;
-                if let Some(asked) = self.asked.get_mut(&query) {
-                    asked.granted_mb = memory_mb;
+                if let Some(known) = self.known.get_mut(&query) {
+                    known.granted_mb = memory_mb;
                 }
             }
             Action::Send { query, engine, .. } => self.send(query, engine),
@@ -212,7 +212,7 @@
                 self.answered(query);
                 // Some clients come back.
                 if self.one_in(3) {
-                    self.later(retry_after + 1, Due::ComeBack);
+                    self.later(retry_after + 1, Due::ClientRetry);
                 }
             }
             Action::Fail { query } => {
@@ -231,12 +231,12 @@
     }
 
     fn answered(&mut self, query: QueryId) {
-        let gone = self.asked.get_mut(&query).is_some_and(|asked| {
-            asked.finished = true;
-            asked.out.is_none()
+        let gone = self.known.get_mut(&query).is_some_and(|known| {
+            known.finished = true;
+            known.out.is_none()
         });
         if gone {
-            self.asked.remove(&query);
+            self.known.remove(&query);
         }
     }
 
@@ -246,7 +246,7 @@
                 self.next_arrival();
                 Some(self.arrive())
             }
-            Due::ComeBack => Some(self.arrive()),
+            Due::ClientRetry => Some(self.arrive()),
             Due::End {
                 query,
                 attempt,
@@ -262,25 +262,25 @@
                 progress,
             }),
             Due::Streams(query) => {
-                let asked = self.asked.get(&query)?;
-                (!asked.finished && asked.out.is_some()).then_some(Event::ResponseStarted { query })
+                let known = self.known.get(&query)?;
+                (!known.finished && known.out.is_some()).then_some(Event::ResponseStarted { query })
             }
-            Due::ClientGone(query) => {
-                if self.asked.get(&query)?.finished {
+            Due::ClientDisconnects(query) => {
+                if self.known.get(&query)?.finished {
                     return None;
                 }
                 self.answered(query);
                 Some(Event::ClientDisconnected { query })
             }
-            Due::Disturb => Some(self.disturb()),
+            Due::EngineFault => Some(self.disturb()),
             Due::List(scope) => Some(self.list(scope)),
             Due::Timer => Some(Event::TimerFired),
         }
     }
 
     fn is_out(&self, query: QueryId, attempt: u32) -> bool {
-        self.asked
+        self.known
             .get(&query)
-            .is_some_and(|asked| asked.out.is_some() && asked.attempts == attempt + 1)
+            .is_some_and(|known| known.out.is_some() && known.attempts == attempt + 1)
     }
 }
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -126,7 +126,7 @@
         engines,
         events: 15_000,
         gap: gap * MS,
-        tells_cost: true,
+        reports_cost: true,
         reports: true,
         settings,
     }
@@ -135,7 +135,7 @@
 /// Without reports and costs.
 fn untold(scenario: Scenario) -> Scenario {
     Scenario {
-        tells_cost: false,
+        reports_cost: false,
         reports: false,
         ..scenario
     }
