--- a/cluster/replica-runtime/src/framing.rs
+++ b/cluster/replica-runtime/src/framing.rs
@@ -24,7 +24,7 @@
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
 /// Bytes that are read at a time.
 const READ_BYTES: usize = 16 << 10;
-/// Bytes of memory that a connection keeps between two frames.
+/// Bytes of buffer that a connection holds between two frames.
 const IDLE_BUFFER_BYTES: usize = 4 << 10;
 
 thread_local! {
@@ -91,7 +91,7 @@
     }
 
     /// Reads more bytes.
-    pub(crate) async fn fill(&mut self, stream: &Async<TcpStream>) -> Result<(), CloseReason> {
+    pub(crate) async fn read_more(&mut self, stream: &Async<TcpStream>) -> Result<(), CloseReason> {
         let bytes = &mut self.bytes;
         let read = stream.read_with(|mut stream| {
             READ_BUFFER.with(|buffer| {
@@ -118,7 +118,7 @@
             if let Some(decoded) = self.next(max_bytes)? {
                 return Ok(decoded);
             }
-            self.fill(stream).await?;
+            self.read_more(stream).await?;
         }
     }
 
@@ -161,7 +161,7 @@
 }
 
 /// Closes this side of a connection and waits shortly for the other one. A socket that is closed with unread input resets
-/// the connection, and what was written last could be lost.
+/// the connection, and what was written last might not arrive.
 pub(crate) async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let skipping = async {
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -160,7 +160,7 @@
                 Ok(Received::ConnectionIsEnding) => return pending().await,
                 Err(reason) => return reason,
             }
-            if let Err(reason) = reader.fill(self.stream).await {
+            if let Err(reason) = reader.read_more(self.stream).await {
                 return reason;
             }
             future::yield_now().await;
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`bootstrap`]: making a replica's folder.
 //! - [`startup`]: opening it and starting all tasks.
-//! - [`effects`]: carrying out what the core asks for.
+//! - [`effects`]: carrying out what the core requests.
 //! - [`storage_worker`]: the thread that writes to disk.
 //! - [`calls`], [`forwarding`]: calls of this program, carried out here or by the leader.
 //! - [`fleet_reports`]: how far all front ends are, as observers report it.
@@ -114,7 +114,7 @@
         self.callbacks.borrow_mut().push(callback);
     }
 
-    /// The whole state, encoded for a backup.
+    /// The state, encoded for a backup.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
         self.replica.borrow().store().to_snapshot()
--- a/cluster/replica-runtime/src/runtime/bootstrap.rs
+++ b/cluster/replica-runtime/src/runtime/bootstrap.rs
@@ -42,8 +42,8 @@
 }
 
 impl ReplicaRuntime {
-    /// Makes a replica's folder. This is done once: a folder that is lost can't be made again under the same id, as the
-    /// term and vote are lost with it. `disk_id` is a random number that tells the one from the other.
+    /// Makes a replica's folder. This is done once: a replica without its old folder has forgotten its term and vote, and
+    /// must not return under the same id. `disk_id` is a random number by which the others recognise the folder.
     ///
     /// # Errors
     ///
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -46,12 +46,14 @@
     /// Proposes a command here, once. With a request id it may be proposed again: it is applied once.
     pub async fn propose(
         &self,
-        request: Option<String>,
-        who: &str,
-        step: Operation,
+        request_id: Option<String>,
+        actor: &str,
+        operation: Operation,
         timeout: Duration,
     ) -> CallOutcome {
-        let start = |replica: &mut Replica, id| replica.propose(id, request, who.to_owned(), step);
+        let start = |replica: &mut Replica, id| {
+            replica.propose(id, request_id, actor.to_owned(), operation);
+        };
         self.call(timeout, start).await
     }
 
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -31,7 +31,8 @@
 
 impl ReplicaRuntime {
     /// Has a call carried out by whoever leads. It is made again, under its one request id, until its outcome is known
-    /// or the time is over. After [`CallOutcome::TimedOut`] it may still be committed; the same call again tells.
+    /// or the time is over. After [`CallOutcome::TimedOut`] it may still be committed; the same call
+    /// again returns its outcome.
     pub async fn submit(&self, call: Call, timeout: Duration) -> CallOutcome {
         let deadline = Instant::now() + timeout;
         let mut earlier = EarlierAttempts::HadNoEffect;
@@ -74,8 +75,13 @@
     /// Carries a call out here, if this replica leads.
     async fn carry_out_here(&self, call: Call, timeout: Duration) -> CallOutcome {
         match call {
-            Call::Propose { request, who, step } => {
-                self.propose(Some(request), &who, step, timeout).await
+            Call::Propose {
+                request_id,
+                actor,
+                operation,
+            } => {
+                self.propose(Some(request_id), &actor, operation, timeout)
+                    .await
             }
             Call::ChangeMembership(change) => self.change_membership(change, timeout).await,
             Call::TransferLeadership(to) => {
@@ -124,7 +130,7 @@
     pub(super) fn on_forwarded_answer(&self, id: CallId, answer: Response) {
         let pending = self.forwarded_calls.borrow().get(&id).cloned();
         if let Some(pending) = pending {
-            pending.fill(answer);
+            pending.complete(answer);
         }
     }
 
--- a/cluster/replica-runtime/src/runtime/pending_answer.rs
+++ b/cluster/replica-runtime/src/runtime/pending_answer.rs
@@ -22,7 +22,7 @@
 
 impl PendingAnswer {
     /// The answer has arrived.
-    pub(super) fn fill(&self, answer: Response) {
+    pub(super) fn complete(&self, answer: Response) {
         *self.answer.borrow_mut() = Some(answer);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
--- a/cluster/replica-runtime/src/runtime/storage_worker.rs
+++ b/cluster/replica-runtime/src/runtime/storage_worker.rs
@@ -12,7 +12,7 @@
 /// The delay before a write that failed, as on a full disk, is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// What the thread is asked for.
+/// A job of the thread.
 pub(super) enum StorageJob {
     Write(Vec<StorageWrite>),
     SaveSnapshot {
@@ -74,7 +74,7 @@
             Ok(()) => {}
             Err(WorkerEnd::RuntimeDropped) => return,
             Err(WorkerEnd::Failed(error)) => {
-                // If nobody receives it, there is nobody left to stop.
+                // If the runtime is gone, it needs no report.
                 let _ = worker.report(StorageEvent::Failed(error));
                 return;
             }
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -1,4 +1,4 @@
-//! A front end's subscription: connects to observers as the [`Subscriber`] core asks, and holds the replica.
+//! A front end's subscription: connects to observers as the [`Subscriber`] core requests, and holds the replica.
 
 mod observer_connection;
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     ///
-    /// The replica can't be kept fresh with this configuration.
+    /// The replica would be stale between two polls, or another figure makes no sense.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         config: SubscriberConfig,
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -136,7 +136,7 @@
             if let Err(end) = self.receive_buffered(reader) {
                 return end;
             }
-            if let Err(reason) = reader.fill(stream).await {
+            if let Err(reason) = reader.read_more(stream).await {
                 return reason.into();
             }
             future::yield_now().await;
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -1,7 +1,7 @@
 //! The connections between replicas.
 //!
-//! Each replica makes one connection to each other one, on which it sends and never receives: [`outgoing`]. Those that
-//! the others make to it are [`incoming`]. A connection that fails is made again after a backoff. A message that finds
+//! Each replica makes one connection to each other one, on which it sends and never receives: `outgoing`. Those that
+//! the others make to it are `incoming`. A connection that fails is made again after a backoff. A message that finds
 //! its queue full is dropped: Raft sends again what matters.
 
 mod incoming;
@@ -36,7 +36,7 @@
 struct Peer {
     address: SocketAddr,
     queue: Rc<PeerQueue>,
-    /// Keeps the connection; ends with the peer.
+    /// Maintains the connection; ends with the peer.
     _task: Task<()>,
 }
 
@@ -103,16 +103,16 @@
     fn connect_to(&self, id: NodeId, address: SocketAddr) -> Peer {
         let queue = Rc::new(PeerQueue::default());
         let transport = self.weak_self.clone();
-        let keeping = outgoing::keep_connected(transport, id, address, Rc::clone(&queue));
+        let connection = outgoing::keep_connected(transport, id, address, Rc::clone(&queue));
         Peer {
             address,
             queue,
-            _task: self.executor.spawn(keeping),
+            _task: self.executor.spawn(connection),
         }
     }
 
-    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it may have lost its term
-    /// and vote.
+    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it may have
+    /// forgotten its term and vote.
     pub fn set_known_disks(&self, disks: BTreeMap<NodeId, u64>) {
         *self.known_disks.borrow_mut() = disks;
     }
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -68,7 +68,7 @@
     Accepted,
 }
 
-/// Keeps a connection to a replica until the transport is dropped, and writes what is queued for it.
+/// Maintains a connection to a replica until the transport is dropped, and writes what is queued for it.
 pub(super) async fn keep_connected(
     transport: Weak<Transport>,
     id: NodeId,
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -7,6 +7,11 @@
 mod frame;
 mod hello;
 #[cfg(test)]
+#[expect(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a test fails by a panic"
+)]
 mod tests;
 
 pub(crate) use codec::{decode_frame, encode_frame, Decoded, FRAME_HEADER_BYTES};
--- a/cluster/replica-runtime/src/wire/frame.rs
+++ b/cluster/replica-runtime/src/wire/frame.rs
@@ -6,17 +6,17 @@
 use violetgate_replicated_state::Operation;
 use violetgate_state_distribution::ProgressSummary;
 
-/// What a replica may be asked to commit.
+/// What a client may have committed, by any replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// A command. Its request id makes it idempotent.
     Propose {
         /// The request's id.
-        request: String,
-        /// Who asks for it, for the change log.
-        who: String,
+        request_id: String,
+        /// The client, for the change log.
+        actor: String,
         /// What it does.
-        step: Operation,
+        operation: Operation,
     },
     /// One change of the membership.
     ChangeMembership(MembershipChange),
--- a/cluster/replica-runtime/src/wire/hello.rs
+++ b/cluster/replica-runtime/src/wire/hello.rs
@@ -52,7 +52,7 @@
     /// It has this replica's id.
     #[error("it has this member's id, {id}")]
     DuplicateId { id: NodeId },
-    /// Its disk is not the one that the cluster knows: it may have lost its term and vote, and vote twice.
+    /// Its disk is not the one that the cluster knows: it may have forgotten its vote, and vote twice.
     #[error("member {id} had another disk: it may have forgotten its votes")]
     UnknownDisk { id: NodeId },
 }
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -222,9 +222,9 @@
 
 fn calls() -> Vec<Call> {
     let propose = |step| Call::Propose {
-        request: "r-1".to_owned(),
-        who: "operator".to_owned(),
-        step,
+        request_id: "r-1".to_owned(),
+        actor: "operator".to_owned(),
+        operation: step,
     };
     let mut calls: Vec<Call> = steps().into_iter().map(propose).collect();
     calls.extend([
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -178,9 +178,9 @@
     /// Takes a step, once; the revision after it.
     pub async fn step(&mut self, step: Operation) -> Revision {
         let call = Call::Propose {
-            request: format!("r-{}", self.requests),
-            who: "test".to_owned(),
-            step,
+            request_id: format!("r-{}", self.requests),
+            actor: "test".to_owned(),
+            operation: step,
         };
         match self.agree(call).await {
             Response::Applied(Outcome::Applied { revision, .. }) => revision,
--- a/cluster/replica-runtime/tests/three.rs
+++ b/cluster/replica-runtime/tests/three.rs
@@ -306,9 +306,9 @@
     (1..=3).for_each(|id| three.begin(id, vec![1, 2, 3]));
     let executor = Rc::clone(&three.executor);
     let call = |n: u8| Call::Propose {
-        request: format!("r-{n}"),
-        who: "test".to_owned(),
-        step: Operation::Txn(Txn {
+        request_id: format!("r-{n}"),
+        actor: "test".to_owned(),
+        operation: Operation::Txn(Txn {
             then: vec![Mutation::Put {
                 key: "k".to_owned(),
                 value: vec![n],
--- a/cluster/state-distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -52,7 +52,7 @@
     pub capacity: u32,
 }
 
-/// One entry as a revision left it.
+/// One entry after a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EntryChange {
     /// The revision that made the change.
@@ -119,7 +119,7 @@
 /// A message from an observer to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ObserverMessage {
-    /// All changes after `after` up to `to`, in order, whole revisions only. Consecutive messages leave no gap: each
+    /// All changes after `after` up to `to`, in order, complete revisions only. There is no gap between messages: each
     /// `after` is the `to` of the one before.
     Changes {
         /// The revision that the subscriber has to hold.
@@ -145,9 +145,9 @@
         /// This is the last chunk.
         last: bool,
     },
-    /// Too many snapshot transfers are under way: the request is queued, and answered in its turn.
+    /// Too many snapshot transfers are under way: the request is queued.
     SnapshotQueued {
-        /// Requests ahead of this one.
+        /// Requests queued before this one.
         position: u32,
     },
     /// The state was current at some moment after the poll arrived here, at this revision or later.
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -11,7 +11,7 @@
 /// Bytes of a message for each entry beside its key and value.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
 
-/// Consecutive whole revisions.
+/// Consecutive revisions, each complete.
 #[derive(Debug, Clone)]
 pub(super) struct ChangeBatch {
     pub after: Revision,
@@ -30,7 +30,7 @@
     }
 }
 
-/// The changes after a revision, cut once they exceed `max_bytes`, but one whole revision at least; `None`: there are
+/// The changes after a revision, cut once they exceed `max_bytes`, but one complete revision at least; `None`: there are
 /// none.
 pub(super) fn changes_after(
     store: &Store,
--- a/cluster/state-distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -37,7 +37,7 @@
 
 /// Identifies a subscriber's connection. The caller chooses it, and never uses one twice.
 pub type ConnectionId = u64;
-/// Identifies a linearizable read that the observer has asked for.
+/// Identifies a linearizable read that the observer has requested.
 pub type ReadId = u64;
 
 /// About the bytes of a message that carries neither changes nor entries.
@@ -81,7 +81,7 @@
     /// Subscribers that are sent each change as it is applied.
     pub current: usize,
     /// Subscribers that wait for a revision that is not applied here yet.
-    pub ahead: usize,
+    pub awaiting: usize,
     /// Connections whose polls wait for the next read.
     pub polls_waiting: usize,
     /// Connections whose polls are answered by the read that is under way.
@@ -105,7 +105,7 @@
     /// Connections that were sent all changes up to `revision`.
     current: BTreeSet<ConnectionId>,
     /// Connections that wait for a revision that is not applied here yet.
-    ahead: BTreeSet<(Revision, ConnectionId)>,
+    awaiting: BTreeSet<(Revision, ConnectionId)>,
     polls: PollQueue,
     snapshots: SnapshotSlots,
     progress: ProgressTable,
@@ -125,7 +125,7 @@
             connections: BTreeMap::new(),
             revision: 0,
             current: BTreeSet::new(),
-            ahead: BTreeSet::new(),
+            awaiting: BTreeSet::new(),
             polls: PollQueue::new(config.min_read_interval, now),
             snapshots: SnapshotSlots::new(config.max_concurrent_snapshots),
             progress: ProgressTable::default(),
@@ -229,7 +229,7 @@
             let claimed = pending.claimed_revision;
             if let Some(theirs) = claimed.filter(|theirs| *theirs > revision) {
                 let ours = revision;
-                self.close(id, Rejection::RevisionAhead { theirs, ours });
+                self.close(id, Rejection::FutureRevision { theirs, ours });
             }
         }
         self.begin_read();
@@ -303,7 +303,7 @@
         ObserverSizes {
             subscribers: self.connections.len(),
             current: self.current.len(),
-            ahead: self.ahead.len(),
+            awaiting: self.awaiting.len(),
             polls_waiting: self.polls.connections_waiting(),
             polls_reading: self.polls.connections_reading(),
             snapshots_active: active,
--- a/cluster/state-distribution/src/observer/polls.rs
+++ b/cluster/state-distribution/src/observer/polls.rs
@@ -1,6 +1,6 @@
 //! Freshness polls: one linearizable read answers all polls that arrived before it began.
 //!
-//! A poll that arrives while a read is under way waits for the next one: a read proves nothing about what was asked after
+//! A poll that arrives while a read is under way waits for the next one: a read proves nothing about the time after
 //! its beginning. At most one read is under way. The next begins once that has ended, and no sooner than
 //! [`min_read_interval`](super::ObserverConfig::min_read_interval) after its beginning. Polls whose read failed wait for
 //! the next read until they are older than [`POLL_LIFETIME_US`].
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Keeps the polls that still count, and puts `newer` ones behind them.
+    /// Drops the polls that are too old, and appends newer ones.
     fn merge(&mut self, now: Micros, newer: PendingPolls) {
         let counts = |poll: &Poll| now.saturating_sub(poll.received_at) < POLL_LIFETIME_US;
         self.polls.retain(counts);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Polls without an answer wait for the next read, ahead of those that arrived since.
+    /// Polls without an answer wait for the next read, before those that arrived since.
     fn requeue(&mut self, now: Micros, batch: PollBatch) {
         for (connection, mut pending) in batch {
             let newer = self.waiting.remove(&connection).unwrap_or_default();
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -30,7 +30,7 @@
             connection.snapshot = Some(SnapshotRequest { from });
         }
         match revision.filter(|revision| *revision > self.revision) {
-            Some(ahead) => self.wait_for_revision(id, ahead),
+            Some(revision) => self.wait_for_revision(id, revision),
             None => self.serve_snapshot(id, store),
         }
     }
--- a/cluster/state-distribution/src/observer/subscriber_connection.rs
+++ b/cluster/state-distribution/src/observer/subscriber_connection.rs
@@ -19,7 +19,7 @@
     /// All up to this revision, which is older than the observer's.
     Behind(Revision),
     /// None: it holds this revision, which this observer does not have yet.
-    Ahead(Revision),
+    AwaitingRevision(Revision),
 }
 
 /// A request for a snapshot chunk that is not answered yet.
@@ -73,7 +73,7 @@
 
     /// The revision that this connection waits for the observer to apply.
     pub fn awaited_revision(&self) -> Option<Revision> {
-        if let Watch::Ahead(revision) = self.watch {
+        if let Watch::AwaitingRevision(revision) = self.watch {
             return Some(revision);
         }
         let cursor = self.snapshot.as_ref()?.from.as_ref()?;
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -102,7 +102,7 @@
                 return;
             }
             if position > self.revision {
-                self.set_watch(id, Watch::Ahead(position));
+                self.set_watch(id, Watch::AwaitingRevision(position));
                 self.wait_for_revision(id, position);
                 return;
             }
@@ -132,26 +132,26 @@
 
     /// A subscriber holds a revision that is not applied here yet: it waits, and a read shows whether there is one.
     pub(super) fn wait_for_revision(&mut self, id: ConnectionId, revision: Revision) {
-        self.ahead.insert((revision, id));
+        self.awaiting.insert((revision, id));
         self.polls.check_revision(id, revision);
     }
 
     pub(super) fn forget_awaited_revision(&mut self, id: ConnectionId) {
         let connection = self.connections.get(&id);
         if let Some(revision) = connection.and_then(SubscriberConnection::awaited_revision) {
-            self.ahead.remove(&(revision, id));
+            self.awaiting.remove(&(revision, id));
         }
     }
 
     /// Serves the subscribers whose revision has been applied.
     fn resume_awaiting(&mut self, store: &Store) {
-        while let Some((revision, id)) = self.ahead.first().copied() {
+        while let Some((revision, id)) = self.awaiting.first().copied() {
             if revision > self.revision {
                 return;
             }
-            self.ahead.pop_first();
+            self.awaiting.pop_first();
             if let Some(connection) = self.connections.get_mut(&id) {
-                if connection.watch == Watch::Ahead(revision) {
+                if connection.watch == Watch::AwaitingRevision(revision) {
                     connection.watch = Watch::Behind(revision);
                 }
             }
--- a/cluster/state-distribution/src/rejection.rs
+++ b/cluster/state-distribution/src/rejection.rs
@@ -46,7 +46,7 @@
     },
     /// The subscriber holds a revision that the cluster has not reached (compared with a confirmed revision).
     #[error("the subscriber holds revision {theirs}, the cluster has reached {ours}: its state is of another history; restart it")]
-    RevisionAhead {
+    FutureRevision {
         /// The subscriber's revision.
         theirs: Revision,
         /// The cluster's confirmed revision.
@@ -80,7 +80,7 @@
             Rejection::WrongCluster { .. } => "wrong_cluster",
             Rejection::WrongObserver { .. } => "wrong_observer",
             Rejection::Full { .. } => "observer_full",
-            Rejection::RevisionAhead { .. } => "revision_ahead",
+            Rejection::FutureRevision { .. } => "revision_ahead",
             Rejection::ProtocolViolation { .. } => "protocol",
             Rejection::TooSlow { .. } => "too_slow",
         }
--- a/cluster/state-distribution/src/subscriber/connections.rs
+++ b/cluster/state-distribution/src/subscriber/connections.rs
@@ -14,7 +14,7 @@
 use crate::message::{ObserverWelcome, SubscriberHello, PROTOCOL_MAGIC, PROTOCOL_VERSION};
 use crate::rejection::Rejection;
 
-/// Observers that a subscriber stays connected to: the watched one and the standby.
+/// Observers that a subscriber is always connected to: the watched one and the standby.
 const HELD_OBSERVERS: usize = 2;
 /// How long an attempt may take, the greeting included.
 const CONNECT_TIMEOUT_US: Micros = 1_000_000;
@@ -35,7 +35,7 @@
         self.directory
             .record_load(now, observer, welcome.subscribers, welcome.capacity);
         if let Some(rejection) = &welcome.rejected {
-            return self.connection_lost(observer, Some(rejection));
+            return self.on_connection_closed(observer, Some(rejection));
         }
         self.directory.record_acceptance(observer);
         if let Some(connection) = self.connections.get_mut(&observer) {
@@ -53,23 +53,23 @@
     /// An attempt to connect has failed or a connection has ended, with the observer's rejection if there was one.
     pub fn disconnected(&mut self, now: Micros, observer: NodeId, rejection: Option<&Rejection>) {
         self.now = now;
-        self.connection_lost(observer, rejection);
+        self.on_connection_closed(observer, rejection);
     }
 
     /// Closes a connection that is of no use.
     pub(super) fn close_connection(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
         self.actions.push(SubscriberAction::Disconnect(observer));
-        self.connection_lost(observer, rejection);
+        self.on_connection_closed(observer, rejection);
     }
 
     /// A connection has ended: the standby takes over at once, and another connection is attempted after a delay.
-    fn connection_lost(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
+    fn on_connection_closed(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
         let Some(connection) = self.connections.remove(&observer) else {
             return;
         };
         self.directory
             .record_failure(self.now, observer, rejection, &mut self.rng);
-        if matches!(rejection, Some(Rejection::RevisionAhead { .. })) {
+        if matches!(rejection, Some(Rejection::FutureRevision { .. })) {
             self.download = None;
         }
         self.schedule_attempt(connection.is_open);
@@ -92,7 +92,7 @@
     }
 
     /// Draws the delay before the next attempt. A subscriber that still has an open connection waits longer, so that
-    /// those that lost the same observer do not all come at once.
+    /// those whose observer failed do not all come to the others at once.
     fn schedule_attempt(&mut self, was_open: bool) {
         let backoff = self.config.backoff;
         if !was_open {
--- a/cluster/state-distribution/src/subscriber/observer_directory.rs
+++ b/cluster/state-distribution/src/subscriber/observer_directory.rs
@@ -13,7 +13,7 @@
 
 /// A load report older than this is not used.
 const LOAD_LIFETIME_US: Micros = 60_000_000;
-/// The load of an observer whose whole capacity is taken. Loads are in thousandths of the capacity.
+/// The load of an observer whose capacity is fully used. Loads are in thousandths of the capacity.
 pub(super) const FULL_LOAD: u64 = 1_000;
 
 #[derive(Debug)]
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -1,9 +1,9 @@
 //! Freshness polls: how often each observer is polled, and what happens where no answer comes.
 //!
 //! The watched observer is polled every [`poll_interval`](super::SubscriberConfig::poll_interval), the standby less
-//! often. A confirmation counts from the moment of its poll. Once the watched observer leaves a poll unanswered for
+//! often. A confirmation counts from the moment of its poll. Once the watched observer has not answered a poll for
 //! [`poll_timeout`](super::SubscriberConfig::poll_timeout), the standby is polled as well, and its answer makes it the
-//! watched one. A connection that stays unanswered for long is closed.
+//! watched one. A connection without an answer for long is closed.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision};
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Polls the standby where the watched observer leaves a poll unanswered, and closes connections that have not
+    /// Polls the standby where the watched observer has not answered in time, and closes connections that have not
     /// answered for long.
     pub(super) fn check_answers(&mut self) {
         if let Some(standby) = self.standby {
--- a/cluster/state-distribution/tests/rejections.rs
+++ b/cluster/state-distribution/tests/rejections.rs
@@ -112,7 +112,7 @@
     }
     // The read began before the second one watched: it says nothing of it. The first one's revision comes meanwhile.
     assert_eq!(observer.take_actions(), vec![ObserverAction::BeginRead(1)]);
-    assert_eq!(observer.sizes().ahead, 2);
+    assert_eq!(observer.sizes().awaiting, 2);
     observer.store_applied(SECOND, &new);
     let Output { sent, closed } = output(&mut observer);
     assert!(closed.is_empty());
@@ -127,7 +127,7 @@
     };
     observer.read_completed(SECOND, 1, ReadResult::Current, &new);
     observer.read_completed(2 * SECOND, 2, ReadResult::Current, &new);
-    let expected = Rejection::RevisionAhead {
+    let expected = Rejection::FutureRevision {
         theirs: 12,
         ours: 11,
     };
--- a/cluster/state-distribution/tests/wire_fixtures.rs
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -96,7 +96,7 @@
         ("full", Rejection::Full { capacity: 4_000 }),
         (
             "revision_ahead",
-            Rejection::RevisionAhead {
+            Rejection::FutureRevision {
                 theirs: 10_000,
                 ours: 9,
             },
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -124,7 +124,7 @@
                 "{sizes:?}"
             );
             assert!(
-                sizes.snapshots_queued + sizes.current + sizes.ahead <= 2 * sizes.subscribers,
+                sizes.snapshots_queued + sizes.current + sizes.awaiting <= 2 * sizes.subscribers,
                 "{sizes:?}"
             );
             assert!(
--- a/cluster/state-distribution/tests/world/trace.rs
+++ b/cluster/state-distribution/tests/world/trace.rs
@@ -115,7 +115,7 @@
         let counts = [
             sizes.subscribers,
             sizes.current,
-            sizes.ahead,
+            sizes.awaiting,
             sizes.polls_waiting,
             sizes.polls_reading,
             sizes.snapshots_active,
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -226,9 +226,9 @@
     async fn step(&self, call: &ApiCall, step: Operation) -> Answering {
         let request = call.id.clone().unwrap_or_else(request_id);
         let asked = Call::Propose {
-            request,
-            who: call.who.clone(),
-            step,
+            request_id: request,
+            actor: call.who.clone(),
+            operation: step,
         };
         match self.daemon.cluster.submit(asked, call.within).await {
             CallOutcome::Completed(Response::Applied(Outcome::Applied { revision, .. })) => {
--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -223,9 +223,9 @@
     ) -> Result<(Revision, bool), CommitError> {
         let request = request.unwrap_or_else(request_id);
         let call = Call::Propose {
-            request,
-            who: who.to_owned(),
-            step: Operation::Txn(txn),
+            request_id: request,
+            actor: who.to_owned(),
+            operation: Operation::Txn(txn),
         };
         match self.cluster.submit(call, within).await {
             CallOutcome::Completed(Response::Applied(Outcome::Applied {
--- a/tools/scale/src/agreed_state.rs
+++ b/tools/scale/src/agreed_state.rs
@@ -306,9 +306,9 @@
         });
         let request = format!("scale-{}", self.next_change);
         let call = Call::Propose {
-            request,
-            who: "scale".to_owned(),
-            step,
+            request_id: request,
+            actor: "scale".to_owned(),
+            operation: step,
         };
         let begun = Instant::now();
         let revision = match self.leader.submit(call, APPLY).await {
