--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -258,7 +258,9 @@
         let rejection = loop {
             match slow.message().await {
                 ObserverMessage::Rejected(rejection) => break rejection,
-                ObserverMessage::Changes { changes: some, .. } => changes += some.len(),
+                ObserverMessage::Changes(ChangeBatch { changes: some, .. }) => {
+                    changes += some.len()
+                }
                 _ => {}
             }
         };
--- a/cluster/state-distribution/src/lib.rs
+++ b/cluster/state-distribution/src/lib.rs
@@ -50,9 +50,9 @@
     FleetProgress, FleetTotals, Laggard, ProgressSummary, RevisionInForce, MAX_LAGGARDS,
 };
 pub use message::{
-    EntryChange, ObserverMessage, ObserverWelcome, PollId, SnapshotCursor, SnapshotEntry,
-    SubscriberHello, SubscriberMessage, SubscriberProgress, MAX_MESSAGE_BYTES, PROTOCOL_MAGIC,
-    PROTOCOL_VERSION,
+    ChangeBatch, EntryChange, ObserverMessage, ObserverWelcome, PollId, SnapshotChunk,
+    SnapshotCursor, SnapshotEntry, SubscriberHello, SubscriberMessage, SubscriberProgress,
+    MAX_MESSAGE_BYTES, PROTOCOL_MAGIC, PROTOCOL_VERSION,
 };
 #[doc(hidden)]
 pub use mutant::Mutant;
--- a/cluster/state-distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -63,6 +63,18 @@
     pub value: Option<Vec<u8>>,
 }
 
+/// All changes after `after` up to `to`, in order, complete revisions only. There is no gap between the batches of a
+/// watch: each `after` is the `to` of the one before.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ChangeBatch {
+    /// The revision that the subscriber has to hold.
+    pub after: Revision,
+    /// The revision that it holds after applying the changes.
+    pub to: Revision,
+    /// The changes, shared in memory by all subscribers that are sent them.
+    pub changes: Arc<[EntryChange]>,
+}
+
 /// One entry of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotEntry {
@@ -83,6 +95,19 @@
     pub after_key: String,
 }
 
+/// A part of a snapshot.
+#[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct SnapshotChunk {
+    /// The revision of all chunks.
+    pub revision: Revision,
+    /// The key after which this chunk begins; `None`: it is the first chunk.
+    pub after: Option<String>,
+    /// The entries in the order of their keys.
+    pub entries: Vec<SnapshotEntry>,
+    /// This is the last chunk.
+    pub last: bool,
+}
+
 /// How far a subscriber has got; sent with each poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SubscriberProgress {
@@ -119,32 +144,15 @@
 /// A message from an observer to a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ObserverMessage {
-    /// All changes after `after` up to `to`, in order, complete revisions only. There is no gap between messages: each
-    /// `after` is the `to` of the one before.
-    Changes {
-        /// The revision that the subscriber has to hold.
-        after: Revision,
-        /// The revision that it holds after applying the changes.
-        to: Revision,
-        /// The changes, shared in memory by all subscribers that are sent them.
-        changes: Arc<[EntryChange]>,
-    },
+    /// The next changes.
+    Changes(ChangeBatch),
     /// Changes after the wanted revision are compacted away: a snapshot is needed first.
     Compacted {
         /// The earliest revision that can be watched from.
         first: Revision,
     },
-    /// A chunk of a snapshot.
-    SnapshotChunk {
-        /// The revision of all chunks.
-        revision: Revision,
-        /// The key after which this chunk begins; `None`: it is the first chunk.
-        after: Option<String>,
-        /// The entries in the order of their keys.
-        entries: Vec<SnapshotEntry>,
-        /// This is the last chunk.
-        last: bool,
-    },
+    /// The next chunk of a snapshot.
+    SnapshotChunk(SnapshotChunk),
     /// Too many snapshot transfers are under way: the request is queued.
     SnapshotQueued {
         /// Requests queued before this one.
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -1,32 +1,27 @@
 //! Cutting what a store holds into messages of bounded size.
 
-use std::sync::Arc;
-
 use violetgate_replicated_state::{Compacted, KeyChange, Revision, Store};
 
-use crate::message::{EntryChange, ObserverMessage, SnapshotCursor, SnapshotEntry};
+use crate::message::{
+    ChangeBatch, EntryChange, ObserverMessage, SnapshotChunk, SnapshotCursor, SnapshotEntry,
+};
 
 /// Changes, or entries, that are read from the store at a time.
 const READ_LIMIT: usize = 64;
 /// Bytes of a message for each entry beside its key and value.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
 
-/// Consecutive revisions, each complete.
+/// A batch of changes and the bytes of its entries.
 #[derive(Debug, Clone)]
-pub(super) struct ChangeBatch {
-    pub after: Revision,
-    pub to: Revision,
-    pub changes: Arc<[EntryChange]>,
+pub(super) struct SizedBatch {
+    pub batch: ChangeBatch,
     pub bytes: usize,
 }
 
-impl ChangeBatch {
+impl SizedBatch {
+    /// The message of the batch, which shares the changes.
     pub fn message(&self) -> ObserverMessage {
-        ObserverMessage::Changes {
-            after: self.after,
-            to: self.to,
-            changes: Arc::clone(&self.changes),
-        }
+        ObserverMessage::Changes(self.batch.clone())
     }
 }
 
@@ -36,7 +31,7 @@
     store: &Store,
     after: Revision,
     max_bytes: usize,
-) -> Result<Option<ChangeBatch>, Compacted> {
+) -> Result<Option<SizedBatch>, Compacted> {
     let mut changes: Vec<EntryChange> = Vec::new();
     let mut bytes = 0;
     let mut to = after;
@@ -51,12 +46,12 @@
     if changes.is_empty() {
         return Ok(None);
     }
-    Ok(Some(ChangeBatch {
+    let batch = ChangeBatch {
         after,
         to,
         changes: changes.into(),
-        bytes,
-    }))
+    };
+    Ok(Some(SizedBatch { batch, bytes }))
 }
 
 fn entry_change(change: KeyChange) -> EntryChange {
@@ -73,7 +68,7 @@
 
 /// A snapshot chunk and the bytes of its entries.
 pub(super) struct SizedChunk {
-    pub message: ObserverMessage,
+    pub chunk: SnapshotChunk,
     pub bytes: usize,
 }
 
@@ -107,11 +102,11 @@
             });
         }
     }
-    let message = ObserverMessage::SnapshotChunk {
+    let chunk = SnapshotChunk {
         revision: revision.unwrap_or_default(),
         after: chunk_after,
         entries,
         last,
     };
-    Ok(SizedChunk { message, bytes })
+    Ok(SizedChunk { chunk, bytes })
 }
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -5,7 +5,7 @@
 
 use violetgate_replicated_state::{Store, MAX_KEY};
 
-use super::batch::snapshot_chunk;
+use super::batch::{snapshot_chunk, SizedChunk};
 use super::subscriber_connection::SnapshotRequest;
 use super::{ConnectionId, Observer};
 use crate::message::{ObserverMessage, SnapshotCursor};
@@ -65,7 +65,9 @@
         match snapshot_chunk(store, from, self.config.chunk_bytes) {
             // The last chunk does not free the slot: the subscriber's next message does, which shows that the chunk has
             // arrived. This bounds what is queued for all subscribers together.
-            Ok(chunk) => self.send(id, chunk.message, chunk.bytes),
+            Ok(SizedChunk { chunk, bytes }) => {
+                self.send(id, ObserverMessage::SnapshotChunk(chunk), bytes);
+            }
             Err(compacted) => self.send_compacted(id, compacted),
         }
     }
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -2,7 +2,7 @@
 
 use violetgate_replicated_state::{Compacted, Revision, Store};
 
-use super::batch::{changes_after, ChangeBatch};
+use super::batch::{changes_after, SizedBatch};
 use super::subscriber_connection::{SubscriberConnection, Watch};
 use super::{ConnectionId, Observer, ObserverAction, ObserverConfig};
 use crate::message::ObserverMessage;
@@ -27,7 +27,7 @@
         self.resume_awaiting(store);
     }
 
-    fn broadcast(&mut self, batch: &ChangeBatch) {
+    fn broadcast(&mut self, sized: &SizedBatch) {
         let max_queued = self.config.send_queue_bytes;
         let mut held_back = Vec::new();
         for id in &self.current {
@@ -38,10 +38,10 @@
                 connection.watch = Watch::Behind(self.revision);
                 held_back.push(*id);
             } else {
-                connection.backlog.add(self.now, batch.bytes);
+                connection.backlog.add(self.now, sized.bytes);
                 self.actions.push(ObserverAction::Send {
                     connection: *id,
-                    message: batch.message(),
+                    message: sized.message(),
                 });
             }
         }
@@ -51,7 +51,7 @@
         for id in held_back {
             self.current.remove(&id);
         }
-        self.revision = batch.to;
+        self.revision = sized.batch.to;
     }
 
     fn send_compacted_to_current(&mut self, compacted: Compacted) {
@@ -110,9 +110,9 @@
                 return;
             }
             match changes_after(store, position, self.config.chunk_bytes) {
-                Ok(Some(batch)) => {
-                    self.send(id, batch.message(), batch.bytes);
-                    self.set_watch(id, Watch::Behind(batch.to));
+                Ok(Some(sized)) => {
+                    self.send(id, sized.message(), sized.bytes);
+                    self.set_watch(id, Watch::Behind(sized.batch.to));
                 }
                 Ok(None) => self.set_watch(id, Watch::Behind(self.revision)),
                 Err(compacted) => self.send_compacted(id, compacted),
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -30,7 +30,6 @@
 use observer_connection::ObserverConnection;
 use observer_directory::ObserverDirectory;
 use random::random_up_to;
-use replication::{ReceivedChanges, ReceivedChunk};
 use snapshot_download::SnapshotDownload;
 
 pub use config::{Backoff, InvalidSubscriberConfig, SubscriberConfig};
@@ -134,31 +133,19 @@
         }
         let is_watched = self.watched == Some(observer);
         match message {
-            ObserverMessage::Changes { after, to, changes } if is_watched => {
-                let received = ReceivedChanges { after, to, changes };
-                self.receive_changes(observer, &received);
+            ObserverMessage::Changes(batch) if is_watched => {
+                self.receive_changes(observer, &batch);
             }
             ObserverMessage::Compacted { first } if is_watched => {
                 self.receive_compacted(observer, first);
             }
-            ObserverMessage::SnapshotChunk {
-                revision,
-                after,
-                entries,
-                last,
-            } if is_watched => {
-                let chunk = ReceivedChunk {
-                    revision,
-                    after,
-                    entries,
-                    last,
-                };
+            ObserverMessage::SnapshotChunk(chunk) if is_watched => {
                 self.receive_chunk(observer, chunk);
             }
             // These were on their way when another observer took over. Positions in the queue need no action.
-            ObserverMessage::Changes { .. }
+            ObserverMessage::Changes(_)
             | ObserverMessage::Compacted { .. }
-            | ObserverMessage::SnapshotChunk { .. }
+            | ObserverMessage::SnapshotChunk(_)
             | ObserverMessage::SnapshotQueued { .. } => {}
             ObserverMessage::PollConfirmed { poll, revision } => {
                 self.receive_confirmation(observer, poll, revision);
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -1,34 +1,17 @@
 //! Applying what the watched observer sends: changes in order, or a snapshot where changes are compacted away.
 
-use std::sync::Arc;
-
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision, StalenessGuard};
 
 use super::snapshot_download::SnapshotDownload;
 use super::Subscriber;
-use crate::message::{EntryChange, SnapshotEntry, SubscriberMessage};
+use crate::message::{ChangeBatch, SnapshotChunk, SubscriberMessage};
 use crate::mutant::Mutant;
 use crate::rejection::Rejection;
 
 /// For this time after a request to an observer, messages that answer an earlier request may still arrive.
 const STALE_MESSAGE_WINDOW_US: Micros = 1_000_000;
 
-/// Changes from an observer, as in [`ObserverMessage::Changes`](crate::ObserverMessage::Changes).
-pub(super) struct ReceivedChanges {
-    pub after: Revision,
-    pub to: Revision,
-    pub changes: Arc<[EntryChange]>,
-}
-
-/// A chunk from an observer, as in [`ObserverMessage::SnapshotChunk`](crate::ObserverMessage::SnapshotChunk).
-pub(super) struct ReceivedChunk {
-    pub revision: Revision,
-    pub after: Option<String>,
-    pub entries: Vec<SnapshotEntry>,
-    pub last: bool,
-}
-
 impl Subscriber {
     /// Watches an observer from now on; the one watched before becomes the standby.
     pub(super) fn watch(&mut self, observer: NodeId) {
@@ -66,22 +49,22 @@
     }
 
     /// Applies changes of the watched observer, as far as they are newer than the replica.
-    pub(super) fn receive_changes(&mut self, observer: NodeId, received: &ReceivedChanges) {
+    pub(super) fn receive_changes(&mut self, observer: NodeId, batch: &ChangeBatch) {
         let applied = self.replica.revision();
-        if self.download.is_some() || received.to <= applied {
+        if self.download.is_some() || batch.to <= applied {
             return;
         }
-        if !received.is_in_order() {
+        if !is_in_order(batch) {
             return self.protocol_violation(observer, "changes out of order");
         }
-        if received.after > applied && !self.mutated(Mutant::AppliesGaps) {
+        if batch.after > applied && !self.mutated(Mutant::AppliesGaps) {
             if self.may_be_stale(observer) {
                 return;
             }
             return self.protocol_violation(observer, "a gap between changes");
         }
-        self.replica.apply(received.to, &received.changes);
-        self.gate.applied_up_to(received.to);
+        self.replica.apply(batch.to, &batch.changes);
+        self.gate.applied_up_to(batch.to);
     }
 
     /// The wanted changes, or the revision of the snapshot under way, are compacted away.
@@ -96,7 +79,7 @@
     }
 
     /// Takes a chunk of the snapshot under way.
-    pub(super) fn receive_chunk(&mut self, observer: NodeId, chunk: ReceivedChunk) {
+    pub(super) fn receive_chunk(&mut self, observer: NodeId, chunk: SnapshotChunk) {
         let may_be_stale = self.may_be_stale(observer);
         let Some(mut download) = self.download.take() else {
             if !may_be_stale {
@@ -104,7 +87,7 @@
             }
             return;
         };
-        let ReceivedChunk { revision, last, .. } = chunk;
+        let SnapshotChunk { revision, last, .. } = chunk;
         let is_older = revision < self.replica.revision();
         match download.add(chunk) {
             Ok(()) if is_older => self.request_next(observer),
@@ -156,16 +139,14 @@
     }
 }
 
-impl ReceivedChanges {
-    /// Whether the changes are of revisions after `after` up to `to`, in ascending order.
-    fn is_in_order(&self) -> bool {
-        let mut least = self.after.saturating_add(1);
-        for change in self.changes.iter() {
-            if change.revision < least || change.revision > self.to {
-                return false;
-            }
-            least = change.revision;
+/// Whether the changes are of revisions after `after` up to `to`, in ascending order.
+fn is_in_order(batch: &ChangeBatch) -> bool {
+    let mut least = batch.after.saturating_add(1);
+    for change in batch.changes.iter() {
+        if change.revision < least || change.revision > batch.to {
+            return false;
         }
-        true
+        least = change.revision;
     }
+    true
 }
--- a/cluster/state-distribution/src/subscriber/snapshot_download.rs
+++ b/cluster/state-distribution/src/subscriber/snapshot_download.rs
@@ -4,8 +4,7 @@
 
 use violetgate_replicated_state::{Revision, MAX_KEY};
 
-use super::replication::ReceivedChunk;
-use crate::message::{SnapshotCursor, SnapshotEntry};
+use crate::message::{SnapshotChunk, SnapshotCursor, SnapshotEntry};
 use crate::subscriber_replica::{SubscriberReplica, VersionedValue};
 
 /// The most bytes of keys and values of a snapshot: twice what a store may hold.
@@ -40,7 +39,7 @@
     }
 
     /// Adds the next chunk.
-    pub fn add(&mut self, chunk: ReceivedChunk) -> Result<(), ChunkError> {
+    pub fn add(&mut self, chunk: SnapshotChunk) -> Result<(), ChunkError> {
         self.check_continues(&chunk)?;
         check_keys(&chunk)?;
         if chunk.entries.is_empty() && !chunk.last {
@@ -71,7 +70,7 @@
         self.entries.insert(entry.key, versioned);
     }
 
-    fn check_continues(&self, chunk: &ReceivedChunk) -> Result<(), ChunkError> {
+    fn check_continues(&self, chunk: &SnapshotChunk) -> Result<(), ChunkError> {
         let continues = match &self.cursor {
             Some(cursor) => {
                 cursor.revision == chunk.revision && Some(&cursor.after_key) == chunk.after.as_ref()
@@ -87,7 +86,7 @@
     }
 }
 
-fn check_keys(chunk: &ReceivedChunk) -> Result<(), ChunkError> {
+fn check_keys(chunk: &SnapshotChunk) -> Result<(), ChunkError> {
     let mut previous = chunk.after.as_deref().unwrap_or_default();
     for entry in &chunk.entries {
         let key = entry.key.as_str();
--- a/cluster/state-distribution/tests/bounded_resources.rs
+++ b/cluster/state-distribution/tests/bounded_resources.rs
@@ -37,7 +37,7 @@
     let messages = output(&mut observer).sent;
     assert_eq!(messages.len(), 4_000);
     let changes = |message: &ObserverMessage| match message {
-        ObserverMessage::Changes { changes, .. } => changes.as_ptr(),
+        ObserverMessage::Changes(ChangeBatch { changes, .. }) => changes.as_ptr(),
         other => panic!("{other:?}"),
     };
     let first = changes(&messages[0].message);
@@ -117,7 +117,9 @@
             message,
         } in output(&mut observer).sent
         {
-            if let (1, ObserverMessage::Changes { to: next, .. }) = (connection, message) {
+            if let (1, ObserverMessage::Changes(ChangeBatch { to: next, .. })) =
+                (connection, message)
+            {
                 to = next;
             }
         }
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -106,7 +106,7 @@
 
     fn arrive(&mut self, message: ObserverMessage, mutant: Option<Mutant>) {
         match message {
-            ObserverMessage::Changes { to, .. } => {
+            ObserverMessage::Changes(ChangeBatch { to, .. }) => {
                 self.front_end_knows = true;
                 self.gate.applied_up_to(to);
             }
--- a/cluster/state-distribution/tests/pair/mod.rs
+++ b/cluster/state-distribution/tests/pair/mod.rs
@@ -80,8 +80,7 @@
                 connection,
                 message,
             } => {
-                self.chunks +=
-                    usize::from(matches!(message, ObserverMessage::SnapshotChunk { .. }));
+                self.chunks += usize::from(matches!(message, ObserverMessage::SnapshotChunk(_)));
                 self.subscriber.receive(self.now, 1, message);
                 self.observer.bytes_queued(connection, 0, &self.store);
             }
--- a/cluster/state-distribution/tests/rejections.rs
+++ b/cluster/state-distribution/tests/rejections.rs
@@ -24,12 +24,12 @@
     };
     subscriber.connected(SECOND, 1, &welcome);
     let entries = vec![entry("a", 2)];
-    let chunk = ObserverMessage::SnapshotChunk {
+    let chunk = ObserverMessage::SnapshotChunk(SnapshotChunk {
         revision: 2,
         after: None,
         entries,
         last: true,
-    };
+    });
     subscriber.receive(SECOND, 1, chunk);
     assert_eq!(subscriber.replica().revision(), 2);
     subscriber.take_actions();
@@ -118,9 +118,9 @@
     assert!(closed.is_empty());
     let [Sent {
         connection: 1,
-        message: ObserverMessage::Changes {
+        message: ObserverMessage::Changes(ChangeBatch {
             after: 10, to: 11, ..
-        },
+        }),
     }] = sent.as_slice()
     else {
         panic!("{sent:?}")
@@ -199,16 +199,20 @@
         key: "b".to_owned(),
         value: Some(vec![1]),
     };
-    let changes = |after, to, revision| ObserverMessage::Changes {
-        after,
-        to,
-        changes: vec![change(revision)].into(),
+    let changes = |after, to, revision| {
+        ObserverMessage::Changes(ChangeBatch {
+            after,
+            to,
+            changes: vec![change(revision)].into(),
+        })
     };
-    let chunk = |after: Option<&str>, key: &str| ObserverMessage::SnapshotChunk {
-        revision: 9,
-        after: after.map(str::to_owned),
-        entries: vec![entry(key, 3)],
-        last: false,
+    let chunk = |after: Option<&str>, key: &str| {
+        ObserverMessage::SnapshotChunk(SnapshotChunk {
+            revision: 9,
+            after: after.map(str::to_owned),
+            entries: vec![entry(key, 3)],
+            last: false,
+        })
     };
     let compacted = ObserverMessage::Compacted { first: 9 };
     let bad = [
--- a/cluster/state-distribution/tests/snapshot_resume.rs
+++ b/cluster/state-distribution/tests/snapshot_resume.rs
@@ -27,12 +27,12 @@
 
 fn chunk(after: Option<&str>, key: &str, last: bool) -> ObserverMessage {
     let entries = vec![entry(key, 5)];
-    ObserverMessage::SnapshotChunk {
+    ObserverMessage::SnapshotChunk(SnapshotChunk {
         revision: 9,
         after: after.map(str::to_owned),
         entries,
         last,
-    }
+    })
 }
 
 #[test]
@@ -73,12 +73,12 @@
     };
     assert_eq!(subscriber.take_actions(), vec![asked]);
     let entries = vec![entry("b", 21)];
-    let whole = ObserverMessage::SnapshotChunk {
+    let whole = ObserverMessage::SnapshotChunk(SnapshotChunk {
         revision: 21,
         after: None,
         entries,
         last: true,
-    };
+    });
     subscriber.receive(80 * MS, watched, whole);
     assert_eq!(
         (
--- a/cluster/state-distribution/tests/wire_fixtures.rs
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -179,11 +179,11 @@
         change(129, "cordons/e-1", Some(b"{}")),
         change(130, "cordons/e-2", None),
     ];
-    let message = ObserverMessage::Changes {
+    let message = ObserverMessage::Changes(ChangeBatch {
         after: 128,
         to: 130,
         changes: changes.into(),
-    };
+    });
     comparison.compare("changes", &message);
     comparison.compare("compacted", &ObserverMessage::Compacted { first: 400 });
     for (name, after, last) in [
@@ -191,12 +191,12 @@
         ("piece_last", Some("a".to_owned()), true),
     ] {
         let entries = vec![entry("b", 5, &[1, 2, 255]), entry("c", 300, &[])];
-        let message = ObserverMessage::SnapshotChunk {
+        let message = ObserverMessage::SnapshotChunk(SnapshotChunk {
             revision: 300,
             after,
             entries,
             last,
-        };
+        });
         comparison.compare(name, &message);
     }
     let queued = ObserverMessage::SnapshotQueued { position: 200 };
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -5,7 +5,7 @@
 use std::hash::{Hash, Hasher};
 
 use violetgate_replicated_state::Entries;
-use violetgate_state_distribution::{ObserverMessage, Rejection};
+use violetgate_state_distribution::{ObserverMessage, Rejection, SnapshotChunk};
 
 use super::World;
 
@@ -31,8 +31,8 @@
 impl Seen {
     pub(super) fn count(&mut self, message: &ObserverMessage) {
         match message {
-            ObserverMessage::Changes { .. } => self.changes += 1,
-            ObserverMessage::SnapshotChunk { last, .. } => {
+            ObserverMessage::Changes(_) => self.changes += 1,
+            ObserverMessage::SnapshotChunk(SnapshotChunk { last, .. }) => {
                 self.chunks += 1;
                 self.snapshots += u64::from(*last);
             }
--- a/cluster/state-distribution/tests/world/network.rs
+++ b/cluster/state-distribution/tests/world/network.rs
@@ -27,11 +27,11 @@
 
 fn size(message: &ObserverMessage) -> usize {
     match message {
-        ObserverMessage::Changes { changes, .. } => changes
+        ObserverMessage::Changes(ChangeBatch { changes, .. }) => changes
             .iter()
             .map(|c| c.key.len() + c.value.as_ref().map_or(0, Vec::len) + 8)
             .sum(),
-        ObserverMessage::SnapshotChunk { entries, .. } => entries
+        ObserverMessage::SnapshotChunk(SnapshotChunk { entries, .. }) => entries
             .iter()
             .map(|entry| entry.key.len() + entry.value.len() + 8)
             .sum(),
