--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -1,4 +1,5 @@
 //! Voters, observers and subscriptions on loopback, in one thread, with real files.
+#![allow(dead_code)]
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
--- /dev/null
+++ b/cluster/replica-runtime/tests/membership.rs
@@ -0,0 +1,122 @@
+//! Replicas that join, and replicas that return without their folder.
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
+
+mod replica_group;
+
+use std::collections::BTreeMap;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use replica_group::{ReplicaGroup, WAIT};
+use violetgate_raft::MembershipChange;
+use violetgate_replica::Response;
+use violetgate_replica_runtime::{Bootstrap, CallOutcome, ReplicaRuntime};
+
+/// A replica joins as a learner and becomes a voter. One that has lost its identity can't start, and its folder can't be
+/// made again.
+#[test]
+fn a_replica_joins_and_one_without_its_folder_does_not_return() {
+    let mut group = ReplicaGroup::new("join", 1..=4);
+    group.begin_three();
+    let executor = Rc::clone(&group.executor);
+    async_io::block_on(executor.run(async {
+        group.put("a", "1").await;
+        group.begin(4, Vec::new());
+        let within = Duration::from_secs(2);
+        for (change, done) in [
+            (MembershipChange::AddLearner(4), 3),
+            (MembershipChange::PromoteLearner(4), 4),
+            (MembershipChange::Remove(2), 3),
+        ] {
+            let until = Instant::now() + WAIT;
+            while group.leader().await.status().members.voters.len() != done
+                || !group.leader().await.status().members.contains(4)
+            {
+                assert!(Instant::now() < until, "{change:?} is never done");
+                group.leader().await.change_membership(change, within).await;
+            }
+        }
+        let leader = group.leader().await;
+        let again = leader
+            .change_membership(MembershipChange::AddLearner(2), within)
+            .await;
+        assert!(
+            matches!(again, CallOutcome::Completed(Response::Rejected(_))),
+            "{again:?}"
+        );
+        group.members.remove(&2);
+        group.put("a", "2").await;
+        group.all_hold("a", "2").await;
+    }));
+    group.members.remove(&3);
+    group.run_pending_tasks();
+    let folder = group.folder.join("3");
+    std::fs::remove_file(folder.join("member")).unwrap();
+    let rejected = ReplicaRuntime::start(&group.executor, &group.options(3))
+        .err()
+        .map(|error| error.to_string())
+        .unwrap_or_default();
+    assert!(
+        rejected.contains("this folder is no member's"),
+        "{rejected}"
+    );
+    let begun = ReplicaRuntime::initialize(
+        "test",
+        3,
+        &folder,
+        1,
+        Bootstrap {
+            initial_members: vec![],
+            initial_state: vec![],
+        },
+    );
+    assert!(begun
+        .unwrap_err()
+        .to_string()
+        .contains("a member's already"));
+}
+
+/// A replica that returns with another folder than the committed one exchanges messages with nobody.
+#[test]
+fn a_replica_with_another_disk_is_rejected() {
+    let mut group = ReplicaGroup::new("another-disk", 1..=3);
+    group.begin_three();
+    let executor = Rc::clone(&group.executor);
+    async_io::block_on(executor.run(async {
+        group.put("k", "1").await;
+        group.all_hold("k", "1").await;
+    }));
+    // Replica 3 loses its folder, and one is made anew under its id: it could vote twice.
+    group.members.remove(&3);
+    group.run_pending_tasks();
+    std::fs::remove_dir_all(group.folder.join("3")).unwrap();
+    let disks: BTreeMap<_, _> = (1..=3).map(|id| (id, 100 + id)).collect();
+    group
+        .members
+        .values()
+        .for_each(|replica| replica.transport().set_known_disks(disks.clone()));
+    let bootstrap = Bootstrap {
+        initial_members: vec![1, 2, 3],
+        initial_state: vec![],
+    };
+    ReplicaRuntime::initialize("test", 3, &group.folder.join("3"), 7, bootstrap).unwrap();
+    group.start(3);
+    async_io::block_on(executor.run(async {
+        assert!(
+            !group.members[&3]
+                .wait_until_current(Duration::from_secs(2))
+                .await
+        );
+        let status = group.members[&3].status();
+        assert_eq!((status.applied, status.term), (0, 0));
+        assert!(
+            group.members[&1].wait_until_current(WAIT).await,
+            "the two others go on"
+        );
+    }));
+}
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -1,5 +1,5 @@
-//! Observers and subscriptions over real sockets: changes reach all, whoever dies, and what can't be served is refused
-//! by a code without cost to the others.
+//! Observers and subscriptions over real sockets: changes reach all front ends, whichever process ends, and a slow one
+//! does not delay the others.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,9 +18,7 @@
 use violetgate_raft::Role;
 use violetgate_replica_runtime::Subscription;
 use violetgate_replicated_state::{Entries, Operation};
-use violetgate_state_distribution::{
-    ObserverMessage, SubscriberHello, SubscriberMessage, SubscriberProgress,
-};
+use violetgate_state_distribution::{ChangeBatch, ObserverMessage, SubscriberMessage};
 
 fn watched_by(subscriptions: &[Rc<Subscription>], observer: u64) -> usize {
     subscriptions
@@ -32,7 +30,7 @@
 /// A change reaches all front ends, in the very turn in which it is applied; one observer's death shuts no gate, and
 /// after the leader's the next change reaches all; members know what is in force.
 #[test]
-fn changes_reach_all_whoever_dies() {
+fn changes_reach_all_front_ends_whichever_process_ends() {
     let mut fleet = Fleet::start("deaths", 3, 2);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
@@ -84,7 +82,7 @@
 /// Without any observer all gates shut; once one serves again the front ends go on from what they hold, or from a
 /// snapshot in chunks where the changes since are compacted away.
 #[test]
-fn a_snapshot_follows_what_is_compacted_away() {
+fn front_ends_fetch_a_snapshot_where_changes_are_compacted() {
     let mut fleet = Fleet::start("snapshot", 1, 2);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
@@ -119,121 +117,9 @@
     }));
 }
 
-/// What an observer can't serve gets one clear rejection with its code; the others go on.
-#[test]
-fn bad_input_is_refused_with_a_code() {
-    let mut fleet = Fleet::start("bad", 1, 1);
-    let executor = Rc::clone(&fleet.executor);
-    async_io::block_on(executor.run(async {
-        fleet.serve(|config| config.capacity = 6).await;
-        fleet.subscribe(5);
-        let before = fleet.put("a", b"1").await;
-        fleet.in_force(before).await;
-        let at = fleet.serving_at[&2];
-        let good = Raw::hello(2, "stranger");
-        for (hello, code) in [
-            (
-                SubscriberHello {
-                    cluster: "other".to_owned(),
-                    ..good.clone()
-                },
-                "wrong_cluster",
-            ),
-            (
-                SubscriberHello {
-                    version: 9,
-                    ..good.clone()
-                },
-                "wrong_version",
-            ),
-            (
-                SubscriberHello {
-                    observer: 1,
-                    ..good.clone()
-                },
-                "wrong_observer",
-            ),
-            (
-                SubscriberHello {
-                    magic: *b"GET ",
-                    ..good.clone()
-                },
-                "not_a_subscriber",
-            ),
-        ] {
-            let mut raw = Raw::connect(at).await;
-            raw.send(&hello).await;
-            assert_eq!(raw.welcome().await.rejected.unwrap().code(), code);
-            raw.closed().await;
-        }
-        // Greetings that are none: words of another protocol, a greeting of a later version with other fields.
-        let mut raw = Raw::connect(at).await;
-        raw.write(b"GET /v1/cluster HTTP/1.1\r\nhost: x\r\n\r\n")
-            .await;
-        assert_eq!(
-            raw.welcome().await.rejected.unwrap().code(),
-            "not_a_subscriber"
-        );
-        let mut raw = Raw::connect(at).await;
-        raw.write(&[8, 0, 0, 0, b'V', b'G', b'S', b'B', 7, 0xff, 0xff, 0xff])
-            .await;
-        assert_eq!(
-            raw.welcome().await.rejected.unwrap().code(),
-            "wrong_version"
-        );
-        // After a good greeting: a frame too long, garbage, polls without end.
-        for bad in [vec![0xff; 64], vec![2, 0, 0, 0, 0x77, 0x77]] {
-            let mut raw = Raw::greeted(at, &good).await;
-            raw.write(&bad).await;
-            assert_eq!(raw.refused().await.code(), "protocol");
-            raw.closed().await;
-        }
-        let mut raw = Raw::greeted(at, &good).await;
-        for poll in 0..500 {
-            let progress = SubscriberProgress {
-                applied: 0,
-                serving: false,
-            };
-            raw.send(&SubscriberMessage::Poll { poll, progress }).await;
-        }
-        assert_eq!(raw.refused().await.code(), "protocol");
-        // A revision that nobody has reached.
-        let mut raw = Raw::greeted(
-            at,
-            &SubscriberHello {
-                revision: 1_000_000,
-                ..good.clone()
-            },
-        )
-        .await;
-        raw.send(&SubscriberMessage::Watch { after: 1_000_000 })
-            .await;
-        assert_eq!(raw.refused().await.code(), "revision_ahead");
-        // The sixth place is free again each time, and a seventh is not to be had.
-        let mut sixth = Raw::greeted(at, &good).await;
-        let mut seventh = Raw::connect(at).await;
-        seventh.send(&Raw::hello(2, "seventh")).await;
-        assert_eq!(
-            seventh.welcome().await.rejected.unwrap().code(),
-            "observer_full"
-        );
-        sixth.send(&SubscriberMessage::StopWatching).await;
-        // One that says nothing ends, and connections that are opened and dropped leave nothing behind.
-        let mut mute = Raw::connect(at).await;
-        for _ in 0..600 {
-            drop(Raw::connect(at).await);
-        }
-        mute.closed().await;
-        drop((sixth, seventh));
-        until("places are free", || fleet.services[&2].subscribers() == 5).await;
-        let after = fleet.put("a", b"2").await;
-        fleet.in_force(after).await;
-    }));
-}
-
 /// A subscriber that takes nothing costs a bounded queue, slows nobody, and sees why it was turned away.
 #[test]
-fn a_slow_reader_slows_nobody() {
+fn a_slow_reader_is_rejected_and_delays_nobody() {
     let mut fleet = Fleet::start("slow", 1, 1);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
--- /dev/null
+++ b/cluster/replica-runtime/tests/partition.rs
@@ -0,0 +1,67 @@
+//! A replica that can't reach the others.
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    clippy::expect_used
+)]
+
+mod replica_group;
+
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::Timer;
+use replica_group::{put_operation, ReplicaGroup, WAIT};
+use violetgate_raft::Role;
+use violetgate_replica::Response;
+use violetgate_replica_runtime::CallOutcome;
+
+/// A leader without the others may not route once its state is older than the drain limit, answers no read, and takes
+/// part again when the partition ends.
+#[test]
+fn a_partitioned_leader_does_not_route() {
+    let mut group = ReplicaGroup::new("cut", 1..=3);
+    group.begin_three();
+    let executor = Rc::clone(&group.executor);
+    async_io::block_on(executor.run(async {
+        group.put("a", "1").await;
+        let leader = group.leader().await;
+        leader.transport().block_peers(&[1, 2, 3]);
+        let others: Vec<_> = group
+            .members
+            .values()
+            .filter(|replica| !Rc::ptr_eq(replica, &leader))
+            .cloned()
+            .collect();
+        let until = Instant::now() + WAIT;
+        while leader.may_route().is_ok() {
+            assert!(Instant::now() < until, "it routes on");
+            Timer::after(Duration::from_millis(10)).await;
+        }
+        assert!(!leader.wait_until_current(Duration::from_millis(300)).await);
+        let operation = put_operation("a", b"2");
+        let answered = leader
+            .propose(None, "test", operation, Duration::from_millis(300))
+            .await;
+        assert!(
+            !matches!(answered, CallOutcome::Completed(Response::Applied(_))),
+            "{answered:?}"
+        );
+        while !others
+            .iter()
+            .any(|replica| replica.status().role == Role::Leader)
+        {
+            assert!(Instant::now() < until, "nobody takes over");
+            Timer::after(Duration::from_millis(10)).await;
+        }
+        group.put("a", "3").await;
+        leader.transport().block_peers(&[]);
+        group.all_hold("a", "3").await;
+        // It confirms its state by itself, every 250 ms.
+        while leader.may_route().is_err() {
+            assert!(Instant::now() < until, "it never routes again");
+            Timer::after(Duration::from_millis(10)).await;
+        }
+    }));
+}
--- a/cluster/replica-runtime/tests/raw/mod.rs
+++ b/cluster/replica-runtime/tests/raw/mod.rs
@@ -1,4 +1,5 @@
-//! A subscriber written by hand, which may say anything.
+//! A subscriber written by hand, which may send anything.
+#![allow(dead_code)]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -107,7 +108,7 @@
     }
 
     /// Passes over messages until one says why the connection ends.
-    pub async fn refused(&mut self) -> Rejection {
+    pub async fn rejected(&mut self) -> Rejection {
         loop {
             if let ObserverMessage::Rejected(rejection) = self.message().await {
                 return rejection;
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,4 +1,4 @@
-//! The gate with the hop, in every order of events, by stateright: a drain that is agreed on, an observer that applies
+//! The staleness guard with the hop, in every order of events, by stateright: a drain that is agreed on, an observer that applies
 //! it late, reads upstream that are slow or fail, polls and answers that are late, a front end that stands still.
 //! The very code of [`Observer`] and [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
@@ -104,6 +104,30 @@
             .bytes_queued(CONNECTION, 0, store(self.observer_knows));
     }
 
+    fn advance(&mut self, time: u64) {
+        self.now += time;
+        self.observer.tick(self.now, store(self.observer_knows));
+    }
+
+    fn arrive_at_observer(&mut self) -> Option<()> {
+        let poll = self.to_observer.pop_front()?;
+        let progress = SubscriberProgress {
+            applied: 0,
+            serving: false,
+        };
+        let message = SubscriberMessage::Poll { poll, progress };
+        let store = store(self.observer_knows);
+        self.observer.receive(self.now, CONNECTION, message, store);
+        Some(())
+    }
+
+    fn end_read(&mut self, n: usize, result: ReadResult) {
+        let read = self.reads.remove(n);
+        let store = store(self.observer_knows);
+        self.observer
+            .read_completed(self.now, read.id, result, store);
+    }
+
     fn arrive(&mut self, message: ObserverMessage, mutant: Option<Mutant>) {
         match message {
             ObserverMessage::Changes(ChangeBatch { to, .. }) => {
@@ -183,70 +207,39 @@
     }
 
     fn next_state(&self, last: &State, event: Event) -> Option<State> {
-        let mut s = last.clone();
+        let mut next = last.clone();
         match event {
-            Event::Tick => {
-                s.now += 1;
-                s.observer.tick(s.now, store(s.observer_knows));
-            }
-            Event::Sleep => {
-                s.now += LIMIT + 1;
-                s.observer.tick(s.now, store(s.observer_knows));
+            Event::Tick => next.advance(1),
+            Event::Sleep => next.advance(LIMIT + 1),
+            Event::Drain => next.drained = Some(next.drained.xor(Some(next.now))?),
+            Event::ApplyAtObserver if next.drained.is_some() && !next.observer_knows => {
+                next.observer_knows = true;
+                next.observer.store_applied(next.now, store(true));
             }
-            Event::Drain => s.drained = Some(s.drained.xor(Some(s.now))?),
-            Event::ApplyAtObserver if s.drained.is_some() && !s.observer_knows => {
-                s.observer_knows = true;
-                s.observer.store_applied(s.now, store(true));
+            Event::Ask if next.polls < POLLS => {
+                next.polls += 1;
+                let poll = next.gate.begin_confirmation(next.now);
+                next.to_observer.push_back(poll);
             }
-            Event::Ask if s.polls < POLLS => {
-                s.polls += 1;
-                let poll = s.gate.begin_confirmation(s.now);
-                s.to_observer.push_back(poll);
-            }
-            Event::ArriveAtObserver => {
-                let poll = s.to_observer.pop_front()?;
-                let progress = SubscriberProgress {
-                    applied: 0,
-                    serving: false,
-                };
-                let message = SubscriberMessage::Poll { poll, progress };
-                s.observer
-                    .receive(s.now, CONNECTION, message, store(s.observer_knows));
-            }
-            Event::Vouch(n) if s.reads[n].vouched.is_none() => {
-                s.reads[n].vouched = Some(s.drained.is_some());
+            Event::ArriveAtObserver => next.arrive_at_observer()?,
+            Event::Vouch(n) if next.reads[n].vouched.is_none() => {
+                next.reads[n].vouched = Some(next.drained.is_some());
             }
             // It ends once what a majority vouched for is applied at the observer.
             Event::EndRead(n) => {
-                let vouched = s.reads[n]
-                    .vouched
-                    .filter(|drained| !drained || s.observer_knows);
-                vouched?;
-                let read = s.reads.remove(n);
-                s.observer.read_completed(
-                    s.now,
-                    read.id,
-                    ReadResult::Current,
-                    store(s.observer_knows),
-                );
-            }
-            Event::FailRead(n) => {
-                let read = s.reads.remove(n);
-                s.observer.read_completed(
-                    s.now,
-                    read.id,
-                    ReadResult::Failed,
-                    store(s.observer_knows),
-                );
+                let vouched = next.reads[n].vouched;
+                vouched.filter(|drained| !drained || next.observer_knows)?;
+                next.end_read(n, ReadResult::Current);
             }
+            Event::FailRead(n) => next.end_read(n, ReadResult::Failed),
             Event::ArriveAtFrontEnd => {
-                let message = s.to_front_end.pop_front()?;
-                s.arrive(message, self.mutant);
+                let message = next.to_front_end.pop_front()?;
+                next.arrive(message, self.mutant);
             }
             Event::ApplyAtObserver | Event::Ask | Event::Vouch(_) => return None,
         }
-        s.settle();
-        (s != *last).then_some(s)
+        next.settle();
+        (next != *last).then_some(next)
     }
 
     fn within_boundary(&self, state: &State) -> bool {
