--- a/cluster/replica-runtime/tests/replica_group/mod.rs
+++ b/cluster/replica-runtime/tests/replica_group/mod.rs
@@ -169,7 +169,7 @@
                 "{id} is not current: {:?}",
                 member.status()
             );
-            let held = member.store(|store| store.get(key).map(|(_, value)| value.clone()));
+            let held = member.store(|store| store.get(key).map(|current| current.value.to_vec()));
             assert_eq!(held.as_deref(), Some(value.as_bytes()), "{id}");
         }
     }
