--- a/fake-upstreams/src/counts.rs
+++ b/fake-upstreams/src/counts.rs
@@ -7,7 +7,7 @@
 /// For how long every engine discards a repeat of an idempotency key.
 const DEDUP_WINDOW: Duration = Duration::from_secs(12);
 
-/// Counts since the start of the fleet.
+/// Counts since the start.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
     /// Attempts that arrived complete, by request id.
--- a/fake-upstreams/src/engine/mod.rs
+++ b/fake-upstreams/src/engine/mod.rs
@@ -22,7 +22,7 @@
 /// How often it is checked whether a fault is over.
 const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What all engines of a fleet are like.
+/// What all engines are like.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
     /// Requests that one engine takes at a time; it refuses more.
--- a/fake-upstreams/src/fleet.rs
+++ b/fake-upstreams/src/fake_upstreams.rs
@@ -1,4 +1,4 @@
-//! A fleet of fake engines and the bus that lists them.
+//! Several fake engines and the bus that lists them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 use crate::event_bus::{EventBus, ListUpdate};
 use crate::lock;
 
-/// How often the fleet's thread checks whether the fleet has been dropped.
+/// How often their thread checks whether the engines have been dropped.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long [`Fleet::wait_for`] waits at most.
+/// How long [`FakeUpstreams::wait_for`] waits at most.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often [`Fleet::wait_for`] checks its condition.
+/// How often [`FakeUpstreams::wait_for`] checks its condition.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// The state of an engine in the bus's list.
@@ -40,9 +40,9 @@
     }
 }
 
-/// A fleet of fake engines and their bus. It ends when the last of its clones is dropped.
+/// Fake engines and their bus. They end when the last of its clones is dropped.
 #[derive(Clone)]
-pub struct Fleet(Arc<Inner>);
+pub struct FakeUpstreams(Arc<Inner>);
 
 struct Inner {
     executor: Arc<Executor<'static>>,
@@ -50,11 +50,11 @@
     bus: Arc<EventBus>,
     engines: Mutex<BTreeMap<String, Arc<Engine>>>,
     counts: Arc<Mutex<Counts>>,
-    /// Dropped with the fleet, which ends its thread.
+    /// Dropped with the last clone, which ends their thread.
     _alive: Sender<()>,
 }
 
-impl Fleet {
+impl FakeUpstreams {
     /// Starts engines `e-1`, `e-2` and so on, warmed up, and a bus that lists them.
     ///
     /// # Errors
@@ -62,12 +62,12 @@
     /// No loopback address, or no thread, is available.
     pub fn start(engine_count: usize, profile: Profile) -> std::io::Result<Self> {
         let executor = Arc::new(Executor::new());
-        let (alive, fleet_dropped) = channel::<()>();
+        let (alive, owner_dropped) = channel::<()>();
         let running = Arc::clone(&executor);
         std::thread::Builder::new()
             .name("fake-upstreams".into())
-            .spawn(move || run_until_dropped(&running, &fleet_dropped))?;
-        let fleet = Fleet(Arc::new(Inner {
+            .spawn(move || run_until_dropped(&running, &owner_dropped))?;
+        let upstreams = FakeUpstreams(Arc::new(Inner {
             bus: EventBus::start(&executor)?,
             executor,
             profile,
@@ -77,11 +77,11 @@
         }));
         let ids: Vec<String> = (1..=engine_count).map(|n| format!("e-{n}")).collect();
         for id in &ids {
-            fleet.start_engine(id, None, None)?;
+            upstreams.start_engine(id, None, None)?;
         }
         let states = ids.iter().map(|id| (id.as_str(), ListedState::InService));
-        fleet.publish(ListUpdate::Snapshot, states);
-        Ok(fleet)
+        upstreams.publish(ListUpdate::Snapshot, states);
+        Ok(upstreams)
     }
 
     /// Where the bus listens.
@@ -102,7 +102,7 @@
         lock(&self.0.engines).keys().cloned().collect()
     }
 
-    /// The configuration of a gateway in front of this fleet.
+    /// The configuration of a gateway in front of these engines.
     #[must_use]
     pub fn config(&self, name: &str, listen: &str, settings: &Value) -> Value {
         let events = self.0.bus.events();
@@ -218,9 +218,9 @@
     }
 }
 
-fn run_until_dropped(executor: &Executor<'static>, fleet_dropped: &Receiver<()>) {
+fn run_until_dropped(executor: &Executor<'static>, owner_dropped: &Receiver<()>) {
     async_io::block_on(executor.run(async {
-        while fleet_dropped.try_recv() != Err(TryRecvError::Disconnected) {
+        while owner_dropped.try_recv() != Err(TryRecvError::Disconnected) {
             Timer::after(END_CHECK_INTERVAL).await;
         }
     }));
--- a/fake-upstreams/src/lib.rs
+++ b/fake-upstreams/src/lib.rs
@@ -6,13 +6,13 @@
 //! [`client`] has plain clients for its two interfaces.
 //!
 //! ```
-//! use violetgate_fake_upstreams::{Fault, Fleet, Profile};
+//! use violetgate_fake_upstreams::{Fault, FakeUpstreams, Profile};
 //!
-//! let fleet = Fleet::start(3, Profile::default())?;
-//! fleet.fault("e-2", Fault::Stall);
-//! fleet.drain("e-3");
-//! let config = fleet.config("gateway-1", "127.0.0.1:5432", &violetgate_fake_upstreams::settings());
-//! assert_eq!(config["bus"], fleet.bus().to_string());
+//! let upstreams = FakeUpstreams::start(3, Profile::default())?;
+//! upstreams.fault("e-2", Fault::Stall);
+//! upstreams.drain("e-3");
+//! let config = upstreams.config("gateway-1", "127.0.0.1:5432", &violetgate_fake_upstreams::settings());
+//! assert_eq!(config["bus"], upstreams.bus().to_string());
 //! # Ok::<(), std::io::Error>(())
 //! ```
 
@@ -20,7 +20,7 @@
 mod counts;
 mod engine;
 mod event_bus;
-mod fleet;
+mod fake_upstreams;
 mod settings;
 mod statement_hints;
 
@@ -28,7 +28,7 @@
 
 pub use counts::Counts;
 pub use engine::{Fault, Profile};
-pub use fleet::Fleet;
+pub use fake_upstreams::FakeUpstreams;
 pub use settings::settings;
 pub use statement_hints::{StatementHints, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
 
--- a/fake-upstreams/src/settings.rs
+++ b/fake-upstreams/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a gateway in front of a fleet of fake engines.
+//! The settings of a gateway in front of fake engines.
 
 use serde_json::{json, Value};
 
--- a/fake-upstreams/tests/protocol.rs
+++ b/fake-upstreams/tests/protocol.rs
@@ -7,12 +7,12 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use violetgate_fake_upstreams::{Fault, Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Fault, Profile};
 
 /// A profile whose work takes the same time from the start on, since fleets start their engines
 /// warm.
-fn fleet(engines: usize) -> Fleet {
-    Fleet::start(engines, Profile::default()).unwrap()
+fn fleet(engines: usize) -> FakeUpstreams {
+    FakeUpstreams::start(engines, Profile::default()).unwrap()
 }
 
 fn connect(addr: SocketAddr) -> TcpStream {
--- a/gateway/src/demo.rs
+++ b/gateway/src/demo.rs
@@ -10,7 +10,7 @@
 use async_signal::{Signal, Signals};
 use futures_lite::{FutureExt, StreamExt};
 use rustix::process::{kill_process, Pid};
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 /// How often the front end's end is looked for.
 const LOOK: Duration = Duration::from_millis(50);
@@ -86,7 +86,7 @@
 ///
 /// Something can't be started; the text says what.
 pub fn run(demo: &Demo) -> Result<(), String> {
-    let fleet = Fleet::start(usize::from(demo.engines), Profile::default())
+    let fleet = FakeUpstreams::start(usize::from(demo.engines), Profile::default())
         .map_err(|e| format!("stand-in engines: {e}"))?;
     let folder = std::env::temp_dir().join(format!("violetgate-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -14,7 +14,7 @@
 use serde_json::{json, Value};
 use support::{connect, reserved, until, WAIT};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
-use violetgate_fake_upstreams::{settings, Fleet, Profile};
+use violetgate_fake_upstreams::{settings, FakeUpstreams, Profile};
 
 /// Time between notes of progress that the settings promise, in seconds. An attempt without a note for 1.7 of these
 /// is taken back and sent again.
@@ -57,7 +57,7 @@
 }
 
 struct Front {
-    fleet: Fleet,
+    fleet: FakeUpstreams,
     child: Child,
     listen: String,
     management: String,
@@ -74,7 +74,7 @@
 
 impl Front {
     fn start(name: &str, told: &Value) -> Self {
-        let fleet = Fleet::start(2, Profile::default()).unwrap();
+        let fleet = FakeUpstreams::start(2, Profile::default()).unwrap();
         let (listen, management) = (reserved(), reserved());
         let folder = std::env::temp_dir().join(format!("violetgate-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -17,7 +17,7 @@
 
 use serde_json::Value;
 pub use violetgate_fake_upstreams::client::Reply;
-use violetgate_fake_upstreams::{client, settings, Fleet, Profile};
+use violetgate_fake_upstreams::{client, settings, FakeUpstreams, Profile};
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 pub const WAIT: Duration = Duration::from_secs(60);
@@ -58,7 +58,7 @@
 
 /// A front end before a fleet.
 pub struct Front {
-    pub fleet: Fleet,
+    pub fleet: FakeUpstreams,
     pub child: Child,
     pub listen: String,
     pub rest: String,
@@ -92,7 +92,7 @@
         );
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
-        let fleet = Fleet::start(engines, Profile::default()).unwrap();
+        let fleet = FakeUpstreams::start(engines, Profile::default()).unwrap();
         let mut told = settings();
         told["classes"][2]["window"] = window.into();
         let config = fleet.config("n0", &listen, &told);
--- a/tools/acceptance/src/bin/prove-daemon/cost.rs
+++ b/tools/acceptance/src/bin/prove-daemon/cost.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 use violetgate_acceptance::daemon::{Cluster, Instance};
 use violetgate_acceptance::Verdict;
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::Arguments;
 
@@ -71,7 +71,7 @@
 
 /// Commits a second and their latency, by one client and by 48.
 pub fn commits(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(2, Profile::default())?;
+    let fleet = FakeUpstreams::start(2, Profile::default())?;
     let cluster = Cluster::start(
         &arguments.program,
         &fleet,
@@ -99,7 +99,7 @@
 
 /// From the leader's death to the first change that the others agree on.
 pub fn failover(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(2, Profile::default())?;
+    let fleet = FakeUpstreams::start(2, Profile::default())?;
     let cluster = Cluster::start(&arguments.program, &fleet, 3, "")?;
     let mut took = histogram();
     for n in 0..arguments.failovers {
@@ -143,7 +143,7 @@
 /// How long one that was away needs until it routes on current state, by the log and by a snapshot.
 pub fn catch_up(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     for (how, every) in [("log", 1_000_000), ("snapshot", 2_000)] {
-        let fleet = Fleet::start(2, Profile::default())?;
+        let fleet = FakeUpstreams::start(2, Profile::default())?;
         let cluster = Cluster::start(
             &arguments.program,
             &fleet,
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -9,7 +9,7 @@
 
 use violetgate_acceptance::daemon::Cluster;
 use violetgate_acceptance::Verdict;
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 use violetgate_linearizability::{first_operations_on, is_linearizable};
 
 use crate::clients::run_client;
@@ -36,7 +36,7 @@
 
 /// Runs clients, operators and faults for the given time, and holds what they saw to the rules.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(4, Profile::default())?;
+    let fleet = FakeUpstreams::start(4, Profile::default())?;
     let cluster = Cluster::start(&arguments.program, &fleet, 3, "  snapshot_every = 400\n")?;
     let scenario = Scenario {
         cluster: &cluster,
--- a/tools/acceptance/src/bin/prove-daemon/scenario.rs
+++ b/tools/acceptance/src/bin/prove-daemon/scenario.rs
@@ -8,7 +8,7 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use violetgate_acceptance::daemon::Cluster;
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_linearizability::Operation;
 
 /// Longest time for which an instance may send on state that it can't confirm, and in which a cordon takes effect.
@@ -58,7 +58,7 @@
 /// One safety run.
 pub struct Scenario<'a> {
     pub cluster: &'a Cluster,
-    pub fleet: &'a Fleet,
+    pub fleet: &'a FakeUpstreams,
     pub tally: Tally,
     /// Since when an instance has been cut off from both others, by its id.
     pub isolated: Mutex<BTreeMap<u64, Instant>>,
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use violetgate_acceptance::{Program, Verdict};
-use violetgate_fake_upstreams::{Counts, Fleet, Profile};
+use violetgate_fake_upstreams::{Counts, FakeUpstreams, Profile};
 
 use crate::requests::{query_body, query_text};
 use crate::tally::Tally;
@@ -23,7 +23,7 @@
         warm_up: Duration::from_secs(1),
         ..Profile::default()
     };
-    let fleet = Fleet::start(5, profile)?;
+    let fleet = FakeUpstreams::start(5, profile)?;
     let mut program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let tally = Tally::default();
     let begun = Instant::now();
@@ -36,7 +36,7 @@
 }
 
 /// All clients and the deployer until all requests are made; how many engines were replaced.
-fn play(program: &Program, fleet: &Fleet, tally: &Tally, requests: u64) -> u64 {
+fn play(program: &Program, fleet: &FakeUpstreams, tally: &Tally, requests: u64) -> u64 {
     let (next, over) = (&AtomicU64::new(0), &AtomicBool::new(false));
     std::thread::scope(|scope| {
         let deployer = scope.spawn(|| replace_engines(fleet, over));
@@ -109,7 +109,7 @@
 }
 
 /// Replaces an engine every so often: drained first, or killed at once, at the same address, under a new id.
-fn replace_engines(fleet: &Fleet, over: &AtomicBool) -> u64 {
+fn replace_engines(fleet: &FakeUpstreams, over: &AtomicBool) -> u64 {
     let mut n = 0;
     while !over.load(Relaxed) {
         std::thread::sleep(Duration::from_millis(300));
--- a/tools/acceptance/src/bin/prove-rest/memory.rs
+++ b/tools/acceptance/src/bin/prove-rest/memory.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 use violetgate_acceptance::{Program, Verdict};
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::requests::query_body;
 use crate::{Arguments, REST_SETTINGS};
@@ -17,7 +17,7 @@
 
 /// Holds the growth of the process to 1.2 times the bytes of the rows that it caches.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(4, Profile::default())?;
+    let fleet = FakeUpstreams::start(4, Profile::default())?;
     let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let mut body = query_body("report", &format!("ms=0 rows={ROWS} width={ROW_BYTES}"));
     let mut http = program.http()?;
--- a/tools/acceptance/src/bin/prove-rest/throughput.rs
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use violetgate_acceptance::{open_loop, Met, Program, Verdict};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::requests::{query_body, query_text};
 use crate::{Arguments, CLIENTS, REST_SETTINGS};
@@ -51,7 +51,7 @@
 
 /// Measures both protocols in turn and holds the ratios of their CPU times to the bounds.
 pub fn compare_protocols(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(4, Profile::default())?;
+    let fleet = FakeUpstreams::start(4, Profile::default())?;
     let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let load = Load {
         requests: (arguments.rate as f64 * arguments.seconds) as u64,
--- a/tools/acceptance/src/bin/prove-rest/token_timing.rs
+++ b/tools/acceptance/src/bin/prove-rest/token_timing.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use violetgate_acceptance::{Program, Verdict};
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::requests::query_body;
 use crate::{Arguments, REST_SETTINGS};
@@ -12,7 +12,7 @@
 /// Whether the time of a 404 tells what was wrong with a token: one that is changed in its last bytes against one
 /// that is nothing like a token.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(2, Profile::default())?;
+    let fleet = FakeUpstreams::start(2, Profile::default())?;
     let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let mut http = program.http()?;
     http.send_query(&query_body("report", "ms=0 rows=300 width=55"), None)?;
--- a/tools/acceptance/src/bin/prove-run.rs
+++ b/tools/acceptance/src/bin/prove-run.rs
@@ -12,7 +12,7 @@
 use object::{Object, ObjectSymbol};
 use violetgate_acceptance::{ended, free, Verdict};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 /// Holds the program that is deployed against what a platform asks of it.
 #[derive(Parser)]
@@ -100,7 +100,7 @@
 
 /// What the process is while it serves, is told to read its configuration again, and is called upon by operators.
 fn alive(root: &Path, run: &str, program: &Path, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(2, Profile::default())?;
+    let fleet = FakeUpstreams::start(2, Profile::default())?;
     let [listen, management] = free()?;
     let folder = std::env::temp_dir().join(format!("violetgate-prove-run-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
--- a/tools/acceptance/src/daemon.rs
+++ b/tools/acceptance/src/daemon.rs
@@ -13,7 +13,7 @@
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::Value;
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient, Reply};
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::FakeUpstreams;
 
 use crate::free;
 use crate::mesh::Mesh;
@@ -227,7 +227,7 @@
     /// # Errors
     ///
     /// They can't be started, or agree on nothing within ten seconds.
-    pub fn start(program: &Path, fleet: &Fleet, count: u64, cluster: &str) -> Result<Self> {
+    pub fn start(program: &Path, fleet: &FakeUpstreams, count: u64, cluster: &str) -> Result<Self> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let name = format!(
             "violetgate-prove-daemon-{}-{}",
--- a/tools/acceptance/src/lib.rs
+++ b/tools/acceptance/src/lib.rs
@@ -15,7 +15,7 @@
 
 use hdrhistogram::Histogram;
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::FakeUpstreams;
 
 /// How long a client waits for anything.
 const WAIT: Duration = Duration::from_secs(30);
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// It can't be started, or does not listen within ten seconds.
-    pub fn start(program: &Path, fleet: &Fleet, rest: &str) -> Result<Self> {
+    pub fn start(program: &Path, fleet: &FakeUpstreams, rest: &str) -> Result<Self> {
         let [listen, at] = free()?;
         let folder = std::env::temp_dir().join(format!("violetgate-prove-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
--- a/tools/fleet-harness/src/harness.rs
+++ b/tools/fleet-harness/src/harness.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::process::{GatewayProcess, ObservedState};
 use crate::relay::Relay;
@@ -23,7 +23,7 @@
     pub processes: Vec<GatewayProcess>,
     /// What lies between them.
     pub relay: Relay,
-    engines: Fleet,
+    engines: FakeUpstreams,
     folder: PathBuf,
 }
 
@@ -54,7 +54,7 @@
     ///
     /// An engine, the relay or a process can't be started, or a file can't be written.
     pub fn start(program: &Path, count: usize, seed: u64, fleet_settings: &str) -> Result<Self> {
-        let engines = Fleet::start(ENGINE_COUNT, Profile::default())?;
+        let engines = FakeUpstreams::start(ENGINE_COUNT, Profile::default())?;
         let process_id = std::process::id();
         let folder = std::env::temp_dir().join(format!("violetgate-fleet-{process_id}-{seed}"));
         let member_addrs = (0..count)
@@ -115,7 +115,7 @@
 
     /// The engines.
     #[must_use]
-    pub fn engines(&self) -> &Fleet {
+    pub fn engines(&self) -> &FakeUpstreams {
         &self.engines
     }
 
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use violetgate_fake_upstreams::client::PostgresClient;
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
@@ -49,7 +49,7 @@
 ///
 /// The program or the stand-in engines can't be started, or a connection is refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let fleet = Fleet::start(ENGINES, Profile::default())
+    let fleet = FakeUpstreams::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
     let listen = free_address()?;
     let mut config = fleet.config("scale", &listen, &violetgate_fake_upstreams::settings());
--- a/tools/scale/src/whole_run/control.rs
+++ b/tools/scale/src/whole_run/control.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_fleet_harness::GatewayProcess;
 
 use super::changes::call;
@@ -58,7 +58,7 @@
         plan: &Plan,
         layout: &Layout,
         program: &Path,
-        engines: &Fleet,
+        engines: &FakeUpstreams,
     ) -> Result<Self, WholeRunError> {
         let mut control = Control {
             members: Vec::new(),
@@ -82,7 +82,7 @@
         plan: &Plan,
         layout: &Layout,
         program: &Path,
-        engines: &Fleet,
+        engines: &FakeUpstreams,
         id: u64,
     ) -> Result<(), WholeRunError> {
         let name = format!("control-{id}");
--- a/tools/scale/src/whole_run/phases.rs
+++ b/tools/scale/src/whole_run/phases.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use super::changes::Changes;
 use super::children::Children;
@@ -35,7 +35,7 @@
     children: Children,
     real: RealFrontEnds,
     control: Control,
-    _engines: Fleet,
+    _engines: FakeUpstreams,
     _layout: Layout,
     /// The most memory of all processes that was found.
     peak_memory: u64,
@@ -46,7 +46,7 @@
     pub(super) fn start(plan: &'a Plan) -> Result<Self, WholeRunError> {
         let layout = Layout::new()?;
         let serve = program("violetgate")?;
-        let engines = Fleet::start(plan.engines, Profile::default());
+        let engines = FakeUpstreams::start(plan.engines, Profile::default());
         let engines = engines.map_err(WholeRunError::machine("start stand-in engines"))?;
         let control = Control::start(plan, &layout, &serve, &engines)?;
         let fleet = FleetWatch::start(control.managements());
@@ -315,7 +315,7 @@
 fn hollow_files(
     plan: &Plan,
     layout: &Layout,
-    engines: &Fleet,
+    engines: &FakeUpstreams,
 ) -> Result<(PathBuf, PathBuf), WholeRunError> {
     let folder = layout.folder("hollow")?;
     let listen = layout.hollow(0).to_string();
--- a/tools/scale/src/whole_run/real.rs
+++ b/tools/scale/src/whole_run/real.rs
@@ -6,7 +6,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_fleet_harness::GatewayProcess;
 use violetgate_replicated_state::{Micros, Revision};
 
@@ -69,7 +69,7 @@
         plan: &Plan,
         layout: &Layout,
         program: &Path,
-        engines: &Fleet,
+        engines: &FakeUpstreams,
         settings: impl Fn(usize) -> String,
     ) -> Result<Self, WholeRunError> {
         let mut processes = Vec::new();
