--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -3,9 +3,9 @@
 //! A request is answered at once if its revision is applied here, a slot is free and the subscriber's queue is short
 //! enough. Otherwise it waits for that.
 
-use violetgate_replicated_state::{Store, MAX_KEY};
+use violetgate_replicated_state::{Store, MAX_KEY_BYTES};
 
-use super::batch::snapshot_chunk;
+use super::batch::{snapshot_chunk, SizedChunk};
 use super::subscriber_connection::SnapshotRequest;
 use super::{ConnectionId, Observer};
 use crate::message::{ObserverMessage, SnapshotCursor};
@@ -20,7 +20,7 @@
         store: &Store,
     ) {
         let key_bytes = from.as_ref().map_or(0, |cursor| cursor.after_key.len());
-        if key_bytes > MAX_KEY {
+        if key_bytes > MAX_KEY_BYTES {
             let detail = format!("a snapshot from a key of {key_bytes} bytes");
             return self.close(id, Rejection::ProtocolViolation { detail });
         }
@@ -30,7 +30,7 @@
             connection.snapshot = Some(SnapshotRequest { from });
         }
         match revision.filter(|revision| *revision > self.revision) {
-            Some(ahead) => self.wait_for_revision(id, ahead),
+            Some(revision) => self.wait_for_revision(id, revision),
             None => self.serve_snapshot(id, store),
         }
     }
@@ -65,7 +65,9 @@
         match snapshot_chunk(store, from, self.config.chunk_bytes) {
             // The last chunk does not free the slot: the subscriber's next message does, which shows that the chunk has
             // arrived. This bounds what is queued for all subscribers together.
-            Ok(chunk) => self.send(id, chunk.message, chunk.bytes),
+            Ok(SizedChunk { chunk, bytes }) => {
+                self.send(id, ObserverMessage::SnapshotChunk(chunk), bytes);
+            }
             Err(compacted) => self.send_compacted(id, compacted),
         }
     }
