--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -2,7 +2,7 @@
 
 use violetgate_replicated_state::{Compacted, Revision, Store};
 
-use super::batch::{changes_after, ChangeBatch};
+use super::batch::{changes_after, SizedBatch};
 use super::subscriber_connection::{SubscriberConnection, Watch};
 use super::{ConnectionId, Observer, ObserverAction, ObserverConfig};
 use crate::message::ObserverMessage;
@@ -27,7 +27,7 @@
         self.resume_awaiting(store);
     }
 
-    fn broadcast(&mut self, batch: &ChangeBatch) {
+    fn broadcast(&mut self, sized: &SizedBatch) {
         let max_queued = self.config.send_queue_bytes;
         let mut held_back = Vec::new();
         for id in &self.current {
@@ -38,10 +38,10 @@
                 connection.watch = Watch::Behind(self.revision);
                 held_back.push(*id);
             } else {
-                connection.backlog.add(self.now, batch.bytes);
+                connection.backlog.add(self.now, sized.bytes);
                 self.actions.push(ObserverAction::Send {
                     connection: *id,
-                    message: batch.message(),
+                    message: sized.message(),
                 });
             }
         }
@@ -51,7 +51,7 @@
         for id in held_back {
             self.current.remove(&id);
         }
-        self.revision = batch.to;
+        self.revision = sized.batch.to;
     }
 
     fn send_compacted_to_current(&mut self, compacted: Compacted) {
@@ -102,7 +102,7 @@
                 return;
             }
             if position > self.revision {
-                self.set_watch(id, Watch::Ahead(position));
+                self.set_watch(id, Watch::AwaitingRevision(position));
                 self.wait_for_revision(id, position);
                 return;
             }
@@ -110,9 +110,9 @@
                 return;
             }
             match changes_after(store, position, self.config.chunk_bytes) {
-                Ok(Some(batch)) => {
-                    self.send(id, batch.message(), batch.bytes);
-                    self.set_watch(id, Watch::Behind(batch.to));
+                Ok(Some(sized)) => {
+                    self.send(id, sized.message(), sized.bytes);
+                    self.set_watch(id, Watch::Behind(sized.batch.to));
                 }
                 Ok(None) => self.set_watch(id, Watch::Behind(self.revision)),
                 Err(compacted) => self.send_compacted(id, compacted),
@@ -132,26 +132,26 @@
 
     /// A subscriber holds a revision that is not applied here yet: it waits, and a read shows whether there is one.
     pub(super) fn wait_for_revision(&mut self, id: ConnectionId, revision: Revision) {
-        self.ahead.insert((revision, id));
+        self.awaiting.insert((revision, id));
         self.polls.check_revision(id, revision);
     }
 
     pub(super) fn forget_awaited_revision(&mut self, id: ConnectionId) {
         let connection = self.connections.get(&id);
         if let Some(revision) = connection.and_then(SubscriberConnection::awaited_revision) {
-            self.ahead.remove(&(revision, id));
+            self.awaiting.remove(&(revision, id));
         }
     }
 
     /// Serves the subscribers whose revision has been applied.
     fn resume_awaiting(&mut self, store: &Store) {
-        while let Some((revision, id)) = self.ahead.first().copied() {
+        while let Some((revision, id)) = self.awaiting.first().copied() {
             if revision > self.revision {
                 return;
             }
-            self.ahead.pop_first();
+            self.awaiting.pop_first();
             if let Some(connection) = self.connections.get_mut(&id) {
-                if connection.watch == Watch::Ahead(revision) {
+                if connection.watch == Watch::AwaitingRevision(revision) {
                     connection.watch = Watch::Behind(revision);
                 }
             }
