--- a/cluster/raft-storage/src/lib.rs
+++ b/cluster/raft-storage/src/lib.rs
@@ -4,7 +4,7 @@
 //! | file | content |
 //! | --- | --- |
 //! | `member` | one record with the [`Identity`]: a folder without it belongs to nobody |
-//! | `log-N` | segment N of the log, from 1; each begins with the hard state, so that those before it can be removed |
+//! | `log-N` | segment N of the log, from 1; it begins with the hard state, so that older ones can go |
 //! | `snapshot-I` | one record with the snapshot up to entry I |
 //! | `*.new` | a file that was being written; it has no meaning |
 //!
--- a/cluster/raft/src/heartbeat.rs
+++ b/cluster/raft/src/heartbeat.rs
@@ -1,7 +1,7 @@
 //! The clock of a leader: heartbeat rounds, and stepping down without a majority.
 //!
-//! Each round has a number that its responses repeat. So the leader knows which peers have answered
-//! after a given moment, which is what linearizable reads need.
+//! Each round has a number that its responses repeat. So the leader knows which peers have
+//! answered after a given moment, which is what linearizable reads need.
 
 use crate::role::RoleState;
 use crate::{NodeId, RaftNode};
--- a/cluster/replicated-state/src/entries.rs
+++ b/cluster/replicated-state/src/entries.rs
@@ -1,5 +1,5 @@
-//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's copy
-//! without history.
+//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's
+//! copy without history.
 
 use crate::{Revision, Store};
 
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -135,7 +135,8 @@
             .rposition(|version| version.revision <= revision)
             .unwrap_or(0);
         versions.drain(..valid);
-        let is_deleted = matches!(versions.as_slice(), [only] if only.value.is_none() && only.revision <= revision);
+        let is_obsolete = |only: &Version| only.value.is_none() && only.revision <= revision;
+        let is_deleted = matches!(versions.as_slice(), [only] if is_obsolete(only));
         if is_deleted {
             self.keys.remove(key);
         }
