--- a/fleet/membership/src/failure_detector.rs
+++ b/fleet/membership/src/failure_detector.rs
@@ -119,11 +119,12 @@
     /// A probe has had no direct answer: the link is cut, the member is suspected, or this process
     /// may be at fault.
     fn on_probe_timeout(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
-        let receives_nothing = !self.has_recent_message();
         if probe.indirect_acked && !self.has_mutant(Mutant::TreatsCutLinkAsFailure) {
             return self.set_link(&probe.target, LinkState::Cut, actions);
         }
-        self.health.worsen(u32::from(receives_nothing));
+        if !self.has_recent_message() {
+            self.health.worsen(1);
+        }
         if self.health.is_recovering() {
             return;
         }
@@ -143,6 +144,7 @@
         self.merge(suspicion, UpdateSource::Gossip, actions);
     }
 
+    /// Whether a message of any member has arrived within the probe interval.
     fn has_recent_message(&self) -> bool {
         self.peers
             .values()
--- a/tools/simulator/tests/trace_digest/driver.rs
+++ b/tools/simulator/tests/trace_digest/driver.rs
@@ -5,8 +5,13 @@
 use std::collections::BinaryHeap;
 use std::net::SocketAddr;
 
-use violetgate_membership::{Action, Identity, LinkState, Membership, MembershipConfig, Message};
-use violetgate_simulator::SECOND;
+use violetgate_membership::{
+    Action, Identity, LinkState, Membership, MembershipConfig, Message, Micros,
+};
+use violetgate_simulator::{Cut, MemberEvent, Pause, SECOND};
+
+/// Time between two ticks of a member.
+const TICK_INTERVAL: Micros = 50_000;
 
 /// FNV-1a over everything that is written to it.
 pub struct Fnv(pub u64);
@@ -32,6 +37,7 @@
     }
 }
 
+/// A linear congruential generator.
 pub struct Lcg(pub u64);
 
 impl Lcg {
@@ -44,44 +50,61 @@
     }
 }
 
-/// What goes wrong in a scenario; times are in seconds.
+/// A process dies without a message, and may be started again.
+#[derive(Clone, Copy)]
+pub struct Death {
+    pub member: usize,
+    pub at: Micros,
+    pub restart_at: Option<Micros>,
+}
+
+/// What a fleet goes through.
 #[derive(Default)]
 pub struct Scenario {
     pub members: usize,
     pub seconds: u64,
     pub seed: u64,
-    /// Percent of the messages.
-    pub loss: u64,
-    /// Which member stands still, from, until.
-    pub pauses: Vec<(usize, u64, u64)>,
-    /// One way from a range of members to another, from, until.
-    pub cuts: Vec<(std::ops::Range<usize>, std::ops::Range<usize>, u64, u64)>,
-    /// Which member dies when, and when it starts anew, if it does.
-    pub deaths: Vec<(usize, u64, Option<u64>)>,
-    /// Which member leaves when.
-    pub leaves: Vec<(usize, u64)>,
+    pub loss_percent: u64,
+    pub pauses: Vec<Pause>,
+    pub cuts: Vec<Cut>,
+    pub deaths: Vec<Death>,
+    pub leaves: Vec<MemberEvent>,
     /// The most members that are known, where it is not the usual number.
     pub capacity: Option<usize>,
     /// One message in so many is replaced by an older one that went to the same member.
-    pub stale: Option<u64>,
+    pub stale_one_in: Option<u64>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Tick,
-    Deliver(usize),
+    /// The index of a message.
+    Deliver {
+        message: usize,
+    },
     Restart,
     Leave,
 }
 
+/// An event of a member; events come in the order of their times, then in that of their numbers.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct QueuedEvent {
+    at: Micros,
+    number: u64,
+    member: usize,
+    event: Event,
+}
+
+/// The members of a scenario and the messages between them.
 pub struct Fleet {
     scenario: Scenario,
     members: Vec<Option<Membership>>,
     messages: Vec<Message>,
+    /// The last message to each member that may still be delivered in place of a later one.
     last_to: Vec<Option<Message>>,
-    queue: BinaryHeap<Reverse<(u64, u64, usize, Event)>>,
-    queued: u64,
-    draw: Lcg,
+    queue: BinaryHeap<Reverse<QueuedEvent>>,
+    last_number: u64,
+    random: Lcg,
     hash: Fnv,
 }
 
@@ -89,7 +112,7 @@
     SocketAddr::from(([10, 1, (member >> 8) as u8, member as u8], 7_100))
 }
 
-fn member(scenario: &Scenario, number: usize, began: u64) -> Membership {
+fn new_member(scenario: &Scenario, number: usize, began: Micros) -> Membership {
     let mut config = MembershipConfig::default();
     config.max_members = scenario.capacity.unwrap_or(config.max_members);
     let name = format!("gateway-{number}");
@@ -106,162 +129,180 @@
 impl Fleet {
     pub fn new(scenario: Scenario) -> Self {
         let count = scenario.members;
+        let member = |number| Some(new_member(&scenario, number, 0));
         let mut fleet = Fleet {
-            members: (0..count).map(|i| Some(member(&scenario, i, 0))).collect(),
+            members: (0..count).map(member).collect(),
             messages: Vec::new(),
             last_to: vec![None; count],
             queue: BinaryHeap::new(),
-            queued: 0,
-            draw: Lcg(scenario.seed),
+            last_number: 0,
+            random: Lcg(scenario.seed),
             hash: Fnv::new(),
             scenario,
         };
-        for i in 0..count {
-            let at = fleet.draw.below(50_000);
-            fleet.add(at, i, Event::Tick);
+        for member in 0..count {
+            let at = fleet.random.below(TICK_INTERVAL);
+            fleet.enqueue(at, member, Event::Tick);
         }
-        for (i, at) in fleet.scenario.leaves.clone() {
-            fleet.add(at * SECOND, i, Event::Leave);
+        for leave in fleet.scenario.leaves.clone() {
+            fleet.enqueue(leave.at, leave.member, Event::Leave);
         }
-        for (i, _, back) in fleet.scenario.deaths.clone() {
-            back.into_iter()
-                .for_each(|at| fleet.add(at * SECOND, i, Event::Restart));
+        for death in fleet.scenario.deaths.clone() {
+            if let Some(at) = death.restart_at {
+                fleet.enqueue(at, death.member, Event::Restart);
+            }
         }
         fleet
     }
 
-    fn add(&mut self, at: u64, of: usize, event: Event) {
-        self.queued += 1;
-        self.queue.push(Reverse((at, self.queued, of, event)));
-    }
-
-    fn is_down(&self, i: usize, now: u64) -> bool {
-        let deaths = self.scenario.deaths.iter();
-        deaths
-            .filter(|d| d.0 == i)
-            .any(|d| now >= d.1 * SECOND && d.2.is_none_or(|back| now < back * SECOND))
+    fn enqueue(&mut self, at: Micros, member: usize, event: Event) {
+        self.last_number += 1;
+        self.queue.push(Reverse(QueuedEvent {
+            at,
+            number: self.last_number,
+            member,
+            event,
+        }));
     }
 
+    /// Runs the scenario to its end; returns the digest.
     pub fn digest(mut self) -> u64 {
         let end = self.scenario.seconds * SECOND;
-        while let Some(Reverse((now, _, i, event))) = self.queue.pop() {
-            if now > end {
+        while let Some(Reverse(next)) = self.queue.pop() {
+            if next.at > end {
                 break;
             }
-            self.handle(now, i, event);
+            self.handle(next.at, next.member, next.event);
         }
-        for i in 0..self.members.len() {
-            self.write_view(i);
+        for member in 0..self.members.len() {
+            self.write_view(member);
         }
         self.hash.0
     }
 
-    fn handle(&mut self, now: u64, i: usize, event: Event) {
-        if self.is_down(i, now) {
+    fn is_down(&self, member: usize, now: Micros) -> bool {
+        let mut deaths = self.scenario.deaths.iter();
+        deaths.any(|death| {
+            death.member == member
+                && now >= death.at
+                && death.restart_at.is_none_or(|restart_at| now < restart_at)
+        })
+    }
+
+    fn handle(&mut self, now: Micros, number: usize, event: Event) {
+        if self.is_down(number, now) {
             if event == Event::Tick {
-                self.add(now + 50_000, i, event);
+                self.enqueue(now + TICK_INTERVAL, number, event);
             }
             return;
         }
-        let pause = self
-            .scenario
-            .pauses
-            .iter()
-            .find(|p| p.0 == i && (p.1 * SECOND..p.2 * SECOND).contains(&now));
-        if let Some(until) = pause.map(|p| p.2 * SECOND) {
-            self.add(until, i, event);
+        let is_now =
+            |pause: &&Pause| pause.member == number && (pause.begin..pause.end).contains(&now);
+        let pause = self.scenario.pauses.iter().find(is_now);
+        if let Some(resumes_at) = pause.map(|pause| pause.end) {
+            self.enqueue(resumes_at, number, event);
             return;
         }
         if event == Event::Restart {
-            self.members[i] = Some(member(&self.scenario, i, now));
+            self.members[number] = Some(new_member(&self.scenario, number, now));
             return;
         }
-        let Some(member) = self.members[i].as_mut() else {
-            return;
-        };
+        for action in self.hand_over(now, number, event) {
+            self.carry_out(now, number, action);
+        }
+        let is_last_tick_of_second = now / SECOND != (now + TICK_INTERVAL) / SECOND;
+        if is_last_tick_of_second && number % 7 == 0 {
+            self.write_view(number);
+        }
+    }
+
+    /// Gives an event to its member; returns what the member wants done.
+    fn hand_over(&mut self, now: Micros, number: usize, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
+        let Some(member) = self.members[number].as_mut() else {
+            return actions;
+        };
         match event {
             Event::Tick => {
                 member.tick(now, &mut actions);
-                self.add(now + 50_000, i, Event::Tick);
-            }
-            Event::Deliver(at) => {
-                let heard = member.handle_message(now, &self.messages[at], &mut actions);
-                self.hash.number(u64::from(heard.is_ok()));
+                self.enqueue(now + TICK_INTERVAL, number, Event::Tick);
             }
-            Event::Leave => {
-                member.leave(&mut actions);
+            Event::Deliver { message } => {
+                let message = &self.messages[message];
+                let handled = member.handle_message(now, message, &mut actions);
+                self.hash.number(u64::from(handled.is_ok()));
             }
+            Event::Leave => member.leave(&mut actions),
             Event::Restart => {}
         }
-        for action in actions {
-            self.carry_out(now, i, action);
-        }
-        if now / SECOND != (now + 50_000) / SECOND && i % 7 == 0 {
-            self.write_view(i);
-        }
+        actions
     }
 
-    fn carry_out(&mut self, now: u64, i: usize, action: Action) {
+    fn carry_out(&mut self, now: Micros, member: usize, action: Action) {
         self.hash.number(now);
-        self.hash.number(i as u64);
+        self.hash.number(member as u64);
+        self.write_action(&action);
+        if let Action::Send { to, message } = action {
+            self.send(now, member, to, message);
+        }
+    }
+
+    fn write_action(&mut self, action: &Action) {
+        let hash = &mut self.hash;
         match action {
             Action::Send { to, message } => {
-                self.hash.number(1);
-                self.hash.text(&to.to_string());
-                let bytes = postcard::to_stdvec(&message).unwrap();
-                self.hash.number(bytes.len() as u64);
-                self.hash.bytes(&bytes);
-                self.send(now, i, to, message);
+                hash.number(1);
+                hash.text(&to.to_string());
+                let bytes = postcard::to_stdvec(message).unwrap();
+                hash.number(bytes.len() as u64);
+                hash.bytes(&bytes);
             }
             Action::StateChanged { member, state } => {
-                self.hash.number(2);
-                self.hash.text(&member);
-                self.hash.number(state as u64);
+                hash.number(2);
+                hash.text(member);
+                hash.number(*state as u64);
             }
             Action::LinkChanged { member, link } => {
-                self.hash.number(3);
-                self.hash.text(&member);
-                self.hash.number(u64::from(link == LinkState::Cut));
+                hash.number(3);
+                hash.text(member);
+                hash.number(u64::from(*link == LinkState::Cut));
             }
-            Action::Superseded => self.hash.number(4),
+            Action::Superseded => hash.number(4),
             Action::TableFull { rejected } => {
-                self.hash.number(5);
-                self.hash.text(&rejected);
+                hash.number(5);
+                hash.text(rejected);
             }
         }
     }
 
-    fn send(&mut self, now: u64, from: usize, to: SocketAddr, message: Message) {
-        let Some(to) = (0..self.members.len()).find(|i| addr(*i) == to) else {
+    fn send(&mut self, now: Micros, from: usize, to: SocketAddr, message: Message) {
+        let Some(to) = (0..self.members.len()).find(|member| addr(*member) == to) else {
             return;
         };
-        let lost = self.draw.below(100) < self.scenario.loss;
-        let delay = 1_000 + self.draw.below(4_000);
-        let cut = self.scenario.cuts.iter().any(|(a, b, begin, end)| {
-            a.contains(&from) && b.contains(&to) && (begin * SECOND..end * SECOND).contains(&now)
+        let is_lost = self.random.below(100) < self.scenario.loss_percent;
+        let delay = 1_000 + self.random.below(4_000);
+        let is_cut = self.scenario.cuts.iter().any(|cut| {
+            cut.from.contains(&from) && cut.to.contains(&to) && (cut.begin..cut.end).contains(&now)
         });
-        let stale = self
-            .scenario
-            .stale
-            .is_some_and(|one_in| self.draw.below(one_in) == 0);
-        if lost || cut {
+        let stale_one_in = self.scenario.stale_one_in;
+        let is_stale = stale_one_in.is_some_and(|one_in| self.random.below(one_in) == 0);
+        if is_lost || is_cut {
             return;
         }
-        let message = match self.last_to[to].take().filter(|_| stale) {
-            Some(old) => old,
+        let message = match self.last_to[to].take().filter(|_| is_stale) {
+            Some(stale) => stale,
             None => {
                 self.last_to[to] = Some(message.clone());
                 message
             }
         };
         self.messages.push(message);
-        let at = self.messages.len() - 1;
-        self.add(now + delay, to, Event::Deliver(at));
+        let message = self.messages.len() - 1;
+        self.enqueue(now + delay, to, Event::Deliver { message });
     }
 
-    fn write_view(&mut self, i: usize) {
-        let Some(member) = &self.members[i] else {
+    fn write_view(&mut self, member: usize) {
+        let Some(member) = &self.members[member] else {
             return;
         };
         let hash = &mut self.hash;
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -6,6 +6,8 @@
 
 mod driver;
 
+use std::ops::Range;
+
 use violetgate_membership::{
     Action, FleetSize, FleetSizeConfig, Identity, LinkState, MemberState, MemberUpdate, Membership,
     MembershipConfig, Message, MessageBody,
@@ -13,7 +15,39 @@
 use violetgate_simulator::load::{play, Case};
 use violetgate_simulator::{Cut, FaultPlan, MemberEvent, Pause, World, SECOND};
 
-use crate::driver::{Fleet, Fnv, Lcg, Scenario};
+use crate::driver::{Death, Fleet, Fnv, Lcg, Scenario};
+
+fn pause(member: usize, begin_s: u64, end_s: u64) -> Pause {
+    Pause {
+        member,
+        begin: begin_s * SECOND,
+        end: end_s * SECOND,
+    }
+}
+
+fn event(member: usize, at_s: u64) -> MemberEvent {
+    MemberEvent {
+        member,
+        at: at_s * SECOND,
+    }
+}
+
+fn death(member: usize, at_s: u64, restart_at_s: Option<u64>) -> Death {
+    Death {
+        member,
+        at: at_s * SECOND,
+        restart_at: restart_at_s.map(|at| at * SECOND),
+    }
+}
+
+fn cut(from: Range<usize>, to: Range<usize>, begin_s: u64, end_s: u64) -> Cut {
+    Cut {
+        from: from.collect(),
+        to: to.collect(),
+        begin: begin_s * SECOND,
+        end: end_s * SECOND,
+    }
+}
 
 fn check(name: &str, scenario: Scenario, expected: u64) {
     let digest = Fleet::new(scenario).digest();
@@ -28,12 +62,12 @@
             seconds: 60,
             seed,
             deaths: vec![
-                (3, 10, None),
-                (7, 12, Some(14)),
-                (9, 12, Some(30)),
-                (0, 20, Some(21)),
+                death(3, 10, None),
+                death(7, 12, Some(14)),
+                death(9, 12, Some(30)),
+                death(0, 20, Some(21)),
             ],
-            leaves: vec![(5, 25), (11, 40)],
+            leaves: vec![event(5, 25), event(11, 40)],
             ..Scenario::default()
         };
         check("deaths", scenario, expected);
@@ -47,15 +81,15 @@
             members: 24,
             seconds: 60,
             seed,
-            loss: 25,
+            loss_percent: 25,
             pauses: vec![
-                (1, 10, 12),
-                (4, 15, 16),
-                (8, 15, 35),
-                (9, 30, 32),
-                (0, 41, 42),
+                pause(1, 10, 12),
+                pause(4, 15, 16),
+                pause(8, 15, 35),
+                pause(9, 30, 32),
+                pause(0, 41, 42),
             ],
-            stale: Some(20),
+            stale_one_in: Some(20),
             ..Scenario::default()
         };
         check("loss", scenario, expected);
@@ -70,12 +104,12 @@
             seconds: 100,
             seed,
             cuts: vec![
-                (0..20, 20..40, 10, 45),
-                (20..40, 0..20, 10, 45),
-                (2..3, 0..40, 65, 80),
-                (0..40, 30..31, 65, 85),
-                (11..12, 12..13, 50, 90),
-                (12..13, 11..12, 50, 90),
+                cut(0..20, 20..40, 10, 45),
+                cut(20..40, 0..20, 10, 45),
+                cut(2..3, 0..40, 65, 80),
+                cut(0..40, 30..31, 65, 85),
+                cut(11..12, 12..13, 50, 90),
+                cut(12..13, 11..12, 50, 90),
             ],
             ..Scenario::default()
         };
@@ -89,7 +123,7 @@
         members: 150,
         seconds: 15,
         seed: 7,
-        loss: 2,
+        loss_percent: 2,
         ..Scenario::default()
     };
     check("start", scenario, 0x5388_3daa_4c76_eadd);
@@ -101,7 +135,7 @@
         members: 20,
         seconds: 40,
         seed: 8,
-        deaths: vec![(6, 15, None)],
+        deaths: vec![death(6, 15, None)],
         capacity: Some(12),
         ..Scenario::default()
     };
@@ -115,28 +149,13 @@
         members: 6,
         seconds: 700,
         seed: 9,
-        deaths: vec![(2, 20, None), (4, 30, Some(650))],
-        leaves: vec![(5, 40)],
+        deaths: vec![death(2, 20, None), death(4, 30, Some(650))],
+        leaves: vec![event(5, 40)],
         ..Scenario::default()
     };
     check("forgotten", scenario, 0xd23d_cfbc_0500_7e8c);
 }
 
-fn pause(member: usize, begin_s: u64, end_s: u64) -> Pause {
-    Pause {
-        member,
-        begin: begin_s * SECOND,
-        end: end_s * SECOND,
-    }
-}
-
-fn event(member: usize, at_s: u64) -> MemberEvent {
-    MemberEvent {
-        member,
-        at: at_s * SECOND,
-    }
-}
-
 /// The simulator itself: what it records and counts in a world with all kinds of faults.
 #[test]
 fn the_simulated_world_records_what_it_did() {
@@ -145,12 +164,7 @@
             loss: 0.05,
             jitter: 20_000,
             pauses: vec![pause(1, 8, 11), pause(5, 12, 30)],
-            cuts: vec![Cut {
-                from: vec![2, 3],
-                to: vec![4],
-                begin: 10 * SECOND,
-                end: 22 * SECOND,
-            }],
+            cuts: vec![cut(2..4, 4..5, 10, 22)],
             deaths: vec![event(6, 14)],
             leaves: vec![event(7, 16)],
         };
