--- a/cluster/replica-runtime/src/framing.rs
+++ b/cluster/replica-runtime/src/framing.rs
@@ -1,4 +1,5 @@
-//! Reading and writing frames on one connection, and the time limits that all connections of this package share.
+//! Reading and writing frames on one connection, and the time limits that all connections of this
+//! package share.
 
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -160,8 +161,8 @@
     Ok(())
 }
 
-/// Closes this side of a connection and waits shortly for the other one. A socket that is closed with unread input resets
-/// the connection, and what was written last might not arrive.
+/// Closes this side of a connection and waits shortly for the other one. A socket that is closed
+/// with unread input resets the connection, and what was written last might not arrive.
 pub(crate) async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let skipping = async {
--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -1,11 +1,13 @@
-//! Runs replicas, observers and subscribers over TCP, on one thread each with a second one for the disk.
+//! Runs replicas, observers and subscribers over TCP, on one thread each with a second one for the
+//! disk.
 //!
-//! - [`ReplicaRuntime`] runs a [`Replica`](violetgate_replica::Replica): its connections to other replicas
-//!   ([`transport`]), its storage and its timer.
-//! - [`ObserverService`] serves a replica's copy to front ends; [`Subscription`] is a front end's side of that. They run
-//!   the cores of [`violetgate_state_distribution`].
+//! - [`ReplicaRuntime`] runs a [`Replica`](violetgate_replica::Replica): its connections to other
+//!   replicas ([`transport`]), its storage and its timer.
+//! - [`ObserverService`] serves a replica's copy to front ends; [`Subscription`] is a front end's
+//!   side of that. They run the cores of [`violetgate_state_distribution`].
 //!
-//! Nothing is decided here: who leads, what is committed and whether requests may be routed is decided by the cores.
+//! Nothing is decided here: who leads, what is committed and whether requests may be routed is
+//! decided by the cores.
 //!
 //! A cluster of one replica:
 //!
--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -1,5 +1,5 @@
-//! Serves a replica's copy of the state to subscribers: accepts their connections and carries out the actions of the
-//! [`Observer`] core.
+//! Serves a replica's copy of the state to subscribers: accepts their connections and carries out
+//! the actions of the [`Observer`] core.
 //!
 //! - [`listener`]: accepting connections and their greetings.
 //! - [`subscriber_connection`]: one connection, from its greeting to its end.
@@ -37,7 +37,8 @@
 pub enum ServiceError {
     /// Its address can't be used.
     #[error(
-        "subscribers can't connect at {address}: {source}; choose an address of this machine that is free"
+        "subscribers can't connect at {address}: {source}; \
+         choose an address of this machine that is free"
     )]
     Listen {
         /// The address.
@@ -56,7 +57,8 @@
     task: Task<()>,
 }
 
-/// The last message sent, so that one which goes to many connections one after another is encoded once.
+/// The last message sent, so that one which goes to many connections one after another is encoded
+/// once.
 struct EncodedMessage {
     message: ObserverMessage,
     frame: SharedFrame,
@@ -227,7 +229,8 @@
         accepted.get(&id).map(|it| Rc::clone(&it.queue))
     }
 
-    /// Sends a subscriber the reason why its connection ends, and closes it after that. The core has forgotten it.
+    /// Sends a subscriber the reason why its connection ends, and closes it after that. The core
+    /// has forgotten it.
     fn reject(&self, id: ConnectionId, rejection: Rejection) {
         let Some(queue) = self.send_queue(id) else {
             return;
--- a/cluster/replica-runtime/src/observer_service/listener.rs
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -15,8 +15,9 @@
 const MAX_UNACCEPTED: usize = 512;
 /// How long a subscriber may read nothing; the core rejects it before, so that it can see why.
 const STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// Connections that the kernel holds until they are accepted. The standard library's 128 are exceeded where thousands of
-/// front ends return together, and a connection that is dropped then is retried only after a second.
+/// Connections that the kernel holds until they are accepted. The standard library's 128 are
+/// exceeded where thousands of front ends return together, and a connection that is dropped then
+/// is retried only after a second.
 const BACKLOG: i32 = 4_096;
 /// The delay after an accept that failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -151,8 +151,8 @@
         write_all(self.stream, &frame).await
     }
 
-    /// Receives messages until the connection ends. Where this side ends it, this waits, as the writing side has yet to
-    /// send the reason.
+    /// Receives messages until the connection ends. Where this side ends it, this waits, as the
+    /// writing side has yet to send the reason.
     async fn receive_all(&self, reader: &mut FrameReader) -> CloseReason {
         loop {
             match self.receive_buffered(reader) {
@@ -202,7 +202,8 @@
     ConnectionIsEnding,
 }
 
-/// Why a greeting that can't be read is rejected: a greeting of another version may have other fields.
+/// Why a greeting that can't be read is rejected: a greeting of another version may have other
+/// fields.
 fn unreadable_hello(frame: &[u8]) -> Rejection {
     let body = frame.get(wire::FRAME_HEADER_BYTES..).unwrap_or_default();
     match postcard::from_bytes::<([u8; 4], u16)>(body) {
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -1,4 +1,5 @@
-//! A replica at work: its core, its connections, its storage thread, its timer, and the calls that wait for an answer.
+//! A replica at work: its core, its connections, its storage thread, its timer, and the calls that
+//! wait for an answer.
 //!
 //! - [`bootstrap`]: making a replica's folder.
 //! - [`startup`]: opening it and starting all tasks.
@@ -107,8 +108,8 @@
         self.disk_id
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before anything else can be decided on
-    /// the new state.
+    /// Adds a callback. It is called at once, and then whenever more is applied, before anything
+    /// else can be decided on the new state.
     pub fn on_applied(&self, callback: AppliedCallback) {
         callback(self.replica.borrow().store());
         self.callbacks.borrow_mut().push(callback);
--- a/cluster/replica-runtime/src/runtime/bootstrap.rs
+++ b/cluster/replica-runtime/src/runtime/bootstrap.rs
@@ -42,8 +42,9 @@
 }
 
 impl ReplicaRuntime {
-    /// Makes a replica's folder. This is done once: a replica without its old folder has forgotten its term and vote, and
-    /// must not return under the same id. `disk_id` is a random number by which the others recognise the folder.
+    /// Makes a replica's folder. This is done once: a replica without its old folder has forgotten
+    /// its term and vote, and must not return under the same id. `disk_id` is a random number by
+    /// which the others recognise the folder.
     ///
     /// # Errors
     ///
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -1,4 +1,5 @@
-//! Calls that are carried out by this replica itself. Each waits for its answer for a bounded time.
+//! Calls that are carried out by this replica itself. Each waits for its answer for a bounded
+//! time.
 
 use std::time::{Duration, Instant};
 
@@ -43,7 +44,8 @@
         entry.wait(timeout).await
     }
 
-    /// Proposes a command here, once. With a request id it may be proposed again: it is applied once.
+    /// Proposes a command here, once. With a request id it may be proposed again: it is applied
+    /// once.
     pub async fn propose(
         &self,
         request_id: Option<String>,
@@ -67,8 +69,8 @@
         self.call(timeout, start).await
     }
 
-    /// Waits until the store is current, retrying the linearizable read where there is no answer; whether it is within
-    /// the time.
+    /// Waits until the store is current, retrying the linearizable read where there is no answer;
+    /// whether it is within the time.
     pub async fn wait_until_current(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         loop {
--- a/cluster/replica-runtime/src/runtime/effects.rs
+++ b/cluster/replica-runtime/src/runtime/effects.rs
@@ -30,7 +30,8 @@
         self.tick_timer.set(self.replica.borrow().next_tick());
     }
 
-    /// Carries out one effect. Writes are collected, so that those of one call are made durable by one sync.
+    /// Carries out one effect. Writes are collected, so that those of one call are made durable by
+    /// one sync.
     fn carry_out(&self, effect: Effect, writes: &mut Vec<StorageWrite>) {
         match effect {
             Effect::Persist(write) => writes.push(write),
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -1,4 +1,5 @@
-//! Calls that any replica may make: carried out by the leader, whichever it is, and retried until their outcome is known.
+//! Calls that any replica may make: carried out by the leader, whichever it is, and retried until
+//! their outcome is known.
 
 use std::time::{Duration, Instant};
 
@@ -17,9 +18,11 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often it is checked that the replica which carries out a call is still taken for the leader.
+/// How often it is checked that the replica which carries out a call is still taken for the
+/// leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The most calls of other replicas that are carried out at a time. More are rejected, and retried by their callers.
+/// The most calls of other replicas that are carried out at a time. More are rejected, and retried
+/// by their callers.
 const MAX_CALLS_FOR_OTHERS: usize = 1_000;
 
 /// Whether an earlier attempt may have taken effect.
@@ -30,9 +33,9 @@
 }
 
 impl ReplicaRuntime {
-    /// Has a call carried out by whoever leads. It is made again, under its one request id, until its outcome is known
-    /// or the time is over. After [`CallOutcome::TimedOut`] it may still be committed; the same call
-    /// again returns its outcome.
+    /// Has a call carried out by whoever leads. It is made again, under its one request id, until
+    /// its outcome is known or the time is over. After [`CallOutcome::TimedOut`] it may still be
+    /// committed; the same call again returns its outcome.
     pub async fn submit(&self, call: Call, timeout: Duration) -> CallOutcome {
         let deadline = Instant::now() + timeout;
         let mut earlier = EarlierAttempts::HadNoEffect;
@@ -104,7 +107,8 @@
         entry.wait(timeout).or(self.until_deposed(leader)).await
     }
 
-    /// Waits until a replica is no longer taken for the leader: it won't answer, or another one can sooner.
+    /// Waits until a replica is no longer taken for the leader: it won't answer, or another one
+    /// can sooner.
     async fn until_deposed(&self, leader: NodeId) -> CallOutcome {
         while self.replica.borrow().raft().leader() == Some(leader) {
             Timer::after(LEADER_CHECK_INTERVAL).await;
@@ -134,7 +138,8 @@
         }
     }
 
-    /// Carries a call out for another replica, and sends it the answer. A caller that gets none retries.
+    /// Carries a call out for another replica, and sends it the answer. A caller that gets none
+    /// retries.
     pub(super) fn carry_out_for(&self, from: NodeId, id: CallId, call: Call) {
         if self.calls_for_others.get() >= MAX_CALLS_FOR_OTHERS {
             let answer = Response::Rejected(ProposalError::Busy);
--- a/cluster/replica-runtime/src/runtime/pending_answer.rs
+++ b/cluster/replica-runtime/src/runtime/pending_answer.rs
@@ -46,7 +46,8 @@
     }
 }
 
-/// A call's entry among those that wait. Dropping it, also with the future that holds it, removes the entry.
+/// A call's entry among those that wait. Dropping it, also with the future that holds it, removes
+/// the entry.
 pub(super) struct PendingEntry<'a> {
     calls: &'a RefCell<BTreeMap<CallId, Rc<PendingAnswer>>>,
     id: CallId,
--- a/cluster/replica-runtime/src/runtime/startup.rs
+++ b/cluster/replica-runtime/src/runtime/startup.rs
@@ -116,58 +116,76 @@
         let listener = Async::<TcpListener>::bind(address)
             .map_err(|source| StartError::Listen { address, source })?;
         let disk_id = recovered.incarnation;
-        let initial = InitialState {
-            hard_state: recovered.hard_state,
-            snapshot: recovered.snapshot,
-            state: recovered.state,
-            entries: recovered.entries,
-        };
-        let ReplicaOptions {
-            id, config, seed, ..
-        } = *options;
-        let replica = Replica::new(id, config, seed, initial, boot_time())?;
+        let replica = new_replica(options, recovered)?;
         let StorageThread { jobs, events } = start_storage_thread(storage)?;
-        let runtime = Rc::new_cyclic(|weak_self: &Weak<ReplicaRuntime>| {
-            let on_frame = frame_handler(weak_self.clone());
-            let cluster = &options.cluster;
-            ReplicaRuntime {
-                weak_self: weak_self.clone(),
-                notified_index: Cell::new(replica.applied()),
-                replica: RefCell::new(replica),
-                disk_id,
-                transport: Transport::new(Rc::clone(executor), cluster, id, disk_id, on_frame),
-                executor: Rc::clone(executor),
-                callbacks: RefCell::default(),
-                fleet_reports: RefCell::default(),
-                forwarded_calls: RefCell::default(),
-                calls_for_others: Cell::new(0),
-                storage_jobs: jobs,
-                pending_calls: RefCell::default(),
-                last_call: Cell::new(0),
-                tick_timer: Rc::default(),
-                apply_wakers: RefCell::default(),
-                stop_reason: RefCell::default(),
-                tasks: RefCell::default(),
-            }
+        let runtime = Rc::new_cyclic(|weak_self: &Weak<ReplicaRuntime>| ReplicaRuntime {
+            weak_self: weak_self.clone(),
+            notified_index: Cell::new(replica.applied()),
+            replica: RefCell::new(replica),
+            disk_id,
+            transport: new_transport(executor, options, disk_id, weak_self.clone()),
+            executor: Rc::clone(executor),
+            callbacks: RefCell::default(),
+            fleet_reports: RefCell::default(),
+            forwarded_calls: RefCell::default(),
+            calls_for_others: Cell::new(0),
+            pending_calls: RefCell::default(),
+            last_call: Cell::new(0),
+            storage_jobs: jobs,
+            tick_timer: Rc::default(),
+            apply_wakers: RefCell::default(),
+            stop_reason: RefCell::default(),
+            tasks: RefCell::default(),
         });
         runtime.transport.set_peers(&options.members);
-        let weak = || Rc::downgrade(&runtime);
+        runtime.spawn_tasks(listener, events);
+        Ok(runtime)
+    }
+
+    fn spawn_tasks(self: &Rc<Self>, listener: Async<TcpListener>, events: Receiver<StorageEvent>) {
+        let timer = Rc::clone(&self.tick_timer);
         let tasks = [
-            executor.spawn(Rc::clone(&runtime.transport).listen(listener)),
-            executor.spawn(tick_when_due(weak(), Rc::clone(&runtime.tick_timer))),
-            executor.spawn(on_storage_events(weak(), events)),
+            self.executor
+                .spawn(Rc::clone(&self.transport).listen(listener)),
+            self.executor
+                .spawn(tick_when_due(Rc::downgrade(self), timer)),
+            self.executor
+                .spawn(on_storage_events(Rc::downgrade(self), events)),
         ];
-        runtime.tasks.borrow_mut().extend(tasks);
-        Ok(runtime)
+        self.tasks.borrow_mut().extend(tasks);
     }
 }
 
-fn frame_handler(weak: Weak<ReplicaRuntime>) -> FrameHandler {
-    Box::new(move |from, frame| {
-        if let Some(runtime) = weak.upgrade() {
+/// The core, with the state that its folder held.
+fn new_replica(
+    options: &ReplicaOptions,
+    recovered: RecoveredState,
+) -> Result<Replica, ReplicaError> {
+    let initial = InitialState {
+        hard_state: recovered.hard_state,
+        snapshot: recovered.snapshot,
+        state: recovered.state,
+        entries: recovered.entries,
+    };
+    let ReplicaOptions {
+        id, config, seed, ..
+    } = *options;
+    Replica::new(id, config, seed, initial, boot_time())
+}
+
+fn new_transport(
+    executor: &Rc<LocalExecutor<'static>>,
+    options: &ReplicaOptions,
+    disk_id: u64,
+    runtime: Weak<ReplicaRuntime>,
+) -> Rc<Transport> {
+    let on_frame: FrameHandler = Box::new(move |from, frame| {
+        if let Some(runtime) = runtime.upgrade() {
             runtime.on_frame(from, frame);
         }
-    })
+    });
+    let executor = Rc::clone(executor);
+    Transport::new(executor, &options.cluster, options.id, disk_id, on_frame)
 }
 
 fn open_storage(options: &ReplicaOptions) -> Result<OpenedStorage, StartError> {
--- a/cluster/replica-runtime/src/runtime/storage_worker.rs
+++ b/cluster/replica-runtime/src/runtime/storage_worker.rs
@@ -1,6 +1,7 @@
 //! The thread that writes to disk: its jobs, its reports, and its loop.
 //!
-//! Jobs are carried out in their order. Consecutive writes are joined and made durable by one sync.
+//! Jobs are carried out in their order. Consecutive writes are joined and made durable by one
+//! sync.
 
 use std::sync::mpsc;
 use std::time::Duration;
--- a/cluster/replica-runtime/src/send_queue.rs
+++ b/cluster/replica-runtime/src/send_queue.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Writes what is queued until the queue ends or the connection fails. `on_written` is called after each write, with
-    /// the number of bytes that are still queued.
+    /// Writes what is queued until the queue ends or the connection fails. `on_written` is called
+    /// after each write, with the number of bytes that are still queued.
     pub(crate) async fn write_to(
         &self,
         stream: &Async<TcpStream>,
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -1,4 +1,5 @@
-//! A front end's subscription: connects to observers as the [`Subscriber`] core requests, and holds the replica.
+//! A front end's subscription: connects to observers as the [`Subscriber`] core requests, and
+//! holds the replica.
 
 mod observer_connection;
 
@@ -74,7 +75,8 @@
 }
 
 impl Subscription {
-    /// Begins to subscribe to the observers at these addresses. Nothing may be routed until the state is confirmed.
+    /// Begins to subscribe to the observers at these addresses. Nothing may be routed until the
+    /// state is confirmed.
     ///
     /// # Errors
     ///
@@ -106,8 +108,8 @@
         Ok(subscription)
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before anything else can be decided on
-    /// the new state.
+    /// Adds a callback. It is called at once, and then whenever more is applied, before anything
+    /// else can be decided on the new state.
     pub fn on_applied(&self, callback: ReplicaCallback) {
         callback(self.core.borrow().replica());
         self.callbacks.borrow_mut().push(callback);
@@ -232,12 +234,14 @@
         current.is_some_and(|current| current.number == number)
     }
 
-    /// Records why a connection to an observer ended; whether the one before ended for another reason.
+    /// Records why a connection to an observer ended; whether the one before ended for another
+    /// reason.
     fn record_end(&self, observer: NodeId, reason: CloseReason) -> bool {
         self.last_ends.borrow_mut().insert(observer, reason) != Some(reason)
     }
 
-    /// A connection has ended, or could not be made; its task, which calls this, ends after the call.
+    /// A connection has ended, or could not be made; its task, which calls this, ends after the
+    /// call.
     fn connection_ended(
         &self,
         observer: NodeId,
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -1,4 +1,5 @@
-//! One connection of a subscription to an observer: its greeting, then messages in both directions.
+//! One connection of a subscription to an observer: its greeting, then messages in both
+//! directions.
 
 use std::net::{SocketAddr, TcpStream};
 use std::rc::{Rc, Weak};
@@ -91,7 +92,8 @@
         self.subscription.upgrade().ok_or(CloseReason::Stopped)
     }
 
-    /// Runs the connection until its end. `accepted` is set once the observer has accepted the greeting.
+    /// Runs the connection until its end. `accepted` is set once the observer has accepted the
+    /// greeting.
     async fn exchange(
         &self,
         hello: &SubscriberHello,
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -1,8 +1,9 @@
 //! The connections between replicas.
 //!
-//! Each replica makes one connection to each other one, on which it sends and never receives: `outgoing`. Those that
-//! the others make to it are `incoming`. A connection that fails is made again after a backoff. A message that finds
-//! its queue full is dropped: Raft sends again what matters.
+//! Each replica makes one connection to each other one, on which it sends and never receives:
+//! `outgoing`. Those that the others make to it are `incoming`. A connection that fails is made
+//! again after a backoff. A message that finds its queue full is dropped: Raft sends again what
+//! matters.
 
 mod incoming;
 mod outgoing;
@@ -89,7 +90,8 @@
         })
     }
 
-    /// Sets the replicas that may be sent to, and their addresses. Connections to others are closed.
+    /// Sets the replicas that may be sent to, and their addresses. Connections to others are
+    /// closed.
     pub fn set_peers(&self, addresses: &BTreeMap<NodeId, SocketAddr>) {
         let mut peers = self.peers.borrow_mut();
         peers.retain(|id, peer| addresses.get(id) == Some(&peer.address));
@@ -111,8 +113,8 @@
         }
     }
 
-    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it may have
-    /// forgotten its term and vote.
+    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it
+    /// may have forgotten its term and vote.
     pub fn set_known_disks(&self, disks: BTreeMap<NodeId, u64>) {
         *self.known_disks.borrow_mut() = disks;
     }
@@ -138,7 +140,8 @@
         self.counter.stats()
     }
 
-    /// Exchanges no messages with these replicas until the next call, for tests of network partitions.
+    /// Exchanges no messages with these replicas until the next call, for tests of network
+    /// partitions.
     pub fn block_peers(&self, ids: &[NodeId]) {
         *self.blocked.borrow_mut() = ids.to_vec();
     }
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -68,7 +68,8 @@
     Accepted,
 }
 
-/// Maintains a connection to a replica until the transport is dropped, and writes what is queued for it.
+/// Maintains a connection to a replica until the transport is dropped, and writes what is queued
+/// for it.
 pub(super) async fn keep_connected(
     transport: Weak<Transport>,
     id: NodeId,
@@ -138,8 +139,8 @@
     Ok(())
 }
 
-/// Waits until the connection ends. The other replica sends nothing on it after the greeting: what can be read is the
-/// end.
+/// Waits until the connection ends. The other replica sends nothing on it after the greeting: what
+/// can be read is the end.
 async fn closed_by_peer(stream: &Async<TcpStream>) -> Result<Vec<u8>, CloseReason> {
     let mut byte = [0];
     let _ = stream.read_with(|mut stream| stream.read(&mut byte)).await;
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -1,7 +1,8 @@
-//! The protocol between replicas: one greeting each way, then frames that hold one message each. It does no I/O.
+//! The protocol between replicas: one greeting each way, then frames that hold one message each.
+//! It does no I/O.
 //!
-//! Messages are encoded by postcard, by position: the order of fields and variants is part of the protocol, their names
-//! are not.
+//! Messages are encoded by postcard, by position: the order of fields and variants is part of the
+//! protocol, their names are not.
 
 mod codec;
 mod frame;
--- a/cluster/replica-runtime/src/wire/frame.rs
+++ b/cluster/replica-runtime/src/wire/frame.rs
@@ -43,7 +43,8 @@
         /// The answer.
         answer: Response,
     },
-    /// How far the sender's subscribers are. A replica of a version without observers closes the connection over it: all
-    /// replicas have to be upgraded before the first one serves subscribers.
+    /// How far the sender's subscribers are. A replica of a version without observers closes the
+    /// connection over it: all replicas have to be upgraded before the first one serves
+    /// subscribers.
     Progress(ProgressSummary),
 }
--- a/cluster/replica-runtime/src/wire/hello.rs
+++ b/cluster/replica-runtime/src/wire/hello.rs
@@ -28,7 +28,8 @@
 /// The answer to a greeting.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Welcome {
-    /// Why the greeting is rejected, for the log of the other side; `None`: it is accepted, and frames may follow.
+    /// Why the greeting is rejected, for the log of the other side; `None`: it is accepted, and
+    /// frames may follow.
     pub rejected: Option<String>,
     /// The random id of this replica's disk.
     pub disk_id: u64,
@@ -52,7 +53,8 @@
     /// It has this replica's id.
     #[error("it has this member's id, {id}")]
     DuplicateId { id: NodeId },
-    /// Its disk is not the one that the cluster knows: it may have forgotten its vote, and vote twice.
+    /// Its disk is not the one that the cluster knows: it may have forgotten its vote, and vote
+    /// twice.
     #[error("member {id} had another disk: it may have forgotten its votes")]
     UnknownDisk { id: NodeId },
 }
@@ -69,7 +71,8 @@
         }
     }
 
-    /// Checks the greeting at a replica. `known_disk` is the disk of the greeting replica, if the cluster knows it.
+    /// Checks the greeting at a replica. `known_disk` is the disk of the greeting replica, if the
+    /// cluster knows it.
     pub fn check(
         &self,
         cluster: &str,
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -7,7 +7,8 @@
 use violetgate_replica::Response;
 use violetgate_state_distribution::ProgressSummary;
 
-/// A frame is the same wherever it is cut; what is no frame is told apart from one that is not whole.
+/// A frame is the same wherever it is cut; what is no frame is told apart from one that is not
+/// whole.
 #[test]
 fn frames_are_decoded_however_they_are_cut() {
     let entries = vec![Entry {
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Each frame between members as an earlier release encodes it. Both directions are compared: an instance of that
-//! release and a new one work together during an upgrade.
+//! Each frame between members as an earlier release encodes it. Both directions are compared: an
+//! instance of that release and a new one work together during an upgrade.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
--- a/cluster/replica-runtime/tests/commits.rs
+++ b/cluster/replica-runtime/tests/commits.rs
@@ -1,5 +1,5 @@
-//! Three replicas on loopback with real files, in one thread: they commit, lose one, and take it back; any of them has
-//! calls committed.
+//! Three replicas on loopback with real files, in one thread: they commit, lose one, and take it
+//! back; any of them has calls committed.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! Voters, observers and subscriptions on loopback, in one thread, with real files.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -58,7 +58,8 @@
 }
 
 impl Fleet {
-    /// Starts voters 1 to `voters` and, as learners, the observers that follow; nothing is served yet.
+    /// Starts voters 1 to `voters` and, as learners, the observers that follow; nothing is served
+    /// yet.
     pub fn start(name: &str, voters: u64, observers: u64) -> Self {
         let folder = std::env::temp_dir().join(format!(
             "violetgate-observers-{}-{name}",
@@ -115,7 +116,8 @@
             .insert(id, ReplicaRuntime::start(&self.executor, &options).unwrap());
     }
 
-    /// Adds the observers to the cluster as learners and begins to serve; the configuration is changed as wanted.
+    /// Adds the observers to the cluster as learners and begins to serve; the configuration is
+    /// changed as wanted.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
             self.agree(Call::ChangeMembership(MembershipChange::AddLearner(id)))
--- a/cluster/replica-runtime/tests/membership.rs
+++ b/cluster/replica-runtime/tests/membership.rs
@@ -17,8 +17,8 @@
 use violetgate_replica::Response;
 use violetgate_replica_runtime::{Bootstrap, CallOutcome, ReplicaRuntime};
 
-/// A replica joins as a learner and becomes a voter. One that has lost its identity can't start, and its folder can't be
-/// made again.
+/// A replica joins as a learner and becomes a voter. One that has lost its identity can't start,
+/// and its folder can't be made again.
 #[test]
 fn a_replica_joins_and_one_without_its_folder_does_not_return() {
     let mut group = ReplicaGroup::new("join", 1..=4);
@@ -81,7 +81,8 @@
         .contains("a member's already"));
 }
 
-/// A replica that returns with another folder than the committed one exchanges messages with nobody.
+/// A replica that returns with another folder than the committed one exchanges messages with
+/// nobody.
 #[test]
 fn a_replica_with_another_disk_is_rejected() {
     let mut group = ReplicaGroup::new("another-disk", 1..=3);
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -1,5 +1,5 @@
-//! Observers and subscriptions over real sockets: changes reach all front ends, whichever process ends, and a slow one
-//! does not delay the others.
+//! Observers and subscriptions over real sockets: changes reach all front ends, whichever process
+//! ends, and a slow one does not delay the others.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -27,8 +27,9 @@
         .count()
 }
 
-/// A change reaches all front ends, in the very turn in which it is applied; one observer's death shuts no gate, and
-/// after the leader's the next change reaches all; members know what is in force.
+/// A change reaches all front ends, in the very turn in which it is applied; one observer's death
+/// shuts no gate, and after the leader's the next change reaches all; members know what is in
+/// force.
 #[test]
 fn changes_reach_all_front_ends_whichever_process_ends() {
     let mut fleet = Fleet::start("deaths", 3, 2);
@@ -79,8 +80,8 @@
     }));
 }
 
-/// Without any observer all gates shut; once one serves again the front ends go on from what they hold, or from a
-/// snapshot in chunks where the changes since are compacted away.
+/// Without any observer all gates shut; once one serves again the front ends go on from what they
+/// hold, or from a snapshot in chunks where the changes since are compacted away.
 #[test]
 fn front_ends_fetch_a_snapshot_where_changes_are_compacted() {
     let mut fleet = Fleet::start("snapshot", 1, 2);
@@ -117,7 +118,8 @@
     }));
 }
 
-/// A subscriber that takes nothing costs a bounded queue, slows nobody, and sees why it was turned away.
+/// A subscriber that takes nothing costs a bounded queue, slows nobody, and sees why it was turned
+/// away.
 #[test]
 fn a_slow_reader_is_rejected_and_delays_nobody() {
     let mut fleet = Fleet::start("slow", 1, 1);
--- a/cluster/replica-runtime/tests/partition.rs
+++ b/cluster/replica-runtime/tests/partition.rs
@@ -17,8 +17,8 @@
 use violetgate_replica::Response;
 use violetgate_replica_runtime::CallOutcome;
 
-/// A leader without the others may not route once its state is older than the drain limit, answers no read, and takes
-/// part again when the partition ends.
+/// A leader without the others may not route once its state is older than the drain limit, answers
+/// no read, and takes part again when the partition ends.
 #[test]
 fn a_partitioned_leader_does_not_route() {
     let mut group = ReplicaGroup::new("cut", 1..=3);
--- a/cluster/replica-runtime/tests/raw/mod.rs
+++ b/cluster/replica-runtime/tests/raw/mod.rs
@@ -1,5 +1,5 @@
 //! A subscriber written by hand, which may send anything.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/cluster/replica-runtime/tests/rejections.rs
+++ b/cluster/replica-runtime/tests/rejections.rs
@@ -1,4 +1,5 @@
-//! What an observer can't serve gets one clear rejection with its code over a real socket; the others go on.
+//! What an observer can't serve gets one clear rejection with its code over a real socket; the
+//! others go on.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -114,7 +115,8 @@
     until("places are free", || service.subscribers() == 5).await;
 }
 
-/// A connection without a greeting is closed, and connections that are opened and dropped use nothing.
+/// A connection without a greeting is closed, and connections that are opened and dropped use
+/// nothing.
 async fn check_silent_connections(at: SocketAddr) {
     let mut silent = Raw::connect(at).await;
     for _ in 0..600 {
--- a/cluster/replica-runtime/tests/replica_group/mod.rs
+++ b/cluster/replica-runtime/tests/replica_group/mod.rs
@@ -1,5 +1,5 @@
 //! A group of replicas on loopback.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -129,7 +129,8 @@
         }
     }
 
-    /// Runs until all tasks that can run now have run, such as those of replicas that were dropped.
+    /// Runs until all tasks that can run now have run, such as those of replicas that were
+    /// dropped.
     pub fn run_pending_tasks(&self) {
         while self.executor.try_tick() {}
     }
--- a/cluster/state-distribution/src/fleet_progress.rs
+++ b/cluster/state-distribution/src/fleet_progress.rs
@@ -31,8 +31,8 @@
     pub not_serving: u32,
     /// The least revision that a serving subscriber has applied; `None`: there is none.
     pub least_applied: Option<Revision>,
-    /// Serving subscribers that lack the observer's revision, by how long they have lacked it: under 0.1 s, under
-    /// 1 s, under 10 s, longer.
+    /// Serving subscribers that lack the observer's revision, by how long they have lacked it:
+    /// under 0.1 s, under 1 s, under 10 s, longer.
     pub behind: [u32; 4],
     /// Up to [`MAX_LAGGARDS`] of those furthest behind.
     pub laggards: Vec<Laggard>,
@@ -42,8 +42,9 @@
 const MAX_OBSERVERS: usize = 256;
 /// The most revisions of which it is recorded when they were known and when they were in force.
 const MAX_RECORDS: usize = 4_096;
-/// How long after an observer's last report that report still limits what counts as in force. An observer that can't
-/// reach the cluster confirms nothing: by then its front ends have stopped serving (2 s), or have reported to another.
+/// How long after an observer's last report that report still limits what counts as in force. An
+/// observer that can't reach the cluster confirms nothing: by then its front ends have stopped
+/// serving (2 s), or have reported to another.
 const SILENT_OBSERVER_LIMITS_US: Micros = 5_000_000;
 
 /// When a revision came into force.
@@ -136,12 +137,13 @@
         self.reports.remove(&observer);
     }
 
-    /// The sum at `now`. Observers whose last report is older than `fresh_for` microseconds count as silent, and their
-    /// front ends are not counted.
+    /// The sum at `now`. Observers whose last report is older than `fresh_for` microseconds count
+    /// as silent, and their front ends are not counted.
     ///
-    /// [`FleetTotals::in_force`] never exceeds what was reported: a silent observer's last report limits it for 5 s
-    /// after its arrival, or for `fresh_for` if that is longer, and it is 0 where no front end is known to serve. It
-    /// may decrease when a front end that is behind begins to serve, or a silent observer reports again.
+    /// [`FleetTotals::in_force`] never exceeds what was reported: a silent observer's last report
+    /// limits it for 5 s after its arrival, or for `fresh_for` if that is longer, and it is 0
+    /// where no front end is known to serve. It may decrease when a front end that is behind
+    /// begins to serve, or a silent observer reports again.
     #[must_use]
     pub fn totals(&self, now: Micros, fresh_for: Micros) -> FleetTotals {
         let mut totals = FleetTotals::default();
@@ -167,8 +169,8 @@
         totals
     }
 
-    /// The sum as in [`FleetProgress::totals`], and a record of the revisions that it shows in force for the first
-    /// time.
+    /// The sum as in [`FleetProgress::totals`], and a record of the revisions that it shows in
+    /// force for the first time.
     pub fn record(&mut self, now: Micros, fresh_for: Micros) -> FleetTotals {
         let totals = self.totals(now, fresh_for);
         while let Some(known) = self.pending.front().copied() {
@@ -186,8 +188,8 @@
         totals
     }
 
-    /// When the latest revisions came into force, oldest first. A revision that an observer reported together with a
-    /// later one has no record of its own.
+    /// When the latest revisions came into force, oldest first. A revision that an observer
+    /// reported together with a later one has no record of its own.
     pub fn in_force(&self) -> impl Iterator<Item = &RevisionInForce> {
         self.in_force.iter()
     }
--- a/cluster/state-distribution/src/lib.rs
+++ b/cluster/state-distribution/src/lib.rs
@@ -1,16 +1,18 @@
-//! Distribution of replicated state from a few voters through observers to many subscribers, without I/O.
+//! Distribution of replicated state from a few voters through observers to many subscribers,
+//! without I/O.
 //!
-//! Voters agree on the state. Observers are learners of the same Raft group: they hold a full copy of the store and
-//! serve it to subscribers. Each front end subscribes to observers and holds a [`SubscriberReplica`]: the current
-//! entries, without history.
+//! Voters agree on the state. Observers are learners of the same Raft group: they hold a full copy
+//! of the store and serve it to subscribers. Each front end subscribes to observers and holds a
+//! [`SubscriberReplica`]: the current entries, without history.
 //!
-//! - [`Observer`] is the serving side: watches, snapshot transfers in chunks, confirmations of freshness polls, progress.
-//! - [`Subscriber`] is the front end's side: its connections to observers, its replica, and the staleness check before
-//!   routing.
+//! - [`Observer`] is the serving side: watches, snapshot transfers in chunks, confirmations of
+//!   freshness polls, progress.
+//! - [`Subscriber`] is the front end's side: its connections to observers, its replica, and the
+//!   staleness check before routing.
 //! - [`FleetProgress`] sums what all observers report.
 //!
-//! Neither side reads a clock or opens a socket: each call is given the time, and what has to be done is returned as
-//! actions.
+//! Neither side reads a clock or opens a socket: each call is given the time, and what has to be
+//! done is returned as actions.
 //!
 //! ```
 //! use violetgate_replicated_state::Store;
--- a/cluster/state-distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -1,8 +1,8 @@
 //! The messages between a front end (the subscriber) and an observer.
 //!
-//! A connection carries one greeting each way and then messages in both directions. Each is framed as between replicas:
-//! its length in four bytes, then its postcard encoding. Postcard encodes by position: the order of fields and variants
-//! is part of the protocol, their names are not.
+//! A connection carries one greeting each way and then messages in both directions. Each is framed
+//! as between replicas: its length in four bytes, then its postcard encoding. Postcard encodes by
+//! position: the order of fields and variants is part of the protocol, their names are not.
 
 use std::sync::Arc;
 
@@ -63,8 +63,8 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// All changes after `after` up to `to`, in order, complete revisions only. There is no gap between the batches of a
-/// watch: each `after` is the `to` of the one before.
+/// All changes after `after` up to `to`, in order, complete revisions only. There is no gap
+/// between the batches of a watch: each `after` is the `to` of the one before.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ChangeBatch {
     /// The revision that the subscriber has to hold.
@@ -113,7 +113,8 @@
 pub struct SubscriberProgress {
     /// The revision that it has applied.
     pub applied: Revision,
-    /// Its state is fresh enough to route on. A subscriber that is not serving does not count as behind.
+    /// Its state is fresh enough to route on. A subscriber that is not serving does not count as
+    /// behind.
     pub serving: bool,
 }
 
@@ -130,7 +131,8 @@
         /// Where to resume; `None`: begin a snapshot of the observer's current revision.
         from: Option<SnapshotCursor>,
     },
-    /// Confirm that the observer's state is current. The answer counts from the moment at which this was sent.
+    /// Confirm that the observer's state is current. The answer counts from the moment at which
+    /// this was sent.
     Poll {
         /// The subscriber's id of this poll.
         poll: PollId,
@@ -158,14 +160,16 @@
         /// Requests queued before this one.
         position: u32,
     },
-    /// The state was current at some moment after the poll arrived here, at this revision or later.
+    /// The state was current at some moment after the poll arrived here, at this revision or
+    /// later.
     PollConfirmed {
         /// The subscriber's id of the poll; earlier polls are confirmed with it.
         poll: PollId,
         /// The revision that the subscriber has to apply for the confirmation to count.
         revision: Revision,
     },
-    /// How many subscribers this observer serves, so that subscribers can spread their load. Sent periodically.
+    /// How many subscribers this observer serves, so that subscribers can spread their load. Sent
+    /// periodically.
     LoadReport {
         /// Subscribers connected.
         subscribers: u32,
--- a/cluster/state-distribution/src/mutant.rs
+++ b/cluster/state-distribution/src/mutant.rs
@@ -1,5 +1,5 @@
-//! Deliberately wrong decisions, each of which the tests have to detect. Without the feature `mutants` none is ever
-//! active.
+//! Deliberately wrong decisions, each of which the tests have to detect. Without the feature
+//! `mutants` none is ever active.
 
 /// A wrong decision.
 #[doc(hidden)]
--- a/cluster/state-distribution/src/observer/admission.rs
+++ b/cluster/state-distribution/src/observer/admission.rs
@@ -1,8 +1,9 @@
 //! Which subscribers an observer accepts.
 //!
-//! A greeting is rejected where it is of another protocol, version or cluster, means another observer, has no usable
-//! name, or finds all places taken. A revision that the observer does not have is no reason yet: the observer itself may
-//! be behind, which only a linearizable read can show.
+//! A greeting is rejected where it is of another protocol, version or cluster, means another
+//! observer, has no usable name, or finds all places taken. A revision that the observer does not
+//! have is no reason yet: the observer itself may be behind, which only a linearizable read can
+//! show.
 
 use violetgate_replicated_state::{Micros, Store};
 
@@ -15,8 +16,9 @@
 const MAX_NAME_BYTES: usize = 256;
 
 impl Observer {
-    /// Handles the greeting of a subscriber that has connected. The caller writes the answer; where it is a rejection,
-    /// it closes the connection then, of which nothing is remembered here.
+    /// Handles the greeting of a subscriber that has connected. The caller writes the answer;
+    /// where it is a rejection, it closes the connection then, of which nothing is remembered
+    /// here.
     pub fn accept(
         &mut self,
         now: Micros,
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -25,8 +25,8 @@
     }
 }
 
-/// The changes after a revision, cut once they exceed `max_bytes`, but one complete revision at least; `None`: there are
-/// none.
+/// The changes after a revision, cut once they exceed `max_bytes`, but one complete revision at
+/// least; `None`: there are none.
 pub(super) fn changes_after(
     store: &Store,
     after: Revision,
--- a/cluster/state-distribution/src/observer/config.rs
+++ b/cluster/state-distribution/src/observer/config.rs
@@ -14,11 +14,11 @@
     pub capacity: u32,
     /// The most snapshot transfers under way at once; further requests are queued in their order.
     pub max_concurrent_snapshots: usize,
-    /// The size in bytes at which a snapshot chunk or a batch of changes is cut. One holds at least one entry, or one
-    /// revision, however large.
+    /// The size in bytes at which a snapshot chunk or a batch of changes is cut. One holds at
+    /// least one entry, or one revision, however large.
     pub chunk_bytes: usize,
-    /// Bytes queued for one subscriber above which changes are held back. A subscriber that falls behind the store's
-    /// change history fetches a snapshot anew.
+    /// Bytes queued for one subscriber above which changes are held back. A subscriber that falls
+    /// behind the store's change history fetches a snapshot anew.
     pub send_queue_bytes: usize,
     /// The least time between the beginnings of two linearizable reads, in microseconds.
     pub min_read_interval: Micros,
--- a/cluster/state-distribution/src/observer/housekeeping.rs
+++ b/cluster/state-distribution/src/observer/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What an observer does as time passes: it closes connections that are stalled or silent, reports its load, and begins
-//! reads.
+//! What an observer does as time passes: it closes connections that are stalled or silent, reports
+//! its load, and begins reads.
 
 use violetgate_replicated_state::{Micros, Store};
 
@@ -12,7 +12,8 @@
 pub(super) const CHECK_INTERVAL_US: Micros = 1_000_000;
 /// A subscriber whose queue is over its bound is closed once it has read nothing for this time.
 const STALL_TIMEOUT_US: Micros = 10_000_000;
-/// A subscriber that has sent nothing for this time is taken as dead, though its connection has not ended.
+/// A subscriber that has sent nothing for this time is taken as dead, though its connection has
+/// not ended.
 const SILENCE_TIMEOUT_US: Micros = 30_000_000;
 
 impl Observer {
--- a/cluster/state-distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -53,7 +53,8 @@
         /// The message.
         message: ObserverMessage,
     },
-    /// Close a connection, once all messages before and then [`ObserverMessage::Rejected`] are written.
+    /// Close a connection, once all messages before and then [`ObserverMessage::Rejected`] are
+    /// written.
     Close {
         /// Which one.
         connection: ConnectionId,
@@ -67,7 +68,8 @@
 /// How a linearizable read ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadResult {
-    /// The store was current at some moment after the read began, and all up to that moment is applied here.
+    /// The store was current at some moment after the read began, and all up to that moment is
+    /// applied here.
     Current,
     /// There was no answer.
     Failed,
@@ -198,8 +200,8 @@
             .record_departure(self.now, id, self.config.capacity as usize);
     }
 
-    /// Takes the number of bytes that are queued for a connection, after some were written. It has to be called also
-    /// when none remain: a subscriber that lacks changes is sent more only then.
+    /// Takes the number of bytes that are queued for a connection, after some were written. It has
+    /// to be called also when none remain: a subscriber that lacks changes is sent more only then.
     pub fn bytes_queued(&mut self, id: ConnectionId, bytes: usize, store: &Store) {
         self.send_new_changes(store);
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -217,7 +219,8 @@
         self.send_new_changes(store);
     }
 
-    /// A linearizable read has ended. Polls are confirmed if it succeeded; otherwise they wait for another read.
+    /// A linearizable read has ended. Polls are confirmed if it succeeded; otherwise they wait for
+    /// another read.
     pub fn read_completed(&mut self, now: Micros, read: ReadId, result: ReadResult, store: &Store) {
         self.now = now;
         self.send_new_changes(store);
--- a/cluster/state-distribution/src/observer/polls.rs
+++ b/cluster/state-distribution/src/observer/polls.rs
@@ -1,9 +1,10 @@
 //! Freshness polls: one linearizable read answers all polls that arrived before it began.
 //!
-//! A poll that arrives while a read is under way waits for the next one: a read proves nothing about the time after
-//! its beginning. At most one read is under way. The next begins once that has ended, and no sooner than
-//! [`min_read_interval`](super::ObserverConfig::min_read_interval) after its beginning. Polls whose read failed wait for
-//! the next read until they are older than [`POLL_LIFETIME_US`].
+//! A poll that arrives while a read is under way waits for the next one: a read proves nothing
+//! about the time after its beginning. At most one read is under way. The next begins once that
+//! has ended, and no sooner than [`min_read_interval`](super::ObserverConfig::min_read_interval)
+//! after its beginning. Polls whose read failed wait for the next read until they are older than
+//! [`POLL_LIFETIME_US`].
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -32,7 +33,8 @@
 pub(super) struct PendingPolls {
     /// Oldest first.
     polls: VecDeque<Poll>,
-    /// A revision that the subscriber claims to hold, to be compared with the one that the read confirms.
+    /// A revision that the subscriber claims to hold, to be compared with the one that the read
+    /// confirms.
     pub claimed_revision: Option<Revision>,
 }
 
@@ -132,7 +134,8 @@
             .push(Poll { id, received_at });
     }
 
-    /// A subscriber claims to hold a revision. Only a read that begins from now on can show whether it exists.
+    /// A subscriber claims to hold a revision. Only a read that begins from now on can show
+    /// whether it exists.
     pub fn check_revision(&mut self, connection: ConnectionId, claimed: Revision) {
         let pending = self.waiting.entry(connection).or_default();
         pending.claimed_revision = pending.claimed_revision.max(Some(claimed));
--- a/cluster/state-distribution/src/observer/progress_table.rs
+++ b/cluster/state-distribution/src/observer/progress_table.rs
@@ -10,10 +10,11 @@
 
 /// The most revisions of which the time of arrival is held.
 const MAX_ARRIVALS: usize = 4_096;
-/// A subscriber that has not reported for this time does not serve, whatever it reported last: its state is stale.
+/// A subscriber that has not reported for this time does not serve, whatever it reported last: its
+/// state is stale.
 const REPORT_LIFETIME_US: Micros = 3_000_000;
-/// How long a front end that served and disconnected still counts in the least applied revision: the drain limit. By
-/// then it has reported to another observer, or its state is stale.
+/// How long a front end that served and disconnected still counts in the least applied revision:
+/// the drain limit. By then it has reported to another observer, or its state is stale.
 const DEPARTED_LIFETIME_US: Micros = 2_000_000;
 /// The bounds of the ages in [`ProgressSummary::behind`].
 const AGE_BOUNDS_US: [Micros; 3] = [100_000, 1_000_000, 10_000_000];
@@ -73,7 +74,8 @@
         }
     }
 
-    /// A subscriber does not watch here any more. Of the departed, at most `max_departed` are held.
+    /// A subscriber does not watch here any more. Of the departed, at most `max_departed` are
+    /// held.
     pub fn record_departure(&mut self, now: Micros, connection: ConnectionId, max_departed: usize) {
         let Some(report) = self.remove(connection) else {
             return;
@@ -104,8 +106,8 @@
         Some(report)
     }
 
-    /// Takes subscribers that have not reported for long as not serving, and drops those departed long ago. Called
-    /// periodically, not for each message.
+    /// Takes subscribers that have not reported for long as not serving, and drops those departed
+    /// long ago. Called periodically, not for each message.
     pub fn expire(&mut self, now: Micros) {
         let expired =
             |report: &Report| now.saturating_sub(report.received_at) >= REPORT_LIFETIME_US;
@@ -179,7 +181,8 @@
             .collect()
     }
 
-    /// Serving subscribers that lack `revision`, by how long they have lacked the revision after theirs.
+    /// Serving subscribers that lack `revision`, by how long they have lacked the revision after
+    /// theirs.
     fn behind(&self, now: Micros, revision: Revision) -> [u32; 4] {
         let mut behind = [0; 4];
         for (applied, count) in self.serving_at.range(..revision) {
@@ -195,7 +198,8 @@
         behind
     }
 
-    /// When the first revision after `applied` arrived; the earliest time held if that is no longer known.
+    /// When the first revision after `applied` arrived; the earliest time held if that is no
+    /// longer known.
     fn arrival_after(&self, applied: Revision) -> Micros {
         let place = self
             .arrivals
--- a/cluster/state-distribution/src/observer/send_backlog.rs
+++ b/cluster/state-distribution/src/observer/send_backlog.rs
@@ -2,7 +2,8 @@
 
 use violetgate_replicated_state::Micros;
 
-/// The bytes queued for a subscriber, as far as is known: those that the caller reported last, and those sent since.
+/// The bytes queued for a subscriber, as far as is known: those that the caller reported last, and
+/// those sent since.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct SendBacklog {
     bytes: usize,
--- a/cluster/state-distribution/src/observer/snapshot_slots.rs
+++ b/cluster/state-distribution/src/observer/snapshot_slots.rs
@@ -1,7 +1,7 @@
 //! Which snapshot transfers are under way, and which requests are queued.
 //!
-//! A request takes a free slot unless others are queued before it. A slot is freed when its subscriber wants no more
-//! chunks, or has requested none for [`IDLE_TIMEOUT_US`].
+//! A request takes a free slot unless others are queued before it. A slot is freed when its
+//! subscriber wants no more chunks, or has requested none for [`IDLE_TIMEOUT_US`].
 
 use std::collections::BTreeMap;
 
@@ -107,7 +107,8 @@
             .retain(|_, requested_at| now.saturating_sub(*requested_at) < IDLE_TIMEOUT_US);
     }
 
-    /// The positions to send: those that are at most half of what was sent before, so that messages stay few.
+    /// The positions to send: those that are at most half of what was sent before, so that
+    /// messages stay few.
     pub fn position_updates(&mut self) -> Vec<PositionUpdate> {
         let mut updates = Vec::new();
         for (position, request) in (0_u32..).zip(self.queue.values_mut()) {
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -1,7 +1,8 @@
-//! Snapshot transfers: each chunk is requested by the subscriber, and a bounded number of transfers is under way.
+//! Snapshot transfers: each chunk is requested by the subscriber, and a bounded number of
+//! transfers is under way.
 //!
-//! A request is answered at once if its revision is applied here, a slot is free and the subscriber's queue is short
-//! enough. Otherwise it waits for that.
+//! A request is answered at once if its revision is applied here, a slot is free and the
+//! subscriber's queue is short enough. Otherwise it waits for that.
 
 use violetgate_replicated_state::{Store, MAX_KEY_BYTES};
 
@@ -63,8 +64,9 @@
 
     fn send_chunk(&mut self, id: ConnectionId, from: Option<&SnapshotCursor>, store: &Store) {
         match snapshot_chunk(store, from, self.config.chunk_bytes) {
-            // The last chunk does not free the slot: the subscriber's next message does, which shows that the chunk has
-            // arrived. This bounds what is queued for all subscribers together.
+            // The last chunk does not free the slot: the subscriber's next message does, which
+            // shows that the chunk has arrived. This bounds what is queued for all subscribers
+            // together.
             Ok(SizedChunk { chunk, bytes }) => {
                 self.send(id, ObserverMessage::SnapshotChunk(chunk), bytes);
             }
--- a/cluster/state-distribution/src/observer/subscriber_connection.rs
+++ b/cluster/state-distribution/src/observer/subscriber_connection.rs
@@ -5,7 +5,8 @@
 use super::send_backlog::SendBacklog;
 use crate::message::{SnapshotCursor, SubscriberMessage};
 
-/// The most messages that a subscriber may send in a second, not counting requests to continue a snapshot.
+/// The most messages that a subscriber may send in a second, not counting requests to continue a
+/// snapshot.
 const MAX_MESSAGES_PER_SECOND: u32 = 100;
 const SECOND_US: Micros = 1_000_000;
 
@@ -35,7 +36,8 @@
     pub watch: Watch,
     pub snapshot: Option<SnapshotRequest>,
     pub backlog: SendBacklog,
-    /// The subscriber watches this observer, rather than holding it as its standby: its progress counts here.
+    /// The subscriber watches this observer, rather than holding it as its standby: its progress
+    /// counts here.
     pub is_watched: bool,
     pub last_message_at: Micros,
     /// The current second of the rate limit, and the messages counted in it.
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -1,4 +1,5 @@
-//! Sending changes. Subscribers that are current get each batch as it is applied; the others catch up at their own pace.
+//! Sending changes. Subscribers that are current get each batch as it is applied; the others catch
+//! up at their own pace.
 
 use violetgate_replicated_state::{Compacted, Revision, Store};
 
@@ -9,8 +10,8 @@
 use crate::mutant::Mutant;
 
 impl Observer {
-    /// Sends what the store has applied since the last call. Each batch is read from the store once, for all
-    /// subscribers that are current.
+    /// Sends what the store has applied since the last call. Each batch is read from the store
+    /// once, for all subscribers that are current.
     pub(super) fn send_new_changes(&mut self, store: &Store) {
         if store.revision() <= self.revision {
             return;
@@ -130,7 +131,8 @@
         chunk_bytes.min(send_queue_bytes).max(1)
     }
 
-    /// A subscriber holds a revision that is not applied here yet: it waits, and a read shows whether there is one.
+    /// A subscriber holds a revision that is not applied here yet: it waits, and a read shows
+    /// whether there is one.
     pub(super) fn wait_for_revision(&mut self, id: ConnectionId, revision: Revision) {
         self.awaiting.insert((revision, id));
         self.polls.check_revision(id, revision);
--- a/cluster/state-distribution/src/rejection.rs
+++ b/cluster/state-distribution/src/rejection.rs
@@ -4,14 +4,18 @@
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::Revision;
 
-/// Why an observer rejects a subscriber or ends its connection. [`Rejection::code`] is the reason code in logs.
+/// Why an observer rejects a subscriber or ends its connection. [`Rejection::code`] is the reason
+/// code in logs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// The greeting is not one of this protocol.
     #[error("this is no subscriber: check that the address is an observer's subscriber address")]
     NotASubscriber,
     /// The subscriber speaks another version.
-    #[error("the subscriber speaks version {theirs}, this observer version {ours}: upgrade observers first, then front ends")]
+    #[error(
+        "the subscriber speaks version {theirs}, this observer version {ours}: \
+         upgrade observers first, then front ends"
+    )]
     WrongVersion {
         /// The subscriber's version.
         theirs: u16,
@@ -19,7 +23,10 @@
         ours: u16,
     },
     /// The subscriber belongs to another cluster.
-    #[error("the subscriber belongs to cluster {theirs:?}, this observer to {ours:?}: correct `cluster.name` or the observers' addresses")]
+    #[error(
+        "the subscriber belongs to cluster {theirs:?}, this observer to {ours:?}: \
+         correct `cluster.name` or the observers' addresses"
+    )]
     WrongCluster {
         /// The subscriber's cluster.
         theirs: String,
@@ -28,7 +35,8 @@
     },
     /// The subscriber meant to reach another observer.
     #[error(
-        "the subscriber looks for observer {wanted}, this is {actual}: correct the observers' addresses"
+        "the subscriber looks for observer {wanted}, this is {actual}: \
+         correct the observers' addresses"
     )]
     WrongObserver {
         /// The observer that it meant to reach.
@@ -38,14 +46,19 @@
     },
     /// The observer serves as many subscribers as it may.
     #[error(
-        "all {capacity} places for subscribers are taken: add an observer or raise `cluster.subscribers`"
+        "all {capacity} places for subscribers are taken: \
+         add an observer or raise `cluster.subscribers`"
     )]
     Full {
         /// The most subscribers that this observer serves.
         capacity: u32,
     },
-    /// The subscriber holds a revision that the cluster has not reached (compared with a confirmed revision).
-    #[error("the subscriber holds revision {theirs}, the cluster has reached {ours}: its state is of another history; restart it")]
+    /// The subscriber holds a revision that the cluster has not reached (compared with a confirmed
+    /// revision).
+    #[error(
+        "the subscriber holds revision {theirs}, the cluster has reached {ours}: \
+         its state is of another history; restart it"
+    )]
     FutureRevision {
         /// The subscriber's revision.
         theirs: Revision,
@@ -62,7 +75,8 @@
     },
     /// The subscriber reads too slowly.
     #[error(
-        "the subscriber reads too slowly: {queued_bytes} bytes were waiting; check its processor time and network"
+        "the subscriber reads too slowly: {queued_bytes} bytes were waiting; \
+         check its processor time and network"
     )]
     TooSlow {
         /// Bytes that were queued for it.
--- a/cluster/state-distribution/src/subscriber/config.rs
+++ b/cluster/state-distribution/src/subscriber/config.rs
@@ -3,8 +3,8 @@
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::Micros;
 
-/// The delay before another connection attempt: drawn evenly from 0 up to a bound (full jitter), which doubles with
-/// each failure.
+/// The delay before another connection attempt: drawn evenly from 0 up to a bound (full jitter),
+/// which doubles with each failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     /// The first bound, in microseconds.
@@ -33,8 +33,8 @@
     pub drain_limit: Micros,
     /// How often the watched observer is polled, in microseconds.
     pub poll_interval: Micros,
-    /// How long an observer may leave a poll unanswered before the standby is polled as well and takes over, in
-    /// microseconds.
+    /// How long an observer may leave a poll unanswered before the standby is polled as well and
+    /// takes over, in microseconds.
     pub poll_timeout: Micros,
     /// The delay between connection attempts.
     pub backoff: Backoff,
@@ -50,7 +50,10 @@
         field: &'static str,
     },
     /// The replica would be stale before the next poll.
-    #[error("a subscriber's poll interval of {poll_interval} us has to be shorter than its drain limit of {drain_limit} us")]
+    #[error(
+        "a subscriber's poll interval of {poll_interval} us has to be shorter than \
+         its drain limit of {drain_limit} us"
+    )]
     PollsTooSeldom {
         /// The poll interval, in microseconds.
         poll_interval: Micros,
@@ -91,8 +94,8 @@
     ///
     /// # Errors
     ///
-    /// An interval is 0, the poll interval is not shorter than the drain limit, or the backoff's bounds are in the
-    /// wrong order.
+    /// An interval is 0, the poll interval is not shorter than the drain limit, or the backoff's
+    /// bounds are in the wrong order.
     pub fn validate(&self) -> Result<(), InvalidSubscriberConfig> {
         let fields = [
             ("drain limit", self.drain_limit),
--- a/cluster/state-distribution/src/subscriber/connections.rs
+++ b/cluster/state-distribution/src/subscriber/connections.rs
@@ -1,8 +1,10 @@
-//! Which observers a subscriber is connected to: one watched, one as standby, and at times one under trial.
+//! Which observers a subscriber is connected to: one watched, one as standby, and at times one
+//! under trial.
 //!
-//! The standby takes over at once when the watched observer's connection ends. Load is spread by two rare random events
-//! at load reports of the watched observer: a move to a standby with far less load, and the trial of another observer,
-//! which replaces the standby if it has far less load.
+//! The standby takes over at once when the watched observer's connection ends. Load is spread by
+//! two rare random events at load reports of the watched observer: a move to a standby with far
+//! less load, and the trial of another observer, which replaces the standby if it has far less
+//! load.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros};
@@ -50,7 +52,8 @@
         }
     }
 
-    /// An attempt to connect has failed or a connection has ended, with the observer's rejection if there was one.
+    /// An attempt to connect has failed or a connection has ended, with the observer's rejection
+    /// if there was one.
     pub fn disconnected(&mut self, now: Micros, observer: NodeId, rejection: Option<&Rejection>) {
         self.now = now;
         self.on_connection_closed(observer, rejection);
@@ -62,7 +65,8 @@
         self.on_connection_closed(observer, rejection);
     }
 
-    /// A connection has ended: the standby takes over at once, and another connection is attempted after a delay.
+    /// A connection has ended: the standby takes over at once, and another connection is attempted
+    /// after a delay.
     fn on_connection_closed(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
         let Some(connection) = self.connections.remove(&observer) else {
             return;
@@ -91,8 +95,8 @@
         self.standby.or(open.map(|(id, _)| *id))
     }
 
-    /// Draws the delay before the next attempt. A subscriber that still has an open connection waits longer, so that
-    /// those whose observer failed do not all come to the others at once.
+    /// Draws the delay before the next attempt. A subscriber that still has an open connection
+    /// waits longer, so that those whose observer failed do not all come to the others at once.
     fn schedule_attempt(&mut self, was_open: bool) {
         let backoff = self.config.backoff;
         if !was_open {
@@ -139,8 +143,8 @@
         }
     }
 
-    /// The watched observer has reported its load. Moves and trials are rare and random, so that not all subscribers
-    /// move at once.
+    /// The watched observer has reported its load. Moves and trials are rare and random, so that
+    /// not all subscribers move at once.
     pub(super) fn rebalance(&mut self) {
         let (Some(watched), Some(standby)) = (self.watched, self.standby) else {
             return;
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -1,7 +1,9 @@
-//! The front end's side: its connections to observers, its replica, and the staleness check before routing.
+//! The front end's side: its connections to observers, its replica, and the staleness check before
+//! routing.
 //!
 //! - [`config`]: intervals and time limits.
-//! - [`connections`]: which observers are connected: one watched, one as standby, and at times one under trial.
+//! - [`connections`]: which observers are connected: one watched, one as standby, and at times one
+//!   under trial.
 //! - [`observer_connection`]: one connection and its unanswered polls.
 //! - [`observer_directory`]: load and backoff of each observer, and the choice of the next one.
 //! - [`polling`]: freshness polls, and what their timeouts cause.
@@ -37,8 +39,8 @@
 /// What the caller has to do, in this order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SubscriberAction {
-    /// Connect to an observer and send the greeting. The result is reported by [`Subscriber::connected`] or
-    /// [`Subscriber::disconnected`].
+    /// Connect to an observer and send the greeting. The result is reported by
+    /// [`Subscriber::connected`] or [`Subscriber::disconnected`].
     Connect {
         /// The observer.
         observer: NodeId,
@@ -76,7 +78,8 @@
     has_replica: bool,
     gate: StalenessGuard,
     directory: ObserverDirectory,
-    /// Connections and attempts: the watched observer, the standby, and one more that is under trial.
+    /// Connections and attempts: the watched observer, the standby, and one more that is under
+    /// trial.
     connections: BTreeMap<NodeId, ObserverConnection>,
     watched: Option<NodeId>,
     standby: Option<NodeId>,
@@ -142,7 +145,8 @@
             ObserverMessage::SnapshotChunk(chunk) if is_watched => {
                 self.receive_chunk(observer, chunk);
             }
-            // These were on their way when another observer took over. Positions in the queue need no action.
+            // These were on their way when another observer took over. Positions in the queue need
+            // no action.
             ObserverMessage::Changes(_)
             | ObserverMessage::Compacted { .. }
             | ObserverMessage::SnapshotChunk(_)
@@ -196,7 +200,8 @@
         }
     }
 
-    /// The last rejection by an observer that has not accepted this subscriber since, for operators.
+    /// The last rejection by an observer that has not accepted this subscriber since, for
+    /// operators.
     #[must_use]
     pub fn rejection(&self) -> Option<&Rejection> {
         self.directory.last_rejection()
@@ -211,7 +216,8 @@
         self.gate.check(now)
     }
 
-    /// How long from now requests may be routed without another confirmation, in microseconds; 0: they may not.
+    /// How long from now requests may be routed without another confirmation, in microseconds; 0:
+    /// they may not.
     #[must_use]
     pub fn time_until_stale(&self, now: Micros) -> Micros {
         self.gate.remaining_validity(now)
--- a/cluster/state-distribution/src/subscriber/observer_connection.rs
+++ b/cluster/state-distribution/src/subscriber/observer_connection.rs
@@ -65,7 +65,8 @@
         }
     }
 
-    /// A poll was answered, and with it all before it. Returns the gate's question that this confirms.
+    /// A poll was answered, and with it all before it. Returns the gate's question that this
+    /// confirms.
     pub fn poll_answered(&mut self, id: PollId) -> Option<u64> {
         let position = self.unanswered.iter().position(|sent| sent.id == id)?;
         let answered = self.unanswered.drain(..=position).next_back()?;
@@ -80,7 +81,8 @@
         }
     }
 
-    /// This process was suspended: the observer is not to blame for what stayed unanswered meanwhile.
+    /// This process was suspended: the observer is not to blame for what stayed unanswered
+    /// meanwhile.
     pub fn restart_timeouts(&mut self, now: Micros) {
         if let Some(since) = &mut self.unanswered_since {
             *since = now;
--- a/cluster/state-distribution/src/subscriber/observer_directory.rs
+++ b/cluster/state-distribution/src/subscriber/observer_directory.rs
@@ -1,5 +1,5 @@
-//! What a subscriber knows of each observer, and which one it tries next: of two drawn at random, the one with less
-//! load.
+//! What a subscriber knows of each observer, and which one it tries next: of two drawn at random,
+//! the one with less load.
 
 use std::collections::BTreeMap;
 
@@ -90,8 +90,8 @@
         }
     }
 
-    /// A connection failed or ended. A full observer has not failed: its load is taken as full, and its backoff does
-    /// not grow.
+    /// A connection failed or ended. A full observer has not failed: its load is taken as full,
+    /// and its backoff does not grow.
     pub fn record_failure(
         &mut self,
         now: Micros,
@@ -128,7 +128,8 @@
         Some(&latest.rejection)
     }
 
-    /// Of two observers drawn at random, the one with less load; none that is `excluded` or backing off.
+    /// Of two observers drawn at random, the one with less load; none that is `excluded` or
+    /// backing off.
     pub fn choose(
         &self,
         now: Micros,
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -1,9 +1,10 @@
 //! Freshness polls: how often each observer is polled, and what happens where no answer comes.
 //!
-//! The watched observer is polled every [`poll_interval`](super::SubscriberConfig::poll_interval), the standby less
-//! often. A confirmation counts from the moment of its poll. Once the watched observer has not answered a poll for
-//! [`poll_timeout`](super::SubscriberConfig::poll_timeout), the standby is polled as well, and its answer makes it the
-//! watched one. A connection without an answer for long is closed.
+//! The watched observer is polled every [`poll_interval`](super::SubscriberConfig::poll_interval),
+//! the standby less often. A confirmation counts from the moment of its poll. Once the watched
+//! observer has not answered a poll for [`poll_timeout`](super::SubscriberConfig::poll_timeout),
+//! the standby is polled as well, and its answer makes it the watched one. A connection without an
+//! answer for long is closed.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision};
@@ -89,8 +90,8 @@
         }
     }
 
-    /// Polls the standby where the watched observer has not answered in time, and closes connections that have not
-    /// answered for long.
+    /// Polls the standby where the watched observer has not answered in time, and closes
+    /// connections that have not answered for long.
     pub(super) fn check_answers(&mut self) {
         if let Some(standby) = self.standby {
             if self.is_overdue(standby, self.standby_answer_timeout()) {
@@ -131,8 +132,8 @@
         self.answer_timeout(self.config.drain_limit.saturating_mul(2))
     }
 
-    /// A timeout that doubles with each connection closed for want of answers: where no observer can answer, changing
-    /// the observer does not help.
+    /// A timeout that doubles with each connection closed for want of answers: where no observer
+    /// can answer, changing the observer does not help.
     fn answer_timeout(&self, initial: Micros) -> Micros {
         let doublings = self.unanswered_closes.min(MAX_TIMEOUT_DOUBLINGS);
         let factor = 1_u64.checked_shl(doublings).unwrap_or(1);
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -1,4 +1,5 @@
-//! Applying what the watched observer sends: changes in order, or a snapshot where changes are compacted away.
+//! Applying what the watched observer sends: changes in order, or a snapshot where changes are
+//! compacted away.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision, StalenessGuard};
@@ -9,7 +10,8 @@
 use crate::mutant::Mutant;
 use crate::rejection::Rejection;
 
-/// For this time after a request to an observer, messages that answer an earlier request may still arrive.
+/// For this time after a request to an observer, messages that answer an earlier request may still
+/// arrive.
 const STALE_MESSAGE_WINDOW_US: Micros = 1_000_000;
 
 impl Subscriber {
@@ -104,8 +106,8 @@
         }
     }
 
-    /// Replaces the replica by a complete snapshot. The gate starts over, as no answer to an earlier poll confirms these
-    /// entries.
+    /// Replaces the replica by a complete snapshot. The gate starts over, as no answer to an
+    /// earlier poll confirms these entries.
     fn install_snapshot(
         &mut self,
         observer: NodeId,
--- a/cluster/state-distribution/src/subscriber/snapshot_download.rs
+++ b/cluster/state-distribution/src/subscriber/snapshot_download.rs
@@ -1,4 +1,5 @@
-//! A snapshot that is being received in chunks, beside the replica that is used until it is complete.
+//! A snapshot that is being received in chunks, beside the replica that is used until it is
+//! complete.
 
 use std::collections::BTreeMap;
 
--- a/cluster/state-distribution/src/subscriber_replica.rs
+++ b/cluster/state-distribution/src/subscriber_replica.rs
@@ -29,8 +29,8 @@
         SubscriberReplica { revision, entries }
     }
 
-    /// Applies the changes that are newer than this replica, which then stands at `to`. The caller has checked that
-    /// they leave no gap after its revision.
+    /// Applies the changes that are newer than this replica, which then stands at `to`. The caller
+    /// has checked that they leave no gap after its revision.
     pub(crate) fn apply(&mut self, to: Revision, changes: &[EntryChange]) {
         let applied = self.revision;
         for change in changes.iter().filter(|change| change.revision > applied) {
--- a/cluster/state-distribution/tests/bounded_resources.rs
+++ b/cluster/state-distribution/tests/bounded_resources.rs
@@ -1,4 +1,5 @@
-//! What must not grow: subscribers, queues and snapshot transfers are bounded, and nobody slows the others.
+//! What must not grow: subscribers, queues and snapshot transfers are bounded, and nobody slows
+//! the others.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
--- a/cluster/state-distribution/tests/common/mod.rs
+++ b/cluster/state-distribution/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Stores, entries and configurations that several tests share.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use violetgate_replicated_state::{Command, Mutation, Operation, Store, Txn};
 use violetgate_state_distribution::*;
--- a/cluster/state-distribution/tests/hard_cases.rs
+++ b/cluster/state-distribution/tests/hard_cases.rs
@@ -1,5 +1,5 @@
-//! The failures that observers are built for, at a size near a real fleet's: observers that die under their
-//! subscribers, voters out of reach, a zone that returns.
+//! The failures that observers are built for, at a size near a real fleet's: observers that die
+//! under their subscribers, voters out of reach, a zone that returns.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod world;
@@ -7,7 +7,8 @@
 use violetgate_state_distribution::ObserverConfig;
 use world::{World, MS, SECOND};
 
-/// A fleet in which all are current. Each observer takes as many connections as there are front ends.
+/// A fleet in which all are current. Each observer takes as many connections as there are front
+/// ends.
 fn fleet(seed: u64, observers: u64, front_ends: usize) -> World {
     let capacity = front_ends as u32;
     let config = ObserverConfig {
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,6 +1,7 @@
-//! The staleness guard with the hop, in every order of events, by stateright: a drain that is agreed on, an observer that applies
-//! it late, reads upstream that are slow or fail, polls and answers that are late, a front end that stands still.
-//! The very code of [`Observer`] and [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
+//! The staleness guard with the hop, in every order of events, by stateright: a drain that is
+//! agreed on, an observer that applies it late, reads upstream that are slow or fail, polls and
+//! answers that are late, a front end that stands still. The very code of [`Observer`] and
+//! [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use std::collections::VecDeque;
--- a/cluster/state-distribution/tests/pair/mod.rs
+++ b/cluster/state-distribution/tests/pair/mod.rs
@@ -1,5 +1,5 @@
 //! One observer and one subscriber, joined without delay.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 use violetgate_replicated_state::{Entries, Store};
 use violetgate_state_distribution::*;
--- a/cluster/state-distribution/tests/rejections.rs
+++ b/cluster/state-distribution/tests/rejections.rs
@@ -110,7 +110,8 @@
             &old,
         );
     }
-    // The read began before the second one watched: it says nothing of it. The first one's revision comes meanwhile.
+    // The read began before the second one watched: it says nothing of it. The first one's
+    // revision comes meanwhile.
     assert_eq!(observer.take_actions(), vec![ObserverAction::BeginRead(1)]);
     assert_eq!(observer.sizes().awaiting, 2);
     observer.store_applied(SECOND, &new);
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -1,6 +1,7 @@
-//! Whole fleets on injected time: a few observers that apply one history at different times, and front ends that
-//! follow them, while connections break, observer_connections are cut, processes stop, die and return, and the history is compacted.
-//! A failure prints its seed; `SEED=n` plays that one alone, `SEEDS=n` more of them.
+//! Whole fleets on injected time: a few observers that apply one history at different times, and
+//! front ends that follow them, while connections break, observer_connections are cut, processes
+//! stop, die and return, and the history is compacted. A failure prints its seed; `SEED=n` plays
+//! that one alone, `SEEDS=n` more of them.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod world;
--- a/cluster/state-distribution/tests/snapshot_resume.rs
+++ b/cluster/state-distribution/tests/snapshot_resume.rs
@@ -1,4 +1,5 @@
-//! A snapshot transfer that changes its observer, begins anew, or is complete and not confirmed yet.
+//! A snapshot transfer that changes its observer, begins anew, or is complete and not confirmed
+//! yet.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
--- a/cluster/state-distribution/tests/subscription_course.rs
+++ b/cluster/state-distribution/tests/subscription_course.rs
@@ -1,4 +1,5 @@
-//! The course of a subscription, step by step, between one observer and one subscriber joined without delay.
+//! The course of a subscription, step by step, between one observer and one subscriber joined
+//! without delay.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 mod common;
--- a/cluster/state-distribution/tests/wire_fixtures.rs
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -1,5 +1,6 @@
-//! Each message between a front end and an observer as an earlier release encodes it. Both directions are compared: an
-//! instance of that release and a new one work together during an upgrade.
+//! Each message between a front end and an observer as an earlier release encodes it. Both
+//! directions are compared: an instance of that release and a new one work together during an
+//! upgrade.
 #![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
 use std::collections::BTreeMap;
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! Observers, subscribers and the network between them in one thread, on injected time: delay, connections that
-//! break, cuts, processes that stop, die and return, and subscribers that read slowly.
-#![allow(dead_code)]
+//! Observers, subscribers and the network between them in one thread, on injected time: delay,
+//! connections that break, cuts, processes that stop, die and return, and subscribers that read
+//! slowly.
+#![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod check;
 mod network;
--- a/cluster/state-distribution/tests/world/network.rs
+++ b/cluster/state-distribution/tests/world/network.rs
@@ -1,4 +1,5 @@
-//! Connections: in order, with delay; what a subscriber does not take waits in its observer's carrier.
+//! Connections: in order, with delay; what a subscriber does not take waits in its observer's
+//! carrier.
 
 use std::collections::VecDeque;
 
@@ -162,7 +163,8 @@
         self.take_off(link);
     }
 
-    /// Puts what waits on its way, as far as the window allows, and tells the observer what still waits.
+    /// Puts what waits on its way, as far as the window allows, and tells the observer what still
+    /// waits.
     fn take_off(&mut self, link: ConnectionId) {
         let mut moved = false;
         while let Some(connection) = self.connections.get(&link) {
--- a/cluster/state-distribution/tests/world/processes.rs
+++ b/cluster/state-distribution/tests/world/processes.rs
@@ -64,7 +64,10 @@
             ..self.subscriber_config.clone()
         };
         let seed = self.rng.next_u64();
-        #[allow(unused_mut)]
+        #[cfg_attr(
+            not(feature = "mutants"),
+            expect(unused_mut, reason = "only a mutant changes it")
+        )]
         let mut core = Subscriber::new(config, seed, self.now);
         #[cfg(feature = "mutants")]
         core.set_mutant(self.mutant);
--- a/cluster/state-distribution/tests/world/scenario.rs
+++ b/cluster/state-distribution/tests/world/scenario.rs
@@ -1,5 +1,6 @@
-//! A drawn course of a whole fleet: changes are agreed on while connections break, links are cut, processes stop, die
-//! and return, and the history is compacted; at the end all is mended and every front end has to be current.
+//! A drawn course of a whole fleet: changes are agreed on while connections break, links are cut,
+//! processes stop, die and return, and the history is compacted; at the end all is mended and
+//! every front end has to be current.
 
 use violetgate_replicated_state::{Mutation, Operation, Txn};
 use violetgate_state_distribution::ObserverConfig;
--- a/cluster/state-distribution/tests/world/trace.rs
+++ b/cluster/state-distribution/tests/world/trace.rs
@@ -1,5 +1,5 @@
-//! A digest of all that the cores do, in order: an FNV-1a hash over numbers and over messages as they are on the wire,
-//! so that it does not depend on any name.
+//! A digest of all that the cores do, in order: an FNV-1a hash over numbers and over messages as
+//! they are on the wire, so that it does not depend on any name.
 
 use serde::Serialize;
 use violetgate_replicated_state::Entries;
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -1,4 +1,5 @@
-//! The voters, as an observer sees them: one history of commands that it applies late, and reads that may be slow.
+//! The voters, as an observer sees them: one history of commands that it applies late, and reads
+//! that may be slow.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
