--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -217,7 +217,7 @@
         };
         let queue = self.send_queue(to);
         if queue.is_some_and(|queue| queue.push(Rc::clone(&encoded.frame))) {
-            self.counter.sent(encoded.frame.len());
+            self.counter.count_sent(encoded.frame.len());
         } else {
             self.drop_connection(to, CloseReason::TooSlow);
         }
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -174,7 +174,7 @@
             let service = self.service.upgrade().ok_or(CloseReason::Stopped)?;
             match next {
                 Ok(Some(received)) => {
-                    service.counter.received(received.frame_bytes);
+                    service.counter.count_received(received.frame_bytes);
                     service.drive(|core, now, store| {
                         core.receive(now, self.id, received.message, store);
                     });
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -218,7 +218,7 @@
         };
         match wire::encode_frame(message) {
             Ok(frame) => {
-                self.counter.sent(frame.len());
+                self.counter.count_sent(frame.len());
                 if !queue.push(Rc::new(frame)) {
                     queue.abort(CloseReason::QueueFull);
                 }
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -119,7 +119,7 @@
         let stream = connect(self.address).await?;
         let greeting = wire::encode_frame(hello)?;
         write_all(&stream, &greeting).await?;
-        self.subscription()?.counter.sent(greeting.len());
+        self.subscription()?.counter.count_sent(greeting.len());
         let welcome: ObserverWelcome = reader.read_hello(&stream).await?;
         if let Some(rejection) = welcome.rejected {
             return Err(ConnectionEnd::Rejected(rejection));
@@ -159,7 +159,7 @@
         if !subscription.is_current(self.observer, self.number) {
             return Err(CloseReason::ClosedByCore.into());
         }
-        subscription.counter.received(received.frame_bytes);
+        subscription.counter.count_received(received.frame_bytes);
         match received.message {
             ObserverMessage::Rejected(rejection) => Err(ConnectionEnd::Rejected(rejection)),
             message => {
--- a/cluster/replica-runtime/src/traffic_stats.rs
+++ b/cluster/replica-runtime/src/traffic_stats.rs
@@ -21,7 +21,7 @@
 
 impl TrafficCounter {
     /// One message was sent.
-    pub(crate) fn sent(&self, bytes: usize) {
+    pub(crate) fn count_sent(&self, bytes: usize) {
         let mut stats = self.0.get();
         stats.messages_sent += 1;
         stats.bytes_sent += bytes as u64;
@@ -29,7 +29,7 @@
     }
 
     /// One message was received.
-    pub(crate) fn received(&self, bytes: usize) {
+    pub(crate) fn count_received(&self, bytes: usize) {
         let mut stats = self.0.get();
         stats.messages_received += 1;
         stats.bytes_received += bytes as u64;
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -159,7 +159,7 @@
         let Some(peer) = peers.get(&to) else { return };
         match wire::encode_frame(message) {
             Ok(frame) if peer.queue.bytes() + frame.len() <= MAX_QUEUED_BYTES => {
-                self.counter.sent(frame.len());
+                self.counter.count_sent(frame.len());
                 peer.queue.push(frame);
             }
             _ => self.dropped_messages.set(self.dropped_messages.get() + 1),
--- a/cluster/replica-runtime/src/transport/incoming.rs
+++ b/cluster/replica-runtime/src/transport/incoming.rs
@@ -68,7 +68,7 @@
         if self.is_unknown_disk(hello.from, hello.disk_id) {
             return Err(PeerConnectionEnd::UnknownDisk(hello.from));
         }
-        self.counter.received(received.frame_bytes);
+        self.counter.count_received(received.frame_bytes);
         if !self.is_blocked(hello.from) {
             (self.on_frame)(hello.from, received.message);
         }
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -76,7 +76,7 @@
     replica: SubscriberReplica,
     /// Whether the replica is the cluster's; the empty one before the first snapshot is not.
     has_replica: bool,
-    gate: StalenessGuard,
+    staleness_guard: StalenessGuard,
     directory: ObserverDirectory,
     /// Connections and attempts: the watched observer, the standby, and one more that is under
     /// trial.
@@ -109,7 +109,7 @@
             now,
             replica: SubscriberReplica::default(),
             has_replica: false,
-            gate: StalenessGuard::new(config.drain_limit),
+            staleness_guard: StalenessGuard::new(config.drain_limit),
             directory: ObserverDirectory::new(&config.observers, config.backoff),
             connections: BTreeMap::new(),
             watched: None,
@@ -213,14 +213,14 @@
     ///
     /// The replica is older than the drain limit, or was never confirmed.
     pub fn may_route(&self, now: Micros) -> Result<(), Stale> {
-        self.gate.check(now)
+        self.staleness_guard.check(now)
     }
 
     /// How long from now requests may be routed without another confirmation, in microseconds; 0:
     /// they may not.
     #[must_use]
     pub fn time_until_stale(&self, now: Micros) -> Micros {
-        self.gate.remaining_validity(now)
+        self.staleness_guard.remaining_validity(now)
     }
 
     /// Makes it decide wrongly.
--- a/cluster/state-distribution/src/subscriber/observer_connection.rs
+++ b/cluster/state-distribution/src/subscriber/observer_connection.rs
@@ -13,8 +13,9 @@
 #[derive(Debug, Clone, Copy)]
 struct SentPoll {
     id: PollId,
-    /// The question of the gate that the answer confirms; `None`: the gate was replaced since.
-    gate_question: Option<u64>,
+    /// The confirmation that the answer completes at the staleness guard; `None`: the guard was
+    /// replaced since.
+    confirmation: Option<u64>,
     sent_at: Micros,
 }
 
@@ -53,10 +54,10 @@
     }
 
     /// A poll was sent.
-    pub fn poll_sent(&mut self, now: Micros, id: PollId, gate_question: u64) {
+    pub fn poll_sent(&mut self, now: Micros, id: PollId, confirmation: u64) {
         self.unanswered.push_back(SentPoll {
             id,
-            gate_question: Some(gate_question),
+            confirmation: Some(confirmation),
             sent_at: now,
         });
         self.unanswered_since = self.unanswered_since.or(Some(now));
@@ -65,19 +66,18 @@
         }
     }
 
-    /// A poll was answered, and with it all before it. Returns the gate's question that this
-    /// confirms.
+    /// A poll was answered, and with it all before it. Returns the confirmation that it completes.
     pub fn poll_answered(&mut self, id: PollId) -> Option<u64> {
         let position = self.unanswered.iter().position(|sent| sent.id == id)?;
         let answered = self.unanswered.drain(..=position).next_back()?;
         self.unanswered_since = self.unanswered.front().map(|sent| sent.sent_at);
-        answered.gate_question
+        answered.confirmation
     }
 
-    /// The gate was replaced: answers to polls sent before confirm nothing.
-    pub fn forget_gate_questions(&mut self) {
+    /// The staleness guard was replaced: answers to polls sent before confirm nothing.
+    pub fn forget_confirmations(&mut self) {
         for sent in &mut self.unanswered {
-            sent.gate_question = None;
+            sent.confirmation = None;
         }
     }
 
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -27,9 +27,9 @@
         let Some(connection) = self.connections.get_mut(&observer) else {
             return;
         };
-        let gate_question = self.gate.begin_confirmation(self.now);
+        let confirmation = self.staleness_guard.begin_confirmation(self.now);
         self.last_poll += 1;
-        connection.poll_sent(self.now, self.last_poll, gate_question);
+        connection.poll_sent(self.now, self.last_poll, confirmation);
         let progress = SubscriberProgress {
             applied: self.replica.revision(),
             serving,
@@ -76,11 +76,12 @@
         if !std::mem::replace(&mut connection.has_answered, true) {
             self.attempt_backoff = self.config.backoff.initial;
         }
-        if let Some(gate_question) = connection.poll_answered(poll) {
-            self.gate.confirmation_answered(gate_question, revision);
+        if let Some(confirmation) = connection.poll_answered(poll) {
+            self.staleness_guard
+                .confirmation_answered(confirmation, revision);
             if self.mutated(Mutant::AgeFromConfirmation) {
-                let late = self.gate.begin_confirmation(self.now);
-                self.gate.confirmation_answered(late, revision);
+                let late = self.staleness_guard.begin_confirmation(self.now);
+                self.staleness_guard.confirmation_answered(late, revision);
             }
         }
         self.directory.record_answer(observer);
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -66,7 +66,7 @@
             return self.protocol_violation(observer, "a gap between changes");
         }
         self.replica.apply(batch.to, &batch.changes);
-        self.gate.applied_up_to(batch.to);
+        self.staleness_guard.applied_up_to(batch.to);
     }
 
     /// The wanted changes, or the revision of the snapshot under way, are compacted away.
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Replaces the replica by a complete snapshot. The gate starts over, as no answer to an
-    /// earlier poll confirms these entries.
+    /// Replaces the replica by a complete snapshot. The staleness guard starts over, as no answer
+    /// to an earlier poll confirms these entries.
     fn install_snapshot(
         &mut self,
         observer: NodeId,
@@ -116,10 +116,10 @@
     ) {
         self.replica = download.into_replica(revision);
         self.has_replica = true;
-        self.gate = StalenessGuard::new(self.config.drain_limit);
-        self.gate.applied_up_to(revision);
+        self.staleness_guard = StalenessGuard::new(self.config.drain_limit);
+        self.staleness_guard.applied_up_to(revision);
         for connection in self.connections.values_mut() {
-            connection.forget_gate_questions();
+            connection.forget_confirmations();
         }
         self.request_next(observer);
         self.poll_watched(observer);
