--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -1,12 +1,13 @@
-//! Management: the second address, where operators ask and command over HTTP/1.1, one call to a connection.
+//! Management: the second address, where operators make calls over HTTP/1.1, one to a connection.
 //!
-//! It knows nothing of clients, engines or the decisions: what a call means is behind [`Operations`].
+//! It knows nothing of clients, engines or the decisions: what a call does is behind [`Operations`].
 
 mod http;
 pub mod operations;
 
+use std::fmt;
 use std::future::Future;
-use std::io::{Read, Write};
+use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::pin::Pin;
 use std::rc::Rc;
@@ -24,14 +25,15 @@
 use http::{Call, Status};
 
 /// Connections that are served at a time. They come out of the descriptors that neither clients nor engines
-/// get; callers that say nothing must not use up more than these.
-const MOST: usize = 12;
-/// How long a call may take to come whole.
-const WHOLE: Duration = Duration::from_secs(2);
+/// get; silent callers must not use up more than these.
+const MAX_CONNECTIONS: usize = 12;
+/// How long a call may take to arrive completely.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a caller may take no byte of its answer.
-const STALLED: Duration = Duration::from_secs(2);
-/// The pause after the machine gave no connection.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+const READ_CHUNK_BYTES: usize = 2048;
 
 const PATHS: [&str; 6] = [
     "/admin/health",
@@ -44,36 +46,86 @@
 
 /// The engine that a call names.
 #[derive(Deserialize)]
-struct Target {
+struct CordonBody {
     host: String,
 }
 
-/// How a call ended.
+/// How an operation ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// It holds.
+    /// It is in force.
     Done,
-    /// Nobody has that name.
-    Unknown,
-    /// Other instances have not agreed to it in its time; it may still come to hold.
-    Unagreed,
-    /// This front end subscribes to a cluster: only its members can have something agreed on.
+    /// No engine has that name.
+    UnknownEngine,
+    /// It was not committed in its time; it may still come into force.
+    OutcomeUnknown,
+    /// This instance subscribes to a cluster: only its members can commit it.
     NotAMember,
 }
 
-/// A call under way.
+/// An operation under way.
 pub type PendingOperation<'a> = Pin<Box<dyn Future<Output = OperationOutcome> + 'a>>;
 
 /// What operators may ask of the program.
 pub trait Operations {
     /// Whether this process can serve.
-    fn healthy(&self) -> bool;
-    /// The figures, in the text format of Prometheus.
-    fn figures(&self) -> String;
-    /// Nothing more to an engine, until the call back; or uses it again.
-    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> PendingOperation<'a>;
-    /// Drains: clients are sent elsewhere until the call back; or takes clients again.
-    fn drain(&self, on: bool) -> PendingOperation<'_>;
+    fn is_healthy(&self) -> bool;
+    /// All metrics, in the text format of Prometheus.
+    fn metrics(&self) -> String;
+    /// Cordons an engine, to which nothing more is sent, or uncordons it.
+    fn set_cordon<'a>(&'a self, engine: &'a str, cordoned: bool) -> PendingOperation<'a>;
+    /// Drains this instance, so that clients connect elsewhere, or ends that.
+    fn set_drain(&self, drained: bool) -> PendingOperation<'_>;
+}
+
+/// Why a management connection ended; its text is the reason code in the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ConnectionEnd {
+    /// A call was answered.
+    Answered,
+    /// The caller closed it before it had sent a complete call.
+    Closed,
+    /// It broke.
+    Reset,
+    /// No complete call in time.
+    CallTimeout,
+    /// The caller took no byte of its answer for too long.
+    Stalled,
+    /// This process asked it to close, for this reason.
+    Requested(&'static str),
+}
+
+impl fmt::Display for ConnectionEnd {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ConnectionEnd::Answered => "answered",
+            ConnectionEnd::Closed => "closed",
+            ConnectionEnd::Reset => "reset",
+            ConnectionEnd::CallTimeout => "call_timeout",
+            ConnectionEnd::Stalled => "stalled",
+            ConnectionEnd::Requested(reason) => reason,
+        })
+    }
+}
+
+/// The answer to a call.
+struct CallAnswer {
+    status: Status,
+    body: String,
+}
+
+impl CallAnswer {
+    /// An answer of one line.
+    fn line(status: Status, text: &str) -> Self {
+        CallAnswer {
+            status,
+            body: format!("{text}\n"),
+        }
+    }
+
+    fn to_bytes(&self) -> Vec<u8> {
+        http::response(self.status, &self.body)
+    }
 }
 
 /// The management side.
@@ -81,7 +133,7 @@
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     operations: Rc<dyn Operations>,
-    room: ConnectionLimiter,
+    limiter: ConnectionLimiter,
 }
 
 impl Admin {
@@ -96,25 +148,24 @@
             executor,
             clock,
             operations,
-            room: ConnectionLimiter::new(MOST),
+            limiter: ConnectionLimiter::new(MAX_CONNECTIONS),
         })
     }
 
-    /// Takes calls for ever.
+    /// Accepts calls for ever.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
-                // In a full room the one that has been mute longest gives way; a call that is here is answered
-                // in the turn that reads it, so that a connection is never busy for long.
+                // At the limit the longest silent one is evicted; a call that is here is answered in the step
+                // that reads it, so that a connection is never busy for long.
                 Ok((stream, peer)) => {
-                    if let Some(guest) = self.room.enter(self.clock.now()) {
-                        self.executor
-                            .spawn(Rc::clone(&self).drive(stream, peer, guest))
-                            .detach();
+                    if let Some(slot) = self.limiter.acquire(self.clock.now()) {
+                        let connection = Rc::clone(&self).run_connection(stream, peer, slot);
+                        self.executor.spawn(connection).detach();
                     }
                 }
-                Err(e) => {
-                    log::line(format_args!("management accept failed: {e}"));
+                Err(error) => {
+                    log::line(format_args!("management accept failed: {error}"));
                     Timer::after(ACCEPT_PAUSE).await;
                 }
             }
@@ -122,143 +173,148 @@
         }
     }
 
-    async fn drive(
+    async fn run_connection(
         self: Rc<Self>,
         stream: Async<TcpStream>,
         peer: SocketAddr,
-        guest: Rc<ConnectionSlot>,
+        slot: Rc<ConnectionSlot>,
     ) {
         let _ = stream.get_ref().set_nodelay(true);
-        let mut input = Vec::new();
-        let late = async {
-            Timer::after(WHOLE).await;
-            Err("call_timeout")
+        let timed_out = async {
+            Timer::after(CALL_TIMEOUT).await;
+            Err(ConnectionEnd::CallTimeout)
         };
-        let evicted = async { Err(guest.gives_way().await) };
-        let reason = match self
-            .call(&stream, &mut input, peer)
-            .or(evicted)
-            .or(late)
-            .await
-        {
-            Ok(output) => respond(&stream, &output).await,
-            Err(reason @ "call_timeout") => {
-                let _ = respond(
-                    &stream,
-                    &http::response(Status::RequestTimeout, "call not whole\n"),
-                )
-                .await;
-                reason
+        let closed = async { Err(ConnectionEnd::Requested(slot.close_requested().await)) };
+        let end = match self.call(&stream, peer).or(closed).or(timed_out).await {
+            Ok(answer) => respond(&stream, &answer).await,
+            Err(ConnectionEnd::CallTimeout) => {
+                let answer = CallAnswer::line(Status::RequestTimeout, "call not whole");
+                let _ = respond(&stream, &answer).await;
+                ConnectionEnd::CallTimeout
             }
-            Err(reason) => reason,
+            Err(end) => end,
         };
-        guest.is(ConnectionState::Busy, self.clock.now());
+        slot.set_state(ConnectionState::Busy, self.clock.now());
         drop(stream);
-        self.room.leave(&guest);
-        log::ended("management", peer, reason, u64::from(reason == "answered"));
+        self.limiter.release(&slot);
+        let calls = u64::from(end == ConnectionEnd::Answered);
+        log::connection_ended("management", peer, end, calls);
     }
 
-    /// Reads a call, in whatever pieces it comes, and carries it out: the answer to it.
+    /// Reads a call, in whatever pieces it arrives, and carries it out.
     async fn call(
         &self,
         stream: &Async<TcpStream>,
-        input: &mut Vec<u8>,
         peer: SocketAddr,
-    ) -> Result<Vec<u8>, &'static str> {
-        let mut chunk = [0u8; 2048];
+    ) -> Result<CallAnswer, ConnectionEnd> {
+        let mut input = Vec::new();
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
         loop {
-            match stream.read_with(|mut s| s.read(&mut chunk)).await {
-                Ok(0) => return Err("closed"),
-                Ok(n) => input.extend_from_slice(chunk.get(..n).unwrap_or_default()),
-                Err(_) => return Err("reset"),
+            match stream.read_with(|mut socket| socket.read(&mut chunk)).await {
+                Ok(0) => return Err(ConnectionEnd::Closed),
+                Ok(size) => input.extend_from_slice(chunk.get(..size).unwrap_or_default()),
+                Err(_) => return Err(ConnectionEnd::Reset),
             }
-            let (status, body) = match http::parse(input) {
-                Ok(None) => continue,
+            match http::parse(&input) {
+                Ok(None) => {}
                 Ok(Some(call)) => {
                     let answer = self.answer(&call).await;
-                    if call.method != "GET" {
-                        let (code, method, path) = (answer.0 as u16, call.method, call.path);
-                        log::line(format_args!(
-                            "management {peer} {method} {path} {code}: {}",
-                            answer.1.trim()
-                        ));
-                    }
-                    answer
+                    log_change(peer, &call, &answer);
+                    return Ok(answer);
                 }
-                Err(status) => (status, "the call can't be read\n".to_owned()),
-            };
-            return Ok(http::response(status, &body));
+                Err(status) => return Ok(CallAnswer::line(status, "the call can't be read")),
+            }
         }
     }
 
-    async fn answer(&self, call: &Call<'_>) -> (Status, String) {
+    async fn answer(&self, call: &Call<'_>) -> CallAnswer {
+        let operations = &self.operations;
         match (call.method, call.path) {
-            ("GET", "/admin/health") if self.operations.healthy() => told(Status::Ok, "ready"),
-            ("GET", "/admin/health") => told(Status::ServiceUnavailable, "starting"),
-            ("GET", "/admin/stats") => (Status::Ok, self.operations.figures()),
-            ("PUT", "/admin/cordon") => self.cordon(call, true).await,
-            ("PUT", "/admin/uncordon") => self.cordon(call, false).await,
-            ("PUT", "/admin/quiesce") => carried(self.operations.drain(true).await, "draining"),
+            ("GET", "/admin/health") if operations.is_healthy() => {
+                CallAnswer::line(Status::Ok, "ready")
+            }
+            ("GET", "/admin/health") => CallAnswer::line(Status::ServiceUnavailable, "starting"),
+            ("GET", "/admin/stats") => CallAnswer {
+                status: Status::Ok,
+                body: operations.metrics(),
+            },
+            ("PUT", "/admin/cordon") => self.set_cordon(call, true).await,
+            ("PUT", "/admin/uncordon") => self.set_cordon(call, false).await,
+            ("PUT", "/admin/quiesce") => {
+                operation_answer(operations.set_drain(true).await, "draining")
+            }
             ("PUT", "/admin/resume") => {
-                carried(self.operations.drain(false).await, "taking clients")
+                operation_answer(operations.set_drain(false).await, "taking clients")
             }
             (_, path) if PATHS.contains(&path) => {
-                told(Status::MethodNotAllowed, "another method is served here")
+                CallAnswer::line(Status::MethodNotAllowed, "another method is served here")
             }
-            _ => told(Status::NotFound, "no such path"),
+            _ => CallAnswer::line(Status::NotFound, "no such path"),
         }
     }
 
-    /// A call that names an engine.
-    async fn cordon(&self, call: &Call<'_>, out: bool) -> (Status, String) {
+    async fn set_cordon(&self, call: &Call<'_>, cordoned: bool) -> CallAnswer {
         match serde_json::from_slice(call.body) {
-            Ok(Target { host }) => carried(self.operations.cordon(&host, out).await, &host),
-            Err(e) => told(
+            Ok(CordonBody { host }) => {
+                operation_answer(self.operations.set_cordon(&host, cordoned).await, &host)
+            }
+            Err(error) => CallAnswer::line(
                 Status::BadRequest,
-                &format!("the body is no {{\"host\":\"ID\"}}: {e}"),
+                &format!("the body is no {{\"host\":\"ID\"}}: {error}"),
             ),
         }
     }
 }
 
-fn told(status: Status, text: &str) -> (Status, String) {
-    (status, format!("{text}\n"))
+/// Logs a call that changes something.
+fn log_change(peer: SocketAddr, call: &Call<'_>, answer: &CallAnswer) {
+    if call.method != "GET" {
+        let (method, path, code) = (call.method, call.path, answer.status as u16);
+        let text = answer.body.trim();
+        log::line(format_args!(
+            "management {peer} {method} {path} {code}: {text}"
+        ));
+    }
 }
 
-fn carried(called: OperationOutcome, done: &str) -> (Status, String) {
-    match called {
-        OperationOutcome::Done => told(Status::Ok, done),
-        OperationOutcome::Unknown => told(Status::NotFound, &format!("no engine {done:?}")),
-        OperationOutcome::Unagreed => told(
+fn operation_answer(outcome: OperationOutcome, done: &str) -> CallAnswer {
+    match outcome {
+        OperationOutcome::Done => CallAnswer::line(Status::Ok, done),
+        OperationOutcome::UnknownEngine => {
+            CallAnswer::line(Status::NotFound, &format!("no engine {done:?}"))
+        }
+        OperationOutcome::OutcomeUnknown => CallAnswer::line(
             Status::ServiceUnavailable,
             "not agreed on in its time; it may still come to hold: call again",
         ),
-        OperationOutcome::NotAMember => told(
+        OperationOutcome::NotAMember => CallAnswer::line(
             Status::Conflict,
             "this front end subscribes to a cluster: call at a member's API",
         ),
     }
 }
 
-/// Writes the answer and closes.
-async fn respond(stream: &Async<TcpStream>, output: &[u8]) -> &'static str {
-    let late = async {
-        Timer::after(STALLED).await;
-        Err(std::io::ErrorKind::TimedOut.into())
+/// Writes the answer and shuts the connection.
+async fn respond(stream: &Async<TcpStream>, answer: &CallAnswer) -> ConnectionEnd {
+    let output = answer.to_bytes();
+    let timed_out = async {
+        Timer::after(WRITE_TIMEOUT).await;
+        Err(io::ErrorKind::TimedOut.into())
     };
-    let mut sent = 0;
-    let write = async {
-        while let Some(rest) = output.get(sent..).filter(|rest| !rest.is_empty()) {
-            sent += stream.write_with(|mut s| s.write(rest)).await?;
-        }
-        Ok::<_, std::io::Error>(())
-    };
-    match write.or(late).await {
+    match write_all(stream, &output).or(timed_out).await {
         Ok(()) => {
             net::linger(stream).await;
-            "answered"
+            ConnectionEnd::Answered
         }
-        Err(e) if e.kind() == std::io::ErrorKind::TimedOut => "stalled",
-        Err(_) => "reset",
+        Err(error) if error.kind() == io::ErrorKind::TimedOut => ConnectionEnd::Stalled,
+        Err(_) => ConnectionEnd::Reset,
+    }
+}
+
+async fn write_all(stream: &Async<TcpStream>, output: &[u8]) -> io::Result<()> {
+    let mut sent = 0;
+    while let Some(rest) = output.get(sent..).filter(|rest| !rest.is_empty()) {
+        sent += stream.write_with(|mut socket| socket.write(rest)).await?;
     }
+    Ok(())
 }
--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -1,4 +1,4 @@
-//! What operators' calls mean: the one place that reaches the program's parts for management.
+//! What operators' calls do: the one place that reaches the program's parts for management.
 
 use std::cell::RefCell;
 use std::future::ready;
@@ -8,211 +8,215 @@
 use async_io::Timer;
 use violetgate_policy::interface::Micros;
 
-use super::{OperationOutcome, PendingOperation};
-use crate::clock::Clock;
-use crate::cordon_file::{CordonFile, EngineNames};
+use super::{OperationOutcome, Operations, PendingOperation};
+use crate::clock::{micros, Clock};
+use crate::cordon_file::{Cordon, CordonFile, EngineNames};
 use crate::discovery::{DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
 use crate::drain::DrainState;
-use crate::fleet::Fleet;
+use crate::fleet::FleetMembership;
 use crate::log;
 use crate::replication::{CommitError, Participant};
-use crate::rest::Rest;
-use crate::stats::Stats;
-
-/// A bus that does not answer keeps a process from being called ready for this long; engines that serve are
-/// known from the configuration all the same.
-const WAIT: Duration = Duration::from_secs(1);
-
-/// How often the other process's calls are looked for; they hold here, too.
-const LOOK: Duration = Duration::from_millis(50);
-
-/// A call that others have to agree on is answered within this time, and goes by this name in the change log.
-const ANSWER: Duration = Duration::from_millis(900);
-const WHO: &str = "management";
-
-/// What operators' calls reach.
+use crate::rest::RestFrontend;
+use crate::stats::{write_metric, Stats};
+
+/// How long an event bus that does not answer delays readiness; engines are known from the configuration
+/// all the same.
+const BUS_WAIT: Duration = Duration::from_secs(1);
+/// How often the cordon file is read: calls to the process beside this one are in force here, too.
+const CORDON_FILE_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a call that has to be committed may take.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(900);
+/// Who requested what is called for here, in the change log.
+const OPERATOR: &str = "management";
+
+/// The parts of the program that operators' calls reach.
 pub struct OperationTargets {
-    /// Where the bus is, and whether it has told anything.
-    pub place: Rc<DiscoverySource>,
-    /// Engines' numbers by name.
-    pub ids: Rc<EngineIds>,
+    /// Where the event bus is, and whether it has said anything.
+    pub discovery: Rc<DiscoverySource>,
+    /// Engine ids by name.
+    pub engine_ids: Rc<EngineIds>,
     /// The decisions.
     pub dispatch: Rc<Dispatch>,
     /// Whether clients are let in.
-    pub door: Rc<DrainState>,
-    /// The figures.
+    pub drain: Rc<DrainState>,
+    /// The request metrics.
     pub stats: Rc<Stats>,
-    /// The REST front, if there is one.
-    pub rest: Option<Rc<Rest>>,
-    /// Engines called out, kept.
-    pub store: CordonFile,
-    /// The cluster that agrees on all this, if there is one.
-    pub daemon: Option<Participant>,
-    /// The fleet that this front end is one of, if it is told of one.
-    pub fleet: Option<Rc<Fleet>>,
+    /// The REST front end, if there is one.
+    pub rest: Option<Rc<RestFrontend>>,
+    /// The stored cordons.
+    pub cordon_file: CordonFile,
+    /// This instance's part in a cluster, if it has one.
+    pub cluster: Option<Participant>,
+    /// The fleet that this gateway belongs to, if it does to one.
+    pub fleet: Option<Rc<FleetMembership>>,
 }
 
-/// Carries out what operators call for.
-pub struct Operations {
+/// The operations of a gateway.
+pub struct GatewayOperations {
     clock: Clock,
-    start: Micros,
-    parts: OperationTargets,
-    /// Engines that are called out.
+    started_at: Micros,
+    targets: OperationTargets,
+    /// Engines that are cordoned, as far as this process has carried it out.
     cordons: RefCell<EngineNames>,
 }
 
-impl Operations {
-    /// Creates it, once clients' address is bound and the list of the start is known, and calls out the engines
-    /// that were called out before.
+impl GatewayOperations {
+    /// Creates the operations, and cordons the engines that were cordoned before. The clients' address has
+    /// to be bound by now, and the initial engine list known.
     #[must_use]
-    pub fn new(clock: Clock, parts: OperationTargets) -> Rc<Self> {
-        let me = Operations {
+    pub fn new(clock: Clock, targets: OperationTargets) -> Rc<Self> {
+        let operations = GatewayOperations {
             clock,
-            start: clock.now(),
-            parts,
+            started_at: clock.now(),
+            targets,
             cordons: RefCell::default(),
         };
-        if me.parts.daemon.is_none() {
-            me.look();
+        if operations.targets.cluster.is_none() {
+            operations.load_cordons();
         }
-        Rc::new(me)
+        Rc::new(operations)
     }
 
-    /// Follows, for ever, what another process of this front end was told. What a cluster agrees on comes another way.
-    pub async fn watch(&self) {
-        if self.parts.daemon.is_some() {
+    /// Carries out, for ever, what another process of this gateway was called for. The shared configuration
+    /// of a cluster arrives another way.
+    pub async fn follow_cordon_file(&self) {
+        if self.targets.cluster.is_some() {
             return;
         }
-        let mut spoilt = false;
+        let mut is_corrupt = false;
         loop {
-            Timer::after(LOOK).await;
-            // Told once: a file that stays spoilt would fill the log.
-            spoilt = !self.look() && {
-                if !spoilt {
-                    log::line("cordons can't be read; those that hold here stay");
-                }
-                true
-            };
+            Timer::after(CORDON_FILE_INTERVAL).await;
+            let was_corrupt = std::mem::replace(&mut is_corrupt, !self.load_cordons());
+            // Logged once: a file that stays corrupt would fill the log.
+            if is_corrupt && !was_corrupt {
+                log::line("cordons can't be read; those that hold here stay");
+            }
         }
     }
 
-    /// False: the file can't be read.
-    fn look(&self) -> bool {
-        let found = self.parts.store.load();
-        if let Ok(Some(names)) = &found {
-            self.adopt(names.clone());
+    /// Carries out what the cordon file holds. False: it can't be read.
+    fn load_cordons(&self) -> bool {
+        let stored = self.targets.cordon_file.load();
+        if let Ok(Some(names)) = &stored {
+            self.apply_cordons(names.clone());
         }
-        found.is_ok()
+        stored.is_ok()
     }
 
-    fn adopt(&self, names: EngineNames) {
-        let held = self.cordons.replace(names.clone());
-        for name in held.symmetric_difference(&names) {
-            let out = names.contains(name);
-            log::line(format_args!(
-                "engine {name} is called {}",
-                if out { "out" } else { "back" }
-            ));
-            self.parts.dispatch.cordon(self.parts.ids.number(name), out);
+    fn apply_cordons(&self, names: EngineNames) {
+        let before = self.cordons.replace(names.clone());
+        for name in before.symmetric_difference(&names) {
+            let cordoned = names.contains(name);
+            log::engine_cordoned(name, cordoned);
+            let engine = self.targets.engine_ids.id_of(name);
+            self.targets.dispatch.set_cordoned(engine, cordoned);
         }
     }
 
-    /// False: nobody has that name.
-    fn call(&self, name: &str, out: bool) -> bool {
-        let known = self.parts.ids.known(name);
-        if known {
-            let held = self.cordons.borrow().clone();
-            self.adopt(self.parts.store.change(&held, name, out));
+    fn set_local_cordon(&self, engine: &str, cordoned: bool) -> OperationOutcome {
+        if !self.targets.engine_ids.is_known(engine) {
+            return OperationOutcome::UnknownEngine;
         }
-        known
+        let change = if cordoned {
+            Cordon::Add
+        } else {
+            Cordon::Remove
+        };
+        let known = self.cordons.borrow().clone();
+        let names = self.targets.cordon_file.update(&known, engine, change);
+        self.apply_cordons(names);
+        OperationOutcome::Done
     }
-}
 
-impl Operations {
-    /// What the event bus costs, beside the figures of a cluster or a fleet.
-    fn bus_figures(&self) -> String {
-        let (sent, received) = self.parts.place.traffic();
-        format!(
-            "# HELP svc_bus_sent_bytes_total Bytes sent to the event bus.\n\
-             # TYPE svc_bus_sent_bytes_total counter\nsvc_bus_sent_bytes_total {sent}\n\
-             # HELP svc_bus_received_bytes_total Bytes received from the event bus.\n\
-             # TYPE svc_bus_received_bytes_total counter\nsvc_bus_received_bytes_total {received}\n"
-        )
+    /// Metrics of the event bus, which are shown beside those of a cluster or a fleet.
+    fn discovery_metrics(&self) -> String {
+        let traffic = self.targets.discovery.traffic();
+        let mut out = String::new();
+        let mut counter = |name, help, value| write_metric(&mut out, name, "counter", help, value);
+        counter(
+            "svc_bus_sent_bytes_total",
+            "Bytes sent to the event bus.",
+            traffic.sent_bytes,
+        );
+        counter(
+            "svc_bus_received_bytes_total",
+            "Bytes received from the event bus.",
+            traffic.received_bytes,
+        );
+        out
     }
 }
 
-impl super::Operations for Operations {
-    fn healthy(&self) -> bool {
-        let heard =
-            self.parts.place.heard() || self.clock.now() >= self.start + WAIT.as_micros() as Micros;
-        heard && self.parts.daemon.as_ref().is_none_or(|d| d.is_open())
+impl Operations for GatewayOperations {
+    fn is_healthy(&self) -> bool {
+        let is_bus_overdue = self.clock.now() >= self.started_at + micros(BUS_WAIT);
+        let cluster = self.targets.cluster.as_ref();
+        (self.targets.discovery.has_received() || is_bus_overdue)
+            && cluster.is_none_or(|participant| participant.is_open())
     }
 
-    fn figures(&self) -> String {
-        let engines = self.parts.dispatch.engine_counts();
-        let shares_control = self.parts.daemon.is_some() || self.parts.fleet.is_some();
-        let bus = if shares_control {
-            self.bus_figures()
-        } else {
-            String::new()
-        };
-        self.parts.stats.text(engines.listed, engines.avoided)
-            + &bus
-            + &self
-                .parts
-                .rest
-                .as_ref()
-                .map(|r| r.figures())
-                .unwrap_or_default()
-            + &self
-                .parts
-                .daemon
-                .as_ref()
-                .map(|d| d.figures())
-                .unwrap_or_default()
-            + &self
-                .parts
-                .fleet
-                .as_ref()
-                .map(|f| f.figures())
-                .unwrap_or_default()
+    fn metrics(&self) -> String {
+        let OperationTargets {
+            stats,
+            dispatch,
+            rest,
+            cluster,
+            fleet,
+            ..
+        } = &self.targets;
+        let mut out = stats.render(dispatch.engine_counts());
+        if cluster.is_some() || fleet.is_some() {
+            out += &self.discovery_metrics();
+        }
+        out += &rest.as_ref().map(|rest| rest.metrics()).unwrap_or_default();
+        out += &cluster
+            .as_ref()
+            .map(Participant::metrics)
+            .unwrap_or_default();
+        out += &fleet
+            .as_ref()
+            .map(|fleet| fleet.metrics())
+            .unwrap_or_default();
+        out
     }
 
-    fn cordon<'a>(&'a self, host: &'a str, out: bool) -> PendingOperation<'a> {
-        let Some(daemon) = &self.parts.daemon else {
-            let called = if self.call(host, out) {
-                OperationOutcome::Done
-            } else {
-                OperationOutcome::Unknown
-            };
-            return Box::pin(ready(called));
+    fn set_cordon<'a>(&'a self, engine: &'a str, cordoned: bool) -> PendingOperation<'a> {
+        let Some(participant) = &self.targets.cluster else {
+            return Box::pin(ready(self.set_local_cordon(engine, cordoned)));
         };
         Box::pin(async move {
-            if !self.parts.ids.known(host) {
-                return OperationOutcome::Unknown;
+            if !self.targets.engine_ids.is_known(engine) {
+                return OperationOutcome::UnknownEngine;
             }
-            agreed(daemon.cordon(host, out, WHO, ANSWER).await)
+            let committed = participant.set_cordon(engine, cordoned, OPERATOR, COMMIT_TIMEOUT);
+            outcome_of(committed.await)
         })
     }
 
-    fn drain(&self, on: bool) -> PendingOperation<'_> {
-        let Some(daemon) = &self.parts.daemon else {
-            if on {
-                self.parts.door.quiesce(self.clock.now());
+    fn set_drain(&self, drained: bool) -> PendingOperation<'_> {
+        let Some(participant) = &self.targets.cluster else {
+            if drained {
+                self.targets.drain.start_draining(self.clock.now());
             } else {
-                self.parts.door.resume();
+                self.targets.drain.stop_draining();
             }
             return Box::pin(ready(OperationOutcome::Done));
         };
-        Box::pin(async move { agreed(daemon.drain(on, WHO, ANSWER).await) })
+        Box::pin(async move {
+            outcome_of(
+                participant
+                    .set_drain(drained, OPERATOR, COMMIT_TIMEOUT)
+                    .await,
+            )
+        })
     }
 }
 
-fn agreed(done: Result<(), CommitError>) -> OperationOutcome {
-    match done {
+fn outcome_of(committed: Result<(), CommitError>) -> OperationOutcome {
+    match committed {
         Ok(()) => OperationOutcome::Done,
         Err(CommitError::NotAMember) => OperationOutcome::NotAMember,
-        Err(_) => OperationOutcome::Unagreed,
+        Err(_) => OperationOutcome::OutcomeUnknown,
     }
 }
--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -1,5 +1,6 @@
-//! The command line. It parses, starts the log and hands over; it must never hold what a subcommand does.
+//! The command line: it parses, starts the log and calls the subcommand, which is elsewhere.
 
+use std::fmt::Display;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -7,9 +8,10 @@
 use clap::{CommandFactory, Parser, Subcommand};
 use clap_complete::Shell;
 
-use crate::config::Config;
+use crate::config::{Config, Overrides};
 use crate::ctl::{self, Ctl, Members};
 use crate::demo::{self, Demo};
+use crate::serve::StartError;
 use crate::{log, serve, settings};
 
 /// A front end for query engines: PostgreSQL in front, one decision module inside.
@@ -68,9 +70,9 @@
         Some(Command::Serve(given)) => start(&Serve {
             settings: given.settings.or(cli.serve.settings),
         }),
-        Some(Command::Demo(given)) => ended(demo::run(&given)),
-        Some(Command::Ctl(given)) => ended(ctl::run(&given)),
-        Some(Command::Members(given)) => ended(ctl::members(&given)),
+        Some(Command::Demo(given)) => finish(demo::run(&given)),
+        Some(Command::Ctl(given)) => finish(ctl::run(&given)),
+        Some(Command::Members(given)) => finish(ctl::members(&given)),
         Some(Command::Check { file }) => check(&file),
         Some(Command::Reference) => print(&settings::reference()),
         Some(Command::Completions { shell }) => {
@@ -81,11 +83,12 @@
     }
 }
 
-fn ended(done: Result<(), String>) -> ExitCode {
-    done.map_or_else(
-        |what| complain(&format!("violetgate: {what}")),
-        |()| ExitCode::SUCCESS,
-    )
+/// The exit code of a command; an error is printed.
+fn finish(result: Result<(), impl Display>) -> ExitCode {
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => print_error(&format!("violetgate: {error}")),
+    }
 }
 
 /// Writes to standard output; a reader that has gone (`| head`) is no failure.
@@ -94,57 +97,65 @@
     ExitCode::SUCCESS
 }
 
-fn start(given: &Serve) -> ExitCode {
-    let file = given.settings.as_deref();
-    let read = settings::read(file);
-    let chosen = read.as_ref().map(|s| s.log.clone()).unwrap_or_default();
-    let log = log::start(chosen.format, chosen.lines_waiting);
-    let done = read.and_then(|settings| serve::run(&settings, file));
-    if log::lost() > 0 {
+fn start(serve: &Serve) -> ExitCode {
+    let file = serve.settings.as_deref();
+    let settings = settings::read(file);
+    let log_settings = settings
+        .as_ref()
+        .map(|settings| settings.log.clone())
+        .unwrap_or_default();
+    let log = log::start(log_settings.format, log_settings.lines_waiting);
+    let served = settings
+        .map_err(StartError::from)
+        .and_then(|settings| serve::run(&settings, file));
+    let dropped = log::dropped_lines();
+    if dropped > 0 {
         log::line(format_args!(
-            "violetgate lost {} log lines, as nobody took them",
-            log::lost()
+            "violetgate lost {dropped} log lines, as nobody took them"
         ));
     }
-    let code = done.map_or_else(
-        |what| {
-            log::line(format_args!("violetgate: {what}"));
+    let code = match served {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            log::line(format_args!("violetgate: {error}"));
             ExitCode::FAILURE
-        },
-        |()| ExitCode::SUCCESS,
-    );
+        }
+    };
     drop(log);
     code
 }
 
 fn check(file: &Path) -> ExitCode {
-    let problems = match std::fs::read_to_string(file) {
-        Err(e) => vec![format!("{}: {e}", file.display())],
-        Ok(text)
-            if file
-                .extension()
-                .is_some_and(|e| e.eq_ignore_ascii_case("json")) =>
-        {
-            let read = Config::parse(&text, None, None, None).err();
-            read.into_iter()
-                .map(|e| format!("{}: {e}", file.display()))
-                .collect()
-        }
-        Ok(text) => match settings::parse(&text) {
-            Ok(_) => Vec::new(),
-            Err(problems) => problems
-                .iter()
-                .map(|p| format!("{}:{p}", file.display()))
-                .collect(),
-        },
-    };
-    if problems.is_empty() {
+    let errors = configuration_errors(file);
+    if errors.is_empty() {
         return print(&format!("{}: can be used\n", file.display()));
     }
-    complain(&problems.join("\n"))
+    print_error(&errors.join("\n"))
 }
 
-fn complain(text: &str) -> ExitCode {
+/// All errors of a settings file, or the first one of the platform's configuration, a line each.
+fn configuration_errors(file: &Path) -> Vec<String> {
+    let name = file.display();
+    let text = match std::fs::read_to_string(file) {
+        Ok(text) => text,
+        Err(error) => return vec![format!("{name}: {error}")],
+    };
+    let extension = file.extension();
+    if extension.is_some_and(|extension| extension.eq_ignore_ascii_case("json")) {
+        let error = Config::parse(&text, Overrides::default()).err();
+        return error
+            .into_iter()
+            .map(|error| format!("{name}: {error}"))
+            .collect();
+    }
+    let errors = settings::parse(&text).err().unwrap_or_default();
+    errors
+        .iter()
+        .map(|error| format!("{name}:{error}"))
+        .collect()
+}
+
+fn print_error(text: &str) -> ExitCode {
     let _ = std::io::stderr()
         .lock()
         .write_all(format!("{text}\n").as_bytes());
@@ -152,19 +163,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// The definition holds together, and `serve` may be left out.
-    #[test]
-    fn the_command_line_is_well_formed() {
-        Cli::command().debug_assert();
-        for args in [
-            &["violetgate"][..],
-            &["violetgate", "serve", "--settings", "x.hcl"],
-        ] {
-            assert!(Cli::try_parse_from(args).is_ok(), "{args:?}");
-        }
-        assert!(Cli::try_parse_from(["violetgate", "sreve"]).is_err());
-    }
-}
+mod tests;
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -7,7 +7,7 @@
 /// A clock that never goes backwards and whose zero is the Unix epoch, as in the engine list.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
-    unix: Micros,
+    unix_at_start: Micros,
     start: Instant,
 }
 
@@ -19,25 +19,27 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            unix: span(unix),
+            unix_at_start: micros(unix),
             start: Instant::now(),
         }
     }
 
-    /// The time.
+    /// The time in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Micros {
-        self.unix + span(self.start.elapsed())
+        self.unix_at_start + micros(self.start.elapsed())
     }
 
-    /// When a moment comes, as the system's timers have it.
+    /// A time of this clock as the system's timers take it.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
-        let ahead = Duration::from_micros(at.saturating_sub(self.unix));
+        let ahead = Duration::from_micros(at.saturating_sub(self.unix_at_start));
         self.start.checked_add(ahead).unwrap_or(self.start)
     }
 }
 
-fn span(d: Duration) -> Micros {
-    Micros::try_from(d.as_micros()).unwrap_or(Micros::MAX)
+/// A duration in microseconds; the longest one where it does not fit.
+#[must_use]
+pub fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
--- a/gateway/src/connection_limit.rs
+++ b/gateway/src/connection_limit.rs
@@ -1,4 +1,4 @@
-//! The room for connections that come in: how many there may be, and which gives way when there are more.
+//! The limit on incoming connections: how many there may be, and which one is evicted for a new one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,246 +8,227 @@
 
 use violetgate_policy::interface::Micros;
 
-/// A connection that has said nothing whole for this long is taken as mute: one that has just come up is
-/// about to speak, and must not give way to the next.
-const MUTE: Micros = 250_000;
-/// A connection that became idle less long ago is left alone when idle ones are dismissed: a new connection's first
-/// request may be on its way.
-pub const RECENTLY_IDLE: Micros = 50_000;
-/// One connection in so many may be just being closed beside those that count.
-const CLOSING: usize = 8;
+/// A connection without a complete message counts as unresponsive after this time: one that has just come
+/// up is about to send, and must not be evicted for the next.
+const FIRST_MESSAGE_GRACE_US: Micros = 250_000;
+/// A connection that became idle less long ago than this is left open when idle ones are closed: a new
+/// connection's first request may be on its way.
+pub const RECENTLY_IDLE_US: Micros = 50_000;
+/// One connection in so many may linger in its close beside those that count.
+const LINGERING_DIVISOR: usize = 8;
 
-/// What a connection is at.
+/// What a connection does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
     /// It owes its start-up packet, or the rest of a message.
     AwaitingMessage,
-    /// It may ask, and does not.
+    /// It may send a request, and does not.
     Idle,
     /// It has a request open.
     Busy,
 }
 
-/// One connection, as the room knows it.
+/// Why a connection would be evicted before another: in this order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum EvictionRank {
+    /// No complete message for long.
+    Unresponsive,
+    /// Idle.
+    Idle,
+    /// Just come up.
+    New,
+}
+
+/// The slot of one connection.
 pub struct ConnectionSlot {
     id: u64,
-    at: Cell<(ConnectionState, Micros)>,
+    state: Cell<ConnectionState>,
+    /// Since when it is in this state.
+    since: Cell<Micros>,
     /// Until when its client may need this very process.
-    owes: Cell<Micros>,
-    leaves: Cell<Option<&'static str>>,
+    sticky_until: Cell<Micros>,
+    close_reason: Cell<Option<&'static str>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl ConnectionSlot {
-    /// Notes what it is at from now on.
-    pub fn is(&self, stage: ConnectionState, now: Micros) {
-        if self.at.get().0 != stage {
-            self.at.set((stage, now));
+    fn new(id: u64, now: Micros) -> Rc<Self> {
+        Rc::new(ConnectionSlot {
+            id,
+            state: Cell::new(ConnectionState::AwaitingMessage),
+            since: Cell::new(now),
+            sticky_until: Cell::new(0),
+            close_reason: Cell::new(None),
+            waker: RefCell::default(),
+        })
+    }
+
+    /// Records what the connection does from now on.
+    pub fn set_state(&self, state: ConnectionState, now: Micros) {
+        if self.state.get() != state {
+            self.state.set(state);
+            self.since.set(now);
         }
     }
 
-    /// Its client may need this very process until then: it is not sent home before.
-    pub fn owes(&self, until: Micros) {
-        self.owes.set(until);
+    /// Its client may need this very process until then: the connection is not closed for being idle before.
+    pub fn set_sticky_until(&self, until: Micros) {
+        self.sticky_until.set(until);
     }
 
     /// Until when its client may need this very process.
-    pub fn owed(&self) -> Micros {
-        self.owes.get()
+    pub fn sticky_until(&self) -> Micros {
+        self.sticky_until.get()
     }
 
-    /// It may ask, and does not.
+    /// Whether it may send a request, and does not.
     pub fn is_idle(&self) -> bool {
-        self.at.get().0 == ConnectionState::Idle
+        self.state.get() == ConnectionState::Idle
     }
 
-    /// Waits until it has to give way; the reason why.
-    pub async fn gives_way(&self) -> &'static str {
-        poll_fn(|cx| {
-            if let Some(reason) = self.leaves.get() {
+    /// Waits until the connection is asked to close; the reason.
+    pub async fn close_requested(&self) -> &'static str {
+        poll_fn(|context| {
+            if let Some(reason) = self.close_reason.get() {
                 return Poll::Ready(reason);
             }
-            *self.waker.borrow_mut() = Some(cx.waker().clone());
+            *self.waker.borrow_mut() = Some(context.waker().clone());
             Poll::Pending
         })
         .await
     }
 
-    /// Tells it to give way. What it has sent by then is still read and answered.
-    fn leave(&self, reason: &'static str) {
-        self.leaves.set(Some(reason));
-        self.waker
-            .borrow_mut()
-            .take()
-            .into_iter()
-            .for_each(Waker::wake);
+    /// Asks the connection to close. What it has sent by then is still read and answered.
+    fn request_close(&self, reason: &'static str) {
+        self.close_reason.set(Some(reason));
+        let waker = self.waker.borrow_mut().take();
+        waker.into_iter().for_each(Waker::wake);
+    }
+
+    fn eviction_rank(&self, now: Micros) -> Option<EvictionRank> {
+        let is_new = now < self.since.get() + FIRST_MESSAGE_GRACE_US;
+        match self.state.get() {
+            ConnectionState::AwaitingMessage if is_new => Some(EvictionRank::New),
+            ConnectionState::AwaitingMessage => Some(EvictionRank::Unresponsive),
+            ConnectionState::Idle => Some(EvictionRank::Idle),
+            ConnectionState::Busy => None,
+        }
     }
 }
 
-/// All connections that count.
+/// The connections that count towards one limit.
 pub struct ConnectionLimiter {
-    most: Cell<usize>,
-    next: Cell<u64>,
-    guests: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
-    closing: Rc<Cell<usize>>,
+    limit: Cell<usize>,
+    next_id: Cell<u64>,
+    slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
+    lingering: Rc<Cell<usize>>,
 }
 
-/// The place of a connection that counts no more and is just being closed; it ends with this.
-pub struct Closing(Rc<Cell<usize>>);
+/// Permits a connection that no longer counts to linger in its close; it ends with this.
+pub struct LingerPermit(Rc<Cell<usize>>);
 
-impl Drop for Closing {
+impl Drop for LingerPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl ConnectionLimiter {
-    /// Creates room for `most` connections.
+    /// Creates a limiter for `limit` connections.
     #[must_use]
-    pub fn new(most: usize) -> Self {
+    pub fn new(limit: usize) -> Self {
         ConnectionLimiter {
-            most: Cell::new(most),
-            next: Cell::new(0),
-            guests: RefCell::default(),
-            closing: Rc::default(),
+            limit: Cell::new(limit),
+            next_id: Cell::new(0),
+            slots: RefCell::default(),
+            lingering: Rc::default(),
         }
     }
 
-    /// A place for one that is just being closed, and holds its descriptor a little longer. `None`: so many are that
-    /// it has to be closed at once, or the process would run out of descriptors.
-    pub fn closing(&self) -> Option<Closing> {
-        let (now, most) = (self.closing.get(), self.most.get() / CLOSING + 1);
-        (now < most).then(|| {
-            self.closing.set(now + 1);
-            Closing(Rc::clone(&self.closing))
-        })
+    /// A slot for a new connection. At the limit another one is evicted: an unresponsive one first, then the
+    /// one idle longest, never one with a request open. `None`: all have one.
+    ///
+    /// Eviction protects against clients that connect and send nothing, or send one request and stay: were
+    /// new connections left in the kernel's queue instead, their requests would count as taken and never be
+    /// read.
+    pub fn acquire(&self, now: Micros) -> Option<Rc<ConnectionSlot>> {
+        if self.len() >= self.limit.get() && !self.evict_one(now) {
+            return None;
+        }
+        let id = self.next_id.get();
+        self.next_id.set(id + 1);
+        let slot = ConnectionSlot::new(id, now);
+        self.slots.borrow_mut().insert(id, Rc::clone(&slot));
+        Some(slot)
     }
 
-    /// How many are just being closed.
-    pub fn being_closed(&self) -> usize {
-        self.closing.get()
+    /// Frees the slot of a connection that has ended.
+    pub fn release(&self, slot: &ConnectionSlot) {
+        self.slots.borrow_mut().remove(&slot.id);
     }
 
-    /// The first to give way goes, though there is room: the machine has none.
-    pub fn give_way(&self, now: Micros) {
-        self.evict(now);
+    /// Evicts the connection that is first in order. False: all are busy.
+    pub fn evict_one(&self, now: Micros) -> bool {
+        let mut slots = self.slots.borrow_mut();
+        let candidates = slots
+            .values()
+            .filter_map(|slot| Some((slot.eviction_rank(now)?, slot.since.get(), slot.id)));
+        let first = candidates.min();
+        let evicted = first.and_then(|(_, _, id)| slots.remove(&id));
+        if let Some(slot) = &evicted {
+            slot.request_close("evicted");
+        }
+        evicted.is_some()
     }
 
-    /// Lets a connection in. In a full room another gives way: a mute one first, then the one idle longest,
-    /// never one with a request open. `None`: all have one.
-    ///
-    /// Guards against clients that connect and say nothing, or ask once and stay for good: left in the
-    /// machine's queue instead, the usual clients' requests would count as taken and never be read.
-    pub fn enter(&self, now: Micros) -> Option<Rc<ConnectionSlot>> {
-        if self.len() >= self.most.get() && !self.evict(now) {
-            return None;
-        }
-        let id = self.next.get();
-        self.next.set(id + 1);
-        let at = Cell::new((ConnectionState::AwaitingMessage, now));
-        let (owes, leaves) = (Cell::new(0), Cell::new(None));
-        let guest = Rc::new(ConnectionSlot {
-            id,
-            at,
-            owes,
-            leaves,
-            waker: RefCell::default(),
-        });
-        self.guests.borrow_mut().insert(id, Rc::clone(&guest));
-        Some(guest)
-    }
-
-    /// Lets the first to give way go. False: all are busy.
-    fn evict(&self, now: Micros) -> bool {
-        let mut guests = self.guests.borrow_mut();
-        let rank = |g: &ConnectionSlot| match g.at.get() {
-            (ConnectionState::AwaitingMessage, since) if now >= since + MUTE => Some((0, since)),
-            (ConnectionState::Idle, since) => Some((1, since)),
-            (ConnectionState::AwaitingMessage, since) => Some((2, since)),
-            (ConnectionState::Busy, _) => None,
-        };
-        let first = guests.values().filter_map(|g| Some((rank(g)?, g.id))).min();
-        let first = first.and_then(|(_, id)| guests.remove(&id));
-        first.inspect(|g| g.leave("evicted")).is_some()
-    }
-
-    /// Lets all go that have been idle for so long.
-    pub fn dismiss_idle(&self, now: Micros, fresh: Micros, reason: &'static str) {
-        let idle = |g: &&Rc<ConnectionSlot>| {
-            matches!(g.at.get(), (ConnectionState::Idle, since) if now >= since + fresh)
-                && g.owed() <= now
-        };
-        self.guests
-            .borrow()
+    /// Closes the connections that have been idle for `idle_for` microseconds and are not sticky.
+    pub fn close_idle(&self, now: Micros, idle_for: Micros, reason: &'static str) {
+        let slots = self.slots.borrow();
+        slots
             .values()
-            .filter(idle)
-            .for_each(|g| g.leave(reason));
+            .filter(|slot| slot.is_idle() && now >= slot.since.get() + idle_for)
+            .filter(|slot| slot.sticky_until() <= now)
+            .for_each(|slot| slot.request_close(reason));
     }
 
-    /// Changes how many there may be. Where there are more, those that can give way do so at once.
-    pub fn resize(&self, most: usize, now: Micros) {
-        self.most.set(most);
-        while self.len() > most && self.evict(now) {}
+    /// Changes the limit. Connections over it that can be evicted are evicted at once.
+    pub fn resize(&self, limit: usize, now: Micros) {
+        self.limit.set(limit);
+        while self.len() > limit && self.evict_one(now) {}
     }
 
-    /// How many there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
-        self.guests.borrow().len()
+        self.slots.borrow().len()
     }
 
-    /// How many there are whose clients may need this very process.
-    pub fn owing(&self, now: Micros) -> usize {
-        self.guests
-            .borrow()
+    /// The number of connections whose clients may need this very process.
+    pub fn sticky_count(&self, now: Micros) -> usize {
+        let slots = self.slots.borrow();
+        slots
             .values()
-            .filter(|g| g.owed() > now)
+            .filter(|slot| slot.sticky_until() > now)
             .count()
     }
 
-    /// Frees the place of a connection that has ended.
-    pub fn leave(&self, guest: &ConnectionSlot) {
-        self.guests.borrow_mut().remove(&guest.id);
+    /// Permits one more connection to linger in its close, which holds its descriptor a little longer.
+    /// `None`: so many linger that it has to be closed at once, or descriptors would run out.
+    pub fn permit_linger(&self) -> Option<LingerPermit> {
+        let (lingering, limit) = (
+            self.lingering.get(),
+            self.limit.get() / LINGERING_DIVISOR + 1,
+        );
+        (lingering < limit).then(|| {
+            self.lingering.set(lingering + 1);
+            LingerPermit(Rc::clone(&self.lingering))
+        })
     }
-}
 
-#[cfg(test)]
-#[allow(clippy::unwrap_used, clippy::indexing_slicing)]
-mod tests {
-    use super::*;
-
-    /// Who gives way in a full room: the mute before the idle, the longest idle first, the busy never, and
-    /// one that has just come up only when nobody else is left.
-    #[test]
-    fn mute_and_idle_connections_give_way() {
-        let room = ConnectionLimiter::new(4);
-        let stages = [
-            ConnectionState::Idle,
-            ConnectionState::Busy,
-            ConnectionState::AwaitingMessage,
-            ConnectionState::Idle,
-        ];
-        let guests: Vec<_> = (0..)
-            .zip(stages)
-            .map(|(at, s)| (room.enter(at).unwrap(), s, at))
-            .collect();
-        guests.iter().for_each(|(g, s, at)| g.is(*s, 10 - at));
-        let gone = || {
-            guests
-                .iter()
-                .map(|(g, ..)| g.leaves.get().is_some())
-                .collect::<Vec<_>>()
-        };
-        let young = room.enter(2 + MUTE).unwrap();
-        assert_eq!(gone(), [false, false, true, false]);
-        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
-        assert_eq!(gone(), [false, false, true, true]);
-        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
-        assert_eq!(gone(), [true, false, true, true]);
-        assert!(young.leaves.get().is_none());
-        room.enter(2 + MUTE).unwrap().is(ConnectionState::Busy, 0);
-        assert!(young.leaves.get().is_some());
-        assert!(room.enter(2 + MUTE).is_none(), "all that are left are busy");
-        room.leave(&guests[1].0);
-        assert!(room.enter(2 + MUTE).is_some());
+    /// The number of connections that linger in their close.
+    pub fn lingering(&self) -> usize {
+        self.lingering.get()
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -1,5 +1,5 @@
-//! What outlasts this process: the names of the engines that operators have called out, in a small file that
-//! the processes of one front end share.
+//! The cordon file: the names of the engines that operators have cordoned, in a small file that the
+//! processes of one gateway share and that outlasts them.
 
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -11,148 +11,118 @@
 
 use crate::log;
 
-/// More than this is no list of engines.
-const MOST: u64 = 256 * 1024;
-/// How often, and how many times, a lock that the other process holds is tried. It holds it for one write; one
-/// that was stopped in the middle must not stop this one too.
-const LOCK: (Duration, u32) = (Duration::from_millis(1), 50);
+/// A longer file is no list of engines.
+const MAX_FILE_BYTES: u64 = 256 * 1024;
+/// How often, and how many times, a lock that the other process holds is tried. It holds it for one write;
+/// one that was stopped in the middle must not block this one too.
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+const LOCK_RETRIES: u32 = 50;
 
 /// Names of engines.
 pub type EngineNames = BTreeSet<String>;
 
-/// The file, and what stands beside it.
+/// A change of the file.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Cordon {
+    /// An engine is cordoned.
+    Add,
+    /// It no longer is.
+    Remove,
+}
+
+/// The file, with a lock file beside it.
 pub struct CordonFile {
     path: Option<PathBuf>,
 }
 
 impl CordonFile {
-    /// A store in a file; without one it keeps nothing.
+    /// The file at a path; without one, nothing is stored.
     #[must_use]
     pub fn new(path: Option<PathBuf>) -> Self {
         CordonFile { path }
     }
 
-    /// What the file holds; `None` where there is no file.
+    /// The names in the file; `None`: there is no file.
     ///
     /// # Errors
     ///
-    /// It can't be read, or is spoilt.
+    /// The file can't be read, or is corrupt.
     pub fn load(&self) -> std::io::Result<Option<EngineNames>> {
         let Some(path) = &self.path else {
             return Ok(None);
         };
         let mut text = String::new();
         match File::open(path) {
-            Ok(file) => file.take(MOST).read_to_string(&mut text)?,
-            Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
-            Err(e) => return Err(e),
+            Ok(file) => file.take(MAX_FILE_BYTES).read_to_string(&mut text)?,
+            Err(error) if error.kind() == std::io::ErrorKind::NotFound => return Ok(None),
+            Err(error) => return Err(error),
         };
         Ok(Some(serde_json::from_str(&text)?))
     }
 
-    /// Puts a name in or takes it out, whatever the other process has changed meanwhile; what holds then. A
-    /// file that can't be read counts as what this process holds, and one that can't be written is logged: the
-    /// change holds here all the same.
-    pub fn change(&self, held: &EngineNames, name: &str, out: bool) -> EngineNames {
-        let _lock = self
-            .path
-            .as_deref()
-            .and_then(|path| lock(path).inspect_err(|e| complain(path, e)).ok());
-        let mut names = self.load().ok().flatten().unwrap_or_else(|| held.clone());
-        if out {
-            names.insert(name.to_owned());
-        } else {
-            names.remove(name);
-        }
+    /// Adds a name or removes it, whatever the other process has changed meanwhile; the names in force
+    /// then.
+    ///
+    /// A file that can't be read counts as `known`, which is what this process knows. One that can't be
+    /// written is logged: the change is in force here all the same.
+    pub fn update(&self, known: &EngineNames, name: &str, change: Cordon) -> EngineNames {
+        let _lock = self.path.as_deref().and_then(|path| {
+            lock(path)
+                .inspect_err(|error| log_failure(path, error))
+                .ok()
+        });
+        let stored = self.load().ok().flatten();
+        let mut names = stored.unwrap_or_else(|| known.clone());
+        match change {
+            Cordon::Add => names.insert(name.to_owned()),
+            Cordon::Remove => names.remove(name),
+        };
         if let Some(path) = &self.path {
-            let _ = write(path, &names).inspect_err(|e| complain(path, e));
+            let _ = write(path, &names).inspect_err(|error| log_failure(path, error));
         }
         names
     }
 }
 
-fn complain(path: &Path, e: &std::io::Error) {
+fn log_failure(path: &Path, error: &std::io::Error) {
     log::line(format_args!(
-        "cordons are not kept: {}: {e}",
+        "cordons are not kept: {}: {error}",
         path.display()
     ));
 }
 
-fn beside(path: &Path, what: &str) -> PathBuf {
+fn with_suffix(path: &Path, suffix: &str) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
-    name.push(what);
+    name.push(suffix);
     PathBuf::from(name)
 }
 
-/// Keeps the other process from changing the file until the lock is dropped.
+/// Prevents the other process from changing the file until the lock is dropped.
 fn lock(path: &Path) -> std::io::Result<File> {
     let file = OpenOptions::new()
         .write(true)
         .create(true)
         .truncate(false)
-        .open(beside(path, ".lock"))?;
-    let mut left = LOCK.1;
+        .open(with_suffix(path, ".lock"))?;
+    let mut retries_left = LOCK_RETRIES;
     loop {
         match rustix::fs::flock(&file, FlockOperation::NonBlockingLockExclusive) {
             Ok(()) => return Ok(file),
-            Err(e) if e == rustix::io::Errno::WOULDBLOCK && left > 0 => std::thread::sleep(LOCK.0),
-            Err(e) => return Err(e.into()),
+            Err(error) if error == rustix::io::Errno::WOULDBLOCK && retries_left > 0 => {
+                std::thread::sleep(LOCK_RETRY_INTERVAL);
+            }
+            Err(error) => return Err(error.into()),
         }
-        left -= 1;
+        retries_left -= 1;
     }
 }
 
-/// Writes aside and renames, so that a reader sees all of it or what was there before.
+/// Writes to a file of its own and renames it, so that a reader sees all of it or what was there before.
 fn write(path: &Path, names: &EngineNames) -> std::io::Result<()> {
-    let aside = beside(path, ".new");
-    std::fs::write(&aside, serde_json::to_vec(names)?)?;
-    std::fs::rename(&aside, path)
+    let new = with_suffix(path, ".new");
+    std::fs::write(&new, serde_json::to_vec(names)?)?;
+    std::fs::rename(&new, path)
 }
 
 #[cfg(test)]
-#[allow(clippy::unwrap_used)]
-mod tests {
-    use super::*;
-
-    fn names(names: &[&str]) -> EngineNames {
-        names.iter().map(|n| (*n).to_owned()).collect()
-    }
-
-    /// Two processes that change the file each keep what the other has changed; a spoilt file is told, and
-    /// replaced by what is held at the next change.
-    #[test]
-    fn changes_of_two_processes_add_up() {
-        let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
-        std::fs::create_dir_all(&folder).unwrap();
-        let path = folder.join("cordons");
-        let (one, two) = (
-            CordonFile::new(Some(path.clone())),
-            CordonFile::new(Some(path.clone())),
-        );
-        assert_eq!(one.load().unwrap(), None);
-        assert_eq!(one.change(&names(&[]), "s-1", true), names(&["s-1"]));
-        assert_eq!(two.change(&names(&[]), "s-2", true), names(&["s-1", "s-2"]));
-        assert_eq!(one.change(&names(&["s-1"]), "s-1", false), names(&["s-2"]));
-        assert_eq!(two.load().unwrap(), Some(names(&["s-2"])));
-        std::fs::write(&path, "[\"s-2\"").unwrap();
-        assert!(one.load().is_err());
-        assert_eq!(
-            one.change(&names(&["s-2"]), "s-3", true),
-            names(&["s-2", "s-3"])
-        );
-        assert_eq!(two.load().unwrap(), Some(names(&["s-2", "s-3"])));
-        std::fs::remove_dir_all(&folder).unwrap();
-    }
-
-    /// Without a folder that can be written to, a change holds in this process.
-    #[test]
-    fn without_a_folder_a_change_still_holds() {
-        for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
-            let store = CordonFile::new(path);
-            assert_eq!(
-                store.change(&names(&["s-1"]), "s-2", true),
-                names(&["s-1", "s-2"])
-            );
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/gateway/src/cordon_file/tests.rs
@@ -0,0 +1,67 @@
+//! The cordon file under two processes, and without a folder.
+#![allow(clippy::unwrap_used)]
+
+use super::*;
+
+fn names(names: &[&str]) -> EngineNames {
+    names.iter().map(|n| (*n).to_owned()).collect()
+}
+
+/// Two processes that change the file each preserve what the other has changed; a corrupt file is an error, and is
+/// replaced at the next change by what the process holds.
+#[test]
+fn changes_of_two_processes_add_up_and_a_corrupt_file_is_replaced() {
+    let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("cordons");
+    let (one, two) = (
+        CordonFile::new(Some(path.clone())),
+        CordonFile::new(Some(path.clone())),
+    );
+    assert_eq!(one.load().unwrap(), None);
+    assert_eq!(one.update(&names(&[]), "s-1", Cordon::Add), names(&["s-1"]));
+    assert_eq!(
+        two.update(&names(&[]), "s-2", Cordon::Add),
+        names(&["s-1", "s-2"])
+    );
+    assert_eq!(
+        one.update(&names(&["s-1"]), "s-1", Cordon::Remove),
+        names(&["s-2"])
+    );
+    assert_eq!(two.load().unwrap(), Some(names(&["s-2"])));
+    std::fs::write(&path, "[\"s-2\"").unwrap();
+    assert!(one.load().is_err());
+    assert_eq!(
+        one.update(&names(&["s-2"]), "s-3", Cordon::Add),
+        names(&["s-2", "s-3"])
+    );
+    assert_eq!(two.load().unwrap(), Some(names(&["s-2", "s-3"])));
+    std::fs::remove_dir_all(&folder).unwrap();
+}
+
+/// Without a folder that can be written to, a change holds in this process.
+#[test]
+fn without_a_writable_folder_a_change_still_holds_here() {
+    for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
+        let store = CordonFile::new(path);
+        assert_eq!(
+            store.update(&names(&["s-1"]), "s-2", Cordon::Add),
+            names(&["s-1", "s-2"])
+        );
+    }
+}
+/// Another version of the program reads and writes this file during an upgrade: its form stays.
+#[test]
+fn file_has_the_form_that_other_versions_read() {
+    let folder = std::env::temp_dir().join(format!("violetgate-{}-cordons", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    let path = folder.join("cordons");
+    let fixture = include_bytes!("../../tests/fixtures/cordons.json");
+    std::fs::write(&path, fixture).unwrap();
+    let file = CordonFile::new(Some(path.clone()));
+    assert_eq!(file.load().unwrap(), Some(names(&["s-1", "s-2"])));
+    file.update(&names(&[]), "s-3", Cordon::Add);
+    file.update(&names(&[]), "s-3", Cordon::Remove);
+    assert_eq!(std::fs::read(&path).unwrap(), fixture);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -8,7 +8,7 @@
 use ureq::http::{Method, Request};
 use ureq::Agent;
 
-use crate::replication::{request_id, MembershipStep};
+use crate::replication::{new_request_id, MembershipStep};
 
 /// The pause before the members are asked again.
 pub(super) const PAUSE: Duration = Duration::from_millis(100);
@@ -81,7 +81,7 @@
         let mut client = Client {
             agent: Agent::new_with_defaults(),
             until: Instant::now() + within,
-            request: at.request_id.clone().unwrap_or_else(request_id),
+            request: at.request_id.clone().unwrap_or_else(new_request_id),
             at: at.clone(),
         };
         client.patient(within);
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -72,7 +72,7 @@
 
 /// Makes a member's folder.
 pub(super) fn begin(file: &Path, join: bool, state: Vec<u8>) -> Result<(), String> {
-    let settings = settings::read(Some(file))?;
+    let settings = settings::read(Some(file)).map_err(|error| error.to_string())?;
     let given = settings
         .cluster
         .ok_or_else(|| format!("{}: there is no `cluster` block", file.display()))?;
--- a/gateway/src/discovery/tests.rs
+++ b/gateway/src/discovery/tests.rs
@@ -1,44 +1,57 @@
-//! A bus that is up and tells nothing of use: what it says is the test's, byte by byte. Only the follower's own clock runs.
+//! A bus that is up and says nothing of use: the test plays it, byte by byte. Only the client's own clock runs.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use std::net::TcpListener;
+use std::cell::Cell;
+use std::io::{Read, Write};
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
+use futures_lite::future;
 
+use super::client::BusPosition;
+use super::source::ListRetention;
 use super::*;
+use crate::config::NameTable;
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 const WAIT: Duration = Duration::from_secs(30);
 
-struct Played {
+struct FakeBus {
     executor: LocalExecutor<'static>,
     listener: TcpListener,
-    told: Rc<Cell<usize>>,
+    updates: Rc<Cell<usize>>,
 }
 
-impl Played {
-    /// A follower that knows event 5.
+impl FakeBus {
+    /// A client that knows event 5.
     fn new() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         listener.set_nonblocking(true).unwrap();
-        let place = Rc::new(DiscoverySource::new(listener.local_addr().unwrap(), false));
-        let mut bus = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
-        bus.last = 5;
-        let (executor, told) = (LocalExecutor::new(), Rc::new(Cell::new(0)));
-        let count = Rc::clone(&told);
+        let place = Rc::new(DiscoverySource::new(
+            listener.local_addr().unwrap(),
+            ListRetention::Discard,
+        ));
+        let mut client = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
+        client.last_offset = 5;
+        let (executor, updates) = (LocalExecutor::new(), Rc::new(Cell::new(0)));
+        let count = Rc::clone(&updates);
         executor
             .spawn(async move {
-                bus.follow(&mut |_, listed| count.set(count.get() + listed.len()))
+                client
+                    .follow(&mut |_, listed| count.set(count.get() + listed.len()))
                     .await
             })
             .detach();
-        Played {
+        FakeBus {
             executor,
             listener,
-            told,
+            updates,
         }
     }
 
-    /// Lets the follower run until something is there.
+    /// Lets the client run until something is there.
     fn until<T>(&self, what: &str, mut found: impl FnMut() -> Option<T>) -> T {
         let end = Instant::now() + WAIT;
         async_io::block_on(self.executor.run(async {
@@ -58,7 +71,7 @@
         stream
     }
 
-    /// What the follower asks as it connects.
+    /// What the client requests as it connects.
     fn hello(&self, stream: &mut TcpStream) -> String {
         let mut got = Vec::new();
         self.until("it says from where", || {
@@ -70,10 +83,10 @@
         })
     }
 
-    /// Says the same again and again until the follower connects anew.
-    fn says_until_it_leaves(&self, stream: &mut TcpStream, bytes: &[u8]) -> TcpStream {
+    /// Says the same again and again until the client connects anew.
+    fn send_until_reconnect(&self, stream: &mut TcpStream, bytes: &[u8]) -> TcpStream {
         let mut said = Instant::now();
-        self.until("it leaves a bus that says nothing of use", || {
+        self.until("it reconnects", || {
             // Not without pause: what is read must not look like one long line.
             if said.elapsed() > Duration::from_millis(50) {
                 let _ = stream.write(bytes);
@@ -86,50 +99,62 @@
 
 const EVENT: &str = r#"{"offset":6,"topology":{"full":false,"servers":[{"id":"s","addr":"127.0.0.1:1","state":"terminating"}]}}"#;
 
-/// A watch from which bytes trickle, and never a whole line: it is left as one that is silent, and asked anew. It was kept
-/// for ever, since each byte counted as a sign, and a drain told meanwhile was not heard.
+/// A session on which bytes trickle, and never a complete line, ends as a silent one does. If each byte counted as a
+/// heartbeat it would never end, and a drain announced meanwhile would be missed.
 #[test]
-fn a_watch_that_trickles_is_left() {
-    let played = Played::new();
-    let mut first = played.accepts();
-    assert_eq!(played.hello(&mut first), "from 5\n");
-    let mut second = played.says_until_it_leaves(&mut first, b" ");
+fn a_session_that_trickles_ends_and_resumes() {
+    let bus = FakeBus::new();
+    let mut first = bus.accepts();
+    assert_eq!(bus.hello(&mut first), "from 5\n");
+    let mut second = bus.send_until_reconnect(&mut first, b" ");
     second.set_nonblocking(true).unwrap();
-    assert_eq!(played.hello(&mut second), "from 5\n");
+    assert_eq!(bus.hello(&mut second), "from 5\n");
     second.write_all(format!("{EVENT}\n").as_bytes()).unwrap();
-    played.until("the drain is told", || {
-        (played.told.get() == 1).then_some(())
+    bus.until("the drain is reported", || {
+        (bus.updates.get() == 1).then_some(())
     });
 }
 
-/// A bus that stands behind what is known here says lines, and none that would hold what is new: it is left, too.
+/// A bus that is behind what is known here sends lines, and none that would hold a new event.
 #[test]
-fn a_watch_that_stands_behind_is_left() {
-    let played = Played::new();
-    let mut first = played.accepts();
-    assert_eq!(played.hello(&mut first), "from 5\n");
-    let mut second = played.says_until_it_leaves(&mut first, b"4\n");
+fn a_session_with_a_bus_that_is_behind_ends() {
+    let bus = FakeBus::new();
+    let mut first = bus.accepts();
+    assert_eq!(bus.hello(&mut first), "from 5\n");
+    let mut second = bus.send_until_reconnect(&mut first, b"4\n");
     second.set_nonblocking(true).unwrap();
-    assert_eq!(played.hello(&mut second), "from 5\n");
+    assert_eq!(bus.hello(&mut second), "from 5\n");
 }
 
-/// Which lines show that nothing new is missing: the number that is known, and news; neither a lower number, nor an event
-/// that is known, nor what can't be read.
+/// Neither a lower offset, nor an event that is known, nor what can't be read.
 #[test]
-fn only_lines_of_use_are_signs() {
-    let place = Rc::new(DiscoverySource::new(([127, 0, 0, 1], 1).into(), false));
-    let mut bus = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
-    bus.last = 5;
-    let mut told = 0;
-    let mut line = |line: &str| bus.line(line.as_bytes(), &mut |_, listed| told += listed.len());
+fn only_current_offsets_and_new_events_count_as_heartbeats() {
+    let place = Rc::new(DiscoverySource::new(
+        ([127, 0, 0, 1], 1).into(),
+        ListRetention::Discard,
+    ));
+    let mut client = DiscoveryClient::new(NameTable::default(), Rc::default(), place);
+    client.last_offset = 5;
+    let mut updates = 0;
+    let mut line =
+        |line: &str| client.take_line(line.as_bytes(), &mut |_, listed| updates += listed.len());
     assert_eq!(
         [line("5"), line("4"), line("0")],
-        [Ok(true), Ok(false), Ok(false)]
+        [
+            Ok(BusPosition::Current),
+            Ok(BusPosition::Behind),
+            Ok(BusPosition::Behind)
+        ]
     );
     assert!(line("6").is_err() && line("{}").is_err() && line("").is_err());
     assert_eq!(
         [line(EVENT), line(EVENT), line("6"), line("5")],
-        [Ok(true), Ok(false), Ok(true), Ok(false)]
+        [
+            Ok(BusPosition::Current),
+            Ok(BusPosition::Behind),
+            Ok(BusPosition::Current),
+            Ok(BusPosition::Behind)
+        ]
     );
-    assert_eq!(told, 1);
+    assert_eq!(updates, 1);
 }
--- /dev/null
+++ b/gateway/src/dispatch/attempts.rs
@@ -0,0 +1,197 @@
+//! Attempts: their start, their cancellation, and the one end that each of them gets.
+
+use std::rc::Rc;
+
+use violetgate_policy::interface::{AttemptEnded, EngineId, LoadReport, Micros, Outcome, QueryId};
+use violetgate_policy::Event;
+
+use super::open_request::AttemptInFlight;
+use super::timers::TimerEvent;
+use super::Dispatch;
+use crate::exchange::{
+    Answer, Attempt, AttemptEnd, AttemptEvents, AttemptProgress, CancelOutcome, QueryResult,
+};
+use crate::fence::fenced_answer;
+
+impl Dispatch {
+    /// Sends an attempt of a query to an engine, with a time-out in microseconds; 0 stands for none.
+    pub(super) fn send(&self, query: QueryId, engine: EngineId, timeout: Micros) {
+        let now = self.clock.now();
+        let mut open = self.open.borrow_mut();
+        let Some(request) = open.get_mut(&query) else {
+            return;
+        };
+        let number = request.attempts;
+        request.attempts += 1;
+        let deadline = attempt_deadline(request.exchange.request.deadline(), now, timeout);
+        let may_send = self.check_fence();
+        if !may_send {
+            let rejection = Answer::StateUnconfirmed;
+            request.answer(fenced_answer(request.idempotency, number, rejection));
+        }
+        if request.is_answered || request.in_flight.is_some() || deadline <= now {
+            let end = AttemptEnded {
+                query_answered: request.is_answered,
+                ..never_sent(query, number, engine)
+            };
+            if !may_send && request.in_flight.is_none() {
+                self.close(&mut open, query);
+            }
+            drop(open);
+            self.queue(Event::AttemptEnded(end));
+            return;
+        }
+        request.in_flight = Some(AttemptInFlight {
+            number,
+            engine,
+            sent_at: now,
+            deadline,
+        });
+        let attempt = Attempt {
+            exchange: Rc::clone(&request.exchange),
+            number,
+            engine,
+            priority: request.priority,
+            memory_grant_mb: request.memory_grant_mb,
+            begin_by: request.begin_by(deadline),
+            deadline,
+        };
+        drop(open);
+        let timer = TimerEvent::AttemptDeadline {
+            query,
+            attempt: number,
+        };
+        self.timers.schedule(deadline, timer);
+        self.engines.send(attempt);
+    }
+
+    /// Cancels an attempt that the decisions withdraw.
+    pub(super) fn cancel_attempt(&self, query: QueryId, attempt: u32) {
+        self.give_up(query, attempt, Outcome::Cancelled);
+    }
+
+    /// Cancels an attempt whose time is over.
+    pub(super) fn time_out_attempt(&self, query: QueryId, attempt: u32) {
+        self.give_up(query, attempt, Outcome::TimedOut);
+    }
+
+    /// Cancels an attempt if it is in flight: the engine first, then the decisions learn of its end.
+    fn give_up(&self, query: QueryId, attempt: u32, outcome: Outcome) {
+        if self.number_in_flight(query) != Some(attempt) {
+            return;
+        }
+        let outcome = match self.engines.cancel(query) {
+            CancelOutcome::MayHaveRun => outcome,
+            CancelOutcome::NeverSent => Outcome::NeverSent,
+        };
+        self.attempt_ended(AttemptEnd::without_result(query, attempt, outcome));
+    }
+
+    /// Takes back the attempt of a query that nobody waits for, if nothing of it was written yet.
+    pub(super) fn recall_attempt(&self, query: QueryId) {
+        let Some(number) = self.number_in_flight(query) else {
+            return;
+        };
+        if self.engines.recall_unsent(query) {
+            let end = AttemptEnd::without_result(query, number, Outcome::NeverSent);
+            self.attempt_ended(end);
+        }
+    }
+
+    fn number_in_flight(&self, query: QueryId) -> Option<u32> {
+        let open = self.open.borrow();
+        let in_flight = open.get(&query)?.in_flight.as_ref()?;
+        Some(in_flight.number)
+    }
+}
+
+/// The moment by which an attempt has to end.
+fn attempt_deadline(request_deadline: Micros, now: Micros, timeout: Micros) -> Micros {
+    if timeout == 0 {
+        request_deadline
+    } else {
+        request_deadline.min(now + timeout)
+    }
+}
+
+/// The end of an attempt of which nothing left this process.
+fn never_sent(query: QueryId, attempt: u32, engine: EngineId) -> AttemptEnded {
+    AttemptEnded {
+        query,
+        attempt,
+        engine,
+        outcome: Outcome::NeverSent,
+        query_answered: false,
+        elapsed: 0,
+        cost: None,
+        load: LoadReport::default(),
+    }
+}
+
+/// Whether an engine may have seen an attempt that ended so.
+fn may_have_been_seen(outcome: Outcome) -> bool {
+    !matches!(
+        outcome,
+        Outcome::Overloaded | Outcome::ConnectionRefused | Outcome::NeverSent
+    )
+}
+
+impl AttemptEvents for Dispatch {
+    fn attempt_progressed(&self, progress: AttemptProgress) {
+        let AttemptProgress {
+            query,
+            number,
+            progress,
+        } = progress;
+        if self.number_in_flight(query) == Some(number) {
+            self.queue(Event::Progress {
+                query,
+                attempt: number,
+                progress,
+            });
+            self.process_events();
+        }
+    }
+
+    fn attempt_ended(&self, end: AttemptEnd) {
+        let mut open = self.open.borrow_mut();
+        let Some(request) = open.get_mut(&end.query) else {
+            return;
+        };
+        let is_this = |attempt: &mut AttemptInFlight| attempt.number == end.number;
+        let Some(attempt) = request.in_flight.take_if(is_this) else {
+            return;
+        };
+        if may_have_been_seen(end.outcome) {
+            request.first_seen_at = request.first_seen_at.or(Some(attempt.sent_at));
+        }
+        let timer = TimerEvent::AttemptDeadline {
+            query: end.query,
+            attempt: end.number,
+        };
+        self.timers.cancel(attempt.deadline, timer);
+        if end.outcome == Outcome::Completed {
+            request.answer(Answer::Served(Rc::new(QueryResult {
+                pages: end.pages,
+                query: end.query,
+                attempt: end.number,
+            })));
+        }
+        let query_answered = request.is_answered;
+        if query_answered {
+            self.close(&mut open, end.query);
+        }
+        drop(open);
+        self.queue(Event::AttemptEnded(AttemptEnded {
+            query: end.query,
+            attempt: end.number,
+            engine: attempt.engine,
+            outcome: end.outcome,
+            query_answered,
+            elapsed: self.clock.now().saturating_sub(attempt.sent_at),
+            cost: end.cost,
+            load: LoadReport::default(),
+        }));
+        self.process_events();
+    }
+}
--- /dev/null
+++ b/gateway/src/dispatch/mod.rs
@@ -0,0 +1,252 @@
+//! The dispatcher: owns the decision module, feeds it the events and carries out its actions, in order.
+//!
+//! It decides nothing. It does the bookkeeping that the module's interface asks for: the number of each
+//! attempt, one end for each, one answer for each request, and one queue of timers.
+
+mod attempts;
+mod open_request;
+mod recent_ids;
+mod request_sink;
+mod timers;
+
+use std::cell::{Cell, RefCell};
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+
+use violetgate_policy::interface::{EngineId, ListScope, QueryId};
+use violetgate_policy::{Action, EngineCounts, Event, Gateway, Settings};
+
+use crate::clock::Clock;
+use crate::exchange::{Answer, ListedEngine, RequestSink as _, UpstreamEngines};
+use crate::fence::{fenced_answer, Fence};
+use open_request::{ClassProperties, OpenRequest};
+use recent_ids::RecentIds;
+use timers::{TimerEvent, TimerQueue};
+
+/// The dispatcher of one gateway.
+pub struct Dispatch {
+    clock: Clock,
+    decisions: RefCell<Gateway>,
+    classes: Vec<ClassProperties>,
+    engines: Rc<dyn UpstreamEngines>,
+    /// Whether anything may be sent, where that is not always so.
+    fence: Option<Rc<dyn Fence>>,
+    /// Requests and attempts that the fence has stopped.
+    fenced: Cell<u64>,
+    /// The process ends, and takes no more requests.
+    is_shut_down: Cell<bool>,
+    open: RefCell<HashMap<QueryId, OpenRequest>>,
+    recent_ids: RefCell<RecentIds>,
+    events: RefCell<VecDeque<Event>>,
+    /// The decision module runs: what happens meanwhile is queued.
+    is_running: Cell<bool>,
+    timers: TimerQueue,
+}
+
+impl Dispatch {
+    /// Creates a dispatcher before an upstream side. `seed` is that of the decisions' random numbers.
+    #[must_use]
+    pub fn new(
+        clock: Clock,
+        settings: Settings,
+        seed: u64,
+        engines: Rc<dyn UpstreamEngines>,
+        fence: Option<Rc<dyn Fence>>,
+    ) -> Rc<Self> {
+        Rc::new(Dispatch {
+            clock,
+            classes: settings.classes.iter().map(ClassProperties::of).collect(),
+            decisions: RefCell::new(Gateway::new(settings, seed)),
+            engines,
+            fence,
+            fenced: Cell::new(0),
+            is_shut_down: Cell::new(false),
+            open: RefCell::default(),
+            recent_ids: RefCell::default(),
+            events: RefCell::new(VecDeque::from([Event::TimerFired])),
+            is_running: Cell::new(false),
+            timers: TimerQueue::default(),
+        })
+    }
+
+    /// Updates the engine list.
+    pub fn update_engines(&self, scope: ListScope, listed: &[ListedEngine]) {
+        let engines = listed.iter().map(|listed| listed.engine).collect();
+        // The decisions learn of it before the ends of the attempts that it ends, and before any further send.
+        self.queue(Event::EngineList { scope, engines });
+        self.engines.update_list(scope, listed);
+        self.process_events();
+    }
+
+    /// The number of listed engines, and how many of them are avoided.
+    #[must_use]
+    pub fn engine_counts(&self) -> EngineCounts {
+        self.decisions.borrow().engine_counts()
+    }
+
+    /// Sets how many gateways share the engines from now on.
+    pub fn set_fleet_size(&self, gateways: u32) {
+        self.queue(Event::FleetSize { gateways });
+        self.process_events();
+    }
+
+    /// Cordons an engine: nothing more is sent to it. Or uncordons it.
+    pub fn set_cordoned(&self, engine: EngineId, cordoned: bool) {
+        self.queue(Event::Cordon { engine, cordoned });
+        self.engines.set_cordoned(engine, cordoned);
+        self.process_events();
+    }
+
+    /// Answers every open request, as the process ends: with a rejection where a retry does no harm, else
+    /// with a failure. Requests submitted later are answered so at once: begun now, they would be cut off.
+    pub fn shut_down(&self) {
+        self.is_shut_down.set(true);
+        self.reject_open(&Answer::ShuttingDown, |_| true);
+    }
+
+    /// Answers every request that waits to be sent, as the fence is closed. Attempts in flight may still end.
+    pub fn reject_queued(&self) {
+        self.reject_open(&Answer::StateUnconfirmed, |request| {
+            request.in_flight.is_none()
+        });
+    }
+
+    fn reject_open(&self, rejection: &Answer, is_affected: impl Fn(&OpenRequest) -> bool) {
+        let affected: Vec<_> = self
+            .open
+            .borrow()
+            .iter()
+            .filter(|(_, request)| !request.is_answered && is_affected(request))
+            .map(|(id, _)| *id)
+            .collect();
+        for id in affected {
+            if let Some(request) = self.open.borrow().get(&id) {
+                let answer =
+                    fenced_answer(request.idempotency, request.attempts, rejection.clone());
+                request.exchange.complete(answer);
+            }
+            self.withdraw(id);
+        }
+    }
+
+    /// Whether anything may be sent; what may not is counted.
+    fn check_fence(&self) -> bool {
+        let is_open = self.fence.as_ref().is_none_or(|fence| fence.is_open());
+        self.fenced.set(self.fenced.get() + u64::from(!is_open));
+        is_open
+    }
+
+    /// The number of requests and attempts that the fence has stopped.
+    #[must_use]
+    pub fn fenced_count(&self) -> u64 {
+        self.fenced.get()
+    }
+
+    fn queue(&self, event: Event) {
+        self.events.borrow_mut().push_back(event);
+    }
+
+    /// Feeds queued events to the decision module until none is left. A call from within, as when an attempt
+    /// ends while it is being sent, only leaves its event queued, so that actions are carried out in order.
+    fn process_events(&self) {
+        if self.is_running.replace(true) {
+            return;
+        }
+        let mut actions = Vec::new();
+        loop {
+            let events: Vec<Event> = self.events.borrow_mut().drain(..).collect();
+            if events.is_empty() {
+                break;
+            }
+            self.decisions
+                .borrow_mut()
+                .handle(self.clock.now(), &events, &mut actions);
+            for action in actions.drain(..) {
+                self.carry_out(action);
+            }
+        }
+        self.is_running.set(false);
+    }
+
+    fn carry_out(&self, action: Action) {
+        match action {
+            Action::SetResources {
+                query,
+                memory_mb,
+                priority,
+            } => self.set_resources(query, memory_mb, priority),
+            Action::Send {
+                query,
+                engine,
+                timeout,
+            } => self.send(query, engine, timeout),
+            Action::Cancel { query, attempt } => self.cancel_attempt(query, attempt),
+            Action::Reject { query, retry_after } => {
+                self.answer(query, Answer::Refused { retry_after });
+            }
+            Action::Fail { query } => self.answer(query, Answer::Failed),
+            Action::SetTimer { at } => self.timers.schedule(at, TimerEvent::Decisions),
+            // The engine list is always followed.
+            Action::SubscribeEngineList => {}
+        }
+    }
+
+    /// Sets the memory grant of a query's next attempts, and the priority also of the one in flight.
+    fn set_resources(&self, query: QueryId, memory_mb: f64, priority: u8) {
+        let mut open = self.open.borrow_mut();
+        let Some(request) = open.get_mut(&query) else {
+            return;
+        };
+        // A value out of range saturates.
+        request.memory_grant_mb = memory_mb.round() as u64;
+        let is_new = request.priority.replace(priority) != Some(priority);
+        let is_in_flight = request.in_flight.is_some();
+        drop(open);
+        if is_new && is_in_flight {
+            self.engines.set_priority(query, priority);
+        }
+    }
+
+    /// Gives a request its answer. An attempt of which nothing was written yet must not begin any more; one
+    /// that has begun is the decisions' to cancel or to let run.
+    fn answer(&self, query: QueryId, answer: Answer) {
+        let mut open = self.open.borrow_mut();
+        let Some(request) = open.get_mut(&query) else {
+            return;
+        };
+        request.answer(answer);
+        if request.in_flight.is_none() {
+            self.close(&mut open, query);
+            return;
+        }
+        drop(open);
+        self.recall_attempt(query);
+    }
+
+    /// Closes a request that has its answer, or needs none, and no attempt in flight.
+    fn close(&self, open: &mut HashMap<QueryId, OpenRequest>, query: QueryId) {
+        open.remove(&query);
+        self.recent_ids.borrow_mut().add(query, self.clock.now());
+    }
+
+    /// Fires timers for ever.
+    pub async fn run_timers(&self) {
+        self.timers.run(self.clock, || self.fire_due_timers()).await;
+    }
+
+    fn fire_due_timers(&self) {
+        let now = self.clock.now();
+        while let Some(event) = self.timers.pop_due(now) {
+            match event {
+                TimerEvent::Decisions => self.queue(Event::TimerFired),
+                TimerEvent::AttemptDeadline { query, attempt } => {
+                    self.time_out_attempt(query, attempt);
+                }
+            }
+        }
+        self.process_events();
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/dispatch/request_sink.rs
+++ b/gateway/src/dispatch/request_sink.rs
@@ -1,73 +1,57 @@
-//! What client protocols ask of the dispatcher: requests in, and clients that no longer wait. It decides nothing.
+//! What client protocols ask of the dispatcher: it takes requests, and clients withdraw them.
 
-use super::*;
-use crate::exchange::RequestSink;
+use std::rc::Rc;
+
+use violetgate_policy::interface::{Micros, NewQuery, QueryId};
+use violetgate_policy::Event;
+
+use super::open_request::OpenRequest;
+use super::Dispatch;
+use crate::exchange::{Answer, Exchange, RequestIdInUse, RequestSink};
 
 impl RequestSink for Dispatch {
-    fn submit(&self, exchange: &Rc<Exchange>) -> bool {
-        let id = exchange.request.query.id;
-        if self.closed.get() {
+    fn submit(&self, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse> {
+        let id = exchange.id();
+        if self.is_shut_down.get() {
             exchange.complete(Answer::ShuttingDown);
-            return true;
+            return Ok(());
         }
-        if !self.may_send() {
+        if !self.check_fence() {
             exchange.complete(Answer::StateUnconfirmed);
-            return true;
+            return Ok(());
         }
         let mut open = self.open.borrow_mut();
-        // An engine that meets an id again takes it for a further attempt of the first request, whose turn and
-        // whose answer have passed.
-        if open.contains_key(&id) || self.spent.borrow().ids.contains(&id) {
-            return false;
+        // An engine that sees an id again takes it for a further attempt of the first request, whose turn
+        // and whose answer have passed.
+        if open.contains_key(&id) || self.recent_ids.borrow().contains(id) {
+            return Err(RequestIdInUse);
         }
         let query = exchange.request.query.clone();
-        let (effect, window) = self
-            .effects
-            .get(query.class as usize)
-            .copied()
-            .unwrap_or_default();
-        let exchange = Rc::clone(exchange);
-        let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
-        let window = window.filter(|_| effect == Idempotency::Deduplicated);
-        let (level, first, out) = (None, None, None);
-        let (answered, attempts, grant_mb) = (false, 0, 0);
-        open.insert(
-            id,
-            Open {
-                exchange,
-                effect,
-                window,
-                first,
-                answered,
-                attempts,
-                level,
-                grant_mb,
-                out,
-            },
-        );
+        let class = self.classes.get(query.class as usize).copied();
+        let request = OpenRequest::new(Rc::clone(exchange), class.unwrap_or_default());
+        open.insert(id, request);
         drop(open);
-        self.events
-            .borrow_mut()
-            .push_back(Event::QueryArrived(NewQuery { time_left, ..query }));
-        self.run();
-        true
+        let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
+        self.queue(Event::QueryArrived(NewQuery { time_left, ..query }));
+        self.process_events();
+        Ok(())
     }
 
     fn withdraw(&self, query: QueryId) {
         let mut open = self.open.borrow_mut();
-        let Some(o) = open.get_mut(&query).filter(|o| !o.answered) else {
+        let Some(request) = open.get_mut(&query) else {
             return;
         };
-        o.answered = true;
-        if o.out.is_none() {
-            self.strike(&mut open, query);
+        if std::mem::replace(&mut request.is_answered, true) {
+            return;
+        }
+        if request.in_flight.is_none() {
+            self.close(&mut open, query);
         }
         drop(open);
-        self.events
-            .borrow_mut()
-            .push_back(Event::ClientDisconnected { query });
-        self.run();
-        self.recall(query);
+        self.queue(Event::ClientDisconnected { query });
+        self.process_events();
+        self.recall_attempt(query);
     }
 
     fn now(&self) -> Micros {
--- /dev/null
+++ b/gateway/src/dispatch/timers.rs
@@ -0,0 +1,79 @@
+//! The queue of timers, fired by one task.
+
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::task::{Poll, Waker};
+
+use async_io::Timer;
+use futures_lite::Future;
+use violetgate_policy::interface::{Micros, QueryId};
+
+use crate::clock::Clock;
+
+/// What a timer is for. Of those due at one time, the decisions' come first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum TimerEvent {
+    /// The decision module asked for it.
+    Decisions,
+    /// An attempt has to end.
+    AttemptDeadline {
+        /// The query that it serves.
+        query: QueryId,
+        /// Its number.
+        attempt: u32,
+    },
+}
+
+/// Timers by the time at which they are due, in microseconds since the Unix epoch.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    pub(super) entries: RefCell<BTreeSet<(Micros, TimerEvent)>>,
+    /// The time that the task waits for; `None`: it waits for the first entry.
+    armed_at: Cell<Option<Micros>>,
+    waker: RefCell<Option<Waker>>,
+}
+
+impl TimerQueue {
+    pub(super) fn schedule(&self, at: Micros, event: TimerEvent) {
+        self.entries.borrow_mut().insert((at, event));
+        if self.armed_at.get().is_none_or(|armed_at| at < armed_at) {
+            if let Some(waker) = self.waker.borrow_mut().take() {
+                waker.wake();
+            }
+        }
+    }
+
+    pub(super) fn cancel(&self, at: Micros, event: TimerEvent) {
+        self.entries.borrow_mut().remove(&(at, event));
+    }
+
+    /// Takes the first timer that is due.
+    pub(super) fn pop_due(&self, now: Micros) -> Option<TimerEvent> {
+        let mut entries = self.entries.borrow_mut();
+        let first = entries.first().copied();
+        let (at, event) = first.filter(|(at, _)| *at <= now)?;
+        entries.remove(&(at, event));
+        Some(event)
+    }
+
+    /// Calls `fire_due` whenever a timer is due, for ever.
+    pub(super) async fn run(&self, clock: Clock, fire_due: impl Fn()) {
+        let mut timer = Timer::never();
+        poll_fn(|context| loop {
+            *self.waker.borrow_mut() = Some(context.waker().clone());
+            fire_due();
+            let next = self.entries.borrow().first().map(|(at, _)| *at);
+            self.armed_at.set(next);
+            let Some(at) = next else {
+                return Poll::<()>::Pending;
+            };
+            timer.set_at(clock.instant(at));
+            if Pin::new(&mut timer).poll(context).is_pending() {
+                return Poll::Pending;
+            }
+        })
+        .await;
+    }
+}
--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -1,65 +1,69 @@
-//! The door: whether clients are let in, and whether they may stay. All fronts ask the same one.
+//! Whether clients are let in and may stay connected. All client protocols share one [`DrainState`].
 
 use std::cell::Cell;
 
 use violetgate_policy::interface::Micros;
 
-/// Once told to drain, requests are still served for this long: the front hears of it after 0.2 s, and what it has
-/// sent by then may be on its way.
-const SERVED: Micros = 1_000_000;
-/// And connections are left open for this long, so that what comes meanwhile finds one.
-const HEARD: Micros = 300_000;
+/// How long requests are still served after a drain has begun: load balancers notice it after 0.2 s, and
+/// what they have sent by then may be on its way.
+const REJECT_REQUESTS_AFTER_US: Micros = 1_000_000;
+/// How long connections are left open after a drain has begun, so that what arrives meanwhile finds one.
+const CLOSE_CONNECTIONS_AFTER_US: Micros = 300_000;
 
-/// Whether clients are let in, and whether they may stay. None leaves with a request read, or half read.
+/// Whether this process drains, hands over to another one, or is fenced off.
+///
+/// No connection is closed with a request read, or partly read.
 #[derive(Default)]
 pub struct DrainState {
-    /// Since when it drains.
-    since: Cell<Option<Micros>>,
+    /// When the drain began, in microseconds since the Unix epoch.
+    draining_since: Cell<Option<Micros>>,
     handed_over: Cell<bool>,
-    /// Nothing may be sent from here.
+    /// Nothing may be sent upstream from here.
     fenced: Cell<bool>,
 }
 
 impl DrainState {
-    /// Another process takes over: connections end from now on.
+    /// Another process takes over: connections are closed from now on.
     pub fn hand_over(&self) {
         self.handed_over.set(true);
     }
 
-    /// Drains: clients are to go elsewhere. A repeat changes nothing.
-    pub fn quiesce(&self, now: Micros) {
-        self.since.set(Some(self.since.get().unwrap_or(now)));
+    /// Begins a drain: clients are to connect elsewhere. A second call changes nothing.
+    pub fn start_draining(&self, now: Micros) {
+        let since = self.draining_since.get().unwrap_or(now);
+        self.draining_since.set(Some(since));
     }
 
-    /// Takes clients again.
-    pub fn resume(&self) {
-        self.since.set(None);
+    /// Ends a drain: clients are let in again.
+    pub fn stop_draining(&self) {
+        self.draining_since.set(None);
     }
 
-    /// Nothing may be sent from here, or again: clients had better go elsewhere, and may come back at any time.
-    pub fn fence(&self, shut: bool) {
-        self.fenced.set(shut);
+    /// Sets whether nothing may be sent upstream from here; clients should go elsewhere meanwhile.
+    pub fn set_fenced(&self, fenced: bool) {
+        self.fenced.set(fenced);
     }
 
-    /// The answer to the question whether this front end takes work is no.
+    /// Whether this instance reports that it takes no requests.
     #[must_use]
-    pub fn is_closed(&self) -> bool {
-        self.since.get().is_some() || self.fenced.get()
+    pub fn refuses_work(&self) -> bool {
+        self.draining_since.get().is_some() || self.fenced.get()
     }
 
-    /// New requests are turned back. The first ones after the call are served: those who send them can't have
-    /// heard of it.
+    /// Whether new requests are rejected. The first ones after the start of a drain are served: those who
+    /// send them can't have noticed it yet.
     #[must_use]
-    pub fn turns_back(&self, now: Micros) -> bool {
-        self.since.get().is_some_and(|since| now >= since + SERVED)
+    pub fn rejects_requests(&self, now: Micros) -> bool {
+        let since = self.draining_since.get();
+        since.is_some_and(|since| now >= since + REJECT_REQUESTS_AFTER_US)
     }
 
-    /// Why connections end once they are answered or idle, if they do.
+    /// Why connections are closed once they are answered or idle; `None`: they stay open.
     #[must_use]
-    pub fn sends_home(&self, now: Micros) -> Option<&'static str> {
-        match self.since.get() {
+    pub fn close_reason(&self, now: Micros) -> Option<&'static str> {
+        match self.draining_since.get() {
             _ if self.handed_over.get() => Some("handed_over"),
-            Some(since) if now >= since + HEARD => Some("drained"),
+            Some(since) if now >= since + CLOSE_CONNECTIONS_AFTER_US => Some("drained"),
             _ => None,
         }
     }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,82 +1,88 @@
-//! The exchange: the one place where the client side and the engine side meet.
+//! The exchange: the one place where the downstream (client) side and the upstream (engine) side meet.
 //!
-//! A client protocol turns what it read into a [`Request`], opens an [`Exchange`] for it through
-//! [`RequestSink`] and waits for the [`Answer`]. An engine protocol carries out an [`Attempt`] at an exchange
-//! and tells of its end through [`AttemptEvents`]. Neither knows the other; nothing here knows a protocol.
+//! A client protocol turns what it read into a [`Request`], opens an [`Exchange`] for it, submits that to
+//! a [`RequestSink`] and waits for the [`Answer`]. An engine protocol carries out an [`Attempt`] at an
+//! exchange and reports its end to [`AttemptEvents`]. Neither knows the other; nothing here knows a
+//! protocol.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-use std::net::SocketAddr;
+use thiserror::Error;
 use violetgate_policy::interface::{
     Cost, Engine, EngineId, ListScope, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 
-/// One client's request: what the decisions need, and the bytes that pass on as they came.
+/// The part of a client's time that is reserved for the transit of the request and of its answer, and for
+/// the rounding of a budget to whole milliseconds: an answer made at the very end of the time arrives
+/// after its client has given up.
+const TRANSIT_US: Micros = 25_000;
+
+/// What a client may have waited, of the time that it states, before it wrote a request with an ordering
+/// key: it writes those of one key a quarter of a second apart where the earlier one came on a new
+/// connection.
+const ORDERED_CLIENT_DELAY_US: Micros = 250_000;
+
+/// A short budget gives this part of itself at most for the two allowances above.
+const LARGEST_ALLOWANCE_DIVISOR: Micros = 4;
+
+/// The most bytes of a result; the upstream side lets no more pass. Engines are allowed 48,000.
+pub const MAX_RESULT_BYTES: usize = 64 * 1024;
+
+/// One client's request: what the decisions need, and the bytes that are forwarded as they came.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// What the decisions need; its `time_left` counts from `received`.
     pub query: NewQuery,
-    /// When its last byte was read.
+    /// When its last byte was read, in microseconds since the Unix epoch.
     pub received: Micros,
-    /// The id in the client's own spelling.
-    pub rid: Box<str>,
+    /// The request id in the client's own spelling.
+    pub id_text: Box<str>,
     /// The class's name.
     pub class: Box<str>,
     /// The idempotency key, where the class has one.
-    pub token: Option<Box<str>>,
+    pub idempotency_key: Option<Box<str>>,
     /// The statement, without the comment that held the fields.
     pub statement: Box<[u8]>,
 }
 
-/// The part of a client's time that is kept for the way of the request and of its answer, and for the whole
-/// milliseconds in which a budget is told: an answer made at the very end of the time reaches nobody, as the
-/// client has given up by then and the request counts as lost. A short budget gives a quarter at most.
-const TRANSIT: Micros = 25_000;
-
-/// What a client may have waited, of the time that it names, before it wrote a request that carries a key: it writes
-/// those of one key a quarter of a second apart where the earlier one came on a new connection.
-const KEY_HELD: Micros = 250_000;
-
 impl Request {
-    /// The last moment at which an answer still reaches the client.
+    /// The last moment at which an answer still reaches the client, in microseconds since the Unix epoch.
     #[must_use]
     pub fn deadline(&self) -> Micros {
-        let left = self.query.time_left;
-        let kept = TRANSIT
-            + if self.query.ordering_key.is_some() {
-                KEY_HELD
-            } else {
-                0
-            };
-        self.received.saturating_add(left - kept.min(left / 4))
+        let time_left = self.query.time_left;
+        let client_delay = if self.query.ordering_key.is_some() {
+            ORDERED_CLIENT_DELAY_US
+        } else {
+            0
+        };
+        let allowance = (TRANSIT_US + client_delay).min(time_left / LARGEST_ALLOWANCE_DIVISOR);
+        self.received.saturating_add(time_left - allowance)
     }
 }
 
-/// The pages of a whole result, as the engine sent them.
+/// The pages of a complete result, as the engine sent them.
 pub type Pages = Vec<Box<[u8]>>;
 
-/// The most bytes of a result; the engine side lets no more pass. 48,000 are allowed.
-pub const MAX_RESULT_BYTES: usize = 64 * 1024;
-
-/// A whole result, and the attempt that made it.
+/// A complete result, and the attempt that made it.
 #[derive(Debug)]
-pub struct Served {
+pub struct QueryResult {
     /// Its pages.
     pub pages: Pages,
     /// The query that ran.
     pub query: QueryId,
-    /// Which attempt of it, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
 }
 
-impl Served {
-    /// Bytes of all its pages.
+impl QueryResult {
+    /// The size of all its pages in bytes.
     #[must_use]
-    pub fn bytes(&self) -> usize {
-        self.pages.iter().map(|p| p.len()).sum()
+    pub fn size_bytes(&self) -> usize {
+        self.pages.iter().map(|page| page.len()).sum()
     }
 }
 
@@ -84,35 +90,42 @@
 #[derive(Debug, Clone)]
 pub enum Answer {
     /// All rows.
-    Served(Rc<Served>),
-    /// Turned away; another try does no harm.
+    Served(Rc<QueryResult>),
+    /// Rejected to shed load; a retry does no harm.
     Refused {
-        /// How long the client had better stay away.
+        /// How long the client should wait before it retries, in microseconds.
         retry_after: Micros,
     },
-    /// Turned away because this process ends; another try does no harm.
+    /// Rejected because this process ends; a retry does no harm.
     ShuttingDown,
-    /// Turned away because this instance can't confirm the state that it shares with others; another instance may
-    /// serve it.
+    /// Rejected because this instance can't confirm the state that it shares with others; another instance
+    /// may serve it.
     StateUnconfirmed,
     /// Failed; it may have had its effect.
     Failed,
     /// Its idempotency key was used with another query; nothing ran.
     KeyConflict,
-    /// An earlier query of its idempotency key may have had its effect, and a second one would not be discarded
-    /// any more; nothing ran.
+    /// An earlier query of its idempotency key may have had its effect, and engines would no longer discard
+    /// a second one; nothing ran.
     OutcomeUnknown,
 }
 
+/// The answer of an exchange, and who waits for it.
+#[derive(Debug, Default)]
+struct AnswerSlot {
+    answer: Option<Answer>,
+    waker: Option<Waker>,
+}
+
 /// A request on its way to its one answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// What was asked.
+    /// The request.
     pub request: Request,
-    /// The engine connections that earlier attempts used. A later attempt avoids them, so that a second copy
-    /// of an answer to a dead attempt can't pass for an answer to a live one with the same id.
+    /// The engine connections that earlier attempts used. A later attempt avoids them, so that a duplicated
+    /// answer to a dead attempt can't pass for an answer to a live one with the same id.
     pub used_connections: RefCell<Vec<u64>>,
-    state: RefCell<(Option<Answer>, Option<Waker>)>,
+    slot: RefCell<AnswerSlot>,
 }
 
 impl Exchange {
@@ -122,27 +135,33 @@
         Rc::new(Exchange {
             request,
             used_connections: RefCell::default(),
-            state: RefCell::default(),
+            slot: RefCell::default(),
         })
     }
 
+    /// The id of the request.
+    #[must_use]
+    pub fn id(&self) -> QueryId {
+        self.request.query.id
+    }
+
     /// Gives the answer.
     pub fn complete(&self, answer: Answer) {
-        let mut state = self.state.borrow_mut();
-        state.0 = Some(answer);
-        if let Some(waker) = state.1.take() {
+        let mut slot = self.slot.borrow_mut();
+        slot.answer = Some(answer);
+        if let Some(waker) = slot.waker.take() {
             waker.wake();
         }
     }
 
     /// Waits for the answer.
     pub async fn answer(&self) -> Answer {
-        poll_fn(|cx| {
-            let mut state = self.state.borrow_mut();
-            match state.0.take() {
+        poll_fn(|context| {
+            let mut slot = self.slot.borrow_mut();
+            match slot.answer.take() {
                 Some(answer) => Poll::Ready(answer),
                 None => {
-                    state.1 = Some(cx.waker().clone());
+                    slot.waker = Some(context.waker().clone());
                     Poll::Pending
                 }
             }
@@ -151,56 +170,93 @@
     }
 }
 
-/// What a client protocol may ask of the core.
+/// A request was not taken: its id is that of a request which is open, or was until just now.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("this request id is in use: send the request under another one")]
+pub struct RequestIdInUse;
+
+/// Where client protocols submit requests.
 pub trait RequestSink {
-    /// Takes a request in; its answer comes through the exchange. False: that id is open, or was just now.
-    fn submit(&self, exchange: &Rc<Exchange>) -> bool;
-    /// The client no longer waits.
+    /// Takes a request; its answer comes through the exchange.
+    ///
+    /// # Errors
+    ///
+    /// Its id is in use; the exchange gets no answer.
+    fn submit(&self, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse>;
+
+    /// The client no longer waits for its answer.
     fn withdraw(&self, query: QueryId);
-    /// The time on the one clock.
+
+    /// The time on the one clock, in microseconds since the Unix epoch.
     fn now(&self) -> Micros;
 }
 
-/// One attempt at an engine.
+/// One attempt of a request at an engine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// Whose.
+    /// The exchange that it serves.
     pub exchange: Rc<Exchange>,
-    /// Which, from 0.
+    /// Its number, from 0.
     pub number: u32,
-    /// Where.
+    /// The engine that it goes to.
     pub engine: EngineId,
-    /// At what priority, if one was set.
-    pub level: Option<u8>,
+    /// Its priority level at the engine, if one was set.
+    pub priority: Option<u8>,
     /// Memory granted, in MB; 0 leaves it to the engine.
-    pub grant_mb: u64,
-    /// By when it may begin: later, nothing of it may be written any more.
+    pub memory_grant_mb: u64,
+    /// The moment from which nothing of it may be written any more if nothing was yet.
     pub begin_by: Micros,
-    /// By when it has to end.
-    pub until: Micros,
+    /// The moment by which it has to end.
+    pub deadline: Micros,
 }
 
-/// The end of an attempt that the engine side saw.
+/// The end of an attempt that the upstream side saw.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// Whose.
+    /// The query that it served.
     pub query: QueryId,
-    /// Which.
+    /// Its number, from 0.
     pub number: u32,
-    /// How.
+    /// How it ended.
     pub outcome: Outcome,
-    /// What it cost, if told.
+    /// What it cost, if the engine reported that.
     pub cost: Option<Cost>,
     /// The result, if `outcome` is `Completed`.
     pub pages: Pages,
 }
 
-/// Where the engine side tells how attempts ended.
+impl AttemptEnd {
+    /// An end without a result.
+    #[must_use]
+    pub fn without_result(query: QueryId, number: u32, outcome: Outcome) -> Self {
+        AttemptEnd {
+            query,
+            number,
+            outcome,
+            cost: None,
+            pages: Pages::new(),
+        }
+    }
+}
+
+/// What an engine reported of an attempt that still runs.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct AttemptProgress {
+    /// The query that it serves.
+    pub query: QueryId,
+    /// Its number, from 0.
+    pub number: u32,
+    /// The report.
+    pub progress: Progress,
+}
+
+/// Where the upstream side reports on attempts.
 pub trait AttemptEvents {
     /// An attempt ended by itself.
-    fn ended(&self, end: AttemptEnd);
-    /// News of an attempt that is still out: whose, which, what.
-    fn noted(&self, query: QueryId, number: u32, news: Progress);
+    fn attempt_ended(&self, end: AttemptEnd);
+
+    /// An attempt that still runs made progress.
+    fn attempt_progressed(&self, progress: AttemptProgress);
 }
 
 /// An engine of the list, and where it listens.
@@ -212,19 +268,34 @@
     pub addr: SocketAddr,
 }
 
-/// What the core may ask of an engine protocol.
+/// What became of a cancelled attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CancelOutcome {
+    /// Some of it was written: the engine may have run it.
+    MayHaveRun,
+    /// Nothing of it was ever written: the engine has not seen it.
+    NeverSent,
+}
+
+/// What the dispatcher asks of an engine protocol.
 pub trait UpstreamEngines {
-    /// Starts an attempt. Its end comes through `AttemptEvents`, unless it is cancelled first.
+    /// Starts an attempt. Its end comes through [`AttemptEvents`], unless it is cancelled first.
     fn send(&self, attempt: Attempt);
-    /// Gives an attempt up; nothing more is told of it. False: the engine surely never saw it.
-    fn cancel(&self, query: QueryId) -> bool;
-    /// Takes an attempt back of which nothing was written yet; nothing more is told of it. False: it has begun.
-    fn recall(&self, query: QueryId) -> bool;
-    /// Sets the priority of an attempt that is out.
-    fn weigh(&self, query: QueryId, level: u8);
-    /// Nothing more to an engine; attempts not yet written to it end as never sent. Or it may be used again, and
-    /// old connections may not.
-    fn cordon(&self, engine: EngineId, out: bool);
-    /// News of the list. Attempts not yet written to an engine that wants no more end as never sent.
-    fn list(&self, scope: ListScope, engines: &[ListedEngine]);
+
+    /// Cancels the attempt of a query; nothing more is reported of it.
+    fn cancel(&self, query: QueryId) -> CancelOutcome;
+
+    /// Takes back the attempt of a query if nothing of it was written yet; nothing more is reported of it.
+    /// False: it has begun, and goes on.
+    fn recall_unsent(&self, query: QueryId) -> bool;
+
+    /// Sets the priority level of the attempt of a query.
+    fn set_priority(&self, query: QueryId, priority: u8);
+
+    /// Cordons an engine: attempts not yet written to it end as never sent, and it gets no more. Or
+    /// uncordons it: it may be used again, but not by its old connections.
+    fn set_cordoned(&self, engine: EngineId, cordoned: bool);
+
+    /// Updates the engine list. Attempts not yet written to an engine that takes no more end as never sent.
+    fn update_list(&self, scope: ListScope, engines: &[ListedEngine]);
 }
--- /dev/null
+++ b/gateway/src/fence/tests.rs
@@ -0,0 +1,20 @@
+//! Which requests may be sent to another instance.
+
+use super::*;
+
+#[test]
+fn only_requests_that_did_no_harm_are_rejected_and_others_fail() {
+    for (idempotency, attempts, harmless) in [
+        (Idempotency::Idempotent, 0, true),
+        (Idempotency::Idempotent, 3, true),
+        (Idempotency::Deduplicated, 0, true),
+        (Idempotency::Deduplicated, 1, false),
+    ] {
+        let answer = fenced_answer(idempotency, attempts, Answer::StateUnconfirmed);
+        assert_eq!(
+            matches!(answer, Answer::StateUnconfirmed),
+            harmless,
+            "{idempotency:?} {attempts}"
+        );
+    }
+}
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -1,114 +1,67 @@
-//! This front end as one of a fleet: what the membership says goes to the decisions, the log and the figures. It decides
-//! nothing, and what it can't tell the decisions it leaves as it is.
+//! This gateway as a member of a fleet: events of the membership go to the decisions, the log and the
+//! metrics. It decides nothing.
 
 use std::fmt::Write;
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
+use thiserror::Error;
 use violetgate_membership::{
     FleetSizeConfig, Identity, LinkState, Member, MemberState, MembershipConfig,
 };
-use violetgate_membership_udp::{MembershipEvent, MembershipNode, Options};
+use violetgate_membership_udp::{MembershipEvent, MembershipNode, Options, StartError};
+use violetgate_policy::interface::Micros;
 
-use crate::clock::Clock;
+use crate::clock::{micros, Clock};
 use crate::dispatch::Dispatch;
 use crate::log;
 use crate::settings;
 
-/// This front end's part in its fleet.
-pub struct Fleet {
-    clock: Clock,
-    node: Rc<MembershipNode>,
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// The gateway can't take part in its fleet: its address is not available.
+#[derive(Debug, Error)]
+#[error("`fleet.listen` {listen}: {error}")]
+pub struct FleetStartError {
+    listen: std::net::SocketAddr,
+    error: StartError,
 }
 
-fn word(state: MemberState) -> &'static str {
-    match state {
-        MemberState::Alive => "alive",
-        MemberState::Suspect => "suspected",
-        MemberState::Dead => "dead",
-        MemberState::Left => "left",
-    }
+/// Bytes of datagrams since the start.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct FleetTraffic {
+    /// Bytes sent.
+    pub sent_bytes: u64,
+    /// Bytes received.
+    pub received_bytes: u64,
 }
 
-impl Fleet {
-    /// Begins to take part; `told` is how many front ends the platform states.
+/// This gateway's membership of its fleet.
+pub struct FleetMembership {
+    clock: Clock,
+    node: Rc<MembershipNode>,
+}
+
+impl FleetMembership {
+    /// Begins to take part; `configured_size` is the number of gateways that the platform states.
     ///
     /// # Errors
     ///
-    /// The address can't be had; the text names the key.
+    /// The address is not available.
     pub fn start(
         executor: &LocalExecutor<'static>,
-        given: &settings::Fleet,
+        settings: &settings::Fleet,
         clock: Clock,
         seed: u64,
-        told: u32,
+        configured_size: u32,
         dispatch: &Rc<Dispatch>,
-    ) -> Result<Self, String> {
-        let micros = |s: settings::Span| u64::try_from(s.0.as_micros()).unwrap_or(u64::MAX);
-        let options = Options {
-            fleet: given.name.clone(),
-            identity: Identity {
-                name: given.member.as_str().into(),
-                addr: given.reached_at(),
-                incarnation: clock.now(),
-            },
-            listen: given.listen,
-            seeds: given.seeds.clone(),
-            config: MembershipConfig {
-                probe_interval: micros(given.probe_every),
-                probe_timeout: micros(given.reply_within),
-                suspicion_timeout: micros(given.suspect_for),
-                ..MembershipConfig::default()
-            },
-            fleet_size: FleetSizeConfig {
-                configured_size: told,
-                settle_time: micros(given.settle),
-                step_interval: micros(given.step),
-            },
-            rng_seed: seed,
-        };
-        let decisions = Rc::clone(dispatch);
-        let on_event = move |event| match event {
-            MembershipEvent::FleetSizeChanged(count) => {
-                log::line(format_args!(
-                    "fleet: this front end reckons with {count}, itself included"
-                ));
-                decisions.fleet(count);
-            }
-            MembershipEvent::MemberStateChanged { member, state } => {
-                log::line(format_args!("fleet: {member} is {}", word(state)))
-            }
-            MembershipEvent::LinkChanged {
-                member,
-                link: LinkState::Cut,
-            } => {
-                log::line(format_args!(
-                    "fleet: the link to {member} is cut, others reach it"
-                ));
-            }
-            MembershipEvent::LinkChanged {
-                member,
-                link: LinkState::Restored,
-            } => log::line(format_args!("fleet: the link to {member} is whole again")),
-            MembershipEvent::Superseded => {
-                log::line(
-                    "fleet: a newer process has this front end's name, this one has left the fleet",
-                );
-            }
-            MembershipEvent::DatagramRejected { from, reason } => {
-                log::line(format_args!(
-                    "fleet: datagrams of {from} are turned away: {reason}"
-                ));
-            }
-            MembershipEvent::AddressInUse(at) => {
-                log::line(format_args!(
-                    "fleet: another process holds {at}; this one takes part once that has ended"
-                ));
-            }
-            MembershipEvent::TableFull { rejected } => {
-                log::line(format_args!(
-                    "fleet: no room for {rejected}, too many are known"
-                ));
+    ) -> Result<Self, FleetStartError> {
+        let options = node_options(settings, clock, seed, configured_size);
+        let dispatch = Rc::clone(dispatch);
+        let on_event = move |event| {
+            log_event(&event);
+            if let MembershipEvent::FleetSizeChanged(size) = event {
+                dispatch.set_fleet_size(size);
             }
         };
         let node = MembershipNode::start(
@@ -117,74 +70,150 @@
             Box::new(move || clock.now()),
             Box::new(on_event),
         );
-        let node = node.map_err(|e| format!("`fleet.listen` {}: {e}", given.listen))?;
+        let listen = settings.listen;
+        let node = node.map_err(|error| FleetStartError { listen, error })?;
         log::line(format_args!(
-            "violetgate is {} of fleet {} at {}, told of {told} front ends",
-            given.member, given.name, given.listen
+            "violetgate is {} of fleet {} at {listen}, told of {configured_size} front ends",
+            settings.member, settings.name
         ));
-        Ok(Fleet { clock, node })
+        Ok(FleetMembership { clock, node })
     }
 
-    /// This process ends, of its own will.
+    /// Leaves the fleet, as this process ends.
     pub fn leave(&self) {
         self.node.leave();
     }
 
-    /// Bytes of datagrams sent and received since the start.
+    /// Bytes of datagrams since the start.
     #[must_use]
-    pub fn traffic(&self) -> (u64, u64) {
+    pub fn traffic(&self) -> FleetTraffic {
         let counters = self.node.counters();
-        (counters.sent_bytes, counters.received_bytes)
+        FleetTraffic {
+            sent_bytes: counters.sent_bytes,
+            received_bytes: counters.received_bytes,
+        }
     }
 
-    /// How many front ends this one sees, itself included.
+    /// The number of gateways that the decisions reckon with, this one included.
     #[must_use]
-    pub fn share(&self) -> u32 {
+    pub fn size(&self) -> u32 {
         self.node.fleet_size()
     }
 
-    /// The figures, in the text format of Prometheus.
+    /// The metrics, in the text format of Prometheus.
     #[must_use]
-    pub fn figures(&self) -> String {
-        let now = self.clock.now();
-        let mut out = format!("svc_fleet_share {}\n", self.node.fleet_size());
-        let _ = writeln!(
-            out,
-            "svc_fleet_doubts_itself {}",
-            u8::from(self.node.is_recovering_from_pause())
-        );
+    pub fn metrics(&self) -> String {
         let counters = self.node.counters();
-        let (turned_away, unsent) = (counters.rejected, counters.unsent);
-        let _ = writeln!(
-            out,
-            "svc_fleet_turned_away_total {turned_away}\nsvc_fleet_unsent_total {unsent}"
-        );
-        let (sent, received) = self.traffic();
+        let mut out = String::new();
+        for (name, value) in [
+            ("share", u64::from(self.size())),
+            (
+                "doubts_itself",
+                u64::from(self.node.is_recovering_from_pause()),
+            ),
+            ("turned_away_total", counters.rejected),
+            ("unsent_total", counters.unsent),
+            ("sent_bytes_total", counters.sent_bytes),
+            ("received_bytes_total", counters.received_bytes),
+        ] {
+            let _ = writeln!(out, "svc_fleet_{name} {value}");
+        }
+        let now = self.clock.now();
+        for member in self.node.members() {
+            write_member(&mut out, &member, now);
+        }
+        out
+    }
+}
+
+fn node_options(
+    settings: &settings::Fleet,
+    clock: Clock,
+    seed: u64,
+    configured_size: u32,
+) -> Options {
+    Options {
+        fleet: settings.name.clone(),
+        identity: Identity {
+            name: settings.member.as_str().into(),
+            addr: settings.reached_at(),
+            incarnation: clock.now(),
+        },
+        listen: settings.listen,
+        seeds: settings.seeds.clone(),
+        config: MembershipConfig {
+            probe_interval: micros(settings.probe_every.0),
+            probe_timeout: micros(settings.reply_within.0),
+            suspicion_timeout: micros(settings.suspect_for.0),
+            ..MembershipConfig::default()
+        },
+        fleet_size: FleetSizeConfig {
+            configured_size,
+            settle_time: micros(settings.settle.0),
+            step_interval: micros(settings.step.0),
+        },
+        rng_seed: seed,
+    }
+}
+
+/// A member's state, as the log and the metrics name it.
+fn state_name(state: MemberState) -> &'static str {
+    match state {
+        MemberState::Alive => "alive",
+        MemberState::Suspect => "suspected",
+        MemberState::Dead => "dead",
+        MemberState::Left => "left",
+    }
+}
+
+fn log_event(event: &MembershipEvent) {
+    match event {
+        MembershipEvent::FleetSizeChanged(size) => log::line(format_args!(
+            "fleet: this front end reckons with {size}, itself included"
+        )),
+        MembershipEvent::MemberStateChanged { member, state } => {
+            log::line(format_args!("fleet: {member} is {}", state_name(*state)));
+        }
+        MembershipEvent::LinkChanged {
+            member,
+            link: LinkState::Cut,
+        } => log::line(format_args!(
+            "fleet: the link to {member} is cut, others reach it"
+        )),
+        MembershipEvent::LinkChanged {
+            member,
+            link: LinkState::Restored,
+        } => log::line(format_args!("fleet: the link to {member} is whole again")),
+        MembershipEvent::Superseded => log::line(
+            "fleet: a newer process has this front end's name, this one has left the fleet",
+        ),
+        MembershipEvent::DatagramRejected { from, reason } => log::line(format_args!(
+            "fleet: datagrams of {from} are turned away: {reason}"
+        )),
+        MembershipEvent::AddressInUse(address) => log::line(format_args!(
+            "fleet: another process holds {address}; this one takes part once that has ended"
+        )),
+        MembershipEvent::TableFull { rejected } => log::line(format_args!(
+            "fleet: no room for {rejected}, too many are known"
+        )),
+    }
+}
+
+/// Writes how long a member has been in its state, and its link cut, in seconds.
+fn write_member(out: &mut String, member: &Member, now: Micros) {
+    let seconds_since = |since| now.saturating_sub(since) / MICROS_PER_SECOND;
+    let labels = format!("member=\"{}\",address=\"{}\"", member.name, member.addr);
+    let _ = writeln!(
+        out,
+        "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {}",
+        state_name(member.state),
+        seconds_since(member.state_since)
+    );
+    if let Some(cut_since) = member.link_cut_since {
         let _ = writeln!(
             out,
-            "svc_fleet_sent_bytes_total {sent}\nsvc_fleet_received_bytes_total {received}"
+            "svc_fleet_link_cut_seconds{{{labels}}} {}",
+            seconds_since(cut_since)
         );
-        for Member {
-            name,
-            addr,
-            state,
-            state_since,
-            link_cut_since,
-            ..
-        } in self.node.members()
-        {
-            let age = now.saturating_sub(state_since) / 1_000_000;
-            let labels = format!("member=\"{name}\",address=\"{addr}\"");
-            let _ = writeln!(
-                out,
-                "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {age}",
-                word(state)
-            );
-            if let Some(cut_since) = link_cut_since {
-                let age = now.saturating_sub(cut_since) / 1_000_000;
-                let _ = writeln!(out, "svc_fleet_link_cut_seconds{{{labels}}} {age}");
-            }
-        }
-        out
     }
 }
--- a/gateway/src/http_error.rs
+++ b/gateway/src/http_error.rs
@@ -1,4 +1,4 @@
-//! Errors over HTTP, as the REST front and the cluster's API tell them.
+//! Errors over HTTP, as the REST front end and the cluster API report them.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -7,23 +7,40 @@
 use serde::Serialize;
 use violetgate_policy::interface::Micros;
 
-/// Why a call over HTTP gets nothing else: application/problem+json (RFC 9457).
+/// The media type of an error's body (RFC 9457).
+pub const PROBLEM_JSON: &str = "application/problem+json";
+const MICROS_PER_MS: Micros = 1_000;
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+/// Why a call over HTTP failed: application/problem+json (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpError {
     /// The status.
     pub status: StatusCode,
     /// The last part of its type.
     pub kind: &'static str,
-    /// What it is, in words.
+    /// What went wrong, in words.
     pub detail: String,
-    /// When another try may fare better.
+    /// After how many microseconds a retry may succeed.
     pub retry_after: Option<Micros>,
+    /// The methods that the path takes, where another one was used.
+    pub allow: Option<&'static str>,
     /// Nothing that follows on this connection can be read.
-    pub closes: bool,
+    pub closes_connection: bool,
+}
+
+#[derive(Serialize)]
+struct ProblemBody<'a> {
+    r#type: String,
+    title: &'a str,
+    status: u16,
+    detail: &'a str,
+    #[serde(skip_serializing_if = "Option::is_none")]
+    retry_after_ms: Option<u64>,
 }
 
 impl HttpError {
-    /// A problem of a kind.
+    /// An error of a kind.
     #[must_use]
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
         HttpError {
@@ -31,13 +48,24 @@
             kind,
             detail: detail.into(),
             retry_after: None,
-            closes: false,
+            allow: None,
+            closes_connection: false,
         }
     }
 
-    /// With the time after which another try may fare better.
+    /// The path takes other methods.
     #[must_use]
-    pub fn after(self, retry_after: Micros) -> Self {
+    pub fn method_not_allowed(allow: &'static str) -> Self {
+        let detail = format!("this path takes {allow}");
+        HttpError {
+            allow: Some(allow),
+            ..Self::new(StatusCode::METHOD_NOT_ALLOWED, "method-not-allowed", detail)
+        }
+    }
+
+    /// With the time in microseconds after which a retry may succeed.
+    #[must_use]
+    pub fn with_retry_after(self, retry_after: Micros) -> Self {
         HttpError {
             retry_after: Some(retry_after),
             ..self
@@ -48,64 +76,48 @@
     #[must_use]
     pub fn closing(self) -> Self {
         HttpError {
-            closes: true,
+            closes_connection: true,
             ..self
         }
     }
 
-    /// Its body: application/problem+json (RFC 9457).
+    /// Its body.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
-        #[derive(Serialize)]
-        struct Body<'a> {
-            r#type: String,
-            title: &'a str,
-            status: u16,
-            detail: &'a str,
-            #[serde(skip_serializing_if = "Option::is_none")]
-            retry_after_ms: Option<u64>,
-        }
-        let body = Body {
+        let body = ProblemBody {
             r#type: format!("urn:violetgate:problem:{}", self.kind),
             title: self.status.canonical_reason().unwrap_or("Error"),
             status: self.status.as_u16(),
             detail: &self.detail,
-            retry_after_ms: self.retry_after.map(|at| at.div_ceil(1000)),
+            retry_after_ms: self.retry_after.map(|at| at.div_ceil(MICROS_PER_MS)),
         };
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
     /// Whole seconds for the Retry-After header, at least one.
     #[must_use]
-    pub fn retry_seconds(&self) -> Option<u64> {
-        self.retry_after.map(|at| at.div_ceil(1_000_000).max(1))
+    pub fn retry_after_seconds(&self) -> Option<u64> {
+        self.retry_after
+            .map(|at| at.div_ceil(MICROS_PER_SECOND).max(1))
     }
 
-    /// The answer that tells it.
+    /// The response that reports it.
     #[must_use]
     pub fn response(&self) -> Response<Full<Bytes>> {
-        let mut reply = Response::new(Full::from(self.body()));
-        *reply.status_mut() = self.status;
-        let headers = reply.headers_mut();
-        headers.insert(
-            CONTENT_TYPE,
-            HeaderValue::from_static("application/problem+json"),
-        );
+        let mut response = Response::new(Full::from(self.body()));
+        *response.status_mut() = self.status;
+        let headers = response.headers_mut();
+        headers.insert(CONTENT_TYPE, HeaderValue::from_static(PROBLEM_JSON));
         headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
-        if let Some(seconds) = self.retry_seconds() {
+        if let Some(seconds) = self.retry_after_seconds() {
             headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
         }
-        if self.status == StatusCode::METHOD_NOT_ALLOWED {
-            let allow = self
-                .detail
-                .rsplit("takes ")
-                .next()
-                .and_then(|a| HeaderValue::from_str(a).ok());
-            headers.extend(allow.map(|a| (ALLOW, a)));
+        if let Some(allow) = self.allow {
+            headers.insert(ALLOW, HeaderValue::from_static(allow));
         }
-        if self.closes {
+        if self.closes_connection {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        reply
+        response
     }
 }
--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -1,9 +1,8 @@
-//! Idempotency keys ahead of the decisions: of all queries of one key, by whichever front they come, one runs.
+//! Idempotency keys ahead of the decisions: of all queries of one key, by whichever protocol, one runs.
 //!
-//! It stands before an [`RequestSink`] as another one, and carries out what
-//! [`IdempotencyKeys`] says: a query that runs is handed
-//! on under an exchange of its own, so that it goes on while any of those that wait for it is there. It must
-//! never decide about a query that carries no key, and never send one again by itself.
+//! [`IdempotencyLayer`] is a [`RequestSink`] before another one, and carries out what [`IdempotencyKeys`]
+//! says. The query that runs is submitted under an exchange of its own, so that it goes on while any of
+//! those that wait for it is there. Queries without a key pass through; none is ever sent again from here.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,152 +17,175 @@
     ByteBudget, ByteReservation, ExecutionOutcome, IdempotencyKeys, KeyLookup, RequestFingerprint,
 };
 
-use crate::exchange::{Answer, Exchange, Request, RequestSink, Served, MAX_RESULT_BYTES};
+use crate::exchange::{
+    Answer, Exchange, QueryResult, Request, RequestIdInUse, RequestSink, MAX_RESULT_BYTES,
+};
+use crate::stats::increment;
 
-/// How many queries may wait for one key: a client and its impatient repeats.
-const JOINED: usize = 32;
-/// The window of a keyed class whose settings name none.
-const WINDOW: Micros = 12_000_000;
-/// What is told a client that found no room where nobody knows when there will be some.
-const RETRY: Micros = 1_000_000;
+/// How many queries may wait for one key: a client and its impatient retries.
+const MAX_WAITERS_PER_KEY: usize = 32;
+/// For how long engines discard a repeat, for a class whose settings state nothing.
+const DEFAULT_DEDUP_WINDOW_US: Micros = 12_000_000;
+/// The retry-after of a rejection for want of capacity, where nobody knows when there will be some.
+const CAPACITY_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// An answer kept for repeats, with the bytes that it holds.
+/// A result that is replayed to retries, with the bytes that it reserves.
 #[derive(Clone)]
-struct Recorded {
-    served: Rc<Served>,
-    _grant: Rc<ByteReservation>,
+struct RecordedResult {
+    result: Rc<QueryResult>,
+    _reservation: Rc<ByteReservation>,
 }
 
 /// A query that waits for a key's answer.
 struct Waiter {
     key: Box<str>,
     exchange: Rc<Exchange>,
-    /// Ends its wait in time, where the query that runs has more.
-    _late: Option<Task<()>>,
+    /// Ends the wait at its own deadline, where the query that runs has a later one.
+    timeout: Option<Task<()>>,
 }
 
 /// The query that runs for a key, and the task that waits for its end.
-struct Run {
+struct Execution {
     query: QueryId,
     task: Task<()>,
 }
 
-/// The keys, and those that wait for them.
+/// Counts of idempotency keys.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct KeyCounts {
+    /// Keys in the table.
+    pub keys: usize,
+    /// Queries that joined one that ran, since the start.
+    pub joined: u64,
+    /// Queries that got a recorded result, since the start.
+    pub replayed: u64,
+}
+
+/// The keys, and the queries that wait for them.
 pub struct IdempotencyLayer {
-    me: Weak<IdempotencyLayer>,
+    this: Weak<IdempotencyLayer>,
     inner: Rc<dyn RequestSink>,
     executor: Rc<LocalExecutor<'static>>,
     /// For how long engines discard a repeat, by class; `None`: the class has no keys.
-    windows: Vec<Option<Micros>>,
+    dedup_windows: Vec<Option<Micros>>,
     budget: ByteBudget,
-    keys: RefCell<IdempotencyKeys<QueryId, Recorded>>,
-    waiting: RefCell<HashMap<QueryId, Waiter>>,
+    keys: RefCell<IdempotencyKeys<QueryId, RecordedResult>>,
+    waiters: RefCell<HashMap<QueryId, Waiter>>,
     /// What runs, by key.
-    runs: RefCell<HashMap<Box<str>, Run>>,
+    executions: RefCell<HashMap<Box<str>, Execution>>,
     joined: Cell<u64>,
     replayed: Cell<u64>,
 }
 
 impl IdempotencyLayer {
-    /// Stands before `inner`, with room for `most` keys; recorded answers hold bytes of `budget`.
+    /// Creates the layer before `inner`, for `max_keys` keys; recorded results reserve bytes of `budget`.
     #[must_use]
     pub fn new(
         inner: Rc<dyn RequestSink>,
         executor: Rc<LocalExecutor<'static>>,
         classes: &[Class],
         budget: ByteBudget,
-        most: usize,
+        max_keys: usize,
     ) -> Rc<Self> {
-        let window = |c: &Class| {
-            (c.idempotency == Idempotency::Deduplicated).then(|| c.dedup_window.unwrap_or(WINDOW))
-        };
         let now = inner.now();
-        Rc::new_cyclic(|me| IdempotencyLayer {
-            me: me.clone(),
+        Rc::new_cyclic(|this| IdempotencyLayer {
+            this: this.clone(),
             inner,
             executor,
-            windows: classes.iter().map(window).collect(),
+            dedup_windows: classes.iter().map(dedup_window).collect(),
             budget,
-            keys: RefCell::new(IdempotencyKeys::new(most, JOINED, now)),
-            waiting: RefCell::default(),
-            runs: RefCell::default(),
+            keys: RefCell::new(IdempotencyKeys::new(max_keys, MAX_WAITERS_PER_KEY, now)),
+            waiters: RefCell::default(),
+            executions: RefCell::default(),
             joined: Cell::new(0),
             replayed: Cell::new(0),
         })
     }
 
     /// Changes how many keys there may be.
-    pub fn resize(&self, most: usize) {
-        self.keys.borrow_mut().resize(most);
+    pub fn resize(&self, max_keys: usize) {
+        self.keys.borrow_mut().resize(max_keys);
     }
 
-    /// Keys that are taken, queries that joined another so far, and those that got a recorded answer.
+    /// Counts for the metrics.
     #[must_use]
-    pub fn figures(&self) -> (usize, u64, u64) {
-        (
-            self.keys.borrow().len(),
-            self.joined.get(),
-            self.replayed.get(),
-        )
+    pub fn counts(&self) -> KeyCounts {
+        KeyCounts {
+            keys: self.keys.borrow().len(),
+            joined: self.joined.get(),
+            replayed: self.replayed.get(),
+        }
     }
 
-    fn wait(&self, key: &str, exchange: &Rc<Exchange>, late: Option<Task<()>>) {
+    fn dedup_window(&self, request: &Request) -> Option<Micros> {
+        let class = request.query.class as usize;
+        self.dedup_windows.get(class).copied().flatten()
+    }
+
+    fn add_waiter(&self, key: &str, exchange: &Rc<Exchange>, timeout: Option<Task<()>>) {
         let waiter = Waiter {
             key: key.into(),
             exchange: Rc::clone(exchange),
-            _late: late,
+            timeout,
         };
-        self.waiting
-            .borrow_mut()
-            .insert(exchange.request.query.id, waiter);
+        self.waiters.borrow_mut().insert(exchange.id(), waiter);
     }
 
-    /// Hands a query on. False: its id is open, or was just now.
-    fn run(&self, key: &str, exchange: &Rc<Exchange>) -> bool {
-        let id = exchange.request.query.id;
-        let harmless = |answer| {
-            let waiters =
-                self.keys
-                    .borrow_mut()
-                    .finish(self.now(), key, ExecutionOutcome::NoEffect);
-            debug_assert_eq!(waiters, [id]);
-            exchange.complete(answer);
-        };
-        // Reserved before it is admitted: an answer that could not be kept would leave a repeat nothing to meet.
-        let Some(grant) = self.budget.reserve(MAX_RESULT_BYTES) else {
-            harmless(Answer::Refused { retry_after: RETRY });
-            return true;
+    /// Submits the query that runs for a key.
+    fn execute(&self, key: &str, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse> {
+        // Reserved before it is admitted: a result that could not be recorded would leave nothing to replay.
+        let Some(reservation) = self.budget.reserve(MAX_RESULT_BYTES) else {
+            let retry_after = CAPACITY_RETRY_AFTER_US;
+            self.finish_unsent(key, exchange, Answer::Refused { retry_after });
+            return Ok(());
         };
         let leader = Exchange::new(exchange.request.clone());
-        if !self.inner.submit(&leader) {
-            harmless(Answer::Failed);
-            return false;
+        if let Err(error) = self.inner.submit(&leader) {
+            self.finish_unsent(key, exchange, Answer::Failed);
+            return Err(error);
         }
-        self.wait(key, exchange, None);
-        let (me, key): (_, Box<str>) = (self.me.clone(), key.into());
-        let name = key.clone();
+        self.add_waiter(key, exchange, None);
+        let (this, owned_key): (_, Box<str>) = (self.this.clone(), key.into());
         let task = self.executor.spawn(async move {
             let answer = leader.answer().await;
-            if let Some(me) = me.upgrade() {
-                me.finish(&key, &leader, answer, grant);
+            if let Some(layer) = this.upgrade() {
+                layer.finish(&owned_key, &leader, answer, reservation);
             }
         });
-        self.runs.borrow_mut().insert(name, Run { query: id, task });
-        true
+        let execution = Execution {
+            query: exchange.id(),
+            task,
+        };
+        self.executions.borrow_mut().insert(key.into(), execution);
+        Ok(())
+    }
+
+    /// Ends the query of a key that was never sent, and had no time to be joined.
+    fn finish_unsent(&self, key: &str, exchange: &Exchange, answer: Answer) {
+        let outcome = ExecutionOutcome::NoEffect;
+        let waiters = self.keys.borrow_mut().finish(self.now(), key, outcome);
+        debug_assert_eq!(waiters, [exchange.id()]);
+        exchange.complete(answer);
     }
 
     /// The query that ran for a key has its answer, and so have all that wait for it.
-    fn finish(&self, key: &str, leader: &Exchange, answer: Answer, mut grant: ByteReservation) {
-        let run = self.runs.borrow_mut().remove(key);
-        let ending = match &answer {
-            Answer::Served(served) => {
-                grant.shrink(served.bytes());
-                ExecutionOutcome::Completed(Recorded {
-                    served: Rc::clone(served),
-                    _grant: Rc::new(grant),
+    fn finish(
+        &self,
+        key: &str,
+        leader: &Exchange,
+        answer: Answer,
+        mut reservation: ByteReservation,
+    ) {
+        let execution = self.executions.borrow_mut().remove(key);
+        let outcome = match &answer {
+            Answer::Served(result) => {
+                reservation.shrink(result.size_bytes());
+                ExecutionOutcome::Completed(RecordedResult {
+                    result: Rc::clone(result),
+                    _reservation: Rc::new(reservation),
                 })
             }
-            // What no engine connection ever had has surely not run.
+            // What was never on an engine connection has not run.
             Answer::Refused { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
                 if leader.used_connections.borrow().is_empty() =>
             {
@@ -171,47 +193,56 @@
             }
             _ => ExecutionOutcome::Unknown,
         };
-        let waiters = self.keys.borrow_mut().finish(self.now(), key, ending);
+        let waiters = self.keys.borrow_mut().finish(self.now(), key, outcome);
         for id in waiters {
-            let waiter = self.waiting.borrow_mut().remove(&id);
+            let waiter = self.waiters.borrow_mut().remove(&id);
             if let Some(waiter) = waiter {
                 waiter.exchange.complete(answer.clone());
             }
         }
-        // It is the one that runs this: it may end by itself.
-        run.into_iter().for_each(|run| run.task.detach());
+        // Its task is the one that runs this: it may end by itself.
+        if let Some(execution) = execution {
+            execution.task.detach();
+        }
     }
 
-    /// Waits no longer than its client does, though the query that runs may have more time.
-    fn late(&self, exchange: &Rc<Exchange>) -> Task<()> {
-        let (me, exchange) = (self.me.clone(), Rc::clone(exchange));
-        let left = exchange.request.deadline().saturating_sub(self.now());
+    /// Ends the wait of a joined query at its deadline, though the query that runs may have more time.
+    fn timeout_at_deadline(&self, exchange: &Rc<Exchange>) -> Task<()> {
+        let (this, exchange) = (self.this.clone(), Rc::clone(exchange));
+        let time_left = exchange.request.deadline().saturating_sub(self.now());
         self.executor.spawn(async move {
-            Timer::after(Duration::from_micros(left)).await;
-            let Some(me) = me.upgrade() else { return };
-            let id = exchange.request.query.id;
-            // Taken first: its task is this one, which must not be dropped while it runs.
-            let waiter = me.waiting.borrow_mut().remove(&id);
+            Timer::after(Duration::from_micros(time_left)).await;
+            let Some(layer) = this.upgrade() else { return };
+            // Removed first: its task is this one, which must not be dropped while it runs.
+            let waiter = layer.waiters.borrow_mut().remove(&exchange.id());
             if let Some(mut waiter) = waiter {
-                me.leave(&waiter.key, id);
+                layer.abandon(&waiter.key, exchange.id());
                 exchange.complete(Answer::Failed);
-                waiter._late.take().into_iter().for_each(Task::detach);
+                waiter.timeout.take().into_iter().for_each(Task::detach);
             }
         })
     }
 
-    fn leave(&self, key: &str, id: QueryId) {
-        if self.keys.borrow_mut().abandon(self.now(), key, &id) {
-            // Nobody waits any more: its client has left, and so it is withdrawn.
-            let run = self.runs.borrow_mut().remove(key);
-            run.into_iter()
-                .for_each(|run| self.inner.withdraw(run.query));
+    /// A query no longer waits for its key's answer. With the last one, the query that runs is withdrawn.
+    fn abandon(&self, key: &str, id: QueryId) {
+        let is_last = self.keys.borrow_mut().abandon(self.now(), key, &id);
+        if is_last {
+            let execution = self.executions.borrow_mut().remove(key);
+            if let Some(execution) = execution {
+                self.inner.withdraw(execution.query);
+            }
         }
     }
 }
 
-/// What has to be the same in every query of a key.
-fn print(request: &Request) -> RequestFingerprint {
+/// For how long engines discard a repeat of a class's queries; `None`: they do not.
+fn dedup_window(class: &Class) -> Option<Micros> {
+    let window = class.dedup_window.unwrap_or(DEFAULT_DEDUP_WINDOW_US);
+    (class.idempotency == Idempotency::Deduplicated).then_some(window)
+}
+
+/// A hash over what has to be the same in every query of a key.
+fn fingerprint(request: &Request) -> RequestFingerprint {
     let mut hash = Sha256::new();
     for part in [
         request.class.as_bytes(),
@@ -221,67 +252,59 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    hash.update(request.query.ordering_key.map_or([0; 9], |k| {
-        let mut bytes = [1; 9];
-        bytes
-            .iter_mut()
-            .skip(1)
-            .zip(k.to_be_bytes())
-            .for_each(|(b, k)| *b = k);
-        bytes
-    }));
-    let mut print = RequestFingerprint::default();
-    print
-        .iter_mut()
-        .zip(hash.finalize())
-        .for_each(|(p, h)| *p = h);
-    print
+    // One byte says whether there is an ordering key; without one its eight bytes are 0.
+    let ordering_key = request.query.ordering_key;
+    hash.update([u8::from(ordering_key.is_some())]);
+    hash.update(ordering_key.unwrap_or(0).to_be_bytes());
+    let mut fingerprint = RequestFingerprint::default();
+    let digest = hash.finalize();
+    // The fingerprint is as long as the first half of the digest.
+    for (byte, hashed) in fingerprint.iter_mut().zip(digest) {
+        *byte = hashed;
+    }
+    fingerprint
 }
 
 impl RequestSink for IdempotencyLayer {
-    fn submit(&self, exchange: &Rc<Exchange>) -> bool {
+    fn submit(&self, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse> {
         let request = &exchange.request;
-        let window = self
-            .windows
-            .get(request.query.class as usize)
-            .copied()
-            .flatten();
-        let (Some(key), Some(window)) = (&request.token, window) else {
+        let window = self.dedup_window(request);
+        let (Some(key), Some(window)) = (&request.idempotency_key, window) else {
             return self.inner.submit(exchange);
         };
-        let id = request.query.id;
-        if self.waiting.borrow().contains_key(&id) {
-            return false;
+        let id = exchange.id();
+        if self.waiters.borrow().contains_key(&id) {
+            return Err(RequestIdInUse);
         }
-        let seen = self
-            .keys
-            .borrow_mut()
-            .begin(self.now(), key, print(request), window, id);
-        match seen {
-            KeyLookup::Execute => return self.run(key, exchange),
+        let lookup =
+            self.keys
+                .borrow_mut()
+                .begin(self.now(), key, fingerprint(request), window, id);
+        match lookup {
+            KeyLookup::Execute => return self.execute(key, exchange),
             KeyLookup::JoinInFlight => {
-                self.joined.set(self.joined.get() + 1);
-                let late = self.late(exchange);
-                self.wait(key, exchange, Some(late));
+                increment(&self.joined);
+                let timeout = self.timeout_at_deadline(exchange);
+                self.add_waiter(key, exchange, Some(timeout));
             }
             KeyLookup::Replay(recorded) => {
-                self.replayed.set(self.replayed.get() + 1);
-                exchange.complete(Answer::Served(recorded.served));
+                increment(&self.replayed);
+                exchange.complete(Answer::Served(recorded.result));
             }
             KeyLookup::KeyConflict => exchange.complete(Answer::KeyConflict),
             KeyLookup::OutcomeUnknown => exchange.complete(Answer::OutcomeUnknown),
-            KeyLookup::Full { retry_after: wait } => {
-                let retry_after = if wait == 0 { RETRY } else { wait };
-                exchange.complete(Answer::Refused { retry_after });
-            }
+            KeyLookup::Full { retry_after: 0 } => exchange.complete(Answer::Refused {
+                retry_after: CAPACITY_RETRY_AFTER_US,
+            }),
+            KeyLookup::Full { retry_after } => exchange.complete(Answer::Refused { retry_after }),
         }
-        true
+        Ok(())
     }
 
     fn withdraw(&self, query: QueryId) {
-        let waiter = self.waiting.borrow_mut().remove(&query);
+        let waiter = self.waiters.borrow_mut().remove(&query);
         match waiter {
-            Some(waiter) => self.leave(&waiter.key, query),
+            Some(waiter) => self.abandon(&waiter.key, query),
             None => self.inner.withdraw(query),
         }
     }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -18,6 +18,7 @@
 mod exchange;
 mod fence;
 mod fleet;
+mod hex;
 mod http_error;
 mod idempotency;
 pub mod log;
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: one line for each connection that ended, and few others; `docs/on-call.md` explains them all.
 //!
-//! Lines go through `tracing` to a thread that writes them, by a queue of bounded length: what cannot be written
-//! because standard error blocks is dropped and counted, and never holds up the thread that serves.
+//! Lines go through `tracing` to a thread that writes them, by a queue of bounded length: what can't be
+//! written because standard error blocks is dropped and counted, and never blocks the thread that serves.
 
 use std::fmt::{self, Display};
 use std::sync::OnceLock;
@@ -25,28 +25,31 @@
     Json,
 }
 
-/// Lines that could not be written, once the log has been started.
-static LOST: OnceLock<ErrorCounter> = OnceLock::new();
+/// Counts the lines that could not be written, once the log has been started.
+static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Keeps the log going; dropped, it writes what is still waiting, for a second at most.
-pub struct Log(#[allow(dead_code)] Option<WorkerGuard>);
+/// Keeps the log running; dropped, it writes what is still queued, for a second at most.
+pub struct LogGuard {
+    _worker: Option<WorkerGuard>,
+}
 
-/// Starts the log; at most `waiting` lines wait to be written. A second start in one process changes nothing.
+/// Starts the log; at most `queue_lines` lines wait to be written. A second start in one process changes
+/// nothing.
 #[must_use]
-pub fn start(format: Format, waiting: usize) -> Log {
+pub fn start(format: Format, queue_lines: usize) -> LogGuard {
     let (writer, guard) = NonBlockingBuilder::default()
-        .buffered_lines_limit(waiting)
+        .buffered_lines_limit(queue_lines)
         .lossy(true)
         .thread_name("log")
         .finish(std::io::stderr());
-    let lost = writer.error_counter();
+    let dropped = writer.error_counter();
     let builder = tracing_subscriber::fmt()
         .with_writer(writer)
         .with_ansi(false)
         .with_target(false);
     let started = match format {
         Format::Text => {
-            tracing::subscriber::set_global_default(builder.event_format(Bare).finish())
+            tracing::subscriber::set_global_default(builder.event_format(MessageOnly).finish())
         }
         Format::Json => {
             let json = builder
@@ -58,22 +61,24 @@
         }
     };
     if started.is_err() {
-        return Log(None);
+        return LogGuard { _worker: None };
+    }
+    let _ = DROPPED.set(dropped);
+    LogGuard {
+        _worker: Some(guard),
     }
-    let _ = LOST.set(lost);
-    Log(Some(guard))
 }
 
-/// Lines dropped since the start because standard error took none.
+/// The number of lines dropped since the start because standard error took none.
 #[must_use]
-pub fn lost() -> usize {
-    LOST.get().map_or(0, ErrorCounter::dropped_lines)
+pub fn dropped_lines() -> usize {
+    DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
-/// The text alone, as `docs/on-call.md` has it.
-struct Bare;
+/// Writes the message alone, as `docs/on-call.md` has it.
+struct MessageOnly;
 
-impl<S, N> FormatEvent<S, N> for Bare
+impl<S, N> FormatEvent<S, N> for MessageOnly
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -84,17 +89,26 @@
         mut out: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
-        impl Visit for Message<'_, '_> {
-            fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
-                if field.name() == "message" {
-                    self.1 = writeln!(self.0, "{value:?}");
-                }
-            }
-        }
-        let mut message = Message(&mut out, Ok(()));
+        let mut message = MessageVisitor {
+            out: &mut out,
+            result: Ok(()),
+        };
         event.record(&mut message);
-        message.1
+        message.result
+    }
+}
+
+/// Writes the field that holds the message.
+struct MessageVisitor<'a, 'w> {
+    out: &'a mut Writer<'w>,
+    result: fmt::Result,
+}
+
+impl Visit for MessageVisitor<'_, '_> {
+    fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
+        if field.name() == "message" {
+            self.result = writeln!(self.out, "{value:?}");
+        }
     }
 }
 
@@ -103,8 +117,8 @@
     tracing::info!("{text}");
 }
 
-/// Tells of a connection that ended: whose it was, the other end, why, and how many requests it carried.
-pub fn ended(side: &str, peer: impl Display, reason: impl Display, requests: u64) {
+/// Logs the end of a connection: which side it was on, its peer, the reason, and the requests it carried.
+pub fn connection_ended(side: &str, peer: impl Display, reason: impl Display, requests: u64) {
     tracing::info!(
         side,
         %peer,
@@ -113,3 +127,9 @@
         "{side} {peer} ended reason={reason} requests={requests}"
     );
 }
+
+/// Logs that an engine was cordoned or uncordoned.
+pub fn engine_cordoned(engine: &str, cordoned: bool) {
+    let direction = if cordoned { "out" } else { "back" };
+    line(format_args!("engine {engine} is called {direction}"));
+}
--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -1,4 +1,4 @@
-//! What both listeners need of the machine.
+//! Sockets: listening beside another process, and closing without a reset.
 
 use std::io::Read;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,20 +9,22 @@
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
 
-/// Connections that the machine may hold until they are accepted. The standard library's 128 are gone in one
-/// burst of clients that say nothing; the machine then drops what comes, and the usual clients among it try again
-/// only after one, three and seven seconds.
+/// Connections that the kernel may queue until they are accepted. The standard library's 128 are taken by one
+/// burst of silent clients; the kernel then drops what arrives, and the usual clients among it retry only
+/// after one, three and seven seconds.
 const BACKLOG: i32 = 4096;
-/// A connection that is closed for what it sent is still read for a moment, up to so many bytes: input left
-/// unread turns the close into a reset, which can destroy the error on its way.
-const LINGER: (Duration, usize) = (Duration::from_millis(300), 256 * 1024);
+/// A connection that is closed for what it sent is still read for this time, up to this many bytes: unread
+/// input turns the close into a reset, which can destroy the error on its way.
+const LINGER_TIME: Duration = Duration::from_millis(300);
+const LINGER_BYTES: usize = 256 * 1024;
+const LINGER_CHUNK_BYTES: usize = 4096;
 
 /// Listens at an address that another process of the same user may share: at an upgrade the new version
-/// listens beside the old one, and the machine spreads what comes over both.
+/// listens beside the old one, and the kernel distributes connections over both.
 ///
 /// # Errors
 ///
-/// The machine does not give the address.
+/// The address is not available.
 pub fn listen(addr: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     let family = if addr.is_ipv4() {
         AddressFamily::INET
@@ -37,62 +39,39 @@
     Async::new(TcpListener::from(socket))
 }
 
-/// Whether the other end has gone, even if what it sent before has not been read.
+/// Whether the peer has closed the connection, even if what it sent before has not been read.
 #[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
-    let gone = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let mut one = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut descriptors = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
     let now = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    rustix::event::poll(&mut one, Some(&now)).is_ok()
-        && one.iter().any(|f| f.revents().intersects(gone))
+    rustix::event::poll(&mut descriptors, Some(&now)).is_ok()
+        && descriptors
+            .iter()
+            .any(|descriptor| descriptor.revents().intersects(hang_up))
 }
 
-/// Says that nothing more comes, and reads on for a moment what the other end still sends.
+/// Shuts the sending side, and reads for a moment what the peer still sends.
 pub async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let (mut chunk, mut left) = ([0u8; 4096], LINGER.1);
     let drain = async {
-        while left > 0 {
-            match stream.read_with(|mut s| s.read(&mut chunk)).await {
-                Ok(n) if n > 0 => left = left.saturating_sub(n),
+        let mut chunk = [0u8; LINGER_CHUNK_BYTES];
+        let mut bytes_left = LINGER_BYTES;
+        while bytes_left > 0 {
+            match stream.read_with(|mut socket| socket.read(&mut chunk)).await {
+                Ok(size) if size > 0 => bytes_left = bytes_left.saturating_sub(size),
                 _ => break,
             }
         }
     };
-    let late = async {
-        Timer::after(LINGER.0).await;
+    let timeout = async {
+        Timer::after(LINGER_TIME).await;
     };
-    drain.or(late).await;
+    drain.or(timeout).await;
 }
 
 #[cfg(test)]
-#[allow(clippy::unwrap_used)]
-mod tests {
-    use super::*;
-
-    /// A burst of connections waits for the listener, as far as the machine lets it, and none is dropped.
-    #[test]
-    fn a_burst_of_connections_finds_room() {
-        let listener = listen(([127, 0, 0, 1], 0).into()).unwrap();
-        let addr = listener.get_ref().local_addr().unwrap();
-        let most = std::fs::read_to_string("/proc/sys/net/core/somaxconn").unwrap_or_default();
-        let burst = most.trim().parse().unwrap_or(300).min(300);
-        let connect = |_| TcpStream::connect_timeout(&addr, Duration::from_millis(900)).unwrap();
-        let open: Vec<_> = (0..burst).map(connect).collect();
-        assert_eq!(open.len(), burst);
-    }
-
-    /// Two listeners share an address, and what comes reaches one of them once the other has gone.
-    #[test]
-    fn an_address_is_shared() {
-        let old = listen(([127, 0, 0, 1], 0).into()).unwrap();
-        let addr = old.get_ref().local_addr().unwrap();
-        let new = listen(addr).unwrap();
-        drop(old);
-        let _client = TcpStream::connect(addr).unwrap();
-        async_io::block_on(new.accept()).unwrap();
-    }
-}
+mod tests;
--- a/gateway/src/postgres/codec.rs
+++ b/gateway/src/postgres/codec.rs
@@ -1,20 +1,47 @@
 //! The PostgreSQL wire protocol 3.0, as far as simple queries need it.
 
+use super::cancellation::CancelKey;
+
 /// The longest start-up packet, as in PostgreSQL.
-pub const MAX_STARTUP: usize = 10_000;
+const MAX_STARTUP_BYTES: usize = 10_000;
 /// The longest message. Clients hold hundreds of sessions, and memory is short.
-pub const MAX_MESSAGE: usize = 64 * 1024;
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
+
+/// Types of messages that clients send.
+pub const QUERY: u8 = b'Q';
+pub const TERMINATE: u8 = b'X';
+pub const SYNC: u8 = b'S';
+pub const FUNCTION_CALL: u8 = b'F';
+pub const PASSWORD: u8 = b'p';
+const FRONTEND_MESSAGES: &[u8] = b"QXSPBDECHFdcfp";
+/// Parse, Bind, Describe, Execute, Close.
+const EXTENDED_QUERY_MESSAGES: &[u8] = b"PBDEC";
+
+/// The answer to a request for encryption: there is none.
+pub const NO_ENCRYPTION: u8 = b'N';
+
+/// Request codes in the place of a protocol version.
+const CANCEL_REQUEST: u32 = 80_877_102;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
+const MAJOR_VERSION: u32 = 3;
 
-/// What a client says first on a connection.
+/// Whether a message belongs to the extended query protocol.
+#[must_use]
+pub fn is_extended_query(kind: u8) -> bool {
+    EXTENDED_QUERY_MESSAGES.contains(&kind)
+}
+
+/// What a client sends first on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup<'a> {
     /// It asks for encryption: SSLRequest or GSSENCRequest.
     Encryption,
-    /// CancelRequest: the process id and the secret key of the session meant.
-    Cancel(u32, u32),
+    /// CancelRequest: the key of the session meant.
+    Cancel(CancelKey),
     /// StartupMessage: the minor version and the parameters that are protocol options, and the user.
     Begin {
-        /// The minor version asked for.
+        /// The minor version requested.
         minor: u16,
         /// Protocol options, which this server has none of.
         options: Vec<&'a str>,
@@ -23,70 +50,64 @@
     },
 }
 
-/// Bytes that break the protocol.
+/// Bytes that violate the protocol; the text is the message for the client.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
-fn int(bytes: &[u8], at: usize) -> Option<u32> {
-    bytes
-        .get(at..at + 4)?
-        .try_into()
-        .ok()
-        .map(u32::from_be_bytes)
+const BAD_STARTUP_LAYOUT: Malformed =
+    Malformed("invalid startup packet layout: expected terminator as last byte");
+
+fn read_u32(bytes: &[u8], at: usize) -> Option<u32> {
+    let bytes = bytes.get(at..at + 4)?;
+    bytes.try_into().ok().map(u32::from_be_bytes)
 }
 
-/// Reads a start-up packet: the packet and its size, or `None` while it is not yet whole.
+/// Reads a start-up packet: the packet and its size, or `None` while it is not yet complete.
 ///
 /// # Errors
 ///
 /// The bytes can't begin a start-up packet.
-pub fn startup(bytes: &[u8]) -> Result<Option<(Startup<'_>, usize)>, Malformed> {
-    let Some(length) = int(bytes, 0) else {
+pub fn parse_startup(bytes: &[u8]) -> Result<Option<(Startup<'_>, usize)>, Malformed> {
+    let Some(length) = read_u32(bytes, 0) else {
         return Ok(None);
     };
     let length = length as usize;
-    if !(8..=MAX_STARTUP).contains(&length) {
+    if !(8..=MAX_STARTUP_BYTES).contains(&length) {
         return Err(Malformed("invalid length of startup packet"));
     }
     let Some(packet) = bytes.get(..length) else {
         return Ok(None);
     };
-    let code = int(packet, 4).unwrap_or(0);
+    let code = read_u32(packet, 4).unwrap_or(0);
     let startup = match code {
-        80_877_103 | 80_877_104 if length == 8 => Startup::Encryption,
-        80_877_102 => match (length, int(packet, 8), int(packet, 12)) {
-            (16, Some(pid), Some(secret)) => Startup::Cancel(pid, secret),
+        SSL_REQUEST | GSS_ENCRYPTION_REQUEST if length == 8 => Startup::Encryption,
+        CANCEL_REQUEST => match (length, read_u32(packet, 8), read_u32(packet, 12)) {
+            (16, Some(pid), Some(secret)) => Startup::Cancel(CancelKey { pid, secret }),
             _ => return Err(Malformed("invalid cancel request")),
         },
-        _ if code >> 16 == 3 => parameters(packet, code as u16)?,
+        _ if code >> 16 == MAJOR_VERSION => parse_parameters(packet, code as u16)?,
         _ => return Err(Malformed("unsupported frontend protocol")),
     };
     Ok(Some((startup, length)))
 }
 
-fn parameters(packet: &[u8], minor: u16) -> Result<Startup<'_>, Malformed> {
-    let bad = Malformed("invalid startup packet layout: expected terminator as last byte");
-    let Some(body) = packet.get(8..).and_then(|b| b.strip_suffix(&[0])) else {
-        return Err(bad);
-    };
+fn parse_parameters(packet: &[u8], minor: u16) -> Result<Startup<'_>, Malformed> {
+    let body = packet.get(8..).and_then(|body| body.strip_suffix(&[0]));
+    let body = body.ok_or(BAD_STARTUP_LAYOUT)?;
     let (mut options, mut user) = (Vec::new(), None);
     if !body.is_empty() {
-        let Some(body) = body.strip_suffix(&[0]) else {
-            return Err(bad);
-        };
-        let mut words = body.split(|b| *b == 0);
+        let body = body.strip_suffix(&[0]).ok_or(BAD_STARTUP_LAYOUT)?;
+        let mut words = body.split(|byte| *byte == 0);
         while let Some(name) = words.next() {
-            let (name, value) = match (
-                std::str::from_utf8(name),
-                words.next().map(std::str::from_utf8),
-            ) {
+            let value = words.next().map(std::str::from_utf8);
+            let (name, value) = match (std::str::from_utf8(name), value) {
                 (Ok(name), Some(Ok(value))) if !name.is_empty() => (name, value),
-                _ => return Err(bad),
+                _ => return Err(BAD_STARTUP_LAYOUT),
             };
             if name.starts_with("_pq_.") {
                 options.push(name);
             } else if name == "user" {
-                user = Some(value).filter(|u| !u.is_empty());
+                user = Some(value).filter(|user| !user.is_empty());
             }
         }
     }
@@ -97,29 +118,42 @@
     })
 }
 
-/// The type of a message, its body, and its whole size.
-pub type Message<'a> = (u8, &'a [u8], usize);
+/// A message of a session.
+#[derive(Debug, PartialEq, Eq)]
+pub struct Message<'a> {
+    /// Its type.
+    pub kind: u8,
+    /// Its body.
+    pub body: &'a [u8],
+    /// Its size in bytes, type and length included.
+    pub size: usize,
+}
 
-/// Reads a message of a session: its type, its body and its size, or `None` while it is not yet whole.
+/// Reads a message of a session; `None` while it is not yet complete.
 ///
 /// # Errors
 ///
 /// No message begins like that.
-pub fn message(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
+pub fn parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
     let Some(&kind) = bytes.first() else {
         return Ok(None);
     };
-    if !b"QXSPBDECHFdcfp".contains(&kind) {
+    if !FRONTEND_MESSAGES.contains(&kind) {
         return Err(Malformed("invalid frontend message type"));
     }
-    let Some(length) = int(bytes, 1) else {
+    let Some(length) = read_u32(bytes, 1) else {
         return Ok(None);
     };
     let length = length as usize;
-    if !(4..=MAX_MESSAGE).contains(&length) {
+    if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
         return Err(Malformed("invalid message length"));
     }
-    Ok(bytes.get(5..=length).map(|body| (kind, body, length + 1)))
+    let body = bytes.get(5..=length);
+    Ok(body.map(|body| Message {
+        kind,
+        body,
+        size: length + 1,
+    }))
 }
 
 /// The text of a Query message.
@@ -127,7 +161,7 @@
 /// # Errors
 ///
 /// It is not one string with its terminator.
-pub fn query(body: &[u8]) -> Result<&[u8], Malformed> {
+pub fn query_text(body: &[u8]) -> Result<&[u8], Malformed> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
         _ => Err(Malformed("invalid string in message")),
@@ -135,33 +169,35 @@
 }
 
 /// Appends one message.
-fn put(out: &mut Vec<u8>, kind: u8, body: impl FnOnce(&mut Vec<u8>)) {
+fn write_message(out: &mut Vec<u8>, kind: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
-    body(out);
+    write_body(out);
     let length = (out.len() - at) as u32;
     if let Some(place) = out.get_mut(at..at + 4) {
         place.copy_from_slice(&length.to_be_bytes());
     }
 }
 
-fn text(out: &mut Vec<u8>, text: &str) {
+fn write_text(out: &mut Vec<u8>, text: &str) {
     out.extend_from_slice(text.as_bytes());
     out.push(0);
 }
 
-/// The answer to a StartupMessage, up to the first ReadyForQuery.
-pub fn welcome(out: &mut Vec<u8>, minor: u16, options: &[&str], pid: u32, secret: u32) {
+/// Appends the answer to a StartupMessage, up to the first ReadyForQuery.
+pub fn write_welcome(out: &mut Vec<u8>, minor: u16, options: &[&str], key: CancelKey) {
     if minor > 0 || !options.is_empty() {
         // NegotiateProtocolVersion: 3.0 without options is all that is spoken here.
-        put(out, b'v', |o| {
-            o.extend_from_slice(&0u32.to_be_bytes());
-            o.extend_from_slice(&(options.len() as u32).to_be_bytes());
-            options.iter().for_each(|name| text(o, name));
+        write_message(out, b'v', |body| {
+            body.extend_from_slice(&0u32.to_be_bytes());
+            body.extend_from_slice(&(options.len() as u32).to_be_bytes());
+            options.iter().for_each(|name| write_text(body, name));
         });
     }
-    put(out, b'R', |o| o.extend_from_slice(&0u32.to_be_bytes()));
+    write_message(out, b'R', |body| {
+        body.extend_from_slice(&0u32.to_be_bytes());
+    });
     for (name, value) in [
         ("server_version", "15.0 (violetgate)"),
         ("server_encoding", "UTF8"),
@@ -171,71 +207,119 @@
         ("standard_conforming_strings", "on"),
         ("TimeZone", "UTC"),
     ] {
-        put(out, b'S', |o| {
-            text(o, name);
-            text(o, value);
+        write_message(out, b'S', |body| {
+            write_text(body, name);
+            write_text(body, value);
         });
     }
-    put(out, b'K', |o| {
-        o.extend_from_slice(&pid.to_be_bytes());
-        o.extend_from_slice(&secret.to_be_bytes());
+    write_message(out, b'K', |body| {
+        body.extend_from_slice(&key.pid.to_be_bytes());
+        body.extend_from_slice(&key.secret.to_be_bytes());
     });
-    ready(out);
+    write_ready(out);
+}
+
+/// Appends ReadyForQuery, outside a transaction.
+pub fn write_ready(out: &mut Vec<u8>) {
+    write_message(out, b'Z', |body| body.push(b'I'));
+}
+
+/// Appends EmptyQueryResponse.
+pub fn write_empty_query(out: &mut Vec<u8>) {
+    write_message(out, b'I', |_| {});
 }
 
-/// ReadyForQuery, outside a transaction.
-pub fn ready(out: &mut Vec<u8>) {
-    put(out, b'Z', |o| o.push(b'I'));
+/// The fields of an ErrorResponse.
+#[derive(Debug, Clone, Copy)]
+pub struct ErrorResponse<'a> {
+    /// `ERROR`, or `FATAL` where the connection ends.
+    pub severity: &'a str,
+    /// The SQLSTATE.
+    pub code: &'a str,
+    /// What went wrong.
+    pub message: &'a str,
+    /// What to do about it.
+    pub hint: Option<&'a str>,
 }
 
-/// EmptyQueryResponse.
-pub fn empty(out: &mut Vec<u8>) {
-    put(out, b'I', |_| {});
+impl<'a> ErrorResponse<'a> {
+    /// The error of a query.
+    #[must_use]
+    pub fn error(code: &'a str, message: &'a str) -> Self {
+        ErrorResponse {
+            severity: "ERROR",
+            code,
+            message,
+            hint: None,
+        }
+    }
+
+    /// An error after which the connection ends.
+    #[must_use]
+    pub fn fatal(code: &'a str, message: &'a str) -> Self {
+        ErrorResponse {
+            severity: "FATAL",
+            ..Self::error(code, message)
+        }
+    }
 }
 
-/// ErrorResponse.
-pub fn error(out: &mut Vec<u8>, severity: &str, code: &str, message: &str, hint: Option<&str>) {
-    put(out, b'E', |o| {
+/// Appends ErrorResponse.
+pub fn write_error(out: &mut Vec<u8>, error: &ErrorResponse<'_>) {
+    write_message(out, b'E', |body| {
         let fields = [
-            (b'S', severity),
-            (b'V', severity),
-            (b'C', code),
-            (b'M', message),
+            (b'S', error.severity),
+            (b'V', error.severity),
+            (b'C', error.code),
+            (b'M', error.message),
         ];
-        for (field, value) in fields.into_iter().chain(hint.map(|h| (b'H', h))) {
-            o.push(field);
-            text(o, value);
+        let hint = error.hint.map(|hint| (b'H', hint));
+        for (field, value) in fields.into_iter().chain(hint) {
+            body.push(field);
+            write_text(body, value);
         }
-        o.push(0);
+        body.push(0);
     });
 }
 
-/// A whole result: RowDescription of three text columns, the rows of all pages as they came, and
-/// CommandComplete.
-pub fn rows<'a>(out: &mut Vec<u8>, pages: impl Iterator<Item = &'a [u8]>) {
-    const TEXT: u32 = 25;
-    put(out, b'T', |o| {
-        o.extend_from_slice(&3u16.to_be_bytes());
-        for name in ["column1", "column2", "column3"] {
-            text(o, name);
-            o.extend_from_slice(&[0; 6]); // no table, no attribute
-            o.extend_from_slice(&TEXT.to_be_bytes());
-            o.extend_from_slice(&(-1i16).to_be_bytes());
-            o.extend_from_slice(&(-1i32).to_be_bytes());
-            o.extend_from_slice(&[0; 2]); // text format
-        }
-    });
+/// Appends a complete result: RowDescription of three text columns, the rows of all pages as they came,
+/// and CommandComplete.
+pub fn write_rows<'a>(out: &mut Vec<u8>, pages: impl Iterator<Item = &'a [u8]>) {
+    write_row_description(out);
     let mut count = 0u64;
-    for row in pages.flat_map(|page| page.split_inclusive(|b| *b == b'\n')) {
+    for row in pages.flat_map(|page| page.split_inclusive(|byte| *byte == b'\n')) {
         let row = row.strip_suffix(b"\n").unwrap_or(row);
-        put(out, b'D', |o| {
-            o.extend_from_slice(&3u16.to_be_bytes());
-            for column in row.split(|b| *b == b'\t') {
-                o.extend_from_slice(&(column.len() as u32).to_be_bytes());
-                o.extend_from_slice(column);
+        write_message(out, b'D', |body| {
+            body.extend_from_slice(&COLUMN_COUNT.to_be_bytes());
+            for column in row.split(|byte| *byte == b'\t') {
+                body.extend_from_slice(&(column.len() as u32).to_be_bytes());
+                body.extend_from_slice(column);
             }
         });
         count += 1;
     }
-    put(out, b'C', |o| text(o, &format!("SELECT {count}")));
+    write_message(out, b'C', |body| {
+        write_text(body, &format!("SELECT {count}"));
+    });
+}
+
+const COLUMN_NAMES: [&str; 3] = ["column1", "column2", "column3"];
+const COLUMN_COUNT: u16 = COLUMN_NAMES.len() as u16;
+/// The type `text`, of variable size and without a modifier.
+const TEXT_TYPE: u32 = 25;
+const VARIABLE_SIZE: i16 = -1;
+const NO_TYPE_MODIFIER: i32 = -1;
+
+fn write_row_description(out: &mut Vec<u8>) {
+    write_message(out, b'T', |body| {
+        body.extend_from_slice(&COLUMN_COUNT.to_be_bytes());
+        for name in COLUMN_NAMES {
+            write_text(body, name);
+            body.extend_from_slice(&[0; 6]); // no table, no attribute
+            body.extend_from_slice(&TEXT_TYPE.to_be_bytes());
+            body.extend_from_slice(&VARIABLE_SIZE.to_be_bytes());
+            body.extend_from_slice(&NO_TYPE_MODIFIER.to_be_bytes());
+            body.extend_from_slice(&[0; 2]); // text format
+        }
+    });
 }
--- a/gateway/src/postgres/mod.rs
+++ b/gateway/src/postgres/mod.rs
@@ -1,5 +1,11 @@
-//! The client side: the PostgreSQL protocol 3.0, its sessions and their cancel keys.
+//! The PostgreSQL front end: protocol 3.0 for simple queries, its sessions and their cancel requests.
 
-pub mod codec;
-pub mod query_fields;
+mod cancellation;
+mod codec;
+mod query_fields;
+mod session;
+mod session_end;
 pub mod sessions;
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/postgres/query_fields.rs
+++ b/gateway/src/postgres/query_fields.rs
@@ -1,85 +1,119 @@
-//! The fields of a query: the comment ahead of its statement.
+//! The fields of a query, in the comment ahead of its statement: `/* NAME=VALUE,... */ STATEMENT`.
 
+use thiserror::Error;
 use violetgate_policy::interface::Micros;
 
 use crate::config::NameTable;
 use crate::exchange::Request;
-use crate::request_validation::{self, InvalidField, RawRequest, RequestField};
+use crate::request_validation::{is_blank_statement, InvalidField, RawRequest, RequestField};
+
+/// Why a query is no request; its text is the message for the client.
+#[derive(Debug, PartialEq, Eq, Error)]
+pub enum QueryError {
+    /// It does not begin with a comment.
+    #[error("no comment with fields ahead of the statement")]
+    NoComment,
+    /// Its comment does not end.
+    #[error("the comment with fields has no end")]
+    OpenComment,
+    /// Nothing follows the comment.
+    #[error("the statement is missing")]
+    NoStatement,
+    /// The fields are not UTF-8.
+    #[error("fields are not text")]
+    NotText,
+    /// A field has no `=`.
+    #[error("field {0:?} has no value")]
+    NoValue(String),
+    /// A field is given twice.
+    #[error("field `{0}` is given twice")]
+    Duplicate(String),
+    /// A field can't be used.
+    #[error("field `{}` {}", field_name(.0.field), .0.error)]
+    Invalid(InvalidField),
+}
+
+/// The fields and their names.
+const FIELDS: [(RequestField, &str); 9] = [
+    (RequestField::Class, "method"),
+    (RequestField::Id, "rid"),
+    (RequestField::Budget, "budget"),
+    (RequestField::Tenant, "acct"),
+    (RequestField::IdempotencyKey, "token"),
+    (RequestField::Work, "est"),
+    (RequestField::Memory, "est_mb"),
+    (RequestField::OrderingKey, "obj"),
+    (RequestField::RetryMark, "again"),
+];
+
+fn field_name(field: RequestField) -> &'static str {
+    let named = FIELDS.iter().find(|(other, _)| *other == field);
+    named.map_or("statement", |(_, name)| name)
+}
 
 /// Whether a query is empty: white space, line comments and semicolons only. One that begins as a request
 /// does, with a comment for its fields, is a request that can't be used, and its client is owed an error.
 #[must_use]
 pub fn is_empty(sql: &[u8]) -> bool {
-    !sql.trim_ascii_start().starts_with(b"/*") && request_validation::says_nothing(sql)
+    !sql.trim_ascii_start().starts_with(b"/*") && is_blank_statement(sql)
 }
 
-/// Reads a query's fields and statement.
+/// Reads a query whose last byte was read at `received`.
 ///
 /// # Errors
 ///
-/// A field is missing or can't be used; the text says which.
-pub fn request(sql: &[u8], names: &NameTable, received: Micros) -> Result<Request, String> {
-    let sql = sql.trim_ascii_start();
-    let comment = sql
-        .strip_prefix(b"/*")
-        .ok_or("no comment with fields ahead of the statement")?;
-    let end = memchr::memmem::find(comment, b"*/").ok_or("the comment with fields has no end")?;
-    let (fields, statement) = comment.split_at_checked(end).unwrap_or_default();
-    let statement = statement.get(2..).unwrap_or_default().trim_ascii_start();
-    if request_validation::says_nothing(statement) {
-        return Err("the statement is missing".to_owned());
-    }
-    let fields = std::str::from_utf8(fields)
-        .map_err(|_| "fields are not text")?
-        .trim();
-    let mut found: [Option<&str>; NAMES.len()] = Default::default();
-    for field in fields.split(',').map(str::trim) {
-        let (name, value) = field
-            .split_once('=')
-            .ok_or_else(|| format!("field {field:?} has no value"))?;
-        let place = NAMES
-            .iter()
-            .position(|(_, n)| *n == name)
-            .and_then(|i| found.get_mut(i));
-        if place.is_some_and(|place| place.replace(value).is_some()) {
-            return Err(format!("field `{name}` is given twice"));
-        }
-    }
-    let [class, id, budget, tenant, token, work, memory, key, again] = found;
-    // What is no number is none that can be believed, either.
-    let number = |text: Option<&str>| text.map(|t| t.parse::<f64>().unwrap_or(f64::NAN));
-    let asked = RawRequest {
+/// It has no comment with fields, or one of them is missing or can't be used.
+pub fn parse(sql: &[u8], names: &NameTable, received: Micros) -> Result<Request, QueryError> {
+    let (fields, statement) = split_comment(sql)?;
+    let fields = std::str::from_utf8(fields).map_err(|_| QueryError::NotText)?;
+    let values = field_values(fields.trim())?;
+    let [class, id, budget, tenant, idempotency_key, work, memory, ordering_key, retry_mark] =
+        values;
+    let raw = RawRequest {
         class,
         id,
-        budget: number(budget),
+        budget_ms: budget.map(parse_number),
         tenant,
-        token,
-        work: number(work),
-        memory: number(memory),
-        key,
-        again,
+        idempotency_key,
+        estimated_work_ms: work.map(parse_number),
+        estimated_memory_mb: memory.map(parse_number),
+        ordering_key,
+        retry_mark,
         statement,
     };
-    asked
-        .request(names, received)
-        .map_err(|InvalidField { part, what }| format!("field `{}` {what}", name(part)))
+    raw.validate(names, received).map_err(QueryError::Invalid)
 }
 
-const NAMES: [(RequestField, &str); 9] = [
-    (RequestField::Class, "method"),
-    (RequestField::Id, "rid"),
-    (RequestField::Budget, "budget"),
-    (RequestField::Tenant, "acct"),
-    (RequestField::Token, "token"),
-    (RequestField::Work, "est"),
-    (RequestField::Memory, "est_mb"),
-    (RequestField::Key, "obj"),
-    (RequestField::Again, "again"),
-];
+/// The text of the comment, and the statement behind it.
+fn split_comment(sql: &[u8]) -> Result<(&[u8], &[u8]), QueryError> {
+    let comment = sql.trim_ascii_start().strip_prefix(b"/*");
+    let comment = comment.ok_or(QueryError::NoComment)?;
+    let end = memchr::memmem::find(comment, b"*/").ok_or(QueryError::OpenComment)?;
+    let (fields, rest) = comment.split_at_checked(end).unwrap_or_default();
+    let statement = rest.get(2..).unwrap_or_default().trim_ascii_start();
+    if is_blank_statement(statement) {
+        return Err(QueryError::NoStatement);
+    }
+    Ok((fields, statement))
+}
+
+/// The values of the fields, in the order of [`FIELDS`]; unknown fields are left out.
+fn field_values(text: &str) -> Result<[Option<&str>; FIELDS.len()], QueryError> {
+    let mut values: [Option<&str>; FIELDS.len()] = Default::default();
+    for field in text.split(',').map(str::trim) {
+        let (name, value) = field
+            .split_once('=')
+            .ok_or_else(|| QueryError::NoValue(field.to_owned()))?;
+        let position = FIELDS.iter().position(|(_, known)| *known == name);
+        let place = position.and_then(|position| values.get_mut(position));
+        if place.is_some_and(|place| place.replace(value).is_some()) {
+            return Err(QueryError::Duplicate(name.to_owned()));
+        }
+    }
+    Ok(values)
+}
 
-fn name(part: RequestField) -> &'static str {
-    NAMES
-        .iter()
-        .find(|(p, _)| *p == part)
-        .map_or("statement", |(_, name)| name)
+/// A number; what is none is not believable either, and fails its check.
+fn parse_number(text: &str) -> f64 {
+    text.parse().unwrap_or(f64::NAN)
 }
--- /dev/null
+++ b/gateway/src/postgres/session/answers.rs
@@ -0,0 +1,87 @@
+//! Answers in the words of the protocol.
+
+use super::super::codec::{self, ErrorResponse};
+use super::Session;
+use crate::exchange::Answer;
+use crate::stats::RequestEnding;
+
+const MICROS_PER_MS: u64 = 1_000;
+
+impl Session<'_> {
+    pub(super) fn write_error(&mut self, code: &str, message: &str) {
+        codec::write_error(&mut self.output, &ErrorResponse::error(code, message));
+    }
+
+    fn write_error_with_hint(&mut self, code: &str, message: &str, hint: Option<&str>) {
+        let error = ErrorResponse {
+            hint,
+            ..ErrorResponse::error(code, message)
+        };
+        codec::write_error(&mut self.output, &error);
+    }
+
+    /// This instance takes no requests: a retry, elsewhere, does no harm.
+    pub(super) fn write_unavailable(&mut self) {
+        let message = if self.sessions.drain.refuses_work() {
+            "this server is being drained"
+        } else {
+            "this server is shutting down"
+        };
+        let hint = Some("Try again on a new connection.");
+        self.write_error_with_hint("57P03", message, hint);
+    }
+
+    /// Its client cancelled the query, which counts as any other that is not served.
+    pub(super) fn write_cancelled(&mut self) -> RequestEnding {
+        self.write_error("57014", "canceling statement due to user request");
+        RequestEnding::Failed
+    }
+
+    /// Writes the answer to a request; how that ends it.
+    pub(super) fn write_answer(&mut self, answer: Answer) -> RequestEnding {
+        match answer {
+            Answer::Served(result) => {
+                let pages = result.pages.iter().map(AsRef::as_ref);
+                codec::write_rows(&mut self.output, pages);
+                RequestEnding::Served
+            }
+            Answer::Refused { retry_after } => {
+                self.write_refused(retry_after.div_ceil(MICROS_PER_MS));
+                RequestEnding::Refused
+            }
+            Answer::ShuttingDown => {
+                self.write_unavailable();
+                RequestEnding::Refused
+            }
+            Answer::StateUnconfirmed => {
+                let message = "this instance is cut off from the others";
+                let hint = Some("Another instance may serve it.");
+                self.write_error_with_hint("57P03", message, hint);
+                RequestEnding::Refused
+            }
+            Answer::Failed => {
+                self.write_error("58000", "the query failed; it may have had its effect");
+                RequestEnding::Failed
+            }
+            Answer::KeyConflict => {
+                self.write_error("22023", "field `token` was used with another query");
+                RequestEnding::Failed
+            }
+            Answer::OutcomeUnknown => {
+                let message = "an earlier query of this token failed; it may have had its effect";
+                self.write_error("58000", message);
+                RequestEnding::Failed
+            }
+        }
+    }
+
+    fn write_refused(&mut self, retry_after_ms: u64) {
+        let message = "too busy to serve this query";
+        if retry_after_ms == 0 {
+            return self.write_error("53000", message);
+        }
+        let message = format!("{message} (backoff={retry_after_ms})");
+        let hint = format!("Try again in {retry_after_ms} ms.");
+        self.write_error_with_hint("53000", &message, Some(&hint));
+    }
+}
