--- /dev/null
+++ b/gateway/src/postgres/session/query.rs
@@ -0,0 +1,163 @@
+//! One simple query, from its text to its ReadyForQuery.
+
+use std::cell::Cell;
+use std::io::{self, Read};
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+
+use super::super::codec;
+use super::super::query_fields;
+use super::super::session_end::SessionEnd;
+use super::socket::READ_CHUNK_BYTES;
+use super::Session;
+use crate::connection_limit::ConnectionState;
+use crate::exchange::{Answer, Exchange, Request};
+use crate::net;
+use crate::stats::RequestEnding;
+
+/// How often a client that sent more than is read ahead is checked for having disconnected.
+const HANG_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// What ended the wait for an answer.
+enum WaitEvent {
+    Answer(Answer),
+    Cancelled,
+    Read(io::Result<usize>),
+}
+
+/// Counts a request as busy until its answer is written, whichever way that ends.
+struct BusyGuard<'a>(&'a Cell<usize>);
+
+impl<'a> BusyGuard<'a> {
+    fn new(count: &'a Cell<usize>) -> Self {
+        count.set(count.get() + 1);
+        BusyGuard(count)
+    }
+}
+
+impl Drop for BusyGuard<'_> {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+impl Session<'_> {
+    /// Carries out one simple query, up to its ReadyForQuery.
+    pub(super) async fn query(&mut self, sql: &[u8]) -> Result<(), SessionEnd> {
+        let sessions = Rc::clone(self.sessions);
+        let _busy = BusyGuard::new(&sessions.busy);
+        self.slot.set_state(ConnectionState::Busy, self.read_at);
+        self.requests += 1;
+        let mut counted = None;
+        if query_fields::is_empty(sql) {
+            self.answer_empty_query();
+        } else {
+            match query_fields::parse(sql, &sessions.names, self.read_at) {
+                Err(error) => self.write_error("22023", &error.to_string()),
+                Ok(request) => {
+                    let in_progress = sessions.stats.start_request(request.query.class);
+                    let ending = self.serve_request(request).await?;
+                    counted = Some((in_progress, ending));
+                }
+            }
+        }
+        codec::write_ready(&mut self.output);
+        self.write().await?;
+        // Only now has the client its answer.
+        if let Some((in_progress, ending)) = counted {
+            in_progress.finish(ending);
+        }
+        // A cancel request that came meanwhile meant this query, one that comes now may mean the next.
+        self.take_cancelled();
+        if self.input.is_empty() {
+            let now = self.sessions.sink.now();
+            self.slot.set_state(ConnectionState::Idle, now);
+        }
+        Ok(())
+    }
+
+    fn answer_empty_query(&mut self) {
+        if self.sessions.drain.refuses_work() {
+            self.write_unavailable();
+        } else {
+            codec::write_empty_query(&mut self.output);
+        }
+    }
+
+    /// Serves one request, up to its answer; how that ends it.
+    async fn serve_request(&mut self, request: Request) -> Result<RequestEnding, SessionEnd> {
+        let sessions = Rc::clone(self.sessions);
+        if sessions.drain.rejects_requests(self.read_at) {
+            self.write_unavailable();
+            return Ok(RequestEnding::Refused);
+        }
+        // Its client may have disconnected, or cancelled it, before it was read: then nothing of it begins.
+        self.read_ahead()?;
+        if self.take_cancelled() {
+            return Ok(self.write_cancelled());
+        }
+        let exchange = Exchange::new(request);
+        if sessions.sink.submit(&exchange).is_err() {
+            let message = "field `rid` names a request that is, or was just now, open";
+            self.write_error("22023", message);
+            return Ok(RequestEnding::Failed);
+        }
+        match self.wait_for_answer(&exchange).await? {
+            Some(answer) => Ok(self.write_answer(answer)),
+            None => Ok(self.write_cancelled()),
+        }
+    }
+
+    /// Waits for the answer; `None`: the client cancelled the query.
+    async fn wait_for_answer(&mut self, exchange: &Exchange) -> Result<Option<Answer>, SessionEnd> {
+        loop {
+            let mut chunk = [0u8; READ_CHUNK_BYTES];
+            let answer = async { WaitEvent::Answer(exchange.answer().await) };
+            let event = answer
+                .or(self.wait_for_cancel())
+                .or(self.wait_for_input(&mut chunk))
+                .await;
+            match event {
+                WaitEvent::Answer(answer) => return Ok(Some(answer)),
+                WaitEvent::Cancelled => {
+                    self.sessions.sink.withdraw(exchange.id());
+                    return Ok(None);
+                }
+                WaitEvent::Read(Ok(size)) if size > 0 => {
+                    self.take_input(chunk.get(..size).unwrap_or_default());
+                }
+                WaitEvent::Read(read) => {
+                    self.sessions.sink.withdraw(exchange.id());
+                    return Err(match read {
+                        Ok(_) => SessionEnd::ClosedDuringQuery,
+                        Err(_) => SessionEnd::Reset,
+                    });
+                }
+            }
+        }
+    }
+
+    async fn wait_for_cancel(&self) -> WaitEvent {
+        match &self.cancel_target {
+            Some(target) => target.cancelled().await,
+            None => std::future::pending().await,
+        }
+        WaitEvent::Cancelled
+    }
+
+    /// Reads while the answer is awaited: that the client disconnects shows only where it is read. Behind
+    /// more than is read ahead its end can't be read, so the kernel is asked for it.
+    async fn wait_for_input(&self, chunk: &mut [u8]) -> WaitEvent {
+        if self.may_read_ahead() {
+            let read = self.stream.read_with(|mut socket| socket.read(chunk));
+            return WaitEvent::Read(read.await);
+        }
+        while !net::has_hung_up(&self.stream) {
+            Timer::after(HANG_UP_CHECK_INTERVAL).await;
+        }
+        WaitEvent::Read(Ok(0))
+    }
+}
--- /dev/null
+++ b/gateway/src/postgres/session/socket.rs
@@ -0,0 +1,85 @@
+//! Reading from a client and writing to it.
+
+use std::io::{self, ErrorKind, Read, Write};
+use std::time::Duration;
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+
+use super::super::session_end::SessionEnd;
+use super::Session;
+use crate::net;
+
+/// How long a client may take no byte of an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Bytes read ahead while a request is open.
+pub(in crate::postgres) const READ_AHEAD_BYTES: usize = 16 * 1024;
+pub(super) const READ_CHUNK_BYTES: usize = 4096;
+/// The output buffer does not stay larger than this.
+const OUTPUT_BUFFER_BYTES: usize = 8 * 1024;
+
+impl Session<'_> {
+    pub(super) fn take_input(&mut self, bytes: &[u8]) {
+        self.input.extend_from_slice(bytes);
+        self.read_at = self.sessions.sink.now();
+    }
+
+    pub(super) fn may_read_ahead(&self) -> bool {
+        self.input.len() < READ_AHEAD_BYTES
+    }
+
+    /// Reads once.
+    pub(super) async fn read(&mut self) -> Result<(), SessionEnd> {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
+        let read = self.stream.read_with(|mut socket| socket.read(&mut chunk));
+        match read.await {
+            Ok(0) => Err(SessionEnd::Closed),
+            Ok(size) => {
+                self.take_input(chunk.get(..size).unwrap_or_default());
+                Ok(())
+            }
+            Err(_) => Err(SessionEnd::Reset),
+        }
+    }
+
+    /// Reads ahead what is here, without waiting. A client that has disconnected shows where its end is
+    /// read, or where the kernel reports it behind more than is read ahead.
+    pub(super) fn read_ahead(&mut self) -> Result<(), SessionEnd> {
+        let mut chunk = [0u8; READ_CHUNK_BYTES];
+        while self.may_read_ahead() {
+            match self.stream.get_ref().read(&mut chunk) {
+                Ok(0) => return Err(SessionEnd::ClosedDuringQuery),
+                Ok(size) => self.take_input(chunk.get(..size).unwrap_or_default()),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return Err(SessionEnd::Reset),
+            }
+        }
+        if net::has_hung_up(&self.stream) {
+            return Err(SessionEnd::ClosedDuringQuery);
+        }
+        Ok(())
+    }
+
+    /// Writes all output.
+    pub(super) async fn write(&mut self) -> Result<(), SessionEnd> {
+        let mut sent = 0;
+        while let Some(rest) = self.output.get(sent..).filter(|rest| !rest.is_empty()) {
+            let timeout = async {
+                Timer::after(WRITE_TIMEOUT).await;
+                Err(io::ErrorKind::TimedOut.into())
+            };
+            let written = self.stream.write_with(|mut socket| socket.write(rest));
+            match written.or(timeout).await {
+                Ok(size) if size > 0 => sent += size,
+                Err(error) if error.kind() == ErrorKind::TimedOut => {
+                    return Err(SessionEnd::Stalled);
+                }
+                _ => return Err(SessionEnd::Reset),
+            }
+        }
+        self.output.clear();
+        self.output.shrink_to(OUTPUT_BUFFER_BYTES);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/gateway/src/postgres/session/startup.rs
@@ -0,0 +1,41 @@
+//! The start of a session.
+
+use super::super::codec::{self, Startup};
+use super::super::session_end::SessionEnd;
+use super::Session;
+
+impl Session<'_> {
+    /// Reads the start-up packet and answers it.
+    pub(super) async fn start(&mut self) -> Result<(), SessionEnd> {
+        loop {
+            match codec::parse_startup(&self.input) {
+                Ok(None) => self.read().await?,
+                Ok(Some((Startup::Encryption, size))) => {
+                    self.input.drain(..size);
+                    self.output.push(codec::NO_ENCRYPTION);
+                    self.write().await?;
+                }
+                Ok(Some((Startup::Cancel(key), _))) => {
+                    self.sessions.cancel_targets.cancel(key);
+                    return Err(SessionEnd::CancelRequest);
+                }
+                Ok(Some((Startup::Begin { user: None, .. }, _))) => {
+                    let message = "no PostgreSQL user name specified in startup packet";
+                    let error = codec::ErrorResponse::fatal("28000", message);
+                    codec::write_error(&mut self.output, &error);
+                    self.write().await?;
+                    return Err(SessionEnd::NoUser);
+                }
+                Ok(Some((Startup::Begin { minor, options, .. }, size))) => {
+                    let targets = &self.sessions.cancel_targets;
+                    let target = targets.add(self.slot, &self.stream);
+                    codec::write_welcome(&mut self.output, minor, &options, target.key());
+                    self.cancel_target = Some(target);
+                    self.input.drain(..size);
+                    return self.write().await;
+                }
+                Err(error) => return Err(self.break_off(error).await),
+            }
+        }
+    }
+}
--- a/gateway/src/postgres/sessions.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -1,354 +1,237 @@
-//! Client connections: the listener, the sessions and their cancel keys.
+//! Client connections: the listener, and what all sessions share.
 
-use std::cell::{Cell, RefCell};
-use std::collections::HashMap;
-use std::future::poll_fn;
-use std::io::{ErrorKind, Read, Write};
+use std::cell::Cell;
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
-use std::task::{Poll, Waker};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use rand_chacha::rand_core::RngCore;
 use rand_chacha::ChaCha8Rng;
 
-use super::codec::{self, Malformed, Startup};
-use super::query_fields;
+use super::cancellation::{CancelKey, CancelTargets};
+use super::codec::{self, Startup};
+use super::session::Session;
+use super::session_end::SessionEnd;
 use crate::config::NameTable;
-use crate::connection_limit::{ConnectionLimiter, ConnectionSlot, ConnectionState, RECENTLY_IDLE};
+use crate::connection_limit::{ConnectionLimiter, ConnectionSlot, RECENTLY_IDLE_US};
 use crate::drain::DrainState;
-use crate::exchange::{Answer, Exchange, Request, RequestSink};
+use crate::exchange::RequestSink;
 use crate::log;
 use crate::net;
-use crate::stats::{Ending, Stats};
+use crate::stats::Stats;
 
-mod session;
-
-use session::Session;
-
-/// How long a client may take over its start-up packet, and over the rest of a message that it has begun,
-/// however it trickles in: one that says half of something is owed an error or a close within 3 s.
-const STARTUP: Duration = Duration::from_millis(2_000);
-const MESSAGE: Duration = Duration::from_millis(2_000);
-/// How long a session may stay open with nothing asked; clients close theirs after 4 s.
-const IDLE: Duration = Duration::from_secs(60);
-/// How long a client may take no byte of an answer.
-const STALLED: Duration = Duration::from_secs(10);
-/// Bytes read ahead while a request is open.
-const READ_AHEAD: usize = 16 * 1024;
-/// How often idle connections are looked at while they have to end, and whether a client that sent more than is read
-/// ahead is still there.
-const LOOK: Duration = Duration::from_millis(20);
-/// The pause after the machine gave no connection.
+/// How often idle connections are looked at while they have to close.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The pause after a connection could not be accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a connection for which there is no room may take over its start-up packet.
-const TURNED_AWAY: Duration = Duration::from_millis(250);
-/// Ends that came from the client: it reads nothing more.
-const BY_CLIENT: [Reason; 7] = [
-    "closed",
-    "left",
-    "reset",
-    "terminated",
-    "cancel_request",
-    "stalled",
-    "startup_timeout",
-];
-
-/// Why a connection ended; the log's reason code.
-type Reason = &'static str;
-
-/// What a CancelRequest reaches of a session.
-struct Key {
-    secret: u32,
-    /// The query at hand, or the one that is here and not yet read, is cancelled.
-    cancelled: Cell<bool>,
-    waker: RefCell<Option<Waker>>,
-    guest: Rc<ConnectionSlot>,
-    stream: Rc<Async<TcpStream>>,
-}
-
-impl Key {
-    /// Whether there is a query that a cancel can mean: one that is open, or one that waits in the socket to be read.
-    /// A cancel that comes between queries meant an earlier one.
-    fn has_query(&self) -> bool {
-        !self.guest.is_idle() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(n) if n > 0)
-    }
-}
+/// How long a connection without a slot may take over its start-up packet.
+const REJECTED_STARTUP_TIMEOUT: Duration = Duration::from_millis(250);
+const STARTUP_CHUNK_BYTES: usize = 512;
 
 /// All client connections.
 pub struct Sessions {
     executor: Rc<LocalExecutor<'static>>,
-    intake: Rc<dyn RequestSink>,
-    names: NameTable,
-    stats: Rc<Stats>,
-    room: ConnectionLimiter,
-    rng: RefCell<ChaCha8Rng>,
-    keys: RefCell<HashMap<u32, Rc<Key>>>,
-    busy: Cell<usize>,
-    door: Rc<DrainState>,
+    pub(super) sink: Rc<dyn RequestSink>,
+    pub(super) names: NameTable,
+    pub(super) stats: Rc<Stats>,
+    limiter: ConnectionLimiter,
+    pub(super) cancel_targets: CancelTargets,
+    pub(super) busy: Cell<usize>,
+    pub(super) drain: Rc<DrainState>,
 }
 
 impl Sessions {
-    /// Creates the client side; it holds at most `most` connections.
+    /// Creates the front end for `max_connections` connections; cancel keys are drawn from `rng`.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        intake: Rc<dyn RequestSink>,
+        sink: Rc<dyn RequestSink>,
         names: NameTable,
         stats: Rc<Stats>,
-        door: Rc<DrainState>,
-        most: usize,
+        drain: Rc<DrainState>,
+        max_connections: usize,
         rng: ChaCha8Rng,
     ) -> Rc<Self> {
         Rc::new(Sessions {
             executor,
-            intake,
+            sink,
             names,
             stats,
-            room: ConnectionLimiter::new(most),
-            rng: RefCell::new(rng),
-            keys: RefCell::default(),
+            limiter: ConnectionLimiter::new(max_connections),
+            cancel_targets: CancelTargets::new(rng),
             busy: Cell::new(0),
-            door,
+            drain,
         })
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.room.len()
+        self.limiter.len()
     }
 
     /// Changes how many connections there may be.
-    pub fn resize(&self, most: usize) {
-        self.room.resize(most, self.intake.now());
+    pub fn resize(&self, max_connections: usize) {
+        self.limiter.resize(max_connections, self.sink.now());
     }
 
-    /// Sends home, for ever, the connections that are idle while they have to end.
-    pub async fn keep_door(&self) {
+    /// Closes, for ever, the connections that are idle while a drain or a hand-over is under way.
+    pub async fn close_idle_while_draining(&self) {
         loop {
-            let now = self.intake.now();
-            if let Some(reason) = self.door.sends_home(now) {
-                self.room.dismiss_idle(now, RECENTLY_IDLE, reason);
+            let now = self.sink.now();
+            if let Some(reason) = self.drain.close_reason(now) {
+                self.limiter.close_idle(now, RECENTLY_IDLE_US, reason);
             }
-            Timer::after(LOOK).await;
+            Timer::after(IDLE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Connections that are just being closed.
+    /// The number of connections that linger in their close.
     #[must_use]
-    pub fn closing(&self) -> usize {
-        self.room.being_closed()
+    pub fn lingering(&self) -> usize {
+        self.limiter.lingering()
     }
 
-    /// Sends all that are idle home at once.
-    pub fn dismiss(&self, reason: &'static str) {
-        self.room.dismiss_idle(self.intake.now(), 0, reason);
+    /// Closes all idle connections at once.
+    pub fn close_idle(&self, reason: &'static str) {
+        self.limiter.close_idle(self.sink.now(), 0, reason);
     }
 
-    /// Requests read whole whose answer is not yet written.
+    /// The number of requests read completely whose answer is not yet written.
     #[must_use]
     pub fn busy(&self) -> usize {
         self.busy.get()
     }
 
-    /// Takes connections for ever.
+    /// Accepts connections for ever.
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
-        let mut told = None;
+        let mut last_failure = None;
         loop {
             match listener.accept().await {
                 Ok((stream, peer)) => {
-                    told = None;
-                    self.welcome(stream, peer);
+                    last_failure = None;
+                    self.accept(stream, peer);
                 }
-                Err(e) => {
-                    // The same failure again is not told. Where descriptors have run out, whoever else took them, one
-                    // that is idle gives way.
-                    if told.replace(e.kind()) != Some(e.kind()) {
-                        log::line(format_args!("client accept failed: {e}"));
+                Err(error) => {
+                    // The same failure again is not logged. Where descriptors have run out, an idle
+                    // connection is evicted, whoever else took them.
+                    if last_failure.replace(error.kind()) != Some(error.kind()) {
+                        log::line(format_args!("client accept failed: {error}"));
                     }
-                    self.room.give_way(self.intake.now());
+                    self.limiter.evict_one(self.sink.now());
                     Timer::after(ACCEPT_PAUSE).await;
                 }
             }
-            // A burst of connections must not keep those that are open from being read.
+            // A burst of connections must not prevent those that are open from being read.
             future::yield_now().await;
         }
     }
 
-    /// Closes the listener. What the machine holds for it is taken in the same turn: it would be reset with it,
-    /// and its requests turned back unheard.
-    pub fn shut(self: &Rc<Self>, listener: Rc<Async<TcpListener>>) {
+    /// Closes the listener. Connections that the kernel has queued for it are accepted in the same step:
+    /// they would be reset with it, and their requests lost.
+    pub fn close_listener(self: &Rc<Self>, listener: Rc<Async<TcpListener>>) {
         while let Ok((stream, peer)) = listener.get_ref().accept() {
             match Async::new(stream) {
-                Ok(stream) => self.welcome(stream, peer),
-                Err(e) => log::line(format_args!("client accept failed: {e}")),
+                Ok(stream) => self.accept(stream, peer),
+                Err(error) => log::line(format_args!("client accept failed: {error}")),
             }
         }
     }
 
-    fn welcome(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
-        match self.room.enter(self.intake.now()) {
-            Some(guest) => self
-                .executor
-                .spawn(Rc::clone(self).drive(stream, peer, guest))
-                .detach(),
-            None => self
-                .executor
-                .spawn(Rc::clone(self).turn_away(stream, peer))
-                .detach(),
+    fn accept(self: &Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
+        let _ = stream.get_ref().set_nodelay(true);
+        match self.limiter.acquire(self.sink.now()) {
+            Some(slot) => {
+                let session = Rc::clone(self).run_session(stream, peer, slot);
+                self.executor.spawn(session).detach();
+            }
+            None => {
+                let rejection = Rc::clone(self).reject(stream, peer);
+                self.executor.spawn(rejection).detach();
+            }
         }
     }
 
-    /// Every connection has a request open. A new one gets its error once its start-up packet is read, since a close
-    /// over unread bytes may take the error along; a CancelRequest is heard all the same, as it frees a place.
-    async fn turn_away(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
-        let _ = stream.get_ref().set_nodelay(true);
-        let closing = self.room.closing();
-        let mut input = Vec::new();
-        let startup = async {
-            loop {
-                match codec::startup(&input) {
-                    Ok(Some((Startup::Cancel(pid, secret), _))) => return Some((pid, secret)),
-                    Ok(Some((Startup::Encryption, size))) => {
-                        input.drain(..size);
-                        let _ = stream.get_ref().write(b"N");
-                    }
-                    Ok(None) => {
-                        let mut chunk = [0u8; 512];
-                        match stream.read_with(|mut s| s.read(&mut chunk)).await {
-                            Ok(n) if n > 0 => {
-                                input.extend_from_slice(chunk.get(..n).unwrap_or_default())
-                            }
-                            _ => return None,
-                        }
-                    }
-                    _ => return None,
-                }
-            }
-        };
-        let late = async {
-            // Where many are just being closed, what is here has to do.
-            Timer::after(if closing.is_some() {
-                TURNED_AWAY
-            } else {
-                Duration::ZERO
-            })
-            .await;
+    /// Rejects a connection, as every other one has a request open.
+    ///
+    /// It gets its error once its start-up packet is read, since a close over unread bytes may destroy the
+    /// error; a CancelRequest is carried out all the same, as it frees a slot.
+    async fn reject(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
+        let linger = self.limiter.permit_linger();
+        // Where many connections linger, what is here has to do.
+        let timeout = linger
+            .as_ref()
+            .map_or(Duration::ZERO, |_| REJECTED_STARTUP_TIMEOUT);
+        let timed_out = async {
+            Timer::after(timeout).await;
             None
         };
-        if let Some((pid, secret)) = startup.or(late).await {
-            self.cancel(pid, secret);
-            return log::ended("client", peer, "cancel_request", 0);
+        if let Some(key) = read_cancel_request(&stream).or(timed_out).await {
+            self.cancel_targets.cancel(key);
+            return log::connection_ended("client", peer, SessionEnd::CancelRequest, 0);
         }
         let mut output = Vec::new();
-        codec::error(
+        codec::write_error(
             &mut output,
-            "FATAL",
-            "53300",
-            "sorry, too many clients already",
-            None,
+            &codec::ErrorResponse {
+                severity: "FATAL",
+                code: "53300",
+                message: "sorry, too many clients already",
+                hint: None,
+            },
         );
-        // One write, which an empty socket takes whole.
+        // One write, which an empty socket takes completely.
         let _ = stream.get_ref().write(&output);
-        if closing.is_some() {
+        if linger.is_some() {
             net::linger(&stream).await;
         }
-        log::ended("client", peer, "too_many", 0);
+        log::connection_ended("client", peer, SessionEnd::TooMany, 0);
     }
 
-    async fn drive(
+    async fn run_session(
         self: Rc<Self>,
         stream: Async<TcpStream>,
         peer: SocketAddr,
-        guest: Rc<ConnectionSlot>,
+        slot: Rc<ConnectionSlot>,
     ) {
-        let _ = stream.get_ref().set_nodelay(true);
         let stream = Rc::new(stream);
-        let mut session = Session {
-            sessions: &self,
-            guest: &guest,
-            stream: Rc::clone(&stream),
-            input: Vec::new(),
-            read_at: 0,
-            output: Vec::new(),
-            key: None,
-            requests: 0,
-        };
-        let reason = match session.serve().await {
-            Ok(never) => match never {},
-            Err(reason) => reason,
-        };
-        let (requests, key) = (session.requests, session.key.take());
+        let mut session = Session::new(&self, &slot, Rc::clone(&stream));
+        let end = session.run().await;
+        let requests = session.requests();
         drop(session);
-        if let Some((pid, _)) = key {
-            self.keys.borrow_mut().remove(&pid);
-        }
-        self.room.leave(&guest);
-        // What a client sends just then must not turn the close into a reset, which may take its last answer along.
-        // It is not served any more: it crossed the close, and its client tries elsewhere.
-        let closing = self.room.closing().filter(|_| !BY_CLIENT.contains(&reason));
-        if closing.is_some() {
+        self.limiter.release(&slot);
+        // What a client sends just then must not turn the close into a reset, which may destroy its last
+        // answer. It is not served any more: it crossed the close, and its client retries elsewhere.
+        let linger = self.limiter.permit_linger();
+        let linger = linger.filter(|_| !end.is_by_client());
+        if linger.is_some() {
             net::linger(&stream).await;
         }
         drop(stream);
-        log::ended("client", peer, reason, requests);
+        log::connection_ended("client", peer, end, requests);
     }
+}
 
-    fn new_key(&self, guest: &Rc<ConnectionSlot>, stream: &Rc<Async<TcpStream>>) -> (u32, Rc<Key>) {
-        let mut rng = self.rng.borrow_mut();
-        let mut keys = self.keys.borrow_mut();
-        loop {
-            let pid = rng.next_u32() >> 1;
-            if pid != 0 && !keys.contains_key(&pid) {
-                let (cancelled, waker) = (Cell::new(false), RefCell::default());
-                let (guest, stream) = (Rc::clone(guest), Rc::clone(stream));
-                let key = Rc::new(Key {
-                    secret: rng.next_u32(),
-                    cancelled,
-                    waker,
-                    guest,
-                    stream,
-                });
-                keys.insert(pid, Rc::clone(&key));
-                return (pid, key);
+/// Reads a start-up packet: the key of a CancelRequest, `None` for anything else.
+async fn read_cancel_request(stream: &Async<TcpStream>) -> Option<CancelKey> {
+    let mut input = Vec::new();
+    loop {
+        match codec::parse_startup(&input) {
+            Ok(Some((Startup::Cancel(key), _))) => return Some(key),
+            Ok(Some((Startup::Encryption, size))) => {
+                input.drain(..size);
+                let _ = stream.get_ref().write(&[codec::NO_ENCRYPTION]);
             }
-        }
-    }
-
-    fn cancel(&self, pid: u32, secret: u32) {
-        let keys = self.keys.borrow();
-        if let Some(key) = keys
-            .get(&pid)
-            .filter(|k| k.secret == secret && k.has_query())
-        {
-            key.cancelled.set(true);
-            if let Some(waker) = key.waker.borrow_mut().take() {
-                waker.wake();
+            Ok(None) => {
+                let mut chunk = [0u8; STARTUP_CHUNK_BYTES];
+                let read = stream.read_with(|mut socket| socket.read(&mut chunk)).await;
+                let size = read.ok().filter(|size| *size > 0)?;
+                input.extend_from_slice(chunk.get(..size).unwrap_or_default());
             }
+            _ => return None,
         }
     }
 }
-
-/// Counts a request as busy until its answer is written, whichever way that ends.
-struct Busy<'a>(&'a Cell<usize>);
-
-impl<'a> Busy<'a> {
-    fn new(count: &'a Cell<usize>) -> Self {
-        count.set(count.get() + 1);
-        Busy(count)
-    }
-}
-
-impl Drop for Busy<'_> {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
-
-#[cfg(test)]
-#[allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
-mod tests;
--- a/gateway/src/postgres/sessions/tests.rs
+++ b/gateway/src/postgres/tests.rs
@@ -1,30 +1,46 @@
-//! What comes at the wrong instant: the client's side of the socket is written while the program stands still, so that
-//! the order of what it meets is the test's. No time is waited for but for sockets.
+//! Events at the wrong instant: the client's side of the socket is written while the program stands still, so that the
+//! test decides the order in which they are met. The only waits are for sockets.
+#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
 
-use std::net::Shutdown;
+use std::cell::RefCell;
+use std::collections::HashMap;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
 
+use async_executor::LocalExecutor;
+use futures_lite::future;
 use rand_chacha::rand_core::SeedableRng;
+use rand_chacha::ChaCha8Rng;
 use violetgate_policy::interface::{Micros, QueryId};
 
-use super::*;
+use super::cancellation::CancelKey;
+use super::session::READ_AHEAD_BYTES;
+use super::sessions::Sessions;
+use crate::config::{ClassName, NameTable};
+use crate::drain::DrainState;
+use crate::exchange::{Answer, Exchange, RequestIdInUse, RequestSink};
+use crate::net;
+use crate::stats::Stats;
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 const WAIT: Duration = Duration::from_secs(30);
 
-/// A core that notes what it is asked for and answers nothing by itself.
+/// A sink that records what is submitted and answers nothing by itself.
 #[derive(Default)]
-struct Core {
-    taken: RefCell<Vec<QueryId>>,
+struct RecordingSink {
+    submitted: RefCell<Vec<QueryId>>,
     withdrawn: RefCell<Vec<QueryId>>,
     open: RefCell<HashMap<QueryId, Rc<Exchange>>>,
 }
 
-impl RequestSink for Core {
-    fn submit(&self, exchange: &Rc<Exchange>) -> bool {
-        let id = exchange.request.query.id;
-        self.taken.borrow_mut().push(id);
+impl RequestSink for RecordingSink {
+    fn submit(&self, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse> {
+        let id = exchange.id();
+        self.submitted.borrow_mut().push(id);
         self.open.borrow_mut().insert(id, Rc::clone(exchange));
-        true
+        Ok(())
     }
     fn withdraw(&self, query: QueryId) {
         self.withdrawn.borrow_mut().push(query);
@@ -35,7 +51,7 @@
     }
 }
 
-impl Core {
+impl RecordingSink {
     fn refuse(&self, id: QueryId) {
         let exchange = self.open.borrow_mut().remove(&id).unwrap();
         exchange.complete(Answer::Refused { retry_after: 0 });
@@ -44,7 +60,7 @@
 
 struct Front {
     executor: Rc<LocalExecutor<'static>>,
-    core: Rc<Core>,
+    sink: Rc<RecordingSink>,
     sessions: Rc<Sessions>,
     addr: SocketAddr,
 }
@@ -52,14 +68,17 @@
 impl Front {
     fn new(most: usize) -> Self {
         let executor = Rc::new(LocalExecutor::new());
-        let core = Rc::new(Core::default());
+        let sink = Rc::new(RecordingSink::default());
         let names = NameTable {
-            classes: vec![("lookup".to_owned(), false)],
+            classes: vec![ClassName {
+                name: "lookup".to_owned(),
+                takes_idempotency_key: false,
+            }],
             ..NameTable::default()
         };
         let sessions = Sessions::new(
             Rc::clone(&executor),
-            Rc::<Core>::clone(&core),
+            Rc::<RecordingSink>::clone(&sink),
             names,
             Rc::new(Stats::new(["lookup"].into_iter())),
             Rc::new(DrainState::default()),
@@ -73,7 +92,7 @@
             .detach();
         Front {
             executor,
-            core,
+            sink,
             sessions,
             addr,
         }
@@ -169,63 +188,76 @@
 /// A cancel request that is read before its query, which is in the socket already: nothing of the query begins. It was
 /// forgotten as the query was read, and the query was sent after its client had cancelled it.
 #[test]
-fn a_cancel_request_overtakes_its_query() {
+fn a_cancel_request_read_before_its_query_cancels_it() {
     let front = Front::new(8);
     let (mut client, cancel) = front.session();
     let mut other = front.connect();
     other.send(&cancel[..9]);
-    front.until("it is let in", || front.sessions.len() == 2);
+    front.until("it is accepted", || front.sessions.len() == 2);
     other.send(&cancel[9..]);
     client.send(&query(1));
-    front.until("it is told", || client.reads().ends_with(b"Z\0\0\0\x05I"));
+    front.until("it is answered", || {
+        client.reads().ends_with(b"Z\0\0\0\x05I")
+    });
     assert!(client.says("57014"), "{}", client.got.escape_ascii());
-    assert_eq!(*front.core.taken.borrow(), *front.core.withdrawn.borrow());
+    assert_eq!(
+        *front.sink.submitted.borrow(),
+        *front.sink.withdrawn.borrow()
+    );
 }
 
 /// A cancel request that comes once its query is answered means no other: the next one is served.
 #[test]
-fn a_cancel_request_that_is_late_means_no_other_query() {
+fn a_cancel_request_after_the_answer_cancels_no_other_query() {
     let front = Front::new(8);
     let (mut client, cancel) = front.session();
     client.send(&query(1));
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
-    front.core.refuse(1);
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
+    front.sink.refuse(1);
     front.until("it is answered", || client.says("53000"));
     let mut other = front.connect();
     other.send(&cancel);
-    front.until("it is heard", || other.is_over());
+    front.until("it is carried out", || other.is_over());
     client.got.clear();
     client.send(&query(2));
-    front.until("the next is taken", || front.core.taken.borrow().len() == 2);
-    front.core.refuse(2);
+    front.until("the next is taken", || {
+        front.sink.submitted.borrow().len() == 2
+    });
+    front.sink.refuse(2);
     front.until("and answered", || client.reads().ends_with(b"Z\0\0\0\x05I"));
-    assert!(client.says("53000") && front.core.withdrawn.borrow().is_empty());
+    assert!(client.says("53000") && front.sink.withdrawn.borrow().is_empty());
 }
 
 /// A cancel request that comes in the very moment of its query's answer means no other either.
 #[test]
-fn a_cancel_request_that_meets_its_answer_means_no_other_query() {
+fn a_cancel_request_at_the_moment_of_the_answer_cancels_no_other_query() {
     let front = Front::new(8);
     let (mut client, cancel) = front.session();
     client.send(&query(1));
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
     let word = |at: usize| u32::from_be_bytes(cancel[at..at + 4].try_into().unwrap());
-    front.sessions.cancel(word(8), word(12));
-    front.core.refuse(1);
+    let key = CancelKey {
+        pid: word(8),
+        secret: word(12),
+    };
+    front.sessions.cancel_targets.cancel(key);
+    front.sink.refuse(1);
     front.until("it is answered, one way or the other", || {
         client.reads().ends_with(b"Z\0\0\0\x05I")
     });
     client.got.clear();
     client.send(&query(2));
-    front.until("the next is taken", || front.core.taken.borrow().len() == 2);
-    front.core.refuse(2);
+    front.until("the next is taken", || {
+        front.sink.submitted.borrow().len() == 2
+    });
+    front.sink.refuse(2);
     front.until("and answered", || client.says("53000"));
 }
 
 /// A client that has gone before its queries are read: none of them begins, neither the first nor those behind it. The
 /// close was seen only after the first was taken and sent.
 #[test]
-fn a_client_that_left_before_it_was_read_asks_nothing() {
+fn queries_of_a_client_that_disconnected_before_they_were_read_do_not_begin() {
     for queries in [1, 3] {
         let front = Front::new(8);
         let (mut client, _) = front.session();
@@ -233,9 +265,9 @@
         drop(client);
         front.until("its session ends", || front.sessions.len() == 0);
         assert!(
-            front.core.taken.borrow().is_empty(),
+            front.sink.submitted.borrow().is_empty(),
             "{:?}",
-            front.core.taken.borrow()
+            front.sink.submitted.borrow()
         );
     }
 }
@@ -243,67 +275,67 @@
 /// A client that sends more than is read ahead while it waits, and then goes: its query is withdrawn all the same. Its
 /// end lay behind what was not read, and was not seen before the query's time was over.
 #[test]
-fn a_flood_does_not_hide_that_its_client_left() {
+fn a_disconnect_behind_more_than_is_read_ahead_is_noticed() {
     let front = Front::new(8);
     let (mut client, _) = front.session();
     client.send(&query(1));
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
     let flood: Vec<u8> = (2..600).flat_map(query).collect();
-    assert!(flood.len() > 2 * READ_AHEAD);
+    assert!(flood.len() > 2 * READ_AHEAD_BYTES);
     client.send(&flood);
     drop(client);
-    front.until("it is withdrawn", || *front.core.withdrawn.borrow() == [1]);
-    assert_eq!(*front.core.taken.borrow(), [1]);
+    front.until("it is withdrawn", || *front.sink.withdrawn.borrow() == [1]);
+    assert_eq!(*front.sink.submitted.borrow(), [1]);
     front.until("its session ends", || front.sessions.len() == 0);
 }
 
-/// Every place is taken by a request: a new connection is told so and closed without a reset, though its start-up packet
-/// has come; and a cancel request is heard, which frees a place.
+/// Every place is taken by a request: a new connection is answered so and closed without a reset, though its start-up packet
+/// has come; and a cancel request is carried out, which frees a place.
 #[test]
-fn a_full_room_tells_and_hears() {
+fn at_the_limit_a_connection_gets_its_error_and_a_cancel_request_is_carried_out() {
     let front = Front::new(1);
     let (mut client, cancel) = front.session();
     client.send(&query(1));
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
     let mut more = front.connect();
     more.send(&startup());
-    front.until("it is told", || more.is_over());
+    front.until("it is answered", || more.is_over());
     assert!(more.says("53300"), "{}", more.got.escape_ascii());
     drop(more);
-    front.until("it is gone", || front.sessions.closing() == 0);
+    front.until("it is gone", || front.sessions.lingering() == 0);
     let mut other = front.connect();
-    front.until("it is let in, to be turned away", || {
-        front.sessions.closing() == 1
+    front.until("it is accepted, to be rejected", || {
+        front.sessions.lingering() == 1
     });
     other.send(&cancel);
     front.until("the query is cancelled", || client.says("57014"));
-    assert_eq!(*front.core.withdrawn.borrow(), [1]);
+    assert_eq!(*front.sink.withdrawn.borrow(), [1]);
 }
 
 /// A query crosses the close of a session at rest: its client reads an end, and no reset, which might have taken the last
 /// answer along; and the query, read after the close, is not begun.
 #[test]
-fn what_crosses_a_close_is_not_begun_and_resets_nothing() {
+fn a_query_that_crosses_the_close_is_not_begun_and_causes_no_reset() {
     let front = Front::new(8);
     let (mut client, _) = front.session();
-    front.sessions.dismiss("shutdown");
+    front.sessions.close_idle("shutdown");
     front.until("it is closed", || client.is_over());
     client.send(&query(1));
     front.until("it is over", || {
-        front.sessions.len() + front.sessions.closing() == 0
+        front.sessions.len() + front.sessions.lingering() == 0
     });
-    assert!(client.is_over() && front.core.taken.borrow().is_empty());
+    assert!(client.is_over() && front.sink.submitted.borrow().is_empty());
 }
 
-/// A query that is here as its session is told to go is served first.
+/// A query that is here as its session is answered to go is served first.
 #[test]
-fn what_is_here_before_the_close_is_served() {
+fn a_query_that_arrived_before_the_close_is_served() {
     let front = Front::new(8);
     let (mut client, _) = front.session();
     client.send(&query(1));
-    front.sessions.dismiss("shutdown");
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
-    front.core.refuse(1);
+    front.sessions.close_idle("shutdown");
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
+    front.sink.refuse(1);
     front.until("it is answered and closed", || client.is_over());
     assert!(client.says("53000"));
 }
@@ -311,33 +343,33 @@
 /// The next query is here, unread, as the last answer of a session that is to go is written: it is served too. It was left
 /// in the socket, and the close over it became a reset.
 #[test]
-fn a_query_behind_the_last_answer_is_served() {
+fn a_query_that_arrives_with_the_last_answer_is_served() {
     let front = Front::new(8);
     let (mut client, _) = front.session();
     client.send(&query(1));
-    front.until("it is taken", || front.core.taken.borrow().len() == 1);
-    front.sessions.door.hand_over();
-    front.core.refuse(1);
+    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
+    front.sessions.drain.hand_over();
+    front.sink.refuse(1);
     client.send(&query(2));
     front.until("the second is taken", || {
-        front.core.taken.borrow().len() == 2
+        front.sink.submitted.borrow().len() == 2
     });
-    front.core.refuse(2);
+    front.sink.refuse(2);
     front.until("and all is closed", || client.is_over());
     assert_eq!(client.got.windows(5).filter(|w| w == b"53000").count(), 2);
 }
 
 /// What breaks the protocol gets its error and an end, however much lies behind it unread: no reset takes it along.
 #[test]
-fn an_error_is_not_lost_in_a_reset() {
+fn an_error_over_unread_input_is_not_lost_in_a_reset() {
     let front = Front::new(8);
     let (mut client, _) = front.session();
     client.send(b"Q\xff\xff\xff\xff");
     client.send(&vec![b'x'; 100_000]);
-    front.until("it is told", || client.is_over());
+    front.until("it is answered", || client.is_over());
     assert!(client.says("08P01"), "{}", client.got.escape_ascii());
     front.until("nothing is left", || {
-        front.sessions.len() + front.sessions.closing() == 0
+        front.sessions.len() + front.sessions.lingering() == 0
     });
     assert!(client.is_over(), "an end, and no reset");
 }
@@ -345,21 +377,21 @@
 /// Connections that are just being closed hold a place each, and there are few of those: with none left a close is done
 /// at once. Clients that come in a crowd can't use up the descriptors by it.
 #[test]
-fn closes_in_a_crowd_hold_few_descriptors() {
+fn few_connections_linger_in_their_close_at_a_time() {
     let front = Front::new(8);
     let mut clients: Vec<_> = (0..8).map(|_| front.session().0).collect();
-    front.sessions.dismiss("shutdown");
+    front.sessions.close_idle("shutdown");
     front.until("all are closed", || clients.iter_mut().all(Client::is_over));
     assert!(
-        front.sessions.closing() <= 2,
+        front.sessions.lingering() <= 2,
         "{}",
-        front.sessions.closing()
+        front.sessions.lingering()
     );
     // Those that linger see their clients go.
     clients
         .iter()
         .for_each(|c| c.stream.shutdown(Shutdown::Both).unwrap());
     front.until("nothing is left", || {
-        front.sessions.len() + front.sessions.closing() == 0
+        front.sessions.len() + front.sessions.lingering() == 0
     });
 }
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -1,4 +1,4 @@
-//! Calls about members, front ends and engines.
+//! Calls about members, instances and engines.
 
 use std::net::SocketAddr;
 
@@ -7,102 +7,95 @@
 use serde_json::{json, Map, Value};
 use violetgate_raft::{MembershipChange, ProposalError, Role};
 use violetgate_replica::Response;
-use violetgate_replica_runtime::{Call, CallOutcome};
+use violetgate_replica_runtime::{Call, CallOutcome, ReplicaStatus};
 
-use super::super::metrics::{until_in_force, BEHIND};
+use super::super::error::CommitError;
+use super::super::metrics::{propagation_ms, BEHIND_UNDER_S};
 use super::super::shared_config::{self, MemberAddress};
-use super::super::CommitError;
-use super::http::{bad, problem, told, Answering, Reply};
-use super::query::ApiCall;
-use super::Api;
+use super::bodies::read_json;
+use super::responses::{invalid_request, json_reply, Reply, ReplyResult};
+use super::router::{commit_reply, Api, ApiCall};
 use crate::http_error::HttpError;
 use crate::settings;
 
+const MICROS_PER_MS: u64 = 1_000;
+
 /// A step of the membership, as an operator writes it.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MembershipStep {
-    /// A new member: its id and where it is.
+    /// Adds a new member, as a learner.
     Add {
         /// Its id.
         id: u64,
-        /// For other members.
+        /// Its address for other members.
         listen: SocketAddr,
-        /// For operators.
+        /// The address of its API.
         api: SocketAddr,
     },
-    /// A learner becomes a voter.
+    /// Makes a learner a voter.
     Promote(u64),
-    /// A member leaves for good.
+    /// Removes a member for good.
     Remove(u64),
-    /// Leadership goes to a voter.
+    /// Transfers leadership to a voter.
     Transfer(u64),
 }
 
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Leader => "leader",
+        Role::Candidate => "candidate",
+        Role::Follower => "follower",
+    }
+}
+
 impl Api {
+    /// The state of this member, and the members as it knows them.
     pub(super) fn cluster(&self) -> Reply {
-        let status = self.daemon.status();
-        let role = match status.role {
-            Role::Leader => "leader",
-            Role::Candidate => "candidate",
-            Role::Follower => "follower",
-        };
-        let view = self.daemon.state.view();
-        let given = self.daemon.given.addresses();
-        let members: Vec<_> = status
-            .members
-            .ids()
-            .map(|id| {
-                let record = view.members.get(&id);
-                let matched = status
-                    .progress
-                    .iter()
-                    .find(|(m, _)| *m == id)
-                    .map(|(_, at)| *at);
-                json!({
-                    "id": id,
-                    "voter": status.members.voters.contains(&id),
-                    "listen": record.map(|r| r.listen).or(given.get(&id).copied()),
-                    "api": record.map(|r| r.api),
-                    "has": matched,
-                })
-            })
-            .collect();
-        told(&json!({
-            "cluster": self.daemon.given.name,
-            "id": status.id, "role": role, "term": status.term, "leader": status.leader,
-            "commit": status.commit, "applied": status.applied, "revision": status.revision,
+        let status = self.member.status();
+        let state_age = status.freshness.as_ref().err().and_then(|stale| stale.age);
+        json_reply(&json!({
+            "cluster": self.member.settings_at_start.name,
+            "id": status.id,
+            "role": role_name(status.role),
+            "term": status.term,
+            "leader": status.leader,
+            "commit": status.commit,
+            "applied": status.applied,
+            "revision": status.revision,
             "routes": status.freshness.is_ok(),
-            "state_age_ms": status.freshness.err().and_then(|s| s.age).map(|a| a / 1000),
-            "stopped": self.daemon.cluster.stop_reason(),
+            "state_age_ms": state_age.map(|age| age / MICROS_PER_MS),
+            "stopped": self.member.runtime.stop_reason(),
             "highest_id": status.members.highest_id,
-            "members": members,
+            "members": self.members_json(&status),
         }))
     }
 
-    pub(super) async fn member(&self, call: &ApiCall) -> Answering {
-        call.query.only(&[])?;
-        let step: MembershipStep =
-            serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        let change = match step {
+    fn members_json(&self, status: &ReplicaStatus) -> Vec<Value> {
+        let config = self.member.reconciler.config();
+        let own = self.member.settings_at_start.addresses();
+        let member = |id: u64| {
+            let recorded = config.members.get(&id);
+            let listen = recorded.map(|member| member.listen);
+            let progress = status.progress.iter().find(|(member, _)| *member == id);
+            json!({
+                "id": id,
+                "voter": status.members.voters.contains(&id),
+                "listen": listen.or(own.get(&id).copied()),
+                "api": recorded.map(|member| member.api),
+                "has": progress.map(|(_, index)| *index),
+            })
+        };
+        status.members.ids().map(member).collect()
+    }
+
+    /// Takes one step of the membership.
+    pub(super) async fn change_membership(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&[])?;
+        let change = match read_json(&call.body)? {
             MembershipStep::Add { id, listen, api } => {
-                // Where it is comes first, so that the leader finds it.
-                let record = MemberAddress {
-                    listen,
-                    api,
-                    born: None,
-                };
-                let known = self.daemon.status().members.highest_id;
-                if id <= known {
-                    return Err(CommitError::Rejected(ProposalError::IdAlreadyUsed).into());
-                }
-                let txn = self
-                    .daemon
-                    .cluster
-                    .store(|s| shared_config::member(s, id, &record));
-                if let Some(txn) = txn {
-                    self.daemon.agree(None, &call.who, txn, call.within).await?;
-                }
+                // Its address is recorded first, so that the leader finds it.
+                self.record_new_member(call, id, listen, api).await?;
                 Call::ChangeMembership(MembershipChange::AddLearner(id))
             }
             MembershipStep::Promote(id) => {
@@ -111,71 +104,103 @@
             MembershipStep::Remove(id) => Call::ChangeMembership(MembershipChange::Remove(id)),
             MembershipStep::Transfer(id) => Call::TransferLeadership(id),
         };
-        match self.daemon.cluster.submit(change, call.within).await {
+        let runtime = &self.member.runtime;
+        match runtime.submit(change, call.timeout).await {
             CallOutcome::Completed(Response::MembershipChanged) => {}
-            CallOutcome::Completed(Response::Rejected(why)) => {
-                return Err(CommitError::Rejected(why).into())
+            CallOutcome::Completed(Response::Rejected(error)) => {
+                return Err(CommitError::ProposalRejected(error).into());
             }
-            _ => return Err(CommitError::Late.into()),
+            _ => return Err(CommitError::OutcomeUnknown.into()),
         }
-        let _ = self.daemon.cluster.wait_until_current(call.within).await;
+        let _ = runtime.wait_until_current(call.timeout).await;
         Ok(self.cluster())
     }
 
-    pub(super) async fn cordon(&self, call: &ApiCall, out: bool) -> Answering {
-        call.query.only(&["engine"])?;
-        let engine = call.query.needed("engine")?;
-        let known = self
-            .daemon
-            .state
-            .parts()
-            .is_some_and(|p| p.ids.known(&engine));
-        let called = self.daemon.state.view().cordons.contains(&engine);
-        if !known && !called {
-            return Err(problem(
+    async fn record_new_member(
+        &self,
+        call: &ApiCall,
+        id: u64,
+        listen: SocketAddr,
+        api: SocketAddr,
+    ) -> Result<(), HttpError> {
+        if id <= self.member.status().members.highest_id {
+            return Err(CommitError::ProposalRejected(ProposalError::IdAlreadyUsed).into());
+        }
+        let address = MemberAddress {
+            listen,
+            api,
+            disk_id: None,
+        };
+        let transaction = self
+            .member
+            .runtime
+            .store(|store| shared_config::record_member(store, id, &address));
+        if let Some(transaction) = transaction {
+            // Under a request id of its own: the call's is that of the membership change.
+            let commit = self
+                .member
+                .commit(None, &call.operator, transaction, call.timeout);
+            commit.await?;
+        }
+        Ok(())
+    }
+
+    /// Cordons an engine, or uncordons it.
+    pub(super) async fn set_cordon(&self, call: &ApiCall, cordoned: bool) -> ReplyResult {
+        call.query.allow_only(&["engine"])?;
+        let engine = call.query.required_text("engine")?;
+        let reconciler = &self.member.reconciler;
+        let is_known = reconciler
+            .targets()
+            .is_some_and(|targets| targets.engine_ids.is_known(engine));
+        let is_cordoned = reconciler.config().cordons.contains(engine);
+        if !is_known && !is_cordoned {
+            let detail = format!("no engine {engine:?}");
+            return Err(HttpError::new(
                 StatusCode::NOT_FOUND,
                 "no-such-engine",
-                format!("no engine {engine:?}"),
+                detail,
             ));
         }
-        Self::held(
-            self.agree(call, shared_config::cordon(&engine, out, &call.who))
-                .await?,
-        )
+        let transaction = shared_config::set_cordon(engine, cordoned, &call.operator);
+        commit_reply(self.commit(call, transaction).await?)
     }
 
-    /// Drains a member by its id, or a front end that subscribes by its name.
-    pub(super) async fn drain(&self, call: &ApiCall, on: bool) -> Answering {
-        call.query.only(&["member", "front_end"])?;
+    /// Drains an instance, or resumes it: a member by its id, or a subscriber by its name.
+    pub(super) async fn set_drain(&self, call: &ApiCall, drained: bool) -> ReplyResult {
+        call.query.allow_only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
         let instance = match (member, call.query.text("front_end")) {
             (Some(_), Some(_)) => {
-                return Err(bad("`member` or `front_end` has to be given, not both"))
+                let detail = "`member` or `front_end` has to be given, not both";
+                return Err(invalid_request(detail));
+            }
+            (None, Some(name)) => {
+                let name = settings::front_end_name(name);
+                name.map_err(|error| invalid_request(error.to_string()))?
+                    .to_owned()
             }
-            (None, Some(name)) => settings::front_end_name(name).map_err(bad)?.to_owned(),
             (member, None) => self
-                .known_member(member.unwrap_or(self.daemon.id))?
+                .known_member(member.unwrap_or(self.member.id))?
                 .to_string(),
         };
-        Self::held(
-            self.agree(call, shared_config::drain(&instance, on, &call.who))
-                .await?,
-        )
+        let transaction = shared_config::set_drain(&instance, drained, &call.operator);
+        commit_reply(self.commit(call, transaction).await?)
     }
 
     fn known_member(&self, member: u64) -> Result<u64, HttpError> {
-        if self.daemon.status().members.contains(member) {
+        if self.member.status().members.contains(member) {
             Ok(member)
         } else {
-            Err(CommitError::Rejected(ProposalError::UnknownMember).into())
+            Err(CommitError::ProposalRejected(ProposalError::UnknownMember).into())
         }
     }
 
-    /// How far all front ends that subscribe are, as observers reported it of late.
-    pub(super) fn fleet_progress(&self, call: &ApiCall) -> Answering {
-        call.query.only(&[])?;
-        let totals = self.daemon.fleet_progress();
-        let behind: Map<String, Value> = BEHIND
+    /// How far all subscribers are, as observers reported it of late.
+    pub(super) fn fleet_progress(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&[])?;
+        let totals = self.member.fleet_progress();
+        let behind: Map<String, Value> = BEHIND_UNDER_S
             .iter()
             .zip(totals.behind)
             .map(|(under, count)| ((*under).to_owned(), count.into()))
@@ -185,12 +210,14 @@
             .iter()
             .map(|laggard| json!({"front_end": laggard.name, "applied": laggard.applied}))
             .collect();
-        let last = self.daemon.last_in_force();
-        let last = last.map(|r| json!({"revision": r.revision, "after_ms": until_in_force(&r)}));
-        Ok(told(&json!({
+        let last_in_force = self.member.last_in_force();
+        let last_in_force = last_in_force.map(
+            |record| json!({"revision": record.revision, "after_ms": propagation_ms(&record)}),
+        );
+        Ok(json_reply(&json!({
             "revision": totals.revision,
             "in_force": totals.in_force,
-            "last_in_force": last,
+            "last_in_force": last_in_force,
             "serving": totals.serving,
             "not_serving": totals.not_serving,
             "behind_under_s": behind,
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -1,15 +1,21 @@
-//! The cluster's API: operators read and change over HTTP/1.1 what is agreed on. docs/daemon-operations.md has the calls.
+//! The cluster API: operators read and change the shared state over HTTP/1.1. docs/daemon-operations.md has
+//! the calls.
 //!
-//! Any member takes any call; a change is answered once it is agreed on, or as unknown. It must never answer a read from
-//! a copy that is not current, unless it was asked to.
+//! Any member takes any call; a change is answered once it is committed, or as unknown. A read is never
+//! answered from a copy that is not current, unless that was asked for.
 
+mod bodies;
 mod cluster;
-mod http;
+mod errors;
+mod hyper_timer;
 mod query;
+mod responses;
+mod router;
 mod settings;
 mod state;
 
 use std::convert::Infallible;
+use std::fmt;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,57 +23,82 @@
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, FutureExt};
-use http_body_util::{BodyExt, Limited};
-use hyper::body::Incoming;
-use hyper::{Method, Request, StatusCode};
-use serde_json::json;
 use smol_hyper::rt::FuturesIo;
-use violetgate_replica::Response;
-use violetgate_replica_runtime::{Call, CallOutcome};
-use violetgate_replicated_state::{Operation, Outcome, Revision, Txn};
 
-use super::{request_id, ClusterMember, CommitError};
-use crate::http_error::HttpError;
+use super::member::ClusterMember;
 use crate::log;
-use http::{bad, problem, told, Answering, Timers};
-use query::{ApiCall, Query};
+use hyper_timer::HyperTimer;
+use router::Api;
 
 pub use cluster::MembershipStep;
 
 /// Connections at a time; more are closed at once.
-const MOST: usize = 64;
-/// The longest body: a transaction of the most and longest changes, in base64.
-const MAX_BODY: usize = 12 << 20;
-/// How long a head, and a whole body, may take to come.
-const HEAD: Duration = Duration::from_secs(5);
-const BODY: Duration = Duration::from_secs(30);
-/// How long a connection may last; then it closes after the answer at hand.
-const LIFE: Duration = Duration::from_secs(600);
+const MAX_CONNECTIONS: usize = 64;
+/// How long the head of a request may take to arrive.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a connection may last.
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(600);
+/// The pause after a connection could not be accepted.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Takes connections for ever.
+/// Why a connection ended; its text is the reason code in the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ConnectionEnd {
+    /// The client closed it.
+    Closed,
+    /// It broke.
+    Reset,
+    /// The head of a request was not complete in time.
+    HeadTimeout,
+    /// What was received is no HTTP.
+    ProtocolViolation,
+    /// There are too many.
+    TooMany,
+    /// It lasted too long.
+    TooLong,
+}
+
+impl fmt::Display for ConnectionEnd {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            ConnectionEnd::Closed => "closed",
+            ConnectionEnd::Reset => "reset",
+            ConnectionEnd::HeadTimeout => "head_timeout",
+            ConnectionEnd::ProtocolViolation => "protocol_violation",
+            ConnectionEnd::TooMany => "too_many",
+            ConnectionEnd::TooLong => "too_long",
+        })
+    }
+}
+
+fn log_end(peer: SocketAddr, end: ConnectionEnd) {
+    log::connection_ended("cluster api", peer, end, 0);
+}
+
+/// Accepts connections for ever.
 pub async fn listen(
-    daemon: Rc<ClusterMember>,
+    member: Rc<ClusterMember>,
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
 ) {
+    // Each open connection holds a reference.
     let open = Rc::new(());
     loop {
         match listener.accept().await {
-            Ok((_, peer)) if Rc::strong_count(&open) > MOST => {
-                log::ended("cluster api", peer, "too_many", 0)
+            Ok((_, peer)) if Rc::strong_count(&open) > MAX_CONNECTIONS => {
+                log_end(peer, ConnectionEnd::TooMany);
             }
             Ok((stream, peer)) => {
-                let (daemon, open) = (Rc::clone(&daemon), Rc::clone(&open));
-                let serve = async move {
-                    let reason = serve(daemon, stream, peer).await;
-                    log::ended("cluster api", peer, reason, 0);
+                let (member, open) = (Rc::clone(&member), Rc::clone(&open));
+                let connection = async move {
+                    log_end(peer, serve(member, stream, peer).await);
                     drop(open);
                 };
-                executor.spawn(serve).detach();
+                executor.spawn(connection).detach();
             }
-            Err(e) => {
-                log::line(format_args!("cluster api accept failed: {e}"));
-                Timer::after(Duration::from_millis(10)).await;
+            Err(error) => {
+                log::line(format_args!("cluster api accept failed: {error}"));
+                Timer::after(ACCEPT_PAUSE).await;
             }
         }
         future::yield_now().await;
@@ -75,184 +106,33 @@
 }
 
 async fn serve(
-    daemon: Rc<ClusterMember>,
+    member: Rc<ClusterMember>,
     stream: Async<TcpStream>,
     peer: SocketAddr,
-) -> &'static str {
+) -> ConnectionEnd {
     let _ = stream.get_ref().set_nodelay(true);
     let service = hyper::service::service_fn(move |request| {
-        let daemon = Rc::clone(&daemon);
+        let api = Api::new(Rc::clone(&member), peer);
         async move {
-            let reply = Api { daemon, peer }.answer(request).await;
-            Ok::<_, Infallible>(reply.unwrap_or_else(|problem| problem.response()))
+            let reply = api.answer(request).await;
+            Ok::<_, Infallible>(reply.unwrap_or_else(|error| error.response()))
         }
     });
-    let conn = hyper::server::conn::http1::Builder::new()
-        .timer(Timers)
-        .header_read_timeout(HEAD)
+    let server = hyper::server::conn::http1::Builder::new()
+        .timer(HyperTimer)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(FuturesIo::new(stream), service);
-    let late = async {
-        Timer::after(LIFE).await;
-        "too_long"
-    };
     let served = async {
-        match conn.await {
-            Ok(()) => "closed",
-            Err(e) if e.is_timeout() => "head_timeout",
-            Err(e) if e.is_parse() => "protocol_violation",
-            Err(_) => "reset",
+        match server.await {
+            Ok(()) => ConnectionEnd::Closed,
+            Err(error) if error.is_timeout() => ConnectionEnd::HeadTimeout,
+            Err(error) if error.is_parse() => ConnectionEnd::ProtocolViolation,
+            Err(_) => ConnectionEnd::Reset,
         }
     };
-    served.or(late).await
-}
-
-/// One call.
-struct Api {
-    daemon: Rc<ClusterMember>,
-    peer: SocketAddr,
-}
-
-impl Api {
-    async fn answer(&self, request: Request<Incoming>) -> Answering {
-        let (method, path) = (request.method().clone(), request.uri().path().to_owned());
-        let query = Query::read(&request)?;
-        let header = |name: &str| {
-            let text = request.headers().get(name).and_then(|v| v.to_str().ok());
-            text.filter(|t| !t.is_empty())
-                .map(|t| t.chars().take(128).collect::<String>())
-        };
-        let id = header("request-id");
-        let who = header("operator").unwrap_or_else(|| self.peer.ip().to_string());
-        let within = query.within()?;
-        let body = if method == Method::GET {
-            Vec::new()
-        } else {
-            self.read(request).await?
-        };
-        let changes = method != Method::GET;
-        let call = ApiCall {
-            query,
-            body,
-            id,
-            who,
-            within,
-        };
-        let done = match (method.as_str(), path.as_str()) {
-            ("GET", "/v1/state") => self.state(&call).await,
-            ("PUT", "/v1/state") => self.put(&call, true).await,
-            ("DELETE", "/v1/state") => self.put(&call, false).await,
-            ("POST", "/v1/transactions") => self.transact(&call).await,
-            ("GET", "/v1/changes") => self.changes(&call).await,
-            ("POST", "/v1/compactions") => self.compact(&call).await,
-            ("POST", "/v1/leases") => self.lease(&call).await,
-            ("DELETE", "/v1/leases") => self.release(&call).await,
-            ("GET", "/v1/cluster") => Ok(self.cluster()),
-            ("POST", "/v1/cluster/members") => self.member(&call).await,
-            ("GET", "/v1/settings") => self.settings(&call).await,
-            ("PUT", "/v1/settings") => self.change_settings(&call, None).await,
-            ("POST", "/v1/settings/rollback") => {
-                call.query.only(&["version"])?;
-                let version = call
-                    .query
-                    .number("version")?
-                    .ok_or_else(|| bad("`version` is missing"))?;
-                self.change_settings(&call, Some(version)).await
-            }
-            ("GET", "/v1/settings/versions") => self.versions(&call).await,
-            ("PUT", "/v1/cordons") => self.cordon(&call, true).await,
-            ("DELETE", "/v1/cordons") => self.cordon(&call, false).await,
-            ("PUT", "/v1/drains") => self.drain(&call, true).await,
-            ("DELETE", "/v1/drains") => self.drain(&call, false).await,
-            ("GET", "/v1/fleet/progress") => self.fleet_progress(&call),
-            ("GET", "/v1/snapshot") => self.snapshot(&call).await,
-            _ => Err(problem(
-                StatusCode::NOT_FOUND,
-                "no-such-call",
-                format!("there is no {method} {path}"),
-            )),
-        };
-        if changes {
-            let told = done.as_ref().map_or_else(
-                |p| format!("{} {}", p.status.as_u16(), p.kind),
-                |r| r.status().as_u16().to_string(),
-            );
-            log::line(format_args!(
-                "cluster api {} {} {method} {path} {told}",
-                self.peer, call.who
-            ));
-        }
-        done
-    }
-
-    async fn read(&self, request: Request<Incoming>) -> Result<Vec<u8>, HttpError> {
-        let whole = async {
-            let body = Limited::new(request.into_body(), MAX_BODY).collect().await;
-            body.map(|b| b.to_bytes().to_vec()).map_err(|e| {
-                let detail = format!("the body can't be read: {e}");
-                problem(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
-            })
-        };
-        let late = async {
-            Timer::after(BODY).await;
-            Err(problem(
-                StatusCode::REQUEST_TIMEOUT,
-                "request-timeout",
-                "the body was not whole in time",
-            )
-            .closing())
-        };
-        whole.or(late).await
-    }
-
-    /// Waits until this member's copy is current.
-    async fn current(&self, call: &ApiCall) -> Result<(), HttpError> {
-        if call.query.text("stale") == Some("true")
-            || self.daemon.cluster.wait_until_current(call.within).await
-        {
-            return Ok(());
-        }
-        let detail =
-            "this member can't tell whether its copy is current; another one may, or `stale=true` reads it";
-        Err(problem(StatusCode::SERVICE_UNAVAILABLE, "isolated", detail).after(0))
-    }
-
-    async fn agree(&self, call: &ApiCall, txn: Txn) -> Result<(Revision, bool), HttpError> {
-        Ok(self
-            .daemon
-            .agree(call.id.clone(), &call.who, txn, call.within)
-            .await?)
-    }
-
-    async fn step(&self, call: &ApiCall, step: Operation) -> Answering {
-        let request = call.id.clone().unwrap_or_else(request_id);
-        let asked = Call::Propose {
-            request,
-            who: call.who.clone(),
-            step,
-        };
-        match self.daemon.cluster.submit(asked, call.within).await {
-            CallOutcome::Completed(Response::Applied(Outcome::Applied { revision, .. })) => {
-                Ok(told(&json!({"revision": revision})))
-            }
-            CallOutcome::Completed(Response::Applied(Outcome::Rejected(why))) => {
-                Err(CommitError::Refused(why).into())
-            }
-            CallOutcome::Completed(Response::Rejected(why)) => {
-                Err(CommitError::Rejected(why).into())
-            }
-            _ => Err(CommitError::Late.into()),
-        }
-    }
-
-    fn held((revision, held): (Revision, bool)) -> Answering {
-        if !held {
-            let detail = format!("a condition does not hold, as of revision {revision}");
-            return Err(problem(
-                StatusCode::PRECONDITION_FAILED,
-                "condition-failed",
-                detail,
-            ));
-        }
-        Ok(told(&json!({"revision": revision})))
-    }
+    let too_old = async {
+        Timer::after(MAX_CONNECTION_AGE).await;
+        ConnectionEnd::TooLong
+    };
+    served.or(too_old).await
 }
--- /dev/null
+++ b/gateway/src/replication/api/router.rs
@@ -0,0 +1,177 @@
+//! One call of the API: what it says, and what carries it out.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use async_io::Timer;
+use futures_lite::FutureExt;
+use http_body_util::{BodyExt, Limited};
+use hyper::body::Incoming;
+use hyper::{Method, Request, StatusCode};
+use violetgate_replicated_state::Txn;
+
+use super::super::member::{ClusterMember, Commit};
+use super::query::Query;
+use super::responses::{revision_reply, ReplyResult};
+use crate::http_error::HttpError;
+use crate::log;
+
+/// The longest body: a transaction of the most and longest changes, in base64.
+const MAX_BODY_BYTES: usize = 12 << 20;
+/// How long a body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
+/// The longest request id, and the longest name of an operator.
+const MAX_HEADER_CHARS: usize = 128;
+
+/// What a call says, beside its method and path.
+pub(super) struct ApiCall {
+    pub query: Query,
+    pub body: Vec<u8>,
+    /// The request id; the same again gets the same outcome.
+    pub request_id: Option<String>,
+    /// Who makes the call, for the change log.
+    pub operator: String,
+    pub timeout: Duration,
+}
+
+/// The calls of one client.
+pub(super) struct Api {
+    pub(super) member: Rc<ClusterMember>,
+    peer: SocketAddr,
+}
+
+impl Api {
+    pub(super) fn new(member: Rc<ClusterMember>, peer: SocketAddr) -> Self {
+        Api { member, peer }
+    }
+
+    /// Answers one call; a call that changes something is logged.
+    pub(super) async fn answer(&self, request: Request<Incoming>) -> ReplyResult {
+        let (method, path) = (request.method().clone(), request.uri().path().to_owned());
+        let call = self.read_call(request).await?;
+        let reply = self.carry_out(&method, &path, &call).await;
+        if method != Method::GET {
+            let result = match &reply {
+                Ok(reply) => reply.status().as_u16().to_string(),
+                Err(error) => format!("{} {}", error.status.as_u16(), error.kind),
+            };
+            log::line(format_args!(
+                "cluster api {} {} {method} {path} {result}",
+                self.peer, call.operator
+            ));
+        }
+        reply
+    }
+
+    async fn read_call(&self, request: Request<Incoming>) -> Result<ApiCall, HttpError> {
+        let query = Query::read(&request)?;
+        let header = |name: &str| {
+            let text = request.headers().get(name)?.to_str().ok()?;
+            let text: String = text.chars().take(MAX_HEADER_CHARS).collect();
+            Some(text).filter(|text| !text.is_empty())
+        };
+        let request_id = header("request-id");
+        let operator = header("operator").unwrap_or_else(|| self.peer.ip().to_string());
+        let timeout = query.timeout()?;
+        let body = if request.method() == Method::GET {
+            Vec::new()
+        } else {
+            read_body(request).await?
+        };
+        Ok(ApiCall {
+            query,
+            body,
+            request_id,
+            operator,
+            timeout,
+        })
+    }
+
+    async fn carry_out(&self, method: &Method, path: &str, call: &ApiCall) -> ReplyResult {
+        match (method.as_str(), path) {
+            ("GET", "/v1/state") => self.read_state(call).await,
+            ("PUT", "/v1/state") => self.put_key(call).await,
+            ("DELETE", "/v1/state") => self.delete_key(call).await,
+            ("POST", "/v1/transactions") => self.transact(call).await,
+            ("GET", "/v1/changes") => self.changes(call).await,
+            ("POST", "/v1/compactions") => self.compact(call).await,
+            ("POST", "/v1/leases") => self.grant_lease(call).await,
+            ("DELETE", "/v1/leases") => self.release_lease(call).await,
+            ("GET", "/v1/cluster") => Ok(self.cluster()),
+            ("POST", "/v1/cluster/members") => self.change_membership(call).await,
+            ("GET", "/v1/settings") => self.read_settings(call).await,
+            ("PUT", "/v1/settings") => self.apply_settings(call).await,
+            ("POST", "/v1/settings/rollback") => self.roll_back_settings(call).await,
+            ("GET", "/v1/settings/versions") => self.settings_versions(call).await,
+            ("PUT", "/v1/cordons") => self.set_cordon(call, true).await,
+            ("DELETE", "/v1/cordons") => self.set_cordon(call, false).await,
+            ("PUT", "/v1/drains") => self.set_drain(call, true).await,
+            ("DELETE", "/v1/drains") => self.set_drain(call, false).await,
+            ("GET", "/v1/fleet/progress") => self.fleet_progress(call),
+            ("GET", "/v1/snapshot") => self.snapshot(call).await,
+            _ => Err(HttpError::new(
+                StatusCode::NOT_FOUND,
+                "no-such-call",
+                format!("there is no {method} {path}"),
+            )),
+        }
+    }
+
+    /// Waits until this member's copy is current, unless the call takes a stale one.
+    pub(super) async fn wait_until_current(&self, call: &ApiCall) -> Result<(), HttpError> {
+        let takes_stale = call.query.text("stale") == Some("true");
+        if takes_stale || self.member.runtime.wait_until_current(call.timeout).await {
+            return Ok(());
+        }
+        let detail = "this member can't tell whether its copy is current; another one may, or \
+                      `stale=true` reads it";
+        let error = HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "isolated", detail);
+        Err(error.with_retry_after(0))
+    }
+
+    pub(super) async fn commit(
+        &self,
+        call: &ApiCall,
+        transaction: Txn,
+    ) -> Result<Commit, HttpError> {
+        let request_id = call.request_id.clone();
+        let commit = self
+            .member
+            .commit(request_id, &call.operator, transaction, call.timeout);
+        Ok(commit.await?)
+    }
+}
+
+/// The reply to a change that was committed, if its conditions held.
+pub(super) fn commit_reply(commit: Commit) -> ReplyResult {
+    if commit.conditions_held {
+        return Ok(revision_reply(commit.revision));
+    }
+    let detail = format!(
+        "a condition does not hold, as of revision {}",
+        commit.revision
+    );
+    Err(HttpError::new(
+        StatusCode::PRECONDITION_FAILED,
+        "condition-failed",
+        detail,
+    ))
+}
+
+async fn read_body(request: Request<Incoming>) -> Result<Vec<u8>, HttpError> {
+    let read = async {
+        let body = Limited::new(request.into_body(), MAX_BODY_BYTES);
+        let body = body.collect().await.map_err(|error| {
+            let detail = format!("the body can't be read: {error}");
+            HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
+        })?;
+        Ok(body.to_bytes().to_vec())
+    };
+    let timed_out = async {
+        Timer::after(BODY_TIMEOUT).await;
+        let detail = "the body was not whole in time";
+        Err(HttpError::new(StatusCode::REQUEST_TIMEOUT, "request-timeout", detail).closing())
+    };
+    read.or(timed_out).await
+}
--- a/gateway/src/replication/api/settings.rs
+++ b/gateway/src/replication/api/settings.rs
@@ -1,92 +1,118 @@
-//! Calls about the agreed settings.
+//! Calls about the shared settings.
 
 use hyper::header::HeaderValue;
-use hyper::StatusCode;
 use serde_json::json;
-use violetgate_replicated_state::Outcome;
+use violetgate_replicated_state::{Outcome, Store, Txn};
 
-use super::super::shared_config::{self, SettingsRejection};
-use super::super::CommitError;
-use super::http::{bad, reply, told, Answering};
-use super::query::ApiCall;
-use super::Api;
+use super::super::error::CommitError;
+use super::super::member::Commit;
+use super::super::shared_config::settings_versions::{self, SettingsRejection};
+use super::responses::{invalid_request, json_reply, reply, ReplyResult};
+use super::router::{Api, ApiCall};
+use crate::http_error::HttpError;
 
 impl Api {
-    pub(super) async fn settings(&self, call: &ApiCall) -> Answering {
-        call.query.only(&["version", "stale"])?;
-        let asked = call.query.number("version")?;
-        self.current(call).await?;
-        let current = self.daemon.state.view().settings.clone();
-        let (version, text) = match asked {
-            None => current.unwrap_or_default(),
-            Some(v) => {
-                let text = self.daemon.cluster.store(|s| shared_config::version(s, v));
-                (v, text.ok_or(SettingsRejection::Unknown)?)
+    /// The settings in force, or those of an earlier version.
+    pub(super) async fn read_settings(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["version", "stale"])?;
+        let version = call.query.number("version")?;
+        self.wait_until_current(call).await?;
+        let (number, text) = match version {
+            None => {
+                let in_force = self.member.reconciler.config().settings.clone();
+                let in_force = in_force.unwrap_or_default();
+                (in_force.number, in_force.text)
+            }
+            Some(number) => {
+                let text = |store: &Store| settings_versions::text(store, number);
+                let text = self.member.runtime.store(text);
+                (number, text.ok_or(SettingsRejection::UnknownVersion)?)
             }
         };
-        let mut reply = reply(
-            StatusCode::OK,
-            "text/plain; charset=utf-8",
-            text.into_bytes(),
-        );
-        reply
-            .headers_mut()
-            .insert("settings-version", HeaderValue::from(version));
+        let mut reply = reply("text/plain; charset=utf-8", text.into_bytes());
+        let version = HeaderValue::from(number);
+        reply.headers_mut().insert("settings-version", version);
         Ok(reply)
     }
 
-    /// Settings, or those of an earlier version, come to hold.
-    pub(super) async fn change_settings(&self, call: &ApiCall, back_to: Option<u64>) -> Answering {
-        // What an earlier try has already brought about is not looked at anew: its outcome is told.
-        self.current(call).await?;
-        let cluster = &self.daemon.cluster;
-        let done = call
-            .id
-            .as_ref()
-            .and_then(|id| cluster.store(|s| s.outcome(id).cloned()));
-        let (revision, held) = match done {
+    /// Puts settings in force.
+    pub(super) async fn apply_settings(&self, call: &ApiCall) -> ReplyResult {
+        self.change_settings(call, |store| {
+            call.query.allow_only(&["expect"])?;
+            let expected = call.query.number("expect")?;
+            let text = std::str::from_utf8(&call.body)
+                .map_err(|_| invalid_request("the body is no text"))?;
+            Ok(settings_versions::propose(store, text, expected)?.1)
+        })
+        .await
+    }
+
+    /// Puts the settings of an earlier version in force again.
+    pub(super) async fn roll_back_settings(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["version"])?;
+        let version = call.query.required_number("version")?;
+        self.change_settings(call, |store| {
+            Ok(settings_versions::roll_back(store, version)?.1)
+        })
+        .await
+    }
+
+    async fn change_settings(
+        &self,
+        call: &ApiCall,
+        propose: impl Fn(&Store) -> Result<Txn, HttpError>,
+    ) -> ReplyResult {
+        self.wait_until_current(call).await?;
+        let runtime = &self.member.runtime;
+        // What an earlier call under the same request id has brought about is not proposed again.
+        let commit = match self.earlier_outcome(call) {
             Some(Outcome::Applied {
                 revision,
-                conditions_held: held,
-            }) => (revision, held),
-            Some(Outcome::Rejected(why)) => return Err(CommitError::Refused(why).into()),
+                conditions_held,
+            }) => Commit {
+                revision,
+                conditions_held,
+            },
+            Some(Outcome::Rejected(error)) => {
+                return Err(CommitError::CommandRejected(error).into());
+            }
             None => {
-                let (_, txn) = match back_to {
-                    Some(version) => cluster.store(|s| shared_config::roll_back(s, version))?,
-                    None => {
-                        call.query.only(&["expect"])?;
-                        let expect = call.query.number("expect")?;
-                        let text = std::str::from_utf8(&call.body)
-                            .map_err(|_| bad("the body is no text"))?;
-                        cluster.store(|s| shared_config::settings(s, text, expect))?
-                    }
-                };
-                self.agree(call, txn).await?
+                let transaction = runtime.store(propose)?;
+                self.commit(call, transaction).await?
             }
         };
-        if !held {
-            let now = cluster.store(shared_config::current_version);
-            return Err(SettingsRejection::Replaced(now).into());
+        if !commit.conditions_held {
+            let current = runtime.store(settings_versions::current);
+            return Err(SettingsRejection::VersionConflict { current }.into());
         }
-        // Where this member only passed it on, it may not have it yet.
-        self.current(call).await?;
-        let version = cluster.store(|s| shared_config::version_of(s, revision));
-        Ok(told(&json!({"revision": revision, "version": version})))
+        // Where this member only forwarded the call, its copy may be behind.
+        self.wait_until_current(call).await?;
+        let revision = commit.revision;
+        let version = runtime.store(|store| settings_versions::made_by(store, revision));
+        Ok(json_reply(
+            &json!({"revision": revision, "version": version}),
+        ))
+    }
+
+    fn earlier_outcome(&self, call: &ApiCall) -> Option<Outcome> {
+        let id = call.request_id.as_ref()?;
+        let outcome = |store: &Store| store.outcome(id).cloned();
+        self.member.runtime.store(outcome)
     }
 
-    pub(super) async fn versions(&self, call: &ApiCall) -> Answering {
-        call.query.only(&["stale"])?;
-        self.current(call).await?;
-        let (current, kept) = self.daemon.cluster.store(|s| {
-            (
-                shared_config::current_version(s),
-                shared_config::versions(s),
-            )
-        });
-        let versions: Vec<_> = kept
+    /// The retained versions.
+    pub(super) async fn settings_versions(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["stale"])?;
+        self.wait_until_current(call).await?;
+        let runtime = &self.member.runtime;
+        let current = runtime.store(settings_versions::current);
+        let retained = runtime.store(settings_versions::retained);
+        let versions: Vec<_> = retained
             .iter()
-            .map(|(v, r)| json!({"version": v, "revision": r}))
+            .map(|version| json!({"version": version.number, "revision": version.revision}))
             .collect();
-        Ok(told(&json!({"current": current, "versions": versions})))
+        Ok(json_reply(
+            &json!({"current": current, "versions": versions}),
+        ))
     }
 }
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -1,4 +1,4 @@
-//! Calls that read and change entries.
+//! Calls that read and change entries of the store.
 
 use std::time::{Duration, Instant};
 
@@ -6,199 +6,210 @@
 use futures_lite::FutureExt;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
-use serde_json::json;
-use violetgate_replicated_state::{Condition, Mutation, Operation, Txn};
+use serde_json::{json, Value};
+use violetgate_replicated_state::{Condition, Mutation, Operation, Store, Txn};
 
-use super::http::{bad, problem, reply, told, Answering};
-use super::query::{
-    entry, free, value, ApiCall, ChangeBody, CheckBody, LeaseBody, TransactionBody, LONGEST,
-};
-use super::Api;
+use super::bodies::{check_not_reserved, entry_json, read_json, JsonValue};
+use super::bodies::{LeaseBody, TransactionBody};
+use super::query::{Query, MAX_TIMEOUT};
+use super::responses::{json_reply, reply, revision_reply, ReplyResult};
+use super::router::{commit_reply, Api, ApiCall};
+use crate::http_error::HttpError;
+
+const MICROS_PER_MS: u64 = 1_000;
 
 impl Api {
-    pub(super) async fn state(&self, call: &ApiCall) -> Answering {
+    /// One entry, or a page of entries.
+    pub(super) async fn read_state(&self, call: &ApiCall) -> ReplyResult {
         let query = &call.query;
-        query.only(&["key", "prefix", "limit", "revision", "after", "stale"])?;
-        let limit = query.limit()?;
-        let at = query.number("revision")?;
-        self.current(call).await?;
-        self.daemon.cluster.store(|store| {
-            if let Some(key) = query.text("key") {
-                let (revision, bytes) = store.get(key).ok_or_else(|| {
-                    problem(
-                        StatusCode::NOT_FOUND,
-                        "no-such-key",
-                        format!("there is no `{key}`"),
-                    )
-                })?;
-                return Ok(told(&entry(key, revision, bytes)));
-            }
-            let prefix = query.text("prefix").unwrap_or_default();
-            let listing = store.list(prefix, at, query.text("after"), limit)?;
-            let entries: Vec<_> = listing
-                .entries
-                .iter()
-                .map(|(k, r, v)| entry(k, *r, v))
-                .collect();
-            let next = listing.next.map(|after| {
-                let pairs = [
-                    ("prefix", prefix.to_owned()),
-                    ("limit", limit.to_string()),
-                    ("revision", listing.revision.to_string()),
-                    ("after", after),
-                ];
-                format!(
-                    "/v1/state?{}",
-                    serde_urlencoded::to_string(pairs).unwrap_or_default()
-                )
-            });
-            Ok(told(
-                &json!({"revision": listing.revision, "entries": entries, "next": next}),
-            ))
+        query.allow_only(&["key", "prefix", "limit", "revision", "after", "stale"])?;
+        let limit = query.page_length()?;
+        let revision = query.number("revision")?;
+        self.wait_until_current(call).await?;
+        self.member.runtime.store(|store| match query.text("key") {
+            Some(key) => read_entry(store, key),
+            None => list_entries(store, query, revision, limit),
+        })
+    }
+
+    /// Sets a key.
+    pub(super) async fn put_key(&self, call: &ApiCall) -> ReplyResult {
+        self.change_key(call, |key, lease| Mutation::Put {
+            key,
+            value: call.body.clone(),
+            lease,
         })
+        .await
     }
 
-    pub(super) async fn put(&self, call: &ApiCall, sets: bool) -> Answering {
-        call.query.only(&["key", "if_revision", "lease"])?;
-        let key = free(call.query.needed("key")?)?;
-        let checks = call
-            .query
-            .number("if_revision")?
-            .map(|r| Condition::RevisionIs(key.clone(), r))
-            .into_iter()
-            .collect();
+    /// Deletes a key.
+    pub(super) async fn delete_key(&self, call: &ApiCall) -> ReplyResult {
+        self.change_key(call, |key, _| Mutation::Delete(key)).await
+    }
+
+    async fn change_key(
+        &self,
+        call: &ApiCall,
+        mutation: impl Fn(String, Option<u64>) -> Mutation,
+    ) -> ReplyResult {
+        call.query.allow_only(&["key", "if_revision", "lease"])?;
+        let key = call.query.required_text("key")?;
+        check_not_reserved(key)?;
+        let expected = call.query.number("if_revision")?;
+        let condition = expected.map(|revision| Condition::RevisionIs(key.to_owned(), revision));
         let lease = call.query.number("lease")?;
-        let op = if sets {
-            Mutation::Put {
-                key,
-                value: call.body.clone(),
-                lease,
-            }
-        } else {
-            Mutation::Delete(key)
+        let transaction = Txn {
+            conditions: condition.into_iter().collect(),
+            then: vec![mutation(key.to_owned(), lease)],
+            ..Txn::default()
         };
-        Self::held(
-            self.agree(
-                call,
-                Txn {
-                    conditions: checks,
-                    then: vec![op],
-                    ..Txn::default()
-                },
-            )
-            .await?,
-        )
+        commit_reply(self.commit(call, transaction).await?)
     }
 
-    pub(super) async fn transact(&self, call: &ApiCall) -> Answering {
-        call.query.only(&[])?;
-        let asked: TransactionBody =
-            serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        let ops = |ops: Vec<ChangeBody>| {
-            ops.into_iter()
-                .map(ChangeBody::read)
-                .collect::<Result<Vec<_>, _>>()
-        };
-        let txn = Txn {
-            conditions: asked
-                .checks
-                .into_iter()
-                .map(CheckBody::read)
-                .collect::<Result<_, _>>()?,
-            then: ops(asked.then)?,
-            otherwise: ops(asked.otherwise)?,
-        };
-        let (revision, held) = self.agree(call, txn).await?;
-        Ok(told(&json!({"revision": revision, "held": held})))
+    /// Commits a transaction.
+    pub(super) async fn transact(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&[])?;
+        let body: TransactionBody = read_json(&call.body)?;
+        let commit = self.commit(call, body.into_transaction()?).await?;
+        let (revision, held) = (commit.revision, commit.conditions_held);
+        Ok(json_reply(&json!({"revision": revision, "held": held})))
     }
 
-    /// Changes after a revision; with none, they are waited for.
-    pub(super) async fn changes(&self, call: &ApiCall) -> Answering {
+    /// Changes after a revision; while there are none, the call waits for them.
+    pub(super) async fn changes(&self, call: &ApiCall) -> ReplyResult {
         let query = &call.query;
-        query.only(&["after", "prefix", "limit", "wait_ms"])?;
-        let cluster = &self.daemon.cluster;
+        query.allow_only(&["after", "prefix", "limit", "wait_ms"])?;
+        let runtime = &self.member.runtime;
         let prefix = query.text("prefix").unwrap_or_default();
-        let limit = query.limit()?;
+        let limit = query.page_length()?;
         let after = match query.number("after")? {
             Some(after) => after,
-            None => cluster.store(|s| s.revision()),
+            None => runtime.store(Store::revision),
         };
-        let until = Instant::now()
-            + Duration::from_millis(query.number("wait_ms")?.unwrap_or(0)).min(LONGEST);
+        let wait = Duration::from_millis(query.number("wait_ms")?.unwrap_or(0));
+        let deadline = Instant::now() + wait.min(MAX_TIMEOUT);
         loop {
-            let applied = cluster.status().applied;
-            let (changes, now) = cluster.store(|s| (s.changes(after, prefix, limit), s.revision()));
-            let changes = changes?;
-            let left = until.saturating_duration_since(Instant::now());
-            if changes.is_empty() && !left.is_zero() {
-                let late = async {
-                    Timer::after(left).await;
-                };
-                cluster.wait_for_apply(applied).or(late).await;
-                continue;
+            let applied = runtime.status().applied;
+            let page = runtime.store(|store| read_changes(store, after, prefix, limit))?;
+            let time_left = deadline.saturating_duration_since(Instant::now());
+            if !page.changes.is_empty() || time_left.is_zero() {
+                let (revision, changes) = (page.revision, page.changes);
+                let body = json!({"revision": revision, "changes": changes});
+                return Ok(json_reply(&body));
             }
-            // Where a page ends in the middle, the next one begins at its last revision.
-            let full = changes.len() >= limit;
-            let to = if full {
-                changes.last().map_or(now, |c| c.revision)
-            } else {
-                now.max(after)
+            let timed_out = async {
+                Timer::after(time_left).await;
             };
-            let changes: Vec<_> = changes
-                .iter()
-                .map(|c| {
-                    let (name, value) = c.value.as_ref().map_or(("deleted", true.into()), |v| value(v));
-                    json!({"revision": c.revision, "key": c.key, name: value, "who": c.actor, "time_us": c.time})
-                })
-                .collect();
-            return Ok(told(&json!({"revision": to, "changes": changes})));
+            runtime.wait_for_apply(applied).or(timed_out).await;
         }
     }
 
-    pub(super) async fn compact(&self, call: &ApiCall) -> Answering {
-        call.query.only(&["revision"])?;
-        let to = call
-            .query
-            .number("revision")?
-            .ok_or_else(|| bad("`revision` is missing"))?;
-        self.step(call, Operation::Compact(to)).await
+    /// Compacts the history up to a revision.
+    pub(super) async fn compact(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["revision"])?;
+        let revision = call.query.required_number("revision")?;
+        self.operate(call, Operation::Compact(revision)).await
     }
 
-    pub(super) async fn lease(&self, call: &ApiCall) -> Answering {
-        call.query.only(&[])?;
-        let asked: LeaseBody =
-            serde_json::from_slice(&call.body).map_err(|e| bad(format!("the body: {e}")))?;
-        self.step(
-            call,
-            Operation::GrantLease {
-                id: asked.id,
-                ttl: asked.ttl_ms.saturating_mul(1000),
-            },
-        )
-        .await
+    /// Grants a lease, or renews it.
+    pub(super) async fn grant_lease(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&[])?;
+        let LeaseBody { id, ttl_ms } = read_json(&call.body)?;
+        let ttl = ttl_ms.saturating_mul(MICROS_PER_MS);
+        self.operate(call, Operation::GrantLease { id, ttl }).await
     }
 
-    pub(super) async fn release(&self, call: &ApiCall) -> Answering {
-        call.query.only(&["id"])?;
-        let id = call
-            .query
-            .number("id")?
-            .ok_or_else(|| bad("`id` is missing"))?;
-        self.step(call, Operation::RevokeLease(id)).await
+    /// Releases a lease.
+    pub(super) async fn release_lease(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["id"])?;
+        let id = call.query.required_number("id")?;
+        self.operate(call, Operation::RevokeLease(id)).await
     }
 
-    pub(super) async fn snapshot(&self, call: &ApiCall) -> Answering {
-        call.query.only(&["stale"])?;
-        self.current(call).await?;
-        let mut reply = reply(
-            StatusCode::OK,
-            "application/octet-stream",
-            self.daemon.cluster.save(),
-        );
-        let revision = self.daemon.status().revision;
-        reply
-            .headers_mut()
-            .insert("state-revision", HeaderValue::from(revision));
+    async fn operate(&self, call: &ApiCall, operation: Operation) -> ReplyResult {
+        let request_id = call.request_id.clone();
+        let commit = self
+            .member
+            .propose(request_id, &call.operator, operation, call.timeout)
+            .await?;
+        Ok(revision_reply(commit.revision))
+    }
+
+    /// The complete state, as a file that `violetgate ctl snapshot save` writes.
+    pub(super) async fn snapshot(&self, call: &ApiCall) -> ReplyResult {
+        call.query.allow_only(&["stale"])?;
+        self.wait_until_current(call).await?;
+        let mut reply = reply("application/octet-stream", self.member.runtime.save());
+        let revision = HeaderValue::from(self.member.status().revision);
+        reply.headers_mut().insert("state-revision", revision);
         Ok(reply)
     }
 }
+
+fn read_entry(store: &Store, key: &str) -> ReplyResult {
+    let entry = store.get(key).ok_or_else(|| {
+        let detail = format!("there is no `{key}`");
+        HttpError::new(StatusCode::NOT_FOUND, "no-such-key", detail)
+    });
+    let (revision, value) = entry?;
+    Ok(json_reply(&entry_json(key, revision, value)))
+}
+
+/// A page of entries, with the path of the next one, which is of the same revision.
+fn list_entries(store: &Store, query: &Query, revision: Option<u64>, limit: usize) -> ReplyResult {
+    let prefix = query.text("prefix").unwrap_or_default();
+    let listing = store.list(prefix, revision, query.text("after"), limit)?;
+    let entries: Vec<_> = listing
+        .entries
+        .iter()
+        .map(|(key, revision, value)| entry_json(key, *revision, value))
+        .collect();
+    let next = listing.next.map(|after| {
+        let pairs = [
+            ("prefix", prefix.to_owned()),
+            ("limit", limit.to_string()),
+            ("revision", listing.revision.to_string()),
+            ("after", after),
+        ];
+        let query = serde_urlencoded::to_string(pairs).unwrap_or_default();
+        format!("/v1/state?{query}")
+    });
+    Ok(json_reply(
+        &json!({"revision": listing.revision, "entries": entries, "next": next}),
+    ))
+}
+
+/// A page of changes, and the revision after which the next one begins.
+struct ChangesPage {
+    revision: u64,
+    changes: Vec<Value>,
+}
+
+fn read_changes(
+    store: &Store,
+    after: u64,
+    prefix: &str,
+    limit: usize,
+) -> Result<ChangesPage, HttpError> {
+    let changes = store.changes(after, prefix, limit)?;
+    let current = store.revision();
+    // The page after a full one begins at its last revision.
+    let revision = match changes.last() {
+        Some(last) if changes.len() >= limit => last.revision,
+        _ => current.max(after),
+    };
+    let changes = changes.iter().map(|change| {
+        let deleted = JsonValue {
+            key: "deleted",
+            value: true.into(),
+        };
+        let value = change.value.as_ref();
+        let value = value.map_or(deleted, |value| JsonValue::of(value));
+        json!({"revision": change.revision, "key": change.key, value.key: value.value,
+               "who": change.actor, "time_us": change.time})
+    });
+    Ok(ChangesPage {
+        revision,
+        changes: changes.collect(),
+    })
+}
--- /dev/null
+++ b/gateway/src/replication/member.rs
@@ -0,0 +1,334 @@
+//! This instance as a member of a cluster: it replicates the shared state, and commits what operators
+//! request.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use async_executor::LocalExecutor;
+use violetgate_raft::{Config, NodeId};
+use violetgate_replica::{ReplicaConfig, Response};
+use violetgate_replica_runtime::{
+    Call, CallOutcome, FleetTotals, ObserverConfig, ObserverService, ReplicaOptions,
+    ReplicaRuntime, ReplicaStatus, RevisionInForce,
+};
+use violetgate_replicated_state::{Operation, Outcome, Revision, Store, Txn};
+
+use super::error::{ClusterStartError, CommitError};
+use super::member_upkeep::{keep_records, watch_fence};
+use super::metrics::MemberMetrics;
+use super::reconcile::{ControlTargets, MembersChange, Reconciler};
+use super::shared_config::{self, SharedConfig};
+use super::{shown_or, MICROS_PER_MS};
+use crate::clock::micros;
+use crate::fence::Fence;
+use crate::log;
+use crate::settings::{self, Settings};
+
+/// A transaction that was committed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Commit {
+    /// The store's revision after it.
+    pub revision: Revision,
+    /// Whether its conditions held, so that it changed anything.
+    pub conditions_held: bool,
+}
+
+/// This instance as a member.
+pub struct ClusterMember {
+    pub(super) runtime: Rc<ReplicaRuntime>,
+    pub(super) id: NodeId,
+    pub(super) reconciler: Reconciler,
+    pub(super) settings_at_start: settings::Cluster,
+    /// The service to subscribers, if this member is an observer.
+    observer: Option<Rc<ObserverService>>,
+    /// Whether the fence was closed when it was last checked.
+    was_fenced: Cell<bool>,
+}
+
+impl Fence for ClusterMember {
+    fn is_open(&self) -> bool {
+        self.runtime.may_route().is_ok()
+    }
+}
+
+/// An id for a request that its client gave none.
+#[must_use]
+pub fn new_request_id() -> String {
+    let mut bytes = [0; 16];
+    // Without random numbers two requests could be taken for one: then the time makes the ids differ.
+    if getrandom::fill(&mut bytes).is_err() {
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        bytes = now.as_nanos().to_be_bytes();
+    }
+    format!("r-{:032x}", u128::from_be_bytes(bytes))
+}
+
+fn replica_options(settings: &settings::Cluster, seed: u64) -> ReplicaOptions {
+    let raft = Config {
+        election_timeout: micros(settings.election_timeout.0),
+        heartbeat_interval: micros(settings.heartbeat.0),
+        ..Config::default()
+    };
+    let config = ReplicaConfig {
+        raft,
+        snapshot_interval: settings.snapshot_every,
+        max_staleness: micros(settings.drain_limit.0),
+        confirm_interval: micros(settings.confirm_every.0),
+    };
+    ReplicaOptions {
+        cluster: settings.name.clone(),
+        id: settings.id,
+        folder: settings.folder.clone(),
+        listen: settings.listen,
+        members: settings.addresses(),
+        config,
+        seed,
+    }
+}
+
+/// Starts the service to subscribers, if the settings make this member an observer.
+fn start_observer(
+    runtime: &Rc<ReplicaRuntime>,
+    settings: &settings::Cluster,
+) -> Result<Option<Rc<ObserverService>>, ClusterStartError> {
+    let Some(listen) = settings.subscribers_listen() else {
+        return Ok(None);
+    };
+    let config = ObserverConfig {
+        capacity: settings.subscribers,
+        ..ObserverConfig::default_for(&settings.name, settings.id)
+    };
+    let service = ObserverService::start(runtime, listen, config);
+    service
+        .map(Some)
+        .map_err(|error| ClusterStartError::ObserverService(error.to_string()))
+}
+
+impl ClusterMember {
+    /// Opens this member's folder and begins to take part. Nothing may be sent until its state is
+    /// confirmed.
+    ///
+    /// # Errors
+    ///
+    /// Its folder or an address can't be used.
+    pub fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        own_settings: &Settings,
+        settings: &settings::Cluster,
+        seed: u64,
+    ) -> Result<Rc<Self>, ClusterStartError> {
+        let runtime = ReplicaRuntime::start(executor, &replica_options(settings, seed))
+            .map_err(|error| ClusterStartError::of_member(&error))?;
+        let observer = start_observer(&runtime, settings)?;
+        Ok(Rc::new(ClusterMember {
+            runtime,
+            id: settings.id,
+            reconciler: Reconciler::new(settings.id.to_string(), own_settings),
+            settings_at_start: settings.clone(),
+            observer,
+            was_fenced: Cell::new(true),
+        }))
+    }
+
+    /// Connects the parts that the shared configuration reaches, carries out what is committed so far, and
+    /// goes on doing so.
+    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
+        self.reconciler.attach(targets);
+        let member = Rc::downgrade(self);
+        // Carried out in the step in which it is applied: the staleness guard may count on it from then on.
+        self.runtime.on_applied(Rc::new(move |store| {
+            if let Some(member) = member.upgrade() {
+                member.reconcile(store);
+            }
+        }));
+        executor.spawn(watch_fence(Rc::downgrade(self))).detach();
+        executor.spawn(keep_records(Rc::downgrade(self))).detach();
+    }
+
+    fn reconcile(&self, store: &Store) {
+        if self.reconciler.reconcile(store) == MembersChange::Changed {
+            self.apply_members(&self.reconciler.config());
+        }
+    }
+
+    fn apply_members(&self, config: &SharedConfig) {
+        let own_settings = self.reconciler.own_settings();
+        let own = own_settings.cluster.as_ref();
+        let own = own.unwrap_or(&self.settings_at_start).addresses();
+        let transport = self.runtime.transport();
+        transport.set_peers(&config.addresses(&own));
+        transport.set_known_disks(config.disk_ids());
+    }
+
+    /// The settings in force here: the shared ones over this instance's own.
+    #[must_use]
+    pub fn settings(&self) -> Settings {
+        self.reconciler.settings()
+    }
+
+    /// Applies this instance's own settings, which were read again.
+    pub fn set_own_settings(&self, own: &Settings) {
+        self.reconciler.set_own_settings(own);
+        if self.reconciler.targets().is_some() {
+            self.apply_members(&self.reconciler.config());
+        }
+    }
+
+    /// How far all subscribers are, as observers reported it of late.
+    #[must_use]
+    pub fn fleet_progress(&self) -> FleetTotals {
+        self.runtime.fleet_progress()
+    }
+
+    /// The latest revision that was in force at all gateways that serve, and when it was.
+    #[must_use]
+    pub fn last_in_force(&self) -> Option<RevisionInForce> {
+        self.runtime.last_in_force()
+    }
+
+    /// The state of the replica.
+    #[must_use]
+    pub fn status(&self) -> ReplicaStatus {
+        self.runtime.status()
+    }
+
+    /// Commits a transaction, once for each request id; without one it gets a new id.
+    ///
+    /// # Errors
+    ///
+    /// It was not committed, or that is not known.
+    pub async fn commit(
+        &self,
+        request_id: Option<String>,
+        operator: &str,
+        transaction: Txn,
+        timeout: Duration,
+    ) -> Result<Commit, CommitError> {
+        let operation = Operation::Txn(transaction);
+        self.propose(request_id, operator, operation, timeout).await
+    }
+
+    /// Commits an operation, as [`ClusterMember::commit`] does a transaction.
+    ///
+    /// # Errors
+    ///
+    /// It was not committed, or that is not known.
+    pub(super) async fn propose(
+        &self,
+        request_id: Option<String>,
+        operator: &str,
+        operation: Operation,
+        timeout: Duration,
+    ) -> Result<Commit, CommitError> {
+        let call = Call::Propose {
+            request: request_id.unwrap_or_else(new_request_id),
+            who: operator.to_owned(),
+            step: operation,
+        };
+        match self.runtime.submit(call, timeout).await {
+            CallOutcome::Completed(Response::Applied(Outcome::Applied {
+                revision,
+                conditions_held,
+            })) => Ok(Commit {
+                revision,
+                conditions_held,
+            }),
+            CallOutcome::Completed(Response::Applied(Outcome::Rejected(error))) => {
+                Err(CommitError::CommandRejected(error))
+            }
+            CallOutcome::Completed(Response::Rejected(error)) => {
+                Err(CommitError::ProposalRejected(error))
+            }
+            _ => Err(CommitError::OutcomeUnknown),
+        }
+    }
+
+    /// Cordons an engine everywhere, or uncordons it.
+    ///
+    /// # Errors
+    ///
+    /// As [`ClusterMember::commit`].
+    pub async fn set_cordon(
+        &self,
+        engine: &str,
+        cordoned: bool,
+        operator: &str,
+        timeout: Duration,
+    ) -> Result<(), CommitError> {
+        let transaction = shared_config::set_cordon(engine, cordoned, operator);
+        let commit = self.commit(None, operator, transaction, timeout);
+        commit.await.map(|_| ())
+    }
+
+    /// Drains this instance, or resumes it.
+    ///
+    /// # Errors
+    ///
+    /// As [`ClusterMember::commit`].
+    pub async fn set_drain(
+        &self,
+        drained: bool,
+        operator: &str,
+        timeout: Duration,
+    ) -> Result<(), CommitError> {
+        let transaction = shared_config::set_drain(&self.id.to_string(), drained, operator);
+        let commit = self.commit(None, operator, transaction, timeout);
+        commit.await.map(|_| ())
+    }
+
+    /// The metrics, in the text format of Prometheus.
+    #[must_use]
+    pub fn metrics(&self) -> String {
+        let transport = self.runtime.transport();
+        let observer = self.observer.as_ref();
+        let metrics = MemberMetrics {
+            status: self.status(),
+            may_route: self.is_open(),
+            fenced: self.reconciler.fenced_count(),
+            dropped_messages: transport.dropped_messages(),
+            traffic: transport.traffic(),
+            subscribers: observer.map(|observer| observer.subscribers()),
+            fleet: self.fleet_progress(),
+            last_in_force: self.last_in_force(),
+        };
+        metrics.render()
+    }
+
+    /// Carries out that the fence is closed, or that it was opened or closed.
+    pub(super) fn check_fence(&self) {
+        let Some(targets) = self.reconciler.targets() else {
+            return;
+        };
+        let is_fenced = !self.is_open();
+        if is_fenced {
+            targets.dispatch.reject_queued();
+        }
+        if self.was_fenced.replace(is_fenced) != is_fenced {
+            targets.drain.set_fenced(is_fenced);
+            self.log_fence(is_fenced);
+        }
+    }
+
+    fn log_fence(&self, is_fenced: bool) {
+        let status = self.status();
+        let (term, leader) = (status.term, shown_or(status.leader, "none"));
+        if !is_fenced {
+            return log::line(format_args!(
+                "cluster sends again: term={term} leader={leader}"
+            ));
+        }
+        if let Some(reason) = self.runtime.stop_reason() {
+            return log::line(format_args!(
+                "cluster reason=disk sends nothing more: {reason}"
+            ));
+        }
+        let age = status.freshness.err().and_then(|stale| stale.age);
+        let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
+        log::line(format_args!(
+            "cluster reason=stale sends nothing: age_ms={age_ms} term={term} leader={leader}"
+        ));
+    }
+}
--- a/gateway/src/replication/metrics.rs
+++ b/gateway/src/replication/metrics.rs
@@ -1,4 +1,4 @@
-//! Figures of agreed state, in the text format of Prometheus.
+//! Metrics of the shared state, in the text format of Prometheus.
 
 use std::fmt::Write as _;
 
@@ -7,13 +7,22 @@
     FleetTotals, ReplicaStatus, RevisionInForce, SubscriptionStatus, TrafficStats,
 };
 
-/// Spans of time under which serving front ends are behind, as the labels of `svc_cluster_behind`.
-pub(super) const BEHIND: [&str; 4] = ["0.1", "1", "10", "inf"];
+use super::MICROS_PER_MS;
+use crate::stats::write_metric;
 
-struct Text(String);
+/// Upper bounds, in seconds, of the time by which serving gateways are behind: the labels of
+/// `svc_cluster_behind`.
+pub(super) const BEHIND_UNDER_S: [&str; 4] = ["0.1", "1", "10", "inf"];
 
-impl Text {
-    fn head(&mut self, name: &str, kind: &str, help: &str) {
+/// Metrics as they are written.
+struct MetricsText(String);
+
+fn full_name(name: &str) -> String {
+    format!("svc_cluster_{name}")
+}
+
+impl MetricsText {
+    fn write_head(&mut self, name: &str, kind: &str, help: &str) {
         let _ = write!(
             self.0,
             "# HELP svc_cluster_{name} {help}\n# TYPE svc_cluster_{name} {kind}\n"
@@ -21,166 +30,173 @@
     }
 
     fn gauge(&mut self, name: &str, help: &str, value: u64) {
-        self.head(name, "gauge", help);
-        let _ = writeln!(self.0, "svc_cluster_{name} {value}");
+        write_metric(&mut self.0, &full_name(name), "gauge", help, value);
     }
 
     fn counter(&mut self, name: &str, help: &str, value: u64) {
-        self.head(name, "counter", help);
-        let _ = writeln!(self.0, "svc_cluster_{name} {value}");
+        write_metric(&mut self.0, &full_name(name), "counter", help, value);
     }
 
-    /// One value for each label.
+    /// A gauge with one value for each label.
     fn labelled<'a>(
         &mut self,
         name: &str,
         help: &str,
         values: impl Iterator<Item = (&'a str, String, u64)>,
     ) {
-        self.head(name, "gauge", help);
+        self.write_head(name, "gauge", help);
         for (label, text, value) in values {
             let _ = writeln!(self.0, "svc_cluster_{name}{{{label}=\"{text}\"}} {value}");
         }
     }
 }
 
-/// What a member counts.
-pub(super) struct MemberFigures {
+/// The metrics of a member.
+pub(super) struct MemberMetrics {
     pub status: ReplicaStatus,
-    pub routes: bool,
-    pub turned_away: u64,
-    pub dropped: u64,
-    /// With other members.
+    pub may_route: bool,
+    /// Requests and attempts that the fence has stopped.
+    pub fenced: u64,
+    pub dropped_messages: u64,
+    /// Traffic with other members.
     pub traffic: TrafficStats,
-    /// Subscribers here; `None`: it takes none.
+    /// Subscribers connected here; `None`: it is no observer.
     pub subscribers: Option<usize>,
     pub fleet: FleetTotals,
     pub last_in_force: Option<RevisionInForce>,
 }
 
-/// Milliseconds from the moment at which a revision was known to an observer until it was in force everywhere.
-pub(super) fn until_in_force(record: &RevisionInForce) -> u64 {
-    record.in_force_at.saturating_sub(record.known_at) / 1_000
+/// Milliseconds from the moment at which a revision was known to an observer until it was in force
+/// everywhere.
+pub(super) fn propagation_ms(record: &RevisionInForce) -> u64 {
+    record.in_force_at.saturating_sub(record.known_at) / MICROS_PER_MS
 }
 
-impl MemberFigures {
-    pub fn text(&self) -> String {
-        let MemberFigures {
-            status,
-            traffic,
-            fleet,
-            ..
-        } = self;
-        let mut out = Text(String::new());
-        out.gauge(
-            "leads",
-            "This member leads.",
-            u64::from(status.role == Role::Leader),
-        );
-        out.gauge("term", "The term.", status.term);
-        out.gauge(
-            "commit",
-            "The last entry that is agreed on, as known here.",
-            status.commit,
-        );
-        out.gauge(
-            "applied",
-            "The last entry that is applied here.",
-            status.applied,
-        );
-        out.gauge("revision", "The state's revision.", status.revision);
-        out.gauge(
-            "voters",
-            "Members that vote.",
-            status.members.voters.len() as u64,
-        );
-        out.gauge(
-            "routes",
-            "The state is confirmed: requests may be sent.",
-            u64::from(self.routes),
-        );
-        out.counter(
-            "turned_away_total",
-            "Requests and attempts not sent on old state.",
-            self.turned_away,
-        );
-        out.counter(
-            "dropped_total",
-            "Messages to members dropped.",
-            self.dropped,
-        );
-        out.counter(
-            "messages_sent_total",
-            "Messages sent to members.",
-            traffic.messages_sent,
-        );
-        out.counter(
-            "messages_received_total",
-            "Messages received from members.",
-            traffic.messages_received,
-        );
+impl MemberMetrics {
+    pub(super) fn render(&self) -> String {
+        let mut out = MetricsText(String::new());
+        self.write_replica(&mut out);
+        self.write_traffic(&mut out);
+        self.write_fleet(&mut out);
+        out.0
+    }
+
+    fn write_replica(&self, out: &mut MetricsText) {
+        let status = &self.status;
+        let (is_leader, voters) = (status.role == Role::Leader, &status.members.voters);
+        for (name, help, value) in [
+            ("leads", "This member leads.", u64::from(is_leader)),
+            ("term", "The term.", status.term),
+            (
+                "commit",
+                "The last entry that is agreed on, as known here.",
+                status.commit,
+            ),
+            (
+                "applied",
+                "The last entry that is applied here.",
+                status.applied,
+            ),
+            ("revision", "The state's revision.", status.revision),
+            ("voters", "Members that vote.", voters.len() as u64),
+            (
+                "routes",
+                "The state is confirmed: requests may be sent.",
+                u64::from(self.may_route),
+            ),
+        ] {
+            out.gauge(name, help, value);
+        }
+    }
+
+    fn write_traffic(&self, out: &mut MetricsText) {
+        for (name, help, value) in [
+            (
+                "turned_away_total",
+                "Requests and attempts not sent on old state.",
+                self.fenced,
+            ),
+            (
+                "dropped_total",
+                "Messages to members dropped.",
+                self.dropped_messages,
+            ),
+            (
+                "messages_sent_total",
+                "Messages sent to members.",
+                self.traffic.messages_sent,
+            ),
+            (
+                "messages_received_total",
+                "Messages received from members.",
+                self.traffic.messages_received,
+            ),
+        ] {
+            out.counter(name, help, value);
+        }
+    }
+
+    /// The gateways that subscribe, as observers report them.
+    fn write_fleet(&self, out: &mut MetricsText) {
+        let fleet = &self.fleet;
         if let Some(subscribers) = self.subscribers {
-            out.gauge(
-                "subscribers",
-                "Front ends connected to this observer.",
-                subscribers as u64,
-            );
+            let help = "Front ends connected to this observer.";
+            out.gauge("subscribers", help, subscribers as u64);
+        }
+        for (name, help, value) in [
+            (
+                "observers",
+                "Observers that reported of late.",
+                fleet.observers.into(),
+            ),
+            (
+                "silent_observers",
+                "Observers that did not.",
+                fleet.silent_observers.into(),
+            ),
+            ("serving", "Front ends that serve.", fleet.serving.into()),
+            (
+                "not_serving",
+                "Front ends whose gates are shut.",
+                fleet.not_serving.into(),
+            ),
+            (
+                "in_force",
+                "The revision in force at all front ends that serve.",
+                fleet.in_force,
+            ),
+        ] {
+            out.gauge(name, help, value);
         }
-        out.gauge(
-            "observers",
-            "Observers that reported of late.",
-            fleet.observers.into(),
-        );
-        out.gauge(
-            "silent_observers",
-            "Observers that did not.",
-            fleet.silent_observers.into(),
-        );
-        out.gauge("serving", "Front ends that serve.", fleet.serving.into());
-        out.gauge(
-            "not_serving",
-            "Front ends whose gates are shut.",
-            fleet.not_serving.into(),
-        );
-        out.gauge(
-            "in_force",
-            "The revision in force at all front ends that serve.",
-            fleet.in_force,
-        );
         if let Some(record) = &self.last_in_force {
-            out.gauge(
-                "in_force_after_ms",
-                "The time until the last one was in force.",
-                until_in_force(record),
-            );
+            let help = "The time until the last one was in force.";
+            out.gauge("in_force_after_ms", help, propagation_ms(record));
         }
-        let behind = BEHIND.iter().zip(fleet.behind);
-        let behind =
-            behind.map(|(under, count)| ("under_s", (*under).to_owned(), u64::from(count)));
+        let behind = BEHIND_UNDER_S.iter().zip(fleet.behind);
         out.labelled(
             "behind",
             "Serving front ends that lack a revision, by how long.",
-            behind,
+            behind.map(|(under, count)| ("under_s", (*under).to_owned(), u64::from(count))),
         );
-        out.0
     }
 }
 
-/// What a subscriber counts.
-pub(super) struct SubscriberFigures {
+/// The metrics of a subscriber.
+pub(super) struct SubscriberMetrics {
     pub status: SubscriptionStatus,
     pub traffic: TrafficStats,
-    pub turned_away: u64,
+    /// Requests and attempts that the fence has stopped.
+    pub fenced: u64,
 }
 
-impl SubscriberFigures {
-    pub fn text(&self) -> String {
-        let SubscriberFigures {
+impl SubscriberMetrics {
+    pub(super) fn render(&self) -> String {
+        let SubscriberMetrics {
             status,
             traffic,
-            turned_away,
+            fenced,
         } = self;
-        let mut out = Text(String::new());
+        let mut out = MetricsText(String::new());
         out.gauge("revision", "The state's revision.", status.revision);
         out.gauge(
             "routes",
@@ -190,7 +206,7 @@
         out.counter(
             "turned_away_total",
             "Requests and attempts not sent on old state.",
-            *turned_away,
+            *fenced,
         );
         out.counter(
             "sent_bytes_total",
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -1,22 +1,24 @@
-//! This instance's part in a cluster: a member, or a front end that subscribes.
+//! This instance's part in a cluster: a member, or a subscriber.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use async_executor::LocalExecutor;
 
+use super::error::{ClusterStartError, CommitError};
+use super::member::ClusterMember;
 use super::reconcile::ControlTargets;
 use super::subscriber::ClusterSubscriber;
-use super::{ClusterMember, CommitError};
+use crate::discovery::ListRetention;
 use crate::fence::Fence;
 use crate::settings::{self, ClusterRole, Settings};
 
-/// Its part.
+/// The part.
 #[derive(Clone)]
 pub enum Participant {
-    /// It agrees on the state with the other members.
+    /// It replicates the shared state with the other members.
     Member(Rc<ClusterMember>),
-    /// It follows what members agree on.
+    /// It follows the shared state.
     Subscriber(Rc<ClusterSubscriber>),
 }
 
@@ -25,34 +27,35 @@
     ///
     /// # Errors
     ///
-    /// A member's folder or addresses can't be used.
+    /// A member's folder or addresses can't be used, or a subscriber's settings.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        own: &Settings,
-        given: &settings::Cluster,
+        own_settings: &Settings,
+        settings: &settings::Cluster,
         seed: u64,
-    ) -> Result<Self, String> {
-        Ok(match given.role {
+    ) -> Result<Self, ClusterStartError> {
+        Ok(match settings.role {
             ClusterRole::Member => {
-                Participant::Member(ClusterMember::start(executor, own, given, seed)?)
+                let member = ClusterMember::start(executor, own_settings, settings, seed)?;
+                Participant::Member(member)
             }
             ClusterRole::Subscriber => {
-                let subscriber = ClusterSubscriber::start(executor, own, given, seed)
-                    .map_err(|error| format!("`cluster`: {error}"))?;
+                let subscriber = ClusterSubscriber::start(executor, own_settings, settings, seed)?;
                 Participant::Subscriber(subscriber)
             }
         })
     }
 
-    /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(&self, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
+    /// Connects the parts that the shared configuration reaches, carries out what is committed so far, and
+    /// goes on doing so.
+    pub fn attach(&self, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
         match self {
-            Participant::Member(member) => member.attach(executor, parts),
-            Participant::Subscriber(subscriber) => subscriber.attach(executor, parts),
+            Participant::Member(member) => member.attach(executor, targets),
+            Participant::Subscriber(subscriber) => subscriber.attach(executor, targets),
         }
     }
 
-    /// What is asked before every send.
+    /// The fence that is checked before every send.
     #[must_use]
     pub fn fence(&self) -> Rc<dyn Fence> {
         match self {
@@ -70,64 +73,74 @@
         }
     }
 
-    /// Whether it keeps the engine list for the others while the bus is silent.
+    /// Whether the engine list is retained here, to be stored for others.
     #[must_use]
-    pub fn keeps_list(&self) -> bool {
-        matches!(self, Participant::Member(_))
+    pub fn list_retention(&self) -> ListRetention {
+        match self {
+            Participant::Member(_) => ListRetention::Retain,
+            Participant::Subscriber(_) => ListRetention::Discard,
+        }
     }
 
-    /// This instance's own settings were read anew: those that hold then.
+    /// Applies this instance's own settings, which were read again; the settings in force then.
     #[must_use]
-    pub fn own(&self, own: &Settings) -> Settings {
+    pub fn apply_own_settings(&self, own: &Settings) -> Settings {
         match self {
             Participant::Member(member) => {
-                member.own(own);
+                member.set_own_settings(own);
                 member.settings()
             }
             Participant::Subscriber(subscriber) => {
-                subscriber.own(own);
+                subscriber.set_own_settings(own);
                 subscriber.settings()
             }
         }
     }
 
-    /// The figures, in the text format of Prometheus.
+    /// The metrics, in the text format of Prometheus.
     #[must_use]
-    pub fn figures(&self) -> String {
+    pub fn metrics(&self) -> String {
         match self {
-            Participant::Member(member) => member.figures(),
-            Participant::Subscriber(subscriber) => subscriber.figures(),
+            Participant::Member(member) => member.metrics(),
+            Participant::Subscriber(subscriber) => subscriber.metrics(),
         }
     }
 
-    /// Calls an engine out, or back, everywhere.
+    /// Cordons an engine everywhere, or uncordons it.
     ///
     /// # Errors
     ///
-    /// It was not agreed on, or is not known to be; only a member can have it agreed on.
-    pub async fn cordon(
+    /// It was not committed, or that is not known; only a member can commit it.
+    pub async fn set_cordon(
         &self,
         engine: &str,
-        out: bool,
-        who: &str,
-        within: Duration,
+        cordoned: bool,
+        operator: &str,
+        timeout: Duration,
     ) -> Result<(), CommitError> {
         match self {
-            Participant::Member(member) => member.cordon(engine, out, who, within).await,
+            Participant::Member(member) => {
+                member.set_cordon(engine, cordoned, operator, timeout).await
+            }
             Participant::Subscriber(_) => Err(CommitError::NotAMember),
         }
     }
 
-    /// Drains this instance, or lets it take clients again. A subscriber does so by itself.
+    /// Drains this instance, or resumes it. A subscriber does so by itself.
     ///
     /// # Errors
     ///
-    /// A member's drain was not agreed on, or is not known to be.
-    pub async fn drain(&self, on: bool, who: &str, within: Duration) -> Result<(), CommitError> {
+    /// A member's drain was not committed, or that is not known.
+    pub async fn set_drain(
+        &self,
+        drained: bool,
+        operator: &str,
+        timeout: Duration,
+    ) -> Result<(), CommitError> {
         match self {
-            Participant::Member(member) => member.drain(on, who, within).await,
+            Participant::Member(member) => member.set_drain(drained, operator, timeout).await,
             Participant::Subscriber(subscriber) => {
-                subscriber.drain_here(on);
+                subscriber.set_local_drain(drained);
                 Ok(())
             }
         }
--- a/gateway/src/replication/reconcile.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -1,178 +1,189 @@
-//! What this instance has taken from the agreed state, and what of it is still to be done: the same for a member, which
-//! holds the state itself, and for a front end that subscribes.
+//! Carries out the shared configuration: the same for a member, which holds the shared state itself, and
+//! for a subscriber.
 
 use std::cell::{Cell, OnceCell, Ref, RefCell};
 use std::rc::Rc;
 
 use violetgate_replicated_state::{Entries, Revision};
 
-use super::shared_config::{self, ConfigChange, EngineListSnapshot, SharedConfig};
+use super::shared_config::{engine_list, ConfigChange, SettingsVersion, SharedConfig};
 use crate::clock::Clock;
 use crate::discovery::{DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
 use crate::drain::DrainState;
 use crate::log;
-use crate::rest::Rest;
+use crate::rest::RestFrontend;
 use crate::settings::{Settings, SharedSettings};
 
-/// What agreed state reaches.
+/// The parts of the program that the shared configuration reaches.
 pub struct ControlTargets {
     /// The one clock.
     pub clock: Clock,
     /// The decisions.
     pub dispatch: Rc<Dispatch>,
     /// Whether clients are let in.
-    pub door: Rc<DrainState>,
-    /// Engines' numbers by name.
-    pub ids: Rc<EngineIds>,
-    /// Where the bus is.
-    pub place: Rc<DiscoverySource>,
-    /// The REST front, if there is one.
-    pub rest: Option<Rc<Rest>>,
+    pub drain: Rc<DrainState>,
+    /// Engine ids by name.
+    pub engine_ids: Rc<EngineIds>,
+    /// Where the event bus is, and what it has said.
+    pub discovery: Rc<DiscoverySource>,
+    /// The REST front end, if there is one.
+    pub rest: Option<Rc<RestFrontend>>,
 }
 
-/// The agreed state as this instance has adopted it.
+/// Whether members have other addresses, or there are others.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum MembersChange {
+    /// They do, or there are.
+    Changed,
+    /// All is as it was.
+    Unchanged,
+}
+
+/// The shared configuration as far as this instance has carried it out.
 pub(super) struct Reconciler {
-    /// By what name it is drained.
+    /// The name by which this instance is drained.
     instance: String,
-    parts: OnceCell<ControlTargets>,
-    /// This instance's own settings, under the agreed ones.
-    own: RefCell<Settings>,
-    seen: Cell<Option<Revision>>,
-    view: RefCell<SharedConfig>,
-    /// It was drained by itself, not by agreement.
-    drained_here: Cell<bool>,
+    targets: OnceCell<ControlTargets>,
+    /// This instance's own settings, under the shared ones.
+    own_settings: RefCell<Settings>,
+    revision: Cell<Option<Revision>>,
+    config: RefCell<SharedConfig>,
+    /// This instance was drained by itself, not by the shared configuration.
+    is_drained_locally: Cell<bool>,
 }
 
 impl Reconciler {
-    /// Nothing is adopted yet.
-    pub fn new(instance: String, own: &Settings) -> Self {
+    /// Nothing is carried out yet.
+    pub(super) fn new(instance: String, own_settings: &Settings) -> Self {
         Reconciler {
             instance,
-            parts: OnceCell::new(),
-            own: RefCell::new(own.clone()),
-            seen: Cell::new(None),
-            view: RefCell::default(),
-            drained_here: Cell::new(false),
+            targets: OnceCell::new(),
+            own_settings: RefCell::new(own_settings.clone()),
+            revision: Cell::new(None),
+            config: RefCell::default(),
+            is_drained_locally: Cell::new(false),
         }
     }
 
-    /// Names what agreed state reaches. Nothing may be sent from then on until the state is confirmed.
-    pub fn attach(&self, parts: ControlTargets) {
-        parts.door.fence(true);
-        let _ = self.parts.set(parts);
+    /// Connects the parts that the shared configuration reaches. Nothing may be sent from then on until the
+    /// state is confirmed.
+    pub(super) fn attach(&self, targets: ControlTargets) {
+        targets.drain.set_fenced(true);
+        let _ = self.targets.set(targets);
     }
 
-    /// What agreed state reaches, once that is known.
-    pub fn parts(&self) -> Option<&ControlTargets> {
-        self.parts.get()
+    /// The parts that the shared configuration reaches, once they are connected.
+    pub(super) fn targets(&self) -> Option<&ControlTargets> {
+        self.targets.get()
     }
 
-    /// What holds now.
-    pub fn view(&self) -> Ref<'_, SharedConfig> {
-        self.view.borrow()
+    /// The shared configuration in force.
+    pub(super) fn config(&self) -> Ref<'_, SharedConfig> {
+        self.config.borrow()
     }
 
     /// This instance's own settings.
-    pub fn own(&self) -> Ref<'_, Settings> {
-        self.own.borrow()
+    pub(super) fn own_settings(&self) -> Ref<'_, Settings> {
+        self.own_settings.borrow()
     }
 
-    /// Does what is agreed on and was not done yet. Whether members are elsewhere, or others.
-    pub fn adopt(&self, entries: &impl Entries) -> bool {
-        let revision = entries.revision();
-        if self.seen.replace(Some(revision)) == Some(revision) {
-            return false;
+    /// Carries out what the shared state holds and was not carried out yet.
+    pub(super) fn reconcile(&self, state: &impl Entries) -> MembersChange {
+        let revision = Some(state.revision());
+        if self.revision.replace(revision) == revision {
+            return MembersChange::Unchanged;
         }
-        let now = SharedConfig::read(entries, &self.instance);
-        let before = self.view.replace(now.clone());
-        let Some(parts) = self.parts.get() else {
-            return false;
+        let next = SharedConfig::read(state, &self.instance);
+        let before = self.config.replace(next.clone());
+        let Some(targets) = self.targets.get() else {
+            return MembersChange::Unchanged;
         };
-        let mut members = false;
-        for step in before.moves(&now) {
-            match step {
-                ConfigChange::Cordon(name, out) => {
-                    log::line(format_args!(
-                        "engine {name} is called {}",
-                        if out { "out" } else { "back" }
-                    ));
-                    parts.dispatch.cordon(parts.ids.number(&name), out);
-                }
-                ConfigChange::Drain(_) => self.set_door(parts),
-                ConfigChange::Settings(settings) => {
-                    let version = settings.map_or(0, |s| s.0);
-                    log::line(format_args!("cluster settings version={version} hold"));
-                    self.take_settings(parts);
-                }
-                ConfigChange::Members => members = true,
+        let mut members = MembersChange::Unchanged;
+        for change in before.changes_to(&next) {
+            if change == ConfigChange::Members {
+                members = MembersChange::Changed;
             }
+            self.carry_out(change, targets);
         }
-        if !parts.place.heard() {
-            if let Some(EngineListSnapshot { last, engines }) = shared_config::list(entries) {
-                parts.place.offer((last, engines));
+        if !targets.discovery.has_received() {
+            if let Some(list) = engine_list::stored(state) {
+                targets.discovery.offer_fallback(list);
             }
         }
         members
     }
 
-    /// Drains this instance by itself, or ends that; what is agreed on stays.
-    pub fn drain_here(&self, on: bool) {
-        self.drained_here.set(on);
-        self.parts
-            .get()
-            .into_iter()
-            .for_each(|parts| self.set_door(parts));
+    fn carry_out(&self, change: ConfigChange, targets: &ControlTargets) {
+        match change {
+            ConfigChange::Cordon { engine, cordoned } => {
+                log::engine_cordoned(&engine, cordoned);
+                let engine = targets.engine_ids.id_of(&engine);
+                targets.dispatch.set_cordoned(engine, cordoned);
+            }
+            ConfigChange::Drain(_) => self.apply_drain(targets),
+            ConfigChange::Settings(settings) => {
+                let version = settings.map_or(0, |settings| settings.number);
+                log::line(format_args!("cluster settings version={version} hold"));
+                self.apply_settings(targets);
+            }
+            // Members' addresses matter to members alone: the caller applies them.
+            ConfigChange::Members => {}
+        }
+    }
+
+    /// Drains this instance by itself, or ends that; a drain of the shared configuration stays.
+    pub(super) fn set_local_drain(&self, drained: bool) {
+        self.is_drained_locally.set(drained);
+        if let Some(targets) = self.targets.get() {
+            self.apply_drain(targets);
+        }
     }
 
-    fn set_door(&self, parts: &ControlTargets) {
-        if self.drained_here.get() || self.view.borrow().drained {
-            parts.door.quiesce(parts.clock.now());
+    fn apply_drain(&self, targets: &ControlTargets) {
+        if self.is_drained_locally.get() || self.config.borrow().drained {
+            targets.drain.start_draining(targets.clock.now());
         } else {
-            parts.door.resume();
+            targets.drain.stop_draining();
         }
     }
 
-    /// The settings that hold here: the agreed ones over this instance's own.
-    pub fn settings(&self) -> Settings {
-        let own = self.own.borrow();
-        let agreed = self.view.borrow().settings.clone();
-        match agreed.map(|(version, text)| (version, SharedSettings::parse(&text))) {
-            Some((_, Ok(agreed))) => agreed.over(&own),
-            Some((version, Err(problems))) => {
-                // Another member, of another version of the program, has let it pass.
-                let first = problems
-                    .first()
-                    .map(ToString::to_string)
-                    .unwrap_or_default();
+    /// The settings in force here: the shared ones over this instance's own.
+    pub(super) fn settings(&self) -> Settings {
+        let own = self.own_settings.borrow();
+        let Some(SettingsVersion { number, text }) = self.config.borrow().settings.clone() else {
+            return own.clone();
+        };
+        match SharedSettings::parse(&text) {
+            Ok(shared) => shared.over(&own),
+            Err(errors) => {
+                // A member of another version of the program has accepted it.
+                let first = errors.first().map(ToString::to_string).unwrap_or_default();
                 log::line(format_args!(
-                    "cluster settings version={version} can't be used here: {first}"
+                    "cluster settings version={number} can't be used here: {first}"
                 ));
                 own.clone()
             }
-            None => own.clone(),
         }
     }
 
-    fn take_settings(&self, parts: &ControlTargets) {
-        if let (Some(rest), Some(settings)) = (&parts.rest, &self.settings().rest) {
-            rest.limit(settings);
+    fn apply_settings(&self, targets: &ControlTargets) {
+        if let (Some(rest), Some(settings)) = (&targets.rest, &self.settings().rest) {
+            rest.apply_limits(settings);
         }
     }
 
-    /// This instance's own settings were read anew.
-    pub fn set_own(&self, own: &Settings) {
-        *self.own.borrow_mut() = own.clone();
-        self.parts
-            .get()
-            .into_iter()
-            .for_each(|parts| self.take_settings(parts));
+    /// Applies this instance's own settings, which were read again.
+    pub(super) fn set_own_settings(&self, own: &Settings) {
+        *self.own_settings.borrow_mut() = own.clone();
+        if let Some(targets) = self.targets.get() {
+            self.apply_settings(targets);
+        }
     }
 
-    /// Requests and attempts that were not sent on old state.
-    pub fn turned_away(&self) -> u64 {
-        self.parts
-            .get()
-            .map_or(0, |parts| parts.dispatch.turned_away())
+    /// Requests and attempts that were not sent, as the state was not confirmed.
+    pub(super) fn fenced_count(&self) -> u64 {
+        let targets = self.targets.get();
+        targets.map_or(0, |targets| targets.dispatch.fenced_count())
     }
 }
--- /dev/null
+++ b/gateway/src/replication/shared_config/engine_list.rs
@@ -0,0 +1,73 @@
+//! The last known engine list, stored by the members for instances that start while the event bus is silent.
+
+use std::collections::BTreeMap;
+
+use violetgate_replicated_state::{Condition, Entries, Mutation, Txn, MAX_OPS};
+
+use super::encoding::{
+    entries_under, number_at, put, revision_of, ENGINE_LIST_OFFSET, ENGINE_PREFIX,
+};
+use crate::discovery::EngineListSnapshot;
+
+/// The stored engine list, if there is one.
+#[must_use]
+pub fn stored(state: &impl Entries) -> Option<EngineListSnapshot> {
+    let engine =
+        |(name, bytes): (String, Vec<u8>)| Some((name, serde_json::from_slice(&bytes).ok()?));
+    Some(EngineListSnapshot {
+        last_offset: number_at(state, ENGINE_LIST_OFFSET)?,
+        engines: entries_under(state, ENGINE_PREFIX)
+            .filter_map(engine)
+            .collect(),
+    })
+}
+
+/// The offset of the last event that the stored list includes.
+#[must_use]
+pub fn stored_offset(state: &impl Entries) -> Option<u64> {
+    number_at(state, ENGINE_LIST_OFFSET)
+}
+
+/// The next transaction towards storing `list`; `None`: the stored list is as new.
+///
+/// A transaction has at most [`MAX_OPS`] mutations, so a long list takes several. The offset is written
+/// with the last one: until then the stored list counts as of the earlier offset.
+#[must_use]
+pub fn next_update(state: &impl Entries, list: &EngineListSnapshot) -> Option<Txn> {
+    if stored_offset(state).is_some_and(|offset| offset >= list.last_offset) {
+        return None;
+    }
+    let mut then = missing_mutations(state, list);
+    then.truncate(MAX_OPS);
+    if then.len() < MAX_OPS {
+        let offset = list.last_offset.to_string();
+        then.push(put(ENGINE_LIST_OFFSET.to_owned(), offset));
+    }
+    let unchanged = Condition::RevisionIs(
+        ENGINE_LIST_OFFSET.to_owned(),
+        revision_of(state, ENGINE_LIST_OFFSET),
+    );
+    Some(Txn {
+        conditions: vec![unchanged],
+        then,
+        ..Txn::default()
+    })
+}
+
+/// What the stored engines lack: deletions first, then new or changed engines.
+fn missing_mutations(state: &impl Entries, list: &EngineListSnapshot) -> Vec<Mutation> {
+    let stored: BTreeMap<String, Vec<u8>> = entries_under(state, ENGINE_PREFIX).collect();
+    let encoded = |(name, engine): (&String, &serde_json::Value)| {
+        Some((name.clone(), serde_json::to_vec(engine).ok()?))
+    };
+    let wanted: BTreeMap<String, Vec<u8>> = list.engines.iter().filter_map(encoded).collect();
+    let deleted = stored
+        .keys()
+        .filter(|name| !wanted.contains_key(*name))
+        .map(|name| Mutation::Delete(format!("{ENGINE_PREFIX}{name}")));
+    let changed = wanted
+        .iter()
+        .filter(|(name, engine)| stored.get(*name) != Some(*engine))
+        .map(|(name, engine)| put(format!("{ENGINE_PREFIX}{name}"), engine.clone()));
+    deleted.chain(changed).collect()
+}
--- /dev/null
+++ b/gateway/src/replication/shared_config/view.rs
@@ -0,0 +1,107 @@
+//! What the shared configuration means for one instance, and what changes from one state to the next.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+use violetgate_replicated_state::Entries;
+
+use super::encoding::{entries_under, MemberAddress, CORDON_PREFIX, DRAIN_PREFIX, MEMBER_PREFIX};
+use super::settings_versions::{self, SettingsVersion};
+
+/// The shared configuration as one instance sees it.
+#[derive(Debug, Clone, PartialEq, Default)]
+pub struct SharedConfig {
+    /// Names of the cordoned engines.
+    pub cordons: BTreeSet<String>,
+    /// Whether this instance is drained.
+    pub drained: bool,
+    /// The settings version in force, if there is one.
+    pub settings: Option<SettingsVersion>,
+    /// Members by id, as far as they have recorded their addresses.
+    pub members: BTreeMap<u64, MemberAddress>,
+}
+
+/// One step from an earlier shared configuration to a later one.
+#[derive(Debug, Clone, PartialEq)]
+pub enum ConfigChange {
+    /// An engine was cordoned or uncordoned.
+    Cordon {
+        /// The engine's name.
+        engine: String,
+        /// Whether it is cordoned now.
+        cordoned: bool,
+    },
+    /// This instance was drained (`true`) or resumed.
+    Drain(bool),
+    /// Other settings are in force; `None`: no shared settings any more.
+    Settings(Option<SettingsVersion>),
+    /// Members were added or removed, or have other addresses.
+    Members,
+}
+
+impl SharedConfig {
+    /// Reads the shared configuration for an instance: a member by its id, a subscriber by its name.
+    #[must_use]
+    pub fn read(state: &impl Entries, instance: &str) -> Self {
+        let member = |(id, bytes): (String, Vec<u8>)| {
+            Some((id.parse().ok()?, serde_json::from_slice(&bytes).ok()?))
+        };
+        let cordons = entries_under(state, CORDON_PREFIX);
+        SharedConfig {
+            cordons: cordons.map(|(engine, _)| engine).collect(),
+            drained: state.entry(&format!("{DRAIN_PREFIX}{instance}")).is_some(),
+            settings: settings_versions::in_force(state),
+            members: entries_under(state, MEMBER_PREFIX)
+                .filter_map(member)
+                .collect(),
+        }
+    }
+
+    /// The changes that lead from this configuration to `next`.
+    ///
+    /// Cordons come before uncordons, so that nothing is sent to a cordoned engine in between.
+    #[must_use]
+    pub fn changes_to(&self, next: &SharedConfig) -> Vec<ConfigChange> {
+        let added = next.cordons.difference(&self.cordons);
+        let removed = self.cordons.difference(&next.cordons);
+        let mut changes: Vec<_> = added
+            .map(|engine| cordon_change(engine, true))
+            .chain(removed.map(|engine| cordon_change(engine, false)))
+            .collect();
+        if self.drained != next.drained {
+            changes.push(ConfigChange::Drain(next.drained));
+        }
+        if self.settings != next.settings {
+            changes.push(ConfigChange::Settings(next.settings.clone()));
+        }
+        if self.members != next.members {
+            changes.push(ConfigChange::Members);
+        }
+        changes
+    }
+
+    /// The members' addresses: those of this instance's own settings come before recorded ones.
+    #[must_use]
+    pub fn addresses(&self, own: &BTreeMap<u64, SocketAddr>) -> BTreeMap<u64, SocketAddr> {
+        let recorded = self.members.iter().map(|(id, member)| (*id, member.listen));
+        recorded
+            .chain(own.iter().map(|(id, address)| (*id, *address)))
+            .collect()
+    }
+
+    /// The ids of the members' disks, as far as they are known.
+    #[must_use]
+    pub fn disk_ids(&self) -> BTreeMap<u64, u64> {
+        let members = self.members.iter();
+        members
+            .filter_map(|(id, member)| Some((*id, member.disk_id?)))
+            .collect()
+    }
+}
+
+fn cordon_change(engine: &str, cordoned: bool) -> ConfigChange {
+    ConfigChange::Cordon {
+        engine: engine.to_owned(),
+        cordoned,
+    }
+}
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -1,7 +1,4 @@
-//! This front end as a subscriber of a cluster: it follows what members agree on without being one of them.
-//!
-//! What is agreed on is done here in the very turn in which it is applied. It must never let anything be sent on state
-//! that was not confirmed within the drain limit: it is the program's [`Fence`].
+//! This instance as a subscriber of a cluster: it follows the shared state without being a member.
 
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
@@ -9,28 +6,29 @@
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use violetgate_raft::NodeId;
 use violetgate_replica_runtime::{
     InvalidSubscriberConfig, SubscriberConfig, Subscription, SubscriptionStatus,
 };
 
-use super::metrics::SubscriberFigures;
+use super::metrics::SubscriberMetrics;
 use super::reconcile::{ControlTargets, Reconciler};
-use super::LOOK;
+use super::{shown_or, FENCE_CHECK_INTERVAL, MICROS_PER_MS};
+use crate::clock::micros;
 use crate::fence::Fence;
 use crate::log;
 use crate::settings::{self, Settings};
 
-/// An observer may leave a question unanswered for this part of the drain limit, and for the core's default at most.
-const ANSWERS_IN_LIMIT: u32 = 5;
-/// How long an open gate is left alone; a change of observer is logged within this time.
-const LONGEST_LOOK: Duration = Duration::from_millis(250);
+/// An observer may leave a poll unanswered for this part of the drain limit, and for the default at most.
+const POLL_TIMEOUTS_IN_DRAIN_LIMIT: u32 = 5;
+/// The longest pause between checks of an open fence; a change of observer is logged within this time.
+const MAX_FENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// This front end as a subscriber.
+/// This instance as a subscriber.
 pub struct ClusterSubscriber {
     subscription: Rc<Subscription>,
-    state: Reconciler,
-    shut: Cell<bool>,
+    reconciler: Reconciler,
+    /// Whether the fence was closed when it was last checked.
+    was_fenced: Cell<bool>,
 }
 
 impl Fence for ClusterSubscriber {
@@ -39,24 +37,20 @@
     }
 }
 
-fn config(given: &settings::Cluster) -> SubscriberConfig {
-    let micros = |span: Duration| u64::try_from(span.as_micros()).unwrap_or(u64::MAX);
-    let observers = given.observer_addresses().into_keys().collect();
-    let defaults = SubscriberConfig::default_for(&given.name, &given.front_end, observers);
+fn subscriber_config(settings: &settings::Cluster) -> SubscriberConfig {
+    let observers = settings.observer_addresses().into_keys().collect();
+    let defaults = SubscriberConfig::default_for(&settings.name, &settings.front_end, observers);
+    let drain_limit = settings.drain_limit.0;
     SubscriberConfig {
-        drain_limit: micros(given.drain_limit.0),
-        poll_interval: micros(given.confirm_every.0),
+        drain_limit: micros(drain_limit),
+        poll_interval: micros(settings.confirm_every.0),
         poll_timeout: defaults
             .poll_timeout
-            .min(micros(given.drain_limit.0 / ANSWERS_IN_LIMIT)),
+            .min(micros(drain_limit / POLL_TIMEOUTS_IN_DRAIN_LIMIT)),
         ..defaults
     }
 }
 
-fn number(id: Option<NodeId>) -> String {
-    id.map_or("none".to_owned(), |id| id.to_string())
-}
-
 impl ClusterSubscriber {
     /// Begins to subscribe. Nothing may be sent until the state is confirmed.
     ///
@@ -65,51 +59,52 @@
     /// The state can't be kept fresh with these settings.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
-        own: &Settings,
-        given: &settings::Cluster,
+        own_settings: &Settings,
+        settings: &settings::Cluster,
         seed: u64,
     ) -> Result<Rc<Self>, InvalidSubscriberConfig> {
-        let subscription =
-            Subscription::start(executor, config(given), given.observer_addresses(), seed)?;
-        let state = Reconciler::new(given.front_end.clone(), own);
+        let config = subscriber_config(settings);
+        let addresses = settings.observer_addresses();
+        let subscription = Subscription::start(executor, config, addresses, seed)?;
         Ok(Rc::new(ClusterSubscriber {
             subscription,
-            state,
-            shut: Cell::new(true),
+            reconciler: Reconciler::new(settings.front_end.clone(), own_settings),
+            was_fenced: Cell::new(true),
         }))
     }
 
-    /// Names what agreed state reaches, does what is agreed on so far, and goes on doing so.
-    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, parts: ControlTargets) {
-        self.state.attach(parts);
-        let me = Rc::downgrade(self);
-        // In the very turn in which it is applied: the gate may count it from then on.
+    /// Connects the parts that the shared configuration reaches, carries out what is committed so far, and
+    /// goes on doing so.
+    pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
+        self.reconciler.attach(targets);
+        let subscriber = Rc::downgrade(self);
+        // Carried out in the step in which it is applied: the staleness guard may count on it from then on.
         self.subscription.on_applied(Rc::new(move |replica| {
-            if let Some(me) = me.upgrade() {
-                // Where members are matters to members alone.
-                let _ = me.state.adopt(replica);
+            if let Some(subscriber) = subscriber.upgrade() {
+                // Members' addresses matter to members alone.
+                let _ = subscriber.reconciler.reconcile(replica);
             }
         }));
-        executor.spawn(look(Rc::downgrade(self))).detach();
+        executor.spawn(watch_fence(Rc::downgrade(self))).detach();
     }
 
-    /// The settings that hold here: the agreed ones over this instance's own.
+    /// The settings in force here: the shared ones over this instance's own.
     #[must_use]
     pub fn settings(&self) -> Settings {
-        self.state.settings()
+        self.reconciler.settings()
     }
 
-    /// This instance's own settings were read anew.
-    pub fn own(&self, own: &Settings) {
-        self.state.set_own(own);
+    /// Applies this instance's own settings, which were read again.
+    pub fn set_own_settings(&self, own: &Settings) {
+        self.reconciler.set_own_settings(own);
     }
 
-    /// Drains this front end by itself, or ends that; a drain that is agreed on stays.
-    pub fn drain_here(&self, on: bool) {
-        self.state.drain_here(on);
+    /// Drains this instance by itself, or ends that; a drain of the shared configuration stays.
+    pub fn set_local_drain(&self, drained: bool) {
+        self.reconciler.set_local_drain(drained);
     }
 
-    /// What the subscription is at.
+    /// The state of the subscription.
     #[must_use]
     pub fn status(&self) -> SubscriptionStatus {
         self.subscription.status()
@@ -121,31 +116,33 @@
         &self.subscription
     }
 
-    /// The figures, in the text format of Prometheus.
+    /// The metrics, in the text format of Prometheus.
     #[must_use]
-    pub fn figures(&self) -> String {
-        let traffic = self.subscription.traffic();
-        SubscriberFigures {
+    pub fn metrics(&self) -> String {
+        let metrics = SubscriberMetrics {
             status: self.status(),
-            traffic,
-            turned_away: self.state.turned_away(),
-        }
-        .text()
+            traffic: self.subscription.traffic(),
+            fenced: self.reconciler.fenced_count(),
+        };
+        metrics.render()
     }
 
-    /// Notices that the fence was shut or opened.
-    fn look(&self) {
-        let Some(parts) = self.state.parts() else {
+    /// Carries out that the fence is closed, or that it was opened or closed.
+    fn check_fence(&self) {
+        let Some(targets) = self.reconciler.targets() else {
             return;
         };
-        let shut = !self.is_open();
-        if shut {
-            parts.dispatch.shut();
+        let is_fenced = !self.is_open();
+        if is_fenced {
+            targets.dispatch.reject_queued();
         }
-        if self.shut.replace(shut) == shut {
-            return;
+        if self.was_fenced.replace(is_fenced) != is_fenced {
+            targets.drain.set_fenced(is_fenced);
+            self.log_fence(is_fenced);
         }
-        parts.door.fence(shut);
+    }
+
+    fn log_fence(&self, is_fenced: bool) {
         let SubscriptionStatus {
             revision,
             watched,
@@ -153,45 +150,42 @@
             freshness,
             rejection,
         } = self.status();
-        let (watched, standby) = (number(watched), number(standby));
-        if !shut {
+        let (observer, reserve) = (shown_or(watched, "none"), shown_or(standby, "none"));
+        if !is_fenced {
             return log::line(format_args!(
-                "cluster sends again: revision={revision} observer={watched} reserve={standby}"
+                "cluster sends again: revision={revision} observer={observer} reserve={reserve}"
             ));
         }
         let age = freshness.err().and_then(|stale| stale.age);
-        let age = age.map_or("unknown".to_owned(), |age| (age / 1000).to_string());
-        let refused = rejection.map_or("none".to_owned(), |why| format!("{}: {why}", why.code()));
+        let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
+        let refused = rejection.map(|reason| format!("{}: {reason}", reason.code()));
+        let refused = shown_or(refused, "none");
         log::line(format_args!(
-            "cluster reason=stale sends nothing: age_ms={age} revision={revision} observer={watched} \
-             reserve={standby} refused={refused}"
+            "cluster reason=stale sends nothing: age_ms={age_ms} revision={revision} \
+             observer={observer} reserve={reserve} refused={refused}"
         ));
     }
 }
 
-async fn look(of: Weak<ClusterSubscriber>) {
-    let mut observer = None;
-    while let Some(subscribed) = of.upgrade() {
-        subscribed.look();
-        let SubscriptionStatus {
-            watched,
-            standby,
-            revision,
-            ..
-        } = subscribed.status();
-        if observer != watched {
-            observer = watched;
-            let (watched, standby) = (number(watched), number(standby));
+/// Checks the fence, and logs a change of observer.
+async fn watch_fence(subscriber: Weak<ClusterSubscriber>) {
+    let mut known_observer = None;
+    while let Some(subscriber) = subscriber.upgrade() {
+        subscriber.check_fence();
+        let status = subscriber.status();
+        if known_observer != status.watched {
+            known_observer = status.watched;
+            let observer = shown_or(status.watched, "none");
+            let reserve = shown_or(status.standby, "none");
             log::line(format_args!(
-                "cluster observer={watched} reserve={standby} revision={revision}"
+                "cluster observer={observer} reserve={reserve} revision={}",
+                status.revision
             ));
         }
-        // An open gate can't shut before that: fifty looks a second would be most of what control costs.
-        let pause = subscribed
-            .subscription
-            .time_until_stale()
-            .clamp(LOOK, LONGEST_LOOK);
-        drop(subscribed);
+        // An open fence can't close before that: fifty checks a second would be most of what control costs.
+        let time_left = subscriber.subscription.time_until_stale();
+        drop(subscriber);
+        let pause = time_left.clamp(FENCE_CHECK_INTERVAL, MAX_FENCE_CHECK_INTERVAL);
         Timer::after(pause).await;
     }
 }
--- /dev/null
+++ b/gateway/src/rest/connection.rs
@@ -0,0 +1,171 @@
+//! One REST connection, from its start to its end.
+
+use std::convert::Infallible;
+use std::future::{poll_fn, Future};
+use std::net::{SocketAddr, TcpStream};
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+use async_io::{Async, Timer};
+use hyper::StatusCode;
+use smol_hyper::rt::FuturesIo;
+use violetgate_policy::interface::Micros;
+
+use super::connection_end::ConnectionEnd;
+use super::watch::{ConnectionWatch, Phase, PhaseTimeouts, WatchedStream};
+use super::{write_raw, RestFrontend};
+use crate::clock::Clock;
+use crate::connection_limit::ConnectionSlot;
+use crate::http_error::HttpError;
+use crate::log;
+use crate::net;
+
+/// The most headers of a request.
+const MAX_HEADERS: usize = 64;
+
+impl RestFrontend {
+    pub(super) async fn run_connection(
+        self: Rc<Self>,
+        stream: Async<TcpStream>,
+        peer: SocketAddr,
+        slot: Rc<ConnectionSlot>,
+    ) {
+        let _ = stream.get_ref().set_nodelay(true);
+        let stream = Rc::new(stream);
+        let watch = ConnectionWatch::new(self.parts.clock, Rc::clone(&slot));
+        let end = self.serve(&stream, &watch, &slot).await;
+        if watch.has_unread_input.get() {
+            net::linger(&stream).await;
+        }
+        drop(stream);
+        self.limiter.release(&slot);
+        log::connection_ended("rest", peer, end, watch.answered.get());
+    }
+
+    /// Serves a connection up to its end.
+    async fn serve(
+        self: &Rc<Self>,
+        stream: &Rc<Async<TcpStream>>,
+        watch: &Rc<ConnectionWatch>,
+        slot: &ConnectionSlot,
+    ) -> ConnectionEnd {
+        let (timeouts, max_head_bytes) = {
+            let limits = self.limits.borrow();
+            let timeouts = PhaseTimeouts {
+                idle: limits.idle_timeout.0,
+                head: limits.head_timeout.0,
+                write: limits.write_timeout.0,
+            };
+            (timeouts, limits.max_head.0 as usize)
+        };
+        let (front_end, request_watch) = (Rc::clone(self), Rc::clone(watch));
+        let service = hyper::service::service_fn(move |request| {
+            let (front_end, watch) = (Rc::clone(&front_end), Rc::clone(&request_watch));
+            async move { Ok::<_, Infallible>(front_end.answer(request, &watch).await) }
+        });
+        let io = FuturesIo::new(WatchedStream::new(Rc::clone(stream), Rc::clone(watch)));
+        let mut server = pin!(hyper::server::conn::http1::Builder::new()
+            .header_read_timeout(None)
+            .max_buf_size(max_head_bytes)
+            .max_headers(MAX_HEADERS)
+            .serve_connection(io, service));
+        let mut close_requested = pin!(slot.close_requested());
+        let mut closing = None;
+        let mut timer = DeadlineTimer::new(self.parts.clock);
+        let ended = poll_fn(|context| {
+            if let Poll::Ready(result) = server.as_mut().poll(context) {
+                return Poll::Ready(Ok(result));
+            }
+            if closing.is_none() {
+                if let Poll::Ready(reason) = close_requested.as_mut().poll(context) {
+                    closing = Some(reason);
+                    // What is here is answered, and then it closes.
+                    server.as_mut().graceful_shutdown();
+                    if let Poll::Ready(result) = server.as_mut().poll(context) {
+                        return Poll::Ready(Ok(result));
+                    }
+                }
+            }
+            timer.poll(watch, &timeouts, context).map(Err)
+        })
+        .await;
+        match (ended, closing) {
+            (Err(end), _) => {
+                if end == ConnectionEnd::HeadTimeout {
+                    write_raw(stream, &head_timeout());
+                }
+                end
+            }
+            (Ok(_), Some(reason)) => ConnectionEnd::Requested(reason),
+            (Ok(result), None) => end_of_server(result, watch),
+        }
+    }
+}
+
+fn head_timeout() -> HttpError {
+    HttpError::new(
+        StatusCode::REQUEST_TIMEOUT,
+        "request-timeout",
+        "the head of the request was not whole in time",
+    )
+}
+
+/// Why the HTTP server ended by itself.
+fn end_of_server(result: hyper::Result<()>, watch: &ConnectionWatch) -> ConnectionEnd {
+    if watch.phase() == Phase::Request {
+        return ConnectionEnd::ClosedDuringRequest;
+    }
+    match result {
+        Ok(()) => ConnectionEnd::Closed,
+        // The server has answered with the status for it.
+        Err(error) if error.is_parse() => {
+            watch.has_unread_input.set(true);
+            ConnectionEnd::ProtocolViolation
+        }
+        Err(error) if error.is_incomplete_message() => ConnectionEnd::Closed,
+        Err(_) => ConnectionEnd::Reset,
+    }
+}
+
+/// The timer of a connection's phases, which is set anew only for an earlier deadline: one that fires too
+/// early is checked again, and most of them never fire.
+struct DeadlineTimer {
+    clock: Clock,
+    timer: Timer,
+    /// The time that it is set to.
+    armed_at: Option<Micros>,
+}
+
+impl DeadlineTimer {
+    fn new(clock: Clock) -> Self {
+        DeadlineTimer {
+            clock,
+            timer: Timer::never(),
+            armed_at: None,
+        }
+    }
+
+    /// Why the connection has to end, once it has timed out.
+    fn poll(
+        &mut self,
+        watch: &ConnectionWatch,
+        timeouts: &PhaseTimeouts,
+        context: &mut Context<'_>,
+    ) -> Poll<ConnectionEnd> {
+        while let Some(deadline) = watch.deadline(timeouts) {
+            if self.armed_at.is_none_or(|armed_at| deadline.at < armed_at) {
+                self.timer.set_at(self.clock.instant(deadline.at));
+                self.armed_at = Some(deadline.at);
+            }
+            if Pin::new(&mut self.timer).poll(context).is_pending() {
+                return Poll::Pending;
+            }
+            self.armed_at = None;
+            if self.clock.now() >= deadline.at {
+                return Poll::Ready(deadline.end);
+            }
+        }
+        Poll::Pending
+    }
+}
--- /dev/null
+++ b/gateway/src/rest/pages.rs
@@ -0,0 +1,123 @@
+//! Results in pages: the first one answers the query, further ones stay fetchable for the client's time.
+
+use std::rc::Rc;
+
+use http_body_util::Full;
+use hyper::header::{HeaderValue, CACHE_CONTROL, CONTENT_TYPE, LINK};
+use hyper::{Response, StatusCode};
+use violetgate_policy::interface::Micros;
+use violetgate_result_store::{AttemptId, LookupError, NewResult, ResultSlot};
+
+use super::watch::ConnectionWatch;
+use super::wire::{Continuation, Page};
+use super::{Reply, RestFrontend};
+use crate::exchange::QueryResult;
+use crate::http_error::HttpError;
+use crate::stats::increment;
+
+const FIRST_PAGE: usize = 1;
+
+impl RestFrontend {
+    /// The answer to a query that was served. A result of one page is complete in it; others stay
+    /// fetchable until `expires_at`.
+    pub(super) fn first_page(
+        &self,
+        result: Rc<QueryResult>,
+        slot: ResultSlot,
+        expires_at: Micros,
+        watch: &ConnectionWatch,
+    ) -> Reply {
+        if result.pages.len() <= 1 {
+            return page_reply(&result, FIRST_PAGE, None);
+        }
+        let stored = NewResult {
+            pages: Rc::clone(&result),
+            bytes: result.size_bytes(),
+            origin: AttemptId {
+                request: result.query,
+                attempt: result.attempt,
+            },
+            expires_at,
+        };
+        let token = self.parts.results.borrow_mut().insert(slot, stored);
+        watch.set_sticky_until(expires_at);
+        let continuation = Continuation {
+            token: &token,
+            expires_at,
+        };
+        page_reply(&result, FIRST_PAGE, Some(continuation))
+    }
+
+    /// A further page, from 1.
+    pub(super) fn page(
+        &self,
+        token: &str,
+        page: usize,
+        watch: &ConnectionWatch,
+    ) -> Result<Reply, HttpError> {
+        let now = self.parts.clock.now();
+        let found = self.parts.results.borrow().get(now, token);
+        let found = found.map_err(|error| self.page_error(error))?;
+        let (result, expires_at) = (found.pages, found.token.expires_at);
+        if page > result.pages.len() {
+            return Err(self.page_error(LookupError::UnknownToken));
+        }
+        increment(&self.counters.pages);
+        let is_last = page == result.pages.len();
+        // Its last page read, a client needs this process no more.
+        watch.set_sticky_until(if is_last { 0 } else { expires_at });
+        let continuation = Continuation { token, expires_at };
+        Ok(page_reply(&result, page, Some(continuation)))
+    }
+
+    /// Deletes a result.
+    pub(super) fn delete(&self, token: &str) -> Result<Reply, HttpError> {
+        let now = self.parts.clock.now();
+        let deleted = self.parts.results.borrow_mut().delete(now, token);
+        deleted.map_err(|error| self.page_error(error))?;
+        let mut reply = Response::new(Full::default());
+        *reply.status_mut() = StatusCode::NO_CONTENT;
+        Ok(reply)
+    }
+
+    fn page_error(&self, error: LookupError) -> HttpError {
+        match error {
+            LookupError::UnknownToken => {
+                increment(&self.counters.unknown_tokens);
+                HttpError::new(
+                    StatusCode::NOT_FOUND,
+                    "no-such-page",
+                    "nobody here has promised this page",
+                )
+            }
+            LookupError::Gone => {
+                increment(&self.counters.gone);
+                HttpError::new(
+                    StatusCode::GONE,
+                    "result-gone",
+                    "this result is no longer kept; ask again",
+                )
+            }
+        }
+    }
+}
+
+fn page_reply(result: &QueryResult, page: usize, continuation: Option<Continuation<'_>>) -> Reply {
+    let rows = result.pages.get(page - 1).map_or(&b""[..], |rows| rows);
+    let page = Page {
+        continuation,
+        query: result.query,
+        page,
+        page_count: result.pages.len().max(1),
+        rows,
+    };
+    let mut reply = Response::new(Full::from(page.body()));
+    let headers = reply.headers_mut();
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
+    if let Some(next) = page.next() {
+        let link = HeaderValue::try_from(format!("<{next}>; rel=\"next\""));
+        headers.extend(link.ok().map(|link| (LINK, link)));
+    }
+    reply
+}
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -1,152 +1,38 @@
-//! What one request of the REST front asks: a query, a page of a result, or an end to one. It decides nothing about queries.
+//! `POST /v1/queries`: one query, from its request to the first page of its result.
 
-use super::*;
+use std::rc::Rc;
 
-impl Rest {
-    pub(super) async fn carry_out(
-        &self,
-        request: hyper::Request<Incoming>,
-        line: &Line,
-    ) -> Result<Reply, HttpError> {
-        let (head, body) = request.into_parts();
-        match wire::route(&head.method, head.uri.path()) {
-            Route::Ask => {
-                let body = self.read(body).await?;
-                self.ask(&head.headers, &body, line).await
-            }
-            Route::Page(id, n) => self.page(id, n, line),
-            Route::Delete(id) => self.delete(id),
-            Route::Not(allow) => Err(HttpError::new(
-                StatusCode::METHOD_NOT_ALLOWED,
-                "method-not-allowed",
-                format!("this path takes {allow}"),
-            )),
-            Route::Nowhere => Err(HttpError::new(
-                StatusCode::NOT_FOUND,
-                "no-such-path",
-                "no such path",
-            )),
-        }
-    }
+use hyper::{HeaderMap, StatusCode};
+use rand_chacha::rand_core::RngCore;
+use violetgate_policy::interface::{Micros, QueryId};
+use violetgate_result_store::ResultSlot;
 
-    /// Reads a body whole, within its limits.
-    async fn read(&self, mut body: Incoming) -> Result<Vec<u8>, HttpError> {
-        let (most, within) = {
-            let limits = self.limits.borrow();
-            (limits.max_body.0 as usize, limits.body_timeout.0)
-        };
-        let long = || {
-            let detail = format!("a body has {most} bytes at most");
-            HttpError::new(StatusCode::PAYLOAD_TOO_LARGE, "body-too-large", detail).closing()
-        };
-        // A length that is told is believed before a byte is read, and before `100 Continue` is said.
-        if body.size_hint().lower() > most as u64 {
-            return Err(long());
-        }
-        let whole = async {
-            let mut bytes = Vec::new();
-            while let Some(frame) = body.frame().await {
-                let frame = frame.map_err(|e| {
-                    let detail = format!("the body can't be read: {e}");
-                    HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
-                })?;
-                // Trailers say nothing that is heeded here.
-                let data = frame.into_data().unwrap_or_default();
-                if bytes.len() + data.len() > most {
-                    return Err(long());
-                }
-                bytes.extend_from_slice(&data);
-            }
-            Ok(bytes)
-        };
-        let late = async {
-            Timer::after(within).await;
-            let detail = "the body of the request was not whole in time";
-            Err(HttpError::new(StatusCode::REQUEST_TIMEOUT, "request-timeout", detail).closing())
-        };
-        whole.or(late).await
-    }
+use super::watch::ConnectionWatch;
+use super::{wire, Reply, RestFrontend};
+use crate::exchange::{Answer, Exchange, Request, RequestIdInUse, RequestSink};
+use crate::http_error::HttpError;
+use crate::stats::{increment, RequestEnding};
+
+/// Request ids are drawn at random; one that is in use is drawn anew, so often at most.
+const MAX_ID_DRAWS: u32 = 4;
 
-    async fn ask(
+/// The status of a rejection: a retry does no harm.
+const REJECTED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
+
+impl RestFrontend {
+    pub(super) async fn query(
         &self,
-        headers: &hyper::HeaderMap,
+        headers: &HeaderMap,
         body: &[u8],
-        line: &Line,
+        watch: &ConnectionWatch,
     ) -> Result<Reply, HttpError> {
-        let core = &self.core;
-        let received = core.clock.now();
-        let draining = || {
-            let detail = "this server takes no more queries; another one will";
-            HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "draining", detail).after(0)
-        };
-        for _ in 0..DRAWS {
-            let rid = format!("{:016x}", self.rng.borrow_mut().next_u64());
-            let request = wire::ask(headers, body, &core.names, &rid, received)?;
-            let open = core.stats.begin(request.query.class);
-            if core.door.turns_back(received) {
-                open.ended(Ending::Refused);
-                return Err(draining());
+        let received = self.parts.clock.now();
+        for _ in 0..MAX_ID_DRAWS {
+            let id = format!("{:016x}", self.rng.borrow_mut().next_u64());
+            let request = wire::parse_query(headers, body, &self.parts.names, &id, received)?;
+            if let Ok(answered) = self.run_query(request, watch).await {
+                return answered;
             }
-            let slot = core.results.borrow_mut().reserve(received);
-            let slot = match slot {
-                Ok(slot) => slot,
-                Err(store) => {
-                    add(&self.counts.full);
-                    open.ended(Ending::Refused);
-                    let detail = "the results that are kept for other clients take all room";
-                    let problem =
-                        HttpError::new(StatusCode::SERVICE_UNAVAILABLE, "results-full", detail);
-                    return Err(problem.after(store.retry_after));
-                }
-            };
-            let until = received.saturating_add(request.query.time_left);
-            let exchange = Exchange::new(request);
-            if !core.intake.submit(&exchange) {
-                continue;
-            }
-            let waits = Waits {
-                intake: &core.intake,
-                query: Some(exchange.request.query.id),
-            };
-            let answer = exchange.answer().await;
-            waits.over();
-            let refused = StatusCode::SERVICE_UNAVAILABLE;
-            let problem = match answer {
-                Answer::Served(served) => {
-                    open.ended(Ending::Served);
-                    return Ok(self.first_page(served, slot, until, line));
-                }
-                Answer::Refused { retry_after } => {
-                    HttpError::new(refused, "busy", "too busy to serve this query").after(retry_after)
-                }
-                Answer::ShuttingDown => draining(),
-                Answer::StateUnconfirmed => {
-                    let detail = "this instance is cut off from the others; another one may serve it";
-                    HttpError::new(refused, "isolated", detail).after(0)
-                }
-                Answer::Failed => HttpError::new(
-                    StatusCode::BAD_GATEWAY,
-                    "failed",
-                    "the query failed; it may have had its effect",
-                ),
-                Answer::KeyConflict => HttpError::new(
-                    StatusCode::UNPROCESSABLE_ENTITY,
-                    "key-reused",
-                    "this Idempotency-Key was used with another query",
-                ),
-                Answer::OutcomeUnknown => HttpError::new(
-                    StatusCode::CONFLICT,
-                    "outcome-unknown",
-                    "an earlier query of this Idempotency-Key may have had its effect, and engines no longer \
-                     discard a second one",
-                ),
-            };
-            open.ended(if problem.status == refused {
-                Ending::Refused
-            } else {
-                Ending::Failed
-            });
-            return Err(problem);
         }
         Err(HttpError::new(
             StatusCode::INTERNAL_SERVER_ERROR,
@@ -155,124 +41,113 @@
         ))
     }
 
-    /// The answer to a query that was served. A result of one page is all in it; others stay for their time.
-    fn first_page(
+    /// Runs one query, and counts how it ended; `Err`: its id is in use.
+    async fn run_query(
         &self,
-        served: Rc<Served>,
-        slot: ResultSlot,
-        until: Micros,
-        line: &Line,
-    ) -> Reply {
-        let many = served.pages.len() > 1;
-        let token = many.then(|| {
-            let result = NewResult {
-                pages: Rc::clone(&served),
-                bytes: served.bytes(),
-                origin: AttemptId {
-                    request: served.query,
-                    attempt: served.attempt,
-                },
-                expires_at: until,
-            };
-            self.core.results.borrow_mut().insert(slot, result)
+        request: Request,
+        watch: &ConnectionWatch,
+    ) -> Result<Result<Reply, HttpError>, RequestIdInUse> {
+        let in_progress = self.parts.stats.start_request(request.query.class);
+        let reply = match self.reserve_result(request.received) {
+            Ok(slot) => self.submit_and_wait(request, slot, watch).await?,
+            Err(error) => Err(error),
+        };
+        in_progress.finish(match &reply {
+            Ok(_) => RequestEnding::Served,
+            Err(error) if error.status == REJECTED => RequestEnding::Refused,
+            Err(_) => RequestEnding::Failed,
         });
-        if token.is_some() {
-            line.owes(until);
-        }
-        let id = token.as_deref();
-        page_of(&served, id, 1, id.map(|_| until))
+        Ok(reply)
     }
 
-    fn page(&self, id: &str, n: usize, line: &Line) -> Result<Reply, HttpError> {
-        let found = self.core.results.borrow().get(self.core.clock.now(), id);
-        let found = found.map_err(|error| self.missing(error))?;
-        let (served, expires_at) = (found.pages, found.token.expires_at);
-        if n > served.pages.len() {
-            return Err(self.missing(LookupError::UnknownToken));
+    /// Reserves capacity for a result, unless this instance drains or has none left.
+    fn reserve_result(&self, now: Micros) -> Result<ResultSlot, HttpError> {
+        if self.parts.drain.rejects_requests(now) {
+            return Err(draining());
         }
-        add(&self.counts.pages);
-        // Its last page read, a client needs this process no more.
-        line.owes(if n == served.pages.len() {
-            0
-        } else {
-            expires_at
-        });
-        Ok(page_of(&served, Some(id), n, Some(expires_at)))
+        let slot = self.parts.results.borrow_mut().reserve(now);
+        slot.map_err(|full| {
+            increment(&self.counters.results_full);
+            let detail = "the results that are kept for other clients take all room";
+            HttpError::new(REJECTED, "results-full", detail).with_retry_after(full.retry_after)
+        })
     }
 
-    fn delete(&self, id: &str) -> Result<Reply, HttpError> {
-        let gone = self
-            .core
-            .results
-            .borrow_mut()
-            .delete(self.core.clock.now(), id);
-        gone.map_err(|m| self.missing(m))?;
-        let mut reply = Response::new(Full::default());
-        *reply.status_mut() = StatusCode::NO_CONTENT;
-        Ok(reply)
-    }
-
-    fn missing(&self, missing: LookupError) -> HttpError {
-        match missing {
-            LookupError::UnknownToken => {
-                add(&self.counts.unknown);
-                HttpError::new(
-                    StatusCode::NOT_FOUND,
-                    "no-such-page",
-                    "nobody here has promised this page",
-                )
-            }
-            LookupError::Gone => {
-                add(&self.counts.gone);
-                HttpError::new(
-                    StatusCode::GONE,
-                    "result-gone",
-                    "this result is no longer kept; ask again",
-                )
-            }
-        }
+    async fn submit_and_wait(
+        &self,
+        request: Request,
+        slot: ResultSlot,
+        watch: &ConnectionWatch,
+    ) -> Result<Result<Reply, HttpError>, RequestIdInUse> {
+        let expires_at = request.received.saturating_add(request.query.time_left);
+        let exchange = Exchange::new(request);
+        self.parts.sink.submit(&exchange)?;
+        let guard = WithdrawGuard {
+            sink: &self.parts.sink,
+            query: Some(exchange.id()),
+        };
+        let answer = exchange.answer().await;
+        guard.disarm();
+        Ok(match answer {
+            Answer::Served(result) => Ok(self.first_page(result, slot, expires_at, watch)),
+            other => Err(error_of(&other)),
+        })
     }
 }
 
-/// A query that waits for its answer. Dropped before that, as when its client has left, it is withdrawn.
-struct Waits<'a> {
-    intake: &'a Rc<dyn RequestSink>,
+/// A query that waits for its answer. Dropped before that, as when its client has disconnected, it is
+/// withdrawn.
+struct WithdrawGuard<'a> {
+    sink: &'a Rc<dyn RequestSink>,
     query: Option<QueryId>,
 }
 
-impl Waits<'_> {
-    fn over(mut self) {
+impl WithdrawGuard<'_> {
+    fn disarm(mut self) {
         self.query = None;
     }
 }
 
-impl Drop for Waits<'_> {
+impl Drop for WithdrawGuard<'_> {
     fn drop(&mut self) {
         if let Some(query) = self.query {
-            self.intake.withdraw(query);
+            self.sink.withdraw(query);
         }
     }
 }
 
-fn page_of(served: &Served, id: Option<&str>, n: usize, until: Option<Micros>) -> Reply {
-    let rows = served.pages.get(n - 1).map_or(&b""[..], |p| p);
-    let page = Page {
-        id,
-        query: served.query,
-        page: n,
-        pages: served.pages.len().max(1),
-        until,
-        rows,
-    };
-    let mut reply = Response::new(Full::from(page.body()));
-    let headers = reply.headers_mut();
-    headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    headers.insert(CACHE_CONTROL, HeaderValue::from_static("no-store"));
-    if let Some(next) = page
-        .next()
-        .and_then(|n| HeaderValue::try_from(format!("<{n}>; rel=\"next\"")).ok())
-    {
-        headers.insert(LINK, next);
+fn draining() -> HttpError {
+    let detail = "this server takes no more queries; another one will";
+    HttpError::new(REJECTED, "draining", detail).with_retry_after(0)
+}
+
+/// The error that reports an answer other than a result.
+fn error_of(answer: &Answer) -> HttpError {
+    match answer {
+        Answer::Refused { retry_after } => {
+            HttpError::new(REJECTED, "busy", "too busy to serve this query")
+                .with_retry_after(*retry_after)
+        }
+        Answer::ShuttingDown => draining(),
+        Answer::StateUnconfirmed => {
+            let detail = "this instance is cut off from the others; another one may serve it";
+            HttpError::new(REJECTED, "isolated", detail).with_retry_after(0)
+        }
+        Answer::KeyConflict => HttpError::new(
+            StatusCode::UNPROCESSABLE_ENTITY,
+            "key-reused",
+            "this Idempotency-Key was used with another query",
+        ),
+        Answer::OutcomeUnknown => HttpError::new(
+            StatusCode::CONFLICT,
+            "outcome-unknown",
+            "an earlier query of this Idempotency-Key may have had its effect, and engines no longer \
+             discard a second one",
+        ),
+        Answer::Failed | Answer::Served(_) => HttpError::new(
+            StatusCode::BAD_GATEWAY,
+            "failed",
+            "the query failed; it may have had its effect",
+        ),
     }
-    reply
 }
