--- /dev/null
+++ b/gateway/src/serve/assembly.rs
@@ -0,0 +1,245 @@
+//! Puts the parts of the gateway together.
+
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+use async_executor::LocalExecutor;
+use rand_chacha::rand_core::SeedableRng;
+use rand_chacha::ChaCha8Rng;
+use violetgate_policy::interface::{Class, ListScope};
+use violetgate_result_store::{ResultCache, TokenSealer};
+
+use super::connection_budget::ConnectionBudget;
+use super::error::StartError;
+use crate::clock::Clock;
+use crate::config::{Config, InitialEvents, NameTable};
+use crate::discovery::{DiscoveryClient, DiscoverySource, EngineIds, ListRetention};
+use crate::dispatch::Dispatch;
+use crate::drain::DrainState;
+use crate::exchange::{AttemptEvents, ListedEngine, RequestSink, UpstreamEngines};
+use crate::fleet::FleetMembership;
+use crate::idempotency::IdempotencyLayer;
+use crate::postgres::sessions::Sessions;
+use crate::replication::{ControlTargets, Participant};
+use crate::rest::{result_limits, RestFrontend, RestParts};
+use crate::settings::{self, Settings};
+use crate::stats::Stats;
+use crate::upstream::pool::Pool;
+
+/// Random numbers other than the decisions' are drawn from streams of their own.
+const CANCEL_KEY_STREAM: u64 = 1;
+const REST_ID_STREAM: u64 = 2;
+
+/// The parts of a gateway.
+pub(super) struct Gateway {
+    pub executor: Rc<LocalExecutor<'static>>,
+    pub clock: Clock,
+    pub name: String,
+    pub listen: SocketAddr,
+    pub max_sockets: usize,
+    /// The longest deadline of a class of requests.
+    pub longest_deadline: Duration,
+    pub stats: Rc<Stats>,
+    pub dispatch: Rc<Dispatch>,
+    pub pool: Rc<Pool>,
+    pub engine_ids: Rc<EngineIds>,
+    pub discovery: Rc<DiscoverySource>,
+    pub drain: Rc<DrainState>,
+    pub sessions: Rc<Sessions>,
+    pub rest: Option<Rc<RestFrontend>>,
+    pub participant: Option<Participant>,
+    pub fleet: Option<Rc<FleetMembership>>,
+}
+
+impl Gateway {
+    /// Creates all parts, and starts the tasks behind the front ends. Clients are not accepted yet.
+    pub(super) fn assemble(
+        clock: Clock,
+        config: Config,
+        settings: &Settings,
+        budget: ConnectionBudget,
+    ) -> Result<Self, StartError> {
+        let executor = Rc::new(LocalExecutor::new());
+        let classes = config.settings.classes.clone();
+        let longest_deadline = classes.iter().filter_map(|class| class.deadline).max();
+        let class_names = config.names.classes.iter();
+        let stats = Rc::new(Stats::new(class_names.map(|class| class.name.as_str())));
+        let participant = settings
+            .cluster
+            .as_ref()
+            .map(|cluster| Participant::start(&executor, settings, cluster, config.seed));
+        let participant = participant.transpose()?;
+        let fence = participant.as_ref().map(Participant::fence);
+        let pool = Pool::new(
+            Rc::clone(&executor),
+            clock,
+            config.upstream,
+            Rc::clone(&stats),
+            fence.clone(),
+            budget.engines,
+        );
+        let engines: Rc<dyn UpstreamEngines> = Rc::<Pool>::clone(&pool);
+        let configured_size = config.settings.gateways.unwrap_or(1);
+        let dispatch = Dispatch::new(clock, config.settings, config.seed, engines, fence);
+        let events: Rc<dyn AttemptEvents> = Rc::<Dispatch>::clone(&dispatch);
+        let events: Weak<dyn AttemptEvents> = Rc::downgrade(&events);
+        pool.report_to(events);
+        let fleet = settings.fleet.as_ref().map(|fleet| {
+            let seed = config.seed;
+            FleetMembership::start(&executor, fleet, clock, seed, configured_size, &dispatch)
+        });
+        let fleet = fleet.transpose()?.map(Rc::new);
+        let engine_ids = Rc::new(EngineIds::default());
+        let retention = participant
+            .as_ref()
+            .map_or(ListRetention::Discard, Participant::list_retention);
+        let discovery = Rc::new(DiscoverySource::new(config.bus, retention));
+        let client = DiscoveryClient::new(
+            config.names.clone(),
+            Rc::clone(&engine_ids),
+            Rc::clone(&discovery),
+        );
+        follow_engine_list(&executor, client, config.initial_events, &dispatch);
+        start_upkeep(&executor, &dispatch, &pool);
+        let drain = Rc::new(DrainState::default());
+        let front_ends = FrontEnds {
+            executor: &executor,
+            clock,
+            names: &config.names,
+            stats: &stats,
+            drain: &drain,
+            seed: config.seed,
+            budget,
+        };
+        let (sessions, rest) = front_ends.create(&dispatch, settings.rest.as_ref(), &classes)?;
+        Ok(Gateway {
+            clock,
+            name: config.name,
+            listen: config.listen,
+            max_sockets: config.max_sockets,
+            longest_deadline: Duration::from_micros(longest_deadline.unwrap_or(0)),
+            stats,
+            dispatch,
+            pool,
+            engine_ids,
+            discovery,
+            drain,
+            sessions,
+            rest,
+            participant,
+            fleet,
+            executor,
+        })
+    }
+
+    /// The parts that the shared configuration of a cluster reaches.
+    pub(super) fn control_targets(&self) -> ControlTargets {
+        ControlTargets {
+            clock: self.clock,
+            dispatch: Rc::clone(&self.dispatch),
+            drain: Rc::clone(&self.drain),
+            engine_ids: Rc::clone(&self.engine_ids),
+            discovery: Rc::clone(&self.discovery),
+            rest: self.rest.clone(),
+        }
+    }
+}
+
+/// Loads the initial engine list, and follows the event bus. That is the first task, so that events of the
+/// bus are taken before requests that are read in the same step.
+fn follow_engine_list(
+    executor: &LocalExecutor<'static>,
+    mut client: DiscoveryClient,
+    initial: InitialEvents,
+    dispatch: &Rc<Dispatch>,
+) {
+    let dispatch = Rc::clone(dispatch);
+    let mut on_update = move |scope: ListScope, engines: &[ListedEngine]| {
+        dispatch.update_engines(scope, engines);
+    };
+    client.load_initial(initial.last_offset, initial.events, &mut on_update);
+    executor
+        .spawn(async move { client.follow(&mut on_update).await })
+        .detach();
+}
+
+fn start_upkeep(executor: &LocalExecutor<'static>, dispatch: &Rc<Dispatch>, pool: &Rc<Pool>) {
+    let dispatch = Rc::clone(dispatch);
+    executor
+        .spawn(async move { dispatch.run_timers().await })
+        .detach();
+    let pool = Rc::clone(pool);
+    executor.spawn(async move { pool.sweep().await }).detach();
+}
+
+/// What the front ends are made from.
+struct FrontEnds<'a> {
+    executor: &'a Rc<LocalExecutor<'static>>,
+    clock: Clock,
+    names: &'a NameTable,
+    stats: &'a Rc<Stats>,
+    drain: &'a Rc<DrainState>,
+    seed: u64,
+    budget: ConnectionBudget,
+}
+
+impl FrontEnds<'_> {
+    /// Creates the PostgreSQL front end, and the REST one if the settings have one. With REST, idempotency
+    /// keys are shared by both: both submit through the layer that keeps them.
+    fn create(
+        &self,
+        dispatch: &Rc<Dispatch>,
+        rest_settings: Option<&settings::Rest>,
+        classes: &[Class],
+    ) -> Result<(Rc<Sessions>, Option<Rc<RestFrontend>>), StartError> {
+        let dispatch: Rc<dyn RequestSink> = Rc::<Dispatch>::clone(dispatch);
+        let Some(rest_settings) = rest_settings else {
+            return Ok((self.create_sessions(dispatch), None));
+        };
+        let mut secret = [0; 32];
+        getrandom::fill(&mut secret).map_err(StartError::Random)?;
+        let sealer = TokenSealer::new(&secret);
+        let results = ResultCache::new(sealer, result_limits(rest_settings), self.clock.now());
+        let idempotency = IdempotencyLayer::new(
+            dispatch,
+            Rc::clone(self.executor),
+            classes,
+            results.budget().clone(),
+            rest_settings.idempotency_keys,
+        );
+        let sink: Rc<dyn RequestSink> = Rc::<IdempotencyLayer>::clone(&idempotency);
+        let parts = RestParts {
+            executor: Rc::clone(self.executor),
+            clock: self.clock,
+            sink: Rc::clone(&sink),
+            names: self.names.clone(),
+            stats: Rc::clone(self.stats),
+            drain: Rc::clone(self.drain),
+            results: Rc::new(RefCell::new(results)),
+            idempotency,
+        };
+        let rng = self.rng(REST_ID_STREAM);
+        let rest = RestFrontend::new(parts, rest_settings, self.budget.rest, rng);
+        Ok((self.create_sessions(sink), Some(rest)))
+    }
+
+    fn create_sessions(&self, sink: Rc<dyn RequestSink>) -> Rc<Sessions> {
+        Sessions::new(
+            Rc::clone(self.executor),
+            sink,
+            self.names.clone(),
+            Rc::clone(self.stats),
+            Rc::clone(self.drain),
+            self.budget.postgres,
+            self.rng(CANCEL_KEY_STREAM),
+        )
+    }
+
+    fn rng(&self, stream: u64) -> ChaCha8Rng {
+        let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
+        rng.set_stream(stream);
+        rng
+    }
+}
--- /dev/null
+++ b/gateway/src/serve/mod.rs
@@ -0,0 +1,191 @@
+//! `violetgate serve`: puts the parts together, serves, and ends when it is told to.
+//!
+//! It decides nothing about a request: which engine, whether to retry and what to reject is the decision
+//! module's.
+
+mod assembly;
+mod connection_budget;
+mod error;
+mod listeners;
+mod reload;
+mod shared_files;
+mod shutdown;
+
+use std::path::Path;
+use std::rc::Rc;
+
+use async_signal::{Signal, Signals};
+use futures_lite::StreamExt;
+
+use crate::admin::operations::{GatewayOperations, OperationTargets};
+use crate::admin::Admin;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::cordon_file::CordonFile;
+use crate::log;
+use crate::replication::{self, Participant};
+use crate::settings::Settings;
+use crate::sibling_process::ProcessMark;
+use assembly::Gateway;
+use connection_budget::{BudgetKeeper, ConnectionBudget, ProcessRole};
+use listeners::Listeners;
+use reload::Reloader;
+use shutdown::{Accepting, Shutdown};
+
+pub use error::StartError;
+
+/// Serves until SIGTERM or SIGINT, under the operators' settings and the file that they came from, if any.
+/// The log has been started.
+///
+/// # Errors
+///
+/// It can't start; the error names the variable, file or key at fault.
+pub fn run(settings: &Settings, settings_file: Option<&Path>) -> Result<(), StartError> {
+    let clock = Clock::start();
+    let config = Config::from_env()?;
+    let listeners = Listeners::bind(&config, settings)?;
+    let mark = Rc::new(shared_files::process_mark(&config.listen));
+    let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
+    let signals = signals.map_err(StartError::Signals)?;
+    let role = ProcessRole::at_start(&mark);
+    let budget = ConnectionBudget::of(config.max_sockets, role, settings.rest.as_ref());
+    let gateway = Gateway::assemble(clock, config, settings, budget)?;
+    start_budget(&gateway, &mark, role, settings);
+    start_front_end_upkeep(&gateway);
+    start_cluster(&gateway, listeners.cluster_api);
+    let operations = start_operations(&gateway);
+    let accepting = Accepting::start(&gateway, listeners.postgres, listeners.rest);
+    if let Some(listener) = listeners.management {
+        let admin = Admin::new(Rc::clone(&gateway.executor), clock, operations);
+        gateway.executor.spawn(admin.listen(listener)).detach();
+    }
+    log_start(&gateway, settings);
+    let reloader = Reloader {
+        discovery: Rc::clone(&gateway.discovery),
+        settings_file: settings_file.map(Path::to_path_buf),
+        rest: gateway.rest.clone(),
+        participant: gateway.participant.clone(),
+    };
+    let executor = Rc::clone(&gateway.executor);
+    async_io::block_on(executor.run(serve(&gateway, &mark, signals, reloader, accepting)));
+    if let Some(fleet) = &gateway.fleet {
+        fleet.leave();
+    }
+    log::line("violetgate ended");
+    Ok(())
+}
+
+/// Serves until a signal ends the program, and up to its end.
+async fn serve(
+    gateway: &Gateway,
+    mark: &ProcessMark,
+    mut signals: Signals,
+    reloader: Reloader,
+    accepting: Accepting,
+) {
+    let signal = loop {
+        match signals.next().await {
+            Some(Ok(Signal::Hup)) => reloader.reload(),
+            Some(Ok(Signal::Int)) => break "SIGINT",
+            _ => break "SIGTERM",
+        }
+    };
+    let rest = gateway.rest.as_ref();
+    let open = gateway.sessions.busy() + rest.map_or(0, |rest| rest.busy_or_sticky());
+    log::line(format_args!(
+        "violetgate ends after {signal}: {open} requests open"
+    ));
+    // It goes on serving, and a bus that moves now is still followed.
+    gateway
+        .executor
+        .spawn(reload_on_hangup(signals, reloader))
+        .detach();
+    Shutdown::begin(gateway, mark).run(accepting).await;
+}
+
+async fn reload_on_hangup(mut signals: Signals, reloader: Reloader) {
+    while let Some(signal) = signals.next().await {
+        if matches!(signal, Ok(Signal::Hup)) {
+            reloader.reload();
+        }
+    }
+}
+
+/// Keeps to the connection budget of this process's role.
+fn start_budget(gateway: &Gateway, mark: &Rc<ProcessMark>, role: ProcessRole, settings: &Settings) {
+    let keeper = BudgetKeeper {
+        mark: Rc::clone(mark),
+        role,
+        max_sockets: gateway.max_sockets,
+        sessions: Rc::clone(&gateway.sessions),
+        rest: gateway.rest.clone().zip(settings.rest.clone()),
+        pool: Rc::clone(&gateway.pool),
+    };
+    gateway.executor.spawn(keeper.run()).detach();
+}
+
+fn start_front_end_upkeep(gateway: &Gateway) {
+    let sessions = Rc::clone(&gateway.sessions);
+    gateway
+        .executor
+        .spawn(async move { sessions.close_idle_while_draining().await })
+        .detach();
+    if let Some(rest) = gateway.rest.clone() {
+        gateway
+            .executor
+            .spawn(async move { rest.sweep().await })
+            .detach();
+    }
+}
+
+/// Begins to carry out the shared configuration, and serves the API of a member.
+fn start_cluster(gateway: &Gateway, api_listener: Option<async_io::Async<std::net::TcpListener>>) {
+    let Some(participant) = &gateway.participant else {
+        return;
+    };
+    participant.attach(&gateway.executor, gateway.control_targets());
+    if let (Participant::Member(member), Some(listener)) = (participant, api_listener) {
+        let executor = Rc::clone(&gateway.executor);
+        let api = replication::listen(Rc::clone(member), executor, listener);
+        gateway.executor.spawn(api).detach();
+    }
+}
+
+/// Creates the operations, and follows the cordon file.
+fn start_operations(gateway: &Gateway) -> Rc<GatewayOperations> {
+    let targets = OperationTargets {
+        discovery: Rc::clone(&gateway.discovery),
+        engine_ids: Rc::clone(&gateway.engine_ids),
+        dispatch: Rc::clone(&gateway.dispatch),
+        drain: Rc::clone(&gateway.drain),
+        stats: Rc::clone(&gateway.stats),
+        rest: gateway.rest.clone(),
+        cordon_file: CordonFile::new(shared_files::cordon_path(&gateway.listen)),
+        cluster: gateway.participant.clone(),
+        fleet: gateway.fleet.clone(),
+    };
+    let operations = GatewayOperations::new(gateway.clock, targets);
+    let follower = Rc::clone(&operations);
+    gateway
+        .executor
+        .spawn(async move { follower.follow_cordon_file().await })
+        .detach();
+    operations
+}
+
+fn log_start(gateway: &Gateway, settings: &Settings) {
+    let name = &gateway.name;
+    log::line(format_args!(
+        "violetgate {name} listens on {}",
+        gateway.listen
+    ));
+    if let Some(rest) = &settings.rest {
+        log::line(format_args!(
+            "violetgate {name} listens on {} for REST",
+            rest.listen
+        ));
+    }
+    if let Some(cluster) = &settings.cluster {
+        log::line(format_args!("violetgate {name} {}", cluster.description()));
+    }
+}
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -8,13 +8,14 @@
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
 use hcl_edit::expr::{Expression, ObjectKey};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span as Place;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
+use thiserror::Error;
 
 pub use types::{front_end_name, Cluster, ClusterRole, Fleet, Log, Rest, Size, Span};
 
@@ -71,7 +72,37 @@
     }
 }
 
-/// What is wrong with a file, and where.
+/// Why a settings file can't be used; one line names all that is wrong with it.
+#[derive(Debug, Error)]
+pub enum SettingsFileError {
+    /// It can't be read.
+    #[error("{}: {error}", .file.display())]
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// Why.
+        error: std::io::Error,
+    },
+    /// Its text has errors.
+    #[error("{}", join_errors(.file, .errors))]
+    Invalid {
+        /// The file.
+        file: PathBuf,
+        /// All errors, by line.
+        errors: Vec<SettingsError>,
+    },
+}
+
+fn join_errors(file: &Path, errors: &[SettingsError]) -> String {
+    let name = file.display();
+    let lines: Vec<_> = errors
+        .iter()
+        .map(|error| format!("{name}:{error}"))
+        .collect();
+    lines.join("; ")
+}
+
+/// What is wrong with a settings text, and where.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SettingsError {
     /// The line, from 1.
@@ -93,19 +124,18 @@
 ///
 /// # Errors
 ///
-/// It can't be read or used; one line tells all that is wrong with it.
-pub fn read(file: Option<&Path>) -> Result<Settings, String> {
+/// It can't be read or used.
+pub fn read(file: Option<&Path>) -> Result<Settings, SettingsFileError> {
     let Some(file) = file else {
         return Ok(Settings::default());
     };
-    let name = file.display();
-    let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    parse(&text).map_err(|problems| {
-        problems
-            .iter()
-            .map(|p| format!("{name}:{p}"))
-            .collect::<Vec<_>>()
-            .join("; ")
+    let text = std::fs::read_to_string(file).map_err(|error| SettingsFileError::Unreadable {
+        file: file.to_owned(),
+        error,
+    })?;
+    parse(&text).map_err(|errors| SettingsFileError::Invalid {
+        file: file.to_owned(),
+        errors,
     })
 }
 
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -180,9 +180,9 @@
         Some(self.subscribers_listen).filter(|at| at.port() != 0)
     }
 
-    /// What this instance is in its cluster, as the log says it at the start.
+    /// What this instance is in its cluster, as the log states it at the start.
     #[must_use]
-    pub fn part(&self) -> String {
+    pub fn description(&self) -> String {
         let Cluster {
             name,
             id,
--- /dev/null
+++ b/gateway/src/upstream/close_reason.rs
@@ -0,0 +1,51 @@
+//! Why a connection to an engine ended.
+
+use std::fmt;
+
+/// Why a connection to an engine ended; its text is the reason code in the log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum CloseReason {
+    /// Closed here before the engine would do so.
+    Idle,
+    /// Its engine is gone or has restarted, and nothing was open any more.
+    Retired,
+    /// Idle, and closed to make room for another engine.
+    Evicted,
+    /// Its only query was cancelled, so nothing more may be sent on it.
+    GivenUp,
+    /// The engine closed it.
+    Closed,
+    /// It broke.
+    Reset,
+    /// The rest of an answer did not arrive in time.
+    CutShort,
+    /// It did not come up, though nobody refused it: it was reset, or descriptors ran out.
+    ConnectError,
+    /// Nobody listens at the engine's address.
+    ConnectRefused,
+    /// It did not come up in time.
+    ConnectTimeout,
+    /// The engine sent what is no answer.
+    Garbage,
+    /// The engine no longer reads.
+    Stalled,
+}
+
+impl fmt::Display for CloseReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            CloseReason::Idle => "idle",
+            CloseReason::Retired => "retired",
+            CloseReason::Evicted => "evicted",
+            CloseReason::GivenUp => "given_up",
+            CloseReason::Closed => "closed",
+            CloseReason::Reset => "reset",
+            CloseReason::CutShort => "cut_short",
+            CloseReason::ConnectError => "connect_error",
+            CloseReason::ConnectRefused => "connect_refused",
+            CloseReason::ConnectTimeout => "connect_timeout",
+            CloseReason::Garbage => "garbage",
+            CloseReason::Stalled => "stalled",
+        })
+    }
+}
--- a/gateway/src/upstream/codec.rs
+++ b/gateway/src/upstream/codec.rs
@@ -1,54 +1,98 @@
-//! The line protocol: commands out, answers in. A line of words ends in CR LF; where its last word is a
-//! length, that many bytes and CR LF follow.
+//! The line protocol: commands out, answers in.
+//!
+//! A line of words ends in CR LF; where its last word is a length, that many bytes and CR LF follow. An
+//! answer is `RID WORD FIELDS LENGTH`, its fields `NAME=VALUE` with commas between them, or `-`.
 
 use violetgate_policy::interface::{Cost, Progress, QueryId};
 
+use crate::hex;
+
 /// The longest line of an answer.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 /// The longest body of an answer: well over the 6,000 bytes that a page may have.
-const MAX_BODY: usize = 16 * 1024;
+const MAX_BODY_BYTES: usize = 16 * 1024;
+const MICROS_PER_MS: f64 = 1e3;
 
-/// Writes `serve`.
-pub fn serve(out: &mut Vec<u8>, rid: &str, fields: &str, statement: &[u8]) {
-    out.extend_from_slice(format!("serve {rid} {fields} {}\r\n", statement.len()).as_bytes());
+/// Appends `serve`, which starts an attempt.
+pub fn write_serve(out: &mut Vec<u8>, request_id: &str, fields: &str, statement: &[u8]) {
+    let head = format!("serve {request_id} {fields} {}\r\n", statement.len());
+    out.extend_from_slice(head.as_bytes());
     out.extend_from_slice(statement);
     out.extend_from_slice(b"\r\n");
 }
 
-/// What an answer says.
+/// `cancel`: the attempt is given up before its answer has begun.
+#[must_use]
+pub fn cancel_line(request_id: &str) -> String {
+    format!("cancel {request_id}\r\n")
+}
+
+/// `release`: the remaining pages of an answer are given up.
+#[must_use]
+pub fn release_line(request_id: &str) -> String {
+    format!("release {request_id}\r\n")
+}
+
+/// `weigh`: the attempt has another priority level.
+#[must_use]
+pub fn priority_line(request_id: &str, priority: u8) -> String {
+    format!("weigh {request_id} {priority}\r\n")
+}
+
+/// `read`: a further page is requested.
+#[must_use]
+pub fn page_line(request_id: &str, page: usize) -> String {
+    format!("read {request_id} {page}\r\n")
+}
+
+/// What an answer is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum ReplyKind {
     /// Page 0 of the result.
-    Ok,
+    FirstPage,
     /// A further page.
-    Batch,
-    /// Full: it never ran.
-    Refused,
-    /// It may have run.
+    FurtherPage,
+    /// The engine is full: it never ran.
+    Overloaded,
+    /// It failed, and may have run.
     Error,
     /// It was over already: it never ran.
-    Stale,
-    /// Not yet over.
+    NeverRan,
+    /// It still runs.
     Progress,
 }
 
+impl ReplyKind {
+    fn from_word(word: &str) -> Option<Self> {
+        Some(match word {
+            "ok" => ReplyKind::FirstPage,
+            "batch" => ReplyKind::FurtherPage,
+            "refused" => ReplyKind::Overloaded,
+            "error" => ReplyKind::Error,
+            "stale" => ReplyKind::NeverRan,
+            "progress" => ReplyKind::Progress,
+            _ => return None,
+        })
+    }
+}
+
 /// One answer.
 #[derive(Debug)]
 pub struct Reply<'a> {
-    /// Whose.
-    pub id: QueryId,
+    /// The query that it answers.
+    pub query: QueryId,
     /// The same in the engine's spelling.
-    pub rid: &'a str,
-    /// What it says.
-    pub word: Word,
-    /// Number of all pages.
-    pub chunks: Option<usize>,
-    /// Number of this page.
-    pub at: Option<usize>,
-    /// What it cost, if told.
+    pub request_id: &'a str,
+    /// What it is.
+    pub kind: ReplyKind,
+    /// The number of all pages.
+    pub page_count: Option<usize>,
+    /// The number of this page, from 0.
+    pub page: Option<usize>,
+    /// What the query cost, if reported.
     pub cost: Option<Cost>,
-    /// News of one that is not yet over, if any.
-    pub note: Option<Progress>,
+    /// The progress of an attempt that still runs, if it is of a known kind.
+    pub progress: Option<Progress>,
     /// The page.
     pub body: &'a [u8],
 }
@@ -56,121 +100,147 @@
 /// What stands at the start of the bytes read.
 #[derive(Debug)]
 pub enum Parsed<'a> {
-    /// Not yet a whole answer.
-    Part,
+    /// Not yet a complete answer.
+    Incomplete,
     /// An answer, and how many bytes it took.
-    Whole(Reply<'a>, usize),
-    /// Nothing that an engine may say.
+    Complete(Reply<'a>, usize),
+    /// Nothing that an engine may send.
     Garbage,
 }
 
 /// Reads the answer at the start of `bytes`.
 #[must_use]
 pub fn parse(bytes: &[u8]) -> Parsed<'_> {
-    let Some(end) = memchr::memchr(b'\n', bytes) else {
-        return if bytes.len() > MAX_LINE {
+    let Some(line_end) = memchr::memchr(b'\n', bytes) else {
+        return if bytes.len() > MAX_LINE_BYTES {
             Parsed::Garbage
         } else {
-            Parsed::Part
+            Parsed::Incomplete
         };
     };
-    let line = bytes
-        .get(..end)
-        .and_then(|l| l.strip_suffix(b"\r"))
-        .and_then(|l| std::str::from_utf8(l).ok());
-    let Some((rid, word, fields, length)) = line.filter(|l| l.len() <= MAX_LINE).and_then(words)
-    else {
-        return Parsed::Garbage;
-    };
-    let (Some(id), Some(length)) = (hex(rid), number(length).filter(|n| *n <= MAX_BODY)) else {
+    let Some(head) = bytes.get(..line_end).and_then(Head::parse) else {
         return Parsed::Garbage;
     };
-    let from = end + 1;
-    let Some(body) = bytes.get(from..from + length) else {
-        return Parsed::Part;
+    let (body_start, body_end) = (line_end + 1, line_end + 1 + head.body_length);
+    let Some(body) = bytes.get(body_start..body_end) else {
+        return Parsed::Incomplete;
     };
-    match bytes.get(from + length..from + length + 2) {
+    match bytes.get(body_end..body_end + 2) {
         Some(b"\r\n") => {}
         Some(_) => return Parsed::Garbage,
-        None => return Parsed::Part,
+        None => return Parsed::Incomplete,
     }
-    let word = match word {
-        "ok" => Word::Ok,
-        "batch" => Word::Batch,
-        "refused" => Word::Refused,
-        "error" => Word::Error,
-        "stale" => Word::Stale,
-        "progress" => Word::Progress,
-        _ => return Parsed::Garbage,
-    };
-    let mut reply = Reply {
-        id,
-        rid,
-        word,
-        chunks: None,
-        at: None,
-        cost: None,
-        note: None,
-        body,
-    };
-    let (mut spent, mut wanted, mut news, mut amount) = (None, None, None, None);
-    for field in fields.split(',').filter(|_| fields != "-") {
-        let Some((name, value)) = field.split_once('=') else {
-            return Parsed::Garbage;
-        };
-        match name {
-            "chunks" => reply.chunks = number(value),
-            "at" => reply.at = number(value),
-            "spent" => spent = measure(value),
-            "wanted" => wanted = measure(value),
-            "n" => news = Some(value),
-            "amount" => amount = measure(value),
-            _ => {}
+    match head.reply(body) {
+        Some(reply) => Parsed::Complete(reply, body_end + 2),
+        None => Parsed::Garbage,
+    }
+}
+
+/// The line of an answer.
+struct Head<'a> {
+    query: QueryId,
+    request_id: &'a str,
+    word: &'a str,
+    fields: &'a str,
+    body_length: usize,
+}
+
+impl<'a> Head<'a> {
+    fn parse(line: &'a [u8]) -> Option<Self> {
+        let line = std::str::from_utf8(line.strip_suffix(b"\r")?).ok()?;
+        if line.len() > MAX_LINE_BYTES {
+            return None;
+        }
+        let mut words = line.split(' ');
+        let [request_id, word, fields, length] =
+            [words.next()?, words.next()?, words.next()?, words.next()?];
+        if words.next().is_some() {
+            return None;
         }
+        Some(Head {
+            query: hex::parse_u64(request_id)?,
+            request_id,
+            word,
+            fields,
+            body_length: parse_number(length).filter(|length| *length <= MAX_BODY_BYTES)?,
+        })
     }
-    reply.cost = spent.map(|ms| Cost {
-        work: (ms * 1e3) as u64,
-        memory_mb: wanted.unwrap_or(0.0),
-    });
-    reply.note = news
-        .zip(amount)
-        .and_then(|(news, amount)| note(news, amount));
-    Parsed::Whole(reply, from + length + 2)
-}
-
-/// What a note says; one of a kind that is not known says nothing.
-fn note(news: &str, amount: f64) -> Option<Progress> {
-    match news {
-        "advance" => Some(Progress::FractionDone(amount)),
-        "disk" => Some(Progress::Spilling(amount)),
-        "stall" if amount == 1.0 => Some(Progress::WaitingForMemory),
-        "stall" if amount == 2.0 => Some(Progress::WaitingForBulkLoad),
-        _ => None,
+
+    /// The answer; `None`: its word is unknown, or a field has no value.
+    fn reply(self, body: &'a [u8]) -> Option<Reply<'a>> {
+        let kind = ReplyKind::from_word(self.word)?;
+        let fields = Fields::parse(self.fields)?;
+        Some(Reply {
+            query: self.query,
+            request_id: self.request_id,
+            kind,
+            page_count: fields.page_count,
+            page: fields.page,
+            cost: fields.cost(),
+            progress: fields.progress(),
+            body,
+        })
     }
 }
 
-fn words(line: &str) -> Option<(&str, &str, &str, &str)> {
-    let mut words = line.split(' ');
-    let four = (words.next()?, words.next()?, words.next()?, words.next()?);
-    words.next().is_none().then_some(four)
+/// The fields of an answer that mean something here.
+#[derive(Default)]
+struct Fields<'a> {
+    page_count: Option<usize>,
+    page: Option<usize>,
+    work_ms: Option<f64>,
+    memory_mb: Option<f64>,
+    progress_kind: Option<&'a str>,
+    progress_amount: Option<f64>,
 }
 
-fn number(text: &str) -> Option<usize> {
-    text.bytes()
-        .all(|b| b.is_ascii_digit())
-        .then(|| text.parse().ok())
-        .flatten()
+impl<'a> Fields<'a> {
+    fn parse(text: &'a str) -> Option<Self> {
+        let mut fields = Fields::default();
+        if text == "-" {
+            return Some(fields);
+        }
+        for field in text.split(',') {
+            let (name, value) = field.split_once('=')?;
+            match name {
+                "chunks" => fields.page_count = parse_number(value),
+                "at" => fields.page = parse_number(value),
+                "spent" => fields.work_ms = parse_measure(value),
+                "wanted" => fields.memory_mb = parse_measure(value),
+                "n" => fields.progress_kind = Some(value),
+                "amount" => fields.progress_amount = parse_measure(value),
+                _ => {}
+            }
+        }
+        Some(fields)
+    }
+
+    fn cost(&self) -> Option<Cost> {
+        self.work_ms.map(|ms| Cost {
+            work: (ms * MICROS_PER_MS) as u64,
+            memory_mb: self.memory_mb.unwrap_or(0.0),
+        })
+    }
+
+    /// Progress of a kind that is not known says nothing.
+    fn progress(&self) -> Option<Progress> {
+        let (kind, amount) = self.progress_kind.zip(self.progress_amount)?;
+        match kind {
+            "advance" => Some(Progress::FractionDone(amount)),
+            "disk" => Some(Progress::Spilling(amount)),
+            "stall" if amount == 1.0 => Some(Progress::WaitingForMemory),
+            "stall" if amount == 2.0 => Some(Progress::WaitingForBulkLoad),
+            _ => None,
+        }
+    }
 }
 
-fn measure(text: &str) -> Option<f64> {
-    text.parse::<f64>()
-        .ok()
-        .filter(|v| v.is_finite() && *v >= 0.0)
+fn parse_number(text: &str) -> Option<usize> {
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit());
+    is_plain.then(|| text.parse().ok()).flatten()
 }
 
-fn hex(text: &str) -> Option<QueryId> {
-    let plain = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    plain
-        .then(|| QueryId::from_str_radix(text, 16).ok())
-        .flatten()
+fn parse_measure(text: &str) -> Option<f64> {
+    let value: f64 = text.parse().ok()?;
+    Some(value).filter(|value| value.is_finite() && *value >= 0.0)
 }
--- /dev/null
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -0,0 +1,175 @@
+//! The commands that wait to be written to an engine, and the one that is being written.
+
+use std::collections::{HashMap, VecDeque};
+use std::io::{ErrorKind, Write};
+
+use violetgate_policy::interface::{Micros, QueryId};
+
+use super::super::close_reason::CloseReason;
+use super::super::codec::{self, Reply, ReplyKind};
+use super::ActiveAttempt;
+use crate::exchange::Attempt;
+
+/// With more commands than this waiting, the engine has stopped reading.
+const MAX_QUEUED_COMMANDS: usize = 2_000;
+const MICROS_PER_MS: Micros = 1_000;
+
+/// A command to an engine.
+pub(super) enum Command {
+    /// Starts an attempt, if it has not been cancelled by then.
+    Serve {
+        /// The query.
+        query: QueryId,
+        /// The number of the attempt.
+        attempt: u32,
+    },
+    /// A line as it is written.
+    Line(String),
+}
+
+/// Whether a write went to its end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Progress {
+    /// All commands were written.
+    Done,
+    /// The socket takes no more at the moment.
+    Blocked,
+}
+
+/// The command that is being written.
+#[derive(Default)]
+struct CurrentWrite {
+    bytes: Vec<u8>,
+    written: usize,
+    /// The query that it starts, until some of it has been written.
+    starts: Option<QueryId>,
+    /// It is an attempt, which counts once it has been written completely.
+    is_attempt: bool,
+}
+
+impl CurrentWrite {
+    fn rest(&self) -> &[u8] {
+        self.bytes.get(self.written..).unwrap_or_default()
+    }
+}
+
+/// Commands in the order in which they are written.
+#[derive(Default)]
+pub(super) struct CommandQueue {
+    waiting: VecDeque<Command>,
+    current: CurrentWrite,
+}
+
+impl CommandQueue {
+    pub(super) fn push(&mut self, command: Command) {
+        self.waiting.push_back(command);
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.waiting.clear();
+    }
+
+    /// Discards the current command if it starts this query, as nothing of it was written yet.
+    pub(super) fn discard_unwritten(&mut self, query: QueryId) {
+        if self.current.starts == Some(query) {
+            self.current = CurrentWrite::default();
+        }
+    }
+
+    /// Answers a reply that belongs to no attempt here: a late one to a dead attempt, a duplicate, or one
+    /// under an unknown id. It is skipped, and the engine can discard its further pages.
+    pub(super) fn release_unknown(&mut self, reply: &Reply<'_>) {
+        let has_more = reply.page_count.is_some_and(|pages| pages > 1);
+        if reply.kind == ReplyKind::FirstPage && has_more {
+            let line = codec::release_line(reply.request_id);
+            self.push(Command::Line(line));
+        }
+    }
+
+    /// Writes as much as the socket takes. An attempt in `open` has begun once some of it was written;
+    /// `count_attempt` is called for each that was written completely.
+    ///
+    /// # Errors
+    ///
+    /// The connection is lost.
+    pub(super) fn write_to(
+        &mut self,
+        socket: &mut impl Write,
+        open: &mut HashMap<QueryId, ActiveAttempt>,
+        now: Micros,
+        count_attempt: impl Fn(),
+    ) -> Result<Progress, CloseReason> {
+        if self.waiting.len() > MAX_QUEUED_COMMANDS {
+            return Err(CloseReason::Stalled);
+        }
+        loop {
+            if self.current.rest().is_empty() {
+                if self.current.is_attempt {
+                    count_attempt();
+                }
+                if !self.start_next(open, now) {
+                    return Ok(Progress::Done);
+                }
+                continue;
+            }
+            match socket.write(self.current.rest()) {
+                Ok(0) => return Err(CloseReason::Closed),
+                Ok(size) => {
+                    self.current.written += size;
+                    let started = self.current.starts.take();
+                    if let Some(active) = started.and_then(|query| open.get_mut(&query)) {
+                        active.has_begun = true;
+                    }
+                }
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return Ok(Progress::Blocked);
+                }
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return Err(CloseReason::Reset),
+            }
+        }
+    }
+
+    /// Takes the next command as the current one; one that was cancelled meanwhile is empty. False: there
+    /// is none.
+    fn start_next(&mut self, open: &HashMap<QueryId, ActiveAttempt>, now: Micros) -> bool {
+        let mut bytes = std::mem::take(&mut self.current.bytes);
+        bytes.clear();
+        self.current = CurrentWrite {
+            bytes,
+            ..CurrentWrite::default()
+        };
+        match self.waiting.pop_front() {
+            None => return false,
+            Some(Command::Line(line)) => self.current.bytes.extend_from_slice(line.as_bytes()),
+            Some(Command::Serve { query, attempt }) => {
+                let active = open.get(&query);
+                let active = active.filter(|active| active.attempt.number == attempt);
+                if let Some(active) = active {
+                    write_attempt(&mut self.current.bytes, &active.attempt, now);
+                    self.current.starts = Some(query);
+                    self.current.is_attempt = true;
+                }
+            }
+        }
+        true
+    }
+}
+
+/// Appends the command that starts an attempt. Engines get its time left in whole milliseconds.
+pub(super) fn write_attempt(out: &mut Vec<u8>, attempt: &Attempt, now: Micros) {
+    let request = &attempt.exchange.request;
+    let time_left_ms = attempt.deadline.saturating_sub(now).div_ceil(MICROS_PER_MS);
+    let mut fields = format!("sort={},patience={time_left_ms}", request.class);
+    if let Some(key) = &request.idempotency_key {
+        fields.push_str(",op=");
+        fields.push_str(key);
+    }
+    if attempt.memory_grant_mb > 0 {
+        fields.push_str(&format!(",reserve={}", attempt.memory_grant_mb));
+    }
+    if let Some(priority) = attempt.priority {
+        fields.push_str(&format!(",level={priority}"));
+    }
+    codec::write_serve(out, &request.id_text, &fields, &request.statement);
+}
--- /dev/null
+++ b/gateway/src/upstream/connection/mod.rs
@@ -0,0 +1,373 @@
+//! One connection to an engine, which carries many requests.
+//!
+//! What is sent waits as commands until the moment it is written, so that a request cancelled before that
+//! has not run.
+
+mod command_queue;
+mod partial_result;
+
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::io::ErrorKind;
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::rc::Rc;
+
+use async_io::Async;
+use violetgate_policy::interface::{EngineId, Micros, Outcome, QueryId};
+
+use super::close_reason::CloseReason;
+use super::codec::{self, Parsed, Reply, ReplyKind};
+use crate::exchange::{Attempt, AttemptEnd, AttemptProgress, CancelOutcome, Pages};
+use crate::stats::Stats;
+use command_queue::{Command, CommandQueue};
+use partial_result::{PageOutcome, PartialResult};
+
+/// An attempt that is out on this connection.
+struct ActiveAttempt {
+    attempt: Attempt,
+    /// How many connections have broken before any of it was written.
+    broken_connections: u32,
+    /// Some of it has been written.
+    has_begun: bool,
+    result: PartialResult,
+}
+
+impl ActiveAttempt {
+    fn query(&self) -> QueryId {
+        self.attempt.exchange.id()
+    }
+
+    fn request_id(&self) -> &str {
+        &self.attempt.exchange.request.id_text
+    }
+
+    fn end(&self, outcome: Outcome) -> AttemptEnd {
+        AttemptEnd::without_result(self.query(), self.attempt.number, outcome)
+    }
+}
+
+#[derive(Default)]
+struct State {
+    open: HashMap<QueryId, ActiveAttempt>,
+    commands: CommandQueue,
+    stream: Option<Rc<Async<TcpStream>>>,
+}
+
+/// What an engine said of an attempt.
+pub(super) enum UpstreamEvent {
+    /// It has ended.
+    Ended(AttemptEnd),
+    /// It still runs, and made progress.
+    Progressed(AttemptProgress),
+}
+
+/// An attempt of which nothing was written on a connection that has ended.
+pub(super) struct UnsentAttempt {
+    pub attempt: Attempt,
+    /// How many connections have broken under it so far.
+    pub broken_connections: u32,
+}
+
+/// What became of the attempts on a connection that has ended.
+#[derive(Default)]
+pub(super) struct ConnectionEnd {
+    /// Those that were written, whose connection is lost.
+    pub lost: Vec<AttemptEnd>,
+    /// Those that were not, and have not run.
+    pub unsent: Vec<UnsentAttempt>,
+}
+
+/// One connection to an engine.
+pub(super) struct Connection {
+    pub id: u64,
+    pub engine: EngineId,
+    pub addr: SocketAddr,
+    /// It takes no further requests.
+    pub is_retired: Cell<bool>,
+    pub idle_since: Cell<Micros>,
+    /// Requests that it has carried.
+    pub requests: Cell<u64>,
+    pub has_ended: Cell<bool>,
+    /// The socket takes no more at the moment.
+    pub is_blocked: Cell<bool>,
+    stats: Rc<Stats>,
+    state: RefCell<State>,
+}
+
+impl Connection {
+    pub(super) fn new(
+        id: u64,
+        engine: EngineId,
+        addr: SocketAddr,
+        now: Micros,
+        stats: Rc<Stats>,
+    ) -> Rc<Self> {
+        Rc::new(Connection {
+            id,
+            engine,
+            addr,
+            is_retired: Cell::new(false),
+            idle_since: Cell::new(now),
+            requests: Cell::new(0),
+            has_ended: Cell::new(false),
+            is_blocked: Cell::new(false),
+            stats,
+            state: RefCell::default(),
+        })
+    }
+
+    /// The number of attempts that are out on it.
+    pub(super) fn load(&self) -> usize {
+        self.state.borrow().open.len()
+    }
+
+    /// Whether its engine has closed it, or has sent something unasked, which is read next.
+    pub(super) fn has_unread_input(&self) -> bool {
+        let state = self.state.borrow();
+        let peeked = state
+            .stream
+            .as_ref()
+            .map(|stream| stream.get_ref().peek(&mut [0]));
+        peeked.is_some_and(
+            |peeked| !matches!(peeked, Err(error) if error.kind() == ErrorKind::WouldBlock),
+        )
+    }
+
+    pub(super) fn is_connected(&self) -> bool {
+        self.state.borrow().stream.is_some()
+    }
+
+    pub(super) fn stream(&self) -> Option<Rc<Async<TcpStream>>> {
+        self.state.borrow().stream.clone()
+    }
+
+    pub(super) fn set_connected(&self, stream: Rc<Async<TcpStream>>) {
+        self.state.borrow_mut().stream = Some(stream);
+    }
+
+    /// Queues an attempt, under which so many connections have broken.
+    pub(super) fn serve(&self, attempt: Attempt, broken_connections: u32) {
+        let mut state = self.state.borrow_mut();
+        let query = attempt.exchange.id();
+        attempt.exchange.used_connections.borrow_mut().push(self.id);
+        state.commands.push(Command::Serve {
+            query,
+            attempt: attempt.number,
+        });
+        let active = ActiveAttempt {
+            attempt,
+            broken_connections,
+            has_begun: false,
+            result: PartialResult::default(),
+        };
+        state.open.insert(query, active);
+        self.requests.set(self.requests.get() + 1);
+    }
+
+    /// Cancels the attempt of a query.
+    pub(super) fn cancel(&self, query: QueryId, now: Micros) -> CancelOutcome {
+        let mut state = self.state.borrow_mut();
+        let Some(active) = state.open.remove(&query) else {
+            return CancelOutcome::MayHaveRun;
+        };
+        self.idle_since.set(now);
+        if !active.has_begun {
+            state.commands.discard_unwritten(query);
+            return CancelOutcome::NeverSent;
+        }
+        // Its engine, or this connection, gave no sign of life in time; where an answer stopped in the
+        // middle, what follows here would be taken for its rest. And a late answer must not pass for one to
+        // a later attempt of the same query. So nothing more is sent here, while other open attempts still
+        // get their answers.
+        self.is_retired.set(true);
+        let line = if active.result.has_begun() {
+            codec::release_line(active.request_id())
+        } else {
+            codec::cancel_line(active.request_id())
+        };
+        state.commands.push(Command::Line(line));
+        CancelOutcome::MayHaveRun
+    }
+
+    /// Sets the priority level of the attempt of a query.
+    pub(super) fn set_priority(&self, query: QueryId, priority: u8) {
+        let mut state = self.state.borrow_mut();
+        let Some(active) = state.open.get_mut(&query) else {
+            return;
+        };
+        active.attempt.priority = Some(priority);
+        if active.has_begun && !active.result.has_begun() {
+            let line = codec::priority_line(active.request_id(), priority);
+            state.commands.push(Command::Line(line));
+        }
+    }
+
+    /// Whether some of the attempt of a query has been written.
+    pub(super) fn has_begun(&self, query: QueryId) -> bool {
+        let state = self.state.borrow();
+        state
+            .open
+            .get(&query)
+            .is_some_and(|active| active.has_begun)
+    }
+
+    /// Takes back every attempt of which nothing was written: its engine takes no more, and one that was
+    /// sent late would violate its drain.
+    pub(super) fn take_unwritten(&self) -> Vec<AttemptEnd> {
+        self.take_back(|_| true)
+    }
+
+    /// Takes back every attempt of which nothing was written by the time it had to begin.
+    pub(super) fn take_late(&self, now: Micros) -> Vec<AttemptEnd> {
+        self.take_back(|attempt| now >= attempt.begin_by)
+    }
+
+    fn take_back(&self, is_affected: impl Fn(&Attempt) -> bool) -> Vec<AttemptEnd> {
+        let ends: Vec<_> = self
+            .state
+            .borrow()
+            .open
+            .values()
+            .filter(|active| !active.has_begun && is_affected(&active.attempt))
+            .map(|active| active.end(Outcome::NeverSent))
+            .collect();
+        for end in &ends {
+            self.cancel(end.query, self.idle_since.get());
+        }
+        ends
+    }
+
+    /// Writes as much as the socket takes.
+    ///
+    /// # Errors
+    ///
+    /// The connection is lost.
+    pub(super) fn flush(&self, now: Micros) -> Result<(), CloseReason> {
+        let mut guard = self.state.borrow_mut();
+        let state = &mut *guard;
+        let Some(stream) = &state.stream else {
+            return Ok(());
+        };
+        self.is_blocked.set(false);
+        let mut socket = stream.get_ref();
+        let open = &mut state.open;
+        let progress = state
+            .commands
+            .write_to(&mut socket, open, now, || self.stats.count_attempt())?;
+        self.is_blocked
+            .set(progress == command_queue::Progress::Blocked);
+        Ok(())
+    }
+
+    /// Takes the next complete answer off `buffer` that says something of an attempt. `used` counts the
+    /// bytes that were taken.
+    ///
+    /// # Errors
+    ///
+    /// The engine sent what is no answer.
+    pub(super) fn next_event(
+        &self,
+        buffer: &[u8],
+        used: &mut usize,
+        now: Micros,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        loop {
+            match codec::parse(buffer.get(*used..).unwrap_or_default()) {
+                Parsed::Incomplete => return Ok(None),
+                Parsed::Garbage => return Err(CloseReason::Garbage),
+                Parsed::Complete(reply, size) => {
+                    *used += size;
+                    if let Some(event) = self.take_reply(&reply, now)? {
+                        return Ok(Some(event));
+                    }
+                }
+            }
+        }
+    }
+
+    fn take_reply(
+        &self,
+        reply: &Reply<'_>,
+        now: Micros,
+    ) -> Result<Option<UpstreamEvent>, CloseReason> {
+        let mut guard = self.state.borrow_mut();
+        let state = &mut *guard;
+        let active = state.open.get_mut(&reply.query);
+        let Some(active) = active.filter(|active| active.has_begun) else {
+            state.commands.release_unknown(reply);
+            return Ok(None);
+        };
+        let outcome = match reply.kind {
+            ReplyKind::Overloaded => Outcome::Overloaded,
+            ReplyKind::NeverRan => Outcome::NeverSent,
+            ReplyKind::Error => Outcome::Error,
+            ReplyKind::Progress => return Ok(active.progress_event(reply)),
+            ReplyKind::FirstPage | ReplyKind::FurtherPage => match active.result.add_page(reply)? {
+                PageOutcome::Complete => Outcome::Completed,
+                PageOutcome::Duplicate => return Ok(None),
+                PageOutcome::Incomplete { pages_to_request } => {
+                    for page in pages_to_request {
+                        let line = codec::page_line(active.request_id(), page);
+                        state.commands.push(Command::Line(line));
+                    }
+                    return Ok(None);
+                }
+            },
+        };
+        let Some(active) = state.open.remove(&reply.query) else {
+            return Ok(None);
+        };
+        self.idle_since.set(now);
+        Ok(Some(UpstreamEvent::Ended(active.ended(outcome))))
+    }
+
+    /// Ends the connection, once.
+    pub(super) fn end(&self) -> ConnectionEnd {
+        let mut end = ConnectionEnd::default();
+        if self.has_ended.replace(true) {
+            return end;
+        }
+        let mut state = self.state.borrow_mut();
+        if let Some(stream) = state.stream.take() {
+            let _ = stream.get_ref().shutdown(Shutdown::Both);
+        }
+        state.commands.clear();
+        for (_, active) in state.open.drain() {
+            if active.has_begun {
+                end.lost.push(active.end(Outcome::ConnectionLost));
+            } else {
+                end.unsent.push(UnsentAttempt {
+                    attempt: active.attempt,
+                    broken_connections: active.broken_connections + 1,
+                });
+            }
+        }
+        end
+    }
+}
+
+impl ActiveAttempt {
+    /// Once an answer has begun, its attempt makes no more progress.
+    fn progress_event(&self, reply: &Reply<'_>) -> Option<UpstreamEvent> {
+        let progress = reply.progress.filter(|_| !self.result.has_begun())?;
+        Some(UpstreamEvent::Progressed(AttemptProgress {
+            query: reply.query,
+            number: self.attempt.number,
+            progress,
+        }))
+    }
+
+    fn ended(self, outcome: Outcome) -> AttemptEnd {
+        let end = self.end(outcome);
+        let cost = self.result.cost();
+        let pages = if outcome == Outcome::Completed {
+            self.result.into_pages()
+        } else {
+            Pages::new()
+        };
+        AttemptEnd { cost, pages, ..end }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -1,8 +1,14 @@
-//! One connection, without a socket behind it.
+//! One connection, most of the time without a socket.
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
+use std::io::Read;
+
+use violetgate_policy::interface::{NewQuery, Progress};
+
+use super::command_queue::write_attempt;
+use super::partial_result::is_rows;
 use super::*;
 use crate::exchange::{Exchange, Request};
-use violetgate_policy::interface::NewQuery;
 
 fn attempt(id: QueryId) -> Attempt {
     let query = NewQuery {
@@ -13,23 +19,23 @@
     let request = Request {
         query,
         received: 0,
-        rid: format!("{id:016x}").into(),
+        id_text: format!("{id:016x}").into(),
         class: "lookup".into(),
-        token: None,
+        idempotency_key: None,
         statement: b"SELECT 1".as_slice().into(),
     };
     Attempt {
         exchange: Exchange::new(request),
         number: 0,
         engine: 3,
-        level: Some(2),
-        grant_mb: 0,
+        priority: Some(2),
+        memory_grant_mb: 0,
         begin_by: 1_500,
-        until: 1_500,
+        deadline: 1_500,
     }
 }
 
-fn conn() -> Rc<Connection> {
+fn connection() -> Rc<Connection> {
     Connection::new(
         1,
         3,
@@ -42,52 +48,56 @@
 /// What waits for its connection has surely not run, and no longer may: one that left late would break
 /// the rule on drains.
 #[test]
-fn what_was_never_written_never_ran() {
-    let conn = conn();
-    (1..=3).for_each(|id| conn.serve(attempt(id), 0));
-    assert!(!conn.cancel(1, 0), "given up before it was written");
-    conn.flush(0).unwrap();
-    let mut ends: Vec<_> = conn
+fn attempts_of_which_nothing_was_written_never_ran() {
+    let connection = connection();
+    (1..=3).for_each(|id| connection.serve(attempt(id), 0));
+    assert_eq!(
+        connection.cancel(1, 0),
+        CancelOutcome::NeverSent,
+        "cancelled before it was written"
+    );
+    connection.flush(0).unwrap();
+    let mut ends: Vec<_> = connection
         .take_unwritten()
         .into_iter()
-        .map(|e| (e.0, e.2))
+        .map(|end| (end.query, end.outcome))
         .collect();
     ends.sort_unstable_by_key(|e| e.0);
     assert_eq!(ends, [(2, Outcome::NeverSent), (3, Outcome::NeverSent)]);
-    conn.serve(attempt(4), 0);
-    let (ends, unsent) = conn.end("connect_refused");
-    assert!(ends.is_empty());
+    connection.serve(attempt(4), 0);
+    let end = connection.end();
+    assert!(end.lost.is_empty());
     assert_eq!(
-        unsent
+        end.unsent
             .iter()
-            .map(|(a, n)| (a.exchange.request.query.id, *n))
+            .map(|unsent| (unsent.attempt.exchange.id(), unsent.broken_connections))
             .collect::<Vec<_>>(),
         [(4, 1)]
     );
-    assert!(conn.end("reset").1.is_empty(), "it ends once");
+    assert!(connection.end().unsent.is_empty(), "it ends once");
 }
 
 /// What was written goes out whole, may have run, and is given up with a word to the engine; its
 /// connection takes nothing further, so that no later attempt meets its late answer.
 #[test]
-fn what_was_written_may_have_run() {
+fn attempts_that_were_written_may_have_run_and_are_cancelled() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (mut engine, _) = listener.accept().unwrap();
-    let conn = conn();
-    conn.up(Rc::new(Async::new(stream).unwrap()));
-    conn.serve(attempt(1), 0);
-    conn.serve(attempt(2), 0);
-    conn.flush(0).unwrap();
-    conn.weigh(1, 3);
-    assert!(conn.cancel(1, 0));
-    conn.flush(0).unwrap();
-    assert!(conn.retired.get());
-    let ends: Vec<_> = conn
-        .end("reset")
-        .0
+    let connection = connection();
+    connection.set_connected(Rc::new(Async::new(stream).unwrap()));
+    connection.serve(attempt(1), 0);
+    connection.serve(attempt(2), 0);
+    connection.flush(0).unwrap();
+    connection.set_priority(1, 3);
+    assert_eq!(connection.cancel(1, 0), CancelOutcome::MayHaveRun);
+    connection.flush(0).unwrap();
+    assert!(connection.is_retired.get());
+    let ends: Vec<_> = connection
+        .end()
+        .lost
         .into_iter()
-        .map(|e| (e.0, e.2))
+        .map(|end| (end.query, end.outcome))
         .collect();
     assert_eq!(ends, [(2, Outcome::ConnectionLost)]);
     let mut sent = String::new();
@@ -100,11 +110,17 @@
 /// Second copies and answers under unknown ids are skipped; the result is whole and once. What can't be
 /// the answer to anything still ends the connection.
 #[test]
-fn more_than_belongs_to_an_answer_is_skipped() {
-    let conn = conn();
+fn duplicates_and_unknown_answers_are_skipped_and_malformed_ones_end_it() {
+    let connection = connection();
     let exchange = attempt(1);
-    conn.serve(exchange, 0);
-    conn.state.borrow_mut().open.get_mut(&1).unwrap().written = true;
+    connection.serve(exchange, 0);
+    connection
+        .state
+        .borrow_mut()
+        .open
+        .get_mut(&1)
+        .unwrap()
+        .has_begun = true;
     let page = |id: u8, word: &str, row: &str| {
         format!("{id:016x} {word} {}\r\n{row}\r\n", row.len()).into_bytes()
     };
@@ -115,33 +131,48 @@
     let other = page(9, "batch at=4", "x\ty\tz\n");
     let bytes = [&other[..], &zero, &zero, &other, &one, &one, &zero].concat();
     let mut used = 0;
-    let Some(Said::End((id, _, outcome, _, pages))) = conn.next(&bytes, &mut used, 0).unwrap()
+    let Some(UpstreamEvent::Ended(end)) = connection.next_event(&bytes, &mut used, 0).unwrap()
     else {
         unreachable!("an end")
     };
-    assert_eq!((id, outcome), (1, Outcome::Completed));
-    assert_eq!(pages.concat(), b"a\tb\tc\nd\te\tf\n");
-    assert!(conn.next(&bytes, &mut used, 0).unwrap().is_none() && used == bytes.len());
-    for spoilt in [
+    assert_eq!((end.query, end.outcome), (1, Outcome::Completed));
+    assert_eq!(end.pages.concat(), b"a\tb\tc\nd\te\tf\n");
+    assert!(
+        connection
+            .next_event(&bytes, &mut used, 0)
+            .unwrap()
+            .is_none()
+            && used == bytes.len()
+    );
+    for corrupt in [
         page(2, "batch at=0", ""),
         page(2, "ok chunks=999", ""),
         page(2, "ok -", "a\tb\n"),
     ] {
-        conn.serve(attempt(2), 0);
-        conn.state.borrow_mut().open.get_mut(&2).unwrap().written = true;
-        assert!(conn.next(&spoilt, &mut 0, 0).is_err());
+        connection.serve(attempt(2), 0);
+        connection
+            .state
+            .borrow_mut()
+            .open
+            .get_mut(&2)
+            .unwrap()
+            .has_begun = true;
+        assert!(connection.next_event(&corrupt, &mut 0, 0).is_err());
     }
     assert!(!is_rows(b"a\t\xff\tc\n"), "noise is no text");
 }
 
 /// No bytes that an engine may send end in anything but an answer, a wait for more, or garbage.
 #[test]
-fn garbage_from_an_engine_is_told_apart() {
+fn bytes_are_an_answer_or_the_start_of_one_or_garbage() {
     let ok = b"0000000000000001 ok chunks=2,spent=5,wanted=9 6\r\na\tb\tc\n\r\n";
     for end in 0..ok.len() {
-        assert!(matches!(codec::parse(&ok[..end]), Parsed::Part), "{end}");
+        assert!(
+            matches!(codec::parse(&ok[..end]), Parsed::Incomplete),
+            "{end}"
+        );
     }
-    assert!(matches!(codec::parse(ok), Parsed::Whole(_, n) if n == ok.len()));
+    assert!(matches!(codec::parse(ok), Parsed::Complete(_, n) if n == ok.len()));
     for bytes in [
         &b"\r\n"[..],
         b"0000000000000001 ok - 0\n",
@@ -164,16 +195,22 @@
 /// News of a running attempt is passed on under its number and ends nothing; a kind that is not known, news without
 /// a figure, and news of what nobody here has running are skipped, and the connection goes on.
 #[test]
-fn news_of_an_attempt_is_no_answer() {
-    let conn = conn();
-    conn.serve(
+fn progress_is_reported_and_ends_nothing() {
+    let connection = connection();
+    connection.serve(
         Attempt {
             number: 2,
             ..attempt(1)
         },
         0,
     );
-    conn.state.borrow_mut().open.get_mut(&1).unwrap().written = true;
+    connection
+        .state
+        .borrow_mut()
+        .open
+        .get_mut(&1)
+        .unwrap()
+        .has_begun = true;
     let note = |id: u8, fields: &str| format!("{id:016x} progress {fields} 0\r\n\r\n");
     let skipped = [
         note(1, "n=mood,amount=3"),
@@ -193,11 +230,20 @@
         .concat()
         .into_bytes();
     let mut used = 0;
-    let mut news = Vec::new();
+    let mut reported = Vec::new();
     loop {
-        match conn.next(&bytes, &mut used, 0).unwrap().unwrap() {
-            Said::Note(id, number, n) => news.push((id, number, n)),
-            Said::End(end) => break assert_eq!((end.0, end.1, end.2), (1, 2, Outcome::Completed)),
+        match connection
+            .next_event(&bytes, &mut used, 0)
+            .unwrap()
+            .unwrap()
+        {
+            UpstreamEvent::Progressed(event) => {
+                reported.push((event.query, event.number, event.progress));
+            }
+            UpstreamEvent::Ended(end) => {
+                let end = (end.query, end.number, end.outcome);
+                break assert_eq!(end, (1, 2, Outcome::Completed));
+            }
         }
     }
     let all = [
@@ -206,19 +252,19 @@
         Progress::WaitingForMemory,
         Progress::WaitingForBulkLoad,
     ];
-    assert_eq!(news, all.map(|n| (1, 2, n)));
-    assert!(used == bytes.len() && conn.ended.get().is_none());
+    assert_eq!(reported, all.map(|n| (1, 2, n)));
+    assert!(used == bytes.len() && !connection.has_ended.get());
 }
 
 /// Memory that is granted stands in the request's fields; where none is, nothing does.
 #[test]
-fn a_grant_is_written() {
+fn a_memory_grant_is_a_field_of_the_request() {
     let fields = |grant_mb| {
         let mut out = Vec::new();
-        encode(
+        write_attempt(
             &mut out,
             &Attempt {
-                grant_mb,
+                memory_grant_mb: grant_mb,
                 ..attempt(1)
             },
             0,
--- /dev/null
+++ b/gateway/src/upstream/pool/driver.rs
@@ -0,0 +1,162 @@
+//! The tasks of a connection: one connects and reads, one writes while the socket is full.
+
+use std::future::pending;
+use std::io::{self, Read};
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use async_io::{Async, Timer};
+use futures_lite::{future, FutureExt};
+
+use super::super::close_reason::CloseReason;
+use super::super::connection::{Connection, UpstreamEvent};
+use super::Pool;
+
+/// How long the rest of an answer may take once some of it is here. Engines write answers at once, and may
+/// pause for half a second; what takes longer has stopped in the middle, and nothing behind it can be read.
+const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(600);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+
+impl Pool {
+    /// Writes what the socket takes, but no attempt that was queued before the fence was closed, or that
+    /// waited too long for its connection.
+    fn write(&self, connection: &Connection) -> Result<(), CloseReason> {
+        let now = self.now();
+        if connection.is_connected() {
+            let ends = if self.may_send() {
+                connection.take_late(now)
+            } else {
+                connection.take_unwritten()
+            };
+            self.report_ends(ends);
+        }
+        connection.flush(now)
+    }
+
+    pub(super) fn flush(&self, connection: &Rc<Connection>) {
+        let was_blocked = connection.is_blocked.get();
+        if let Err(reason) = self.write(connection) {
+            self.close(connection, reason);
+        } else if connection.is_blocked.get() && !was_blocked {
+            // A task of its own waits for the socket, so that no other engine does.
+            if let Some(pool) = self.this.upgrade() {
+                let writer = pool.write_when_possible(Rc::clone(connection));
+                self.executor.spawn(writer).detach();
+            }
+        }
+    }
+
+    async fn write_when_possible(self: Rc<Self>, connection: Rc<Connection>) {
+        let Some(stream) = connection.stream() else {
+            return;
+        };
+        while connection.is_blocked.get() && !connection.has_ended.get() {
+            if stream.writable().await.is_err() {
+                break;
+            }
+            if let Err(reason) = self.write(&connection) {
+                self.close(&connection, reason);
+            }
+        }
+    }
+
+    /// Connects, and reads up to the end of the connection.
+    pub(super) async fn drive(self: Rc<Self>, connection: Rc<Connection>) {
+        let stream = match self.connect(&connection).await {
+            Ok(stream) => Rc::new(stream),
+            Err(reason) => return self.close(&connection, reason),
+        };
+        if connection.has_ended.get() {
+            return;
+        }
+        let _ = stream.get_ref().set_nodelay(true);
+        connection.set_connected(Rc::clone(&stream));
+        self.flush(&connection);
+        if let Err(reason) = self.read_answers(&connection, &stream).await {
+            self.close(&connection, reason);
+        }
+    }
+
+    async fn connect(&self, connection: &Connection) -> Result<Async<TcpStream>, CloseReason> {
+        let stream = Async::<TcpStream>::connect(connection.addr)
+            .or(time_out_after(self.limits.connect_timeout))
+            .await;
+        stream.map_err(|error| match error.kind() {
+            io::ErrorKind::TimedOut => CloseReason::ConnectTimeout,
+            io::ErrorKind::ConnectionRefused => CloseReason::ConnectRefused,
+            _ => CloseReason::ConnectError,
+        })
+    }
+
+    /// Reads answers until the connection has ended elsewhere; `Err`: it has to end for this reason.
+    async fn read_answers(
+        &self,
+        connection: &Rc<Connection>,
+        stream: &Async<TcpStream>,
+    ) -> Result<(), CloseReason> {
+        let mut buffer = Vec::new();
+        // When the rest of an answer that has begun is due.
+        let mut rest_due = None;
+        while !connection.has_ended.get() {
+            match read(stream, &mut buffer).or(time_out_at(rest_due)).await {
+                Ok(0) => return Err(CloseReason::Closed),
+                Ok(_) => {}
+                Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                    return Err(CloseReason::CutShort);
+                }
+                Err(_) => return Err(CloseReason::Reset),
+            }
+            let used = self.take_answers(connection, &buffer)?;
+            buffer.drain(..used);
+            if buffer.is_empty() {
+                (rest_due, buffer) = (None, Vec::new());
+            } else if used > 0 || rest_due.is_none() {
+                rest_due = Some(Instant::now() + ANSWER_REST_TIMEOUT);
+            }
+            // An engine that sends without end always has more to read: other tasks run in between.
+            future::yield_now().await;
+            if !connection.has_ended.get() {
+                self.flush(connection);
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes the complete answers at the start of `buffer`; the number of bytes taken.
+    fn take_answers(&self, connection: &Connection, buffer: &[u8]) -> Result<usize, CloseReason> {
+        let mut used = 0;
+        while !connection.has_ended.get() {
+            match connection.next_event(buffer, &mut used, self.now())? {
+                Some(UpstreamEvent::Ended(end)) => self.report_ends(vec![end]),
+                Some(UpstreamEvent::Progressed(progress)) => self.report_progress(progress),
+                None => break,
+            }
+        }
+        Ok(used)
+    }
+}
+
+/// Reads once into `buffer`; the number of bytes read, 0 at the end of the stream.
+async fn read(stream: &Async<TcpStream>, buffer: &mut Vec<u8>) -> io::Result<usize> {
+    let mut chunk = [0u8; READ_CHUNK_BYTES];
+    let size = stream
+        .read_with(|mut socket| socket.read(&mut chunk))
+        .await?;
+    buffer.extend_from_slice(chunk.get(..size).unwrap_or_default());
+    Ok(size)
+}
+
+async fn time_out_after<T>(duration: Duration) -> io::Result<T> {
+    Timer::after(duration).await;
+    Err(io::ErrorKind::TimedOut.into())
+}
+
+/// Times out at a moment; `None`: never.
+async fn time_out_at<T>(at: Option<Instant>) -> io::Result<T> {
+    match at {
+        Some(at) => Timer::at(at).await,
+        None => pending().await,
+    };
+    Err(io::ErrorKind::TimedOut.into())
+}
--- a/gateway/src/upstream/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -1,19 +1,24 @@
-//! Which connection an attempt gets, and what of one that may not begin any more.
+//! Which connection an attempt gets, and what becomes of one that may not begin any more.
+#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
-use super::*;
-use crate::exchange::{Exchange, Request};
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener};
-use violetgate_policy::interface::{Engine, NewQuery, Progress};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Instant;
+
+use futures_lite::future;
+use violetgate_policy::interface::{Engine, EngineState, ListScope, NewQuery};
+
+use super::*;
+use crate::exchange::{Attempt, Exchange, Request, UpstreamEngines};
 
 #[derive(Default)]
 struct Ends(RefCell<Vec<(QueryId, Outcome)>>);
 
 impl AttemptEvents for Ends {
-    fn ended(&self, end: AttemptEnd) {
+    fn attempt_ended(&self, end: AttemptEnd) {
         self.0.borrow_mut().push((end.query, end.outcome));
     }
-    fn noted(&self, _: QueryId, _: u32, _: Progress) {}
+    fn attempt_progressed(&self, _: AttemptProgress) {}
 }
 
 /// A pool with one listed engine. Its tasks are never run, so its connections stay as the test has them.
@@ -22,17 +27,17 @@
 }
 
 fn pool_at(addr: SocketAddr, most: usize) -> (Rc<Pool>, Rc<Ends>) {
-    let link = Link {
+    let limits = UpstreamLimits {
         connect_timeout: Duration::from_secs(60),
         idle_close: Duration::from_secs(60),
-        streams: 100,
-        tells_cost: true,
+        streams_per_connection: 100,
+        reports_cost: true,
     };
     let stats = Rc::new(Stats::new([].into_iter()));
     let pool = Pool::new(
         Rc::new(LocalExecutor::new()),
         Clock::start(),
-        link,
+        limits,
         stats,
         None,
         most,
@@ -48,7 +53,7 @@
         state: EngineState::Ready,
         started: None,
     };
-    pool.list(ListScope::Snapshot, &[ListedEngine { engine, addr }]);
+    pool.update_list(ListScope::Snapshot, &[ListedEngine { engine, addr }]);
     (pool, ends)
 }
 
@@ -65,9 +70,9 @@
     let request = Request {
         query,
         received: 0,
-        rid: format!("{id:016x}").into(),
+        id_text: format!("{id:016x}").into(),
         class: "lookup".into(),
-        token: None,
+        idempotency_key: None,
         statement: b"SELECT 1".as_slice().into(),
     };
     let exchange = Exchange::new(request);
@@ -75,25 +80,25 @@
         exchange,
         number: 0,
         engine: 0,
-        level: None,
-        grant_mb: 0,
+        priority: None,
+        memory_grant_mb: 0,
         begin_by,
-        until: Micros::MAX,
+        deadline: Micros::MAX,
     });
 }
 
 /// An engine that the test plays itself, and the pool before it.
-struct Played {
+struct FakeEngine {
     pool: Rc<Pool>,
     ends: Rc<Ends>,
     listener: TcpListener,
 }
 
-impl Played {
+impl FakeEngine {
     fn new(most: usize) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         let (pool, ends) = pool_at(listener.local_addr().unwrap(), most);
-        Played {
+        FakeEngine {
             pool,
             ends,
             listener,
@@ -133,29 +138,34 @@
 
 /// Each attempt has a connection of its own while there is room; then the least loaded is shared.
 #[test]
-fn what_breaks_costs_one_attempt() {
+fn each_attempt_has_a_connection_of_its_own_up_to_the_limit() {
     let (pool, _) = pool(3);
     (1..=5).for_each(|id| send(&pool, id));
-    let loads: Vec<_> = pool.conns.borrow().values().map(|c| c.load()).collect();
+    let loads: Vec<_> = pool
+        .connections
+        .borrow()
+        .values()
+        .map(|c| c.load())
+        .collect();
     assert_eq!(loads, [2, 2, 1]);
 }
 
 /// What an engine that is called out has not been written yet is taken back, and nothing more is put on its
 /// connections; called back, it gets a new one.
 #[test]
-fn an_engine_called_out_gets_nothing() {
+fn a_cordoned_engine_gets_nothing_and_an_uncordoned_one_a_new_connection() {
     let (pool, ends) = pool(3);
     send(&pool, 1);
-    pool.cordon(0, true);
+    pool.set_cordoned(0, true);
     send(&pool, 2);
     assert_eq!(
         ends.0.take(),
         [(1, Outcome::NeverSent), (2, Outcome::NeverSent)]
     );
-    pool.cordon(0, false);
+    pool.set_cordoned(0, false);
     send(&pool, 3);
     let loads: Vec<_> = pool
-        .conns
+        .connections
         .borrow()
         .values()
         .map(|c| (c.id, c.load()))
@@ -166,19 +176,19 @@
 /// A connection that is reset before anything was written is no attempt: the next one takes it, a few
 /// times. One that is refused is: the engine does not run.
 #[test]
-fn a_reset_of_a_new_connection_is_no_dead_engine() {
+fn a_reset_of_a_new_connection_is_retried_and_a_refused_one_is_not() {
     let (pool, ends) = pool(3);
-    let last = || pool.conns.borrow().values().last().cloned().unwrap();
+    let last = || pool.connections.borrow().values().last().cloned().unwrap();
     send(&pool, 1);
-    for _ in 1..TRIES {
+    for _ in 1..MAX_BROKEN_CONNECTIONS {
         let first = last();
-        pool.end(&first, CONNECT_ERROR);
+        pool.close(&first, CloseReason::ConnectError);
         assert!(first.id != last().id && last().load() == 1 && ends.0.borrow().is_empty());
     }
-    pool.end(&last(), CONNECT_ERROR);
+    pool.close(&last(), CloseReason::ConnectError);
     assert_eq!(ends.0.take(), [(1, Outcome::ConnectionRefused)]);
     send(&pool, 2);
-    pool.end(&last(), "connect_refused");
+    pool.close(&last(), CloseReason::ConnectRefused);
     assert_eq!(ends.0.take(), [(2, Outcome::ConnectionRefused)]);
 }
 
@@ -186,7 +196,7 @@
 /// connection. Written to the old one it would be lost in the reset, and count as one that may have run.
 #[test]
 fn an_attempt_avoids_a_connection_that_was_just_closed() {
-    let engine = Played::new(3);
+    let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
     let (mut first, _) = engine.serves();
     first
@@ -202,8 +212,8 @@
 
 /// A connection at rest that is well is used again, whatever its age.
 #[test]
-fn a_connection_at_rest_is_used_again() {
-    let engine = Played::new(3);
+fn an_idle_connection_is_used_again() {
+    let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
     let (mut first, _) = engine.serves();
     first
@@ -211,13 +221,13 @@
         .unwrap();
     engine.until("it ends", || engine.ends.0.borrow().len() == 1);
     send(&engine.pool, 2);
-    assert_eq!(engine.pool.conns.borrow().len(), 1);
+    assert_eq!(engine.pool.connections.borrow().len(), 1);
 }
 
 /// Its connection comes up late: an attempt that had to begin before is not written, and surely never ran.
 #[test]
 fn an_attempt_that_waited_too_long_does_not_begin() {
-    let engine = Played::new(3);
+    let engine = FakeEngine::new(3);
     send_by(&engine.pool, 1, 0);
     engine.until("it ends", || engine.ends.0.borrow().len() == 1);
     assert_eq!(engine.ends.0.take(), [(1, Outcome::NeverSent)]);
@@ -232,14 +242,18 @@
 /// Taken back while it waits for its connection, an attempt never begins, and nothing is told of it; one that has begun
 /// stays.
 #[test]
-fn only_what_has_not_begun_is_recalled() {
-    let engine = Played::new(3);
+fn only_an_attempt_that_has_not_begun_is_recalled() {
+    let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
-    assert!(engine.pool.recall(1), "it waits for its connection");
+    assert!(engine.pool.recall_unsent(1), "it waits for its connection");
     send(&engine.pool, 2);
     let (mut stream, got) = engine.serves();
     assert!(got.starts_with("serve 0000000000000002 "), "{got}");
-    assert!(!engine.pool.recall(2) && !engine.pool.recall(1) && engine.ends.0.borrow().is_empty());
+    assert!(
+        !engine.pool.recall_unsent(2)
+            && !engine.pool.recall_unsent(1)
+            && engine.ends.0.borrow().is_empty()
+    );
     stream
         .write_all(b"0000000000000002 refused - 0\r\n\r\n")
         .unwrap();
@@ -255,7 +269,7 @@
         "0000000000000001 ok chunks=1,spent=5,wanted=9 5000\r\n",
         "0000000000000001 ok chunks=",
     ] {
-        let engine = Played::new(3);
+        let engine = FakeEngine::new(3);
         send(&engine.pool, 1);
         let (mut stream, _) = engine.serves();
         stream.write_all(begin.as_bytes()).unwrap();
@@ -268,6 +282,6 @@
             !engine.ends.0.borrow().is_empty()
         });
         assert_eq!(engine.ends.0.take(), [(1, Outcome::ConnectionLost)]);
-        assert!(engine.pool.conns.borrow().is_empty());
+        assert!(engine.pool.connections.borrow().is_empty());
     }
 }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -145,9 +145,11 @@
         self.healthy();
     }
 
-    /// Starts the process anew, which need not become ready.
+    /// Starts the process anew, which need not become ready. Its log follows that of the first start.
     pub fn start_again(&mut self) {
-        self.child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::null());
+        let log = self.folder.join("log");
+        let log = std::fs::OpenOptions::new().append(true).open(log).unwrap();
+        self.child = Self::spawn(&self.folder, &self.listen, &self.management, log.into());
         connect(&self.rest);
     }
 
@@ -164,7 +166,7 @@
         let health = || client::Http::over(connect(&self.management), WAIT)?.get("/admin/health");
         let told = |e| {
             let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-            panic!("{e}; the log of its first start: {log}")
+            panic!("{e}; its log: {log}")
         };
         until("healthy", || health().unwrap_or_else(told).status == 200);
         connect(&self.rest);
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -8,8 +8,9 @@
 
 use async_executor::{LocalExecutor, Task};
 use violetgate::control::{
-    Attempt, Clock, ClusterSubscriber, Config, ControlTargets, DiscoveryClient, DiscoverySource,
-    Dispatch, EngineIds, Fence, Fleet, ListedEngine, UpstreamEngines,
+    Attempt, CancelOutcome, Clock, ClusterSubscriber, Config, ControlTargets, DiscoveryClient,
+    DiscoverySource, Dispatch, EngineIds, Fence, FleetMembership, ListRetention, ListedEngine,
+    Overrides, UpstreamEngines,
 };
 use violetgate::settings::{self, Settings};
 use violetgate_policy::interface::{EngineId, ListScope, QueryId};
@@ -54,19 +55,19 @@
 impl UpstreamEngines for NoEngines {
     fn send(&self, _: Attempt) {}
 
-    fn cancel(&self, _: QueryId) -> bool {
-        false
+    fn cancel(&self, _: QueryId) -> CancelOutcome {
+        CancelOutcome::NeverSent
     }
 
-    fn recall(&self, _: QueryId) -> bool {
+    fn recall_unsent(&self, _: QueryId) -> bool {
         true
     }
 
-    fn weigh(&self, _: QueryId, _: u8) {}
+    fn set_priority(&self, _: QueryId, _: u8) {}
 
-    fn cordon(&self, _: EngineId, _: bool) {}
+    fn set_cordoned(&self, _: EngineId, _: bool) {}
 
-    fn list(&self, _: ListScope, _: &[ListedEngine]) {}
+    fn update_list(&self, _: ListScope, _: &[ListedEngine]) {}
 }
 
 /// Asks the subscription before every send. It does not keep it: a front end that is dropped has to end.
@@ -85,8 +86,8 @@
     driver: Option<Task<()>>,
     subscribed: Option<Rc<ClusterSubscriber>>,
     seen: Rc<RefCell<SeenChanges>>,
-    place: Rc<DiscoverySource>,
-    fleet: Option<Fleet>,
+    discovery: Rc<DiscoverySource>,
+    fleet: Option<FleetMembership>,
     _dispatch: Rc<Dispatch>,
     _executor: Rc<LocalExecutor<'static>>,
 }
@@ -112,8 +113,12 @@
         let failed = |cause| HollowError::Start { index, cause };
         let executor = Rc::new(LocalExecutor::new());
         let name = format!("hollow-{index}");
-        let config =
-            Config::parse(&template.config, None, None, Some(name.clone())).map_err(failed)?;
+        let overrides = Overrides {
+            name: Some(name.clone()),
+            ..Overrides::default()
+        };
+        let config = Config::parse(&template.config, overrides)
+            .map_err(|error| failed(error.to_string()))?;
         let seed = template.seed.wrapping_add(index as u64);
         let gateways = config.settings.gateways.unwrap_or(1);
         let clock = template.clock;
@@ -124,26 +129,27 @@
         let dispatch = Dispatch::new(clock, config.settings, seed, Rc::new(NoEngines), fence);
         let fleet = match fleet_settings(template, index, name)? {
             Some(given) => {
-                let fleet = Fleet::start(&executor, &given, clock, seed, gateways, &dispatch);
-                Some(fleet.map_err(failed)?)
+                let fleet =
+                    FleetMembership::start(&executor, &given, clock, seed, gateways, &dispatch);
+                Some(fleet.map_err(|error| failed(error.to_string()))?)
             }
             None => None,
         };
-        let (ids, place) = (
-            Rc::new(EngineIds::default()),
-            Rc::new(DiscoverySource::new(config.bus, false)),
-        );
-        let mut bus = DiscoveryClient::new(config.names, Rc::clone(&ids), Rc::clone(&place));
-        let news = template.runs(Part::Decisions).then(|| Rc::clone(&dispatch));
-        let mut tell = move |scope: ListScope, listed: &[ListedEngine]| {
-            if let Some(dispatch) = &news {
-                dispatch.news(scope, listed);
+        let engine_ids = Rc::new(EngineIds::default());
+        let discovery = Rc::new(DiscoverySource::new(config.bus, ListRetention::Discard));
+        let mut client =
+            DiscoveryClient::new(config.names, Rc::clone(&engine_ids), Rc::clone(&discovery));
+        let updated = template.runs(Part::Decisions).then(|| Rc::clone(&dispatch));
+        let mut on_update = move |scope: ListScope, engines: &[ListedEngine]| {
+            if let Some(dispatch) = &updated {
+                dispatch.update_engines(scope, engines);
             }
         };
-        bus.known(config.known.0, config.known.1, &mut tell);
+        let initial = config.initial_events;
+        client.load_initial(initial.last_offset, initial.events, &mut on_update);
         if template.runs(Part::Bus) {
             executor
-                .spawn(async move { bus.follow(&mut tell).await })
+                .spawn(async move { client.follow(&mut on_update).await })
                 .detach();
         }
         if template.runs(Part::Decisions) {
@@ -154,19 +160,15 @@
         }
         let seen = Rc::new(RefCell::new(SeenChanges::default()));
         if let Some(subscribed) = &subscribed {
-            let (dispatch, place) = (Rc::clone(&dispatch), Rc::clone(&place));
-            let door = Rc::default();
-            subscribed.attach(
-                &executor,
-                ControlTargets {
-                    clock,
-                    dispatch,
-                    door,
-                    ids,
-                    place,
-                    rest: None,
-                },
-            );
+            let targets = ControlTargets {
+                clock,
+                dispatch: Rc::clone(&dispatch),
+                drain: Rc::default(),
+                engine_ids,
+                discovery: Rc::clone(&discovery),
+                rest: None,
+            };
+            subscribed.attach(&executor, targets);
             watch(subscribed, &seen);
         }
         let own = Rc::clone(&executor);
@@ -176,7 +178,7 @@
             driver,
             subscribed,
             seen,
-            place,
+            discovery,
             fleet,
             _dispatch: dispatch,
             _executor: executor,
@@ -186,14 +188,16 @@
     /// Bytes sent and received so far.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
-        let sum = |(sent, received): (u64, u64)| sent + received;
+        let bus = self.discovery.traffic();
+        let membership = self.fleet.as_ref().map(FleetMembership::traffic);
+        let membership = membership.unwrap_or_default();
         Traffic {
             subscription: self.subscribed.as_ref().map_or(0, |s| {
                 let traffic = s.subscription().traffic();
                 traffic.bytes_sent + traffic.bytes_received
             }),
-            bus: sum(self.place.traffic()),
-            membership: self.fleet.as_ref().map_or(0, |f| sum(f.traffic())),
+            bus: bus.sent_bytes + bus.received_bytes,
+            membership: membership.sent_bytes + membership.received_bytes,
         }
     }
 
@@ -232,13 +236,13 @@
     /// Whether the event bus has reached it.
     #[must_use]
     pub fn bus_heard(&self) -> bool {
-        self.place.heard()
+        self.discovery.has_received()
     }
 
     /// How many front ends it reckons with.
     #[must_use]
     pub fn share(&self) -> Option<u32> {
-        self.fleet.as_ref().map(Fleet::share)
+        self.fleet.as_ref().map(FleetMembership::size)
     }
 }
 
--- a/tools/scale/src/hollow/process.rs
+++ b/tools/scale/src/hollow/process.rs
@@ -89,7 +89,7 @@
 fn read(path: &Path) -> Result<String, HollowError> {
     std::fs::read_to_string(path).map_err(|cause| HollowError::File {
         path: path.to_owned(),
-        cause,
+        cause: cause.to_string(),
     })
 }
 
@@ -103,7 +103,7 @@
     let settings = settings::read(Some(&given.settings));
     let settings = settings.map_err(|cause| HollowError::Settings {
         path: given.settings.clone(),
-        cause,
+        cause: cause.to_string(),
     })?;
     let template = Template {
         config,
