--- a/cluster/raft/src/raft_node.rs
+++ b/cluster/raft/src/raft_node.rs
@@ -1,5 +1,7 @@
 //! One node: its state, its clock, and the way of each message to the rule that handles it.
 
+use std::collections::BTreeMap;
+
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -12,8 +14,8 @@
     SnapshotMetadata, Term,
 };
 
-/// What a node's durable storage holds when it starts. A new cluster's nodes begin with an empty snapshot that names
-/// the first members, a node that joins with one that names nobody.
+/// What a node's durable storage holds when it starts. A new cluster's nodes begin with an empty
+/// snapshot that names the first members, a node that joins with one that names nobody.
 #[derive(Debug, Clone, Default)]
 pub struct Restored {
     /// The term and the vote.
@@ -39,7 +41,7 @@
     pub(crate) commit: Index,
     pub(crate) applied: Index,
     pub(crate) election_deadline: Micros,
-    /// When a leader was last heard from.
+    /// When the last message from a leader came.
     pub(crate) leader_seen_at: Micros,
     pub(crate) writes: WriteTracker,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
@@ -47,7 +49,8 @@
 }
 
 impl RaftNode {
-    /// A node as its storage has it. `seed` feeds the random election time-outs; `now` is in microseconds.
+    /// A node as its storage has it. `seed` feeds the random election time-outs; `now` is in
+    /// microseconds.
     #[must_use]
     pub fn new(id: NodeId, config: Config, seed: u64, restored: Restored, now: Micros) -> Self {
         let commit = restored.snapshot.index;
@@ -122,14 +125,14 @@
 
     /// On a leader, the last entry that each other node is known to have; empty otherwise.
     #[must_use]
-    pub fn progress(&self) -> Vec<(NodeId, Index)> {
+    pub fn match_indexes(&self) -> BTreeMap<NodeId, Index> {
         match &self.role {
             RoleState::Leader(leader) => leader
                 .progress
                 .iter()
                 .map(|(id, progress)| (*id, progress.match_index))
                 .collect(),
-            _ => Vec::new(),
+            _ => BTreeMap::new(),
         }
     }
 
@@ -149,7 +152,8 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Advances the clock to `now`, in microseconds. To be called before anything else is done at a new time.
+    /// Advances the clock to `now`, in microseconds. To be called before anything else is done at
+    /// a new time.
     pub fn tick(&mut self, now: Micros) {
         self.now = now.max(self.now);
         if matches!(self.role, RoleState::Leader(_)) {
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -1,11 +1,11 @@
 //! The replicated state machine, without I/O.
 //!
-//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that every replica that has
-//!   applied the same commands has the same state, to the byte.
+//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that
+//!   every replica that has applied the same commands has the same state, to the byte.
 //! - [`StalenessGuard`]: whether this replica's copy is recent enough to route requests by.
 //!
-//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the guard is given the
-//! time. Times and spans are in microseconds.
+//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the
+//! guard is given the time. Times and spans are in microseconds.
 //!
 //! ```
 //! use violetgate_replicated_state::{Command, Mutation, Operation, Outcome, Store, Txn};
@@ -22,7 +22,8 @@
 //! assert_eq!(outcome, Outcome::Applied { revision: 1, conditions_held: true });
 //! // The same request again changes nothing.
 //! assert_eq!(store.apply(&command), outcome);
-//! assert_eq!(store.get("limit"), Some((1, &b"300".to_vec())));
+//! let limit = store.get("limit").unwrap();
+//! assert_eq!((limit.revision, limit.value), (1, b"300".as_slice()));
 //! ```
 
 mod command;
@@ -31,9 +32,12 @@
 mod store;
 
 pub use command::{Command, CommandError, Condition, Mutation, Operation, Outcome, Txn};
-pub use entries::Entries;
+pub use entries::{CurrentValue, Entries, KeyValue};
 pub use staleness_guard::{Stale, StalenessGuard};
-pub use store::{Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY, MAX_OPS, MAX_VALUE};
+pub use store::{
+    Compacted, DecodeError, KeyChange, Listing, Store, MAX_KEY_BYTES, MAX_TXN_LENGTH,
+    MAX_VALUE_BYTES,
+};
 
 /// A moment or a span in microseconds.
 pub type Micros = u64;
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Command, CommandError, Micros, Operation, Outcome, Revision};
+use crate::{Command, CommandError, CurrentValue, Micros, Operation, Outcome, Revision};
 
 mod idempotency;
 mod leases;
@@ -13,7 +13,7 @@
 mod watches;
 
 pub use revisions::{Compacted, Listing};
-pub use transactions::{MAX_KEY, MAX_OPS, MAX_VALUE};
+pub use transactions::{MAX_KEY_BYTES, MAX_TXN_LENGTH, MAX_VALUE_BYTES};
 pub use watches::KeyChange;
 
 use idempotency::RequestOutcomes;
@@ -52,12 +52,15 @@
         self.revision
     }
 
-    /// A key's current value, and the revision that last changed it.
+    /// A key's current value; `None` if the key doesn't exist.
     #[must_use]
-    pub fn get(&self, key: &str) -> Option<(Revision, &Vec<u8>)> {
+    pub fn get(&self, key: &str) -> Option<CurrentValue<'_>> {
         let latest = self.keys.get(key)?.last()?;
         let value = latest.value.as_ref()?;
-        Some((latest.revision, &value.bytes))
+        Some(CurrentValue {
+            revision: latest.revision,
+            value: &value.bytes,
+        })
     }
 
     /// Applies a committed command.
@@ -110,7 +113,7 @@
         self.requests.outcome(request_id)
     }
 
-    /// The whole state as bytes. Equal states are equal bytes on every replica.
+    /// The complete state as bytes. Equal states are equal bytes on every replica.
     #[must_use]
     pub fn to_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Store;
-use crate::Revision;
+use crate::{CurrentValue, KeyValue, Revision};
 
 /// The most changes in the history; beyond it, the oldest are compacted away.
 const MAX_CHANGES: usize = 100_000;
@@ -25,7 +25,7 @@
     pub(super) lease: Option<u64>,
 }
 
-/// What was asked for is compacted away.
+/// The requested revision is compacted away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("compacted away: the earliest revision is {first_revision}")]
 pub struct Compacted {
@@ -38,15 +38,15 @@
 pub struct Listing {
     /// The revision of all pages.
     pub revision: Revision,
-    /// Keys, the revisions that last changed them, and their values.
-    pub entries: Vec<(String, Revision, Vec<u8>)>,
+    /// The keys of this page.
+    pub entries: Vec<KeyValue>,
     /// The key after which the next page begins, if there is one.
     pub next: Option<String>,
 }
 
 impl Store {
-    /// One page of the keys that begin with `prefix`, after the key `after`, `limit` at most, all as of one revision.
-    /// The first page (`at` is `None`) chooses the current one.
+    /// One page of the keys that begin with `prefix`, after the key `after`, `limit` at most, all
+    /// as of one revision. The first page (`at` is `None`) chooses the current one.
     ///
     /// # Errors
     ///
@@ -67,15 +67,19 @@
             .take_while(|(key, _)| key.starts_with(prefix))
             .filter(|(key, _)| Some(key.as_str()) != after)
             .filter_map(|(key, versions)| {
-                let (changed, bytes) = value_at(versions, revision)?;
-                Some((key.clone(), changed, bytes.to_vec()))
+                let current = value_at(versions, revision)?;
+                Some(KeyValue {
+                    key: key.clone(),
+                    revision: current.revision,
+                    value: current.value.to_vec(),
+                })
             });
         // One more than the page, to know whether another page follows.
         let limit = limit.max(1);
         let mut entries: Vec<_> = existing.take(limit.saturating_add(1)).collect();
         let has_more = entries.len() > limit;
         entries.truncate(limit);
-        let last_key = entries.last().map(|(key, ..)| key.clone());
+        let last_key = entries.last().map(|entry| entry.key.clone());
         Ok(Listing {
             revision,
             entries,
@@ -107,8 +111,8 @@
             return;
         }
         self.first_revision = revision;
-        // Whatever version can be discarded was followed, or ended, by a change that is discarded now: no other key
-        // has to be looked at.
+        // Whatever version can be discarded was followed, or ended, by a change that is discarded
+        // now: no other key has to be looked at.
         while self
             .changes
             .front()
@@ -131,16 +135,19 @@
             .rposition(|version| version.revision <= revision)
             .unwrap_or(0);
         versions.drain(..valid);
-        let is_gone = matches!(versions.as_slice(), [only] if only.value.is_none() && only.revision <= revision);
-        if is_gone {
+        let is_deleted = matches!(versions.as_slice(), [only] if only.value.is_none() && only.revision <= revision);
+        if is_deleted {
             self.keys.remove(key);
         }
     }
 }
 
-/// What a key held as of a revision, and the revision that last changed it.
-fn value_at(versions: &[Version], revision: Revision) -> Option<(Revision, &[u8])> {
+/// What a key held as of a revision.
+fn value_at(versions: &[Version], revision: Revision) -> Option<CurrentValue<'_>> {
     let version = versions.iter().rev().find(|v| v.revision <= revision)?;
     let value = version.value.as_ref()?;
-    Some((version.revision, &value.bytes))
+    Some(CurrentValue {
+        revision: version.revision,
+        value: &value.bytes,
+    })
 }
--- a/cluster/replicated-state/tests/model.rs
+++ b/cluster/replicated-state/tests/model.rs
@@ -32,6 +32,10 @@
     }
 }
 
+fn current(revision: Revision, value: &[u8]) -> Option<CurrentValue<'_>> {
+    Some(CurrentValue { revision, value })
+}
+
 fn op() -> impl Strategy<Value = Mutation> {
     let key = "[ab]{1,2}";
     prop_oneof![
@@ -41,10 +45,11 @@
 }
 
 proptest! {
-    /// Every revision that can be read is as it was, page by page, whatever is written between the pages; watches
-    /// miss nothing and tell what is compacted away; a saved store is the same store.
+    /// Every revision that can be read is as it was, page by page, whatever is written between the
+    /// pages; watches miss nothing and report what is compacted away; a decoded snapshot is the
+    /// same store.
     #[test]
-    fn every_revision_stays_as_it_was(
+    fn every_revision_reads_as_it_was(
         steps in proptest::collection::vec((proptest::collection::vec(op(), 1..4), 0u8..8, 1usize..4), 1..60),
     ) {
         let mut store = Store::default();
@@ -72,14 +77,14 @@
             let mut listed = State::new();
             loop {
                 prop_assert!(page.entries.len() <= limit && page.revision == at);
-                listed.extend(page.entries.iter().map(|(k, _, v)| (k.clone(), v.clone())));
+                listed.extend(page.entries.iter().map(|e| (e.key.clone(), e.value.clone())));
                 let Some(next) = page.next else { break };
                 page = store.list("a", Some(at), Some(&next), limit).unwrap();
             }
             let then: State = states[at as usize].iter().filter(|(k, _)| k.starts_with('a')).map(|(k, v)| (k.clone(), v.clone())).collect();
             prop_assert_eq!(listed, then);
             if what == 0 {
-                // Up to somewhere behind: what a watcher has not seen yet may go, and it is told.
+                // What a watcher has not seen yet may be compacted away, and it learns of that.
                 first = first.max(store.revision().saturating_sub(limit as u64));
                 store.apply(&command(Operation::Compact(first)));
             }
@@ -93,7 +98,7 @@
                         prop_assert!(watched < first);
                         let all = store.list("", None, None, usize::MAX).unwrap();
                         watched = all.revision;
-                        seen = all.entries.into_iter().map(|(k, _, v)| (k, v)).collect();
+                        seen = all.entries.into_iter().map(|e| (e.key, e.value)).collect();
                     }
                 }
                 prop_assert_eq!(&seen, &states[watched as usize]);
@@ -103,7 +108,7 @@
                 if back < first {
                     prop_assert_eq!(read, Err(Compacted { first_revision: first }));
                 } else {
-                    let read: State = read.unwrap().entries.into_iter().map(|(k, _, v)| (k, v)).collect();
+                    let read: State = read.unwrap().entries.into_iter().map(|e| (e.key, e.value)).collect();
                     prop_assert_eq!(&read, &states[back as usize]);
                 }
             }
@@ -111,16 +116,16 @@
         }
     }
 
-    /// What is no saved store is an error.
+    /// Bytes that are no snapshot are an error.
     #[test]
-    fn noise_is_no_store(bytes in proptest::collection::vec(any::<u8>(), 0..60)) {
+    fn random_bytes_are_no_snapshot(bytes in proptest::collection::vec(any::<u8>(), 0..60)) {
         prop_assert!(Store::from_snapshot(&bytes).is_err());
     }
 }
 
-/// A transaction is all or nothing under its conditions; of two that compare and set, one wins.
+/// A transaction makes all of its changes or none.
 #[test]
-fn of_two_that_compare_and_set_one_wins() {
+fn of_two_that_compare_and_swap_one_wins() {
     let mut store = Store::default();
     let set = |seen, value| {
         let checks = vec![Condition::RevisionIs("limit".to_owned(), seen)];
@@ -144,7 +149,7 @@
             conditions_held: false
         }
     );
-    assert_eq!(store.get("by"), Some((1, &vec![1])));
+    assert_eq!(store.get("by"), current(1, &[1]));
     assert_eq!(
         store.apply(&set(1, 3)),
         Outcome::Applied {
@@ -154,7 +159,7 @@
     );
     let large = Mutation::Put {
         key: "x".to_owned(),
-        value: vec![0; MAX_VALUE + 1],
+        value: vec![0; MAX_VALUE_BYTES + 1],
         lease: None,
     };
     let refused = store.apply(&command(Operation::Txn(txn(vec![put("y", 1), large]))));
@@ -164,23 +169,24 @@
     );
 }
 
-/// The same request again gets the same outcome and changes nothing, though the state has moved on.
+/// A repeated request gets the same outcome and changes nothing, though others came in between.
 #[test]
-fn a_request_is_carried_out_once() {
+fn a_repeated_request_is_carried_out_once() {
     let mut store = Store::default();
     let mut first = command(Operation::Txn(txn(vec![put("a", 1)])));
     first.request_id = Some("r-1".to_owned());
     let outcome = store.apply(&first);
     store.apply(&command(Operation::Txn(txn(vec![put("a", 2)]))));
     assert_eq!(store.apply(&first), outcome);
-    assert_eq!(store.get("a"), Some((2, &vec![2])));
+    assert_eq!(store.get("a"), current(2, &[2]));
     let mut loaded = Store::from_snapshot(&store.to_snapshot()).unwrap();
     assert_eq!(loaded.apply(&first), outcome, "also after a snapshot");
 }
 
-/// A lease that has run out takes its keys along; one renewed since it was seen to end stays; time never goes back.
+/// An expired lease deletes its keys; one renewed since its expiry was seen is not ended; time
+/// never goes back.
 #[test]
-fn a_lease_takes_its_keys_along() {
+fn an_expired_lease_deletes_its_keys() {
     let mut store = Store::default();
     let at = |time, step| Command {
         time,
@@ -232,7 +238,7 @@
     ));
     assert_eq!(
         (store.get("duty"), store.get("other")),
-        (None, Some((1, &vec![1])))
+        (None, current(1, &[1]))
     );
     assert_eq!(
         store.apply(&at(211, Operation::Txn(txn(vec![hung])))),
--- a/gateway/src/discovery/events.rs
+++ b/gateway/src/discovery/events.rs
@@ -78,7 +78,7 @@
         match state {
             ServerState::InService => EngineState::Ready,
             ServerState::Terminating => EngineState::Draining,
-            ServerState::Terminated => EngineState::Gone,
+            ServerState::Terminated => EngineState::Removed,
         }
     }
 }
--- a/gateway/src/dispatch/request_sink.rs
+++ b/gateway/src/dispatch/request_sink.rs
@@ -31,8 +31,11 @@
         let request = OpenRequest::new(Rc::clone(exchange), class.unwrap_or_default());
         open.insert(id, request);
         drop(open);
-        let time_left = exchange.request.deadline().saturating_sub(self.clock.now());
-        self.queue(Event::QueryArrived(NewQuery { time_left, ..query }));
+        let client_timeout = exchange.request.deadline().saturating_sub(self.clock.now());
+        self.queue(Event::QueryArrived(NewQuery {
+            client_timeout,
+            ..query
+        }));
         self.process_events();
         Ok(())
     }
--- a/gateway/src/dispatch/tests/mod.rs
+++ b/gateway/src/dispatch/tests/mod.rs
@@ -134,11 +134,11 @@
     (dispatch, upstream)
 }
 
-fn request(dispatch: &Dispatch, id: QueryId, time_left: Micros) -> Request {
+fn request(dispatch: &Dispatch, id: QueryId, client_timeout: Micros) -> Request {
     Request {
         query: NewQuery {
             id,
-            time_left,
+            client_timeout,
             ..NewQuery::default()
         },
         received: dispatch.now(),
@@ -149,8 +149,8 @@
     }
 }
 
-fn submit(dispatch: &Dispatch, id: QueryId, time_left: Micros) -> Rc<Exchange> {
-    let exchange = Exchange::new(request(dispatch, id, time_left));
+fn submit(dispatch: &Dispatch, id: QueryId, client_timeout: Micros) -> Rc<Exchange> {
+    let exchange = Exchange::new(request(dispatch, id, client_timeout));
     assert_eq!(dispatch.submit(&exchange), Ok(()));
     exchange
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -35,7 +35,7 @@
 /// One client's request: what the decisions need, and the bytes that are forwarded as they came.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What the decisions need; its `time_left` counts from `received`.
+    /// What the decisions need; its `client_timeout` counts from `received`.
     pub query: NewQuery,
     /// When its last byte was read, in microseconds since the Unix epoch.
     pub received: Micros,
@@ -53,14 +53,14 @@
     /// The last moment at which an answer still reaches the client, in microseconds since the Unix epoch.
     #[must_use]
     pub fn deadline(&self) -> Micros {
-        let time_left = self.query.time_left;
+        let client_timeout = self.query.client_timeout;
         let client_delay = if self.query.ordering_key.is_some() {
             ORDERED_CLIENT_DELAY_US
         } else {
             0
         };
-        let allowance = (TRANSIT_US + client_delay).min(time_left / LARGEST_ALLOWANCE_DIVISOR);
-        self.received.saturating_add(time_left - allowance)
+        let allowance = (TRANSIT_US + client_delay).min(client_timeout / LARGEST_ALLOWANCE_DIVISOR);
+        self.received.saturating_add(client_timeout - allowance)
     }
 }
 
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -65,7 +65,7 @@
             "revision": status.revision,
             "routes": status.freshness.is_ok(),
             "state_age_ms": state_age.map(|age| age / MICROS_PER_MS),
-            "stopped": self.member.runtime.stop_reason(),
+            "stopped": self.member.runtime.stop_reason().map(|reason| reason.to_string()),
             "highest_id": status.members.highest_id,
             "members": self.members_json(&status),
         }))
@@ -77,13 +77,13 @@
         let member = |id: u64| {
             let recorded = config.members.get(&id);
             let listen = recorded.map(|member| member.listen);
-            let progress = status.progress.iter().find(|(member, _)| *member == id);
+            let progress = status.progress.iter().find(|matched| matched.id == id);
             json!({
                 "id": id,
                 "voter": status.members.voters.contains(&id),
                 "listen": listen.or(own.get(&id).copied()),
                 "api": recorded.map(|member| member.api),
-                "has": progress.map(|(_, index)| *index),
+                "has": progress.map(|matched| matched.index),
             })
         };
         status.members.ids().map(member).collect()
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use serde_json::{json, Value};
-use violetgate_replicated_state::{Condition, Mutation, Operation, Store, Txn};
+use violetgate_replicated_state::{Condition, CurrentValue, Mutation, Operation, Store, Txn};
 
 use super::bodies::{check_not_reserved, entry_json, read_json, JsonValue};
 use super::bodies::{LeaseBody, TransactionBody};
@@ -151,7 +151,7 @@
         let detail = format!("there is no `{key}`");
         HttpError::new(StatusCode::NOT_FOUND, "no-such-key", detail)
     });
-    let (revision, value) = entry?;
+    let CurrentValue { revision, value } = entry?;
     Ok(json_reply(&entry_json(key, revision, value)))
 }
 
@@ -162,7 +162,7 @@
     let entries: Vec<_> = listing
         .entries
         .iter()
-        .map(|(key, revision, value)| entry_json(key, *revision, value))
+        .map(|entry| entry_json(&entry.key, entry.revision, &entry.value))
         .collect();
     let next = listing.next.map(|after| {
         let pairs = [
--- a/gateway/src/replication/error.rs
+++ b/gateway/src/replication/error.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 use violetgate_raft::ProposalError;
-use violetgate_replica_runtime::InvalidSubscriberConfig;
+use violetgate_replica_runtime::{InvalidSubscriberConfig, ServiceError, StartError};
 use violetgate_replicated_state::CommandError;
 
 /// Why a change was not committed.
@@ -23,25 +23,24 @@
 pub enum ClusterStartError {
     /// The folder holds no member's state.
     #[error("`cluster.folder`: {0} (`violetgate members init` makes one)")]
-    NoMemberFolder(String),
+    NoMemberFolder(StartError),
     /// The member can't be started.
     #[error("`cluster`: {0}")]
-    Member(String),
+    Member(StartError),
     /// The service to subscribers can't be started.
     #[error("`cluster.subscribers_listen`: {0}")]
-    ObserverService(String),
+    ObserverService(#[from] ServiceError),
     /// A subscriber's settings can't keep its state fresh.
     #[error("`cluster`: {0}")]
     Subscriber(#[from] InvalidSubscriberConfig),
 }
 
 impl ClusterStartError {
-    pub(super) fn of_member(error: &impl ToString) -> Self {
-        let text = error.to_string();
-        if text.contains("no member's") {
-            ClusterStartError::NoMemberFolder(text)
+    pub(super) fn of_member(error: StartError) -> Self {
+        if error.is_uninitialized_folder() {
+            ClusterStartError::NoMemberFolder(error)
         } else {
-            ClusterStartError::Member(text)
+            ClusterStartError::Member(error)
         }
     }
 }
--- a/gateway/src/replication/member.rs
+++ b/gateway/src/replication/member.rs
@@ -101,10 +101,7 @@
         capacity: settings.subscribers,
         ..ObserverConfig::default_for(&settings.name, settings.id)
     };
-    let service = ObserverService::start(runtime, listen, config);
-    service
-        .map(Some)
-        .map_err(|error| ClusterStartError::ObserverService(error.to_string()))
+    Ok(Some(ObserverService::start(runtime, listen, config)?))
 }
 
 impl ClusterMember {
@@ -121,7 +118,7 @@
         seed: u64,
     ) -> Result<Rc<Self>, ClusterStartError> {
         let runtime = ReplicaRuntime::start(executor, &replica_options(settings, seed))
-            .map_err(|error| ClusterStartError::of_member(&error))?;
+            .map_err(ClusterStartError::of_member)?;
         let observer = start_observer(&runtime, settings)?;
         Ok(Rc::new(ClusterMember {
             runtime,
@@ -224,9 +221,9 @@
         timeout: Duration,
     ) -> Result<Commit, CommitError> {
         let call = Call::Propose {
-            request: request_id.unwrap_or_else(new_request_id),
-            who: operator.to_owned(),
-            step: operation,
+            request_id: request_id.unwrap_or_else(new_request_id),
+            actor: operator.to_owned(),
+            operation,
         };
         match self.runtime.submit(call, timeout).await {
             CallOutcome::Completed(Response::Applied(Outcome::Applied {
--- a/gateway/src/replication/shared_config/encoding.rs
+++ b/gateway/src/replication/shared_config/encoding.rs
@@ -67,18 +67,21 @@
     prefix: &'static str,
 ) -> impl Iterator<Item = (String, Vec<u8>)> {
     let entries = state.entries_with_prefix(prefix).into_iter();
-    entries.map(|(key, _, value)| {
-        let name = key.get(prefix.len()..).unwrap_or_default();
-        (name.to_owned(), value)
+    entries.map(|entry| {
+        let name = entry.key.get(prefix.len()..).unwrap_or_default();
+        (name.to_owned(), entry.value)
     })
 }
 
 /// The number that a key holds in decimal digits.
 pub(super) fn number_at(state: &impl Entries, key: &str) -> Option<u64> {
-    std::str::from_utf8(state.entry(key)?.1).ok()?.parse().ok()
+    std::str::from_utf8(state.entry(key)?.value)
+        .ok()?
+        .parse()
+        .ok()
 }
 
 /// The revision that last changed a key; 0 if there is no such key.
 pub(super) fn revision_of(state: &impl Entries, key: &str) -> Revision {
-    state.entry(key).map_or(0, |(revision, _)| revision)
+    state.entry(key).map_or(0, |current| current.revision)
 }
--- a/gateway/src/replication/shared_config/engine_list.rs
+++ b/gateway/src/replication/shared_config/engine_list.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use violetgate_replicated_state::{Condition, Entries, Mutation, Txn, MAX_OPS};
+use violetgate_replicated_state::{Condition, Entries, Mutation, Txn, MAX_TXN_LENGTH};
 
 use super::encoding::{
     entries_under, number_at, put, revision_of, ENGINE_LIST_OFFSET, ENGINE_PREFIX,
@@ -30,7 +30,7 @@
 
 /// The next transaction towards storing `list`; `None`: the stored list is as new.
 ///
-/// A transaction has at most [`MAX_OPS`] mutations, so a long list takes several. The offset is written
+/// A transaction has at most [`MAX_TXN_LENGTH`] mutations, so a long list takes several. The offset is written
 /// with the last one: until then the stored list counts as of the earlier offset.
 #[must_use]
 pub fn next_update(state: &impl Entries, list: &EngineListSnapshot) -> Option<Txn> {
@@ -38,8 +38,8 @@
         return None;
     }
     let mut then = missing_mutations(state, list);
-    then.truncate(MAX_OPS);
-    if then.len() < MAX_OPS {
+    then.truncate(MAX_TXN_LENGTH);
+    if then.len() < MAX_TXN_LENGTH {
         let offset = list.last_offset.to_string();
         then.push(put(ENGINE_LIST_OFFSET.to_owned(), offset));
     }
--- a/gateway/src/replication/shared_config/operator_requests.rs
+++ b/gateway/src/replication/shared_config/operator_requests.rs
@@ -38,7 +38,7 @@
     let key = format!("{MEMBER_PREFIX}{id}");
     let entry = state.entry(&key);
     let recorded: Option<MemberAddress> =
-        entry.and_then(|(_, bytes)| serde_json::from_slice(bytes).ok());
+        entry.and_then(|current| serde_json::from_slice(current.value).ok());
     if recorded.as_ref() == Some(address) {
         return None;
     }
@@ -49,7 +49,7 @@
         // No key is ever of this revision: the condition can't hold.
         Revision::MAX
     } else {
-        entry.map_or(0, |(revision, _)| revision)
+        entry.map_or(0, |current| current.revision)
     };
     Some(Txn {
         conditions: vec![Condition::RevisionIs(key.clone(), expected_revision)],
--- a/gateway/src/replication/shared_config/settings_versions.rs
+++ b/gateway/src/replication/shared_config/settings_versions.rs
@@ -1,7 +1,9 @@
 //! The shared settings: numbered versions, one of which is in force.
 
 use thiserror::Error;
-use violetgate_replicated_state::{Condition, Entries, Mutation, Revision, Txn, MAX_VALUE};
+use violetgate_replicated_state::{
+    Condition, Entries, KeyValue, Mutation, Revision, Txn, MAX_VALUE_BYTES,
+};
 
 use super::encoding::{
     number_at, put, revision_of, settings_version_key, CURRENT_SETTINGS, SETTINGS_VERSION_PREFIX,
@@ -27,7 +29,7 @@
     #[error("the settings have {} errors: correct each line that is named", .0.len())]
     Invalid(Vec<SettingsError>),
     /// The text is longer than a value of the store may be.
-    #[error("the settings are too long: {MAX_VALUE} bytes are the most")]
+    #[error("the settings are too long: {MAX_VALUE_BYTES} bytes are the most")]
     TooLong,
     /// Another version is in force than the one that was to be replaced.
     #[error("version {current} is in force: read it, and apply the change to it")]
@@ -52,7 +54,7 @@
 /// The text of a version, if it is retained.
 #[must_use]
 pub fn text(state: &impl Entries, version: u64) -> Option<String> {
-    let (_, text) = state.entry(&settings_version_key(version))?;
+    let text = state.entry(&settings_version_key(version))?.value;
     String::from_utf8(text.to_vec()).ok()
 }
 
@@ -74,10 +76,14 @@
 #[must_use]
 pub fn retained(state: &impl Entries) -> Vec<RetainedVersion> {
     let entries = state.entries_with_prefix(SETTINGS_VERSION_PREFIX);
-    let version = |(key, revision, _): &(String, Revision, Vec<u8>)| {
+    let version = |entry: &KeyValue| {
         Some(RetainedVersion {
-            number: key.get(SETTINGS_VERSION_PREFIX.len()..)?.parse().ok()?,
-            revision: *revision,
+            number: entry
+                .key
+                .get(SETTINGS_VERSION_PREFIX.len()..)?
+                .parse()
+                .ok()?,
+            revision: entry.revision,
         })
     };
     entries.iter().filter_map(version).collect()
@@ -105,7 +111,7 @@
     expected: Option<u64>,
 ) -> Result<(u64, Txn), SettingsRejection> {
     SharedSettings::parse(text).map_err(SettingsRejection::Invalid)?;
-    if text.len() > MAX_VALUE {
+    if text.len() > MAX_VALUE_BYTES {
         return Err(SettingsRejection::TooLong);
     }
     let current = current(state);
--- a/gateway/src/request_validation.rs
+++ b/gateway/src/request_validation.rs
@@ -152,7 +152,7 @@
             tenant: tenant as u32,
             estimated_work: work_ms.map(|ms| (ms * MICROS_PER_MS) as Micros),
             estimated_memory_mb: memory_mb.filter(|mb| *mb > 0.0),
-            time_left: (budget_ms * MICROS_PER_MS) as Micros,
+            client_timeout: (budget_ms * MICROS_PER_MS) as Micros,
             table_group: table_group::table_group(self.statement),
             ordering_key,
             is_client_retry: self.retry_mark.is_some(),
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -79,7 +79,9 @@
         slot: ResultSlot,
         watch: &ConnectionWatch,
     ) -> Result<Result<Reply, HttpError>, RequestIdInUse> {
-        let expires_at = request.received.saturating_add(request.query.time_left);
+        let expires_at = request
+            .received
+            .saturating_add(request.query.client_timeout);
         let exchange = Exchange::new(request);
         self.parts.sink.submit(&exchange)?;
         let guard = WithdrawGuard {
--- a/gateway/src/rest/wire/tests.rs
+++ b/gateway/src/rest/wire/tests.rs
@@ -37,7 +37,7 @@
         for body in [&body[..], GOOD.as_bytes().get(..cut).unwrap(), &bent] {
             let read = parse_query(&headers, body, &names(), "00000000000000a1", 5);
             if let Ok(request) = read {
-                prop_assert!(request.query.time_left <= 86_400_000_000 && request.idempotency_key.is_some());
+                prop_assert!(request.query.client_timeout <= 86_400_000_000 && request.idempotency_key.is_some());
             }
         }
         for method in [Method::GET, Method::POST, Method::DELETE] {
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -13,7 +13,7 @@
 fn attempt(id: QueryId) -> Attempt {
     let query = NewQuery {
         id,
-        time_left: 1_000_000,
+        client_timeout: 1_000_000,
         ..NewQuery::default()
     };
     let request = Request {
--- a/gateway/src/upstream/pool/requests.rs
+++ b/gateway/src/upstream/pool/requests.rs
@@ -62,12 +62,12 @@
         let listed = self.listed.borrow();
         let state = |engine: EngineId| {
             let listed = listed.get(&engine);
-            listed.map_or(EngineState::Gone, |listed| listed.engine.state)
+            listed.map_or(EngineState::Removed, |listed| listed.engine.state)
         };
         let mut ends = Vec::new();
         for connection in self.connections.borrow().values() {
             let state = state(connection.engine);
-            if state == EngineState::Gone || replaced.contains(&connection.engine) {
+            if state == EngineState::Removed || replaced.contains(&connection.engine) {
                 connection.is_retired.set(true);
             }
             if state != EngineState::Ready || connection.is_retired.get() {
@@ -86,7 +86,7 @@
         let mut listed = self.listed.borrow_mut();
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
             for listed in listed.values_mut() {
-                listed.engine.state = EngineState::Gone;
+                listed.engine.state = EngineState::Removed;
             }
         }
         let mut replaced = Vec::new();
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -17,7 +17,7 @@
 
 use serde_json::Value;
 pub use violetgate_fake_upstreams::client::Reply;
-use violetgate_fake_upstreams::{client, settings, Fleet, Profile};
+use violetgate_fake_upstreams::{client, settings, FakeUpstreams, Profile};
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 pub const WAIT: Duration = Duration::from_secs(60);
@@ -58,7 +58,7 @@
 
 /// A front end before a fleet.
 pub struct Front {
-    pub fleet: Fleet,
+    pub fleet: FakeUpstreams,
     pub child: Child,
     pub listen: String,
     pub rest: String,
@@ -92,7 +92,7 @@
         );
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
-        let fleet = Fleet::start(engines, Profile::default()).unwrap();
+        let fleet = FakeUpstreams::start(engines, Profile::default()).unwrap();
         let mut told = settings();
         told["classes"][2]["window"] = window.into();
         let config = fleet.config("n0", &listen, &told);
@@ -163,7 +163,8 @@
     /// Waits until the process is ready and listens for REST.
     pub fn healthy(&self) {
         // A process that has ended resets what waits to be accepted: its log says why.
-        let health = || client::Http::over(connect(&self.management), WAIT)?.get("/admin/health");
+        let health =
+            || client::HttpClient::new(connect(&self.management), WAIT)?.get("/admin/health");
         let told = |e| {
             let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
             panic!("{e}; its log: {log}")
@@ -254,25 +255,25 @@
 }
 
 /// An HTTP connection whose failures fail the test.
-pub struct Http(client::Http);
+pub struct Http(client::HttpClient);
 
 impl Deref for Http {
-    type Target = client::Http;
+    type Target = client::HttpClient;
 
-    fn deref(&self) -> &client::Http {
+    fn deref(&self) -> &client::HttpClient {
         &self.0
     }
 }
 
 impl DerefMut for Http {
-    fn deref_mut(&mut self) -> &mut client::Http {
+    fn deref_mut(&mut self) -> &mut client::HttpClient {
         &mut self.0
     }
 }
 
 impl Http {
     pub fn open(addr: &str) -> Self {
-        Http(client::Http::over(connect(addr), WAIT).unwrap())
+        Http(client::HttpClient::new(connect(addr), WAIT).unwrap())
     }
 
     pub fn raw(&mut self, bytes: &[u8]) {
@@ -284,7 +285,7 @@
     }
 
     pub fn ask(&mut self, ask: &Value, key: Option<&str>) {
-        self.0.ask(ask, key).unwrap();
+        self.0.send_query(ask, key).unwrap();
     }
 
     pub fn get(&mut self, path: &str) -> Reply {
@@ -297,7 +298,7 @@
 }
 
 /// A PostgreSQL session whose failures fail the test.
-pub struct Pg(client::Pg);
+pub struct Pg(client::PostgresClient);
 
 impl Pg {
     pub fn open(addr: &str) -> Self {
@@ -305,7 +306,7 @@
     }
 
     pub fn over(stream: TcpStream) -> Self {
-        Pg(client::Pg::over(stream, WAIT).unwrap())
+        Pg(client::PostgresClient::new(stream, WAIT).unwrap())
     }
 
     pub fn send(&mut self, sql: &str) {
--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -1,16 +1,16 @@
 //! Whether a query that arrives is sent at once, queued, or rejected.
 //!
-//! Decides: [`AdmissionDecision`]. Inputs: the predicted wait (queued work over what the engines
-//! do for this gateway) and the threshold, the wait with which a query can still be in time; both
-//! in seconds. A query that finds an engine goes at once. Otherwise it is queued with a
-//! probability that falls from 1 to 0 as the predicted wait passes the threshold (a logistic
-//! function, after M. Mazzucco, "Virtual queues from scratch, Part 4"). Reason: a queue that is
-//! longer than clients wait makes every query late.
-
-use rand_chacha::rand_core::RngCore;
+//! - Decides: [`AdmissionDecision`].
+//! - Inputs: the predicted wait (queued work over what the engines do for this gateway) and the
+//!   threshold, the longest wait with which the query can still be in time; both in seconds.
+//! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability
+//!   that falls from 1 to 0 as the predicted wait passes the threshold (a logistic function,
+//!   after M. Mazzucco, "Virtual queues from scratch, Part 4").
+//! - Reason: a queue that is longer than clients wait makes every query late.
 
 use crate::deadline::HIGH_LATE_FRACTION;
 use crate::interface::{Action, EngineId, Micros, NewQuery, QueryId};
+use crate::placement::draw_fraction;
 use crate::priority::ARRIVAL_GAIN;
 use crate::state::Query;
 use crate::units::{micros, seconds};
@@ -22,8 +22,8 @@
 /// late).
 const MIN_THRESHOLD_FRACTION: f64 = 0.5;
 const MIN_THRESHOLD_S: f64 = 1e-3;
-/// All queries of a class share one draw for this fraction of the threshold, so that a client
-/// that asks again at once gets the same answer.
+/// All queries of a class use one draw for this fraction of the threshold, so that a client
+/// that retries at once gets the same answer.
 const SHARED_DRAW_FRACTION: f64 = 0.1;
 
 /// What becomes of a query that arrives.
@@ -82,8 +82,7 @@
         age: Micros,
         is_first_in_queue: bool,
     ) -> AdmissionDecision {
-        let query = self.queries.get(id);
-        if age > 0 && query.is_some_and(|query| self.objective_is_unachievable(query)) {
+        if age > 0 && self.is_unachievable(id) {
             return AdmissionDecision::Reject(RejectReason::ObjectiveUnachievable);
         }
         let engine = is_first_in_queue.then(|| self.choose_engine(id)).flatten();
@@ -96,13 +95,18 @@
         }
     }
 
+    fn is_unachievable(&self, id: QueryId) -> bool {
+        let query = self.queries.get(id);
+        query.is_some_and(|query| self.objective_is_unachievable(query))
+    }
+
     /// The index of a query's class; classes that the settings do not name share the last one.
     fn class_index(&self, request: &NewQuery) -> usize {
         (request.class as usize).min(self.settings.classes.len() - 1)
     }
 
     /// Enters a query in the table, with what is expected of it. Returns how long ago its client
-    /// first asked.
+    /// first sent it.
     fn register_query(&mut self, class_index: usize, request: &NewQuery) -> Micros {
         let sequence = self.queries.next_sequence(self.now);
         let age = self.age_of_request(class_index, request);
@@ -110,7 +114,7 @@
         let query = Query {
             sequence,
             first_requested_at: self.now.saturating_sub(age),
-            deadline: self.now + request.time_left,
+            deadline: self.now + request.client_timeout,
             work: self.expected_work(class_index, request),
             threads: class
                 .threads
@@ -134,7 +138,7 @@
         age
     }
 
-    /// Whether a query may wait, by the draw that its class shares for a while.
+    /// Whether a query may wait, by the draw that all queries of its class use for a while.
     fn admits_to_queue(&mut self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(id) else {
             return false;
@@ -144,7 +148,7 @@
         let probability = admission_probability(self.predicted_wait(), threshold);
         let stats = &mut self.class_stats[class];
         if stats.admission_draw_until <= self.now {
-            stats.admission_draw = (f64::from(self.rng.next_u32()) + 0.5) / 4_294_967_296.0;
+            stats.admission_draw = draw_fraction(&mut self.rng);
             stats.admission_draw_until = self.now + micros(SHARED_DRAW_FRACTION * threshold);
         }
         stats.admission_draw < probability
@@ -160,7 +164,7 @@
     fn admission_threshold(&self, query: &Query) -> f64 {
         let class = self.class_of(query);
         let deadline = class.deadline.unwrap_or(Micros::MAX);
-        let deadline = seconds(deadline.min(query.request.time_left));
+        let deadline = seconds(deadline.min(query.request.client_timeout));
         let objective = class.latency_objective;
         wait_threshold(&ThresholdInputs {
             deadline,
@@ -172,7 +176,7 @@
 }
 
 /// The threshold in seconds: the deadline less the expected run. As answers of the class come
-/// late, which earn less, it moves to the same figure made from the objective.
+/// late, which earn less, it approaches the same figure made from the objective.
 fn wait_threshold(inputs: &ThresholdInputs) -> f64 {
     let in_time_for =
         |limit: f64| (limit - inputs.expected_run).max(MIN_THRESHOLD_FRACTION * limit);
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -1,11 +1,12 @@
 //! When a query has to be answered, and when it is given up.
 //!
-//! Decides: the time by which an answer earns its full weight (the objective), whether that can
-//! still be met, and when a queued query is given up. Inputs: the deadline and objective of its
-//! class and its client, its expected run time, and, for deduplicated queries, the time at which
-//! engines forget its first attempt; all in microseconds. Reason: a query that cannot be in time
-//! only delays those that can, and their clients' retries keep an overload going that has long
-//! ended.
+//! - Decides: the time by which an answer earns its full weight (the objective), whether that
+//!   can still be met, and when a queued query is given up.
+//! - Inputs: the deadline and objective of its class and its client, its expected run time,
+//!   and, for deduplicated queries, the time at which engines forget its first attempt; all in
+//!   microseconds.
+//! - Reason: a query that cannot be in time only delays those that can, and the retries of its
+//!   client prolong an overload.
 
 use crate::interface::{Idempotency, Micros, NewQuery, QueryId};
 use crate::state::Query;
@@ -17,22 +18,22 @@
 const LITTLE_LATE_WEIGHT: f64 = 0.5;
 /// The fraction of late answers at which a class counts as late.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
-/// A queued query is sent with at least this part of its client's time left.
+/// The expected run of a queued query counts as no more than its client's timeout over this.
 const MAX_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
-    /// How long ago the client of a request first asked. A client's retry brings less time than a
-    /// whole first request; what is not marked as a retry counts as a first request.
+    /// How long ago the client first sent a request. A retry brings less time than a first
+    /// request; what is not marked as a retry counts as a first request.
     pub(crate) fn age_of_request(&mut self, class: usize, request: &NewQuery) -> Micros {
         let deadline = self.settings.classes[class].deadline.unwrap_or(0);
         let grace = self.settings.answer_grace.unwrap_or(0);
         let longest = &mut self.class_stats[class].longest_first_request;
         if !request.is_client_retry {
-            *longest = (*longest).max(request.time_left);
+            *longest = (*longest).max(request.client_timeout);
             return 0;
         }
-        if request.time_left + grace < *longest {
-            deadline.saturating_sub(request.time_left)
+        if request.client_timeout + grace < *longest {
+            deadline.saturating_sub(request.client_timeout)
         } else {
             0
         }
@@ -53,7 +54,7 @@
         })
     }
 
-    /// Whether a query is not worth its run once its objective is missed: late answers of its
+    /// Whether an answer to a query is useless once its objective is missed: late answers of its
     /// class earn little, and other queries wait or are late too.
     pub(crate) fn is_useless_when_late(&self, query: &Query) -> bool {
         let class = self.class_of(query);
@@ -84,7 +85,7 @@
         let forgotten_at = first_run.map_or(Micros::MAX, |first| {
             first.sent_at + class.dedup_window.unwrap_or(0)
         });
-        let max_run = query.request.time_left / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
         query
             .deadline
             .saturating_sub(run.min(max_run))
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -1,7 +1,7 @@
 //! The interface of the decision module: settings and events go in, actions come out.
 //!
 //! All times are integer microseconds on one clock that never goes backwards. A setting that the
-//! operator leaves out is `None`; the rule that uses it defines what its absence means.
+//! operator omits is `None`; the rule that uses it defines what its absence means.
 //!
 //! ```
 //! use violetgate_policy::interface::{
@@ -22,7 +22,7 @@
 //! };
 //! let list = Event::EngineList { scope: ListScope::Snapshot, engines: vec![engine] };
 //! gateway.handle(0, &[list], &mut actions);
-//! let query = NewQuery { id: 1, time_left: 6_000_000, ..NewQuery::default() };
+//! let query = NewQuery { id: 1, client_timeout: 6_000_000, ..NewQuery::default() };
 //! gateway.handle(5_000, &[Event::QueryArrived(query)], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { query: 1, engine: 0, .. })));
 //! ```
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -43,7 +43,7 @@
         /// `true`: send it nothing more; `false`: it was restarted and may be used again.
         cordoned: bool,
     },
-    /// A client sent a query; it is owed one final answer.
+    /// A client sent a query; it gets exactly one final answer.
     QueryArrived(NewQuery),
     /// A running attempt reported its progress.
     Progress {
@@ -76,8 +76,8 @@
         load: LoadReport,
     },
     /// The number of gateways that share the engines changed. The sender makes sure that the
-    /// quotas of all gateways, each by the number that it was last given, never add up to more
-    /// than the whole.
+    /// quotas of all gateways, each by the number that it was last given, never exceed
+    /// the total.
     FleetSize {
         /// How many, this one included; 0 counts as 1.
         gateways: u32,
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,13 +1,15 @@
 //! Which engines are ejected as outliers, and when they are tried again.
 //!
-//! Decides: the failure rate of each engine, in all and for each class, ejection, and the time
-//! until the next trial. Inputs: how attempts end, failed health checks, attempts that are silent
-//! for too long, and the retry budget, since each trial of a bad engine costs a retry. Reason: an
-//! engine that fails fast looks free and would attract all queries. Where over half of the
-//! engines are ejected, the cause is shared and ejection is ignored.
+//! - Decides: the failure rate of each engine, in all and for each class, ejection, and the
+//!   time until the next trial.
+//! - Inputs: how attempts end, failed health checks, attempts that are silent for too long, and
+//!   the retry budget, since each trial of a bad engine costs a retry.
+//! - Rule: a moving failure rate above a threshold ejects an engine; a success in a trial
+//!   lowers it. Where over half of the engines are ejected, the cause is not theirs and
+//!   ejection is ignored.
+//! - Reason: an engine that fails fast seems free and would attract all queries.
 
 use crate::concurrency_limit::FAR_BELOW_UNLOADED_SPEED;
-use crate::deadline::HIGH_LATE_FRACTION;
 use crate::interface::{EngineId, Micros, Outcome, QueryId};
 use crate::state::{EngineRecord, Health, HealthCounts};
 use crate::units::{micros, seconds};
@@ -15,17 +17,19 @@
 
 /// Weight of a failure in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Weight of a refused connection, which leaves no doubt.
+/// Weight of a refused connection; the engine is surely down.
 const CONNECTION_REFUSED_WEIGHT: f64 = 1.0;
 /// How much more an error weighs where this gateway meets an engine too seldom to count errors.
-const THIN_PART_ERROR_FACTOR: f64 = 2.0;
+const FRACTIONAL_SHARE_ERROR_FACTOR: f64 = 2.0;
 /// The failure rate above which an engine is ejected, and below which it is trusted again.
 const EJECTION_RATE: f64 = 0.4;
 const TRUST_RATE: f64 = 0.12;
+/// The fraction of silent attempts of a class at which one says little of its engine.
+const USUAL_SILENT_FRACTION: f64 = 0.1;
 /// Control periods from an ejection to the first trial; doubled so many times at failed trials.
 const EJECTION_PERIODS: f64 = 1.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 1;
-/// The part of the retry budget that trials of ejected engines may take.
+/// The fraction of the retry budget that trials of ejected engines may take.
 const TRIAL_BUDGET_FRACTION: f64 = 0.25;
 /// A class avoids the engines that fail it only while one engine in this many serves it.
 const MIN_SERVING_DIVISOR: usize = 3;
@@ -82,7 +86,7 @@
     pub(crate) fn record_failure(&mut self, engine: EngineId, reason: EjectionReason) {
         let weight = match reason {
             EjectionReason::Error if self.meets_seldom(engine) => {
-                THIN_PART_ERROR_FACTOR * FAILURE_WEIGHT
+                FRACTIONAL_SHARE_ERROR_FACTOR * FAILURE_WEIGHT
             }
             EjectionReason::ConnectionRefused => CONNECTION_REFUSED_WEIGHT,
             EjectionReason::Error
@@ -99,8 +103,8 @@
         }
     }
 
-    /// Counts an attempt that gave no sign for too long, at an engine that gave no other sign
-    /// either. Without progress reports that says the less, the more attempts of the class are
+    /// Counts an attempt that was silent for too long, at an engine that was silent to others
+    /// too. Without progress reports that says the less, the more attempts of the class are
     /// silent.
     pub(crate) fn record_silence(&mut self, engine: EngineId, class_silent_fraction: f64) {
         let usual = if self.settings.progress_period.is_some() {
@@ -108,11 +112,11 @@
         } else {
             class_silent_fraction
         };
-        let weight = (1.0 - usual / HIGH_LATE_FRACTION).max(FAILURE_WEIGHT);
+        let weight = (1.0 - usual / USUAL_SILENT_FRACTION).max(FAILURE_WEIGHT);
         self.record_failure_of_weight(engine, weight);
     }
 
-    /// Counts an attempt that gave no sign for too long while its engine answered others fast:
+    /// Counts an attempt that was silent for too long while its engine answered others fast:
     /// the engine is not slow, it loses queries, maybe those of one class only. The class avoids
     /// the engine and returns by trials, while other classes keep it.
     pub(crate) fn record_silence_of_class(&mut self, engine: EngineId, class: usize) {
@@ -126,7 +130,7 @@
     }
 
     /// Whether so many engines serve a class that it may avoid the others; otherwise the cause is
-    /// shared.
+    /// not theirs.
     pub(crate) fn enough_engines_serve(&self, class: usize) -> bool {
         let counts = self.health_counts();
         MIN_SERVING_DIVISOR * counts.serving(class) >= counts.healthy
@@ -148,14 +152,14 @@
         }
     }
 
-    /// Whether this gateway's part of an engine is thin.
+    /// Whether this gateway's share of an engine is less than a thread.
     fn meets_seldom(&self, engine: EngineId) -> bool {
         let engine = self.engines.get(&engine);
-        engine.is_some_and(|engine| self.has_thin_part(engine.cores))
+        engine.is_some_and(|engine| self.has_fractional_share(engine.cores))
     }
 
     /// How long an ejected engine goes without a trial: so long that the trials of all of them
-    /// take no more than their part of the retry budget.
+    /// take no more than their fraction of the retry budget.
     fn ejection_time(&self) -> Micros {
         let shortest = self.control_periods(EJECTION_PERIODS);
         let Some(budget) = self.settings.retry_budget else {
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,18 +1,18 @@
 //! Whether a query gets a further attempt.
 //!
-//! Decides: [`RetryDecision`] once an attempt has ended, and the limits that every further
-//! attempt keeps: the number of attempts, whether the query may run twice and where, and the
-//! retry budget. Inputs: the class's idempotency and deduplication window (microseconds), the
-//! time left, the expected run, and the retries of the budget's window. Reason: retries hide
-//! faults of single engines, but add load, and a query that may have run must not run again where
-//! that would have an effect.
+//! - Decides: [`RetryDecision`] once an attempt has ended, and the limits on every further
+//!   attempt: their number, whether the query may run twice and where, and the retry budget.
+//! - Inputs: the class's idempotency and deduplication window (microseconds), the time to the
+//!   deadline, the expected run, and the retries of the budget's window.
+//! - Reason: retries hide faults of single engines, but add load, and a query that may have run
+//!   must not run again where that would have an effect.
 
 use crate::interface::{DedupGroup, Engine, Idempotency, Micros, RetryBudget};
 use crate::state::Query;
 use crate::units::micros;
 use crate::Gateway;
 
-/// A retry has to leave time for a run, but for no more than this part of the client's time.
+/// The expected run of a retry counts as no more than its client's timeout over this.
 const MAX_RUN_DIVISOR: u64 = 4;
 
 /// What follows once an attempt of a query has ended.
@@ -45,7 +45,7 @@
     /// Whether a query gets a further attempt; `failed_twice` says that two attempts ended in
     /// errors.
     pub(crate) fn retry_decision(&self, query: &Query, failed_twice: bool) -> RetryDecision {
-        let max_run = query.request.time_left / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
         let run = micros(self.expected_run(query)).min(max_run);
         if self.now + run >= query.deadline {
             return RetryDecision::Stop(StopReason::DeadlineTooClose);
@@ -119,7 +119,7 @@
         first_run.or(running).unwrap_or(self.now)
     }
 
-    /// Whether the retry budget has room for a further attempt.
+    /// Whether the retry budget allows a further attempt.
     pub(crate) fn retry_budget_allows(&self) -> bool {
         let Some(budget) = self.settings.retry_budget else {
             return true;
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -6,7 +6,7 @@
 };
 use violetgate_policy::Event;
 
-use super::{Asked, Due, Fault, World, MS, S};
+use super::{Due, Fault, KnownQuery, World, MS, S};
 
 /// An engine as it really is.
 pub struct Machine {
@@ -56,31 +56,31 @@
         let work = (5 + self.draw(60)) * MS * if long { 10 } else { 1 };
         let memory_mb = (10 + self.draw(300)) as f64;
         let repeat = self.one_in(6);
-        let time_left = if repeat {
+        let client_timeout = if repeat {
             (1 + self.draw(30)) * 100 * MS
         } else {
             10 * S
         };
         let estimate = 1 + work * (40 + self.draw(160)) / 100;
-        let asked = NewQuery {
+        let request = NewQuery {
             id,
             class,
             tenant: (id % 4) as u32,
             estimated_work: (!self.one_in(4)).then_some(estimate),
             estimated_memory_mb: (!self.one_in(3))
                 .then_some(memory_mb * (50 + self.draw(100)) as f64 / 100.0),
-            time_left,
+            client_timeout,
             table_group: (!self.one_in(3)).then(|| self.draw(6)),
             ordering_key: (!self.one_in(3)).then(|| self.draw(12)),
             is_client_retry: repeat,
         };
         if self.one_in(25) {
             let wait = self.draw(2 * S);
-            self.later(wait, Due::ClientGone(id));
+            self.later(wait, Due::ClientDisconnects(id));
         }
-        let kept = Asked {
+        let known = KnownQuery {
             class,
-            deadline: self.now + time_left,
+            deadline: self.now + client_timeout,
             work,
             memory_mb,
             attempts: 0,
@@ -88,21 +88,21 @@
             granted_mb: 0.0,
             finished: false,
         };
-        self.asked.insert(id, kept);
-        Event::QueryArrived(asked)
+        self.known.insert(id, known);
+        Event::QueryArrived(request)
     }
 
     pub(super) fn send(&mut self, query: QueryId, engine: EngineId) {
         self.seen.sends += 1;
-        let Some(asked) = self.asked.get_mut(&query) else {
+        let Some(known) = self.known.get_mut(&query) else {
             return;
         };
-        self.seen.further_sends += u32::from(asked.attempts > 0);
-        let attempt = asked.attempts;
-        asked.attempts += 1;
-        asked.out = Some((engine, self.now));
-        let (class, work, deadline) = (asked.class, asked.work, asked.deadline);
-        let lacks = asked.memory_mb - asked.granted_mb;
+        self.seen.further_sends += u32::from(known.attempts > 0);
+        let attempt = known.attempts;
+        known.attempts += 1;
+        known.out = Some((engine, self.now));
+        let (class, work, deadline) = (known.class, known.work, known.deadline);
+        let lacks = known.memory_mb - known.granted_mb;
         let machine = &mut self.engines[engine as usize];
         machine.out += 1;
         let fault = machine.fault;
@@ -162,15 +162,15 @@
             return None;
         }
         let settled = outcome == Outcome::Completed;
-        let asked = self.asked.get_mut(&query)?;
-        let (engine, sent) = asked.out.take()?;
-        let (work, memory_mb) = (asked.work, asked.memory_mb);
-        if asked.finished || settled {
-            self.asked.remove(&query);
+        let known = self.known.get_mut(&query)?;
+        let (engine, sent) = known.out.take()?;
+        let (work, memory_mb) = (known.work, known.memory_mb);
+        if known.finished || settled {
+            self.known.remove(&query);
         }
         self.engines[engine as usize].out -= 1;
         let elapsed = self.now - sent;
-        let cost = (settled && self.scenario.tells_cost).then_some(Cost { work, memory_mb });
+        let cost = (settled && self.scenario.reports_cost).then_some(Cost { work, memory_mb });
         let load = self.load(engine);
         Some(Event::AttemptEnded(AttemptEnded {
             query,
@@ -201,7 +201,7 @@
     /// Something happens to the engines, or to those who share them.
     pub(super) fn disturb(&mut self) -> Event {
         let wait = 1 + self.draw(120 * MS);
-        self.later(wait, Due::Disturb);
+        self.later(wait, Due::EngineFault);
         let engine = self.draw(u64::from(self.scenario.engines)) as EngineId;
         match self.draw(14) {
             0..=3 => self.strike(engine),
@@ -267,7 +267,7 @@
                 let restarted = self.one_in(2).then_some(self.now);
                 let state = match self.draw(8) {
                     0 => EngineState::Draining,
-                    1 => EngineState::Gone,
+                    1 => EngineState::Removed,
                     _ => EngineState::Ready,
                 };
                 let line = &mut self.engines[id].line;
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -9,7 +9,7 @@
 
 use violetgate_acceptance::daemon::Cluster;
 use violetgate_acceptance::Verdict;
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 use violetgate_linearizability::{first_operations_on, is_linearizable};
 
 use crate::clients::run_client;
@@ -36,7 +36,7 @@
 
 /// Runs clients, operators and faults for the given time, and holds what they saw to the rules.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = Fleet::start(4, Profile::default())?;
+    let fleet = FakeUpstreams::start(4, Profile::default())?;
     let cluster = Cluster::start(&arguments.program, &fleet, 3, "  snapshot_every = 400\n")?;
     let scenario = Scenario {
         cluster: &cluster,
@@ -138,7 +138,7 @@
     verdict.exactly("sent_on_stale_state", count(&tally.stale), 0);
     verdict.at_most(
         "send_after_call_out_s",
-        counts.latest_after_call.as_secs_f64(),
+        counts.latest_after_cordon.as_secs_f64(),
         STALENESS_LIMIT.as_secs_f64(),
     );
     verdict.exactly("not_linearizable", findings.not_linearizable, 0);
--- a/tools/acceptance/src/lib.rs
+++ b/tools/acceptance/src/lib.rs
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use violetgate_fake_upstreams::client::{Http, Pg};
-use violetgate_fake_upstreams::Fleet;
+use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
+use violetgate_fake_upstreams::FakeUpstreams;
 
 /// How long a client waits for anything.
 const WAIT: Duration = Duration::from_secs(30);
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// It can't be started, or does not listen within ten seconds.
-    pub fn start(program: &Path, fleet: &Fleet, rest: &str) -> Result<Self> {
+    pub fn start(program: &Path, fleet: &FakeUpstreams, rest: &str) -> Result<Self> {
         let [listen, at] = free()?;
         let folder = std::env::temp_dir().join(format!("violetgate-prove-{}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
@@ -128,8 +128,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn http(&self) -> Result<Http> {
-        Http::over(TcpStream::connect(&self.rest)?, WAIT)
+    pub fn http(&self) -> Result<HttpClient> {
+        HttpClient::new(TcpStream::connect(&self.rest)?, WAIT)
     }
 
     /// A PostgreSQL session.
@@ -137,8 +137,8 @@
     /// # Errors
     ///
     /// It can't be had.
-    pub fn pg(&self) -> Result<Pg> {
-        Pg::over(TcpStream::connect(&self.listen)?, WAIT)
+    pub fn pg(&self) -> Result<PostgresClient> {
+        PostgresClient::new(TcpStream::connect(&self.listen)?, WAIT)
     }
 }
 
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -4,8 +4,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-use violetgate_fake_upstreams::client::Pg;
-use violetgate_fake_upstreams::{Fleet, Profile};
+use violetgate_fake_upstreams::client::PostgresClient;
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
@@ -49,7 +49,7 @@
 ///
 /// The program or the stand-in engines can't be started, or a connection is refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let fleet = Fleet::start(ENGINES, Profile::default())
+    let fleet = FakeUpstreams::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
     let listen = free_address()?;
     let mut config = fleet.config("scale", &listen, &violetgate_fake_upstreams::settings());
@@ -124,8 +124,8 @@
     ]
 }
 
-fn session(program: &Program) -> Result<Pg, ScaleError> {
-    let connect = || Pg::over(TcpStream::connect(&program.listen)?, WAIT);
+fn session(program: &Program) -> Result<PostgresClient, ScaleError> {
+    let connect = || PostgresClient::new(TcpStream::connect(&program.listen)?, WAIT);
     connect().map_err(ScaleError::io("open a client's session"))
 }
 
@@ -180,7 +180,7 @@
     }
 }
 
-fn ask(mut client: Pg, requests: std::ops::Range<usize>) -> std::io::Result<usize> {
+fn ask(mut client: PostgresClient, requests: std::ops::Range<usize>) -> std::io::Result<usize> {
     let mut served = 0;
     for request in requests {
         client.send(&format!(
--- a/tools/scale/src/hollow/process.rs
+++ b/tools/scale/src/hollow/process.rs
@@ -89,7 +89,7 @@
 fn read(path: &Path) -> Result<String, HollowError> {
     std::fs::read_to_string(path).map_err(|cause| HollowError::File {
         path: path.to_owned(),
-        cause: cause.to_string(),
+        cause,
     })
 }
 
