--- a/tools/scale/src/hollow/process.rs
+++ b/tools/scale/src/hollow/process.rs
@@ -103,7 +103,7 @@
     let settings = settings::read(Some(&given.settings));
     let settings = settings.map_err(|cause| HollowError::Settings {
         path: given.settings.clone(),
-        cause,
+        cause: cause.to_string(),
     })?;
     let template = Template {
         config,
