--- a/gateway/src/postgres/query_fields.rs
+++ b/gateway/src/postgres/query_fields.rs
@@ -31,6 +31,12 @@
     /// A field can't be used.
     #[error("field `{}` {}", field_name(.0.field), .0.error)]
     Invalid(InvalidField),
+    /// A request of that id is open, or was a short while ago.
+    #[error(
+        "field `{}` names a request that is, or was just now, open",
+        field_name(RequestField::Id)
+    )]
+    IdInUse,
 }
 
 /// The fields and their names.
--- a/gateway/src/postgres/session/query.rs
+++ b/gateway/src/postgres/session/query.rs
@@ -9,7 +9,7 @@
 use futures_lite::FutureExt;
 
 use super::super::codec;
-use super::super::query_fields;
+use super::super::query_fields::{self, QueryError};
 use super::super::session_end::SessionEnd;
 use super::socket::READ_CHUNK_BYTES;
 use super::Session;
@@ -101,8 +101,7 @@
         }
         let exchange = Exchange::new(request);
         if sessions.sink.submit(&exchange).is_err() {
-            let message = "field `rid` names a request that is, or was just now, open";
-            self.write_error("22023", message);
+            self.write_error("22023", &QueryError::IdInUse.to_string());
             return Ok(RequestEnding::Failed);
         }
         match self.wait_for_answer(&exchange).await? {
--- a/gateway/src/upstream/codec.rs
+++ b/gateway/src/upstream/codec.rs
@@ -3,6 +3,8 @@
 //! A line of words ends in CR LF; where its last word is a length, that many bytes and CR LF follow. An
 //! answer is `RID WORD FIELDS LENGTH`, its fields `NAME=VALUE` with commas between them, or `-`.
 
+use std::fmt::{Display, Write as _};
+
 use violetgate_policy::interface::{Cost, Progress, QueryId};
 
 use crate::hex;
@@ -13,30 +15,104 @@
 const MAX_BODY_BYTES: usize = 16 * 1024;
 const MICROS_PER_MS: f64 = 1e3;
 
-/// Appends `serve`, which starts an attempt.
-pub fn write_serve(out: &mut Vec<u8>, request_id: &str, fields: &str, statement: &[u8]) {
-    let head = format!("serve {request_id} {fields} {}\r\n", statement.len());
-    out.extend_from_slice(head.as_bytes());
-    out.extend_from_slice(statement);
-    out.extend_from_slice(b"\r\n");
+/// The protocol's own words, by the terms that the code uses. They stand nowhere else.
+mod wire_word {
+    pub const RUN: &str = "serve";
+    pub const CANCEL: &str = "cancel";
+    pub const DISCARD_PAGES: &str = "release";
+    pub const SET_PRIORITY: &str = "weigh";
+
+    pub const CLASS: &str = "sort";
+    pub const TIME_LEFT_MS: &str = "patience";
+    pub const IDEMPOTENCY_KEY: &str = "op";
+    pub const MEMORY_GRANT_MB: &str = "reserve";
+    pub const PRIORITY: &str = "level";
+
+    pub const PAGE_COUNT: &str = "chunks";
+    pub const PAGE: &str = "at";
+    pub const WORK_MS: &str = "spent";
+    pub const MEMORY_MB: &str = "wanted";
+    pub const PROGRESS_KIND: &str = "n";
+    pub const PROGRESS_AMOUNT: &str = "amount";
+    pub const FRACTION_DONE: &str = "advance";
+    pub const SPILLING: &str = "disk";
+    pub const WAITING: &str = "stall";
+}
+
+/// What an engine needs to know of an attempt, beside its statement.
+#[derive(Debug, Clone, Copy)]
+pub struct RunCommand<'a> {
+    /// The request's id in the client's spelling.
+    pub request_id: &'a str,
+    /// The name of the request's class.
+    pub class: &'a str,
+    /// Whole milliseconds until the answer is of no use.
+    pub time_left_ms: u64,
+    /// The idempotency key, if the request has one.
+    pub idempotency_key: Option<&'a str>,
+    /// Memory granted, in MB; 0 leaves it to the engine.
+    pub memory_grant_mb: u64,
+    /// The priority level, if one was set.
+    pub priority: Option<u8>,
+    /// The statement.
+    pub statement: &'a [u8],
+}
+
+impl RunCommand<'_> {
+    /// Appends the command to `out`.
+    pub fn write_to(&self, out: &mut Vec<u8>) {
+        let head = format!(
+            "{} {} {} {}\r\n",
+            wire_word::RUN,
+            self.request_id,
+            self.fields(),
+            self.statement.len()
+        );
+        out.extend_from_slice(head.as_bytes());
+        out.extend_from_slice(self.statement);
+        out.extend_from_slice(b"\r\n");
+    }
+
+    fn fields(&self) -> String {
+        let mut fields = format!(
+            "{}={},{}={}",
+            wire_word::CLASS,
+            self.class,
+            wire_word::TIME_LEFT_MS,
+            self.time_left_ms
+        );
+        let mut append = |name: &str, value: &dyn Display| {
+            let _ = write!(fields, ",{name}={value}");
+        };
+        if let Some(key) = &self.idempotency_key {
+            append(wire_word::IDEMPOTENCY_KEY, key);
+        }
+        if self.memory_grant_mb > 0 {
+            append(wire_word::MEMORY_GRANT_MB, &self.memory_grant_mb);
+        }
+        if let Some(priority) = &self.priority {
+            append(wire_word::PRIORITY, priority);
+        }
+        fields
+    }
 }
 
 /// `cancel`: the attempt is given up before its answer has begun.
 #[must_use]
 pub fn cancel_line(request_id: &str) -> String {
-    format!("cancel {request_id}\r\n")
+    format!("{} {request_id}\r\n", wire_word::CANCEL)
 }
 
 /// `release`: the remaining pages of an answer are given up.
 #[must_use]
 pub fn release_line(request_id: &str) -> String {
-    format!("release {request_id}\r\n")
+    format!("{} {request_id}\r\n", wire_word::DISCARD_PAGES)
 }
 
 /// `weigh`: the attempt has another priority level.
 #[must_use]
 pub fn priority_line(request_id: &str, priority: u8) -> String {
-    format!("weigh {request_id} {priority}\r\n")
+    format!("{} {request_id} {priority}\r\n", wire_word::SET_PRIORITY)
 }
 
 /// `read`: a further page is requested.
@@ -203,12 +279,12 @@
         for field in text.split(',') {
             let (name, value) = field.split_once('=')?;
             match name {
-                "chunks" => fields.page_count = parse_number(value),
-                "at" => fields.page = parse_number(value),
-                "spent" => fields.work_ms = parse_measure(value),
-                "wanted" => fields.memory_mb = parse_measure(value),
-                "n" => fields.progress_kind = Some(value),
-                "amount" => fields.progress_amount = parse_measure(value),
+                wire_word::PAGE_COUNT => fields.page_count = parse_number(value),
+                wire_word::PAGE => fields.page = parse_number(value),
+                wire_word::WORK_MS => fields.work_ms = parse_measure(value),
+                wire_word::MEMORY_MB => fields.memory_mb = parse_measure(value),
+                wire_word::PROGRESS_KIND => fields.progress_kind = Some(value),
+                wire_word::PROGRESS_AMOUNT => fields.progress_amount = parse_measure(value),
                 _ => {}
             }
         }
@@ -226,10 +302,10 @@
     fn progress(&self) -> Option<Progress> {
         let (kind, amount) = self.progress_kind.zip(self.progress_amount)?;
         match kind {
-            "advance" => Some(Progress::FractionDone(amount)),
-            "disk" => Some(Progress::Spilling(amount)),
-            "stall" if amount == 1.0 => Some(Progress::WaitingForMemory),
-            "stall" if amount == 2.0 => Some(Progress::WaitingForBulkLoad),
+            wire_word::FRACTION_DONE => Some(Progress::FractionDone(amount)),
+            wire_word::SPILLING => Some(Progress::Spilling(amount)),
+            wire_word::WAITING if amount == 1.0 => Some(Progress::WaitingForMemory),
+            wire_word::WAITING if amount == 2.0 => Some(Progress::WaitingForBulkLoad),
             _ => None,
         }
     }
--- a/gateway/src/upstream/connection/command_queue.rs
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -6,7 +6,7 @@
 use violetgate_policy::interface::{Micros, QueryId};
 
 use super::super::close_reason::CloseReason;
-use super::super::codec::{self, Reply, ReplyKind};
+use super::super::codec::{self, Reply, ReplyKind, RunCommand};
 use super::ActiveAttempt;
 use crate::exchange::Attempt;
 
@@ -160,16 +160,14 @@
 pub(super) fn write_attempt(out: &mut Vec<u8>, attempt: &Attempt, now: Micros) {
     let request = &attempt.exchange.request;
     let time_left_ms = attempt.deadline.saturating_sub(now).div_ceil(MICROS_PER_MS);
-    let mut fields = format!("sort={},patience={time_left_ms}", request.class);
-    if let Some(key) = &request.idempotency_key {
-        fields.push_str(",op=");
-        fields.push_str(key);
-    }
-    if attempt.memory_grant_mb > 0 {
-        fields.push_str(&format!(",reserve={}", attempt.memory_grant_mb));
-    }
-    if let Some(priority) = attempt.priority {
-        fields.push_str(&format!(",level={priority}"));
-    }
-    codec::write_serve(out, &request.id_text, &fields, &request.statement);
+    let command = RunCommand {
+        request_id: &request.id_text,
+        class: &request.class,
+        time_left_ms,
+        idempotency_key: request.idempotency_key.as_deref(),
+        memory_grant_mb: attempt.memory_grant_mb,
+        priority: attempt.priority,
+        statement: &request.statement,
+    };
+    command.write_to(out);
 }
--- /dev/null
+++ b/gateway/tests/wire_words.rs
@@ -0,0 +1,118 @@
+//! The protocols' own words stand in the codecs alone: the rest of the program uses the field's terms.
+#![allow(clippy::unwrap_used)]
+
+use std::path::{Path, PathBuf};
+
+/// Words of the query fields, the engines' line protocol, the event bus and the platform's settings that the code
+/// has another term for.
+const WIRE_WORDS: [&str; 24] = [
+    "sort",
+    "patience",
+    "op",
+    "weigh",
+    "chunks",
+    "spent",
+    "wanted",
+    "acct",
+    "est_mb",
+    "obj",
+    "rid",
+    "realms",
+    "localities",
+    "credit",
+    "aim-stretch",
+    "late-worth",
+    "tells-cost",
+    "most-grant",
+    "note-period",
+    "extra-share",
+    "free-resends",
+    "turn-gap",
+    "topology",
+    "in_service",
+];
+
+/// The codecs: the one place for the words of their protocol. The demo prints a client's query, to be tried.
+const CODECS: [&str; 6] = [
+    "gateway/src/demo.rs",
+    "gateway/src/upstream/codec.rs",
+    "gateway/src/postgres/query_fields.rs",
+    "gateway/src/discovery/events.rs",
+    "gateway/src/config.rs",
+    "policy/src/wire/settings.rs",
+];
+
+fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            sources(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            found.push(path);
+        }
+    }
+}
+
+/// The contents of the string literals of a source file; comments are left out.
+fn string_literals(source: &str) -> Vec<String> {
+    let mut literals = Vec::new();
+    for line in source.lines() {
+        let mut literal: Option<String> = None;
+        let mut characters = line.chars().peekable();
+        while let Some(character) = characters.next() {
+            match (&mut literal, character) {
+                (None, '/') if characters.peek() == Some(&'/') => break,
+                (None, '\'') if characters.peek() == Some(&'"') => {
+                    characters.next();
+                }
+                (None, '"') => literal = Some(String::new()),
+                (Some(_), '"') => literals.extend(literal.take()),
+                (Some(text), '\\') => {
+                    text.push(' ');
+                    characters.next();
+                }
+                (Some(text), character) => text.push(character),
+                (None, _) => {}
+            }
+        }
+        // A literal that goes on in the next line ends here as far as this test looks.
+        literals.extend(literal);
+    }
+    literals
+}
+
+fn words(literal: &str) -> impl Iterator<Item = &str> {
+    literal.split(|character: char| !character.is_ascii_alphanumeric() && !"-_".contains(character))
+}
+
+#[test]
+fn wire_words_stand_in_codecs_alone() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
+    let mut files = Vec::new();
+    sources(&root.join("gateway/src"), &mut files);
+    sources(&root.join("policy/src"), &mut files);
+    assert!(files.len() > 100, "the sources are where this test looks");
+    let mut strays = Vec::new();
+    for file in files {
+        let name = file.strip_prefix(&root).unwrap().to_string_lossy();
+        let is_test = name.contains("/tests/") || name.ends_with("tests.rs");
+        if is_test || CODECS.contains(&&*name) || name.starts_with("policy/src/wire") {
+            continue;
+        }
+        for literal in string_literals(&std::fs::read_to_string(&file).unwrap()) {
+            let stray = words(&literal).find(|word| WIRE_WORDS.contains(word));
+            strays.extend(stray.map(|word| format!("{name}: `{word}` in {literal:?}")));
+        }
+    }
+    assert!(
+        strays.is_empty(),
+        "outside of codecs:\n{}",
+        strays.join("\n")
+    );
+}
+
+#[test]
+fn string_literals_are_found_and_comments_are_not() {
+    let source = "let a = \"sort=1\"; // \"weigh\"\nlet quote = '\"'; f(\"x \\\" op\", \"y\");";
+    assert_eq!(string_literals(source), ["sort=1", "x   op", "y"]);
+}
