--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -1,23 +1,30 @@
-//! A client of members' APIs: each member is asked in turn, and a call without an answer again under its one request id.
+//! A client of members' APIs: it tries each member in turn, and retries an unanswered call under its one
+//! request id.
 
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
 use serde_json::Value;
+use thiserror::Error;
 use ureq::http::{Method, Request};
 use ureq::Agent;
 
+use super::error::CtlError;
 use crate::replication::{new_request_id, MembershipStep};
 
-/// The pause before the members are asked again.
-pub(super) const PAUSE: Duration = Duration::from_millis(100);
+/// The pause before the members are tried again.
+pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// The longest answer: a saved state.
-const LONGEST: u64 = 1 << 30;
+const MAX_ANSWER_BYTES: u64 = 1 << 30;
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A member gets at least this long for a call, and its answer this long more.
+const MIN_CALL_MS: u128 = 100;
+const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 /// Which cluster, and how patiently.
 #[derive(Debug, Clone, clap::Args)]
-pub struct At {
+pub struct ClientOptions {
     /// Where members' APIs are; each is asked in turn until one answers
     #[arg(
         long,
@@ -38,33 +45,45 @@
     operator: String,
 }
 
-/// An answer: its status, the version of settings that it names, and its body.
-pub(super) struct Told {
+/// An answer of a member.
+pub(super) struct ApiReply {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-impl Told {
+impl ApiReply {
+    /// Its body; null if that is no JSON.
     pub(super) fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
+
+    /// What an error says.
+    fn detail(&self) -> String {
+        let json = self.json();
+        field(&json, "detail").as_str().map_or_else(
+            || String::from_utf8_lossy(&self.body).into_owned(),
+            str::to_owned,
+        )
+    }
 }
 
-/// A part of an answer; null where there is none.
-pub(super) fn at<'a>(value: &'a Value, name: &str) -> &'a Value {
+/// A field of an answer; null if there is none.
+pub(super) fn field<'a>(value: &'a Value, name: &str) -> &'a Value {
     value.get(name).unwrap_or(&Value::Null)
 }
 
-pub(super) struct Client {
-    at: At,
-    agent: Agent,
-    until: Instant,
-    request: String,
+/// The value of an entry as it is printed.
+pub(super) fn shown_value(entry: &Value) -> String {
+    let text = field(entry, "value").as_str().map(str::to_owned);
+    text.unwrap_or_else(|| {
+        let base64 = field(entry, "value_base64").as_str();
+        format!("base64:{}", base64.unwrap_or_default())
+    })
 }
 
-/// Part of a path: pairs behind a question mark.
-pub(super) fn query(path: &str, pairs: &[(&str, Option<String>)]) -> String {
-    let given: Vec<_> = pairs
+/// A path with its query; parameters without a value are left out.
+pub(super) fn path_with_query(path: &str, parameters: &[(&str, Option<String>)]) -> String {
+    let given: Vec<_> = parameters
         .iter()
         .filter_map(|(name, value)| Some((name, value.as_ref()?)))
         .collect();
@@ -74,124 +93,125 @@
     }
 }
 
-impl Client {
-    pub(super) fn new(at: &At) -> Result<Self, String> {
-        let within =
-            Duration::try_from_secs_f64(at.within).map_err(|e| format!("--within: {e}"))?;
-        let mut client = Client {
+/// Writes to standard output. False: nobody reads it any more, which is no failure.
+pub(super) fn print(bytes: &[u8]) -> bool {
+    let mut out = std::io::stdout().lock();
+    out.write_all(bytes).and_then(|()| out.flush()).is_ok()
+}
+
+/// Why one member gave no answer.
+#[derive(Debug, Error)]
+enum TransportError {
+    #[error("{0}")]
+    Request(#[from] ureq::http::Error),
+    #[error("{0}")]
+    Connection(#[from] ureq::Error),
+}
+
+/// A client of members' APIs.
+pub(super) struct ApiClient {
+    options: ClientOptions,
+    agent: Agent,
+    deadline: Instant,
+    request_id: String,
+}
+
+impl ApiClient {
+    pub(super) fn new(options: &ClientOptions) -> Result<Self, CtlError> {
+        let timeout = Duration::try_from_secs_f64(options.within)?;
+        let request_id = options.request_id.clone();
+        let mut client = ApiClient {
             agent: Agent::new_with_defaults(),
-            until: Instant::now() + within,
-            request: at.request_id.clone().unwrap_or_else(new_request_id),
-            at: at.clone(),
+            deadline: Instant::now(),
+            request_id: request_id.unwrap_or_else(new_request_id),
+            options: options.clone(),
         };
-        client.patient(within);
+        client.set_timeout(timeout);
         Ok(client)
     }
 
-    /// Begins another call, under an id of its own.
-    pub(super) fn patient(&mut self, within: Duration) {
-        self.until = Instant::now() + within;
+    /// Sets how long calls may take from now on.
+    pub(super) fn set_timeout(&mut self, timeout: Duration) {
+        self.deadline = Instant::now() + timeout;
         let config = Agent::config_builder()
             .http_status_as_error(false)
-            .timeout_connect(Some(Duration::from_secs(1)))
-            .timeout_global(Some(within + Duration::from_secs(1)))
+            .timeout_connect(Some(CONNECT_TIMEOUT))
+            .timeout_global(Some(timeout + ANSWER_MARGIN))
             .build();
         self.agent = config.new_agent();
     }
 
-    pub(super) fn once(
+    /// Calls one member, once.
+    fn call_member(
         &self,
-        at: SocketAddr,
+        member: SocketAddr,
         method: &Method,
         path: &str,
         body: &[u8],
-    ) -> Result<Told, String> {
-        let left = self
-            .until
-            .saturating_duration_since(Instant::now())
-            .as_millis()
-            .max(100);
-        let mark = if path.contains('?') { '&' } else { '?' };
+    ) -> Result<ApiReply, TransportError> {
+        let time_left = self.deadline.saturating_duration_since(Instant::now());
+        let time_left_ms = time_left.as_millis().max(MIN_CALL_MS);
+        let separator = if path.contains('?') { '&' } else { '?' };
         let request = Request::builder()
             .method(method.clone())
-            .uri(format!("http://{at}{path}{mark}within_ms={left}"))
-            .header("request-id", &self.request)
-            .header("operator", &self.at.operator)
-            .body(body.to_vec())
-            .map_err(|e| e.to_string())?;
-        let mut reply = self.agent.run(request).map_err(|e| e.to_string())?;
+            .uri(format!(
+                "http://{member}{path}{separator}within_ms={time_left_ms}"
+            ))
+            .header("request-id", &self.request_id)
+            .header("operator", &self.options.operator)
+            .body(body.to_vec())?;
+        let mut reply = self.agent.run(request)?;
         let body = reply
             .body_mut()
             .with_config()
-            .limit(LONGEST)
-            .read_to_vec()
-            .map_err(|e| e.to_string())?;
-        Ok(Told {
+            .limit(MAX_ANSWER_BYTES)
+            .read_to_vec()?;
+        Ok(ApiReply {
             status: reply.status().as_u16(),
             body,
         })
     }
 
-    /// Asks one member after the other until one has an answer: each under the same id, so that nothing is done twice.
-    pub(super) fn call(&self, method: &Method, path: &str, body: &[u8]) -> Result<Told, String> {
+    /// Calls one member after the other until one has an answer: each under the same request id, so that
+    /// nothing is done twice.
+    pub(super) fn call(
+        &self,
+        method: &Method,
+        path: &str,
+        body: &[u8],
+    ) -> Result<ApiReply, CtlError> {
         let mut last = "no address".to_owned();
         loop {
-            for at in &self.at.at {
-                match self.once(*at, method, path, body) {
-                    // It can't tell, or it is cut off: another one may.
-                    Ok(told) if matches!(told.status, 503 | 504) => {
-                        last = format!("{at}: {}", detail(&told));
+            for member in &self.options.at {
+                match self.call_member(*member, method, path, body) {
+                    // It can't tell, or it is isolated: another one may answer.
+                    Ok(reply) if matches!(reply.status, 503 | 504) => {
+                        last = format!("{member}: {}", reply.detail());
+                    }
+                    Ok(reply) if reply.status < 300 => return Ok(reply),
+                    Ok(reply) => {
+                        let (detail, status) = (reply.detail(), reply.status);
+                        return Err(CtlError::Rejected { detail, status });
                     }
-                    Ok(told) if told.status < 300 => return Ok(told),
-                    Ok(told) => return Err(format!("{} ({})", detail(&told), told.status)),
-                    Err(e) => last = format!("{at}: {e}"),
+                    Err(error) => last = format!("{member}: {error}"),
                 }
             }
-            if Instant::now() >= self.until {
-                let id = &self.request;
-                let again = if *method == Method::GET {
-                    String::new()
-                } else {
-                    format!("; it may still come to be: --request-id {id} asks for the same again")
-                };
-                return Err(format!("nobody had an answer: {last}{again}"));
+            if Instant::now() >= self.deadline {
+                let changes = *method != Method::GET;
+                let retry_id = changes.then(|| self.request_id.clone());
+                return Err(CtlError::Unanswered { last, retry_id });
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(RETRY_PAUSE);
         }
     }
 
-    pub(super) fn get(&self, path: &str) -> Result<Told, String> {
+    pub(super) fn get(&self, path: &str) -> Result<ApiReply, CtlError> {
         self.call(&Method::GET, path, &[])
     }
 
-    pub(super) fn step(&self, step: &MembershipStep) -> Result<Told, String> {
-        let body = serde_json::to_vec(step).map_err(|e| e.to_string())?;
+    /// Takes a step of the membership.
+    pub(super) fn change_membership(&self, step: &MembershipStep) -> Result<ApiReply, CtlError> {
+        let body = serde_json::to_vec(step)?;
         self.call(&Method::POST, "/v1/cluster/members", &body)
     }
 }
-
-pub(super) fn detail(told: &Told) -> String {
-    let json = told.json();
-    at(&json, "detail").as_str().map_or_else(
-        || String::from_utf8_lossy(&told.body).into_owned(),
-        str::to_owned,
-    )
-}
-
-/// Writes to standard output; a reader that has gone is no failure.
-pub(super) fn print(bytes: &[u8]) -> bool {
-    let mut out = std::io::stdout().lock();
-    out.write_all(bytes).and_then(|()| out.flush()).is_ok()
-}
-
-pub(super) fn shown(value: &Value) -> String {
-    at(value, "value").as_str().map_or_else(
-        || {
-            format!(
-                "base64:{}",
-                at(value, "value_base64").as_str().unwrap_or_default()
-            )
-        },
-        str::to_owned,
-    )
-}
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -7,7 +7,8 @@
 use serde_json::{json, Value};
 use violetgate_replica_runtime::{Bootstrap, ReplicaRuntime};
 
-use super::client::{at, print, At, Client, PAUSE};
+use super::client::{field, print, ApiClient, ApiReply, ClientOptions, RETRY_PAUSE};
+use super::error::CtlError;
 use crate::replication::MembershipStep;
 use crate::settings;
 
@@ -15,11 +16,19 @@
 #[derive(Debug, clap::Args)]
 pub struct Members {
     #[command(flatten)]
-    at: At,
+    at: ClientOptions,
     #[command(subcommand)]
     call: MembersCall,
 }
 
+/// How long a new member may take to catch up and vote.
+const PROMOTION_TIMEOUT: Duration = Duration::from_secs(600);
+/// How long one call may take while a member is replaced, and its last one.
+const REPLACE_CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const REMOVE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The pause between attempts to promote, in retry pauses.
+const PROMOTION_PAUSES: u32 = 5;
+
 #[derive(Debug, clap::Subcommand)]
 enum MembersCall {
     /// Make this member's folder, once: as one of the first members that its settings name, or to join others
@@ -70,50 +79,43 @@
     },
 }
 
+/// Whether a member begins a new cluster or joins one that runs.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Origin {
+    NewCluster,
+    RunningCluster,
+}
+
+/// Makes a member's folder for a new cluster that begins with a saved state.
+pub(super) fn restore_member(settings: &Path, state: Vec<u8>) -> Result<(), CtlError> {
+    initialize_member(settings, Origin::NewCluster, state)
+}
+
 /// Makes a member's folder.
-pub(super) fn begin(file: &Path, join: bool, state: Vec<u8>) -> Result<(), String> {
-    let settings = settings::read(Some(file)).map_err(|error| error.to_string())?;
-    let given = settings
-        .cluster
-        .ok_or_else(|| format!("{}: there is no `cluster` block", file.display()))?;
-    if given.role == settings::ClusterRole::Subscriber {
-        return Err(format!(
-            "{}: `cluster.role`: a subscriber has no folder",
-            file.display()
-        ));
+fn initialize_member(file: &Path, origin: Origin, state: Vec<u8>) -> Result<(), CtlError> {
+    let cluster = settings::read(Some(file))?.cluster;
+    let cluster = cluster.ok_or_else(|| CtlError::NoCluster(file.to_owned()))?;
+    if cluster.role == settings::ClusterRole::Subscriber {
+        return Err(CtlError::Subscriber(file.to_owned()));
     }
-    let mut born = [0; 8];
-    getrandom::fill(&mut born).map_err(|e| format!("no random numbers: {e}"))?;
-    let members = if join {
-        Vec::new()
-    } else {
-        given.addresses().into_keys().collect()
+    let mut disk_id = [0; 8];
+    getrandom::fill(&mut disk_id).map_err(CtlError::Random)?;
+    let (initial_members, how) = match origin {
+        Origin::NewCluster => {
+            let members = cluster.addresses().into_keys().collect();
+            (members, "is one of the first members of")
+        }
+        Origin::RunningCluster => (Vec::new(), "joins"),
     };
-    let from = Bootstrap {
-        initial_members: members,
+    let bootstrap = Bootstrap {
+        initial_members,
         initial_state: state,
     };
-    ReplicaRuntime::initialize(
-        &given.name,
-        given.id,
-        &given.folder,
-        u64::from_be_bytes(born),
-        from,
-    )
-    .map_err(|error| error.to_string())?;
-    let how = if join {
-        "joins"
-    } else {
-        "is one of the first members of"
-    };
-    let place = given.folder.display();
-    print(
-        format!(
-            "{place}: member {} {how} cluster {}\n",
-            given.id, given.name
-        )
-        .as_bytes(),
-    );
+    let disk_id = u64::from_be_bytes(disk_id);
+    let (name, id, folder) = (&cluster.name, cluster.id, &cluster.folder);
+    ReplicaRuntime::initialize(name, id, folder, disk_id, bootstrap)?;
+    let text = format!("{}: member {id} {how} cluster {name}\n", folder.display());
+    print(text.as_bytes());
     Ok(())
 }
 
@@ -121,17 +123,20 @@
 ///
 /// # Errors
 ///
-/// The call failed; the text says why.
-pub fn members(members: &Members) -> Result<(), String> {
-    let mut client = Client::new(&members.at)?;
+/// The call failed.
+pub fn members(members: &Members) -> Result<(), CtlError> {
+    let mut client = ApiClient::new(&members.at)?;
     let step = match &members.call {
-        MembersCall::Init { settings, join } => return begin(settings, *join, Vec::new()),
-        MembersCall::List => return list(&client),
-        MembersCall::Add { id, listen, api } => MembershipStep::Add {
-            id: *id,
-            listen: *listen,
-            api: *api,
-        },
+        MembersCall::Init { settings, join } => {
+            let origin = if *join {
+                Origin::RunningCluster
+            } else {
+                Origin::NewCluster
+            };
+            return initialize_member(settings, origin, Vec::new());
+        }
+        MembersCall::List => return list_members(&client),
+        MembersCall::Add { id, listen, api } => add_step(*id, *listen, *api),
         MembersCall::Promote { id } => MembershipStep::Promote(*id),
         MembersCall::Remove { id } => MembershipStep::Remove(*id),
         MembersCall::Transfer { id } => MembershipStep::Transfer(*id),
@@ -141,68 +146,87 @@
             listen,
             api,
         } => {
-            let status = client.get("/v1/cluster")?.json();
-            let all = at(&status, "members")
-                .as_array()
-                .cloned()
-                .unwrap_or_default();
-            if !all.iter().any(|m| *at(m, "id") == json!(old)) {
-                return Err(format!("member {old} does not belong to the cluster"));
-            }
-            // A second run goes on where the first one ended.
-            if !all.iter().any(|m| *at(m, "id") == json!(id)) {
-                client.step(&MembershipStep::Add {
-                    id: *id,
-                    listen: *listen,
-                    api: *api,
-                })?;
-                print(format!("member {id} learns; waiting until it has caught up\n").as_bytes());
-            }
-            let until = Instant::now() + Duration::from_secs(600);
-            loop {
-                client.patient(Duration::from_secs(5));
-                let status = client.get("/v1/cluster")?.json();
-                let all = at(&status, "members")
-                    .as_array()
-                    .cloned()
-                    .unwrap_or_default();
-                if all
-                    .iter()
-                    .any(|m| *at(m, "id") == json!(id) && *at(m, "voter") == json!(true))
-                {
-                    break;
-                }
-                match client.step(&MembershipStep::Promote(*id)) {
-                    Err(e) if Instant::now() > until => return Err(e),
-                    _ => std::thread::sleep(PAUSE * 5),
-                }
-            }
-            client.patient(Duration::from_secs(30));
+            add_replacement(&client, *old, *id, add_step(*id, *listen, *api))?;
+            promote(&mut client, *id)?;
+            client.set_timeout(REMOVE_TIMEOUT);
             MembershipStep::Remove(*old)
         }
     };
-    client.step(&step)?;
-    list(&client)
+    client.change_membership(&step)?;
+    list_members(&client)
+}
+
+fn add_step(id: u64, listen: SocketAddr, api: SocketAddr) -> MembershipStep {
+    MembershipStep::Add { id, listen, api }
+}
+
+fn members_of(status: &ApiReply) -> Vec<Value> {
+    let status = status.json();
+    let members = field(&status, "members").as_array();
+    members.cloned().unwrap_or_default()
+}
+
+fn has_id(member: &Value, id: u64) -> bool {
+    *field(member, "id") == json!(id)
+}
+
+fn is_voter(member: &Value) -> bool {
+    *field(member, "voter") == json!(true)
+}
+
+/// Adds the replacement of a member, unless an earlier run has added it.
+fn add_replacement(
+    client: &ApiClient,
+    old: u64,
+    id: u64,
+    add: MembershipStep,
+) -> Result<(), CtlError> {
+    let members = members_of(&client.get("/v1/cluster")?);
+    if !members.iter().any(|member| has_id(member, old)) {
+        return Err(CtlError::UnknownMember(old));
+    }
+    if !members.iter().any(|member| has_id(member, id)) {
+        client.change_membership(&add)?;
+        print(format!("member {id} learns; waiting until it has caught up\n").as_bytes());
+    }
+    Ok(())
+}
+
+/// Promotes a learner, and waits until it votes.
+fn promote(client: &mut ApiClient, id: u64) -> Result<(), CtlError> {
+    let deadline = Instant::now() + PROMOTION_TIMEOUT;
+    loop {
+        client.set_timeout(REPLACE_CALL_TIMEOUT);
+        let members = members_of(&client.get("/v1/cluster")?);
+        let votes = |member: &Value| has_id(member, id) && is_voter(member);
+        if members.iter().any(votes) {
+            return Ok(());
+        }
+        match client.change_membership(&MembershipStep::Promote(id)) {
+            Err(error) if Instant::now() > deadline => return Err(error),
+            _ => std::thread::sleep(RETRY_PAUSE * PROMOTION_PAUSES),
+        }
+    }
 }
 
-pub(super) fn list(client: &Client) -> Result<(), String> {
-    let status = client.get("/v1/cluster")?.json();
-    let text = |v: &Value| v.as_str().map_or_else(|| "-".to_owned(), str::to_owned);
+/// Prints the members.
+pub(super) fn list_members(client: &ApiClient) -> Result<(), CtlError> {
+    let reply = client.get("/v1/cluster")?;
+    let status = reply.json();
+    let leader = field(&status, "leader");
     let mut out = format!("{:<6} {:<8} {:<22} {:<22}\n", "id", "role", "listen", "api");
-    for member in at(&status, "members").as_array().into_iter().flatten() {
-        let role = match (
-            at(member, "id") == at(&status, "leader"),
-            *at(member, "voter") == json!(true),
-        ) {
-            (true, _) => "leader",
-            (false, true) => "voter",
-            (false, false) => "learner",
+    for member in members_of(&reply) {
+        let text = |name| field(&member, name).as_str().unwrap_or("-").to_owned();
+        let id = field(&member, "id");
+        let role = if id == leader {
+            "leader"
+        } else if is_voter(&member) {
+            "voter"
+        } else {
+            "learner"
         };
-        let (listen, api) = (text(at(member, "listen")), text(at(member, "api")));
-        out += &format!(
-            "{:<6} {role:<8} {listen:<22} {api:<22}\n",
-            at(member, "id").to_string()
-        );
+        let (listen, api) = (text("listen"), text("api"));
+        out += &format!("{:<6} {role:<8} {listen:<22} {api:<22}\n", id.to_string());
     }
     print(out.as_bytes());
     Ok(())
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -1,21 +1,23 @@
-//! `violetgate ctl` and `violetgate members`: operators' calls to a cluster's API, and the making of members' folders.
+//! `violetgate ctl` and `violetgate members`: operators' calls to a cluster's API, and the making of
+//! members' folders.
 //!
-//! It keeps no state: what a call means is the cluster's. It must never guess at the outcome of a change: one that got no
-//! answer is asked again under its one request id.
+//! It has no state: what a call does is the cluster's. It never guesses at the outcome of a change: one that
+//! got no answer is sent again under its one request id.
 
 mod client;
+mod error;
 mod members;
-mod saved;
+mod saved_state;
 
 use std::io::Read;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 use ureq::http::Method;
 
-use client::{at, print, query, shown, At, Client, Told};
-use members::{begin, list};
-use saved::{sealed, unsealed};
+use client::{field, path_with_query, print, shown_value, ApiClient, ApiReply, ClientOptions};
+use error::CtlError;
+use members::{list_members, restore_member};
 
 pub use members::{members, Members};
 
@@ -23,7 +25,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Ctl {
     #[command(flatten)]
-    at: At,
+    at: ClientOptions,
     #[command(subcommand)]
     call: CtlCall,
 }
@@ -157,184 +159,211 @@
     },
 }
 
+/// How long a member may wait for a change before it answers that there is none.
+const WATCH_WAIT: Duration = Duration::from_secs(20);
+/// How long a call that waits may take beyond that.
+const WATCH_MARGIN: Duration = Duration::from_secs(10);
+
 /// Runs `violetgate ctl`.
 ///
 /// # Errors
 ///
-/// The call failed; the text says why.
-pub fn run(ctl: &Ctl) -> Result<(), String> {
-    let client = Client::new(&ctl.at)?;
-    let stale = |stale: bool| stale.then(|| "true".to_owned());
-    let number = |n: &Option<u64>| n.map(|n| n.to_string());
-    let done = |told: Told| {
-        print(&told.body);
-        Ok(())
-    };
+/// The call failed.
+pub fn run(ctl: &Ctl) -> Result<(), CtlError> {
+    let client = ApiClient::new(&ctl.at)?;
     match &ctl.call {
-        CtlCall::Get { key, stale: old } => {
-            let told = client.get(&query(
-                "/v1/state",
-                &[("key", Some(key.clone())), ("stale", stale(*old))],
-            ))?;
-            print(format!("{}\n", shown(&told.json())).as_bytes());
-            Ok(())
-        }
-        CtlCall::List { prefix, stale: old } => {
-            let mut path = query(
-                "/v1/state",
-                &[("prefix", Some(prefix.clone())), ("stale", stale(*old))],
-            );
-            loop {
-                let page = client.get(&path)?.json();
-                for entry in at(&page, "entries").as_array().into_iter().flatten() {
-                    let key = at(entry, "key").as_str().unwrap_or_default();
-                    if !print(
-                        format!("{key}\t{}\t{}\n", at(entry, "revision"), shown(entry)).as_bytes(),
-                    ) {
-                        return Ok(());
-                    }
-                }
-                match at(&page, "next").as_str() {
-                    Some(next) => path = next.to_owned(),
-                    None => return Ok(()),
-                }
-            }
-        }
+        CtlCall::Get { key, stale } => get(&client, key, *stale),
+        CtlCall::List { prefix, stale } => list(&client, prefix, *stale),
         CtlCall::Put {
             key,
             value,
             if_revision,
         } => {
-            let value = match value {
-                Some(value) => value.clone().into_bytes(),
-                None => {
-                    let mut bytes = Vec::new();
-                    std::io::stdin()
-                        .read_to_end(&mut bytes)
-                        .map_err(|e| format!("standard input: {e}"))?;
-                    bytes
-                }
-            };
-            let path = query(
-                "/v1/state",
-                &[
-                    ("key", Some(key.clone())),
-                    ("if_revision", number(if_revision)),
-                ],
-            );
-            done(client.call(&Method::PUT, &path, &value)?)
+            let value = value_or_input(value.as_deref())?;
+            print_reply(client.call(&Method::PUT, &key_path(key, *if_revision), &value))
         }
         CtlCall::Delete { key, if_revision } => {
-            let path = query(
-                "/v1/state",
-                &[
-                    ("key", Some(key.clone())),
-                    ("if_revision", number(if_revision)),
-                ],
-            );
-            done(client.call(&Method::DELETE, &path, &[])?)
+            print_reply(client.call(&Method::DELETE, &key_path(key, *if_revision), &[]))
         }
         CtlCall::Watch {
             prefix,
             after,
             count,
         } => watch(client, prefix, *after, *count),
-        CtlCall::Cordon { engine } => done(client.call(
-            &Method::PUT,
-            &query("/v1/cordons", &[("engine", Some(engine.clone()))]),
-            &[],
-        )?),
-        CtlCall::Uncordon { engine } => done(client.call(
-            &Method::DELETE,
-            &query("/v1/cordons", &[("engine", Some(engine.clone()))]),
-            &[],
-        )?),
-        CtlCall::Quiesce { instance } => done(client.call(&Method::PUT, &drain(instance), &[])?),
+        CtlCall::Cordon { engine } => {
+            print_reply(client.call(&Method::PUT, &cordon_path(engine), &[]))
+        }
+        CtlCall::Uncordon { engine } => {
+            print_reply(client.call(&Method::DELETE, &cordon_path(engine), &[]))
+        }
+        CtlCall::Quiesce { instance } => {
+            print_reply(client.call(&Method::PUT, &drain_path(instance), &[]))
+        }
         CtlCall::Resume { instance } => {
-            done(client.call(&Method::DELETE, &drain(instance), &[])?)
+            print_reply(client.call(&Method::DELETE, &drain_path(instance), &[]))
         }
-        CtlCall::Settings { call } => match call {
-            SettingsCall::Show { version } => {
-                done(client.get(&query("/v1/settings", &[("version", number(version))]))?)
-            }
-            SettingsCall::Apply { file, expect } => {
-                let text = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-                done(client.call(
-                    &Method::PUT,
-                    &query("/v1/settings", &[("expect", number(expect))]),
-                    &text,
-                )?)
-            }
-            SettingsCall::Versions => done(client.get("/v1/settings/versions")?),
-            SettingsCall::Rollback { version } => {
-                let path = query(
-                    "/v1/settings/rollback",
-                    &[("version", number(&Some(*version)))],
-                );
-                done(client.call(&Method::POST, &path, &[])?)
-            }
-        },
-        CtlCall::Members => list(&client),
-        CtlCall::Progress => done(client.get("/v1/fleet/progress")?),
-        CtlCall::Status => done(client.get("/v1/cluster")?),
+        CtlCall::Settings { call } => change_settings(&client, call),
+        CtlCall::Members => list_members(&client),
+        CtlCall::Progress => print_reply(client.get("/v1/fleet/progress")),
+        CtlCall::Status => print_reply(client.get("/v1/cluster")),
         CtlCall::Snapshot {
             call: SnapshotCall::Save { file },
-        } => {
-            let told = client.get("/v1/snapshot")?;
-            let aside = file.with_extension("new");
-            let write = std::fs::write(&aside, sealed(&told.body))
-                .and_then(|()| std::fs::rename(&aside, file));
-            write.map_err(|e| format!("{}: {e}", file.display()))?;
-            print(format!("{}: {} bytes\n", file.display(), told.body.len()).as_bytes());
-            Ok(())
-        }
+        } => save_snapshot(&client, file),
         CtlCall::Snapshot {
             call: SnapshotCall::Restore { file, settings },
-        } => {
-            let state = std::fs::read(file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let state = unsealed(&state).map_err(|e| format!("{}: {e}", file.display()))?;
-            begin(settings, false, state)
+        } => restore_snapshot(file, settings),
+    }
+}
+
+fn print_reply(reply: Result<ApiReply, CtlError>) -> Result<(), CtlError> {
+    print(&reply?.body);
+    Ok(())
+}
+
+fn shown_number(number: Option<u64>) -> Option<String> {
+    number.map(|number| number.to_string())
+}
+
+fn shown_stale(stale: bool) -> Option<String> {
+    stale.then(|| "true".to_owned())
+}
+
+fn key_path(key: &str, if_revision: Option<u64>) -> String {
+    let parameters = [
+        ("key", Some(key.to_owned())),
+        ("if_revision", shown_number(if_revision)),
+    ];
+    path_with_query("/v1/state", &parameters)
+}
+
+fn cordon_path(engine: &str) -> String {
+    path_with_query("/v1/cordons", &[("engine", Some(engine.to_owned()))])
+}
+
+/// The path by which an instance is drained: numbers are members' ids.
+fn drain_path(instance: &str) -> String {
+    let is_member = instance.bytes().all(|byte| byte.is_ascii_digit());
+    let parameter = if is_member { "member" } else { "front_end" };
+    path_with_query("/v1/drains", &[(parameter, Some(instance.to_owned()))])
+}
+
+fn get(client: &ApiClient, key: &str, stale: bool) -> Result<(), CtlError> {
+    let parameters = [("key", Some(key.to_owned())), ("stale", shown_stale(stale))];
+    let reply = client.get(&path_with_query("/v1/state", &parameters))?;
+    print(format!("{}\n", shown_value(&reply.json())).as_bytes());
+    Ok(())
+}
+
+/// Prints all pages of a listing, up to where nobody reads it any more.
+fn list(client: &ApiClient, prefix: &str, stale: bool) -> Result<(), CtlError> {
+    let parameters = [
+        ("prefix", Some(prefix.to_owned())),
+        ("stale", shown_stale(stale)),
+    ];
+    let mut path = path_with_query("/v1/state", &parameters);
+    loop {
+        let page = client.get(&path)?.json();
+        for entry in field(&page, "entries").as_array().into_iter().flatten() {
+            let key = field(entry, "key").as_str().unwrap_or_default();
+            let (revision, value) = (field(entry, "revision"), shown_value(entry));
+            if !print(format!("{key}\t{revision}\t{value}\n").as_bytes()) {
+                return Ok(());
+            }
+        }
+        match field(&page, "next").as_str() {
+            Some(next) => path = next.to_owned(),
+            None => return Ok(()),
+        }
+    }
+}
+
+/// A value of the command line, or all of standard input.
+fn value_or_input(value: Option<&str>) -> Result<Vec<u8>, CtlError> {
+    if let Some(value) = value {
+        return Ok(value.as_bytes().to_vec());
+    }
+    let mut bytes = Vec::new();
+    std::io::stdin()
+        .read_to_end(&mut bytes)
+        .map_err(CtlError::StandardInput)?;
+    Ok(bytes)
+}
+
+fn change_settings(client: &ApiClient, call: &SettingsCall) -> Result<(), CtlError> {
+    match call {
+        SettingsCall::Show { version } => {
+            let parameters = [("version", shown_number(*version))];
+            print_reply(client.get(&path_with_query("/v1/settings", &parameters)))
+        }
+        SettingsCall::Apply { file, expect } => {
+            let text = read_file(file)?;
+            let parameters = [("expect", shown_number(*expect))];
+            let path = path_with_query("/v1/settings", &parameters);
+            print_reply(client.call(&Method::PUT, &path, &text))
+        }
+        SettingsCall::Versions => print_reply(client.get("/v1/settings/versions")),
+        SettingsCall::Rollback { version } => {
+            let parameters = [("version", shown_number(Some(*version)))];
+            let path = path_with_query("/v1/settings/rollback", &parameters);
+            print_reply(client.call(&Method::POST, &path, &[]))
         }
     }
 }
 
+fn read_file(path: &Path) -> Result<Vec<u8>, CtlError> {
+    std::fs::read(path).map_err(|error| file_error(path, error))
+}
+
+fn file_error(path: &Path, error: std::io::Error) -> CtlError {
+    let path = path.to_owned();
+    CtlError::File { path, error }
+}
+
+/// Saves the state to a file, which is replaced once the new one is written.
+fn save_snapshot(client: &ApiClient, file: &Path) -> Result<(), CtlError> {
+    let state = client.get("/v1/snapshot")?.body;
+    let new = file.with_extension("new");
+    std::fs::write(&new, saved_state::encode(&state))
+        .and_then(|()| std::fs::rename(&new, file))
+        .map_err(|error| file_error(file, error))?;
+    print(format!("{}: {} bytes\n", file.display(), state.len()).as_bytes());
+    Ok(())
+}
+
+fn restore_snapshot(file: &Path, settings: &Path) -> Result<(), CtlError> {
+    let state = saved_state::decode(&read_file(file)?);
+    let state = state.map_err(|error| CtlError::SavedState {
+        path: file.to_owned(),
+        error,
+    })?;
+    restore_member(settings, state)
+}
+
 /// Prints changes for ever, from wherever a member has them.
 fn watch(
-    mut client: Client,
+    mut client: ApiClient,
     prefix: &str,
     after: Option<u64>,
     count: Option<u64>,
-) -> Result<(), String> {
-    let wait = Duration::from_secs(20);
-    let (mut after, mut left) = (after, count.unwrap_or(u64::MAX));
-    while left > 0 {
-        client.patient(wait + Duration::from_secs(10));
-        let pairs = [
+) -> Result<(), CtlError> {
+    let (mut after, mut changes_left) = (after, count.unwrap_or(u64::MAX));
+    while changes_left > 0 {
+        client.set_timeout(WATCH_WAIT + WATCH_MARGIN);
+        let wait_ms = after.map_or(0, |_| WATCH_WAIT.as_millis());
+        let parameters = [
             ("prefix", Some(prefix.to_owned())),
-            ("after", after.map(|a| a.to_string())),
-            (
-                "wait_ms",
-                Some(if after.is_some() { wait.as_millis() } else { 0 }.to_string()),
-            ),
+            ("after", shown_number(after)),
+            ("wait_ms", Some(wait_ms.to_string())),
         ];
-        let page = client.get(&query("/v1/changes", &pairs))?.json();
-        for change in at(&page, "changes").as_array().into_iter().flatten() {
-            if left == 0 || !print(format!("{change}\n").as_bytes()) {
+        let page = client.get(&path_with_query("/v1/changes", &parameters))?;
+        let page = page.json();
+        for change in field(&page, "changes").as_array().into_iter().flatten() {
+            if changes_left == 0 || !print(format!("{change}\n").as_bytes()) {
                 return Ok(());
             }
-            left -= 1;
+            changes_left -= 1;
         }
-        after = at(&page, "revision").as_u64().or(after);
+        after = field(&page, "revision").as_u64().or(after);
     }
     Ok(())
 }
-
-/// The path by which an instance is drained: numbers are members' ids.
-fn drain(instance: &str) -> String {
-    let name = if instance.bytes().all(|b| b.is_ascii_digit()) {
-        "member"
-    } else {
-        "front_end"
-    };
-    query("/v1/drains", &[(name, Some(instance.to_owned()))])
-}
--- a/gateway/src/postgres/session/mod.rs
+++ b/gateway/src/postgres/session/mod.rs
@@ -190,11 +190,9 @@
                 self.mode = Mode::Normal;
                 codec::write_ready(&mut self.output);
             }
-            kind if codec::is_extended_query(kind) => {
-                if self.mode == Mode::Normal {
-                    self.mode = Mode::SkipToSync;
-                    self.write_error("0A000", "only simple queries are served here");
-                }
+            kind if codec::is_extended_query(kind) && self.mode == Mode::Normal => {
+                self.mode = Mode::SkipToSync;
+                self.write_error("0A000", "only simple queries are served here");
             }
             codec::FUNCTION_CALL => {
                 self.write_error("0A000", "function calls are not served here");
@@ -204,7 +202,8 @@
                 let error = Malformed("unexpected password message");
                 return Err(self.break_off(error).await);
             }
-            // Flush; copy data that was not requested is skipped, as PostgreSQL does.
+            // Flush, and extended queries that are skipped; copy data that was not requested is skipped, as
+            // PostgreSQL does.
             _ => {}
         }
         self.input.drain(..size);
--- a/gateway/src/rest/metrics.rs
+++ b/gateway/src/rest/metrics.rs
@@ -3,6 +3,7 @@
 use std::cell::Cell;
 
 use super::RestFrontend;
+use crate::idempotency::KeyCounts;
 use crate::stats::write_metric;
 
 /// Counts since the start.
@@ -24,66 +25,71 @@
     pub fn metrics(&self) -> String {
         let results = self.parts.results.borrow();
         let keys = self.parts.idempotency.counts();
+        let (results_len, reserved) = (results.len(), results.budget().reserved());
         let counters = &self.counters;
         let mut out = String::new();
-        for (name, kind, help, value) in [
-            (
-                "svc_rest_results",
-                "gauge",
-                "Results whose pages may be fetched.",
-                results.len() as u64,
-            ),
-            (
-                "svc_rest_results_bytes",
-                "gauge",
-                "Bytes held or reserved.",
-                results.budget().reserved() as u64,
-            ),
+        let mut gauge = |name, help, value: usize| {
+            write_metric(&mut out, name, "gauge", help, value as u64);
+        };
+        gauge(
+            "svc_rest_results",
+            "Results whose pages may be fetched.",
+            results_len,
+        );
+        gauge(
+            "svc_rest_results_bytes",
+            "Bytes held or reserved.",
+            reserved,
+        );
+        for (name, help, counter) in [
             (
                 "svc_rest_results_full_total",
-                "counter",
                 "Queries refused for want of that.",
-                counters.results_full.get(),
+                &counters.results_full,
             ),
             (
                 "svc_rest_pages_total",
-                "counter",
                 "Further pages served.",
-                counters.pages.get(),
+                &counters.pages,
             ),
             (
                 "svc_rest_pages_gone_total",
-                "counter",
                 "Pages asked for after their time.",
-                counters.gone.get(),
+                &counters.gone,
             ),
             (
                 "svc_rest_tokens_unknown_total",
-                "counter",
                 "Tokens nobody here has made.",
-                counters.unknown_tokens.get(),
-            ),
-            (
-                "svc_rest_keys",
-                "gauge",
-                "Idempotency keys taken.",
-                keys.keys as u64,
-            ),
-            (
-                "svc_rest_keys_joined_total",
-                "counter",
-                "Queries that joined one that ran.",
-                keys.joined,
-            ),
-            (
-                "svc_rest_keys_replayed_total",
-                "counter",
-                "Queries that got a recorded answer.",
-                keys.replayed,
+                &counters.unknown_tokens,
             ),
         ] {
-            write_metric(&mut out, name, kind, help, value);
+            write_metric(&mut out, name, "counter", help, counter.get());
         }
+        write_key_metrics(&mut out, keys);
         out
     }
 }
+
+fn write_key_metrics(out: &mut String, keys: KeyCounts) {
+    write_metric(
+        out,
+        "svc_rest_keys",
+        "gauge",
+        "Idempotency keys taken.",
+        keys.keys as u64,
+    );
+    write_metric(
+        out,
+        "svc_rest_keys_joined_total",
+        "counter",
+        "Queries that joined one that ran.",
+        keys.joined,
+    );
+    write_metric(
+        out,
+        "svc_rest_keys_replayed_total",
+        "counter",
+        "Queries that got a recorded answer.",
+        keys.replayed,
+    );
+}
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -19,6 +19,7 @@
 use crate::dispatch::Dispatch;
 use crate::drain::DrainState;
 use crate::exchange::{AttemptEvents, ListedEngine, RequestSink, UpstreamEngines};
+use crate::fence::Fence;
 use crate::fleet::FleetMembership;
 use crate::idempotency::IdempotencyLayer;
 use crate::postgres::sessions::Sessions;
@@ -63,14 +64,9 @@
     ) -> Result<Self, StartError> {
         let executor = Rc::new(LocalExecutor::new());
         let classes = config.settings.classes.clone();
-        let longest_deadline = classes.iter().filter_map(|class| class.deadline).max();
         let class_names = config.names.classes.iter();
         let stats = Rc::new(Stats::new(class_names.map(|class| class.name.as_str())));
-        let participant = settings
-            .cluster
-            .as_ref()
-            .map(|cluster| Participant::start(&executor, settings, cluster, config.seed));
-        let participant = participant.transpose()?;
+        let participant = join_cluster(&executor, settings, config.seed)?;
         let fence = participant.as_ref().map(Participant::fence);
         let pool = Pool::new(
             Rc::clone(&executor),
@@ -80,27 +76,18 @@
             fence.clone(),
             budget.engines,
         );
-        let engines: Rc<dyn UpstreamEngines> = Rc::<Pool>::clone(&pool);
-        let configured_size = config.settings.gateways.unwrap_or(1);
-        let dispatch = Dispatch::new(clock, config.settings, config.seed, engines, fence);
-        let events: Rc<dyn AttemptEvents> = Rc::<Dispatch>::clone(&dispatch);
-        let events: Weak<dyn AttemptEvents> = Rc::downgrade(&events);
-        pool.report_to(events);
+        let fleet_size = config.settings.gateways.unwrap_or(1);
+        let dispatch = create_dispatch(clock, config.settings, config.seed, &pool, fence);
         let fleet = settings.fleet.as_ref().map(|fleet| {
-            let seed = config.seed;
-            FleetMembership::start(&executor, fleet, clock, seed, configured_size, &dispatch)
+            FleetMembership::start(&executor, fleet, clock, config.seed, fleet_size, &dispatch)
         });
         let fleet = fleet.transpose()?.map(Rc::new);
         let engine_ids = Rc::new(EngineIds::default());
-        let retention = participant
-            .as_ref()
-            .map_or(ListRetention::Discard, Participant::list_retention);
+        let retention = participant.as_ref().map(Participant::list_retention);
+        let retention = retention.unwrap_or(ListRetention::Discard);
         let discovery = Rc::new(DiscoverySource::new(config.bus, retention));
-        let client = DiscoveryClient::new(
-            config.names.clone(),
-            Rc::clone(&engine_ids),
-            Rc::clone(&discovery),
-        );
+        let (names, ids) = (config.names.clone(), Rc::clone(&engine_ids));
+        let client = DiscoveryClient::new(names, ids, Rc::clone(&discovery));
         follow_engine_list(&executor, client, config.initial_events, &dispatch);
         start_upkeep(&executor, &dispatch, &pool);
         let drain = Rc::new(DrainState::default());
@@ -119,7 +106,7 @@
             name: config.name,
             listen: config.listen,
             max_sockets: config.max_sockets,
-            longest_deadline: Duration::from_micros(longest_deadline.unwrap_or(0)),
+            longest_deadline: longest_deadline(&classes),
             stats,
             dispatch,
             pool,
@@ -147,6 +134,40 @@
     }
 }
 
+fn longest_deadline(classes: &[Class]) -> Duration {
+    let longest = classes.iter().filter_map(|class| class.deadline).max();
+    Duration::from_micros(longest.unwrap_or(0))
+}
+
+/// Begins to take part in a cluster, if the settings name one.
+fn join_cluster(
+    executor: &Rc<LocalExecutor<'static>>,
+    settings: &Settings,
+    seed: u64,
+) -> Result<Option<Participant>, StartError> {
+    let Some(cluster) = &settings.cluster else {
+        return Ok(None);
+    };
+    let participant = Participant::start(executor, settings, cluster, seed)?;
+    Ok(Some(participant))
+}
+
+/// Creates the dispatcher, and connects it with the pool.
+fn create_dispatch(
+    clock: Clock,
+    settings: violetgate_policy::Settings,
+    seed: u64,
+    pool: &Rc<Pool>,
+    fence: Option<Rc<dyn Fence>>,
+) -> Rc<Dispatch> {
+    let engines: Rc<dyn UpstreamEngines> = Rc::<Pool>::clone(pool);
+    let dispatch = Dispatch::new(clock, settings, seed, engines, fence);
+    let events: Rc<dyn AttemptEvents> = Rc::<Dispatch>::clone(&dispatch);
+    let events: Weak<dyn AttemptEvents> = Rc::downgrade(&events);
+    pool.report_to(events);
+    dispatch
+}
+
 /// Loads the initial engine list, and follows the event bus. That is the first task, so that events of the
 /// bus are taken before requests that are read in the same step.
 fn follow_engine_list(
--- /dev/null
+++ b/gateway/src/settings/reference.rs
@@ -0,0 +1,46 @@
+//! The reference of all settings, as Markdown: `docs/configuration.md` holds it.
+
+use std::fmt::Write;
+
+use super::schema::{Block, Key, BLOCKS};
+
+/// The reference.
+#[must_use]
+pub fn reference() -> String {
+    let mut out = String::new();
+    for block in BLOCKS {
+        let _ = write!(out, "## `{}`\n\n{}\n\n", block.name, block.about);
+        out += "| key | value | default | taken at | meaning |\n| --- | --- | --- | --- | --- |\n";
+        for key in block.keys {
+            write_key(&mut out, block, key);
+        }
+        out += "\n";
+    }
+    out
+}
+
+fn write_key(out: &mut String, block: &Block, key: &Key) {
+    let default = key
+        .default
+        .map_or_else(|| required_by(block, key), |default| format!("`{default}`"));
+    let taken_at = if key.reloads { "SIGHUP" } else { "start" };
+    let (name, kind, about) = (key.name, key.kind.about(), key.about);
+    let _ = writeln!(
+        out,
+        "| `{name}` | {kind} | {default} | {taken_at} | {about} |"
+    );
+}
+
+/// By which roles a key without a default must be given.
+fn required_by(block: &Block, key: &Key) -> String {
+    let roles = block.roles.iter();
+    let roles: Vec<_> = roles
+        .filter(|role| role.takes(key.name))
+        .map(|role| role.name)
+        .collect();
+    if roles.len() == block.roles.len() {
+        "must be given".to_owned()
+    } else {
+        format!("must be given by a {}", roles.join(" or "))
+    }
+}
--- a/gateway/src/settings/schema.rs
+++ b/gateway/src/settings/schema.rs
@@ -11,11 +11,16 @@
 use cluster::CLUSTER;
 use fleet::FLEET;
 
+/// The most members of a cluster.
+pub const MAX_MEMBERS: usize = 15;
+/// The highest id of a member.
+pub const MAX_MEMBER_ID: u64 = 65_535;
+
 /// What a key's value may be.
 #[derive(Debug, Clone, Copy)]
-pub enum Kind {
+pub enum ValueKind {
     /// One of these words.
-    Word(&'static [&'static str]),
+    OneOf(&'static [&'static str]),
     /// `"HOST:PORT"` with a numeric host.
     Address,
     /// A whole number within these bounds.
@@ -40,10 +45,10 @@
     /// Its name.
     pub name: &'static str,
     /// What it may hold.
-    pub kind: Kind,
+    pub kind: ValueKind,
     /// Its default as it would stand in a file; `None`: it must be given.
     pub default: Option<&'static str>,
-    /// A new value is taken at SIGHUP; else at the next start.
+    /// Whether a new value is applied at SIGHUP; else it is at the next start.
     pub reloads: bool,
     /// What it does.
     pub about: &'static str,
@@ -58,16 +63,17 @@
     pub about: &'static str,
     /// Its keys.
     pub keys: &'static [Key],
-    /// What an instance may be by this block's key `role`, the default first; none: there is no such key.
+    /// The roles that an instance may have by this block's key `role`, the default first; none: there is no
+    /// such key.
     pub roles: &'static [Role],
 }
 
-/// What an instance may be by a block.
+/// A role that an instance may have.
 #[derive(Debug)]
 pub struct Role {
     /// Its name, the value of the key `role`.
     pub name: &'static str,
-    /// Keys that it takes none of.
+    /// Keys that it does not take.
     pub without: &'static [&'static str],
 }
 
@@ -99,14 +105,14 @@
     keys: &[
         Key {
             name: "format",
-            kind: Kind::Word(&["text", "json"]),
+            kind: ValueKind::OneOf(&["text", "json"]),
             default: Some("\"text\""),
             reloads: false,
             about: "`text`: the lines that docs/on-call.md explains; `json`: the same as one object a line.",
         },
         Key {
             name: "lines_waiting",
-            kind: Kind::Count(16, 1_000_000),
+            kind: ValueKind::Count(16, 1_000_000),
             default: Some("4096"),
             reloads: false,
             about: "Lines that may wait to be written; more are dropped, and counted in the last line.",
@@ -122,14 +128,14 @@
     keys: &[
         Key {
             name: "listen",
-            kind: Kind::Address,
+            kind: ValueKind::Address,
             default: None,
             reloads: false,
             about: "Where its clients connect. It speaks plain HTTP/1.1 and asks nobody who they are.",
         },
         Key {
             name: "max_connections",
-            kind: Kind::Count(1, 100_000),
+            kind: ValueKind::Count(1, 100_000),
             default: Some("64"),
             reloads: false,
             about: "Connections at a time, taken from the descriptors that PostgreSQL clients would get, at most half \
@@ -137,49 +143,49 @@
         },
         Key {
             name: "max_head",
-            kind: Kind::Bytes(8 << 10, 1 << 20),
+            kind: ValueKind::Bytes(8 << 10, 1 << 20),
             default: Some("\"16KiB\""),
             reloads: true,
             about: "Longest head of a request; a longer one gets 431.",
         },
         Key {
             name: "max_body",
-            kind: Kind::Bytes(1 << 10, 1 << 20),
+            kind: ValueKind::Bytes(1 << 10, 1 << 20),
             default: Some("\"96KiB\""),
             reloads: true,
             about: "Longest body of a request; a longer one gets 413.",
         },
         Key {
             name: "head_timeout",
-            kind: Kind::Span(100, 60_000),
+            kind: ValueKind::Span(100, 60_000),
             default: Some("\"2s\""),
             reloads: true,
             about: "From the first byte of a head to its last; later it gets 408.",
         },
         Key {
             name: "body_timeout",
-            kind: Kind::Span(100, 60_000),
+            kind: ValueKind::Span(100, 60_000),
             default: Some("\"3s\""),
             reloads: true,
             about: "For the whole body; later it gets 408.",
         },
         Key {
             name: "idle_timeout",
-            kind: Kind::Span(1_000, 3_600_000),
+            kind: ValueKind::Span(1_000, 3_600_000),
             default: Some("\"60s\""),
             reloads: true,
             about: "With nothing asked; then the connection closes.",
         },
         Key {
             name: "write_timeout",
-            kind: Kind::Span(1_000, 600_000),
+            kind: ValueKind::Span(1_000, 600_000),
             default: Some("\"10s\""),
             reloads: true,
             about: "Without a byte of an answer taken; then the connection closes.",
         },
         Key {
             name: "results_bytes",
-            kind: Kind::Bytes(64 << 10, 64 << 30),
+            kind: ValueKind::Bytes(64 << 10, 64 << 30),
             default: Some("\"16MiB\""),
             reloads: true,
             about: "Bytes of results that are kept for their further pages, and of answers kept for repeats. Each query \
@@ -187,14 +193,14 @@
         },
         Key {
             name: "results",
-            kind: Kind::Count(1, 10_000_000),
+            kind: ValueKind::Count(1, 10_000_000),
             default: Some("10000"),
             reloads: true,
             about: "Results kept at a time.",
         },
         Key {
             name: "idempotency_keys",
-            kind: Kind::Count(1, 10_000_000),
+            kind: ValueKind::Count(1, 10_000_000),
             default: Some("10000"),
             reloads: true,
             about: "Idempotency keys taken at a time, over both fronts.",
@@ -205,63 +211,68 @@
 
 /// Reads a span: a number and `ms`, `s`, `m` or `h`.
 #[must_use]
-pub fn span(text: &str) -> Option<Duration> {
-    let units = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
-    with_unit(text, &units).map(Duration::from_millis)
+pub fn parse_span(text: &str) -> Option<Duration> {
+    let milliseconds = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
+    parse_with_unit(text, &milliseconds).map(Duration::from_millis)
 }
 
 /// Reads a number of bytes: a number and `B`, `KiB`, `MiB` or `GiB`.
 #[must_use]
-pub fn bytes(text: &str) -> Option<u64> {
-    with_unit(
-        text,
-        &[
-            ("KiB", 1 << 10),
-            ("MiB", 1 << 20),
-            ("GiB", 1 << 30),
-            ("B", 1),
-        ],
-    )
+pub fn parse_bytes(text: &str) -> Option<u64> {
+    let bytes = [
+        ("KiB", 1 << 10),
+        ("MiB", 1 << 20),
+        ("GiB", 1 << 30),
+        ("B", 1),
+    ];
+    parse_with_unit(text, &bytes)
 }
 
-fn with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
+fn parse_with_unit(text: &str, units: &[(&str, u64)]) -> Option<u64> {
     let (number, unit) = text.split_at(text.find(|c: char| !c.is_ascii_digit())?);
     let (_, factor) = units.iter().find(|(name, _)| *name == unit.trim())?;
     number.parse::<u64>().ok()?.checked_mul(*factor)
 }
 
-impl Kind {
-    /// What is wrong with a value: `text` is what stands between quotes, `number` a bare number.
+fn milliseconds(span: Duration) -> u64 {
+    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+}
+
+fn is_name(text: &str, max_bytes: usize) -> bool {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    (1..=max_bytes).contains(&text.len()) && text.bytes().all(is_plain)
+}
+
+impl ValueKind {
+    /// Checks a value: `text` is what stands between quotes, `number` a bare number.
     ///
     /// # Errors
     ///
     /// It can't be used; the text says what may stand there.
     pub fn check(&self, text: Option<&str>, number: Option<f64>) -> Result<(), String> {
-        let within = |n: u64, least: u64, most: u64| (least..=most).contains(&n);
-        let good = match *self {
-            Kind::Word(words) => text.is_some_and(|t| words.contains(&t)),
-            Kind::Address => text.is_some_and(|t| t.parse::<std::net::SocketAddr>().is_ok()),
-            Kind::Count(least, most) => number
-                .is_some_and(|n| n.fract() == 0.0 && n >= 0.0 && within(n as u64, least, most)),
-            Kind::Span(least, most) => text.and_then(span).is_some_and(|s| {
-                within(
-                    u64::try_from(s.as_millis()).unwrap_or(u64::MAX),
-                    least,
-                    most,
-                )
-            }),
-            Kind::Bytes(least, most) => {
-                text.and_then(bytes).is_some_and(|n| within(n, least, most))
+        let is_valid = match *self {
+            ValueKind::OneOf(words) => text.is_some_and(|text| words.contains(&text)),
+            ValueKind::Address => {
+                text.is_some_and(|text| text.parse::<std::net::SocketAddr>().is_ok())
             }
-            Kind::Name(most) => text.is_some_and(|t| {
-                let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-                !t.is_empty() && t.len() <= most && t.bytes().all(plain)
+            ValueKind::Count(min, max) => number.is_some_and(|number| {
+                let is_whole = number.fract() == 0.0 && number >= 0.0;
+                is_whole && (min..=max).contains(&(number as u64))
             }),
-            Kind::Folder => text.is_some_and(|t| !t.is_empty()),
+            ValueKind::Span(min_ms, max_ms) => {
+                let span = text.and_then(parse_span).map(milliseconds);
+                span.is_some_and(|span| (min_ms..=max_ms).contains(&span))
+            }
+            ValueKind::Bytes(min, max) => {
+                let bytes = text.and_then(parse_bytes);
+                bytes.is_some_and(|bytes| (min..=max).contains(&bytes))
+            }
+            ValueKind::Name(max_bytes) => text.is_some_and(|text| is_name(text, max_bytes)),
+            ValueKind::Folder => text.is_some_and(|text| !text.is_empty()),
             // They are no single value: checked by their parts.
-            Kind::Members | Kind::Addresses(_) => false,
+            ValueKind::Members | ValueKind::Addresses(_) => false,
         };
-        if good {
+        if is_valid {
             Ok(())
         } else {
             Err(format!("has to be {}", self.about()))
@@ -272,32 +283,28 @@
     #[must_use]
     pub fn about(&self) -> String {
         match *self {
-            Kind::Word(words) => words
-                .iter()
-                .map(|w| format!("\"{w}\""))
-                .collect::<Vec<_>>()
-                .join(" or "),
-            Kind::Address => "an address in quotes, such as \"127.0.0.1:8080\"".to_owned(),
-            Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
-            Kind::Span(least, most) => {
-                format!(
-                    "a span in quotes from \"{least}ms\" to \"{}s\"",
-                    most / 1000
-                )
+            ValueKind::OneOf(words) => {
+                let quoted: Vec<_> = words.iter().map(|word| format!("\"{word}\"")).collect();
+                quoted.join(" or ")
+            }
+            ValueKind::Address => "an address in quotes, such as \"127.0.0.1:8080\"".to_owned(),
+            ValueKind::Count(min, max) => format!("a whole number from {min} to {max}"),
+            ValueKind::Span(min_ms, max_ms) => {
+                let max_s = max_ms / 1000;
+                format!("a span in quotes from \"{min_ms}ms\" to \"{max_s}s\"")
+            }
+            ValueKind::Bytes(min, max) => {
+                let (min_kib, max_mib) = (min >> 10, max >> 20);
+                format!("a size in quotes from \"{min_kib}KiB\" to \"{max_mib}MiB\"")
             }
-            Kind::Bytes(least, most) => {
-                format!(
-                    "a size in quotes from \"{}KiB\" to \"{}MiB\"",
-                    least >> 10,
-                    most >> 20
-                )
+            ValueKind::Name(max) => {
+                format!("a name in quotes: {max} letters, digits, `.`, `-` or `_` at most")
             }
-            Kind::Name(most) => {
-                format!("a name in quotes: {most} letters, digits, `.`, `-` or `_` at most")
+            ValueKind::Folder => "a path in quotes".to_owned(),
+            ValueKind::Addresses(max) => {
+                format!("1 to {max} addresses, such as [\"10.0.0.1:7500\"]")
             }
-            Kind::Folder => "a path in quotes".to_owned(),
-            Kind::Addresses(most) => format!("1 to {most} addresses, such as [\"10.0.0.1:7500\"]"),
-            Kind::Members => "members by id, such as { \"1\" = \"10.0.0.1:7480\" }".to_owned(),
+            ValueKind::Members => "members by id, such as { \"1\" = \"10.0.0.1:7480\" }".to_owned(),
         }
     }
 }
--- a/gateway/src/settings/schema/cluster.rs
+++ b/gateway/src/settings/schema/cluster.rs
@@ -1,6 +1,6 @@
 //! The block of a cluster's members and subscribers.
 
-use super::{Block, Key, Kind, Role};
+use super::{Block, Key, Role, ValueKind};
 
 pub(super) const CLUSTER: Block = Block {
     name: "cluster",
@@ -11,7 +11,7 @@
     keys: &[
         Key {
             name: "role",
-            kind: Kind::Word(&["member", "subscriber"]),
+            kind: ValueKind::OneOf(&["member", "subscriber"]),
             default: Some("\"member\""),
             reloads: false,
             about: "`member`: it agrees on the state with the other members; `subscriber`: it follows what they agree \
@@ -19,35 +19,35 @@
         },
         Key {
             name: "name",
-            kind: Kind::Name(64),
+            kind: ValueKind::Name(64),
             default: None,
             reloads: false,
             about: "The cluster's name. Members of another one are turned away.",
         },
         Key {
             name: "id",
-            kind: Kind::Count(1, 65_535),
+            kind: ValueKind::Count(1, 65_535),
             default: None,
             reloads: false,
             about: "This member's id. Ids are never used twice: one that lost its disk joins under the next.",
         },
         Key {
             name: "folder",
-            kind: Kind::Folder,
+            kind: ValueKind::Folder,
             default: None,
             reloads: false,
             about: "Where this member keeps its log and its snapshots, on a disk that outlasts it.",
         },
         Key {
             name: "listen",
-            kind: Kind::Address,
+            kind: ValueKind::Address,
             default: None,
             reloads: false,
             about: "Where other members connect. They are not asked who they are beyond cluster, id and disk.",
         },
         Key {
             name: "api",
-            kind: Kind::Address,
+            kind: ValueKind::Address,
             default: None,
             reloads: false,
             about: "Where operators read and change what is agreed on, with `violetgate ctl` or curl. It asks nobody \
@@ -55,7 +55,7 @@
         },
         Key {
             name: "members",
-            kind: Kind::Members,
+            kind: ValueKind::Members,
             default: None,
             reloads: true,
             about: "Where the members are, as this one reaches them. Those that join later are known from the cluster \
@@ -63,7 +63,7 @@
         },
         Key {
             name: "drain_limit",
-            kind: Kind::Span(300, 2_000),
+            kind: ValueKind::Span(300, 2_000),
             default: Some("\"2s\""),
             reloads: false,
             about: "Nothing is sent on state that was last confirmed longer ago. It is at most the time in which drains \
@@ -71,35 +71,35 @@
         },
         Key {
             name: "confirm_every",
-            kind: Kind::Span(20, 1_000),
+            kind: ValueKind::Span(20, 1_000),
             default: Some("\"250ms\""),
             reloads: false,
             about: "How often the state is confirmed; at most a third of `drain_limit`.",
         },
         Key {
             name: "election_timeout",
-            kind: Kind::Span(50, 10_000),
+            kind: ValueKind::Span(50, 10_000),
             default: Some("\"500ms\""),
             reloads: false,
             about: "Without a sign of the leader for this long, up to twice as long, a member asks for votes.",
         },
         Key {
             name: "heartbeat",
-            kind: Kind::Span(10, 1_000),
+            kind: ValueKind::Span(10, 1_000),
             default: Some("\"100ms\""),
             reloads: false,
             about: "How often a leader gives a sign; at most a third of `election_timeout`.",
         },
         Key {
             name: "snapshot_every",
-            kind: Kind::Count(10, 10_000_000),
+            kind: ValueKind::Count(10, 10_000_000),
             default: Some("10000"),
             reloads: false,
             about: "Entries of the log between two snapshots.",
         },
         Key {
             name: "subscribers_listen",
-            kind: Kind::Address,
+            kind: ValueKind::Address,
             default: Some("\"0.0.0.0:0\""),
             reloads: false,
             about: "Members only: where front ends that subscribe connect, which makes this member an observer; as the \
@@ -107,7 +107,7 @@
         },
         Key {
             name: "subscribers",
-            kind: Kind::Count(1, 20_000),
+            kind: ValueKind::Count(1, 20_000),
             default: Some("4000"),
             reloads: false,
             about: "Members only: the most front ends that this observer takes; more are turned away \
@@ -115,7 +115,7 @@
         },
         Key {
             name: "front_end",
-            kind: Kind::Name(64),
+            kind: ValueKind::Name(64),
             default: None,
             reloads: false,
             about: "Subscribers only: this front end's name, unique in the fleet, by which it is drained; not a number \
@@ -123,7 +123,7 @@
         },
         Key {
             name: "observers",
-            kind: Kind::Members,
+            kind: ValueKind::Members,
             default: None,
             reloads: false,
             about: "Subscribers only: the members that serve front ends, with their `subscribers_listen`, as this one \
--- a/gateway/src/settings/tests.rs
+++ b/gateway/src/settings/tests.rs
@@ -1,5 +1,7 @@
-//! The tables, the types, the page and the sample file are one, and every error is told with its place.
+//! The tables, the types, the page and the sample file agree, and every error is reported with its place.
+#![allow(clippy::unwrap_used)]
 
+use super::schema::{ValueKind, BLOCKS};
 use super::*;
 
 /// Every error of a file is told at once, each with its line, its key and the nearest known name.
@@ -89,10 +91,10 @@
             .filter(|key| role.is_none_or(|role| role.takes(key.name)))
         {
             let default = key.default.unwrap_or(match key.kind {
-                Kind::Address => "\"127.0.0.1:1\"",
-                Kind::Count(..) => "1",
-                Kind::Members => "{ \"1\" = \"127.0.0.1:1\" }",
-                Kind::Addresses(_) => "[\"127.0.0.1:1\"]",
+                ValueKind::Address => "\"127.0.0.1:1\"",
+                ValueKind::Count(..) => "1",
+                ValueKind::Members => "{ \"1\" = \"127.0.0.1:1\" }",
+                ValueKind::Addresses(_) => "[\"127.0.0.1:1\"]",
                 _ => "\"x\"",
             });
             let default = match key.name {
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -1,12 +1,14 @@
-//! What a settings file holds once it has passed the tables of [`super::schema`]: a type for each block, with the same
-//! defaults. Nothing here reads a file.
+//! What a settings file holds once it has passed the tables of [`super::schema`]: a type for each block, with
+//! the same defaults. Nothing here reads a file.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use thiserror::Error;
 
+use super::error::KeyConflict;
 use super::schema;
 use crate::log::Format;
 
@@ -40,7 +42,7 @@
 impl<'de> Deserialize<'de> for Span {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        schema::span(&text)
+        schema::parse_span(&text)
             .map(Span)
             .ok_or_else(|| serde::de::Error::custom("no span"))
     }
@@ -55,7 +57,7 @@
 impl<'de> Deserialize<'de> for Size {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let text = String::deserialize(from)?;
-        schema::bytes(&text)
+        schema::parse_bytes(&text)
             .map(Size)
             .ok_or_else(|| serde::de::Error::custom("no size"))
     }
@@ -107,10 +109,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClusterRole {
-    /// It agrees on the state with the other members.
+    /// It replicates the shared state with the other members.
     #[default]
     Member,
-    /// It follows, through observers, what members agree on.
+    /// It follows the shared state through observers.
     Subscriber,
 }
 
@@ -162,16 +164,16 @@
 }
 
 impl Cluster {
-    /// The members by number; the tables let nothing else pass.
+    /// The members by id; the tables let nothing else pass.
     #[must_use]
     pub fn addresses(&self) -> BTreeMap<u64, SocketAddr> {
-        by_number(&self.members)
+        by_id(&self.members)
     }
 
-    /// The observers by number.
+    /// The observers by id.
     #[must_use]
     pub fn observer_addresses(&self) -> BTreeMap<u64, SocketAddr> {
-        by_number(&self.observers)
+        by_id(&self.observers)
     }
 
     /// Where front ends that subscribe connect, if this member is an observer.
@@ -205,37 +207,38 @@
         }
     }
 
-    /// What is wrong with keys that are right one by one.
-    pub(super) fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    /// What is wrong with keys together that are valid one by one.
+    pub(super) fn check(&self) -> Result<(), KeyConflict> {
         if self.confirm_every.0 * 3 > self.drain_limit.0 {
-            return Err((
+            return Err(KeyConflict::new(
                 "confirm_every",
                 "has to be a third of `drain_limit` at most",
             ));
         }
         match self.role {
             ClusterRole::Member => self.check_member(),
-            ClusterRole::Subscriber => front_end_name(&self.front_end)
-                .map(|_| ())
-                .map_err(|what| ("front_end", what)),
+            ClusterRole::Subscriber => match front_end_name(&self.front_end) {
+                Ok(_) => Ok(()),
+                Err(error) => Err(KeyConflict::new("front_end", error.text())),
+            },
         }
     }
 
-    fn check_member(&self) -> Result<(), (&'static str, &'static str)> {
+    fn check_member(&self) -> Result<(), KeyConflict> {
         if !self.addresses().contains_key(&self.id) {
-            return Err(("members", "has to name this member, too"));
+            return Err(KeyConflict::new("members", "has to name this member, too"));
         }
         if self.heartbeat.0 * 3 > self.election_timeout.0 {
-            return Err((
+            return Err(KeyConflict::new(
                 "heartbeat",
                 "has to be a third of `election_timeout` at most",
             ));
         }
         if self.listen == self.api {
-            return Err(("api", "is where members connect"));
+            return Err(KeyConflict::new("api", "is where members connect"));
         }
         if [self.listen, self.api].contains(&self.subscribers_listen) {
-            return Err((
+            return Err(KeyConflict::new(
                 "subscribers_listen",
                 "is where members or operators connect",
             ));
@@ -244,7 +247,7 @@
     }
 }
 
-fn by_number(members: &BTreeMap<String, SocketAddr>) -> BTreeMap<u64, SocketAddr> {
+fn by_id(members: &BTreeMap<String, SocketAddr>) -> BTreeMap<u64, SocketAddr> {
     members
         .iter()
         .filter_map(|(id, addr)| Some((id.parse().ok()?, *addr)))
@@ -252,19 +255,38 @@
 }
 
 /// The longest name of a front end.
-const LONGEST_NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
+
+/// Why a text is no name of a front end.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+#[error("{}", self.text())]
+pub enum InvalidName {
+    /// It is empty, too long, or has other characters.
+    Form,
+    /// It is a number, as members' ids are.
+    Number,
+}
+
+impl InvalidName {
+    fn text(self) -> &'static str {
+        match self {
+            InvalidName::Form => "has to be a name: 64 letters, digits, `.`, `-` or `_` at most",
+            InvalidName::Number => "has to hold more than digits: numbers are members' ids",
+        }
+    }
+}
 
 /// A front end's name, if it may be one.
 ///
 /// # Errors
 ///
-/// It may not; the text says why.
-pub fn front_end_name(name: &str) -> Result<&str, &'static str> {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"._-".contains(&b);
-    if name.is_empty() || name.len() > LONGEST_NAME || !name.bytes().all(plain) {
-        Err("has to be a name: 64 letters, digits, `.`, `-` or `_` at most")
-    } else if name.bytes().all(|b| b.is_ascii_digit()) {
-        Err("has to hold more than digits: numbers are members' ids")
+/// It may not be one.
+pub fn front_end_name(name: &str) -> Result<&str, InvalidName> {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_plain) {
+        Err(InvalidName::Form)
+    } else if name.bytes().all(|byte| byte.is_ascii_digit()) {
+        Err(InvalidName::Number)
     } else {
         Ok(name)
     }
@@ -316,20 +338,23 @@
         }
     }
 
-    /// What is wrong with keys that are right one by one.
-    pub(super) fn check(&self) -> Result<(), (&'static str, &'static str)> {
+    /// What is wrong with keys together that are valid one by one.
+    pub(super) fn check(&self) -> Result<(), KeyConflict> {
         let at = self.reached_at();
         if at.ip().is_unspecified() || at.port() == 0 {
-            return Err((
+            return Err(KeyConflict::new(
                 "address",
                 "or `listen` has to say where others reach this one, not every address",
             ));
         }
         if self.reply_within.0 * 3 > self.probe_every.0 {
-            return Err(("reply_within", "has to be a third of `probe_every` at most"));
+            return Err(KeyConflict::new(
+                "reply_within",
+                "has to be a third of `probe_every` at most",
+            ));
         }
         if self.settle.0 < self.suspect_for.0 * 2 {
-            return Err((
+            return Err(KeyConflict::new(
                 "settle",
                 "has to be twice `suspect_for` at least: views differ for so long",
             ));
