--- a/gateway/tests/wire_words.rs
+++ b/gateway/tests/wire_words.rs
@@ -36,7 +36,7 @@
 /// The codecs: the one place for the words of their protocol. The demo prints a client's query, to
 /// be tried.
 const CODECS: [&str; 6] = [
-    "gateway/src/demo.rs",
+    "gateway/src/demo/welcome.rs",
     "gateway/src/upstream/codec.rs",
     "gateway/src/postgres/query_fields.rs",
     "gateway/src/discovery/events.rs",
