--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -97,8 +97,8 @@
 
     /// Whether an engine is lightly used by this gateway, and not mostly by others.
     fn is_lightly_used(&self, engine: &EngineRecord) -> bool {
-        let base = self.fair_share_of(engine.cores);
-        base >= 1.0 && engine.threads_in_use() < LIGHT_USE_FRACTION * base
+        let fair_share = self.fair_share_of(engine.cores);
+        fair_share >= 1.0 && engine.threads_in_use() < LIGHT_USE_FRACTION * fair_share
     }
 
     fn record_class_sample(&mut self, sample: &CompletionSample) {
--- a/policy/src/attempt/ending.rs
+++ b/policy/src/attempt/ending.rs
@@ -2,7 +2,7 @@
 //! retried or answered.
 
 use crate::interface::{Action, AttemptEnded, EngineId, Outcome, QueryId};
-use crate::outlier_detection::EjectionReason;
+use crate::outlier_detection::FailureReason;
 use crate::retry::{RetryDecision, StopReason};
 use crate::state::{Attempt, FirstRun};
 use crate::Gateway;
@@ -81,7 +81,7 @@
                 // The query was well, so the engine that answered it with an error is at fault.
                 let other = taken.earlier_error.filter(|other| *other != engine);
                 if let Some(other) = other {
-                    self.record_failure(other, EjectionReason::Error);
+                    self.record_failure(other, FailureReason::Error);
                 }
                 self.record_completion(ended, &taken.attempt);
             }
@@ -112,7 +112,7 @@
             RetryDecision::Stop(StopReason::ObjectiveUnachievable) => self.give_up(id, actions),
             RetryDecision::Stop(
                 StopReason::DeadlineTooClose
-                | StopReason::NoEligibleEngine
+                | StopReason::OutsideDedupGroup
                 | StopReason::FailedTwice
                 | StopReason::AttemptsSpent
                 | StopReason::NotIdempotent,
--- a/policy/src/attempt/sending.rs
+++ b/policy/src/attempt/sending.rs
@@ -7,9 +7,9 @@
 use crate::state::{Attempt, WarmUpSend};
 use crate::Gateway;
 
-/// An attempt that is about to leave.
+/// An attempt that is about to be sent.
 #[derive(Debug, Clone, Copy)]
-struct Departure {
+struct PreparedSend {
     query: QueryId,
     engine: EngineId,
     /// The class of the query.
@@ -33,20 +33,20 @@
         engine: EngineId,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(departure) = self.prepare_departure(query, engine) else {
+        let Some(prepared) = self.prepare_send(query, engine) else {
             return false;
         };
-        self.append_send(&departure, actions);
-        self.count_departure(&departure);
-        self.schedule_check(query, departure.check_at);
+        self.append_send(&prepared, actions);
+        self.count_send(&prepared);
+        self.schedule_check(query, prepared.check_at);
         true
     }
 
-    fn prepare_departure(&self, query_id: QueryId, engine_id: EngineId) -> Option<Departure> {
+    fn prepare_send(&self, query_id: QueryId, engine_id: EngineId) -> Option<PreparedSend> {
         let query = self.queries.get(query_id)?;
         let engine = self.engines.get(&engine_id)?;
         self.check_send(query, engine).ok()?;
-        Some(Departure {
+        Some(PreparedSend {
             query: query_id,
             engine: engine_id,
             class: query.class,
@@ -59,62 +59,67 @@
         })
     }
 
-    fn append_send(&self, departure: &Departure, actions: &mut Vec<Action>) {
+    fn append_send(&self, prepared: &PreparedSend, actions: &mut Vec<Action>) {
         let grant = if self.settings.memory_grants {
-            departure.memory_mb.round()
+            prepared.memory_mb.round()
         } else {
             0.0
         };
         if grant > 0.0 || self.settings.priorities {
             actions.push(Action::SetResources {
-                query: departure.query,
+                query: prepared.query,
                 memory_mb: grant,
-                priority: departure.priority,
+                priority: prepared.priority,
             });
         }
         actions.push(Action::Send {
-            query: departure.query,
-            engine: departure.engine,
+            query: prepared.query,
+            engine: prepared.engine,
             timeout: 0,
         });
     }
 
-    fn count_departure(&mut self, departure: &Departure) {
+    fn count_send(&mut self, prepared: &PreparedSend) {
         let now = self.now;
-        let &Departure {
+        let &PreparedSend {
             class,
             priority,
             threads,
             memory_mb,
             ..
-        } = departure;
+        } = prepared;
         self.queries.count_attempt(class, priority, threads);
-        if let Some(engine) = self.engines.get_mut(&departure.engine) {
-            engine.count_attempt(departure.query, priority, threads, memory_mb);
-            if departure.is_warm_up {
-                let work = departure.work;
+        if let Some(engine) = self.engines.get_mut(&prepared.engine) {
+            engine.count_attempt(prepared.query, priority, threads, memory_mb);
+            if prepared.is_warm_up {
+                let work = prepared.work;
                 engine.warm_up_sends.push_back(WarmUpSend { at: now, work });
             }
         }
-        let Some(query) = self.queries.get_mut(departure.query) else {
+        let Some(query) = self.queries.get_mut(prepared.query) else {
             return;
         };
         let is_retry = query.attempts > 0;
         query.attempts += 1;
         query.attempt = Some(Attempt {
-            engine: departure.engine,
+            engine: prepared.engine,
             sent_at: now,
             last_progress_at: now,
             granted_mb: memory_mb,
             priority,
             ..Attempt::default()
         });
-        let history = &mut self.queries.history;
         if is_retry {
-            history.record_retry(now);
+            self.queries.history.record_retry(now);
         }
+        self.forget_before_budget_window();
+    }
+
+    /// Bounds the history of arrivals and retries to the window of the retry budget.
+    fn forget_before_budget_window(&mut self) {
         let budget = self.settings.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
-        history.forget_before(now.saturating_sub(window));
+        let start = self.now.saturating_sub(window);
+        self.queries.history.forget_before(start);
     }
 }
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -20,7 +20,7 @@
     Ejected,
     /// The same for queries of its class.
     EjectedForClass,
-    /// The engine said that it is full a short while ago.
+    /// The engine said a short while ago that it is full, or that queries wait there for memory.
     BackingOff,
     /// This gateway's threads there are in use.
     ThreadLimit,
@@ -67,7 +67,8 @@
         Ok(())
     }
 
-    /// An ejected engine gets one trial at a time, by queries that may be repeated.
+    /// An ejected engine gets one trial at a time, by idempotent queries only: deduplicated ones
+    /// have no part in it, other than where one class avoids an engine.
     fn may_try_ejected(&self, query: &Query, engine: &EngineRecord) -> bool {
         self.class_of(query).idempotency == Idempotency::Idempotent
             && engine.running.is_empty()
@@ -97,6 +98,7 @@
     }
 
     /// A bulk load locks its group of tables, which classes that wait for bulk loads use as well.
+    /// Loads whose group is not known keep off each other, as if it were one.
     fn bulk_load_blocks(&self, query: &Query, engine: &EngineRecord) -> bool {
         let class = self.class_of(query);
         if !class.is_bulk_load && !class.waits_for_bulk_loads {
@@ -106,8 +108,7 @@
             self.queries.get(*id).is_some_and(|other| {
                 let other_class = self.class_of(other);
                 other.request.table_group == query.request.table_group
-                    && ((other_class.is_bulk_load
-                        && (class.is_bulk_load || class.waits_for_bulk_loads))
+                    && (other_class.is_bulk_load
                         || (class.is_bulk_load && other_class.waits_for_bulk_loads))
             })
         };
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -85,7 +85,8 @@
         THREADS_PER_CORE * cores / self.gateways
     }
 
-    /// The most threads that a limit grows to at an engine.
+    /// The most threads that a limit grows to at an engine: the fair shares of all gateways, which
+    /// one may use while the others don't.
     fn max_thread_limit(cores: f64) -> f64 {
         THREADS_PER_CORE * cores
     }
@@ -123,8 +124,7 @@
             || (self.queries.attempts_out(query.class) == 0 && may_exceed)
     }
 
-    /// More or fewer gateways share the engines: the limits of this one follow, growth
-    /// included.
+    /// More or fewer gateways share the engines: the limits of this one follow, growth included.
     pub(crate) fn on_fleet_size(&mut self, gateways: u32) {
         let ratio = self.gateways / f64::from(gateways.max(1));
         self.gateways /= ratio;
@@ -147,7 +147,7 @@
         let (Some(utilisation), Some(record)) = (busiest, self.engines.get(&engine)) else {
             return;
         };
-        let base = self.fair_share_of(record.cores);
+        let fair_share = self.fair_share_of(record.cores);
         self.fleet
             .utilisation
             .record(utilisation.min(1.0), CLASS_GAIN);
@@ -159,7 +159,7 @@
         engine.headroom_at = self.now;
         // With fractional shares one engine says little of the fleet; there answers change the
         // limit.
-        if base < 1.0 {
+        if fair_share < 1.0 {
             return;
         }
         match limit_change_by_report(utilisation, engine) {
@@ -168,7 +168,7 @@
                 engine.thread_limit = limit.min(Self::max_thread_limit(engine.cores));
             }
             LimitChange::Shrink => {
-                engine.thread_limit = (engine.thread_limit / REPORT_FACTOR).max(base);
+                engine.thread_limit = (engine.thread_limit / REPORT_FACTOR).max(fair_share);
             }
             LimitChange::Keep => {}
         }
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -18,8 +18,9 @@
 const LITTLE_LATE_WEIGHT: f64 = 0.5;
 /// The fraction of late answers at which a class counts as late.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
-/// The expected run of a queued query counts as no more than its client's timeout over this.
-const MAX_RUN_DIVISOR: u64 = 2;
+/// The expected run of a queued query counts as no more than its client's timeout over this, so
+/// that no estimate, however long, has it given up before half of that time.
+const MAX_QUEUED_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
     /// How long ago the client first sent a request. A retry brings less time than a first
@@ -85,7 +86,7 @@
         let forgotten_at = first_run.map_or(Micros::MAX, |first| {
             first.sent_at + class.dedup_window.unwrap_or(0)
         });
-        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_QUEUED_RUN_DIVISOR;
         query
             .deadline
             .saturating_sub(run.min(max_run))
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -7,13 +7,12 @@
 //! - Reason: a grant that is too small makes a query spill, which is slow; one that is too
 //!   large makes others wait.
 
-use crate::interface::{Cost, NewQuery, QueryId};
+use crate::concurrency_limit::IN_USE_FRACTION;
+use crate::interface::{Cost, Micros, NewQuery, QueryId};
 use crate::speed::CLASS_GAIN;
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
-use crate::concurrency_limit::IN_USE_FRACTION;
-
 /// A grant is the expected need plus this many deviations.
 const GRANT_DEVIATIONS: f64 = 1.3;
 /// The grant as a multiple of the estimate, before any need or spill was seen.
@@ -25,6 +24,8 @@
 /// results.
 const TARGET_SPILL_FRACTION: f64 = 0.2;
 const GRANT_LOG_STEP: f64 = 0.3;
+/// The fraction of its need above which an attempt lacks so much that it starts again.
+const MUCH_MISSING_FRACTION: f64 = 0.2;
 /// The most megabytes that a query is taken to lack.
 const MAX_MISSING_MB: f64 = 1e9;
 /// A report that a query waits for memory cuts the quota to this fraction of it ...
@@ -97,7 +98,7 @@
         }
         let correction = &mut self.class_stats[query.class].log_grant_correction;
         *correction += GRANT_LOG_STEP * (1.0 - TARGET_SPILL_FRACTION);
-        let lacks_much = query.attempts == 1 && missing_mb > TARGET_SPILL_FRACTION * need;
+        let lacks_much = query.attempts == 1 && missing_mb > MUCH_MISSING_FRACTION * need;
         if lacks_much {
             query.memory_mb = need;
         }
@@ -107,7 +108,7 @@
 
 /// Cuts this gateway's quota of an engine where queries wait for memory, whoever granted too
 /// much. There is one cut until the engine's backoff ends.
-pub(crate) fn cut_memory_quota(engine: &mut EngineRecord, now: u64, gateways: f64) {
+pub(crate) fn cut_memory_quota(engine: &mut EngineRecord, now: Micros, gateways: f64) {
     if engine.backoff_until <= now {
         let least = QUOTA_CUT / gateways;
         engine.memory_quota = (engine.memory_quota * QUOTA_CUT).max(least);
@@ -115,7 +116,7 @@
 }
 
 /// Raises this gateway's quota of an engine after an answer, while the quota is in use.
-pub(crate) fn raise_memory_quota(engine: &mut EngineRecord, now: u64) {
+pub(crate) fn raise_memory_quota(engine: &mut EngineRecord, now: Micros) {
     let memory_mb = engine.memory_mb.unwrap_or(f64::MAX);
     let is_in_use = engine.granted_mb > IN_USE_FRACTION * engine.memory_quota * memory_mb;
     if is_in_use && engine.backoff_until <= now {
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -19,7 +19,8 @@
 const FAILURE_WEIGHT: f64 = 0.25;
 /// Weight of a refused connection; the engine is surely down.
 const CONNECTION_REFUSED_WEIGHT: f64 = 1.0;
-/// How much more an error weighs where this gateway meets an engine too seldom to count errors.
+/// How much more an error weighs where this gateway's share of the engine is less than a thread,
+/// so that it meets the engine too seldom to count errors: one is enough to eject.
 const FRACTIONAL_SHARE_ERROR_FACTOR: f64 = 2.0;
 /// The failure rate above which an engine is ejected, and below which it is trusted again.
 const EJECTION_RATE: f64 = 0.4;
@@ -34,9 +35,9 @@
 /// A class avoids the engines that fail it only while one engine in this many serves it.
 const MIN_SERVING_DIVISOR: usize = 3;
 
-/// Why an engine is to blame for how an attempt ended.
+/// Why a failure counts against an engine. Silent attempts count, too, by a weight of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum EjectionReason {
+pub(crate) enum FailureReason {
     /// It answered with an error that another engine did not.
     Error,
     /// It refused the connection.
@@ -63,17 +64,17 @@
         query: QueryId,
         engine: EngineId,
         outcome: Outcome,
-    ) -> Option<EjectionReason> {
+    ) -> Option<FailureReason> {
         match outcome {
             Outcome::Error => {
                 let engine = self.engines.get(&engine);
                 let was_on_trial = engine.is_some_and(|engine| engine.health.ejected);
                 let query = self.queries.get(query);
                 let no_other = query.is_some_and(|query| !self.is_safe_to_duplicate(query));
-                (was_on_trial || no_other).then_some(EjectionReason::Error)
+                (was_on_trial || no_other).then_some(FailureReason::Error)
             }
-            Outcome::ConnectionRefused => Some(EjectionReason::ConnectionRefused),
-            Outcome::ConnectionLost => Some(EjectionReason::ConnectionLost),
+            Outcome::ConnectionRefused => Some(FailureReason::ConnectionRefused),
+            Outcome::ConnectionLost => Some(FailureReason::ConnectionLost),
             Outcome::Completed
             | Outcome::Overloaded
             | Outcome::TimedOut
@@ -83,15 +84,15 @@
     }
 
     /// Counts a failure of an engine.
-    pub(crate) fn record_failure(&mut self, engine: EngineId, reason: EjectionReason) {
+    pub(crate) fn record_failure(&mut self, engine: EngineId, reason: FailureReason) {
         let weight = match reason {
-            EjectionReason::Error if self.meets_seldom(engine) => {
+            FailureReason::Error if self.has_fractional_share_of(engine) => {
                 FRACTIONAL_SHARE_ERROR_FACTOR * FAILURE_WEIGHT
             }
-            EjectionReason::ConnectionRefused => CONNECTION_REFUSED_WEIGHT,
-            EjectionReason::Error
-            | EjectionReason::ConnectionLost
-            | EjectionReason::HealthCheckFailed => FAILURE_WEIGHT,
+            FailureReason::ConnectionRefused => CONNECTION_REFUSED_WEIGHT,
+            FailureReason::Error
+            | FailureReason::ConnectionLost
+            | FailureReason::HealthCheckFailed => FAILURE_WEIGHT,
         };
         self.record_failure_of_weight(engine, weight);
     }
@@ -99,7 +100,7 @@
     /// Handles the result of a health check.
     pub(crate) fn on_health_check(&mut self, engine: EngineId, passed: bool) {
         if !passed {
-            self.record_failure(engine, EjectionReason::HealthCheckFailed);
+            self.record_failure(engine, FailureReason::HealthCheckFailed);
         }
     }
 
@@ -153,7 +154,7 @@
     }
 
     /// Whether this gateway's share of an engine is less than a thread.
-    fn meets_seldom(&self, engine: EngineId) -> bool {
+    fn has_fractional_share_of(&self, engine: EngineId) -> bool {
         let engine = self.engines.get(&engine);
         engine.is_some_and(|engine| self.has_fractional_share(engine.cores))
     }
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -10,12 +10,12 @@
 use crate::state::{Query, ThreadsByPriority};
 use crate::Gateway;
 
-/// How engines divide scarce cores and disks between threads of each priority.
-pub(crate) const PRIORITY_WEIGHTS: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
+/// How engines divide scarce cores and disks between threads, by the priority of their queries.
+pub(crate) const SHARES_BY_PRIORITY: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
 /// The priority of all queries where engines heed none.
 const UNIFORM_PRIORITY: u8 = 1;
 const HIGHEST_PRIORITY: u8 = 3;
-/// Weight of a query in the means of all that arrive.
+/// Weight of an arrival in the moving means over all queries.
 pub(crate) const ARRIVAL_GAIN: f64 = 0.02;
 
 impl Gateway {
@@ -37,10 +37,10 @@
     /// The threads that a query competes with. Those of lower priority count by what they leave
     /// it.
     pub(crate) fn competing_threads(&self, query: &Query, threads: &ThreadsByPriority) -> f64 {
-        let own = PRIORITY_WEIGHTS[usize::from(self.priority(query))];
+        let own = SHARES_BY_PRIORITY[usize::from(self.priority(query))];
         threads
             .iter()
-            .zip(PRIORITY_WEIGHTS)
+            .zip(SHARES_BY_PRIORITY)
             .map(|(count, weight)| count * (weight / own).min(1.0))
             .sum()
     }
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -12,8 +12,9 @@
 use crate::units::micros;
 use crate::Gateway;
 
-/// The expected run of a retry counts as no more than its client's timeout over this.
-const MAX_RUN_DIVISOR: u64 = 4;
+/// The expected run of a retry counts as no more than its client's timeout over this, so that no
+/// estimate, however long, rules out a retry before the last quarter of that time.
+const MAX_RETRY_RUN_DIVISOR: u64 = 4;
 
 /// What follows once an attempt of a query has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,8 +30,8 @@
 pub(crate) enum StopReason {
     /// A further run would not end before its deadline.
     DeadlineTooClose,
-    /// No engine would discard a duplicate.
-    NoEligibleEngine,
+    /// It may have run, and no engine would discard a duplicate, or no longer.
+    OutsideDedupGroup,
     /// A second engine answered with an error: the fault is the query's.
     FailedTwice,
     /// It has had all its attempts.
@@ -45,14 +46,14 @@
     /// Whether a query gets a further attempt; `failed_twice` says that two attempts ended in
     /// errors.
     pub(crate) fn retry_decision(&self, query: &Query, failed_twice: bool) -> RetryDecision {
-        let max_run = query.request.client_timeout / MAX_RUN_DIVISOR;
+        let max_run = query.request.client_timeout / MAX_RETRY_RUN_DIVISOR;
         let run = micros(self.expected_run(query)).min(max_run);
         if self.now + run >= query.deadline {
             return RetryDecision::Stop(StopReason::DeadlineTooClose);
         }
         let mut engines = self.engines.values();
         if !engines.any(|engine| self.discards_duplicates_of(query, &engine.listed)) {
-            return RetryDecision::Stop(StopReason::NoEligibleEngine);
+            return RetryDecision::Stop(StopReason::OutsideDedupGroup);
         }
         if failed_twice {
             return RetryDecision::Stop(StopReason::FailedTwice);
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -8,7 +8,7 @@
 //!   present load.
 
 use crate::interface::{EngineId, NewQuery};
-use crate::priority::PRIORITY_WEIGHTS;
+use crate::priority::SHARES_BY_PRIORITY;
 use crate::state::Query;
 use crate::units::seconds;
 use crate::Gateway;
@@ -89,7 +89,7 @@
         gain: f64,
     ) {
         let weight = if self.settings.priorities {
-            PRIORITY_WEIGHTS[usize::from(priority)] / PRIORITY_WEIGHTS[3]
+            SHARES_BY_PRIORITY[usize::from(priority)] / SHARES_BY_PRIORITY[3]
         } else {
             1.0
         };
