--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -46,7 +46,7 @@
     PredictedWaitTooLong,
 }
 
-/// What the threshold is made from, in seconds.
+/// What the threshold is made from; times in seconds.
 #[derive(Debug, Clone, Copy)]
 struct ThresholdInputs {
     /// The deadline of the class, or the client's time if that is less.
--- a/policy/src/attempt/silence.rs
+++ b/policy/src/attempt/silence.rs
@@ -15,8 +15,8 @@
 /// Control periods without activity after which an attempt is silent, where progress is
 /// reported.
 const SILENT_PERIODS: f64 = 1.7;
-/// Usual runs without an answer after which an attempt is silent, where no progress is reported:
-/// the bounds of the time after which a new attempt could just meet the objective.
+/// Without progress reports an attempt is silent once a new one could only just meet the objective,
+/// but after no fewer and no more than so many usual runs.
 const MIN_SILENT_RUNS: f64 = 3.0;
 const MAX_SILENT_RUNS: f64 = 6.0;
 
--- a/policy/src/final_answer.rs
+++ b/policy/src/final_answer.rs
@@ -23,8 +23,8 @@
 }
 
 impl Gateway {
-    /// Gives the final answer to a query, at once, and cancels its attempt where that does no
-    /// harm. This is the only place where a final answer is given.
+    /// Rejects or fails a query, at once, and cancels its attempt where that does no harm. This is
+    /// the only place where a final answer other than a result is given.
     pub(crate) fn answer_finally(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.queries.leave_queue(id);
         let is_open = |query: &&mut Query| !query.is_finished && !query.is_streaming;
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -62,6 +62,8 @@
     /// Handles what happened at `now`, in order, and appends what is to be done about it.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
+        // Admission reads the totals as events are handled; dispatch reads what the events have
+        // made of them.
         self.update_fleet_totals();
         for event in events {
             self.on_event(event, actions);
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Counts the listed engines, and those of them that get no queries.
+    /// Counts the listed engines, and those of them that are avoided though not draining.
     #[must_use]
     pub fn engine_counts(&self) -> EngineCounts {
         let listed = || {
--- a/policy/src/interface/engine.rs
+++ b/policy/src/interface/engine.rs
@@ -53,8 +53,8 @@
     pub cpu_utilisation: Option<f64>,
     /// The busy fraction of its disks, 0 to 1.
     pub disk_utilisation: Option<f64>,
-    /// The granted fraction of its memory, 0 to 1.
+    /// The granted fraction of its memory, 0 to 1. No rule uses it.
     pub memory_utilisation: Option<f64>,
-    /// How many queries wait there for memory.
+    /// How many queries wait there for memory. No rule uses it.
     pub memory_queue_length: Option<f64>,
 }
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -90,21 +90,21 @@
     pub classes: Vec<Class>,
     /// The kinds of engine, by number.
     pub engine_kinds: Vec<EngineKind>,
-    /// The quota of each tenant in queries a second, over all gateways.
+    /// The quota of each tenant in queries a second, over all gateways. No rule uses it.
     pub tenant_quota_per_s: Vec<Option<f64>>,
-    /// The weight of a query beyond its tenant's quota, relative to one within it.
+    /// The weight of a query beyond its tenant's quota, relative to one within it. No rule uses it.
     pub over_quota_weight: Option<f64>,
     /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// Engines can be health-checked.
+    /// Engines can be health-checked. No rule uses it: the embedding checks of its own accord.
     pub can_health_check: bool,
-    /// Load reports come with health checks only.
+    /// Load reports come with health checks only. No rule uses it.
     pub reports_by_health_check: bool,
     /// Load reports hold the utilisation.
     pub reports_utilisation: bool,
     /// The most attempts for one query, the first included.
     pub max_attempts: Option<u32>,
-    /// A query may have two attempts out at a time.
+    /// A query may have two attempts out at a time. No rule uses it: a query never has.
     pub hedged_requests: bool,
     /// The longest retry-after that clients honour; `None` where they get none.
     pub max_retry_after: Option<Micros>,
--- a/policy/src/state/engine_record.rs
+++ b/policy/src/state/engine_record.rs
@@ -25,10 +25,13 @@
     pub work: f64,
 }
 
-/// A draw that decides whether this gateway may send a query to an engine that is warming up.
+/// A draw that decides whether this gateway may send a query to an engine that is warming up; the
+/// lower, the sooner.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStartDraw {
+    /// From 0 to 1; the first one is larger by the factor by which first sends are rarer.
     pub value: f64,
+    /// When the next is drawn; 0 before the first.
     pub until: Micros,
 }
 
@@ -70,7 +73,8 @@
     pub health: Health,
     /// The same for the queries of one class, by the index of the class.
     pub class_health: BTreeMap<usize, Health>,
-    /// It said that it is full; nothing is sent before this time.
+    /// It said that it is full, or that queries wait there for memory; nothing is sent before this
+    /// time.
     pub backoff_until: Micros,
     /// Sends while it was warming up, in order.
     pub warm_up_sends: VecDeque<WarmUpSend>,
--- a/policy/src/state/fleet_stats.rs
+++ b/policy/src/state/fleet_stats.rs
@@ -38,7 +38,7 @@
     pub thread_capacity: f64,
     /// The same without engines that are backing off.
     pub open_thread_capacity: f64,
-    /// Growth of this gateway's thread limits, as a fraction of their base, where the base is
+    /// Growth of this gateway's thread limits, as a fraction of its fair shares, where these are
     /// less than one thread an engine.
     pub limit_growth: f64,
 }
--- a/policy/src/timers.rs
+++ b/policy/src/timers.rs
@@ -10,7 +10,7 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// Time between two attempts to send queued queries, in control periods.
+/// Time between two tries to send queued queries, in control periods.
 pub(crate) const QUEUE_POLL_PERIODS: f64 = 0.05;
 /// The objective that is assumed where no class has one.
 const DEFAULT_OBJECTIVE_US: Micros = 1_000_000;
