--- a/cluster/raft-storage/src/error.rs
+++ b/cluster/raft-storage/src/error.rs
@@ -21,7 +21,7 @@
     NotOwned(#[from] OwnershipError),
 }
 
-/// What is damaged.
+/// What is damaged, or can't be put on disk in the first place.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
     /// A file, or the folder itself, can't be read or repaired.
--- a/cluster/raft-storage/src/identity.rs
+++ b/cluster/raft-storage/src/identity.rs
@@ -5,8 +5,10 @@
 /// The file with the identity.
 pub(crate) const IDENTITY_FILE: &str = "member";
 
-/// The owner of a folder. Without its disk a replica has no record of its votes, and has
-/// to join again under another id.
+/// The owner of a folder. Without its disk a replica has no record of its votes, and has to join
+/// again under another id.
+///
+/// It is stored by postcard: the order of the fields is the format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The name of the cluster.
--- a/cluster/raft-storage/src/segment.rs
+++ b/cluster/raft-storage/src/segment.rs
@@ -12,7 +12,8 @@
 /// Segments are named by this and their number.
 pub(crate) const SEGMENT_PREFIX: &str = "log-";
 
-/// The content of a record of the log.
+/// The content of a record of the log. It is stored by postcard: the order of the fields is the
+/// format.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct LogRecord {
     pub(crate) hard_state: Option<HardState>,
--- a/cluster/raft-storage/src/snapshot.rs
+++ b/cluster/raft-storage/src/snapshot.rs
@@ -11,7 +11,8 @@
 /// Files that are being written end with this.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
 
-/// The content of a snapshot's file.
+/// The content of a snapshot's file. It is stored by postcard: the order of the fields is the
+/// format.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredSnapshot {
     pub(crate) metadata: SnapshotMetadata,
--- a/cluster/raft/src/election.rs
+++ b/cluster/raft/src/election.rs
@@ -119,7 +119,7 @@
         }
         let is_current = term == self.hard_state.term + 1;
         if let RoleState::PreCandidate { votes } = &mut self.role {
-            if is_current && elects(votes, from, &self.membership.membership) {
+            if is_current && add_vote(votes, from, &self.membership.membership) {
                 self.campaign(CampaignReason::Timeout);
             }
         }
@@ -159,7 +159,7 @@
         }
         let is_current = term == self.hard_state.term;
         if let RoleState::Candidate { votes } = &mut self.role {
-            if is_current && elects(votes, from, &self.membership.membership) {
+            if is_current && add_vote(votes, from, &self.membership.membership) {
                 self.become_leader();
             }
         }
@@ -231,8 +231,8 @@
     }
 }
 
-/// Adds a vote; whether the votes are a majority now.
-fn elects(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
+/// Adds a vote; returns whether the votes are a majority now.
+fn add_vote(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
     votes.insert(from);
     membership.is_quorum(|id| votes.contains(&id))
 }
--- a/cluster/raft/src/heartbeat.rs
+++ b/cluster/raft/src/heartbeat.rs
@@ -45,10 +45,10 @@
         };
         leader.round += 1;
         leader.has_unsent = false;
-        let patience = TIMEOUT_IN_HEARTBEATS * self.config.heartbeat_interval;
-        let deadline = self.now.saturating_sub(patience);
+        let timeout = TIMEOUT_IN_HEARTBEATS * self.config.heartbeat_interval;
+        let oldest = self.now.saturating_sub(timeout);
         for progress in leader.progress.values_mut() {
-            progress.restart_if_timed_out(deadline);
+            progress.restart_if_timed_out(oldest);
         }
         for peer in self.peers() {
             if !self.send_entries(peer) {
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -78,7 +78,8 @@
 
 /// A moment or a span in microseconds, on one clock that never goes backwards.
 pub type Micros = u64;
-/// The id of a replica. Ids are assigned by the cluster and never reused.
+/// The id of a node, which is a replica's part in Raft and goes by the replica's id. Ids are
+/// assigned by the cluster and never reused.
 pub type NodeId = u64;
 /// The number of a term.
 pub type Term = u64;
--- a/cluster/raft/src/progress.rs
+++ b/cluster/raft/src/progress.rs
@@ -61,9 +61,9 @@
     }
 
     /// Probes again from where the logs are known to match if messages that were sent before
-    /// `deadline` are unanswered: they, or the answers to them, were dropped.
-    pub(crate) fn restart_if_timed_out(&mut self, deadline: Micros) {
-        if !self.in_flight.is_empty() && self.unacknowledged_since < deadline {
+    /// `oldest` are unanswered: they, or the answers to them, were dropped.
+    pub(crate) fn restart_if_timed_out(&mut self, oldest: Micros) {
+        if !self.in_flight.is_empty() && self.unacknowledged_since < oldest {
             self.probe_from(self.match_index + 1);
         }
     }
--- a/cluster/raft/src/proposal.rs
+++ b/cluster/raft/src/proposal.rs
@@ -26,7 +26,8 @@
     /// The last voter can't be removed.
     #[error("the last voter can't be removed")]
     LastVoter,
-    /// Too many uncommitted bytes, or leadership is being transferred.
+    /// Too many uncommitted bytes, or leadership is being transferred. A replica also says so of
+    /// too many calls that wait.
     #[error("too much is uncommitted, or leadership is being transferred; retry later")]
     Busy,
 }
--- a/cluster/replica/src/snapshots.rs
+++ b/cluster/replica/src/snapshots.rs
@@ -95,8 +95,8 @@
         self.raft.snapshot_chunk_loaded(to, chunk);
     }
 
-    /// Takes in a chunk of the leader's snapshot. What is no valid state, or is too long,
-    /// is requested again from its beginning.
+    /// Takes in a chunk of the leader's snapshot. What is no valid state, or is too long, is
+    /// requested again from its beginning.
     pub(crate) fn store_snapshot_chunk(&mut self, from: NodeId, chunk: SnapshotChunk) {
         let received = &mut self.snapshots.received;
         received.truncate(clamped(chunk.offset));
