--- a/fleet/membership/src/membership.rs
+++ b/fleet/membership/src/membership.rs
@@ -1,6 +1,6 @@
 //! One gateway's view of the fleet: its state and what can be read of it.
 //!
-//! The modules above change it, each for one concern: [`crate::merging`], [`crate::dissemination`],
+//! These modules change it, each for one concern: [`crate::merging`], [`crate::dissemination`],
 //! [`crate::failure_detector`], [`crate::anti_entropy`] and [`crate::reconnect`];
 //! [`crate::message_handler`] and [`crate::ticker`] are the entries.
 
@@ -105,7 +105,7 @@
     pub(crate) health: LocalHealth,
     pub(crate) peers: PeerTable,
     pub(crate) rings: ObserverRings,
-    /// The members that this one observes, as long as the rings don't change.
+    /// The members that this one observes; `None` since the rings last changed.
     pub(crate) subjects: Option<BTreeSet<MemberName>>,
     pub(crate) probes: ProbeTable,
     pub(crate) gossip: GossipQueue,
