--- a/tools/acceptance/src/bin/prove-daemon/clients.rs
+++ b/tools/acceptance/src/bin/prove-daemon/clients.rs
@@ -5,7 +5,7 @@
 
 use rand_chacha::rand_core::RngCore;
 use serde_json::json;
-use violetgate_acceptance::daemon::Instance;
+use violetgate_acceptance::cluster::Instance;
 
 use crate::scenario::{increment, lock, random_pause, Random, Scenario, STALENESS_LIMIT};
 
@@ -59,8 +59,8 @@
     let tally = &scenario.tally;
     let begun = Instant::now();
     loop {
-        let instance = scenario.cluster.any(rng.next_u64());
-        let (mark, sent) = (instance.mark(), Instant::now());
+        let instance = scenario.cluster.pick(rng.next_u64());
+        let (epoch, sent) = (instance.disruption_epoch(), Instant::now());
         let outcome = attempt(scenario, instance, client, query, key, rng);
         let took = u64::try_from(sent.elapsed().as_millis()).unwrap_or(u64::MAX);
         match outcome {
@@ -72,7 +72,7 @@
             }
             AttemptOutcome::Refused => increment(&tally.refused),
             AttemptOutcome::Failed => increment(&tally.failed),
-            AttemptOutcome::Broken if instance.mark() != mark || mark % 2 == 1 => {
+            AttemptOutcome::Broken if instance.disruption_epoch() != epoch || epoch % 2 == 1 => {
                 increment(&tally.excused);
             }
             AttemptOutcome::Broken => {
@@ -145,7 +145,7 @@
         "/* method={class},rid={rid:016x},budget=10000,est=1.0,est_mb=1{fields} */ SELECT day FROM sales_17.plan /* {hints} */"
     );
     // A connection that can't be had is no request.
-    let Ok(mut pg) = instance.pg(ANSWER_TIMEOUT) else {
+    let Ok(mut pg) = instance.connect_postgres(ANSWER_TIMEOUT) else {
         return AttemptOutcome::Refused;
     };
     match pg.send(&sql).and_then(|()| pg.read()) {
@@ -163,15 +163,15 @@
     key: Option<(&str, u64)>,
 ) -> AttemptOutcome {
     let statement = format!("SELECT day FROM sales_17.plan /* {hints} */");
-    let mut ask = json!({"class": class, "budget_ms": 10_000, "estimate_ms": 1.0, "estimate_mb": 1, "statement": statement});
+    let mut body = json!({"class": class, "budget_ms": 10_000, "estimate_ms": 1.0, "estimate_mb": 1, "statement": statement});
     if let Some((_, order)) = key {
-        ask["order_key"] = format!("{order:016x}").into();
+        body["order_key"] = format!("{order:016x}").into();
     }
-    let Ok(mut http) = instance.http(ANSWER_TIMEOUT) else {
+    let Ok(mut http) = instance.connect_http(ANSWER_TIMEOUT) else {
         return AttemptOutcome::Refused;
     };
     match http
-        .send_query(&ask, key.map(|k| k.0))
+        .send_query(&body, key.map(|k| k.0))
         .and_then(|()| http.read())
     {
         Ok(reply) if reply.status == 200 => AttemptOutcome::Served(reply.rows()),
--- a/tools/acceptance/src/bin/prove-daemon/cost.rs
+++ b/tools/acceptance/src/bin/prove-daemon/cost.rs
@@ -1,72 +1,85 @@
 //! Latency of commits, time to a new leader, and time to catch up after an absence.
 
-use std::io::Result;
+use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 use serde_json::Value;
-use violetgate_acceptance::daemon::{Cluster, Instance};
-use violetgate_acceptance::Verdict;
+use violetgate_acceptance::cluster::{Cluster, Instance};
+use violetgate_acceptance::load::latency_histogram;
+use violetgate_acceptance::{AcceptanceError, Result, Verdict};
+use violetgate_fake_upstreams::client::HttpClient;
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::Arguments;
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, 60_000_000, 3).unwrap_or_else(|_| unreachable!())
+/// How long one change may take.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// How long a restarted member may take to reach the state of the others.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
+
+fn quantiles_ms(latency: &Histogram<u64>) -> [f64; 2] {
+    [0.5, 0.99].map(|quantile| latency.value_at_quantile(quantile) as f64 / 1e3)
 }
 
-fn quantiles(h: &Histogram<u64>) -> [f64; 2] {
-    [0.5, 0.99].map(|q| h.value_at_quantile(q) as f64 / 1e3)
+fn record(latency: &mut Histogram<u64>, took: Duration) {
+    let took_us = u64::try_from(took.as_micros()).unwrap_or(u64::MAX);
+    latency.saturating_record(took_us.max(1));
 }
 
-fn record(h: &mut Histogram<u64>, took: Duration) {
-    h.saturating_record(u64::try_from(took.as_micros()).unwrap_or(u64::MAX).max(1));
+/// Changes that clients made at the leader.
+struct Puts {
+    /// Microseconds of each.
+    latency: Histogram<u64>,
+    per_second: f64,
 }
 
-/// Puts at the leader, by so many clients at once for a while: how long each took, and how many a second.
-fn puts(cluster: &Cluster, clients: u64, span: Duration) -> (Histogram<u64>, f64) {
+/// Has so many clients change state at the leader for a while, each one change after another.
+fn put_at_leader(cluster: &Cluster, clients: u64, span: Duration) -> Puts {
+    let mut latency = latency_histogram();
     let Some(leader) = cluster.leader() else {
-        return (histogram(), 0.0);
+        return Puts {
+            latency,
+            per_second: 0.0,
+        };
     };
+    let deadline = Instant::now() + span;
     let begun = Instant::now();
-    let all = std::thread::scope(|scope| {
+    std::thread::scope(|scope| {
         let threads: Vec<_> = (0..clients)
-            .map(|client| {
-                scope.spawn(move || {
-                    let mut took = histogram();
-                    let connected = std::net::TcpStream::connect(&leader.api).and_then(|s| {
-                        violetgate_fake_upstreams::client::HttpClient::new(
-                            s,
-                            Duration::from_secs(5),
-                        )
-                    });
-                    let Ok(mut http) = connected else { return took };
-                    while begun.elapsed() < span {
-                        let at = Instant::now();
-                        let path = format!("/v1/state?key=load/{client}");
-                        let reply = http
-                            .send("PUT", &path, &[], b"0123456789abcdef")
-                            .and_then(|()| http.read());
-                        match reply {
-                            Ok(r) if r.status == 200 => record(&mut took, at.elapsed()),
-                            _ => break,
-                        }
-                    }
-                    took
-                })
-            })
+            .map(|client| scope.spawn(move || put_until(leader, client, deadline)))
             .collect();
-        threads
-            .into_iter()
-            .filter_map(|t| t.join().ok())
-            .collect::<Vec<_>>()
+        for each in threads.into_iter().filter_map(|thread| thread.join().ok()) {
+            let _ = latency.add(each);
+        }
     });
-    let mut sum = histogram();
-    for h in &all {
-        let _ = sum.add(h);
+    let per_second = latency.len() as f64 / begun.elapsed().as_secs_f64();
+    Puts {
+        latency,
+        per_second,
+    }
+}
+
+/// One client's changes until a time, or until one fails: their latency.
+fn put_until(leader: &Instance, client: u64, deadline: Instant) -> Histogram<u64> {
+    let mut latency = latency_histogram();
+    let connected = TcpStream::connect(leader.api_addr)
+        .and_then(|stream| HttpClient::new(stream, CALL_TIMEOUT));
+    let Ok(mut http) = connected else {
+        return latency;
+    };
+    let path = format!("/v1/state?key=load/{client}");
+    while Instant::now() < deadline {
+        let sent_at = Instant::now();
+        let reply = http
+            .send("PUT", &path, &[], b"0123456789abcdef")
+            .and_then(|()| http.read());
+        if !reply.is_ok_and(|reply| reply.status == 200) {
+            break;
+        }
+        record(&mut latency, sent_at.elapsed());
     }
-    let rate = sum.len() as f64 / begun.elapsed().as_secs_f64();
-    (sum, rate)
+    latency
 }
 
 /// Commits a second and their latency, by one client and by 48.
@@ -80,8 +93,9 @@
     )?;
     let mut rates = Vec::new();
     for clients in [1, 48] {
-        let (took, rate) = puts(&cluster, clients, Duration::from_secs(4));
-        let [p50, p99] = quantiles(&took);
+        let puts = put_at_leader(&cluster, clients, Duration::from_secs(4));
+        let [p50, p99] = quantiles_ms(&puts.latency);
+        let rate = puts.per_second;
         println!("{clients:>3} clients change state over HTTP: {rate:>7.0} changes a second, p50 {p50:.2} ms, p99 {p99:.2} ms");
         rates.push((rate, p50, p99));
     }
@@ -92,7 +106,10 @@
         verdict.figure("commits_a_second_batched", format!("{many:.0}"));
         verdict.at_most("alone_to_batched", one / many, 1.0);
     }
-    let disk: Vec<_> = cluster.instances.iter().map(Instance::disk).collect();
+    let disk_usages = cluster.instances.iter().map(Instance::disk_usage);
+    let disk: Vec<_> = disk_usages
+        .map(|usage| (usage.total_bytes, usage.snapshot_bytes))
+        .collect();
     println!("bytes on disk, and of them snapshots, by member: {disk:?}");
     Ok(())
 }
@@ -101,10 +118,10 @@
 pub fn failover(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(2, Profile::default())?;
     let cluster = Cluster::start(&arguments.program, &fleet, 3, "")?;
-    let mut took = histogram();
+    let mut took = latency_histogram();
     for n in 0..arguments.failovers {
-        if !cluster.settle(Duration::from_secs(10)) {
-            return Err(std::io::Error::other("the cluster does not settle"));
+        if !cluster.wait_until_ready(Duration::from_secs(10)) {
+            return Err(AcceptanceError::ClusterNotReady);
         }
         let Some(leader) = cluster.leader() else {
             continue;
@@ -130,7 +147,7 @@
         record(&mut took, begun.elapsed());
         leader.restart()?;
     }
-    let [p50, p99] = quantiles(&took);
+    let [p50, p99] = quantiles_ms(&took);
     println!(
         "{} leaders killed: the next change is agreed on after p50 {p50:.0} ms, p99 {p99:.0} ms",
         took.len()
@@ -155,7 +172,7 @@
             continue;
         };
         away.kill();
-        let (took, _) = puts(&cluster, 48, Duration::from_secs(5));
+        let missed = put_at_leader(&cluster, 48, Duration::from_secs(5));
         let wanted = cluster.leader().map_or(0, |l| {
             l.status()
                 .map_or(0, |s| s["revision"].as_u64().unwrap_or(0))
@@ -164,15 +181,17 @@
         away.restart()?;
         let current = |s: &Value| s["routes"] == true && s["revision"].as_u64() >= Some(wanted);
         while !away.status().is_ok_and(|s| current(&s)) {
-            if begun.elapsed() > Duration::from_secs(60) {
-                return Err(std::io::Error::other("it never catches up"));
+            if begun.elapsed() > CATCH_UP_TIMEOUT {
+                return Err(AcceptanceError::NoCatchUp {
+                    within: CATCH_UP_TIMEOUT,
+                });
             }
             std::thread::sleep(Duration::from_millis(2));
         }
         let ms = begun.elapsed().as_secs_f64() * 1e3;
         println!(
             "one that missed {} changes routes again {ms:.0} ms after its start, by {how}",
-            took.len()
+            missed.latency.len()
         );
         verdict.at_most(&format!("catch_up_by_{how}_ms"), ms, 10_000.0);
     }
--- a/tools/acceptance/src/bin/prove-daemon/faults.rs
+++ b/tools/acceptance/src/bin/prove-daemon/faults.rs
@@ -4,78 +4,94 @@
 use std::time::{Duration, Instant};
 
 use rand_chacha::rand_core::RngCore;
-use violetgate_acceptance::daemon::Instance;
+use violetgate_acceptance::cluster::Instance;
+use violetgate_acceptance::network::LinkState;
 
 use crate::scenario::{lock, random_pause, Random, Scenario};
 
-/// Kills, stops, cuts off and restarts, one thing after another.
+/// Injects faults, one after another, until the span is over; how often each kind was injected.
 pub fn inject_faults(
     scenario: &Scenario<'_>,
     span: Duration,
     mut rng: Random,
 ) -> BTreeMap<&'static str, u64> {
-    let mut made = BTreeMap::new();
-    let cluster = scenario.cluster;
+    let mut counts = BTreeMap::new();
     while scenario.begun.elapsed() < span {
         std::thread::sleep(random_pause(&mut rng, 300, 1_500));
-        let one = cluster.any(rng.next_u64());
-        let what = match rng.next_u64() % 8 {
-            0 | 1 => {
-                one.kill();
-                std::thread::sleep(random_pause(&mut rng, 50, 2_000));
-                let _ = one.restart();
-                "killed"
-            }
-            2 => {
-                // Whoever leads, and surely so.
-                let leader = cluster.leader().unwrap_or(one);
-                leader.kill();
-                std::thread::sleep(random_pause(&mut rng, 50, 3_000));
-                let _ = leader.restart();
-                "leader killed"
-            }
-            3 => {
-                let leader = cluster.leader().unwrap_or(one);
-                leader.pause(true);
-                std::thread::sleep(random_pause(&mut rng, 200, 4_500));
-                leader.pause(false);
-                "leader stopped"
-            }
-            4 => {
-                one.pause(true);
-                std::thread::sleep(random_pause(&mut rng, 200, 4_500));
-                one.pause(false);
-                "stopped"
-            }
-            5 => {
-                let one = if rng.next_u64() % 2 == 0 {
-                    cluster.leader().unwrap_or(one)
-                } else {
-                    one
-                };
-                cluster.mesh.isolate(one.id, true);
-                lock(&scenario.isolated).insert(one.id, Instant::now());
-                std::thread::sleep(random_pause(&mut rng, 2_500, 6_000));
-                lock(&scenario.isolated).remove(&one.id);
-                cluster.mesh.isolate(one.id, false);
-                "cut off"
-            }
-            6 => {
-                // One direction alone.
-                let to = cluster.any(one.id).id;
-                cluster.mesh.cut(one.id, to, true);
-                std::thread::sleep(random_pause(&mut rng, 500, 4_000));
-                cluster.mesh.cut(one.id, to, false);
-                "cut one way"
-            }
-            _ => {
-                cluster.instances.iter().for_each(Instance::kill);
-                std::thread::sleep(random_pause(&mut rng, 0, 500));
-                cluster.instances.iter().for_each(|i| drop(i.restart()));
-                "all killed"
-            }
-        };
-        *made.entry(what).or_default() += 1;
+        let name = inject_one(scenario, &mut rng);
+        *counts.entry(name).or_default() += 1;
     }
-    made
+    counts
+}
+
+/// Injects one fault and ends it; its name as the output has it.
+fn inject_one(scenario: &Scenario<'_>, rng: &mut Random) -> &'static str {
+    let cluster = scenario.cluster;
+    let instance = cluster.pick(rng.next_u64());
+    match rng.next_u64() % 8 {
+        0 | 1 => {
+            kill(instance, 50, 2_000, rng);
+            "killed"
+        }
+        2 => {
+            kill(cluster.leader().unwrap_or(instance), 50, 3_000, rng);
+            "leader killed"
+        }
+        3 => {
+            pause(cluster.leader().unwrap_or(instance), rng);
+            "leader stopped"
+        }
+        4 => {
+            pause(instance, rng);
+            "stopped"
+        }
+        5 => {
+            let isolates_leader = rng.next_u64() % 2 == 0;
+            let leader = isolates_leader.then(|| cluster.leader()).flatten();
+            isolate(scenario, leader.unwrap_or(instance), rng);
+            "cut off"
+        }
+        6 => {
+            cut_one_way(scenario, instance, rng);
+            "cut one way"
+        }
+        _ => {
+            cluster.instances.iter().for_each(Instance::kill);
+            std::thread::sleep(random_pause(rng, 0, 500));
+            cluster.instances.iter().for_each(|i| drop(i.restart()));
+            "all killed"
+        }
+    }
+}
+
+/// Kills an instance and restarts it after a time between `least` and `most` milliseconds.
+fn kill(instance: &Instance, least: u64, most: u64, rng: &mut Random) {
+    instance.kill();
+    std::thread::sleep(random_pause(rng, least, most));
+    let _ = instance.restart();
+}
+
+fn pause(instance: &Instance, rng: &mut Random) {
+    instance.pause();
+    std::thread::sleep(random_pause(rng, 200, 4_500));
+    instance.resume();
+}
+
+/// Cuts an instance off from all others in both directions.
+fn isolate(scenario: &Scenario<'_>, instance: &Instance, rng: &mut Random) {
+    let network = &scenario.cluster.network;
+    network.set_links_of(instance.id, LinkState::Cut);
+    lock(&scenario.isolated).insert(instance.id, Instant::now());
+    std::thread::sleep(random_pause(rng, 2_500, 6_000));
+    lock(&scenario.isolated).remove(&instance.id);
+    network.set_links_of(instance.id, LinkState::Up);
+}
+
+/// Cuts the link from an instance to the next one, in this direction alone.
+fn cut_one_way(scenario: &Scenario<'_>, instance: &Instance, rng: &mut Random) {
+    let network = &scenario.cluster.network;
+    let to = scenario.cluster.pick(instance.id).id;
+    network.set_link(instance.id, to, LinkState::Cut);
+    std::thread::sleep(random_pause(rng, 500, 4_000));
+    network.set_link(instance.id, to, LinkState::Up);
 }
--- a/tools/acceptance/src/bin/prove-daemon/main.rs
+++ b/tools/acceptance/src/bin/prove-daemon/main.rs
@@ -8,12 +8,11 @@
 mod safety;
 mod scenario;
 
-use std::io::Result;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Parser;
-use violetgate_acceptance::{ended, inside, Verdict};
+use violetgate_acceptance::{exit_code, in_process, Result, Verdict};
 
 /// Proves the replicated daemon.
 #[derive(Parser)]
@@ -39,7 +38,7 @@
 }
 
 fn main() -> ExitCode {
-    ended("prove-daemon", run(&Arguments::parse()))
+    exit_code("prove-daemon", run(&Arguments::parse()))
 }
 
 fn run(arguments: &Arguments) -> Result<bool> {
@@ -52,9 +51,9 @@
         cost::commits(arguments, &mut verdict)?;
         cost::failover(arguments, &mut verdict)?;
         cost::catch_up(arguments, &mut verdict)?;
-        inside::gate(&mut verdict)?;
-        inside::recovery(arguments.entries, &mut verdict)?;
+        in_process::measure_staleness_guard(&mut verdict)?;
+        in_process::measure_recovery(arguments.entries, &mut verdict)?;
     }
     safety::check(arguments, &mut verdict)?;
-    Ok(verdict.tell("daemon"))
+    Ok(verdict.print("daemon"))
 }
--- a/tools/acceptance/src/bin/prove-daemon/operators.rs
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -112,7 +112,7 @@
     rng: &mut Random,
 ) -> Option<Instant> {
     while began.elapsed() < Duration::from_secs(3) {
-        let instance = scenario.cluster.any(rng.next_u64());
+        let instance = scenario.cluster.pick(rng.next_u64());
         let reply = instance.call(
             call.method,
             &call.path,
@@ -134,7 +134,7 @@
     let agreed = |method: &str, engine: &str, rng: &mut Random| {
         let id = format!("c-{:016x}", rng.next_u64());
         while !scenario.over.load(SeqCst) {
-            let instance = scenario.cluster.any(rng.next_u64());
+            let instance = scenario.cluster.pick(rng.next_u64());
             let path = format!("/v1/cordons?engine={engine}&within_ms=1500");
             let reply = instance.call(method, &path, Some(&id), b"", Duration::from_secs(2));
             if reply.is_ok_and(|r| r.status == 200) {
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -2,13 +2,12 @@
 //! histories that are not linearizable.
 
 use std::collections::BTreeMap;
-use std::io::Result;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-use violetgate_acceptance::daemon::Cluster;
-use violetgate_acceptance::Verdict;
+use violetgate_acceptance::cluster::{Cluster, Instance};
+use violetgate_acceptance::{Result, Verdict};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 use violetgate_linearizability::{first_operations_on, is_linearizable};
 
@@ -49,7 +48,7 @@
         rid: AtomicU64::new(1),
     };
     let faults = play(&scenario, arguments);
-    let settled = cluster.settle(Duration::from_secs(10));
+    let settled = cluster.wait_until_ready(Duration::from_secs(10));
     let history = lock(&scenario.history);
     let keys = history.iter().map(|call| call.key).max().unwrap_or(0);
     let findings = Findings {
@@ -125,10 +124,7 @@
     let counts = scenario.fleet.counts();
     let instances = &scenario.cluster.instances;
     let effects = counts.effects.values().copied().max().unwrap_or(0);
-    let crashed: u64 = instances
-        .iter()
-        .map(|instance| count(&instance.crashed))
-        .sum();
+    let crashed: u64 = instances.iter().map(Instance::crash_count).sum();
     verdict.figure("seconds", arguments.seconds);
     verdict.figure("served", count(&tally.served));
     verdict.figure("troubles", findings.faults.values().sum::<u64>());
--- a/tools/acceptance/src/bin/prove-daemon/scenario.rs
+++ b/tools/acceptance/src/bin/prove-daemon/scenario.rs
@@ -7,7 +7,7 @@
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use violetgate_acceptance::daemon::Cluster;
+use violetgate_acceptance::cluster::Cluster;
 use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_linearizability::Operation;
 
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -2,11 +2,10 @@
 //! twice.
 
 use std::collections::HashMap;
-use std::io::Result;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use violetgate_acceptance::{Program, Verdict};
+use violetgate_acceptance::{Gateway, Result, Verdict};
 use violetgate_fake_upstreams::{Counts, FakeUpstreams, Profile};
 
 use crate::requests::{query_body, query_text};
@@ -24,19 +23,19 @@
         ..Profile::default()
     };
     let fleet = FakeUpstreams::start(5, profile)?;
-    let mut program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let mut gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let tally = Tally::default();
     let begun = Instant::now();
-    let deploys = play(&program, &fleet, &tally, arguments.requests);
+    let deploys = play(&gateway, &fleet, &tally, arguments.requests);
     let counts = fleet.counts();
     describe(&tally, &counts, deploys, begun.elapsed());
     judge(&tally, &counts, verdict, arguments.requests, deploys);
-    verdict.exactly("crashed", u64::from(!program.runs()), 0);
+    verdict.exactly("crashed", u64::from(!gateway.is_running()), 0);
     Ok(())
 }
 
 /// All clients and the deployer until all requests are made; how many engines were replaced.
-fn play(program: &Program, fleet: &FakeUpstreams, tally: &Tally, requests: u64) -> u64 {
+fn play(gateway: &Gateway, fleet: &FakeUpstreams, tally: &Tally, requests: u64) -> u64 {
     let (next, over) = (&AtomicU64::new(0), &AtomicBool::new(false));
     std::thread::scope(|scope| {
         let deployer = scope.spawn(|| replace_engines(fleet, over));
@@ -47,7 +46,7 @@
                     break;
                 }
                 // A connection that can't be had is a request that was lost.
-                if request(program, tally, number, client).is_err() {
+                if request(gateway, tally, number, client).is_err() {
                     tally.lost.fetch_add(1, Relaxed);
                 }
             })
@@ -133,10 +132,10 @@
 }
 
 /// One request of the mix.
-fn request(program: &Program, tally: &Tally, n: u64, client: u64) -> Result<()> {
+fn request(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
     match n % 4 {
         0 => {
-            let rows = program.pg().and_then(|mut pg| {
+            let rows = gateway.connect_postgres().and_then(|mut pg| {
                 pg.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
                 pg.read()
             });
@@ -144,15 +143,15 @@
                 tally.whole(&rows, 20);
             }
         }
-        1 | 2 => paged_result(program, tally)?,
-        _ => duplicate_key(program, tally, n, client)?,
+        1 | 2 => paged_result(gateway, tally)?,
+        _ => duplicate_key(gateway, tally, n, client)?,
     }
     Ok(())
 }
 
 /// A result of five pages, one of which is asked for twice.
-fn paged_result(program: &Program, tally: &Tally) -> Result<()> {
-    let mut http = program.http()?;
+fn paged_result(gateway: &Gateway, tally: &Tally) -> Result<()> {
+    let mut http = gateway.connect_http()?;
     http.send_query(&query_body("report", "ms=2 rows=500 width=55"), None)?;
     let Some(first) = tally.http(http.read()) else {
         return Ok(());
@@ -170,7 +169,7 @@
             return Ok(());
         }
         if std::mem::take(&mut twice) {
-            let again = program.http()?.get(&path)?;
+            let again = gateway.connect_http()?.get(&path)?;
             tally
                 .unequal
                 .fetch_add(u64::from(again.body != page.body), Relaxed);
@@ -183,16 +182,16 @@
 }
 
 /// A key that is used again: at once over the other front, after its answer, or after its connection was cut.
-fn duplicate_key(program: &Program, tally: &Tally, n: u64, client: u64) -> Result<()> {
+fn duplicate_key(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
     let (key, order) = (format!("k-{n}"), format!("{client:016x}"));
     let hints = "ms=4 rows=5";
     let mut body = query_body("load", hints);
     body["order_key"] = order.as_str().into();
-    let mut http = program.http()?;
+    let mut http = gateway.connect_http()?;
     http.send_query(&body, Some(&key))?;
     match n / 4 % 3 {
         0 => {
-            let mut pg = program.pg()?;
+            let mut pg = gateway.connect_postgres()?;
             pg.send(&query_text(
                 "load",
                 hints,
@@ -217,7 +216,7 @@
         }
         _ => {
             drop(http);
-            let mut again = program.http()?;
+            let mut again = gateway.connect_http()?;
             again.send_query(&body, Some(&key))?;
             if let Some(reply) = tally.http(again.read()) {
                 tally.whole(&reply.rows(), 5);
--- a/tools/acceptance/src/bin/prove-rest/main.rs
+++ b/tools/acceptance/src/bin/prove-rest/main.rs
@@ -8,12 +8,11 @@
 mod throughput;
 mod token_timing;
 
-use std::io::Result;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use clap::Parser;
-use violetgate_acceptance::{ended, Verdict};
+use violetgate_acceptance::{exit_code, Result, Verdict};
 
 /// Proves the REST front.
 #[derive(Parser)]
@@ -43,7 +42,7 @@
                        max_connections = 400";
 
 fn main() -> ExitCode {
-    ended("prove-rest", run(&Arguments::parse()))
+    exit_code("prove-rest", run(&Arguments::parse()))
 }
 
 fn run(arguments: &Arguments) -> Result<bool> {
@@ -56,5 +55,5 @@
         token_timing::measure(arguments, &mut verdict)?;
     }
     churn::check(arguments, &mut verdict)?;
-    Ok(verdict.tell("rest"))
+    Ok(verdict.print("rest"))
 }
--- a/tools/acceptance/src/bin/prove-rest/memory.rs
+++ b/tools/acceptance/src/bin/prove-rest/memory.rs
@@ -1,9 +1,7 @@
 //! What a cached result costs in memory, against its rows.
 
-use std::io::Result;
-
 use serde_json::Value;
-use violetgate_acceptance::{Program, Verdict};
+use violetgate_acceptance::{Gateway, Result, Verdict};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::requests::query_body;
@@ -18,15 +16,15 @@
 /// Holds the growth of the process to 1.2 times the bytes of the rows that it caches.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(4, Profile::default())?;
-    let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let mut body = query_body("report", &format!("ms=0 rows={ROWS} width={ROW_BYTES}"));
-    let mut http = program.http()?;
+    let mut http = gateway.connect_http()?;
     let mut get = |body: &Value| http.send_query(body, None).and_then(|()| http.read());
     for _ in 0..50 {
         get(&body)?;
     }
     body["budget_ms"] = 600_000.into();
-    let memory_before = program.memory();
+    let memory_before = gateway.resident_bytes();
     let mut cached = 0;
     while cached < RESULTS {
         if get(&body)?.status == 200 {
@@ -34,7 +32,7 @@
         }
     }
     let row_bytes = cached * ROWS * ROW_BYTES;
-    let grown = program.memory().saturating_sub(memory_before);
+    let grown = gateway.resident_bytes().saturating_sub(memory_before);
     println!(
         "{cached} results held: {} KiB of rows, the process has grown by {} KiB",
         row_bytes / 1024,
--- a/tools/acceptance/src/bin/prove-rest/throughput.rs
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -1,12 +1,11 @@
 //! CPU time and latency of both protocols at the same rate: first pages of one-page and of six-page results, and later
 //! pages.
 
-use std::io::Result;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
 use serde_json::Value;
-use violetgate_acceptance::{open_loop, Met, Program, Verdict};
+use violetgate_acceptance::{open_loop, Gateway, LoadResult, Result, Verdict};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
@@ -52,7 +51,7 @@
 /// Measures both protocols in turn and holds the ratios of their CPU times to the bounds.
 pub fn compare_protocols(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(4, Profile::default())?;
-    let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
     let load = Load {
         requests: (arguments.rate as f64 * arguments.seconds) as u64,
         gap: Duration::from_secs_f64(1.0 / arguments.rate as f64),
@@ -62,8 +61,8 @@
         requests: load.requests / 4,
         ..load
     };
-    measure_round(&program, warm_up, |_, _, _| f64::NAN)?;
-    let cpu = measure_round(&program, load, print_row)?;
+    measure_round(&gateway, warm_up, |_, _, _| f64::NAN)?;
+    let cpu = measure_round(&gateway, load, print_row)?;
     verdict.at_most(
         "first_page_cpu_ratio",
         cpu.rest_one_page / cpu.postgres_one_page,
@@ -86,9 +85,9 @@
 
 /// One round over all kinds of request; `report` turns a measurement into CPU time a request.
 fn measure_round(
-    program: &Program,
+    gateway: &Gateway,
     load: Load,
-    report: fn(&str, &Met, Duration) -> f64,
+    report: fn(&str, &LoadResult, Duration) -> f64,
 ) -> Result<CpuTimes> {
     let slow_load = Load {
         requests: load.requests / u64::from(SIX_PAGES_SLOWDOWN),
@@ -96,14 +95,18 @@
     };
     let paths = Mutex::new(Vec::new());
     let postgres = |query: &Query, load| -> Result<f64> {
-        let (met, cpu) = load_postgres(program, query, load)?;
-        Ok(report(&format!("PostgreSQL, {}", query.pages), &met, cpu))
+        let (result, cpu) = load_postgres(gateway, query, load)?;
+        Ok(report(
+            &format!("PostgreSQL, {}", query.pages),
+            &result,
+            cpu,
+        ))
     };
     let rest = |query: &Query, load| -> Result<f64> {
-        let (met, cpu) = load_rest(program, query, load, &paths)?;
+        let (result, cpu) = load_rest(gateway, query, load, &paths)?;
         Ok(report(
             &format!("REST first page of {}", query.pages),
-            &met,
+            &result,
             cpu,
         ))
     };
@@ -112,37 +115,39 @@
     let postgres_six_pages = postgres(&SIX_PAGES, slow_load)?;
     let rest_six_pages = rest(&SIX_PAGES, slow_load)?;
     let paths = paths.into_inner().unwrap_or_else(PoisonError::into_inner);
-    let (met, cpu) = load_later_pages(program, &paths, load)?;
+    let (result, cpu) = load_later_pages(gateway, &paths, load)?;
     Ok(CpuTimes {
         postgres_one_page,
         rest_one_page,
         postgres_six_pages,
         rest_six_pages,
-        rest_later_page: report("REST later page", &met, cpu),
+        rest_later_page: report("REST later page", &result, cpu),
     })
 }
 
-fn load_postgres(program: &Program, query: &Query, load: Load) -> Result<(Met, Duration)> {
-    let clients: Vec<PostgresClient> = (0..CLIENTS).map(|_| program.pg()).collect::<Result<_>>()?;
+fn load_postgres(gateway: &Gateway, query: &Query, load: Load) -> Result<(LoadResult, Duration)> {
+    let clients: Vec<PostgresClient> = (0..CLIENTS)
+        .map(|_| gateway.connect_postgres())
+        .collect::<std::io::Result<_>>()?;
     let each = |mut pg: PostgresClient| {
         move |_| {
             pg.send(&query_text(query.class, query.hints, "")).is_ok()
                 && matches!(pg.read(), Ok(Ok(_)))
         }
     };
-    Ok(run(program, clients.into_iter().map(each).collect(), load))
+    Ok(run(gateway, clients.into_iter().map(each).collect(), load))
 }
 
 /// First pages over REST; the paths of the second pages are added to `paths`.
 fn load_rest(
-    program: &Program,
+    gateway: &Gateway,
     query: &Query,
     load: Load,
     paths: &Mutex<Vec<String>>,
-) -> Result<(Met, Duration)> {
+) -> Result<(LoadResult, Duration)> {
     let clients: Vec<HttpClient> = (0..CLIENTS)
-        .map(|_| program.http())
-        .collect::<Result<_>>()?;
+        .map(|_| gateway.connect_http())
+        .collect::<std::io::Result<_>>()?;
     let body: &Value = &query_body(query.class, query.hints);
     let each = |mut http: HttpClient| {
         move |_| {
@@ -156,13 +161,17 @@
             reply.status == 200
         }
     };
-    Ok(run(program, clients.into_iter().map(each).collect(), load))
+    Ok(run(gateway, clients.into_iter().map(each).collect(), load))
 }
 
-fn load_later_pages(program: &Program, paths: &[String], load: Load) -> Result<(Met, Duration)> {
+fn load_later_pages(
+    gateway: &Gateway,
+    paths: &[String],
+    load: Load,
+) -> Result<(LoadResult, Duration)> {
     let clients: Vec<HttpClient> = (0..CLIENTS)
-        .map(|_| program.http())
-        .collect::<Result<_>>()?;
+        .map(|_| gateway.connect_http())
+        .collect::<std::io::Result<_>>()?;
     let each = |mut http: HttpClient| {
         move |number: u64| {
             let path = paths.get(number as usize % paths.len().max(1));
@@ -173,28 +182,28 @@
         requests: (paths.len() as u64).min(load.requests),
         ..load
     };
-    Ok(run(program, clients.into_iter().map(each).collect(), load))
+    Ok(run(gateway, clients.into_iter().map(each).collect(), load))
 }
 
-/// Plays a load; what it met, and the CPU time that the program used.
+/// Plays a load; what it measured, and the CPU time that the program used.
 fn run<C: FnMut(u64) -> bool + Send>(
-    program: &Program,
+    gateway: &Gateway,
     clients: Vec<C>,
     load: Load,
-) -> (Met, Duration) {
-    let before = program.cpu();
-    let met = open_loop(clients, load.requests, load.gap);
-    (met, program.cpu() - before)
+) -> (LoadResult, Duration) {
+    let before = gateway.cpu_time();
+    let result = open_loop(clients, load.requests, load.gap);
+    (result, gateway.cpu_time() - before)
 }
 
 /// Prints one measurement; CPU time a request in microseconds.
-fn print_row(what: &str, met: &Met, cpu: Duration) -> f64 {
-    let [p50, p99, p999] = met.quantiles();
-    let each = cpu.as_secs_f64() * 1e6 / met.served.max(1) as f64;
+fn print_row(what: &str, result: &LoadResult, cpu: Duration) -> f64 {
+    let [p50, p99, p999] = result.quantiles_ms();
+    let each = cpu.as_secs_f64() * 1e6 / result.served.max(1) as f64;
     println!(
         "{what:<34} {:>7.0}/s  p50 {p50:>7.2} ms  p99 {p99:>7.2} ms  p99.9 {p999:>7.2} ms  CPU {each:>6.1} us  not served {}",
-        met.rate(),
-        met.others
+        result.rate(),
+        result.not_served
     );
     each
 }
--- a/tools/acceptance/src/bin/prove-rest/token_timing.rs
+++ b/tools/acceptance/src/bin/prove-rest/token_timing.rs
@@ -1,9 +1,8 @@
 //! Whether response times tell how close a forged page token is to a good one.
 
-use std::io::Result;
 use std::time::{Duration, Instant};
 
-use violetgate_acceptance::{Program, Verdict};
+use violetgate_acceptance::{Gateway, Result, Verdict};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 
 use crate::requests::query_body;
@@ -13,8 +12,8 @@
 /// that is nothing like a token.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(2, Profile::default())?;
-    let program = Program::start(&arguments.program, &fleet, REST_SETTINGS)?;
-    let mut http = program.http()?;
+    let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let mut http = gateway.connect_http()?;
     http.send_query(&query_body("report", "ms=0 rows=300 width=55"), None)?;
     let id = http.read()?.json()["id"]
         .as_str()
--- /dev/null
+++ b/tools/acceptance/src/cluster/files.rs
@@ -0,0 +1,100 @@
+//! Addresses, configuration and settings of an instance.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::Path;
+use std::process::{Command, Stdio};
+
+use violetgate_fake_upstreams::FakeUpstreams;
+use violetgate_test_harness::{free_tcp_addresses, SETTINGS_FILE};
+
+use crate::{AcceptanceError, Result};
+
+/// Descriptors that an instance may use.
+const SOCKET_LIMIT: u64 = 1024;
+/// Instances have different seeds, or their elections would begin at the same moments.
+const BASE_SEED: u64 = 0x8c1f_30d2_7a5b_e964;
+
+/// Where an instance listens.
+pub(super) struct InstanceAddresses {
+    /// For other members.
+    pub peer: SocketAddr,
+    /// For PostgreSQL clients.
+    pub postgres: SocketAddr,
+    /// For REST clients.
+    pub rest: SocketAddr,
+    /// For operators.
+    pub api: SocketAddr,
+}
+
+impl InstanceAddresses {
+    /// Addresses that nothing listens on.
+    pub(super) fn choose() -> Result<Self> {
+        let [peer, postgres, rest, api] = free_tcp_addresses()?;
+        Ok(InstanceAddresses {
+            peer,
+            postgres,
+            rest,
+            api,
+        })
+    }
+}
+
+/// Writes the platform's configuration into an instance's folder, which is created.
+pub(super) fn write_config(
+    folder: &Path,
+    engines: &FakeUpstreams,
+    id: u64,
+    own: &InstanceAddresses,
+) -> Result<()> {
+    std::fs::create_dir_all(folder)?;
+    let mut config = engines.config(
+        &format!("n{id}"),
+        &own.postgres.to_string(),
+        &violetgate_fake_upstreams::settings(),
+    );
+    config["limits"]["sockets"] = SOCKET_LIMIT.into();
+    config["seed"] = format!("{:016x}", BASE_SEED ^ id).into();
+    std::fs::write(folder.join("config.json"), config.to_string())?;
+    Ok(())
+}
+
+/// Writes the operators' settings into an instance's folder. `peers`: where it reaches the others.
+pub(super) fn write_settings(
+    folder: &Path,
+    id: u64,
+    own: &InstanceAddresses,
+    peers: &BTreeMap<u64, SocketAddr>,
+    cluster_settings: &str,
+) -> Result<()> {
+    let InstanceAddresses {
+        peer, rest, api, ..
+    } = own;
+    let mut members = format!("    \"{id}\" = \"{peer}\"\n");
+    for (other, addr) in peers {
+        members += &format!("    \"{other}\" = \"{addr}\"\n");
+    }
+    let member_folder = folder.join("member");
+    let settings = format!(
+        "rest {{\n  listen = \"{rest}\"\n  max_connections = 200\n}}\n\
+         cluster {{\n  name = \"proof\"\n  id = {id}\n  folder = \"{}\"\n  listen = \"{peer}\"\n  \
+         api = \"{api}\"\n  members = {{\n{members}  }}\n{cluster_settings}}}\n",
+        member_folder.display()
+    );
+    std::fs::write(folder.join(SETTINGS_FILE), settings)?;
+    Ok(())
+}
+
+/// Creates the member's folder that the settings name.
+pub(super) fn initialize_member(program: &Path, folder: &Path) -> Result<()> {
+    let status = Command::new(program)
+        .args(["members", "init", "--settings"])
+        .arg(folder.join(SETTINGS_FILE))
+        .stdout(Stdio::null())
+        .status()?;
+    if status.success() {
+        Ok(())
+    } else {
+        Err(AcceptanceError::MemberFolder)
+    }
+}
--- /dev/null
+++ b/tools/acceptance/src/slow_start.rs
@@ -0,0 +1,193 @@
+//! Many gateways in front of one engine that is warming up, in simulated time: what each decides
+//! alone, summed over all of them.
+//!
+//! The sum has to stay within what the engine bears. Nothing here decides anything itself.
+
+use violetgate_policy::interface::{
+    AttemptEnded, Class, Cost, Engine, EngineId, EngineKind, EngineState, ListScope, LoadReport,
+    Micros, NewQuery, Outcome, QueryId,
+};
+use violetgate_policy::{Action, Event, Gateway, Settings};
+
+const SECOND: Micros = 1_000_000;
+/// The span in which an engine that is warming up must not get more than it bears.
+pub const COLLAPSE_WINDOW: Micros = 2 * SECOND;
+/// An engine that has just started is warm after this.
+const WARM_UP: Micros = 14 * SECOND;
+/// The fraction of its full capacity that an engine has at its start.
+const INITIAL_FRACTION: f64 = 0.3;
+/// A multiple of its capacity at which an engine collapses.
+const COLLAPSE_LOAD_MULTIPLE: f64 = 2.0;
+/// The work of a query.
+const QUERY_WORK: Micros = 200_000;
+/// How long a query takes at the engine that is warming up.
+const QUERY_TIME: Micros = 10_000;
+const QUERY_TIMEOUT: Micros = 10 * SECOND;
+
+/// The engine from which a gateway learns what queries cost, and the one that warms up.
+const WARM_ENGINE: EngineId = 1;
+const STARTING_ENGINE: EngineId = 0;
+/// The query with which a gateway learns what queries cost.
+const FIRST_QUERY: QueryId = 1_000_000;
+
+/// The steps of a run, which together are eight seconds, and the ids that each step has for its
+/// queries.
+const STEPS: u64 = 200;
+const STEP: Micros = 40_000;
+const IDS_PER_STEP: u64 = 100;
+
+/// How many queries an engine with so many cores bears in a [`COLLAPSE_WINDOW`] that begins `age`
+/// after its start.
+#[must_use]
+pub fn bearable_queries(cores: f64, age: Micros) -> f64 {
+    let warm = COLLAPSE_LOAD_MULTIPLE * cores * COLLAPSE_WINDOW as f64 / QUERY_WORK as f64;
+    let warmth = (age as f64 / WARM_UP as f64).min(1.0).powi(2);
+    warm * (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * warmth)
+}
+
+fn settings(gateways: u32, cores: f64) -> Settings {
+    let class = Class {
+        deadline: Some(QUERY_TIMEOUT),
+        latency_objective: Some(QUERY_TIMEOUT),
+        late_weight_fraction: Some(1.0),
+        ..Class::default()
+    };
+    let kind = EngineKind {
+        cores: Some(cores),
+        memory_mb: None,
+    };
+    Settings {
+        gateways: Some(gateways),
+        classes: vec![class],
+        engine_kinds: vec![kind],
+        can_cancel: true,
+        max_attempts: Some(4),
+        progress_period: Some(SECOND),
+        answer_grace: Some(20_000),
+        slow_start_initial_fraction: Some(INITIAL_FRACTION),
+        slow_start_window: Some(WARM_UP),
+        collapse_load_multiple: Some(COLLAPSE_LOAD_MULTIPLE),
+        collapse_window: Some(COLLAPSE_WINDOW),
+        ..Settings::default()
+    }
+}
+
+fn engine_list(
+    scope: ListScope,
+    id: EngineId,
+    state: EngineState,
+    started: Option<Micros>,
+) -> Event {
+    let engine = Engine {
+        id,
+        zone: 0,
+        kind: 0,
+        cell: 0,
+        state,
+        started,
+    };
+    Event::EngineList {
+        scope,
+        engines: vec![engine],
+    }
+}
+
+fn query_arrived(id: QueryId) -> Event {
+    Event::QueryArrived(NewQuery {
+        id,
+        estimated_work: Some(QUERY_WORK),
+        client_timeout: QUERY_TIMEOUT,
+        ..NewQuery::default()
+    })
+}
+
+fn attempt_completed(query: QueryId, engine: EngineId, elapsed: Micros) -> Event {
+    let cost = Cost {
+        work: QUERY_WORK,
+        memory_mb: 0.0,
+    };
+    Event::AttemptEnded(AttemptEnded {
+        query,
+        attempt: 0,
+        engine,
+        outcome: Outcome::Completed,
+        query_answered: true,
+        elapsed,
+        cost: Some(cost),
+        load: LoadReport::default(),
+    })
+}
+
+/// When queries are sent to an engine that is warming up, by so many gateways that each have one
+/// ready all the time: times after the engine's start in its first eight seconds, in order.
+#[must_use]
+pub fn send_times(gateways: u32, cores: f64, seed: u64) -> Vec<Micros> {
+    let mut sends = Vec::new();
+    for number in 0..u64::from(gateways) {
+        let gateway_seed = seed * 100_003 + number * 7_919;
+        let mut gateway = Gateway::new(settings(gateways, cores), gateway_seed);
+        introduce_engines(&mut gateway);
+        for step in 0..STEPS {
+            let now = SECOND + step * STEP;
+            let sent = send_all(&mut gateway, now, step * IDS_PER_STEP + 1);
+            sends.extend(std::iter::repeat_n(now - SECOND, sent));
+        }
+    }
+    sends.sort_unstable();
+    sends
+}
+
+/// Lets a gateway learn from one answer of a warm engine what queries cost; then that engine drains
+/// and another one starts.
+fn introduce_engines(gateway: &mut Gateway) {
+    let events = [
+        engine_list(ListScope::Snapshot, WARM_ENGINE, EngineState::Ready, None),
+        query_arrived(FIRST_QUERY),
+        attempt_completed(FIRST_QUERY, WARM_ENGINE, QUERY_WORK),
+        engine_list(ListScope::Patch, WARM_ENGINE, EngineState::Draining, None),
+        engine_list(
+            ListScope::Patch,
+            STARTING_ENGINE,
+            EngineState::Ready,
+            Some(SECOND),
+        ),
+    ];
+    gateway.handle(SECOND, &events, &mut Vec::new());
+}
+
+/// Has a gateway send as many queries as it does at once; how many it sent.
+fn send_all(gateway: &mut Gateway, now: Micros, first_id: QueryId) -> usize {
+    let mut sent = 0;
+    for id in first_id.. {
+        let mut actions = Vec::new();
+        gateway.handle(now, &[query_arrived(id)], &mut actions);
+        if !actions.iter().any(|action| sends_query(action, id)) {
+            let disconnected = Event::ClientDisconnected { query: id };
+            gateway.handle(now, &[disconnected], &mut Vec::new());
+            break;
+        }
+        sent += 1;
+        let completed = attempt_completed(id, STARTING_ENGINE, QUERY_TIME);
+        gateway.handle(now, &[completed], &mut Vec::new());
+    }
+    sent
+}
+
+fn sends_query(action: &Action, id: QueryId) -> bool {
+    matches!(action, Action::Send { query, engine: STARTING_ENGINE, .. } if *query == id)
+}
+
+/// The largest fraction, over all windows, of the queries sent in one in what the engine bears in it
+/// with what is put down to chance: beside N queries, twice the root of N and two more.
+#[must_use]
+pub fn largest_fraction_of_capacity(sends: &[Micros], cores: f64) -> f64 {
+    let fraction = |(index, from): (usize, &Micros)| {
+        let window = sends.iter().skip(index);
+        let sent = window
+            .take_while(|at| **at < from + COLLAPSE_WINDOW)
+            .count() as f64;
+        let bearable = bearable_queries(cores, *from);
+        sent / (bearable + 2.0 * bearable.sqrt() + 2.0)
+    };
+    sends.iter().enumerate().map(fraction).fold(0.0, f64::max)
+}
--- a/tools/fleet-harness/src/bin/prove-fleet/scenarios.rs
+++ b/tools/fleet-harness/src/bin/prove-fleet/scenarios.rs
@@ -213,7 +213,7 @@
         let unserved = numbered.filter(|(p, request_id)| !p.serves_request(*request_id));
         let unserved = unserved.count();
         self.verdict.check_count("unserved_at_the_end", unserved, 0);
-        let crashes: u64 = processes.iter().map(|p| p.crash_count).sum();
+        let crashes: u64 = processes.iter().map(|p| p.crash_count()).sum();
         self.verdict.check_count("crashed", crashes as usize, 0);
     }
 }
--- a/tools/fleet-harness/src/harness.rs
+++ b/tools/fleet-harness/src/harness.rs
@@ -1,11 +1,12 @@
 //! The fleet: its processes, the engines behind them and the relay between them.
 
 use std::io::{Error, Result};
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
+use violetgate_test_harness::{free_tcp_addresses, free_udp_addresses, wait_until};
 
 use crate::process::{GatewayProcess, ObservedState};
 use crate::relay::Relay;
@@ -34,14 +35,6 @@
     }
 }
 
-fn unused_udp_addr() -> Result<SocketAddr> {
-    UdpSocket::bind("127.0.0.1:0")?.local_addr()
-}
-
-fn unused_tcp_addr() -> Result<SocketAddr> {
-    TcpListener::bind("127.0.0.1:0")?.local_addr()
-}
-
 fn member_name(number: usize) -> String {
     format!("front-{number}")
 }
@@ -57,9 +50,7 @@
         let engines = FakeUpstreams::start(ENGINE_COUNT, Profile::default())?;
         let process_id = std::process::id();
         let folder = std::env::temp_dir().join(format!("violetgate-fleet-{process_id}-{seed}"));
-        let member_addrs = (0..count)
-            .map(|_| unused_udp_addr())
-            .collect::<Result<Vec<_>>>()?;
+        let member_addrs = free_udp_addresses(count)?;
         let mut fleet = FleetHarness {
             processes: Vec::new(),
             relay: Relay::new(&member_addrs, seed)?,
@@ -87,7 +78,7 @@
         let name = member_name(number);
         let folder = self.folder.join(&name);
         std::fs::create_dir_all(&folder)?;
-        let (listen, management) = (unused_tcp_addr()?, unused_tcp_addr()?);
+        let [listen, management] = free_tcp_addresses()?;
         let mut settings = violetgate_fake_upstreams::settings();
         settings["balancers"] = count.into();
         let mut config = self.engines.config(&name, &listen.to_string(), &settings);
@@ -126,14 +117,7 @@
         within: Duration,
         condition: impl Fn(&FleetHarness) -> bool,
     ) -> Option<Duration> {
-        let began = Instant::now();
-        while began.elapsed() < within {
-            if condition(self) {
-                return Some(began.elapsed());
-            }
-            std::thread::sleep(CHECK_INTERVAL);
-        }
-        None
+        wait_until(within, CHECK_INTERVAL, || condition(self))
     }
 
     /// Whether each of some processes, but the subject itself, observes a state of the subject.
--- a/tools/fleet-harness/src/process.rs
+++ b/tools/fleet-harness/src/process.rs
@@ -1,24 +1,18 @@
 //! One gateway process: its start and end, and what its metrics and log say.
 
-use std::collections::BTreeMap;
-use std::fs::File;
 use std::io::Result;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
-use rustix::process::{kill_process, Pid, Signal};
-use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
+use rustix::process::Signal;
+use violetgate_fake_upstreams::client::PostgresClient;
+use violetgate_test_harness::{read_metrics, LogTarget, Metrics, ServerProcess};
 
 /// How long a call to a process may take; a stopped one does not answer.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a request may take.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// How often it is checked whether a process has ended.
-const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The file in a process's folder that gets its log.
-const LOG_FILE: &str = "log";
 
 /// A gateway process.
 pub struct GatewayProcess {
@@ -28,11 +22,7 @@
     pub listen: SocketAddr,
     /// The address of its management interface.
     pub management: SocketAddr,
-    folder: PathBuf,
-    program: PathBuf,
-    child: Option<Child>,
-    /// How often it had ended by itself before it was killed.
-    pub crash_count: u64,
+    process: ServerProcess,
 }
 
 /// The state of a member in the metrics of another.
@@ -61,12 +51,6 @@
     }
 }
 
-impl Drop for GatewayProcess {
-    fn drop(&mut self) {
-        self.kill();
-    }
-}
-
 impl GatewayProcess {
     /// Creates a process that is not started yet; `folder` holds its `violetgate.hcl` and
     /// `config.json`.
@@ -82,23 +66,20 @@
             name: name.to_owned(),
             listen,
             management,
-            folder,
-            program: program.to_path_buf(),
-            child: None,
-            crash_count: 0,
+            process: ServerProcess::new(program, folder, LogTarget::File),
         }
     }
 
     /// Its process id, while it runs.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
-        self.child.as_ref().map(Child::id)
+        self.process.pid()
     }
 
     /// Its log so far.
     #[must_use]
     pub fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.join(LOG_FILE)).unwrap_or_default()
+        self.process.log()
     }
 
     /// How many lines of its log so far contain a text.
@@ -114,70 +95,34 @@
     ///
     /// Its log can't be opened, or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
-        let log = File::options()
-            .create(true)
-            .append(true)
-            .open(self.folder.join(LOG_FILE))?;
-        let child = Command::new(&self.program)
-            .arg("--settings")
-            .arg(self.folder.join("violetgate.hcl"))
-            .env("PROXY_CONFIG", self.folder.join("config.json"))
-            .env("TMPDIR", &self.folder)
-            .stdin(Stdio::null())
-            .stderr(log)
-            .spawn()?;
-        self.child = Some(child);
-        Ok(())
+        self.process.start()
     }
 
     /// Kills it. If it has ended by itself before, that counts as a crash.
     pub fn kill(&mut self) {
-        if let Some(mut child) = self.child.take() {
-            let is_running = matches!(child.try_wait(), Ok(None));
-            self.crash_count += u64::from(!is_running);
-            let _ = child.kill();
-            let _ = child.wait();
-        }
+        self.process.kill();
+    }
+
+    /// How often it had ended by itself before it was killed.
+    #[must_use]
+    pub fn crash_count(&self) -> u64 {
+        self.process.crash_count()
     }
 
     /// Sends a signal to it, if it runs.
     pub fn signal(&self, signal: Signal) {
-        let pid = self.pid().and_then(|pid| i32::try_from(pid).ok());
-        if let Some(pid) = pid.and_then(Pid::from_raw) {
-            let _ = kill_process(pid, signal);
-        }
+        self.process.signal(signal);
     }
 
     /// Waits until it has ended by itself; `false` if it has not within the time.
     pub fn wait_for_exit(&mut self, within: Duration) -> bool {
-        let deadline = Instant::now() + within;
-        while Instant::now() < deadline {
-            let has_exited = |child: &mut Child| matches!(child.try_wait(), Ok(Some(_)));
-            if self.child.as_mut().is_none_or(has_exited) {
-                self.child = None;
-                return true;
-            }
-            std::thread::sleep(EXIT_CHECK_INTERVAL);
-        }
-        false
+        self.process.wait_for_exit(within)
     }
 
     /// Its metrics, by name with labels; empty if it does not answer.
     #[must_use]
-    pub fn metrics(&self) -> BTreeMap<String, f64> {
-        let Ok(text) = self.read_metrics() else {
-            return BTreeMap::new();
-        };
-        let samples = text.lines().filter_map(|line| line.rsplit_once(' '));
-        samples
-            .filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?)))
-            .collect()
-    }
-
-    fn read_metrics(&self) -> Result<String> {
-        let stream = TcpStream::connect_timeout(&self.management, CALL_TIMEOUT)?;
-        let reply = HttpClient::new(stream, CALL_TIMEOUT)?.get("/admin/stats")?;
-        Ok(String::from_utf8_lossy(&reply.body).into_owned())
+    pub fn metrics(&self) -> Metrics {
+        read_metrics(self.management, CALL_TIMEOUT).unwrap_or_default()
     }
 
     /// The state of another member in its view.
--- a/tools/scale/src/whole_run/control.rs
+++ b/tools/scale/src/whole_run/control.rs
@@ -206,7 +206,7 @@
     pub(super) fn crashed(&self) -> u64 {
         self.members
             .iter()
-            .map(|member| member.process.crash_count)
+            .map(|member| member.process.crash_count())
             .sum()
     }
 }
--- /dev/null
+++ b/tools/test-harness/src/lib.rs
@@ -0,0 +1,23 @@
+//! What acceptance tests, scale tests and the fleet harness share about gateway processes: their
+//! start and end, free addresses, waiting, metrics, and their use of the machine.
+//!
+//! Everything here looks at a process from outside. It needs Linux with `/proc` mounted.
+
+mod addresses;
+mod metrics;
+mod process;
+mod usage;
+mod wait;
+
+use std::sync::{Mutex, MutexGuard, PoisonError};
+
+pub use addresses::{free_tcp_addresses, free_udp_addresses};
+pub use metrics::{read_metrics, Metrics};
+pub use process::{program_beside, KillOnDrop, LogTarget, ServerProcess, SETTINGS_FILE};
+pub use usage::ProcessUsage;
+pub use wait::wait_until;
+
+/// Locks a mutex that a thread may have left locked when it failed.
+pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
--- /dev/null
+++ b/tools/test-harness/src/metrics.rs
@@ -0,0 +1,25 @@
+//! The metrics of a gateway, read from its management interface.
+
+use std::collections::BTreeMap;
+use std::io::Result;
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use violetgate_fake_upstreams::client::HttpClient;
+
+/// Values by the name of the metric with its labels.
+pub type Metrics = BTreeMap<String, f64>;
+
+/// Reads the metrics at a management address. Lines that hold no number are left out.
+///
+/// # Errors
+///
+/// Nothing answers within the time.
+pub fn read_metrics(management: SocketAddr, timeout: Duration) -> Result<Metrics> {
+    let stream = TcpStream::connect_timeout(&management, timeout)?;
+    let reply = HttpClient::new(stream, timeout)?.get("/admin/stats")?;
+    let text = String::from_utf8_lossy(&reply.body);
+    let samples = text.lines().filter_map(|line| line.rsplit_once(' '));
+    let parsed = samples.filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?)));
+    Ok(parsed.collect())
+}
--- /dev/null
+++ b/tools/test-harness/src/usage.rs
@@ -0,0 +1,53 @@
+//! What a process uses of the machine, as `/proc` has it.
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// What a process uses.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct ProcessUsage {
+    /// CPU time of all its threads since its start.
+    pub cpu: Duration,
+    /// Resident memory in bytes.
+    pub resident_bytes: u64,
+    /// Open file descriptors.
+    pub descriptors: usize,
+}
+
+impl ProcessUsage {
+    /// Reads what a process uses, by its id; `None` if it has ended or `/proc` can't be read.
+    #[must_use]
+    pub fn read(pid: u32) -> Option<Self> {
+        let folder = PathBuf::from(format!("/proc/{pid}"));
+        let tasks = std::fs::read_dir(folder.join("task")).ok()?.flatten();
+        let cpu_ns = tasks
+            .filter_map(|task| first_number(&task.path().join("schedstat")))
+            .sum();
+        let status = std::fs::read_to_string(folder.join("status")).ok()?;
+        let resident = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))?;
+        let resident_kib: u64 = resident.split_whitespace().next()?.parse().ok()?;
+        Some(ProcessUsage {
+            cpu: Duration::from_nanos(cpu_ns),
+            resident_bytes: resident_kib * 1024,
+            descriptors: std::fs::read_dir(folder.join("fd")).ok()?.count(),
+        })
+    }
+
+    /// Adds what several processes use; those that have ended count as nothing.
+    #[must_use]
+    pub fn sum(pids: impl IntoIterator<Item = u32>) -> Self {
+        let usages = pids.into_iter().filter_map(ProcessUsage::read);
+        usages.fold(ProcessUsage::default(), |sum, usage| ProcessUsage {
+            cpu: sum.cpu + usage.cpu,
+            resident_bytes: sum.resident_bytes + usage.resident_bytes,
+            descriptors: sum.descriptors + usage.descriptors,
+        })
+    }
+}
+
+fn first_number(file: &Path) -> Option<u64> {
+    let text = std::fs::read_to_string(file).ok()?;
+    text.split_whitespace().next()?.parse().ok()
+}
--- /dev/null
+++ b/tools/test-harness/tests/harness.rs
@@ -0,0 +1,84 @@
+//! The harness against processes and sockets of this machine.
+#![allow(clippy::unwrap_used)]
+
+use std::collections::BTreeSet;
+use std::path::Path;
+use std::process::Command;
+use std::time::Duration;
+
+use violetgate_test_harness::{
+    free_tcp_addresses, free_udp_addresses, wait_until, KillOnDrop, LogTarget, ProcessUsage,
+    ServerProcess,
+};
+
+fn temporary_folder(name: &str) -> std::path::PathBuf {
+    let folder = std::env::temp_dir().join(format!("harness-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).unwrap();
+    folder
+}
+
+#[test]
+fn free_addresses_differ() {
+    let tcp = free_tcp_addresses::<20>().unwrap();
+    assert_eq!(tcp.iter().collect::<BTreeSet<_>>().len(), 20);
+    let udp = free_udp_addresses(20).unwrap();
+    assert_eq!(udp.iter().collect::<BTreeSet<_>>().len(), 20);
+}
+
+#[test]
+fn waiting_ends_when_the_condition_holds_or_the_time_is_over() {
+    let mut checks = 0;
+    let held = wait_until(Duration::from_secs(10), Duration::from_millis(1), || {
+        checks += 1;
+        checks == 3
+    });
+    assert!(held.is_some());
+    assert_eq!(checks, 3);
+    let never = wait_until(Duration::from_millis(5), Duration::from_millis(1), || false);
+    assert!(never.is_none());
+}
+
+#[test]
+fn usage_of_this_process_is_read_and_of_no_process_is_none() {
+    let usage = ProcessUsage::read(std::process::id()).unwrap();
+    assert!(usage.resident_bytes > 0);
+    assert!(usage.descriptors > 2);
+    assert!(ProcessUsage::read(u32::MAX).is_none());
+}
+
+#[test]
+fn a_process_that_ends_by_itself_counts_as_a_crash_when_it_is_killed() {
+    let folder = temporary_folder("crash");
+    let mut process = ServerProcess::new(Path::new("true"), folder.clone(), LogTarget::File);
+    process.start().unwrap();
+    let ended = wait_until(Duration::from_secs(10), Duration::from_millis(1), || {
+        !process.is_running()
+    });
+    assert!(ended.is_some());
+    process.kill();
+    assert_eq!(process.crash_count(), 1);
+    process.kill();
+    assert_eq!(process.crash_count(), 1);
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn an_awaited_exit_is_no_crash() {
+    let folder = temporary_folder("exit");
+    let mut process = ServerProcess::new(Path::new("true"), folder.clone(), LogTarget::Discard);
+    process.start().unwrap();
+    assert!(process.wait_for_exit(Duration::from_secs(10)));
+    process.kill();
+    assert_eq!(process.crash_count(), 0);
+    std::fs::remove_dir_all(folder).unwrap();
+}
+
+#[test]
+fn a_process_runs_until_its_owner_is_dropped() {
+    let child = Command::new("sleep").arg("60").spawn().unwrap();
+    let mut process = KillOnDrop::new(child);
+    assert!(process.is_running());
+    let pid = process.pid();
+    drop(process);
+    assert!(ProcessUsage::read(pid).is_none());
+}
