--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -281,7 +281,7 @@
 
 /// What the dispatcher requests of an engine protocol.
 pub trait UpstreamEngines {
-    /// Starts an attempt. Its end comes through [`AttemptEvents`], unless it is cancelled first.
+    /// Starts an attempt. Its end comes through `AttemptEvents`, unless it is cancelled first.
     fn send(&self, attempt: Attempt);
 
     /// Cancels the attempt of a query; nothing more is reported of it.
