--- a/tools/scale/src/bin/hollow-front-ends.rs
+++ b/tools/scale/src/bin/hollow-front-ends.rs
@@ -1,14 +1,14 @@
-//! `hollow-front-ends`: runs many hollow front ends in one process, for `prove-scale`.
+//! `hollow-front-ends`: runs many lightweight gateways in one process, for `prove-scale`.
 
 use std::process::ExitCode;
 
 use clap::Parser;
-use violetgate_scale::hollow::process::{run, Given};
-use violetgate_scale::hollow::report::Report;
+use violetgate_scale::lightweight_gateway::process::{run, Arguments};
+use violetgate_scale::lightweight_gateway::protocol::Report;
 
 fn main() -> ExitCode {
-    let given = Given::parse();
-    let Err(error) = run(&given) else {
+    let arguments = Arguments::parse();
+    let Err(error) = run(&arguments) else {
         return ExitCode::SUCCESS;
     };
     let report = Report::Failed {
--- a/tools/scale/src/bin/prove-scale.rs
+++ b/tools/scale/src/bin/prove-scale.rs
@@ -6,7 +6,7 @@
 use clap::builder::PossibleValuesParser;
 use clap::Parser;
 use violetgate_scale::{
-    agreed_state, client_side, decisions, engine_list, engine_side, hollow, membership, page,
+    client_side, decisions, engine_list, engine_side, fleet_run, membership, page, replicated_state,
 };
 use violetgate_scale::{Figures, Options, ScaleError};
 
@@ -39,7 +39,7 @@
     },
     Role {
         name: "agreed-state",
-        measure: agreed_state::measure,
+        measure: replicated_state::measure,
     },
     Role {
         name: "membership",
@@ -47,7 +47,7 @@
     },
     Role {
         name: "whole-run",
-        measure: measure_whole_run,
+        measure: measure_fleet_run,
     },
 ];
 
@@ -55,8 +55,8 @@
     Ok(membership::measure(options, figures)?)
 }
 
-fn measure_whole_run(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    Ok(hollow::measure(options, figures)?)
+fn measure_fleet_run(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
+    Ok(fleet_run::measure(options, figures)?)
 }
 
 /// Measures what each role costs by size, fits it, and prints the size at which each passes its budget
@@ -121,7 +121,7 @@
     let mut figures = Figures::default();
     for role in ROLES.iter().filter(chosen) {
         if let Err(error) = (role.measure)(&options, &mut figures) {
-            figures.missed(format!("{}: {error}", role.name));
+            figures.add_failure(format!("{}: {error}", role.name));
         }
     }
     finish(&figures)
@@ -129,11 +129,11 @@
 
 /// Prints the order in which roles end, what missed its bound, and last the line of all figures.
 fn finish(figures: &Figures) -> ExitCode {
-    for (place, role_ends) in figures.breaks().iter().enumerate() {
+    for (place, role_ends) in figures.limits().iter().enumerate() {
         let (name, size_of, target) = (&role_ends.name, role_ends.size_of, role_ends.target);
         match role_ends.size {
             Some(size) => {
-                let percent = 100.0 * role_ends.share();
+                let percent = 100.0 * role_ends.fraction_of_target();
                 println!(
                     "ends {}: {name} at {size:.0} {size_of}, {percent:.1}% of {target}",
                     place + 1
--- a/tools/scale/src/bin/whole-run.rs
+++ b/tools/scale/src/bin/whole-run.rs
@@ -1,11 +1,11 @@
-//! `whole-run`: the whole run alone, at a size and with the parts that are asked for; `prove-scale` has it as one of its
-//! parts.
+//! `whole-run`: the fleet run alone, at a size and with the parts that are chosen; `prove-scale` has
+//! it as one of its roles.
 
 use std::process::ExitCode;
 
 use clap::Parser;
-use violetgate_scale::hollow::process::Part;
-use violetgate_scale::whole_run::{run, Plan};
+use violetgate_scale::fleet_run::{run, Plan};
+use violetgate_scale::lightweight_gateway::Part;
 use violetgate_scale::Figures;
 
 #[derive(Debug, Parser)]
@@ -41,7 +41,7 @@
     plan.parts = arguments.parts;
     let mut figures = Figures::default();
     if let Err(error) = run(&plan, &mut figures) {
-        figures.missed(error.to_string());
+        figures.add_failure(error.to_string());
     }
     for failure in figures.failures() {
         println!("missed: {failure}");
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -1,4 +1,4 @@
-//! Client connections of the real program: memory, descriptors and processor time of idle ones, and processor time of
+//! Client connections of the real gateway: memory, descriptors and processor time of idle ones, and processor time of
 //! a statement beside them.
 
 use std::net::TcpStream;
@@ -9,7 +9,7 @@
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
-use crate::program::{free_address, Program};
+use crate::gateway_process::{free_address, ScaleGateway};
 use crate::slope::{Budget, Slope};
 
 const ROLE: &str = "client_side";
@@ -28,8 +28,8 @@
 const ACTIVE: usize = 8;
 const STATEMENTS: usize = 150;
 const SHORT_STATEMENTS: usize = 10;
-const WINDOW: Duration = Duration::from_secs(2);
-const SHORT_WINDOW: Duration = Duration::from_millis(100);
+const IDLE_WINDOW: Duration = Duration::from_secs(2);
+const SHORT_IDLE_WINDOW: Duration = Duration::from_millis(100);
 /// How long the program may leave what was opened unsettled.
 const SETTLE: Duration = Duration::from_millis(300);
 const WAIT: Duration = Duration::from_secs(10);
@@ -52,9 +52,13 @@
     let fleet = FakeUpstreams::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
     let listen = free_address()?;
-    let mut config = fleet.config("scale", &listen, &violetgate_fake_upstreams::settings());
+    let mut config = fleet.config(
+        "scale",
+        &listen.to_string(),
+        &violetgate_fake_upstreams::settings(),
+    );
     config["limits"]["sockets"] = SOCKETS.into();
-    let program = Program::start(listen, &config)?;
+    let gateway = ScaleGateway::start(listen, &config)?;
     let sizes = if options.short {
         &SHORT_SIZES[..]
     } else {
@@ -71,12 +75,12 @@
     let (mut slopes, mut unserved) = (slopes(), 0);
     let mut idle = Vec::new();
     // The first statements open the connections to engines, which are no cost of idle clients.
-    load.run(&program)?;
+    load.run(&gateway)?;
     for &size in sizes {
         while idle.len() < size {
-            idle.push(session(&program)?);
+            idle.push(session(&gateway)?);
         }
-        let costs = costs(&program, &mut load, options)?;
+        let costs = costs(&gateway, &mut load, options)?;
         unserved += ACTIVE * load.each - costs.served;
         let values = [
             costs.resident_bytes,
@@ -124,19 +128,23 @@
     ]
 }
 
-fn session(program: &Program) -> Result<PostgresClient, ScaleError> {
-    let connect = || PostgresClient::new(TcpStream::connect(&program.listen)?, WAIT);
+fn session(gateway: &ScaleGateway) -> Result<PostgresClient, ScaleError> {
+    let connect = || PostgresClient::new(TcpStream::connect(gateway.listen)?, WAIT);
     connect().map_err(ScaleError::io("open a client's session"))
 }
 
-fn costs(program: &Program, load: &mut Load, options: &Options) -> Result<Costs, ScaleError> {
+fn costs(gateway: &ScaleGateway, load: &mut Load, options: &Options) -> Result<Costs, ScaleError> {
     std::thread::sleep(SETTLE);
-    let window = if options.short { SHORT_WINDOW } else { WINDOW };
-    let before = program.usage()?;
+    let window = if options.short {
+        SHORT_IDLE_WINDOW
+    } else {
+        IDLE_WINDOW
+    };
+    let before = gateway.usage()?;
     std::thread::sleep(window);
-    let after = program.usage()?;
+    let after = gateway.usage()?;
     let idle_us = after.cpu.saturating_sub(before.cpu).as_secs_f64() * 1e6 / window.as_secs_f64();
-    let (statement_us, served) = load.run(program)?;
+    let (statement_us, served) = load.run(gateway)?;
     Ok(Costs {
         resident_bytes: after.resident_bytes as f64,
         descriptors: after.descriptors as f64,
@@ -156,13 +164,13 @@
 
 impl Load {
     /// Processor time a statement, and how many were served.
-    fn run(&mut self, program: &Program) -> Result<(f64, usize), ScaleError> {
+    fn run(&mut self, gateway: &ScaleGateway) -> Result<(f64, usize), ScaleError> {
         let clients = (0..ACTIVE)
-            .map(|_| session(program))
+            .map(|_| session(gateway))
             .collect::<Result<Vec<_>, _>>()?;
         let (first, each) = (self.next, self.each);
         self.next += ACTIVE * each;
-        let before = program.usage()?;
+        let before = gateway.usage()?;
         let asked = std::thread::scope(|scope| {
             let starts = (first..).step_by(each);
             let threads: Vec<_> = starts
@@ -175,7 +183,7 @@
                 .collect::<Option<Vec<_>>>()
         });
         let served: usize = asked.ok_or(ScaleError::Thread("client"))?.into_iter().sum();
-        let used = program.usage()?.cpu.saturating_sub(before.cpu);
+        let used = gateway.usage()?.cpu.saturating_sub(before.cpu);
         Ok((used.as_secs_f64() * 1e6 / served.max(1) as f64, served))
     }
 }
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -7,7 +7,7 @@
 use crate::figures::{Figures, Options};
 use crate::gateway_driver::{most_out, settings, Driver};
 use crate::slope::{Budget, Slope};
-use crate::usage::{least, timed, Usage};
+use crate::usage::{least, own_usage, timed};
 
 const ROLE: &str = "decisions";
 const SIZES: [u32; 6] = [80, 300, 1_000, 4_000, 7_600, 12_000];
@@ -163,7 +163,7 @@
 /// The growth of this process's resident memory with several front ends that know all engines.
 fn memory_an_engine(seed: u64) -> Result<f64, ScaleError> {
     let engines = TARGET as u32;
-    let before = Usage::own()?.resident_bytes;
+    let before = own_usage()?.resident_bytes;
     let mut held = Vec::new();
     for number in 0..HELD {
         held.push(Driver::new(
@@ -173,6 +173,6 @@
             1,
         ));
     }
-    let after = Usage::own()?.resident_bytes;
+    let after = own_usage()?.resident_bytes;
     Ok(after.saturating_sub(before) as f64 / (held.len() as f64 * TARGET))
 }
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -5,14 +5,14 @@
 //! connection, in whose greeting stands the last event that it has applied: so nothing has to be guessed from outside.
 
 use std::io::{BufRead, BufReader, Read, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
 use serde_json::json;
 
 use crate::error::ScaleError;
-use crate::figures::{Break, Figures, Options};
-use crate::program::{free_address, Program};
+use crate::figures::{CapacityLimit, Figures, Options};
+use crate::gateway_process::{free_address, ScaleGateway};
 use crate::slope::{Budget, Slope};
 use crate::usage::{least, median};
 
@@ -39,7 +39,7 @@
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let mut bus = Bus::start()?;
     let listen = free_address()?;
-    let program = Program::start(listen.clone(), &config(&listen, &bus)?)?;
+    let gateway = ScaleGateway::start(listen, &config(listen, &bus)?)?;
     let sizes = if options.short {
         &SHORT_SIZES[..]
     } else {
@@ -47,7 +47,7 @@
     };
     let mut slopes = slopes();
     for &engines in sizes {
-        let measured = bus.measure(&program, engines)?;
+        let measured = bus.measure(&gateway, engines)?;
         slopes
             .iter_mut()
             .zip(measured)
@@ -70,7 +70,7 @@
             "engine_list: the largest whole list that the program takes has {largest} engines"
         );
         figures.add("engine_list_largest_whole_list_engines", largest);
-        figures.add_break(Break {
+        figures.add_limit(CapacityLimit {
             name: "engine_list_whole_list".to_owned(),
             size: Some(f64::from(largest)),
             size_of: "engines",
@@ -101,7 +101,7 @@
     ]
 }
 
-fn config(listen: &str, bus: &Bus) -> Result<serde_json::Value, ScaleError> {
+fn config(listen: SocketAddr, bus: &Bus) -> Result<serde_json::Value, ScaleError> {
     let address = bus
         .listener
         .local_addr()
@@ -155,13 +155,13 @@
     }
 
     /// Line bytes, time until applied, processor time of a whole list and of a patch, and memory, at one size.
-    fn measure(&mut self, program: &Program, engines: u32) -> Result<[f64; 5], ScaleError> {
+    fn measure(&mut self, gateway: &ScaleGateway, engines: u32) -> Result<[f64; 5], ScaleError> {
         let (mut applied_ms, mut whole_us, mut patch_us) = (Vec::new(), Vec::new(), Vec::new());
         let mut bytes = 0;
         for _ in 0..REPEATS {
             let line = whole_list(self.last + 1, engines);
             bytes = line.len();
-            let (took, cpu_us) = self.timed(program, &line)?;
+            let (took, cpu_us) = self.timed(gateway, &line)?;
             applied_ms.push(took.as_secs_f64() * 1e3);
             whole_us.push(cpu_us);
         }
@@ -172,9 +172,9 @@
                 "in_service"
             };
             let line = event(self.last + 1, false, &[server(engines / 2, state)]);
-            patch_us.push(self.timed(program, &line)?.1);
+            patch_us.push(self.timed(gateway, &line)?.1);
         }
-        let memory = program.usage()?.resident_bytes as f64;
+        let memory = gateway.usage()?.resident_bytes as f64;
         Ok([
             bytes as f64,
             median(applied_ms),
@@ -184,12 +184,12 @@
         ])
     }
 
-    fn timed(&mut self, program: &Program, line: &str) -> Result<(Duration, f64), ScaleError> {
-        let before = program.usage()?.cpu;
+    fn timed(&mut self, gateway: &ScaleGateway, line: &str) -> Result<(Duration, f64), ScaleError> {
+        let before = gateway.usage()?.cpu;
         let took = self.apply(line)?.ok_or(ScaleError::Bus(
             "did not apply an engine list that fits a line",
         ))?;
-        let used = program.usage()?.cpu.saturating_sub(before);
+        let used = gateway.usage()?.cpu.saturating_sub(before);
         Ok((took, used.as_secs_f64() * 1e6))
     }
 
--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -56,9 +56,9 @@
     /// Membership could not be measured.
     #[error(transparent)]
     Membership(#[from] crate::membership::MembershipError),
-    /// The whole run could not go on.
+    /// The fleet run could not go on.
     #[error(transparent)]
-    WholeRun(#[from] crate::whole_run::WholeRunError),
+    FleetRun(#[from] crate::fleet_run::FleetRunError),
     /// The page or the saved figures can't be used.
     #[error("{file}: {reason}")]
     Page {
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -8,16 +8,16 @@
 pub struct Options {
     /// The form for CI: small sizes, fixed seeds, held to counts and bytes and not to time.
     pub short: bool,
-    /// Where random numbers begin.
+    /// The seed of random numbers.
     pub seed: u64,
 }
 
-/// Where a role ends.
+/// The size at which a cost of a role passes its budget.
 #[derive(Debug, Clone)]
-pub struct Break {
+pub struct CapacityLimit {
     /// The role and the cost that passes its budget.
     pub name: String,
-    /// The size at which it does; `None`: at none.
+    /// The size at which it passes it; `None`: at none.
     pub size: Option<f64>,
     /// What the size counts.
     pub size_of: &'static str,
@@ -25,10 +25,10 @@
     pub target: f64,
 }
 
-impl Break {
-    /// The size as a share of what has to be carried; infinite where nothing breaks.
+impl CapacityLimit {
+    /// The size as a fraction of what has to be carried; infinite where no budget is passed.
     #[must_use]
-    pub fn share(&self) -> f64 {
+    pub fn fraction_of_target(&self) -> f64 {
         self.size.map_or(f64::INFINITY, |size| size / self.target)
     }
 }
@@ -37,8 +37,8 @@
 #[derive(Debug, Default)]
 pub struct Figures {
     values: BTreeMap<String, String>,
-    missed: Vec<String>,
-    breaks: Vec<Break>,
+    failures: Vec<String>,
+    limits: Vec<CapacityLimit>,
 }
 
 impl Figures {
@@ -62,32 +62,33 @@
     pub fn at_most(&mut self, name: &str, value: f64, bound: f64) {
         self.add_number(name, value);
         if value.is_nan() || value > bound {
-            self.missed.push(format!("{name}={value} is over {bound}"));
+            self.failures
+                .push(format!("{name}={value} is over {bound}"));
         }
     }
 
-    /// Notes a failure that is no number.
-    pub fn missed(&mut self, what: impl Into<String>) {
-        self.missed.push(what.into());
+    /// Adds a failure that is no number.
+    pub fn add_failure(&mut self, what: impl Into<String>) {
+        self.failures.push(what.into());
     }
 
-    /// Notes where a role ends.
-    pub fn add_break(&mut self, role_ends: Break) {
-        self.breaks.push(role_ends);
+    /// Adds the size at which a role ends.
+    pub fn add_limit(&mut self, limit: CapacityLimit) {
+        self.limits.push(limit);
     }
 
-    /// Where roles end, the one that ends first before the others.
+    /// Where roles end, the smallest fraction of what has to be carried first.
     #[must_use]
-    pub fn breaks(&self) -> Vec<&Break> {
-        let mut breaks: Vec<_> = self.breaks.iter().collect();
-        breaks.sort_by(|a, b| a.share().total_cmp(&b.share()));
-        breaks
+    pub fn limits(&self) -> Vec<&CapacityLimit> {
+        let mut limits: Vec<_> = self.limits.iter().collect();
+        limits.sort_by(|a, b| a.fraction_of_target().total_cmp(&b.fraction_of_target()));
+        limits
     }
 
     /// What missed its bound.
     #[must_use]
     pub fn failures(&self) -> &[String] {
-        &self.missed
+        &self.failures
     }
 
     /// The line `NAME: key=value ...`.
--- /dev/null
+++ b/tools/scale/src/fleet_run/lightweight_processes.rs
@@ -0,0 +1,224 @@
+//! The processes of lightweight gateways: started, commanded, read from, and ended with the run.
+
+use std::io::{BufRead, BufReader, Write};
+use std::path::Path;
+use std::process::{Child, ChildStdin, ChildStdout, Command as ProcessCommand, Stdio};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+use violetgate_replicated_state::Micros;
+use violetgate_test_harness::{lock, wait_until};
+
+use super::error::FleetRunError;
+use super::files::LightweightFiles;
+use super::layout::program;
+use super::plan::Plan;
+use super::propagation::{Reached, ReachedChange};
+use crate::lightweight_gateway::protocol::{Command, Report, Totals};
+use crate::lightweight_gateway::Part;
+
+/// How long all processes may take to end by themselves, and how often that is checked.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
+const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// How many gateways run in a process, how many of them have open gates, and since when.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct Gates {
+    pub at: Micros,
+    pub running: usize,
+    pub serving: usize,
+}
+
+/// What a process has reported.
+#[derive(Default)]
+struct Reported {
+    gates: Gates,
+    in_force: Reached,
+    totals: Totals,
+    failure: Option<String>,
+}
+
+/// The inputs of all processes.
+pub(super) struct CommandSenders(Mutex<Vec<ChildStdin>>);
+
+impl CommandSenders {
+    /// Sends a command to all processes. One that has ended is noticed by
+    /// [`LightweightProcesses::check`].
+    pub(super) fn send(&self, command: &Command) {
+        self.send_each(|_| command.clone());
+    }
+
+    /// Sends each process its own command.
+    pub(super) fn send_each(&self, command: impl Fn(usize) -> Command) {
+        for (process, input) in lock(&self.0).iter_mut().enumerate() {
+            if let Ok(line) = serde_json::to_string(&command(process)) {
+                let _ = writeln!(input, "{line}");
+            }
+        }
+    }
+}
+
+/// All processes of lightweight gateways.
+pub(super) struct LightweightProcesses {
+    children: Vec<Child>,
+    reported: Vec<Arc<Mutex<Reported>>>,
+    senders: Arc<CommandSenders>,
+}
+
+impl Drop for LightweightProcesses {
+    fn drop(&mut self) {
+        // The end of its input ends a process.
+        lock(&self.senders.0).clear();
+        let children = &mut self.children;
+        wait_until(EXIT_TIMEOUT, EXIT_CHECK_INTERVAL, || {
+            let mut all = children.iter_mut();
+            all.all(|child| !matches!(child.try_wait(), Ok(None)))
+        });
+        for child in &mut self.children {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+}
+
+impl LightweightProcesses {
+    /// Starts the processes of a plan, without any gateway yet.
+    pub(super) fn start(plan: &Plan, files: &LightweightFiles) -> Result<Self, FleetRunError> {
+        let program = program("hollow-front-ends")?;
+        let mut processes = LightweightProcesses {
+            children: Vec::new(),
+            reported: Vec::new(),
+            senders: Arc::new(CommandSenders(Mutex::default())),
+        };
+        let mut first = 0;
+        for process in 0..plan.processes {
+            let count = plan.share(plan.lightweight, process);
+            processes.add(spawn(&program, plan, files, first, count)?);
+            first += count;
+        }
+        Ok(processes)
+    }
+
+    fn add(&mut self, mut child: Child) {
+        let (input, output) = (child.stdin.take(), child.stdout.take());
+        self.children.push(child);
+        lock(&self.senders.0).extend(input);
+        let reported = Arc::new(Mutex::new(Reported::default()));
+        self.reported.push(Arc::clone(&reported));
+        if let Some(output) = output {
+            std::thread::spawn(move || read_reports(output, &reported));
+        }
+    }
+
+    /// Where commands go.
+    pub(super) fn senders(&self) -> &Arc<CommandSenders> {
+        &self.senders
+    }
+
+    /// Their process ids.
+    pub(super) fn pids(&self) -> Vec<u32> {
+        self.children.iter().map(Child::id).collect()
+    }
+
+    /// Fails if a process has ended.
+    pub(super) fn check(&mut self) -> Result<(), FleetRunError> {
+        let children = self.children.iter_mut().zip(&self.reported);
+        for (process, (child, reported)) in children.enumerate() {
+            let failure = lock(reported).failure.clone();
+            let status = child.try_wait().ok().flatten();
+            let ended = status.map(|status| status.to_string());
+            if let Some(cause) = failure.or(ended) {
+                return Err(FleetRunError::Ended {
+                    name: format!("hollow-front-ends {process}"),
+                    cause,
+                });
+            }
+        }
+        Ok(())
+    }
+
+    /// The gates of each process.
+    pub(super) fn gates(&self) -> Vec<Gates> {
+        let reported = self.reported.iter();
+        reported.map(|reported| lock(reported).gates).collect()
+    }
+
+    /// The gates of all processes together; `at` is when the last of them changed.
+    pub(super) fn all_gates(&self) -> Gates {
+        let gates = self.gates().into_iter();
+        gates.fold(Gates::default(), |sum, gates| Gates {
+            at: sum.at.max(gates.at),
+            running: sum.running + gates.running,
+            serving: sum.serving + gates.serving,
+        })
+    }
+
+    /// The latest totals of all processes together.
+    pub(super) fn totals(&self) -> Totals {
+        let mut sum = Totals::default();
+        for reported in &self.reported {
+            sum.add(lock(reported).totals.clone());
+        }
+        sum
+    }
+
+    /// The changes in force at each process.
+    pub(super) fn reached(&self) -> Vec<Reached> {
+        let reported = self.reported.iter();
+        reported
+            .map(|reported| lock(reported).in_force.clone())
+            .collect()
+    }
+}
+
+fn spawn(
+    program: &Path,
+    plan: &Plan,
+    files: &LightweightFiles,
+    first: usize,
+    count: usize,
+) -> Result<Child, FleetRunError> {
+    let parts: Vec<_> = plan.parts.iter().copied().map(Part::name).collect();
+    ProcessCommand::new(program)
+        .arg("--config")
+        .arg(&files.config)
+        .arg("--settings")
+        .arg(&files.settings)
+        .args(["--first", &first.to_string()])
+        .args(["--count", &count.to_string()])
+        .args(["--seed", &plan.seed.to_string()])
+        .args(["--parts", &parts.join(",")])
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null())
+        .spawn()
+        .map_err(FleetRunError::machine("start hollow-front-ends"))
+}
+
+fn read_reports(output: ChildStdout, reported: &Mutex<Reported>) {
+    let lines = BufReader::new(output).lines().map_while(Result::ok);
+    for line in lines {
+        let report = serde_json::from_str(&line);
+        let mut reported = lock(reported);
+        match report {
+            Ok(Report::InForce { change, at, .. }) => {
+                let number = change;
+                reported.in_force.push(ReachedChange { number, at });
+            }
+            Ok(Report::Gates {
+                at,
+                running,
+                serving,
+            }) => {
+                reported.gates = Gates {
+                    at,
+                    running,
+                    serving,
+                }
+            }
+            Ok(Report::Totals(totals)) => reported.totals = totals,
+            Ok(Report::Failed { cause }) => reported.failure = Some(cause),
+            Err(error) => reported.failure = Some(format!("a report can't be read: {error}")),
+        }
+    }
+}
--- /dev/null
+++ b/tools/scale/src/fleet_run/phases.rs
@@ -0,0 +1,226 @@
+//! The phases of a run, in their order, and the figures that each adds.
+
+mod faults;
+mod sequences;
+mod steady;
+
+use std::time::{Duration, Instant};
+
+use violetgate_fake_upstreams::{FakeUpstreams, Profile};
+use violetgate_test_harness::ProcessUsage;
+
+use super::change_maker::ChangeMaker;
+use super::control_plane::{ControlPlane, ControlSetup};
+use super::error::FleetRunError;
+use super::files::LightweightFiles;
+use super::fleet_monitor::FleetMonitor;
+use super::layout::{program, Layout};
+use super::lightweight_processes::LightweightProcesses;
+use super::plan::Plan;
+use super::propagation::{reached_changes, Change, Reached};
+use super::real_gateways::RealGateways;
+use crate::figures::Figures;
+use crate::lightweight_gateway::protocol::Command;
+use crate::lightweight_gateway::Part;
+
+/// How long gateways may take until all of them serve, and how often that is checked.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(120);
+const SERVE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Lines of a log that go into an error.
+const LAST_LOG_LINES: usize = 8;
+const BYTES_PER_MB: f64 = 1_048_576.0;
+
+/// A run. Its parts end in the order in which they stand here.
+pub(super) struct Run<'a> {
+    plan: &'a Plan,
+    change_maker: Option<ChangeMaker>,
+    fleet_monitor: FleetMonitor,
+    lightweight: LightweightProcesses,
+    real: RealGateways,
+    control: ControlPlane,
+    _engines: FakeUpstreams,
+    _layout: Layout,
+    /// The most resident memory of all processes that was found, in bytes.
+    peak_memory: u64,
+}
+
+impl<'a> Run<'a> {
+    /// Starts engines, control processes, real gateways and the processes of lightweight ones, which
+    /// are empty yet.
+    pub(super) fn start(plan: &'a Plan) -> Result<Self, FleetRunError> {
+        let layout = Layout::new()?;
+        let serve = program("violetgate")?;
+        let engines = FakeUpstreams::start(plan.engines, Profile::default())
+            .map_err(FleetRunError::machine("start stand-in engines"))?;
+        let control = ControlPlane::start(&ControlSetup {
+            plan,
+            layout: &layout,
+            program: &serve,
+            engines: &engines,
+        })?;
+        let fleet_monitor = FleetMonitor::start(control.managements());
+        let real = RealGateways::start(plan, &layout, &serve, &engines)?;
+        let files = LightweightFiles::write(plan, &layout, &engines)?;
+        let lightweight = LightweightProcesses::start(plan, &files)?;
+        Ok(Run {
+            plan,
+            change_maker: None,
+            fleet_monitor,
+            lightweight,
+            real,
+            control,
+            _engines: engines,
+            _layout: layout,
+            peak_memory: 0,
+        })
+    }
+
+    /// Goes through all phases.
+    pub(super) fn measure(mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
+        let began = Instant::now();
+        let apis = self.control.apis();
+        let senders = self.lightweight.senders().clone();
+        let change_maker = ChangeMaker::start(apis, self.plan.changes_per_second, senders);
+        self.change_maker = Some(change_maker);
+        self.grow(self.plan.first_step)?;
+        let first_step_messages = self.voter_messages_per_second()?;
+        self.grow(self.plan.lightweight)?;
+        let serving = self.real.count_serving_queries();
+        let not_answering = self.plan.real - serving.min(self.plan.real);
+        figures.at_most("scale_real_not_answering", not_answering as f64, 0.0);
+        self.wait(self.plan.settle)?;
+        self.measure_steady(first_step_messages, figures)?;
+        self.kill_observer(figures)?;
+        self.kill_leader(figures)?;
+        self.return_at_once(figures)?;
+        self.compare_sequences(figures)?;
+        self.add_sizes(figures);
+        figures.add_number("scale_run_s", began.elapsed().as_secs_f64());
+        Ok(())
+    }
+
+    /// Has so many lightweight gateways run, and waits until all of them and the real ones serve.
+    fn grow(&mut self, gateways: usize) -> Result<(), FleetRunError> {
+        let plan = self.plan;
+        let per_second = (plan.starts_per_second / plan.processes.max(1) as u32).max(1);
+        let senders = self.lightweight.senders();
+        senders.send_each(|process| Command::Start {
+            running: plan.share(gateways, process),
+            per_second: Some(per_second),
+        });
+        self.wait_until_serving(gateways)
+    }
+
+    /// Waits until so many lightweight gateways and all real ones serve.
+    fn wait_until_serving(&mut self, gateways: usize) -> Result<(), FleetRunError> {
+        let deadline = Instant::now() + SERVE_TIMEOUT;
+        loop {
+            self.lightweight.check()?;
+            let lightweight = self.lightweight.all_gates();
+            let real = self.real.serving();
+            if lightweight.serving == gateways && real == self.plan.real {
+                return Ok(());
+            }
+            if Instant::now() > deadline {
+                let log = last_lines(&self.real.first_log());
+                return Err(FleetRunError::Late {
+                    what: format!(
+                        "{gateways} hollow and {} real front ends serve",
+                        self.plan.real
+                    ),
+                    seconds: SERVE_TIMEOUT.as_secs(),
+                    found: format!(
+                        "{} run, {} and {real} serve; {log}",
+                        lightweight.running, lightweight.serving
+                    ),
+                });
+            }
+            std::thread::sleep(SERVE_CHECK_INTERVAL);
+        }
+    }
+
+    /// Lets a time pass while everything goes on.
+    fn wait(&mut self, time: Duration) -> Result<(), FleetRunError> {
+        std::thread::sleep(time);
+        self.update_peak_memory();
+        self.lightweight.check()
+    }
+
+    fn update_peak_memory(&mut self) {
+        let memory = ProcessUsage::sum(self.pids()).resident_bytes;
+        self.peak_memory = self.peak_memory.max(memory);
+    }
+
+    /// Process ids of the fleet run, this one among them.
+    fn pids(&self) -> Vec<u32> {
+        let control = self.control.pids();
+        [
+            vec![std::process::id()],
+            control.voters,
+            control.observers,
+            self.lightweight.pids(),
+            self.real.pids(),
+        ]
+        .concat()
+    }
+
+    /// The changes that were answered so far, in order.
+    fn changes(&self) -> Vec<Change> {
+        let change_maker = self.change_maker.as_ref();
+        change_maker.map(ChangeMaker::changes).unwrap_or_default()
+    }
+
+    /// What every process of lightweight gateways has reached, and the fleet as the observers
+    /// sum it up.
+    fn reached(&self) -> Vec<Reached> {
+        let fleet = reached_changes(&self.fleet_monitor.revisions(), &self.changes());
+        let mut reached = self.lightweight.reached();
+        reached.push(fleet);
+        reached
+    }
+
+    /// What every real gateway has reached, read once a second.
+    fn reached_by_real(&self) -> Vec<Reached> {
+        let changes = self.changes();
+        let observed = self.real.observed();
+        let observed = observed.iter();
+        observed
+            .map(|gateway| reached_changes(&gateway.revisions, &changes))
+            .collect()
+    }
+
+    fn add_sizes(&mut self, figures: &mut Figures) {
+        self.update_peak_memory();
+        let parts: Vec<_> = self.plan.parts.iter().copied().map(Part::name).collect();
+        figures.add("scale_front_ends", self.plan.gateways());
+        figures.add("scale_real_front_ends", self.plan.real);
+        figures.add("scale_processes", self.pids().len());
+        figures.add("scale_parts", parts.join("+"));
+        figures.add_number(
+            "scale_run_memory_mb",
+            self.peak_memory as f64 / BYTES_PER_MB,
+        );
+        figures.at_most("scale_crashed", self.control.crash_count() as f64, 0.0);
+    }
+
+    /// Adds a time, or what depends on time: held to its bound in the long form, and in both to
+    /// having come at all.
+    fn hold_time(&self, name: &str, value: f64, bound: f64, figures: &mut Figures) {
+        let bound = if self.plan.short {
+            f64::INFINITY
+        } else {
+            bound
+        };
+        figures.at_most(name, value, bound);
+    }
+}
+
+/// The last lines of a log, without those of the management interface.
+fn last_lines(log: &str) -> String {
+    let lines: Vec<_> = log
+        .lines()
+        .filter(|line| !line.starts_with("management"))
+        .collect();
+    let first = lines.len().saturating_sub(LAST_LOG_LINES);
+    lines.get(first..).unwrap_or_default().join(" | ")
+}
--- a/tools/scale/src/whole_run/plan.rs
+++ b/tools/scale/src/fleet_run/plan.rs
@@ -1,20 +1,20 @@
-//! How large a whole run is, and how long its phases last.
+//! How large a fleet run is, and how long its phases last.
 
 use std::time::Duration;
 
-use crate::hollow::process::Part;
-use crate::Options;
+use crate::figures::Options;
+use crate::lightweight_gateway::Part;
 
 /// Sizes and times of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Hollow front ends.
-    pub hollow: usize,
-    /// Hollow front ends in the first step, which voters' messages are compared with.
+    /// Lightweight gateways.
+    pub lightweight: usize,
+    /// Lightweight gateways in the first step, which voters' messages are compared with.
     pub first_step: usize,
-    /// Processes that hollow front ends share.
+    /// Processes that lightweight gateways share.
     pub processes: usize,
-    /// Front ends of their own process.
+    /// Gateways in a process of their own.
     pub real: usize,
     /// Control processes that vote.
     pub voters: u64,
@@ -22,28 +22,28 @@
     pub observers: u64,
     /// Engines that the event bus lists.
     pub engines: usize,
-    /// Hollow front ends that end and come back at once.
+    /// Lightweight gateways that end and come back at once.
     pub returning: usize,
     /// Changes a second.
     pub changes_per_second: f64,
-    /// How long a fleet that has just started is left alone: what a start costs is a burst, and measured by itself.
+    /// How long a fleet that has just started settles: a start is a burst, measured by itself.
     pub settle: Duration,
     /// How long a phase without faults is measured.
     pub steady: Duration,
-    /// How long what follows a fault is watched.
+    /// How long what follows a fault is observed.
     pub after_fault: Duration,
-    /// How many hollow front ends start a second, over all processes.
+    /// How many lightweight gateways start a second, over all processes.
     pub starts_per_second: u32,
-    /// The parts that hollow front ends run.
+    /// The parts that lightweight gateways run.
     pub parts: Vec<Part>,
-    /// Where random numbers begin.
+    /// The seed of random numbers.
     pub seed: u64,
-    /// Held to counts and bytes and not to time.
+    /// Whether figures are held to counts and bytes and not to time.
     pub short: bool,
 }
 
-/// Front ends of the fleet that the long form runs.
-const FRONT_ENDS: usize = 7_600;
+/// Lightweight gateways of the long form.
+const LONG_FORM_GATEWAYS: usize = 7_600;
 
 impl Plan {
     /// The plan of a form.
@@ -52,7 +52,7 @@
         if options.short {
             Plan::short(options.seed)
         } else {
-            Plan::long(FRONT_ENDS, options.seed)
+            Plan::long(LONG_FORM_GATEWAYS, options.seed)
         }
     }
 
@@ -60,7 +60,7 @@
     #[must_use]
     pub fn short(seed: u64) -> Self {
         Plan {
-            hollow: 40,
+            lightweight: 40,
             first_step: 20,
             processes: 2,
             real: 1,
@@ -79,18 +79,18 @@
         }
     }
 
-    /// The long form with so many hollow front ends.
+    /// The long form with so many lightweight gateways.
     #[must_use]
-    pub fn long(hollow: usize, seed: u64) -> Self {
+    pub fn long(lightweight: usize, seed: u64) -> Self {
         Plan {
-            hollow,
-            first_step: hollow.min(1_000),
+            lightweight,
+            first_step: lightweight.min(1_000),
             processes: 8,
             real: 3,
             voters: 5,
             observers: 4,
             engines: 80,
-            returning: hollow / 5,
+            returning: lightweight / 5,
             changes_per_second: 3.0,
             settle: Duration::from_secs(30),
             steady: Duration::from_secs(30),
@@ -102,13 +102,13 @@
         }
     }
 
-    /// Front ends of all kinds.
+    /// Gateways of all kinds.
     #[must_use]
-    pub fn front_ends(&self) -> usize {
-        self.hollow + self.real
+    pub fn gateways(&self) -> usize {
+        self.lightweight + self.real
     }
 
-    /// How many hollow front ends a process has where `all` run.
+    /// How many of `all` lightweight gateways a process has.
     #[must_use]
     pub fn share(&self, all: usize, process: usize) -> usize {
         let processes = self.processes.max(1);
--- /dev/null
+++ b/tools/scale/src/gateway_process.rs
@@ -0,0 +1,105 @@
+//! The real program in a process of its own: `violetgate` beside the running binary.
+
+use std::net::{SocketAddr, TcpStream};
+use std::path::PathBuf;
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::time::Duration;
+
+use serde_json::Value;
+use violetgate_test_harness::{
+    free_tcp_addresses, program_beside, wait_until, LogTarget, ProcessUsage, ServerProcess,
+};
+
+use crate::error::ScaleError;
+use crate::usage::usage_of;
+
+/// How long it may take to listen, and how often that is checked.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+/// A running gateway. It is killed when this is dropped, and its folder is removed.
+pub struct ScaleGateway {
+    process: ServerProcess,
+    /// Where PostgreSQL clients connect.
+    pub listen: SocketAddr,
+}
+
+impl Drop for ScaleGateway {
+    fn drop(&mut self) {
+        self.process.kill();
+        let _ = std::fs::remove_dir_all(self.process.folder());
+    }
+}
+
+/// A free address of the loopback interface.
+///
+/// # Errors
+///
+/// The machine has none.
+pub fn free_address() -> Result<SocketAddr, ScaleError> {
+    let [address] = free_tcp_addresses().map_err(ScaleError::io("find a free port"))?;
+    Ok(address)
+}
+
+impl ScaleGateway {
+    /// Starts the program with a configuration, whose `listen` has to be `listen`.
+    ///
+    /// # Errors
+    ///
+    /// It is not built, or does not listen in time.
+    pub fn start(listen: SocketAddr, config: &Value) -> Result<Self, ScaleError> {
+        let program =
+            program_beside("violetgate").map_err(ScaleError::io("find the running binary"))?;
+        if !program.exists() {
+            return Err(ScaleError::NoProgram(program));
+        }
+        let folder = unused_folder();
+        std::fs::create_dir_all(&folder).map_err(ScaleError::io("make a folder"))?;
+        std::fs::write(folder.join("config.json"), config.to_string())
+            .map_err(ScaleError::io("write a configuration"))?;
+        let mut process = ServerProcess::new(&program, folder, LogTarget::File);
+        process
+            .start()
+            .map_err(ScaleError::io("start violetgate"))?;
+        let mut gateway = ScaleGateway { process, listen };
+        gateway.wait_until_it_listens()?;
+        Ok(gateway)
+    }
+
+    fn wait_until_it_listens(&mut self) -> Result<(), ScaleError> {
+        let mut has_ended = false;
+        let waited = wait_until(START_TIMEOUT, START_CHECK_INTERVAL, || {
+            let listens = TcpStream::connect(self.listen).is_ok();
+            has_ended = !listens && !self.process.is_running();
+            listens || has_ended
+        });
+        if has_ended {
+            return Err(ScaleError::Program(self.last_log_line()));
+        }
+        waited.map(drop).ok_or(ScaleError::Late {
+            what: "violetgate's listening",
+            seconds: START_TIMEOUT.as_secs(),
+        })
+    }
+
+    fn last_log_line(&self) -> String {
+        let log = self.process.log();
+        log.lines().last().unwrap_or("it is empty").to_owned()
+    }
+
+    /// What it uses now.
+    ///
+    /// # Errors
+    ///
+    /// It has ended.
+    pub fn usage(&self) -> Result<ProcessUsage, ScaleError> {
+        usage_of(self.process.pid().unwrap_or(0))
+    }
+}
+
+fn unused_folder() -> PathBuf {
+    static NEXT: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT.fetch_add(1, Relaxed);
+    let process_id = std::process::id();
+    std::env::temp_dir().join(format!("violetgate-scale-{process_id}-{number}"))
+}
--- a/tools/scale/src/lib.rs
+++ b/tools/scale/src/lib.rs
@@ -3,7 +3,6 @@
 //! Each role has a module with one function, `measure`, which drives the product's own code at several sizes and adds
 //! its figures. docs/CAPACITY.md stands on these figures.
 
-pub mod agreed_state;
 pub mod client_side;
 pub mod decisions;
 pub mod engine_list;
@@ -11,14 +10,15 @@
 pub mod error;
 pub mod figures;
 pub mod fit;
+pub mod fleet_run;
 pub mod gateway_driver;
-pub mod hollow;
+mod gateway_process;
+pub mod lightweight_gateway;
 pub mod membership;
 pub mod page;
-pub mod program;
+pub mod replicated_state;
 pub mod slope;
-pub mod usage;
-pub mod whole_run;
+mod usage;
 
 pub use error::ScaleError;
 pub use figures::{Figures, Options};
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -6,7 +6,7 @@
 use violetgate_membership::MembershipConfig;
 use violetgate_simulator::load::{play, Case, Load};
 
-use crate::{Figures, Options};
+use crate::figures::{Figures, Options};
 
 /// Sizes of the short form.
 const SHORT_SIZES: [usize; 2] = [100, 300];
@@ -87,14 +87,14 @@
     // Across a cut the living are declared dead; elsewhere that is a fault.
     let expects_none = case != Case::Halves;
     if expects_none && load.false_declarations > 0 {
-        figures.missed(format!(
+        figures.add_failure(format!(
             "{}: {} members that run were declared dead",
             name("false_declarations"),
             load.false_declarations
         ));
     }
     if case == Case::Start && load.known_s.is_none() && !load.cut_short {
-        figures.missed(format!(
+        figures.add_failure(format!(
             "{}: a fleet that started at once has not come to one view",
             name("known_s")
         ));
--- a/tools/scale/src/agreed_state/costs.rs
+++ b/tools/scale/src/replicated_state/costs.rs
@@ -1,10 +1,11 @@
 //! What a group of instances costs, and the slopes of these costs by its size.
 
-use super::TARGET;
 use crate::figures::Figures;
 use crate::slope::{Budget, Slope};
 
 const ROLE: &str = "agreed_state";
+/// Instances that have to be carried.
+pub const TARGET: f64 = 7_600.0;
 /// The leader's loop is one thread: it has a core at most.
 const CORE_US_PER_S: f64 = 1_000_000.0;
 /// A change has to be in force everywhere within ten seconds.
@@ -15,7 +16,7 @@
     pub leader_us_per_s: f64,
     pub others_us_per_s: f64,
     pub process_us_per_s: f64,
-    pub questions_per_s: f64,
+    pub read_index_per_s: f64,
     pub messages_per_s: f64,
     pub bytes_per_s: f64,
 }
@@ -34,7 +35,7 @@
 pub struct Slopes {
     leader: Slope,
     other: Slope,
-    questions: Slope,
+    read_index: Slope,
     messages: Slope,
     received: Slope,
     change: Slope,
@@ -58,7 +59,7 @@
         Slopes {
             leader: slope("leader_at_rest", "us_per_s", Some(CORE_US_PER_S)),
             other: slope("other_at_rest", "us_per_s", None),
-            questions: slope("questions", "per_s", None),
+            read_index: slope("questions", "per_s", None),
             messages: slope("leader_received_messages", "per_s", None),
             received: slope("leader_received_bytes", "per_s", None),
             change: slope("change_everywhere", "ms", Some(CHANGE_BUDGET_MS)),
@@ -73,7 +74,7 @@
     pub fn push(&mut self, size: f64, costs: &Costs) {
         self.leader.push(size, costs.idle.leader_us_per_s);
         self.other.push(size, costs.other_us_per_s);
-        self.questions.push(size, costs.idle.questions_per_s);
+        self.read_index.push(size, costs.idle.read_index_per_s);
         self.messages.push(size, costs.idle.messages_per_s);
         self.received.push(size, costs.idle.bytes_per_s);
         self.change.push(size, costs.change_ms);
@@ -86,7 +87,7 @@
         let Slopes {
             leader,
             other,
-            questions,
+            read_index,
             messages,
             received,
             change,
@@ -96,7 +97,7 @@
         let all = [
             leader,
             other,
-            questions,
+            read_index,
             messages,
             received,
             change,
--- a/tools/scale/src/agreed_state/group.rs
+++ b/tools/scale/src/replicated_state/members.rs
@@ -1,5 +1,5 @@
-//! Real cluster members with their real transport and disks, in one process: the leader on the calling thread, all
-//! others on a second one, so that their processor time is counted apart.
+//! Real cluster members with their real transport and disks, in one process: the leader on the
+//! calling thread, all others on a second one, so that their CPU time is counted apart.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering::SeqCst};
-use std::sync::{mpsc, Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{mpsc, Arc, Mutex};
 use std::time::{Duration, Instant};
 
 use async_executor::LocalExecutor;
@@ -16,6 +16,7 @@
 use violetgate_replica::ReplicaConfig;
 use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::Revision;
+use violetgate_test_harness::lock;
 
 use crate::error::ScaleError;
 use crate::usage::thread_cpu;
@@ -24,31 +25,36 @@
 pub const LEADER: NodeId = 1;
 /// Members that vote; all others are learners.
 pub const VOTERS: [NodeId; 3] = [1, 2, 3];
-/// How often the thread of the other members looks after them.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often the thread of the other members updates what it shares.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 const CLUSTER: &str = "scale";
 
-/// What the threads know of each other.
+/// A revision that a member has applied, and when.
+struct AppliedRevision {
+    revision: Revision,
+    at: Instant,
+}
+
+/// What the other members and the thread that measures share.
 #[derive(Default)]
-pub struct Shared {
-    applied: Mutex<BTreeMap<NodeId, (Revision, Instant)>>,
+pub struct MemberProgress {
+    applied: Mutex<BTreeMap<NodeId, AppliedRevision>>,
     routing: AtomicUsize,
     others_cpu_ns: AtomicU64,
     stop: AtomicBool,
 }
 
-impl Shared {
-    fn lock(&self) -> MutexGuard<'_, BTreeMap<NodeId, (Revision, Instant)>> {
-        self.applied.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// When the last of so many members had applied a revision; `None`: not all have.
+impl MemberProgress {
+    /// When the last of so many members applied a revision; `None`: not all have.
     #[must_use]
     pub fn applied_by_all(&self, members: usize, revision: Revision) -> Option<Instant> {
-        let applied = self.lock();
-        let have = applied.values().filter(|(held, _)| *held >= revision);
-        let at: Vec<_> = have.map(|(_, at)| *at).collect();
-        at.iter().max().copied().filter(|_| at.len() >= members)
+        let applied = lock(&self.applied);
+        let members_at = applied
+            .values()
+            .filter(|applied| applied.revision >= revision);
+        let times: Vec<_> = members_at.map(|applied| applied.at).collect();
+        let last = times.iter().max().copied();
+        last.filter(|_| times.len() >= members)
     }
 
     /// How many of the other members may route now.
@@ -57,38 +63,38 @@
         self.routing.load(SeqCst)
     }
 
-    /// Processor time of the other members' thread.
+    /// CPU time of the other members' thread.
     #[must_use]
     pub fn others_cpu(&self) -> Duration {
         Duration::from_nanos(self.others_cpu_ns.load(SeqCst))
     }
 }
 
-/// Starts a member and notes what it applies.
+/// Starts a member and records what it applies.
 ///
 /// # Errors
 ///
 /// Its folder or address can't be used.
 pub fn start_member(
     executor: &Rc<LocalExecutor<'static>>,
-    place: &Place,
+    folders: &MemberFolders,
     addresses: &BTreeMap<NodeId, SocketAddr>,
     id: NodeId,
     listen: SocketAddr,
-    shared: &Arc<Shared>,
+    progress: &Arc<MemberProgress>,
 ) -> Result<Rc<ReplicaRuntime>, ScaleError> {
     let failed = |reason| ScaleError::Member { id, reason };
-    let folder = place.0.join(id.to_string());
+    let folder = folders.root.join(id.to_string());
     let members = if VOTERS.contains(&id) {
         VOTERS.to_vec()
     } else {
         Vec::new()
     };
-    let beginning = Bootstrap {
+    let bootstrap = Bootstrap {
         initial_members: members,
         initial_state: Vec::new(),
     };
-    ReplicaRuntime::initialize(CLUSTER, id, &folder, place.1 ^ id, beginning)
+    ReplicaRuntime::initialize(CLUSTER, id, &folder, folders.seed ^ id, bootstrap)
         .map_err(|error| failed(error.to_string()))?;
     let options = ReplicaOptions {
         cluster: CLUSTER.to_owned(),
@@ -97,34 +103,42 @@
         listen,
         members: addresses.clone(),
         config: ReplicaConfig::default(),
-        seed: place.1.wrapping_add(id),
+        seed: folders.seed.wrapping_add(id),
     };
     let member =
         ReplicaRuntime::start(executor, &options).map_err(|error| failed(error.to_string()))?;
-    let notes = Arc::clone(shared);
+    let progress = Arc::clone(progress);
     member.on_applied(Rc::new(move |store| {
-        notes.lock().insert(id, (store.revision(), Instant::now()));
+        let applied = AppliedRevision {
+            revision: store.revision(),
+            at: Instant::now(),
+        };
+        lock(&progress.applied).insert(id, applied);
     }));
     Ok(member)
 }
 
-/// The folder of all members, and the seed of the test. The folder goes with its owner.
-pub struct Place(PathBuf, u64);
+/// The folder of all members and the seed of the test. The folder is removed when this is dropped.
+pub struct MemberFolders {
+    root: PathBuf,
+    seed: u64,
+}
 
-impl Place {
-    /// A folder for members that is not there yet.
+impl MemberFolders {
+    /// Folders that do not exist yet.
     #[must_use]
     pub fn new(seed: u64) -> Self {
-        Place(
-            std::env::temp_dir().join(format!("violetgate-scale-{}", std::process::id())),
+        let process_id = std::process::id();
+        MemberFolders {
+            root: std::env::temp_dir().join(format!("violetgate-scale-{process_id}")),
             seed,
-        )
+        }
     }
 }
 
-impl Drop for Place {
+impl Drop for MemberFolders {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0);
+        let _ = std::fs::remove_dir_all(&self.root);
     }
 }
 
@@ -137,16 +151,16 @@
 }
 
 /// The thread of all members but the leader.
-pub struct Others {
+pub struct OtherMembers {
     growths: mpsc::Sender<Growth>,
-    grown: mpsc::Receiver<Result<(), ScaleError>>,
-    shared: Arc<Shared>,
+    results: mpsc::Receiver<Result<(), ScaleError>>,
+    progress: Arc<MemberProgress>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
-impl Drop for Others {
+impl Drop for OtherMembers {
     fn drop(&mut self) {
-        self.shared.stop.store(true, SeqCst);
+        self.progress.stop.store(true, SeqCst);
         self.thread
             .take()
             .into_iter()
@@ -154,24 +168,33 @@
     }
 }
 
-impl Others {
+impl OtherMembers {
     /// Starts the thread, with no member yet.
     ///
     /// # Errors
     ///
     /// The machine gives no thread.
-    pub fn start(place: &Rc<Place>, shared: &Arc<Shared>) -> Result<Self, ScaleError> {
-        let (growths, to_grow) = mpsc::channel();
-        let (tell, grown) = mpsc::channel();
-        let (place, notes) = (Place(place.0.clone(), place.1), Arc::clone(shared));
+    pub fn start(
+        folders: &Rc<MemberFolders>,
+        progress: &Arc<MemberProgress>,
+    ) -> Result<Self, ScaleError> {
+        let (growths, growth_receiver) = mpsc::channel();
+        let (result_sender, results) = mpsc::channel();
+        let folders = MemberFolders {
+            root: folders.root.clone(),
+            seed: folders.seed,
+        };
+        let thread_progress = Arc::clone(progress);
         let thread = std::thread::Builder::new()
             .name("others".to_owned())
-            .spawn(move || look_after(&place, &notes, &to_grow, &tell))
+            .spawn(move || {
+                run_members(&folders, &thread_progress, &growth_receiver, &result_sender)
+            })
             .map_err(ScaleError::io("start a thread"))?;
-        Ok(Others {
+        Ok(OtherMembers {
             growths,
-            grown,
-            shared: Arc::clone(shared),
+            results,
+            progress: Arc::clone(progress),
             thread: Some(thread),
         })
     }
@@ -184,48 +207,56 @@
     pub fn grow(&self, growth: Growth) -> Result<(), ScaleError> {
         let ended = || ScaleError::Thread("others");
         self.growths.send(growth).map_err(|_| ended())?;
-        self.grown.recv().map_err(|_| ended())?
+        self.results.recv().map_err(|_| ended())?
     }
 }
 
-fn look_after(
-    place: &Place,
-    shared: &Arc<Shared>,
-    to_grow: &mpsc::Receiver<Growth>,
-    tell: &mpsc::Sender<Result<(), ScaleError>>,
+/// Runs the other members on a thread of its own until the test ends.
+fn run_members(
+    folders: &MemberFolders,
+    progress: &Arc<MemberProgress>,
+    growths: &mpsc::Receiver<Growth>,
+    results: &mpsc::Sender<Result<(), ScaleError>>,
 ) {
     let executor = Rc::new(LocalExecutor::new());
     let members = RefCell::new(BTreeMap::new());
     async_io::block_on(executor.run(async {
-        while !shared.stop.load(SeqCst) {
-            while let Ok(growth) = to_grow.try_recv() {
-                let grown = grow(&executor, place, shared, &mut members.borrow_mut(), &growth);
-                if tell.send(grown).is_err() {
+        while !progress.stop.load(SeqCst) {
+            while let Ok(growth) = growths.try_recv() {
+                let grown = start_members(
+                    &executor,
+                    folders,
+                    progress,
+                    &mut members.borrow_mut(),
+                    &growth,
+                );
+                if results.send(grown).is_err() {
                     return;
                 }
             }
             let routing = members
                 .borrow()
                 .values()
-                .filter(|m| m.may_route().is_ok())
+                .filter(|member| member.may_route().is_ok())
                 .count();
-            shared.routing.store(routing, SeqCst);
+            progress.routing.store(routing, SeqCst);
             let nanoseconds = u64::try_from(thread_cpu().as_nanos()).unwrap_or(u64::MAX);
-            shared.others_cpu_ns.store(nanoseconds, SeqCst);
-            Timer::after(LOOK).await;
+            progress.others_cpu_ns.store(nanoseconds, SeqCst);
+            Timer::after(UPDATE_INTERVAL).await;
         }
     }));
 }
 
-fn grow(
+/// Starts the members of a growth, and makes all known to each other.
+fn start_members(
     executor: &Rc<LocalExecutor<'static>>,
-    place: &Place,
-    shared: &Arc<Shared>,
+    folders: &MemberFolders,
+    progress: &Arc<MemberProgress>,
     members: &mut BTreeMap<NodeId, Rc<ReplicaRuntime>>,
     growth: &Growth,
 ) -> Result<(), ScaleError> {
     for (id, listen) in &growth.new {
-        let member = start_member(executor, place, &growth.addresses, *id, *listen, shared)?;
+        let member = start_member(executor, folders, &growth.addresses, *id, *listen, progress)?;
         members.insert(*id, member);
     }
     members
--- a/tools/scale/src/agreed_state/relay.rs
+++ b/tools/scale/src/replicated_state/relay.rs
@@ -1,4 +1,4 @@
-//! A relay before the leader that counts what other members say to it.
+//! A relay in front of the leader that counts what other members send to it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -12,18 +12,18 @@
 use crate::error::ScaleError;
 
 /// Bytes before a frame: its length.
-const HEAD: usize = 4;
-const CHUNK: usize = 16 * 1024;
-/// The longest frame that is looked into; longer ones end the connection.
-const LONGEST_FRAME: usize = 16 << 20;
+const HEADER_BYTES: usize = 4;
+const BUFFER_BYTES: usize = 16 * 1024;
+/// The longest frame that is decoded; longer ones end the connection.
+const MAX_FRAME_BYTES: usize = 16 << 20;
 /// How long the leader may take to accept a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// What the leader was sent by others.
 #[derive(Debug, Default)]
-pub struct Counts {
-    /// Questions before routing.
-    pub questions: AtomicU64,
+pub struct RelayCounts {
+    /// Read-index requests, which come before routing.
+    pub read_index_requests: AtomicU64,
     /// All frames.
     pub frames: AtomicU64,
     /// All bytes.
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// The machine gives no address or no thread.
-pub fn start(leader: SocketAddr, counts: Arc<Counts>) -> Result<SocketAddr, ScaleError> {
+pub fn start(leader: SocketAddr, counts: Arc<RelayCounts>) -> Result<SocketAddr, ScaleError> {
     let listener =
         TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a relay"))?;
     let address = listener
@@ -45,7 +45,9 @@
         for stream in listener.incoming().flatten() {
             let counts = Arc::clone(&counts);
             // A connection that gets no thread is closed, and its member tries again.
-            let _ = spawn("relayed", move || carry(&stream, leader, &counts));
+            let _ = spawn("relayed", move || {
+                relay_connection(&stream, leader, &counts)
+            });
         }
     })?;
     Ok(address)
@@ -58,9 +60,9 @@
     thread.map(drop).map_err(ScaleError::io("start a thread"))
 }
 
-/// Carries one connection until either side ends it.
-fn carry(member: &TcpStream, leader: SocketAddr, counts: &Counts) {
-    let Ok(upstream) = TcpStream::connect_timeout(&leader, CONNECT) else {
+/// Relays one connection until either side ends it.
+fn relay_connection(member: &TcpStream, leader: SocketAddr, counts: &RelayCounts) {
+    let Ok(upstream) = TcpStream::connect_timeout(&leader, CONNECT_TIMEOUT) else {
         return;
     };
     let _ = upstream.set_nodelay(true);
@@ -87,59 +89,62 @@
 fn copy_and_count(
     mut from: &TcpStream,
     mut to: &TcpStream,
-    counts: &Counts,
+    counts: &RelayCounts,
 ) -> std::io::Result<()> {
-    let mut chunk = [0; CHUNK];
-    let mut frames = Frames::default();
+    let mut buffer = [0; BUFFER_BYTES];
+    let mut frames = FrameCounter::default();
     loop {
-        let read = from.read(&mut chunk)?;
-        let bytes = chunk.get(..read).unwrap_or_default();
+        let read = from.read(&mut buffer)?;
+        let bytes = buffer.get(..read).unwrap_or_default();
         if bytes.is_empty() {
             return Ok(());
         }
         to.write_all(bytes)?;
         counts.bytes.fetch_add(bytes.len() as u64, Relaxed);
-        frames.take(bytes, counts)?;
+        frames.on_bytes(bytes, counts)?;
     }
 }
 
 /// The frames of one connection; the first one is a greeting.
 #[derive(Default)]
-struct Frames {
+struct FrameCounter {
     buffer: Vec<u8>,
     greeted: bool,
 }
 
-impl Frames {
-    fn take(&mut self, bytes: &[u8], counts: &Counts) -> std::io::Result<()> {
+impl FrameCounter {
+    fn on_bytes(&mut self, bytes: &[u8], counts: &RelayCounts) -> std::io::Result<()> {
         self.buffer.extend_from_slice(bytes);
-        while let Some(length) = self.whole()? {
-            let body = self.buffer.get(HEAD..HEAD + length).unwrap_or_default();
+        while let Some(length) = self.complete_frame()? {
+            let body = self
+                .buffer
+                .get(HEADER_BYTES..HEADER_BYTES + length)
+                .unwrap_or_default();
             if std::mem::replace(&mut self.greeted, true) {
                 counts.frames.fetch_add(1, Relaxed);
                 counts
-                    .questions
-                    .fetch_add(u64::from(is_question(body)), Relaxed);
+                    .read_index_requests
+                    .fetch_add(u64::from(is_read_index_request(body)), Relaxed);
             }
-            self.buffer.drain(..HEAD + length);
+            self.buffer.drain(..HEADER_BYTES + length);
         }
         Ok(())
     }
 
-    /// The length of the first frame, once it is whole.
-    fn whole(&self) -> std::io::Result<Option<usize>> {
-        let Some((length, rest)) = self.buffer.split_first_chunk::<HEAD>() else {
+    /// The length of the first frame, once it is complete.
+    fn complete_frame(&self) -> std::io::Result<Option<usize>> {
+        let Some((length, rest)) = self.buffer.split_first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes(*length) as usize;
-        if length > LONGEST_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(std::io::ErrorKind::InvalidData.into());
         }
         Ok((rest.len() >= length).then_some(length))
     }
 }
 
-fn is_question(body: &[u8]) -> bool {
+fn is_read_index_request(body: &[u8]) -> bool {
     matches!(
         postcard::from_bytes(body),
         Ok(Frame::Raft(Message::ReadIndex { .. }))
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::figures::{Break, Figures};
+use crate::figures::{CapacityLimit, Figures};
 use crate::fit::{fit, Fit, Point, Weights};
 
 /// What a cost is held against.
@@ -64,7 +64,7 @@
             figures.add_number(&format!("{key}_at_{}_{unit}", point.size), point.cost);
         }
         let Some(fit) = self.fitted() else {
-            return figures.missed(format!(
+            return figures.add_failure(format!(
                 "{key}: {} measurements are too few to fit",
                 self.points.len()
             ));
@@ -82,7 +82,7 @@
         let breaks_at = fit.size_at(budget.cost);
         let shown = breaks_at.map_or_else(|| "never".to_owned(), |size| format!("{size:.0}"));
         figures.add(&format!("{key}_breaks_at_{size_of}"), shown);
-        figures.add_break(Break {
+        figures.add_limit(CapacityLimit {
             name: key,
             size: breaks_at,
             size_of,
--- a/tools/scale/tests/hollow_changes.rs
+++ b/tools/scale/tests/change_sequence.rs
@@ -1,11 +1,12 @@
-//! The check of what one front end sees, on made-up state: in order, each change once, none missing.
+//! The check of what one gateway applies, on made-up state: in order, each change once, none missing.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
 
 use violetgate_replicated_state::{CurrentValue, Entries, KeyValue, Revision};
-use violetgate_scale::hollow::changes::{
-    key, transaction, Digest, Faults, SeenChanges, LATEST, WINDOW,
+use violetgate_scale::lightweight_gateway::change_sequence::{
+    change_key, change_transaction, SequenceChecker, SequenceDigest, SequenceFaults, LATEST_KEY,
+    RETAINED_CHANGES,
 };
 
 /// State as a front end holds it.
@@ -46,7 +47,7 @@
     /// Makes a change as the API call does.
     fn change(&mut self, number: u64) {
         self.revision += 1;
-        for op in transaction(number)["then"].as_array().unwrap() {
+        for op in change_transaction(number)["then"].as_array().unwrap() {
             if let Some(key) = op["put"].as_str() {
                 let value = op["value"].as_str().unwrap().as_bytes().to_vec();
                 self.entries.insert(key.to_owned(), (self.revision, value));
@@ -63,24 +64,24 @@
     }
 }
 
-fn faults(lost: u64, doubled: u64, out_of_order: u64) -> Faults {
-    Faults {
-        lost,
-        doubled,
+fn faults(missing: u64, duplicated: u64, out_of_order: u64) -> SequenceFaults {
+    SequenceFaults {
+        missing,
+        duplicated,
         out_of_order,
     }
 }
 
 /// One by one, several at once and from a snapshot: the same changes, and the same digest from the same first one.
 #[test]
-fn changes_are_seen_however_they_come() {
-    let (mut single, mut batched) = (SeenChanges::default(), SeenChanges::default());
+fn changes_applied_singly_batched_or_by_snapshot_give_one_sequence() {
+    let (mut single, mut batched) = (SequenceChecker::default(), SequenceChecker::default());
     let mut state = State::default();
     for number in 1..=20 {
         state.change(number);
-        single.applied(&state);
+        single.on_applied(&state);
         if number == 1 || number % 7 == 0 || number == 20 {
-            batched.applied(&state);
+            batched.on_applied(&state);
         }
     }
     assert_eq!(single.sequence(), batched.sequence());
@@ -89,93 +90,97 @@
         (single.faults(), batched.faults()),
         (faults(0, 0, 0), faults(0, 0, 0))
     );
-    let mut expected = Digest::default();
+    let mut expected = SequenceDigest::default();
     (1..=20).for_each(|number| expected.add(number, number));
     assert_eq!(single.sequence().digest, expected);
 }
 
-/// One that comes late begins with the oldest change that is kept.
+/// A gateway that starts late begins with the oldest change that is retained.
 #[test]
-fn a_late_one_begins_with_what_is_kept() {
-    let state = State::with_changes(1..=WINDOW + 10);
-    let mut seen = SeenChanges::default();
-    seen.applied(&state);
+fn a_late_gateway_begins_with_the_oldest_retained_change() {
+    let state = State::with_changes(1..=RETAINED_CHANGES + 10);
+    let mut checker = SequenceChecker::default();
+    checker.on_applied(&state);
     assert_eq!(
-        (seen.sequence().first, seen.sequence().last),
-        (11, WINDOW + 10)
+        (checker.sequence().first, checker.sequence().last),
+        (11, RETAINED_CHANGES + 10)
     );
-    assert_eq!(seen.faults(), faults(0, 0, 0));
+    assert_eq!(checker.faults(), faults(0, 0, 0));
 }
 
 /// State without any change, and other entries that change, are no fault.
 #[test]
-fn other_state_is_no_change() {
-    let mut seen = SeenChanges::default();
+fn state_without_changes_is_no_fault() {
+    let mut checker = SequenceChecker::default();
     let mut state = State {
         revision: 3,
         ..State::default()
     };
-    seen.applied(&state);
-    assert_eq!((seen.sequence().first, seen.revision()), (0, 3));
+    checker.on_applied(&state);
+    assert_eq!((checker.sequence().first, checker.revision()), (0, 3));
     state.change(1);
-    seen.applied(&state);
+    checker.on_applied(&state);
     state.revision += 1;
-    seen.applied(&state);
+    checker.on_applied(&state);
     assert_eq!(
-        (seen.sequence().last, seen.revision(), seen.faults()),
+        (
+            checker.sequence().last,
+            checker.revision(),
+            checker.faults()
+        ),
         (1, 5, faults(0, 0, 0))
     );
 }
 
-/// A change whose key never comes is lost, each one counted.
+/// A change whose key never comes is missing, each one counted.
 #[test]
-fn a_missing_change_is_lost() {
-    let mut seen = SeenChanges::default();
+fn each_missing_change_is_counted() {
+    let mut checker = SequenceChecker::default();
     let mut state = State::with_changes(1..=2);
-    seen.applied(&state);
+    checker.on_applied(&state);
     state.change(3);
     state.change(4);
     state.change(5);
-    state.entries.remove(&key(3));
-    state.entries.remove(&key(4));
-    seen.applied(&state);
-    assert_eq!(seen.faults(), faults(2, 0, 0));
+    state.entries.remove(&change_key(3));
+    state.entries.remove(&change_key(4));
+    checker.on_applied(&state);
+    assert_eq!(checker.faults(), faults(2, 0, 0));
 }
 
-/// A change that is applied again under a later revision is doubled.
+/// A change that is applied again under a later revision is duplicated.
 #[test]
-fn a_change_applied_again_is_doubled() {
-    let mut seen = SeenChanges::default();
+fn a_change_applied_again_counts_as_duplicated() {
+    let mut checker = SequenceChecker::default();
     let mut state = State::with_changes(1..=3);
-    seen.applied(&state);
+    checker.on_applied(&state);
     state.change(3);
-    seen.applied(&state);
-    assert_eq!(seen.faults(), faults(0, 1, 0));
+    checker.on_applied(&state);
+    assert_eq!(checker.faults(), faults(0, 1, 0));
 }
 
 /// State that goes back is out of order, by its revision and by its number.
 #[test]
 fn state_that_goes_back_is_out_of_order() {
-    let mut seen = SeenChanges::default();
+    let mut checker = SequenceChecker::default();
     let old = State::with_changes(1..=3);
     let new = State::with_changes(1..=5);
-    seen.applied(&new);
-    seen.applied(&old);
-    assert_eq!(seen.faults(), faults(0, 0, 2));
+    checker.on_applied(&new);
+    checker.on_applied(&old);
+    assert_eq!(checker.faults(), faults(0, 0, 2));
     let mut swapped = State::with_changes([1, 3, 2]);
     swapped
         .entries
-        .insert(LATEST.to_owned(), (3, b"3".to_vec()));
-    let mut seen = SeenChanges::default();
-    seen.applied(&swapped);
-    assert_eq!(seen.faults(), faults(0, 0, 1));
+        .insert(LATEST_KEY.to_owned(), (3, b"3".to_vec()));
+    let mut checker = SequenceChecker::default();
+    checker.on_applied(&swapped);
+    assert_eq!(checker.faults(), faults(0, 0, 1));
 }
 
 /// Digests differ where a revision, a number or the order does.
 #[test]
-fn digests_tell_sequences_apart() {
+fn digests_of_different_sequences_differ() {
     let digest = |changes: &[(u64, u64)]| {
-        let mut digest = Digest::default();
+        let mut digest = SequenceDigest::default();
         changes
             .iter()
             .for_each(|(number, revision)| digest.add(*number, *revision));
--- a/tools/scale/tests/page.rs
+++ b/tools/scale/tests/page.rs
@@ -1,7 +1,7 @@
 //! The page's block follows the saved figures, and roles are told in the order in which they end.
 #![allow(clippy::unwrap_used)]
 
-use violetgate_scale::figures::{Break, Figures};
+use violetgate_scale::figures::{CapacityLimit, Figures};
 use violetgate_scale::page::{with_block, Saved, BEGIN, END};
 use violetgate_scale::slope::{Budget, Slope};
 
@@ -90,17 +90,17 @@
 #[test]
 fn the_smallest_share_of_its_target_ends_first() {
     let mut figures = Figures::default();
-    let role_ends = |name: &str, size, target| Break {
+    let role_ends = |name: &str, size, target| CapacityLimit {
         name: name.to_owned(),
         size,
         size_of: "engines",
         target,
     };
-    figures.add_break(role_ends("never", None, 10.0));
-    figures.add_break(role_ends("half", Some(6_000.0), 12_000.0));
-    figures.add_break(role_ends("hundredth", Some(76.0), 7_600.0));
+    figures.add_limit(role_ends("never", None, 10.0));
+    figures.add_limit(role_ends("half", Some(6_000.0), 12_000.0));
+    figures.add_limit(role_ends("hundredth", Some(76.0), 7_600.0));
     let order: Vec<_> = figures
-        .breaks()
+        .limits()
         .iter()
         .map(|role_ends| role_ends.name.clone())
         .collect();
