--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -126,8 +126,8 @@
             ..Query::default()
         };
         let weight = class.priority_weight.unwrap_or(1.0);
-        self.fleet.priority_weight.record(weight, ARRIVAL_GAIN);
-        self.fleet.work.record(query.work, ARRIVAL_GAIN);
+        self.overall.priority_weight.record(weight, ARRIVAL_GAIN);
+        self.overall.work.record(query.work, ARRIVAL_GAIN);
         if class.ordered_by_key {
             if let Some(key) = request.ordering_key {
                 let order = self.queries.keys.entry(key).or_default();
@@ -157,8 +157,8 @@
     /// The wait in seconds that a query would have: queued work over what the engines do for this
     /// gateway. Engines that are backing off take nothing, so they do not count.
     pub(crate) fn predicted_wait(&self) -> f64 {
-        let threads = self.fleet.open_thread_capacity.max(1.0);
-        self.queries.queued_work() / (threads * self.fleet_speed())
+        let threads = self.overall.open_thread_capacity.max(1.0);
+        self.queries.queued_work() / (threads * self.overall_speed())
     }
 
     fn admission_threshold(&self, query: &Query) -> f64 {
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -1,5 +1,5 @@
-//! What an answer teaches: the work and memory of its class, the speed of its engine and of the
-//! fleet, whether answers come late, and through them the limits on threads and memory.
+//! What an answer teaches: the work and memory of its class, the speed of its engine and of all
+//! engines, whether answers come late, and through them the limits on threads and memory.
 
 use crate::concurrency_limit::LimitSample;
 use crate::interface::{AttemptEnded, Micros};
@@ -45,7 +45,7 @@
         };
         self.record_class_sample(&sample);
         self.record_memory_need(sample.class, &sample.memory);
-        self.record_fleet_speed(sample.work, sample.thread_seconds);
+        self.record_overall_speed(sample.work, sample.thread_seconds);
         let speed = sample.speed();
         self.record_engine_speed(attempt.engine, attempt.priority, speed, ANSWER_SPEED_GAIN);
         let Some(engine) = self.engines.get_mut(&attempt.engine) else {
--- a/policy/src/attempt/progress.rs
+++ b/policy/src/attempt/progress.rs
@@ -159,7 +159,7 @@
         // expected.
         let work = query
             .work
-            .max(self.fleet_speed() * run.total * query.threads);
+            .max(self.overall_speed() * run.total * query.threads);
         if self.is_useless_when_late(query) && ends_at > self.objective_for_work(query, work) {
             return ProgressDecision::GiveUp;
         }
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -38,7 +38,7 @@
         query: &Query,
         engine: &EngineRecord,
     ) -> Result<(), NoCapacity> {
-        if engine.health.ejected && !self.fleet.ejection_suspended {
+        if engine.health.ejected && !self.overall.ejection_suspended {
             let trial = self.may_try_ejected(query, engine);
             return if trial {
                 Ok(())
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,9 +1,9 @@
 //! How many threads this gateway may use at an engine, and in all.
 //!
 //! - Decides: the thread limit of each engine, its growth and decrease, and whether one more
-//!   query is within the limits of the fleet.
+//!   query is within the limits of all engines together.
 //! - Inputs: the cores of the engine, the number of gateways that use it, its speed (work per
-//!   thread-second, against the fleet's), utilisation from load reports (0 to 1), and late
+//!   thread-second, against that of all engines), utilisation from load reports (0 to 1), and late
 //!   answers.
 //! - Rule: each gateway starts with its fair share. A limit grows while the engine is near its
 //!   unloaded speed, or reports that it is not busy, and this gateway uses what it has; it
@@ -31,7 +31,7 @@
 const REPORT_FACTOR: f64 = 1.2;
 /// The fraction of its own threads by which an answer changes a limit.
 const ANSWER_STEP: f64 = 0.25;
-/// An engine below this fraction of the fleet's speed gets one query at a time.
+/// An engine below this fraction of the overall speed gets one query at a time.
 const SLOW_ENGINE_FRACTION: f64 = 0.35;
 
 /// How a limit changes.
@@ -100,11 +100,11 @@
     /// The threads that this gateway may use at an engine now; 0 means one query at a time, which
     /// also shows when a slow engine recovers.
     pub(crate) fn thread_limit(&self, engine: &EngineRecord) -> f64 {
-        if engine.speed < SLOW_ENGINE_FRACTION * self.fleet_speed() {
+        if engine.speed < SLOW_ENGINE_FRACTION * self.overall_speed() {
             return 0.0;
         }
         let growth = if self.has_fractional_share(engine.cores) {
-            1.0 + self.fleet.limit_growth
+            1.0 + self.overall.limit_growth
         } else {
             1.0
         };
@@ -116,11 +116,11 @@
     /// always fits on each engine" would be many times what engines sustain. One query of each
     /// class always goes, unless engines report that they are busy and this gateway has overdrawn
     /// its capacity.
-    pub(crate) fn fleet_has_capacity(&self, query: &Query) -> bool {
+    pub(crate) fn engines_have_capacity(&self, query: &Query) -> bool {
         let threads = self.competing_threads(query, &self.queries.threads_out) + query.threads;
-        let has_spare = self.fleet.utilisation.mean < BUSY_UTILISATION;
-        let may_exceed = has_spare || self.fleet.capacity_credit >= 0.0;
-        threads <= self.fleet.thread_capacity + THREAD_ROUNDING
+        let has_spare = self.overall.utilisation.mean < BUSY_UTILISATION;
+        let may_exceed = has_spare || self.overall.capacity_credit >= 0.0;
+        threads <= self.overall.thread_capacity + THREAD_ROUNDING
             || (self.queries.attempts_out(query.class) == 0 && may_exceed)
     }
 
@@ -148,16 +148,16 @@
             return;
         };
         let fair_share = self.fair_share_of(record.cores);
-        self.fleet
+        self.overall
             .utilisation
             .record(utilisation.min(1.0), CLASS_GAIN);
-        let usual = self.fleet.utilisation.mean;
+        let usual = self.overall.utilisation.mean;
         let Some(engine) = self.engines.get_mut(&engine) else {
             return;
         };
         engine.headroom = usual - utilisation;
         engine.headroom_at = self.now;
-        // With fractional shares one engine says little of the fleet; there answers change the
+        // With fractional shares one engine says little of all of them; there answers change the
         // limit.
         if fair_share < 1.0 {
             return;
@@ -174,10 +174,10 @@
         }
     }
 
-    /// Changes the limit of an engine, or of the fleet where shares are fractional, by an answer.
+    /// Changes the limit of an engine, or of all engines where shares are fractional, by an answer.
     pub(crate) fn adjust_limits_after_answer(&mut self, sample: &LimitSample) {
         if sample.fair_share < 1.0 {
-            self.adjust_fleet_limit(sample);
+            self.adjust_overall_limit(sample);
         } else {
             self.adjust_engine_limit(sample);
         }
@@ -211,22 +211,22 @@
         }
     }
 
-    /// The speed that counts is the fleet's, since this gateway meets each engine too seldom: the
+    /// The speed that counts is that of all engines, since this gateway meets each engine too seldom: the
     /// mean logarithm where costs are reported, otherwise a mean over more answers, as estimates
     /// scatter.
-    fn adjust_fleet_limit(&mut self, sample: &LimitSample) {
-        let fleet = &mut self.fleet;
-        let growth = 1.0 + fleet.limit_growth;
-        let step = ANSWER_STEP * sample.threads * growth / fleet.thread_capacity.max(1.0);
+    fn adjust_overall_limit(&mut self, sample: &LimitSample) {
+        let overall = &mut self.overall;
+        let growth = 1.0 + overall.limit_growth;
+        let step = ANSWER_STEP * sample.threads * growth / overall.thread_capacity.max(1.0);
         let threads = self.queries.threads_out.iter().sum::<f64>() + sample.threads;
         let log_sample = sample.speed.clamp(MIN_SAMPLE_SPEED, MAX_SAMPLE_SPEED).ln();
-        fleet.log_speed += ANSWER_SPEED_GAIN * (log_sample - fleet.log_speed);
+        overall.log_speed += ANSWER_SPEED_GAIN * (log_sample - overall.log_speed);
         let speed = if sample.has_cost {
-            fleet.log_speed.exp()
+            overall.log_speed.exp()
         } else {
-            self.fleet_speed()
+            self.overall_speed()
         };
-        let utilisation = self.fleet.utilisation.known();
+        let utilisation = self.overall.utilisation.known();
         let signals = AnswerSignals {
             speed,
             growth_speed: if self.settings.reports_utilisation {
@@ -235,11 +235,11 @@
                 NEAR_UNLOADED_SPEED
             },
             may_grow: !utilisation.is_some_and(|busy| busy > BUSY_UTILISATION),
-            is_in_use: threads > IN_USE_FRACTION * self.fleet.thread_capacity,
+            is_in_use: threads > IN_USE_FRACTION * self.overall.thread_capacity,
             is_late: sample.is_late,
             class_is_in_time: sample.late_fraction < HIGH_LATE_FRACTION,
         };
-        let growth = &mut self.fleet.limit_growth;
+        let growth = &mut self.overall.limit_growth;
         match limit_change_by_answer(&signals) {
             LimitChange::Grow => *growth = (*growth + step).min(self.gateways),
             LimitChange::Shrink => *growth = (*growth - step).max(0.0),
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -31,16 +31,16 @@
         for engine in engines {
             self.update_engine(engine);
         }
-        self.update_fleet_totals();
+        self.update_engine_totals();
     }
 
     /// Handles an operator's cordon, or its end. An engine that is uncordoned has been restarted:
     /// it warms up from now on, and nothing that was learned of it holds.
     pub(crate) fn on_cordon(&mut self, engine: EngineId, cordoned: bool) {
         let changed = if cordoned {
-            self.fleet.cordoned.insert(engine)
+            self.overall.cordoned.insert(engine)
         } else {
-            self.fleet.cordoned.remove(&engine)
+            self.overall.cordoned.remove(&engine)
         };
         let Some(record) = self.engines.get(&engine).filter(|_| changed) else {
             return;
@@ -62,7 +62,7 @@
     /// A snapshot lists all engines that are not removed.
     fn mark_all_removed(&mut self) {
         self.sampler.clear();
-        self.fleet.totals_at = 0;
+        self.overall.totals_at = 0;
         for engine in self.engines.values_mut() {
             engine.listed.state = EngineState::Removed;
         }
@@ -81,18 +81,17 @@
             engine.restart(fresh());
         }
         engine.listed = *listed;
-        engine.cordoned = self.fleet.cordoned.contains(&listed.id);
+        engine.cordoned = self.overall.cordoned.contains(&listed.id);
         self.engines.insert(listed.id, engine);
         self.sampler.update(listed);
     }
 
-    /// What a new process is taken to sustain: this gateway's fair share, at the speed of the
-    /// fleet.
+    /// What a new process is taken to sustain: this gateway's fair share, at the overall speed.
     fn initial_limits(&self, cores: f64) -> InitialLimits {
         InitialLimits {
             thread_limit: self.fair_share_of(cores),
             memory_quota: 1.0 / self.gateways,
-            speed: self.fleet_speed(),
+            speed: self.overall_speed(),
         }
     }
 }
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -6,7 +6,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::interface::{Action, Class, EngineId, EngineState, Event, Micros, Settings};
-use crate::state::{ClassStats, EngineRecord, EngineSampler, FleetStats, Query, QueryTable};
+use crate::state::{ClassStats, EngineRecord, EngineSampler, OverallStats, Query, QueryTable};
 
 /// The decisions of one gateway.
 #[derive(Debug)]
@@ -22,7 +22,7 @@
     pub(crate) sampler: EngineSampler,
     pub(crate) queries: QueryTable,
     pub(crate) class_stats: Vec<ClassStats>,
-    pub(crate) fleet: FleetStats,
+    pub(crate) overall: OverallStats,
     /// When the timer that was last set fires.
     pub(crate) timer_at: Option<Micros>,
 }
@@ -53,7 +53,7 @@
             sampler: EngineSampler::new(seed, settings.zone),
             queries: QueryTable::new(classes),
             class_stats: vec![ClassStats::default(); classes],
-            fleet: FleetStats::default(),
+            overall: OverallStats::default(),
             timer_at: None,
             settings,
         }
@@ -64,11 +64,11 @@
         self.now = now.max(self.now);
         // Admission reads the totals as events are handled; dispatch reads what the events have
         // made of them.
-        self.update_fleet_totals();
+        self.update_engine_totals();
         for event in events {
             self.on_event(event, actions);
         }
-        self.update_fleet_totals();
+        self.update_engine_totals();
         self.run_due_checks(actions);
         self.dispatch_queued(actions);
         self.set_timer(actions);
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -27,7 +27,7 @@
 //! | `priority` | How do queries rank against each other at a busy engine? |
 //! | `engine_list` | What follows from the engine list and from cordons? |
 //! | `speed` | How fast do engines work, and how long will a query run? |
-//! | `fleet_totals` | What is the capacity of all engines together? |
+//! | `engine_totals` | What is the capacity of all engines together? |
 //! | `timers` | When does the gateway act without an event? |
 //!
 //! `state` holds what a gateway remembers, `estimators` how it learns from samples.
@@ -39,9 +39,9 @@
 mod deadline;
 mod eligibility;
 mod engine_list;
+mod engine_totals;
 mod estimators;
 mod final_answer;
-mod fleet_totals;
 mod gateway;
 pub mod interface;
 mod memory_grant;
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -52,7 +52,7 @@
 impl Gateway {
     /// Whether an engine is in use and not ejected.
     pub(crate) fn is_available(&self, engine: &EngineRecord) -> bool {
-        engine.in_use() && (!engine.health.ejected || self.fleet.ejection_suspended)
+        engine.in_use() && (!engine.health.ejected || self.overall.ejection_suspended)
     }
 
     /// The reason, if any, for which an engine is to blame for the end of an attempt there.
@@ -140,9 +140,9 @@
     /// The counts of engines: of this moment, or, of many engines, as they were last counted.
     fn health_counts(&self) -> HealthCounts {
         if self.scans_all_engines() {
-            HealthCounts::of(self.engines.values(), self.fleet.ejection_suspended)
+            HealthCounts::of(self.engines.values(), self.overall.ejection_suspended)
         } else {
-            self.fleet.counts.clone()
+            self.overall.counts.clone()
         }
     }
 
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -162,7 +162,7 @@
     /// The engine that a query goes to, if it may go anywhere now.
     pub(crate) fn choose_engine(&mut self, id: QueryId) -> Option<EngineId> {
         let query = self.queries.get(id)?;
-        if !self.fleet_has_capacity(query) {
+        if !self.engines_have_capacity(query) {
             return None;
         }
         if self.scans_all_engines() {
@@ -197,10 +197,10 @@
 
     /// Searches all engines, unless that was done a moment ago.
     fn search_all(&mut self, id: QueryId) -> Option<EngineId> {
-        if self.now < self.fleet.full_search_at + SEARCH_INTERVAL_US {
+        if self.now < self.overall.full_search_at + SEARCH_INTERVAL_US {
             return None;
         }
-        self.fleet.full_search_at = self.now;
+        self.overall.full_search_at = self.now;
         self.best_of(id, &Candidates::FullSearch).engine
     }
 
@@ -285,7 +285,7 @@
 
     /// An engine that was uncordoned is tried by one short query that may be repeated.
     fn wants_first_trial(&self, query: &Query, engine: &EngineRecord) -> bool {
-        let is_short = query.work <= self.fleet.work.mean;
+        let is_short = query.work <= self.overall.work.mean;
         engine.awaits_first_answer
             && engine.running.is_empty()
             && is_short
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -25,7 +25,7 @@
         if !self.settings.priorities {
             return UNIFORM_PRIORITY;
         }
-        let usual = self.fleet.priority_weight.mean / self.fleet.work.mean.max(1e-6);
+        let usual = self.overall.priority_weight.mean / self.overall.work.mean.max(1e-6);
         let weight = self.class_of(query).priority_weight.unwrap_or(1.0);
         let earns = weight / query.work / usual.max(1e-6);
         let halvings = (-earns.log2())
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -13,15 +13,15 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// The fleet's speed remembers this many queries of mean work of each class.
-const FLEET_MEMORY_QUERIES: f64 = 40.0;
+/// The overall speed remembers this many queries of mean work of each class.
+const SPEED_MEMORY_QUERIES: f64 = 40.0;
 /// The part of that memory which counts as done at speed 1 from the start.
 const PRIOR_FRACTION: f64 = 0.1;
 /// One answer replaces at most this part of the memory.
 const MAX_ANSWER_FRACTION: f64 = 0.5;
-/// Bounds of the fleet's speed.
-const MIN_FLEET_SPEED: f64 = 0.02;
-const MAX_FLEET_SPEED: f64 = 50.0;
+/// Bounds of the overall speed.
+const MIN_OVERALL_SPEED: f64 = 0.02;
+const MAX_OVERALL_SPEED: f64 = 50.0;
 /// Bounds of the speed that one sample may show.
 pub(crate) const MIN_SAMPLE_SPEED: f64 = 0.01;
 pub(crate) const MAX_SAMPLE_SPEED: f64 = 10.0;
@@ -31,7 +31,7 @@
 pub(crate) const MIN_WORK_S: f64 = 1e-4;
 /// Weight of a sample in the moving means of a class.
 pub(crate) const CLASS_GAIN: f64 = 0.05;
-/// Weight of an answer in the speed of its engine, and of the fleet where shares are fractional.
+/// Weight of an answer in the speed of its engine, and of all engines where shares are fractional.
 pub(crate) const ANSWER_SPEED_GAIN: f64 = 0.15;
 /// Weight of a progress report in the speed of its engine.
 pub(crate) const PROGRESS_SPEED_GAIN: f64 = 0.05;
@@ -52,31 +52,32 @@
         work.max(MIN_WORK_S)
     }
 
-    /// The speed of the fleet: a moving ratio of work done to the thread-seconds that it took.
-    pub(crate) fn fleet_speed(&self) -> f64 {
-        let prior = self.work_of_each_class().max(1e-3) * FLEET_MEMORY_QUERIES * PRIOR_FRACTION;
-        ((self.fleet.work_done + prior) / (self.fleet.thread_seconds + prior))
-            .clamp(MIN_FLEET_SPEED, MAX_FLEET_SPEED)
+    /// The speed of all engines together: a moving ratio of work done to the thread-seconds that it
+    /// took.
+    pub(crate) fn overall_speed(&self) -> f64 {
+        let prior = self.work_of_each_class().max(1e-3) * SPEED_MEMORY_QUERIES * PRIOR_FRACTION;
+        ((self.overall.work_done + prior) / (self.overall.thread_seconds + prior))
+            .clamp(MIN_OVERALL_SPEED, MAX_OVERALL_SPEED)
     }
 
-    /// Expected run time of a query in seconds, at the speed of the fleet.
+    /// Expected run time of a query in seconds, at the overall speed.
     pub(crate) fn expected_run(&self, query: &Query) -> f64 {
-        query.work / (query.threads * self.fleet_speed())
+        query.work / (query.threads * self.overall_speed())
     }
 
     /// Expected run time in seconds of a query that is at least as much work as is usual in its
     /// class.
     pub(crate) fn usual_run(&self, query: &Query) -> f64 {
         let class_work = self.stats_of(query).work.known().unwrap_or(0.0);
-        class_work.max(query.work) / (query.threads * self.fleet_speed())
+        class_work.max(query.work) / (query.threads * self.overall_speed())
     }
 
-    /// Learns the fleet's speed from an answer.
-    pub(crate) fn record_fleet_speed(&mut self, work: f64, thread_seconds: f64) {
-        let memory = FLEET_MEMORY_QUERIES * self.work_of_each_class();
+    /// Learns the overall speed from an answer.
+    pub(crate) fn record_overall_speed(&mut self, work: f64, thread_seconds: f64) {
+        let memory = SPEED_MEMORY_QUERIES * self.work_of_each_class();
         let retained = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
-        self.fleet.work_done = self.fleet.work_done * retained + work;
-        self.fleet.thread_seconds = self.fleet.thread_seconds * retained + thread_seconds;
+        self.overall.work_done = self.overall.work_done * retained + work;
+        self.overall.thread_seconds = self.overall.thread_seconds * retained + thread_seconds;
     }
 
     /// Learns an engine's speed from an attempt there. An attempt of low priority says less,
@@ -93,7 +94,7 @@
         } else {
             1.0
         };
-        let headroom = weight * ((speed / self.fleet_speed()).min(1.0) - 1.0);
+        let headroom = weight * ((speed / self.overall_speed()).min(1.0) - 1.0);
         if let Some(engine) = self.engines.get_mut(&engine) {
             engine.headroom = headroom;
             engine.headroom_at = self.now;
--- a/policy/src/state/fleet_stats.rs
+++ b/policy/src/state/overall_stats.rs
@@ -1,4 +1,4 @@
-//! What is learned of the fleet of engines, and its totals.
+//! What is learned over all engines and all queries, and the totals over the engines.
 
 use std::collections::BTreeSet;
 
@@ -6,9 +6,9 @@
 use crate::estimators::MovingMean;
 use crate::interface::{EngineId, Micros};
 
-/// What is learned of the fleet.
+/// What is learned over all engines and all queries.
 #[derive(Debug, Default)]
-pub(crate) struct FleetStats {
+pub(crate) struct OverallStats {
     /// Engines that operators cordoned, in the list or not.
     pub cordoned: BTreeSet<EngineId>,
     /// Moving sum of work done, in seconds on one thread.
