--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -76,8 +76,7 @@
         load: LoadReport,
     },
     /// The number of gateways that share the engines changed. The sender makes sure that the
-    /// quotas of all gateways, each by the number that it was last given, never exceed
-    /// the total.
+    /// quotas of all gateways, each by the number that it was last given, never exceed the total.
     FleetSize {
         /// How many, this one included; 0 counts as 1.
         gateways: u32,
--- a/policy/src/wire.rs
+++ b/policy/src/wire.rs
@@ -140,7 +140,8 @@
     }
 }
 
-/// Seconds on the wire to microseconds.
+/// Seconds on the wire to microseconds. Rounds, unlike `units::micros`: a decimal fraction of a
+/// second is rarely an exact number.
 fn micros(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
--- a/policy/src/wire/adapter.rs
+++ b/policy/src/wire/adapter.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 
 use super::event::{self, EventLine, ListEntry, ReportFields};
-use super::reply::{Answer, Reply};
+use super::reply::{Reply, WireAction};
 use super::settings::WireSettings;
 use super::{command, micros, EngineNames, EventError, WireError};
 use crate::{Event, Gateway};
@@ -69,7 +69,7 @@
             self.receive(event)
                 .map_err(|error| WireError::InvalidEvent { index, error })?;
         }
-        let mut answers = Vec::new();
+        let mut reply = Vec::new();
         let mut actions = Vec::new();
         for (&number, instance) in &mut self.instances {
             if instance.pending.is_empty() {
@@ -77,10 +77,10 @@
             }
             let events = std::mem::take(&mut instance.pending);
             instance.gateway.handle(now, &events, &mut actions);
-            let answer = |action| Answer::of(action, number, &instance.names);
-            answers.extend(actions.drain(..).map(answer));
+            let to_wire = |action| WireAction::of(action, number, &instance.names);
+            reply.extend(actions.drain(..).map(to_wire));
         }
-        serde_json::to_string(&Reply { answers }).map_err(WireError::Encode)
+        serde_json::to_string(&Reply { actions: reply }).map_err(WireError::Encode)
     }
 
     /// Carries out what concerns the adapter itself; other events wait for their gateway.
--- a/policy/src/wire/event.rs
+++ b/policy/src/wire/event.rs
@@ -22,6 +22,19 @@
 const MEMORY_UNIT_MB: f64 = 4.0;
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
+/// The kinds of progress, values of `topic`.
+mod topic {
+    /// The value is the fraction done.
+    pub const FRACTION_DONE: u32 = 1;
+    /// The value is the memory that is missing, in megabytes.
+    pub const SPILLING: u32 = 2;
+    /// The value says what for.
+    pub const WAITING: u32 = 3;
+}
+/// Values of the topic `WAITING`.
+const FOR_MEMORY: i64 = 1;
+const FOR_BULK_LOAD: i64 = 2;
+
 /// Every field that an event may carry; the command determines which of them it needs.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "struct Line")]
@@ -203,10 +216,10 @@
     fn progress(&self) -> Result<Option<Progress>, EventError> {
         let value = self.value.unwrap_or(0.0);
         Ok(match (need(self.topic, "topic")?, value as i64) {
-            (1, _) => Some(Progress::FractionDone(value)),
-            (2, _) => Some(Progress::Spilling(value)),
-            (3, 1) => Some(Progress::WaitingForMemory),
-            (3, 2) => Some(Progress::WaitingForBulkLoad),
+            (topic::FRACTION_DONE, _) => Some(Progress::FractionDone(value)),
+            (topic::SPILLING, _) => Some(Progress::Spilling(value)),
+            (topic::WAITING, FOR_MEMORY) => Some(Progress::WaitingForMemory),
+            (topic::WAITING, FOR_BULK_LOAD) => Some(Progress::WaitingForBulkLoad),
             _ => None,
         })
     }
--- a/policy/src/wire/reply.rs
+++ b/policy/src/wire/reply.rs
@@ -9,13 +9,13 @@
 #[derive(Debug, Serialize)]
 pub(super) struct Reply {
     #[serde(rename = "do")]
-    pub(super) answers: Vec<Answer>,
+    pub(super) actions: Vec<WireAction>,
 }
 
 /// One action of one gateway.
 #[derive(Debug, Serialize)]
 #[serde(tag = "cmd")]
-pub(super) enum Answer {
+pub(super) enum WireAction {
     #[serde(rename = "hand-off")]
     Send {
         gateway: u32,
@@ -71,7 +71,7 @@
     SubscribeEngineList { gateway: u32, active: bool },
 }
 
-impl Answer {
+impl WireAction {
     /// The form of an action of a gateway.
     pub(super) fn of(action: Action, gateway: u32, names: &EngineNames) -> Self {
         let hex = |query| format!("{query:016x}");
@@ -80,7 +80,7 @@
                 query,
                 memory_mb,
                 priority,
-            } => Answer::SetResources {
+            } => WireAction::SetResources {
                 gateway,
                 query: hex(query),
                 memory_mb,
@@ -90,32 +90,32 @@
                 query,
                 engine,
                 timeout,
-            } => Answer::Send {
+            } => WireAction::Send {
                 gateway,
                 query: hex(query),
                 engine: names.name(engine),
                 timeout: seconds(timeout),
             },
-            Action::Cancel { query, attempt } => Answer::Cancel {
+            Action::Cancel { query, attempt } => WireAction::Cancel {
                 gateway,
                 query: hex(query),
                 attempt,
             },
-            Action::Reject { query, retry_after } => Answer::Reject {
+            Action::Reject { query, retry_after } => WireAction::Reject {
                 gateway,
                 query: hex(query),
                 retry_after: seconds(retry_after),
             },
-            Action::Fail { query } => Answer::Fail {
+            Action::Fail { query } => WireAction::Fail {
                 gateway,
                 query: hex(query),
             },
-            Action::SetTimer { at } => Answer::SetTimer {
+            Action::SetTimer { at } => WireAction::SetTimer {
                 gateway,
                 at: seconds(at),
                 name: "wake",
             },
-            Action::SubscribeEngineList => Answer::SubscribeEngineList {
+            Action::SubscribeEngineList => WireAction::SubscribeEngineList {
                 gateway,
                 active: true,
             },
--- a/policy/src/wire/settings.rs
+++ b/policy/src/wire/settings.rs
@@ -22,7 +22,7 @@
     #[serde(rename = "over-share-worth")]
     over_quota_weight: Option<f64>,
     #[serde(rename = "realms")]
-    tenants: Vec<Realm>,
+    tenants: Vec<WireTenant>,
     rules: Rules,
     discovery: Option<String>,
 }
@@ -140,8 +140,8 @@
 }
 
 #[derive(Debug, Default, Deserialize)]
-#[serde(default)]
-struct Realm {
+#[serde(default, expecting = "struct Realm")]
+struct WireTenant {
     #[serde(rename = "allowance-per-s")]
     quota_per_s: Option<f64>,
 }
