--- a/fleet/membership/src/config.rs
+++ b/fleet/membership/src/config.rs
@@ -26,7 +26,8 @@
     pub anti_entropy_interval: Micros,
     /// Bytes a second that a member may send to reconcile views.
     pub anti_entropy_bytes_per_s: u64,
-    /// How long dead and departed members are remembered, and how long dead ones are contacted.
+    /// How long members that are dead or have left are remembered, and how long dead ones are
+    /// contacted.
     pub forget_after: Micros,
     /// The most other members that are known, dead ones included.
     pub max_members: usize,
--- a/fleet/membership/src/reconnect.rs
+++ b/fleet/membership/src/reconnect.rs
@@ -17,7 +17,7 @@
 impl Membership {
     /// Sends the view's digest to some dead members, and to seeds at which nobody is known, if that
     /// is due.
-    pub(crate) fn contact_departed(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn contact_dead_and_seeds(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.schedule.next_reconnect_at {
             return;
         }
--- a/fleet/membership/src/ticker.rs
+++ b/fleet/membership/src/ticker.rs
@@ -20,7 +20,7 @@
         self.check_probes(actions);
         self.send_probes(actions);
         self.declare_deaths(actions);
-        self.contact_departed(actions);
+        self.contact_dead_and_seeds(actions);
         self.send_gossip(actions);
         self.compare_views(actions);
         self.continue_transfers(actions);
