--- a/gateway/tests/wire_words.rs
+++ b/gateway/tests/wire_words.rs
@@ -1,10 +1,11 @@
-//! The protocols' own words stand in the codecs alone: the rest of the program uses the field's terms.
+//! The protocols' own words stand in the codecs alone: the rest of the program uses the field's
+//! terms.
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
 
-/// Words of the query fields, the engines' line protocol, the event bus and the platform's settings that the code
-/// has another term for.
+/// Words of the query fields, the engines' line protocol, the event bus and the platform's settings
+/// that the code has another term for.
 const WIRE_WORDS: [&str; 24] = [
     "sort",
     "patience",
@@ -32,9 +33,10 @@
     "in_service",
 ];
 
-/// The codecs: the one place for the words of their protocol. The demo prints a client's query, to be tried.
+/// The codecs: the one place for the words of their protocol. The demo prints a client's query, to
+/// be tried.
 const CODECS: [&str; 6] = [
-    "gateway/src/demo.rs",
+    "gateway/src/demo/welcome.rs",
     "gateway/src/upstream/codec.rs",
     "gateway/src/postgres/query_fields.rs",
     "gateway/src/discovery/events.rs",
