--- a/cluster/replica-runtime/src/observer_service/listener.rs
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -66,7 +66,7 @@
         let mut unaccepted = self.unaccepted.borrow_mut();
         if unaccepted.len() >= MAX_UNACCEPTED {
             unaccepted.pop_first();
-            tracing::info!("a subscriber's connection ended reason=greeting_gave_way");
+            tracing::info!("a subscriber's connection ended reason=evicted");
         }
         let id = self.next_connection.get();
         self.next_connection.set(id + 1);
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -190,7 +190,7 @@
             incoming.remove(&number);
         }
         if incoming.len() >= MAX_INCOMING {
-            return tracing::info!("member {peer} ended reason=too_many");
+            return tracing::info!("member {peer} ended reason=connection_limit");
         }
         let number = self.next_incoming.get();
         self.next_incoming.set(number + 1);
--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -111,7 +111,7 @@
     let dropped = log::dropped_lines();
     if dropped > 0 {
         log::line(format_args!(
-            "violetgate lost {dropped} log lines, as nobody took them"
+            "violetgate dropped {dropped} log lines, as nobody read them"
         ));
     }
     let code = match served {
--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -86,7 +86,7 @@
 
 fn log_failure(path: &Path, error: &std::io::Error) {
     log::line(format_args!(
-        "cordons are not kept: {}: {error}",
+        "cordons are not stored: {}: {error}",
         path.display()
     ));
 }
--- a/gateway/src/discovery/client.rs
+++ b/gateway/src/discovery/client.rs
@@ -64,8 +64,8 @@
     #[error("silent")]
     Silent,
     /// A new configuration names another address.
-    #[error("moved")]
-    Moved,
+    #[error("address_changed")]
+    AddressChanged,
     /// The bus has events that never arrived.
     #[error("gap: bus is at {0}")]
     MissingEvents(u64),
@@ -73,8 +73,8 @@
     #[error("gap: event {0}")]
     SkippedTo(u64),
     /// A line that is no event.
-    #[error("garbage: {0}")]
-    Garbage(String),
+    #[error("malformed: {0}")]
+    Malformed(String),
 }
 
 impl SessionEnd {
@@ -85,8 +85,8 @@
         }
     }
 
-    fn garbage(error: impl ToString) -> Self {
-        SessionEnd::Garbage(error.to_string())
+    fn malformed(error: impl ToString) -> Self {
+        SessionEnd::Malformed(error.to_string())
     }
 }
 
@@ -129,7 +129,7 @@
                 .and_then(|event| self.take_event(event, on_update));
             if let Err(error) = taken {
                 log::line(format_args!(
-                    "bus reason=garbage known event left out: {error}"
+                    "bus reason=malformed initial event skipped: {error}"
                 ));
             }
         }
@@ -160,13 +160,13 @@
         match self.take_event(event, on_update) {
             Ok(()) => {
                 log::line(format_args!(
-                    "bus is silent; the list that was kept counts, from={} to={last_offset}",
+                    "bus is silent; the stored engine list is in use, from={} to={last_offset}",
                     self.last_offset
                 ));
                 self.last_offset = last_offset;
             }
             Err(error) => log::line(format_args!(
-                "bus reason=garbage kept list left out: {error}"
+                "bus reason=malformed stored engine list skipped: {error}"
             )),
         }
     }
@@ -183,7 +183,7 @@
             let mut received = false;
             let moved = async {
                 source.moved_from(addr).await;
-                SessionEnd::Moved
+                SessionEnd::AddressChanged
             };
             // What has been read is taken first; a line cut off by the move is requested again.
             let session = self.session(addr, on_update, &mut received);
@@ -283,7 +283,7 @@
         }
         buffer.drain(..used);
         if buffer.len() > MAX_LINE_BYTES {
-            return Err(SessionEnd::garbage("line too long"));
+            return Err(SessionEnd::malformed("line too long"));
         }
         Ok(())
     }
@@ -294,11 +294,11 @@
         line: &[u8],
         on_update: OnUpdate<'_>,
     ) -> Result<BusPosition, SessionEnd> {
-        let value: Value = serde_json::from_slice(line).map_err(SessionEnd::garbage)?;
+        let value: Value = serde_json::from_slice(line).map_err(SessionEnd::malformed)?;
         if let Some(bus_offset) = value.as_u64() {
             return self.compare_offset(bus_offset);
         }
-        let event = BusEvent::deserialize(&value).map_err(SessionEnd::garbage)?;
+        let event = BusEvent::deserialize(&value).map_err(SessionEnd::malformed)?;
         let offset = event.offset;
         if offset <= self.last_offset {
             return Ok(BusPosition::Behind);
@@ -307,7 +307,7 @@
             return Err(SessionEnd::SkippedTo(offset));
         }
         self.take_event(event, on_update)
-            .map_err(SessionEnd::garbage)?;
+            .map_err(SessionEnd::malformed)?;
         self.last_offset = offset;
         Ok(BusPosition::Current)
     }
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -73,7 +73,7 @@
         let listen = settings.listen;
         let node = node.map_err(|error| FleetStartError { listen, error })?;
         log::line(format_args!(
-            "violetgate is {} of fleet {} at {listen}, told of {configured_size} front ends",
+            "violetgate is {} of fleet {} at {listen}, configured for {configured_size} front ends",
             settings.member, settings.name
         ));
         Ok(FleetMembership { clock, node })
@@ -169,7 +169,7 @@
 fn log_event(event: &MembershipEvent) {
     match event {
         MembershipEvent::FleetSizeChanged(size) => log::line(format_args!(
-            "fleet: this front end reckons with {size}, itself included"
+            "fleet: the size in use is {size}, this front end included"
         )),
         MembershipEvent::MemberStateChanged { member, state } => {
             log::line(format_args!("fleet: {member} is {}", state_name(*state)));
@@ -188,7 +188,7 @@
             "fleet: a newer process has this front end's name, this one has left the fleet",
         ),
         MembershipEvent::DatagramRejected { from, reason } => log::line(format_args!(
-            "fleet: datagrams of {from} are turned away: {reason}"
+            "fleet: datagrams of {from} are rejected: {reason}"
         )),
         MembershipEvent::AddressInUse(address) => log::line(format_args!(
             "fleet: another process holds {address}; this one takes part once that has ended"
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -133,6 +133,6 @@
 
 /// Logs that an engine was cordoned or uncordoned.
 pub fn engine_cordoned(engine: &str, cordoned: bool) {
-    let direction = if cordoned { "out" } else { "back" };
-    line(format_args!("engine {engine} is called {direction}"));
+    let state = if cordoned { "cordoned" } else { "uncordoned" };
+    line(format_args!("engine {engine} is {state}"));
 }
--- a/gateway/src/postgres/session_end.rs
+++ b/gateway/src/postgres/session_end.rs
@@ -53,7 +53,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             SessionEnd::Closed => "closed",
-            SessionEnd::ClosedDuringQuery => "left",
+            SessionEnd::ClosedDuringQuery => "client_disconnected",
             SessionEnd::Reset => "reset",
             SessionEnd::Terminated => "terminated",
             SessionEnd::CancelRequest => "cancel_request",
@@ -63,7 +63,7 @@
             SessionEnd::Idle => "idle",
             SessionEnd::ProtocolViolation => "protocol_violation",
             SessionEnd::NoUser => "no_user",
-            SessionEnd::TooMany => "too_many",
+            SessionEnd::TooMany => "connection_limit",
             SessionEnd::Requested(reason) => reason,
         })
     }
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -65,7 +65,7 @@
             ConnectionEnd::Reset => "reset",
             ConnectionEnd::HeadTimeout => "head_timeout",
             ConnectionEnd::ProtocolViolation => "protocol_violation",
-            ConnectionEnd::TooMany => "too_many",
+            ConnectionEnd::TooMany => "connection_limit",
             ConnectionEnd::TooLong => "too_long",
         })
     }
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -157,7 +157,7 @@
         let (observer, reserve) = (shown_or(watched, "none"), shown_or(standby, "none"));
         if !is_fenced {
             return log::line(format_args!(
-                "cluster sends again: revision={revision} observer={observer} reserve={reserve}"
+                "cluster fence is open: revision={revision} observer={observer} reserve={reserve}"
             ));
         }
         let age = freshness.err().and_then(|stale| stale.age);
@@ -165,7 +165,7 @@
         let refused = rejection.map(|reason| format!("{}: {reason}", reason.code()));
         let refused = shown_or(refused, "none");
         log::line(format_args!(
-            "cluster reason=stale sends nothing: age_ms={age_ms} revision={revision} \
+            "cluster reason=stale fence is shut: age_ms={age_ms} revision={revision} \
              observer={observer} reserve={reserve} refused={refused}"
         ));
     }
--- a/gateway/src/rest/connection_end.rs
+++ b/gateway/src/rest/connection_end.rs
@@ -29,13 +29,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ConnectionEnd::Closed => "closed",
-            ConnectionEnd::ClosedDuringRequest => "left",
+            ConnectionEnd::ClosedDuringRequest => "client_disconnected",
             ConnectionEnd::Reset => "reset",
             ConnectionEnd::Idle => "idle",
             ConnectionEnd::HeadTimeout => "head_timeout",
             ConnectionEnd::Stalled => "stalled",
             ConnectionEnd::ProtocolViolation => "protocol_violation",
-            ConnectionEnd::TooMany => "too_many",
+            ConnectionEnd::TooMany => "connection_limit",
             ConnectionEnd::Requested(reason) => reason,
         })
     }
--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -27,7 +27,9 @@
     pub(super) fn reload(&self) {
         match self.read() {
             Ok((config, settings)) => self.apply(&config, &settings),
-            Err(error) => log::line(format_args!("violetgate keeps its configuration: {error}")),
+            Err(error) => log::line(format_args!(
+                "violetgate reload failed, the old configuration stays in force: {error}"
+            )),
         }
     }
 
--- a/gateway/src/serve/shared_files.rs
+++ b/gateway/src/serve/shared_files.rs
@@ -18,7 +18,7 @@
     shared_file(listen, "cordons")
 }
 
-/// Takes this process's mark. Without one, the process takes itself to be alone.
+/// Takes this process's mark. Without one, the process assumes that it is alone.
 pub(super) fn process_mark(listen: &SocketAddr) -> ProcessMark {
     let mark = match shared_file(listen, "lock") {
         Some(path) => {
@@ -28,7 +28,7 @@
     };
     mark.unwrap_or_else(|reason| {
         log::line(format_args!(
-            "violetgate takes itself to be alone: {reason}"
+            "violetgate can't look for another process, and assumes that there is none: {reason}"
         ));
         ProcessMark::none()
     })
--- a/gateway/src/upstream/close_reason.rs
+++ b/gateway/src/upstream/close_reason.rs
@@ -12,13 +12,13 @@
     /// Idle, and closed in favour of another engine.
     Evicted,
     /// Its only query was cancelled, so nothing more may be sent on it.
-    GivenUp,
+    Cancelled,
     /// The engine closed it.
     Closed,
     /// It broke.
     Reset,
     /// The rest of an answer did not arrive in time.
-    CutShort,
+    IncompleteAnswer,
     /// It did not come up, though nobody refused it: it was reset, or descriptors ran out.
     ConnectError,
     /// Nobody listens at the engine's address.
@@ -26,7 +26,7 @@
     /// It did not come up in time.
     ConnectTimeout,
     /// The engine sent what is no answer.
-    Garbage,
+    ProtocolError,
     /// The engine no longer reads.
     Stalled,
 }
@@ -37,14 +37,14 @@
             CloseReason::Idle => "idle",
             CloseReason::Retired => "retired",
             CloseReason::Evicted => "evicted",
-            CloseReason::GivenUp => "given_up",
+            CloseReason::Cancelled => "cancelled",
             CloseReason::Closed => "closed",
             CloseReason::Reset => "reset",
-            CloseReason::CutShort => "cut_short",
+            CloseReason::IncompleteAnswer => "incomplete_answer",
             CloseReason::ConnectError => "connect_error",
             CloseReason::ConnectRefused => "connect_refused",
             CloseReason::ConnectTimeout => "connect_timeout",
-            CloseReason::Garbage => "garbage",
+            CloseReason::ProtocolError => "protocol_error",
             CloseReason::Stalled => "stalled",
         })
     }
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -274,7 +274,7 @@
         loop {
             match codec::parse(buffer.get(*used..).unwrap_or_default()) {
                 Parsed::Incomplete => return Ok(None),
-                Parsed::Garbage => return Err(CloseReason::Garbage),
+                Parsed::Garbage => return Err(CloseReason::ProtocolError),
                 Parsed::Complete(reply, size) => {
                     *used += size;
                     if let Some(event) = self.take_reply(&reply, now)? {
--- a/gateway/src/upstream/connection/partial_result.rs
+++ b/gateway/src/upstream/connection/partial_result.rs
@@ -59,7 +59,7 @@
             return Ok(PageOutcome::Duplicate);
         }
         if is_first == self.has_begun() {
-            return Err(CloseReason::Garbage);
+            return Err(CloseReason::ProtocolError);
         }
         if is_first {
             self.begin(reply)?;
@@ -67,7 +67,9 @@
         self.bytes += reply.body.len();
         let is_sound = self.bytes <= MAX_RESULT_BYTES && is_rows(reply.body);
         let page = self.pages.get_mut(number).filter(|page| page.is_none());
-        *page.filter(|_| is_sound).ok_or(CloseReason::Garbage)? = Some(reply.body.into());
+        *page
+            .filter(|_| is_sound)
+            .ok_or(CloseReason::ProtocolError)? = Some(reply.body.into());
         self.missing -= 1;
         if self.missing == 0 {
             return Ok(PageOutcome::Complete);
@@ -79,7 +81,7 @@
     fn begin(&mut self, reply: &Reply<'_>) -> Result<(), CloseReason> {
         let page_count = reply.page_count.unwrap_or(1).max(1);
         if page_count > MAX_PAGES {
-            return Err(CloseReason::Garbage);
+            return Err(CloseReason::ProtocolError);
         }
         self.pages.resize(page_count, None);
         self.missing = page_count;
--- a/gateway/src/upstream/pool/driver.rs
+++ b/gateway/src/upstream/pool/driver.rs
@@ -105,7 +105,7 @@
                 Ok(0) => return Err(CloseReason::Closed),
                 Ok(_) => {}
                 Err(error) if error.kind() == io::ErrorKind::TimedOut => {
-                    return Err(CloseReason::CutShort);
+                    return Err(CloseReason::IncompleteAnswer);
                 }
                 Err(_) => return Err(CloseReason::Reset),
             }
--- a/gateway/src/upstream/pool/requests.rs
+++ b/gateway/src/upstream/pool/requests.rs
@@ -19,7 +19,7 @@
         let outcome = connection.cancel(query, self.now());
         self.flush(&connection);
         if connection.is_retired.get() && connection.load() == 0 {
-            self.close(&connection, CloseReason::GivenUp);
+            self.close(&connection, CloseReason::Cancelled);
         }
         outcome
     }
