--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -97,8 +97,8 @@
 }
 
 impl fmt::Display for ConnectionEnd {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             ConnectionEnd::Answered => "answered",
             ConnectionEnd::Closed => "closed",
             ConnectionEnd::Reset => "reset",
@@ -117,7 +117,7 @@
 
 impl CallAnswer {
     /// An answer of one line.
-    fn line(status: Status, text: &str) -> Self {
+    fn one_line(status: Status, text: &str) -> Self {
         CallAnswer {
             status,
             body: format!("{text}\n"),
@@ -166,7 +166,7 @@
                     }
                 }
                 Err(error) => {
-                    log::line(format_args!("management accept failed: {error}"));
+                    log::write_line(format_args!("management accept failed: {error}"));
                     Timer::after(ACCEPT_PAUSE).await;
                 }
             }
@@ -189,7 +189,7 @@
         let end = match self.call(&stream, peer).or(closed).or(timed_out).await {
             Ok(answer) => respond(&stream, &answer).await,
             Err(ConnectionEnd::CallTimeout) => {
-                let answer = CallAnswer::line(Status::RequestTimeout, "call not whole");
+                let answer = CallAnswer::one_line(Status::RequestTimeout, "call not whole");
                 let _ = respond(&stream, &answer).await;
                 ConnectionEnd::CallTimeout
             }
@@ -223,7 +223,7 @@
                     log_change(peer, &call, &answer);
                     return Ok(answer);
                 }
-                Err(status) => return Ok(CallAnswer::line(status, "the call can't be read")),
+                Err(status) => return Ok(CallAnswer::one_line(status, "the call can't be read")),
             }
         }
     }
@@ -232,9 +232,11 @@
         let operations = &self.operations;
         match (call.method, call.path) {
             ("GET", "/admin/health") if operations.is_healthy() => {
-                CallAnswer::line(Status::Ok, "ready")
+                CallAnswer::one_line(Status::Ok, "ready")
+            }
+            ("GET", "/admin/health") => {
+                CallAnswer::one_line(Status::ServiceUnavailable, "starting")
             }
-            ("GET", "/admin/health") => CallAnswer::line(Status::ServiceUnavailable, "starting"),
             ("GET", "/admin/stats") => CallAnswer {
                 status: Status::Ok,
                 body: operations.metrics(),
@@ -248,9 +250,9 @@
                 operation_answer(operations.set_drain(false).await, "taking clients")
             }
             (_, path) if PATHS.contains(&path) => {
-                CallAnswer::line(Status::MethodNotAllowed, "another method is served here")
+                CallAnswer::one_line(Status::MethodNotAllowed, "another method is served here")
             }
-            _ => CallAnswer::line(Status::NotFound, "no such path"),
+            _ => CallAnswer::one_line(Status::NotFound, "no such path"),
         }
     }
 
@@ -259,7 +261,7 @@
             Ok(CordonBody { host }) => {
                 operation_answer(self.operations.set_cordon(&host, cordoned).await, &host)
             }
-            Err(error) => CallAnswer::line(
+            Err(error) => CallAnswer::one_line(
                 Status::BadRequest,
                 &format!("the body is no {{\"host\":\"ID\"}}: {error}"),
             ),
@@ -272,7 +274,7 @@
     if call.method != "GET" {
         let (method, path, code) = (call.method, call.path, answer.status as u16);
         let text = answer.body.trim();
-        log::line(format_args!(
+        log::write_line(format_args!(
             "management {peer} {method} {path} {code}: {text}"
         ));
     }
@@ -280,15 +282,15 @@
 
 fn operation_answer(outcome: OperationOutcome, done: &str) -> CallAnswer {
     match outcome {
-        OperationOutcome::Done => CallAnswer::line(Status::Ok, done),
+        OperationOutcome::Done => CallAnswer::one_line(Status::Ok, done),
         OperationOutcome::UnknownEngine => {
-            CallAnswer::line(Status::NotFound, &format!("no engine {done:?}"))
+            CallAnswer::one_line(Status::NotFound, &format!("no engine {done:?}"))
         }
-        OperationOutcome::OutcomeUnknown => CallAnswer::line(
+        OperationOutcome::OutcomeUnknown => CallAnswer::one_line(
             Status::ServiceUnavailable,
             "not agreed on in its time; it may still come to hold: call again",
         ),
-        OperationOutcome::NotAMember => CallAnswer::line(
+        OperationOutcome::NotAMember => CallAnswer::one_line(
             Status::Conflict,
             "this front end subscribes to a cluster: call at a member's API",
         ),
--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -90,7 +90,7 @@
             let was_corrupt = std::mem::replace(&mut is_corrupt, !self.load_cordons());
             // Logged once: a file that remains corrupt would fill the log.
             if is_corrupt && !was_corrupt {
-                log::line("cordons can't be read; those that hold here stay");
+                log::write_line("cordons can't be read; those that hold here stay");
             }
         }
     }
--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -110,14 +110,14 @@
         .and_then(|settings| serve::run(&settings, file));
     let dropped = log::dropped_lines();
     if dropped > 0 {
-        log::line(format_args!(
+        log::write_line(format_args!(
             "violetgate lost {dropped} log lines, as nobody took them"
         ));
     }
     let code = match served {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::line(format_args!("violetgate: {error}"));
+            log::write_line(format_args!("violetgate: {error}"));
             ExitCode::FAILURE
         }
     };
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -293,7 +293,7 @@
 }
 
 /// A span in seconds; the default stands for one that is not above 0.
-fn span(seconds: Option<f64>, default: f64) -> Duration {
+fn span_or_default(seconds: Option<f64>, default: f64) -> Duration {
     let seconds = seconds.filter(|seconds| *seconds > 0.0).unwrap_or(default);
     Duration::try_from_secs_f64(seconds).unwrap_or(FALLBACK_SPAN)
 }
@@ -302,8 +302,8 @@
     fn upstream_limits(&self) -> UpstreamLimits {
         let limits = &self.limits;
         UpstreamLimits {
-            connect_timeout: span(limits.connect_timeout_s, DEFAULT_CONNECT_TIMEOUT_S),
-            idle_close: span(limits.idle_close_s, DEFAULT_IDLE_CLOSE_S),
+            connect_timeout: span_or_default(limits.connect_timeout_s, DEFAULT_CONNECT_TIMEOUT_S),
+            idle_close: span_or_default(limits.idle_close_s, DEFAULT_IDLE_CLOSE_S),
             streams_per_connection: limits
                 .streams_per_conn
                 .unwrap_or(DEFAULT_STREAMS_PER_CONNECTION)
--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -67,7 +67,7 @@
     /// can't be written is logged: the change is in force here all the same.
     pub fn update(&self, known: &EngineNames, name: &str, change: Cordon) -> EngineNames {
         let _lock = self.path.as_deref().and_then(|path| {
-            lock(path)
+            lock_file(path)
                 .inspect_err(|error| log_failure(path, error))
                 .ok()
         });
@@ -85,7 +85,7 @@
 }
 
 fn log_failure(path: &Path, error: &std::io::Error) {
-    log::line(format_args!(
+    log::write_line(format_args!(
         "cordons are not kept: {}: {error}",
         path.display()
     ));
@@ -98,7 +98,7 @@
 }
 
 /// Prevents the other process from changing the file until the lock is dropped.
-fn lock(path: &Path) -> std::io::Result<File> {
+fn lock_file(path: &Path) -> std::io::Result<File> {
     let file = OpenOptions::new()
         .write(true)
         .create(true)
--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -53,13 +53,13 @@
 
 impl ApiReply {
     /// Its body; null if that is no JSON.
-    pub(super) fn json(&self) -> Value {
+    pub(super) fn body_json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
     /// What an error says.
     fn detail(&self) -> String {
-        let json = self.json();
+        let json = self.body_json();
         field(&json, "detail").as_str().map_or_else(
             || String::from_utf8_lossy(&self.body).into_owned(),
             str::to_owned,
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -161,7 +161,7 @@
 }
 
 fn members_of(status: &ApiReply) -> Vec<Value> {
-    let status = status.json();
+    let status = status.body_json();
     let members = field(&status, "members").as_array();
     members.cloned().unwrap_or_default()
 }
@@ -212,7 +212,7 @@
 /// Prints the members.
 pub(super) fn list_members(client: &ApiClient) -> Result<(), CtlError> {
     let reply = client.get("/v1/cluster")?;
-    let status = reply.json();
+    let status = reply.body_json();
     let leader = field(&status, "leader");
     let mut out = format!("{:<6} {:<8} {:<22} {:<22}\n", "id", "role", "listen", "api");
     for member in members_of(&reply) {
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -250,7 +250,7 @@
 fn get(client: &ApiClient, key: &str, stale: bool) -> Result<(), CtlError> {
     let parameters = [("key", Some(key.to_owned())), ("stale", shown_stale(stale))];
     let reply = client.get(&path_with_query("/v1/state", &parameters))?;
-    print(format!("{}\n", shown_value(&reply.json())).as_bytes());
+    print(format!("{}\n", shown_value(&reply.body_json())).as_bytes());
     Ok(())
 }
 
@@ -262,7 +262,7 @@
     ];
     let mut path = path_with_query("/v1/state", &parameters);
     loop {
-        let page = client.get(&path)?.json();
+        let page = client.get(&path)?.body_json();
         for entry in field(&page, "entries").as_array().into_iter().flatten() {
             let key = field(entry, "key").as_str().unwrap_or_default();
             let (revision, value) = (field(entry, "revision"), shown_value(entry));
@@ -356,7 +356,7 @@
             ("wait_ms", Some(wait_ms.to_string())),
         ];
         let page = client.get(&path_with_query("/v1/changes", &parameters))?;
-        let page = page.json();
+        let page = page.body_json();
         for change in field(&page, "changes").as_array().into_iter().flatten() {
             if changes_left == 0 || !print(format!("{change}\n").as_bytes()) {
                 return Ok(());
--- a/gateway/src/discovery/client.rs
+++ b/gateway/src/discovery/client.rs
@@ -128,7 +128,7 @@
                 .map_err(EventError::from)
                 .and_then(|event| self.take_event(event, on_update));
             if let Err(error) = taken {
-                log::line(format_args!(
+                log::write_line(format_args!(
                     "bus reason=garbage known event left out: {error}"
                 ));
             }
@@ -159,13 +159,13 @@
         };
         match self.take_event(event, on_update) {
             Ok(()) => {
-                log::line(format_args!(
+                log::write_line(format_args!(
                     "bus is silent; the list that was kept counts, from={} to={last_offset}",
                     self.last_offset
                 ));
                 self.last_offset = last_offset;
             }
-            Err(error) => log::line(format_args!(
+            Err(error) => log::write_line(format_args!(
                 "bus reason=garbage kept list left out: {error}"
             )),
         }
@@ -190,7 +190,7 @@
             let end = session.or(moved).await;
             // An unreachable bus would fill the log: the same failure again is not logged.
             if received || last_end.as_ref() != Some(&end) {
-                log::line(format_args!(
+                log::write_line(format_args!(
                     "bus {addr} ended reason={end} from={from} last={}",
                     self.last_offset
                 ));
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -57,7 +57,11 @@
     ) -> Rc<Self> {
         Rc::new(Dispatch {
             clock,
-            classes: settings.classes.iter().map(ClassProperties::of).collect(),
+            classes: settings
+                .classes
+                .iter()
+                .map(ClassProperties::from_class)
+                .collect(),
             decisions: RefCell::new(Gateway::new(settings, seed)),
             engines,
             fence,
--- a/gateway/src/dispatch/open_request.rs
+++ b/gateway/src/dispatch/open_request.rs
@@ -16,7 +16,7 @@
 }
 
 impl ClassProperties {
-    pub(super) fn of(class: &Class) -> Self {
+    pub(super) fn from_class(class: &Class) -> Self {
         ClassProperties {
             idempotency: class.idempotency,
             dedup_window: class.dedup_window,
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -72,7 +72,7 @@
         );
         let listen = settings.listen;
         let node = node.map_err(|error| FleetStartError { listen, error })?;
-        log::line(format_args!(
+        log::write_line(format_args!(
             "violetgate is {} of fleet {} at {listen}, told of {configured_size} front ends",
             settings.member, settings.name
         ));
@@ -96,7 +96,7 @@
 
     /// The number of gateways that the decisions reckon with, this one included.
     #[must_use]
-    pub fn size(&self) -> u32 {
+    pub fn fleet_size(&self) -> u32 {
         self.node.fleet_size()
     }
 
@@ -106,7 +106,7 @@
         let counters = self.node.counters();
         let mut out = String::new();
         for (name, value) in [
-            ("share", u64::from(self.size())),
+            ("share", u64::from(self.fleet_size())),
             (
                 "doubts_itself",
                 u64::from(self.node.is_recovering_from_pause()),
@@ -168,32 +168,32 @@
 
 fn log_event(event: &MembershipEvent) {
     match event {
-        MembershipEvent::FleetSizeChanged(size) => log::line(format_args!(
+        MembershipEvent::FleetSizeChanged(size) => log::write_line(format_args!(
             "fleet: this front end reckons with {size}, itself included"
         )),
         MembershipEvent::MemberStateChanged { member, state } => {
-            log::line(format_args!("fleet: {member} is {}", state_name(*state)));
+            log::write_line(format_args!("fleet: {member} is {}", state_name(*state)));
         }
         MembershipEvent::LinkChanged {
             member,
             link: LinkState::Cut,
-        } => log::line(format_args!(
+        } => log::write_line(format_args!(
             "fleet: the link to {member} is cut, others reach it"
         )),
         MembershipEvent::LinkChanged {
             member,
             link: LinkState::Restored,
-        } => log::line(format_args!("fleet: the link to {member} is whole again")),
-        MembershipEvent::Superseded => log::line(
+        } => log::write_line(format_args!("fleet: the link to {member} is whole again")),
+        MembershipEvent::Superseded => log::write_line(
             "fleet: a newer process has this front end's name, this one has left the fleet",
         ),
-        MembershipEvent::DatagramRejected { from, reason } => log::line(format_args!(
+        MembershipEvent::DatagramRejected { from, reason } => log::write_line(format_args!(
             "fleet: datagrams of {from} are turned away: {reason}"
         )),
-        MembershipEvent::AddressInUse(address) => log::line(format_args!(
+        MembershipEvent::AddressInUse(address) => log::write_line(format_args!(
             "fleet: another process holds {address}; this one takes part once that has ended"
         )),
-        MembershipEvent::TableFull { rejected } => log::line(format_args!(
+        MembershipEvent::TableFull { rejected } => log::write_line(format_args!(
             "fleet: no room for {rejected}, too many are known"
         )),
     }
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -115,7 +115,7 @@
 }
 
 /// Writes one line. A log that can't be written is no reason to stop serving.
-pub fn line(text: impl Display) {
+pub fn write_line(text: impl Display) {
     tracing::info!("{text}");
 }
 
@@ -134,5 +134,5 @@
 /// Logs that an engine was cordoned or uncordoned.
 pub fn engine_cordoned(engine: &str, cordoned: bool) {
     let direction = if cordoned { "out" } else { "back" };
-    line(format_args!("engine {engine} is called {direction}"));
+    write_line(format_args!("engine {engine} is called {direction}"));
 }
--- a/gateway/src/postgres/session_end.rs
+++ b/gateway/src/postgres/session_end.rs
@@ -50,8 +50,8 @@
 }
 
 impl fmt::Display for SessionEnd {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             SessionEnd::Closed => "closed",
             SessionEnd::ClosedDuringQuery => "left",
             SessionEnd::Reset => "reset",
--- a/gateway/src/postgres/sessions.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -102,7 +102,7 @@
 
     /// The number of requests read completely whose answer is not yet written.
     #[must_use]
-    pub fn busy(&self) -> usize {
+    pub fn busy_count(&self) -> usize {
         self.busy.get()
     }
 
@@ -119,7 +119,7 @@
                     // The same failure again is not logged. Where descriptors have run out, an idle
                     // connection is evicted, whoever else took them.
                     if last_failure.replace(error.kind()) != Some(error.kind()) {
-                        log::line(format_args!("client accept failed: {error}"));
+                        log::write_line(format_args!("client accept failed: {error}"));
                     }
                     self.limiter.evict_one(self.sink.now());
                     Timer::after(ACCEPT_PAUSE).await;
@@ -136,7 +136,7 @@
         while let Ok((stream, peer)) = listener.get_ref().accept() {
             match Async::new(stream) {
                 Ok(stream) => self.accept(stream, peer),
-                Err(error) => log::line(format_args!("client accept failed: {error}")),
+                Err(error) => log::write_line(format_args!("client accept failed: {error}")),
             }
         }
     }
--- a/gateway/src/replication/api/bodies.rs
+++ b/gateway/src/replication/api/bodies.rs
@@ -19,7 +19,7 @@
 
 impl JsonValue {
     /// Bytes, as text where they are text.
-    pub(super) fn of(bytes: &[u8]) -> Self {
+    pub(super) fn from_bytes(bytes: &[u8]) -> Self {
         match std::str::from_utf8(bytes) {
             Ok(text) => JsonValue {
                 key: "value",
@@ -35,7 +35,7 @@
 
 /// An entry of the store.
 pub(super) fn entry_json(key: &str, revision: Revision, bytes: &[u8]) -> Value {
-    let value = JsonValue::of(bytes);
+    let value = JsonValue::from_bytes(bytes);
     json!({"key": key, "revision": revision, value.key: value.value})
 }
 
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -59,8 +59,8 @@
 }
 
 impl fmt::Display for ConnectionEnd {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             ConnectionEnd::Closed => "closed",
             ConnectionEnd::Reset => "reset",
             ConnectionEnd::HeadTimeout => "head_timeout",
@@ -97,7 +97,7 @@
                 executor.spawn(connection).detach();
             }
             Err(error) => {
-                log::line(format_args!("cluster api accept failed: {error}"));
+                log::write_line(format_args!("cluster api accept failed: {error}"));
                 Timer::after(ACCEPT_PAUSE).await;
             }
         }
--- a/gateway/src/replication/api/router.rs
+++ b/gateway/src/replication/api/router.rs
@@ -56,7 +56,7 @@
                 Ok(reply) => reply.status().as_u16().to_string(),
                 Err(error) => format!("{} {}", error.status.as_u16(), error.kind),
             };
-            log::line(format_args!(
+            log::write_line(format_args!(
                 "cluster api {} {} {method} {path} {result}",
                 self.peer, call.operator
             ));
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -204,7 +204,7 @@
             value: true.into(),
         };
         let value = change.value.as_ref();
-        let value = value.map_or(deleted, |value| JsonValue::of(value));
+        let value = value.map_or(deleted, |value| JsonValue::from_bytes(value));
         json!({"revision": change.revision, "key": change.key, value.key: value.value,
                "who": change.actor, "time_us": change.time})
     });
--- a/gateway/src/replication/member.rs
+++ b/gateway/src/replication/member.rs
@@ -315,18 +315,18 @@
         let status = self.status();
         let (term, leader) = (status.term, shown_or(status.leader, "none"));
         if !is_fenced {
-            return log::line(format_args!(
+            return log::write_line(format_args!(
                 "cluster sends again: term={term} leader={leader}"
             ));
         }
         if let Some(reason) = self.runtime.stop_reason() {
-            return log::line(format_args!(
+            return log::write_line(format_args!(
                 "cluster reason=disk sends nothing more: {reason}"
             ));
         }
         let age = status.freshness.err().and_then(|stale| stale.age);
         let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
-        log::line(format_args!(
+        log::write_line(format_args!(
             "cluster reason=stale sends nothing: age_ms={age_ms} term={term} leader={leader}"
         ));
     }
--- a/gateway/src/replication/member_upkeep.rs
+++ b/gateway/src/replication/member_upkeep.rs
@@ -32,11 +32,11 @@
         if known_leader != status.leader && status.leader.is_some() {
             known_leader = status.leader;
             let (term, id) = (status.term, known_leader.unwrap_or_default());
-            log::line(format_args!("cluster leader={id} term={term}"));
+            log::write_line(format_args!("cluster leader={id} term={term}"));
         }
         if let Some(reason) = member.runtime.stop_reason().filter(|_| !stop_is_logged) {
             stop_is_logged = true;
-            log::line(format_args!("cluster reason=disk member stopped: {reason}"));
+            log::write_line(format_args!("cluster reason=disk member stopped: {reason}"));
         }
         drop(member);
         Timer::after(FENCE_CHECK_INTERVAL).await;
@@ -51,7 +51,7 @@
             let recorded = member.record_address().await;
             if recorded == AddressRecord::OtherDisk && !conflict_is_logged {
                 conflict_is_logged = true;
-                log::line("cluster reason=id another disk goes by this member's id");
+                log::write_line("cluster reason=id another disk goes by this member's id");
             }
             if let Some(list) = member.newer_engine_list() {
                 member.store_engine_list(&list).await;
--- a/gateway/src/replication/reconcile.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -124,7 +124,7 @@
             ConfigChange::Drain(_) => self.apply_drain(targets),
             ConfigChange::Settings(settings) => {
                 let version = settings.map_or(0, |settings| settings.number);
-                log::line(format_args!("cluster settings version={version} hold"));
+                log::write_line(format_args!("cluster settings version={version} hold"));
                 self.apply_settings(targets);
             }
             // Members' addresses matter to members alone: the caller applies them.
@@ -156,11 +156,11 @@
             return own.clone();
         };
         match SharedSettings::parse(&text) {
-            Ok(shared) => shared.over(&own),
+            Ok(shared) => shared.applied_over(&own),
             Err(errors) => {
                 // A member of another version of the program has accepted it.
                 let first = errors.first().map(ToString::to_string).unwrap_or_default();
-                log::line(format_args!(
+                log::write_line(format_args!(
                     "cluster settings version={number} can't be used here: {first}"
                 ));
                 own.clone()
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -156,7 +156,7 @@
         } = self.status();
         let (observer, reserve) = (shown_or(watched, "none"), shown_or(standby, "none"));
         if !is_fenced {
-            return log::line(format_args!(
+            return log::write_line(format_args!(
                 "cluster sends again: revision={revision} observer={observer} reserve={reserve}"
             ));
         }
@@ -164,7 +164,7 @@
         let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
         let refused = rejection.map(|reason| format!("{}: {reason}", reason.code()));
         let refused = shown_or(refused, "none");
-        log::line(format_args!(
+        log::write_line(format_args!(
             "cluster reason=stale sends nothing: age_ms={age_ms} revision={revision} \
              observer={observer} reserve={reserve} refused={refused}"
         ));
@@ -181,7 +181,7 @@
             known_observer = status.watched;
             let observer = shown_or(status.watched, "none");
             let reserve = shown_or(status.standby, "none");
-            log::line(format_args!(
+            log::write_line(format_args!(
                 "cluster observer={observer} reserve={reserve} revision={}",
                 status.revision
             ));
--- a/gateway/src/rest/connection_end.rs
+++ b/gateway/src/rest/connection_end.rs
@@ -26,8 +26,8 @@
 }
 
 impl fmt::Display for ConnectionEnd {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             ConnectionEnd::Closed => "closed",
             ConnectionEnd::ClosedDuringRequest => "left",
             ConnectionEnd::Reset => "reset",
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -147,7 +147,7 @@
             match listener.accept().await {
                 Ok((stream, peer)) => self.accept(stream, peer),
                 Err(error) => {
-                    log::line(format_args!("rest accept failed: {error}"));
+                    log::write_line(format_args!("rest accept failed: {error}"));
                     Timer::after(ACCEPT_PAUSE).await;
                 }
             }
--- a/gateway/src/rest/pages.rs
+++ b/gateway/src/rest/pages.rs
@@ -50,7 +50,7 @@
     }
 
     /// A further page, from 1.
-    pub(super) fn page(
+    pub(super) fn fetch_page(
         &self,
         token: &str,
         page: usize,
--- a/gateway/src/rest/routes.rs
+++ b/gateway/src/rest/routes.rs
@@ -71,7 +71,7 @@
                 let body = self.read_body(body).await?;
                 self.query(&head.headers, &body, watch).await
             }
-            Route::Page { token, page } => self.page(token, page, watch),
+            Route::Page { token, page } => self.fetch_page(token, page, watch),
             Route::Delete { token } => self.delete(token),
             Route::MethodNotAllowed { allow } => Err(HttpError::method_not_allowed(allow)),
             Route::NotFound => Err(HttpError::new(
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -63,25 +63,13 @@
         budget: ConnectionBudget,
     ) -> Result<Self, StartError> {
         let executor = Rc::new(LocalExecutor::new());
-        let classes = config.settings.classes.clone();
-        let class_names = config.names.classes.iter();
-        let stats = Rc::new(Stats::new(class_names.map(|class| class.name.as_str())));
-        let participant = join_cluster(&executor, settings, config.seed)?;
-        let fence = participant.as_ref().map(Participant::fence);
-        let pool = Pool::new(
-            Rc::clone(&executor),
-            clock,
-            config.upstream,
-            Rc::clone(&stats),
-            fence.clone(),
-            budget.engines,
-        );
-        let fleet_size = config.settings.gateways.unwrap_or(1);
-        let dispatch = create_dispatch(clock, config.settings, config.seed, &pool, fence);
-        let fleet = settings.fleet.as_ref().map(|fleet| {
-            FleetMembership::start(&executor, fleet, clock, config.seed, fleet_size, &dispatch)
-        });
-        let fleet = fleet.transpose()?.map(Rc::new);
+        let Core {
+            stats,
+            participant,
+            pool,
+            dispatch,
+            fleet,
+        } = Core::start(&executor, clock, &config, settings, budget)?;
         let engine_ids = Rc::new(EngineIds::default());
         let retention = participant.as_ref().map(Participant::list_retention);
         let retention = retention.unwrap_or(ListRetention::Discard);
@@ -100,13 +88,14 @@
             seed: config.seed,
             budget,
         };
-        let (sessions, rest) = front_ends.create(&dispatch, settings.rest.as_ref(), &classes)?;
+        let classes = &config.settings.classes;
+        let (sessions, rest) = front_ends.create(&dispatch, settings.rest.as_ref(), classes)?;
         Ok(Gateway {
             clock,
+            longest_deadline: longest_deadline(classes),
             name: config.name,
             listen: config.listen,
             max_sockets: config.max_sockets,
-            longest_deadline: longest_deadline(&classes),
             stats,
             dispatch,
             pool,
@@ -134,6 +123,50 @@
     }
 }
 
+/// The dispatcher and the pool, and this instance's part in a cluster and a fleet.
+struct Core {
+    stats: Rc<Stats>,
+    participant: Option<Participant>,
+    pool: Rc<Pool>,
+    dispatch: Rc<Dispatch>,
+    fleet: Option<Rc<FleetMembership>>,
+}
+
+impl Core {
+    fn start(
+        executor: &Rc<LocalExecutor<'static>>,
+        clock: Clock,
+        config: &Config,
+        settings: &Settings,
+        budget: ConnectionBudget,
+    ) -> Result<Self, StartError> {
+        let class_names = config.names.classes.iter();
+        let stats = Rc::new(Stats::new(class_names.map(|class| class.name.as_str())));
+        let participant = join_cluster(executor, settings, config.seed)?;
+        let fence = participant.as_ref().map(Participant::fence);
+        let pool = Pool::new(
+            Rc::clone(executor),
+            clock,
+            config.upstream,
+            Rc::clone(&stats),
+            fence.clone(),
+            budget.engines,
+        );
+        let dispatch = create_dispatch(clock, config, &pool, fence);
+        let fleet_size = config.settings.gateways.unwrap_or(1);
+        let fleet = settings.fleet.as_ref().map(|fleet| {
+            FleetMembership::start(executor, fleet, clock, config.seed, fleet_size, &dispatch)
+        });
+        Ok(Core {
+            fleet: fleet.transpose()?.map(Rc::new),
+            stats,
+            participant,
+            pool,
+            dispatch,
+        })
+    }
+}
+
 fn longest_deadline(classes: &[Class]) -> Duration {
     let longest = classes.iter().filter_map(|class| class.deadline).max();
     Duration::from_micros(longest.unwrap_or(0))
@@ -155,13 +188,13 @@
 /// Creates the dispatcher, and connects it with the pool.
 fn create_dispatch(
     clock: Clock,
-    settings: violetgate_policy::Settings,
-    seed: u64,
+    config: &Config,
     pool: &Rc<Pool>,
     fence: Option<Rc<dyn Fence>>,
 ) -> Rc<Dispatch> {
     let engines: Rc<dyn UpstreamEngines> = Rc::<Pool>::clone(pool);
-    let dispatch = Dispatch::new(clock, settings, seed, engines, fence);
+    let settings = config.settings.clone();
+    let dispatch = Dispatch::new(clock, settings, config.seed, engines, fence);
     let events: Rc<dyn AttemptEvents> = Rc::<Dispatch>::clone(&dispatch);
     let events: Weak<dyn AttemptEvents> = Rc::downgrade(&events);
     pool.report_to(events);
@@ -241,7 +274,7 @@
             results: Rc::new(RefCell::new(results)),
             idempotency,
         };
-        let rng = self.rng(REST_ID_STREAM);
+        let rng = self.new_rng(REST_ID_STREAM);
         let rest = RestFrontend::new(parts, rest_settings, self.budget.rest, rng);
         Ok((self.create_sessions(sink), Some(rest)))
     }
@@ -254,11 +287,11 @@
             Rc::clone(self.stats),
             Rc::clone(self.drain),
             self.budget.postgres,
-            self.rng(CANCEL_KEY_STREAM),
+            self.new_rng(CANCEL_KEY_STREAM),
         )
     }
 
-    fn rng(&self, stream: u64) -> ChaCha8Rng {
+    fn new_rng(&self, stream: u64) -> ChaCha8Rng {
         let mut rng = ChaCha8Rng::seed_from_u64(self.seed);
         rng.set_stream(stream);
         rng
--- a/gateway/src/serve/connection_budget.rs
+++ b/gateway/src/serve/connection_budget.rs
@@ -65,7 +65,11 @@
     /// the limit of one together. Usual clients hold a third of it at most, and soon all of them
     /// are with the successor: a limit that is too low for them would reject, or evict, those that
     /// have just connected.
-    pub(super) fn of(max_sockets: usize, role: ProcessRole, rest: Option<&settings::Rest>) -> Self {
+    pub(super) fn for_role(
+        max_sockets: usize,
+        role: ProcessRole,
+        rest: Option<&settings::Rest>,
+    ) -> Self {
         let (clients, engines) = match role {
             ProcessRole::Alone => (max_sockets / 2, max_sockets / 4),
             ProcessRole::Successor => (max_sockets * 3 / 8, max_sockets / 6),
@@ -105,8 +109,8 @@
 
     fn apply(&self) {
         let rest_settings = self.rest.as_ref().map(|(_, settings)| settings);
-        let budget = ConnectionBudget::of(self.max_sockets, self.role, rest_settings);
-        log::line(format_args!(
+        let budget = ConnectionBudget::for_role(self.max_sockets, self.role, rest_settings);
+        log::write_line(format_args!(
             "violetgate is {}: at most {} clients and {} engine connections",
             if self.role == ProcessRole::Alone {
                 "alone"
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -48,7 +48,7 @@
     let signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]);
     let signals = signals.map_err(StartError::Signals)?;
     let role = ProcessRole::at_start(&mark);
-    let budget = ConnectionBudget::of(config.max_sockets, role, settings.rest.as_ref());
+    let budget = ConnectionBudget::for_role(config.max_sockets, role, settings.rest.as_ref());
     let gateway = Gateway::assemble(clock, config, settings, budget)?;
     start_budget(&gateway, &mark, role, settings);
     start_front_end_upkeep(&gateway);
@@ -71,7 +71,7 @@
     if let Some(fleet) = &gateway.fleet {
         fleet.leave();
     }
-    log::line("violetgate ended");
+    log::write_line("violetgate ended");
     Ok(())
 }
 
@@ -91,8 +91,8 @@
         }
     };
     let rest = gateway.rest.as_ref();
-    let open = gateway.sessions.busy() + rest.map_or(0, |rest| rest.busy_or_sticky());
-    log::line(format_args!(
+    let open = gateway.sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
+    log::write_line(format_args!(
         "violetgate ends after {signal}: {open} requests open"
     ));
     // It goes on serving, and a bus whose address changes now is still followed.
@@ -175,17 +175,17 @@
 
 fn log_start(gateway: &Gateway, settings: &Settings) {
     let name = &gateway.name;
-    log::line(format_args!(
+    log::write_line(format_args!(
         "violetgate {name} listens on {}",
         gateway.listen
     ));
     if let Some(rest) = &settings.rest {
-        log::line(format_args!(
+        log::write_line(format_args!(
             "violetgate {name} listens on {} for REST",
             rest.listen
         ));
     }
     if let Some(cluster) = &settings.cluster {
-        log::line(format_args!("violetgate {name} {}", cluster.description()));
+        log::write_line(format_args!("violetgate {name} {}", cluster.description()));
     }
 }
--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -27,7 +27,9 @@
     pub(super) fn reload(&self) {
         match self.read() {
             Ok((config, settings)) => self.apply(&config, &settings),
-            Err(error) => log::line(format_args!("violetgate keeps its configuration: {error}")),
+            Err(error) => {
+                log::write_line(format_args!("violetgate keeps its configuration: {error}"))
+            }
         }
     }
 
@@ -38,7 +40,7 @@
     }
 
     fn apply(&self, config: &Config, own: &Settings) {
-        log::line(format_args!(
+        log::write_line(format_args!(
             "violetgate read its configuration again: bus {}",
             config.bus
         ));
@@ -50,7 +52,7 @@
         match (&self.rest, &settings.rest) {
             (Some(rest), Some(settings)) => rest.apply_limits(settings),
             (None, None) => {}
-            _ => log::line("violetgate takes the REST front up, or out, at its next start"),
+            _ => log::write_line("violetgate takes the REST front up, or out, at its next start"),
         }
     }
 }
--- a/gateway/src/serve/shared_files.rs
+++ b/gateway/src/serve/shared_files.rs
@@ -27,9 +27,9 @@
         None => Err("TMPDIR is not set".to_owned()),
     };
     mark.unwrap_or_else(|reason| {
-        log::line(format_args!(
+        log::write_line(format_args!(
             "violetgate takes itself to be alone: {reason}"
         ));
-        ProcessMark::none()
+        ProcessMark::without_file()
     })
 }
--- a/gateway/src/serve/shutdown.rs
+++ b/gateway/src/serve/shutdown.rs
@@ -141,7 +141,7 @@
     fn has_ended(&mut self) -> bool {
         let sessions = &self.gateway.sessions;
         let rest = self.gateway.rest.as_ref();
-        let busy = sessions.busy() + rest.map_or(0, |rest| rest.busy_or_sticky());
+        let busy = sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
         let open = busy + sessions.len() + sessions.lingering();
         let overdue = self.begun.elapsed().saturating_sub(self.time_limit());
         if open == 0 || overdue > MAX_CLOSE_TIME {
--- a/gateway/src/settings/error.rs
+++ b/gateway/src/settings/error.rs
@@ -58,9 +58,9 @@
 }
 
 impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let colon = if self.key.is_empty() { "" } else { ": " };
-        write!(f, "{}: {}{colon}{}", self.line, self.key, self.text)
+        write!(formatter, "{}: {}{colon}{}", self.line, self.key, self.text)
     }
 }
 
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -55,7 +55,7 @@
 
     /// An instance's settings under these.
     #[must_use]
-    pub fn over(&self, own: &Settings) -> Settings {
+    pub fn applied_over(&self, own: &Settings) -> Settings {
         let Ok(mut all) = serde_json::to_value(own) else {
             return own.clone();
         };
--- a/gateway/src/settings/tests.rs
+++ b/gateway/src/settings/tests.rs
@@ -73,8 +73,8 @@
         ..Settings::default()
     };
     let agreed = SharedSettings::parse("rest {\n results = 5\n}\n").unwrap();
-    assert_eq!(agreed.over(&own).rest.unwrap().results, 5);
-    assert_eq!(agreed.over(&Settings::default()).rest, None);
+    assert_eq!(agreed.applied_over(&own).rest.unwrap().results, 5);
+    assert_eq!(agreed.applied_over(&Settings::default()).rest, None);
     let wrong =
         SharedSettings::parse("rest {\n results = 0\n listen = \"127.0.0.1:1\"\n}\n").unwrap_err();
     assert_eq!(wrong.iter().map(|p| p.line).collect::<Vec<_>>(), [2, 3]);
--- a/gateway/src/sibling_process.rs
+++ b/gateway/src/sibling_process.rs
@@ -31,7 +31,7 @@
 
     /// The mark of a process without such a file, which takes itself to be alone.
     #[must_use]
-    pub fn none() -> Self {
+    pub fn without_file() -> Self {
         ProcessMark(None)
     }
 
--- a/gateway/src/upstream/close_reason.rs
+++ b/gateway/src/upstream/close_reason.rs
@@ -32,8 +32,8 @@
 }
 
 impl fmt::Display for CloseReason {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
             CloseReason::Idle => "idle",
             CloseReason::Retired => "retired",
             CloseReason::Evicted => "evicted",
--- a/gateway/src/upstream/codec.rs
+++ b/gateway/src/upstream/codec.rs
@@ -253,7 +253,7 @@
             kind,
             page_count: fields.page_count,
             page: fields.page,
-            cost: fields.cost(),
+            cost: fields.reported_cost(),
             progress: fields.progress(),
             body,
         })
@@ -292,7 +292,7 @@
         Some(fields)
     }
 
-    fn cost(&self) -> Option<Cost> {
+    fn reported_cost(&self) -> Option<Cost> {
         self.work_ms.map(|ms| Cost {
             work: (ms * MICROS_PER_MS) as u64,
             memory_mb: self.memory_mb.unwrap_or(0.0),
--- a/gateway/src/upstream/connection/command_queue.rs
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -48,7 +48,7 @@
 }
 
 impl CurrentWrite {
-    fn rest(&self) -> &[u8] {
+    fn unwritten(&self) -> &[u8] {
         self.bytes.get(self.written..).unwrap_or_default()
     }
 }
@@ -103,7 +103,7 @@
             return Err(CloseReason::Stalled);
         }
         loop {
-            if self.current.rest().is_empty() {
+            if self.current.unwritten().is_empty() {
                 if self.current.is_attempt {
                     count_attempt();
                 }
@@ -112,7 +112,7 @@
                 }
                 continue;
             }
-            match socket.write(self.current.rest()) {
+            match socket.write(self.current.unwritten()) {
                 Ok(0) => return Err(CloseReason::Closed),
                 Ok(size) => {
                     self.current.written += size;
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -359,7 +359,7 @@
 
     fn ended(self, outcome: Outcome) -> AttemptEnd {
         let end = self.end(outcome);
-        let cost = self.result.cost();
+        let cost = self.result.reported_cost();
         let pages = if outcome == Outcome::Completed {
             self.result.into_pages()
         } else {
--- a/gateway/src/upstream/connection/partial_result.rs
+++ b/gateway/src/upstream/connection/partial_result.rs
@@ -43,7 +43,7 @@
     }
 
     /// What the query cost, as its first page has it.
-    pub(super) fn cost(&self) -> Option<Cost> {
+    pub(super) fn reported_cost(&self) -> Option<Cost> {
         self.cost
     }
 
--- a/gateway/src/upstream/pool/placement.rs
+++ b/gateway/src/upstream/pool/placement.rs
@@ -22,7 +22,7 @@
             return fail(Outcome::NeverSent);
         };
         let used = attempt.exchange.used_connections.borrow().clone();
-        let Some(connection) = self.pick(&engine, &used) else {
+        let Some(connection) = self.pick_connection(&engine, &used) else {
             return fail(Outcome::ConnectionRefused);
         };
         self.by_query
@@ -45,7 +45,7 @@
     /// What breaks or spoils a connection costs all that is open on it, so each attempt gets one of
     /// its own, the one used last, while there may be more connections. At the limit the least
     /// loaded one of the engine is shared, or one that is idle longest gives way.
-    fn pick(&self, engine: &ListedEngine, used: &[u64]) -> Option<Rc<Connection>> {
+    fn pick_connection(&self, engine: &ListedEngine, used: &[u64]) -> Option<Rc<Connection>> {
         let mut candidates = self.select(|connection| {
             connection.engine == engine.engine.id
                 && !connection.is_retired.get()
--- a/tools/scale/src/hollow/front_end.rs
+++ b/tools/scale/src/hollow/front_end.rs
@@ -242,7 +242,7 @@
     /// How many front ends it reckons with.
     #[must_use]
     pub fn share(&self) -> Option<u32> {
-        self.fleet.as_ref().map(FleetMembership::size)
+        self.fleet.as_ref().map(FleetMembership::fleet_size)
     }
 }
 
