--- a/gateway/src/settings/check.rs
+++ b/gateway/src/settings/check.rs
@@ -7,10 +7,28 @@
 use hcl_edit::expr::{Expression, ObjectKey};
 use hcl_edit::structure::{Body, Structure};
 use hcl_edit::Span;
+use thiserror::Error;
 
 use super::error::SettingsError;
 use super::schema::{Block, Key, Role, ValueKind, BLOCKS, MAX_MEMBERS, MAX_MEMBER_ID};
 
+/// Why a key can't be used.
+#[derive(Debug, Error)]
+enum KeyError {
+    /// Instances of this role do not take it.
+    #[error("is no key of a {0}: take it out, or correct `role`")]
+    OtherRole(&'static str),
+    /// It is each instance's own.
+    #[error("can't be agreed on: it stands in each instance's own file")]
+    NotShareable,
+    /// It is given as a block.
+    #[error("is a key, not a block")]
+    Block,
+    /// Its value is of another kind, or out of bounds.
+    #[error("has to be {}", .0.about())]
+    Value(ValueKind),
+}
+
 /// What a text is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TextKind {
@@ -117,8 +135,8 @@
             }
             seen.push(name);
             self.lines.insert(place.clone(), line);
-            if let Err(text) = self.check_key(key, role, structure) {
-                self.report(line, place, text);
+            if let Err(error) = self.check_key(key, role, structure) {
+                self.report(line, place, error.to_string());
             }
         }
         if self.kind == TextKind::OwnFile {
@@ -131,21 +149,19 @@
         key: &Key,
         role: Option<&Role>,
         structure: &Structure,
-    ) -> Result<(), String> {
+    ) -> Result<(), KeyError> {
         if let Some(role) = role.filter(|role| !role.takes(key.name)) {
-            return Err(format!(
-                "is no key of a {}: take it out, or correct `role`",
-                role.name
-            ));
+            return Err(KeyError::OtherRole(role.name));
         }
         // Members' addresses are each instance's own, though they are applied while it runs.
         let can_be_shared = key.reloads && !matches!(key.kind, ValueKind::Members);
         if self.kind == TextKind::Shared && !can_be_shared {
-            return Err("can't be agreed on: it stands in each instance's own file".to_owned());
+            return Err(KeyError::NotShareable);
         }
         match structure {
-            Structure::Attribute(attribute) => check_value(key, &attribute.value),
-            Structure::Block(_) => Err("is a key, not a block".to_owned()),
+            Structure::Attribute(attribute) if is_valid(key.kind, &attribute.value) => Ok(()),
+            Structure::Attribute(_) => Err(KeyError::Value(key.kind)),
+            Structure::Block(_) => Err(KeyError::Block),
         }
     }
 
@@ -166,19 +182,14 @@
     }
 }
 
-fn check_value(key: &Key, value: &Expression) -> Result<(), String> {
-    let is_valid = match key.kind {
+fn is_valid(kind: ValueKind, value: &Expression) -> bool {
+    match kind {
         ValueKind::Members => are_members(value),
         ValueKind::Addresses(max) => are_addresses(value, max),
         _ => {
             let number = value.as_number().and_then(hcl_edit::Number::as_f64);
-            return key.kind.check(value.as_str(), number);
+            kind.accepts(value.as_str(), number)
         }
-    };
-    if is_valid {
-        Ok(())
-    } else {
-        Err(format!("has to be {}", key.kind.about()))
     }
 }
 
--- a/gateway/src/settings/schema.rs
+++ b/gateway/src/settings/schema.rs
@@ -245,13 +245,10 @@
 }
 
 impl ValueKind {
-    /// Checks a value: `text` is what stands between quotes, `number` a bare number.
-    ///
-    /// # Errors
-    ///
-    /// It can't be used; the text says what may stand there.
-    pub fn check(&self, text: Option<&str>, number: Option<f64>) -> Result<(), String> {
-        let is_valid = match *self {
+    /// Whether a value can be used: `text` is what stands between quotes, `number` a bare number.
+    #[must_use]
+    pub fn accepts(&self, text: Option<&str>, number: Option<f64>) -> bool {
+        match *self {
             ValueKind::OneOf(words) => text.is_some_and(|text| words.contains(&text)),
             ValueKind::Address => {
                 text.is_some_and(|text| text.parse::<std::net::SocketAddr>().is_ok())
@@ -272,11 +269,6 @@
             ValueKind::Folder => text.is_some_and(|text| !text.is_empty()),
             // They are no single value: checked by their parts.
             ValueKind::Members | ValueKind::Addresses(_) => false,
-        };
-        if is_valid {
-            Ok(())
-        } else {
-            Err(format!("has to be {}", self.about()))
         }
     }
 
