--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -21,6 +21,7 @@
 /// The threshold is at least this fraction of the deadline (of the objective, where answers come
 /// late).
 const MIN_THRESHOLD_FRACTION: f64 = 0.5;
+/// The least threshold, in seconds; the admission probability divides by it.
 const MIN_THRESHOLD_S: f64 = 1e-3;
 /// All queries of a class use one draw for this fraction of the threshold, so that a client
 /// that retries at once gets the same answer.
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -13,6 +13,7 @@
 /// The fraction of this gateway's fair share up to which an engine counts as lightly used, so
 /// that the time of an answer shows its work.
 const LIGHT_USE_FRACTION: f64 = 0.4;
+/// The least time that an answer is taken to need; its speed is divided by it.
 const MIN_THREAD_SECONDS: f64 = 1e-4;
 
 /// An answer, as far as it teaches.
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -33,6 +33,7 @@
 const DEFAULT_RATE_WINDOW_S: f64 = 1.0;
 /// Control periods after which an engine's headroom counts no more.
 const HEADROOM_FADE_PERIODS: f64 = 4.0;
+/// The least warm fraction by which a limit is divided.
 const MIN_WARM_FRACTION: f64 = 1e-3;
 
 /// How well an engine suits a query. The fields are compared in this order, higher first.
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -14,6 +14,7 @@
 pub(crate) const SHARES_BY_PRIORITY: [f64; 4] = [1.0, 4.0, 8.0, 16.0];
 /// The priority of all queries where engines heed none.
 const UNIFORM_PRIORITY: u8 = 1;
+/// The last index of [`SHARES_BY_PRIORITY`].
 const HIGHEST_PRIORITY: u8 = 3;
 /// Weight of an arrival in the moving means over all queries.
 pub(crate) const ARRIVAL_GAIN: f64 = 0.02;
