--- a/cluster/raft-storage/src/identity.rs
+++ b/cluster/raft-storage/src/identity.rs
@@ -16,6 +16,6 @@
     /// The id of the replica.
     pub replica_id: u64,
     /// A random number from when the folder was made: another disk under the same id has another
-    /// one.
+    /// one. The runtime calls it the disk's id.
     pub incarnation: u64,
 }
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -96,7 +96,7 @@
     pub over_quota_weight: Option<f64>,
     /// Attempts can be cancelled.
     pub can_cancel: bool,
-    /// Engines can be health-checked. No rule uses it: the embedding checks of its own accord.
+    /// Engines can be health-checked. No rule uses it.
     pub can_health_check: bool,
     /// Load reports come with health checks only. No rule uses it.
     pub reports_by_health_check: bool,
