--- a/cluster/replica-runtime/src/framing.rs
+++ b/cluster/replica-runtime/src/framing.rs
@@ -17,7 +17,7 @@
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a greeting, or the answer to one, may take.
 pub(crate) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the other side may read nothing.
+/// How long the other side may read nothing. Observers give their subscribers longer.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long the other side may take to read why its connection ends.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`ReplicaRuntime`] runs a [`Replica`](violetgate_replica::Replica): its connections to other
 //!   replicas ([`transport`]), its storage and its timer.
-//! - [`ObserverService`] serves a replica's copy to front ends; [`Subscription`] is a front end's
+//! - [`ObserverService`] serves a replica's copy to gateways; [`Subscription`] is a gateway's
 //!   side of that. They run the cores of [`violetgate_state_distribution`].
 //!
 //! Nothing is decided here: who leads, what is committed and whether requests may be routed is
--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -29,7 +29,8 @@
 
 /// How often all replicas are sent how far this observer's subscribers are.
 const PROGRESS_INTERVAL_US: Micros = 250_000;
-/// How long one linearizable read may take; the core abandons it then, too.
+/// How long one linearizable read may take. The core abandons it after the same time
+/// (`READ_TIMEOUT_US` in its `observer/polls.rs`): a longer one would be of no use.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Why an observer can't serve subscribers.
--- a/cluster/replica-runtime/src/observer_service/listener.rs
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -13,10 +13,12 @@
 
 /// Connections whose greeting was not accepted yet; beyond them the oldest is closed.
 const MAX_UNACCEPTED: usize = 512;
-/// How long a subscriber may read nothing; the core rejects it before, so that it can see why.
-const STALL_TIMEOUT: Duration = Duration::from_secs(15);
+/// How long a subscriber may read nothing before its connection is closed without a word. Longer
+/// than the 10 s after which the core rejects it (`observer/housekeeping.rs` there), so that it can
+/// see why.
+const SUBSCRIBER_STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// Connections that the kernel holds until they are accepted. The standard library's 128 are
-/// exceeded where thousands of front ends return together, and a connection that is dropped then
+/// exceeded where thousands of gateways return together, and a connection that is dropped then
 /// is retried only after a second.
 const BACKLOG: i32 = 4_096;
 /// The delay after an accept that failed.
@@ -88,7 +90,7 @@
             self.drive(|core, now, _| core.disconnected(now, id));
             return answer;
         };
-        let queue = SendQueue::new(self.max_queued_bytes, STALL_TIMEOUT);
+        let queue = SendQueue::new(self.max_queued_bytes, SUBSCRIBER_STALL_TIMEOUT);
         answer.queue = Some(Rc::clone(&queue));
         let subscriber = AcceptedSubscriber { queue, task };
         self.accepted.borrow_mut().insert(id, subscriber);
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -6,7 +6,7 @@
 //! - [`effects`]: carrying out what the core requests.
 //! - [`storage_worker`]: the thread that writes to disk.
 //! - [`calls`], [`forwarding`]: calls of this program, carried out here or by the leader.
-//! - [`fleet_reports`]: how far all front ends are, as observers report it.
+//! - [`fleet_reports`]: how far all gateways are, as observers report it.
 
 mod bootstrap;
 mod calls;
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -1,4 +1,4 @@
-//! How far all front ends are, as observers report it to all replicas.
+//! How far all gateways are, as observers report it to all replicas.
 
 use std::collections::BTreeSet;
 
@@ -50,14 +50,14 @@
 }
 
 impl ReplicaRuntime {
-    /// How far all front ends are, as observers have reported it recently.
+    /// How far all gateways are, as observers have reported it recently.
     #[must_use]
     pub fn fleet_progress(&self) -> FleetTotals {
         let reports = self.fleet_reports.borrow();
         reports.progress.totals(boot_time(), REPORT_FRESH_FOR_US)
     }
 
-    /// The latest revision that was in force at all serving front ends, and when it was.
+    /// The latest revision that was in force at all serving gateways, and when it was.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
         let reports = self.fleet_reports.borrow();
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -18,7 +18,7 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often it is checked that the replica which carries out a call is still taken for the
+/// How often it is checked whether the replica that carries out a call is still taken for the
 /// leader.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// The most calls of other replicas that are carried out at a time. More are rejected, and retried
@@ -88,6 +88,7 @@
             }
             Call::ChangeMembership(change) => self.change_membership(change, timeout).await,
             Call::TransferLeadership(to) => {
+                // There is no response of its own for a transfer: `MembershipChanged` says done.
                 let response = match self.transfer_leadership(to) {
                     Ok(()) => Response::MembershipChanged,
                     Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
--- a/cluster/replica-runtime/src/send_queue.rs
+++ b/cluster/replica-runtime/src/send_queue.rs
@@ -16,7 +16,10 @@
 /// A frame; one that goes to many connections is held once.
 pub(crate) type SharedFrame = Rc<Vec<u8>>;
 
-/// The queue of one connection.
+/// The queue of one connection, which ends with it. Its bytes count until they are written, as an
+/// observer judges by them whether a subscriber reads.
+///
+/// The queue between replicas is another, `PeerQueue`: it outlives its connections.
 pub(crate) struct SendQueue {
     max_bytes: usize,
     /// How long the other side may read nothing.
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -1,4 +1,4 @@
-//! A front end's subscription: connects to observers as the [`Subscriber`] core requests, and
+//! A gateway's subscription: connects to observers as the [`Subscriber`] core requests, and
 //! holds the replica.
 
 mod observer_connection;
@@ -42,7 +42,7 @@
     pub standby: Option<NodeId>,
     /// Whether requests may be routed on the replica, or how old it is.
     pub freshness: Result<(), Stale>,
-    /// The last rejection by an observer that has not accepted this front end since.
+    /// The last rejection by an observer that has not accepted this gateway since.
     pub rejection: Option<Rejection>,
 }
 
@@ -56,7 +56,7 @@
     task: Task<()>,
 }
 
-/// A front end's subscription. It ends with the last reference to it.
+/// A gateway's subscription. It ends with the last reference to it.
 pub struct Subscription {
     weak_self: Weak<Subscription>,
     executor: Rc<LocalExecutor<'static>>,
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -27,7 +27,7 @@
 
 /// Why a connection ended.
 enum ConnectionEnd {
-    /// The observer has rejected this front end.
+    /// The observer has rejected this gateway.
     Rejected(Rejection),
     /// It failed, or was never made.
     Closed(CloseReason),
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -23,8 +23,6 @@
 use crate::wire::{self, Frame, Hello};
 use outgoing::PeerQueue;
 
-/// The most bytes queued for one replica.
-const MAX_QUEUED_BYTES: usize = 32 << 20;
 /// The most connections that others may have here.
 const MAX_INCOMING: usize = 64;
 /// The delay after an accept that failed.
@@ -123,8 +121,9 @@
         self.known_disks.borrow().get(&id).copied()
     }
 
-    /// Whether a replica's disk is another one than is committed.
-    fn is_unknown_disk(&self, id: NodeId, disk_id: u64) -> bool {
+    /// Whether a replica's disk is another one than is committed. Before one is committed any is
+    /// accepted.
+    fn is_other_disk(&self, id: NodeId, disk_id: u64) -> bool {
         self.known_disk(id).is_some_and(|known| known != disk_id)
     }
 
@@ -150,7 +149,7 @@
         self.blocked.borrow().contains(&id)
     }
 
-    /// Queues a message, unless the queue is full.
+    /// Queues a message. One that is too long, or finds its queue full, is dropped and counted.
     pub fn send(&self, to: NodeId, message: &Frame) {
         if self.is_blocked(to) {
             return;
@@ -158,10 +157,11 @@
         let peers = self.peers.borrow();
         let Some(peer) = peers.get(&to) else { return };
         match wire::encode_frame(message) {
-            Ok(frame) if peer.queue.bytes() + frame.len() <= MAX_QUEUED_BYTES => {
+            Ok(frame) if peer.queue.has_room_for(&frame) => {
                 self.counter.count_sent(frame.len());
                 peer.queue.push(frame);
             }
+            // The queue is full, or the message is longer than any that may be sent.
             _ => self.dropped_messages.set(self.dropped_messages.get() + 1),
         }
     }
@@ -215,5 +215,5 @@
     Rejected(String),
     /// The other side's disk is not the one that is committed.
     #[error("refused: member {0} had another disk")]
-    UnknownDisk(NodeId),
+    OtherDisk(NodeId),
 }
--- a/cluster/replica-runtime/src/transport/incoming.rs
+++ b/cluster/replica-runtime/src/transport/incoming.rs
@@ -65,8 +65,8 @@
 
     fn receive(&self, hello: &Hello, received: Decoded<Frame>) -> Result<(), PeerConnectionEnd> {
         // The committed disk may have changed since the greeting.
-        if self.is_unknown_disk(hello.from, hello.disk_id) {
-            return Err(PeerConnectionEnd::UnknownDisk(hello.from));
+        if self.is_other_disk(hello.from, hello.disk_id) {
+            return Err(PeerConnectionEnd::OtherDisk(hello.from));
         }
         self.counter.count_received(received.frame_bytes);
         if !self.is_blocked(hello.from) {
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -22,7 +22,13 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
+/// The most bytes queued for one replica.
+const MAX_QUEUED_BYTES: usize = 32 << 20;
+
 /// The frames queued for one replica.
+///
+/// Unlike a [`SendQueue`](crate::send_queue::SendQueue), it outlives its connections: it never
+/// ends, is emptied between two of them, and counts a frame only until its write begins.
 #[derive(Default)]
 pub(super) struct PeerQueue {
     frames: RefCell<VecDeque<Vec<u8>>>,
@@ -31,8 +37,8 @@
 }
 
 impl PeerQueue {
-    pub fn bytes(&self) -> usize {
-        self.bytes.get()
+    pub fn has_room_for(&self, frame: &[u8]) -> bool {
+        self.bytes.get() + frame.len() <= MAX_QUEUED_BYTES
     }
 
     pub fn push(&self, frame: Vec<u8>) {
@@ -133,8 +139,8 @@
         return Err(PeerConnectionEnd::Rejected(reason));
     }
     let transport = transport.upgrade();
-    if transport.is_some_and(|transport| transport.is_unknown_disk(hello.to, welcome.disk_id)) {
-        return Err(PeerConnectionEnd::UnknownDisk(hello.to));
+    if transport.is_some_and(|transport| transport.is_other_disk(hello.to, welcome.disk_id)) {
+        return Err(PeerConnectionEnd::OtherDisk(hello.to));
     }
     Ok(())
 }
--- a/cluster/replica-runtime/src/wire/hello.rs
+++ b/cluster/replica-runtime/src/wire/hello.rs
@@ -56,7 +56,7 @@
     /// Its disk is not the one that the cluster knows: it may have forgotten its vote, and vote
     /// twice.
     #[error("member {id} had another disk: it may have forgotten its votes")]
-    UnknownDisk { id: NodeId },
+    OtherDisk { id: NodeId },
 }
 
 impl Hello {
@@ -102,7 +102,7 @@
             return Err(HelloRejection::DuplicateId { id: own_id });
         }
         if known_disk.is_some_and(|known| known != self.disk_id) {
-            return Err(HelloRejection::UnknownDisk { id: self.from });
+            return Err(HelloRejection::OtherDisk { id: self.from });
         }
         Ok(())
     }
--- a/cluster/state-distribution/src/fleet_progress.rs
+++ b/cluster/state-distribution/src/fleet_progress.rs
@@ -1,6 +1,6 @@
-//! How far all front ends are: summed at each observer, and over all observers.
+//! How far all gateways are: summed at each observer, and over all observers.
 //!
-//! A revision is in force once every serving front end has applied it.
+//! A revision is in force once every serving gateway has applied it.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,10 +11,10 @@
 /// The most laggards that are named.
 pub const MAX_LAGGARDS: usize = 8;
 
-/// A serving front end that lacks a revision.
+/// A serving gateway that lacks a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Laggard {
-    /// The front end's name.
+    /// The gateway's name.
     pub name: String,
     /// The revision that it has applied.
     pub applied: Revision,
@@ -43,7 +43,7 @@
 /// The most revisions of which it is recorded when they were known and when they were in force.
 const MAX_RECORDS: usize = 4_096;
 /// How long after an observer's last report that report still limits what counts as in force. An
-/// observer that can't reach the cluster confirms nothing: by then its front ends have stopped
+/// observer that can't reach the cluster confirms nothing: by then its gateways have stopped
 /// serving (2 s), or have reported to another.
 const SILENT_OBSERVER_LIMITS_US: Micros = 5_000_000;
 
@@ -96,7 +96,7 @@
     pub revision: Revision,
     /// The latest revision that is in force.
     pub in_force: Revision,
-    /// Serving front ends that are behind, by age as in [`ProgressSummary::behind`].
+    /// Serving gateways that are behind, by age as in [`ProgressSummary::behind`].
     pub behind: [u32; 4],
     /// Up to [`MAX_LAGGARDS`] of those furthest behind.
     pub laggards: Vec<Laggard>,
@@ -138,11 +138,11 @@
     }
 
     /// The sum at `now`. Observers whose last report is older than `fresh_for` microseconds count
-    /// as silent, and their front ends are not counted.
+    /// as silent, and their gateways are not counted.
     ///
     /// [`FleetTotals::in_force`] never exceeds what was reported: a silent observer's last report
     /// limits it for 5 s after its arrival, or for `fresh_for` if that is longer, and it is 0
-    /// where no front end is known to serve. It may decrease when a front end that is behind
+    /// where no gateway is known to serve. It may decrease when a gateway that is behind
     /// begins to serve, or a silent observer reports again.
     #[must_use]
     pub fn totals(&self, now: Micros, fresh_for: Micros) -> FleetTotals {
--- a/cluster/state-distribution/src/lib.rs
+++ b/cluster/state-distribution/src/lib.rs
@@ -2,12 +2,12 @@
 //! without I/O.
 //!
 //! Voters agree on the state. Observers are learners of the same Raft group: they hold a full copy
-//! of the store and serve it to subscribers. Each front end subscribes to observers and holds a
+//! of the store and serve it to subscribers. Each gateway subscribes to observers and holds a
 //! [`SubscriberReplica`]: the current entries, without history.
 //!
 //! - [`Observer`] is the serving side: watches, snapshot transfers in chunks, confirmations of
 //!   freshness polls, progress.
-//! - [`Subscriber`] is the front end's side: its connections to observers, its replica, and the
+//! - [`Subscriber`] is the gateway's side: its connections to observers, its replica, and the
 //!   staleness check before routing.
 //! - [`FleetProgress`] sums what all observers report.
 //!
--- a/cluster/state-distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between a front end (the subscriber) and an observer.
+//! The messages between a gateway (the subscriber) and an observer.
 //!
 //! A connection carries one greeting each way and then messages in both directions. Each is framed
 //! as between replicas: its length in four bytes, then its postcard encoding. Postcard encodes by
--- a/cluster/state-distribution/src/observer/housekeeping.rs
+++ b/cluster/state-distribution/src/observer/housekeeping.rs
@@ -15,6 +15,7 @@
 /// A subscriber that has sent nothing for this time is taken as dead, though its connection has
 /// not ended.
 const SILENCE_TIMEOUT_US: Micros = 30_000_000;
+const SECOND_US: Micros = 1_000_000;
 
 impl Observer {
     /// Does what is due at `now`.
@@ -64,7 +65,7 @@
         }
         let silent_for = self.now.saturating_sub(connection.last_message_at);
         (silent_for >= SILENCE_TIMEOUT_US).then(|| Rejection::ProtocolViolation {
-            detail: "nothing said for 30 s".to_owned(),
+            detail: format!("nothing said for {} s", SILENCE_TIMEOUT_US / SECOND_US),
         })
     }
 
--- a/cluster/state-distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -31,7 +31,7 @@
 use polls::{PendingReads, PollQueue};
 use progress_table::ProgressTable;
 use snapshot_slots::{SnapshotLoad, SnapshotSlots};
-use subscriber_connection::SubscriberConnection;
+use subscriber_connection::{SubscriberConnection, MAX_MESSAGES_PER_SECOND};
 
 pub use config::{InvalidObserverConfig, ObserverConfig};
 
@@ -154,7 +154,8 @@
             return;
         };
         if !connection.count_message(now, &message) {
-            let detail = "messages without end: more than 100 in a second".to_owned();
+            let detail =
+                format!("messages without end: more than {MAX_MESSAGES_PER_SECOND} in a second");
             return self.close(id, Rejection::ProtocolViolation { detail });
         }
         match message {
--- a/cluster/state-distribution/src/observer/progress_table.rs
+++ b/cluster/state-distribution/src/observer/progress_table.rs
@@ -13,7 +13,7 @@
 /// A subscriber that has not reported for this time does not serve, whatever it reported last: its
 /// state is stale.
 const REPORT_LIFETIME_US: Micros = 3_000_000;
-/// How long a front end that served and disconnected still counts in the least applied revision:
+/// How long a gateway that served and disconnected still counts in the least applied revision:
 /// the drain limit. By then it has reported to another observer, or its state is stale.
 const DEPARTED_LIFETIME_US: Micros = 2_000_000;
 /// The bounds of the ages in [`ProgressSummary::behind`].
@@ -25,7 +25,7 @@
     received_at: Micros,
 }
 
-/// A front end that served here and has disconnected.
+/// A gateway that served here and has disconnected.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Departed {
     applied: Revision,
--- a/cluster/state-distribution/src/observer/subscriber_connection.rs
+++ b/cluster/state-distribution/src/observer/subscriber_connection.rs
@@ -7,7 +7,7 @@
 
 /// The most messages that a subscriber may send in a second, not counting requests to continue a
 /// snapshot.
-const MAX_MESSAGES_PER_SECOND: u32 = 100;
+pub(super) const MAX_MESSAGES_PER_SECOND: u32 = 100;
 const SECOND_US: Micros = 1_000_000;
 
 /// Which changes a subscriber was sent.
--- a/cluster/state-distribution/src/subscriber/config.rs
+++ b/cluster/state-distribution/src/subscriber/config.rs
@@ -25,7 +25,7 @@
 pub struct SubscriberConfig {
     /// The cluster's name.
     pub cluster: String,
-    /// This front end's name, unique in the fleet.
+    /// This gateway's name, unique in the fleet.
     pub name: String,
     /// All observers.
     pub observers: Vec<NodeId>,
@@ -73,7 +73,7 @@
 }
 
 impl SubscriberConfig {
-    /// The defaults for a front end of a cluster with these observers.
+    /// The defaults for a gateway of a cluster with these observers.
     #[must_use]
     pub fn default_for(cluster: &str, name: &str, observers: Vec<NodeId>) -> Self {
         SubscriberConfig {
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -1,4 +1,4 @@
-//! The front end's side: its connections to observers, its replica, and the staleness check before
+//! The gateway's side: its connections to observers, its replica, and the staleness check before
 //! routing.
 //!
 //! - [`config`]: intervals and time limits.
@@ -67,7 +67,7 @@
     pub standby: Option<NodeId>,
 }
 
-/// A front end's subscription.
+/// A gateway's subscription.
 #[derive(Debug)]
 pub struct Subscriber {
     config: SubscriberConfig,
