--- a/result-store/src/lib.rs
+++ b/result-store/src/lib.rs
@@ -34,7 +34,7 @@
 pub use idempotency::{ExecutionOutcome, IdempotencyKeys, KeyLookup, RequestFingerprint};
 pub use page_token::{AttemptId, PageToken, TokenSealer, TOKEN_LENGTH};
 pub use result_cache::{
-    CachedResult, LookupError, NewResult, ResultCache, ResultLimits, ResultSlot, StoreFull,
+    CacheFull, CachedResult, LookupError, NewResult, ResultCache, ResultLimits, ResultSlot,
 };
 pub use timer_wheel::TimerWheel;
 
--- a/result-store/src/result_cache.rs
+++ b/result-store/src/result_cache.rs
@@ -33,7 +33,7 @@
 
 /// The cache is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StoreFull {
+pub struct CacheFull {
     /// After how long, in microseconds, the first cached result expires; 0 if there is none.
     pub retry_after: Micros,
 }
@@ -147,14 +147,14 @@
     ///
     /// # Errors
     ///
-    /// [`StoreFull`] if there are too many results or too few bytes.
-    pub fn reserve(&mut self, now: Micros) -> Result<ResultSlot, StoreFull> {
+    /// [`CacheFull`] if there are too many results or too few bytes.
+    pub fn reserve(&mut self, now: Micros) -> Result<ResultSlot, CacheFull> {
         self.expire(now);
         let has_slot = self.entries.len() + self.in_flight.get() < self.limits.max_results;
         let reservation = has_slot
             .then(|| self.budget.reserve(self.limits.max_result_bytes))
             .flatten();
-        let reservation = reservation.ok_or_else(|| StoreFull {
+        let reservation = reservation.ok_or_else(|| CacheFull {
             retry_after: self.expiries.time_until_next(now).unwrap_or(0),
         })?;
         Ok(ResultSlot {
