--- a/fake-upstreams/src/engine/mod.rs
+++ b/fake-upstreams/src/engine/mod.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
     /// Requests that one engine takes at a time; it refuses more.
-    pub sessions: u32,
+    pub max_requests: u32,
     /// By which factor work takes longer just after a start; it falls to 1 within `warm_up`.
     pub start_slowdown: f64,
     /// How long an engine takes to warm up.
@@ -36,7 +36,7 @@
 impl Default for Profile {
     fn default() -> Self {
         Profile {
-            sessions: 64,
+            max_requests: 64,
             start_slowdown: 3.0,
             warm_up: Duration::from_secs(5),
         }
@@ -76,7 +76,7 @@
     fault: Mutex<Fault>,
     counts: Arc<Mutex<Counts>>,
     /// Requests that it has now.
-    session_count: AtomicU32,
+    request_count: AtomicU32,
     /// How many requests it has executed.
     executed: AtomicU32,
     streams: Mutex<Vec<Arc<Async<TcpStream>>>>,
@@ -100,7 +100,7 @@
             profile,
             fault: Mutex::default(),
             counts,
-            session_count: AtomicU32::new(0),
+            request_count: AtomicU32::new(0),
             executed: AtomicU32::new(0),
             streams: Mutex::default(),
             accepting: Mutex::default(),
@@ -147,7 +147,7 @@
     }
 
     fn is_full(&self) -> bool {
-        self.session_count.load(Ordering::Relaxed) >= self.profile.sessions
+        self.request_count.load(Ordering::Relaxed) >= self.profile.max_requests
     }
 
     fn record_attempt(&self, request_id: &str, key: Option<&str>, reserved_mb: u64) {
@@ -157,12 +157,12 @@
     }
 
     fn begin_request(&self) {
-        self.session_count.fetch_add(1, Ordering::Relaxed);
+        self.request_count.fetch_add(1, Ordering::Relaxed);
         lock(&self.counts).record_start();
     }
 
     fn end_request(&self) {
-        self.session_count.fetch_sub(1, Ordering::Relaxed);
+        self.request_count.fetch_sub(1, Ordering::Relaxed);
         lock(&self.counts).running -= 1;
     }
 
