--- a/gateway/src/connection_limit.rs
+++ b/gateway/src/connection_limit.rs
@@ -36,7 +36,7 @@
     Unresponsive,
     /// Idle.
     Idle,
-    /// Just come up.
+    /// Just come up, or a message has just begun.
     New,
 }
 
@@ -148,7 +148,8 @@
     }
 
     /// A slot for a new connection. At the limit another one is evicted: an unresponsive one first,
-    /// then the one idle longest, never one with a request open. `None`: all have one.
+    /// then the one idle longest, then one that has just come up, never one with a request open.
+    /// `None`: all have one.
     ///
     /// Eviction protects against clients that connect and send nothing, or send one request and
     /// stay: were new connections left in the kernel's queue instead, their requests would count as
--- a/gateway/src/discovery/client.rs
+++ b/gateway/src/discovery/client.rs
@@ -20,8 +20,8 @@
 use crate::exchange::ListedEngine;
 use crate::log;
 
-/// The bus states its last offset each second; no complete line of use for longer than this ends
-/// the session, however much trickles in. An engine's drain counts as announced while it stands in
+/// The bus states its last offset each second. Without a complete line that shows the list to be
+/// current for longer than this the session ends, however much trickles in. An engine's drain counts as announced while it stands in
 /// the bus, received or not, and sends to that engine must end 2 s later: silence and a new
 /// connection together have to take less than that.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_400);
@@ -60,7 +60,7 @@
     ShortWrite,
     #[error("closed")]
     Closed,
-    /// No line of use for too long.
+    /// No line for too long that shows the list to be current.
     #[error("silent")]
     Silent,
     /// A new configuration names another address.
--- a/gateway/src/dispatch/attempts.rs
+++ b/gateway/src/dispatch/attempts.rs
@@ -11,7 +11,7 @@
 use crate::exchange::{
     Answer, Attempt, AttemptEnd, AttemptEvents, AttemptProgress, CancelOutcome, QueryResult,
 };
-use crate::fence::fenced_answer;
+use crate::fence::rejection_or_failure;
 
 impl Dispatch {
     /// Sends an attempt of a query to an engine, with a time-out in microseconds; 0 stands for
@@ -28,7 +28,7 @@
         let may_send = self.check_fence();
         if !may_send {
             let rejection = Answer::StateUnconfirmed;
-            request.answer(fenced_answer(request.idempotency, number, rejection));
+            request.answer(rejection_or_failure(request.idempotency, number, rejection));
         }
         if request.is_answered || request.in_flight.is_some() || deadline <= now {
             let end = AttemptEnded {
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -19,7 +19,7 @@
 
 use crate::clock::Clock;
 use crate::exchange::{Answer, ListedEngine, RequestSink as _, UpstreamEngines};
-use crate::fence::{fenced_answer, Fence};
+use crate::fence::{rejection_or_failure, Fence};
 use open_request::{ClassProperties, OpenRequest};
 use recent_ids::RecentIds;
 use timers::{TimerEvent, TimerQueue};
@@ -33,7 +33,7 @@
     /// Whether anything may be sent, where that is not always so.
     fence: Option<Rc<dyn Fence>>,
     /// Requests and attempts that the fence has stopped.
-    fenced: Cell<u64>,
+    fenced_count: Cell<u64>,
     /// The process ends, and takes no more requests.
     is_shut_down: Cell<bool>,
     open: RefCell<HashMap<QueryId, OpenRequest>>,
@@ -65,7 +65,7 @@
             decisions: RefCell::new(Gateway::new(settings, seed)),
             engines,
             fence,
-            fenced: Cell::new(0),
+            fenced_count: Cell::new(0),
             is_shut_down: Cell::new(false),
             open: RefCell::default(),
             recent_ids: RefCell::default(),
@@ -131,7 +131,7 @@
         for id in affected {
             if let Some(request) = self.open.borrow().get(&id) {
                 let answer =
-                    fenced_answer(request.idempotency, request.attempts, rejection.clone());
+                    rejection_or_failure(request.idempotency, request.attempts, rejection.clone());
                 request.exchange.complete(answer);
             }
             self.withdraw(id);
@@ -141,14 +141,15 @@
     /// Whether anything may be sent; what may not is counted.
     fn check_fence(&self) -> bool {
         let is_open = self.fence.as_ref().is_none_or(|fence| fence.is_open());
-        self.fenced.set(self.fenced.get() + u64::from(!is_open));
+        let stopped = u64::from(!is_open);
+        self.fenced_count.set(self.fenced_count.get() + stopped);
         is_open
     }
 
     /// The number of requests and attempts that the fence has stopped.
     #[must_use]
     pub fn fenced_count(&self) -> u64 {
-        self.fenced.get()
+        self.fenced_count.get()
     }
 
     fn queue(&self, event: Event) {
@@ -192,7 +193,7 @@
             } => self.send(query, engine, timeout),
             Action::Cancel { query, attempt } => self.cancel_attempt(query, attempt),
             Action::Reject { query, retry_after } => {
-                self.answer(query, Answer::Refused { retry_after });
+                self.answer(query, Answer::Rejected { retry_after });
             }
             Action::Fail { query } => self.answer(query, Answer::Failed),
             Action::SetTimer { at } => self.timers.schedule(at, TimerEvent::Decisions),
--- a/gateway/src/dispatch/tests/attempts.rs
+++ b/gateway/src/dispatch/tests/attempts.rs
@@ -59,7 +59,7 @@
         };
         assert!(matches!(
             answered.or(timers).await,
-            Some(Answer::Refused { .. })
+            Some(Answer::Rejected { .. })
         ));
     });
     assert_eq!(upstream.last_call(), "cancel 1");
--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -46,9 +46,10 @@
         self.fenced.set(fenced);
     }
 
-    /// Whether this instance reports that it takes no requests.
+    /// Whether this instance reports that it takes no requests, so that load balancers and clients go
+    /// elsewhere. It does so before [`DrainState::rejects_requests`]: what comes meanwhile is served.
     #[must_use]
-    pub fn refuses_work(&self) -> bool {
+    pub fn reports_unavailable(&self) -> bool {
         self.draining_since.get().is_some() || self.fenced.get()
     }
 
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -27,7 +27,8 @@
 /// on a new connection.
 const ORDERED_CLIENT_DELAY_US: Micros = 250_000;
 
-/// A short budget gives this part of itself at most for the two allowances above.
+/// Of a client's time, one part in so many is the most that the two allowances above may take: they
+/// would eat up a short one.
 const LARGEST_ALLOWANCE_DIVISOR: Micros = 4;
 
 /// The most bytes of a result; the upstream side lets no more pass. Engines are allowed 48,000.
@@ -94,7 +95,7 @@
     /// All rows.
     Served(Rc<QueryResult>),
     /// Rejected to shed load; a retry does no harm.
-    Refused {
+    Rejected {
         /// How long the client should wait before it retries, in microseconds.
         retry_after: Micros,
     },
--- a/gateway/src/fence/tests.rs
+++ b/gateway/src/fence/tests.rs
@@ -10,7 +10,7 @@
         (Idempotency::Deduplicated, 0, true),
         (Idempotency::Deduplicated, 1, false),
     ] {
-        let answer = fenced_answer(idempotency, attempts, Answer::StateUnconfirmed);
+        let answer = rejection_or_failure(idempotency, attempts, Answer::StateUnconfirmed);
         assert_eq!(
             matches!(answer, Answer::StateUnconfirmed),
             harmless,
--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -140,20 +140,20 @@
         // to replay.
         let Some(reservation) = self.budget.reserve(MAX_RESULT_BYTES) else {
             let retry_after = CAPACITY_RETRY_AFTER_US;
-            self.finish_unsent(key, exchange, Answer::Refused { retry_after });
+            self.finish_unsent(key, exchange, Answer::Rejected { retry_after });
             return Ok(());
         };
-        let leader = Exchange::new(exchange.request.clone());
-        if let Err(error) = self.inner.submit(&leader) {
+        let running = Exchange::new(exchange.request.clone());
+        if let Err(error) = self.inner.submit(&running) {
             self.finish_unsent(key, exchange, Answer::Failed);
             return Err(error);
         }
         self.add_waiter(key, exchange, None);
         let (this, owned_key): (_, Box<str>) = (self.this.clone(), key.into());
         let task = self.executor.spawn(async move {
-            let answer = leader.answer().await;
+            let answer = running.answer().await;
             if let Some(layer) = this.upgrade() {
-                layer.finish(&owned_key, &leader, answer, reservation);
+                layer.finish(&owned_key, &running, answer, reservation);
             }
         });
         let execution = Execution {
@@ -176,7 +176,7 @@
     fn finish(
         &self,
         key: &str,
-        leader: &Exchange,
+        running: &Exchange,
         answer: Answer,
         mut reservation: ByteReservation,
     ) {
@@ -190,8 +190,8 @@
                 })
             }
             // What was never on an engine connection has not run.
-            Answer::Refused { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
-                if leader.used_connections.borrow().is_empty() =>
+            Answer::Rejected { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
+                if running.used_connections.borrow().is_empty() =>
             {
                 ExecutionOutcome::NoEffect
             }
@@ -299,10 +299,10 @@
             }
             KeyLookup::KeyConflict => exchange.complete(Answer::KeyConflict),
             KeyLookup::OutcomeUnknown => exchange.complete(Answer::OutcomeUnknown),
-            KeyLookup::Full { retry_after: 0 } => exchange.complete(Answer::Refused {
+            KeyLookup::Full { retry_after: 0 } => exchange.complete(Answer::Rejected {
                 retry_after: CAPACITY_RETRY_AFTER_US,
             }),
-            KeyLookup::Full { retry_after } => exchange.complete(Answer::Refused { retry_after }),
+            KeyLookup::Full { retry_after } => exchange.complete(Answer::Rejected { retry_after }),
         }
         Ok(())
     }
--- a/gateway/src/postgres/session/answers.rs
+++ b/gateway/src/postgres/session/answers.rs
@@ -22,7 +22,7 @@
 
     /// This instance takes no requests: a retry, elsewhere, does no harm.
     pub(super) fn write_unavailable(&mut self) {
-        let message = if self.sessions.drain.refuses_work() {
+        let message = if self.sessions.drain.reports_unavailable() {
             "this server is being drained"
         } else {
             "this server is shutting down"
@@ -45,19 +45,19 @@
                 codec::write_rows(&mut self.output, pages);
                 RequestEnding::Served
             }
-            Answer::Refused { retry_after } => {
-                self.write_refused(retry_after.div_ceil(MICROS_PER_MS));
-                RequestEnding::Refused
+            Answer::Rejected { retry_after } => {
+                self.write_rejected(retry_after.div_ceil(MICROS_PER_MS));
+                RequestEnding::Rejected
             }
             Answer::ShuttingDown => {
                 self.write_unavailable();
-                RequestEnding::Refused
+                RequestEnding::Rejected
             }
             Answer::StateUnconfirmed => {
                 let message = "this instance is cut off from the others";
                 let hint = Some("Another instance may serve it.");
                 self.write_error_with_hint("57P03", message, hint);
-                RequestEnding::Refused
+                RequestEnding::Rejected
             }
             Answer::Failed => {
                 self.write_error("58000", "the query failed; it may have had its effect");
@@ -75,7 +75,7 @@
         }
     }
 
-    fn write_refused(&mut self, retry_after_ms: u64) {
+    fn write_rejected(&mut self, retry_after_ms: u64) {
         let message = "too busy to serve this query";
         if retry_after_ms == 0 {
             return self.write_error("53000", message);
--- a/gateway/src/postgres/session/query.rs
+++ b/gateway/src/postgres/session/query.rs
@@ -81,7 +81,7 @@
     }
 
     fn answer_empty_query(&mut self) {
-        if self.sessions.drain.refuses_work() {
+        if self.sessions.drain.reports_unavailable() {
             self.write_unavailable();
         } else {
             codec::write_empty_query(&mut self.output);
@@ -93,7 +93,7 @@
         let sessions = Rc::clone(self.sessions);
         if sessions.drain.rejects_requests(self.read_at) {
             self.write_unavailable();
-            return Ok(RequestEnding::Refused);
+            return Ok(RequestEnding::Rejected);
         }
         // Its client may have disconnected, or cancelled it, before it was read: then nothing of it
         // begins.
--- a/gateway/src/postgres/tests.rs
+++ b/gateway/src/postgres/tests.rs
@@ -54,7 +54,7 @@
 impl RecordingSink {
     fn refuse(&self, id: QueryId) {
         let exchange = self.open.borrow_mut().remove(&id).unwrap();
-        exchange.complete(Answer::Refused { retry_after: 0 });
+        exchange.complete(Answer::Rejected { retry_after: 0 });
     }
 }
 
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -176,7 +176,7 @@
                 return Err(invalid_request(detail));
             }
             (None, Some(name)) => {
-                let name = settings::front_end_name(name);
+                let name = settings::gateway_name(name);
                 name.map_err(|error| invalid_request(error.to_string()))?
                     .to_owned()
             }
--- a/gateway/src/replication/member_upkeep.rs
+++ b/gateway/src/replication/member_upkeep.rs
@@ -65,8 +65,8 @@
 /// Whether a member's address could be recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AddressRecord {
-    /// It is recorded, or will be tried again.
-    Done,
+    /// It is recorded, or will be once a commit succeeds.
+    NoConflict,
     /// Another disk is recorded under this member's id.
     OtherDisk,
 }
@@ -82,12 +82,12 @@
             .runtime
             .store(|store| shared_config::record_member(store, self.id, &address));
         let Some(transaction) = transaction else {
-            return AddressRecord::Done;
+            return AddressRecord::NoConflict;
         };
         let commit = self.commit(None, MEMBER_OPERATOR, transaction, RECORD_TIMEOUT);
         match commit.await {
             Ok(commit) if !commit.conditions_held => AddressRecord::OtherDisk,
-            _ => AddressRecord::Done,
+            _ => AddressRecord::NoConflict,
         }
     }
 
--- a/gateway/src/rest/pages.rs
+++ b/gateway/src/rest/pages.rs
@@ -16,6 +16,7 @@
 use crate::http_error::HttpError;
 use crate::stats::increment;
 
+/// Clients count pages from 1; engines count them from 0.
 const FIRST_PAGE: usize = 1;
 
 impl RestFrontend {
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -54,7 +54,7 @@
         };
         in_progress.finish(match &reply {
             Ok(_) => RequestEnding::Served,
-            Err(error) if error.status == REJECTED => RequestEnding::Refused,
+            Err(error) if error.status == REJECTED => RequestEnding::Rejected,
             Err(_) => RequestEnding::Failed,
         });
         Ok(reply)
@@ -126,7 +126,7 @@
 /// The error that reports an answer other than a result.
 fn error_of(answer: &Answer) -> HttpError {
     match answer {
-        Answer::Refused { retry_after } => {
+        Answer::Rejected { retry_after } => {
             HttpError::new(REJECTED, "busy", "too busy to serve this query")
                 .with_retry_after(*retry_after)
         }
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -34,7 +34,7 @@
 const REST_ID_STREAM: u64 = 2;
 
 /// The parts of a gateway.
-pub(super) struct Gateway {
+pub(super) struct GatewayParts {
     pub executor: Rc<LocalExecutor<'static>>,
     pub clock: Clock,
     pub name: String,
@@ -54,7 +54,7 @@
     pub fleet: Option<Rc<FleetMembership>>,
 }
 
-impl Gateway {
+impl GatewayParts {
     /// Creates all parts, and starts the tasks behind the front ends. Clients are not accepted yet.
     pub(super) fn assemble(
         clock: Clock,
@@ -90,7 +90,7 @@
         };
         let classes = &config.settings.classes;
         let (sessions, rest) = front_ends.create(&dispatch, settings.rest.as_ref(), classes)?;
-        Ok(Gateway {
+        Ok(GatewayParts {
             clock,
             longest_deadline: longest_deadline(classes),
             name: config.name,
--- a/gateway/src/serve/connection_budget.rs
+++ b/gateway/src/serve/connection_budget.rs
@@ -62,7 +62,7 @@
     ///
     /// Engines get a quarter and clients a half; the rest is for the program itself, for management
     /// and for connections that linger in their close. Two processes beside each other stay within
-    /// the limit of one together. Usual clients hold a third of it at most, and soon all of them
+    /// `max_sockets` together: clients get 9/16 of it and engines 4/15. Usual clients hold a third of it at most, and soon all of them
     /// are with the successor: a limit that is too low for them would reject, or evict, those that
     /// have just connected.
     pub(super) fn for_role(
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -26,7 +26,7 @@
 use crate::replication::{self, Participant};
 use crate::settings::Settings;
 use crate::sibling_process::ProcessMark;
-use assembly::Gateway;
+use assembly::GatewayParts;
 use connection_budget::{BudgetKeeper, ConnectionBudget, ProcessRole};
 use listeners::Listeners;
 use reload::Reloader;
@@ -49,7 +49,7 @@
     let signals = signals.map_err(StartError::Signals)?;
     let role = ProcessRole::at_start(&mark);
     let budget = ConnectionBudget::for_role(config.max_sockets, role, settings.rest.as_ref());
-    let gateway = Gateway::assemble(clock, config, settings, budget)?;
+    let gateway = GatewayParts::assemble(clock, config, settings, budget)?;
     start_budget(&gateway, &mark, role, settings);
     start_front_end_upkeep(&gateway);
     start_cluster(&gateway, listeners.cluster_api);
@@ -77,7 +77,7 @@
 
 /// Serves until a signal ends the program, and up to its end.
 async fn serve(
-    gateway: &Gateway,
+    gateway: &GatewayParts,
     mark: &ProcessMark,
     mut signals: Signals,
     reloader: Reloader,
@@ -112,7 +112,12 @@
 }
 
 /// Starts to apply the connection budget of this process's role.
-fn start_budget(gateway: &Gateway, mark: &Rc<ProcessMark>, role: ProcessRole, settings: &Settings) {
+fn start_budget(
+    gateway: &GatewayParts,
+    mark: &Rc<ProcessMark>,
+    role: ProcessRole,
+    settings: &Settings,
+) {
     let keeper = BudgetKeeper {
         mark: Rc::clone(mark),
         role,
@@ -124,7 +129,7 @@
     gateway.executor.spawn(keeper.run()).detach();
 }
 
-fn start_front_end_upkeep(gateway: &Gateway) {
+fn start_front_end_upkeep(gateway: &GatewayParts) {
     let sessions = Rc::clone(&gateway.sessions);
     gateway
         .executor
@@ -139,7 +144,10 @@
 }
 
 /// Begins to carry out the shared configuration, and serves the API of a member.
-fn start_cluster(gateway: &Gateway, api_listener: Option<async_io::Async<std::net::TcpListener>>) {
+fn start_cluster(
+    gateway: &GatewayParts,
+    api_listener: Option<async_io::Async<std::net::TcpListener>>,
+) {
     let Some(participant) = &gateway.participant else {
         return;
     };
@@ -152,7 +160,7 @@
 }
 
 /// Creates the operations, and follows the cordon file.
-fn start_operations(gateway: &Gateway) -> Rc<GatewayOperations> {
+fn start_operations(gateway: &GatewayParts) -> Rc<GatewayOperations> {
     let targets = OperationTargets {
         discovery: Rc::clone(&gateway.discovery),
         engine_ids: Rc::clone(&gateway.engine_ids),
@@ -173,7 +181,7 @@
     operations
 }
 
-fn log_start(gateway: &Gateway, settings: &Settings) {
+fn log_start(gateway: &GatewayParts, settings: &Settings) {
     let name = &gateway.name;
     log::write_line(format_args!(
         "violetgate {name} listens on {}",
--- a/gateway/src/serve/shutdown.rs
+++ b/gateway/src/serve/shutdown.rs
@@ -8,7 +8,7 @@
 use async_executor::Task;
 use async_io::{Async, Timer};
 
-use super::assembly::Gateway;
+use super::assembly::GatewayParts;
 use crate::postgres::sessions::Sessions;
 use crate::rest::RestFrontend;
 use crate::sibling_process::ProcessMark;
@@ -44,7 +44,7 @@
 impl Accepting {
     /// Begins to accept clients.
     pub(super) fn start(
-        gateway: &Gateway,
+        gateway: &GatewayParts,
         listener: Rc<Async<TcpListener>>,
         rest_listener: Option<Rc<Async<TcpListener>>>,
     ) -> Self {
@@ -88,7 +88,7 @@
 
 /// The end of the process.
 pub(super) struct Shutdown<'a> {
-    gateway: &'a Gateway,
+    gateway: &'a GatewayParts,
     occasion: Occasion,
     begun: Instant,
     /// Open requests were answered, as their time is over.
@@ -98,7 +98,7 @@
 }
 
 impl<'a> Shutdown<'a> {
-    pub(super) fn begin(gateway: &'a Gateway, mark: &ProcessMark) -> Self {
+    pub(super) fn begin(gateway: &'a GatewayParts, mark: &ProcessMark) -> Self {
         let occasion = if mark.has_sibling() {
             Occasion::Upgrade
         } else {
@@ -122,7 +122,7 @@
         if self.occasion == Occasion::Upgrade {
             self.gateway.drain.hand_over();
         }
-        while !self.has_ended() {
+        while !self.advance() {
             Timer::after(CHECK_INTERVAL).await;
         }
     }
@@ -138,7 +138,7 @@
     }
 
     /// Takes one step towards the end; whether it has come.
-    fn has_ended(&mut self) -> bool {
+    fn advance(&mut self) -> bool {
         let sessions = &self.gateway.sessions;
         let rest = self.gateway.rest.as_ref();
         let busy = sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -19,7 +19,7 @@
 
 pub use error::{SettingsError, SettingsFileError};
 pub use reference::reference;
-pub use types::{front_end_name, Cluster, ClusterRole, Fleet, InvalidName, Log, Rest, Size, Span};
+pub use types::{gateway_name, Cluster, ClusterRole, Fleet, InvalidName, Log, Rest, Size, Span};
 
 /// All settings.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -176,7 +176,7 @@
         by_id(&self.observers)
     }
 
-    /// Where front ends that subscribe connect, if this member is an observer.
+    /// Where subscribers connect, if this member is an observer.
     #[must_use]
     pub fn subscribers_listen(&self) -> Option<SocketAddr> {
         Some(self.subscribers_listen).filter(|at| at.port() != 0)
@@ -217,7 +217,7 @@
         }
         match self.role {
             ClusterRole::Member => self.check_member(),
-            ClusterRole::Subscriber => match front_end_name(&self.front_end) {
+            ClusterRole::Subscriber => match gateway_name(&self.front_end) {
                 Ok(_) => Ok(()),
                 Err(error) => Err(KeyConflict::new("front_end", error.text())),
             },
@@ -254,10 +254,10 @@
         .collect()
 }
 
-/// The longest name of a front end.
+/// The longest name of a gateway.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Why a text is no name of a front end.
+/// Why a text is no name of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{}", self.text())]
 pub enum InvalidName {
@@ -276,12 +276,12 @@
     }
 }
 
-/// A front end's name, if it may be one.
+/// A gateway's name, if it may be one.
 ///
 /// # Errors
 ///
 /// It may not be one.
-pub fn front_end_name(name: &str) -> Result<&str, InvalidName> {
+pub fn gateway_name(name: &str) -> Result<&str, InvalidName> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
     if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_plain) {
         Err(InvalidName::Form)
@@ -292,7 +292,7 @@
     }
 }
 
-/// A front end of a fleet; `docs/configuration.md` explains its keys.
+/// A gateway of a fleet; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(missing_docs)]
@@ -328,7 +328,7 @@
 }
 
 impl Fleet {
-    /// Where others reach this front end.
+    /// Where others reach this gateway.
     #[must_use]
     pub fn reached_at(&self) -> SocketAddr {
         if self.address.port() == 0 {
--- a/gateway/src/stats.rs
+++ b/gateway/src/stats.rs
@@ -11,7 +11,7 @@
     /// All rows were written.
     Served,
     /// Rejected; a retry does no harm.
-    Refused,
+    Rejected,
     /// Any other error, also the one that answers a client's own cancel.
     Failed,
 }
@@ -146,7 +146,7 @@
         if let Some(class) = self.stats.classes.get(self.class) {
             increment(match ending {
                 RequestEnding::Served => &class.served,
-                RequestEnding::Refused => &class.refused,
+                RequestEnding::Rejected => &class.refused,
                 RequestEnding::Failed => &class.failed,
             });
         }
--- a/gateway/src/stats/tests.rs
+++ b/gateway/src/stats/tests.rs
@@ -18,7 +18,7 @@
     for ending in [
         RequestEnding::Served,
         RequestEnding::Served,
-        RequestEnding::Refused,
+        RequestEnding::Rejected,
         RequestEnding::Failed,
     ] {
         stats.start_request(1).finish(ending);
--- a/gateway/src/upstream/connection/command_queue.rs
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -17,7 +17,7 @@
 /// A command to an engine.
 pub(super) enum Command {
     /// Starts an attempt, if it has not been cancelled by then.
-    Serve {
+    Run {
         /// The query.
         query: QueryId,
         /// The number of the attempt.
@@ -27,9 +27,9 @@
     Line(String),
 }
 
-/// Whether a write went to its end.
+/// How far a write came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Progress {
+pub(super) enum WriteOutcome {
     /// All commands were written.
     Done,
     /// The socket takes no more at the moment.
@@ -98,7 +98,7 @@
         open: &mut HashMap<QueryId, ActiveAttempt>,
         now: Micros,
         count_attempt: impl Fn(),
-    ) -> Result<Progress, CloseReason> {
+    ) -> Result<WriteOutcome, CloseReason> {
         if self.waiting.len() > MAX_QUEUED_COMMANDS {
             return Err(CloseReason::Stalled);
         }
@@ -108,7 +108,7 @@
                     count_attempt();
                 }
                 if !self.start_next(open, now) {
-                    return Ok(Progress::Done);
+                    return Ok(WriteOutcome::Done);
                 }
                 continue;
             }
@@ -122,7 +122,7 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    return Ok(Progress::Blocked);
+                    return Ok(WriteOutcome::Blocked);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => return Err(CloseReason::Reset),
@@ -142,7 +142,7 @@
         match self.waiting.pop_front() {
             None => return false,
             Some(Command::Line(line)) => self.current.bytes.extend_from_slice(line.as_bytes()),
-            Some(Command::Serve { query, attempt }) => {
+            Some(Command::Run { query, attempt }) => {
                 let active = open.get(&query);
                 let active = active.filter(|active| active.attempt.number == attempt);
                 if let Some(active) = active {
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -19,7 +19,7 @@
 use super::codec::{self, Parsed, Reply, ReplyKind};
 use crate::exchange::{Attempt, AttemptEnd, AttemptProgress, CancelOutcome, Pages};
 use crate::stats::Stats;
-use command_queue::{Command, CommandQueue};
+use command_queue::{Command, CommandQueue, WriteOutcome};
 use partial_result::{PageOutcome, PartialResult};
 
 /// An attempt that is out on this connection.
@@ -41,7 +41,7 @@
         &self.attempt.exchange.request.id_text
     }
 
-    fn end(&self, outcome: Outcome) -> AttemptEnd {
+    fn end_without_result(&self, outcome: Outcome) -> AttemptEnd {
         AttemptEnd::without_result(self.query(), self.attempt.number, outcome)
     }
 }
@@ -146,11 +146,11 @@
     }
 
     /// Queues an attempt, under which so many connections have broken.
-    pub(super) fn serve(&self, attempt: Attempt, broken_connections: u32) {
+    pub(super) fn queue_attempt(&self, attempt: Attempt, broken_connections: u32) {
         let mut state = self.state.borrow_mut();
         let query = attempt.exchange.id();
         attempt.exchange.used_connections.borrow_mut().push(self.id);
-        state.commands.push(Command::Serve {
+        state.commands.push(Command::Run {
             query,
             attempt: attempt.number,
         });
@@ -229,7 +229,7 @@
             .open
             .values()
             .filter(|active| !active.has_begun && is_affected(&active.attempt))
-            .map(|active| active.end(Outcome::NeverSent))
+            .map(|active| active.end_without_result(Outcome::NeverSent))
             .collect();
         for end in &ends {
             self.cancel(end.query, self.idle_since.get());
@@ -251,11 +251,10 @@
         self.is_blocked.set(false);
         let mut socket = stream.get_ref();
         let open = &mut state.open;
-        let progress = state
+        let outcome = state
             .commands
             .write_to(&mut socket, open, now, || self.stats.count_attempt())?;
-        self.is_blocked
-            .set(progress == command_queue::Progress::Blocked);
+        self.is_blocked.set(outcome == WriteOutcome::Blocked);
         Ok(())
     }
 
@@ -318,7 +317,7 @@
             return Ok(None);
         };
         self.idle_since.set(now);
-        Ok(Some(UpstreamEvent::Ended(active.ended(outcome))))
+        Ok(Some(UpstreamEvent::Ended(active.into_end(outcome))))
     }
 
     /// Ends the connection, once.
@@ -334,7 +333,8 @@
         state.commands.clear();
         for (_, active) in state.open.drain() {
             if active.has_begun {
-                end.lost.push(active.end(Outcome::ConnectionLost));
+                end.lost
+                    .push(active.end_without_result(Outcome::ConnectionLost));
             } else {
                 end.unsent.push(UnsentAttempt {
                     attempt: active.attempt,
@@ -357,8 +357,8 @@
         }))
     }
 
-    fn ended(self, outcome: Outcome) -> AttemptEnd {
-        let end = self.end(outcome);
+    fn into_end(self, outcome: Outcome) -> AttemptEnd {
+        let end = self.end_without_result(outcome);
         let cost = self.result.reported_cost();
         let pages = if outcome == Outcome::Completed {
             self.result.into_pages()
--- a/gateway/src/upstream/connection/partial_result.rs
+++ b/gateway/src/upstream/connection/partial_result.rs
@@ -8,7 +8,8 @@
 use super::super::codec::{Reply, ReplyKind};
 use crate::exchange::{Pages, MAX_RESULT_BYTES};
 
-/// More pages than this are no result: at 6,000 bytes each it takes 8.
+/// More pages than this are no result. The longest one takes 8 of 6,000 bytes; an engine may cut
+/// shorter ones.
 const MAX_PAGES: usize = 256;
 /// The columns of a row.
 const TABS_PER_ROW: usize = 2;
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -50,7 +50,7 @@
 #[test]
 fn attempts_of_which_nothing_was_written_never_ran() {
     let connection = connection();
-    (1..=3).for_each(|id| connection.serve(attempt(id), 0));
+    (1..=3).for_each(|id| connection.queue_attempt(attempt(id), 0));
     assert_eq!(
         connection.cancel(1, 0),
         CancelOutcome::NeverSent,
@@ -64,7 +64,7 @@
         .collect();
     ends.sort_unstable_by_key(|e| e.0);
     assert_eq!(ends, [(2, Outcome::NeverSent), (3, Outcome::NeverSent)]);
-    connection.serve(attempt(4), 0);
+    connection.queue_attempt(attempt(4), 0);
     let end = connection.end();
     assert!(end.lost.is_empty());
     assert_eq!(
@@ -86,8 +86,8 @@
     let (mut engine, _) = listener.accept().unwrap();
     let connection = connection();
     connection.set_connected(Rc::new(Async::new(stream).unwrap()));
-    connection.serve(attempt(1), 0);
-    connection.serve(attempt(2), 0);
+    connection.queue_attempt(attempt(1), 0);
+    connection.queue_attempt(attempt(2), 0);
     connection.flush(0).unwrap();
     connection.set_priority(1, 3);
     assert_eq!(connection.cancel(1, 0), CancelOutcome::MayHaveRun);
@@ -113,7 +113,7 @@
 fn duplicates_and_unknown_answers_are_skipped_and_malformed_ones_end_it() {
     let connection = connection();
     let exchange = attempt(1);
-    connection.serve(exchange, 0);
+    connection.queue_attempt(exchange, 0);
     connection
         .state
         .borrow_mut()
@@ -149,7 +149,7 @@
         page(2, "ok chunks=999", ""),
         page(2, "ok -", "a\tb\n"),
     ] {
-        connection.serve(attempt(2), 0);
+        connection.queue_attempt(attempt(2), 0);
         connection
             .state
             .borrow_mut()
@@ -198,7 +198,7 @@
 #[test]
 fn progress_is_reported_and_ends_nothing() {
     let connection = connection();
-    connection.serve(
+    connection.queue_attempt(
         Attempt {
             number: 2,
             ..attempt(1)
--- a/gateway/src/upstream/pool/placement.rs
+++ b/gateway/src/upstream/pool/placement.rs
@@ -28,7 +28,7 @@
         self.by_query
             .borrow_mut()
             .insert(query, Rc::clone(&connection));
-        connection.serve(attempt, broken_connections);
+        connection.queue_attempt(attempt, broken_connections);
         self.flush(&connection);
     }
 
