--- a/tools/acceptance/src/bin/prove-daemon/clients.rs
+++ b/tools/acceptance/src/bin/prove-daemon/clients.rs
@@ -6,8 +6,9 @@
 use rand_chacha::rand_core::RngCore;
 use serde_json::json;
 use violetgate_acceptance::cluster::Instance;
+use violetgate_test_harness::lock;
 
-use crate::scenario::{increment, lock, random_pause, Random, Scenario, STALENESS_LIMIT};
+use crate::scenario::{increment, random_pause, Random, Scenario, STALENESS_LIMIT};
 
 /// A client waits this long for one answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(14);
@@ -23,7 +24,7 @@
     Broken,
 }
 
-/// What a client asks for.
+/// What a client requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Query {
     Lookup,
@@ -77,7 +78,7 @@
             }
             AttemptOutcome::Broken => {
                 println!("LOST: {took} ms at instance {}, {query:?}", instance.id);
-                increment(&tally.lost);
+                increment(&tally.unanswered);
             }
         }
         if begun.elapsed() > RETRY_WINDOW {
@@ -109,8 +110,8 @@
     }
 }
 
-/// Rows have to be whole, in order and of one attempt, and none may come from an engine through an instance that has
-/// been isolated for longer than the limit.
+/// Rows have to be complete, in order and of one attempt, and none may come from an engine through
+/// an instance that has been isolated for longer than the limit.
 fn check_answer(
     scenario: &Scenario<'_>,
     instance: &Instance,
@@ -119,12 +120,12 @@
     rows: &[[String; 3]],
 ) {
     let tally = &scenario.tally;
-    let whole = rows.len() == 20
+    let is_complete = rows.len() == 20
         && rows.iter().enumerate().all(|(number, row)| {
             rows.first().is_some_and(|first| first[..2] == row[..2])
                 && row[2].trim_end_matches('.') == number.to_string()
         });
-    tally.mixed.fetch_add(u64::from(!whole), SeqCst);
+    tally.mixed.fetch_add(u64::from(!is_complete), SeqCst);
     let isolated_since = lock(&scenario.isolated).get(&instance.id).copied();
     let isolated =
         isolated_since.is_some_and(|at| sent.saturating_duration_since(at) > STALENESS_LIMIT);
--- a/tools/acceptance/src/bin/prove-daemon/faults.rs
+++ b/tools/acceptance/src/bin/prove-daemon/faults.rs
@@ -6,8 +6,9 @@
 use rand_chacha::rand_core::RngCore;
 use violetgate_acceptance::cluster::Instance;
 use violetgate_acceptance::network::LinkState;
+use violetgate_test_harness::lock;
 
-use crate::scenario::{lock, random_pause, Random, Scenario};
+use crate::scenario::{random_pause, Random, Scenario};
 
 /// Injects faults, one after another, until the span is over; how often each kind was injected.
 pub fn inject_faults(
--- a/tools/acceptance/src/bin/prove-daemon/main.rs
+++ b/tools/acceptance/src/bin/prove-daemon/main.rs
@@ -1,5 +1,6 @@
-//! `make prove-daemon`: three instances as one cluster before fake engines, killed, stopped, cut off and restarted at
-//! random while clients query over both protocols and operators change state; then latencies and recovery times.
+//! `make prove-daemon`: three instances as one cluster before fake engines, killed, stopped, cut
+//! off and restarted at random while clients query over both protocols and operators change state;
+//! then latencies and recovery times.
 
 mod clients;
 mod cost;
--- a/tools/acceptance/src/bin/prove-daemon/operators.rs
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: changes and reads of replicated keys, recorded for the linearizability check, and cordons.
+//! Operators: changes and reads of replicated keys, recorded for the linearizability check, and
+//! cordons.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -7,8 +8,9 @@
 use serde_json::json;
 use violetgate_fake_upstreams::client::Reply;
 use violetgate_linearizability::{Operation, OperationKind};
+use violetgate_test_harness::lock;
 
-use crate::scenario::{increment, lock, random_pause, Random, Scenario};
+use crate::scenario::{increment, random_pause, Random, Scenario};
 
 /// One call of an operator, as it goes over HTTP and as the history records it.
 struct OperatorCall {
@@ -72,7 +74,8 @@
     }
 }
 
-/// Changes and reads keys at any member; each call is sent again under its one id until its fate is known.
+/// Changes and reads keys at any member; each call is sent again under its one id until its fate is
+/// known.
 pub fn run_operator(scenario: &Scenario<'_>, operator: u64, mut rng: Random) {
     let micros = |at: Instant| u64::try_from((at - scenario.begun).as_micros()).unwrap_or(u64::MAX);
     let mut number = 0;
@@ -128,7 +131,8 @@
     None
 }
 
-/// Cordons engines and uncordons them, at any member, and tells the engines from when on nothing more may come.
+/// Cordons engines and uncordons them, at any member, and records at the engines from when on
+/// nothing more may come.
 pub fn cordon_engines(scenario: &Scenario<'_>, mut rng: Random) {
     let ids = scenario.fleet.ids();
     let agreed = |method: &str, engine: &str, rng: &mut Random| {
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -1,5 +1,5 @@
-//! What must never happen, whatever faults come: lost or mixed answers, duplicated effects, sends on stale state,
-//! histories that are not linearizable.
+//! What must never happen, whatever faults come: missing or mixed answers, duplicated effects,
+//! sends on stale state, histories that are not linearizable.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -10,11 +10,12 @@
 use violetgate_acceptance::{Result, Verdict};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
 use violetgate_linearizability::{first_operations_on, is_linearizable};
+use violetgate_test_harness::lock;
 
 use crate::clients::run_client;
 use crate::faults::inject_faults;
 use crate::operators::{cordon_engines, run_operator};
-use crate::scenario::{lock, random, Scenario, Tally, STALENESS_LIMIT};
+use crate::scenario::{random, Scenario, Tally, STALENESS_LIMIT};
 use crate::Arguments;
 
 /// Clients at a time.
@@ -22,7 +23,7 @@
 /// Operators at a time.
 const OPERATORS: u64 = 4;
 
-/// What a safety run left behind.
+/// The findings of a safety run.
 struct Findings {
     /// How often each kind of fault was injected.
     faults: BTreeMap<&'static str, u64>,
@@ -64,7 +65,7 @@
     describe(&scenario.tally, &findings);
     judge(&scenario, &findings, arguments, verdict);
     let tally = &scenario.tally;
-    if count(&tally.lost) + count(&tally.stale) + findings.not_linearizable > 0 || !settled {
+    if count(&tally.unanswered) + count(&tally.stale) + findings.not_linearizable > 0 || !settled {
         print_logs(&cluster);
     }
     Ok(())
@@ -128,7 +129,7 @@
     verdict.figure("seconds", arguments.seconds);
     verdict.figure("served", count(&tally.served));
     verdict.figure("troubles", findings.faults.values().sum::<u64>());
-    verdict.exactly("lost", count(&tally.lost), 0);
+    verdict.exactly("lost", count(&tally.unanswered), 0);
     verdict.exactly("mixed", count(&tally.mixed), 0);
     verdict.exactly("effects_a_key", u64::from(effects), 1);
     verdict.exactly("sent_on_stale_state", count(&tally.stale), 0);
--- a/tools/acceptance/src/bin/prove-daemon/scenario.rs
+++ b/tools/acceptance/src/bin/prove-daemon/scenario.rs
@@ -1,8 +1,9 @@
-//! What the threads of a safety run share: the cluster, the engines, counts and the history of calls.
+//! What the threads of a safety run share: the cluster, the engines, counts and the history of
+//! calls.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
 use rand_chacha::rand_core::{RngCore, SeedableRng};
@@ -11,7 +12,8 @@
 use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_linearizability::Operation;
 
-/// Longest time for which an instance may send on state that it can't confirm, and in which a cordon takes effect.
+/// Longest time for which an instance may send on state that it can't confirm, and in which a
+/// cordon takes effect.
 pub const STALENESS_LIMIT: Duration = Duration::from_secs(2);
 
 /// A random number generator with a stream of its own for each thread.
@@ -24,7 +26,7 @@
     rng
 }
 
-/// A span from `least` up to `most` milliseconds, drawn evenly.
+/// A span from `least` up to `most` milliseconds, evenly distributed.
 pub fn random_pause(rng: &mut Random, least: u64, most: u64) -> Duration {
     Duration::from_millis(least + rng.next_u64() % (most - least))
 }
@@ -36,13 +38,14 @@
     pub refused: AtomicU64,
     pub failed: AtomicU64,
     /// Connections that broke, or answers that never came, at an instance that nothing was done to.
-    pub lost: AtomicU64,
+    pub unanswered: AtomicU64,
     /// The same at one that was killed or stopped meanwhile.
     pub excused: AtomicU64,
     /// Requests that no instance served in their time.
     pub unserved: AtomicU64,
     pub mixed: AtomicU64,
-    /// Answers from engines to requests that came to an instance that had been cut off for longer than the limit.
+    /// Answers from engines to requests that came to an instance that had been cut off for longer
+    /// than the limit.
     pub stale: AtomicU64,
     pub changes: AtomicU64,
     pub unsure: AtomicU64,
@@ -67,8 +70,3 @@
     pub over: AtomicBool,
     pub rid: AtomicU64,
 }
-
-/// Locks what a thread that failed may have left locked.
-pub fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
--- a/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
@@ -1,4 +1,5 @@
-//! Clients with a session at each gateway, which send one request at a time, here and there in turn.
+//! Clients with a session at each gateway, which send one request at a time to one gateway after
+//! another.
 
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
--- a/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
@@ -1,5 +1,5 @@
 //! Several processes in front of the same engines under load: restarted one by one, then with a
-//! silent event bus, then left by their clients.
+//! silent event bus, then with clients that disconnect.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
@@ -42,7 +42,7 @@
 const MIN_TENANT_SERVED_FRACTION: f64 = 1.0 / 3.0;
 const MAX_RESTART_S: f64 = 10.0;
 
-/// A run over several processes, and what it found.
+/// A run over several processes, and its findings.
 pub struct Scenario {
     fleet: FleetHarness,
     rounds: usize,
@@ -139,7 +139,7 @@
         Ok(())
     }
 
-    /// Holds what was found to the rules.
+    /// Holds the findings to the rules.
     pub fn judge(&self, verdict: &mut Verdict) {
         let tally = lock(&self.load.tally);
         let effects = self.counts.effects.values();
@@ -159,8 +159,8 @@
     }
 }
 
-/// Restarts a process; how long it took from its start until it served, or the longest time there is
-/// if it did not.
+/// Restarts a process; how long it took from its start until it served, or the longest duration if
+/// it did not.
 fn restart(fleet: &mut FleetHarness, round: usize, process: usize) -> Duration {
     fleet.processes[process].signal(Signal::TERM);
     let ended = fleet.processes[process].wait_for_exit(EXIT_TIMEOUT);
--- a/tools/acceptance/src/bin/prove-fleet-rules/slow_start.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/slow_start.rs
@@ -11,7 +11,7 @@
 /// Gateways, and cores of the engine.
 const SETTINGS: [(u32, f64); 5] = [(2, 8.0), (20, 8.0), (30, 8.0), (300, 8.0), (300, 32.0)];
 
-/// Holds the largest sum over all settings to what the engine bears with its chance.
+/// Holds the largest sum over all settings to the capacity of the engine and its chance.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) {
     let largest = SETTINGS.map(|(gateways, cores)| largest_fraction(arguments, gateways, cores));
     let largest = largest.into_iter().fold(0.0, f64::max);
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -1,5 +1,5 @@
-//! Both protocols while engines drain, die and are replaced at the same address: no result may be lost, mixed or run
-//! twice.
+//! Both protocols while engines drain, die and are replaced at the same address: no result may be
+//! missing, mixed or run twice.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -45,9 +45,9 @@
                 if number >= requests {
                     break;
                 }
-                // A connection that can't be had is a request that was lost.
+                // A connection that can't be opened is a request without an answer.
                 if request(gateway, tally, number, client).is_err() {
-                    tally.lost.fetch_add(1, Relaxed);
+                    tally.unanswered.fetch_add(1, Relaxed);
                 }
             })
         };
@@ -75,7 +75,7 @@
         count(&tally.refused),
         count(&tally.failed),
         count(&tally.pages),
-        count(&tally.gone),
+        count(&tally.expired),
         counts.by_key.len(),
         most(&counts.by_key),
         counts.by_key.values().filter(|attempts| **attempts > 1).count(),
@@ -88,11 +88,12 @@
     verdict.figure("requests", requests);
     verdict.figure("deploys", deploys);
     verdict.figure("served_share", format!("{served_share:.3}"));
-    verdict.exactly("lost", count(&tally.lost), 0);
+    verdict.exactly("lost", count(&tally.unanswered), 0);
     verdict.exactly("results_mixed_or_cut", count(&tally.mixed), 0);
     verdict.exactly("answers_of_one_unequal", count(&tally.unequal), 0);
     verdict.exactly("effects_a_key", u64::from(most(&counts.effects)), 1);
-    // Each attempt fetches each of its pages once; a client that asks twice costs engines nothing.
+    // Each attempt fetches each of its pages once; a client that fetches a page again costs engines
+    // nothing.
     let attempts = |request: &str| counts.by_request.get(request).copied().unwrap_or(0);
     let fetched_twice = counts
         .pages
@@ -107,7 +108,8 @@
     );
 }
 
-/// Replaces an engine every so often: drained first, or killed at once, at the same address, under a new id.
+/// Replaces an engine every so often: drained first, or killed at once, at the same address, under
+/// a new id.
 fn replace_engines(fleet: &FakeUpstreams, over: &AtomicBool) -> u64 {
     let mut n = 0;
     while !over.load(Relaxed) {
@@ -139,8 +141,8 @@
                 pg.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
                 pg.read()
             });
-            if let Some(rows) = tally.pg(rows) {
-                tally.whole(&rows, 20);
+            if let Some(rows) = tally.count_postgres(rows) {
+                tally.check_rows(&rows, 20);
             }
         }
         1 | 2 => paged_result(gateway, tally)?,
@@ -149,11 +151,11 @@
     Ok(())
 }
 
-/// A result of five pages, one of which is asked for twice.
+/// A result of five pages, one of which is fetched twice.
 fn paged_result(gateway: &Gateway, tally: &Tally) -> Result<()> {
     let mut http = gateway.connect_http()?;
     http.send_query(&query_body("report", "ms=2 rows=500 width=55"), None)?;
-    let Some(first) = tally.http(http.read()) else {
+    let Some(first) = tally.count_http(http.read()) else {
         return Ok(());
     };
     let (mut rows, mut at, mut twice) = (first.rows(), first.next(), true);
@@ -161,7 +163,7 @@
         let page = http.get(&path)?;
         tally.pages.fetch_add(1, Relaxed);
         if page.status == 410 {
-            tally.gone.fetch_add(1, Relaxed);
+            tally.expired.fetch_add(1, Relaxed);
             return Ok(());
         }
         if page.status != 200 {
@@ -177,11 +179,12 @@
         rows.extend(page.rows());
         at = page.next();
     }
-    tally.whole(&rows, PAGED_ROWS);
+    tally.check_rows(&rows, PAGED_ROWS);
     Ok(())
 }
 
-/// A key that is used again: at once over the other front, after its answer, or after its connection was cut.
+/// A key that is used again: at once over the other front, after its answer, or after its
+/// connection was cut.
 fn duplicate_key(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
     let (key, order) = (format!("k-{n}"), format!("{client:016x}"));
     let hints = "ms=4 rows=5";
@@ -197,7 +200,10 @@
                 hints,
                 &format!(",token={key},obj={order}"),
             ))?;
-            let (one, two) = (tally.http(http.read()), tally.pg(pg.read()));
+            let (one, two) = (
+                tally.count_http(http.read()),
+                tally.count_postgres(pg.read()),
+            );
             if let (Some(one), Some(two)) = (one, two) {
                 tally
                     .unequal
@@ -205,9 +211,9 @@
             }
         }
         1 => {
-            let one = tally.http(http.read());
+            let one = tally.count_http(http.read());
             http.send_query(&body, Some(&key))?;
-            let two = tally.http(http.read());
+            let two = tally.count_http(http.read());
             if let (Some(one), Some(two)) = (one, two) {
                 tally
                     .unequal
@@ -218,8 +224,8 @@
             drop(http);
             let mut again = gateway.connect_http()?;
             again.send_query(&body, Some(&key))?;
-            if let Some(reply) = tally.http(again.read()) {
-                tally.whole(&reply.rows(), 5);
+            if let Some(reply) = tally.count_http(again.read()) {
+                tally.check_rows(&reply.rows(), 5);
             }
         }
     }
--- a/tools/acceptance/src/bin/prove-rest/main.rs
+++ b/tools/acceptance/src/bin/prove-rest/main.rs
@@ -1,5 +1,5 @@
-//! `make prove-rest`: the REST protocol against the PostgreSQL protocol of the same process on the same fake engines,
-//! and both through draining, dying and replaced engines.
+//! `make prove-rest`: the REST protocol against the PostgreSQL protocol of the same process on the
+//! same fake engines, and both through draining, dying and replaced engines.
 
 mod churn;
 mod memory;
@@ -36,7 +36,7 @@
 
 /// Clients at a time.
 const CLIENTS: usize = 24;
-/// Lines of the `rest` block: room for all results of a run.
+/// Lines of the `rest` block: space for all results of a run.
 const REST_SETTINGS: &str =
     "  results_bytes = \"256MiB\"\n  results = 100000\n  idempotency_keys = 100000\n  \
                        max_connections = 400";
--- a/tools/acceptance/src/bin/prove-rest/requests.rs
+++ b/tools/acceptance/src/bin/prove-rest/requests.rs
@@ -10,7 +10,7 @@
     format!("{:016x}", NEXT.fetch_add(1, Relaxed))
 }
 
-/// The body of a REST query of this class; `hints` tell the fake engine what to do.
+/// The body of a REST query of this class; `hints` are for the fake engine.
 pub fn query_body(class: &str, hints: &str) -> Value {
     let statement = format!("SELECT day FROM sales_17.plan /* {hints} */");
     json!({"class": class, "budget_ms": 10_000, "estimate_ms": 1.0, "estimate_mb": 1, "statement": statement})
--- a/tools/acceptance/src/bin/prove-rest/tally.rs
+++ b/tools/acceptance/src/bin/prove-rest/tally.rs
@@ -1,4 +1,4 @@
-//! Counts of answers over both protocols, and the check that rows are whole.
+//! Counts of answers over both protocols, and the check that rows are complete.
 
 use std::io::Result;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -11,46 +11,46 @@
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
-    pub lost: AtomicU64,
+    pub unanswered: AtomicU64,
     pub mixed: AtomicU64,
     pub unequal: AtomicU64,
     pub pages: AtomicU64,
-    pub gone: AtomicU64,
+    pub expired: AtomicU64,
 }
 
 impl Tally {
     /// Counts an HTTP answer; its rows, if it was served.
-    pub fn http(&self, reply: Result<Reply>) -> Option<Reply> {
+    pub fn count_http(&self, reply: Result<Reply>) -> Option<Reply> {
         let count = match &reply {
-            Ok(r) if r.status == 200 => &self.served,
-            Ok(r) if r.status == 503 => &self.refused,
+            Ok(reply) if reply.status == 200 => &self.served,
+            Ok(reply) if reply.status == 503 => &self.refused,
             Ok(_) => &self.failed,
-            Err(_) => &self.lost,
+            Err(_) => &self.unanswered,
         };
         count.fetch_add(1, Relaxed);
-        reply.ok().filter(|r| r.status == 200)
+        reply.ok().filter(|reply| reply.status == 200)
     }
 
     /// Counts an answer over PostgreSQL; its rows, if it was served.
-    pub fn pg(&self, rows: Result<Rows>) -> Option<Vec<[String; 3]>> {
+    pub fn count_postgres(&self, rows: Result<Rows>) -> Option<Vec<[String; 3]>> {
         let count = match &rows {
             Ok(Ok(_)) => &self.served,
             Ok(Err(code)) if code.starts_with("53") || code == "57P03" => &self.refused,
             Ok(Err(_)) => &self.failed,
-            Err(_) => &self.lost,
+            Err(_) => &self.unanswered,
         };
         count.fetch_add(1, Relaxed);
         rows.ok()?.ok()
     }
 
-    /// Rows have to be all of one attempt, in order, none lost or doubled.
-    pub fn whole(&self, rows: &[[String; 3]], count: usize) {
+    /// Rows have to be all of one attempt, in order, none missing or twice.
+    pub fn check_rows(&self, rows: &[[String; 3]], count: usize) {
         let first = rows.first();
-        let good = rows.len() == count
+        let are_complete = rows.len() == count
             && rows.iter().enumerate().all(|(n, row)| {
                 first.is_some_and(|f| f[..2] == row[..2])
                     && row[2].trim_end_matches('.') == n.to_string()
             });
-        self.mixed.fetch_add(u64::from(!good), Relaxed);
+        self.mixed.fetch_add(u64::from(!are_complete), Relaxed);
     }
 }
--- a/tools/acceptance/src/bin/prove-rest/throughput.rs
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -1,5 +1,5 @@
-//! CPU time and latency of both protocols at the same rate: first pages of one-page and of six-page results, and later
-//! pages.
+//! CPU time and latency of both protocols at the same rate: first pages of one-page and of six-page
+//! results, and later pages.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -36,7 +36,7 @@
     class: "report",
     hints: "ms=0 rows=654 width=55",
 };
-/// Six pages are 33 KB: they are asked for at a fifth of the rate.
+/// Six pages are 33 KB: they are requested at a fifth of the rate.
 const SIX_PAGES_SLOWDOWN: u32 = 5;
 
 /// CPU time of a request in microseconds.
@@ -48,7 +48,7 @@
     rest_later_page: f64,
 }
 
-/// Measures both protocols in turn and holds the ratios of their CPU times to the bounds.
+/// Measures one protocol after the other and holds the ratios of their CPU times to the bounds.
 pub fn compare_protocols(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(4, Profile::default())?;
     let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
@@ -56,7 +56,8 @@
         requests: (arguments.rate as f64 * arguments.seconds) as u64,
         gap: Duration::from_secs_f64(1.0 / arguments.rate as f64),
     };
-    // First a shorter load that is not measured: connections to engines, memory, what the decisions learn.
+    // First a shorter load that is not measured: connections to engines, memory, what the decisions
+    // learn.
     let warm_up = Load {
         requests: load.requests / 4,
         ..load
@@ -83,7 +84,7 @@
     Ok(())
 }
 
-/// One round over all kinds of request; `report` turns a measurement into CPU time a request.
+/// One round over all kinds of request; `report` gives the CPU time a request of a measurement.
 fn measure_round(
     gateway: &Gateway,
     load: Load,
--- a/tools/acceptance/src/bin/prove-rest/token_timing.rs
+++ b/tools/acceptance/src/bin/prove-rest/token_timing.rs
@@ -1,4 +1,4 @@
-//! Whether response times tell how close a forged page token is to a good one.
+//! Whether response times show how close a forged page token is to a good one.
 
 use std::time::{Duration, Instant};
 
@@ -8,8 +8,8 @@
 use crate::requests::query_body;
 use crate::{Arguments, REST_SETTINGS};
 
-/// Whether the time of a 404 tells what was wrong with a token: one that is changed in its last bytes against one
-/// that is nothing like a token.
+/// Whether the time of a 404 shows what was wrong with a token: one that is changed in its last
+/// bytes against one that is nothing like a token.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let fleet = FakeUpstreams::start(2, Profile::default())?;
     let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
--- a/tools/acceptance/src/bin/prove-run/main.rs
+++ b/tools/acceptance/src/bin/prove-run/main.rs
@@ -1,8 +1,8 @@
 //! `make prove-run`: what a platform that stands between a gateway and the machine requires of the
 //! program that `deploy/balancer.toml` names, as far as it can be seen from outside.
 //!
-//! One process by `exec`, linked dynamically against the C library, no child, no io_uring, splice or
-//! sendfile, and no Unix socket that others would have to connect to.
+//! One process by `exec`, linked dynamically against the C library, no child, no io_uring, splice
+//! or sendfile, and no Unix socket that others would have to connect to.
 
 mod linkage;
 mod running;
--- a/tools/acceptance/src/bin/prove-run/running.rs
+++ b/tools/acceptance/src/bin/prove-run/running.rs
@@ -18,7 +18,7 @@
 const TIMEOUT: Duration = Duration::from_secs(20);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const QUERIES: u64 = 200;
-/// The query after which the program is told to read its configuration again.
+/// The query after which the program is signalled to read its configuration again.
 const RELOAD_AFTER: u64 = 100;
 
 /// The folder of the program's files, which is removed when this is dropped.
@@ -30,7 +30,7 @@
     }
 }
 
-/// Runs the program as the deploy file says, and looks at its process after some queries.
+/// Runs the program as the deploy file says, and inspects its process after some queries.
 pub fn check(deployment: &Deployment, program: &Path, verdict: &mut Verdict) -> Result<()> {
     let engines = FakeUpstreams::start(2, Profile::default())?;
     let [listen, management] = free_tcp_addresses()?;
@@ -48,13 +48,13 @@
     wait_until(TIMEOUT, READY_CHECK_INTERVAL, || is_healthy(management))
         .ok_or(AcceptanceError::NotReady)?;
     let served = send_queries(&process, listen)?;
-    let found = ProcessFindings::read(process.pid(), program)?;
+    let findings = ProcessFindings::read(process.pid(), program)?;
     println!(
         "the process has {} threads and {} descriptors after {QUERIES} queries",
-        found.threads, found.descriptors
+        findings.threads, findings.descriptors
     );
     verdict.exactly("served", served, QUERIES);
-    found.judge(verdict);
+    findings.judge(verdict);
     Ok(())
 }
 
--- a/tools/acceptance/src/error.rs
+++ b/tools/acceptance/src/error.rs
@@ -56,7 +56,7 @@
     RequestsNotWaiting {
         /// Whether one of them was attempted.
         attempted: bool,
-        /// Whether all were given up after their clients had left.
+        /// Whether all were given up after their clients had disconnected.
         abandoned: bool,
     },
 }
--- a/tools/acceptance/src/load.rs
+++ b/tools/acceptance/src/load.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 
-/// Latencies up to a minute are told apart, with three digits.
+/// Latencies up to a minute are distinguished, with three digits.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 /// The time from the call to the first request, in which all clients' threads start.
--- a/tools/acceptance/src/network.rs
+++ b/tools/acceptance/src/network.rs
@@ -1,7 +1,7 @@
 //! The network between the instances of a cluster: a relay for each direction, which can be cut.
 //!
-//! Bytes that are sent into a cut link are lost. A connection that lost bytes is closed once the
-//! cut is over, as the rest of its stream would make no sense.
+//! Bytes that are sent into a cut link are dropped. A connection that dropped bytes is closed once
+//! the cut is over, as the rest of its stream would make no sense.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Result, Write};
@@ -19,7 +19,7 @@
 pub enum LinkState {
     /// It carries bytes.
     Up,
-    /// Bytes are lost.
+    /// Bytes are dropped.
     Cut,
 }
 
@@ -30,7 +30,7 @@
     to: u64,
 }
 
-/// What the relay of a link shares with those who cut it.
+/// The state of a link, in common to its relay and to those who cut it.
 #[derive(Clone)]
 struct LinkControl {
     is_cut: Arc<AtomicBool>,
--- a/tools/acceptance/src/slow_start.rs
+++ b/tools/acceptance/src/slow_start.rs
@@ -1,7 +1,7 @@
 //! Many gateways in front of one engine that is warming up, in simulated time: what each decides
 //! alone, summed over all of them.
 //!
-//! The sum has to stay within what the engine bears. Nothing here decides anything itself.
+//! The sum has to stay within the capacity of the engine. Nothing here decides anything itself.
 
 use violetgate_policy::interface::{
     AttemptEnded, Class, Cost, Engine, EngineId, EngineKind, EngineState, ListScope, LoadReport,
@@ -10,7 +10,7 @@
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const SECOND: Micros = 1_000_000;
-/// The span in which an engine that is warming up must not get more than it bears.
+/// The span in which an engine that is warming up must not get more than its capacity.
 pub const COLLAPSE_WINDOW: Micros = 2 * SECOND;
 /// An engine that has just started is warm after this.
 const WARM_UP: Micros = 14 * SECOND;
@@ -36,13 +36,13 @@
 const STEP: Micros = 40_000;
 const IDS_PER_STEP: u64 = 100;
 
-/// How many queries an engine with so many cores bears in a [`COLLAPSE_WINDOW`] that begins `age`
-/// after its start.
+/// The capacity, in queries, of an engine with so many cores in a [`COLLAPSE_WINDOW`] that begins
+/// `age` after its start.
 #[must_use]
-pub fn bearable_queries(cores: f64, age: Micros) -> f64 {
-    let warm = COLLAPSE_LOAD_MULTIPLE * cores * COLLAPSE_WINDOW as f64 / QUERY_WORK as f64;
-    let warmth = (age as f64 / WARM_UP as f64).min(1.0).powi(2);
-    warm * (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * warmth)
+pub fn capacity_in_window(cores: f64, age: Micros) -> f64 {
+    let full = COLLAPSE_LOAD_MULTIPLE * cores * COLLAPSE_WINDOW as f64 / QUERY_WORK as f64;
+    let progress = (age as f64 / WARM_UP as f64).min(1.0).powi(2);
+    full * (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * progress)
 }
 
 fn settings(gateways: u32, cores: f64) -> Settings {
@@ -177,8 +177,8 @@
     matches!(action, Action::Send { query, engine: STARTING_ENGINE, .. } if *query == id)
 }
 
-/// The largest fraction, over all windows, of the queries sent in one in what the engine bears in it
-/// with what is put down to chance: beside N queries, twice the root of N and two more.
+/// The largest fraction, over all windows, of the queries sent in one in the engine's capacity in
+/// it with an allowance for chance: beside N queries, twice the root of N and two more.
 #[must_use]
 pub fn largest_fraction_of_capacity(sends: &[Micros], cores: f64) -> f64 {
     let fraction = |(index, from): (usize, &Micros)| {
@@ -186,8 +186,8 @@
         let sent = window
             .take_while(|at| **at < from + COLLAPSE_WINDOW)
             .count() as f64;
-        let bearable = bearable_queries(cores, *from);
-        sent / (bearable + 2.0 * bearable.sqrt() + 2.0)
+        let capacity = capacity_in_window(cores, *from);
+        sent / (capacity + 2.0 * capacity.sqrt() + 2.0)
     };
     sends.iter().enumerate().map(fraction).fold(0.0, f64::max)
 }
--- a/tools/fleet-harness/src/relay.rs
+++ b/tools/fleet-harness/src/relay.rs
@@ -22,7 +22,7 @@
 pub struct LinkFaults {
     /// Whether nothing passes.
     pub is_cut: bool,
-    /// The fraction of datagrams that are lost, from 0 to 1.
+    /// The fraction of datagrams that are dropped, from 0 to 1.
     pub loss: f64,
     /// The fraction of datagrams that arrive twice, from 0 to 1.
     pub duplication: f64,
--- a/tools/scale/src/bin/whole-run.rs
+++ b/tools/scale/src/bin/whole-run.rs
@@ -1,5 +1,5 @@
-//! `whole-run`: the fleet run alone, at a size and with the parts that are chosen; `prove-scale` has
-//! it as one of its roles.
+//! `whole-run`: the fleet run alone, at a size and with the parts that are chosen; `prove-scale`
+//! has it as one of its roles.
 
 use std::process::ExitCode;
 
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -1,5 +1,5 @@
-//! Client connections of the real gateway: memory, descriptors and processor time of idle ones, and processor time of
-//! a statement beside them.
+//! Client connections of the real gateway: memory, descriptors and CPU time of idle ones, and
+//! CPU time of a statement beside them.
 
 use std::net::TcpStream;
 use std::time::Duration;
@@ -15,24 +15,24 @@
 const ROLE: &str = "client_side";
 const SIZES: [usize; 6] = [100, 400, 800, 1_200, 1_700, 2_240];
 const SHORT_SIZES: [usize; 3] = [20, 40, 60];
-/// Connections of a front end that have to be carried: 17 million over 7,600.
+/// Connections of a gateway that have to be carried: 17 million over 7,600.
 const TARGET: f64 = 2_240.0;
 const ENGINES: usize = 3;
 /// Descriptors that the program may hold; clients get half of them.
 const SOCKETS: u32 = 4_608;
-/// The memory that a front end's configuration grants it.
+/// The memory that a gateway's configuration grants it.
 const MEMORY_BUDGET_BYTES: f64 = 192.0 * 1024.0 * 1024.0;
 /// The time between two statements at 1,842 a second.
 const STATEMENT_BUDGET_US: f64 = 543.0;
-/// Connections that ask, and statements of each.
+/// Connections that send statements, and statements of each.
 const ACTIVE: usize = 8;
 const STATEMENTS: usize = 150;
 const SHORT_STATEMENTS: usize = 10;
 const IDLE_WINDOW: Duration = Duration::from_secs(2);
 const SHORT_IDLE_WINDOW: Duration = Duration::from_millis(100);
 /// How long the program may leave what was opened unsettled.
-const SETTLE: Duration = Duration::from_millis(300);
-const WAIT: Duration = Duration::from_secs(10);
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Costs at one size.
 struct Costs {
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// The program or the stand-in engines can't be started, or a connection is refused.
+/// The program or the fake engines can't be started, or a connection is refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let fleet = FakeUpstreams::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
@@ -129,12 +129,12 @@
 }
 
 fn session(gateway: &ScaleGateway) -> Result<PostgresClient, ScaleError> {
-    let connect = || PostgresClient::new(TcpStream::connect(gateway.listen)?, WAIT);
+    let connect = || PostgresClient::new(TcpStream::connect(gateway.listen)?, CLIENT_TIMEOUT);
     connect().map_err(ScaleError::io("open a client's session"))
 }
 
 fn costs(gateway: &ScaleGateway, load: &mut Load, options: &Options) -> Result<Costs, ScaleError> {
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let window = if options.short {
         SHORT_IDLE_WINDOW
     } else {
@@ -154,7 +154,7 @@
     })
 }
 
-/// Statements of a few connections, each asked once the one before is answered.
+/// Statements of a few connections, each sent once the one before is answered.
 struct Load {
     /// Statements of one connection.
     each: usize,
@@ -163,7 +163,7 @@
 }
 
 impl Load {
-    /// Processor time a statement, and how many were served.
+    /// CPU time a statement, and how many were served.
     fn run(&mut self, gateway: &ScaleGateway) -> Result<(f64, usize), ScaleError> {
         let clients = (0..ACTIVE)
             .map(|_| session(gateway))
@@ -171,24 +171,32 @@
         let (first, each) = (self.next, self.each);
         self.next += ACTIVE * each;
         let before = gateway.usage()?;
-        let asked = std::thread::scope(|scope| {
+        let served_by_client = std::thread::scope(|scope| {
             let starts = (first..).step_by(each);
             let threads: Vec<_> = starts
                 .zip(clients)
-                .map(|(start, client)| scope.spawn(move || ask(client, start..start + each)))
+                .map(|(start, client)| {
+                    scope.spawn(move || send_statements(client, start..start + each))
+                })
                 .collect();
             threads
                 .into_iter()
                 .map(|thread| thread.join().ok()?.ok())
                 .collect::<Option<Vec<_>>>()
         });
-        let served: usize = asked.ok_or(ScaleError::Thread("client"))?.into_iter().sum();
+        let served: usize = served_by_client
+            .ok_or(ScaleError::Thread("client"))?
+            .into_iter()
+            .sum();
         let used = gateway.usage()?.cpu.saturating_sub(before.cpu);
         Ok((used.as_secs_f64() * 1e6 / served.max(1) as f64, served))
     }
 }
 
-fn ask(mut client: PostgresClient, requests: std::ops::Range<usize>) -> std::io::Result<usize> {
+fn send_statements(
+    mut client: PostgresClient,
+    requests: std::ops::Range<usize>,
+) -> std::io::Result<usize> {
     let mut served = 0;
     for request in requests {
         client.send(&format!(
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -1,11 +1,11 @@
-//! The decision module by the number of engines: processor time of a statement, of a patch of the engine list and of a
-//! whole list, and memory an engine.
+//! The decision module by the number of engines: CPU time of a statement, of a patch of the
+//! engine list and of a full list, and memory an engine.
 
 use violetgate_policy::interface::EngineState;
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
-use crate::gateway_driver::{most_out, settings, Driver};
+use crate::gateway_driver::{max_in_flight, settings, GatewayDriver};
 use crate::slope::{Budget, Slope};
 use crate::usage::{least, own_usage, timed};
 
@@ -17,20 +17,21 @@
 const TARGET: f64 = 12_000.0;
 /// A statement may cost half a millisecond: at 1,842 a second that is nearly all of a core.
 const STATEMENT_BUDGET_US: f64 = 500.0;
-/// Batches of statements that are timed, of which the least counts as other processes only add, and how many engine visits a batch is worth.
+/// Batches of statements that are timed; the least counts, as other processes only add.
 const BATCHES: usize = 5;
+/// Engines that the statements of a batch consider, all together.
 const VISITS_PER_BATCH: u32 = 400_000;
 /// The same where only counts are held.
 const SHORT_VISITS_PER_BATCH: u32 = 40_000;
 const PATCHES: u32 = 10;
-/// Front ends that are built at once to see what an engine takes in memory.
+/// Gateways that are built at once to see what an engine takes in memory.
 const HELD: usize = 8;
 
 /// Costs at one size.
 struct Costs {
     statement_us: f64,
     patch_us: f64,
-    whole_list_us: f64,
+    full_list_us: f64,
     statements: u64,
     sent: u64,
     refused: u64,
@@ -54,13 +55,13 @@
         &SIZES[..]
     };
     for gateways in GATEWAYS {
-        let [mut statement, mut patch, mut whole] = slopes(gateways);
+        let [mut statement, mut patch, mut full_list] = slopes(gateways);
         let (mut statements, mut unserved) = (0, 0);
         for &engines in sizes {
             let costs = costs(options, gateways, engines)?;
             statement.push(f64::from(engines), costs.statement_us);
             patch.push(f64::from(engines), costs.patch_us);
-            whole.push(f64::from(engines), costs.whole_list_us);
+            full_list.push(f64::from(engines), costs.full_list_us);
             statements += costs.statements;
             unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
         }
@@ -74,7 +75,7 @@
             0.0,
         );
         if !options.short {
-            [statement, patch, whole]
+            [statement, patch, full_list]
                 .iter()
                 .for_each(|slope| slope.record(figures));
         }
@@ -107,20 +108,20 @@
         budget,
         points: Vec::new(),
     };
-    let [statement, patch, whole] = names;
+    let [statement, patch, full_list] = names;
     [
         slope(statement, Some(budget)),
         slope(patch, None),
-        slope(whole, None),
+        slope(full_list, None),
     ]
 }
 
 fn costs(options: &Options, gateways: u32, engines: u32) -> Result<Costs, ScaleError> {
-    let mut driver = Driver::new(
+    let mut driver = GatewayDriver::new(
         settings(gateways)?,
         options.seed,
         engines,
-        most_out(gateways, engines),
+        max_in_flight(gateways, engines),
     );
     let visits = if options.short {
         SHORT_VISITS_PER_BATCH
@@ -128,10 +129,10 @@
         VISITS_PER_BATCH
     };
     let batch = (visits / engines).clamp(50, 2_000);
-    (0..batch).for_each(|_| driver.statement());
+    (0..batch).for_each(|_| driver.send_statement());
     let mut statements_us = Vec::new();
     for _ in 0..BATCHES {
-        let (took, ()) = timed(|| (0..batch).for_each(|_| driver.statement()));
+        let (took, ()) = timed(|| (0..batch).for_each(|_| driver.send_statement()));
         statements_us.push(took / f64::from(batch));
     }
     let patches_us = (0..PATCHES).map(|step| {
@@ -140,33 +141,33 @@
         } else {
             EngineState::Ready
         };
-        driver.statement();
-        timed(|| driver.patch(engines / 2, state)).0
+        driver.send_statement();
+        timed(|| driver.update_engine(engines / 2, state)).0
     });
     let patch_us = least(&patches_us.collect::<Vec<_>>());
-    let whole_lists_us = (0..BATCHES).map(|_| {
-        driver.statement();
-        timed(|| driver.whole_list(engines)).0
+    let full_lists_us = (0..BATCHES).map(|_| {
+        driver.send_statement();
+        timed(|| driver.update_all_engines(engines)).0
     });
-    let whole_list_us = least(&whole_lists_us.collect::<Vec<_>>());
+    let full_list_us = least(&full_lists_us.collect::<Vec<_>>());
     let statements = u64::from(batch) * (BATCHES as u64 + 1) + u64::from(PATCHES) + BATCHES as u64;
     Ok(Costs {
         statement_us: least(&statements_us),
         patch_us,
-        whole_list_us,
+        full_list_us,
         statements,
         sent: driver.sent().len() as u64,
         refused: driver.refused(),
     })
 }
 
-/// The growth of this process's resident memory with several front ends that know all engines.
+/// The growth of this process's resident memory with several gateways that know all engines.
 fn memory_an_engine(seed: u64) -> Result<f64, ScaleError> {
     let engines = TARGET as u32;
     let before = own_usage()?.resident_bytes;
     let mut held = Vec::new();
     for number in 0..HELD {
-        held.push(Driver::new(
+        held.push(GatewayDriver::new(
             settings(7_600)?,
             seed + number as u64,
             engines,
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -1,8 +1,10 @@
-//! The engine list over the event bus by the number of engines: bytes of a line, time and processor time until the
-//! real program has applied it, its memory, and the longest whole list that it takes.
+//! The engine list over the event bus by the number of engines: bytes of a line, time and processor
+//! time until the real program has applied it, its memory, and the longest full list that it
+//! accepts.
 //!
-//! A scripted bus says one event and then a number that is larger than it. The program answers that by a new
-//! connection, in whose greeting stands the last event that it has applied: so nothing has to be guessed from outside.
+//! A scripted bus sends one event and then a number that is larger than it. The program answers
+//! that by a new connection, in whose greeting stands the last event that it has applied: so
+//! nothing has to be guessed from outside.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -24,12 +26,23 @@
 /// The longest line that the program takes: `MAX_LINE` in gateway/src/discovery.rs.
 const LONGEST_LINE: f64 = 1_048_576.0;
 /// How long the program may take to apply an event.
-const WAIT: Duration = Duration::from_secs(10);
-/// Whole lists of one size, and patches, that are timed.
+const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Full lists of one size, and patches, that are timed.
 const REPEATS: usize = 3;
-/// How often an event that was not applied is said again before it counts as refused: the program may have ended the
-/// connection by itself just then.
-const TRIES: usize = 2;
+/// How often an event that was not applied is sent again before it counts as refused: the program
+/// may have ended the connection by itself just then.
+const MAX_ATTEMPTS: usize = 2;
+
+/// Costs at one size.
+struct Costs {
+    line_bytes: f64,
+    /// The time until a full list was applied.
+    applied_ms: f64,
+    /// CPU time of a full list and of a patch.
+    full_list_us: f64,
+    patch_us: f64,
+    memory_bytes: f64,
+}
 
 /// Measures the program behind a scripted bus.
 ///
@@ -47,25 +60,39 @@
     };
     let mut slopes = slopes();
     for &engines in sizes {
-        let measured = bus.measure(&gateway, engines)?;
+        let costs = bus.measure(&gateway, engines)?;
         slopes
             .iter_mut()
-            .zip(measured)
+            .zip([
+                costs.line_bytes,
+                costs.applied_ms,
+                costs.full_list_us,
+                costs.patch_us,
+                costs.memory_bytes,
+            ])
             .for_each(|(slope, cost)| slope.push(f64::from(engines), cost));
         if options.short {
-            figures.add(&format!("engine_list_line_at_{engines}_bytes"), measured[0]);
+            figures.add(
+                &format!("engine_list_line_at_{engines}_bytes"),
+                costs.line_bytes,
+            );
         }
     }
-    let whole = whole_list(1, TARGET).len();
-    figures.add(&format!("engine_list_line_at_{TARGET}_bytes"), whole);
-    let fits = bus.apply(&whole_list(bus.last + 1, TARGET))?.is_some();
+    let full_list_bytes = full_list(1, TARGET).len();
+    figures.add(
+        &format!("engine_list_line_at_{TARGET}_bytes"),
+        full_list_bytes,
+    );
+    let fits = bus
+        .apply(&full_list(bus.last_offset + 1, TARGET))?
+        .is_some();
     figures.add(&format!("engine_list_{TARGET}_fit_a_line"), fits);
     if options.short {
         return Ok(());
     }
     slopes.iter().for_each(|slope| slope.record(figures));
     if !fits {
-        let largest = bus.largest_whole_list()?;
+        let largest = bus.largest_full_list()?;
         println!(
             "engine_list: the largest whole list that the program takes has {largest} engines"
         );
@@ -113,7 +140,7 @@
     }))
 }
 
-/// One engine as the bus tells it; the address is on loopback, and nothing is ever sent to it here.
+/// One engine in the bus's form; the address is on loopback, and nothing is ever sent to it here.
 fn server(number: u32, state: &str) -> serde_json::Value {
     let [_, high, middle, low] = number.to_be_bytes();
     json!({
@@ -127,7 +154,7 @@
     format!("{}\n", json!({"offset": offset, "topology": topology}))
 }
 
-fn whole_list(offset: u64, engines: u32) -> String {
+fn full_list(offset: u64, engines: u32) -> String {
     let servers: Vec<_> = (1..=engines)
         .map(|number| server(number, "in_service"))
         .collect();
@@ -140,7 +167,7 @@
     /// The connection that the follower has greeted on.
     follower: Option<TcpStream>,
     /// The last event that the follower has applied.
-    last: u64,
+    last_offset: u64,
 }
 
 impl Bus {
@@ -150,20 +177,20 @@
         Ok(Bus {
             listener,
             follower: None,
-            last: 0,
+            last_offset: 0,
         })
     }
 
-    /// Line bytes, time until applied, processor time of a whole list and of a patch, and memory, at one size.
-    fn measure(&mut self, gateway: &ScaleGateway, engines: u32) -> Result<[f64; 5], ScaleError> {
-        let (mut applied_ms, mut whole_us, mut patch_us) = (Vec::new(), Vec::new(), Vec::new());
+    /// Measures the costs at one size.
+    fn measure(&mut self, gateway: &ScaleGateway, engines: u32) -> Result<Costs, ScaleError> {
+        let (mut applied_ms, mut full_list_us, mut patch_us) = (Vec::new(), Vec::new(), Vec::new());
         let mut bytes = 0;
         for _ in 0..REPEATS {
-            let line = whole_list(self.last + 1, engines);
+            let line = full_list(self.last_offset + 1, engines);
             bytes = line.len();
-            let (took, cpu_us) = self.timed(gateway, &line)?;
+            let (took, cpu_us) = self.apply_timed(gateway, &line)?;
             applied_ms.push(took.as_secs_f64() * 1e3);
-            whole_us.push(cpu_us);
+            full_list_us.push(cpu_us);
         }
         for repeat in 0..REPEATS {
             let state = if repeat % 2 == 0 {
@@ -171,20 +198,24 @@
             } else {
                 "in_service"
             };
-            let line = event(self.last + 1, false, &[server(engines / 2, state)]);
-            patch_us.push(self.timed(gateway, &line)?.1);
+            let line = event(self.last_offset + 1, false, &[server(engines / 2, state)]);
+            patch_us.push(self.apply_timed(gateway, &line)?.1);
         }
         let memory = gateway.usage()?.resident_bytes as f64;
-        Ok([
-            bytes as f64,
-            median(applied_ms),
-            least(&whole_us),
-            least(&patch_us),
-            memory,
-        ])
+        Ok(Costs {
+            line_bytes: bytes as f64,
+            applied_ms: median(applied_ms),
+            full_list_us: least(&full_list_us),
+            patch_us: least(&patch_us),
+            memory_bytes: memory,
+        })
     }
 
-    fn timed(&mut self, gateway: &ScaleGateway, line: &str) -> Result<(Duration, f64), ScaleError> {
+    fn apply_timed(
+        &mut self,
+        gateway: &ScaleGateway,
+        line: &str,
+    ) -> Result<(Duration, f64), ScaleError> {
         let before = gateway.usage()?.cpu;
         let took = self.apply(line)?.ok_or(ScaleError::Bus(
             "did not apply an engine list that fits a line",
@@ -193,20 +224,21 @@
         Ok((took, used.as_secs_f64() * 1e6))
     }
 
-    /// Says an event until it is applied; how long that took, or `None` where the follower refuses it.
+    /// Sends an event until it is applied; how long that took, or `None` where the follower refuses
+    /// it.
     fn apply(&mut self, line: &str) -> Result<Option<Duration>, ScaleError> {
-        for _ in 0..TRIES {
+        for _ in 0..MAX_ATTEMPTS {
             let mut follower = match self.follower.take() {
                 Some(follower) => follower,
                 None => self.greeting()?.0,
             };
             let begun = Instant::now();
-            say(&mut follower, line, self.last + 2);
+            send_and_wait(&mut follower, line, self.last_offset + 2);
             let took = begun.elapsed();
             let (next, last) = self.greeting()?;
             self.follower = Some(next);
-            if last == self.last + 1 {
-                self.last = last;
+            if last == self.last_offset + 1 {
+                self.last_offset = last;
                 return Ok(Some(took));
             }
         }
@@ -217,7 +249,9 @@
     fn greeting(&self) -> Result<(TcpStream, u64), ScaleError> {
         let failed = || ScaleError::io("accept the follower of a bus");
         let (stream, _) = self.listener.accept().map_err(failed())?;
-        stream.set_read_timeout(Some(WAIT)).map_err(failed())?;
+        stream
+            .set_read_timeout(Some(APPLY_TIMEOUT))
+            .map_err(failed())?;
         let mut greeting = String::new();
         BufReader::new(&stream)
             .read_line(&mut greeting)
@@ -232,13 +266,17 @@
         ))
     }
 
-    /// The largest whole list that is applied, between the largest size that was and the smallest that was not.
-    fn largest_whole_list(&mut self) -> Result<u32, ScaleError> {
+    /// The largest full list that is applied, between the largest size that was and the smallest
+    /// that was not.
+    fn largest_full_list(&mut self) -> Result<u32, ScaleError> {
         let mut applied = SIZES.last().copied().unwrap_or(1);
         let mut refused = TARGET;
         while refused - applied > 1 {
             let middle = applied.midpoint(refused);
-            if self.apply(&whole_list(self.last + 1, middle))?.is_some() {
+            if self
+                .apply(&full_list(self.last_offset + 1, middle))?
+                .is_some()
+            {
                 applied = middle;
             } else {
                 refused = middle;
@@ -248,11 +286,11 @@
     }
 }
 
-/// Says an event and a number past it, and waits until the follower ends the connection. It may do so while it is
-/// still being written to.
-fn say(follower: &mut TcpStream, line: &str, past: u64) {
-    let said = format!("{line}{past}\n");
-    if follower.write_all(said.as_bytes()).is_ok() {
+/// Sends an event and a number past it, and waits until the follower ends the connection. It may do
+/// so while it is still being written to.
+fn send_and_wait(follower: &mut TcpStream, line: &str, past: u64) {
+    let lines = format!("{line}{past}\n");
+    if follower.write_all(lines.as_bytes()).is_ok() {
         let _ = follower.read(&mut [0; 1]);
     }
 }
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -42,7 +42,8 @@
 }
 
 impl Figures {
-    /// Adds a figure. Names are lower case with underscores, and end in their unit (`_us`, `_bytes`, `_per_s`).
+    /// Adds a figure. Names are lower case with underscores, and end in their unit (`_us`,
+    /// `_bytes`, `_per_s`).
     pub fn add(&mut self, name: &str, value: impl std::fmt::Display) {
         self.values.insert(name.to_owned(), value.to_string());
     }
--- a/tools/scale/src/fit.rs
+++ b/tools/scale/src/fit.rs
@@ -1,5 +1,6 @@
-//! Least squares through measured costs: the line `cost = intercept + slope x size`, the standard errors of both, and
-//! whether a quadratic explains the costs so much better that they have to be called a curve.
+//! Least squares through measured costs: the line `cost = intercept + slope x size`, the standard
+//! errors of both, and whether a quadratic explains the costs so much better that they have to be
+//! called a curve.
 
 /// One measurement.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -63,9 +64,11 @@
 const SURE: f64 = 2.0;
 /// Fewer sizes say nothing about a curve.
 const FEWEST_FOR_SHAPE: usize = 5;
-/// A quadratic that changes the cost at the largest size by less than this share of it is no curve of interest.
+/// A quadratic that changes the cost at the largest size by less than this share of it is no curve
+/// of interest.
 const LEAST_BEND: f64 = 0.03;
-/// Critical values of the F distribution with one degree of freedom over 1, 2, ... at a level of 1%.
+/// Critical values of the F distribution with one degree of freedom over 1, 2, ... at a level of
+/// 1%.
 const F_AT_ONE_PERCENT: [f64; 10] = [
     4052.2, 98.5, 34.12, 21.2, 16.26, 13.75, 12.25, 11.26, 10.56, 10.04,
 ];
@@ -75,11 +78,12 @@
 pub enum Weights {
     /// All alike: their errors are of one size.
     Equal,
-    /// By the inverse square of the cost: errors are a share of it, as those of times over sizes of many magnitudes.
+    /// By the inverse square of the cost: errors are a share of it, as those of times over sizes of
+    /// many magnitudes.
     Relative,
 }
 
-/// Costs under this share of the largest one weigh no more than one of it.
+/// Costs under this fraction of the largest one have the weight of one of it.
 const LEAST_WEIGHED: f64 = 1e-4;
 
 impl Weights {
@@ -249,8 +253,8 @@
         constant + linear * size + square * size * size
     }
 
-    /// The fitted size at which the cost passes a budget; 0 where it is passed from the start, `None` where it
-    /// never is, or where the cost does not surely grow.
+    /// The fitted size at which the cost passes a budget; 0 where it is passed from the start,
+    /// `None` where it never is, or where the cost does not surely grow.
     #[must_use]
     pub fn size_at(&self, budget: f64) -> Option<f64> {
         let Quadratic {
--- a/tools/scale/src/fleet_run.rs
+++ b/tools/scale/src/fleet_run.rs
@@ -1,5 +1,5 @@
-//! The fleet run (`whole-run` on the command line): real control processes, real gateways in front of
-//! fake engines, and lightweight gateways, on loopback.
+//! The fleet run (`whole-run` on the command line): real control processes, real gateways in front
+//! of fake engines, and lightweight gateways, on loopback.
 //!
 //! Changes go on throughout, while observers and the leader are killed and a zone's gateways come
 //! back at once.
--- a/tools/scale/src/fleet_run/error.rs
+++ b/tools/scale/src/fleet_run/error.rs
@@ -36,7 +36,7 @@
         what: String,
         /// For how long.
         seconds: u64,
-        /// What was found instead.
+        /// What was seen instead.
         found: String,
     },
 }
--- a/tools/scale/src/fleet_run/phases.rs
+++ b/tools/scale/src/fleet_run/phases.rs
@@ -40,13 +40,13 @@
     control: ControlPlane,
     _engines: FakeUpstreams,
     _layout: Layout,
-    /// The most resident memory of all processes that was found, in bytes.
+    /// The most resident memory of all processes so far, in bytes.
     peak_memory: u64,
 }
 
 impl<'a> Run<'a> {
-    /// Starts engines, control processes, real gateways and the processes of lightweight ones, which
-    /// are empty yet.
+    /// Starts engines, control processes, real gateways and the processes of lightweight ones,
+    /// which are empty yet.
     pub(super) fn start(plan: &'a Plan) -> Result<Self, FleetRunError> {
         let layout = Layout::new()?;
         let serve = program("violetgate")?;
--- a/tools/scale/src/fleet_run/phases/sequences.rs
+++ b/tools/scale/src/fleet_run/phases/sequences.rs
@@ -54,7 +54,8 @@
     wanted.map(|counted| counted.gateways).sum()
 }
 
-/// Whether a gateway applied exactly the changes that were answered, from its first to its last one.
+/// Whether a gateway applied exactly the changes that were answered, from its first to its last
+/// one.
 fn is_part_of(sequence: ChangeSequence, changes: &[Change]) -> bool {
     let numbers = sequence.first..=sequence.last;
     let mut digest = SequenceDigest::default();
--- a/tools/scale/src/fleet_run/real_gateways.rs
+++ b/tools/scale/src/fleet_run/real_gateways.rs
@@ -187,7 +187,7 @@
 }
 
 impl ObservedGateway {
-    /// Takes what metrics show. A gateway that does not answer stays as it was last seen.
+    /// Takes what metrics show. A gateway that does not answer counts as it was last seen.
     fn update(&mut self, metrics: &Metrics) {
         let Some(revision) = metrics.get("svc_cluster_revision") else {
             return;
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -1,5 +1,5 @@
-//! A small embedding around the real decision module: statements at a fixed rate on injected time, each answered after
-//! a fixed number of further ones. It decides nothing.
+//! A gateway around the real decision module: statements at a fixed rate in simulated time, each
+//! answered after a fixed number of further ones. It decides nothing itself.
 
 use std::collections::VecDeque;
 
@@ -11,35 +11,35 @@
 
 use crate::error::ScaleError;
 
-/// Statements a second at one front end: 14 million over 7,600.
+/// Statements a second at one gateway: 14 million over 7,600.
 pub const STATEMENTS_PER_SECOND: u64 = 1_842;
 /// Time between two of them.
 pub const GAP: Micros = 1_000_000 / STATEMENTS_PER_SECOND;
-/// Zones that engines stand in, in turn.
+/// Zones; engines are distributed over them by their ids.
 pub const ZONES: u32 = 5;
-/// One statement in so many is a report; the others are look-ups.
+/// One statement in so many is a report; the others are lookups.
 const REPORT_EVERY: u64 = 20;
-/// Where injected time begins.
+/// Where simulated time begins.
 const START: Micros = 1_000_000;
 /// How long a client waits for its answer.
-const TIME_LEFT: Micros = 5_000_000;
+const CLIENT_TIMEOUT: Micros = 5_000_000;
 
-/// Statements that are out at a time, where the front end's part of the engines allows as many.
-const MOST_OUT: f64 = 20.0;
-/// The module bears this many threads a core in all; cores of one engine.
+/// Statements in flight at a time, where the gateway's part of the engines allows as many.
+const MAX_IN_FLIGHT: f64 = 20.0;
+/// Threads that the module allows a core, over all gateways; cores of one engine.
 const THREADS_PER_CORE: f64 = 2.0;
 const CORES: f64 = 8.0;
-/// The part of its room that a front end uses.
-const ROOM_USED: f64 = 0.7;
+/// The fraction of its capacity that a gateway uses.
+const UTILIZATION: f64 = 0.7;
 
-/// How many statements a front end has out within its part of the engines.
+/// How many statements a gateway has in flight within its part of the engines.
 #[must_use]
-pub fn most_out(gateways: u32, engines: u32) -> usize {
-    let room = THREADS_PER_CORE * CORES * f64::from(engines) / f64::from(gateways);
-    (ROOM_USED * room).clamp(1.0, MOST_OUT) as usize
+pub fn max_in_flight(gateways: u32, engines: u32) -> usize {
+    let capacity = THREADS_PER_CORE * CORES * f64::from(engines) / f64::from(gateways);
+    (UTILIZATION * capacity).clamp(1.0, MAX_IN_FLIGHT) as usize
 }
 
-/// Settings of a front end that is one of so many.
+/// Settings of a gateway that is one of so many.
 ///
 /// # Errors
 ///
@@ -74,73 +74,74 @@
         .collect()
 }
 
-/// An attempt that has not been answered.
+/// An attempt in flight.
 struct Attempt {
     query: QueryId,
     engine: EngineId,
-    sent: Micros,
+    sent_at: Micros,
 }
 
-/// A front end's decisions under load.
-pub struct Driver {
+/// A gateway's decisions under load.
+pub struct GatewayDriver {
     gateway: Gateway,
     now: Micros,
-    wake: Option<Micros>,
-    next: QueryId,
-    out: VecDeque<Attempt>,
-    most_out: usize,
+    timer: Option<Micros>,
+    last_query: QueryId,
+    in_flight: VecDeque<Attempt>,
+    max_in_flight: usize,
     sent: Vec<EngineId>,
     refused: u64,
     actions: Vec<Action>,
 }
 
-impl Driver {
-    /// A front end that knows so many engines; a statement is answered once `most_out` are out.
+impl GatewayDriver {
+    /// A gateway that knows so many engines; a statement is answered once `max_in_flight` are in
+    /// flight.
     #[must_use]
-    pub fn new(settings: Settings, seed: u64, count: u32, most_out: usize) -> Self {
-        let mut driver = Driver {
+    pub fn new(settings: Settings, seed: u64, count: u32, max_in_flight: usize) -> Self {
+        let mut driver = GatewayDriver {
             gateway: Gateway::new(settings, seed),
             now: START,
-            wake: None,
-            next: 0,
-            out: VecDeque::new(),
-            most_out: most_out.max(1),
+            timer: None,
+            last_query: 0,
+            in_flight: VecDeque::new(),
+            max_in_flight: max_in_flight.max(1),
             sent: Vec::new(),
             refused: 0,
             actions: Vec::new(),
         };
-        driver.whole_list(count);
+        driver.update_all_engines(count);
         driver
     }
 
-    /// One statement arrives; the oldest one out is answered once there are enough.
-    pub fn statement(&mut self) {
+    /// One statement arrives; the oldest one in flight is answered once there are enough.
+    pub fn send_statement(&mut self) {
         self.now += GAP;
-        if self.wake.is_some_and(|at| at <= self.now) {
-            self.wake = None;
+        if self.timer.is_some_and(|at| at <= self.now) {
+            self.timer = None;
             self.handle(Event::TimerFired);
         }
-        self.next += 1;
-        let class = u32::from(self.next % REPORT_EVERY == 0);
-        let work = GAP * self.most_out as Micros;
+        self.last_query += 1;
+        let class = u32::from(self.last_query % REPORT_EVERY == 0);
+        let work = GAP * self.max_in_flight as Micros;
         let query = NewQuery {
-            id: self.next,
+            id: self.last_query,
             class,
             estimated_work: Some(work),
-            client_timeout: TIME_LEFT,
+            client_timeout: CLIENT_TIMEOUT,
             ..NewQuery::default()
         };
         self.handle(Event::QueryArrived(query));
-        while self.out.len() >= self.most_out {
+        while self.in_flight.len() >= self.max_in_flight {
             self.answer_oldest();
         }
     }
 
     fn answer_oldest(&mut self) {
-        let Some(attempt) = self.out.pop_front() else {
+        let Some(attempt) = self.in_flight.pop_front() else {
             return;
         };
-        let elapsed = (self.now - attempt.sent).max(GAP);
+        let elapsed = (self.now - attempt.sent_at).max(GAP);
         self.handle(Event::AttemptEnded(AttemptEnded {
             query: attempt.query,
             attempt: 0,
@@ -156,17 +157,17 @@
         }));
     }
 
-    /// News of one engine.
-    pub fn patch(&mut self, id: EngineId, state: EngineState) {
-        self.list(ListScope::Patch, vec![engine(id, state)]);
+    /// Announces the state of one engine.
+    pub fn update_engine(&mut self, id: EngineId, state: EngineState) {
+        self.update_list(ListScope::Patch, vec![engine(id, state)]);
     }
 
-    /// The whole list.
-    pub fn whole_list(&mut self, count: u32) {
-        self.list(ListScope::Snapshot, engines(count));
+    /// Announces the full engine list.
+    pub fn update_all_engines(&mut self, count: u32) {
+        self.update_list(ListScope::Snapshot, engines(count));
     }
 
-    fn list(&mut self, scope: ListScope, engines: Vec<Engine>) {
+    fn update_list(&mut self, scope: ListScope, engines: Vec<Engine>) {
         self.handle(Event::EngineList { scope, engines });
     }
 
@@ -177,14 +178,14 @@
             match *action {
                 Action::Send { query, engine, .. } => {
                     self.sent.push(engine);
-                    self.out.push_back(Attempt {
+                    self.in_flight.push_back(Attempt {
                         query,
                         engine,
-                        sent: self.now,
+                        sent_at: self.now,
                     });
                 }
                 Action::Reject { .. } | Action::Fail { .. } => self.refused += 1,
-                Action::SetTimer { at } => self.wake = Some(at),
+                Action::SetTimer { at } => self.timer = Some(at),
                 Action::SetResources { .. }
                 | Action::Cancel { .. }
                 | Action::SubscribeEngineList => {}
--- a/tools/scale/src/lightweight_gateway/gateway.rs
+++ b/tools/scale/src/lightweight_gateway/gateway.rs
@@ -289,7 +289,8 @@
     Ok(Some(subscriber))
 }
 
-/// Starts the client of the event bus, if it runs; without it the engines of the configuration stay.
+/// Starts the client of the event bus, if it runs; without it the engines of the configuration
+/// stay.
 fn discover_engines(
     template: &GatewayTemplate,
     executor: &Rc<LocalExecutor<'static>>,
@@ -316,7 +317,7 @@
     discovery
 }
 
-/// Checks what is applied, in the same turn of the executor in which it is.
+/// Checks what is applied, at once when it is.
 fn check_applied_changes(
     subscriber: &ClusterSubscriber,
     sequence_checker: &Rc<RefCell<SequenceChecker>>,
--- a/tools/scale/src/lightweight_gateway/progress.rs
+++ b/tools/scale/src/lightweight_gateway/progress.rs
@@ -1,4 +1,4 @@
-//! What a process of lightweight gateways has found and reported so far.
+//! What a process of lightweight gateways has observed and reported so far.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -33,16 +33,16 @@
     pub serving: usize,
 }
 
-/// What was found and reported so far.
+/// What was observed and reported so far.
 #[derive(Default)]
 pub(super) struct Progress {
     /// Changes answered of late, in order.
     answered: VecDeque<AnsweredChange>,
     /// The revision that the state behind each open gate has to have.
     pub required_revision: Revision,
-    /// How often an open gate was found shut.
+    /// How often an open gate was seen shut.
     pub gate_closures: u64,
-    /// How often a gate was found open on older state than required.
+    /// How often a gate was seen open on older state than required.
     pub stale: u64,
     /// The last change that was reported as in force.
     reported_change: u64,
--- a/tools/scale/src/lightweight_gateway/protocol.rs
+++ b/tools/scale/src/lightweight_gateway/protocol.rs
@@ -130,10 +130,10 @@
     pub running: usize,
     /// Those whose gates are open.
     pub serving: usize,
-    /// How often an open gate was found shut.
+    /// How often an open gate was seen shut.
     #[serde(rename = "gates_shut")]
     pub gate_closures: u64,
-    /// How often a gate was found open on a state that lacks a change answered longer ago than the
+    /// How often a gate was seen open on a state that lacks a change answered longer ago than the
     /// drain limit.
     pub stale: u64,
     /// What went wrong with changes.
@@ -154,7 +154,7 @@
 }
 
 impl Totals {
-    /// Adds those of another process. `at` stays.
+    /// Adds those of another process. `at` does not change.
     pub fn add(&mut self, other: Totals) {
         self.running += other.running;
         self.serving += other.serving;
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -1,4 +1,5 @@
-//! What membership costs by the size of the fleet: the real core of each member, in a simulated network.
+//! What membership costs by the size of the fleet: the real core of each member, in a simulated
+//! network.
 
 use std::time::Duration;
 
@@ -10,13 +11,15 @@
 
 /// Sizes of the short form.
 const SHORT_SIZES: [usize; 2] = [100, 300];
-/// Sizes of the whole form. The core knows at most [`MembershipConfig::max_members`] others; larger sizes are left out.
+/// Sizes of the long form. The core knows at most [`MembershipConfig::max_members`] others; larger
+/// sizes are skipped.
 const SIZES: [usize; 5] = [300, 600, 1_000, 2_000, 4_000];
 /// Cases of the short form: those that are soon played.
 const SHORT_CASES: [Case; 2] = [Case::Rest, Case::Start];
-/// How long a case of the whole form may be played; what is longer is reported as cut short.
+/// How long a case of the long form may be played; what is longer is reported as cut short.
 const LONGEST: Duration = Duration::from_secs(60);
-/// How long a case of the short form may be played: enough on any machine, so that its counts stay the same.
+/// How long a case of the short form may be played: enough on any machine, so that its counts stay
+/// the same.
 const LONGEST_SHORT: Duration = Duration::from_secs(120);
 /// Bytes a second that a member may send in a quiet fleet, whatever its size.
 const REST_BYTES_PER_S: f64 = 1_000.0;
@@ -24,7 +27,7 @@
 /// Why membership could not be measured.
 #[derive(Debug, Error)]
 pub enum MembershipError {
-    /// The setting for the most members leaves no size to measure.
+    /// The limit of members is under every size to measure.
     #[error("the membership's limit of {0} members is under every size to measure: raise `MembershipConfig::max_members`")]
     NoSize(usize),
 }
--- a/tools/scale/src/page.rs
+++ b/tools/scale/src/page.rs
@@ -1,5 +1,5 @@
-//! The generated block of docs/CAPACITY.md: tables of the figures that a run of `prove-scale` gave, and the check that
-//! the page still holds them.
+//! The generated block of docs/CAPACITY.md: tables of the figures that a run of `prove-scale` gave,
+//! and the check that the page still holds them.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -20,11 +20,26 @@
 #[derive(Debug)]
 pub struct Saved(BTreeMap<String, String>);
 
+/// The size at which a cost passes its budget.
+#[derive(Debug, Clone, Copy)]
+struct Limit<'a> {
+    size: &'a str,
+    /// What sizes count.
+    size_of: &'a str,
+}
+
+/// One measured cost.
+#[derive(Debug, Clone, Copy)]
+struct Measurement<'a> {
+    size: u64,
+    cost: &'a str,
+}
+
 /// One fitted cost.
 #[derive(Debug, Default)]
 struct Row<'a> {
     /// Costs by size, as measured.
-    measured: Vec<(u64, &'a str)>,
+    measured: Vec<Measurement<'a>>,
     unit: &'a str,
     intercept: &'a str,
     intercept_error: &'a str,
@@ -32,13 +47,13 @@
     slope_error: &'a str,
     r_squared: &'a str,
     shape: &'a str,
-    /// What sizes count, and the size at which the budget is passed.
-    breaks: Option<(&'a str, &'a str)>,
+    /// Where the budget is passed.
+    limit: Option<Limit<'a>>,
 }
 
 impl Saved {
-    /// Reads the figures of a saved run: of its last line that begins with `scale:`. `None`: there is none, or one of
-    /// its figures is no `key=value`.
+    /// Reads the figures of a saved run: of its last line that begins with `scale:`. `None`: there
+    /// is none, or one of its figures is no `key=value`.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let line = text
@@ -67,7 +82,7 @@
             // The longest name: one may begin with another.
             let found = names
                 .iter()
-                .filter_map(|name| Some((*name, part(key, name)?)));
+                .filter_map(|name| Some((*name, suffix(key, name)?)));
             let found = found.max_by_key(|(name, _)| name.len());
             let taken = found.and_then(|(name, part)| rows.get_mut(name)?.take(part, value));
             if taken.is_none() {
@@ -88,8 +103,8 @@
     }
 }
 
-/// What stands behind a cost's name and an underscore.
-fn part<'a>(key: &'a str, name: &str) -> Option<&'a str> {
+/// What follows a cost's name and an underscore.
+fn suffix<'a>(key: &'a str, name: &str) -> Option<&'a str> {
     key.strip_prefix(name)?.strip_prefix('_')
 }
 
@@ -97,10 +112,14 @@
     /// Takes one of the cost's figures; `None`: it is none of the kinds that a fit gives.
     fn take(&mut self, part: &'a str, value: &'a str) -> Option<()> {
         if let Some(size_of) = part.strip_prefix("breaks_at_") {
-            self.breaks = Some((size_of, value));
+            self.limit = Some(Limit {
+                size: value,
+                size_of,
+            });
         } else if let Some(at) = part.strip_prefix("at_") {
             let (size, unit) = at.split_once('_')?;
-            self.measured.push((size.parse().ok()?, value));
+            let size = size.parse().ok()?;
+            self.measured.push(Measurement { size, cost: value });
             self.unit = unit;
         } else if part.starts_with("intercept_error_") {
             self.intercept_error = value;
@@ -121,15 +140,15 @@
     }
 
     fn write(&mut self, name: &str, block: &mut String) {
-        self.measured.sort_unstable_by_key(|(size, _)| *size);
+        self.measured.sort_unstable_by_key(|point| point.size);
         let measured: Vec<_> = self
             .measured
             .iter()
-            .map(|(size, cost)| format!("{size}: {cost}"))
+            .map(|point| format!("{}: {}", point.size, point.cost))
             .collect();
-        let breaks = self
-            .breaks
-            .map_or_else(String::new, |(size_of, size)| format!("{size} {size_of}"));
+        let limit = self.limit.map_or_else(String::new, |limit| {
+            format!("{} {}", limit.size, limit.size_of)
+        });
         let Row {
             unit,
             intercept,
@@ -143,13 +162,14 @@
         let _ = writeln!(
             block,
             "| {name} | {unit} | {} | {intercept} (±{intercept_error}) + {slope} (±{slope_error}) | {shape}, \
-             {r_squared} | {breaks} |",
+             {r_squared} | {limit} |",
             measured.join(", ")
         );
     }
 }
 
-/// A page with another block between the marks. `None`: the page lacks a mark, or they stand in the wrong order.
+/// A page with another block between the marks. `None`: the page lacks a mark, or they stand in the
+/// wrong order.
 #[must_use]
 pub fn with_block(page: &str, block: &str) -> Option<String> {
     let (before, rest) = page.split_once(BEGIN)?;
@@ -158,10 +178,10 @@
 }
 
 fn read(file: &Path) -> Result<String, ScaleError> {
-    std::fs::read_to_string(file).map_err(|e| refused(file, e.to_string()))
+    std::fs::read_to_string(file).map_err(|e| page_error(file, e.to_string()))
 }
 
-fn refused(file: &Path, reason: impl Into<String>) -> ScaleError {
+fn page_error(file: &Path, reason: impl Into<String>) -> ScaleError {
     ScaleError::Page {
         file: file.to_owned(),
         reason: reason.into(),
@@ -169,17 +189,17 @@
 }
 
 /// The page as it is, and as it has to be.
-fn both(page: &Path, figures: &Path) -> Result<(String, String), ScaleError> {
+fn current_and_wanted(page: &Path, figures: &Path) -> Result<(String, String), ScaleError> {
     let saved = Saved::parse(&read(figures)?);
     let saved = saved.ok_or_else(|| {
-        refused(
+        page_error(
             figures,
             "holds no line `scale: key=value ...`; save the last line of a run there",
         )
     })?;
     let text = read(page)?;
     let wanted = with_block(&text, &saved.render()).ok_or_else(|| {
-        refused(
+        page_error(
             page,
             format!("has no block between {BEGIN} and {END}; add both lines"),
         )
@@ -193,17 +213,17 @@
 ///
 /// It holds others, or one of the files can't be used.
 pub fn check(page: &Path, figures: &Path) -> Result<(), ScaleError> {
-    let (text, wanted) = both(page, figures)?;
+    let (text, wanted) = current_and_wanted(page, figures)?;
     if text == wanted {
         return Ok(());
     }
     let line = text
         .lines()
         .zip(wanted.lines())
-        .take_while(|(is, should)| is == should)
+        .take_while(|(line, wanted)| line == wanted)
         .count()
         + 1;
-    Err(refused(
+    Err(page_error(
         page,
         format!("line {line} differs from the saved figures; rewrite it with --write"),
     ))
@@ -215,6 +235,6 @@
 ///
 /// One of the files can't be used.
 pub fn rewrite(page: &Path, figures: &Path) -> Result<(), ScaleError> {
-    let (_, wanted) = both(page, figures)?;
-    std::fs::write(page, wanted).map_err(|e| refused(page, e.to_string()))
+    let (_, wanted) = current_and_wanted(page, figures)?;
+    std::fs::write(page, wanted).map_err(|e| page_error(page, e.to_string()))
 }
--- a/tools/scale/src/replicated_state.rs
+++ b/tools/scale/src/replicated_state.rs
@@ -1,6 +1,6 @@
 //! Replicated state by the number of instances, each a member as `violetgate serve` makes it: what
-//! the leader spends at rest, the read-index requests that it answers, how long a change takes until
-//! all have applied it, and how many may route.
+//! the leader spends at rest, the read-index requests that it answers, how long a change takes
+//! until all have applied it, and how many may route.
 
 mod costs;
 mod group;
@@ -16,7 +16,8 @@
 use costs::{Slopes, TARGET};
 use group::{Group, READY_TIMEOUT};
 
-/// Around 65 every size is measured: there the transport's limit on connections is expected to show.
+/// Around 65 every size is measured: there the transport's limit on connections is expected to
+/// show.
 const SIZES: [u64; 10] = [3, 5, 9, 17, 33, 49, 60, 65, 66, 70];
 const SHORT_SIZES: [u64; 3] = [3, 5, 9];
 
--- a/tools/scale/src/replicated_state/members.rs
+++ b/tools/scale/src/replicated_state/members.rs
@@ -25,7 +25,7 @@
 pub const LEADER: NodeId = 1;
 /// Members that vote; all others are learners.
 pub const VOTERS: [NodeId; 3] = [1, 2, 3];
-/// How often the thread of the other members updates what it shares.
+/// How often the thread of the other members updates its progress.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 const CLUSTER: &str = "scale";
 
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -49,7 +49,8 @@
         self.fitted()?.size_at(self.budget?.cost)
     }
 
-    /// Adds the measurements, the fit and the size at which the budget is passed, and prints the slope as a line.
+    /// Adds the measurements, the fit and the size at which the budget is passed, and prints the
+    /// slope as a line.
     pub fn record(&self, figures: &mut Figures) {
         println!("{self}");
         let Slope {
--- a/tools/scale/tests/change_sequence.rs
+++ b/tools/scale/tests/change_sequence.rs
@@ -1,4 +1,5 @@
-//! The check of what one gateway applies, on made-up state: in order, each change once, none missing.
+//! The check of what one gateway applies, on made-up state: in order, each change once, none
+//! missing.
 #![allow(missing_docs, clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
@@ -72,7 +73,8 @@
     }
 }
 
-/// One by one, several at once and from a snapshot: the same changes, and the same digest from the same first one.
+/// One by one, several at once and from a snapshot: the same changes, and the same digest from the
+/// same first one.
 #[test]
 fn changes_applied_singly_batched_or_by_snapshot_give_one_sequence() {
     let (mut single, mut batched) = (SequenceChecker::default(), SequenceChecker::default());
--- a/tools/scale/tests/fit.rs
+++ b/tools/scale/tests/fit.rs
@@ -1,4 +1,5 @@
-//! Known lines and curves come out of the fit, with their errors and the size at which they pass a budget.
+//! Known lines and curves come out of the fit, with their errors and the size at which they pass a
+//! budget.
 #![allow(clippy::unwrap_used, clippy::indexing_slicing)]
 
 use violetgate_scale::fit::{Fit, Point, Shape, Weights};
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn a_line_without_scatter_is_found_exactly() {
+fn a_line_without_scatter_is_fitted_exactly() {
     let line = fit(&points(|size| 12.0 + 0.5 * size)).unwrap();
     assert!(near(line.intercept, 12.0) && near(line.slope, 0.5) && near(line.r_squared, 1.0));
     assert!(line.slope_error < 1e-6 && line.intercept_error < 1e-3);
@@ -68,7 +69,8 @@
     assert_eq!(falls.size_at(10_000.0), None);
 }
 
-/// Scatter of two per cent with changing signs hides no line, and a bend smaller than it is none.
+/// Scatter of two per cent with alternating signs hides no line, and a bend smaller than it is
+/// none.
 #[test]
 fn scatter_is_no_curve() {
     let signs = [1.0, -1.0, 1.0, 1.0, -1.0, 1.0];
@@ -103,7 +105,8 @@
     );
 }
 
-/// Twenty per cent too much at the largest size bends an even fit away from the small sizes, and not a relative one.
+/// Twenty per cent too much at the largest size bends an even fit away from the small sizes, and
+/// not a relative one.
 #[test]
 fn relative_weights_keep_to_the_small_sizes() {
     let mut measured = points(|size| 20.0 + 0.5 * size);
--- a/tools/scale/tests/page.rs
+++ b/tools/scale/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page's block follows the saved figures, and roles are told in the order in which they end.
+//! The page's block follows the saved figures, and roles are listed in the order in which they end.
 #![allow(clippy::unwrap_used)]
 
 use violetgate_scale::figures::{CapacityLimit, Figures};
@@ -43,9 +43,9 @@
     assert_eq!(Saved::parse(SAVED).unwrap().render(), wanted);
 }
 
-/// Every part of a recorded slope finds its place in the row, and none is left for the second table.
+/// Every part of a recorded slope has its place in the row, and none is in the second table.
 #[test]
-fn a_recorded_slope_is_a_whole_row() {
+fn a_recorded_slope_fills_its_row() {
     let mut figures = Figures::default();
     slope().record(&mut figures);
     let block = Saved::parse(&figures.line("scale")).unwrap().render();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_smallest_share_of_its_target_ends_first() {
+fn the_smallest_fraction_of_its_target_comes_first() {
     let mut figures = Figures::default();
     let role_ends = |name: &str, size, target| CapacityLimit {
         name: name.to_owned(),
--- a/tools/scale/tests/propagation.rs
+++ b/tools/scale/tests/propagation.rs
@@ -49,7 +49,8 @@
     assert_eq!((delays.quantile(0.5), delays.quantile(0.99)), (0.5, 2.0));
 }
 
-/// A change that never was in force, and no change at all, make no quantile: bounds are missed then.
+/// A change that never was in force, and no change at all, make no quantile: bounds are missed
+/// then.
 #[test]
 fn quantiles_are_no_number_if_a_change_was_never_in_force() {
     let changes = [change(1, 0, 11), change(2, 0, 12)];
--- a/tools/scale/tests/protocol.rs
+++ b/tools/scale/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The JSON between a run and its processes of lightweight gateways keeps its form.
+//! The JSON between a run and its processes of lightweight gateways has its old form.
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeMap;
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -1,7 +1,7 @@
 //! What acceptance tests, scale tests and the fleet harness share about gateway processes: their
 //! start and end, free addresses, waiting, metrics, and their use of the machine.
 //!
-//! Everything here looks at a process from outside. It needs Linux with `/proc` mounted.
+//! Everything here sees a process from outside. It needs Linux with `/proc` mounted.
 
 mod addresses;
 mod metrics;
@@ -17,7 +17,7 @@
 pub use usage::ProcessUsage;
 pub use wait::wait_until;
 
-/// Locks a mutex that a thread may have left locked when it failed.
+/// Locks a mutex, also one that a thread held when it failed.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tools/test-harness/src/metrics.rs
+++ b/tools/test-harness/src/metrics.rs
@@ -10,7 +10,7 @@
 /// Values by the name of the metric with its labels.
 pub type Metrics = BTreeMap<String, f64>;
 
-/// Reads the metrics at a management address. Lines that hold no number are left out.
+/// Reads the metrics at a management address. Lines that hold no number are skipped.
 ///
 /// # Errors
 ///
--- a/tools/test-harness/src/process.rs
+++ b/tools/test-harness/src/process.rs
@@ -70,7 +70,7 @@
 }
 
 /// A gateway that can be started, killed and started again in the same folder. It is killed when it
-/// is dropped; its folder stays.
+/// is dropped; its folder is not removed.
 #[derive(Debug)]
 pub struct ServerProcess {
     program: PathBuf,
@@ -81,8 +81,8 @@
 }
 
 impl ServerProcess {
-    /// Creates a process that is not started yet. Its folder holds `config.json` and, if the process
-    /// has settings, `violetgate.hcl`.
+    /// Creates a process that is not started yet. Its folder holds `config.json` and, if the
+    /// process has settings, `violetgate.hcl`.
     #[must_use]
     pub fn new(program: &Path, folder: PathBuf, log_target: LogTarget) -> Self {
         ServerProcess {
@@ -181,7 +181,7 @@
 ///
 /// # Errors
 ///
-/// The path of the running program can't be found.
+/// The path of the running program is unknown.
 pub fn program_beside(name: &str) -> Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name(name))
 }
