--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -156,16 +156,16 @@
         } = self.status();
         let (observer, reserve) = (shown_or(watched, "none"), shown_or(standby, "none"));
         if !is_fenced {
-            return log::line(format_args!(
-                "cluster sends again: revision={revision} observer={observer} reserve={reserve}"
+            return log::write_line(format_args!(
+                "cluster fence is open: revision={revision} observer={observer} reserve={reserve}"
             ));
         }
         let age = freshness.err().and_then(|stale| stale.age);
         let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
         let refused = rejection.map(|reason| format!("{}: {reason}", reason.code()));
         let refused = shown_or(refused, "none");
-        log::line(format_args!(
-            "cluster reason=stale sends nothing: age_ms={age_ms} revision={revision} \
+        log::write_line(format_args!(
+            "cluster reason=stale fence is shut: age_ms={age_ms} revision={revision} \
              observer={observer} reserve={reserve} refused={refused}"
         ));
     }
@@ -181,7 +181,7 @@
             known_observer = status.watched;
             let observer = shown_or(status.watched, "none");
             let reserve = shown_or(status.standby, "none");
-            log::line(format_args!(
+            log::write_line(format_args!(
                 "cluster observer={observer} reserve={reserve} revision={}",
                 status.revision
             ));
--- a/tools/scale/src/lightweight_gateway/gateway.rs
+++ b/tools/scale/src/lightweight_gateway/gateway.rs
@@ -270,7 +270,7 @@
     /// How many gateways it takes the fleet to have.
     #[must_use]
     pub fn fleet_size(&self) -> Option<u32> {
-        self.fleet.as_ref().map(FleetMembership::size)
+        self.fleet.as_ref().map(FleetMembership::fleet_size)
     }
 }
 
