--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -1,7 +1,7 @@
 //! This instance's part in a cluster with a shared configuration.
 //!
-//! A [`ClusterMember`](member::ClusterMember) replicates the shared state with the other members; a [`ClusterSubscriber`]
-//! follows it through observers. Both carry out what is committed through a
+//! A [`ClusterMember`](member::ClusterMember) replicates the shared state with the other members; a
+//! [`ClusterSubscriber`] follows it through observers. Both carry out what is committed through a
 //! [`reconcile::Reconciler`], in the very step in which it is applied, and both are the program's
 //! [`crate::fence::Fence`]: nothing is sent on state that can't be confirmed. What the shared state
 //! means is [`shared_config`]'s, which does no I/O.
--- a/gateway/tests/cluster/main.rs
+++ b/gateway/tests/cluster/main.rs
@@ -17,14 +17,14 @@
 use std::path::Path;
 
 use serde_json::Value;
-use support::{reserved, Front, Http, Reply};
+use support::{reserve_address, GatewayProcess, HttpConnection, Reply};
 
-/// A front end that is a cluster by itself, and where its API is.
-fn alone() -> (Front, String) {
-    let (peer, api) = (reserved(), reserved());
+/// A gateway that is a cluster by itself, and where its API is.
+fn alone() -> (GatewayProcess, String) {
+    let (peer, api) = (reserve_address(), reserve_address());
     let block = |folder: &Path| block(folder, 1, &peer, &api, &[(1, &peer)]);
-    let front = Front::begin(2, "", 12.0, block);
-    (front, api.clone())
+    let gateway = GatewayProcess::start_with_blocks(2, "", 12.0, block);
+    (gateway, api.clone())
 }
 
 fn block(folder: &Path, id: u64, peer: &str, api: &str, members: &[(u64, &str)]) -> String {
@@ -39,11 +39,11 @@
     )
 }
 
-struct Api(Http);
+struct Api(HttpConnection);
 
 impl Api {
     fn new(at: &str) -> Self {
-        Api(Http::open(at))
+        Api(HttpConnection::open(at))
     }
 
     fn call(&mut self, method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> Reply {
--- a/gateway/tests/cluster/membership.rs
+++ b/gateway/tests/cluster/membership.rs
@@ -2,51 +2,54 @@
 
 use serde_json::json;
 
-use crate::support::{reserved, violetgate, Front};
+use crate::support::{reserve_address, run_violetgate, GatewayProcess};
 use crate::{alone, block, Api};
 
 /// A member whose others are away can't confirm its state: it says that it is not ready and tells
-/// clients at once to go elsewhere, over both fronts; reads are refused, unless an old copy will
+/// clients at once to go elsewhere, over both protocols; reads are refused, unless an old copy will
 /// do.
 #[test]
 fn an_isolated_member_sends_nothing_and_rejects_reads() {
-    let (peer, api) = (reserved(), reserved());
-    let others = [reserved(), reserved()];
+    let (peer, api) = (reserve_address(), reserve_address());
+    let others = [reserve_address(), reserve_address()];
     let members = [
         (1, peer.as_str()),
         (2, others[0].as_str()),
         (3, others[1].as_str()),
     ];
-    let mut front = Front::start(1, "", 12.0);
-    let settings = front.folder.join("violetgate.hcl");
+    let mut gateway = GatewayProcess::start(1, "", 12.0);
+    let settings = gateway.folder.join("violetgate.hcl");
     let text = std::fs::read_to_string(&settings).unwrap()
-        + &block(&front.folder, 1, &peer, &api, &members);
+        + &block(&gateway.folder, 1, &peer, &api, &members);
     std::fs::write(&settings, text).unwrap();
-    front.child.kill().unwrap();
-    front.child.wait().unwrap();
+    gateway.child.kill().unwrap();
+    gateway.child.wait().unwrap();
     // Without its folder it does not start.
-    let (code, told) = front.start_in_vain();
+    let (code, output) = gateway.run_until_exit();
     assert!(
-        code == Some(1) && told.contains("`violetgate members init` makes one"),
-        "{told}"
+        code == Some(1) && output.contains("`violetgate members init` makes one"),
+        "{output}"
     );
     let init = ["members", "init", "--settings", settings.to_str().unwrap()];
-    assert!(violetgate(&init).0);
-    let (well, told) = violetgate(&init);
-    assert!(!well && told.contains("a member's already"), "{told}");
-    front.start_again();
+    assert!(run_violetgate(&init).0);
+    let (succeeded, output) = run_violetgate(&init);
+    assert!(
+        !succeeded && output.contains("a member's already"),
+        "{output}"
+    );
+    gateway.restart();
     let mut calls = Api::new(&api);
-    let (status, _) = front.call("GET", "/admin/health", "");
+    let (status, _) = gateway.call("GET", "/admin/health", "");
     assert_eq!(status, 503);
     let lookup = json!({"class": "lookup", "budget_ms": 10_000, "statement": "SELECT 1"});
-    let told = front.ask(&lookup, None);
+    let reply = gateway.post_query(&lookup, None);
     assert_eq!(
-        (told.status, told.problem_type().as_str()),
+        (reply.status, reply.problem_type().as_str()),
         (503, "isolated")
     );
     let sql = "/* method=lookup,rid=00000000000000a1,budget=10000 */ SELECT 1";
-    assert_eq!(front.pg().query(sql), Err("57P03".to_owned()));
-    assert_eq!(front.fleet.counts().attempts(), 0);
+    assert_eq!(gateway.pg().query(sql), Err("57P03".to_owned()));
+    assert_eq!(gateway.upstreams.counts().attempts(), 0);
     assert_eq!(
         calls.get("/v1/state?within_ms=200").problem_type(),
         "isolated"
@@ -60,12 +63,12 @@
     assert_eq!(calls.get("/v1/cluster").json()["routes"], false);
 }
 
-/// The command line: a state that is saved begins another cluster, and what is wrong is told in one
+/// The command line: a state that is saved begins another cluster, and errors are reported in one
 /// line.
 #[test]
 fn a_saved_state_begins_another_cluster() {
-    let (front, at) = alone();
-    let ctl = |at: &str, args: &[&str]| violetgate(&[&["ctl", "--at", at][..], args].concat());
+    let (gateway, at) = alone();
+    let ctl = |at: &str, args: &[&str]| run_violetgate(&[&["ctl", "--at", at][..], args].concat());
     assert!(ctl(&at, &["put", "greeting", "hello"]).0);
     assert!(ctl(&at, &["cordon", "e-2"]).0);
     assert_eq!(ctl(&at, &["get", "greeting"]), (true, "hello\n".to_owned()));
@@ -74,24 +77,24 @@
             .1
             .contains("\"value\":\"hello\"")
     );
-    let (well, told) = ctl(&at, &["put", "greeting", "x", "--if-revision", "0"]);
+    let (succeeded, output) = ctl(&at, &["put", "greeting", "x", "--if-revision", "0"]);
     assert!(
-        !well && told.contains("a condition does not hold"),
-        "{told}"
+        !succeeded && output.contains("a condition does not hold"),
+        "{output}"
     );
-    let file = front.folder.join("saved");
+    let file = gateway.folder.join("saved");
     let file = file.to_str().unwrap();
     assert!(ctl(&at, &["snapshot", "save", file]).0);
     assert!(ctl(&at, &["members"]).1.contains("leader"));
     // Another cluster, of one member that begins with that state.
-    let (peer, api) = (reserved(), reserved());
-    let other = Front::start(2, "", 12.0);
+    let (peer, api) = (reserve_address(), reserve_address());
+    let other = GatewayProcess::start(2, "", 12.0);
     let settings = other.folder.join("violetgate.hcl");
     let text = std::fs::read_to_string(&settings).unwrap()
         + &block(&other.folder, 4, &peer, &api, &[(4, &peer)]);
     std::fs::write(&settings, text).unwrap();
     let settings = settings.to_str().unwrap();
-    let (well, told) = violetgate(&[
+    let (succeeded, output) = run_violetgate(&[
         "ctl",
         "snapshot",
         "restore",
@@ -99,14 +102,15 @@
         "--settings",
         settings,
     ]);
-    assert!(!well && told.contains("no saved state"), "{told}");
-    let (well, told) = violetgate(&["ctl", "snapshot", "restore", file, "--settings", settings]);
-    assert!(well, "{told}");
+    assert!(!succeeded && output.contains("no saved state"), "{output}");
+    let (succeeded, output) =
+        run_violetgate(&["ctl", "snapshot", "restore", file, "--settings", settings]);
+    assert!(succeeded, "{output}");
     let mut other = other;
     other.child.kill().unwrap();
     other.child.wait().unwrap();
-    other.start_again();
-    other.healthy();
+    other.restart();
+    other.wait_until_healthy();
     assert_eq!(
         ctl(&api, &["get", "greeting"]),
         (true, "hello\n".to_owned())
--- a/gateway/tests/cluster/settings.rs
+++ b/gateway/tests/cluster/settings.rs
@@ -8,7 +8,7 @@
 /// effect at once.
 #[test]
 fn shared_settings_are_checked_and_have_versions() {
-    let (front, at) = alone();
+    let (gateway, at) = alone();
     let mut api = Api::new(&at);
     let wrong = api.call(
         "PUT",
@@ -41,16 +41,16 @@
     );
     let statement = format!("SELECT 1 /* {} */", "x".repeat(3_000));
     let ask = json!({"class": "lookup", "budget_ms": 10_000, "statement": statement});
-    assert_eq!(front.ask(&ask, None).status, 413);
+    assert_eq!(gateway.post_query(&ask, None).status, 413);
     assert_eq!(apply(&mut api, 64, 1, "s-3").json()["version"], 2);
-    assert_eq!(front.ask(&ask, None).status, 200);
+    assert_eq!(gateway.post_query(&ask, None).status, 200);
     assert_eq!(
         api.call("POST", "/v1/settings/rollback?version=1", &[], "")
             .json()["version"],
         3
     );
     assert_eq!(api.get("/v1/settings").body, text(2).as_bytes());
-    assert_eq!(front.ask(&ask, None).status, 413);
+    assert_eq!(gateway.post_query(&ask, None).status, 413);
     assert_eq!(
         api.get("/v1/settings/versions").json()["versions"]
             .as_array()
--- a/gateway/tests/cluster/state.rs
+++ b/gateway/tests/cluster/state.rs
@@ -5,7 +5,7 @@
 use crate::{alone, keys, Api};
 
 /// All pages of a listing are of the revision of the first, whatever is written between them; what
-/// is compacted away is told, to a listing and to a watcher.
+/// is compacted away is reported, to a listing and to a watcher.
 #[test]
 fn all_pages_of_a_listing_are_of_one_revision() {
     let (_front, at) = alone();
@@ -126,10 +126,10 @@
     let txn = json!({"checks": [{"key": "k", "holds": "2"}, {"key": "new", "changed": 0}],
         "then": [{"put": "new", "value_base64": "/wA="}, {"delete": "k"}], "otherwise": [{"put": "no", "value": ""}]});
     for held in [true, false] {
-        let told = api
+        let reply = api
             .call("POST", "/v1/transactions", &[], &txn.to_string())
             .json();
-        assert_eq!(told["held"], held);
+        assert_eq!(reply["held"], held);
     }
     assert_eq!(api.get("/v1/state?key=k").status, 404);
     assert_eq!(api.get("/v1/state?key=new").json()["value_base64"], "/wA=");
@@ -141,9 +141,9 @@
     let (_front, at) = alone();
     let mut api = Api::new(&at);
     for (method, path, body, status, kind) in REJECTED_CALLS {
-        let told = api.call(method, path, &[], body);
+        let reply = api.call(method, path, &[], body);
         assert_eq!(
-            (told.status, told.problem_type().as_str()),
+            (reply.status, reply.problem_type().as_str()),
             (status, kind),
             "{method} {path}"
         );
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -13,11 +13,11 @@
 use std::io::Read;
 use std::net::TcpStream;
 
-use support::{exit, until, Front, Pg};
+use support::{wait_for_exit, wait_until, GatewayProcess, PostgresSession};
 
 /// Descriptors that a process holds.
-fn descriptors(front: &Front) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", front.child.id()))
+fn descriptors(gateway: &GatewayProcess) -> usize {
+    std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
         .unwrap()
         .count()
 }
@@ -28,58 +28,61 @@
 #[test]
 fn idle_clients_leave_descriptors_for_the_bus() {
     const LIMIT: usize = 64;
-    let mut front = Front::start(2, "", 12.0);
-    front.child.kill().unwrap();
-    front.child.wait().unwrap();
-    let path = front.folder.join("config.json");
+    let mut gateway = GatewayProcess::start(2, "", 12.0);
+    gateway.child.kill().unwrap();
+    gateway.child.wait().unwrap();
+    let path = gateway.folder.join("config.json");
     let mut config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(&path).unwrap()).unwrap();
     config["limits"]["sockets"] = LIMIT.into();
     std::fs::write(&path, config.to_string()).unwrap();
-    front.start_again();
-    front.healthy();
+    gateway.restart();
+    gateway.wait_until_healthy();
     let mut idle = Vec::new();
     for n in 0..4 * LIMIT {
-        idle.push(front.pg());
+        idle.push(gateway.pg());
         assert!(
-            descriptors(&front) <= LIMIT,
+            descriptors(&gateway) <= LIMIT,
             "{} with {n} clients",
-            descriptors(&front)
+            descriptors(&gateway)
         );
     }
-    front.fleet.break_bus();
-    front.fleet.add("e-9", None).unwrap();
-    until("the bus is followed again", || {
-        front.figure("svc_known_engines") == 3.0
+    gateway.upstreams.break_bus();
+    gateway.upstreams.add("e-9", None).unwrap();
+    wait_until("the bus is followed again", || {
+        gateway.metric("svc_known_engines") == 3.0
     });
     let mut last = idle.pop().unwrap();
     let rows = last
         .query("/* method=lookup,rid=00000000000000a1,budget=9000 */ SELECT 1 FROM sales_3.plan");
     assert_eq!(rows.map(|r| r.len()), Ok(3));
-    assert!(descriptors(&front) <= LIMIT);
+    assert!(descriptors(&gateway) <= LIMIT);
 }
 
 /// At SIGTERM sessions at rest are each closed, with a reason in the log, before the process ends
 /// by itself.
 #[test]
 fn sessions_at_rest_are_closed_before_the_end() {
-    let mut front = Front::start(1, "", 12.0);
-    front.restart_piped();
-    let sessions: Vec<(Pg, TcpStream)> = (0..5)
+    let mut gateway = GatewayProcess::start(1, "", 12.0);
+    gateway.restart_piped();
+    let sessions: Vec<(PostgresSession, TcpStream)> = (0..5)
         .map(|_| {
-            let stream = support::connect(&front.listen);
-            (Pg::over(stream.try_clone().unwrap()), stream)
+            let stream = support::connect(&gateway.listen);
+            (
+                PostgresSession::from_stream(stream.try_clone().unwrap()),
+                stream,
+            )
         })
         .collect();
-    front.signal("TERM");
+    gateway.signal("TERM");
     for (_, mut stream) in sessions {
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).expect("an end, and no reset");
         assert!(rest.is_empty(), "{}", rest.escape_ascii());
     }
-    assert_eq!(exit(&mut front.child), Some(0));
+    assert_eq!(wait_for_exit(&mut gateway.child), Some(0));
     let mut log = String::new();
-    front
+    gateway
         .child
         .stderr
         .take()
--- a/gateway/tests/openapi.rs
+++ b/gateway/tests/openapi.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 use serde_json::{json, Value};
-use support::{until, Front, Reply};
+use support::{wait_until, GatewayProcess, Reply};
 
 struct Page {
     page: Value,
@@ -137,85 +137,92 @@
         had: BTreeSet::new(),
     };
     let rest = "  body_timeout = \"100ms\"\n  results_bytes = \"300KiB\"";
-    let front = Front::start(1, rest, 0.05);
+    let gateway = GatewayProcess::start(1, rest, 0.05);
     page.fits(
         &page.page["components"]["schemas"]["Query"].clone(),
         &query("load", 5, ""),
         "Query",
     );
-    let first = front.ask(&query("report", 20_000, WIDE), None);
+    let first = gateway.post_query(&query("report", 20_000, WIDE), None);
     page.check(ASK, "post", &first);
-    check_queries(&mut page, &front);
-    check_keyed_queries(&mut page, &front);
-    check_full_results(&mut page, &front);
-    check_pages(&mut page, &front, &first);
+    check_queries(&mut page, &gateway);
+    check_keyed_queries(&mut page, &gateway);
+    check_full_results(&mut page, &gateway);
+    check_pages(&mut page, &gateway, &first);
     assert_eq!(page.had, page.listed());
 }
 
-fn check_queries(page: &mut Page, front: &Front) {
-    page.check(ASK, "post", &front.ask(&query("lookup", 20_000, ""), None));
-    page.check(ASK, "post", &front.ask(&json!({}), None));
-    let mut http = front.http();
-    http.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{");
+fn check_queries(page: &mut Page, gateway: &GatewayProcess) {
+    page.check(
+        ASK,
+        "post",
+        &gateway.post_query(&query("lookup", 20_000, ""), None),
+    );
+    page.check(ASK, "post", &gateway.post_query(&json!({}), None));
+    let mut http = gateway.http();
+    http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{");
     page.check(ASK, "post", &http.read());
-    let mut http = front.http();
-    http.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 999999\r\n\r\n{");
+    let mut http = gateway.http();
+    http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 999999\r\n\r\n{");
     page.check(ASK, "post", &http.read());
-    let mut http = front.http();
+    let mut http = gateway.http();
     http.send("POST", ASK, &[("content-type", "text/plain")], b"{}");
     page.check(ASK, "post", &http.read());
 }
 
-fn check_keyed_queries(page: &mut Page, front: &Front) {
+fn check_keyed_queries(page: &mut Page, gateway: &GatewayProcess) {
     page.check(
         ASK,
         "post",
-        &front.ask(&query("load", 9_000, ""), Some("k-1")),
+        &gateway.post_query(&query("load", 9_000, ""), Some("k-1")),
     );
     // One that joins a query that runs, and has less time than that takes.
-    let mut long = front.http();
+    let mut long = gateway.http();
     let slow = |budget| {
         let mut slow = query("load", budget, "ms=700");
         slow["estimate_ms"] = 700.into();
         slow
     };
-    long.ask(&slow(9_000), Some("k-4"));
-    assert!(front.fleet.wait_for(|c| c.by_key.contains_key("k-4")));
-    page.check(ASK, "post", &front.ask(&slow(150), Some("k-4")));
+    long.post_query(&slow(9_000), Some("k-4"));
+    assert!(gateway.upstreams.wait_for(|c| c.by_key.contains_key("k-4")));
+    page.check(ASK, "post", &gateway.post_query(&slow(150), Some("k-4")));
     page.check(ASK, "post", &long.read());
-    until("the key is used with another query", || {
-        let one = front.ask(&query("load", 9_000, ""), Some("k-2"));
+    wait_until("the key is used with another query", || {
+        let one = gateway.post_query(&query("load", 9_000, ""), Some("k-2"));
         assert_eq!(one.status, 200);
-        let other = front.ask(&query("load", 9_000, "ms=1"), Some("k-2"));
+        let other = gateway.post_query(&query("load", 9_000, "ms=1"), Some("k-2"));
         page.check(ASK, "post", &other);
         other.status == 422
     });
     // Its outcome is unknown, and the window from its beginning is over before the one from its
     // end.
-    until("a second one might have its effect twice", || {
-        let failed = front.ask(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
+    wait_until("a second one might have its effect twice", || {
+        let failed = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
         page.check(ASK, "post", &failed);
-        let again = front.ask(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
+        let again = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
         page.check(ASK, "post", &again);
         [failed.status, again.status].contains(&409)
     });
 }
 
-fn check_full_results(page: &mut Page, front: &Front) {
-    let full = front.ask(&query("report", 20_000, WIDE), None);
+fn check_full_results(page: &mut Page, gateway: &GatewayProcess) {
+    let full = gateway.post_query(&query("report", 20_000, WIDE), None);
     page.check(ASK, "post", &full);
     let (mut n, mut last) = (0, full);
     while last.status == 200 && n < 9 {
-        (n, last) = (n + 1, front.ask(&query("report", 20_000, WIDE), None));
+        (n, last) = (
+            n + 1,
+            gateway.post_query(&query("report", 20_000, WIDE), None),
+        );
         page.check(ASK, "post", &last);
     }
     assert_eq!(last.problem_type(), "results-full");
 }
 
-fn check_pages(page: &mut Page, front: &Front, first: &Reply) {
+fn check_pages(page: &mut Page, gateway: &GatewayProcess, first: &Reply) {
     let path = first.next().unwrap();
     let id = first.json()["id"].as_str().unwrap().to_owned();
-    let mut http = front.http();
+    let mut http = gateway.http();
     let unknown = "/v1/queries/AAAA/pages/2";
     for (method, name) in [("GET", "get"), ("HEAD", "head")] {
         for at in [path.as_str(), unknown] {
--- a/gateway/tests/player/mod.rs
+++ b/gateway/tests/player/mod.rs
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use crate::support::{connect, reserved, WAIT};
+use crate::support::{connect, reserve_address, WAIT};
 use bytes::mask;
 use fake_bus::FakeBus;
 
@@ -61,7 +61,7 @@
 /// Starts a process over a folder that holds its configuration, with a management address of its
 /// own.
 fn spawn(folder: &Path, listen: &str) -> (Child, String) {
-    let management = reserved();
+    let management = reserve_address();
     let child = program(&folder.join("config.json"))
         .env("PROXY_LISTEN", listen)
         .env("PROXY_MANAGEMENT", &management)
@@ -92,7 +92,7 @@
             .map(|(i, l)| server(i, &l.local_addr().unwrap().to_string(), "in_service"))
             .collect();
         let bus = free();
-        let listen = reserved();
+        let listen = reserve_address();
         let config = format!(
             r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964","bus":"{}","unknown":[1],
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":1024}},"settings":{SETTINGS},
@@ -141,7 +141,7 @@
     }
 
     /// Waits until the latest process says that it can serve.
-    fn healthy(&mut self) {
+    fn wait_until_healthy(&mut self) {
         let until = Instant::now() + WAIT;
         while !self.call("GET /admin/health").0.contains(" 200 ") {
             assert!(Instant::now() < until, "the process is not healthy");
--- a/gateway/tests/player/steps.rs
+++ b/gateway/tests/player/steps.rs
@@ -34,7 +34,7 @@
             ("program" | "old", "config" | "upgrade" | "term" | "hup" | "exit") => {
                 self.process_step(who, verb, text);
             }
-            ("operator", "ready") => self.healthy(),
+            ("operator", "ready") => self.wait_until_healthy(),
             ("operator", "call") => {
                 let (status, body) = self.call(text);
                 self.note(who, &format!("< {status} {}", body.escape_default()));
@@ -110,7 +110,7 @@
                 let (child, management) = spawn(&self.folder, &self.listen);
                 self.old = Some(std::mem::replace(&mut self.child, child));
                 self.management = management;
-                self.healthy();
+                self.wait_until_healthy();
             }
             "term" | "hup" => {
                 let pid = self.process(who).id().to_string();
--- a/gateway/tests/rest/idempotency.rs
+++ b/gateway/tests/rest/idempotency.rs
@@ -1,120 +1,132 @@
-//! Idempotency keys and ordering keys, over both front ends.
+//! Idempotency keys and ordering keys, over REST and PostgreSQL.
 
-use crate::support::{until, Front, Http, Reply};
+use crate::support::{wait_until, GatewayProcess, HttpConnection, Reply};
 use crate::{assert_complete, load, report, WINDOW};
 
-/// The same keyed query at once, after its answer, and over the other front is one query with one
-/// answer; with another body it is none; after the window it runs anew.
+/// The same keyed query at once, after its answer, and over the other protocol is one query with
+/// one answer; with another body it is none; after the window it runs anew.
 #[test]
 fn queries_of_one_key_are_one_query_over_both_front_ends() {
-    let front = Front::start(2, "", WINDOW);
+    let gateway = GatewayProcess::start(2, "", WINDOW);
     let ask = load(7, "ms=300");
-    let mut both = [front.http(), front.http()];
+    let mut both = [gateway.http(), gateway.http()];
     both.iter_mut()
-        .for_each(|http| http.ask(&ask, Some("\"k-1\"")));
-    let answers: Vec<Reply> = both.iter_mut().map(Http::read).collect();
+        .for_each(|http| http.post_query(&ask, Some("\"k-1\"")));
+    let answers: Vec<Reply> = both.iter_mut().map(HttpConnection::read).collect();
     assert_complete(&answers[0].rows(), 3);
     assert_eq!(answers[0].body, answers[1].body);
-    assert_eq!(front.ask(&ask, Some("k-1")).body, answers[0].body);
+    assert_eq!(gateway.post_query(&ask, Some("k-1")).body, answers[0].body);
     let statement = ask["statement"].as_str().unwrap();
     let sql = |rid: u32, token: &str, order: u32, statement: &str| {
         let order = format!("obj={order:016x}");
         format!("/* method=load,rid={rid:016x},budget=15000,token={token},{order} */ {statement}")
     };
-    let rows = front.pg().query(&sql(1, "k-1", 7, statement)).unwrap();
+    let rows = gateway.pg().query(&sql(1, "k-1", 7, statement)).unwrap();
     assert_eq!(rows, answers[0].rows());
-    let other = front.ask(&load(7, "ms=1"), Some("k-1"));
+    let other = gateway.post_query(&load(7, "ms=1"), Some("k-1"));
     assert_eq!(
         (other.status, other.problem_type().as_str()),
         (422, "key-reused")
     );
-    assert_eq!(front.ask(&load(8, "ms=300"), Some("k-1")).status, 422);
     assert_eq!(
-        front.pg().query(&sql(2, "k-1", 7, "SELECT 2")),
+        gateway.post_query(&load(8, "ms=300"), Some("k-1")).status,
+        422
+    );
+    assert_eq!(
+        gateway.pg().query(&sql(2, "k-1", 7, "SELECT 2")),
         Err("22023".to_owned())
     );
     // And the other way round, while it runs.
-    let mut pg = front.pg();
+    let mut pg = gateway.pg();
     pg.send(&sql(3, "k-2", 9, "SELECT 3 /* ms=300 */"));
-    assert!(front.fleet.wait_for(|c| c.by_key.contains_key("k-2")));
+    assert!(gateway.upstreams.wait_for(|c| c.by_key.contains_key("k-2")));
     let mut ask = load(9, "");
     ask["statement"] = "SELECT 3 /* ms=300 */".into();
-    assert_eq!(front.ask(&ask, Some("k-2")).rows(), pg.read().unwrap());
-    let counts = front.fleet.counts();
+    assert_eq!(
+        gateway.post_query(&ask, Some("k-2")).rows(),
+        pg.read().unwrap()
+    );
+    let counts = gateway.upstreams.counts();
     assert_eq!((counts.by_key["k-1"], counts.by_key["k-2"]), (1, 1));
 
-    let short = Front::start(1, "", 0.2);
+    let short = GatewayProcess::start(1, "", 0.2);
     let ask = load(7, "");
-    let first = short.ask(&ask, Some("k-3"));
-    until("the window has passed", || {
-        short.ask(&ask, Some("k-3")).body != first.body
+    let first = short.post_query(&ask, Some("k-3"));
+    wait_until("the window has passed", || {
+        short.post_query(&ask, Some("k-3")).body != first.body
     });
-    assert!(short.fleet.counts().by_key["k-3"] >= 2);
+    assert!(short.upstreams.counts().by_key["k-3"] >= 2);
 }
 
 /// A client that leaves withdraws its query, unless another waits for the same key; a repeat that
 /// comes later runs again, and has its effect once.
 #[test]
 fn a_client_that_disconnects_withdraws_only_its_own_query() {
-    let front = Front::start(1, "", WINDOW);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
     let ask = load(1, "ms=400");
-    let mut first = front.http();
-    first.ask(&ask, Some("k-1"));
-    assert!(front.fleet.wait_for(|c| c.running == 1));
-    let mut second = front.http();
-    second.ask(&ask, Some("k-1"));
-    until("the second has joined", || {
-        front.figure("svc_rest_keys_joined_total") == 1.0
+    let mut first = gateway.http();
+    first.post_query(&ask, Some("k-1"));
+    assert!(gateway.upstreams.wait_for(|c| c.running == 1));
+    let mut second = gateway.http();
+    second.post_query(&ask, Some("k-1"));
+    wait_until("the second has joined", || {
+        gateway.metric("svc_rest_keys_joined_total") == 1.0
     });
     drop(first);
     assert_complete(&second.read().rows(), 3);
-    assert_eq!(front.fleet.counts().by_key["k-1"], 1);
+    assert_eq!(gateway.upstreams.counts().by_key["k-1"], 1);
 
     for (ask, key) in [
         (load(2, "ms=700"), Some("k-2")),
         (report(9_000, "ms=5000"), None),
     ] {
-        let before = front.fleet.counts().cancels;
-        let mut alone = front.http();
-        alone.ask(&ask, key);
-        assert!(front.fleet.wait_for(|c| c.running == 1));
+        let before = gateway.upstreams.counts().cancels;
+        let mut alone = gateway.http();
+        alone.post_query(&ask, key);
+        assert!(gateway.upstreams.wait_for(|c| c.running == 1));
         drop(alone);
-        assert!(front
-            .fleet
+        assert!(gateway
+            .upstreams
             .wait_for(|c| c.cancels == before + 1 && c.running == 0));
     }
-    assert_complete(&front.ask(&load(2, "ms=700"), Some("k-2")).rows(), 3);
-    assert_eq!(front.fleet.counts().effects["k-2"], 1);
+    assert_complete(
+        &gateway.post_query(&load(2, "ms=700"), Some("k-2")).rows(),
+        3,
+    );
+    assert_eq!(gateway.upstreams.counts().effects["k-2"], 1);
 }
 
-/// Loads of one order key run one at a time, by whichever front they come.
+/// Loads of one order key run one at a time, by whichever protocol they come.
 #[test]
 fn queries_of_one_ordering_key_run_one_at_a_time_over_both_front_ends() {
-    let front = Front::start(3, "", WINDOW);
-    let mut pg = front.pg();
+    let gateway = GatewayProcess::start(3, "", WINDOW);
+    let mut pg = gateway.pg();
     pg.send("/* method=load,rid=0000000000000001,budget=15000,token=a,obj=000000000000000c */ SELECT 1 /* ms=150 */");
-    assert!(front.fleet.wait_for(|c| c.attempts() == 1));
-    let mut rest: Vec<Http> = (0..3).map(|_| front.http()).collect();
+    assert!(gateway.upstreams.wait_for(|c| c.attempts() == 1));
+    let mut rest: Vec<HttpConnection> = (0..3).map(|_| gateway.http()).collect();
     for (n, http) in rest.iter_mut().enumerate() {
-        http.ask(&load(12, "ms=30"), Some(&format!("b-{n}")));
+        http.post_query(&load(12, "ms=30"), Some(&format!("b-{n}")));
     }
     rest.iter_mut()
         .for_each(|http| assert_complete(&http.read().rows(), 3));
     pg.read().unwrap();
-    let counts = front.fleet.counts();
+    let counts = gateway.upstreams.counts();
     assert_eq!((counts.attempts(), counts.most_running), (4, 1));
 }
 
 /// A full table turns new keys away with a time, and forgets none that is live.
 #[test]
 fn a_full_key_table_rejects_new_keys_and_forgets_none() {
-    let front = Front::start(1, "  idempotency_keys = 1", WINDOW);
-    let first = front.ask(&load(1, ""), Some("k-1"));
-    let second = front.ask(&load(1, ""), Some("k-2"));
+    let gateway = GatewayProcess::start(1, "  idempotency_keys = 1", WINDOW);
+    let first = gateway.post_query(&load(1, ""), Some("k-1"));
+    let second = gateway.post_query(&load(1, ""), Some("k-2"));
     assert_eq!(
         (second.status, second.problem_type().as_str()),
         (503, "busy")
     );
     assert!(second.headers["retry-after"].parse::<u64>().unwrap() >= 1);
-    assert_eq!(front.ask(&load(1, ""), Some("k-1")).body, first.body);
+    assert_eq!(
+        gateway.post_query(&load(1, ""), Some("k-1")).body,
+        first.body
+    );
 }
--- a/gateway/tests/rest/limits.rs
+++ b/gateway/tests/rest/limits.rs
@@ -2,20 +2,20 @@
 
 use std::io::Write;
 
-use crate::support::{until, Front, Http, Reply};
+use crate::support::{wait_until, GatewayProcess, HttpConnection, Reply};
 use crate::{report, WINDOW};
 
 /// In a jump of traffic the budget of results is a bound: what does not fit is refused with a time,
-/// what was promised stays, and what is deleted makes room.
+/// what was promised stays, and what is deleted frees its share of the limit.
 #[test]
 fn a_full_budget_of_results_rejects_and_evicts_nothing() {
-    let front = Front::start(2, "  results_bytes = \"150KiB\"", WINDOW);
+    let gateway = GatewayProcess::start(2, "  results_bytes = \"150KiB\"", WINDOW);
     let ask = report(30_000, "rows=900 width=53");
-    let kept: Vec<Reply> = (0..2).map(|_| front.ask(&ask, None)).collect();
+    let kept: Vec<Reply> = (0..2).map(|_| gateway.post_query(&ask, None)).collect();
     // Of those that are kept, one may have been tried twice on a machine that is busy.
-    let before = front.fleet.counts().by_request.len();
+    let before = gateway.upstreams.counts().by_request.len();
     for _ in 0..5 {
-        let refused = front.ask(&ask, None);
+        let refused = gateway.post_query(&ask, None);
         assert_eq!(
             (refused.status, refused.problem_type().as_str()),
             (503, "results-full")
@@ -24,11 +24,11 @@
     }
     assert_eq!(before, 2);
     assert_eq!(
-        front.fleet.counts().by_request.len(),
+        gateway.upstreams.counts().by_request.len(),
         before,
         "what is refused never ran"
     );
-    let mut http = front.http();
+    let mut http = gateway.http();
     for first in &kept {
         assert_eq!(http.get(&first.next().unwrap()).status, 200);
     }
@@ -39,36 +39,36 @@
         b"",
     );
     assert_eq!(http.read().status, 204);
-    assert_eq!(front.ask(&ask, None).status, 200);
+    assert_eq!(gateway.post_query(&ask, None).status, 200);
 }
 
 /// What breaks the limits gets its code, and what is slow or silent costs nobody else anything.
 #[test]
 fn requests_beyond_a_limit_get_its_status_and_cost_nobody_else() {
     let lines = "  head_timeout = \"150ms\"\n  body_timeout = \"150ms\"\n  write_timeout = \"1s\"\n  max_connections = 8";
-    let front = Front::start(1, lines, WINDOW);
+    let gateway = GatewayProcess::start(1, lines, WINDOW);
     let ask = report(30_000, "rows=300 width=60").to_string();
-    let mut half = front.http();
-    half.raw(b"POST /v1/queries HTTP/1.1\r\nhost");
+    let mut half = gateway.http();
+    half.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost");
     let reply = half.read();
     assert_eq!(
         (reply.status, reply.problem_type().as_str()),
         (408, "request-timeout")
     );
     assert!(half.is_closed());
-    let mut half = front.http();
-    half.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{");
+    let mut half = gateway.http();
+    half.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 100\r\n\r\n{");
     assert_eq!(half.read().status, 408);
-    let mut long = front.http();
-    long.raw(format!("GET /{} HTTP/1.1\r\n", "x".repeat(40_000)).as_bytes());
+    let mut long = gateway.http();
+    long.send_raw(format!("GET /{} HTTP/1.1\r\n", "x".repeat(40_000)).as_bytes());
     assert!(matches!(long.read().status, 414 | 431));
-    let mut garbage = front.http();
-    garbage.raw(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
+    let mut garbage = gateway.http();
+    garbage.send_raw(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
     assert_eq!(garbage.read().status, 400);
     // 60 MB, announced or in chunks without end: refused by its length, or where it passes the
     // limit.
-    let mut huge = front.http();
-    huge.raw(
+    let mut huge = gateway.http();
+    huge.send_raw(
         b"POST /v1/queries HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 60000000\r\n\r\n",
     );
     let reply = huge.read();
@@ -76,8 +76,8 @@
         (reply.status, reply.problem_type().as_str()),
         (413, "body-too-large")
     );
-    let mut endless = front.http();
-    endless.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
+    let mut endless = gateway.http();
+    endless.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
     let chunk = [&b"8000\r\n"[..], &vec![b' '; 0x8000], b"\r\n"].concat();
     for _ in 0..2_000 {
         if endless.stream.get_mut().write_all(&chunk).is_err() {
@@ -87,10 +87,10 @@
     let reply = std::ops::DerefMut::deref_mut(&mut endless).read();
     assert!(reply.is_err() || reply.is_ok_and(|r| r.status == 413));
     // Hundreds that say nothing give way to those that ask.
-    let silent: Vec<Http> = (0..900).map(|_| front.http()).collect();
+    let silent: Vec<HttpConnection> = (0..900).map(|_| gateway.http()).collect();
     // One that asks for page after page and reads none of them is cut off.
-    let first = front.ask(&report(30_000, "rows=900 width=53"), None);
-    let mut slow = front.http();
+    let first = gateway.post_query(&report(30_000, "rows=900 width=53"), None);
+    let mut slow = gateway.http();
     let request =
         format!("GET {} HTTP/1.1\r\nhost: a\r\n\r\n", first.next().unwrap()).repeat(2_000);
     slow.stream
@@ -98,8 +98,8 @@
         .set_write_timeout(Some(std::time::Duration::from_millis(200)))
         .unwrap();
     let _ = slow.stream.get_mut().write_all(request.as_bytes());
-    until("the slow reader is cut off", || {
-        let mut http = front.http();
+    wait_until("the slow reader is cut off", || {
+        let mut http = gateway.http();
         http.send("POST", "/v1/queries", &[], ask.as_bytes());
         assert_eq!(http.read().status, 200);
         slow.stream.get_mut().write_all(b" ").is_err()
--- a/gateway/tests/rest/main.rs
+++ b/gateway/tests/rest/main.rs
@@ -1,4 +1,4 @@
-//! The REST front end on real sockets, before fake engines that count what reaches them.
+//! The REST API on real sockets, before fake engines that count what reaches them.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/gateway/tests/rest/pages.rs
+++ b/gateway/tests/rest/pages.rs
@@ -2,28 +2,28 @@
 
 use violetgate_fake_upstreams::Fault;
 
-use crate::support::{until, Front};
+use crate::support::{wait_until, GatewayProcess};
 use crate::{assert_complete, report, WINDOW};
 
 /// Pages that were promised come whole and the same each time, whatever becomes of the engine that
 /// made them: it drains, it dies, another takes its address. No engine is asked again.
 #[test]
 fn pages_stay_the_same_whatever_becomes_of_their_engine() {
-    let front = Front::start(1, "", WINDOW);
-    let first = front.ask(&report(30_000, "rows=600 width=70"), None);
-    let addr = front.fleet.addr("e-1");
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let first = gateway.post_query(&report(30_000, "rows=600 width=70"), None);
+    let addr = gateway.upstreams.addr("e-1");
     let mut rows = first.rows();
     let next = first.next().unwrap();
     assert_eq!(first.headers["link"], format!("<{next}>; rel=\"next\""));
     let pages = first.json()["pages"].as_u64().unwrap();
-    front.fleet.drain("e-1");
-    let mut http = front.http();
+    gateway.upstreams.drain("e-1");
+    let mut http = gateway.http();
     let second = http.get(&next);
     rows.extend(second.rows());
-    front.fleet.kill("e-1");
-    front.fleet.add("e-2", addr).unwrap();
-    until("the new engine is known", || {
-        front.figure("svc_known_engines") >= 2.0
+    gateway.upstreams.kill("e-1");
+    gateway.upstreams.add("e-2", addr).unwrap();
+    wait_until("the new engine is known", || {
+        gateway.metric("svc_known_engines") >= 2.0
     });
     let mut at = second.next();
     let mut count = 2;
@@ -35,17 +35,20 @@
     }
     assert_eq!(count, pages);
     assert_complete(&rows, 600);
-    let again = front.http().get(&next);
+    let again = gateway.http().get(&next);
     assert_eq!(again.body, second.body);
-    let counts = front.fleet.counts();
+    let counts = gateway.upstreams.counts();
     assert_eq!(
         (counts.attempts(), counts.pages.len() as u64),
         (1, pages - 1)
     );
     assert!(counts.pages.values().all(|n| *n == 1), "{:?}", counts.pages);
     // What comes next runs at the successor.
-    assert_complete(&front.ask(&report(30_000, "rows=5"), None).rows(), 5);
-    assert_eq!(front.fleet.counts().by_engine.get("e-2"), Some(&1));
+    assert_complete(
+        &gateway.post_query(&report(30_000, "rows=5"), None).rows(),
+        5,
+    );
+    assert_eq!(gateway.upstreams.counts().by_engine.get("e-2"), Some(&1));
 }
 
 /// An attempt whose further pages are spoilt or cut off is a failed one: its rows never mix with
@@ -58,14 +61,14 @@
         Fault::ResetOnAnswer,
         Fault::ResetOnServe,
     ] {
-        let front = Front::start(2, "", WINDOW);
-        front.fleet.fault("e-1", fault);
+        let gateway = GatewayProcess::start(2, "", WINDOW);
+        gateway.upstreams.fault("e-1", fault);
         for _ in 0..4 {
-            let first = front.ask(&report(30_000, "rows=300 width=60"), None);
+            let first = gateway.post_query(&report(30_000, "rows=300 width=60"), None);
             let mut rows = first.rows();
             let mut at = first.next();
             while let Some(path) = at {
-                let page = front.http().get(&path);
+                let page = gateway.http().get(&path);
                 rows.extend(page.rows());
                 at = page.next();
             }
@@ -78,29 +81,29 @@
 /// Never a stale page, and its bytes are freed.
 #[test]
 fn a_page_is_gone_after_its_clients_time() {
-    let front = Front::start(1, "", WINDOW);
-    let first = front.ask(&report(600, "rows=300 width=60"), None);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let first = gateway.post_query(&report(600, "rows=300 width=60"), None);
     let path = first.next().unwrap();
-    let mut http = front.http();
+    let mut http = gateway.http();
     let mut last = None;
-    until("the result is gone", || {
+    wait_until("the result is gone", || {
         let page = http.get(&path);
         let body = last.get_or_insert_with(|| page.clone());
         assert!(page.status == 410 || page.body == body.body, "{page:?}");
         page.status == 410
     });
     assert_eq!(http.get(&path).problem_type(), "result-gone");
-    until("its bytes are free", || {
-        front.figure("svc_rest_results_bytes") == 0.0
+    wait_until("its bytes are free", || {
+        gateway.metric("svc_rest_results_bytes") == 0.0
     });
 }
 
 /// Neither forged tokens nor page numbers that are none or too high.
 #[test]
 fn an_unknown_token_or_page_number_is_not_found() {
-    let front = Front::start(1, "", WINDOW);
-    let mut http = front.http();
-    let first = front.ask(&report(30_000, "rows=300 width=60"), None);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let mut http = gateway.http();
+    let first = gateway.post_query(&report(30_000, "rows=300 width=60"), None);
     let id = first.json()["id"].as_str().unwrap().to_owned();
     let unknown = http.get(&format!("/v1/queries/{}/pages/2", "A".repeat(id.len())));
     assert_eq!(
@@ -141,15 +144,15 @@
 /// Nor is it one of another process's.
 #[test]
 fn a_deleted_result_is_gone() {
-    let front = Front::start(1, "", WINDOW);
-    let mut http = front.http();
-    let first = front.ask(&report(30_000, "rows=300 width=60"), None);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let mut http = gateway.http();
+    let first = gateway.post_query(&report(30_000, "rows=300 width=60"), None);
     let (id, path) = (
         first.json()["id"].as_str().unwrap().to_owned(),
         first.next().unwrap(),
     );
     let unknown = http.get(&format!("/v1/queries/{}/pages/2", "A".repeat(id.len())));
-    let stranger = Front::start(1, "", WINDOW);
+    let stranger = GatewayProcess::start(1, "", WINDOW);
     assert_eq!(stranger.http().get(&path).body, unknown.body);
     assert_eq!(http.get(&path).status, 200);
     http.send("DELETE", &format!("/v1/queries/{id}"), &[], b"");
--- a/gateway/tests/rest/protocol.rs
+++ b/gateway/tests/rest/protocol.rs
@@ -4,7 +4,7 @@
 
 use violetgate_fake_upstreams::Fault;
 
-use crate::support::{Front, Reply};
+use crate::support::{GatewayProcess, Reply};
 use crate::{report, WINDOW};
 
 /// Bodies of queries that can't be used, and what their errors say.
@@ -56,21 +56,21 @@
 /// Pipelines, chunks, `Expect` and HEAD.
 #[test]
 fn http_is_served_as_clients_speak_it() {
-    let front = Front::start(1, "", WINDOW);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
     let ask = report(30_000, "rows=300 width=60").to_string();
-    let mut http = front.http();
+    let mut http = gateway.http();
     let post = format!(
         "POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{ask}",
         ask.len()
     );
-    http.raw(post.repeat(3).as_bytes());
+    http.send_raw(post.repeat(3).as_bytes());
     let replies: Vec<Reply> = (0..3).map(|_| http.read()).collect();
     assert!(replies
         .iter()
         .all(|r| r.rows().len() == replies[0].rows().len()));
     let (a, b) = ask.split_at(20);
-    http.raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
-    http.raw(
+    http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
+    http.send_raw(
         format!(
             "{:x}\r\n{a}\r\n{:x};x=1\r\n{b}\r\n0\r\nt: u\r\n\r\n",
             a.len(),
@@ -79,7 +79,7 @@
         .as_bytes(),
     );
     assert_eq!(http.read().status, 200);
-    http.raw(
+    http.send_raw(
         format!(
             "POST /v1/queries HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: {}\r\n\r\n",
             ask.len()
@@ -87,7 +87,7 @@
         .as_bytes(),
     );
     assert_eq!(http.read().status, 100);
-    http.raw(ask.as_bytes());
+    http.send_raw(ask.as_bytes());
     let first = http.read();
     let page = http.get(&first.next().unwrap());
     http.send("HEAD", &first.next().unwrap(), &[], b"");
@@ -96,13 +96,13 @@
         (head.status, head.headers["content-length"].parse()),
         (200, Ok(page.body.len()))
     );
-    assert_eq!(front.fleet.counts().attempts(), 5);
+    assert_eq!(gateway.upstreams.counts().attempts(), 5);
 }
 
 #[test]
 fn a_path_names_the_methods_that_it_takes() {
-    let front = Front::start(1, "", WINDOW);
-    let mut http = front.http();
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let mut http = gateway.http();
     for (method, path, status, allow) in [
         ("GET", "/v1/queries", 405, "POST"),
         ("POST", "/v1/queries/x", 405, "DELETE"),
@@ -116,13 +116,13 @@
         let allowed = reply.headers.get("allow").map_or("", String::as_str);
         assert_eq!((reply.status, allowed), (status, allow), "{method} {path}");
     }
-    assert_eq!(front.fleet.counts().attempts(), 0);
+    assert_eq!(gateway.upstreams.counts().attempts(), 0);
 }
 
 #[test]
 fn an_invalid_query_gets_an_error_that_names_its_field_and_never_runs() {
-    let front = Front::start(1, "", WINDOW);
-    let mut http = front.http();
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let mut http = gateway.http();
     for (body, says) in INVALID_BODIES {
         http.send("POST", "/v1/queries", &[], body.as_bytes());
         let reply = http.read();
@@ -141,21 +141,21 @@
         b"<q/>",
     );
     assert_eq!(http.read().status, 415);
-    http.ask(&report(30_000, ""), Some("k"));
+    http.post_query(&report(30_000, ""), Some("k"));
     assert_eq!(http.read().problem_type(), "invalid-request");
     assert_eq!(
-        front.fleet.counts().attempts(),
+        gateway.upstreams.counts().attempts(),
         0,
         "what can't be used never ran"
     );
 }
 
-/// A failure is told as one, and a refusal by the engines' own lack of room with the module's
-/// figure.
+/// A failure is reported as one; a rejection for lack of the engines' capacity carries the policy's
+/// retry delay.
 #[test]
 fn a_failure_and_a_rejection_have_different_statuses() {
-    let front = Front::start(1, "", WINDOW);
-    let failed = front.ask(&report(2_000, "fail"), None);
+    let gateway = GatewayProcess::start(1, "", WINDOW);
+    let failed = gateway.post_query(&report(2_000, "fail"), None);
     assert!(
         matches!(
             (failed.status, failed.problem_type().as_str()),
@@ -163,15 +163,15 @@
         ),
         "{failed:?}"
     );
-    front.fleet.fault("e-1", Fault::Refuse);
-    let refused = front.ask(&report(400, "rows=2"), None);
+    gateway.upstreams.fault("e-1", Fault::Refuse);
+    let refused = gateway.post_query(&report(400, "rows=2"), None);
     assert_eq!(
         (refused.status, refused.problem_type().as_str()),
         (503, "busy")
     );
     let mut rest = Vec::new();
-    let mut raw = front.http();
-    raw.raw(b"GET /v1/queries HTTP/1.0\r\n\r\n");
+    let mut raw = gateway.http();
+    raw.send_raw(b"GET /v1/queries HTTP/1.0\r\n\r\n");
     raw.stream.read_to_end(&mut rest).unwrap();
     assert!(rest.starts_with(b"HTTP/1.0 405"), "{}", rest.escape_ascii());
 }
--- a/gateway/tests/subscriber.rs
+++ b/gateway/tests/subscriber.rs
@@ -1,4 +1,4 @@
-//! The program as a front end that subscribes, as real processes: a member, an observer beside it,
+//! The program as a gateway that subscribes, as real processes: a member, an observer beside it,
 //! and one that is neither. What is agreed on reaches it, and without an observer it sends nothing.
 #![allow(
     clippy::unwrap_used,
@@ -10,14 +10,14 @@
 mod support;
 
 use serde_json::{json, Value};
-use support::{reserved, until, violetgate, Front, Http, Reply};
+use support::{reserve_address, run_violetgate, wait_until, GatewayProcess, HttpConnection, Reply};
 
 /// A cluster of one voter and one observer.
 struct Cluster {
-    voter: Front,
-    observer: Front,
+    voter: GatewayProcess,
+    observer: GatewayProcess,
     api: String,
-    /// Where the observer serves front ends.
+    /// Where the observer serves gateways.
     serves_at: String,
 }
 
@@ -45,8 +45,8 @@
 
 impl Cluster {
     fn start() -> Self {
-        let (listen, api, serves_at) = (reserved(), reserved(), reserved());
-        let voter = Front::begin(2, "", 12.0, |folder| {
+        let (listen, api, serves_at) = (reserve_address(), reserve_address(), reserve_address());
+        let voter = GatewayProcess::start_with_blocks(2, "", 12.0, |folder| {
             let members = format!("  members = {{ \"1\" = \"{listen}\" }}\n");
             format!(
                 "cluster {{\n  name = \"test\"\n  id = 1\n  folder = \"{}\"\n  listen = \"{listen}\"\n  \
@@ -63,15 +63,15 @@
         }
     }
 
-    /// Starts member 2, which learns and serves front ends.
-    fn join(voter: &str, api: &str, serves_at: &str) -> Front {
-        let own = [reserved(), reserved()];
-        let mut front = Front::start(1, "", 12.0);
-        front.child.kill().unwrap();
-        front.child.wait().unwrap();
-        let settings = front.folder.join("violetgate.hcl");
+    /// Starts member 2, which learns and serves gateways.
+    fn join(voter: &str, api: &str, serves_at: &str) -> GatewayProcess {
+        let own = [reserve_address(), reserve_address()];
+        let mut gateway = GatewayProcess::start(1, "", 12.0);
+        gateway.child.kill().unwrap();
+        gateway.child.wait().unwrap();
+        let settings = gateway.folder.join("violetgate.hcl");
         let more = format!("  subscribers_listen = \"{serves_at}\"\n  subscribers = 10\n");
-        let block = member_block(&front.folder, 2, [&own[0], &own[1]], voter, &more);
+        let block = member_block(&gateway.folder, 2, [&own[0], &own[1]], voter, &more);
         std::fs::write(
             &settings,
             std::fs::read_to_string(&settings).unwrap() + &block,
@@ -84,14 +84,14 @@
             "--settings",
             settings.to_str().unwrap(),
         ];
-        let (well, told) = violetgate(&init);
-        assert!(well, "{told}");
+        let (succeeded, output) = run_violetgate(&init);
+        assert!(succeeded, "{output}");
         let add = json!({"add": {"id": 2, "listen": own[0], "api": own[1]}});
         let added = call(api, "POST", "/v1/cluster/members", &add.to_string());
         assert_eq!(added.status, 200, "{}", added.body.escape_ascii());
-        front.start_again();
-        front.healthy();
-        front
+        gateway.restart();
+        gateway.wait_until_healthy();
+        gateway
     }
 
     fn call(&self, method: &str, path: &str, body: &str) -> Reply {
@@ -111,7 +111,7 @@
 }
 
 fn call(api: &str, method: &str, path: &str, body: &str) -> Reply {
-    let mut http = Http::open(api);
+    let mut http = HttpConnection::open(api);
     http.send(method, path, &[], body.as_bytes());
     http.read()
 }
@@ -123,43 +123,44 @@
 #[test]
 fn a_subscriber_follows_the_shared_configuration_and_sends_nothing_without_an_observer() {
     let mut cluster = Cluster::start();
-    let front = Front::begin(2, "", 12.0, |_| subscriber_block(&cluster.serves_at));
-    assert_eq!(front.ask(&lookup(), None).status, 200);
-    a_cordon_reaches_the_subscriber(&cluster, &front);
-    the_subscriber_is_drained_by_its_name(&cluster, &front);
-    without_an_observer_it_sends_nothing(&mut cluster, &front);
-    // It comes back, and so does the front end, with what was agreed on meanwhile.
+    let gateway =
+        GatewayProcess::start_with_blocks(2, "", 12.0, |_| subscriber_block(&cluster.serves_at));
+    assert_eq!(gateway.post_query(&lookup(), None).status, 200);
+    a_cordon_reaches_the_subscriber(&cluster, &gateway);
+    the_subscriber_is_drained_by_its_name(&cluster, &gateway);
+    without_an_observer_it_sends_nothing(&mut cluster, &gateway);
+    // It comes back, and so does the gateway, with what was committed meanwhile.
     let revision = cluster.change("DELETE", "/v1/cordons?engine=e-1");
-    cluster.observer.start_again();
-    until("it is in force", || {
+    cluster.observer.restart();
+    wait_until("it is in force", || {
         cluster.progress()["in_force"].as_u64() >= Some(revision)
     });
-    assert_eq!(front.ask(&lookup(), None).status, 200);
+    assert_eq!(gateway.post_query(&lookup(), None).status, 200);
 }
 
 /// A cordon by a member's API is in force here, and members know that it is.
-fn a_cordon_reaches_the_subscriber(cluster: &Cluster, front: &Front) {
+fn a_cordon_reaches_the_subscriber(cluster: &Cluster, gateway: &GatewayProcess) {
     let revision = cluster.change("PUT", "/v1/cordons?engine=e-1");
-    until("it is in force", || {
-        let told = cluster.progress();
-        told["in_force"].as_u64() >= Some(revision)
-            && told["serving"] == 1
-            && told["observers"] == 1
+    wait_until("it is in force", || {
+        let progress = cluster.progress();
+        progress["in_force"].as_u64() >= Some(revision)
+            && progress["serving"] == 1
+            && progress["observers"] == 1
     });
     assert!(cluster.progress()["last_in_force"]["revision"].as_u64() >= Some(revision));
-    assert!(front.figure("svc_cluster_revision") >= revision as f64);
-    front.fleet.record_cordon("e-1", true);
-    (0..20).for_each(|_| assert_eq!(front.ask(&lookup(), None).status, 200));
-    assert_eq!(front.fleet.counts().after_cordon, 0);
-    assert_eq!(cluster.observer.figure("svc_cluster_subscribers "), 1.0);
-    assert_eq!(cluster.voter.figure("svc_cluster_serving "), 1.0);
-    assert_eq!(front.figure("svc_cluster_observer "), 2.0);
+    assert!(gateway.metric("svc_cluster_revision") >= revision as f64);
+    gateway.upstreams.record_cordon("e-1", true);
+    (0..20).for_each(|_| assert_eq!(gateway.post_query(&lookup(), None).status, 200));
+    assert_eq!(gateway.upstreams.counts().after_cordon, 0);
+    assert_eq!(cluster.observer.metric("svc_cluster_subscribers "), 1.0);
+    assert_eq!(cluster.voter.metric("svc_cluster_serving "), 1.0);
+    assert_eq!(gateway.metric("svc_cluster_observer "), 2.0);
 }
 
 /// It can't commit anything.
-fn the_subscriber_is_drained_by_its_name(cluster: &Cluster, front: &Front) {
+fn the_subscriber_is_drained_by_its_name(cluster: &Cluster, gateway: &GatewayProcess) {
     assert_eq!(
-        front.call("PUT", "/admin/cordon", "{\"host\":\"e-2\"}").0,
+        gateway.call("PUT", "/admin/cordon", "{\"host\":\"e-2\"}").0,
         409
     );
     for (query, kind) in [
@@ -173,37 +174,40 @@
             kind
         );
     }
-    let ctl = |args: &[&str]| violetgate(&[&["ctl", "--at", &cluster.api][..], args].concat());
-    let (well, told) = ctl(&["progress"]);
-    assert!(well && told.contains("\"serving\":1"), "{told}");
+    let ctl = |args: &[&str]| run_violetgate(&[&["ctl", "--at", &cluster.api][..], args].concat());
+    let (succeeded, output) = ctl(&["progress"]);
+    assert!(succeeded && output.contains("\"serving\":1"), "{output}");
     assert!(ctl(&["quiesce", "fe-1"]).0);
-    until("new requests are turned back", || {
-        front.ask(&lookup(), None).status == 503
+    wait_until("new requests are turned back", || {
+        gateway.post_query(&lookup(), None).status == 503
     });
     cluster.change("DELETE", "/v1/drains?front_end=fe-1");
-    until("they are taken again", || {
-        front.ask(&lookup(), None).status == 200
+    wait_until("they are taken again", || {
+        gateway.post_query(&lookup(), None).status == 200
     });
 }
 
 /// Nothing is sent on state that can't be confirmed.
-fn without_an_observer_it_sends_nothing(cluster: &mut Cluster, front: &Front) {
+fn without_an_observer_it_sends_nothing(cluster: &mut Cluster, gateway: &GatewayProcess) {
     cluster.observer.child.kill().unwrap();
     cluster.observer.child.wait().unwrap();
-    until("it sends nothing", || {
-        front.ask(&lookup(), None).status == 503
+    wait_until("it sends nothing", || {
+        gateway.post_query(&lookup(), None).status == 503
     });
-    assert_eq!(front.ask(&lookup(), None).problem_type(), "isolated");
-    let attempts = front.fleet.counts().attempts();
-    assert_eq!(front.call("GET", "/admin/health", "").0, 503);
-    assert_eq!(front.ask(&lookup(), None).status, 503);
-    assert_eq!(front.figure("svc_cluster_routes "), 0.0);
-    assert_eq!(front.fleet.counts().attempts(), attempts);
-    until("members know that it does not serve", || {
+    assert_eq!(
+        gateway.post_query(&lookup(), None).problem_type(),
+        "isolated"
+    );
+    let attempts = gateway.upstreams.counts().attempts();
+    assert_eq!(gateway.call("GET", "/admin/health", "").0, 503);
+    assert_eq!(gateway.post_query(&lookup(), None).status, 503);
+    assert_eq!(gateway.metric("svc_cluster_routes "), 0.0);
+    assert_eq!(gateway.upstreams.counts().attempts(), attempts);
+    wait_until("members know that it does not serve", || {
         cluster.progress()["observers"] == 0
     });
-    until("its log says why", || {
-        let log = std::fs::read_to_string(front.folder.join("log")).unwrap();
+    wait_until("its log says why", || {
+        let log = std::fs::read_to_string(gateway.folder.join("log")).unwrap();
         log.contains("cluster reason=stale sends nothing: age_ms=")
     });
 }
@@ -216,18 +220,18 @@
     let file = folder.join("violetgate.hcl");
     std::fs::write(&file, subscriber_block("127.0.0.1:7206")).unwrap();
     let path = file.to_str().unwrap();
-    assert!(violetgate(&["check", path]).0);
-    let (well, told) = violetgate(&["members", "init", "--settings", path]);
+    assert!(run_violetgate(&["check", path]).0);
+    let (succeeded, output) = run_violetgate(&["members", "init", "--settings", path]);
     assert!(
-        !well && told.contains("a subscriber has no folder"),
-        "{told}"
+        !succeeded && output.contains("a subscriber has no folder"),
+        "{output}"
     );
     let text = subscriber_block("127.0.0.1:7206").replace("}\n}", "}\n  id = 3\n}");
     std::fs::write(&file, text).unwrap();
-    let (well, told) = violetgate(&["check", path]);
+    let (succeeded, output) = run_violetgate(&["check", path]);
     assert!(
-        !well && told.contains("violetgate.hcl:6: cluster.id: is no key of a subscriber"),
-        "{told}"
+        !succeeded && output.contains("violetgate.hcl:6: cluster.id: is no key of a subscriber"),
+        "{output}"
     );
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the whole program share: a front end before stand-in engines, and plain
+//! What the tests of the whole program share: a gateway before fake engines, and plain
 //! clients of it.
 #![allow(
     dead_code,
@@ -25,11 +25,11 @@
 
 /// Connects as soon as somebody listens.
 pub fn connect(addr: &str) -> TcpStream {
-    let until = Instant::now() + WAIT;
+    let deadline = Instant::now() + WAIT;
     loop {
         match TcpStream::connect(addr) {
             Ok(stream) => return stream,
-            Err(e) => assert!(Instant::now() < until, "{e}"),
+            Err(error) => assert!(Instant::now() < deadline, "{error}"),
         }
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -37,7 +37,7 @@
 
 /// An address for the program to listen at. Its port lies below those that the machine gives to
 /// connections, since one of them could take it before the program does.
-pub fn reserved() -> String {
+pub fn reserve_address() -> String {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
         let port =
@@ -49,17 +49,17 @@
 }
 
 /// Waits until something holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + WAIT;
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT;
     while !holds() {
-        assert!(Instant::now() < end, "never: {what}");
+        assert!(Instant::now() < deadline, "never: {what}");
         std::thread::sleep(Duration::from_millis(3));
     }
 }
 
-/// A front end before a fleet.
-pub struct Front {
-    pub fleet: FakeUpstreams,
+/// A gateway process before fake engines.
+pub struct GatewayProcess {
+    pub upstreams: FakeUpstreams,
     pub child: Child,
     pub listen: String,
     pub rest: String,
@@ -67,7 +67,7 @@
     pub folder: PathBuf,
 }
 
-impl Drop for Front {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -75,17 +75,22 @@
     }
 }
 
-impl Front {
+impl GatewayProcess {
     /// Starts one before `engines` engines; `rest` are lines of its `rest` block, `window` is how
     /// long engines discard a repeat of a `load`.
     pub fn start(engines: usize, rest: &str, window: f64) -> Self {
-        Self::begin(engines, rest, window, |_| String::new())
+        Self::start_with_blocks(engines, rest, window, |_| String::new())
     }
 
     /// The same with further blocks, for which a member's folder is made if one of them names it.
-    pub fn begin(engines: usize, rest: &str, window: f64, more: impl Fn(&Path) -> String) -> Self {
+    pub fn start_with_blocks(
+        engines: usize,
+        rest: &str,
+        window: f64,
+        more: impl Fn(&Path) -> String,
+    ) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let (listen, at) = (reserved(), reserved());
+        let (listen, rest_address) = (reserve_address(), reserve_address());
         let name = format!(
             "violetgate-{}-rest-{}",
             std::process::id(),
@@ -93,35 +98,39 @@
         );
         let folder = std::env::temp_dir().join(name);
         std::fs::create_dir_all(&folder).unwrap();
-        let fleet = FakeUpstreams::start(engines, Profile::default()).unwrap();
-        let mut told = settings();
-        told["classes"][2]["window"] = window.into();
-        let config = fleet.config("n0", &listen, &told);
+        let upstreams = FakeUpstreams::start(engines, Profile::default()).unwrap();
+        let mut settings = settings();
+        settings["classes"][2]["window"] = window.into();
+        let config = upstreams.config("n0", &listen, &settings);
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
         let more = more(&folder);
-        std::fs::write(folder.join("violetgate.hcl"), hcl(&at, rest) + &more).unwrap();
+        std::fs::write(
+            folder.join("violetgate.hcl"),
+            rest_block(&rest_address, rest) + &more,
+        )
+        .unwrap();
         if more.contains("folder = ") {
-            let made = violetgate(&[
+            let (succeeded, output) = run_violetgate(&[
                 "members",
                 "init",
                 "--settings",
                 folder.join("violetgate.hcl").to_str().unwrap(),
             ]);
-            assert!(made.0, "{}", made.1);
+            assert!(succeeded, "{output}");
         }
-        let management = reserved();
+        let management = reserve_address();
         let log = std::fs::File::create(folder.join("log")).unwrap();
         let child = Self::spawn(&folder, &listen, &management, log.into());
-        let front = Front {
-            fleet,
+        let gateway = GatewayProcess {
+            upstreams,
             child,
             listen,
-            rest: at,
+            rest: rest_address,
             management,
             folder,
         };
-        front.healthy();
-        front
+        gateway.wait_until_healthy();
+        gateway
     }
 
     fn spawn(folder: &Path, listen: &str, management: &str, log: Stdio) -> Child {
@@ -144,12 +153,12 @@
         self.child.kill().unwrap();
         self.child.wait().unwrap();
         self.child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::piped());
-        self.healthy();
+        self.wait_until_healthy();
     }
 
     /// Starts the process anew, which need not become ready. Its log follows that of the first
     /// start.
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         let log = self.folder.join("log");
         let log = std::fs::OpenOptions::new().append(true).open(log).unwrap();
         self.child = Self::spawn(&self.folder, &self.listen, &self.management, log.into());
@@ -157,32 +166,34 @@
     }
 
     /// Starts a process that is to end by itself: its exit code and its log.
-    pub fn start_in_vain(&mut self) -> (Option<i32>, String) {
+    pub fn run_until_exit(&mut self) -> (Option<i32>, String) {
         let child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::piped());
         let out = child.wait_with_output().unwrap();
         (out.status.code(), String::from_utf8(out.stderr).unwrap())
     }
 
     /// Waits until the process is ready and listens for REST.
-    pub fn healthy(&self) {
+    pub fn wait_until_healthy(&self) {
         // A process that has ended resets what waits to be accepted: its log says why.
         let health =
             || client::HttpClient::new(connect(&self.management), WAIT)?.get("/admin/health");
-        let told = |e| {
+        let fail_with_log = |e| {
             let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
             panic!("{e}; its log: {log}")
         };
-        until("healthy", || health().unwrap_or_else(told).status == 200);
+        wait_until("healthy", || {
+            health().unwrap_or_else(fail_with_log).status == 200
+        });
         connect(&self.rest);
     }
 
     /// A second process beside this one; the first, which is returned, has got SIGTERM once the
     /// second is ready.
     pub fn upgrade(&mut self) -> Child {
-        self.management = reserved();
+        self.management = reserve_address();
         let child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::null());
         let old = std::mem::replace(&mut self.child, child);
-        self.healthy();
+        self.wait_until_healthy();
         signal(&old, "TERM");
         old
     }
@@ -193,40 +204,40 @@
 
     /// One management call.
     pub fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
-        let mut http = Http::open(&self.management);
+        let mut http = HttpConnection::open(&self.management);
         http.send(method, path, &[], body.as_bytes());
         let reply = http.read();
         (reply.status, String::from_utf8(reply.body).unwrap())
     }
 
-    /// A figure of the front end's.
-    pub fn figure(&self, name: &str) -> f64 {
+    /// The value of one of the gateway's metrics.
+    pub fn metric(&self, name: &str) -> f64 {
         let text = self.call("GET", "/admin/stats", "").1;
         let line = text
             .lines()
             .find(|l| l.starts_with(name))
-            .unwrap_or_else(|| panic!("no figure {name}"));
+            .unwrap_or_else(|| panic!("no metric {name}"));
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    pub fn http(&self) -> Http {
-        Http::open(&self.rest)
+    pub fn http(&self) -> HttpConnection {
+        HttpConnection::open(&self.rest)
     }
 
-    pub fn pg(&self) -> Pg {
-        Pg::open(&self.listen)
+    pub fn pg(&self) -> PostgresSession {
+        PostgresSession::open(&self.listen)
     }
 
     /// One query over REST on a connection of its own.
-    pub fn ask(&self, ask: &Value, key: Option<&str>) -> Reply {
+    pub fn post_query(&self, query: &Value, key: Option<&str>) -> Reply {
         let mut http = self.http();
-        http.ask(ask, key);
+        http.post_query(query, key);
         http.read()
     }
 }
 
 /// Runs the program to its end: whether it went well, and what it wrote.
-pub fn violetgate(args: &[&str]) -> (bool, String) {
+pub fn run_violetgate(args: &[&str]) -> (bool, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_violetgate"))
         .args(args)
         .output()
@@ -235,7 +246,7 @@
     (out.status.success(), String::from_utf8(text).unwrap())
 }
 
-pub fn hcl(rest: &str, lines: &str) -> String {
+pub fn rest_block(rest: &str, lines: &str) -> String {
     format!("rest {{\n  listen = \"{rest}\"\n{lines}\n}}\n")
 }
 
@@ -249,9 +260,9 @@
 }
 
 /// The exit code of a process that ends by itself.
-pub fn exit(child: &mut Child) -> Option<i32> {
+pub fn wait_for_exit(child: &mut Child) -> Option<i32> {
     let mut code = None;
-    until("the process ends", || {
+    wait_until("the process ends", || {
         code = child.try_wait().unwrap();
         code.is_some()
     });
@@ -259,9 +270,9 @@
 }
 
 /// An HTTP connection whose failures fail the test.
-pub struct Http(client::HttpClient);
+pub struct HttpConnection(client::HttpClient);
 
-impl Deref for Http {
+impl Deref for HttpConnection {
     type Target = client::HttpClient;
 
     fn deref(&self) -> &client::HttpClient {
@@ -269,18 +280,18 @@
     }
 }
 
-impl DerefMut for Http {
+impl DerefMut for HttpConnection {
     fn deref_mut(&mut self) -> &mut client::HttpClient {
         &mut self.0
     }
 }
 
-impl Http {
+impl HttpConnection {
     pub fn open(addr: &str) -> Self {
-        Http(client::HttpClient::new(connect(addr), WAIT).unwrap())
+        HttpConnection(client::HttpClient::new(connect(addr), WAIT).unwrap())
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn send_raw(&mut self, bytes: &[u8]) {
         self.0.stream.get_mut().write_all(bytes).unwrap();
     }
 
@@ -288,8 +299,8 @@
         self.0.send(method, path, headers, body).unwrap();
     }
 
-    pub fn ask(&mut self, ask: &Value, key: Option<&str>) {
-        self.0.send_query(ask, key).unwrap();
+    pub fn post_query(&mut self, query: &Value, key: Option<&str>) {
+        self.0.send_query(query, key).unwrap();
     }
 
     pub fn get(&mut self, path: &str) -> Reply {
@@ -302,15 +313,15 @@
 }
 
 /// A PostgreSQL session whose failures fail the test.
-pub struct Pg(client::PostgresClient);
+pub struct PostgresSession(client::PostgresClient);
 
-impl Pg {
+impl PostgresSession {
     pub fn open(addr: &str) -> Self {
-        Self::over(connect(addr))
+        Self::from_stream(connect(addr))
     }
 
-    pub fn over(stream: TcpStream) -> Self {
-        Pg(client::PostgresClient::new(stream, WAIT).unwrap())
+    pub fn from_stream(stream: TcpStream) -> Self {
+        PostgresSession(client::PostgresClient::new(stream, WAIT).unwrap())
     }
 
     pub fn send(&mut self, sql: &str) {
--- a/gateway/tests/surface.rs
+++ b/gateway/tests/surface.rs
@@ -19,7 +19,7 @@
 
 use rustix::fs::FlockOperation;
 use serde_json::{json, Value};
-use support::{reserved, until, violetgate, Front, Http, Reply};
+use support::{reserve_address, run_violetgate, wait_until, GatewayProcess, HttpConnection, Reply};
 
 /// Runs the program in an environment of its own: its exit code and all that it wrote.
 fn run(args: &[&str], environment: &[(&str, &str)]) -> (Option<i32>, String) {
@@ -190,7 +190,7 @@
 }
 
 fn show_call(all: &mut String, at: &str, method: &str, path: &str, body: &str) -> Reply {
-    let mut http = Http::open(at);
+    let mut http = HttpConnection::open(at);
     http.send(method, path, &[], body.as_bytes());
     let reply = http.read();
     show_reply(all, &format!("{method} {path} {body}"), &reply);
@@ -199,14 +199,14 @@
 
 #[test]
 fn rest_and_management_answers_stay() {
-    let front = Front::start(1, "", 12.0);
+    let gateway = GatewayProcess::start(1, "", 12.0);
     let mut all = String::new();
     let ask = json!({"class": "report", "tenant": "north", "budget_ms": 30_000, "statement": "SELECT 1 /* rows=600 */"})
         .to_string();
-    let at = front.rest.as_str();
+    let at = gateway.rest.as_str();
     let first = show_call(&mut all, at, "POST", "/v1/queries", &ask);
     let next = first.next().unwrap();
-    let mut http = front.http();
+    let mut http = gateway.http();
     let page = http.get(&next);
     show_reply(&mut all, "GET the next page", &page);
     for (method, path, body) in [
@@ -234,7 +234,7 @@
         ("GET", "/admin/resume", ""),
         ("GET", "/admin/nothing", ""),
     ] {
-        let (status, text) = front.call(method, path, body);
+        let (status, text) = gateway.call(method, path, body);
         writeln!(
             all,
             "{method} {path} {body}\n  {status} {}",
@@ -245,7 +245,7 @@
     writeln!(
         all,
         "{}",
-        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+        mask_metrics(&gateway.call("GET", "/admin/stats", "").1)
     )
     .unwrap();
     insta::assert_snapshot!("rest_and_management", all);
@@ -268,8 +268,13 @@
 
 #[test]
 fn cluster_and_fleet_answers_stay() {
-    let (peer, api, subscribers, datagrams) = (reserved(), reserved(), reserved(), reserved());
-    let front = Front::begin(2, "", 12.0, |folder| {
+    let (peer, api, subscribers, datagrams) = (
+        reserve_address(),
+        reserve_address(),
+        reserve_address(),
+        reserve_address(),
+    );
+    let gateway = GatewayProcess::start_with_blocks(2, "", 12.0, |folder| {
         member_block(folder, &peer, &api, &subscribers) + &fleet_block("n0", &datagrams, &datagrams)
     });
     let mut all = String::new();
@@ -304,22 +309,26 @@
     ] {
         show_call(&mut all, &api, method, path, body);
     }
-    let record = Http::open(&api).get("/v1/state?key=members/1").json();
+    let record = HttpConnection::open(&api)
+        .get("/v1/state?key=members/1")
+        .json();
     let record: Value = serde_json::from_str(record["value"].as_str().unwrap()).unwrap();
     writeln!(all, "members/1 {}", shape(&record)).unwrap();
-    until("the engine list is kept", || {
-        Http::open(&api).get("/v1/state?key=list").status == 200
+    wait_until("the engine list is kept", || {
+        HttpConnection::open(&api).get("/v1/state?key=list").status == 200
     });
-    let engine = Http::open(&api).get("/v1/state?key=engines/e-1").json();
+    let engine = HttpConnection::open(&api)
+        .get("/v1/state?key=engines/e-1")
+        .json();
     let engine: Value = serde_json::from_str(engine["value"].as_str().unwrap()).unwrap();
     writeln!(all, "engines/e-1 {}", shape(&engine)).unwrap();
-    until("the fleet is seen", || {
-        front.figure("svc_fleet_share") >= 1.0
+    wait_until("the fleet is seen", || {
+        gateway.metric("svc_fleet_share") >= 1.0
     });
     writeln!(
         all,
         "{}",
-        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+        mask_metrics(&gateway.call("GET", "/admin/stats", "").1)
     )
     .unwrap();
     insta::assert_snapshot!("cluster_and_fleet", all);
@@ -327,15 +336,17 @@
 
 #[test]
 fn fleet_member_metrics_stay() {
-    let (first, second) = (reserved(), reserved());
-    let front = Front::begin(1, "", 12.0, |_| fleet_block("n0", &first, &first));
-    let _other = Front::begin(1, "", 12.0, |_| fleet_block("n1", &second, &first));
+    let (first, second) = (reserve_address(), reserve_address());
+    let gateway =
+        GatewayProcess::start_with_blocks(1, "", 12.0, |_| fleet_block("n0", &first, &first));
+    let _other =
+        GatewayProcess::start_with_blocks(1, "", 12.0, |_| fleet_block("n1", &second, &first));
     let alive = "member=\"n1\",";
-    until("the other member is alive", || {
-        let stats = front.call("GET", "/admin/stats", "").1;
+    wait_until("the other member is alive", || {
+        let stats = gateway.call("GET", "/admin/stats", "").1;
         stats.contains(alive) && stats.contains("state=\"alive\"")
     });
-    let stats = mask_metrics(&front.call("GET", "/admin/stats", "").1);
+    let stats = mask_metrics(&gateway.call("GET", "/admin/stats", "").1);
     let fleet: Vec<_> = stats
         .lines()
         .filter(|line| line.contains("svc_fleet"))
@@ -345,25 +356,25 @@
 
 #[test]
 fn subscriber_metrics_stay() {
-    let nobody = reserved();
-    let mut front = Front::start(1, "", 12.0);
-    front.child.kill().unwrap();
-    front.child.wait().unwrap();
-    let settings = front.folder.join("violetgate.hcl");
+    let nobody = reserve_address();
+    let mut gateway = GatewayProcess::start(1, "", 12.0);
+    gateway.child.kill().unwrap();
+    gateway.child.wait().unwrap();
+    let settings = gateway.folder.join("violetgate.hcl");
     let block = format!(
         "cluster {{\n  role = \"subscriber\"\n  name = \"test\"\n  front_end = \"fe-1\"\n  \
          observers = {{ \"2\" = \"{nobody}\" }}\n}}\n"
     );
     let text = std::fs::read_to_string(&settings).unwrap() + &block;
     std::fs::write(&settings, text).unwrap();
-    front.start_again();
+    gateway.restart();
     let mut all = String::new();
     for (method, path, body) in [
         ("GET", "/admin/health", ""),
         ("PUT", "/admin/cordon", "{\"host\":\"e-1\"}"),
         ("PUT", "/admin/quiesce", ""),
     ] {
-        let (status, text) = front.call(method, path, body);
+        let (status, text) = gateway.call(method, path, body);
         writeln!(
             all,
             "{method} {path} {body}\n  {status} {}",
@@ -374,7 +385,7 @@
     writeln!(
         all,
         "{}",
-        mask_metrics(&front.call("GET", "/admin/stats", "").1)
+        mask_metrics(&gateway.call("GET", "/admin/stats", "").1)
     )
     .unwrap();
     insta::assert_snapshot!("subscriber", all);
@@ -384,19 +395,19 @@
 #[test]
 fn cordon_file_is_read_and_written_as_before() {
     let fixture = include_bytes!("fixtures/cordons.json");
-    let mut front = Front::start(2, "", 12.0);
-    let path = front
+    let mut gateway = GatewayProcess::start(2, "", 12.0);
+    let path = gateway
         .folder
-        .join(format!("violetgate-{}.cordons", front.listen));
+        .join(format!("violetgate-{}.cordons", gateway.listen));
     assert!(!path.exists());
-    front.child.kill().unwrap();
-    front.child.wait().unwrap();
+    gateway.child.kill().unwrap();
+    gateway.child.wait().unwrap();
     std::fs::write(&path, fixture).unwrap();
-    front.start_again();
-    front.healthy();
+    gateway.restart();
+    gateway.wait_until_healthy();
     let cordon = |call: &str, host: &str| {
         let body = format!("{{\"host\":\"{host}\"}}");
-        assert_eq!(front.call("PUT", call, &body).0, 200, "{call} {host}");
+        assert_eq!(gateway.call("PUT", call, &body).0, 200, "{call} {host}");
         std::fs::read_to_string(&path).unwrap()
     };
     assert_eq!(cordon("/admin/cordon", "e-2"), r#"["e-2","s-1","s-2"]"#);
@@ -406,10 +417,10 @@
     );
     cordon("/admin/uncordon", "e-1");
     assert_eq!(cordon("/admin/uncordon", "e-2").as_bytes(), fixture);
-    let mut names: Vec<_> = std::fs::read_dir(&front.folder)
+    let mut names: Vec<_> = std::fs::read_dir(&gateway.folder)
         .unwrap()
         .map(|e| e.unwrap().file_name().into_string().unwrap())
-        .map(|name| name.replace(&front.listen, "LISTEN"))
+        .map(|name| name.replace(&gateway.listen, "LISTEN"))
         .collect();
     names.sort();
     let shared = [
@@ -427,15 +438,15 @@
 /// holds is noticed, and its end as well.
 #[test]
 fn mark_of_a_running_process_is_understood_as_before() {
-    let front = Front::start(1, "", 12.0);
-    let path = front
+    let gateway = GatewayProcess::start(1, "", 12.0);
+    let path = gateway
         .folder
-        .join(format!("violetgate-{}.lock", front.listen));
+        .join(format!("violetgate-{}.lock", gateway.listen));
     assert_eq!(
         std::fs::read(&path).unwrap(),
         include_bytes!("fixtures/process_mark")
     );
-    let log = || std::fs::read_to_string(front.folder.join("log")).unwrap();
+    let log = || std::fs::read_to_string(gateway.folder.join("log")).unwrap();
     let mark = std::fs::OpenOptions::new()
         .read(true)
         .write(true)
@@ -444,11 +455,11 @@
     rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockShared).unwrap();
     let exclusive = rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockExclusive);
     assert!(exclusive.is_err(), "the program holds no lock");
-    until("the other process is noticed", || {
+    wait_until("the other process is noticed", || {
         log().contains("violetgate is joined by another process: at most ")
     });
     drop(mark);
-    until("its end is noticed", || {
+    wait_until("its end is noticed", || {
         log().contains("violetgate is alone: at most ")
     });
 }
@@ -456,6 +467,6 @@
 /// The program's own texts name what is at fault, whatever else is in them.
 #[test]
 fn version_names_the_program() {
-    let (well, text) = violetgate(&["--version"]);
-    assert!(well && text.starts_with("violetgate "), "{text}");
+    let (succeeded, text) = run_violetgate(&["--version"]);
+    assert!(succeeded && text.starts_with("violetgate "), "{text}");
 }
