--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -111,15 +111,15 @@
 /// Replaces an engine every so often: drained first, or killed at once, at the same address, under
 /// a new id.
 fn replace_engines(fleet: &FakeUpstreams, over: &AtomicBool) -> u64 {
-    let mut n = 0;
+    let mut replaced = 0;
     while !over.load(Relaxed) {
         std::thread::sleep(Duration::from_millis(300));
         let ids = fleet.ids();
-        let Some(id) = ids.get(n as usize * 7 % ids.len().max(1)) else {
+        let Some(id) = ids.get(replaced as usize * 7 % ids.len().max(1)) else {
             continue;
         };
-        let at = fleet.addr(id);
-        if n % 2 == 0 {
+        let addr = fleet.addr(id);
+        if replaced % 2 == 0 {
             fleet.drain(id);
             std::thread::sleep(Duration::from_millis(250));
             fleet.remove(id);
@@ -127,28 +127,32 @@
             fleet.kill(id);
             std::thread::sleep(Duration::from_millis(100));
         }
-        n += 1;
-        let _ = fleet.add(&format!("f-{n}"), at);
+        replaced += 1;
+        let _ = fleet.add(&format!("f-{replaced}"), addr);
     }
-    n
+    replaced
 }
 
 /// One request of the mix.
-fn request(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
-    match n % 4 {
+fn request(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
+    match number % 4 {
         0 => {
-            let rows = gateway.connect_postgres().and_then(|mut pg| {
-                pg.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
-                pg.read()
-            });
-            if let Some(rows) = tally.count_postgres(rows) {
-                tally.check_rows(&rows, 20);
-            }
+            lookup(gateway, tally);
+            Ok(())
         }
-        1 | 2 => paged_result(gateway, tally)?,
-        _ => duplicate_key(gateway, tally, n, client)?,
+        1 | 2 => paged_result(gateway, tally),
+        _ => duplicate_key(gateway, tally, number, client),
+    }
+}
+
+fn lookup(gateway: &Gateway, tally: &Tally) {
+    let rows = gateway.connect_postgres().and_then(|mut client| {
+        client.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
+        client.read()
+    });
+    if let Some(rows) = tally.count_postgres(rows) {
+        tally.check_rows(&rows, 20);
     }
-    Ok(())
 }
 
 /// A result of five pages, one of which is fetched twice.
@@ -172,9 +176,7 @@
         }
         if std::mem::take(&mut twice) {
             let again = gateway.connect_http()?.get(&path)?;
-            tally
-                .unequal
-                .fetch_add(u64::from(again.body != page.body), Relaxed);
+            tally.count_unequal(again.body != page.body);
         }
         rows.extend(page.rows());
         at = page.next();
@@ -183,41 +185,35 @@
     Ok(())
 }
 
-/// A key that is used again: at once over the other front, after its answer, or after its
+/// The hints of a load, and the rows of its result.
+const LOAD_HINTS: &str = "ms=4 rows=5";
+const LOAD_ROWS: usize = 5;
+
+/// A key that is used again: at once over the other protocol, after its answer, or after its
 /// connection was cut.
-fn duplicate_key(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
-    let (key, order) = (format!("k-{n}"), format!("{client:016x}"));
-    let hints = "ms=4 rows=5";
-    let mut body = query_body("load", hints);
+fn duplicate_key(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
+    let (key, order) = (format!("k-{number}"), format!("{client:016x}"));
+    let mut body = query_body("load", LOAD_HINTS);
     body["order_key"] = order.as_str().into();
     let mut http = gateway.connect_http()?;
     http.send_query(&body, Some(&key))?;
-    match n / 4 % 3 {
+    match number / 4 % 3 {
         0 => {
-            let mut pg = gateway.connect_postgres()?;
-            pg.send(&query_text(
-                "load",
-                hints,
-                &format!(",token={key},obj={order}"),
-            ))?;
-            let (one, two) = (
-                tally.count_http(http.read()),
-                tally.count_postgres(pg.read()),
-            );
-            if let (Some(one), Some(two)) = (one, two) {
-                tally
-                    .unequal
-                    .fetch_add(u64::from(one.rows() != two), Relaxed);
+            let fields = format!(",token={key},obj={order}");
+            let mut postgres = gateway.connect_postgres()?;
+            postgres.send(&query_text("load", LOAD_HINTS, &fields))?;
+            let first = tally.count_http(http.read());
+            let second = tally.count_postgres(postgres.read());
+            if let (Some(first), Some(second)) = (first, second) {
+                tally.count_unequal(first.rows() != second);
             }
         }
         1 => {
-            let one = tally.count_http(http.read());
+            let first = tally.count_http(http.read());
             http.send_query(&body, Some(&key))?;
-            let two = tally.count_http(http.read());
-            if let (Some(one), Some(two)) = (one, two) {
-                tally
-                    .unequal
-                    .fetch_add(u64::from(one.body != two.body), Relaxed);
+            let second = tally.count_http(http.read());
+            if let (Some(first), Some(second)) = (first, second) {
+                tally.count_unequal(first.body != second.body);
             }
         }
         _ => {
@@ -225,7 +221,7 @@
             let mut again = gateway.connect_http()?;
             again.send_query(&body, Some(&key))?;
             if let Some(reply) = tally.count_http(again.read()) {
-                tally.check_rows(&reply.rows(), 5);
+                tally.check_rows(&reply.rows(), LOAD_ROWS);
             }
         }
     }
--- a/tools/acceptance/src/bin/prove-rest/tally.rs
+++ b/tools/acceptance/src/bin/prove-rest/tally.rs
@@ -43,6 +43,11 @@
         rows.ok()?.ok()
     }
 
+    /// Counts two answers to one request that differ.
+    pub fn count_unequal(&self, differ: bool) {
+        self.unequal.fetch_add(u64::from(differ), Relaxed);
+    }
+
     /// Rows have to be all of one attempt, in order, none missing or twice.
     pub fn check_rows(&self, rows: &[[String; 3]], count: usize) {
         let first = rows.first();
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -10,14 +10,20 @@
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
 use crate::gateway_process::{free_address, ScaleGateway};
-use crate::slope::{Budget, Slope};
+use crate::slope::{MeasuredRole, Slope};
 
-const ROLE: &str = "client_side";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "client_side",
+    size_of: "connections",
+    target: TARGET,
+};
 const SIZES: [usize; 6] = [100, 400, 800, 1_200, 1_700, 2_240];
 const SHORT_SIZES: [usize; 3] = [20, 40, 60];
 /// Connections of a gateway that have to be carried: 17 million over 7,600.
 const TARGET: f64 = 2_240.0;
 const ENGINES: usize = 3;
+/// Descriptors that the gateway may hold for anything but clients.
+const MAX_DESCRIPTORS_BESIDE_CLIENTS: f64 = 64.0;
 /// Descriptors that the program may hold; clients get half of them.
 const SOCKETS: u32 = 4_608;
 /// The memory that a gateway's configuration grants it.
@@ -49,83 +55,81 @@
 ///
 /// The program or the fake engines can't be started, or a connection is refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let fleet = FakeUpstreams::start(ENGINES, Profile::default())
+    let engines = FakeUpstreams::start(ENGINES, Profile::default())
         .map_err(ScaleError::io("start stand-in engines"))?;
-    let listen = free_address()?;
-    let mut config = fleet.config(
-        "scale",
-        &listen.to_string(),
-        &violetgate_fake_upstreams::settings(),
-    );
-    config["limits"]["sockets"] = SOCKETS.into();
-    let gateway = ScaleGateway::start(listen, &config)?;
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
+    let gateway = start_gateway(&engines)?;
     let mut load = Load {
-        each: if options.short {
-            SHORT_STATEMENTS
-        } else {
-            STATEMENTS
-        },
+        each: options.select(SHORT_STATEMENTS, STATEMENTS),
         next: 1,
     };
-    let (mut slopes, mut unserved) = (slopes(), 0);
+    let mut slopes = Slopes::default();
+    let mut unserved = 0;
     let mut idle = Vec::new();
     // The first statements open the connections to engines, which are no cost of idle clients.
     load.run(&gateway)?;
-    for &size in sizes {
+    for &size in options.select(&SHORT_SIZES[..], &SIZES[..]) {
         while idle.len() < size {
             idle.push(session(&gateway)?);
         }
         let costs = costs(&gateway, &mut load, options)?;
         unserved += ACTIVE * load.each - costs.served;
-        let values = [
-            costs.resident_bytes,
-            costs.descriptors,
-            costs.idle_us_per_s,
-            costs.statement_us,
-        ];
-        slopes
-            .iter_mut()
-            .zip(values)
-            .for_each(|(slope, cost)| slope.push(size as f64, cost));
+        slopes.push(size, &costs);
         if options.short {
+            let name = format!("client_side_descriptors_beside_{size}_clients");
             let beside = costs.descriptors - size as f64;
-            figures.at_most(
-                &format!("client_side_descriptors_beside_{size}_clients"),
-                beside,
-                64.0,
-            );
+            figures.at_most(&name, beside, MAX_DESCRIPTORS_BESIDE_CLIENTS);
         }
     }
     figures.at_most("client_side_unserved_statements", unserved as f64, 0.0);
     if !options.short {
-        slopes.iter().for_each(|slope| slope.record(figures));
+        slopes.record(figures);
     }
     Ok(())
 }
 
-fn slopes() -> [Slope; 4] {
-    let slope = |name, unit, budget: Option<f64>| Slope {
-        role: ROLE,
-        name,
-        unit,
-        size_of: "connections",
-        budget: budget.map(|cost| Budget {
-            cost,
-            target: TARGET,
-        }),
-        points: Vec::new(),
-    };
-    [
-        slope("memory", "bytes", Some(MEMORY_BUDGET_BYTES)),
-        slope("descriptors", "count", Some(f64::from(SOCKETS))),
-        slope("idle", "us_per_s", None),
-        slope("statement", "us", Some(STATEMENT_BUDGET_US)),
-    ]
+fn start_gateway(engines: &FakeUpstreams) -> Result<ScaleGateway, ScaleError> {
+    let listen = free_address()?;
+    let mut config = engines.config(
+        "scale",
+        &listen.to_string(),
+        &violetgate_fake_upstreams::settings(),
+    );
+    config["limits"]["sockets"] = SOCKETS.into();
+    ScaleGateway::start(listen, &config)
+}
+
+/// Each cost by the number of connections.
+struct Slopes {
+    memory: Slope,
+    descriptors: Slope,
+    idle: Slope,
+    statement: Slope,
+}
+
+impl Default for Slopes {
+    fn default() -> Self {
+        Slopes {
+            memory: ROLE.slope("memory", "bytes", Some(MEMORY_BUDGET_BYTES)),
+            descriptors: ROLE.slope("descriptors", "count", Some(f64::from(SOCKETS))),
+            idle: ROLE.slope("idle", "us_per_s", None),
+            statement: ROLE.slope("statement", "us", Some(STATEMENT_BUDGET_US)),
+        }
+    }
+}
+
+impl Slopes {
+    fn push(&mut self, connections: usize, costs: &Costs) {
+        let size = connections as f64;
+        self.memory.push(size, costs.resident_bytes);
+        self.descriptors.push(size, costs.descriptors);
+        self.idle.push(size, costs.idle_us_per_s);
+        self.statement.push(size, costs.statement_us);
+    }
+
+    fn record(&self, figures: &mut Figures) {
+        let slopes = [&self.memory, &self.descriptors, &self.idle, &self.statement];
+        slopes.into_iter().for_each(|slope| slope.record(figures));
+    }
 }
 
 fn session(gateway: &ScaleGateway) -> Result<PostgresClient, ScaleError> {
@@ -135,11 +139,7 @@
 
 fn costs(gateway: &ScaleGateway, load: &mut Load, options: &Options) -> Result<Costs, ScaleError> {
     std::thread::sleep(SETTLE_TIME);
-    let window = if options.short {
-        SHORT_IDLE_WINDOW
-    } else {
-        IDLE_WINDOW
-    };
+    let window = options.select(SHORT_IDLE_WINDOW, IDLE_WINDOW);
     let before = gateway.usage()?;
     std::thread::sleep(window);
     let after = gateway.usage()?;
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -6,10 +6,14 @@
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
 use crate::gateway_driver::{max_in_flight, settings, GatewayDriver};
-use crate::slope::{Budget, Slope};
+use crate::slope::{MeasuredRole, Slope};
 use crate::usage::{least, own_usage, timed};
 
-const ROLE: &str = "decisions";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "decisions",
+    size_of: "engines",
+    target: TARGET,
+};
 const SIZES: [u32; 6] = [80, 300, 1_000, 4_000, 7_600, 12_000];
 const SHORT_SIZES: [u32; 5] = [80, 300, 600, 1_000, 2_000];
 const GATEWAYS: [u32; 2] = [300, 7_600];
@@ -49,71 +53,76 @@
             memory_an_engine(options.seed)?,
         );
     }
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
+    let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
     for gateways in GATEWAYS {
-        let [mut statement, mut patch, mut full_list] = slopes(gateways);
-        let (mut statements, mut unserved) = (0, 0);
-        for &engines in sizes {
-            let costs = costs(options, gateways, engines)?;
-            statement.push(f64::from(engines), costs.statement_us);
-            patch.push(f64::from(engines), costs.patch_us);
-            full_list.push(f64::from(engines), costs.full_list_us);
-            statements += costs.statements;
-            unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
-        }
-        figures.add(
-            &format!("decisions_{gateways}_gateways_statements"),
-            statements,
-        );
-        figures.at_most(
-            &format!("decisions_{gateways}_gateways_unserved"),
-            unserved as f64,
-            0.0,
-        );
-        if !options.short {
-            [statement, patch, full_list]
-                .iter()
-                .for_each(|slope| slope.record(figures));
-        }
+        measure_fleet(gateways, sizes, options, figures)?;
+    }
+    Ok(())
+}
+
+/// Measures a gateway of a fleet of so many.
+fn measure_fleet(
+    gateways: u32,
+    sizes: &[u32],
+    options: &Options,
+    figures: &mut Figures,
+) -> Result<(), ScaleError> {
+    let mut slopes = Slopes::of_fleet(gateways);
+    let (mut statements, mut unserved) = (0, 0);
+    for &engines in sizes {
+        let costs = costs(options, gateways, engines)?;
+        slopes.push(engines, &costs);
+        statements += costs.statements;
+        unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
+    }
+    let name = |figure| format!("decisions_{gateways}_gateways_{figure}");
+    figures.add(&name("statements"), statements);
+    figures.at_most(&name("unserved"), unserved as f64, 0.0);
+    if !options.short {
+        slopes.record(figures);
     }
     Ok(())
 }
 
-fn slopes(gateways: u32) -> [Slope; 3] {
-    let budget = Budget {
-        cost: STATEMENT_BUDGET_US,
-        target: TARGET,
-    };
-    let names = match gateways {
-        300 => [
-            "statement_300_gateways",
-            "patch_300_gateways",
-            "whole_list_300_gateways",
-        ],
-        _ => [
-            "statement_7600_gateways",
-            "patch_7600_gateways",
-            "whole_list_7600_gateways",
-        ],
-    };
-    let slope = |name, budget| Slope {
-        role: ROLE,
-        name,
-        unit: "us",
-        size_of: "engines",
-        budget,
-        points: Vec::new(),
-    };
-    let [statement, patch, full_list] = names;
-    [
-        slope(statement, Some(budget)),
-        slope(patch, None),
-        slope(full_list, None),
-    ]
+/// Each cost by the number of engines.
+struct Slopes {
+    statement: Slope,
+    patch: Slope,
+    full_list: Slope,
+}
+
+impl Slopes {
+    fn of_fleet(gateways: u32) -> Self {
+        let [statement, patch, full_list] = match gateways {
+            300 => [
+                "statement_300_gateways",
+                "patch_300_gateways",
+                "whole_list_300_gateways",
+            ],
+            _ => [
+                "statement_7600_gateways",
+                "patch_7600_gateways",
+                "whole_list_7600_gateways",
+            ],
+        };
+        Slopes {
+            statement: ROLE.slope(statement, "us", Some(STATEMENT_BUDGET_US)),
+            patch: ROLE.slope(patch, "us", None),
+            full_list: ROLE.slope(full_list, "us", None),
+        }
+    }
+
+    fn push(&mut self, engines: u32, costs: &Costs) {
+        let size = f64::from(engines);
+        self.statement.push(size, costs.statement_us);
+        self.patch.push(size, costs.patch_us);
+        self.full_list.push(size, costs.full_list_us);
+    }
+
+    fn record(&self, figures: &mut Figures) {
+        let slopes = [&self.statement, &self.patch, &self.full_list];
+        slopes.into_iter().for_each(|slope| slope.record(figures));
+    }
 }
 
 fn costs(options: &Options, gateways: u32, engines: u32) -> Result<Costs, ScaleError> {
@@ -123,11 +132,7 @@
         engines,
         max_in_flight(gateways, engines),
     );
-    let visits = if options.short {
-        SHORT_VISITS_PER_BATCH
-    } else {
-        VISITS_PER_BATCH
-    };
+    let visits = options.select(SHORT_VISITS_PER_BATCH, VISITS_PER_BATCH);
     let batch = (visits / engines).clamp(50, 2_000);
     (0..batch).for_each(|_| driver.send_statement());
     let mut statements_us = Vec::new();
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -15,10 +15,14 @@
 use crate::error::ScaleError;
 use crate::figures::{CapacityLimit, Figures, Options};
 use crate::gateway_process::{free_address, ScaleGateway};
-use crate::slope::{Budget, Slope};
+use crate::slope::{MeasuredRole, Slope};
 use crate::usage::{least, median};
 
-const ROLE: &str = "engine_list";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "engine_list",
+    size_of: "engines",
+    target: TARGET as f64,
+};
 const SIZES: [u32; 6] = [80, 300, 1_000, 2_500, 5_000, 7_600];
 const SHORT_SIZES: [u32; 3] = [80, 300, 1_000];
 /// Engines that have to be carried.
@@ -53,79 +57,86 @@
     let mut bus = Bus::start()?;
     let listen = free_address()?;
     let gateway = ScaleGateway::start(listen, &config(listen, &bus)?)?;
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
-    let mut slopes = slopes();
-    for &engines in sizes {
+    let mut slopes = Slopes::default();
+    for &engines in options.select(&SHORT_SIZES[..], &SIZES[..]) {
         let costs = bus.measure(&gateway, engines)?;
-        slopes
-            .iter_mut()
-            .zip([
-                costs.line_bytes,
-                costs.applied_ms,
-                costs.full_list_us,
-                costs.patch_us,
-                costs.memory_bytes,
-            ])
-            .for_each(|(slope, cost)| slope.push(f64::from(engines), cost));
+        slopes.push(engines, &costs);
         if options.short {
-            figures.add(
-                &format!("engine_list_line_at_{engines}_bytes"),
-                costs.line_bytes,
-            );
+            let name = format!("engine_list_line_at_{engines}_bytes");
+            figures.add(&name, costs.line_bytes);
         }
     }
-    let full_list_bytes = full_list(1, TARGET).len();
+    let target_line = full_list(bus.last_offset + 1, TARGET);
+    let fits = bus.apply(&target_line)?.is_some();
+    let target_line_bytes = full_list(1, TARGET).len();
     figures.add(
         &format!("engine_list_line_at_{TARGET}_bytes"),
-        full_list_bytes,
+        target_line_bytes,
     );
-    let fits = bus
-        .apply(&full_list(bus.last_offset + 1, TARGET))?
-        .is_some();
     figures.add(&format!("engine_list_{TARGET}_fit_a_line"), fits);
     if options.short {
         return Ok(());
     }
-    slopes.iter().for_each(|slope| slope.record(figures));
+    slopes.record(figures);
     if !fits {
-        let largest = bus.largest_full_list()?;
-        println!(
-            "engine_list: the largest whole list that the program takes has {largest} engines"
-        );
-        figures.add("engine_list_largest_whole_list_engines", largest);
-        figures.add_limit(CapacityLimit {
-            name: "engine_list_whole_list".to_owned(),
-            size: Some(f64::from(largest)),
-            size_of: "engines",
-            target: f64::from(TARGET),
-        });
+        add_largest_full_list(bus.largest_full_list()?, figures);
     }
     Ok(())
 }
 
-fn slopes() -> [Slope; 5] {
-    let slope = |name, unit, budget: Option<f64>| Slope {
-        role: ROLE,
-        name,
-        unit,
-        size_of: "engines",
-        budget: budget.map(|cost| Budget {
-            cost,
-            target: f64::from(TARGET),
-        }),
-        points: Vec::new(),
-    };
-    [
-        slope("line", "bytes", Some(LONGEST_LINE)),
-        slope("whole_list_applied", "ms", None),
-        slope("whole_list_cpu", "us", None),
-        slope("patch_cpu", "us", None),
-        slope("memory", "bytes", None),
-    ]
+fn add_largest_full_list(largest: u32, figures: &mut Figures) {
+    println!("engine_list: the largest whole list that the program takes has {largest} engines");
+    figures.add("engine_list_largest_whole_list_engines", largest);
+    figures.add_limit(CapacityLimit {
+        name: "engine_list_whole_list".to_owned(),
+        size: Some(f64::from(largest)),
+        size_of: ROLE.size_of,
+        target: ROLE.target,
+    });
+}
+
+/// Each cost by the number of engines.
+struct Slopes {
+    line: Slope,
+    applied: Slope,
+    full_list_cpu: Slope,
+    patch_cpu: Slope,
+    memory: Slope,
+}
+
+impl Default for Slopes {
+    fn default() -> Self {
+        Slopes {
+            line: ROLE.slope("line", "bytes", Some(LONGEST_LINE)),
+            applied: ROLE.slope("whole_list_applied", "ms", None),
+            full_list_cpu: ROLE.slope("whole_list_cpu", "us", None),
+            patch_cpu: ROLE.slope("patch_cpu", "us", None),
+            memory: ROLE.slope("memory", "bytes", None),
+        }
+    }
+}
+
+impl Slopes {
+    fn push(&mut self, engines: u32, costs: &Costs) {
+        let size = f64::from(engines);
+        self.line.push(size, costs.line_bytes);
+        self.applied.push(size, costs.applied_ms);
+        self.full_list_cpu.push(size, costs.full_list_us);
+        self.patch_cpu.push(size, costs.patch_us);
+        self.memory.push(size, costs.memory_bytes);
+    }
+
+    fn record(&self, figures: &mut Figures) {
+        let Slopes {
+            line,
+            applied,
+            full_list_cpu,
+            patch_cpu,
+            memory,
+        } = self;
+        let slopes = [line, applied, full_list_cpu, patch_cpu, memory];
+        slopes.into_iter().for_each(|slope| slope.record(figures));
+    }
 }
 
 fn config(listen: SocketAddr, bus: &Bus) -> Result<serde_json::Value, ScaleError> {
--- a/tools/scale/src/engine_side.rs
+++ b/tools/scale/src/engine_side.rs
@@ -12,9 +12,13 @@
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
 use crate::gateway_driver::{max_in_flight, settings, GatewayDriver, STATEMENTS_PER_SECOND, ZONES};
-use crate::slope::{Budget, Slope};
+use crate::slope::MeasuredRole;
 
-const ROLE: &str = "engine_side";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "engine_side",
+    size_of: "engines",
+    target: ENGINES as f64,
+};
 /// Engines for each gateway, as at the size that has to be carried.
 const ENGINES: u32 = 12_000;
 const GATEWAYS: u32 = 7_600;
@@ -49,27 +53,9 @@
 ///
 /// The module refuses the settings.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let mut slope = Slope {
-        role: ROLE,
-        name: "front_end",
-        unit: "connections",
-        size_of: "engines",
-        budget: Some(Budget {
-            cost: ENGINE_CONNECTIONS,
-            target: f64::from(ENGINES),
-        }),
-        points: Vec::new(),
-    };
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
-    let window = if options.short {
-        STATEMENTS_PER_SECOND
-    } else {
-        STATEMENTS_PER_SECOND * IDLE_CLOSE_S
-    };
+    let mut slope = ROLE.slope("front_end", "connections", Some(ENGINE_CONNECTIONS));
+    let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
+    let window = options.select(STATEMENTS_PER_SECOND, STATEMENTS_PER_SECOND * IDLE_CLOSE_S);
     for &engines in sizes {
         let sent = simulate_gateway(options.seed, 0, engines, window)?;
         let distinct: BTreeSet<_> = sent.iter().collect();
@@ -153,11 +139,10 @@
 
 /// Simulates every gateway of a small fleet, and again with a tenth of them replaced.
 fn simulate_fleet(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let (engines, statements) = if options.short {
-        (SHORT_FLEET_ENGINES, SHORT_STATEMENTS_IN_FLEET)
-    } else {
-        (FLEET_ENGINES, STATEMENTS_IN_FLEET)
-    };
+    let (engines, statements) = options.select(
+        (SHORT_FLEET_ENGINES, SHORT_STATEMENTS_IN_FLEET),
+        (FLEET_ENGINES, STATEMENTS_IN_FLEET),
+    );
     let gateways = gateways_before(engines);
     let engines_of = |gateway| {
         let sent = simulate_gateway(options.seed, gateway, engines, statements)?;
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -12,6 +12,18 @@
     pub seed: u64,
 }
 
+impl Options {
+    /// The first value in the short form, else the second.
+    #[must_use]
+    pub fn select<T>(&self, short: T, long: T) -> T {
+        if self.short {
+            short
+        } else {
+            long
+        }
+    }
+}
+
 /// The size at which a cost of a role passes its budget.
 #[derive(Debug, Clone)]
 pub struct CapacityLimit {
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -40,21 +40,13 @@
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), MembershipError> {
     let config = MembershipConfig::default();
     let fits = |size: &usize| *size <= config.max_members;
-    let all: &[usize] = if options.short { &SHORT_SIZES } else { &SIZES };
+    let all: &[usize] = options.select(&SHORT_SIZES, &SIZES);
     let sizes: Vec<usize> = all.iter().copied().filter(fits).collect();
     if sizes.is_empty() {
         return Err(MembershipError::NoSize(config.max_members));
     }
-    let cases: &[Case] = if options.short {
-        &SHORT_CASES
-    } else {
-        &Case::ALL
-    };
-    let longest = if options.short {
-        LONGEST_SHORT
-    } else {
-        LONGEST
-    };
+    let cases: &[Case] = options.select(&SHORT_CASES, &Case::ALL);
+    let longest = options.select(LONGEST_SHORT, LONGEST);
     for size in sizes {
         for case in cases {
             let load = play(*case, size, &config, options.seed, longest);
--- a/tools/scale/src/replicated_state.rs
+++ b/tools/scale/src/replicated_state.rs
@@ -27,11 +27,7 @@
 ///
 /// Members can't be started, or none leads.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
+    let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
     let executor = Rc::new(LocalExecutor::new());
     let measured = measure_sizes(&executor, sizes, options, figures);
     let Measured { slopes, largest } = async_io::block_on(executor.run(measured))?;
--- a/tools/scale/src/replicated_state/costs.rs
+++ b/tools/scale/src/replicated_state/costs.rs
@@ -1,9 +1,13 @@
 //! What a group of instances costs, and the slopes of these costs by its size.
 
 use crate::figures::Figures;
-use crate::slope::{Budget, Slope};
+use crate::slope::{MeasuredRole, Slope};
 
-const ROLE: &str = "agreed_state";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "agreed_state",
+    size_of: "instances",
+    target: TARGET,
+};
 /// Instances that have to be carried.
 pub const TARGET: f64 = 7_600.0;
 /// The leader's loop is one thread: it has a core at most.
@@ -45,26 +49,15 @@
 
 impl Default for Slopes {
     fn default() -> Self {
-        let slope = |name, unit, budget: Option<f64>| Slope {
-            role: ROLE,
-            name,
-            unit,
-            size_of: "instances",
-            budget: budget.map(|cost| Budget {
-                cost,
-                target: TARGET,
-            }),
-            points: Vec::new(),
-        };
         Slopes {
-            leader: slope("leader_at_rest", "us_per_s", Some(CORE_US_PER_S)),
-            other: slope("other_at_rest", "us_per_s", None),
-            read_index: slope("questions", "per_s", None),
-            messages: slope("leader_received_messages", "per_s", None),
-            received: slope("leader_received_bytes", "per_s", None),
-            change: slope("change_everywhere", "ms", Some(CHANGE_BUDGET_MS)),
-            slowest_change: slope("slowest_change_everywhere", "ms", None),
-            change_cpu: slope("change_cpu", "us", None),
+            leader: ROLE.slope("leader_at_rest", "us_per_s", Some(CORE_US_PER_S)),
+            other: ROLE.slope("other_at_rest", "us_per_s", None),
+            read_index: ROLE.slope("questions", "per_s", None),
+            messages: ROLE.slope("leader_received_messages", "per_s", None),
+            received: ROLE.slope("leader_received_bytes", "per_s", None),
+            change: ROLE.slope("change_everywhere", "ms", Some(CHANGE_BUDGET_MS)),
+            slowest_change: ROLE.slope("slowest_change_everywhere", "ms", None),
+            change_cpu: ROLE.slope("change_cpu", "us", None),
         }
     }
 }
--- a/tools/scale/src/replicated_state/group.rs
+++ b/tools/scale/src/replicated_state/group.rs
@@ -151,11 +151,8 @@
         options: &Options,
         size: u64,
     ) -> Result<Costs, ScaleError> {
-        let (window, changes) = if options.short {
-            (SHORT_IDLE_WINDOW, SHORT_CHANGES)
-        } else {
-            (IDLE_WINDOW, CHANGES)
-        };
+        let (window, changes) =
+            options.select((SHORT_IDLE_WINDOW, SHORT_CHANGES), (IDLE_WINDOW, CHANGES));
         // The quieter one of two windows: other processes only add.
         let (first, second) = (
             self.idle_costs(window).await?,
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -14,6 +14,33 @@
     pub target: f64,
 }
 
+/// A role whose costs are measured by size.
+#[derive(Debug, Clone, Copy)]
+pub struct MeasuredRole {
+    /// The role's name, with which its figures begin.
+    pub name: &'static str,
+    /// What sizes count.
+    pub size_of: &'static str,
+    /// The size that has to be carried.
+    pub target: f64,
+}
+
+impl MeasuredRole {
+    /// One cost of the role, with nothing measured yet; `budget` is the most that it may cost.
+    #[must_use]
+    pub fn slope(&self, name: &'static str, unit: &'static str, budget: Option<f64>) -> Slope {
+        let target = self.target;
+        Slope {
+            role: self.name,
+            name,
+            unit,
+            size_of: self.size_of,
+            budget: budget.map(|cost| Budget { cost, target }),
+            points: Vec::new(),
+        }
+    }
+}
+
 /// One cost of one role by size.
 #[derive(Debug)]
 pub struct Slope {
