--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -13,7 +13,7 @@
 use std::io::Read;
 use std::net::TcpStream;
 
-use support::{wait_for_exit, wait_until, GatewayProcess, PostgresSession};
+use support::{wait_for_exit, wait_until, GatewayProcess, PostgresSession, Signal};
 
 /// Descriptors that a process holds.
 fn descriptors(gateway: &GatewayProcess) -> usize {
@@ -74,7 +74,7 @@
             )
         })
         .collect();
-    gateway.signal("TERM");
+    gateway.signal(Signal::TERM);
     for (_, mut stream) in sessions {
         let mut rest = Vec::new();
         stream.read_to_end(&mut rest).expect("an end, and no reset");
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -10,12 +10,14 @@
 
 mod support;
 
-use std::process::{Child, Command, Stdio};
+use std::path::Path;
+use std::process::{Child, Stdio};
 
 use serde_json::{json, Value};
-use support::{connect, reserve_address, wait_until, WAIT};
+use support::{connect, reserve_address, wait_until, PROGRAM, WAIT};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{settings, FakeUpstreams, Profile};
+use violetgate_test_harness::{read_metrics, server_command};
 
 /// Time between notes of progress that the settings promise, in seconds. An attempt without a note
 /// for 1.7 of these is taken back and sent again.
@@ -82,17 +84,10 @@
         let (listen, management) = (reserve_address(), reserve_address());
         let folder = std::env::temp_dir().join(format!("violetgate-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        let config = folder.join("config.json");
-        std::fs::write(
-            &config,
-            upstreams.config("n0", &listen, settings).to_string(),
-        )
-        .unwrap();
-        let child = Command::new(env!("CARGO_BIN_EXE_violetgate"))
-            .env("PROXY_CONFIG", config)
+        let config = upstreams.config("n0", &listen, settings).to_string();
+        std::fs::write(folder.join("config.json"), config).unwrap();
+        let child = server_command(Path::new(PROGRAM), &folder)
             .env("PROXY_MANAGEMENT", &management)
-            .env("TMPDIR", &folder)
-            .stdin(Stdio::null())
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
@@ -206,9 +201,8 @@
             gateway.upstreams.remove(&id);
         }
         wait_until("nobody is listed", || {
-            let mut http = HttpClient::new(connect(&gateway.management), WAIT).unwrap();
-            let text = String::from_utf8(http.get("/admin/stats").unwrap().body).unwrap();
-            text.lines().any(|l| l == "svc_known_engines 0")
+            let metrics = read_metrics(gateway.management.parse().unwrap(), WAIT).unwrap();
+            metrics.get("svc_known_engines") == Some(&0.0)
         });
         let error = gateway
             .run_query(
--- a/gateway/tests/player/steps.rs
+++ b/gateway/tests/player/steps.rs
@@ -2,9 +2,10 @@
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
-use std::process::Command;
 use std::time::{Duration, Instant};
 
+use violetgate_test_harness::{send_signal, Signal};
+
 use super::bytes::{query, startup, unescape};
 use super::fake_bus::FakeBus;
 use super::{free, server, spawn, Player};
@@ -113,10 +114,12 @@
                 self.wait_until_healthy();
             }
             "term" | "hup" => {
-                let pid = self.process(who).id().to_string();
-                let signal = format!("-{}", verb.to_uppercase());
-                let kill = Command::new("kill").args([&signal, &pid]).status();
-                assert!(kill.unwrap().success());
+                let signal = if verb == "term" {
+                    Signal::TERM
+                } else {
+                    Signal::HUP
+                };
+                send_signal(self.process(who).id(), signal).unwrap();
             }
             "exit" => {
                 let until = Instant::now() + WAIT;
--- a/gateway/tests/rest/lifecycle.rs
+++ b/gateway/tests/rest/lifecycle.rs
@@ -2,7 +2,7 @@
 
 use std::io::Read;
 
-use crate::support::{rest_block, wait_for_exit, wait_until, GatewayProcess};
+use crate::support::{rest_block, wait_for_exit, wait_until, GatewayProcess, Signal};
 use crate::{assert_complete, report, WINDOW};
 
 /// A drained gateway takes no more queries and still serves the pages that it promised; a
@@ -69,7 +69,7 @@
     let mut owed = gateway.http();
     owed.post_query(&report(60_000, "rows=300 width=60"), None);
     let first = owed.read();
-    gateway.signal("TERM");
+    gateway.signal(Signal::TERM);
     assert_eq!(owed.get(&first.next().unwrap()).status, 200);
     assert_eq!(wait_for_exit(&mut gateway.child), Some(0));
 }
@@ -86,7 +86,7 @@
     };
     assert_eq!(long(), 200);
     std::fs::write(&path, rest_block(&gateway.rest, "  max_body = \"1KiB\"")).unwrap();
-    gateway.signal("HUP");
+    gateway.signal(Signal::HUP);
     wait_until("the new limit holds", || long() == 413);
     for text in [
         "rest {",
@@ -94,11 +94,11 @@
         &rest_block(&gateway.rest, "  max_bodi = \"96KiB\""),
     ] {
         std::fs::write(&path, text).unwrap();
-        gateway.signal("HUP");
+        gateway.signal(Signal::HUP);
         assert_eq!(long(), 413);
     }
     std::fs::write(&path, rest_block(&gateway.rest, "")).unwrap();
-    gateway.signal("HUP");
+    gateway.signal(Signal::HUP);
     wait_until("the old limit holds again", || long() == 200);
 }
 
@@ -116,7 +116,7 @@
         &gateway.post_query(&report(30_000, "rows=5"), None).rows(),
         5,
     );
-    gateway.signal("TERM");
+    gateway.signal(Signal::TERM);
     let mut log = String::new();
     gateway
         .child
--- a/gateway/tests/subscriber.rs
+++ b/gateway/tests/subscriber.rs
@@ -152,9 +152,9 @@
     gateway.upstreams.record_cordon("e-1", true);
     (0..20).for_each(|_| assert_eq!(gateway.post_query(&lookup(), None).status, 200));
     assert_eq!(gateway.upstreams.counts().after_cordon, 0);
-    assert_eq!(cluster.observer.metric("svc_cluster_subscribers "), 1.0);
-    assert_eq!(cluster.voter.metric("svc_cluster_serving "), 1.0);
-    assert_eq!(gateway.metric("svc_cluster_observer "), 2.0);
+    assert_eq!(cluster.observer.metric("svc_cluster_subscribers"), 1.0);
+    assert_eq!(cluster.voter.metric("svc_cluster_serving"), 1.0);
+    assert_eq!(gateway.metric("svc_cluster_observer"), 2.0);
 }
 
 /// It can't commit anything.
@@ -201,7 +201,7 @@
     let attempts = gateway.upstreams.counts().attempts();
     assert_eq!(gateway.call("GET", "/admin/health", "").0, 503);
     assert_eq!(gateway.post_query(&lookup(), None).status, 503);
-    assert_eq!(gateway.metric("svc_cluster_routes "), 0.0);
+    assert_eq!(gateway.metric("svc_cluster_routes"), 0.0);
     assert_eq!(gateway.upstreams.counts().attempts(), attempts);
     wait_until("members know that it does not serve", || {
         cluster.progress()["observers"] == 0
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -9,7 +9,7 @@
 )]
 
 use std::io::Write;
-use std::net::{TcpListener, TcpStream};
+use std::net::TcpStream;
 use std::ops::{Deref, DerefMut};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -19,9 +19,16 @@
 use serde_json::Value;
 pub use violetgate_fake_upstreams::client::Reply;
 use violetgate_fake_upstreams::{client, settings, FakeUpstreams, Profile};
+pub use violetgate_test_harness::Signal;
+use violetgate_test_harness::{read_metrics, reserve_tcp_address, send_signal, server_command};
+
+/// The program under test.
+pub const PROGRAM: &str = env!("CARGO_BIN_EXE_violetgate");
 
 /// Wide enough for the slowest machine; nothing waits this long unless it has failed.
 pub const WAIT: Duration = Duration::from_secs(60);
+/// How often a condition is checked that is waited for.
+const CHECK_INTERVAL: Duration = Duration::from_millis(3);
 
 /// Connects as soon as somebody listens.
 pub fn connect(addr: &str) -> TcpStream {
@@ -38,23 +45,13 @@
 /// An address for the program to listen at. Its port lies below those that the machine gives to
 /// connections, since one of them could take it before the program does.
 pub fn reserve_address() -> String {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    loop {
-        let port =
-            12_000 + (std::process::id() * 97 + NEXT.fetch_add(1, Ordering::Relaxed)) % 20_000;
-        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port as u16)) {
-            return listener.local_addr().unwrap().to_string();
-        }
-    }
+    reserve_tcp_address().unwrap().to_string()
 }
 
 /// Waits until something holds.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + WAIT;
-    while !holds() {
-        assert!(Instant::now() < deadline, "never: {what}");
-        std::thread::sleep(Duration::from_millis(3));
-    }
+pub fn wait_until(what: &str, condition: impl FnMut() -> bool) {
+    let waited = violetgate_test_harness::wait_until(WAIT, CHECK_INTERVAL, condition);
+    assert!(waited.is_some(), "never: {what}");
 }
 
 /// A gateway process before fake engines.
@@ -134,14 +131,9 @@
     }
 
     fn spawn(folder: &Path, listen: &str, management: &str, log: Stdio) -> Child {
-        Command::new(env!("CARGO_BIN_EXE_violetgate"))
-            .arg("--settings")
-            .arg(folder.join("violetgate.hcl"))
-            .env("PROXY_CONFIG", folder.join("config.json"))
+        server_command(Path::new(PROGRAM), folder)
             .env("PROXY_LISTEN", listen)
             .env("PROXY_MANAGEMENT", management)
-            .env("TMPDIR", folder)
-            .stdin(Stdio::null())
             .stderr(log)
             .spawn()
             .unwrap()
@@ -194,12 +186,12 @@
         let child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::null());
         let old = std::mem::replace(&mut self.child, child);
         self.wait_until_healthy();
-        signal(&old, "TERM");
+        send_signal(old.id(), Signal::TERM).unwrap();
         old
     }
 
-    pub fn signal(&self, name: &str) {
-        signal(&self.child, name);
+    pub fn signal(&self, signal: Signal) {
+        send_signal(self.child.id(), signal).unwrap();
     }
 
     /// One management call.
@@ -210,14 +202,17 @@
         (reply.status, String::from_utf8(reply.body).unwrap())
     }
 
-    /// The value of one of the gateway's metrics.
+    /// The value of one of the gateway's metrics, by its full name.
     pub fn metric(&self, name: &str) -> f64 {
-        let text = self.call("GET", "/admin/stats", "").1;
-        let line = text
-            .lines()
-            .find(|l| l.starts_with(name))
-            .unwrap_or_else(|| panic!("no metric {name}"));
-        line.rsplit(' ').next().unwrap().parse().unwrap()
+        let management = self.management.parse().unwrap();
+        let mut metrics = None;
+        // A process that was just restarted may not listen yet.
+        wait_until("the metrics are read", || {
+            metrics = read_metrics(management, WAIT).ok();
+            metrics.is_some()
+        });
+        let value = metrics.unwrap().get(name).copied();
+        value.unwrap_or_else(|| panic!("no metric {name}"))
     }
 
     pub fn http(&self) -> HttpConnection {
@@ -238,10 +233,7 @@
 
 /// Runs the program to its end: whether it went well, and what it wrote.
 pub fn run_violetgate(args: &[&str]) -> (bool, String) {
-    let out = Command::new(env!("CARGO_BIN_EXE_violetgate"))
-        .args(args)
-        .output()
-        .unwrap();
+    let out = Command::new(PROGRAM).args(args).output().unwrap();
     let text = [out.stdout, out.stderr].concat();
     (out.status.success(), String::from_utf8(text).unwrap())
 }
@@ -250,15 +242,6 @@
     format!("rest {{\n  listen = \"{rest}\"\n{lines}\n}}\n")
 }
 
-pub fn signal(child: &Child, name: &str) {
-    let pid = child.id().to_string();
-    assert!(Command::new("kill")
-        .args([&format!("-{name}"), &pid])
-        .status()
-        .unwrap()
-        .success());
-}
-
 /// The exit code of a process that ends by itself.
 pub fn wait_for_exit(child: &mut Child) -> Option<i32> {
     let mut code = None;
--- a/tools/test-harness/src/addresses.rs
+++ b/tools/test-harness/src/addresses.rs
@@ -1,10 +1,16 @@
 //! Loopback addresses that nothing listens on.
 
-use std::io::Result;
+use std::io::{Error, ErrorKind, Result};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::sync::atomic::{AtomicU32, Ordering};
 
 /// Any free port of the loopback interface.
 const ANY_PORT: &str = "127.0.0.1:0";
+/// Ports below those that the machine gives to connections.
+const FIRST_RESERVED_PORT: u32 = 12_000;
+const RESERVED_PORTS: u32 = 20_000;
+/// By how far the first ports of two processes with successive ids lie apart.
+const PORTS_PER_PROCESS: u32 = 97;
 
 /// Returns different TCP addresses that are free now; another process may take one before it is
 /// used.
@@ -36,3 +42,22 @@
         .collect::<Result<_>>()?;
     sockets.iter().map(UdpSocket::local_addr).collect()
 }
+
+/// Returns a TCP address whose port lies below those that the machine gives to connections, since
+/// one of them could take it before the program listens. No address is returned twice.
+///
+/// # Errors
+///
+/// Every port of the range is in use.
+pub fn reserve_tcp_address() -> Result<SocketAddr> {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS);
+    for _ in 0..RESERVED_PORTS {
+        let offset = first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % RESERVED_PORTS;
+        let port = u16::try_from(FIRST_RESERVED_PORT + offset).unwrap_or(u16::MAX);
+        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
+            return listener.local_addr();
+        }
+    }
+    Err(Error::new(ErrorKind::AddrInUse, "no reserved port is free"))
+}
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! What acceptance tests, scale tests and the fleet harness share about gateway processes: their
-//! start and end, free addresses, waiting, metrics, and their use of the machine.
+//! What the gateway's own tests, acceptance tests, scale tests and the fleet harness share about
+//! gateway processes: their start and end, free addresses, waiting, metrics, and their use of the machine.
 //!
 //! Everything here sees a process from outside. It needs Linux with `/proc` mounted.
 
@@ -11,9 +11,13 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub use addresses::{free_tcp_addresses, free_udp_addresses};
+pub use addresses::{free_tcp_addresses, free_udp_addresses, reserve_tcp_address};
 pub use metrics::{read_metrics, Metrics};
-pub use process::{program_beside, KillOnDrop, LogTarget, ServerProcess, SETTINGS_FILE};
+pub use process::{
+    program_beside, send_signal, server_command, KillOnDrop, LogTarget, ServerProcess,
+    SETTINGS_FILE,
+};
+pub use rustix::process::Signal;
 pub use usage::ProcessUsage;
 pub use wait::wait_until;
 
--- a/tools/test-harness/src/process.rs
+++ b/tools/test-harness/src/process.rs
@@ -19,6 +19,33 @@
 /// How often it is checked whether a process has ended.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
+/// The command that runs a gateway with the files in its folder: `config.json` and, if it has
+/// settings, `violetgate.hcl`. Temporary files go to the folder as well.
+#[must_use]
+pub fn server_command(program: &Path, folder: &Path) -> Command {
+    let mut command = Command::new(program);
+    let settings = folder.join(SETTINGS_FILE);
+    if settings.exists() {
+        command.arg("--settings").arg(settings);
+    }
+    command
+        .env("PROXY_CONFIG", folder.join(CONFIG_FILE))
+        .env("TMPDIR", folder)
+        .stdin(Stdio::null());
+    command
+}
+
+/// Sends a signal to a process.
+///
+/// # Errors
+///
+/// There is no such process.
+pub fn send_signal(pid: u32, signal: Signal) -> Result<()> {
+    let pid = i32::try_from(pid).ok().and_then(Pid::from_raw);
+    let pid = pid.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such process"))?;
+    Ok(kill_process(pid, signal)?)
+}
+
 /// Where a process's log goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTarget {
@@ -56,9 +83,7 @@
     ///
     /// There is no such process any more.
     pub fn signal(&self, signal: Signal) -> Result<()> {
-        let pid = i32::try_from(self.pid()).ok().and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such process"))?;
-        Ok(kill_process(pid, signal)?)
+        send_signal(self.pid(), signal)
     }
 }
 
@@ -100,15 +125,7 @@
     ///
     /// Its log can't be opened, or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
-        let mut command = Command::new(&self.program);
-        let settings = self.folder.join(SETTINGS_FILE);
-        if settings.exists() {
-            command.arg("--settings").arg(settings);
-        }
-        let child = command
-            .env("PROXY_CONFIG", self.folder.join(CONFIG_FILE))
-            .env("TMPDIR", &self.folder)
-            .stdin(Stdio::null())
+        let child = server_command(&self.program, &self.folder)
             .stderr(self.open_log()?)
             .spawn()?;
         self.child = Some(KillOnDrop(child));
--- a/tools/test-harness/tests/harness.rs
+++ b/tools/test-harness/tests/harness.rs
@@ -2,13 +2,14 @@
 #![allow(clippy::unwrap_used)]
 
 use std::collections::BTreeSet;
+use std::net::TcpListener;
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
 use violetgate_test_harness::{
-    free_tcp_addresses, free_udp_addresses, wait_until, KillOnDrop, LogTarget, ProcessUsage,
-    ServerProcess,
+    free_tcp_addresses, free_udp_addresses, reserve_tcp_address, wait_until, KillOnDrop, LogTarget,
+    ProcessUsage, ServerProcess,
 };
 
 fn temporary_folder(name: &str) -> std::path::PathBuf {
@@ -25,6 +26,16 @@
     assert_eq!(udp.iter().collect::<BTreeSet<_>>().len(), 20);
 }
 
+#[test]
+fn reserved_addresses_differ_and_can_be_listened_on() {
+    let addresses: BTreeSet<_> = (0..20).map(|_| reserve_tcp_address().unwrap()).collect();
+    assert_eq!(addresses.len(), 20);
+    for address in addresses {
+        assert!((12_000..32_000).contains(&address.port()));
+        TcpListener::bind(address).unwrap();
+    }
+}
+
 #[test]
 fn waiting_ends_when_the_condition_holds_or_the_time_is_over() {
     let mut checks = 0;
