--- a/gateway/tests/rest/lifecycle.rs
+++ b/gateway/tests/rest/lifecycle.rs
@@ -127,7 +127,7 @@
         .unwrap();
     assert_eq!(wait_for_exit(&mut gateway.child), Some(0));
     assert!(
-        log.lines().count() < 6_000 && log.contains("log lines, as nobody took them"),
+        log.lines().count() < 6_000 && log.contains("log lines, as nobody read them"),
         "{}",
         log.len()
     );
