--- a/gateway/src/replication/metrics.rs
+++ b/gateway/src/replication/metrics.rs
@@ -191,44 +191,57 @@
 
 impl SubscriberMetrics {
     pub(super) fn render(&self) -> String {
-        let SubscriberMetrics {
-            status,
-            traffic,
-            fenced,
-        } = self;
         let mut out = MetricsText(String::new());
-        out.gauge("revision", "The state's revision.", status.revision);
+        self.write_state(&mut out);
+        self.write_traffic(&mut out);
+        self.write_observers(&mut out);
+        out.0
+    }
+
+    fn write_state(&self, out: &mut MetricsText) {
+        out.gauge("revision", "The state's revision.", self.status.revision);
         out.gauge(
             "routes",
             "The state is confirmed: requests may be sent.",
-            u64::from(status.freshness.is_ok()),
-        );
-        out.counter(
-            "turned_away_total",
-            "Requests and attempts not sent on old state.",
-            *fenced,
-        );
-        out.counter(
-            "sent_bytes_total",
-            "Bytes sent to observers.",
-            traffic.bytes_sent,
-        );
-        out.counter(
-            "received_bytes_total",
-            "Bytes received from observers.",
-            traffic.bytes_received,
+            u64::from(self.status.freshness.is_ok()),
         );
+    }
+
+    fn write_traffic(&self, out: &mut MetricsText) {
+        for (name, help, value) in [
+            (
+                "turned_away_total",
+                "Requests and attempts not sent on old state.",
+                self.fenced,
+            ),
+            (
+                "sent_bytes_total",
+                "Bytes sent to observers.",
+                self.traffic.bytes_sent,
+            ),
+            (
+                "received_bytes_total",
+                "Bytes received from observers.",
+                self.traffic.bytes_received,
+            ),
+        ] {
+            out.counter(name, help, value);
+        }
+    }
+
+    fn write_observers(&self, out: &mut MetricsText) {
         out.gauge(
             "observer",
             "The observer that is watched; 0: none.",
-            status.watched.unwrap_or(0),
+            self.status.watched.unwrap_or(0),
         );
         out.gauge(
             "reserve_observer",
             "The observer held in reserve; 0: none.",
-            status.standby.unwrap_or(0),
+            self.status.standby.unwrap_or(0),
         );
-        let rejection = status
+        let rejection = self
+            .status
             .rejection
             .iter()
             .map(|rejection| ("code", rejection.code().to_owned(), 1));
@@ -237,6 +250,5 @@
             "An observer turned this front end away, by the reason's code.",
             rejection,
         );
-        out.0
     }
 }
--- a/gateway/src/rest/connection.rs
+++ b/gateway/src/rest/connection.rs
@@ -43,6 +43,15 @@
         log::connection_ended("rest", peer, end, watch.answered.get());
     }
 
+    fn phase_timeouts(&self) -> PhaseTimeouts {
+        let limits = self.limits.borrow();
+        PhaseTimeouts {
+            idle: limits.idle_timeout.0,
+            head: limits.head_timeout.0,
+            write: limits.write_timeout.0,
+        }
+    }
+
     /// Serves a connection up to its end.
     async fn serve(
         self: &Rc<Self>,
@@ -50,15 +59,8 @@
         watch: &Rc<ConnectionWatch>,
         slot: &ConnectionSlot,
     ) -> ConnectionEnd {
-        let (timeouts, max_head_bytes) = {
-            let limits = self.limits.borrow();
-            let timeouts = PhaseTimeouts {
-                idle: limits.idle_timeout.0,
-                head: limits.head_timeout.0,
-                write: limits.write_timeout.0,
-            };
-            (timeouts, limits.max_head.0 as usize)
-        };
+        let timeouts = self.phase_timeouts();
+        let max_head_bytes = self.limits.borrow().max_head.0 as usize;
         let (front_end, request_watch) = (Rc::clone(self), Rc::clone(watch));
         let service = hyper::service::service_fn(move |request| {
             let (front_end, watch) = (Rc::clone(&front_end), Rc::clone(&request_watch));
--- a/gateway/src/rest/pages.rs
+++ b/gateway/src/rest/pages.rs
@@ -57,9 +57,9 @@
         watch: &ConnectionWatch,
     ) -> Result<Reply, HttpError> {
         let now = self.parts.clock.now();
-        let found = self.parts.results.borrow().get(now, token);
-        let found = found.map_err(|error| self.page_error(error))?;
-        let (result, expires_at) = (found.pages, found.token.expires_at);
+        let stored = self.parts.results.borrow().get(now, token);
+        let stored = stored.map_err(|error| self.page_error(error))?;
+        let (result, expires_at) = (stored.pages, stored.token.expires_at);
         if page > result.pages.len() {
             return Err(self.page_error(LookupError::UnknownToken));
         }
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -70,9 +70,9 @@
 
 /// What became of the attempts on a connection that has ended.
 #[derive(Default)]
-pub(super) struct ConnectionEnd {
-    /// Those that were written, whose connection is lost.
-    pub lost: Vec<AttemptEnd>,
+pub(super) struct UnfinishedAttempts {
+    /// Those that were written; their outcome is not known.
+    pub interrupted: Vec<AttemptEnd>,
     /// Those that were not, and have not run.
     pub unsent: Vec<UnsentAttempt>,
 }
@@ -322,8 +322,8 @@
     }
 
     /// Ends the connection, once.
-    pub(super) fn end(&self) -> ConnectionEnd {
-        let mut end = ConnectionEnd::default();
+    pub(super) fn end(&self) -> UnfinishedAttempts {
+        let mut end = UnfinishedAttempts::default();
         if self.has_ended.replace(true) {
             return end;
         }
@@ -334,7 +334,7 @@
         state.commands.clear();
         for (_, active) in state.open.drain() {
             if active.has_begun {
-                end.lost.push(active.end(Outcome::ConnectionLost));
+                end.interrupted.push(active.end(Outcome::ConnectionLost));
             } else {
                 end.unsent.push(UnsentAttempt {
                     attempt: active.attempt,
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -66,7 +66,7 @@
     assert_eq!(ends, [(2, Outcome::NeverSent), (3, Outcome::NeverSent)]);
     connection.serve(attempt(4), 0);
     let end = connection.end();
-    assert!(end.lost.is_empty());
+    assert!(end.interrupted.is_empty());
     assert_eq!(
         end.unsent
             .iter()
@@ -95,7 +95,7 @@
     assert!(connection.is_retired.get());
     let ends: Vec<_> = connection
         .end()
-        .lost
+        .interrupted
         .into_iter()
         .map(|end| (end.query, end.outcome))
         .collect();
--- a/gateway/src/upstream/pool/mod.rs
+++ b/gateway/src/upstream/pool/mod.rs
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Closes a connection. What was written on it is lost; what was not takes another connection,
-    /// unless too many have broken under it or its engine can't be reached.
+    /// Closes a connection. What was written on it is interrupted; what was not takes another
+    /// connection, unless too many have broken under it or its engine can't be reached.
     fn close(&self, connection: &Connection, reason: CloseReason) {
         // An engine that refuses a connection, or does not respond, is no better at the next one.
         let may_reconnect = connection.is_connected() || reason == CloseReason::ConnectError;
@@ -157,7 +157,7 @@
         {
             log::connection_ended("engine", connection.addr, reason, connection.requests.get());
         }
-        let mut ends = end.lost;
+        let mut ends = end.interrupted;
         for unsent in end.unsent {
             if may_reconnect && unsent.broken_connections < MAX_BROKEN_CONNECTIONS {
                 self.place(unsent.attempt, unsent.broken_connections);
