--- a/gateway/tests/surface.rs
+++ b/gateway/tests/surface.rs
@@ -266,6 +266,15 @@
     )
 }
 
+/// Shows the form of what is stored as JSON under a key of the shared state.
+fn show_stored_record(all: &mut String, api: &str, key: &str) {
+    let entry = HttpConnection::open(api)
+        .get(&format!("/v1/state?key={key}"))
+        .json();
+    let record: Value = serde_json::from_str(entry["value"].as_str().unwrap()).unwrap();
+    writeln!(all, "{key} {}", shape(&record)).unwrap();
+}
+
 #[test]
 fn cluster_and_fleet_answers_stay() {
     let (peer, api, subscribers, datagrams) = (
@@ -309,19 +318,11 @@
     ] {
         show_call(&mut all, &api, method, path, body);
     }
-    let record = HttpConnection::open(&api)
-        .get("/v1/state?key=members/1")
-        .json();
-    let record: Value = serde_json::from_str(record["value"].as_str().unwrap()).unwrap();
-    writeln!(all, "members/1 {}", shape(&record)).unwrap();
+    show_stored_record(&mut all, &api, "members/1");
     wait_until("the engine list is kept", || {
         HttpConnection::open(&api).get("/v1/state?key=list").status == 200
     });
-    let engine = HttpConnection::open(&api)
-        .get("/v1/state?key=engines/e-1")
-        .json();
-    let engine: Value = serde_json::from_str(engine["value"].as_str().unwrap()).unwrap();
-    writeln!(all, "engines/e-1 {}", shape(&engine)).unwrap();
+    show_stored_record(&mut all, &api, "engines/e-1");
     wait_until("the fleet is seen", || {
         gateway.metric("svc_fleet_share") >= 1.0
     });
