--- a/cluster/replica-runtime/src/close_reason.rs
+++ b/cluster/replica-runtime/src/close_reason.rs
@@ -25,7 +25,7 @@
     #[error("frame_too_long")]
     FrameTooLong,
     /// A frame holds no message of this protocol.
-    #[error("garbage")]
+    #[error("malformed_frame")]
     MalformedFrame,
     /// More is queued than the queue takes.
     #[error("queue_full")]
@@ -34,7 +34,7 @@
     #[error("too_slow")]
     TooSlow,
     /// The core closed this connection over an earlier message.
-    #[error("given_up")]
+    #[error("closed_locally")]
     ClosedByCore,
     /// The service or subscription that the connection belongs to was dropped.
     #[error("stopped")]
