--- a/gateway/tests/player/steps.rs
+++ b/gateway/tests/player/steps.rs
@@ -2,9 +2,10 @@
 
 use std::io::{Read, Write};
 use std::net::Shutdown;
-use std::process::Command;
 use std::time::{Duration, Instant};
 
+use violetgate_test_harness::{send_signal, Signal};
+
 use super::bytes::{query, startup, unescape};
 use super::fake_bus::FakeBus;
 use super::{free, server, spawn, Player};
@@ -34,7 +35,7 @@
             ("program" | "old", "config" | "upgrade" | "term" | "hup" | "exit") => {
                 self.process_step(who, verb, text);
             }
-            ("operator", "ready") => self.healthy(),
+            ("operator", "ready") => self.wait_until_healthy(),
             ("operator", "call") => {
                 let (status, body) = self.call(text);
                 self.note(who, &format!("< {status} {}", body.escape_default()));
@@ -110,13 +111,15 @@
                 let (child, management) = spawn(&self.folder, &self.listen);
                 self.old = Some(std::mem::replace(&mut self.child, child));
                 self.management = management;
-                self.healthy();
+                self.wait_until_healthy();
             }
             "term" | "hup" => {
-                let pid = self.process(who).id().to_string();
-                let signal = format!("-{}", verb.to_uppercase());
-                let kill = Command::new("kill").args([&signal, &pid]).status();
-                assert!(kill.unwrap().success());
+                let signal = if verb == "term" {
+                    Signal::TERM
+                } else {
+                    Signal::HUP
+                };
+                send_signal(self.process(who).id(), signal).unwrap();
             }
             "exit" => {
                 let until = Instant::now() + WAIT;
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -1,5 +1,5 @@
-//! Both protocols while engines drain, die and are replaced at the same address: no result may be lost, mixed or run
-//! twice.
+//! Both protocols while engines drain, die and are replaced at the same address: no result may be
+//! missing, mixed or run twice.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -45,9 +45,9 @@
                 if number >= requests {
                     break;
                 }
-                // A connection that can't be had is a request that was lost.
+                // A connection that can't be opened is a request without an answer.
                 if request(gateway, tally, number, client).is_err() {
-                    tally.lost.fetch_add(1, Relaxed);
+                    tally.unanswered.fetch_add(1, Relaxed);
                 }
             })
         };
@@ -75,7 +75,7 @@
         count(&tally.refused),
         count(&tally.failed),
         count(&tally.pages),
-        count(&tally.gone),
+        count(&tally.expired),
         counts.by_key.len(),
         most(&counts.by_key),
         counts.by_key.values().filter(|attempts| **attempts > 1).count(),
@@ -88,11 +88,12 @@
     verdict.figure("requests", requests);
     verdict.figure("deploys", deploys);
     verdict.figure("served_share", format!("{served_share:.3}"));
-    verdict.exactly("lost", count(&tally.lost), 0);
+    verdict.exactly("lost", count(&tally.unanswered), 0);
     verdict.exactly("results_mixed_or_cut", count(&tally.mixed), 0);
     verdict.exactly("answers_of_one_unequal", count(&tally.unequal), 0);
     verdict.exactly("effects_a_key", u64::from(most(&counts.effects)), 1);
-    // Each attempt fetches each of its pages once; a client that asks twice costs engines nothing.
+    // Each attempt fetches each of its pages once; a client that fetches a page again costs engines
+    // nothing.
     let attempts = |request: &str| counts.by_request.get(request).copied().unwrap_or(0);
     let fetched_twice = counts
         .pages
@@ -107,17 +108,18 @@
     );
 }
 
-/// Replaces an engine every so often: drained first, or killed at once, at the same address, under a new id.
+/// Replaces an engine every so often: drained first, or killed at once, at the same address, under
+/// a new id.
 fn replace_engines(fleet: &FakeUpstreams, over: &AtomicBool) -> u64 {
-    let mut n = 0;
+    let mut replaced = 0;
     while !over.load(Relaxed) {
         std::thread::sleep(Duration::from_millis(300));
         let ids = fleet.ids();
-        let Some(id) = ids.get(n as usize * 7 % ids.len().max(1)) else {
+        let Some(id) = ids.get(replaced as usize * 7 % ids.len().max(1)) else {
             continue;
         };
-        let at = fleet.addr(id);
-        if n % 2 == 0 {
+        let addr = fleet.addr(id);
+        if replaced % 2 == 0 {
             fleet.drain(id);
             std::thread::sleep(Duration::from_millis(250));
             fleet.remove(id);
@@ -125,35 +127,39 @@
             fleet.kill(id);
             std::thread::sleep(Duration::from_millis(100));
         }
-        n += 1;
-        let _ = fleet.add(&format!("f-{n}"), at);
+        replaced += 1;
+        let _ = fleet.add(&format!("f-{replaced}"), addr);
     }
-    n
+    replaced
 }
 
 /// One request of the mix.
-fn request(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
-    match n % 4 {
+fn request(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
+    match number % 4 {
         0 => {
-            let rows = gateway.connect_postgres().and_then(|mut pg| {
-                pg.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
-                pg.read()
-            });
-            if let Some(rows) = tally.pg(rows) {
-                tally.whole(&rows, 20);
-            }
+            lookup(gateway, tally);
+            Ok(())
         }
-        1 | 2 => paged_result(gateway, tally)?,
-        _ => duplicate_key(gateway, tally, n, client)?,
+        1 | 2 => paged_result(gateway, tally),
+        _ => duplicate_key(gateway, tally, number, client),
+    }
+}
+
+fn lookup(gateway: &Gateway, tally: &Tally) {
+    let rows = gateway.connect_postgres().and_then(|mut client| {
+        client.send(&query_text("lookup", "ms=1 rows=20 width=50", ""))?;
+        client.read()
+    });
+    if let Some(rows) = tally.count_postgres(rows) {
+        tally.check_rows(&rows, 20);
     }
-    Ok(())
 }
 
-/// A result of five pages, one of which is asked for twice.
+/// A result of five pages, one of which is fetched twice.
 fn paged_result(gateway: &Gateway, tally: &Tally) -> Result<()> {
     let mut http = gateway.connect_http()?;
     http.send_query(&query_body("report", "ms=2 rows=500 width=55"), None)?;
-    let Some(first) = tally.http(http.read()) else {
+    let Some(first) = tally.count_http(http.read()) else {
         return Ok(());
     };
     let (mut rows, mut at, mut twice) = (first.rows(), first.next(), true);
@@ -161,7 +167,7 @@
         let page = http.get(&path)?;
         tally.pages.fetch_add(1, Relaxed);
         if page.status == 410 {
-            tally.gone.fetch_add(1, Relaxed);
+            tally.expired.fetch_add(1, Relaxed);
             return Ok(());
         }
         if page.status != 200 {
@@ -170,56 +176,52 @@
         }
         if std::mem::take(&mut twice) {
             let again = gateway.connect_http()?.get(&path)?;
-            tally
-                .unequal
-                .fetch_add(u64::from(again.body != page.body), Relaxed);
+            tally.count_unequal(again.body != page.body);
         }
         rows.extend(page.rows());
         at = page.next();
     }
-    tally.whole(&rows, PAGED_ROWS);
+    tally.check_rows(&rows, PAGED_ROWS);
     Ok(())
 }
 
-/// A key that is used again: at once over the other front, after its answer, or after its connection was cut.
-fn duplicate_key(gateway: &Gateway, tally: &Tally, n: u64, client: u64) -> Result<()> {
-    let (key, order) = (format!("k-{n}"), format!("{client:016x}"));
-    let hints = "ms=4 rows=5";
-    let mut body = query_body("load", hints);
+/// The hints of a load, and the rows of its result.
+const LOAD_HINTS: &str = "ms=4 rows=5";
+const LOAD_ROWS: usize = 5;
+
+/// A key that is used again: at once over the other protocol, after its answer, or after its
+/// connection was cut.
+fn duplicate_key(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
+    let (key, order) = (format!("k-{number}"), format!("{client:016x}"));
+    let mut body = query_body("load", LOAD_HINTS);
     body["order_key"] = order.as_str().into();
     let mut http = gateway.connect_http()?;
     http.send_query(&body, Some(&key))?;
-    match n / 4 % 3 {
+    match number / 4 % 3 {
         0 => {
-            let mut pg = gateway.connect_postgres()?;
-            pg.send(&query_text(
-                "load",
-                hints,
-                &format!(",token={key},obj={order}"),
-            ))?;
-            let (one, two) = (tally.http(http.read()), tally.pg(pg.read()));
-            if let (Some(one), Some(two)) = (one, two) {
-                tally
-                    .unequal
-                    .fetch_add(u64::from(one.rows() != two), Relaxed);
+            let fields = format!(",token={key},obj={order}");
+            let mut postgres = gateway.connect_postgres()?;
+            postgres.send(&query_text("load", LOAD_HINTS, &fields))?;
+            let first = tally.count_http(http.read());
+            let second = tally.count_postgres(postgres.read());
+            if let (Some(first), Some(second)) = (first, second) {
+                tally.count_unequal(first.rows() != second);
             }
         }
         1 => {
-            let one = tally.http(http.read());
+            let first = tally.count_http(http.read());
             http.send_query(&body, Some(&key))?;
-            let two = tally.http(http.read());
-            if let (Some(one), Some(two)) = (one, two) {
-                tally
-                    .unequal
-                    .fetch_add(u64::from(one.body != two.body), Relaxed);
+            let second = tally.count_http(http.read());
+            if let (Some(first), Some(second)) = (first, second) {
+                tally.count_unequal(first.body != second.body);
             }
         }
         _ => {
             drop(http);
             let mut again = gateway.connect_http()?;
             again.send_query(&body, Some(&key))?;
-            if let Some(reply) = tally.http(again.read()) {
-                tally.whole(&reply.rows(), 5);
+            if let Some(reply) = tally.count_http(again.read()) {
+                tally.check_rows(&reply.rows(), LOAD_ROWS);
             }
         }
     }
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -1,15 +1,19 @@
-//! The decision module by the number of engines: processor time of a statement, of a patch of the engine list and of a
-//! whole list, and memory an engine.
+//! The decision module by the number of engines: CPU time of a statement, of a patch of the
+//! engine list and of a full list, and memory an engine.
 
 use violetgate_policy::interface::EngineState;
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
-use crate::gateway_driver::{most_out, settings, Driver};
-use crate::slope::{Budget, Slope};
+use crate::gateway_driver::{max_in_flight, settings, GatewayDriver};
+use crate::slope::{MeasuredRole, Slope};
 use crate::usage::{least, own_usage, timed};
 
-const ROLE: &str = "decisions";
+const ROLE: MeasuredRole = MeasuredRole {
+    name: "decisions",
+    size_of: "engines",
+    target: TARGET,
+};
 const SIZES: [u32; 6] = [80, 300, 1_000, 4_000, 7_600, 12_000];
 const SHORT_SIZES: [u32; 5] = [80, 300, 600, 1_000, 2_000];
 const GATEWAYS: [u32; 2] = [300, 7_600];
@@ -17,20 +21,21 @@
 const TARGET: f64 = 12_000.0;
 /// A statement may cost half a millisecond: at 1,842 a second that is nearly all of a core.
 const STATEMENT_BUDGET_US: f64 = 500.0;
-/// Batches of statements that are timed, of which the least counts as other processes only add, and how many engine visits a batch is worth.
+/// Batches of statements that are timed; the least counts, as other processes only add.
 const BATCHES: usize = 5;
+/// Engines that the statements of a batch consider, all together.
 const VISITS_PER_BATCH: u32 = 400_000;
 /// The same where only counts are held.
 const SHORT_VISITS_PER_BATCH: u32 = 40_000;
 const PATCHES: u32 = 10;
-/// Front ends that are built at once to see what an engine takes in memory.
+/// Gateways that are built at once to see what an engine takes in memory.
 const HELD: usize = 8;
 
 /// Costs at one size.
 struct Costs {
     statement_us: f64,
     patch_us: f64,
-    whole_list_us: f64,
+    full_list_us: f64,
     statements: u64,
     sent: u64,
     refused: u64,
@@ -48,90 +53,91 @@
             memory_an_engine(options.seed)?,
         );
     }
-    let sizes = if options.short {
-        &SHORT_SIZES[..]
-    } else {
-        &SIZES[..]
-    };
+    let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
     for gateways in GATEWAYS {
-        let [mut statement, mut patch, mut whole] = slopes(gateways);
-        let (mut statements, mut unserved) = (0, 0);
-        for &engines in sizes {
-            let costs = costs(options, gateways, engines)?;
-            statement.push(f64::from(engines), costs.statement_us);
-            patch.push(f64::from(engines), costs.patch_us);
-            whole.push(f64::from(engines), costs.whole_list_us);
-            statements += costs.statements;
-            unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
-        }
-        figures.add(
-            &format!("decisions_{gateways}_gateways_statements"),
-            statements,
-        );
-        figures.at_most(
-            &format!("decisions_{gateways}_gateways_unserved"),
-            unserved as f64,
-            0.0,
-        );
-        if !options.short {
-            [statement, patch, whole]
-                .iter()
-                .for_each(|slope| slope.record(figures));
-        }
+        measure_fleet(gateways, sizes, options, figures)?;
+    }
+    Ok(())
+}
+
+/// Measures a gateway of a fleet of so many.
+fn measure_fleet(
+    gateways: u32,
+    sizes: &[u32],
+    options: &Options,
+    figures: &mut Figures,
+) -> Result<(), ScaleError> {
+    let mut slopes = Slopes::of_fleet(gateways);
+    let (mut statements, mut unserved) = (0, 0);
+    for &engines in sizes {
+        let costs = costs(options, gateways, engines)?;
+        slopes.push(engines, &costs);
+        statements += costs.statements;
+        unserved += costs.statements.saturating_sub(costs.sent) + costs.refused;
+    }
+    let name = |figure| format!("decisions_{gateways}_gateways_{figure}");
+    figures.add(&name("statements"), statements);
+    figures.at_most(&name("unserved"), unserved as f64, 0.0);
+    if !options.short {
+        slopes.record(figures);
     }
     Ok(())
 }
 
-fn slopes(gateways: u32) -> [Slope; 3] {
-    let budget = Budget {
-        cost: STATEMENT_BUDGET_US,
-        target: TARGET,
-    };
-    let names = match gateways {
-        300 => [
-            "statement_300_gateways",
-            "patch_300_gateways",
-            "whole_list_300_gateways",
-        ],
-        _ => [
-            "statement_7600_gateways",
-            "patch_7600_gateways",
-            "whole_list_7600_gateways",
-        ],
-    };
-    let slope = |name, budget| Slope {
-        role: ROLE,
-        name,
-        unit: "us",
-        size_of: "engines",
-        budget,
-        points: Vec::new(),
-    };
-    let [statement, patch, whole] = names;
-    [
-        slope(statement, Some(budget)),
-        slope(patch, None),
-        slope(whole, None),
-    ]
+/// Each cost by the number of engines.
+struct Slopes {
+    statement: Slope,
+    patch: Slope,
+    full_list: Slope,
+}
+
+impl Slopes {
+    fn of_fleet(gateways: u32) -> Self {
+        let [statement, patch, full_list] = match gateways {
+            300 => [
+                "statement_300_gateways",
+                "patch_300_gateways",
+                "whole_list_300_gateways",
+            ],
+            _ => [
+                "statement_7600_gateways",
+                "patch_7600_gateways",
+                "whole_list_7600_gateways",
+            ],
+        };
+        Slopes {
+            statement: ROLE.slope(statement, "us", Some(STATEMENT_BUDGET_US)),
+            patch: ROLE.slope(patch, "us", None),
+            full_list: ROLE.slope(full_list, "us", None),
+        }
+    }
+
+    fn push(&mut self, engines: u32, costs: &Costs) {
+        let size = f64::from(engines);
+        self.statement.push(size, costs.statement_us);
+        self.patch.push(size, costs.patch_us);
+        self.full_list.push(size, costs.full_list_us);
+    }
+
+    fn record(&self, figures: &mut Figures) {
+        let slopes = [&self.statement, &self.patch, &self.full_list];
+        slopes.into_iter().for_each(|slope| slope.record(figures));
+    }
 }
 
 fn costs(options: &Options, gateways: u32, engines: u32) -> Result<Costs, ScaleError> {
-    let mut driver = Driver::new(
+    let mut driver = GatewayDriver::new(
         settings(gateways)?,
         options.seed,
         engines,
-        most_out(gateways, engines),
+        max_in_flight(gateways, engines),
     );
-    let visits = if options.short {
-        SHORT_VISITS_PER_BATCH
-    } else {
-        VISITS_PER_BATCH
-    };
+    let visits = options.select(SHORT_VISITS_PER_BATCH, VISITS_PER_BATCH);
     let batch = (visits / engines).clamp(50, 2_000);
-    (0..batch).for_each(|_| driver.statement());
+    (0..batch).for_each(|_| driver.send_statement());
     let mut statements_us = Vec::new();
     for _ in 0..BATCHES {
-        let (took, ()) = timed(|| (0..batch).for_each(|_| driver.statement()));
+        let (took, ()) = timed(|| (0..batch).for_each(|_| driver.send_statement()));
         statements_us.push(took / f64::from(batch));
     }
     let patches_us = (0..PATCHES).map(|step| {
@@ -140,33 +146,33 @@
         } else {
             EngineState::Ready
         };
-        driver.statement();
-        timed(|| driver.patch(engines / 2, state)).0
+        driver.send_statement();
+        timed(|| driver.update_engine(engines / 2, state)).0
     });
     let patch_us = least(&patches_us.collect::<Vec<_>>());
-    let whole_lists_us = (0..BATCHES).map(|_| {
-        driver.statement();
-        timed(|| driver.whole_list(engines)).0
+    let full_lists_us = (0..BATCHES).map(|_| {
+        driver.send_statement();
+        timed(|| driver.update_all_engines(engines)).0
     });
-    let whole_list_us = least(&whole_lists_us.collect::<Vec<_>>());
+    let full_list_us = least(&full_lists_us.collect::<Vec<_>>());
     let statements = u64::from(batch) * (BATCHES as u64 + 1) + u64::from(PATCHES) + BATCHES as u64;
     Ok(Costs {
         statement_us: least(&statements_us),
         patch_us,
-        whole_list_us,
+        full_list_us,
         statements,
         sent: driver.sent().len() as u64,
         refused: driver.refused(),
     })
 }
 
-/// The growth of this process's resident memory with several front ends that know all engines.
+/// The growth of this process's resident memory with several gateways that know all engines.
 fn memory_an_engine(seed: u64) -> Result<f64, ScaleError> {
     let engines = TARGET as u32;
     let before = own_usage()?.resident_bytes;
     let mut held = Vec::new();
     for number in 0..HELD {
-        held.push(Driver::new(
+        held.push(GatewayDriver::new(
             settings(7_600)?,
             seed + number as u64,
             engines,
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -12,6 +12,18 @@
     pub seed: u64,
 }
 
+impl Options {
+    /// The first value in the short form, else the second.
+    #[must_use]
+    pub fn select<T>(&self, short: T, long: T) -> T {
+        if self.short {
+            short
+        } else {
+            long
+        }
+    }
+}
+
 /// The size at which a cost of a role passes its budget.
 #[derive(Debug, Clone)]
 pub struct CapacityLimit {
@@ -42,7 +54,8 @@
 }
 
 impl Figures {
-    /// Adds a figure. Names are lower case with underscores, and end in their unit (`_us`, `_bytes`, `_per_s`).
+    /// Adds a figure. Names are lower case with underscores, and end in their unit (`_us`,
+    /// `_bytes`, `_per_s`).
     pub fn add(&mut self, name: &str, value: impl std::fmt::Display) {
         self.values.insert(name.to_owned(), value.to_string());
     }
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -1,7 +1,7 @@
-//! What acceptance tests, scale tests and the fleet harness share about gateway processes: their
-//! start and end, free addresses, waiting, metrics, and their use of the machine.
+//! What the gateway's own tests, acceptance tests, scale tests and the fleet harness share about
+//! gateway processes: their start and end, free addresses, waiting, metrics, and their use of the machine.
 //!
-//! Everything here looks at a process from outside. It needs Linux with `/proc` mounted.
+//! Everything here sees a process from outside. It needs Linux with `/proc` mounted.
 
 mod addresses;
 mod metrics;
@@ -11,13 +11,17 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub use addresses::{free_tcp_addresses, free_udp_addresses};
+pub use addresses::{free_tcp_addresses, free_udp_addresses, reserve_tcp_address};
 pub use metrics::{read_metrics, Metrics};
-pub use process::{program_beside, KillOnDrop, LogTarget, ServerProcess, SETTINGS_FILE};
+pub use process::{
+    program_beside, send_signal, server_command, KillOnDrop, LogTarget, ServerProcess,
+    SETTINGS_FILE,
+};
+pub use rustix::process::Signal;
 pub use usage::ProcessUsage;
 pub use wait::wait_until;
 
-/// Locks a mutex that a thread may have left locked when it failed.
+/// Locks a mutex, also one that a thread held when it failed.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
