--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -68,4 +68,4 @@
     FleetTotals, InvalidSubscriberConfig, ObserverConfig, ProgressSummary, Rejection,
     RevisionInForce, SubscriberConfig, SubscriberReplica,
 };
-pub use wire::{Call, Frame};
+pub use wire::{Call, PeerMessage};
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -34,7 +34,7 @@
 
 use crate::clock::{boot_time, wall_time, TickTimer};
 use crate::transport::Transport;
-use crate::wire::Frame;
+use crate::wire::PeerMessage;
 use fleet_reports::FleetReports;
 use pending_answer::PendingAnswer;
 use storage_worker::{StorageEvent, StorageJob};
@@ -173,12 +173,12 @@
     }
 
     /// Handles a message from another replica.
-    fn on_frame(&self, from: NodeId, frame: Frame) {
-        match frame {
-            Frame::Raft(message) => self.drive(|replica| replica.step(from, message)),
-            Frame::Progress(summary) => self.record_progress(from, summary),
-            Frame::CallAnswer { id, answer } => self.on_forwarded_answer(id, answer),
-            Frame::ForwardCall { id, call } => self.carry_out_for(from, id, call),
+    fn on_message(&self, from: NodeId, message: PeerMessage) {
+        match message {
+            PeerMessage::Raft(message) => self.drive(|replica| replica.step(from, message)),
+            PeerMessage::Progress(summary) => self.record_progress(from, summary),
+            PeerMessage::CallAnswer { id, answer } => self.on_forwarded_answer(id, answer),
+            PeerMessage::ForwardCall { id, call } => self.carry_out_for(from, id, call),
         }
     }
 }
--- a/cluster/replica-runtime/src/runtime/effects.rs
+++ b/cluster/replica-runtime/src/runtime/effects.rs
@@ -8,7 +8,7 @@
 
 use super::storage_worker::{StorageEvent, StorageJob};
 use super::{ReplicaRuntime, StopReason};
-use crate::wire::Frame;
+use crate::wire::PeerMessage;
 
 impl ReplicaRuntime {
     pub(super) fn carry_out_effects(&self) {
@@ -35,7 +35,7 @@
     fn carry_out(&self, effect: Effect, writes: &mut Vec<StorageWrite>) {
         match effect {
             Effect::Persist(write) => writes.push(write),
-            Effect::Send { to, message } => self.transport.send(to, &Frame::Raft(message)),
+            Effect::Send { to, message } => self.transport.send(to, &PeerMessage::Raft(message)),
             Effect::Respond { call, response } => {
                 let pending = self.pending_calls.borrow().get(&call).cloned();
                 if let Some(pending) = pending {
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -9,7 +9,7 @@
 use super::status::ReplicaStatus;
 use super::ReplicaRuntime;
 use crate::clock::boot_time;
-use crate::wire::Frame;
+use crate::wire::PeerMessage;
 
 /// An observer whose last report is older than this counts as silent.
 const REPORT_FRESH_FOR_US: Micros = 1_000_000;
@@ -67,9 +67,9 @@
     /// Reports how far this replica's subscribers are to all replicas, this one included.
     pub(crate) fn report_progress(&self, summary: ProgressSummary) {
         let ReplicaStatus { id, members, .. } = self.status();
-        let frame = Frame::Progress(summary.clone());
+        let message = PeerMessage::Progress(summary.clone());
         for to in members.ids().filter(|to| *to != id) {
-            self.transport.send(to, &frame);
+            self.transport.send(to, &message);
         }
         self.record_progress(id, summary);
     }
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -12,7 +12,7 @@
 use super::pending_answer::PendingEntry;
 use super::status::ReplicaStatus;
 use super::ReplicaRuntime;
-use crate::wire::{Call, Frame};
+use crate::wire::{Call, PeerMessage};
 
 /// How long one attempt may take before the call is made again.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -104,7 +104,7 @@
         let id = self.next_call_id();
         let entry = PendingEntry::new(&self.forwarded_calls, id);
         self.transport
-            .send(leader, &Frame::ForwardCall { id, call });
+            .send(leader, &PeerMessage::ForwardCall { id, call });
         entry.wait(timeout).or(self.until_deposed(leader)).await
     }
 
@@ -144,7 +144,9 @@
     pub(super) fn carry_out_for(&self, from: NodeId, id: CallId, call: Call) {
         if self.calls_for_others.get() >= MAX_CALLS_FOR_OTHERS {
             let answer = Response::Rejected(ProposalError::Busy);
-            return self.transport.send(from, &Frame::CallAnswer { id, answer });
+            return self
+                .transport
+                .send(from, &PeerMessage::CallAnswer { id, answer });
         }
         let Some(runtime) = self.weak_self.upgrade() else {
             return;
@@ -153,7 +155,7 @@
         let carrying_out = async move {
             let outcome = runtime.carry_out_here(call, ATTEMPT_TIMEOUT).await;
             if let CallOutcome::Completed(answer) = outcome {
-                let answer = Frame::CallAnswer { id, answer };
+                let answer = PeerMessage::CallAnswer { id, answer };
                 runtime.transport.send(from, &answer);
             }
             let count = runtime.calls_for_others.get();
--- a/cluster/replica-runtime/src/runtime/startup.rs
+++ b/cluster/replica-runtime/src/runtime/startup.rs
@@ -19,7 +19,7 @@
 use super::storage_worker::{self, StorageEvent, StorageJob};
 use super::{on_storage_events, tick_when_due, ReplicaRuntime};
 use crate::clock::boot_time;
-use crate::transport::{FrameHandler, Transport};
+use crate::transport::{MessageHandler, Transport};
 
 /// What a replica needs to start.
 #[derive(Debug, Clone)]
@@ -179,13 +179,13 @@
     disk_id: u64,
     runtime: Weak<ReplicaRuntime>,
 ) -> Rc<Transport> {
-    let on_frame: FrameHandler = Box::new(move |from, frame| {
+    let on_message: MessageHandler = Box::new(move |from, message| {
         if let Some(runtime) = runtime.upgrade() {
-            runtime.on_frame(from, frame);
+            runtime.on_message(from, message);
         }
     });
     let executor = Rc::clone(executor);
-    Transport::new(executor, &options.cluster, options.id, disk_id, on_frame)
+    Transport::new(executor, &options.cluster, options.id, disk_id, on_message)
 }
 
 fn open_storage(options: &ReplicaOptions) -> Result<OpenedStorage, StartError> {
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -20,7 +20,7 @@
 use violetgate_raft::NodeId;
 
 use crate::traffic_stats::{TrafficCounter, TrafficStats};
-use crate::wire::{self, Frame, Hello};
+use crate::wire::{self, Hello, PeerMessage};
 use outgoing::PeerQueue;
 
 /// The most connections that others may have here.
@@ -29,7 +29,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Called with each message received and the replica that sent it.
-pub type FrameHandler = Box<dyn Fn(NodeId, Frame)>;
+pub type MessageHandler = Box<dyn Fn(NodeId, PeerMessage)>;
 
 /// A replica that may be sent to.
 struct Peer {
@@ -49,7 +49,7 @@
     /// The ids of replicas' disks, as far as they are committed.
     known_disks: RefCell<BTreeMap<NodeId, u64>>,
     peers: RefCell<BTreeMap<NodeId, Peer>>,
-    on_frame: FrameHandler,
+    on_message: MessageHandler,
     incoming: RefCell<BTreeMap<u64, Task<()>>>,
     /// Incoming connections that have ended and whose tasks can be dropped.
     ended_incoming: Rc<RefCell<Vec<u64>>>,
@@ -68,7 +68,7 @@
         cluster: &str,
         id: NodeId,
         disk_id: u64,
-        on_frame: FrameHandler,
+        on_message: MessageHandler,
     ) -> Rc<Self> {
         Rc::new_cyclic(|weak_self| Transport {
             weak_self: weak_self.clone(),
@@ -78,7 +78,7 @@
             disk_id,
             known_disks: RefCell::default(),
             peers: RefCell::default(),
-            on_frame,
+            on_message,
             incoming: RefCell::default(),
             ended_incoming: Rc::default(),
             next_incoming: Cell::new(0),
@@ -150,7 +150,7 @@
     }
 
     /// Queues a message. One that is too long, or finds its queue full, is dropped and counted.
-    pub fn send(&self, to: NodeId, message: &Frame) {
+    pub fn send(&self, to: NodeId, message: &PeerMessage) {
         if self.is_blocked(to) {
             return;
         }
--- a/cluster/replica-runtime/src/transport/incoming.rs
+++ b/cluster/replica-runtime/src/transport/incoming.rs
@@ -8,7 +8,7 @@
 use super::{PeerConnectionEnd, Transport};
 use crate::close_reason::CloseReason;
 use crate::framing::{disable_nagle, write_all, FrameReader};
-use crate::wire::{self, Decoded, Frame, Hello, Welcome};
+use crate::wire::{self, Decoded, Hello, PeerMessage, Welcome};
 
 /// Handles a connection until it ends; why it did.
 pub(super) async fn serve(
@@ -63,14 +63,18 @@
         }
     }
 
-    fn receive(&self, hello: &Hello, received: Decoded<Frame>) -> Result<(), PeerConnectionEnd> {
+    fn receive(
+        &self,
+        hello: &Hello,
+        received: Decoded<PeerMessage>,
+    ) -> Result<(), PeerConnectionEnd> {
         // The committed disk may have changed since the greeting.
         if self.is_other_disk(hello.from, hello.disk_id) {
             return Err(PeerConnectionEnd::OtherDisk(hello.from));
         }
         self.counter.count_received(received.frame_bytes);
         if !self.is_blocked(hello.from) {
-            (self.on_frame)(hello.from, received.message);
+            (self.on_message)(hello.from, received.message);
         }
         Ok(())
     }
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -5,8 +5,8 @@
 //! protocol, their names are not.
 
 mod codec;
-mod frame;
 mod hello;
+mod peer_message;
 #[cfg(test)]
 #[expect(
     clippy::unwrap_used,
@@ -16,8 +16,8 @@
 mod tests;
 
 pub(crate) use codec::{decode_frame, encode_frame, Decoded, FRAME_HEADER_BYTES};
-pub use frame::{Call, Frame};
 pub(crate) use hello::{Hello, Welcome};
+pub use peer_message::{Call, PeerMessage};
 
 /// The version of this protocol. A replica of another version is rejected.
 pub(crate) const PROTOCOL_VERSION: u16 = 1;
--- a/cluster/replica-runtime/src/wire/frame.rs
+++ b/cluster/replica-runtime/src/wire/peer_message.rs
@@ -6,7 +6,7 @@
 use violetgate_replicated_state::Operation;
 use violetgate_state_distribution::ProgressSummary;
 
-/// What a client may have committed, by any replica.
+/// A call that a client may make at any replica, and that the leader carries out.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
     /// A command. Its request id makes it idempotent.
@@ -26,7 +26,7 @@
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Frame {
+pub enum PeerMessage {
     /// A message of Raft.
     Raft(Message),
     /// A call that the receiver is to carry out, as it is taken for the leader.
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -16,14 +16,14 @@
         index: 9,
         payload: Payload::Command(vec![5; 40]),
     }];
-    let message = Frame::Raft(Message::AppendEntries {
+    let message = PeerMessage::Raft(Message::AppendEntries {
         term: 3,
         previous: LogPosition { term: 2, index: 8 },
         entries,
         commit: 7,
         round: 11,
     });
-    let next = Frame::CallAnswer {
+    let next = PeerMessage::CallAnswer {
         id: 4,
         answer: Response::MembershipChanged,
     };
@@ -31,25 +31,25 @@
     bytes.extend(encode_frame(&message).unwrap());
     bytes.extend(encode_frame(&next).unwrap());
     for cut in 0..bytes.len() {
-        let read = decode_frame::<Frame>(&bytes[..cut], MAX_FRAME_BYTES).unwrap();
+        let read = decode_frame::<PeerMessage>(&bytes[..cut], MAX_FRAME_BYTES).unwrap();
         assert!(read.is_none_or(|read| read.message == message && read.frame_bytes <= cut));
     }
-    let first = decode_frame::<Frame>(&bytes, MAX_FRAME_BYTES)
+    let first = decode_frame::<PeerMessage>(&bytes, MAX_FRAME_BYTES)
         .unwrap()
         .unwrap();
     let rest = &bytes[first.frame_bytes..];
     assert_eq!(
-        decode_frame::<Frame>(rest, MAX_FRAME_BYTES)
+        decode_frame::<PeerMessage>(rest, MAX_FRAME_BYTES)
             .unwrap()
             .unwrap()
             .message,
         next
     );
-    assert!(decode_frame::<Frame>(&bytes, 10).is_err());
+    assert!(decode_frame::<PeerMessage>(&bytes, 10).is_err());
     for at in 4..12 {
         let mut bent = bytes.clone();
         bent[at] ^= 0x55;
-        let _ = decode_frame::<Frame>(&bent, MAX_FRAME_BYTES);
+        let _ = decode_frame::<PeerMessage>(&bent, MAX_FRAME_BYTES);
     }
 }
 
@@ -62,28 +62,28 @@
         ..ProgressSummary::default()
     };
     let frames = [
-        Frame::Raft(Message::AppendEntries {
+        PeerMessage::Raft(Message::AppendEntries {
             term: 1,
             previous: LogPosition { term: 0, index: 0 },
             entries: Vec::new(),
             commit: 0,
             round: 0,
         }),
-        Frame::ForwardCall {
+        PeerMessage::ForwardCall {
             id: 1,
             call: Call::TransferLeadership(2),
         },
-        Frame::CallAnswer {
+        PeerMessage::CallAnswer {
             id: 1,
             answer: Response::MembershipChanged,
         },
-        Frame::Progress(progress),
+        PeerMessage::Progress(progress),
     ];
     for (number, message) in frames.iter().enumerate() {
         let bytes = encode_frame(message).unwrap();
         assert_eq!(usize::from(bytes[FRAME_HEADER_BYTES]), number);
         assert_eq!(
-            &decode_frame::<Frame>(&bytes, MAX_FRAME_BYTES)
+            &decode_frame::<PeerMessage>(&bytes, MAX_FRAME_BYTES)
                 .unwrap()
                 .unwrap()
                 .message,
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -289,12 +289,15 @@
     let mut comparison = Comparison::new();
     comparison.compare("hello", &Hello::new("lahore", 300, 2, 1 << 60));
     comparison.compare_all("welcome", welcomes());
-    comparison.compare_all("vote", votes().into_iter().map(Frame::Raft));
-    comparison.compare_all("replication", replication().into_iter().map(Frame::Raft));
-    comparison.compare_all("snapshot", snapshots().into_iter().map(Frame::Raft));
-    let ask = |call| Frame::ForwardCall { id: 1_000, call };
+    comparison.compare_all("vote", votes().into_iter().map(PeerMessage::Raft));
+    comparison.compare_all(
+        "replication",
+        replication().into_iter().map(PeerMessage::Raft),
+    );
+    comparison.compare_all("snapshot", snapshots().into_iter().map(PeerMessage::Raft));
+    let ask = |call| PeerMessage::ForwardCall { id: 1_000, call };
     comparison.compare_all("call", calls().into_iter().map(ask));
-    let told = |answer| Frame::CallAnswer { id: 1_000, answer };
+    let told = |answer| PeerMessage::CallAnswer { id: 1_000, answer };
     comparison.compare_all("answer", answers().into_iter().map(told));
     let summary = ProgressSummary {
         revision: 300,
@@ -307,6 +310,6 @@
             applied: 298,
         }],
     };
-    comparison.compare("progress", &Frame::Progress(summary));
+    comparison.compare("progress", &PeerMessage::Progress(summary));
     comparison.finish();
 }
--- a/tools/scale/src/replicated_state/relay.rs
+++ b/tools/scale/src/replicated_state/relay.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use violetgate_raft::Message;
-use violetgate_replica_runtime::Frame;
+use violetgate_replica_runtime::PeerMessage;
 
 use crate::error::ScaleError;
 
@@ -147,6 +147,6 @@
 fn is_read_index_request(body: &[u8]) -> bool {
     matches!(
         postcard::from_bytes(body),
-        Ok(Frame::Raft(Message::ReadIndex { .. }))
+        Ok(PeerMessage::Raft(Message::ReadIndex { .. }))
     )
 }
