--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -17,7 +17,7 @@
 const POLL_INTERVALS_PER_STANDBY_POLL: u64 = 8;
 /// The longest time that polls may stay unanswered, after several connections were closed for it.
 const MAX_ANSWER_TIMEOUT_US: Micros = 30_000_000;
-/// The answer timeout doubles this many times at most.
+/// The answer timeout doubles this many times at most, so that the shift can't overflow.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 16;
 
 impl Subscriber {
@@ -97,7 +97,7 @@
         if let Some(standby) = self.standby {
             if self.is_overdue(standby, self.standby_answer_timeout()) {
                 self.close_unanswered(standby);
-            } else if self.is_watched_overdue() && !self.is_overdue(standby, 0) {
+            } else if self.is_watched_overdue() && self.unanswered_since(Some(standby)).is_none() {
                 self.poll(standby);
             }
         }
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -92,6 +92,7 @@
         let SnapshotChunk { revision, last, .. } = chunk;
         let is_older = revision < self.replica.revision();
         match download.add(chunk) {
+            // The observer is behind this replica: the changes after it are requested instead.
             Ok(()) if is_older => self.request_next(observer),
             Ok(()) if last => self.install_snapshot(observer, revision, download),
             Ok(()) => {
--- a/cluster/state-distribution/src/subscriber/snapshot_download.rs
+++ b/cluster/state-distribution/src/subscriber/snapshot_download.rs
@@ -8,7 +8,7 @@
 use crate::message::{SnapshotChunk, SnapshotCursor, SnapshotEntry};
 use crate::subscriber_replica::{SubscriberReplica, VersionedValue};
 
-/// The most bytes of keys and values of a snapshot: twice what a store may hold.
+/// The most bytes of keys and values of a snapshot: twice the 256 MiB that a store may hold.
 const MAX_SNAPSHOT_BYTES: usize = 512 << 20;
 
 /// Why a chunk is not taken. The texts are sent as the detail of a rejection.
