--- a/fleet/membership-udp/src/datagram.rs
+++ b/fleet/membership-udp/src/datagram.rs
@@ -16,7 +16,7 @@
 
 /// Why a datagram is rejected. The texts say what an operator can check.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum FrameError {
+pub enum DatagramError {
     /// It is of another protocol.
     #[error("no datagram of a fleet: something else sends to this address")]
     UnknownProtocol,
@@ -53,28 +53,28 @@
 ///
 /// # Errors
 ///
-/// [`FrameError`] if the datagram is rejected.
-pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, FrameError> {
+/// [`DatagramError`] if the datagram is rejected.
+pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, DatagramError> {
     // The header is decoded by itself: what follows may have another form in another version.
     let (header, rest) =
-        postcard::take_from_bytes::<Header>(bytes).map_err(|_| FrameError::UnknownProtocol)?;
+        postcard::take_from_bytes::<Header>(bytes).map_err(|_| DatagramError::UnknownProtocol)?;
     if header.magic != MAGIC {
-        return Err(FrameError::UnknownProtocol);
+        return Err(DatagramError::UnknownProtocol);
     }
     if header.version != PROTOCOL_VERSION {
-        return Err(FrameError::UnsupportedVersion(header.version));
+        return Err(DatagramError::UnsupportedVersion(header.version));
     }
     let (other_fleet, rest) =
-        postcard::take_from_bytes::<&str>(rest).map_err(|_| FrameError::Malformed)?;
+        postcard::take_from_bytes::<&str>(rest).map_err(|_| DatagramError::Malformed)?;
     if other_fleet != fleet {
         let name = other_fleet.chars().take(MAX_REPORTED_NAME_CHARS).collect();
-        return Err(FrameError::OtherFleet(name));
+        return Err(DatagramError::OtherFleet(name));
     }
-    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| FrameError::Malformed)?;
+    let (message, rest) = postcard::take_from_bytes(rest).map_err(|_| DatagramError::Malformed)?;
     if rest.is_empty() {
         Ok(message)
     } else {
-        Err(FrameError::Malformed)
+        Err(DatagramError::Malformed)
     }
 }
 
--- a/fleet/membership-udp/src/datagram/tests.rs
+++ b/fleet/membership-udp/src/datagram/tests.rs
@@ -35,20 +35,20 @@
     }
     assert_eq!(
         decode("others", &bytes),
-        Err(FrameError::OtherFleet("wards".to_owned()))
+        Err(DatagramError::OtherFleet("wards".to_owned()))
     );
     assert_eq!(
         decode("wards", b"GET / HTTP/1.1"),
-        Err(FrameError::UnknownProtocol)
+        Err(DatagramError::UnknownProtocol)
     );
     let mut newer = bytes.clone();
     newer[4] = 9;
     assert_eq!(
         decode("wards", &newer),
-        Err(FrameError::UnsupportedVersion(9))
+        Err(DatagramError::UnsupportedVersion(9))
     );
     let longer = [&bytes[..], b"x"].concat();
-    assert_eq!(decode("wards", &longer), Err(FrameError::Malformed));
+    assert_eq!(decode("wards", &longer), Err(DatagramError::Malformed));
     for index in 0..bytes.len() {
         let mut altered = bytes.clone();
         altered[index] ^= 0x41;
--- a/fleet/membership-udp/src/lib.rs
+++ b/fleet/membership-udp/src/lib.rs
@@ -36,7 +36,7 @@
 //! ```
 
 mod counters;
-pub mod frame;
+pub mod datagram;
 mod node;
 mod rejection_log;
 
--- a/fleet/membership-udp/src/node.rs
+++ b/fleet/membership-udp/src/node.rs
@@ -15,7 +15,7 @@
 };
 
 use crate::counters::{Counters, DatagramCounters};
-use crate::frame;
+use crate::datagram;
 use crate::rejection_log::{RejectionLog, RejectionReason};
 
 /// Time between two ticks of the core.
@@ -224,7 +224,7 @@
     }
 
     async fn receive(&self, socket: &Async<UdpSocket>) {
-        let mut buffer = vec![0; frame::MAX_DATAGRAM_BYTES + 1];
+        let mut buffer = vec![0; datagram::MAX_DATAGRAM_BYTES + 1];
         let mut count = 0;
         loop {
             let Ok((size, from)) = socket.recv_from(&mut buffer).await else {
@@ -244,14 +244,14 @@
 
     fn handle_datagram(&self, bytes: &[u8], from: IpAddr) {
         let mut actions = Vec::new();
-        match self.handle_frame(bytes, &mut actions) {
+        match self.take_message(bytes, &mut actions) {
             Ok(()) => self.carry_out(actions),
             Err(reason) => self.reject(from, reason),
         }
     }
 
-    fn handle_frame(&self, bytes: &[u8], actions: &mut Vec<Action>) -> Result<(), RejectionReason> {
-        let message = frame::decode(&self.fleet, bytes)?;
+    fn take_message(&self, bytes: &[u8], actions: &mut Vec<Action>) -> Result<(), RejectionReason> {
+        let message = datagram::decode(&self.fleet, bytes)?;
         let now = (self.clock)();
         let mut membership = self.membership.borrow_mut();
         membership.handle_message(now, &message, actions)?;
@@ -289,7 +289,7 @@
 
     fn send(&self, to: SocketAddr, message: &Message) {
         let socket = self.socket.borrow().clone();
-        let bytes = frame::encode(&self.fleet, message);
+        let bytes = datagram::encode(&self.fleet, message);
         let sent = bytes
             .zip(socket)
             .and_then(|(bytes, socket)| socket.get_ref().send_to(&bytes, to).ok());
--- a/fleet/membership-udp/src/rejection_log.rs
+++ b/fleet/membership-udp/src/rejection_log.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 use violetgate_membership::{InvalidMessage, Micros};
 
-use crate::frame::FrameError;
+use crate::datagram::DatagramError;
 
 /// How often the rejections of one address are reported.
 const REPORT_INTERVAL_US: Micros = 60_000_000;
@@ -19,7 +19,7 @@
 pub enum RejectionReason {
     /// It is no datagram of this fleet.
     #[error(transparent)]
-    Frame(#[from] FrameError),
+    Datagram(#[from] DatagramError),
     /// Its message is not valid.
     #[error(transparent)]
     Message(#[from] InvalidMessage),
--- a/fleet/membership-udp/tests/datagrams.rs
+++ b/fleet/membership-udp/tests/datagrams.rs
@@ -7,7 +7,7 @@
     BucketRequest, BucketSet, BucketSums, MemberState, MemberUpdate, Message, MessageBody,
     BUCKET_COUNT,
 };
-use violetgate_membership_udp::frame::{decode, encode};
+use violetgate_membership_udp::datagram::{decode, encode};
 
 const FLEET: &str = "lahore";
 
