--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -21,7 +21,7 @@
     Program(String),
     /// The program under test does not follow the bus as expected.
     #[error(
-        "violetgate {0}; compare gateway/src/discovery.rs with tools/scale/src/engine_list.rs"
+        "violetgate {0}; compare gateway/src/discovery/client.rs with tools/scale/src/engine_list.rs"
     )]
     Bus(&'static str),
     /// A process's figures under /proc could not be read.
--- a/tools/test-harness/tests/harness.rs
+++ b/tools/test-harness/tests/harness.rs
@@ -28,12 +28,14 @@
 
 #[test]
 fn reserved_addresses_differ_and_can_be_listened_on() {
-    let addresses: BTreeSet<_> = (0..20).map(|_| reserve_tcp_address().unwrap()).collect();
-    assert_eq!(addresses.len(), 20);
-    for address in addresses {
+    let mut addresses = BTreeSet::new();
+    for _ in 0..20 {
+        let address = reserve_tcp_address().unwrap();
         assert!((12_000..32_000).contains(&address.port()));
         TcpListener::bind(address).unwrap();
+        addresses.insert(address);
     }
+    assert_eq!(addresses.len(), 20);
 }
 
 #[test]
