--- a/cluster/state-distribution/tests/bounded_resources.rs
+++ b/cluster/state-distribution/tests/bounded_resources.rs
@@ -1,6 +1,11 @@
 //! What must not grow: subscribers, queues and snapshot transfers are bounded, and nobody slows
 //! the others.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod common;
 
--- a/cluster/state-distribution/tests/config_validation.rs
+++ b/cluster/state-distribution/tests/config_validation.rs
@@ -1,5 +1,10 @@
 //! Which configurations of observers and subscribers are valid.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use violetgate_state_distribution::*;
 
--- a/cluster/state-distribution/tests/digest.rs
+++ b/cluster/state-distribution/tests/digest.rs
@@ -1,6 +1,11 @@
 //! What observers and subscribers do over fixed seeds, message by message, as a digest that a
 //! change of the code's form leaves as it is. A digest that differs is a change of behaviour.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod world;
 
--- a/cluster/state-distribution/tests/fleet_progress.rs
+++ b/cluster/state-distribution/tests/fleet_progress.rs
@@ -1,5 +1,10 @@
 //! How far front ends are, summed over subscribers and observers.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod common;
 mod pair;
--- a/cluster/state-distribution/tests/hard_cases.rs
+++ b/cluster/state-distribution/tests/hard_cases.rs
@@ -1,6 +1,11 @@
 //! The failures that observers are built for, at a size near a real fleet's: observers that die
 //! under their subscribers, voters out of reach, a zone that returns.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod world;
 
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -2,7 +2,11 @@
 //! agreed on, an observer that applies it late, reads upstream that are slow or fail, polls and
 //! answers that are late, a front end that stands still. The very code of [`Observer`] and
 //! [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::collections::VecDeque;
 use std::sync::OnceLock;
--- a/cluster/state-distribution/tests/rejections.rs
+++ b/cluster/state-distribution/tests/rejections.rs
@@ -1,5 +1,10 @@
 //! What must not be taken: each such message gets one clear rejection, and changes nothing.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod common;
 
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -2,7 +2,12 @@
 //! front ends that follow them, while connections break, observer_connections are cut, processes
 //! stop, die and return, and the history is compacted. A failure prints its seed; `SEED=n` plays
 //! that one alone, `SEEDS=n` more of them.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod world;
 
--- a/cluster/state-distribution/tests/snapshot_resume.rs
+++ b/cluster/state-distribution/tests/snapshot_resume.rs
@@ -1,6 +1,11 @@
 //! A snapshot transfer that changes its observer, begins anew, or is complete and not confirmed
 //! yet.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod common;
 
--- a/cluster/state-distribution/tests/subscription_course.rs
+++ b/cluster/state-distribution/tests/subscription_course.rs
@@ -1,6 +1,11 @@
 //! The course of a subscription, step by step, between one observer and one subscriber joined
 //! without delay.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod common;
 mod pair;
--- a/cluster/state-distribution/tests/wire_fixtures.rs
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -1,7 +1,12 @@
 //! Each message between a front end and an observer as an earlier release encodes it. Both
 //! directions are compared: an instance of that release and a new one work together during an
 //! upgrade.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
--- a/fake-upstreams/tests/protocol.rs
+++ b/fake-upstreams/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! The bytes that engines and the event bus send are exactly what they were when these lines were
 //! recorded: the gateway and the demo are tested against them.
 
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/fleet/membership-udp/src/frame/tests.rs
+++ b/fleet/membership-udp/src/frame/tests.rs
@@ -1,4 +1,8 @@
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use violetgate_membership::{MemberState, MemberUpdate, MessageBody, MAX_UPDATES_PER_MESSAGE};
 
--- a/fleet/membership-udp/tests/datagrams.rs
+++ b/fleet/membership-udp/tests/datagrams.rs
@@ -1,7 +1,11 @@
 //! Datagrams that the previous release wrote are read, and written alike: a fleet is upgraded one
 //! gateway at a time.
 
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use violetgate_membership::{
     BucketRequest, BucketSet, BucketSums, MemberState, MemberUpdate, Message, MessageBody,
--- a/fleet/membership/tests/anti_entropy/main.rs
+++ b/fleet/membership/tests/anti_entropy/main.rs
@@ -1,6 +1,11 @@
 //! Two members that compare their views: whatever these differ in, they are equal after some
 //! rounds, at a cost that follows the difference, whatever messages are lost or late.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 #[cfg(feature = "mutants")]
 mod mutants;
--- a/gateway/src/admin/http/tests.rs
+++ b/gateway/src/admin/http/tests.rs
@@ -1,5 +1,9 @@
 //! Calls as bytes.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use super::*;
 
--- a/gateway/src/connection_limit/tests.rs
+++ b/gateway/src/connection_limit/tests.rs
@@ -1,5 +1,9 @@
 //! Which connection is evicted at the limit.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use super::*;
 
--- a/gateway/src/cordon_file/tests.rs
+++ b/gateway/src/cordon_file/tests.rs
@@ -1,5 +1,5 @@
 //! The cordon file under two processes, and without a folder.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::*;
 
--- a/gateway/src/discovery/tests.rs
+++ b/gateway/src/discovery/tests.rs
@@ -1,6 +1,11 @@
 //! A bus that is up and says nothing of use: the test plays it, byte by byte. Only the client's own
 //! clock runs.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::cell::Cell;
 use std::io::{Read, Write};
--- a/gateway/src/dispatch/tests/mod.rs
+++ b/gateway/src/dispatch/tests/mod.rs
@@ -1,5 +1,9 @@
 //! What the dispatcher owes the decisions and the clients, without sockets.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod attempts;
 mod clients;
--- a/gateway/src/net/tests.rs
+++ b/gateway/src/net/tests.rs
@@ -1,5 +1,5 @@
 //! Listeners on loopback.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::*;
 
--- a/gateway/src/replication/shared_config/tests.rs
+++ b/gateway/src/replication/shared_config/tests.rs
@@ -1,5 +1,5 @@
 //! The shared configuration over a store, without a cluster.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/gateway/src/rest/wire/tests.rs
+++ b/gateway/src/rest/wire/tests.rs
@@ -1,5 +1,9 @@
 //! What clients send, and what is written to them.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use proptest::prelude::*;
 
--- a/gateway/src/settings/tests.rs
+++ b/gateway/src/settings/tests.rs
@@ -1,6 +1,6 @@
 //! The tables, the types, the page and the sample file agree, and every error is reported with its
 //! place.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::schema::{ValueKind, BLOCKS};
 use super::*;
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -72,7 +72,10 @@
 /// The REST front; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    reason = "each field is the key of the same name, described in the schema's tables"
+)]
 pub struct Rest {
     pub listen: std::net::SocketAddr,
     pub max_connections: usize,
@@ -119,7 +122,10 @@
 /// An instance's part in a cluster; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    reason = "each field is the key of the same name, described in the schema's tables"
+)]
 pub struct Cluster {
     pub role: ClusterRole,
     pub name: String,
@@ -295,7 +301,10 @@
 /// A gateway of a fleet; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-#[allow(missing_docs)]
+#[allow(
+    missing_docs,
+    reason = "each field is the key of the same name, described in the schema's tables"
+)]
 pub struct Fleet {
     pub name: String,
     pub member: String,
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -1,5 +1,9 @@
 //! One connection, most of the time without a socket.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::io::Read;
 
--- a/gateway/src/upstream/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -1,5 +1,9 @@
 //! Which connection an attempt gets, and what becomes of one that may not begin any more.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -5,7 +5,8 @@
     clippy::unwrap_used,
     clippy::panic,
     clippy::indexing_slicing,
-    clippy::expect_used
+    clippy::expect_used,
+    reason = "a failed step fails the test"
 )]
 
 mod support;
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -5,7 +5,8 @@
     clippy::unwrap_used,
     clippy::panic,
     clippy::indexing_slicing,
-    clippy::expect_used
+    clippy::expect_used,
+    reason = "each test file that shares this module uses a part of it"
 )]
 
 use std::io::Write;
--- a/gateway/tests/wire_words.rs
+++ b/gateway/tests/wire_words.rs
@@ -1,6 +1,6 @@
 //! The protocols' own words stand in the codecs alone: the rest of the program uses the field's
 //! terms.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::path::{Path, PathBuf};
 
--- a/hot-restart/tests/connection.rs
+++ b/hot-restart/tests/connection.rs
@@ -1,6 +1,11 @@
 //! The connection over real Unix sockets: listeners are passed with their queues, frames arrive
 //! whole or not at all, and what dead processes leave is no obstacle.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
--- a/hot-restart/tests/model/main.rs
+++ b/hot-restart/tests/model/main.rs
@@ -1,7 +1,12 @@
 //! Both ends in every order of events: messages in flight, either process killed at any step,
 //! timeouts, a shutdown. Never do both accept keys; and once nothing is in flight, whoever lives
 //! accepts clients.
-#![allow(clippy::unwrap_used, clippy::panic, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::panic,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod processes;
 
--- a/hot-restart/tests/trace_digest.rs
+++ b/hot-restart/tests/trace_digest.rs
@@ -2,7 +2,11 @@
 //! every action written as bytes by the test itself, in one FNV-1a hash for each end. And frames
 //! that the previous release wrote are read, and written alike.
 
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,5 +1,8 @@
 //! A small embedding for the tests: it keeps what the gateway asked for and answers by hand.
-#![allow(dead_code)]
+#![allow(
+    dead_code,
+    reason = "each test file that shares this module uses a part of it"
+)]
 
 use violetgate_policy::interface::{
     AttemptEnded, Class, Engine, EngineId, EngineKind, EngineState, Idempotency, ListScope, Micros,
--- a/result-store/benches/timer_wheel.rs
+++ b/result-store/benches/timer_wheel.rs
@@ -1,6 +1,6 @@
 //! The timing wheel against a heap and an ordered set, in a steady state: each entry that expires
 //! is replaced by a new one, as cached results are.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "criterion generates public items")]
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
--- a/result-store/src/byte_budget/tests.rs
+++ b/result-store/src/byte_budget/tests.rs
@@ -1,4 +1,4 @@
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::*;
 
--- a/result-store/src/idempotency/tests.rs
+++ b/result-store/src/idempotency/tests.rs
@@ -1,4 +1,4 @@
-#![allow(clippy::indexing_slicing)]
+#![allow(clippy::indexing_slicing, reason = "a failed step fails the test")]
 
 use super::*;
 
--- a/result-store/tests/model/main.rs
+++ b/result-store/tests/model/main.rs
@@ -1,7 +1,11 @@
 //! The store against plain models, lists that are searched from end to end, under any order of
 //! calls.
 
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod idempotency;
 mod result_cache;
--- a/result-store/tests/trace_digest.rs
+++ b/result-store/tests/trace_digest.rs
@@ -1,7 +1,11 @@
 //! The store answers exactly as it did when these digests were taken: drawn streams of calls, with
 //! every answer written as bytes by the test itself, in one FNV-1a hash for each kind.
 
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use std::rc::Rc;
 
--- a/tools/scale/tests/change_sequence.rs
+++ b/tools/scale/tests/change_sequence.rs
@@ -1,6 +1,10 @@
 //! The check of what one gateway applies, on made-up state: in order, each change once, none
 //! missing.
-#![allow(missing_docs, clippy::unwrap_used)]
+#![allow(
+    missing_docs,
+    clippy::unwrap_used,
+    reason = "a failed step fails the test"
+)]
 
 use std::collections::BTreeMap;
 
--- a/tools/scale/tests/fit.rs
+++ b/tools/scale/tests/fit.rs
@@ -1,6 +1,10 @@
 //! Known lines and curves come out of the fit, with their errors and the size at which they pass a
 //! budget.
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 use violetgate_scale::fit::{Fit, Point, Shape, Weights};
 
--- a/tools/scale/tests/page.rs
+++ b/tools/scale/tests/page.rs
@@ -1,5 +1,5 @@
 //! The page's block follows the saved figures, and roles are listed in the order in which they end.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use violetgate_scale::figures::{CapacityLimit, Figures};
 use violetgate_scale::page::{with_block, Saved, BEGIN, END};
--- a/tools/scale/tests/propagation.rs
+++ b/tools/scale/tests/propagation.rs
@@ -1,5 +1,5 @@
 //! When a change was in force everywhere, from made-up reports.
-#![allow(missing_docs)]
+#![allow(missing_docs, reason = "a test has no public items")]
 
 use violetgate_scale::fleet_run::propagation::{
     in_force_at, reached_changes, Change, PropagationDelays, Reached, ReachedChange, SeenRevision,
--- a/tools/scale/tests/protocol.rs
+++ b/tools/scale/tests/protocol.rs
@@ -1,5 +1,5 @@
 //! The JSON between a run and its processes of lightweight gateways has its old form.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeMap;
 
--- a/tools/simulator/tests/anti_entropy.rs
+++ b/tools/simulator/tests/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy in a fleet: many members that join at once, under loss too, and the form of its
 //! messages.
 
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use serde::{Deserialize, Serialize};
 use violetgate_membership::{
--- a/tools/simulator/tests/fleet.rs
+++ b/tools/simulator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! What the views of a fleet owe to what is true, from fixed seeds in simulated time.
 
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use violetgate_membership::{LinkState, MemberState, MembershipConfig};
 use violetgate_simulator::{
--- a/tools/simulator/tests/model/main.rs
+++ b/tools/simulator/tests/model/main.rs
@@ -1,7 +1,7 @@
 //! Three members in every order of one-sided cuts and one pause, checked with stateright: whoever
 //! is reached both ways again is alive to all, and none is declared dead for a cut link or for
 //! another's pause. With the feature `mutants`, builds that decide wrongly are caught.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 #[cfg(feature = "mutants")]
 mod mutants;
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -2,7 +2,11 @@
 //! actions of fleets in fixed scenarios, in order, as bytes that the test itself writes, in one
 //! FNV-1a hash for each scenario.
 
-#![allow(clippy::unwrap_used, clippy::indexing_slicing)]
+#![allow(
+    clippy::unwrap_used,
+    clippy::indexing_slicing,
+    reason = "a failed step fails the test"
+)]
 
 mod driver;
 
--- a/tools/test-harness/tests/harness.rs
+++ b/tools/test-harness/tests/harness.rs
@@ -1,5 +1,5 @@
 //! The harness against processes and sockets of this machine.
-#![allow(clippy::unwrap_used)]
+#![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
