--- a/gateway/src/discovery/source.rs
+++ b/gateway/src/discovery/source.rs
@@ -49,9 +49,9 @@
 /// Whether the engine list is retained in the bus's own form, for other instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListRetention {
-    /// It is.
+    /// It is kept, so that this member can store it for others.
     Retain,
-    /// It is not.
+    /// Each event is handed on and forgotten.
     Discard,
 }
 
--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -299,6 +299,7 @@
             }
             KeyLookup::KeyConflict => exchange.complete(Answer::KeyConflict),
             KeyLookup::OutcomeUnknown => exchange.complete(Answer::OutcomeUnknown),
+            // 0: the store does not know when there will be room.
             KeyLookup::Full { retry_after: 0 } => exchange.complete(Answer::Rejected {
                 retry_after: CAPACITY_RETRY_AFTER_US,
             }),
--- a/gateway/src/postgres/session/mod.rs
+++ b/gateway/src/postgres/session/mod.rs
@@ -34,7 +34,7 @@
 /// Whether messages are carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
-    /// They are.
+    /// Messages are carried out.
     Normal,
     /// An extended query failed: its messages are skipped up to Sync.
     SkipToSync,
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -13,7 +13,7 @@
 use crate::fence::Fence;
 use crate::settings::{self, ClusterRole, Settings};
 
-/// The part.
+/// This instance's part in a cluster.
 #[derive(Clone)]
 pub enum Participant {
     /// It replicates the shared state with the other members.
--- a/gateway/src/replication/reconcile.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -34,9 +34,9 @@
 /// Whether members have other addresses, or there are others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MembersChange {
-    /// They do, or there are.
+    /// Members have other addresses, or there are others.
     Changed,
-    /// All is as it was.
+    /// Members and their addresses are as they were.
     Unchanged,
 }
 
--- a/gateway/src/upstream/pool/mod.rs
+++ b/gateway/src/upstream/pool/mod.rs
@@ -29,7 +29,7 @@
 /// counts as unreachable.
 const MAX_BROKEN_CONNECTIONS: u32 = 3;
 
-/// The pool.
+/// The connections to all engines, and the engines that they may lead to.
 pub struct Pool {
     this: Weak<Pool>,
     executor: Rc<LocalExecutor<'static>>,
--- a/gateway/src/upstream/pool/placement.rs
+++ b/gateway/src/upstream/pool/placement.rs
@@ -11,8 +11,8 @@
 use crate::exchange::{Attempt, AttemptEnd, ListedEngine};
 
 impl Pool {
-    /// Puts an attempt on a connection, unless its engine has left the list meanwhile or was
-    /// cordoned.
+    /// Puts an attempt, under which so many connections have broken, on a connection, unless its
+    /// engine has left the list meanwhile or was cordoned.
     pub(super) fn place(&self, attempt: Attempt, broken_connections: u32) {
         let (query, number) = (attempt.exchange.id(), attempt.number);
         let fail = |outcome| {
--- a/gateway/src/upstream/pool/requests.rs
+++ b/gateway/src/upstream/pool/requests.rs
@@ -8,7 +8,8 @@
 
 impl UpstreamEngines for Pool {
     fn send(&self, attempt: Attempt) {
-        self.place(attempt, 0);
+        let broken_connections = 0;
+        self.place(attempt, broken_connections);
     }
 
     fn cancel(&self, query: QueryId) -> CancelOutcome {
