--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -16,9 +16,11 @@
 use crate::drain::DrainState;
 use crate::fleet::FleetMembership;
 use crate::log;
+use crate::metrics::catalog::event_bus;
+use crate::metrics::text::MetricsText;
 use crate::replication::{CommitError, Participant};
 use crate::rest::RestFrontend;
-use crate::stats::{write_metric, Stats};
+use crate::stats::Stats;
 
 /// How long an event bus that does not answer delays readiness; engines are known from the
 /// configuration all the same.
@@ -132,19 +134,10 @@
     /// Metrics of the event bus, which are shown beside those of a cluster or a fleet.
     fn discovery_metrics(&self) -> String {
         let traffic = self.targets.discovery.traffic();
-        let mut out = String::new();
-        let mut counter = |name, help, value| write_metric(&mut out, name, "counter", help, value);
-        counter(
-            "svc_bus_sent_bytes_total",
-            "Bytes sent to the event bus.",
-            traffic.sent_bytes,
-        );
-        counter(
-            "svc_bus_received_bytes_total",
-            "Bytes received from the event bus.",
-            traffic.received_bytes,
-        );
-        out
+        let mut out = MetricsText::new();
+        out.write_value(&event_bus::SENT_BYTES, traffic.sent_bytes);
+        out.write_value(&event_bus::RECEIVED_BYTES, traffic.received_bytes);
+        out.into_string()
     }
 }
 
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -1,7 +1,6 @@
 //! This gateway as a member of a fleet: events of the membership go to the decisions, the log and
 //! the metrics. It decides nothing.
 
-use std::fmt::Write;
 use std::rc::Rc;
 
 use async_executor::LocalExecutor;
@@ -15,6 +14,8 @@
 use crate::clock::{micros, Clock};
 use crate::dispatch::Dispatch;
 use crate::log;
+use crate::metrics::catalog::fleet;
+use crate::metrics::text::{Label, MetricsText};
 use crate::settings;
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
@@ -104,25 +105,23 @@
     #[must_use]
     pub fn metrics(&self) -> String {
         let counters = self.node.counters();
-        let mut out = String::new();
-        for (name, value) in [
-            ("share", u64::from(self.fleet_size())),
-            (
-                "doubts_itself",
-                u64::from(self.node.is_recovering_from_pause()),
-            ),
-            ("turned_away_total", counters.rejected),
-            ("unsent_total", counters.unsent),
-            ("sent_bytes_total", counters.sent_bytes),
-            ("received_bytes_total", counters.received_bytes),
+        let is_recovering = self.node.is_recovering_from_pause();
+        let mut out = MetricsText::new();
+        for (metric, value) in [
+            (&fleet::SIZE, u64::from(self.fleet_size())),
+            (&fleet::IS_RECOVERING_FROM_PAUSE, u64::from(is_recovering)),
+            (&fleet::DATAGRAMS_REJECTED, counters.rejected),
+            (&fleet::DATAGRAMS_UNSENT, counters.unsent),
+            (&fleet::SENT_BYTES, counters.sent_bytes),
+            (&fleet::RECEIVED_BYTES, counters.received_bytes),
         ] {
-            let _ = writeln!(out, "svc_fleet_{name} {value}");
+            out.write_sample(metric, &[], value);
         }
         let now = self.clock.now();
         for member in self.node.members() {
             write_member(&mut out, &member, now);
         }
-        out
+        out.into_string()
     }
 }
 
@@ -200,20 +199,31 @@
 }
 
 /// Writes how long a member has been in its state, and its link cut, in seconds.
-fn write_member(out: &mut String, member: &Member, now: Micros) {
+fn write_member(out: &mut MetricsText, member: &Member, now: Micros) {
     let seconds_since = |since| now.saturating_sub(since) / MICROS_PER_SECOND;
-    let labels = format!("member=\"{}\",address=\"{}\"", member.name, member.addr);
-    let _ = writeln!(
-        out,
-        "svc_fleet_member_seconds{{{labels},state=\"{}\"}} {}",
-        state_name(member.state),
-        seconds_since(member.state_since)
+    let address = member.addr.to_string();
+    let member_label = Label {
+        name: "member",
+        value: &member.name,
+    };
+    let address_label = Label {
+        name: "address",
+        value: &address,
+    };
+    let state_label = Label {
+        name: "state",
+        value: state_name(member.state),
+    };
+    out.write_sample(
+        &fleet::MEMBER_STATE_AGE,
+        &[member_label, address_label, state_label],
+        seconds_since(member.state_since),
     );
     if let Some(cut_since) = member.link_cut_since {
-        let _ = writeln!(
-            out,
-            "svc_fleet_link_cut_seconds{{{labels}}} {}",
-            seconds_since(cut_since)
+        out.write_sample(
+            &fleet::LINK_CUT_AGE,
+            &[member_label, address_label],
+            seconds_since(cut_since),
         );
     }
 }
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -24,6 +24,7 @@
 mod http_error;
 mod idempotency;
 pub mod log;
+pub mod metrics;
 mod net;
 mod postgres;
 mod replication;
--- a/gateway/src/replication/metrics.rs
+++ b/gateway/src/replication/metrics.rs
@@ -1,6 +1,4 @@
-//! Metrics of the shared state, in the text format of Prometheus.
-
-use std::fmt::Write as _;
+//! What the metrics show of the shared state, at a member and at a subscriber.
 
 use violetgate_raft::Role;
 use violetgate_replica_runtime::{
@@ -8,48 +6,18 @@
 };
 
 use super::MICROS_PER_MS;
-use crate::stats::write_metric;
+use crate::metrics::catalog::cluster;
+use crate::metrics::text::MetricsText;
 
-/// Upper bounds, in seconds, of the time by which serving gateways are behind: the labels of
-/// `svc_cluster_behind`.
+/// Upper bounds, in seconds, of the time by which serving gateways are behind: the label
+/// values of [`cluster::GATEWAYS_BEHIND`].
 pub(super) const BEHIND_UNDER_S: [&str; 4] = ["0.1", "1", "10", "inf"];
 
-/// Metrics as they are written.
-struct MetricsText(String);
+/// The label that says such a bound.
+const BEHIND_LABEL: &str = "under_s";
 
-fn full_name(name: &str) -> String {
-    format!("svc_cluster_{name}")
-}
-
-impl MetricsText {
-    fn write_head(&mut self, name: &str, kind: &str, help: &str) {
-        let _ = write!(
-            self.0,
-            "# HELP svc_cluster_{name} {help}\n# TYPE svc_cluster_{name} {kind}\n"
-        );
-    }
-
-    fn gauge(&mut self, name: &str, help: &str, value: u64) {
-        write_metric(&mut self.0, &full_name(name), "gauge", help, value);
-    }
-
-    fn counter(&mut self, name: &str, help: &str, value: u64) {
-        write_metric(&mut self.0, &full_name(name), "counter", help, value);
-    }
-
-    /// A gauge with one value for each label.
-    fn labelled<'a>(
-        &mut self,
-        name: &str,
-        help: &str,
-        values: impl Iterator<Item = (&'a str, String, u64)>,
-    ) {
-        self.write_head(name, "gauge", help);
-        for (label, text, value) in values {
-            let _ = writeln!(self.0, "svc_cluster_{name}{{{label}=\"{text}\"}} {value}");
-        }
-    }
-}
+/// The label that says why an observer rejected a subscriber.
+const REJECTION_LABEL: &str = "code";
 
 /// The metrics of a member.
 pub(super) struct MemberMetrics {
@@ -74,110 +42,50 @@
 
 impl MemberMetrics {
     pub(super) fn render(&self) -> String {
-        let mut out = MetricsText(String::new());
+        let mut out = MetricsText::new();
         self.write_replica(&mut out);
         self.write_traffic(&mut out);
         self.write_fleet(&mut out);
-        out.0
+        out.into_string()
     }
 
     fn write_replica(&self, out: &mut MetricsText) {
         let status = &self.status;
-        let (is_leader, voters) = (status.role == Role::Leader, &status.members.voters);
-        for (name, help, value) in [
-            ("leads", "This member leads.", u64::from(is_leader)),
-            ("term", "The term.", status.term),
-            (
-                "commit",
-                "The last entry that is agreed on, as known here.",
-                status.commit,
-            ),
-            (
-                "applied",
-                "The last entry that is applied here.",
-                status.applied,
-            ),
-            ("revision", "The state's revision.", status.revision),
-            ("voters", "Members that vote.", voters.len() as u64),
-            (
-                "routes",
-                "The state is confirmed: requests may be sent.",
-                u64::from(self.may_route),
-            ),
-        ] {
-            out.gauge(name, help, value);
-        }
+        let is_leader = status.role == Role::Leader;
+        let voters = status.members.voters.len();
+        out.write_value(&cluster::IS_LEADER, u64::from(is_leader));
+        out.write_value(&cluster::TERM, status.term);
+        out.write_value(&cluster::COMMIT_INDEX, status.commit);
+        out.write_value(&cluster::APPLIED_INDEX, status.applied);
+        out.write_value(&cluster::REVISION, status.revision);
+        out.write_value(&cluster::VOTERS, voters as u64);
+        out.write_value(&cluster::MAY_ROUTE, u64::from(self.may_route));
     }
 
     fn write_traffic(&self, out: &mut MetricsText) {
-        for (name, help, value) in [
-            (
-                "turned_away_total",
-                "Requests and attempts not sent on old state.",
-                self.fenced,
-            ),
-            (
-                "dropped_total",
-                "Messages to members dropped.",
-                self.dropped_messages,
-            ),
-            (
-                "messages_sent_total",
-                "Messages sent to members.",
-                self.traffic.messages_sent,
-            ),
-            (
-                "messages_received_total",
-                "Messages received from members.",
-                self.traffic.messages_received,
-            ),
-        ] {
-            out.counter(name, help, value);
-        }
+        let traffic = &self.traffic;
+        out.write_value(&cluster::FENCED, self.fenced);
+        out.write_value(&cluster::MESSAGES_DROPPED, self.dropped_messages);
+        out.write_value(&cluster::MESSAGES_SENT, traffic.messages_sent);
+        out.write_value(&cluster::MESSAGES_RECEIVED, traffic.messages_received);
     }
 
     /// The gateways that subscribe, as observers report them.
     fn write_fleet(&self, out: &mut MetricsText) {
         let fleet = &self.fleet;
         if let Some(subscribers) = self.subscribers {
-            let help = "Front ends connected to this observer.";
-            out.gauge("subscribers", help, subscribers as u64);
-        }
-        for (name, help, value) in [
-            (
-                "observers",
-                "Observers that reported of late.",
-                fleet.observers.into(),
-            ),
-            (
-                "silent_observers",
-                "Observers that did not.",
-                fleet.silent_observers.into(),
-            ),
-            ("serving", "Front ends that serve.", fleet.serving.into()),
-            (
-                "not_serving",
-                "Front ends whose gates are shut.",
-                fleet.not_serving.into(),
-            ),
-            (
-                "in_force",
-                "The revision in force at all front ends that serve.",
-                fleet.in_force,
-            ),
-        ] {
-            out.gauge(name, help, value);
+            out.write_value(&cluster::SUBSCRIBERS, subscribers as u64);
         }
+        out.write_value(&cluster::OBSERVERS, fleet.observers.into());
+        out.write_value(&cluster::OBSERVERS_SILENT, fleet.silent_observers.into());
+        out.write_value(&cluster::GATEWAYS_SERVING, fleet.serving.into());
+        out.write_value(&cluster::GATEWAYS_NOT_SERVING, fleet.not_serving.into());
+        out.write_value(&cluster::REVISION_IN_FORCE, fleet.in_force);
         if let Some(record) = &self.last_in_force {
-            let help = "The time until the last one was in force.";
-            out.gauge("in_force_after_ms", help, propagation_ms(record));
+            out.write_value(&cluster::PROPAGATION_TIME, propagation_ms(record));
         }
-        let behind = BEHIND_UNDER_S.iter().zip(fleet.behind);
-        out.labelled(
-            "behind",
-            "Serving front ends that lack a revision, by how long.",
-            behind.map(|(under, count)| ("under_s", (*under).to_owned(), u64::from(count))),
-        );
+        let behind = BEHIND_UNDER_S.into_iter().zip(fleet.behind.map(u64::from));
+        out.write_by_label(&cluster::GATEWAYS_BEHIND, BEHIND_LABEL, behind);
     }
 }
 
@@ -191,64 +99,31 @@
 
 impl SubscriberMetrics {
     pub(super) fn render(&self) -> String {
-        let mut out = MetricsText(String::new());
+        let mut out = MetricsText::new();
         self.write_state(&mut out);
         self.write_traffic(&mut out);
         self.write_observers(&mut out);
-        out.0
+        out.into_string()
     }
 
     fn write_state(&self, out: &mut MetricsText) {
-        out.gauge("revision", "The state's revision.", self.status.revision);
-        out.gauge(
-            "routes",
-            "The state is confirmed: requests may be sent.",
-            u64::from(self.status.freshness.is_ok()),
-        );
+        let may_route = self.status.freshness.is_ok();
+        out.write_value(&cluster::REVISION, self.status.revision);
+        out.write_value(&cluster::MAY_ROUTE, u64::from(may_route));
     }
 
     fn write_traffic(&self, out: &mut MetricsText) {
-        for (name, help, value) in [
-            (
-                "turned_away_total",
-                "Requests and attempts not sent on old state.",
-                self.fenced,
-            ),
-            (
-                "sent_bytes_total",
-                "Bytes sent to observers.",
-                self.traffic.bytes_sent,
-            ),
-            (
-                "received_bytes_total",
-                "Bytes received from observers.",
-                self.traffic.bytes_received,
-            ),
-        ] {
-            out.counter(name, help, value);
-        }
+        out.write_value(&cluster::FENCED, self.fenced);
+        out.write_value(&cluster::SENT_BYTES, self.traffic.bytes_sent);
+        out.write_value(&cluster::RECEIVED_BYTES, self.traffic.bytes_received);
     }
 
     fn write_observers(&self, out: &mut MetricsText) {
-        out.gauge(
-            "observer",
-            "The observer that is watched; 0: none.",
-            self.status.watched.unwrap_or(0),
-        );
-        out.gauge(
-            "reserve_observer",
-            "The observer held in reserve; 0: none.",
-            self.status.standby.unwrap_or(0),
-        );
-        let rejection = self
-            .status
-            .rejection
-            .iter()
-            .map(|rejection| ("code", rejection.code().to_owned(), 1));
-        out.labelled(
-            "refused",
-            "An observer turned this front end away, by the reason's code.",
-            rejection,
-        );
+        let status = &self.status;
+        out.write_value(&cluster::WATCHED_OBSERVER, status.watched.unwrap_or(0));
+        out.write_value(&cluster::STANDBY_OBSERVER, status.standby.unwrap_or(0));
+        let rejection = status.rejection.iter();
+        let rejection = rejection.map(|rejection| (rejection.code(), 1));
+        out.write_by_label(&cluster::SUBSCRIPTION_REJECTED, REJECTION_LABEL, rejection);
     }
 }
--- a/gateway/src/rest/metrics.rs
+++ b/gateway/src/rest/metrics.rs
@@ -1,10 +1,11 @@
-//! The REST front end's metrics, in the text format of Prometheus.
+//! The REST front end's counts, and how the metrics show them.
 
 use std::cell::Cell;
 
 use super::RestFrontend;
 use crate::idempotency::KeyCounts;
-use crate::stats::write_metric;
+use crate::metrics::catalog::rest;
+use crate::metrics::text::MetricsText;
 
 /// Counts since the start.
 #[derive(Default)]
@@ -27,69 +28,20 @@
         let keys = self.parts.idempotency.counts();
         let (results_len, reserved) = (results.len(), results.budget().reserved());
         let counters = &self.counters;
-        let mut out = String::new();
-        let mut gauge = |name, help, value: usize| {
-            write_metric(&mut out, name, "gauge", help, value as u64);
-        };
-        gauge(
-            "svc_rest_results",
-            "Results whose pages may be fetched.",
-            results_len,
-        );
-        gauge(
-            "svc_rest_results_bytes",
-            "Bytes held or reserved.",
-            reserved,
-        );
-        for (name, help, counter) in [
-            (
-                "svc_rest_results_full_total",
-                "Queries refused for want of that.",
-                &counters.results_full,
-            ),
-            (
-                "svc_rest_pages_total",
-                "Further pages served.",
-                &counters.pages,
-            ),
-            (
-                "svc_rest_pages_gone_total",
-                "Pages asked for after their time.",
-                &counters.expired_pages,
-            ),
-            (
-                "svc_rest_tokens_unknown_total",
-                "Tokens nobody here has made.",
-                &counters.unknown_tokens,
-            ),
-        ] {
-            write_metric(&mut out, name, "counter", help, counter.get());
-        }
+        let mut out = MetricsText::new();
+        out.write_value(&rest::RESULTS, results_len as u64);
+        out.write_value(&rest::RESULTS_BYTES, reserved as u64);
+        out.write_value(&rest::RESULTS_FULL, counters.results_full.get());
+        out.write_value(&rest::PAGES, counters.pages.get());
+        out.write_value(&rest::PAGES_EXPIRED, counters.expired_pages.get());
+        out.write_value(&rest::TOKENS_UNKNOWN, counters.unknown_tokens.get());
         write_key_metrics(&mut out, keys);
-        out
+        out.into_string()
     }
 }
 
-fn write_key_metrics(out: &mut String, keys: KeyCounts) {
-    write_metric(
-        out,
-        "svc_rest_keys",
-        "gauge",
-        "Idempotency keys taken.",
-        keys.keys as u64,
-    );
-    write_metric(
-        out,
-        "svc_rest_keys_joined_total",
-        "counter",
-        "Queries that joined one that ran.",
-        keys.joined,
-    );
-    write_metric(
-        out,
-        "svc_rest_keys_replayed_total",
-        "counter",
-        "Queries that got a recorded answer.",
-        keys.replayed,
-    );
+fn write_key_metrics(out: &mut MetricsText, keys: KeyCounts) {
+    out.write_value(&rest::KEYS, keys.keys as u64);
+    out.write_value(&rest::KEYS_JOINED, keys.joined);
+    out.write_value(&rest::KEYS_REPLAYED, keys.replayed);
 }
--- a/gateway/src/stats.rs
+++ b/gateway/src/stats.rs
@@ -1,10 +1,16 @@
-//! Request metrics, in the text format of Prometheus.
+//! Counts of requests and attempts, and how the metrics show them.
 
 use std::cell::Cell;
-use std::fmt::Write;
 
 use violetgate_policy::EngineCounts;
 
+use crate::metrics::catalog::requests;
+use crate::metrics::text::MetricsText;
+use crate::metrics::Metric;
+
+/// The label that says a request's class.
+const CLASS_LABEL: &str = "category";
+
 /// How a request ended, for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnding {
@@ -36,14 +42,6 @@
     counter.set(counter.get() + 1);
 }
 
-/// Writes one metric without labels, with its HELP and TYPE lines.
-pub fn write_metric(out: &mut String, name: &str, kind: &str, help: &str, value: u64) {
-    let _ = writeln!(
-        out,
-        "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {value}"
-    );
-}
-
 impl Stats {
     /// Counters for classes of these names, all at 0.
     #[must_use]
@@ -79,57 +77,28 @@
     /// All metrics.
     #[must_use]
     pub fn render(&self, engines: EngineCounts) -> String {
-        let mut out = String::new();
-        self.write_by_class(&mut out, "passed_total", "Requests served.", |class| {
-            &class.served
-        });
-        self.write_by_class(&mut out, "dropped_total", "Requests refused.", |class| {
+        let mut out = MetricsText::new();
+        self.write_by_class(&mut out, &requests::REQUESTS_SERVED, |class| &class.served);
+        self.write_by_class(&mut out, &requests::REQUESTS_REJECTED, |class| {
             &class.refused
         });
-        self.write_by_class(&mut out, "bad_gateway_total", "Requests failed.", |class| {
-            &class.failed
-        });
-        let mut counter = |name, help, value| write_metric(&mut out, name, "counter", help, value);
-        counter(
-            "svc_upstream_tries_total",
-            "Attempts written whole to engines.",
-            self.attempts.get(),
-        );
-        let mut gauge = |name, help, value| write_metric(&mut out, name, "gauge", help, value);
-        gauge(
-            "svc_in_progress",
-            "Requests taken and not ended.",
-            self.open.get(),
-        );
-        gauge(
-            "svc_known_engines",
-            "Engines in the list.",
-            engines.listed as u64,
-        );
-        gauge(
-            "svc_skipped_engines",
-            "Listed engines that are avoided now.",
-            engines.avoided as u64,
-        );
-        out
+        self.write_by_class(&mut out, &requests::REQUESTS_FAILED, |class| &class.failed);
+        out.write_value(&requests::ATTEMPTS, self.attempts.get());
+        out.write_value(&requests::REQUESTS_IN_PROGRESS, self.open.get());
+        out.write_value(&requests::ENGINES_LISTED, engines.listed as u64);
+        out.write_value(&requests::ENGINES_AVOIDED, engines.avoided as u64);
+        out.into_string()
     }
 
     fn write_by_class(
         &self,
-        out: &mut String,
-        name: &str,
-        help: &str,
+        out: &mut MetricsText,
+        metric: &Metric,
         counter: fn(&ClassCounters) -> &Cell<u64>,
     ) {
-        let _ = writeln!(out, "# HELP svc_{name} {help}\n# TYPE svc_{name} counter");
-        for class in &self.classes {
-            let _ = writeln!(
-                out,
-                "svc_{name}{{category=\"{}\"}} {}",
-                class.name,
-                counter(class).get()
-            );
-        }
+        let samples = self.classes.iter();
+        let samples = samples.map(|class| (class.name.as_str(), counter(class).get()));
+        out.write_by_label(metric, CLASS_LABEL, samples);
     }
 }
 
