--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -21,7 +21,7 @@
 pub use violetgate_fake_upstreams::client::Reply;
 use violetgate_fake_upstreams::{client, settings, FakeUpstreams, Profile};
 pub use violetgate_test_harness::Signal;
-use violetgate_test_harness::{read_metrics, reserve_tcp_address, send_signal, server_command};
+use violetgate_test_harness::{parse_metrics, reserve_tcp_address, send_signal, server_command};
 
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_violetgate");
@@ -205,14 +205,8 @@
 
     /// The value of one of the gateway's metrics, by its full name.
     pub fn metric(&self, name: &str) -> f64 {
-        let management = self.management.parse().unwrap();
-        let mut metrics = None;
-        // A process that was just restarted may not listen yet.
-        wait_until("the metrics are read", || {
-            metrics = read_metrics(management, WAIT).ok();
-            metrics.is_some()
-        });
-        let value = metrics.unwrap().get(name).copied();
+        let text = self.call("GET", "/admin/stats", "").1;
+        let value = parse_metrics(&text).get(name).copied();
         value.unwrap_or_else(|| panic!("no metric {name}"))
     }
 
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -12,7 +12,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 pub use addresses::{free_tcp_addresses, free_udp_addresses, reserve_tcp_address};
-pub use metrics::{read_metrics, Metrics};
+pub use metrics::{parse_metrics, read_metrics, Metrics};
 pub use process::{
     program_beside, send_signal, server_command, KillOnDrop, LogTarget, ServerProcess,
     SETTINGS_FILE,
--- a/tools/test-harness/src/metrics.rs
+++ b/tools/test-harness/src/metrics.rs
@@ -10,7 +10,7 @@
 /// Values by the name of the metric with its labels.
 pub type Metrics = BTreeMap<String, f64>;
 
-/// Reads the metrics at a management address. Lines that hold no number are skipped.
+/// Reads the metrics at a management address.
 ///
 /// # Errors
 ///
@@ -18,8 +18,13 @@
 pub fn read_metrics(management: SocketAddr, timeout: Duration) -> Result<Metrics> {
     let stream = TcpStream::connect_timeout(&management, timeout)?;
     let reply = HttpClient::new(stream, timeout)?.get("/admin/stats")?;
-    let text = String::from_utf8_lossy(&reply.body);
+    Ok(parse_metrics(&String::from_utf8_lossy(&reply.body)))
+}
+
+/// The samples of a text in the format of Prometheus. Lines that hold no number are skipped.
+#[must_use]
+pub fn parse_metrics(text: &str) -> Metrics {
     let samples = text.lines().filter_map(|line| line.rsplit_once(' '));
     let parsed = samples.filter_map(|(name, value)| Some((name.to_owned(), value.parse().ok()?)));
-    Ok(parsed.collect())
+    parsed.collect()
 }
