--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -1,4 +1,6 @@
 //! One gateway: its state, and the order in which it handles events.
+//!
+//! Its settings, events and actions are in `policy/src/interface.rs`.
 
 use std::collections::BTreeMap;
 
