--- a/gateway/src/connection_limit.rs
+++ b/gateway/src/connection_limit.rs
@@ -1,5 +1,5 @@
-//! The limit on incoming connections: how many there may be, and which one is evicted for a new
-//! one.
+//! Limits the number of incoming connections, and chooses which connection to evict when a new one
+//! arrives at the limit.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,44 +9,44 @@
 
 use violetgate_policy::interface::Micros;
 
-/// A connection without a complete message counts as unresponsive after this time: one that has
-/// just come up is about to send, and must not be evicted for the next.
+/// Time after which a connection without a complete message counts as unresponsive. A connection
+/// that was just accepted is about to send and must not be evicted for the next one.
 const FIRST_MESSAGE_GRACE_US: Micros = 250_000;
-/// A connection that became idle less long ago than this is left open when idle ones are closed: a
-/// new connection's first request may be on its way.
+/// Time for which a connection that has become idle is left open when idle connections are closed.
+/// The first request of a new connection may still be in transit.
 pub const RECENTLY_IDLE_US: Micros = 50_000;
-/// One connection in so many may linger in its close beside those that count.
+/// The number of connections that may linger in their close, in addition to the limit, is the limit
+/// divided by this value, plus one.
 const LINGERING_DIVISOR: usize = 8;
 
-/// What a connection does.
+/// The activity of a connection, which decides whether it may be evicted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Its start-up packet, or the rest of a message, is awaited.
+    /// The start-up packet or the rest of a message has not arrived yet.
     AwaitingMessage,
-    /// It may send a request, and does not.
+    /// The client may send a request and has not begun one.
     Idle,
-    /// It has a request open.
+    /// The connection has an open request.
     Busy,
 }
 
-/// Why a connection would be evicted before another: in this order.
+/// The order of eviction: connections of the smallest rank are evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// No complete message for long.
+    /// No complete message has arrived for [`FIRST_MESSAGE_GRACE_US`] or longer.
     Unresponsive,
-    /// Idle.
     Idle,
-    /// Just come up, or a message has just begun.
+    /// The connection was just accepted, or a message has just begun.
     New,
 }
 
-/// The slot of one connection.
+/// The state of one connection that counts towards the limit.
 pub struct ConnectionSlot {
     id: u64,
     state: Cell<ConnectionState>,
-    /// Since when it is in this state.
+    /// When the connection entered its current state.
     since: Cell<Micros>,
-    /// Until when its client may need this very process.
+    /// Until when the client may need this process and no other instance.
     sticky_until: Cell<Micros>,
     close_reason: Cell<Option<&'static str>>,
     waker: RefCell<Option<Waker>>,
@@ -64,7 +64,7 @@
         })
     }
 
-    /// Records what the connection does from now on.
+    /// Records a state change at `now`. Setting the current state again keeps its start time.
     pub fn set_state(&self, state: ConnectionState, now: Micros) {
         if self.state.get() != state {
             self.state.set(state);
@@ -72,23 +72,23 @@
         }
     }
 
-    /// Its client may need this very process until then: the connection is not closed for being
-    /// idle before.
+    /// Marks the connection as sticky: its client may need this process, and no other instance,
+    /// until this time. The connection is not closed as idle before then.
     pub fn set_sticky_until(&self, until: Micros) {
         self.sticky_until.set(until);
     }
 
-    /// Until when its client may need this very process.
+    /// Returns the time until which the client may need this process; 0 if it was never sticky.
     pub fn sticky_until(&self) -> Micros {
         self.sticky_until.get()
     }
 
-    /// Whether it may send a request, and does not.
+    /// Whether the connection's state is [`ConnectionState::Idle`].
     pub fn is_idle(&self) -> bool {
         self.state.get() == ConnectionState::Idle
     }
 
-    /// Waits until a close of the connection is requested; the reason.
+    /// Waits until a close of the connection is requested, and returns the reason.
     pub async fn close_requested(&self) -> &'static str {
         poll_fn(|context| {
             if let Some(reason) = self.close_reason.get() {
@@ -100,7 +100,8 @@
         .await
     }
 
-    /// Requests a close of the connection. What it has sent by then is still read and answered.
+    /// Requests a close of the connection. Requests that have already arrived are still read and
+    /// answered.
     fn request_close(&self, reason: &'static str) {
         self.close_reason.set(Some(reason));
         let waker = self.waker.borrow_mut().take();
@@ -118,7 +119,7 @@
     }
 }
 
-/// The connections that count towards one limit.
+/// Tracks the connections that count towards one limit.
 pub struct ConnectionLimiter {
     limit: Cell<usize>,
     next_id: Cell<u64>,
@@ -126,7 +127,8 @@
     lingering: Rc<Cell<usize>>,
 }
 
-/// Permits a connection that no longer counts to linger in its close; it ends with this.
+/// Permits a connection that no longer counts towards the limit to linger in its close. When it is
+/// dropped, another connection may linger.
 pub struct LingerPermit(Rc<Cell<usize>>);
 
 impl Drop for LingerPermit {
@@ -147,13 +149,15 @@
         }
     }
 
-    /// A slot for a new connection. At the limit another one is evicted: an unresponsive one first,
-    /// then the one idle longest, then one that has just come up, never one with a request open.
-    /// `None`: all have one.
+    /// Returns a slot for a new connection, or `None` if every connection up to the limit has an
+    /// open request.
+    ///
+    /// At the limit another connection is evicted: unresponsive ones first, then the one that has
+    /// been idle longest, then a new one. A connection with an open request is never evicted.
     ///
     /// Eviction protects against clients that connect and send nothing, or send one request and
-    /// stay: were new connections left in the kernel's queue instead, their requests would count as
-    /// taken and never be read.
+    /// stay connected. If new connections were left in the kernel's accept queue instead, their
+    /// requests would count as accepted and never be read.
     pub fn acquire(&self, now: Micros) -> Option<Rc<ConnectionSlot>> {
         if self.len() >= self.limit.get() && !self.evict_one(now) {
             return None;
@@ -170,7 +174,8 @@
         self.slots.borrow_mut().remove(&slot.id);
     }
 
-    /// Evicts the connection that is first in order. False: all are busy.
+    /// Evicts the connection with the smallest rank, and of these the one longest in its state.
+    /// Returns false if every connection is busy.
     pub fn evict_one(&self, now: Micros) -> bool {
         let mut slots = self.slots.borrow_mut();
         let candidates = slots
@@ -194,18 +199,19 @@
             .for_each(|slot| slot.request_close(reason));
     }
 
-    /// Changes the limit. Connections over it that can be evicted are evicted at once.
+    /// Changes the limit. If more connections are open, those that can be evicted are evicted at
+    /// once until the limit is met.
     pub fn resize(&self, limit: usize, now: Micros) {
         self.limit.set(limit);
         while self.len() > limit && self.evict_one(now) {}
     }
 
-    /// The number of connections.
+    /// Returns the number of connections that count towards the limit.
     pub fn len(&self) -> usize {
         self.slots.borrow().len()
     }
 
-    /// The number of connections whose clients may need this very process.
+    /// Returns the number of connections whose clients may need this process at `now`.
     pub fn sticky_count(&self, now: Micros) -> usize {
         let slots = self.slots.borrow();
         slots
@@ -214,9 +220,9 @@
             .count()
     }
 
-    /// Permits one more connection to linger in its close, which holds its descriptor a little
-    /// longer. `None`: so many linger that it has to be closed at once, or descriptors would run
-    /// out.
+    /// Permits one more connection to linger in its close, which holds its file descriptor longer.
+    /// Returns `None` if too many connections linger already. The connection must then be closed at
+    /// once, so that file descriptors do not run out.
     pub fn permit_linger(&self) -> Option<LingerPermit> {
         let (lingering, limit) = (
             self.lingering.get(),
@@ -228,7 +234,7 @@
         })
     }
 
-    /// The number of connections that linger in their close.
+    /// Returns the number of connections that linger in their close.
     pub fn lingering(&self) -> usize {
         self.lingering.get()
     }
--- a/gateway/src/connection_limit/tests.rs
+++ b/gateway/src/connection_limit/tests.rs
@@ -1,4 +1,4 @@
-//! Which connection is evicted at the limit.
+//! Tests of the order of eviction at the limit.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -7,8 +7,8 @@
 
 use super::*;
 
-/// The unresponsive before the idle, the longest idle first, the busy never, and one that has just
-/// come up only when nobody else is left.
+/// Unresponsive connections are evicted before idle ones, and the longest idle one first. Busy
+/// connections are never evicted, and a new one is evicted only if no other candidate is left.
 #[test]
 fn unresponsive_and_idle_connections_are_evicted_and_busy_ones_are_not() {
     const NOW: Micros = 2 + FIRST_MESSAGE_GRACE_US;
--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -1,10 +1,10 @@
-//! Idempotency keys before the decisions: of all queries of one key, by whichever protocol, one
-//! runs.
+//! Applies idempotency keys before requests reach the decisions: of all queries with the same key,
+//! from any client protocol, one runs.
 //!
-//! [`IdempotencyLayer`] is a [`RequestSink`] before another one, and carries out what
-//! [`IdempotencyKeys`] says. The query that runs is submitted under an exchange of its own, so that
-//! it goes on while any of those that wait for it is there. Queries without a key pass through;
-//! none is ever sent again from here.
+//! [`IdempotencyLayer`] is a [`RequestSink`] in front of another sink, and carries out what
+//! [`IdempotencyKeys`] decides. The query that runs is submitted with an exchange of its own, so
+//! that it continues as long as at least one query waits for it. Queries without a key pass
+//! through. This layer never sends a query again.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,64 +24,66 @@
 };
 use crate::stats::increment;
 
-/// How many queries may wait for one key: a client and its impatient retries.
+/// Maximum number of queries that wait for one key: a client's query and its early retries.
 const MAX_WAITERS_PER_KEY: usize = 32;
-/// For how long engines discard a repeat, for a class whose settings state nothing.
+/// How long engines discard a repeat if the settings of the class give no deduplication window.
 const DEFAULT_DEDUP_WINDOW_US: Micros = 12_000_000;
-/// The retry-after of a rejection for want of capacity, where nobody knows when there will be some.
+/// The retry-after of a rejection for lack of capacity, if the time until capacity is free is
+/// unknown.
 const CAPACITY_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// A result that is replayed to retries, with the bytes that it reserves.
+/// A result that is replayed to retries, with its reservation of the byte budget.
 #[derive(Clone)]
 struct RecordedResult {
     result: Rc<QueryResult>,
     _reservation: Rc<ByteReservation>,
 }
 
-/// A query that waits for a key's answer.
+/// A query that waits for the answer of the query that runs for its key.
 struct Waiter {
     key: Box<str>,
     exchange: Rc<Exchange>,
-    /// Ends the wait at its own deadline, where the query that runs has a later one.
+    /// Ends the wait at this query's own deadline, as the query that runs may have a later one.
+    /// `None` for the query that runs itself.
     timeout: Option<Task<()>>,
 }
 
-/// The query that runs for a key, and the task that waits for its end.
+/// The query that runs for a key, and the task that waits for its answer.
 struct Execution {
     query: QueryId,
     task: Task<()>,
 }
 
-/// Counts of idempotency keys.
+/// Counts of idempotency keys and their uses, for the metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyCounts {
-    /// Keys in the table.
+    /// Number of keys in the table.
     pub keys: usize,
-    /// Queries that joined one that ran, since the start.
+    /// Number of queries since the start of the process that joined a running query.
     pub joined: u64,
-    /// Queries that got a recorded result, since the start.
+    /// Number of queries since the start of the process that got a recorded result.
     pub replayed: u64,
 }
 
-/// The keys, and the queries that wait for them.
+/// Runs one query for each idempotency key and gives its answer to all queries with that key.
 pub struct IdempotencyLayer {
     this: Weak<IdempotencyLayer>,
     inner: Rc<dyn RequestSink>,
     executor: Rc<LocalExecutor<'static>>,
-    /// For how long engines discard a repeat, by class; `None`: the class has no keys.
+    /// How long engines discard a repeat, by class. `None` if queries of the class take no keys.
     dedup_windows: Vec<Option<Micros>>,
     budget: ByteBudget,
     keys: RefCell<IdempotencyKeys<QueryId, RecordedResult>>,
     waiters: RefCell<HashMap<QueryId, Waiter>>,
-    /// What runs, by key.
+    /// The running queries, by key.
     executions: RefCell<HashMap<Box<str>, Execution>>,
     joined: Cell<u64>,
     replayed: Cell<u64>,
 }
 
 impl IdempotencyLayer {
-    /// Creates the layer before `inner`, for `max_keys` keys; recorded results reserve bytes of
-    /// `budget`.
+    /// Creates the layer in front of `inner`, for at most `max_keys` keys. Recorded results reserve
+    /// their bytes from `budget`.
     #[must_use]
     pub fn new(
         inner: Rc<dyn RequestSink>,
@@ -105,12 +107,12 @@
         })
     }
 
-    /// Changes how many keys there may be.
+    /// Changes the maximum number of keys. Keys in use stay.
     pub fn resize(&self, max_keys: usize) {
         self.keys.borrow_mut().resize(max_keys);
     }
 
-    /// Counts for the metrics.
+    /// Returns the counts for the metrics.
     #[must_use]
     pub fn counts(&self) -> KeyCounts {
         KeyCounts {
@@ -136,8 +138,8 @@
 
     /// Submits the query that runs for a key.
     fn execute(&self, key: &str, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse> {
-        // Reserved before it is admitted: a result that could not be recorded would leave nothing
-        // to replay.
+        // The bytes are reserved before the query is submitted. Otherwise its result might not be
+        // recorded, and retries would have nothing to replay.
         let Some(reservation) = self.budget.reserve(MAX_RESULT_BYTES) else {
             let retry_after = CAPACITY_RETRY_AFTER_US;
             self.finish_unsent(key, exchange, Answer::Rejected { retry_after });
@@ -164,7 +166,8 @@
         Ok(())
     }
 
-    /// Ends the query of a key that was never sent, and had no time to be joined.
+    /// Completes the query of a key that was never submitted. No other query has joined it, as this
+    /// happens in the same call as its lookup.
     fn finish_unsent(&self, key: &str, exchange: &Exchange, answer: Answer) {
         let outcome = ExecutionOutcome::NoEffect;
         let waiters = self.keys.borrow_mut().finish(self.now(), key, outcome);
@@ -172,7 +175,7 @@
         exchange.complete(answer);
     }
 
-    /// The query that ran for a key has its answer, and so have all that wait for it.
+    /// Records the outcome of the query that ran for a key, and gives its answer to all waiters.
     fn finish(
         &self,
         key: &str,
@@ -189,7 +192,7 @@
                     _reservation: Rc::new(reservation),
                 })
             }
-            // What was never on an engine connection has not run.
+            // A query that was never sent on an engine connection has not run.
             Answer::Rejected { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
                 if running.used_connections.borrow().is_empty() =>
             {
@@ -204,21 +207,23 @@
                 waiter.exchange.complete(answer.clone());
             }
         }
-        // Its task is the one that runs this: it may end by itself.
+        // The execution's task runs this function. Dropping the task would cancel it, so it is
+        // detached.
         if let Some(execution) = execution {
             execution.task.detach();
         }
     }
 
-    /// Ends the wait of a joined query at its deadline, though the query that runs may have more
-    /// time.
+    /// Spawns a task that ends the wait of a joined query at its own deadline, as the query that
+    /// runs may have a later one.
     fn timeout_at_deadline(&self, exchange: &Rc<Exchange>) -> Task<()> {
         let (this, exchange) = (self.this.clone(), Rc::clone(exchange));
         let time_left = exchange.request.deadline().saturating_sub(self.now());
         self.executor.spawn(async move {
             Timer::after(Duration::from_micros(time_left)).await;
             let Some(layer) = this.upgrade() else { return };
-            // Removed first: its task is this one, which must not be dropped while it runs.
+            // The waiter is removed first, as it owns this task, which must not be dropped while it
+            // runs.
             let waiter = layer.waiters.borrow_mut().remove(&exchange.id());
             if let Some(mut waiter) = waiter {
                 layer.abandon(&waiter.key, exchange.id());
@@ -228,7 +233,7 @@
         })
     }
 
-    /// A query no longer waits for its key's answer. With the last one, the query that runs is
+    /// Ends a query's wait for its key's answer. If no other query waits, the running query is
     /// withdrawn.
     fn abandon(&self, key: &str, id: QueryId) {
         let is_last = self.keys.borrow_mut().abandon(self.now(), key, &id);
@@ -241,13 +246,13 @@
     }
 }
 
-/// For how long engines discard a repeat of a class's queries; `None`: they do not.
+/// Returns how long engines discard a repeat of a query of this class, or `None` if they never do.
 fn dedup_window(class: &Class) -> Option<Micros> {
     let window = class.dedup_window.unwrap_or(DEFAULT_DEDUP_WINDOW_US);
     (class.idempotency == Idempotency::Deduplicated).then_some(window)
 }
 
-/// A hash over what has to be the same in every query of a key.
+/// Hashes the parts of a request that must be equal in all queries of one key.
 fn fingerprint(request: &Request) -> RequestFingerprint {
     let mut hash = Sha256::new();
     for part in [
@@ -258,13 +263,14 @@
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    // One byte says whether there is an ordering key; without one its eight bytes are 0.
+    // The first byte tells whether the request has an ordering key. The next eight bytes are 0 if
+    // it has none.
     let ordering_key = request.query.ordering_key;
     hash.update([u8::from(ordering_key.is_some())]);
     hash.update(ordering_key.unwrap_or(0).to_be_bytes());
     let mut fingerprint = RequestFingerprint::default();
     let digest = hash.finalize();
-    // The fingerprint is as long as the first half of the digest.
+    // The fingerprint is the first half of the digest.
     for (byte, hashed) in fingerprint.iter_mut().zip(digest) {
         *byte = hashed;
     }
@@ -299,7 +305,7 @@
             }
             KeyLookup::KeyConflict => exchange.complete(Answer::KeyConflict),
             KeyLookup::OutcomeUnknown => exchange.complete(Answer::OutcomeUnknown),
-            // 0: the store does not know when there will be room.
+            // 0 means that the store does not know when it will accept another query.
             KeyLookup::Full { retry_after: 0 } => exchange.complete(Answer::Rejected {
                 retry_after: CAPACITY_RETRY_AFTER_US,
             }),
--- a/gateway/src/request_validation.rs
+++ b/gateway/src/request_validation.rs
@@ -1,7 +1,8 @@
-//! The checks that make a [`Request`] of what a client sent, shared by all client protocols.
+//! Validates the fields that a client sent and builds a [`Request`] from them, for all client
+//! protocols.
 //!
-//! It knows no protocol: a protocol reads its fields into a [`RawRequest`], and names the field of
-//! an [`InvalidField`] in its own words.
+//! This module is independent of the protocol: each protocol reads its fields into a
+//! [`RawRequest`], and reports an [`InvalidField`] under its own name for the field.
 
 use thiserror::Error;
 use violetgate_policy::interface::{Micros, NewQuery};
@@ -11,45 +12,45 @@
 use crate::hex;
 use crate::table_group;
 
-/// The largest believable figure: a day of waiting or of work, in milliseconds, and as many
-/// megabytes. One beyond it is no estimate: taken as one, it would outweigh all other queries
-/// together.
-const MAX_MEASURE: f64 = 86_400_000.0;
-/// The longest idempotency key.
+/// The largest plausible value of a budget or an estimate: one day in milliseconds, and as many
+/// megabytes. Larger values are rejected, as an estimate of that size would outweigh all other
+/// queries together.
+const MAX_PLAUSIBLE_VALUE: f64 = 86_400_000.0;
+/// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
-/// What marks a client's own retry.
+/// The value of the field that marks a request as a client's retry.
 const RETRY_MARK: &str = "1";
 const MICROS_PER_MS: f64 = 1e3;
 
-/// A field of a request.
+/// A field of a request, by its meaning; each protocol has its own name for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestField {
-    /// The class.
+    /// The name of the class; required.
     Class,
-    /// The request id.
+    /// The request id, 16 hexadecimal digits; required.
     Id,
-    /// How long the client waits.
+    /// How long the client waits for the answer; required.
     Budget,
-    /// The tenant.
+    /// The name of the tenant.
     Tenant,
-    /// The idempotency key.
+    /// The idempotency key; required for some classes.
     IdempotencyKey,
-    /// The estimate of the work.
+    /// The client's estimate of the work.
     Work,
-    /// The estimate of the memory.
+    /// The client's estimate of the memory.
     Memory,
-    /// The key whose queries keep their order.
+    /// The ordering key, 16 hexadecimal digits; queries with the same key keep their order.
     OrderingKey,
     /// The mark of a client's retry.
     RetryMark,
-    /// The statement.
+    /// The SQL statement; required.
     Statement,
 }
 
-/// What is wrong with a field, to be read after the field's name.
+/// What is wrong with a field. A protocol prints the text after the field's name.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum FieldError {
-    /// It must be given, and is not.
+    /// The field is required and missing.
     #[error("is missing")]
     Missing,
     /// No class has this name.
@@ -58,78 +59,78 @@
     /// No tenant has this name.
     #[error("names no tenant")]
     UnknownTenant,
-    /// An id or an ordering key has another form.
+    /// A request id or an ordering key is not 16 hexadecimal digits.
     #[error("is not 16 hex digits")]
     NotHex,
-    /// A time that is none, or beyond belief.
+    /// The budget is not a positive number, or is larger than is plausible.
     #[error("is no span")]
-    NotASpan,
-    /// A figure that is none, or beyond belief.
+    NotADuration,
+    /// An estimate is not a number, is negative, or is larger than is plausible.
     #[error("is no number")]
     NotANumber,
-    /// An idempotency key that the engines' protocol can't carry.
+    /// The engines' protocol can't carry this idempotency key.
     #[error("can't be used")]
     Unusable,
-    /// A retry mark other than the one there is.
+    /// The retry mark has a value other than [`RETRY_MARK`].
     #[error("is not {RETRY_MARK}")]
     NotTheRetryMark,
 }
 
-/// A field that can't be used.
+/// An error that names the field for which a request was rejected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct InvalidField {
-    /// The field.
+    /// The field that is missing or invalid.
     pub field: RequestField,
     /// What is wrong with it.
     pub error: FieldError,
 }
 
-/// A request in the client's own spelling, not yet checked.
+/// The fields of a request as the client sent them, not yet validated.
 #[derive(Debug, Default)]
 pub struct RawRequest<'a> {
-    /// The class's name.
+    /// The name of the class.
     pub class: Option<&'a str>,
-    /// The request id.
+    /// The request id in hexadecimal.
     pub id: Option<&'a str>,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds.
     pub budget_ms: Option<f64>,
-    /// The tenant's name.
+    /// The name of the tenant.
     pub tenant: Option<&'a str>,
-    /// The idempotency key.
+    /// The key that all retries of one query share.
     pub idempotency_key: Option<&'a str>,
-    /// The estimate of the work, in milliseconds.
+    /// The client's estimate of the work, in milliseconds.
     pub estimated_work_ms: Option<f64>,
-    /// The estimate of the memory, in megabytes.
+    /// The client's estimate of the memory, in megabytes.
     pub estimated_memory_mb: Option<f64>,
-    /// The key whose queries keep their order.
+    /// The key in hexadecimal whose queries keep their order.
     pub ordering_key: Option<&'a str>,
-    /// The mark of a client's retry of an earlier request.
+    /// [`RETRY_MARK`] if the client retries an earlier request.
     pub retry_mark: Option<&'a str>,
-    /// The statement.
+    /// The SQL statement, without the fields.
     pub statement: &'a [u8],
 }
 
-/// Whether a statement holds white space, comments and semicolons only.
+/// Whether a statement consists only of white space, comments and semicolons.
 #[must_use]
 pub fn is_blank_statement(statement: &[u8]) -> bool {
     table_group::tokens(statement).all(|token| token == table_group::Token::Other(b';'))
 }
 
 impl RawRequest<'_> {
-    /// Makes the request whose last byte was read at `received`.
+    /// Validates the fields and builds the request, whose last byte was read at `received`.
     ///
     /// # Errors
     ///
-    /// A field is missing or can't be used.
+    /// Returns the first field that is missing or invalid.
     pub fn validate(self, names: &NameTable, received: Micros) -> Result<Request, InvalidField> {
         let class_name = self.class.ok_or(missing(RequestField::Class))?;
         let class = class_number(class_name, names)?;
         let id_text = self.id.ok_or(missing(RequestField::Id))?;
         let id = hex_number(id_text, RequestField::Id)?;
         let budget_ms = self.budget_ms.ok_or(missing(RequestField::Budget))?;
-        let budget_ms = believable(budget_ms)
+        let budget_ms = plausible(budget_ms)
             .filter(|ms| *ms > 0.0)
-            .ok_or(invalid(RequestField::Budget, FieldError::NotASpan))?;
+            .ok_or(invalid(RequestField::Budget, FieldError::NotADuration))?;
         let tenant = tenant_number(self.tenant, names)?;
         let idempotency_key = self.checked_idempotency_key(class, names)?;
         let ordering_key = self
@@ -145,8 +146,8 @@
         if is_blank_statement(self.statement) {
             return Err(missing(RequestField::Statement));
         }
-        let work_ms = measure(self.estimated_work_ms, RequestField::Work)?;
-        let memory_mb = measure(self.estimated_memory_mb, RequestField::Memory)?;
+        let work_ms = plausible_estimate(self.estimated_work_ms, RequestField::Work)?;
+        let memory_mb = plausible_estimate(self.estimated_memory_mb, RequestField::Memory)?;
         let query = NewQuery {
             id,
             class: class as u32,
@@ -168,7 +169,7 @@
         })
     }
 
-    /// The idempotency key, which some classes must have.
+    /// Validates the idempotency key, which some classes require.
     fn checked_idempotency_key(
         &self,
         class: usize,
@@ -182,7 +183,7 @@
                 Ok(None)
             };
         };
-        // The engines' protocol lists its fields with commas.
+        // The engines' protocol separates fields with commas.
         let is_usable = (1..=MAX_IDEMPOTENCY_KEY_BYTES).contains(&key.len())
             && key
                 .bytes()
@@ -211,7 +212,7 @@
     })
 }
 
-/// The number of a tenant; a request without one counts as the first's.
+/// Returns the index of a tenant. A request without a tenant counts as the first tenant's.
 fn tenant_number(name: Option<&str>, names: &NameTable) -> Result<usize, InvalidField> {
     let Some(name) = name else {
         return Ok(0);
@@ -224,12 +225,15 @@
     hex::parse_u64(text).ok_or(invalid(field, FieldError::NotHex))
 }
 
-/// A figure, if it can be believed.
-fn believable(value: f64) -> Option<f64> {
-    Some(value).filter(|value| (0.0..=MAX_MEASURE).contains(value))
+/// Returns the value if it is between 0 and [`MAX_PLAUSIBLE_VALUE`].
+fn plausible(value: f64) -> Option<f64> {
+    Some(value).filter(|value| (0.0..=MAX_PLAUSIBLE_VALUE).contains(value))
 }
 
-fn measure(value: Option<f64>, field: RequestField) -> Result<Option<f64>, InvalidField> {
-    let checked = |value| believable(value).ok_or(invalid(field, FieldError::NotANumber));
+fn plausible_estimate(
+    value: Option<f64>,
+    field: RequestField,
+) -> Result<Option<f64>, InvalidField> {
+    let checked = |value| plausible(value).ok_or(invalid(field, FieldError::NotANumber));
     value.map(checked).transpose()
 }
--- a/gateway/src/table_group.rs
+++ b/gateway/src/table_group.rs
@@ -1,13 +1,13 @@
-//! The group of tables that a statement reads or writes: the number behind the underscore in its
-//! schema's name.
+//! Finds the table group of a statement: the number after the last underscore in the name of the
+//! schema that it reads or writes.
 //!
-//! This is no SQL parser: it knows where names can't be (strings, comments) and where tables are
-//! named.
+//! This is not a SQL parser. It only skips strings and comments, and recognises the keywords after
+//! which a statement names tables.
 
-/// What a statement is made of, as far as schemas matter.
+/// A lexical element of a statement, as far as it matters for finding schemas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Token<'a> {
-    /// A name or a keyword, without quotes.
+    /// A name or a keyword; a quoted name is given without its quotes.
     Word(&'a [u8]),
     /// A string or a number.
     Literal,
@@ -15,7 +15,7 @@
     Other(u8),
 }
 
-/// Splits a statement into tokens; comments and white space are left out.
+/// Splits a statement into tokens, and skips comments and white space.
 pub fn tokens(sql: &[u8]) -> impl Iterator<Item = Token<'_>> {
     let mut rest = sql;
     std::iter::from_fn(move || loop {
@@ -28,8 +28,8 @@
     })
 }
 
-/// The size of the first token and the token itself, which is none for a comment. `None`: the text
-/// ends.
+/// Returns the size in bytes of the first token or comment, and the token (`None` for a comment).
+/// Returns `None` at the end of the text.
 fn first_token(text: &[u8]) -> Option<(usize, Option<Token<'_>>)> {
     let literal = Some(Token::Literal);
     let first = *text.first()?;
@@ -45,7 +45,7 @@
             let name = text.get(1..size.max(2) - 1).unwrap_or_default();
             (size, Some(Token::Word(name)))
         }
-        // E'...' is the one form of string in which a backslash escapes a quote.
+        // E'...' is the only form of string in which a backslash escapes a quote.
         b'e' | b'E' if text.get(1) == Some(&b'\'') => {
             let size = 2 + quoted_size(text.get(2..)?, b'\'', Escapes::Backslash);
             (size, literal)
@@ -70,18 +70,19 @@
     byte.is_ascii_alphabetic() || byte == b'_' || byte >= 0x80
 }
 
-/// The number of bytes at the start of `bytes` that are of a kind.
-fn run_length(bytes: &[u8], is_of_kind: impl Fn(u8) -> bool) -> usize {
-    let end = bytes.iter().position(|byte| !is_of_kind(*byte));
+/// Returns the number of bytes at the start of `bytes` that match.
+fn run_length(bytes: &[u8], matches: impl Fn(u8) -> bool) -> usize {
+    let end = bytes.iter().position(|byte| !matches(*byte));
     end.unwrap_or(bytes.len())
 }
 
-/// The size of a comment up to the end of its line.
+/// Returns the size of a `--` comment, which ends before the next line break.
 fn line_comment_size(bytes: &[u8]) -> usize {
     memchr::memchr(b'\n', bytes).unwrap_or(bytes.len())
 }
 
-/// The size of a comment; they nest. One without its end takes the rest.
+/// Returns the size of a `/* */` comment, including nested ones. A comment that is not closed
+/// extends to the end of the text.
 fn comment_size(bytes: &[u8]) -> usize {
     let (mut at, mut depth) = (2, 1);
     while depth > 0 {
@@ -95,14 +96,15 @@
     at
 }
 
-/// Whether a quote can be escaped other than by doubling it.
+/// How a quote can be escaped, apart from doubling it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Escapes {
     None,
     Backslash,
 }
 
-/// The size of the rest of a quoted text with its closing quote; a doubled quote does not close it.
+/// Returns the size of the rest of a quoted text, including its closing quote. A doubled quote does
+/// not close it, and a text that is not closed extends to the end.
 fn quoted_size(bytes: &[u8], quote: u8, escapes: Escapes) -> usize {
     let mut at = 0;
     while let Some(&byte) = bytes.get(at) {
@@ -116,7 +118,8 @@
     bytes.len()
 }
 
-/// The size of a dollar-quoted string, if one begins here.
+/// Returns the size of the dollar-quoted string at the start of `bytes`, or `None` if there is no
+/// such string. A string that is not closed extends to the end.
 fn dollar_quoted_size(bytes: &[u8]) -> Option<usize> {
     let tag_end = 1 + run_length(bytes.get(1..)?, |b| starts_name(b) || b.is_ascii_digit());
     let opening = bytes
@@ -127,17 +130,18 @@
     Some(closing.map_or(bytes.len(), |at| 2 * opening.len() + at))
 }
 
-/// The table group that a statement's schema names. A name where tables are named counts before one
-/// elsewhere, which may be an alias with its column.
+/// Returns the number of the table group that a statement's schemas name. A schema in a list of
+/// tables takes precedence over a qualified name elsewhere, which may be an alias and its column.
 #[must_use]
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens: Vec<Token<'_>> = tokens(statement).collect();
-    // Whether tables are named here, and the first group that is named elsewhere.
+    // `names_tables`: the current token is in a list of tables. `elsewhere`: the first group that
+    // a name outside such a list gives.
     let (mut names_tables, mut elsewhere, mut at) = (false, None, 0);
     while let Some(&token) = tokens.get(at) {
         at += 1;
         let Token::Word(word) = token else {
-            // A list of tables goes on; anything else ends the place where tables are named.
+            // A comma or a parenthesis continues a list of tables; anything else ends it.
             names_tables = names_tables && matches!(token, Token::Other(b',' | b'('));
             continue;
         };
@@ -152,17 +156,17 @@
             return group;
         }
         elsewhere = elsewhere.or(group);
-        // An alias may stand between a table and the comma of a list.
+        // The word may be a table's alias, after which the list continues with a comma.
         names_tables = names_tables && !begins_clause(qualified.schema.unwrap_or(word));
     }
     elsewhere
 }
 
-/// A name with its qualifiers.
+/// A name with its qualifiers, such as `database.schema.table`.
 struct QualifiedName<'a> {
-    /// Of `database.schema.table` the last but one; `None`: the name has no qualifier.
+    /// The last qualifier, such as `schema` in `database.schema.table`. `None` if there is none.
     schema: Option<&'a [u8]>,
-    /// Tokens after the first word that belong to it.
+    /// Number of tokens after the first word that belong to the name.
     tokens_used: usize,
 }
 
--- a/gateway/src/table_group/tests.rs
+++ b/gateway/src/table_group/tests.rs
@@ -1,4 +1,4 @@
-//! Statements and the groups of their tables.
+//! Tests that find the table group of statements.
 
 use super::table_group;
 
