--- a/gateway/src/postgres/cancellation.rs
+++ b/gateway/src/postgres/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancel requests: the keys by which they name a session, and what they reach of it.
+//! Cancel requests: the keys that identify sessions, and the cancellation of a session's query.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,19 +13,19 @@
 
 use crate::connection_limit::ConnectionSlot;
 
-/// The key of a session, as its BackendKeyData and a CancelRequest carry it.
+/// The key that identifies a session, sent in BackendKeyData and CancelRequest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CancelKey {
-    /// The process id that stands for the session.
+    /// The process id, an arbitrary number that is unique among the open sessions.
     pub pid: u32,
-    /// The secret.
+    /// A random number that a CancelRequest must repeat to be accepted.
     pub secret: u32,
 }
 
-/// What a CancelRequest reaches of a session.
+/// The part of a session that a CancelRequest acts on.
 pub(super) struct CancelTarget {
     key: CancelKey,
-    /// The query that is open, or the one that is here and not yet read, is cancelled.
+    /// Whether the open query, or the one that has arrived and is not yet read, is cancelled.
     is_cancelled: Cell<bool>,
     waker: RefCell<Option<Waker>>,
     slot: Rc<ConnectionSlot>,
@@ -37,8 +37,8 @@
         self.key
     }
 
-    /// Whether there is a query that a cancel request can mean: one that is open, or one that waits
-    /// in the socket to be read. A cancel request between queries meant an earlier one.
+    /// Whether there is a query to cancel: one that is open, or one whose bytes wait in the socket.
+    /// A cancel request that arrives between queries was meant for an earlier one.
     fn has_query(&self) -> bool {
         !self.slot.is_idle() || matches!(self.stream.get_ref().peek(&mut [0]), Ok(n) if n > 0)
     }
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether the query was cancelled; it is reported once.
+    /// Returns whether the query was cancelled, and clears the mark.
     pub(super) fn take_cancelled(&self) -> bool {
         self.is_cancelled.replace(false)
     }
 
-    /// Waits until the query is cancelled.
+    /// Waits until the query is cancelled, and clears the mark.
     pub(super) async fn cancelled(&self) {
         poll_fn(|context| {
             if self.take_cancelled() {
@@ -75,7 +75,7 @@
 }
 
 impl CancelTargets {
-    /// No targets yet; keys are drawn from `rng`.
+    /// Creates an empty table whose keys are drawn from `rng`.
     pub(super) fn new(rng: ChaCha8Rng) -> Self {
         CancelTargets {
             rng: RefCell::new(rng),
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Adds a session, under a key that no other one has.
+    /// Adds a session under a new key whose process id no other session has.
     pub(super) fn add(
         &self,
         slot: &Rc<ConnectionSlot>,
@@ -104,7 +104,7 @@
     fn draw_key(&self, targets: &HashMap<u32, Rc<CancelTarget>>) -> CancelKey {
         let mut rng = self.rng.borrow_mut();
         loop {
-            // A process id is not negative.
+            // The shift clears the sign bit, as a process id is not negative.
             let pid = rng.next_u32() >> 1;
             if pid != 0 && !targets.contains_key(&pid) {
                 let secret = rng.next_u32();
@@ -118,7 +118,8 @@
         self.targets.borrow_mut().remove(&target.key.pid);
     }
 
-    /// Carries out a CancelRequest. One that names no session, or no query, means nothing.
+    /// Carries out a CancelRequest. It is ignored if the key matches no session, or if the session
+    /// has no query.
     pub(super) fn cancel(&self, key: CancelKey) {
         let targets = self.targets.borrow();
         let target = targets.get(&key.pid);
--- a/gateway/src/postgres/codec.rs
+++ b/gateway/src/postgres/codec.rs
@@ -1,26 +1,27 @@
-//! The PostgreSQL wire protocol 3.0, as far as simple queries need it.
+//! Reads and writes messages of the PostgreSQL wire protocol 3.0, as far as simple queries need it.
 
 use super::cancellation::CancelKey;
 
-/// The longest start-up packet, as in PostgreSQL.
+/// Maximum size of a start-up packet, as in PostgreSQL.
 const MAX_STARTUP_BYTES: usize = 10_000;
-/// The longest message. Clients hold hundreds of sessions, and memory is short.
+/// Maximum size of a message without its type byte. Clients hold hundreds of sessions, so a larger
+/// limit would take too much memory.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// Types of messages that clients send.
+/// Types of the client messages that a session handles by name.
 pub const QUERY: u8 = b'Q';
 pub const TERMINATE: u8 = b'X';
 pub const SYNC: u8 = b'S';
 pub const FUNCTION_CALL: u8 = b'F';
 pub const PASSWORD: u8 = b'p';
 const FRONTEND_MESSAGES: &[u8] = b"QXSPBDECHFdcfp";
-/// Parse, Bind, Describe, Execute, Close.
+/// Types of the messages Parse, Bind, Describe, Execute and Close.
 const EXTENDED_QUERY_MESSAGES: &[u8] = b"PBDEC";
 
-/// The answer to a request for encryption: there is none.
+/// The answer to a request for encryption, which is not supported.
 pub const NO_ENCRYPTION: u8 = b'N';
 
-/// Request codes in the place of a protocol version.
+/// Request codes that a start-up packet carries instead of a protocol version.
 const CANCEL_REQUEST: u32 = 80_877_102;
 const SSL_REQUEST: u32 = 80_877_103;
 const GSS_ENCRYPTION_REQUEST: u32 = 80_877_104;
@@ -32,26 +33,25 @@
     EXTENDED_QUERY_MESSAGES.contains(&kind)
 }
 
-/// What a client sends first on a connection.
+/// A start-up packet, which a client sends first on a connection.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Startup<'a> {
-    /// It requests encryption: SSLRequest or GSSENCRequest.
+    /// SSLRequest or GSSENCRequest: the client requests encryption.
     Encryption,
-    /// CancelRequest: the key of the session meant.
+    /// CancelRequest, with the key of the session whose query is to be cancelled.
     Cancel(CancelKey),
-    /// StartupMessage: the minor version and the parameters that are protocol options, and the
-    /// user.
+    /// StartupMessage: the client starts a session.
     Begin {
-        /// The minor version requested.
+        /// The requested minor version of the protocol.
         minor: u16,
-        /// Protocol options, which this server has none of.
+        /// The names of the requested protocol options, none of which is supported.
         options: Vec<&'a str>,
-        /// Who connects.
+        /// The user name, if it is present and not empty.
         user: Option<&'a str>,
     },
 }
 
-/// Bytes that violate the protocol; the text is the message for the client.
+/// The error for bytes that violate the protocol; the text is the message for the client.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub &'static str);
 
@@ -63,11 +63,12 @@
     bytes.try_into().ok().map(u32::from_be_bytes)
 }
 
-/// Reads a start-up packet: the packet and its size, or `None` while it is not yet complete.
+/// Reads a start-up packet. Returns the packet and its size in bytes, or `None` if it is not yet
+/// complete.
 ///
 /// # Errors
 ///
-/// The bytes can't begin a start-up packet.
+/// Returns an error if the bytes can't be a start-up packet or the beginning of one.
 pub fn parse_startup(bytes: &[u8]) -> Result<Option<(Startup<'_>, usize)>, Malformed> {
     let Some(length) = read_u32(bytes, 0) else {
         return Ok(None);
@@ -119,22 +120,22 @@
     })
 }
 
-/// A message of a session.
+/// A message that a client sends after the start of a session.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Message<'a> {
-    /// Its type.
+    /// The type byte.
     pub kind: u8,
-    /// Its body.
+    /// The content after the type and the length.
     pub body: &'a [u8],
-    /// Its size in bytes, type and length included.
+    /// The size in bytes, including the type and the length.
     pub size: usize,
 }
 
-/// Reads a message of a session; `None` while it is not yet complete.
+/// Reads a message of a session. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// No message begins like that.
+/// Returns an error if the type of the message is unknown or its length is out of range.
 pub fn parse_message(bytes: &[u8]) -> Result<Option<Message<'_>>, Malformed> {
     let Some(&kind) = bytes.first() else {
         return Ok(None);
@@ -157,11 +158,11 @@
     }))
 }
 
-/// The text of a Query message.
+/// Returns the SQL text of a Query message.
 ///
 /// # Errors
 ///
-/// It is not one string with its terminator.
+/// Returns an error if the body is not exactly one string with its terminator.
 pub fn query_text(body: &[u8]) -> Result<&[u8], Malformed> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
@@ -169,15 +170,15 @@
     }
 }
 
-/// Appends one message.
+/// Appends a message of type `kind`, and fills in its length after the body is written.
 fn write_message(out: &mut Vec<u8>, kind: u8, write_body: impl FnOnce(&mut Vec<u8>)) {
     out.push(kind);
     let at = out.len();
     out.extend_from_slice(&[0; 4]);
     write_body(out);
     let length = (out.len() - at) as u32;
-    if let Some(place) = out.get_mut(at..at + 4) {
-        place.copy_from_slice(&length.to_be_bytes());
+    if let Some(length_field) = out.get_mut(at..at + 4) {
+        length_field.copy_from_slice(&length.to_be_bytes());
     }
 }
 
@@ -186,10 +187,10 @@
     out.push(0);
 }
 
-/// Appends the answer to a StartupMessage, up to the first ReadyForQuery.
-pub fn write_welcome(out: &mut Vec<u8>, minor: u16, options: &[&str], key: CancelKey) {
+/// Appends the answer to a StartupMessage, up to and including the first ReadyForQuery.
+pub fn write_startup_response(out: &mut Vec<u8>, minor: u16, options: &[&str], key: CancelKey) {
     if minor > 0 || !options.is_empty() {
-        // NegotiateProtocolVersion: 3.0 without options is all that is spoken here.
+        // NegotiateProtocolVersion: only version 3.0 without options is supported.
         write_message(out, b'v', |body| {
             body.extend_from_slice(&0u32.to_be_bytes());
             body.extend_from_slice(&(options.len() as u32).to_be_bytes());
@@ -220,7 +221,7 @@
     write_ready(out);
 }
 
-/// Appends ReadyForQuery, outside a transaction.
+/// Appends ReadyForQuery with the status 'idle', which means that no transaction is open.
 pub fn write_ready(out: &mut Vec<u8>) {
     write_message(out, b'Z', |body| body.push(b'I'));
 }
@@ -233,18 +234,18 @@
 /// The fields of an ErrorResponse.
 #[derive(Debug, Clone, Copy)]
 pub struct ErrorResponse<'a> {
-    /// `ERROR`, or `FATAL` where the connection ends.
+    /// `ERROR`, or `FATAL` if the connection ends after it.
     pub severity: &'a str,
-    /// The SQLSTATE.
+    /// The five-character SQLSTATE.
     pub code: &'a str,
-    /// What went wrong.
+    /// The primary message, which says what failed.
     pub message: &'a str,
-    /// What to do about it.
+    /// An optional text that says what the client can do.
     pub hint: Option<&'a str>,
 }
 
 impl<'a> ErrorResponse<'a> {
-    /// The error of a query.
+    /// Creates an error of severity `ERROR`, after which the session continues.
     #[must_use]
     pub fn error(code: &'a str, message: &'a str) -> Self {
         ErrorResponse {
@@ -255,7 +256,7 @@
         }
     }
 
-    /// An error after which the connection ends.
+    /// Creates an error of severity `FATAL`, after which the connection ends.
     #[must_use]
     pub fn fatal(code: &'a str, message: &'a str) -> Self {
         ErrorResponse {
@@ -283,8 +284,10 @@
     });
 }
 
-/// Appends a complete result: RowDescription of three text columns, the rows of all pages as they
-/// came, and CommandComplete.
+/// Appends a complete result: a RowDescription of three text columns, the rows of all pages
+/// unchanged and in order, and CommandComplete.
+///
+/// In a page a line feed ends each row, and tabs separate the columns.
 pub fn write_rows<'a>(out: &mut Vec<u8>, pages: impl Iterator<Item = &'a [u8]>) {
     write_row_description(out);
     let mut count = 0u64;
@@ -306,7 +309,7 @@
 
 const COLUMN_NAMES: [&str; 3] = ["column1", "column2", "column3"];
 const COLUMN_COUNT: u16 = COLUMN_NAMES.len() as u16;
-/// The type `text`, of variable size and without a modifier.
+/// The object id of the type `text`, which has a variable size and no modifier.
 const TEXT_TYPE: u32 = 25;
 const VARIABLE_SIZE: i16 = -1;
 const NO_TYPE_MODIFIER: i32 = -1;
--- a/gateway/src/postgres/mod.rs
+++ b/gateway/src/postgres/mod.rs
@@ -1,4 +1,4 @@
-//! The PostgreSQL front end: protocol 3.0 for simple queries, its sessions and their cancel
+//! The PostgreSQL front end: sessions of the wire protocol 3.0 with simple queries, and cancel
 //! requests.
 
 mod cancellation;
--- a/gateway/src/postgres/query_fields.rs
+++ b/gateway/src/postgres/query_fields.rs
@@ -1,4 +1,5 @@
-//! The fields of a query, in the comment before its statement: `/* NAME=VALUE,... */ STATEMENT`.
+//! Reads the fields of a query from the comment before its statement:
+//! `/* NAME=VALUE,... */ STATEMENT`.
 
 use thiserror::Error;
 use violetgate_policy::interface::Micros;
@@ -7,16 +8,16 @@
 use crate::exchange::Request;
 use crate::request_validation::{is_blank_statement, InvalidField, RawRequest, RequestField};
 
-/// Why a query is no request; its text is the message for the client.
+/// Why a query is rejected as invalid; its text is the message for the client.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum QueryError {
-    /// It does not begin with a comment.
+    /// The query does not begin with a comment.
     #[error("no comment with fields ahead of the statement")]
     NoComment,
-    /// Its comment does not end.
+    /// The comment is not closed.
     #[error("the comment with fields has no end")]
     OpenComment,
-    /// Nothing follows the comment.
+    /// The comment is followed by no statement.
     #[error("the statement is missing")]
     NoStatement,
     /// The fields are not UTF-8.
@@ -25,13 +26,13 @@
     /// A field has no `=`.
     #[error("field {0:?} has no value")]
     NoValue(String),
-    /// A field is given twice.
+    /// The same field occurs twice.
     #[error("field `{0}` is given twice")]
     Duplicate(String),
-    /// A field can't be used.
+    /// A field is missing, or its value is invalid.
     #[error("field `{}` {}", field_name(.0.field), .0.error)]
     Invalid(InvalidField),
-    /// A request of that id is open, or was a short while ago.
+    /// A request with the same id is open, or was open recently.
     #[error(
         "field `{}` names a request that is, or was just now, open",
         field_name(RequestField::Id)
@@ -39,7 +40,7 @@
     IdInUse,
 }
 
-/// The fields and their names.
+/// The fields and their names in the comment.
 const FIELDS: [(RequestField, &str); 9] = [
     (RequestField::Class, "method"),
     (RequestField::Id, "rid"),
@@ -57,19 +58,20 @@
     named.map_or("statement", |(_, name)| name)
 }
 
-/// Whether a query is empty: white space, line comments and semicolons only. One that begins as a
-/// request does, with a comment for its fields, is a request that can't be used, and its client
-/// gets an error.
+/// Whether a query is empty: it consists only of white space, comments and semicolons, and does not
+/// begin with a `/*` comment. Such a comment begins the fields of a request, so that a query
+/// without a statement after it is answered with an error.
 #[must_use]
 pub fn is_empty(sql: &[u8]) -> bool {
     !sql.trim_ascii_start().starts_with(b"/*") && is_blank_statement(sql)
 }
 
-/// Reads a query whose last byte was read at `received`.
+/// Parses and validates a query whose last byte was read at `received`.
 ///
 /// # Errors
 ///
-/// It has no comment with fields, or one of them is missing or can't be used.
+/// Returns an error if the query has no comment with fields or no statement, or if a field is
+/// missing or invalid.
 pub fn parse(sql: &[u8], names: &NameTable, received: Micros) -> Result<Request, QueryError> {
     let (fields, statement) = split_comment(sql)?;
     let fields = std::str::from_utf8(fields).map_err(|_| QueryError::NotText)?;
@@ -91,7 +93,7 @@
     raw.validate(names, received).map_err(QueryError::Invalid)
 }
 
-/// The text of the comment, and the statement behind it.
+/// Splits a query into the text of its leading comment and the statement after it.
 fn split_comment(sql: &[u8]) -> Result<(&[u8], &[u8]), QueryError> {
     let comment = sql.trim_ascii_start().strip_prefix(b"/*");
     let comment = comment.ok_or(QueryError::NoComment)?;
@@ -104,7 +106,7 @@
     Ok((fields, statement))
 }
 
-/// The values of the fields, in the order of [`FIELDS`]; unknown fields are left out.
+/// Returns the values of the fields in the order of [`FIELDS`], and ignores unknown fields.
 fn field_values(text: &str) -> Result<[Option<&str>; FIELDS.len()], QueryError> {
     let mut values: [Option<&str>; FIELDS.len()] = Default::default();
     for field in text.split(',').map(str::trim) {
@@ -120,7 +122,7 @@
     Ok(values)
 }
 
-/// A number; what is none is not believable either, and fails its check.
+/// Parses a number. Anything else becomes NaN, which fails the validation of the field.
 fn parse_number(text: &str) -> f64 {
     text.parse().unwrap_or(f64::NAN)
 }
--- a/gateway/src/postgres/session/answers.rs
+++ b/gateway/src/postgres/session/answers.rs
@@ -1,4 +1,4 @@
-//! Answers in the words of the protocol.
+//! Writes the answers to requests as messages of the PostgreSQL protocol.
 
 use super::super::codec::{self, ErrorResponse};
 use super::Session;
@@ -20,7 +20,8 @@
         codec::write_error(&mut self.output, &error);
     }
 
-    /// This instance takes no requests: a retry, elsewhere, does no harm.
+    /// Writes the error of an instance that accepts no requests. The client can safely retry on
+    /// another instance.
     pub(super) fn write_unavailable(&mut self) {
         let message = if self.sessions.drain.reports_unavailable() {
             "this server is being drained"
@@ -31,13 +32,13 @@
         self.write_error_with_hint("57P03", message, hint);
     }
 
-    /// Its client cancelled the query, which counts as any other that is not served.
+    /// Writes the error of a query that its client cancelled. It counts as failed.
     pub(super) fn write_cancelled(&mut self) -> RequestEnding {
         self.write_error("57014", "canceling statement due to user request");
         RequestEnding::Failed
     }
 
-    /// Writes the answer to a request; how that ends it.
+    /// Writes the answer to a request, and returns how the request ended for the statistics.
     pub(super) fn write_answer(&mut self, answer: Answer) -> RequestEnding {
         match answer {
             Answer::Served(result) => {
--- a/gateway/src/postgres/session/mod.rs
+++ b/gateway/src/postgres/session/mod.rs
@@ -1,4 +1,6 @@
-//! One session: messages in, answers out, in the order of the protocol. It decides nothing.
+//! A client session: reads messages and writes their answers in the order of the protocol.
+//!
+//! A session makes no scheduling decisions; it passes requests to the request sink.
 
 mod answers;
 mod query;
@@ -23,37 +25,37 @@
 use super::sessions::Sessions;
 use crate::connection_limit::{ConnectionSlot, ConnectionState};
 
-/// How long a client may take over its start-up packet, and over the rest of a message that it has
-/// begun, however it trickles in: one that sends an incomplete message has to get an error or a
-/// close within 3 s.
+/// Maximum time from the accept of a connection to a complete start-up packet, and from the first
+/// byte of a message to its last, even if single bytes keep arriving. A client that sends an
+/// incomplete message must get an error or a close within 3 s.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(2_000);
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a session may stay open without a request; clients close theirs after 4 s.
+/// Maximum time that a session stays open without a request. Clients close an idle session after
+/// 4 s.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Whether messages are carried out.
+/// Whether messages are carried out or skipped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
-    /// Messages are carried out.
     Normal,
-    /// An extended query failed: its messages are skipped up to Sync.
+    /// An extended query was rejected, and messages are skipped up to the next Sync.
     SkipToSync,
 }
 
-/// One session.
+/// The state of a client session.
 pub(super) struct Session<'a> {
     sessions: &'a Rc<Sessions>,
     slot: &'a Rc<ConnectionSlot>,
     stream: Rc<Async<TcpStream>>,
     input: Vec<u8>,
-    /// When the last bytes were read.
+    /// When input was last read.
     read_at: Micros,
     output: Vec<u8>,
-    /// What a CancelRequest reaches, once the session has started.
+    /// The part of the session that a CancelRequest acts on; `None` until the session has started.
     cancel_target: Option<Rc<CancelTarget>>,
     requests: u64,
     mode: Mode,
-    /// When the rest of a message that has begun is due.
+    /// The deadline for the rest of a message whose first bytes have been read.
     message_due: Option<Instant>,
 }
 
@@ -65,7 +67,7 @@
     }
 }
 
-/// Ends a wait after a time, with this reason.
+/// Waits for `duration`, and then fails with `end`.
 async fn end_after<T>(duration: Duration, end: SessionEnd) -> Result<T, SessionEnd> {
     Timer::after(duration).await;
     Err(end)
@@ -76,7 +78,7 @@
     Err(end)
 }
 
-/// Ends a wait once a close of the connection is requested.
+/// Waits until a close of the connection is requested, and then fails with the reason.
 async fn end_on_request<T>(slot: &ConnectionSlot) -> Result<T, SessionEnd> {
     Err(SessionEnd::Requested(slot.close_requested().await))
 }
@@ -101,12 +103,12 @@
         }
     }
 
-    /// The number of queries read.
+    /// Returns the number of queries that were carried out or rejected.
     pub(super) fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Serves the session up to its end.
+    /// Serves the session until it ends, and returns the reason.
     pub(super) async fn run(&mut self) -> SessionEnd {
         match self.serve().await {
             Ok(never) => match never {},
@@ -116,7 +118,8 @@
 
     async fn serve(&mut self) -> Result<Infallible, SessionEnd> {
         let slot = Rc::clone(self.slot);
-        // What has been read comes first: a request that is here already is still served.
+        // Input is polled before the request to close, so that what has already arrived is still
+        // served.
         self.start()
             .or(end_on_request(&slot))
             .or(end_after(STARTUP_TIMEOUT, SessionEnd::StartupTimeout))
@@ -128,7 +131,7 @@
                     self.read_more(&slot).await?;
                     continue;
                 }
-                Err(error) => return Err(self.break_off(error).await),
+                Err(error) => return Err(self.fail_with_protocol_error(error).await),
             };
             self.message_due = None;
             let (kind, size) = (message.kind, message.size);
@@ -138,13 +141,13 @@
                 let sql = codec::query_text(message.body).map(<[u8]>::to_vec);
                 match sql {
                     Ok(sql) => self.handle_query(&sql, size).await?,
-                    Err(error) => return Err(self.break_off(error).await),
+                    Err(error) => return Err(self.fail_with_protocol_error(error).await),
                 }
             }
         }
     }
 
-    /// Reads on, as the next message is not complete yet.
+    /// Reads once more, as the next message is not complete yet.
     async fn read_more(&mut self, slot: &ConnectionSlot) -> Result<(), SessionEnd> {
         let (state, deadline, end) = if self.input.is_empty() {
             let deadline = Instant::now() + IDLE_TIMEOUT;
@@ -173,7 +176,7 @@
         self.query(sql).await?;
         let now = self.sessions.sink.now();
         if let Some(reason) = self.sessions.drain.close_reason(now) {
-            // What is here already is served first.
+            // Queries that have already arrived are served before the connection is closed.
             self.read_ahead()?;
             if self.input.is_empty() {
                 return Err(SessionEnd::Requested(reason));
@@ -183,7 +186,7 @@
         Ok(())
     }
 
-    /// Handles a message of `size` bytes that is no Query.
+    /// Handles a message of `size` bytes that is not a Query.
     async fn handle_message(&mut self, kind: u8, size: usize) -> Result<(), SessionEnd> {
         match kind {
             codec::TERMINATE => return Err(SessionEnd::Terminated),
@@ -201,23 +204,24 @@
             }
             codec::PASSWORD => {
                 let error = Malformed("unexpected password message");
-                return Err(self.break_off(error).await);
+                return Err(self.fail_with_protocol_error(error).await);
             }
-            // Flush, and extended queries that are skipped; copy data that was not requested is
-            // skipped, as PostgreSQL does.
+            // Flush needs no answer, and messages of a rejected extended query are skipped. Copy
+            // data that was not requested is skipped too, as in PostgreSQL.
             _ => {}
         }
         self.input.drain(..size);
-        // A cancel request that came while this was read meant it.
+        // A cancel request that arrived while this message was read was meant for it.
         self.take_cancelled();
         self.write().await?;
-        // A client that sends without end always has more to read: other tasks run in between.
+        // Without this, a client that sends continuously would prevent other tasks from running.
         future::yield_now().await;
         Ok(())
     }
 
-    /// Answers what violates the protocol; nothing that follows on such a connection can be read.
-    async fn break_off(&mut self, error: Malformed) -> SessionEnd {
+    /// Answers a violation of the protocol with a fatal error, and returns why the session ends.
+    /// Nothing that follows on such a connection can be read.
+    async fn fail_with_protocol_error(&mut self, error: Malformed) -> SessionEnd {
         codec::write_error(
             &mut self.output,
             &codec::ErrorResponse::fatal("08P01", error.0),
@@ -228,7 +232,7 @@
         }
     }
 
-    /// Whether the query at hand was cancelled; it is reported once.
+    /// Returns whether the current query was cancelled, and clears the mark.
     fn take_cancelled(&self) -> bool {
         let target = self.cancel_target.as_ref();
         target.is_some_and(|target| target.take_cancelled())
--- a/gateway/src/postgres/session/query.rs
+++ b/gateway/src/postgres/session/query.rs
@@ -1,4 +1,4 @@
-//! One simple query, from its text to its ReadyForQuery.
+//! Serves a simple query, from its text to its ReadyForQuery.
 
 use std::cell::Cell;
 use std::io::{self, Read};
@@ -18,17 +18,18 @@
 use crate::net;
 use crate::stats::RequestEnding;
 
-/// How often a client that sent more than is read ahead is checked for having disconnected.
+/// Interval of the checks for a disconnect of a client that sent more than is read ahead.
 const HANG_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What ended the wait for an answer.
+/// An event that interrupts or ends the wait for an answer.
 enum WaitEvent {
     Answer(Answer),
     Cancelled,
     Read(io::Result<usize>),
 }
 
-/// Counts a request as busy until its answer is written, whichever way that ends.
+/// Counts a query as busy from the creation of the guard to its drop, also if writing the answer
+/// fails.
 struct BusyGuard<'a>(&'a Cell<usize>);
 
 impl<'a> BusyGuard<'a> {
@@ -66,12 +67,12 @@
         }
         codec::write_ready(&mut self.output);
         self.write().await?;
-        // Only now has the client its answer.
+        // The request is counted as ended only after its answer is written.
         if let Some((in_progress, ending)) = counted {
             in_progress.finish(ending);
         }
-        // A cancel request that came meanwhile meant this query, one that comes now may mean the
-        // next.
+        // A cancel request that has arrived by now was meant for this query. A later one may be
+        // meant for the next query.
         self.take_cancelled();
         if self.input.is_empty() {
             let now = self.sessions.sink.now();
@@ -88,15 +89,15 @@
         }
     }
 
-    /// Serves one request, up to its answer; how that ends it.
+    /// Serves one request, writes its answer to the output, and returns how the request ended.
     async fn serve_request(&mut self, request: Request) -> Result<RequestEnding, SessionEnd> {
         let sessions = Rc::clone(self.sessions);
         if sessions.drain.rejects_requests(self.read_at) {
             self.write_unavailable();
             return Ok(RequestEnding::Rejected);
         }
-        // Its client may have disconnected, or cancelled it, before it was read: then nothing of it
-        // begins.
+        // The client may have disconnected or cancelled the request before it was read. The request
+        // is then not submitted.
         self.read_ahead()?;
         if self.take_cancelled() {
             return Ok(self.write_cancelled());
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Waits for the answer; `None`: the client cancelled the query.
+    /// Waits for the answer, and reads ahead meanwhile. Returns `None` if the client cancelled the
+    /// query.
     async fn wait_for_answer(&mut self, exchange: &Exchange) -> Result<Option<Answer>, SessionEnd> {
         loop {
             let mut chunk = [0u8; READ_CHUNK_BYTES];
@@ -149,8 +151,8 @@
         WaitEvent::Cancelled
     }
 
-    /// Reads while the answer is awaited: that the client disconnects shows only where it is read.
-    /// Behind more than is read ahead its end can't be read, so the kernel has to report it.
+    /// Reads from the client, since a disconnect is only noticed by reading up to it. If the
+    /// read-ahead limit is reached, waits until the kernel reports that the client has closed.
     async fn wait_for_input(&self, chunk: &mut [u8]) -> WaitEvent {
         if self.may_read_ahead() {
             let read = self.stream.read_with(|mut socket| socket.read(chunk));
--- a/gateway/src/postgres/session/socket.rs
+++ b/gateway/src/postgres/session/socket.rs
@@ -1,4 +1,4 @@
-//! Reading from a client and writing to it.
+//! Reads from the socket of a client and writes to it.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use super::Session;
 use crate::net;
 
-/// How long a client may take no byte of an answer.
+/// Maximum time for which a client accepts no byte of an answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Bytes read ahead while a request is open.
+/// Size of the buffered input from which nothing more is read ahead while a request is open.
 pub(in crate::postgres) const READ_AHEAD_BYTES: usize = 16 * 1024;
 pub(super) const READ_CHUNK_BYTES: usize = 4096;
-/// The output buffer does not stay larger than this.
+/// Capacity to which the output buffer is reduced after a write.
 const OUTPUT_BUFFER_BYTES: usize = 8 * 1024;
 
 impl Session<'_> {
@@ -28,7 +28,7 @@
         self.input.len() < READ_AHEAD_BYTES
     }
 
-    /// Reads once.
+    /// Waits for input and reads one chunk.
     pub(super) async fn read(&mut self) -> Result<(), SessionEnd> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         let read = self.stream.read_with(|mut socket| socket.read(&mut chunk));
@@ -42,8 +42,10 @@
         }
     }
 
-    /// Reads ahead what is here, without waiting. A client that has disconnected shows where its
-    /// end is read, or where the kernel reports it behind more than is read ahead.
+    /// Reads the input that has already arrived, up to the read-ahead limit, without waiting.
+    ///
+    /// Fails if the client has disconnected. If more input than the limit precedes the disconnect,
+    /// the kernel's report of it is checked instead.
     pub(super) fn read_ahead(&mut self) -> Result<(), SessionEnd> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         while self.may_read_ahead() {
@@ -61,7 +63,7 @@
         Ok(())
     }
 
-    /// Writes all output.
+    /// Writes the whole output buffer and clears it.
     pub(super) async fn write(&mut self) -> Result<(), SessionEnd> {
         let mut sent = 0;
         while let Some(rest) = self.output.get(sent..).filter(|rest| !rest.is_empty()) {
--- a/gateway/src/postgres/session/startup.rs
+++ b/gateway/src/postgres/session/startup.rs
@@ -1,11 +1,12 @@
-//! The start of a session.
+//! Starts a session: answers the start-up packets of a connection.
 
 use super::super::codec::{self, Startup};
 use super::super::session_end::SessionEnd;
 use super::Session;
 
 impl Session<'_> {
-    /// Reads the start-up packet and answers it.
+    /// Reads and answers start-up packets until the session has started. A CancelRequest is carried
+    /// out and ends the connection.
     pub(super) async fn start(&mut self) -> Result<(), SessionEnd> {
         loop {
             match codec::parse_startup(&self.input) {
@@ -29,12 +30,12 @@
                 Ok(Some((Startup::Begin { minor, options, .. }, size))) => {
                     let targets = &self.sessions.cancel_targets;
                     let target = targets.add(self.slot, &self.stream);
-                    codec::write_welcome(&mut self.output, minor, &options, target.key());
+                    codec::write_startup_response(&mut self.output, minor, &options, target.key());
                     self.cancel_target = Some(target);
                     self.input.drain(..size);
                     return self.write().await;
                 }
-                Err(error) => return Err(self.break_off(error).await),
+                Err(error) => return Err(self.fail_with_protocol_error(error).await),
             }
         }
     }
--- a/gateway/src/postgres/session_end.rs
+++ b/gateway/src/postgres/session_end.rs
@@ -1,40 +1,41 @@
-//! Why a client connection ended.
+//! The reasons for which a client connection ends.
 
 use std::fmt;
 
-/// Why a client connection ended; its text is the reason code in the log.
+/// Why a client connection ended; [`fmt::Display`] gives the reason code in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SessionEnd {
-    /// The client closed it with nothing open.
+    /// The client closed the connection while no query was open.
     Closed,
-    /// The client closed it while a query was open.
+    /// The client closed the connection while the session was handling a query.
     ClosedDuringQuery,
-    /// It broke.
+    /// Reading from or writing to the connection failed.
     Reset,
     /// The client sent Terminate.
     Terminated,
-    /// It brought a CancelRequest.
+    /// The client sent a CancelRequest, which needs no further answer.
     CancelRequest,
-    /// The client took no byte of its answer for too long.
+    /// The client accepted no byte of an answer for too long.
     Stalled,
-    /// No complete start-up packet in time.
+    /// The start-up packet was not complete in time.
     StartupTimeout,
-    /// A message was begun and not complete in time.
+    /// A message began and was not complete in time.
     MessageTimeout,
-    /// No request for long.
+    /// The client sent no request for too long.
     Idle,
-    /// A malformed packet or message.
+    /// The client sent a malformed packet or message.
     ProtocolViolation,
-    /// A start-up packet without a user.
+    /// The start-up packet named no user.
     NoUser,
-    /// There is no slot for it.
+    /// The connection limit was reached, and no other connection could be evicted.
     TooMany,
-    /// This process closed it, for this reason.
+    /// This process closed the connection for the given reason.
     Requested(&'static str),
 }
 
 impl SessionEnd {
-    /// Whether it came from the client, which reads nothing more.
+    /// Whether the client ended or abandoned the connection. Such a client reads nothing more, so
+    /// the connection can be closed without lingering.
     pub(super) fn is_by_client(self) -> bool {
         matches!(
             self,
--- a/gateway/src/postgres/sessions.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -1,4 +1,4 @@
-//! Client connections: the listener, and what all sessions share.
+//! Client connections: their listener, and the state that all sessions share.
 
 use std::cell::Cell;
 use std::io::{Read, Write};
@@ -23,15 +23,15 @@
 use crate::net;
 use crate::stats::Stats;
 
-/// How often idle connections are looked at while they have to close.
+/// Interval at which idle connections are closed while the process drains or hands over.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The pause after a connection could not be accepted.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a connection without a slot may take over its start-up packet.
+/// Maximum time for the start-up packet of a connection that is to be rejected.
 const REJECTED_STARTUP_TIMEOUT: Duration = Duration::from_millis(250);
 const STARTUP_CHUNK_BYTES: usize = 512;
 
-/// All client connections.
+/// All client connections of the PostgreSQL front end, and the state that they share.
 pub struct Sessions {
     executor: Rc<LocalExecutor<'static>>,
     pub(super) sink: Rc<dyn RequestSink>,
@@ -44,7 +44,8 @@
 }
 
 impl Sessions {
-    /// Creates the front end for `max_connections` connections; cancel keys are drawn from `rng`.
+    /// Creates the front end for at most `max_connections` connections. Cancel keys are drawn from
+    /// `rng`.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -67,18 +68,19 @@
         })
     }
 
-    /// The number of open connections.
+    /// Returns the number of connections that count towards the limit.
     #[must_use]
     pub fn len(&self) -> usize {
         self.limiter.len()
     }
 
-    /// Changes how many connections there may be.
+    /// Changes the maximum number of connections. Connections over it are evicted unless they are
+    /// busy.
     pub fn resize(&self, max_connections: usize) {
         self.limiter.resize(max_connections, self.sink.now());
     }
 
-    /// Closes, for ever, the connections that are idle while a drain or a hand-over is under way.
+    /// Closes idle connections while the process drains or hands over. Never returns.
     pub async fn close_idle_while_draining(&self) {
         loop {
             let now = self.sink.now();
@@ -89,24 +91,24 @@
         }
     }
 
-    /// The number of connections that linger in their close.
+    /// Returns the number of connections that linger in their close.
     #[must_use]
     pub fn lingering(&self) -> usize {
         self.limiter.lingering()
     }
 
-    /// Closes all idle connections at once.
+    /// Requests a close of all idle connections, except those whose clients need this process.
     pub fn close_idle(&self, reason: &'static str) {
         self.limiter.close_idle(self.sink.now(), 0, reason);
     }
 
-    /// The number of requests read completely whose answer is not yet written.
+    /// Returns the number of queries that have been read and whose answer is not yet written.
     #[must_use]
     pub fn busy_count(&self) -> usize {
         self.busy.get()
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections from `listener`. Never returns.
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         let mut last_failure = None;
         loop {
@@ -116,8 +118,9 @@
                     self.accept(stream, peer);
                 }
                 Err(error) => {
-                    // The same failure again is not logged. Where descriptors have run out, an idle
-                    // connection is evicted, whoever else took them.
+                    // Only the first of several equal failures is logged. The usual cause is a lack
+                    // of file descriptors, so a connection is evicted to free one, even if another
+                    // part of the process holds most of them.
                     if last_failure.replace(error.kind()) != Some(error.kind()) {
                         log::write_line(format_args!("client accept failed: {error}"));
                     }
@@ -125,13 +128,13 @@
                     Timer::after(ACCEPT_PAUSE).await;
                 }
             }
-            // A burst of connections must not prevent those that are open from being read.
+            // A burst of new connections must not keep the open ones from being read.
             future::yield_now().await;
         }
     }
 
-    /// Closes the listener. Connections that the kernel has queued for it are accepted in the same
-    /// step: they would be reset with it, and their requests unserved.
+    /// Closes the listener after accepting the connections that the kernel has queued for it.
+    /// Otherwise these would be reset, and their requests would not be served.
     pub fn close_listener(self: &Rc<Self>, listener: Rc<Async<TcpListener>>) {
         while let Ok((stream, peer)) = listener.get_ref().accept() {
             match Async::new(stream) {
@@ -155,13 +158,13 @@
         }
     }
 
-    /// Rejects a connection, as every other one has a request open.
+    /// Rejects a connection because every other one up to the limit has an open request.
     ///
-    /// It gets its error once its start-up packet is read, since a close over unread bytes may
-    /// destroy the error; a CancelRequest is carried out all the same, as it frees a slot.
+    /// The error is sent after the start-up packet is read, since closing a socket with unread
+    /// input may destroy the error. A CancelRequest is still carried out, as it frees a slot.
     async fn reject(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
         let linger = self.limiter.permit_linger();
-        // Where many connections linger, what is here has to do.
+        // If too many connections linger, only input that has already arrived is read.
         let timeout = linger
             .as_ref()
             .map_or(Duration::ZERO, |_| REJECTED_STARTUP_TIMEOUT);
@@ -183,7 +186,7 @@
                 hint: None,
             },
         );
-        // One write, which an empty socket takes completely.
+        // An empty socket buffer holds the whole error, so one write is enough.
         let _ = stream.get_ref().write(&output);
         if linger.is_some() {
             net::linger(&stream).await;
@@ -203,9 +206,8 @@
         let requests = session.requests();
         drop(session);
         self.limiter.release(&slot);
-        // What a client sends just then must not make the close a reset, which may destroy its last
-        // answer. It is not served any more: it crossed the close, and its client retries
-        // elsewhere.
+        // Input that arrives during the close would turn it into a reset, which may destroy the
+        // last answer. So the input is read and discarded, and the client retries elsewhere.
         let linger = self.limiter.permit_linger();
         let linger = linger.filter(|_| !end.is_by_client());
         if linger.is_some() {
@@ -216,7 +218,8 @@
     }
 }
 
-/// Reads a start-up packet: the key of a CancelRequest, `None` for anything else.
+/// Reads start-up packets, and declines encryption. Returns the key if the client sends a
+/// CancelRequest, and `None` if it sends anything else or closes the connection.
 async fn read_cancel_request(stream: &Async<TcpStream>) -> Option<CancelKey> {
     let mut input = Vec::new();
     loop {
--- a/gateway/src/postgres/tests/closes.rs
+++ b/gateway/src/postgres/tests/closes.rs
@@ -1,111 +1,123 @@
-//! Connections that the program closes, and what crosses the close.
+//! Tests of connections that the process closes, and of input that arrives during the close.
 
 use super::*;
 
-/// Every place is taken by a request: a new connection is answered so and closed without a reset,
-/// though its start-up packet has come; and a cancel request is carried out, which frees a place.
+/// If every connection up to the limit has an open request, a new one gets an error and is closed
+/// without a reset, although it has sent its start-up packet. A cancel request is still carried
+/// out, as it frees a slot.
 #[test]
 fn at_the_limit_a_connection_gets_its_error_and_a_cancel_request_is_carried_out() {
-    let front = Front::new(1);
-    let (mut client, cancel) = front.session();
+    let server = TestServer::new(1);
+    let (mut client, cancel) = server.session();
     client.send(&query(1));
-    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
-    let mut more = front.connect();
-    more.send(&startup());
-    front.until("it is answered", || more.is_over());
-    assert!(more.says("53300"), "{}", more.got.escape_ascii());
-    drop(more);
-    front.until("it is gone", || front.sessions.lingering() == 0);
-    let mut other = front.connect();
-    front.until("it is accepted, to be rejected", || {
-        front.sessions.lingering() == 1
+    server.run_until("submitted", || server.sink.submitted.borrow().len() == 1);
+    let mut rejected = server.connect();
+    rejected.send(&startup());
+    server.run_until("error sent, connection closed", || rejected.reached_end());
+    assert!(
+        rejected.received_code("53300"),
+        "{}",
+        rejected.received.escape_ascii()
+    );
+    drop(rejected);
+    server.run_until("lingering has ended", || server.sessions.lingering() == 0);
+    let mut other = server.connect();
+    server.run_until("the connection is accepted to be rejected", || {
+        server.sessions.lingering() == 1
     });
     other.send(&cancel);
-    front.until("the query is cancelled", || client.says("57014"));
-    assert_eq!(*front.sink.withdrawn.borrow(), [1]);
+    server.run_until("the query is cancelled", || client.received_code("57014"));
+    assert_eq!(*server.sink.withdrawn.borrow(), [1]);
 }
 
-/// A query crosses the close of a session at rest: its client reads an end, and no reset, which
-/// might have taken the last answer along; and the query, read after the close, is not begun.
+/// If a query arrives while an idle session is being closed, the client reads an end of stream and
+/// no reset, which could destroy the last answer. The query is not submitted.
 #[test]
 fn a_query_that_crosses_the_close_is_not_begun_and_causes_no_reset() {
-    let front = Front::new(8);
-    let (mut client, _) = front.session();
-    front.sessions.close_idle("shutdown");
-    front.until("it is closed", || client.is_over());
+    let server = TestServer::new(8);
+    let (mut client, _) = server.session();
+    server.sessions.close_idle("shutdown");
+    server.run_until("the session is closed", || client.reached_end());
     client.send(&query(1));
-    front.until("it is over", || {
-        front.sessions.len() + front.sessions.lingering() == 0
+    server.run_until("no connection is left", || {
+        server.sessions.len() + server.sessions.lingering() == 0
     });
-    assert!(client.is_over() && front.sink.submitted.borrow().is_empty());
+    assert!(client.reached_end() && server.sink.submitted.borrow().is_empty());
 }
 
-/// A query that is here as its session is answered to go is served first.
+/// A query that has arrived when the close of its session is requested is still served.
 #[test]
 fn a_query_that_arrived_before_the_close_is_served() {
-    let front = Front::new(8);
-    let (mut client, _) = front.session();
+    let server = TestServer::new(8);
+    let (mut client, _) = server.session();
     client.send(&query(1));
-    front.sessions.close_idle("shutdown");
-    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
-    front.sink.refuse(1);
-    front.until("it is answered and closed", || client.is_over());
-    assert!(client.says("53000"));
+    server.sessions.close_idle("shutdown");
+    server.run_until("submitted", || server.sink.submitted.borrow().len() == 1);
+    server.sink.reject(1);
+    server.run_until("answered, then closed", || client.reached_end());
+    assert!(client.received_code("53000"));
 }
 
-/// The next query is here, unread, as the last answer of a session that is to go is written: it is
-/// served too. It was left in the socket, and the close over it became a reset.
+/// A query that is still unread when a session that has to close writes its last answer is served
+/// too. If it were left in the socket, the close would become a reset.
 #[test]
 fn a_query_that_arrives_with_the_last_answer_is_served() {
-    let front = Front::new(8);
-    let (mut client, _) = front.session();
+    let server = TestServer::new(8);
+    let (mut client, _) = server.session();
     client.send(&query(1));
-    front.until("it is taken", || front.sink.submitted.borrow().len() == 1);
-    front.sessions.drain.hand_over();
-    front.sink.refuse(1);
+    server.run_until("submitted", || server.sink.submitted.borrow().len() == 1);
+    server.sessions.drain.hand_over();
+    server.sink.reject(1);
     client.send(&query(2));
-    front.until("the second is taken", || {
-        front.sink.submitted.borrow().len() == 2
+    server.run_until("the second query is submitted", || {
+        server.sink.submitted.borrow().len() == 2
     });
-    front.sink.refuse(2);
-    front.until("and all is closed", || client.is_over());
-    assert_eq!(client.got.windows(5).filter(|w| w == b"53000").count(), 2);
+    server.sink.reject(2);
+    server.run_until("the connection is closed", || client.reached_end());
+    assert_eq!(
+        client.received.windows(5).filter(|w| w == b"53000").count(),
+        2
+    );
 }
 
-/// What breaks the protocol gets its error and an end, however much lies behind it unread: no reset
-/// takes it along.
+/// A client that violates the protocol gets an error and an end of stream, even if much input after
+/// the violation is unread. A reset would destroy the error.
 #[test]
 fn an_error_over_unread_input_is_not_lost_in_a_reset() {
-    let front = Front::new(8);
-    let (mut client, _) = front.session();
+    let server = TestServer::new(8);
+    let (mut client, _) = server.session();
     client.send(b"Q\xff\xff\xff\xff");
     client.send(&vec![b'x'; 100_000]);
-    front.until("it is answered", || client.is_over());
-    assert!(client.says("08P01"), "{}", client.got.escape_ascii());
-    front.until("nothing is left", || {
-        front.sessions.len() + front.sessions.lingering() == 0
+    server.run_until("error sent, connection closed", || client.reached_end());
+    assert!(
+        client.received_code("08P01"),
+        "{}",
+        client.received.escape_ascii()
+    );
+    server.run_until("no connection is left", || {
+        server.sessions.len() + server.sessions.lingering() == 0
     });
-    assert!(client.is_over(), "an end, and no reset");
+    assert!(client.reached_end(), "the connection ends without a reset");
 }
 
-/// Connections that are just being closed hold a place each, and there are few of those: with none
-/// left a close is done at once. Clients that come in a crowd can't use up the descriptors by it.
+/// The number of connections that linger in their close is limited, and beyond the limit a
+/// connection is closed at once. Otherwise many clients together could use up the file descriptors.
 #[test]
 fn few_connections_linger_in_their_close_at_a_time() {
-    let front = Front::new(8);
-    let mut clients: Vec<_> = (0..8).map(|_| front.session().0).collect();
-    front.sessions.close_idle("shutdown");
-    front.until("all are closed", || clients.iter_mut().all(Client::is_over));
+    let server = TestServer::new(8);
+    let mut clients: Vec<_> = (0..8).map(|_| server.session().0).collect();
+    server.sessions.close_idle("shutdown");
+    server.run_until("all closed", || clients.iter_mut().all(Client::reached_end));
     assert!(
-        front.sessions.lingering() <= 2,
+        server.sessions.lingering() <= 2,
         "{}",
-        front.sessions.lingering()
+        server.sessions.lingering()
     );
-    // Those that linger see their clients go.
+    // Lingering connections end when their clients disconnect.
     clients
         .iter()
         .for_each(|c| c.stream.shutdown(Shutdown::Both).unwrap());
-    front.until("nothing is left", || {
-        front.sessions.len() + front.sessions.lingering() == 0
+    server.run_until("no connection is left", || {
+        server.sessions.len() + server.sessions.lingering() == 0
     });
 }
--- a/gateway/src/postgres/tests/mod.rs
+++ b/gateway/src/postgres/tests/mod.rs
@@ -1,5 +1,6 @@
-//! Events at the wrong instant: the client's side of the socket is written while the program stands
-//! still, so that the test decides the order in which they are met. The only waits are for sockets.
+//! Tests of races between events of a session. A test writes to the client's sockets while the
+//! server's executor does not run, so that it decides the order in which the server meets the
+//! events. The tests wait only for sockets.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -32,10 +33,11 @@
 use crate::net;
 use crate::stats::Stats;
 
-/// Wide enough for the slowest machine; nothing waits this long unless it has failed.
+/// Maximum time to wait for a condition: long enough for a slow machine, and reached only if the
+/// test fails.
 const WAIT: Duration = Duration::from_secs(30);
 
-/// A sink that records what is submitted and answers nothing by itself.
+/// A sink that records submitted and withdrawn queries, and answers only when the test says so.
 #[derive(Default)]
 struct RecordingSink {
     submitted: RefCell<Vec<QueryId>>,
@@ -60,21 +62,21 @@
 }
 
 impl RecordingSink {
-    fn refuse(&self, id: QueryId) {
+    fn reject(&self, id: QueryId) {
         let exchange = self.open.borrow_mut().remove(&id).unwrap();
         exchange.complete(Answer::Rejected { retry_after: 0 });
     }
 }
 
-struct Front {
+struct TestServer {
     executor: Rc<LocalExecutor<'static>>,
     sink: Rc<RecordingSink>,
     sessions: Rc<Sessions>,
     addr: SocketAddr,
 }
 
-impl Front {
-    fn new(most: usize) -> Self {
+impl TestServer {
+    fn new(max_connections: usize) -> Self {
         let executor = Rc::new(LocalExecutor::new());
         let sink = Rc::new(RecordingSink::default());
         let names = NameTable {
@@ -90,7 +92,7 @@
             names,
             Rc::new(Stats::new(["lookup"].into_iter())),
             Rc::new(DrainState::default()),
-            most,
+            max_connections,
             ChaCha8Rng::seed_from_u64(7),
         );
         let listener = Rc::new(net::listen(([127, 0, 0, 1], 0).into()).unwrap());
@@ -98,7 +100,7 @@
         executor
             .spawn(Rc::clone(&sessions).listen(listener))
             .detach();
-        Front {
+        TestServer {
             executor,
             sink,
             sessions,
@@ -106,12 +108,13 @@
         }
     }
 
-    /// Lets the program run until something holds.
-    fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+    /// Runs the server's executor until `holds` returns true. `what` describes the condition if it
+    /// times out.
+    fn run_until(&self, what: &str, mut holds: impl FnMut() -> bool) {
         let end = Instant::now() + WAIT;
         async_io::block_on(self.executor.run(async {
             while !holds() {
-                assert!(Instant::now() < end, "never: {what}");
+                assert!(Instant::now() < end, "condition not met in time: {what}");
                 future::yield_now().await;
             }
         }));
@@ -123,30 +126,30 @@
         stream.set_nodelay(true).unwrap();
         Client {
             stream,
-            got: Vec::new(),
+            received: Vec::new(),
         }
     }
 
-    /// A session that may ask, and its cancel request.
+    /// Starts a session, and returns its client and the bytes of its cancel request.
     fn session(&self) -> (Client, Vec<u8>) {
         let mut client = self.connect();
         client.send(&startup());
-        self.until("it may ask", || client.reads().ends_with(b"Z\0\0\0\x05I"));
+        self.run_until("ready", || client.read_all().ends_with(b"Z\0\0\0\x05I"));
         let at = client
-            .got
+            .received
             .windows(5)
             .position(|w| w == b"K\0\0\0\x0c")
             .unwrap()
             + 5;
-        let cancel = [b"\0\0\0\x10\x04\xd2\x16\x2e", &client.got[at..at + 8]].concat();
-        client.got.clear();
+        let cancel = [b"\0\0\0\x10\x04\xd2\x16\x2e", &client.received[at..at + 8]].concat();
+        client.received.clear();
         (client, cancel)
     }
 }
 
 struct Client {
     stream: TcpStream,
-    got: Vec<u8>,
+    received: Vec<u8>,
 }
 
 impl Client {
@@ -154,27 +157,28 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// All that has come so far. A reset, which may have taken something along, fails the test.
-    fn reads(&mut self) -> &[u8] {
+    /// Reads without waiting, and returns all bytes received so far. A reset, which may have
+    /// destroyed an answer, fails the test.
+    fn read_all(&mut self) -> &[u8] {
         let mut chunk = [0; 4096];
         loop {
             match self.stream.read(&mut chunk) {
-                Ok(n) if n > 0 => self.got.extend_from_slice(&chunk[..n]),
-                Err(e) if e.kind() != ErrorKind::WouldBlock => panic!("no end, but {e}"),
+                Ok(n) if n > 0 => self.received.extend_from_slice(&chunk[..n]),
+                Err(e) if e.kind() != ErrorKind::WouldBlock => panic!("read failed: {e}"),
                 _ => break,
             }
         }
-        &self.got
+        &self.received
     }
 
-    /// Whether the end has come, as an end and not as a reset.
-    fn is_over(&mut self) -> bool {
-        self.reads();
+    /// Whether the server has closed the connection, without a reset.
+    fn reached_end(&mut self) -> bool {
+        self.read_all();
         matches!(self.stream.read(&mut [0]), Ok(0))
     }
 
-    fn says(&mut self, code: &str) -> bool {
-        self.reads().windows(5).any(|w| w == code.as_bytes())
+    fn received_code(&mut self, code: &str) -> bool {
+        self.read_all().windows(5).any(|w| w == code.as_bytes())
     }
 }
 
