--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries are sent, queued or rejected as they arrive, on numbers worked out by hand.
+//! Tests whether arriving queries are sent, queued or rejected, with hand-computed expectations.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use violetgate_policy::interface::{Class, Engine, EngineState, NewQuery, Outcome, Progress};
 use violetgate_policy::{Action, Event};
 
-/// One core, one gateway: two threads. Two queries fill it, each further one of 1 s adds half a
-/// second of wait.
+/// A gateway whose only engine is full. One core has two threads, which two queries occupy. Each
+/// further query of 1 s adds 0.5 s to the predicted wait.
 fn full() -> TestGateway {
     let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
     for id in 1..=2 {
@@ -16,7 +16,7 @@
     gateway
 }
 
-/// A class whose late answers earn nothing.
+/// A class whose late answers have no weight.
 fn worthless_when_late() -> Class {
     Class {
         latency_objective: Some(2 * S),
@@ -36,8 +36,8 @@
             refusals.push((id, *retry_after));
         }
     }
-    // T is 10 s less the run of 1 s; a wait of 9 s is 18 held queries. The slope spans some
-    // either way.
+    // The threshold is the deadline of 10 s minus the run of 1 s. A wait of 9 s takes 18 queued
+    // queries. The probability of rejection rises gradually around it, hence the range.
     let (first, retry_after) = refusals[0];
     assert!((12..=32).contains(&first), "first refused: {first}");
     let held = (first - 3) as f64;
@@ -100,7 +100,8 @@
     );
 }
 
-/// Engines where queries wait for memory take nothing for a while.
+/// Engines on which a query waits for memory get no queries for a while. The predicted wait is too
+/// short if it counts their threads during that time.
 #[test]
 fn engines_that_back_off_do_not_count_in_the_predicted_wait() {
     let admitted = |lined: u64, rest| {
@@ -137,7 +138,8 @@
     assert!(admitted(4, 1_300 * MS) * 3 > all * 2, "the lines are over");
 }
 
-/// Answers that waited while the gateway stood still do not make its classes late.
+/// An answer that the gateway handles late, after a stall, is not late if it arrived in time.
+/// Guards against rejecting queries of the class because of the gateway's own stall.
 #[test]
 fn answers_count_as_late_by_when_they_came() {
     let admitted = |elapsed| {
@@ -168,7 +170,8 @@
     );
 }
 
-/// The queue is short, but engines free no threads before a run.
+/// Guards against a retry-after that is computed from the short queue alone: no thread becomes
+/// free before a running query ends.
 #[test]
 fn retry_after_is_at_least_a_run_where_engines_are_full() {
     let mut gateway = TestGateway::new(
--- a/policy/tests/any_events.rs
+++ b/policy/tests/any_events.rs
@@ -1,5 +1,5 @@
-//! Any legal sequence of events keeps the rules, judged from outside by a checker that sees only
-//! the actions.
+//! Property test: every legal sequence of events satisfies the hard rules. A checker that sees
+//! only the events and the actions decides whether they hold.
 
 mod common;
 mod rule_checker;
@@ -15,7 +15,7 @@
 use violetgate_policy::{Action, Event, Settings};
 
 fn fleet() -> Settings {
-    // Two of the four classes have lost causes: their late answers earn nothing.
+    // Late answers of two of the four classes have no weight, so such queries are given up.
     let hasty = Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -46,19 +46,19 @@
     config
 }
 
-/// A gateway under test with its checker.
+/// The gateway under test and the checker of its actions.
 struct World {
     gateway: TestGateway,
     checker: Checker,
 }
 
-/// One drawn step.
+/// One generated step.
 #[derive(Clone, Copy)]
 struct Step {
     number: u64,
-    /// What happens, 0 to 9.
+    /// The kind of event, 0 to 9.
     what: u8,
-    /// To which query or engine, and how.
+    /// Selects the query or engine and the parameters of the event.
     which: u64,
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Lets time pass in units of 5 ms; attempts end at the deadline of their query.
+    /// Advances the time in units of 5 ms. Attempts time out at the deadline of their query.
     fn wait(&mut self, milliseconds: u64) -> Result<(), String> {
         for _ in 0..milliseconds.div_ceil(5) {
             self.gateway.now += 5 * MS;
@@ -175,8 +175,8 @@
         self.handle(Event::EngineList { scope, engines })
     }
 
-    /// The gateway is killed and comes back knowing the list alone; its queries are the clients'
-    /// to retry.
+    /// Replaces the gateway by a new one that has only the engine list. The queries of the old one
+    /// are lost; their clients would have to retry them.
     fn restart(&mut self) {
         let now = self.gateway.now;
         self.gateway = TestGateway::new(fleet(), self.checker.list());
@@ -193,7 +193,7 @@
     }
 }
 
-/// Plays steps (what, which, how long after the one before).
+/// Runs steps of (kind, selector, milliseconds since the previous step).
 fn play(steps: &[(u8, u64, u64)]) -> Result<(), String> {
     let mut world = World::new();
     let drain = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
@@ -237,7 +237,7 @@
     retry_after: 0,
 };
 
-/// A checker that knows one query, just arrived.
+/// A checker with one query, which has just arrived.
 fn fresh(class: u32) -> Checker {
     let seen = Seen {
         class,
--- a/policy/tests/attempts.rs
+++ b/policy/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait, are slow or silent.
+//! Tests of attempts that wait for memory, are slow or send no progress.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use violetgate_policy::interface::{Class, DedupGroup, Idempotency, NewQuery, Outcome, Progress};
 use violetgate_policy::{Event, Settings};
 
-/// A class whose late answers earn nothing.
+/// A class whose late answers have no weight.
 fn worthless_when_late() -> Class {
     Class {
         latency_objective: Some(2 * S),
@@ -15,7 +15,8 @@
     }
 }
 
-/// A deployment without notes, with reports of 2 s of work whose aim is 1.5 s and 2.5 runs.
+/// A deployment without progress reports. Its only class is for queries of 2 s of work on two
+/// threads, with a latency objective of 1.5 s plus 2.5 times the run.
 fn without_notes() -> Settings {
     let report = Class {
         latency_objective: Some(1_500 * MS),
@@ -47,7 +48,7 @@
     settings(vec![load], 8.0)
 }
 
-/// The last attempt is kept for faults.
+/// Moves because of memory leave one attempt for faults.
 #[test]
 fn a_query_that_waits_for_memory_moves_to_another_engine() {
     let mut gateway = TestGateway::new(
@@ -63,7 +64,7 @@
         sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
-    // The last attempt is kept for faults.
+    // The third attempt of four is not moved, so that the last one is left for faults.
     gateway.report_progress(1, 1, Progress::WaitingForMemory);
     gateway.now += 2 * S;
     let again = gateway.end_attempt(1, 1, 1 - first, Outcome::Cancelled);
@@ -107,7 +108,7 @@
         .expect("moved")
         * 50
         * MS;
-    // The aim is 4 s away and a fresh start takes one.
+    // The objective is 4 s after the arrival and a new attempt takes 1 s.
     assert!((2 * S..=3_050 * MS).contains(&moved), "moved after {moved}");
     assert_eq!(
         sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
@@ -124,7 +125,7 @@
             ..query(1, 2 * S)
         };
         let target = sent_to(&gateway.arrive(load), 1).expect("there is room");
-        // Notes keep it from passing for silent.
+        // Without these progress reports the attempt would count as silent.
         for step in 1..=wait / (500 * MS) {
             gateway.now = S + step * 500 * MS;
             assert!(!is_cancelled(
--- a/policy/tests/capacity.rs
+++ b/policy/tests/capacity.rs
@@ -1,11 +1,12 @@
-//! Bulk loads, which lock their group of tables on their engine.
+//! Tests of bulk loads, which lock their table group on the engine that runs them.
 
 mod common;
 
 use common::*;
 use violetgate_policy::interface::{Class, NewQuery};
 
-/// Class 0 loads, class 1 waits for loads, class 2 does neither.
+/// A gateway with one engine and three classes: 0 is for bulk loads, 1 waits for bulk loads, 2 does
+/// neither.
 fn gateway() -> TestGateway {
     let load = Class {
         is_bulk_load: true,
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small embedding for the tests: it keeps what the gateway asked for and answers by hand.
+//! Test support: a gateway with a manual clock, builders of events, and queries on actions.
 #![allow(
     dead_code,
     reason = "each test file that shares this module uses a part of it"
@@ -157,7 +157,7 @@
     }
 }
 
-/// Where the query was sent, if it was.
+/// Returns the engine that the query was sent to, or `None` if it was not sent.
 pub fn sent_to(actions: &[Action], id: QueryId) -> Option<EngineId> {
     actions.iter().find_map(|a| match a {
         Action::Send { query, engine, .. } if *query == id => Some(*engine),
--- a/policy/tests/concurrency_limit.rs
+++ b/policy/tests/concurrency_limit.rs
@@ -1,4 +1,5 @@
-//! The threads that a gateway uses: its part among many gateways, growth and shrinking.
+//! Tests of the thread limit of a gateway: its fair share among many gateways, how it grows and
+//! how it shrinks.
 
 mod common;
 
@@ -15,22 +16,23 @@
     }
 }
 
-/// "One query always fits" on each engine must not add up over many gateways.
+/// A gateway may send one query to an engine even if its share is less than a thread. Guards
+/// against many gateways that all do so and together exceed the capacity of the engines.
 #[test]
 fn all_gateways_together_stay_within_what_engines_bear() {
     let mut gateway = TestGateway::new(
         many(200, vec![class(10 * S)]),
         (0..50).map(engine).collect(),
     );
-    // 2 x 8 cores x 50 engines / 200 gateways: four threads are this gateway's part.
+    // 2 x 8 cores x 50 engines / 200 gateways: this gateway's fair share is four threads.
     let out = (1..=40)
         .filter(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count();
     assert_eq!(out, 4);
 }
 
-/// A busy gateway grows beyond its part while answers are near their unloaded time, and gives it
-/// back when they are not.
+/// The limit of a busy gateway grows beyond its fair share while answers take about as long as on
+/// an unloaded engine, and shrinks again when they take longer.
 #[test]
 fn the_limit_of_a_busy_gateway_grows_and_shrinks_with_the_speed_of_answers() {
     let mut gateway = TestGateway::new(
@@ -64,7 +66,7 @@
     assert!(shrunk <= grown / 2, "back from {grown} to {shrunk}");
 }
 
-/// The wire cannot carry such a fraction; a user of the library can.
+/// NaN cannot arrive over the wire, but a caller of the library can pass it.
 #[test]
 fn a_progress_fraction_that_is_not_a_number_does_not_stop_growth() {
     let mut config = settings(vec![class(10 * S)], 8.0);
@@ -127,7 +129,8 @@
     .is_none());
 }
 
-/// Low estimates make a crowded engine look fast; late answers show that it is not.
+/// The engine's speed is derived from estimates of work. If queries take less work than estimated,
+/// an overloaded engine looks fast, but its answers are late.
 #[test]
 fn limits_do_not_grow_while_answers_come_late() {
     let room = |aim| {
@@ -143,8 +146,8 @@
         let mut out = VecDeque::new();
         let mut id = 0;
         for _ in 0..200 {
-            // The engine is kept full; each answer comes after 1 s and by its estimate looks
-            // unloaded.
+            // The engine is kept full. Each answer takes 1 s, which equals its estimate, so the
+            // engine looks unloaded.
             while out.len() < 30 {
                 id += 1;
                 if sent_to(&gateway.arrive(query(id, S)), id).is_none() {
--- a/policy/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -1,4 +1,4 @@
-//! Engines that operators cordon and uncordon.
+//! Tests of engines that operators cordon and uncordon.
 
 mod common;
 
@@ -18,7 +18,7 @@
     });
 }
 
-/// Whatever the list says, and however often; one uncordon is enough for two cordons.
+/// A change of the engine list does not end a cordon. One uncordon ends it, even after two cordons.
 #[test]
 fn a_cordoned_engine_gets_nothing_until_it_is_uncordoned() {
     let mut gateway = TestGateway::new(
@@ -27,7 +27,7 @@
     );
     call(&mut gateway, 0, true);
     call(&mut gateway, 0, true);
-    call(&mut gateway, 7, true); // before the list has it
+    call(&mut gateway, 7, true); // not in the list yet
     for state in [
         EngineState::Draining,
         EngineState::Removed,
@@ -56,7 +56,8 @@
     assert_eq!(sent_to(&gateway.arrive(query(20, 100 * MS)), 20), Some(0));
 }
 
-/// The trial of an ejected engine is a send like any other, and so is that of a queued query.
+/// Guards against trials of an ejected engine, including those with a queued query, that ignore
+/// its cordon.
 #[test]
 fn no_trial_goes_to_a_cordoned_engine() {
     let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
@@ -73,8 +74,9 @@
     }
 }
 
-/// Even if the list gives no new start, and whatever its health was. It is tried at once, though
-/// others have more free threads; after that it is one of many.
+/// This holds even if the list reports no new start time and the last health check failed. The
+/// next query goes to the engine, although others have more free threads. After its first answer it
+/// is chosen like any other engine.
 #[test]
 fn an_uncordoned_engine_warms_up_and_is_tried_at_once() {
     let mut config = settings(vec![class(10 * S)], 8.0);
@@ -104,7 +106,7 @@
         Some(0),
         "it is the least free"
     );
-    // With nowhere else to go, no more than its part goes to the cold one in a span.
+    // With all other engines cordoned, the warming engine gets no more than its share per window.
     (1..=2).for_each(|target| call(&mut gateway, target, true));
     let work = (10..200).filter(|id| {
         let went = sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some();
--- a/policy/tests/deadline.rs
+++ b/policy/tests/deadline.rs
@@ -1,4 +1,4 @@
-//! Queries that are given up in time.
+//! Tests that queries are given up before their deadline or objective.
 
 mod common;
 
@@ -8,7 +8,7 @@
 };
 use violetgate_policy::{Event, Settings};
 
-/// A class whose late answers earn nothing.
+/// A class whose late answers have no weight.
 fn worthless_when_late() -> Class {
     Class {
         latency_objective: Some(2 * S),
@@ -33,7 +33,8 @@
     for id in 1..=2 {
         gateway.arrive(query(id, 9 * S));
     }
-    // Held, with an expected run that would give it up early; then fast answers shorten that run.
+    // Query 3 is queued. Its expected run would have it given up early, but becomes shorter before
+    // that time. It must be answered by its deadline nevertheless.
     gateway.arrive(NewQuery {
         client_timeout: 2 * S + 3 * MS,
         ..query(3, 4 * S)
@@ -54,8 +55,8 @@
     assert!(answered.expect("answered") <= S + 2 * S + 3 * MS);
 }
 
-/// The objective counts from the first request. Once there is room for all, a late retry is
-/// served.
+/// The objective counts from the client's first request. Once there is a free thread for every
+/// query, a late retry is served.
 #[test]
 fn a_client_retry_past_its_objective_is_rejected_while_others_wait() {
     let mut gateway = TestGateway::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
@@ -65,7 +66,7 @@
         client_timeout,
         ..query(id, 100 * MS)
     };
-    // Two run, one is held: others want the room.
+    // Two queries run and one is queued.
     let out: Vec<_> = (1..=3)
         .filter(|id| sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some())
         .collect();
@@ -82,7 +83,7 @@
         !is_rejected(&gateway.arrive(query(12, 100 * MS)), 12),
         "a first try has all its time"
     );
-    // Recovery: with room for all, a late repeat is served at once.
+    // Once no query waits and threads are free, a late retry is served at once.
     gateway.handle(Event::ClientDisconnected { query: 3 });
     gateway.handle(Event::ClientDisconnected { query: 11 });
     gateway.handle(Event::ClientDisconnected { query: 12 });
@@ -140,7 +141,8 @@
     assert!(!answered_at_its_aim(false), "alone it may wait");
 }
 
-/// It may have run, and no engine would discard a duplicate any more.
+/// After the window no engine would discard a duplicate, and the query may have run, so it cannot
+/// be sent again. Guards against holding it until its deadline.
 #[test]
 fn a_deduplicated_query_is_answered_once_its_window_is_over() {
     let mut gateway = TestGateway::new(keyed(), vec![engine(0)]);
--- a/policy/tests/ejection_by_many_gateways.rs
+++ b/policy/tests/ejection_by_many_gateways.rs
@@ -1,5 +1,5 @@
-//! Ejection by many gateways before one set of engines, on simulated time: what each sends is
-//! summed up.
+//! Tests of ejection by many gateways that share a set of engines, on simulated time. The attempts
+//! of all gateways are added up.
 
 mod common;
 
@@ -13,10 +13,11 @@
 
 const ENGINES: u32 = 30;
 
-/// Engines of which six answers in ten are errors while the trouble lasts.
+/// Number of engines that fail six attempts in ten during the fault.
 const BAD: u32 = 4;
 
-/// What an engine does with an attempt: how long it takes, and how that ends.
+/// Returns the duration and the outcome of an attempt, from its start, its engine and a number that
+/// identifies it.
 type Engines<'a> = &'a dyn Fn(Micros, EngineId, u64) -> (Micros, Outcome);
 
 fn many() -> Settings {
@@ -32,13 +33,13 @@
     }
 }
 
-/// A number that is as good as drawn, the same in each run.
+/// Returns a pseudo-random number that is the same in each run.
 fn draw(n: u64) -> u64 {
     let z = (n ^ (n >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (z ^ (z >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 11
 }
 
-/// Attempts and errors by second and engine, and queries by how they ended.
+/// Totals of all gateways: ended attempts by second, engine and success, and numbers of queries.
 #[derive(Default)]
 struct Seen {
     ended: BTreeMap<(Micros, EngineId, bool), u32>,
@@ -62,7 +63,7 @@
     }
 }
 
-/// Plays gateways that each get a query every 190 ms or so, for some seconds.
+/// Simulates all gateways for a number of seconds. Each gets a query every 190 ms on average.
 fn play(seconds: Micros, engines: Engines) -> Seen {
     let mut seen = Seen::default();
     let mut due: BTreeSet<(Micros, usize, QueryId, u32, EngineId)> = BTreeSet::new();
@@ -77,7 +78,8 @@
             engines: list.clone(),
         };
         gateway.handle(S, &[news], &mut Vec::new());
-        // No engine, and no attempt: the next query, or a wake-up.
+        // An entry whose query id and attempt number are 0 is an arrival. One with an id but
+        // without an attempt number is a timer.
         due.insert((S + draw(g as u64) % (190 * MS), g, 0, 0, 0));
     }
     let mut next = 0;
@@ -126,7 +128,8 @@
     seen
 }
 
-/// Four engines of thirty answer six in ten queries with an error, at once, from 2 s to 12 s.
+/// From 2 s to 12 s after the start, four of the thirty engines fail six in ten queries after
+/// 20 ms. All other attempts complete in 150 ms.
 fn some_err(now: Micros, engine: EngineId, n: u64) -> (Micros, Outcome) {
     let bad = engine < BAD && (3 * S..13 * S).contains(&now) && draw(n) % 10 < 6;
     if bad {
@@ -141,7 +144,8 @@
     let seen = play(16, &some_err);
     let bad = |e| e < BAD;
     let later = seen.count(5..12, bad, false);
-    // 251 before, 106 after: each gateway tries one of them again in these 7 s, and hardly more.
+    // 251 errors before the change that this test came with, 106 after it. Each gateway sends about
+    // one trial to these engines in the 7 s.
     assert!(later <= 3 * GATEWAYS / 2, "{later} errors in 7 s");
     assert!(
         seen.refused * 1000 <= seen.asked,
--- a/policy/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! What follows as the number of gateways changes.
+//! Tests of how thread limits and slow start follow the number of gateways.
 
 mod common;
 
@@ -13,15 +13,15 @@
     }
 }
 
-/// How many more queries find room now.
+/// Sends queries with increasing ids from `first` until one is not sent, and returns how many were.
 fn room(gateway: &mut TestGateway, first: u64) -> u64 {
     (first..first + 100)
         .take_while(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count() as u64
 }
 
-/// Fewer gateways: the part of this one grows; more: nothing new goes out until it is back within
-/// its part.
+/// With fewer gateways the share of this one grows. With more gateways it sends nothing until its
+/// use is below its new share.
 #[test]
 fn thread_limits_follow_the_number_of_gateways() {
     let mut gateway = TestGateway::new(of(4), vec![engine(0), engine(1)]);
@@ -48,9 +48,9 @@
     );
 }
 
-/// Whatever number two gateways are given and in whatever order, as long as it is no less than
-/// how many there are, the work that both send within the collapse window stays within what the
-/// settings allow.
+/// Two gateways are told of a change of the fleet's size at different times. As long as the number
+/// is never below the actual two, the work that both send within the collapse window stays within
+/// the limit of the settings.
 #[test]
 fn a_warming_engine_is_not_overloaded_while_the_number_of_gateways_changes() {
     let cold = |told| Settings {
--- a/policy/tests/hard_rules.rs
+++ b/policy/tests/hard_rules.rs
@@ -1,5 +1,5 @@
-//! The rules that hold whatever else is decided: the forbidden send or answer does not happen,
-//! the allowed one does.
+//! Tests of the hard rules, which hold whatever else is decided. Each test checks that the
+//! forbidden send or answer does not happen and that the allowed one does.
 
 mod common;
 
@@ -183,7 +183,8 @@
             gateway.end_attempt(id, 0, 0, Outcome::Completed);
         }
     }
-    // Half of 2 x 8 cores x 0.25 x 1 s would topple it alone; this gateway is one of two.
+    // The engine collapses at 2 x 8 cores x 0.25 x 1 s = 4 s of work in the window. This gateway
+    // is one of two, so it may send half of that.
     assert!(work > 0.0 && work <= 2.0, "sent {work} s of work");
     gateway.now = S + 11 * S;
     assert_eq!(
@@ -215,7 +216,8 @@
         "another key is free"
     );
     assert!(sent_to(&gateway.end_attempt(1, 0, target, Outcome::Completed), 2).is_some());
-    // The second breaks off and gives up: the key rests before the third of it.
+    // The second query of the key is cancelled after its client disconnects. The key is held
+    // before the third one is sent.
     gateway.arrive(keyed(4, 5));
     gateway.now += S;
     gateway.handle(Event::ClientDisconnected { query: 2 });
--- a/policy/tests/home_engines.rs
+++ b/policy/tests/home_engines.rs
@@ -1,5 +1,6 @@
-//! Home engines: a gateway with a thin part of many engines keeps to a few of them, so that its
-//! connections and statistics are of use, and all gateways together spread evenly.
+//! Tests of home engines. A gateway whose share of each engine is small sends to a few of them, so
+//! that it reuses its connections and has enough statistics on each. All gateways together spread
+//! evenly.
 
 mod common;
 
@@ -24,7 +25,7 @@
     (0..ENGINES).map(engine).collect()
 }
 
-/// So many queries one after the other: where they went.
+/// Sends `count` queries one after the other and returns their engines.
 fn one_by_one(gateway: &mut TestGateway, from: u64, count: u64) -> Vec<EngineId> {
     let mut at = Vec::new();
     for id in from..from + count {
@@ -74,7 +75,7 @@
 fn other_engines_serve_while_homes_are_busy_or_gone() {
     let mut gateway = TestGateway::seeded(many(), all(), 11);
     let homes: BTreeSet<_> = one_by_one(&mut gateway, 1, 150).into_iter().collect();
-    // All of them leave at once: the next queries go elsewhere, and come back to some few again.
+    // All homes are removed at once. The next queries go to other engines.
     for target in &homes {
         gateway.patch_list(Engine {
             state: EngineState::Removed,
@@ -83,7 +84,7 @@
     }
     let after = one_by_one(&mut gateway, 1_000, 60);
     assert!(after.len() == 60 && after.iter().all(|target| !homes.contains(target)));
-    // More at once than it has engines of its own.
+    // More concurrent queries than the gateway has homes.
     let mut gateway = TestGateway::seeded(
         Settings {
             gateways: Some(20),
--- a/policy/tests/load_reports.rs
+++ b/policy/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What load reports change about the threads that a gateway uses.
+//! Tests of how load reports change the thread limits of a gateway.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use violetgate_policy::interface::{AttemptEnded, Class, Cost, LoadReport, Outcome};
 use violetgate_policy::{Action, Event, Settings};
 
-/// One gateway of many with wide queries always at hand: how many threads it holds on average
-/// over 60 s of answers after two seconds each, with reports that engines are busy or idle.
+/// Returns the mean number of threads that one gateway of many uses over 60 s. Queries of four
+/// threads are always queued and each takes 2 s. `busy` is the disk utilisation in load reports.
 fn mean_threads(busy: f64) -> f64 {
     let wide = Class {
         threads: Some(4.0),
@@ -65,10 +65,11 @@
     held
 }
 
-/// One query of each class always goes, unless engines report that they are busy.
+/// One query of each class may be sent even if it exceeds the gateway's share. Guards against doing
+/// so all the time while engines report that they are busy.
 #[test]
 fn threads_stay_within_the_part_on_average_while_disks_are_busy() {
-    // 2 x 8 x 20 / 160: two threads are this gateway's part.
+    // 2 x 8 cores x 20 engines / 160 gateways: this gateway's fair share is two threads.
     let (jammed, idle) = (mean_threads(0.95), mean_threads(0.3));
     assert!(
         (0.5..=2.6).contains(&jammed),
@@ -77,7 +78,8 @@
     assert!(idle > 3.5, "{idle} threads while they are idle");
 }
 
-/// Such as a counter in place of a fraction, or no number.
+/// Guards against a report with a counter in place of a fraction, NaN or a negative number that
+/// affects the average for good.
 #[test]
 fn one_report_out_of_range_does_not_stop_growth() {
     let grown = |first: f64| {
@@ -140,7 +142,7 @@
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
             let (query, engine) = out.pop_front().expect("one is out");
-            // Spilling makes it slow: 0.6 of its unloaded pace.
+            // Spilling slows the query to 0.6 of its unloaded speed.
             let end = AttemptEnded {
                 query,
                 attempt: 0,
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -1,4 +1,5 @@
-//! Thousands of engines: a query looks at few of them, and still finds those that it needs.
+//! Tests with thousands of engines: placement examines a few of them for each query, and still
+//! finds those that the query needs.
 
 mod common;
 
@@ -39,7 +40,7 @@
     TestGateway::seeded(fleet(classes), (0..ENGINES).map(in_zone).collect(), seed)
 }
 
-/// So many queries one after the other, `gap` apart: where they went.
+/// Sends `count` queries one after the other, each answered after `gap`, and returns their engines.
 fn one_by_one(
     gateway: &mut TestGateway,
     from: u64,
@@ -144,12 +145,13 @@
     );
 }
 
-/// Busiest and mean of what gateways send to each engine of 1,200 when each keeps to its homes.
+/// Sends queries from each gateway to its homes among 1,200 engines. Returns the connections as
+/// pairs of gateway and engine, and the maximum and the mean number of queries to an engine.
 fn spread(gateways: impl Iterator<Item = u64>) -> (BTreeSet<(u64, EngineId)>, f64, f64) {
     let mut load: BTreeMap<EngineId, u32> = (0..1_200).map(|target| (target, 0)).collect();
     let mut connections = BTreeSet::new();
     for number in gateways {
-        // A short span of the budget, over which the rate is taken, so that it is known soon.
+        // The query rate is measured over the budget's window. A short one makes it known soon.
         let retry_budget = Some(RetryBudget {
             min_retries: 3.0,
             retry_ratio: 0.1,
@@ -163,7 +165,7 @@
         };
         let mut gateway =
             TestGateway::seeded(config, (0..1_200).map(engine).collect(), number * 7919 + 3);
-        // Some 1,842 statements a second, once there are as many homes as that needs.
+        // The first 500 queries let the number of homes grow to what the rate needs.
         one_by_one(&mut gateway, 1, 500, MS / 2, |id| query(id, MS));
         for target in one_by_one(&mut gateway, 2_000, 500, MS / 2, |id| query(id, MS)) {
             *load.entry(target).or_default() += 1;
@@ -178,8 +180,8 @@
     )
 }
 
-/// As many gateways to an engine as in a fleet of ten times the size; also after a tenth of the
-/// gateways was replaced, whose connections alone move.
+/// The ratio of gateways to engines is that of a fleet of ten times the size. When a tenth of the
+/// gateways is replaced, only their connections move.
 #[test]
 fn homes_spread_evenly_over_many_engines() {
     let (before, most, mean) = spread(0..760);
--- a/policy/tests/memory_grant.rs
+++ b/policy/tests/memory_grant.rs
@@ -1,4 +1,4 @@
-//! Memory grants: from estimates, needs and spills.
+//! Tests of memory grants, which are derived from estimates, reported needs and spills.
 
 mod common;
 
@@ -97,7 +97,7 @@
     }
     let (later, _) = request(&mut gateway, 30, 250.0);
     assert!(later > 200.0, "still granted {later}");
-    // It gives back what is not needed.
+    // Grants shrink again while queries complete without spilling.
     for id in 100..200 {
         let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(100.0),
--- a/policy/tests/missing_settings.rs
+++ b/policy/tests/missing_settings.rs
@@ -1,4 +1,4 @@
-//! Deployments that leave out a setting.
+//! Tests of deployments that leave out a setting.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use violetgate_policy::interface::{Class, NewQuery, Outcome};
 use violetgate_policy::{Event, Settings};
 
-/// A class whose late answers earn nothing.
+/// A class whose late answers have no weight.
 fn worthless_when_late() -> Class {
     Class {
         latency_objective: Some(2 * S),
@@ -17,7 +17,7 @@
     }
 }
 
-/// Queries are served while there is room, all are answered, and room comes back.
+/// Queries are sent while threads are free, each is answered, and the threads become free again.
 #[test]
 fn every_query_is_served_or_answered_whatever_setting_is_missing() {
     type Lack = fn(&mut Settings);
@@ -54,8 +54,8 @@
                 .collect();
             let mut ended = first.iter().filter(|(id, a)| is_rejected(a, *id)).count();
             assert!(out.len() >= 2, "without {lack}: {} sent", out.len());
-            // Answers come one by one; what is freed goes to what is held, or that is given up in
-            // time.
+            // One attempt completes every 50 ms. Queued queries take the free threads or are given
+            // up in time.
             for _ in 0..400 {
                 gateway.now += 50 * MS;
                 let mut actions = gateway.handle(Event::TimerFired);
--- a/policy/tests/outlier_detection.rs
+++ b/policy/tests/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Which faults eject an engine, which do not, and how it comes back.
+//! Tests of which faults eject an engine, which do not, and how an engine returns to use.
 
 mod common;
 
@@ -8,7 +8,8 @@
 use violetgate_policy::interface::{Class, NewQuery, Outcome, Progress};
 use violetgate_policy::{Event, Settings};
 
-/// A deployment without notes, with reports of 2 s of work whose aim is 1.5 s and 2.5 runs.
+/// A deployment without progress reports. Its only class is for queries of 2 s of work on two
+/// threads, with a latency objective of 1.5 s plus 2.5 times the run.
 fn without_notes() -> Settings {
     let report = Class {
         latency_objective: Some(1_500 * MS),
@@ -30,7 +31,8 @@
     }
 }
 
-/// Engines report once that a query waits for memory; the silence after it is expected.
+/// Engines report only once that a query waits for memory. Guards against ejecting the engine
+/// because it sends no progress afterwards.
 #[test]
 fn silence_of_a_query_that_waits_for_memory_ejects_no_engine() {
     let mut config = settings(vec![class(10 * S)], 8.0);
@@ -52,8 +54,8 @@
     );
 }
 
-/// After connections broke on most engines both serve again at once; a single bad engine stays
-/// ejected.
+/// If connections to most engines break, the cause is probably shared, and the engines stay in use.
+/// A single failing engine stays ejected.
 #[test]
 fn ejection_is_ignored_while_most_engines_are_ejected() {
     let reset = |bad: u32| {
@@ -131,7 +133,7 @@
     assert!((2..=8).contains(&erred), "it erred {erred} times");
 }
 
-/// Other classes still use these engines.
+/// Guards against ejecting an engine for all classes when it loses the queries of one of them.
 #[test]
 fn a_class_avoids_engines_that_lose_its_queries() {
     let mut config = settings(vec![class(10 * S), class(10 * S)], 8.0);
@@ -149,7 +151,7 @@
         if slot == 0 && engine < 2 {
             lost += 1;
             gateway.now += 50 * MS;
-            // Others are answered there meanwhile.
+            // Meanwhile the engine answers queries of the other class.
             let others = 1_000 * id..1_000 * id + 12;
             let request = |other| {
                 let at = sent_to(
@@ -184,7 +186,8 @@
     assert!(others > 25, "only {others} of the other class went there");
 }
 
-/// An engine that is gone refuses the next connection.
+/// A lost connection alone does not show that an engine is gone: it would then also refuse the
+/// next connection.
 #[test]
 fn one_lost_connection_ejects_no_engine() {
     let sent_to_first = |outcome| {
@@ -203,7 +206,8 @@
     assert_eq!(sent_to_first(Outcome::ConnectionRefused), 0);
 }
 
-/// A fault may end at any time, and until the next trial the capacity of its engine is unused.
+/// A fault may end at any time, and the engine's capacity is unused until the next trial. Guards
+/// against intervals that grow without limit.
 #[test]
 fn an_ejected_engine_is_tried_at_least_every_two_periods() {
     let mut gateway = TestGateway::new(
@@ -237,7 +241,9 @@
     );
 }
 
-/// A quiet gateway gets no other sign from an engine.
+/// A gateway with little traffic and no progress reports learns of a fault only from attempts that
+/// are not answered. Guards against ejecting engines for a rate of these that is usual for the
+/// class.
 #[test]
 fn silence_that_is_usual_for_a_class_ejects_no_engine() {
     let mut gateway = TestGateway::new(without_notes(), (0..8).map(engine).collect());
@@ -256,7 +262,7 @@
         gateway.handle(Event::ClientDisconnected { query: id });
         Some(target)
     };
-    // One in six is silent, wherever it is.
+    // One query in six is not answered, on every engine.
     for i in 0..120 {
         request(&mut gateway, i % 6 != 0);
     }
--- a/policy/tests/placement.rs
+++ b/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine a query goes to.
+//! Tests of which engine a query is sent to.
 
 mod common;
 
@@ -26,7 +26,8 @@
     assert_eq!(at, [0, 1, 2]);
 }
 
-/// Threads of lower priority would yield to a short query, so they do not keep it waiting.
+/// The engine's threads of lower priority yield to a short query, so the query is not queued
+/// behind them.
 #[test]
 fn short_queries_do_not_wait_for_long_ones_of_lower_priority() {
     let held = |priorities| {
@@ -57,8 +58,8 @@
     assert!(held(false) && !held(true));
 }
 
-/// A gateway with few queries meets an engine too seldom for a verdict; the headroom it last saw
-/// counts in ties, and fades.
+/// A gateway with few queries uses an engine too rarely to judge it. The headroom that it last saw
+/// there decides between otherwise equal engines, and loses its effect with time.
 #[test]
 fn slow_engines_are_avoided_until_their_headroom_has_faded() {
     let mut gateway = TestGateway::new(
@@ -122,7 +123,8 @@
     );
 }
 
-/// With limits under a thread the larger kind always has the most free threads.
+/// With limits below one thread, the larger kind always has the most free threads. Guards against
+/// sending all queries there.
 #[test]
 fn small_engines_get_their_part_from_many_gateways() {
     let mut config = Settings {
--- a/policy/tests/queueing.rs
+++ b/policy/tests/queueing.rs
@@ -1,4 +1,4 @@
-//! The order of queued queries: across classes, and within an ordering key.
+//! Tests of the order of queued queries across classes and within an ordering key.
 
 mod common;
 
@@ -68,7 +68,8 @@
         class: 1,
         ..query(5, S)
     });
-    // One wide query runs; another finds two threads too few, the younger narrow one does not.
+    // One query of two threads still runs, so one thread is free. The older queued query needs two
+    // threads; the younger one needs one and passes.
     let actions = gateway.end_attempt(2, 0, 0, Outcome::Completed);
     assert_eq!(
         (sent_to(&actions, 3), sent_to(&actions, 4)),
@@ -81,7 +82,7 @@
     );
 }
 
-/// No event reports the end of the hold.
+/// No event reports the end of the hold. Guards against a query that waits until the next event.
 #[test]
 fn a_query_whose_key_is_held_is_sent_when_the_hold_ends() {
     let effect = Idempotency::Deduplicated;
--- a/policy/tests/retry_budget.rs
+++ b/policy/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Queries that wait for the retry budget, and those behind them.
+//! Tests of queries that wait for the retry budget and of those queued behind them.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use violetgate_policy::interface::{EngineId, Outcome, QueryId, RetryBudget};
 use violetgate_policy::Action;
 
-/// Two threads and one further attempt in 5 s, which query 1 has used; it now waits to be sent a
-/// third time.
+/// A gateway with two threads whose budget allows one retry in 5 s. Query 1 has used it and waits
+/// to be sent a third time.
 fn spent_budget() -> TestGateway {
     let mut config = settings(vec![class(10 * S)], 1.0);
     config.retry_budget = Some(RetryBudget {
@@ -46,8 +46,8 @@
             "query {id}: the engine is free"
         );
     }
-    // Both threads are taken: the next two wait, and each takes the place of one that is
-    // answered.
+    // Both threads are in use. The next two queries wait, and each is sent when one before it
+    // completes.
     for id in 4..=5 {
         assert_eq!(sent_to(&asked(&mut gateway, id), id), None);
         assert_eq!(
@@ -73,7 +73,7 @@
     );
 }
 
-/// What is out, by query: the number of its attempt, and where it is.
+/// The attempts in flight: the number of attempts of each query, and their engines, oldest first.
 #[derive(Default)]
 struct Out {
     attempts: BTreeMap<QueryId, u32>,
@@ -113,8 +113,7 @@
     for id in 1..=100 {
         out.take(&asked(&mut gateway, id));
     }
-    // All that is out at first is lost before it began: more than the budget allows to send
-    // again.
+    // No first attempt reaches its engine. These are more queries than the budget allows to retry.
     for _ in 0..out.out.len() {
         out.end(&mut gateway, Outcome::NeverSent);
     }
--- a/policy/tests/robustness.rs
+++ b/policy/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Odd input, stalls, and equal runs from equal seeds.
+//! Tests of unusual input, of stalls, and that equal seeds give equal actions.
 
 mod common;
 
@@ -63,8 +63,9 @@
     ));
 }
 
-/// A gateway that stood still gets seconds of events in one batch: what cannot be in time is
-/// answered in that batch, the rest is served.
+/// After a stall the gateway gets the events of several seconds in one batch. It rejects queries
+/// that have no time left in that batch and sends the others. The engines answered in time, so
+/// none is ejected.
 #[test]
 fn a_batch_after_a_stall_is_answered_at_once_and_blames_no_engine() {
     let mut gateway = TestGateway::new(
--- a/policy/tests/rule_checker/mod.rs
+++ b/policy/tests/rule_checker/mod.rs
@@ -1,5 +1,5 @@
-//! A checker of the hard rules that sees only the actions: queries of class 1 run at most once,
-//! class 2 is bound to odd engines, class 3 is deduplicated.
+//! A checker of the hard rules that sees only the events and the actions. Queries of class 1 run at
+//! most once, class 2 is bound to engines with odd ids, class 3 is deduplicated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,12 +22,12 @@
     pub out: Option<EngineId>,
     pub may_have_run: bool,
     pub sent_at: Micros,
-    /// When the first attempt was sent that may have run.
+    /// The send time of the first attempt that may have run.
     pub risk_at: Option<Micros>,
     pub finals: u32,
 }
 
-/// Watches what goes in and what comes out.
+/// Records the queries and engines and checks each action against the rules.
 #[derive(Default)]
 pub struct Checker {
     pub queries: BTreeMap<QueryId, Seen>,
@@ -37,7 +37,7 @@
 }
 
 impl Checker {
-    /// Checks what the gateway did.
+    /// Checks and records the actions of the gateway.
     pub fn actions(&mut self, now: Micros, actions: &[Action]) -> Result<(), String> {
         for action in actions {
             match *action {
@@ -91,7 +91,7 @@
         Ok(())
     }
 
-    /// Checks that no query is left without an answer.
+    /// Checks that each query whose deadline and grace are over has been answered.
     pub fn overdue(&self, now: Micros) -> Result<(), String> {
         let lost = self
             .queries
@@ -100,7 +100,7 @@
         ensure(!lost, "a query was lost")
     }
 
-    /// Queries with an attempt out whose deadline is at or before a time.
+    /// Returns the queries that have an attempt in flight and a deadline at or before `time`.
     pub fn out_by(&self, time: Micros) -> Vec<QueryId> {
         let is_due = |seen: &Seen| seen.out.is_some() && seen.deadline <= time;
         let queries = self.queries.iter();
@@ -110,7 +110,7 @@
             .collect()
     }
 
-    /// The engine list as it is now.
+    /// Returns the current engine list.
     pub fn list(&self) -> Vec<Engine> {
         let state = |id| {
             if self.not_ready.contains(&id) {
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Engines that warm up.
+//! Tests of engines that warm up.
 
 mod common;
 
@@ -11,18 +11,18 @@
 const GATEWAYS: u32 = 200;
 const COLLAPSE_WINDOW: Micros = 2 * S;
 
-/// Whether engines report what queries cost.
+/// Whether engines report the cost of queries.
 #[derive(Clone, Copy, PartialEq)]
 enum Costs {
     Reported,
     Unknown,
 }
 
-/// What all gateways sent to a warming engine.
+/// Totals of what all gateways sent to a warming engine.
 struct SentToWarming {
-    /// Queries in its first two windows.
+    /// Number of queries in the first two collapse windows.
     early: usize,
-    /// The largest part in any window of what the engine then bears.
+    /// The largest ratio, over all windows, of the queries sent to the engine's limit at the time.
     largest_part: f64,
 }
 
@@ -43,8 +43,8 @@
     })
 }
 
-/// When one gateway sends queries to warming engine 0. Before that, one answer of engine 1, which
-/// then drains, shows what queries cost, if anything does.
+/// Returns the times at which one gateway sends queries to warming engine 0. Before that, engine 1
+/// answers one query, with its cost if costs are reported, and then drains.
 fn sends_of(number: u64, config: &Settings, costs: Costs) -> Vec<Micros> {
     let list = |scope, engines| Event::EngineList { scope, engines };
     let warming = Engine {
@@ -64,7 +64,7 @@
     let mut gateway = Gateway::new(config.clone(), number * 7919);
     let mut actions = Vec::new();
     gateway.handle(S, &first, &mut actions);
-    // One in ten has a query every 50 ms, the others every second.
+    // One gateway in ten has a query every 50 ms, the others have one every second.
     let gap = if number % 10 == 0 { 50 * MS } else { S };
     let mut sends = Vec::new();
     for step in 0..10 * S / gap {
@@ -83,8 +83,7 @@
     sends
 }
 
-/// What independent gateways with unequal traffic and a query always at hand send to one warming
-/// engine.
+/// Counts what independent gateways with unequal traffic send to one warming engine.
 fn sent_to_warming_engine(costs: Costs) -> SentToWarming {
     let config = Settings {
         gateways: Some(GATEWAYS),
@@ -113,8 +112,8 @@
     }
 }
 
-/// Where the part of each gateway is less than a query, a warming engine still gets some, more
-/// where costs are reported, and in no window more than it bears.
+/// The share of each gateway is less than a query. The warming engine gets some queries
+/// nevertheless, more if costs are reported, and in no window more than its limit.
 #[test]
 fn a_warming_engine_gets_queries_from_many_gateways_and_never_too_many() {
     let unknown = sent_to_warming_engine(Costs::Unknown);
@@ -128,7 +127,8 @@
     assert!(largest <= 1.0, "largest part in a window: {largest}");
 }
 
-/// Its threads are slow, but as many.
+/// A warming engine has as many threads as a warm one, but they are slower. Its thread limit
+/// therefore falls less than its capacity.
 #[test]
 fn the_limit_of_a_warming_engine_shrinks_with_the_root_of_its_warmth() {
     let mut config = settings(vec![class(10 * S)], 8.0);
--- a/policy/tests/trace/digest.rs
+++ b/policy/tests/trace/digest.rs
@@ -1,4 +1,4 @@
-//! FNV-1a over the actions in order, each written as numbers.
+//! FNV-1a hash of the actions in order, each written as numbers.
 
 use violetgate_policy::interface::Micros;
 use violetgate_policy::Action;
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -1,4 +1,4 @@
-//! What is drawn: queries, how their attempts go, and what happens to the engines.
+//! Generates queries, the outcomes of their attempts, and events of the engines.
 
 use violetgate_policy::interface::{
     AttemptEnded, Cost, Engine, EngineId, EngineState, ListScope, LoadReport, Micros, NewQuery,
@@ -8,7 +8,7 @@
 
 use super::{Due, Fault, KnownQuery, World, MS, S};
 
-/// An engine as it really is.
+/// A simulated engine: its entry in the list, its fault and the number of its running attempts.
 pub struct Machine {
     pub line: Engine,
     pub(super) fault: Fault,
@@ -34,7 +34,7 @@
 }
 
 impl World {
-    /// Every ten seconds there are two of overload.
+    /// Schedules the next arrival. Two seconds out of ten are an overload.
     pub(super) fn next_arrival(&mut self) {
         let crowded = (self.now / S) % 10 >= 8;
         let gap = self.scenario.gap * if crowded { 1 } else { 5 } / 2;
@@ -45,7 +45,7 @@
     pub(super) fn arrive(&mut self) -> Event {
         self.next_query += 1;
         let id = self.next_query;
-        // Now and then a class that the settings do not name.
+        // One query in fifty is of a class that is not in the settings.
         let classes = self.scenario.settings.classes.len() as u64;
         let class = if self.one_in(50) {
             classes + 3
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Notes of progress, lines for memory and loads, spills, the begin of a stream.
+    /// Schedules progress reports, waits for memory and bulk loads, spills, and the start of a
+    /// streamed response.
     fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, lacks: f64) {
         if self.scenario.settings.progress_period.is_some() {
             for part in 1..4 {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Something happens to the engines, or to those who share them.
+    /// Generates an event of an engine, a cordon, the engine list or the number of gateways.
     pub(super) fn disturb(&mut self) -> Event {
         let wait = 1 + self.draw(120 * MS);
         self.later(wait, Due::EngineFault);
@@ -233,7 +234,7 @@
         }
     }
 
-    /// An engine, or at times a third of them, gets a fault or loses it.
+    /// Sets or clears the fault of one engine in forty, or at times of every second one.
     fn strike(&mut self, engine: EngineId) -> Event {
         let fault = match self.draw(16) {
             0 => Fault::Slow,
@@ -252,12 +253,12 @@
         Event::TimerFired
     }
 
-    /// What the list says; a patch changes one engine.
+    /// Generates an engine list. A patch changes one engine.
     pub(super) fn list(&mut self, scope: ListScope) -> Event {
         let mut engines = Vec::new();
         match scope {
             ListScope::Snapshot | ListScope::StaleSnapshot => {
-                // One that is left out is gone.
+                // An engine that is left out counts as removed.
                 let left_out = self.draw(20 * u64::from(self.scenario.engines));
                 let kept = |m: &&Machine| u64::from(m.line.id) != left_out;
                 engines.extend(self.engines.iter().filter(kept).map(|m| m.line));
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -1,6 +1,6 @@
-//! A rough embedding on simulated time: it draws events from a fixed seed, plays the engines'
-//! part, and digests every action that the gateway returns. The digest is made over numbers that
-//! this file writes, so that it does not depend on any name of the module.
+//! Simulation of a gateway's clients and engines: it generates events from a fixed seed and hashes
+//! every action that the gateway returns. The hash is computed from numbers that `digest` assigns,
+//! so it does not depend on any name in the decision module.
 
 mod digest;
 mod load;
@@ -18,21 +18,21 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// One drawn stream of events.
+/// The parameters of one generated stream of events.
 pub struct Scenario {
     pub seed: u64,
     pub engines: u32,
     pub events: u32,
-    /// Mean time between arrivals.
+    /// The mean time between arrivals is 1.25 times this, or 0.25 times this during overload.
     pub gap: Micros,
-    /// Engines report what an answer cost.
+    /// Engines report the cost of a completed query.
     pub reports_cost: bool,
-    /// Load reports come with answers and probes.
+    /// Engines send load reports with answers and health checks.
     pub reports: bool,
     pub settings: Settings,
 }
 
-/// How often each thing was seen, so that a test can check that the deep paths are reached.
+/// Counts of events and actions. A test checks with them that the scenarios reach all kinds.
 #[derive(Debug, Default)]
 pub struct Seen {
     pub events: u32,
@@ -47,11 +47,11 @@
     pub most_avoided: usize,
 }
 
-/// What is due to happen.
+/// A scheduled step of the simulation.
 enum Due {
-    /// A new query; the next one follows.
+    /// A new query arrives and the next arrival is scheduled.
     Arrive,
-    /// A query of a client that was refused.
+    /// A client whose query was rejected sends a new one.
     ClientRetry,
     End {
         query: QueryId,
@@ -70,20 +70,20 @@
     Timer,
 }
 
-/// What the embedding knows of a query.
+/// The state of a query in the simulation.
 struct KnownQuery {
     class: u32,
     deadline: Micros,
     work: Micros,
     memory_mb: f64,
     attempts: u32,
-    /// The attempt that is out: its engine and when it was sent.
+    /// The engine and the send time of the attempt in flight.
     out: Option<(EngineId, Micros)>,
     granted_mb: f64,
     finished: bool,
 }
 
-/// How an engine fares; drawn anew from time to time.
+/// The fault of an engine. It changes from time to time.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -92,11 +92,11 @@
     Silent,
     RefusesConnections,
     Full,
-    /// Silent under one class only.
+    /// Does not answer queries of one class.
     DropsClass(u32),
 }
 
-/// The embedding.
+/// The simulated clients and engines around one gateway.
 struct World {
     scenario: Scenario,
     gateway: Gateway,
@@ -111,7 +111,7 @@
     seen: Seen,
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end and returns the digest and the counts.
 pub fn play(scenario: Scenario) -> (u64, Seen) {
     let mut world = World::new(scenario);
     while world.seen.events < world.scenario.events {
@@ -146,7 +146,7 @@
         self.due.insert((self.now + wait, self.sequence), due);
     }
 
-    /// A number below `end`.
+    /// Returns a random number below `end`.
     fn draw(&mut self, end: u64) -> u64 {
         self.rng.next_u64() % end.max(1)
     }
@@ -155,8 +155,8 @@
         self.draw(times) == 0
     }
 
-    /// Takes what is due next, at times with what comes right after it, and lets the gateway
-    /// handle it.
+    /// Lets the gateway handle the next due step, at times in a batch with up to two more that are
+    /// due within a millisecond.
     fn step(&mut self) {
         let mut events = Vec::new();
         let batch = 1 + self.draw(3);
@@ -210,7 +210,7 @@
             Action::Reject { query, retry_after } => {
                 self.seen.refusals += 1;
                 self.answered(query);
-                // Some clients come back.
+                // One client in three retries.
                 if self.one_in(3) {
                     self.later(retry_after + 1, Due::ClientRetry);
                 }
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios: settings of both kinds, few and many engines.
+//! The scenarios: rich and minimal settings, with few and with many engines.
 
 use violetgate_policy::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget};
 use violetgate_policy::Settings;
@@ -16,8 +16,8 @@
     }
 }
 
-/// Classes of each effect, bound and unbound, in order by key, loads and those that wait for
-/// them.
+/// Classes of each idempotency, with and without allowed zones, ordered by key, for bulk loads and
+/// waiting for bulk loads.
 fn classes() -> Vec<Class> {
     let short = Class {
         latency_objective: Some(600 * MS),
@@ -70,7 +70,7 @@
     vec![kind(4.0, 1_000.0), kind(8.0, 2_000.0)]
 }
 
-/// Everything that can be told is told.
+/// Settings with a value for every field.
 fn rich(gateways: u32) -> Settings {
     Settings {
         gateways: Some(gateways),
@@ -101,7 +101,7 @@
     }
 }
 
-/// Nothing but classes and kinds.
+/// Settings with the classes, the engine kinds and optionally the number of gateways.
 fn bare(gateways: Option<u32>) -> Settings {
     Settings {
         gateways,
@@ -119,7 +119,7 @@
     }
 }
 
-/// A scenario with reports and costs; `load` is the mean time between arrivals.
+/// A scenario with load reports and costs. `gap` is in milliseconds.
 fn scenario(seed: u64, engines: u32, gap: u64, settings: Settings) -> Scenario {
     Scenario {
         seed,
@@ -132,7 +132,7 @@
     }
 }
 
-/// Without reports and costs.
+/// Returns the scenario without load reports and costs.
 fn untold(scenario: Scenario) -> Scenario {
     Scenario {
         reports_cost: false,
--- a/policy/tests/trace_digest.rs
+++ b/policy/tests/trace_digest.rs
@@ -1,5 +1,5 @@
-//! The decisions over drawn streams of events: all actions in order, with their times, are those
-//! of the build that the digests were made with. A change that alters one alters a decision.
+//! Digests of the decisions on generated streams of events. They cover all actions in order, with
+//! their times. A digest changes only if a decision changes.
 
 mod trace;
 
@@ -21,7 +21,7 @@
     ("300 engines, all looked at", 0x650b_db53_e3e2_50dd),
 ];
 
-/// Plays all scenarios once for all tests.
+/// Runs all scenarios once for all tests.
 fn played() -> &'static [(&'static str, u64, trace::Seen)] {
     static PLAYED: OnceLock<Vec<(&'static str, u64, trace::Seen)>> = OnceLock::new();
     PLAYED.get_or_init(|| {
--- a/policy/tests/wire.rs
+++ b/policy/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The codec of the simulator's JSON: malformed lines are named, legal oddities pass.
+//! Tests of the JSON codec of the simulator: errors name the malformed field, and unusual but legal
+//! lines are accepted.
 
 use violetgate_policy::wire::Adapter;
 
@@ -72,8 +73,8 @@
         .contains("[]"));
 }
 
-/// Rows of a report may be short, missing or hold what is no fraction; the settings may name
-/// fields that are not known.
+/// Rows of a load report may be short or missing, or hold values that are not fractions. The
+/// settings may name unknown fields.
 #[test]
 fn odd_report_rows_are_ignored() {
     let boot = BOOT.replacen(
--- a/policy/tests/wire_session.rs
+++ b/policy/tests/wire_session.rs
@@ -1,13 +1,14 @@
-//! Recorded sessions with the simulator: for the same lines the replies are equal, byte for byte.
+//! Replays recorded sessions with the simulator and compares the replies byte for byte.
 //!
-//! The sessions were recorded with the build before the module's names were changed. Odd lines of
-//! a recording are what the simulator sends, even lines the replies.
+//! The sessions were recorded before the identifiers of this module were renamed, so they show
+//! that the wire format did not change. Odd lines of a recording are the simulator's lines, even
+//! lines are the replies.
 
 use violetgate_policy::wire::Adapter;
 
-/// Settings with every signal.
+/// A session whose settings have every signal.
 const RICH: &str = include_str!("fixtures/wire_session_2.jsonl");
-/// Settings without progress reports, load reports and grants.
+/// A session whose settings have no progress reports, load reports and grants.
 const BARE: &str = include_str!("fixtures/wire_session_3.jsonl");
 
 fn replay(recording: &str) {
