--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -8,7 +8,7 @@
 
 /// A gateway whose only engine is full. One core has two threads, which two queries occupy. Each
 /// further query of 1 s adds 0.5 s to the predicted wait.
-fn full() -> TestGateway {
+fn full_gateway() -> TestGateway {
     let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 1.0), vec![engine(0)]);
     for id in 1..=2 {
         assert_eq!(sent_to(&gateway.arrive(query(id, S)), id), Some(0));
@@ -17,7 +17,7 @@
 }
 
 /// A class whose late answers have no weight.
-fn worthless_when_late() -> Class {
+fn zero_late_weight() -> Class {
     Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -27,30 +27,30 @@
 
 #[test]
 fn queries_are_queued_up_to_the_threshold_and_rejected_beyond_it() {
-    let mut gateway = full();
-    let mut refusals = Vec::new();
+    let mut gateway = full_gateway();
+    let mut rejections = Vec::new();
     for id in 3..60 {
         let actions = gateway.arrive(query(id, S));
         assert_eq!(sent_to(&actions, id), None);
         if let Some(Action::Reject { retry_after, .. }) = actions.first() {
-            refusals.push((id, *retry_after));
+            rejections.push((id, *retry_after));
         }
     }
     // The threshold is the deadline of 10 s minus the run of 1 s. A wait of 9 s takes 18 queued
     // queries. The probability of rejection rises gradually around it, hence the range.
-    let (first, retry_after) = refusals[0];
+    let (first, retry_after) = rejections[0];
     assert!((12..=32).contains(&first), "first refused: {first}");
     let held = (first - 3) as f64;
     assert!(
         (retry_after as f64 / 1e6 - held / 2.0).abs() < 0.6,
         "retry after {retry_after} with {held} held"
     );
-    assert!(refusals.len() >= 25);
+    assert!(rejections.len() >= 25);
 }
 
 #[test]
-fn retrying_at_once_meets_the_same_draw() {
-    let mut gateway = full();
+fn an_immediate_client_retry_is_rejected_again() {
+    let mut gateway = full_gateway();
     let mut id = 3;
     while !is_rejected(&gateway.arrive(query(id, S)), id) {
         id += 1;
@@ -104,7 +104,7 @@
 /// short if it counts their threads during that time.
 #[test]
 fn engines_that_back_off_do_not_count_in_the_predicted_wait() {
-    let admitted = |lined: u64, rest| {
+    let admitted = |waiting: u64, pause| {
         let mut config = settings(vec![class(2 * S)], 1.0);
         config.max_attempts = Some(1);
         let mut gateway = TestGateway::new(config, (0..6).map(engine).collect());
@@ -114,10 +114,10 @@
                 ..query(id, S)
             });
         });
-        (1..=lined).for_each(|id| {
+        (1..=waiting).for_each(|id| {
             gateway.report_progress(id, 0, Progress::WaitingForMemory);
         });
-        gateway.now += rest;
+        gateway.now += pause;
         (10..200)
             .filter(|id| {
                 !is_rejected(
@@ -173,9 +173,9 @@
 /// Guards against a retry-after that is computed from the short queue alone: no thread becomes
 /// free before a running query ends.
 #[test]
-fn retry_after_is_at_least_a_run_where_engines_are_full() {
+fn retry_after_is_at_least_a_run_while_engines_are_full() {
     let mut gateway = TestGateway::new(
-        settings(vec![worthless_when_late()], 1.0),
+        settings(vec![zero_late_weight()], 1.0),
         vec![engine(0), engine(1)],
     );
     (1..=5).for_each(|id| {
--- a/policy/tests/any_events.rs
+++ b/policy/tests/any_events.rs
@@ -14,27 +14,27 @@
 };
 use violetgate_policy::{Action, Event, Settings};
 
-fn fleet() -> Settings {
+fn fleet_settings() -> Settings {
     // Late answers of two of the four classes have no weight, so such queries are given up.
-    let hasty = Class {
+    let short_objective = Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
         ..class(10 * S)
     };
-    let bound = Class {
+    let zone_bound = Class {
         allowed_zones: Some(vec![1]),
-        ..hasty.clone()
+        ..short_objective.clone()
     };
-    let keyed = Class {
+    let deduplicated = Class {
         dedup_window: Some(WINDOW),
         ..with_idempotency(Idempotency::Deduplicated)
     };
     let mut config = settings(
         vec![
-            hasty,
+            short_objective,
             with_idempotency(Idempotency::AtMostOnce),
-            bound,
-            keyed,
+            zone_bound,
+            deduplicated,
         ],
         4.0,
     );
@@ -47,7 +47,7 @@
 }
 
 /// The gateway under test and the checker of its actions.
-struct World {
+struct CheckedGateway {
     gateway: TestGateway,
     checker: Checker,
 }
@@ -57,16 +57,16 @@
 struct Step {
     number: u64,
     /// The kind of event, 0 to 9.
-    what: u8,
+    kind: u8,
     /// Selects the query or engine and the parameters of the event.
-    which: u64,
+    selector: u64,
 }
 
-impl World {
+impl CheckedGateway {
     fn new() -> Self {
         let checker = Checker::default();
-        World {
-            gateway: TestGateway::new(fleet(), checker.list()),
+        CheckedGateway {
+            gateway: TestGateway::new(fleet_settings(), checker.engine_list()),
             checker,
         }
     }
@@ -75,19 +75,20 @@
     fn wait(&mut self, milliseconds: u64) -> Result<(), String> {
         for _ in 0..milliseconds.div_ceil(5) {
             self.gateway.now += 5 * MS;
-            for id in self.checker.out_by(self.gateway.now) {
+            for id in self.checker.in_flight_due_by(self.gateway.now) {
                 self.end(id, Outcome::TimedOut)?;
             }
             self.handle(Event::TimerFired)?;
-            self.checker.overdue(self.gateway.now)?;
+            self.checker.check_all_answered(self.gateway.now)?;
         }
         Ok(())
     }
 
-    fn take_step(&mut self, step: Step) -> Result<(), String> {
-        let out = self.checker.out_by(Micros::MAX);
-        let picked = (!out.is_empty()).then(|| out[step.which as usize % out.len()]);
-        match (step.what, picked) {
+    fn run_step(&mut self, step: Step) -> Result<(), String> {
+        let in_flight = self.checker.in_flight_due_by(Micros::MAX);
+        let selected =
+            (!in_flight.is_empty()).then(|| in_flight[step.selector as usize % in_flight.len()]);
+        match (step.kind, selected) {
             (0..=3, _) => self.arrive(step),
             (4..=6, Some(id)) => {
                 let all = [
@@ -98,11 +99,11 @@
                     Outcome::ConnectionLost,
                     Outcome::Cancelled,
                 ];
-                self.end(id, all[(step.which / 7) as usize % all.len()])
+                self.end(id, all[(step.selector / 7) as usize % all.len()])
             }
-            (7, Some(id)) => self.report_progress(id, step.which),
-            (8, _) => self.change_list(step.which),
-            (9, _) if step.which % 50 == 7 => {
+            (7, Some(id)) => self.report_progress(id, step.selector),
+            (8, _) => self.change_list(step.selector),
+            (9, _) if step.selector % 50 == 7 => {
                 self.restart();
                 Ok(())
             }
@@ -112,45 +113,45 @@
 
     fn arrive(&mut self, step: Step) -> Result<(), String> {
         let id = step.number + 1;
-        let client_timeout = (step.which % 80 + 1) * 100 * MS;
-        let class = (step.which % 4) as u32;
-        let seen = Seen {
+        let client_timeout = (step.selector % 80 + 1) * 100 * MS;
+        let class = (step.selector % 4) as u32;
+        let record = QueryRecord {
             class,
             deadline: self.gateway.now + client_timeout,
-            ..Seen::default()
+            ..QueryRecord::default()
         };
-        self.checker.queries.insert(id, seen);
-        self.checker.asks.push(self.gateway.now);
+        self.checker.queries.insert(id, record);
+        self.checker.arrivals.push(self.gateway.now);
         self.handle(Event::QueryArrived(NewQuery {
             class,
             client_timeout,
-            is_client_retry: step.which % 5 == 0,
-            ..query(id, (step.which % 40) * 50 * MS)
+            is_client_retry: step.selector % 5 == 0,
+            ..query(id, (step.selector % 40) * 50 * MS)
         }))
     }
 
     fn end(&mut self, id: QueryId, outcome: Outcome) -> Result<(), String> {
-        let seen = self.checker.queries.get_mut(&id).ok_or("unknown")?;
-        let engine = seen.out.take().ok_or("nothing out")?;
+        let record = self.checker.queries.get_mut(&id).ok_or("unknown")?;
+        let engine = record.in_flight.take().ok_or("nothing out")?;
         let ran = !matches!(outcome, Outcome::Overloaded | Outcome::ConnectionRefused);
-        seen.may_have_run |= ran;
-        seen.risk_at = seen.risk_at.or(ran.then_some(seen.sent_at));
-        if outcome == Outcome::Completed && seen.finals == 0 {
-            seen.finals = 1;
+        record.may_have_run |= ran;
+        record.first_risky_send = record.first_risky_send.or(ran.then_some(record.sent_at));
+        if outcome == Outcome::Completed && record.final_answers == 0 {
+            record.final_answers = 1;
         }
-        let attempt = seen.sends - 1;
+        let attempt = record.sends - 1;
         let actions = self.gateway.end_attempt(id, attempt, engine, outcome);
-        self.checker.actions(self.gateway.now, &actions)
+        self.checker.check_actions(self.gateway.now, &actions)
     }
 
-    fn report_progress(&mut self, id: QueryId, which: u64) -> Result<(), String> {
+    fn report_progress(&mut self, id: QueryId, selector: u64) -> Result<(), String> {
         let attempt = self.checker.queries[&id].sends - 1;
         let all = [
             Progress::FractionDone(0.01),
             Progress::WaitingForMemory,
             Progress::Spilling(9.0),
         ];
-        let progress = all[which as usize % 3];
+        let progress = all[selector as usize % 3];
         self.handle(Event::Progress {
             query: id,
             attempt,
@@ -158,16 +159,17 @@
         })
     }
 
-    /// Now a changed entry, now all of them, as after a gap or from a copy that a restart left.
-    fn change_list(&mut self, which: u64) -> Result<(), String> {
-        let id = (which % 4) as EngineId;
-        if which % 8 < 4 {
+    /// Changes the state of an engine and sends it as a patch, as a snapshot like that after a gap,
+    /// or as a stale snapshot like that of a copy saved before a restart.
+    fn change_list(&mut self, selector: u64) -> Result<(), String> {
+        let id = (selector % 4) as EngineId;
+        if selector % 8 < 4 {
             self.checker.not_ready.insert(id);
         } else {
             self.checker.not_ready.remove(&id);
         }
-        let all = self.checker.list();
-        let (scope, engines) = match which % 3 {
+        let all = self.checker.engine_list();
+        let (scope, engines) = match selector % 3 {
             0 => (ListScope::Patch, vec![all[id as usize]]),
             1 => (ListScope::Snapshot, all),
             _ => (ListScope::StaleSnapshot, all),
@@ -179,7 +181,7 @@
     /// are lost; their clients would have to retry them.
     fn restart(&mut self) {
         let now = self.gateway.now;
-        self.gateway = TestGateway::new(fleet(), self.checker.list());
+        self.gateway = TestGateway::new(fleet_settings(), self.checker.engine_list());
         self.gateway.now = now;
         self.checker = Checker {
             not_ready: std::mem::take(&mut self.checker.not_ready),
@@ -189,23 +191,23 @@
 
     fn handle(&mut self, event: Event) -> Result<(), String> {
         let actions = self.gateway.handle(event);
-        self.checker.actions(self.gateway.now, &actions)
+        self.checker.check_actions(self.gateway.now, &actions)
     }
 }
 
 /// Runs steps of (kind, selector, milliseconds since the previous step).
 fn play(steps: &[(u8, u64, u64)]) -> Result<(), String> {
-    let mut world = World::new();
-    let drain = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
-    for (number, &(what, which, wait)) in (0..).zip(steps.iter().chain(drain)) {
-        world.wait(wait)?;
-        world.take_step(Step {
+    let mut checked = CheckedGateway::new();
+    let settle = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
+    for (number, &(kind, selector, wait)) in (0..).zip(steps.iter().chain(settle)) {
+        checked.wait(wait)?;
+        checked.run_step(Step {
             number,
-            what,
-            which,
+            kind,
+            selector,
         })?;
     }
-    world.checker.overdue(Micros::MAX / 2)
+    checked.checker.check_all_answered(Micros::MAX / 2)
 }
 
 #[test]
@@ -238,54 +240,71 @@
 };
 
 /// A checker with one query, which has just arrived.
-fn fresh(class: u32) -> Checker {
-    let seen = Seen {
+fn checker_with_one_query(class: u32) -> Checker {
+    let record = QueryRecord {
         class,
         deadline: S,
-        ..Seen::default()
+        ..QueryRecord::default()
     };
     let mut checker = Checker::default();
-    checker.queries.insert(1, seen);
+    checker.queries.insert(1, record);
     checker
 }
 
 fn fails(mut checker: Checker, now: Micros, actions: &[Action]) -> String {
-    checker.actions(now, actions).expect_err("a broken rule")
+    checker
+        .check_actions(now, actions)
+        .expect_err("a broken rule")
 }
 
 #[test]
 fn each_check_of_answers_can_fail() {
     assert_eq!(
-        fails(fresh(0), 0, &[REJECT, send(0)]),
+        fails(checker_with_one_query(0), 0, &[REJECT, send(0)]),
         "sent after the final answer"
     );
-    assert_eq!(fails(fresh(0), 0, &[REJECT, REJECT]), "two final answers");
-    assert_eq!(fails(fresh(0), 2 * S, &[REJECT]), "answered too late");
     assert_eq!(
-        fails(fresh(1), 0, &[send(0), REJECT]),
+        fails(checker_with_one_query(0), 0, &[REJECT, REJECT]),
+        "two final answers"
+    );
+    assert_eq!(
+        fails(checker_with_one_query(0), 2 * S, &[REJECT]),
+        "answered too late"
+    );
+    assert_eq!(
+        fails(checker_with_one_query(1), 0, &[send(0), REJECT]),
         "refused what may have run"
     );
-    assert!(fresh(0).overdue(2 * S).is_err(), "lost");
+    assert!(
+        checker_with_one_query(0).check_all_answered(2 * S).is_err(),
+        "lost"
+    );
 }
 
 #[test]
 fn each_check_of_sends_can_fail() {
-    assert_eq!(fails(fresh(0), 0, &[send(0), send(2)]), "two attempts out");
-    assert_eq!(fails(fresh(2), 0, &[send(0)]), "sent outside its zone");
-    let mut checker = fresh(3);
-    checker.queries.get_mut(&1).expect("there").risk_at = Some(0);
+    assert_eq!(
+        fails(checker_with_one_query(0), 0, &[send(0), send(2)]),
+        "two attempts out"
+    );
+    assert_eq!(
+        fails(checker_with_one_query(2), 0, &[send(0)]),
+        "sent outside its zone"
+    );
+    let mut checker = checker_with_one_query(3);
+    checker.queries.get_mut(&1).expect("there").first_risky_send = Some(0);
     assert_eq!(
         fails(checker, WINDOW, &[send(0)]),
         "keyed and sent after its window"
     );
-    let mut checker = fresh(0);
+    let mut checker = checker_with_one_query(0);
     checker.not_ready.insert(0);
     assert_eq!(fails(checker, 0, &[send(0)]), "sent to a draining engine");
-    let mut checker = fresh(1);
+    let mut checker = checker_with_one_query(1);
     checker.queries.get_mut(&1).expect("there").may_have_run = true;
     assert_eq!(fails(checker, 0, &[send(0)]), "at_most_once may run twice");
-    let mut checker = fresh(0);
+    let mut checker = checker_with_one_query(0);
     checker.queries.get_mut(&1).expect("there").sends = 1;
-    checker.extra = vec![0, 0];
+    checker.retries = vec![0, 0];
     assert_eq!(fails(checker, 0, &[send(0)]), "over the budget");
 }
--- a/policy/tests/attempts.rs
+++ b/policy/tests/attempts.rs
@@ -7,7 +7,7 @@
 use violetgate_policy::{Event, Settings};
 
 /// A class whose late answers have no weight.
-fn worthless_when_late() -> Class {
+fn zero_late_weight() -> Class {
     Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -17,7 +17,7 @@
 
 /// A deployment without progress reports. Its only class is for queries of 2 s of work on two
 /// threads, with a latency objective of 1.5 s plus 2.5 times the run.
-fn without_notes() -> Settings {
+fn without_progress_reports() -> Settings {
     let report = Class {
         latency_objective: Some(1_500 * MS),
         objective_stretch: Some(2.5),
@@ -38,7 +38,7 @@
     }
 }
 
-fn keyed() -> Settings {
+fn deduplicated() -> Settings {
     let load = Class {
         idempotency: Idempotency::Deduplicated,
         dedup_group: DedupGroup::All,
@@ -80,12 +80,12 @@
 
 #[test]
 fn a_silent_attempt_is_given_up_while_others_wait_and_moved_otherwise() {
-    let after_silence = |held: bool| {
+    let after_silence = |others_queued: bool| {
         let mut gateway = TestGateway::new(
-            settings(vec![worthless_when_late()], 1.0),
+            settings(vec![zero_late_weight()], 1.0),
             vec![engine(0), engine(1)],
         );
-        (1..=if held { 5 } else { 1 }).for_each(|id| {
+        (1..=if others_queued { 5 } else { 1 }).for_each(|id| {
             gateway.arrive(query(id, 500 * MS));
         });
         gateway.now += 1_700 * MS;
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_slow_attempt_is_moved_before_its_objective_without_progress_reports() {
-    let mut gateway = TestGateway::new(without_notes(), vec![engine(0), engine(1)]);
+    let mut gateway = TestGateway::new(without_progress_reports(), vec![engine(0), engine(1)]);
     let first = sent_to(&gateway.arrive(report(1)), 1).expect("there is room");
     let moved = (0..100)
         .find(|step| is_cancelled(&gateway.advance_to(S + step * 50 * MS), 1))
@@ -119,7 +119,7 @@
 #[test]
 fn a_deduplicated_query_that_waits_for_memory_moves_only_within_its_window() {
     for (wait, moves) in [(S, true), (14_500 * MS, false)] {
-        let mut gateway = TestGateway::new(keyed(), vec![engine(0), engine(1)]);
+        let mut gateway = TestGateway::new(deduplicated(), vec![engine(0), engine(1)]);
         let load = NewQuery {
             client_timeout: 25 * S,
             ..query(1, 2 * S)
--- a/policy/tests/concurrency_limit.rs
+++ b/policy/tests/concurrency_limit.rs
@@ -9,7 +9,7 @@
 use violetgate_policy::interface::{Class, NewQuery, Outcome, Progress};
 use violetgate_policy::{Action, Event, Settings};
 
-fn many(gateways: u32, classes: Vec<Class>) -> Settings {
+fn fleet_settings(gateways: u32, classes: Vec<Class>) -> Settings {
     Settings {
         gateways: Some(gateways),
         ..settings(classes, 8.0)
@@ -19,16 +19,16 @@
 /// A gateway may send one query to an engine even if its share is less than a thread. Guards
 /// against many gateways that all do so and together exceed the capacity of the engines.
 #[test]
-fn all_gateways_together_stay_within_what_engines_bear() {
+fn all_gateways_together_stay_within_the_capacity_of_engines() {
     let mut gateway = TestGateway::new(
-        many(200, vec![class(10 * S)]),
+        fleet_settings(200, vec![class(10 * S)]),
         (0..50).map(engine).collect(),
     );
     // 2 x 8 cores x 50 engines / 200 gateways: this gateway's fair share is four threads.
-    let out = (1..=40)
+    let in_flight = (1..=40)
         .filter(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count();
-    assert_eq!(out, 4);
+    assert_eq!(in_flight, 4);
 }
 
 /// The limit of a busy gateway grows beyond its fair share while answers take about as long as on
@@ -36,10 +36,10 @@
 #[test]
 fn the_limit_of_a_busy_gateway_grows_and_shrinks_with_the_speed_of_answers() {
     let mut gateway = TestGateway::new(
-        many(200, vec![class(10 * S)]),
+        fleet_settings(200, vec![class(10 * S)]),
         (0..50).map(engine).collect(),
     );
-    let (mut id, mut out) = (0, VecDeque::new());
+    let (mut id, mut in_flight) = (0, VecDeque::new());
     let mut keep_full = |gateway: &mut TestGateway, elapsed, rounds| {
         for _ in 0..rounds {
             loop {
@@ -47,18 +47,18 @@
                 let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, target));
+                in_flight.push_back((id, target));
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (first, target) = out.pop_front().expect("one is always out");
+            let (first, target) = in_flight.pop_front().expect("one is always out");
             let freed = gateway.end_attempt_after(first, 0, target, Outcome::Completed, elapsed);
-            out.extend(freed.iter().filter_map(|a| match a {
+            in_flight.extend(freed.iter().filter_map(|a| match a {
                 Action::Send { query, engine, .. } => Some((*query, *engine)),
                 _ => None,
             }));
         }
-        out.len()
+        in_flight.len()
     };
     let grown = keep_full(&mut gateway, S, 200);
     assert!(grown > 10, "grown to {grown}");
@@ -72,15 +72,15 @@
     let mut config = settings(vec![class(10 * S)], 8.0);
     config.gateways = Some(4);
     let mut gateway = TestGateway::new(config, vec![engine(0)]);
-    let mut out = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     for id in 1..=200 {
         let actions = gateway.arrive(query(id, 100 * MS));
         if sent_to(&actions, id).is_some() {
-            out.push_back(id);
+            in_flight.push_back(id);
         } else {
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 10 * MS;
-            let first = out.pop_front().expect("one is always out");
+            let first = in_flight.pop_front().expect("one is always out");
             if id < 10 {
                 gateway.report_progress(first, 0, Progress::FractionDone(f64::NAN));
             }
@@ -88,9 +88,9 @@
         }
     }
     assert!(
-        out.len() > 6,
+        in_flight.len() > 6,
         "four threads at the base, {} held there",
-        out.len()
+        in_flight.len()
     );
 }
 
@@ -133,40 +133,43 @@
 /// an overloaded engine looks fast, but its answers are late.
 #[test]
 fn limits_do_not_grow_while_answers_come_late() {
-    let room = |aim| {
+    let in_flight_with_objective = |objective| {
         let mut config = settings(
             vec![Class {
-                latency_objective: Some(aim),
+                latency_objective: Some(objective),
                 ..class(10 * S)
             }],
             8.0,
         );
         config.gateways = Some(4);
         let mut gateway = TestGateway::new(config, vec![engine(0)]);
-        let mut out = VecDeque::new();
+        let mut in_flight = VecDeque::new();
         let mut id = 0;
         for _ in 0..200 {
             // The engine is kept full. Each answer takes 1 s, which equals its estimate, so the
             // engine looks unloaded.
-            while out.len() < 30 {
+            while in_flight.len() < 30 {
                 id += 1;
                 if sent_to(&gateway.arrive(query(id, S)), id).is_none() {
                     gateway.handle(Event::ClientDisconnected { query: id });
                     break;
                 }
-                out.push_back(id);
+                in_flight.push_back(id);
             }
             gateway.now += S;
-            let first = out.pop_front().expect("one is always out");
+            let first = in_flight.pop_front().expect("one is always out");
             gateway.end_attempt_after(first, 0, 0, Outcome::Completed, S);
-            for id in out.clone() {
+            for id in in_flight.clone() {
                 gateway.report_progress(id, 0, Progress::FractionDone(0.9));
                 gateway.now += MS;
             }
         }
-        out.len()
+        in_flight.len()
     };
-    let (in_time, late) = (room(10 * S), room(S / 2));
+    let (in_time, late) = (
+        in_flight_with_objective(10 * S),
+        in_flight_with_objective(S / 2),
+    );
     assert!(
         in_time > late,
         "held there: {in_time} when in time, {late} when late"
--- a/policy/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -11,10 +11,10 @@
     (counts.listed, counts.avoided)
 }
 
-fn call(gateway: &mut TestGateway, engine: u32, out: bool) {
+fn set_cordon(gateway: &mut TestGateway, engine: u32, cordon: bool) {
     gateway.handle(Event::Cordon {
         engine,
-        cordoned: out,
+        cordoned: cordon,
     });
 }
 
@@ -25,9 +25,9 @@
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    call(&mut gateway, 0, true);
-    call(&mut gateway, 0, true);
-    call(&mut gateway, 7, true); // not in the list yet
+    set_cordon(&mut gateway, 0, true);
+    set_cordon(&mut gateway, 0, true);
+    set_cordon(&mut gateway, 7, true); // not in the list yet
     for state in [
         EngineState::Draining,
         EngineState::Removed,
@@ -51,7 +51,7 @@
             Some(1) | None
         ));
     }
-    call(&mut gateway, 0, false);
+    set_cordon(&mut gateway, 0, false);
     assert_eq!(counts(&gateway), (3, 1));
     assert_eq!(sent_to(&gateway.arrive(query(20, 100 * MS)), 20), Some(0));
 }
@@ -62,7 +62,7 @@
 fn no_trial_goes_to_a_cordoned_engine() {
     let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
     gateway.arrive(query(1, 100 * MS));
-    call(&mut gateway, 0, true);
+    set_cordon(&mut gateway, 0, true);
     gateway.end_attempt(1, 0, 0, Outcome::ConnectionRefused);
     assert_eq!(
         counts(&gateway),
@@ -84,14 +84,14 @@
     (config.collapse_load_multiple, config.collapse_window) = (Some(2.0), Some(S));
     let mut gateway = TestGateway::new(config, vec![engine(0), engine(1), engine(2)]);
     gateway.arrive(query(1, 100 * MS));
-    call(&mut gateway, 0, true);
+    set_cordon(&mut gateway, 0, true);
     gateway.handle(Event::HealthChecked {
         engine: 0,
         passed: false,
         load: Default::default(),
     });
     gateway.now = 20 * S;
-    call(&mut gateway, 0, false);
+    set_cordon(&mut gateway, 0, false);
     assert_eq!(counts(&gateway), (3, 0));
     let first = sent_to(&gateway.arrive(query(2, 100 * MS)), 2);
     assert_eq!(first, Some(0));
@@ -107,11 +107,11 @@
         "it is the least free"
     );
     // With all other engines cordoned, the warming engine gets no more than its share per window.
-    (1..=2).for_each(|target| call(&mut gateway, target, true));
+    (1..=2).for_each(|target| set_cordon(&mut gateway, target, true));
     let work = (10..200).filter(|id| {
-        let went = sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some();
+        let sent = sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some();
         gateway.end_attempt(*id, 0, 0, Outcome::Completed);
-        went
+        sent
     });
     let work = work.count();
     assert!(
--- a/policy/tests/deadline.rs
+++ b/policy/tests/deadline.rs
@@ -9,7 +9,7 @@
 use violetgate_policy::{Event, Settings};
 
 /// A class whose late answers have no weight.
-fn worthless_when_late() -> Class {
+fn zero_late_weight() -> Class {
     Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -17,7 +17,7 @@
     }
 }
 
-fn keyed() -> Settings {
+fn deduplicated() -> Settings {
     let load = Class {
         idempotency: Idempotency::Deduplicated,
         dedup_group: DedupGroup::All,
@@ -59,9 +59,9 @@
 /// query, a late retry is served.
 #[test]
 fn a_client_retry_past_its_objective_is_rejected_while_others_wait() {
-    let mut gateway = TestGateway::new(settings(vec![worthless_when_late()], 1.0), vec![engine(0)]);
+    let mut gateway = TestGateway::new(settings(vec![zero_late_weight()], 1.0), vec![engine(0)]);
     gateway.now += 60 * S;
-    let repeat = |id, client_timeout| NewQuery {
+    let client_retry = |id, client_timeout| NewQuery {
         is_client_retry: true,
         client_timeout,
         ..query(id, 100 * MS)
@@ -72,11 +72,11 @@
         .collect();
     assert_eq!(out, [1, 2]);
     assert!(
-        is_rejected(&gateway.arrive(repeat(10, 7 * S)), 10),
+        is_rejected(&gateway.arrive(client_retry(10, 7 * S)), 10),
         "its aim passed a second ago"
     );
     assert!(
-        !is_rejected(&gateway.arrive(repeat(11, 9 * S)), 11),
+        !is_rejected(&gateway.arrive(client_retry(11, 9 * S)), 11),
         "it has a second left"
     );
     assert!(
@@ -90,22 +90,22 @@
     out.iter().for_each(|id| {
         gateway.end_attempt(*id, 0, 0, Outcome::Completed);
     });
-    assert!(sent_to(&gateway.arrive(repeat(20, 7 * S)), 20).is_some());
+    assert!(sent_to(&gateway.arrive(client_retry(20, 7 * S)), 20).is_some());
 }
 
 #[test]
 fn an_attempt_that_can_only_be_late_is_given_up_while_others_wait() {
-    let halfway = |held: bool, share| {
+    let given_up_after_half_its_objective = |others_queued: bool, fraction| {
         let mut gateway = TestGateway::new(
-            settings(vec![worthless_when_late()], 1.0),
+            settings(vec![zero_late_weight()], 1.0),
             vec![engine(0), engine(1)],
         );
-        let last = if held { 5 } else { 4 };
+        let last = if others_queued { 5 } else { 4 };
         (1..=last).for_each(|id| {
             gateway.arrive(query(id, 500 * MS));
         });
         gateway.now += S;
-        let actions = gateway.report_progress(1, 0, Progress::FractionDone(share));
+        let actions = gateway.report_progress(1, 0, Progress::FractionDone(fraction));
         assert!(
             is_cancelled(&actions, 1) || !is_rejected(&actions, 1),
             "what is answered is withdrawn"
@@ -113,21 +113,27 @@
         is_rejected(&actions, 1)
     };
     assert!(
-        halfway(true, 0.1),
+        given_up_after_half_its_objective(true, 0.1),
         "ten seconds in all, the aim is two: the room is wanted"
     );
-    assert!(!halfway(true, 0.6), "it will be in time");
-    assert!(!halfway(false, 0.1), "nobody else wants the room");
+    assert!(
+        !given_up_after_half_its_objective(true, 0.6),
+        "it will be in time"
+    );
+    assert!(
+        !given_up_after_half_its_objective(false, 0.1),
+        "nobody else wants the room"
+    );
 }
 
 #[test]
 fn a_query_that_waits_for_memory_past_its_objective_is_given_up_while_others_wait() {
-    let answered_at_its_aim = |held: bool| {
-        let mut config = settings(vec![worthless_when_late()], 1.0);
+    let given_up_at_objective = |others_queued: bool| {
+        let mut config = settings(vec![zero_late_weight()], 1.0);
         config.max_attempts = Some(1);
         config.progress_period = Some(10 * S);
         let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
-        (1..=if held { 5 } else { 1 }).for_each(|id| {
+        (1..=if others_queued { 5 } else { 1 }).for_each(|id| {
             gateway.arrive(query(id, 500 * MS));
         });
         gateway.report_progress(1, 0, Progress::WaitingForMemory);
@@ -137,15 +143,15 @@
         }
         at < 4 * S
     };
-    assert!(answered_at_its_aim(true), "others want its room");
-    assert!(!answered_at_its_aim(false), "alone it may wait");
+    assert!(given_up_at_objective(true), "others want its room");
+    assert!(!given_up_at_objective(false), "alone it may wait");
 }
 
 /// After the window no engine would discard a duplicate, and the query may have run, so it cannot
 /// be sent again. Guards against holding it until its deadline.
 #[test]
 fn a_deduplicated_query_is_answered_once_its_window_is_over() {
-    let mut gateway = TestGateway::new(keyed(), vec![engine(0)]);
+    let mut gateway = TestGateway::new(deduplicated(), vec![engine(0)]);
     let target = sent_to(
         &gateway.arrive(NewQuery {
             client_timeout: 25 * S,
--- a/policy/tests/ejection_by_many_gateways.rs
+++ b/policy/tests/ejection_by_many_gateways.rs
@@ -14,13 +14,13 @@
 const ENGINES: u32 = 30;
 
 /// Number of engines that fail six attempts in ten during the fault.
-const BAD: u32 = 4;
+const FAILING_ENGINES: u32 = 4;
 
 /// Returns the duration and the outcome of an attempt, from its start, its engine and a number that
 /// identifies it.
-type Engines<'a> = &'a dyn Fn(Micros, EngineId, u64) -> (Micros, Outcome);
+type EngineBehaviour<'a> = &'a dyn Fn(Micros, EngineId, u64) -> (Micros, Outcome);
 
-fn many() -> Settings {
+fn fleet_settings() -> Settings {
     let budget = RetryBudget {
         min_retries: 3.0,
         retry_ratio: 0.1,
@@ -34,20 +34,20 @@
 }
 
 /// Returns a pseudo-random number that is the same in each run.
-fn draw(n: u64) -> u64 {
+fn hash(n: u64) -> u64 {
     let z = (n ^ (n >> 31)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (z ^ (z >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9) >> 11
 }
 
 /// Totals of all gateways: ended attempts by second, engine and success, and numbers of queries.
 #[derive(Default)]
-struct Seen {
+struct Totals {
     ended: BTreeMap<(Micros, EngineId, bool), u32>,
-    refused: u32,
-    asked: u32,
+    rejected: u32,
+    arrived: u32,
 }
 
-impl Seen {
+impl Totals {
     fn count(
         &self,
         seconds: std::ops::Range<Micros>,
@@ -64,23 +64,23 @@
 }
 
 /// Simulates all gateways for a number of seconds. Each gets a query every 190 ms on average.
-fn play(seconds: Micros, engines: Engines) -> Seen {
-    let mut seen = Seen::default();
+fn simulate(seconds: Micros, engines: EngineBehaviour) -> Totals {
+    let mut totals = Totals::default();
     let mut due: BTreeSet<(Micros, usize, QueryId, u32, EngineId)> = BTreeSet::new();
     let mut gateways: Vec<Gateway> = (0..u64::from(GATEWAYS))
-        .map(|g| Gateway::new(many(), draw(g + 1)))
+        .map(|g| Gateway::new(fleet_settings(), hash(g + 1)))
         .collect();
-    let mut tries: BTreeMap<(usize, QueryId), u32> = BTreeMap::new();
+    let mut attempts: BTreeMap<(usize, QueryId), u32> = BTreeMap::new();
     let list: Vec<_> = (0..ENGINES).map(engine).collect();
     for (g, gateway) in gateways.iter_mut().enumerate() {
-        let news = Event::EngineList {
+        let snapshot = Event::EngineList {
             scope: violetgate_policy::interface::ListScope::Snapshot,
             engines: list.clone(),
         };
-        gateway.handle(S, &[news], &mut Vec::new());
+        gateway.handle(S, &[snapshot], &mut Vec::new());
         // An entry whose query id and attempt number are 0 is an arrival. One with an id but
         // without an attempt number is a timer.
-        due.insert((S + draw(g as u64) % (190 * MS), g, 0, 0, 0));
+        due.insert((S + hash(g as u64) % (190 * MS), g, 0, 0, 0));
     }
     let mut next = 0;
     while let Some((now, g, id, number, engine)) =
@@ -90,7 +90,7 @@
         if id > 0 && number > 0 {
             let (elapsed, outcome) = engines(now, engine, id * 7 + u64::from(number));
             let ok = outcome == Outcome::Completed;
-            *seen.ended.entry((now / S - 1, engine, ok)).or_default() += 1;
+            *totals.ended.entry((now / S - 1, engine, ok)).or_default() += 1;
             events.push(Event::AttemptEnded(AttemptEnded {
                 query: id,
                 attempt: number - 1,
@@ -103,9 +103,9 @@
             }));
         } else if id == 0 && number == 0 {
             next += 1;
-            seen.asked += 1;
+            totals.arrived += 1;
             events.push(Event::QueryArrived(query(next, 150 * MS)));
-            due.insert((now + 140 * MS + draw(next) % (100 * MS), g, 0, 0, 0));
+            due.insert((now + 140 * MS + hash(next) % (100 * MS), g, 0, 0, 0));
         } else {
             events.push(Event::TimerFired);
         }
@@ -114,25 +114,25 @@
         for action in actions {
             match action {
                 Action::Send { query, engine, .. } => {
-                    let number = tries.entry((g, query)).or_default();
+                    let number = attempts.entry((g, query)).or_default();
                     *number += 1;
-                    let (takes, _) = engines(now, engine, query * 7 + u64::from(*number));
-                    due.insert((now + takes, g, query, *number, engine));
+                    let (duration, _) = engines(now, engine, query * 7 + u64::from(*number));
+                    due.insert((now + duration, g, query, *number, engine));
                 }
-                Action::Reject { .. } => seen.refused += 1,
+                Action::Reject { .. } => totals.rejected += 1,
                 Action::SetTimer { at } => drop(due.insert((at, g, QueryId::MAX, 0, 0))),
                 _ => {}
             }
         }
     }
-    seen
+    totals
 }
 
 /// From 2 s to 12 s after the start, four of the thirty engines fail six in ten queries after
 /// 20 ms. All other attempts complete in 150 ms.
-fn some_err(now: Micros, engine: EngineId, n: u64) -> (Micros, Outcome) {
-    let bad = engine < BAD && (3 * S..13 * S).contains(&now) && draw(n) % 10 < 6;
-    if bad {
+fn four_engines_fail(now: Micros, engine: EngineId, n: u64) -> (Micros, Outcome) {
+    let failing = engine < FAILING_ENGINES && (3 * S..13 * S).contains(&now) && hash(n) % 10 < 6;
+    if failing {
         (20 * MS, Outcome::Error)
     } else {
         (150 * MS, Outcome::Completed)
@@ -140,25 +140,25 @@
 }
 
 #[test]
-fn many_gateways_together_send_few_trials_to_engines_that_err() {
-    let seen = play(16, &some_err);
-    let bad = |e| e < BAD;
-    let later = seen.count(5..12, bad, false);
+fn many_gateways_together_send_few_trials_to_failing_engines() {
+    let totals = simulate(16, &four_engines_fail);
+    let failing = |e| e < FAILING_ENGINES;
+    let later = totals.count(5..12, failing, false);
     // 251 errors before the change that this test came with, 106 after it. Each gateway sends about
     // one trial to these engines in the 7 s.
     assert!(later <= 3 * GATEWAYS / 2, "{later} errors in 7 s");
     assert!(
-        seen.refused * 1000 <= seen.asked,
+        totals.rejected * 1000 <= totals.arrived,
         "{} of {} refused",
-        seen.refused,
-        seen.asked
+        totals.rejected,
+        totals.arrived
     );
 }
 
 #[test]
 fn engines_that_recover_are_used_again_by_most_gateways() {
-    let seen = play(40, &some_err);
-    let usual = seen.count(0..2, |e| e < BAD, true);
-    let after = seen.count(36..38, |e| e < BAD, true);
+    let totals = simulate(40, &four_engines_fail);
+    let usual = totals.count(0..2, |e| e < FAILING_ENGINES, true);
+    let after = totals.count(36..38, |e| e < FAILING_ENGINES, true);
     assert!(2 * after >= usual, "{after} of {usual} in 2 s, 24 s after");
 }
--- a/policy/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -6,7 +6,7 @@
 use violetgate_policy::interface::{Engine, Outcome, Settings};
 use violetgate_policy::Event;
 
-fn of(gateways: u32) -> Settings {
+fn with_gateways(gateways: u32) -> Settings {
     Settings {
         gateways: Some(gateways),
         ..settings(vec![class(10 * S)], 8.0)
@@ -14,7 +14,7 @@
 }
 
 /// Sends queries with increasing ids from `first` until one is not sent, and returns how many were.
-fn room(gateway: &mut TestGateway, first: u64) -> u64 {
+fn count_sent(gateway: &mut TestGateway, first: u64) -> u64 {
     (first..first + 100)
         .take_while(|id| sent_to(&gateway.arrive(query(*id, S)), *id).is_some())
         .count() as u64
@@ -24,25 +24,25 @@
 /// use is below its new share.
 #[test]
 fn thread_limits_follow_the_number_of_gateways() {
-    let mut gateway = TestGateway::new(of(4), vec![engine(0), engine(1)]);
-    let part = room(&mut gateway, 1);
+    let mut gateway = TestGateway::new(with_gateways(4), vec![engine(0), engine(1)]);
+    let share = count_sent(&mut gateway, 1);
     assert_eq!(
-        part, 8,
+        share, 8,
         "2 engines of 8 cores, 2 threads a core, a quarter of them"
     );
     gateway.handle(Event::FleetSize { gateways: 2 });
     assert_eq!(
-        room(&mut gateway, 1_000),
+        count_sent(&mut gateway, 1_000),
         7,
         "twice as much, less the one that waits already"
     );
     gateway.handle(Event::FleetSize { gateways: 8 });
     gateway.handle(Event::ClientDisconnected { query: 1 });
     assert_eq!(sent_to(&gateway.arrive(query(5_000, S)), 5_000), None);
-    let mut fresh = TestGateway::new(of(4), vec![engine(0), engine(1)]);
+    let mut fresh = TestGateway::new(with_gateways(4), vec![engine(0), engine(1)]);
     fresh.handle(Event::FleetSize { gateways: 0 });
     assert_eq!(
-        room(&mut fresh, 1),
+        count_sent(&mut fresh, 1),
         32,
         "none at all counts as this one alone"
     );
@@ -53,20 +53,21 @@
 /// the limit of the settings.
 #[test]
 fn a_warming_engine_is_not_overloaded_while_the_number_of_gateways_changes() {
-    let cold = |told| Settings {
+    let slow_start_settings = |known_gateways| Settings {
         slow_start_window: Some(15 * S),
         slow_start_initial_fraction: Some(0.3),
         collapse_load_multiple: Some(2.5),
         collapse_window: Some(S),
-        ..of(told)
+        ..with_gateways(known_gateways)
     };
     for (first, second) in [(2, 2), (4, 2), (2, 3)] {
         let fresh = Engine {
             started: Some(S),
             ..engine(0)
         };
-        let mut both = [7, 8].map(|seed| TestGateway::seeded(cold(first), vec![fresh], seed));
-        let mut out: Vec<(u64, u64)> = Vec::new();
+        let mut both =
+            [7, 8].map(|seed| TestGateway::seeded(slow_start_settings(first), vec![fresh], seed));
+        let mut sends: Vec<(u64, u64)> = Vec::new();
         let mut running: Vec<(u64, usize, u64)> = Vec::new();
         let mut id = 0;
         for step in 0..400u64 {
@@ -78,19 +79,19 @@
                 }
                 id += 1;
                 if sent_to(&gateway.arrive(query(id, 200 * MS)), id).is_some() {
-                    out.push((now, 200 * MS));
+                    sends.push((now, 200 * MS));
                     running.push((now, g, id));
                 } else {
                     gateway.handle(Event::ClientDisconnected { query: id });
                 }
                 for (_, _, id) in running
                     .iter()
-                    .filter(|(at, of, _)| *of == g && at + 300 * MS == now)
+                    .filter(|(at, owner, _)| *owner == g && at + 300 * MS == now)
                 {
                     gateway.end_attempt_after(*id, 0, 0, Outcome::Completed, 300 * MS);
                 }
             }
-            let span: u64 = out
+            let span: u64 = sends
                 .iter()
                 .filter(|(at, _)| at + S > now)
                 .map(|(_, w)| w)
@@ -102,6 +103,6 @@
                 "{first}, {second}: {span} of {bears} at step {step}"
             );
         }
-        assert!(out.len() > 10, "it gets something: {}", out.len());
+        assert!(sends.len() > 10, "it gets something: {}", sends.len());
     }
 }
--- a/policy/tests/hard_rules.rs
+++ b/policy/tests/hard_rules.rs
@@ -104,13 +104,16 @@
 #[test]
 fn a_deduplicated_query_is_retried_within_its_group_and_window() {
     let zoned = |id, zone| Engine { zone, ..engine(id) };
-    let c = Class {
+    let restricted_class = Class {
         dedup_group: DedupGroup::Zone,
         dedup_window: Some(5 * S),
         ..with_idempotency(Idempotency::Deduplicated)
     };
     for (other_zone, wait, expect) in [(0, S, true), (1, S, false), (0, 6 * S, false)] {
-        let mut gateway = TestGateway::new(settings(vec![c.clone()], 8.0), vec![zoned(0, 0)]);
+        let mut gateway = TestGateway::new(
+            settings(vec![restricted_class.clone()], 8.0),
+            vec![zoned(0, 0)],
+        );
         assert_eq!(sent_to(&gateway.arrive(query(1, 100 * MS)), 1), Some(0));
         gateway.patch_list(draining(0));
         gateway.patch_list(zoned(1, other_zone));
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn two_attempts_are_never_out() {
+fn two_attempts_of_a_query_are_never_in_flight() {
     let mut gateway = TestGateway::new(
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn a_warming_engine_gets_no_more_than_its_part_in_any_window() {
+fn a_warming_engine_gets_no_more_than_its_share_in_any_window() {
     let mut config = settings(vec![class(10 * S)], 8.0);
     (
         config.gateways,
@@ -195,7 +198,7 @@
 }
 
 #[test]
-fn queries_of_one_key_run_one_at_a_time_in_order_and_are_held() {
+fn queries_of_one_key_run_in_order_and_wait_while_the_key_is_held() {
     let mut config = settings(
         vec![Class {
             ordered_by_key: true,
@@ -205,38 +208,38 @@
     );
     config.key_release_delay = Some(2 * S);
     let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
-    let keyed = |id, key| NewQuery {
+    let with_key = |id, key| NewQuery {
         ordering_key: Some(key),
         ..query(id, 100 * MS)
     };
-    let target = sent_to(&gateway.arrive(keyed(1, 5)), 1).expect("first in turn");
-    assert_eq!(sent_to(&gateway.arrive(keyed(2, 5)), 2), None);
+    let target = sent_to(&gateway.arrive(with_key(1, 5)), 1).expect("first in turn");
+    assert_eq!(sent_to(&gateway.arrive(with_key(2, 5)), 2), None);
     assert!(
-        sent_to(&gateway.arrive(keyed(3, 6)), 3).is_some(),
+        sent_to(&gateway.arrive(with_key(3, 6)), 3).is_some(),
         "another key is free"
     );
     assert!(sent_to(&gateway.end_attempt(1, 0, target, Outcome::Completed), 2).is_some());
     // The second query of the key is cancelled after its client disconnects. The key is held
     // before the third one is sent.
-    gateway.arrive(keyed(4, 5));
+    gateway.arrive(with_key(4, 5));
     gateway.now += S;
     gateway.handle(Event::ClientDisconnected { query: 2 });
     let actions = gateway.end_attempt(2, 0, 0, Outcome::Cancelled);
     let actions = [actions, gateway.end_attempt(2, 0, 1, Outcome::Cancelled)].concat();
     assert_eq!(sent_to(&actions, 4), None);
-    let rested = gateway.now + 2 * S;
-    assert_eq!(sent_to(&gateway.advance_to(rested - MS), 4), None);
-    assert!(sent_to(&gateway.advance_to(rested + 60 * MS), 4).is_some());
+    let hold_end = gateway.now + 2 * S;
+    assert_eq!(sent_to(&gateway.advance_to(hold_end - MS), 4), None);
+    assert!(sent_to(&gateway.advance_to(hold_end + 60 * MS), 4).is_some());
 }
 
 #[test]
-fn a_bound_class_stays_within_its_zones_even_when_they_are_down() {
-    let c = Class {
+fn a_class_stays_within_its_allowed_zones_even_when_they_are_down() {
+    let restricted_class = Class {
         allowed_zones: Some(vec![1]),
         ..class(10 * S)
     };
     let mut gateway = TestGateway::new(
-        settings(vec![c], 8.0),
+        settings(vec![restricted_class], 8.0),
         vec![
             engine(0),
             Engine {
@@ -272,17 +275,17 @@
         window: 5 * S,
     });
     let mut gateway = TestGateway::new(config, (0..40).map(engine).collect());
-    let mut at = Vec::new();
+    let mut targets = Vec::new();
     for id in 1..=10 {
-        at.push(sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"));
+        targets.push(sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"));
     }
-    let mut resent = 0;
-    for (i, target) in at.iter().enumerate() {
+    let mut retries = 0;
+    for (i, target) in targets.iter().enumerate() {
         let actions = gateway.end_attempt(i as u64 + 1, 0, *target, Outcome::Overloaded);
-        resent += actions
+        retries += actions
             .iter()
             .filter(|a| matches!(a, Action::Send { .. }))
             .count();
     }
-    assert_eq!(resent, 2, "one free and a tenth of ten");
+    assert_eq!(retries, 2, "one free and a tenth of ten");
 }
--- a/policy/tests/home_engines.rs
+++ b/policy/tests/home_engines.rs
@@ -14,41 +14,41 @@
 
 const GATEWAYS: u32 = 300;
 
-fn many() -> Settings {
+fn fleet_settings() -> Settings {
     Settings {
         gateways: Some(GATEWAYS),
         ..settings(vec![class(10 * S)], 8.0)
     }
 }
 
-fn all() -> Vec<Engine> {
+fn all_engines() -> Vec<Engine> {
     (0..ENGINES).map(engine).collect()
 }
 
 /// Sends `count` queries one after the other and returns their engines.
-fn one_by_one(gateway: &mut TestGateway, from: u64, count: u64) -> Vec<EngineId> {
-    let mut at = Vec::new();
+fn send_sequentially(gateway: &mut TestGateway, from: u64, count: u64) -> Vec<EngineId> {
+    let mut targets = Vec::new();
     for id in from..from + count {
         let Some(target) = sent_to(&gateway.arrive(query(id, 100 * MS)), id) else {
             continue;
         };
-        at.push(target);
+        targets.push(target);
         gateway.now += 100 * MS;
         gateway.end_attempt(id, 0, target, Outcome::Completed);
     }
-    at
+    targets
 }
 
 #[test]
-fn a_gateway_with_thin_parts_uses_few_engines() {
+fn a_gateway_with_small_shares_uses_few_engines() {
     for seed in 0..20 {
-        let mut gateway = TestGateway::seeded(many(), all(), seed);
-        let at = one_by_one(&mut gateway, 1, 150);
-        let met: BTreeSet<_> = at.iter().collect();
+        let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), seed);
+        let targets = send_sequentially(&mut gateway, 1, 150);
+        let used: BTreeSet<_> = targets.iter().collect();
         assert!(
-            at.len() == 150 && (3..=20).contains(&met.len()),
+            targets.len() == 150 && (3..=20).contains(&used.len()),
             "seed {seed}: {} engines",
-            met.len()
+            used.len()
         );
     }
 }
@@ -57,8 +57,8 @@
 fn the_homes_of_all_gateways_spread_evenly() {
     let mut load: BTreeMap<EngineId, u32> = (0..ENGINES).map(|target| (target, 0)).collect();
     for gateway in 0..u64::from(GATEWAYS) {
-        let mut gateway = TestGateway::seeded(many(), all(), gateway * 7919 + 3);
-        for target in one_by_one(&mut gateway, 1, 40) {
+        let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), gateway * 7919 + 3);
+        for target in send_sequentially(&mut gateway, 1, 40) {
             *load.entry(target).or_default() += 1;
         }
     }
@@ -73,8 +73,10 @@
 
 #[test]
 fn other_engines_serve_while_homes_are_busy_or_gone() {
-    let mut gateway = TestGateway::seeded(many(), all(), 11);
-    let homes: BTreeSet<_> = one_by_one(&mut gateway, 1, 150).into_iter().collect();
+    let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), 11);
+    let homes: BTreeSet<_> = send_sequentially(&mut gateway, 1, 150)
+        .into_iter()
+        .collect();
     // All homes are removed at once. The next queries go to other engines.
     for target in &homes {
         gateway.patch_list(Engine {
@@ -82,35 +84,39 @@
             ..engine(*target)
         });
     }
-    let after = one_by_one(&mut gateway, 1_000, 60);
+    let after = send_sequentially(&mut gateway, 1_000, 60);
     assert!(after.len() == 60 && after.iter().all(|target| !homes.contains(target)));
     // More concurrent queries than the gateway has homes.
     let mut gateway = TestGateway::seeded(
         Settings {
             gateways: Some(20),
-            ..many()
+            ..fleet_settings()
         },
-        all(),
+        all_engines(),
         11,
     );
     let out: Vec<_> = (1..=40)
         .filter_map(|id| sent_to(&gateway.arrive(query(id, S)), id))
         .collect();
-    let met: BTreeSet<_> = out.iter().collect();
+    let used: BTreeSet<_> = out.iter().collect();
     assert!(
-        out.len() >= 30 && met.len() >= 30,
+        out.len() >= 30 && used.len() >= 30,
         "{} sent to {} engines",
         out.len(),
-        met.len()
+        used.len()
     );
 }
 
 #[test]
 fn engines_that_come_and_go_move_few_homes() {
-    let mut gateway = TestGateway::seeded(many(), all(), 5);
-    let before: BTreeSet<_> = one_by_one(&mut gateway, 1, 150).into_iter().collect();
+    let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), 5);
+    let before: BTreeSet<_> = send_sequentially(&mut gateway, 1, 150)
+        .into_iter()
+        .collect();
     (ENGINES..ENGINES + 4).for_each(|target| drop(gateway.patch_list(engine(target))));
-    let after: BTreeSet<_> = one_by_one(&mut gateway, 1_000, 150).into_iter().collect();
+    let after: BTreeSet<_> = send_sequentially(&mut gateway, 1_000, 150)
+        .into_iter()
+        .collect();
     let stayed = before.intersection(&after).count();
     assert!(
         stayed + 2 >= before.len().min(after.len()),
--- a/policy/tests/load_reports.rs
+++ b/policy/tests/load_reports.rs
@@ -22,17 +22,17 @@
     };
     config.progress_period = None;
     let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-    let mut out = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let (mut id, mut held) = (0, 0.0);
     for step in 0..600 {
         gateway.now = S + step * 100 * MS;
         id += 1;
         let mut actions = gateway.arrive(query(id, 8 * S));
-        if out
+        if in_flight
             .front()
             .is_some_and(|(_, _, at)| gateway.now >= at + 2 * S)
         {
-            let (query, engine, _) = out.pop_front().expect("one is out");
+            let (query, engine, _) = in_flight.pop_front().expect("one is out");
             let mut more = Vec::new();
             let end = AttemptEnded {
                 query,
@@ -56,11 +56,11 @@
                 .handle(gateway.now, &[Event::AttemptEnded(end)], &mut more);
             actions.extend(more);
         }
-        out.extend(actions.iter().filter_map(|a| match a {
+        in_flight.extend(actions.iter().filter_map(|a| match a {
             Action::Send { query, engine, .. } => Some((*query, *engine, gateway.now)),
             _ => None,
         }));
-        held += 4.0 * out.len() as f64 / 600.0;
+        held += 4.0 * in_flight.len() as f64 / 600.0;
     }
     held
 }
@@ -68,7 +68,7 @@
 /// One query of each class may be sent even if it exceeds the gateway's share. Guards against doing
 /// so all the time while engines report that they are busy.
 #[test]
-fn threads_stay_within_the_part_on_average_while_disks_are_busy() {
+fn threads_stay_within_the_fair_share_on_average_while_disks_are_busy() {
     // 2 x 8 cores x 20 engines / 160 gateways: this gateway's fair share is two threads.
     let (jammed, idle) = (mean_threads(0.95), mean_threads(0.3));
     assert!(
@@ -89,7 +89,7 @@
         };
         (config.gateways, config.progress_period) = (Some(160), None);
         let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-        let probed = |u| Event::HealthChecked {
+        let health_check = |u| Event::HealthChecked {
             engine: 0,
             passed: true,
             load: LoadReport {
@@ -97,23 +97,23 @@
                 ..LoadReport::default()
             },
         };
-        gateway.handle(probed(first));
-        let (mut id, mut out) = (0, VecDeque::new());
+        gateway.handle(health_check(first));
+        let (mut id, mut in_flight) = (0, VecDeque::new());
         for _ in 0..200 {
-            gateway.handle(probed(0.2));
+            gateway.handle(health_check(0.2));
             loop {
                 id += 1;
                 let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, target));
+                in_flight.push_back((id, target));
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = out.pop_front().expect("one is out");
+            let (query, engine) = in_flight.pop_front().expect("one is out");
             gateway.end_attempt_after(query, 0, engine, Outcome::Completed, S);
         }
-        out.len()
+        in_flight.len()
     };
     for first in [1e12, f64::NAN, -1.0] {
         assert!(grown(first) > 8, "{} after {first}", grown(first));
@@ -130,18 +130,18 @@
         };
         config.progress_period = None;
         let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-        let (mut id, mut out) = (0, VecDeque::new());
+        let (mut id, mut in_flight) = (0, VecDeque::new());
         for _ in 0..200 {
             loop {
                 id += 1;
                 let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, target));
+                in_flight.push_back((id, target));
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = out.pop_front().expect("one is out");
+            let (query, engine) = in_flight.pop_front().expect("one is out");
             // Spilling slows the query to 0.6 of its unloaded speed.
             let end = AttemptEnded {
                 query,
@@ -161,7 +161,7 @@
             };
             gateway.handle(Event::AttemptEnded(end));
         }
-        out.len()
+        in_flight.len()
     };
     let (idle, busy) = (held(0.3), held(0.9));
     assert!(
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -22,7 +22,7 @@
     }
 }
 
-fn fleet(classes: Vec<Class>) -> Settings {
+fn fleet_settings(classes: Vec<Class>) -> Settings {
     let budget = RetryBudget {
         min_retries: 3.0,
         retry_ratio: 0.1,
@@ -36,52 +36,57 @@
     }
 }
 
-fn bench(classes: Vec<Class>, seed: u64) -> TestGateway {
-    TestGateway::seeded(fleet(classes), (0..ENGINES).map(in_zone).collect(), seed)
+fn gateway_with_all_engines(classes: Vec<Class>, seed: u64) -> TestGateway {
+    TestGateway::seeded(
+        fleet_settings(classes),
+        (0..ENGINES).map(in_zone).collect(),
+        seed,
+    )
 }
 
-/// Sends `count` queries one after the other, each answered after `gap`, and returns their engines.
-fn one_by_one(
+/// Sends `count` queries one after the other, each answered after `interval`, and returns their
+/// engines.
+fn send_sequentially(
     gateway: &mut TestGateway,
     from: u64,
     count: u64,
-    gap: u64,
-    of: impl Fn(u64) -> NewQuery,
+    interval: u64,
+    make_query: impl Fn(u64) -> NewQuery,
 ) -> Vec<EngineId> {
-    let mut at = Vec::new();
+    let mut targets = Vec::new();
     for id in from..from + count {
-        let Some(target) = sent_to(&gateway.arrive(of(id)), id) else {
+        let Some(target) = sent_to(&gateway.arrive(make_query(id)), id) else {
             continue;
         };
-        at.push(target);
-        gateway.now += gap;
+        targets.push(target);
+        gateway.now += interval;
         gateway.end_attempt(id, 0, target, Outcome::Completed);
     }
-    at
+    targets
 }
 
 #[test]
 fn a_gateway_with_few_queries_uses_few_of_thousands_of_engines() {
-    let mut gateway = bench(vec![class(10 * S)], 1);
-    let at = one_by_one(&mut gateway, 1, 300, 100 * MS, |id| query(id, 50 * MS));
-    let met: BTreeSet<_> = at.iter().collect();
+    let mut gateway = gateway_with_all_engines(vec![class(10 * S)], 1);
+    let targets = send_sequentially(&mut gateway, 1, 300, 100 * MS, |id| query(id, 50 * MS));
+    let used: BTreeSet<_> = targets.iter().collect();
     assert!(
-        at.len() == 300 && met.len() <= 30,
+        targets.len() == 300 && used.len() <= 30,
         "{} engines met in {} queries",
-        met.len(),
-        at.len()
+        used.len(),
+        targets.len()
     );
     assert!(
-        at.iter().all(|target| target % ZONES == 3),
+        targets.iter().all(|target| target % ZONES == 3),
         "all in its own zone"
     );
 }
 
 #[test]
 fn engines_of_other_zones_serve_when_a_zone_is_lost() {
-    let mut gateway = bench(vec![class(10 * S)], 2);
-    let lost = (0..ENGINES).filter(|target| target % ZONES == 3);
-    let engines = lost
+    let mut gateway = gateway_with_all_engines(vec![class(10 * S)], 2);
+    let removed = (0..ENGINES).filter(|target| target % ZONES == 3);
+    let engines = removed
         .map(|target| Engine {
             state: EngineState::Removed,
             ..in_zone(target)
@@ -91,63 +96,63 @@
         scope: ListScope::Patch,
         engines,
     });
-    let at = one_by_one(&mut gateway, 1, 100, 10 * MS, |id| query(id, 10 * MS));
-    assert!(at.len() == 100 && at.iter().all(|target| target % ZONES != 3));
+    let targets = send_sequentially(&mut gateway, 1, 100, 10 * MS, |id| query(id, 10 * MS));
+    assert!(targets.len() == 100 && targets.iter().all(|target| target % ZONES != 3));
 }
 
 #[test]
 fn a_snapshot_of_other_engines_is_used_at_once() {
-    let mut gateway = bench(vec![class(10 * S)], 3);
-    one_by_one(&mut gateway, 1, 50, 10 * MS, |id| query(id, 10 * MS));
+    let mut gateway = gateway_with_all_engines(vec![class(10 * S)], 3);
+    send_sequentially(&mut gateway, 1, 50, 10 * MS, |id| query(id, 10 * MS));
     let engines = (ENGINES..2 * ENGINES).map(in_zone).collect();
     gateway.handle(Event::EngineList {
         scope: ListScope::Snapshot,
         engines,
     });
-    let at = one_by_one(&mut gateway, 100, 50, 10 * MS, |id| query(id, 10 * MS));
-    assert!(at.len() == 50 && at.iter().all(|target| *target >= ENGINES));
+    let targets = send_sequentially(&mut gateway, 100, 50, 10 * MS, |id| query(id, 10 * MS));
+    assert!(targets.len() == 50 && targets.iter().all(|target| *target >= ENGINES));
 }
 
 #[test]
 fn usable_engines_are_found_among_hundreds_of_cordoned_ones() {
-    let mut gateway = bench(vec![class(10 * S)], 4);
-    let spared = |target: &EngineId| *target == 1_234;
-    for target in (0..ENGINES).filter(|target| !spared(target)) {
+    let mut gateway = gateway_with_all_engines(vec![class(10 * S)], 4);
+    let is_usable = |target: &EngineId| *target == 1_234;
+    for target in (0..ENGINES).filter(|target| !is_usable(target)) {
         gateway.handle(Event::Cordon {
             engine: target,
             cordoned: true,
         });
     }
     gateway.now += S;
-    let at = one_by_one(&mut gateway, 1, 20, 100 * MS, |id| query(id, 10 * MS));
+    let targets = send_sequentially(&mut gateway, 1, 20, 100 * MS, |id| query(id, 10 * MS));
     assert!(
-        at.len() == 20 && at.iter().all(spared),
+        targets.len() == 20 && targets.iter().all(is_usable),
         "{} of 20 sent",
-        at.len()
+        targets.len()
     );
 }
 
 #[test]
 fn a_class_bound_to_a_far_zone_finds_its_engines() {
-    let bound = Class {
+    let zone_bound = Class {
         allowed_zones: Some(vec![7]),
         ..class(10 * S)
     };
-    let mut gateway = bench(vec![class(10 * S), bound], 5);
-    let at = one_by_one(&mut gateway, 1, 50, 100 * MS, |id| NewQuery {
+    let mut gateway = gateway_with_all_engines(vec![class(10 * S), zone_bound], 5);
+    let targets = send_sequentially(&mut gateway, 1, 50, 100 * MS, |id| NewQuery {
         class: 1,
         ..query(id, 10 * MS)
     });
     assert!(
-        at.len() == 50 && at.iter().all(|target| target % ZONES == 7),
+        targets.len() == 50 && targets.iter().all(|target| target % ZONES == 7),
         "{} of 50 sent",
-        at.len()
+        targets.len()
     );
 }
 
 /// Sends queries from each gateway to its homes among 1,200 engines. Returns the connections as
 /// pairs of gateway and engine, and the maximum and the mean number of queries to an engine.
-fn spread(gateways: impl Iterator<Item = u64>) -> (BTreeSet<(u64, EngineId)>, f64, f64) {
+fn measure_spread(gateways: impl Iterator<Item = u64>) -> (BTreeSet<(u64, EngineId)>, f64, f64) {
     let mut load: BTreeMap<EngineId, u32> = (0..1_200).map(|target| (target, 0)).collect();
     let mut connections = BTreeSet::new();
     for number in gateways {
@@ -161,13 +166,13 @@
             gateways: Some(760),
             zone: None,
             retry_budget,
-            ..fleet(vec![class(10 * S)])
+            ..fleet_settings(vec![class(10 * S)])
         };
         let mut gateway =
             TestGateway::seeded(config, (0..1_200).map(engine).collect(), number * 7919 + 3);
         // The first 500 queries let the number of homes grow to what the rate needs.
-        one_by_one(&mut gateway, 1, 500, MS / 2, |id| query(id, MS));
-        for target in one_by_one(&mut gateway, 2_000, 500, MS / 2, |id| query(id, MS)) {
+        send_sequentially(&mut gateway, 1, 500, MS / 2, |id| query(id, MS));
+        for target in send_sequentially(&mut gateway, 2_000, 500, MS / 2, |id| query(id, MS)) {
             *load.entry(target).or_default() += 1;
             connections.insert((number, target));
         }
@@ -184,12 +189,12 @@
 /// gateways is replaced, only their connections move.
 #[test]
 fn homes_spread_evenly_over_many_engines() {
-    let (before, most, mean) = spread(0..760);
+    let (before, most, mean) = measure_spread(0..760);
     assert!(
         most < 1.5 * mean,
         "{most} at the busiest, {mean} on average"
     );
-    let (after, most, mean) = spread(76..836);
+    let (after, most, mean) = measure_spread(76..836);
     assert!(
         most < 1.5 * mean,
         "{most} at the busiest, {mean} on average, after a tenth was replaced"
--- a/policy/tests/memory_grant.rs
+++ b/policy/tests/memory_grant.rs
@@ -15,7 +15,7 @@
     })
 }
 
-fn granting() -> Settings {
+fn settings_with_grants() -> Settings {
     let mut config = Settings {
         memory_grants: true,
         ..settings(vec![class(10 * S)], 8.0)
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn grants_follow_needs_where_estimates_scatter() {
+fn grants_follow_reported_needs_when_estimates_scatter() {
     let mut config = settings(vec![class(10 * S)], 8.0);
     config.memory_grants = true;
     config.engine_kinds[0].memory_mb = Some(100_000.0);
@@ -68,8 +68,8 @@
 }
 
 #[test]
-fn grants_follow_spills_where_needs_are_not_reported() {
-    let mut gateway = TestGateway::new(granting(), vec![engine(0), engine(1)]);
+fn grants_follow_spills_when_needs_are_not_reported() {
+    let mut gateway = TestGateway::new(settings_with_grants(), vec![engine(0), engine(1)]);
     let request = |gateway: &mut TestGateway, id, need: f64| {
         let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(100.0),
--- a/policy/tests/missing_settings.rs
+++ b/policy/tests/missing_settings.rs
@@ -9,7 +9,7 @@
 use violetgate_policy::{Event, Settings};
 
 /// A class whose late answers have no weight.
-fn worthless_when_late() -> Class {
+fn zero_late_weight() -> Class {
     Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -20,8 +20,8 @@
 /// Queries are sent while threads are free, each is answered, and the threads become free again.
 #[test]
 fn every_query_is_served_or_answered_whatever_setting_is_missing() {
-    type Lack = fn(&mut Settings);
-    let lacks: [(&str, Lack); 8] = [
+    type Omission = fn(&mut Settings);
+    let omissions: [(&str, Omission); 8] = [
         ("gateways", |config| config.gateways = None),
         ("notes", |config| config.progress_period = None),
         ("cancel", |config| config.can_cancel = false),
@@ -36,10 +36,10 @@
         }),
         ("classes", |config| config.classes.clear()),
     ];
-    for (lack, take) in lacks {
+    for (lack, omit) in omissions {
         for estimates in [true, false] {
-            let mut config = settings(vec![worthless_when_late()], 1.0);
-            take(&mut config);
+            let mut config = settings(vec![zero_late_weight()], 1.0);
+            omit(&mut config);
             let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
             let request = |id| NewQuery {
                 estimated_work: estimates.then_some(500 * MS),
--- a/policy/tests/outlier_detection.rs
+++ b/policy/tests/outlier_detection.rs
@@ -10,7 +10,7 @@
 
 /// A deployment without progress reports. Its only class is for queries of 2 s of work on two
 /// threads, with a latency objective of 1.5 s plus 2.5 times the run.
-fn without_notes() -> Settings {
+fn without_progress_reports() -> Settings {
     let report = Class {
         latency_objective: Some(1_500 * MS),
         objective_stretch: Some(2.5),
@@ -38,7 +38,7 @@
     let mut config = settings(vec![class(10 * S)], 8.0);
     config.max_attempts = Some(1);
     let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
-    let lined = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    let waiting_engine = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
     gateway.report_progress(1, 0, Progress::WaitingForMemory);
     for step in 1..=30 {
         let actions = gateway.advance_to(S + step * 100 * MS);
@@ -49,7 +49,7 @@
     }
     let used = (2..20).filter_map(|id| sent_to(&gateway.arrive(query(id, 10 * MS)), id));
     assert!(
-        used.filter(|target| *target == lined).count() > 1,
+        used.filter(|target| *target == waiting_engine).count() > 1,
         "the line is over and the engine still trusted"
     );
 }
@@ -58,7 +58,7 @@
 /// A single failing engine stays ejected.
 #[test]
 fn ejection_is_ignored_while_most_engines_are_ejected() {
-    let reset = |bad: u32| {
+    let engines_used_with = |failing_engines: u32| {
         let mut gateway = TestGateway::new(
             settings(vec![class(10 * S)], 8.0),
             (0..6).map(engine).collect(),
@@ -67,7 +67,7 @@
             let target =
                 sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("somebody serves");
             gateway.now += 10 * MS;
-            let outcome = if target < bad {
+            let outcome = if target < failing_engines {
                 Outcome::ConnectionLost
             } else {
                 Outcome::Completed
@@ -78,9 +78,12 @@
         let used = (100..160).filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id));
         used.collect::<BTreeSet<_>>()
     };
-    assert!(!reset(1).contains(&0), "a single bad engine rests");
     assert!(
-        reset(5).len() >= 4,
+        !engines_used_with(1).contains(&0),
+        "a single bad engine rests"
+    );
+    assert!(
+        engines_used_with(5).len() >= 4,
         "with most of them bad the cause is shared"
     );
 }
@@ -103,10 +106,10 @@
         );
         gateway.now += 10 * MS;
     }
-    let places: BTreeSet<_> = (101..=103)
+    let engines_used: BTreeSet<_> = (101..=103)
         .filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id))
         .collect();
-    assert_eq!(places.len(), 3, "all engines are still in use");
+    assert_eq!(engines_used.len(), 3, "all engines are still in use");
 }
 
 #[test]
@@ -141,14 +144,14 @@
     let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
     let (mut lost, mut others) = (0, 0);
     for id in 1..=200 {
-        let slot = u32::from(id % 2 == 0);
+        let class_index = u32::from(id % 2 == 0);
         let actions = gateway.arrive(NewQuery {
-            class: slot,
+            class: class_index,
             ..query(id, 100 * MS)
         });
         let engine = sent_to(&actions, id).expect("there is room");
         gateway.now += 50 * MS;
-        if slot == 0 && engine < 2 {
+        if class_index == 0 && engine < 2 {
             lost += 1;
             gateway.now += 50 * MS;
             // Meanwhile the engine answers queries of the other class.
@@ -178,7 +181,7 @@
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.end_attempt(id, 1, next.expect("it was sent"), Outcome::Cancelled);
         } else {
-            others += u32::from(slot == 1 && engine < 2);
+            others += u32::from(class_index == 1 && engine < 2);
             gateway.end_attempt(id, 0, engine, Outcome::Completed);
         }
     }
@@ -246,7 +249,7 @@
 /// class.
 #[test]
 fn silence_that_is_usual_for_a_class_ejects_no_engine() {
-    let mut gateway = TestGateway::new(without_notes(), (0..8).map(engine).collect());
+    let mut gateway = TestGateway::new(without_progress_reports(), (0..8).map(engine).collect());
     let mut id = 0;
     let mut request = |gateway: &mut TestGateway, answered: bool| {
         id += 1;
--- a/policy/tests/placement.rs
+++ b/policy/tests/placement.rs
@@ -6,7 +6,7 @@
 use violetgate_policy::interface::{Class, Engine, EngineKind, NewQuery, Outcome, Progress};
 use violetgate_policy::{Event, Settings};
 
-fn many(gateways: u32, classes: Vec<Class>) -> Settings {
+fn fleet_settings(gateways: u32, classes: Vec<Class>) -> Settings {
     Settings {
         gateways: Some(gateways),
         ..settings(classes, 8.0)
@@ -30,7 +30,7 @@
 /// behind them.
 #[test]
 fn short_queries_do_not_wait_for_long_ones_of_lower_priority() {
-    let held = |priorities| {
+    let is_queued = |priorities| {
         let long = Class {
             threads: Some(4.0),
             ..class(10 * S)
@@ -55,7 +55,7 @@
         assert!(sent_to(&gateway.arrive(query(102, 100 * MS)), 102).is_some());
         sent_to(&gateway.arrive(query(103, 100 * MS)), 103).is_none()
     };
-    assert!(held(false) && !held(true));
+    assert!(is_queued(false) && !is_queued(true));
 }
 
 /// A gateway with few queries uses an engine too rarely to judge it. The headroom that it last saw
@@ -63,7 +63,7 @@
 #[test]
 fn slow_engines_are_avoided_until_their_headroom_has_faded() {
     let mut gateway = TestGateway::new(
-        many(200, vec![class(10 * S)]),
+        fleet_settings(200, vec![class(10 * S)]),
         (0..10).map(engine).collect(),
     );
     let slow = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
@@ -71,7 +71,7 @@
     gateway.report_progress(1, 0, Progress::FractionDone(0.2));
     gateway.handle(Event::ClientDisconnected { query: 1 });
     gateway.end_attempt(1, 0, slow, Outcome::Cancelled);
-    let visits = |gateway: &mut TestGateway, ids: std::ops::Range<u64>| {
+    let sends_to_slow_engine = |gateway: &mut TestGateway, ids: std::ops::Range<u64>| {
         ids.filter(|id| {
             let target = sent_to(&gateway.arrive(query(*id, 10 * MS)), *id).expect("there is room");
             gateway.now += 10 * MS;
@@ -80,10 +80,10 @@
         })
         .count()
     };
-    assert_eq!(visits(&mut gateway, 2..102), 0);
+    assert_eq!(sends_to_slow_engine(&mut gateway, 2..102), 0);
     gateway.now += 10 * S;
     assert!(
-        visits(&mut gateway, 102..202) > 0,
+        sends_to_slow_engine(&mut gateway, 102..202) > 0,
         "what was seen has faded"
     );
 }
@@ -98,11 +98,11 @@
         let out: Vec<_> = (0..n)
             .filter_map(|_| {
                 id += 1;
-                let place = sent_to(&gateway.arrive(query(id, 100 * MS)), id);
-                if place.is_none() {
+                let chosen = sent_to(&gateway.arrive(query(id, 100 * MS)), id);
+                if chosen.is_none() {
                     gateway.handle(Event::ClientDisconnected { query: id });
                 }
-                Some((id, place?))
+                Some((id, chosen?))
             })
             .collect();
         gateway.now += 100 * MS;
@@ -126,7 +126,7 @@
 /// With limits below one thread, the larger kind always has the most free threads. Guards against
 /// sending all queries there.
 #[test]
-fn small_engines_get_their_part_from_many_gateways() {
+fn small_engines_get_their_share_from_many_gateways() {
     let mut config = Settings {
         gateways: Some(60),
         ..settings(vec![class(10 * S)], 8.0)
--- a/policy/tests/queueing.rs
+++ b/policy/tests/queueing.rs
@@ -85,14 +85,14 @@
 /// No event reports the end of the hold. Guards against a query that waits until the next event.
 #[test]
 fn a_query_whose_key_is_held_is_sent_when_the_hold_ends() {
-    let effect = Idempotency::Deduplicated;
-    let keyed = Class {
+    let deduplicated = Idempotency::Deduplicated;
+    let ordered = Class {
         ordered_by_key: true,
-        idempotency: effect,
+        idempotency: deduplicated,
         dedup_window: Some(12 * S),
         ..class(10 * S)
     };
-    let mut config = settings(vec![keyed], 8.0);
+    let mut config = settings(vec![ordered], 8.0);
     config.key_release_delay = Some(300 * MS);
     let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
     let load = |id| NewQuery {
--- a/policy/tests/retry_budget.rs
+++ b/policy/tests/retry_budget.rs
@@ -10,7 +10,7 @@
 
 /// A gateway with two threads whose budget allows one retry in 5 s. Query 1 has used it and waits
 /// to be sent a third time.
-fn spent_budget() -> TestGateway {
+fn gateway_with_spent_budget() -> TestGateway {
     let mut config = settings(vec![class(10 * S)], 1.0);
     config.retry_budget = Some(RetryBudget {
         min_retries: 1.0,
@@ -32,16 +32,16 @@
     gateway
 }
 
-fn asked(gateway: &mut TestGateway, id: QueryId) -> Vec<Action> {
+fn arrive_short_query(gateway: &mut TestGateway, id: QueryId) -> Vec<Action> {
     gateway.arrive(query(id, 100 * MS))
 }
 
 #[test]
 fn a_query_without_retry_budget_does_not_block_first_attempts() {
-    let mut gateway = spent_budget();
+    let mut gateway = gateway_with_spent_budget();
     for id in 2..=3 {
         assert_eq!(
-            sent_to(&asked(&mut gateway, id), id),
+            sent_to(&arrive_short_query(&mut gateway, id), id),
             Some(0),
             "query {id}: the engine is free"
         );
@@ -49,7 +49,7 @@
     // Both threads are in use. The next two queries wait, and each is sent when one before it
     // completes.
     for id in 4..=5 {
-        assert_eq!(sent_to(&asked(&mut gateway, id), id), None);
+        assert_eq!(sent_to(&arrive_short_query(&mut gateway, id), id), None);
         assert_eq!(
             sent_to(&gateway.end_attempt(id - 2, 0, 0, Outcome::Completed), id),
             Some(0),
@@ -60,10 +60,10 @@
 
 #[test]
 fn the_oldest_retry_comes_first_once_there_is_budget() {
-    let mut gateway = spent_budget();
-    asked(&mut gateway, 2);
-    asked(&mut gateway, 3);
-    assert_eq!(sent_to(&asked(&mut gateway, 4), 4), None);
+    let mut gateway = gateway_with_spent_budget();
+    arrive_short_query(&mut gateway, 2);
+    arrive_short_query(&mut gateway, 3);
+    assert_eq!(sent_to(&arrive_short_query(&mut gateway, 4), 4), None);
     gateway.now += 6 * S;
     let actions = gateway.end_attempt(2, 0, 0, Outcome::Completed);
     assert_eq!(
@@ -75,13 +75,13 @@
 
 /// The attempts in flight: the number of attempts of each query, and their engines, oldest first.
 #[derive(Default)]
-struct Out {
+struct InFlight {
     attempts: BTreeMap<QueryId, u32>,
     out: VecDeque<(QueryId, EngineId)>,
 }
 
-impl Out {
-    fn take(&mut self, actions: &[Action]) {
+impl InFlight {
+    fn record_sends(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::Send { query, engine, .. } = action {
                 *self.attempts.entry(*query).or_default() += 1;
@@ -90,12 +90,12 @@
         }
     }
 
-    fn end(&mut self, gateway: &mut TestGateway, outcome: Outcome) -> bool {
+    fn end_oldest(&mut self, gateway: &mut TestGateway, outcome: Outcome) -> bool {
         let Some((id, engine)) = self.out.pop_front() else {
             return false;
         };
         let actions = gateway.end_attempt_after(id, self.attempts[&id] - 1, engine, outcome, MS);
-        self.take(&actions);
+        self.record_sends(&actions);
         true
     }
 }
@@ -109,19 +109,19 @@
         window: 5 * S,
     });
     let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
-    let mut out = Out::default();
+    let mut out = InFlight::default();
     for id in 1..=100 {
-        out.take(&asked(&mut gateway, id));
+        out.record_sends(&arrive_short_query(&mut gateway, id));
     }
     // No first attempt reaches its engine. These are more queries than the budget allows to retry.
     for _ in 0..out.out.len() {
-        out.end(&mut gateway, Outcome::NeverSent);
+        out.end_oldest(&mut gateway, Outcome::NeverSent);
     }
     let mut answered = 0;
-    while answered < 1000 && out.end(&mut gateway, Outcome::Completed) {
+    while answered < 1000 && out.end_oldest(&mut gateway, Outcome::Completed) {
         answered += 1;
         gateway.now += MS;
-        out.take(&asked(&mut gateway, 100 + answered));
+        out.record_sends(&arrive_short_query(&mut gateway, 100 + answered));
     }
     assert_eq!(
         answered, 1000,
--- a/policy/tests/robustness.rs
+++ b/policy/tests/robustness.rs
@@ -72,7 +72,7 @@
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    let at: Vec<_> = (1..=4)
+    let targets: Vec<_> = (1..=4)
         .map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"))
         .collect();
     gateway.now += 5 * S;
@@ -84,7 +84,7 @@
             })
         })
         .collect();
-    events.extend((1..=4).zip(&at).map(|(query, engine)| {
+    events.extend((1..=4).zip(&targets).map(|(query, engine)| {
         Event::AttemptEnded(AttemptEnded {
             query,
             attempt: 0,
--- a/policy/tests/rule_checker/mod.rs
+++ b/policy/tests/rule_checker/mod.rs
@@ -15,75 +15,82 @@
 pub const WINDOW: Micros = 3 * S;
 
 #[derive(Default)]
-pub struct Seen {
+pub struct QueryRecord {
     pub class: u32,
     pub deadline: Micros,
     pub sends: u32,
-    pub out: Option<EngineId>,
+    pub in_flight: Option<EngineId>,
     pub may_have_run: bool,
     pub sent_at: Micros,
     /// The send time of the first attempt that may have run.
-    pub risk_at: Option<Micros>,
-    pub finals: u32,
+    pub first_risky_send: Option<Micros>,
+    pub final_answers: u32,
 }
 
 /// Records the queries and engines and checks each action against the rules.
 #[derive(Default)]
 pub struct Checker {
-    pub queries: BTreeMap<QueryId, Seen>,
+    pub queries: BTreeMap<QueryId, QueryRecord>,
     pub not_ready: BTreeSet<EngineId>,
-    pub asks: Vec<Micros>,
-    pub extra: Vec<Micros>,
+    pub arrivals: Vec<Micros>,
+    pub retries: Vec<Micros>,
 }
 
 impl Checker {
     /// Checks and records the actions of the gateway.
-    pub fn actions(&mut self, now: Micros, actions: &[Action]) -> Result<(), String> {
+    pub fn check_actions(&mut self, now: Micros, actions: &[Action]) -> Result<(), String> {
         for action in actions {
             match *action {
                 Action::Send { query, engine, .. } => {
-                    let seen = self
+                    let record = self
                         .queries
                         .get_mut(&query)
                         .ok_or("sent an unknown query")?;
-                    ensure(seen.finals == 0, "sent after the final answer")?;
-                    ensure(seen.out.is_none(), "two attempts out")?;
+                    ensure(record.final_answers == 0, "sent after the final answer")?;
+                    ensure(record.in_flight.is_none(), "two attempts out")?;
                     ensure(
-                        seen.class != 1 || !seen.may_have_run,
+                        record.class != 1 || !record.may_have_run,
                         "at_most_once may run twice",
                     )?;
-                    ensure(seen.class != 2 || engine % 2 == 1, "sent outside its zone")?;
+                    ensure(
+                        record.class != 2 || engine % 2 == 1,
+                        "sent outside its zone",
+                    )?;
                     ensure(
                         !self.not_ready.contains(&engine),
                         "sent to a draining engine",
                     )?;
-                    let in_window = seen.risk_at.is_none_or(|at| now < at + WINDOW);
+                    let in_window = record.first_risky_send.is_none_or(|at| now < at + WINDOW);
                     ensure(
-                        seen.class != 3 || in_window,
+                        record.class != 3 || in_window,
                         "keyed and sent after its window",
                     )?;
-                    seen.out = Some(engine);
-                    seen.sent_at = now;
-                    seen.sends += 1;
-                    if seen.sends > 1 {
-                        self.extra.push(now);
+                    record.in_flight = Some(engine);
+                    record.sent_at = now;
+                    record.sends += 1;
+                    if record.sends > 1 {
+                        self.retries.push(now);
                         let recent = |t: &&Micros| **t + BUDGET_WINDOW > now;
-                        let taken = self.asks.iter().filter(recent).count() as f64;
-                        let extra = self.extra.iter().filter(recent).count() as f64;
-                        ensure(extra <= 2.0 + 0.2 * taken, "over the budget")?;
+                        let arrived = self.arrivals.iter().filter(recent).count() as f64;
+                        let retries = self.retries.iter().filter(recent).count() as f64;
+                        ensure(retries <= 2.0 + 0.2 * arrived, "over the budget")?;
                     }
                 }
                 Action::Reject { query, .. } | Action::Fail { query } => {
-                    let refusal = matches!(action, Action::Reject { .. });
-                    let seen = self
+                    let is_rejection = matches!(action, Action::Reject { .. });
+                    let record = self
                         .queries
                         .get_mut(&query)
                         .ok_or("answered an unknown query")?;
-                    seen.finals += 1;
-                    ensure(seen.finals == 1, "two final answers")?;
-                    ensure(now <= seen.deadline + GRACE, "answered too late")?;
-                    let risky = seen.class == 1 && (seen.may_have_run || seen.out.is_some());
-                    ensure(!(refusal && risky), "refused what may have run")?;
+                    record.final_answers += 1;
+                    ensure(record.final_answers == 1, "two final answers")?;
+                    ensure(now <= record.deadline + GRACE, "answered too late")?;
+                    let may_have_effect =
+                        record.class == 1 && (record.may_have_run || record.in_flight.is_some());
+                    ensure(
+                        !(is_rejection && may_have_effect),
+                        "refused what may have run",
+                    )?;
                 }
                 _ => {}
             }
@@ -92,26 +99,26 @@
     }
 
     /// Checks that each query whose deadline and grace are over has been answered.
-    pub fn overdue(&self, now: Micros) -> Result<(), String> {
-        let lost = self
+    pub fn check_all_answered(&self, now: Micros) -> Result<(), String> {
+        let unanswered = self
             .queries
             .values()
-            .any(|seen| seen.finals == 0 && now > seen.deadline + GRACE);
-        ensure(!lost, "a query was lost")
+            .any(|record| record.final_answers == 0 && now > record.deadline + GRACE);
+        ensure(!unanswered, "a query was lost")
     }
 
     /// Returns the queries that have an attempt in flight and a deadline at or before `time`.
-    pub fn out_by(&self, time: Micros) -> Vec<QueryId> {
-        let is_due = |seen: &Seen| seen.out.is_some() && seen.deadline <= time;
+    pub fn in_flight_due_by(&self, time: Micros) -> Vec<QueryId> {
+        let is_due = |record: &QueryRecord| record.in_flight.is_some() && record.deadline <= time;
         let queries = self.queries.iter();
         queries
-            .filter(|(_, seen)| is_due(seen))
+            .filter(|(_, record)| is_due(record))
             .map(|(id, _)| *id)
             .collect()
     }
 
     /// Returns the current engine list.
-    pub fn list(&self) -> Vec<Engine> {
+    pub fn engine_list(&self) -> Vec<Engine> {
         let state = |id| {
             if self.not_ready.contains(&id) {
                 EngineState::Draining
@@ -119,7 +126,7 @@
                 EngineState::Ready
             }
         };
-        (0..4).map(|id| member(id, state(id))).collect()
+        (0..4).map(|id| engine_in_state(id, state(id))).collect()
     }
 }
 
@@ -127,7 +134,7 @@
     holds.then_some(()).ok_or_else(|| what.to_owned())
 }
 
-pub fn member(id: EngineId, state: EngineState) -> Engine {
+pub fn engine_in_state(id: EngineId, state: EngineState) -> Engine {
     Engine {
         zone: id % 2,
         state,
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -23,7 +23,7 @@
     /// Number of queries in the first two collapse windows.
     early: usize,
     /// The largest ratio, over all windows, of the queries sent to the engine's limit at the time.
-    largest_part: f64,
+    largest_ratio: f64,
 }
 
 fn completed(query: QueryId, engine: EngineId, elapsed: Micros, costs: Costs) -> Event {
@@ -45,13 +45,13 @@
 
 /// Returns the times at which one gateway sends queries to warming engine 0. Before that, engine 1
 /// answers one query, with its cost if costs are reported, and then drains.
-fn sends_of(number: u64, config: &Settings, costs: Costs) -> Vec<Micros> {
+fn send_times(number: u64, config: &Settings, costs: Costs) -> Vec<Micros> {
     let list = |scope, engines| Event::EngineList { scope, engines };
     let warming = Engine {
         started: Some(S),
         ..engine(0)
     };
-    let drains = Engine {
+    let draining = Engine {
         state: EngineState::Draining,
         ..engine(1)
     };
@@ -59,7 +59,7 @@
         list(ListScope::Snapshot, vec![engine(1)]),
         Event::QueryArrived(query(1_000_000, 200 * MS)),
         completed(1_000_000, 1, 200 * MS, costs),
-        list(ListScope::Patch, vec![warming, drains]),
+        list(ListScope::Patch, vec![warming, draining]),
     ];
     let mut gateway = Gateway::new(config.clone(), number * 7919);
     let mut actions = Vec::new();
@@ -95,20 +95,20 @@
     };
     let gateways = 0..u64::from(GATEWAYS);
     let mut sends: Vec<_> = gateways
-        .flat_map(|number| sends_of(number, &config, costs))
+        .flat_map(|number| send_times(number, &config, costs))
         .collect();
     sends.sort_unstable();
-    // 2 x 8 cores for 2 s make 160 queries of 0.2 s when warm, 48 at the start.
-    let bears = |at: Micros| 160.0 * (0.3 + 0.7 * ((at - S) as f64 / 14e6).powi(2));
+    // The limit is 2 x 8 cores x 2 s, which is 160 queries of 0.2 s when warm and 48 at the start.
+    let limit = |at: Micros| 160.0 * (0.3 + 0.7 * ((at - S) as f64 / 14e6).powi(2));
     let in_window = |from: Micros| {
         let window = from..from + COLLAPSE_WINDOW;
         sends.iter().filter(|at| window.contains(at)).count()
     };
-    let parts = sends.iter().map(|at| in_window(*at) as f64 / bears(*at));
+    let ratios = sends.iter().map(|at| in_window(*at) as f64 / limit(*at));
     let early_end = S + 2 * COLLAPSE_WINDOW;
     SentToWarming {
         early: sends.iter().filter(|at| **at < early_end).count(),
-        largest_part: parts.fold(0.0, f64::max),
+        largest_ratio: ratios.fold(0.0, f64::max),
     }
 }
 
@@ -123,14 +123,14 @@
         early >= 5 && early_reported >= 45,
         "sent early: {early}, {early_reported} where costs are reported"
     );
-    let largest = unknown.largest_part.max(reported.largest_part);
+    let largest = unknown.largest_ratio.max(reported.largest_ratio);
     assert!(largest <= 1.0, "largest part in a window: {largest}");
 }
 
 /// A warming engine has as many threads as a warm one, but they are slower. Its thread limit
 /// therefore falls less than its capacity.
 #[test]
-fn the_limit_of_a_warming_engine_shrinks_with_the_root_of_its_warmth() {
+fn the_limit_of_a_warming_engine_follows_the_square_root_of_its_capacity() {
     let mut config = settings(vec![class(10 * S)], 8.0);
     (config.slow_start_initial_fraction, config.slow_start_window) = (Some(0.25), Some(10 * S));
     let mut gateway = TestGateway::new(
--- a/policy/tests/trace/digest.rs
+++ b/policy/tests/trace/digest.rs
@@ -17,13 +17,13 @@
         self.0
     }
 
-    pub fn words(&mut self, words: &[u64]) {
+    pub fn add_numbers(&mut self, words: &[u64]) {
         for byte in words.iter().flat_map(|word| word.to_le_bytes()) {
             self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    pub fn action(&mut self, now: Micros, action: &Action) {
+    pub fn add_action(&mut self, now: Micros, action: &Action) {
         let words = match *action {
             Action::SetResources {
                 query,
@@ -41,6 +41,6 @@
             Action::SetTimer { at } => [now, 6, at, 0, 0],
             Action::SubscribeEngineList => [now, 7, 0, 0, 0],
         };
-        self.words(&words);
+        self.add_numbers(&words);
     }
 }
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -6,17 +6,17 @@
 };
 use violetgate_policy::Event;
 
-use super::{Due, Fault, KnownQuery, World, MS, S};
+use super::{Due, Fault, KnownQuery, Simulation, MS, S};
 
 /// A simulated engine: its entry in the list, its fault and the number of its running attempts.
-pub struct Machine {
-    pub line: Engine,
+pub struct SimulatedEngine {
+    pub entry: Engine,
     pub(super) fault: Fault,
-    pub out: u32,
+    pub in_flight: u32,
 }
 
-pub fn machines(count: u32) -> Vec<Machine> {
-    let line = |id| Engine {
+pub fn simulated_engines(count: u32) -> Vec<SimulatedEngine> {
+    let entry = |id| Engine {
         id,
         zone: id % 3,
         kind: id % 2,
@@ -25,21 +25,21 @@
         started: None,
     };
     (0..count)
-        .map(|id| Machine {
-            line: line(id),
+        .map(|id| SimulatedEngine {
+            entry: entry(id),
             fault: Fault::None,
-            out: 0,
+            in_flight: 0,
         })
         .collect()
 }
 
-impl World {
+impl Simulation {
     /// Schedules the next arrival. Two seconds out of ten are an overload.
     pub(super) fn next_arrival(&mut self) {
-        let crowded = (self.now / S) % 10 >= 8;
-        let gap = self.scenario.gap * if crowded { 1 } else { 5 } / 2;
+        let overloaded = (self.now / S) % 10 >= 8;
+        let gap = self.scenario.gap * if overloaded { 1 } else { 5 } / 2;
         let wait = 1 + self.draw(gap);
-        self.later(wait, Due::Arrive);
+        self.schedule(wait, Due::Arrive);
     }
 
     pub(super) fn arrive(&mut self) -> Event {
@@ -55,8 +55,8 @@
         let long = class % 3 == 1;
         let work = (5 + self.draw(60)) * MS * if long { 10 } else { 1 };
         let memory_mb = (10 + self.draw(300)) as f64;
-        let repeat = self.one_in(6);
-        let client_timeout = if repeat {
+        let client_retry = self.one_in(6);
+        let client_timeout = if client_retry {
             (1 + self.draw(30)) * 100 * MS
         } else {
             10 * S
@@ -72,11 +72,11 @@
             client_timeout,
             table_group: (!self.one_in(3)).then(|| self.draw(6)),
             ordering_key: (!self.one_in(3)).then(|| self.draw(12)),
-            is_client_retry: repeat,
+            is_client_retry: client_retry,
         };
         if self.one_in(25) {
             let wait = self.draw(2 * S);
-            self.later(wait, Due::ClientDisconnects(id));
+            self.schedule(wait, Due::ClientDisconnects(id));
         }
         let known = KnownQuery {
             class,
@@ -84,7 +84,7 @@
             work,
             memory_mb,
             attempts: 0,
-            out: None,
+            in_flight: None,
             granted_mb: 0.0,
             finished: false,
         };
@@ -100,26 +100,26 @@
         self.seen.further_sends += u32::from(known.attempts > 0);
         let attempt = known.attempts;
         known.attempts += 1;
-        known.out = Some((engine, self.now));
+        known.in_flight = Some((engine, self.now));
         let (class, work, deadline) = (known.class, known.work, known.deadline);
-        let lacks = known.memory_mb - known.granted_mb;
-        let machine = &mut self.engines[engine as usize];
-        machine.out += 1;
-        let fault = machine.fault;
-        let crowd = 100 + 12 * u64::from(machine.out);
+        let missing_mb = known.memory_mb - known.granted_mb;
+        let simulated = &mut self.engines[engine as usize];
+        simulated.in_flight += 1;
+        let fault = simulated.fault;
+        let load_percent = 100 + 12 * u64::from(simulated.in_flight);
         let slow = if fault == Fault::Slow { 8 } else { 1 };
-        let run = (work * crowd / 100 * slow * (80 + self.draw(60)) / 100).max(1);
+        let run = (work * load_percent / 100 * slow * (80 + self.draw(60)) / 100).max(1);
         let time_out = deadline.saturating_sub(self.now).max(1);
         let silent = fault == Fault::Silent || fault == Fault::DropsClass(class);
-        let unlucky = self.draw(100);
+        let chance = self.draw(100);
         let (wait, outcome) = match fault {
             Fault::Errs => (MS + self.draw(3 * MS), Outcome::Error),
             Fault::RefusesConnections => (200 + self.draw(MS), Outcome::ConnectionRefused),
             Fault::Full => (300 + self.draw(MS), Outcome::Overloaded),
             _ if silent || run >= time_out => (time_out, Outcome::TimedOut),
-            _ if unlucky == 0 => (run / 2 + 1, Outcome::Error),
-            _ if unlucky == 1 => (run / 3 + 1, Outcome::ConnectionLost),
-            _ if unlucky == 2 => (50, Outcome::NeverSent),
+            _ if chance == 0 => (run / 2 + 1, Outcome::Error),
+            _ if chance == 1 => (run / 3 + 1, Outcome::ConnectionLost),
+            _ if chance == 2 => (50, Outcome::NeverSent),
             _ => (run, Outcome::Completed),
         };
         let end = Due::End {
@@ -127,22 +127,22 @@
             attempt,
             outcome,
         };
-        self.later(wait, end);
+        self.schedule(wait, end);
         if !silent {
-            self.progress(query, attempt, run.min(time_out), lacks);
+            self.progress(query, attempt, run.min(time_out), missing_mb);
         }
     }
 
     /// Schedules progress reports, waits for memory and bulk loads, spills, and the start of a
     /// streamed response.
-    fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, lacks: f64) {
+    fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, missing_mb: f64) {
         if self.scenario.settings.progress_period.is_some() {
             for part in 1..4 {
                 let progress = match self.draw(24) {
                     0 => Progress::WaitingForMemory,
                     1 => Progress::WaitingForBulkLoad,
                     2 => Progress::FractionDone(0.01),
-                    3 if lacks > 0.0 => Progress::Spilling(lacks),
+                    3 if missing_mb > 0.0 => Progress::Spilling(missing_mb),
                     _ => Progress::FractionDone(part as f64 / 4.0),
                 };
                 let note = Due::Progress {
@@ -150,11 +150,11 @@
                     attempt,
                     progress,
                 };
-                self.later(run * part / 4, note);
+                self.schedule(run * part / 4, note);
             }
         }
         if self.one_in(12) {
-            self.later(run * 9 / 10, Due::Streams(query));
+            self.schedule(run * 9 / 10, Due::ResponseStarts(query));
         }
     }
 
@@ -162,23 +162,23 @@
         if !self.is_out(query, attempt) {
             return None;
         }
-        let settled = outcome == Outcome::Completed;
+        let completed = outcome == Outcome::Completed;
         let known = self.known.get_mut(&query)?;
-        let (engine, sent) = known.out.take()?;
+        let (engine, sent) = known.in_flight.take()?;
         let (work, memory_mb) = (known.work, known.memory_mb);
-        if known.finished || settled {
+        if known.finished || completed {
             self.known.remove(&query);
         }
-        self.engines[engine as usize].out -= 1;
+        self.engines[engine as usize].in_flight -= 1;
         let elapsed = self.now - sent;
-        let cost = (settled && self.scenario.reports_cost).then_some(Cost { work, memory_mb });
+        let cost = (completed && self.scenario.reports_cost).then_some(Cost { work, memory_mb });
         let load = self.load(engine);
         Some(Event::AttemptEnded(AttemptEnded {
             query,
             attempt,
             engine,
             outcome,
-            query_answered: settled,
+            query_answered: completed,
             elapsed,
             cost,
             load,
@@ -189,8 +189,8 @@
         if !self.scenario.reports || self.one_in(4) {
             return LoadReport::default();
         }
-        let out = self.engines[engine as usize].out;
-        let busy = (self.draw(50) as f64 + 12.0 * f64::from(out)) / 100.0;
+        let in_flight = self.engines[engine as usize].in_flight;
+        let busy = (self.draw(50) as f64 + 12.0 * f64::from(in_flight)) / 100.0;
         LoadReport {
             cpu_utilisation: Some(busy),
             disk_utilisation: self.one_in(3).then_some(busy * 0.9),
@@ -200,12 +200,12 @@
     }
 
     /// Generates an event of an engine, a cordon, the engine list or the number of gateways.
-    pub(super) fn disturb(&mut self) -> Event {
+    pub(super) fn engine_event(&mut self) -> Event {
         let wait = 1 + self.draw(120 * MS);
-        self.later(wait, Due::EngineFault);
+        self.schedule(wait, Due::EngineFault);
         let engine = self.draw(u64::from(self.scenario.engines)) as EngineId;
         match self.draw(14) {
-            0..=3 => self.strike(engine),
+            0..=3 => self.change_fault(engine),
             4 => Event::Cordon {
                 engine,
                 cordoned: !self.one_in(4),
@@ -235,7 +235,7 @@
     }
 
     /// Sets or clears the fault of one engine in forty, or at times of every second one.
-    fn strike(&mut self, engine: EngineId) -> Event {
+    fn change_fault(&mut self, engine: EngineId) -> Event {
         let fault = match self.draw(16) {
             0 => Fault::Slow,
             1 => Fault::Errs,
@@ -247,8 +247,8 @@
         };
         let step = if self.one_in(12) { 2 } else { 40 };
         let first = engine as usize % step;
-        for machine in self.engines.iter_mut().skip(first).step_by(step) {
-            machine.fault = fault;
+        for simulated in self.engines.iter_mut().skip(first).step_by(step) {
+            simulated.fault = fault;
         }
         Event::TimerFired
     }
@@ -260,8 +260,8 @@
             ListScope::Snapshot | ListScope::StaleSnapshot => {
                 // An engine that is left out counts as removed.
                 let left_out = self.draw(20 * u64::from(self.scenario.engines));
-                let kept = |m: &&Machine| u64::from(m.line.id) != left_out;
-                engines.extend(self.engines.iter().filter(kept).map(|m| m.line));
+                let kept = |m: &&SimulatedEngine| u64::from(m.entry.id) != left_out;
+                engines.extend(self.engines.iter().filter(kept).map(|m| m.entry));
             }
             ListScope::Patch => {
                 let id = self.draw(u64::from(self.scenario.engines)) as usize;
@@ -271,10 +271,10 @@
                     1 => EngineState::Removed,
                     _ => EngineState::Ready,
                 };
-                let line = &mut self.engines[id].line;
-                line.state = state;
-                line.started = restarted.or(line.started);
-                engines.push(*line);
+                let entry = &mut self.engines[id].entry;
+                entry.state = state;
+                entry.started = restarted.or(entry.started);
+                engines.push(*entry);
             }
             ListScope::WatchFailed => {}
         }
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -63,7 +63,7 @@
         attempt: u32,
         progress: Progress,
     },
-    Streams(QueryId),
+    ResponseStarts(QueryId),
     ClientDisconnects(QueryId),
     EngineFault,
     List(ListScope),
@@ -78,7 +78,7 @@
     memory_mb: f64,
     attempts: u32,
     /// The engine and the send time of the attempt in flight.
-    out: Option<(EngineId, Micros)>,
+    in_flight: Option<(EngineId, Micros)>,
     granted_mb: f64,
     finished: bool,
 }
@@ -97,7 +97,7 @@
 }
 
 /// The simulated clients and engines around one gateway.
-struct World {
+struct Simulation {
     scenario: Scenario,
     gateway: Gateway,
     rng: ChaCha8Rng,
@@ -106,23 +106,23 @@
     sequence: u64,
     next_query: QueryId,
     known: BTreeMap<QueryId, KnownQuery>,
-    engines: Vec<load::Machine>,
+    engines: Vec<load::SimulatedEngine>,
     digest: Digest,
     seen: Seen,
 }
 
 /// Runs a scenario to its end and returns the digest and the counts.
 pub fn play(scenario: Scenario) -> (u64, Seen) {
-    let mut world = World::new(scenario);
-    while world.seen.events < world.scenario.events {
-        world.step();
+    let mut simulation = Simulation::new(scenario);
+    while simulation.seen.events < simulation.scenario.events {
+        simulation.step();
     }
-    (world.digest.value(), world.seen)
+    (simulation.digest.value(), simulation.seen)
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             gateway: Gateway::new(scenario.settings.clone(), scenario.seed),
             rng: ChaCha8Rng::seed_from_u64(scenario.seed ^ 0x5eed),
             now: S,
@@ -130,18 +130,18 @@
             sequence: 0,
             next_query: 0,
             known: BTreeMap::new(),
-            engines: load::machines(scenario.engines),
+            engines: load::simulated_engines(scenario.engines),
             digest: Digest::default(),
             seen: Seen::default(),
             scenario,
         };
-        world.later(0, Due::List(ListScope::Snapshot));
-        world.later(1, Due::Arrive);
-        world.later(50 * MS, Due::EngineFault);
-        world
+        simulation.schedule(0, Due::List(ListScope::Snapshot));
+        simulation.schedule(1, Due::Arrive);
+        simulation.schedule(50 * MS, Due::EngineFault);
+        simulation
     }
 
-    fn later(&mut self, wait: Micros, due: Due) {
+    fn schedule(&mut self, wait: Micros, due: Due) {
         self.sequence += 1;
         self.due.insert((self.now + wait, self.sequence), due);
     }
@@ -166,19 +166,19 @@
             }
             self.now = self.now.max(key.0);
             if let Some(due) = self.due.remove(&key) {
-                events.extend(self.happen(due));
+                events.extend(self.run_due(due));
             }
         }
         self.seen.events += events.len() as u32;
         let mut actions = Vec::new();
         self.gateway.handle(self.now, &events, &mut actions);
         for action in actions {
-            self.digest.action(self.now, &action);
+            self.digest.add_action(self.now, &action);
             self.carry_out(action);
         }
         if self.one_in(16) {
             let EngineCounts { listed, avoided } = self.gateway.engine_counts();
-            self.digest.words(&[listed as u64, avoided as u64]);
+            self.digest.add_numbers(&[listed as u64, avoided as u64]);
             self.seen.most_avoided = self.seen.most_avoided.max(avoided);
         }
     }
@@ -198,7 +198,7 @@
                 self.seen.cancels += 1;
                 let wait = 100 + self.draw(5 * MS);
                 let outcome = Outcome::Cancelled;
-                self.later(
+                self.schedule(
                     wait,
                     Due::End {
                         query,
@@ -209,38 +209,38 @@
             }
             Action::Reject { query, retry_after } => {
                 self.seen.refusals += 1;
-                self.answered(query);
+                self.finish_query(query);
                 // One client in three retries.
                 if self.one_in(3) {
-                    self.later(retry_after + 1, Due::ClientRetry);
+                    self.schedule(retry_after + 1, Due::ClientRetry);
                 }
             }
             Action::Fail { query } => {
                 self.seen.failures += 1;
-                self.answered(query);
+                self.finish_query(query);
             }
             Action::SetTimer { at } => {
                 self.seen.wakes += 1;
-                self.later(at.saturating_sub(self.now), Due::Timer);
+                self.schedule(at.saturating_sub(self.now), Due::Timer);
             }
             Action::SubscribeEngineList => {
                 self.seen.follows += 1;
-                self.later(20 * MS, Due::List(ListScope::Snapshot));
+                self.schedule(20 * MS, Due::List(ListScope::Snapshot));
             }
         }
     }
 
-    fn answered(&mut self, query: QueryId) {
-        let gone = self.known.get_mut(&query).is_some_and(|known| {
+    fn finish_query(&mut self, query: QueryId) {
+        let is_done = self.known.get_mut(&query).is_some_and(|known| {
             known.finished = true;
-            known.out.is_none()
+            known.in_flight.is_none()
         });
-        if gone {
+        if is_done {
             self.known.remove(&query);
         }
     }
 
-    fn happen(&mut self, due: Due) -> Option<Event> {
+    fn run_due(&mut self, due: Due) -> Option<Event> {
         match due {
             Due::Arrive => {
                 self.next_arrival();
@@ -261,18 +261,19 @@
                 attempt,
                 progress,
             }),
-            Due::Streams(query) => {
+            Due::ResponseStarts(query) => {
                 let known = self.known.get(&query)?;
-                (!known.finished && known.out.is_some()).then_some(Event::ResponseStarted { query })
+                (!known.finished && known.in_flight.is_some())
+                    .then_some(Event::ResponseStarted { query })
             }
             Due::ClientDisconnects(query) => {
                 if self.known.get(&query)?.finished {
                     return None;
                 }
-                self.answered(query);
+                self.finish_query(query);
                 Some(Event::ClientDisconnected { query })
             }
-            Due::EngineFault => Some(self.disturb()),
+            Due::EngineFault => Some(self.engine_event()),
             Due::List(scope) => Some(self.list(scope)),
             Due::Timer => Some(Event::TimerFired),
         }
@@ -281,6 +282,6 @@
     fn is_out(&self, query: QueryId, attempt: u32) -> bool {
         self.known
             .get(&query)
-            .is_some_and(|known| known.out.is_some() && known.attempts == attempt + 1)
+            .is_some_and(|known| known.in_flight.is_some() && known.attempts == attempt + 1)
     }
 }
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios: rich and minimal settings, with few and with many engines.
+//! The scenarios: full and minimal settings, with few and with many engines.
 
 use violetgate_policy::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget};
 use violetgate_policy::Settings;
@@ -71,7 +71,7 @@
 }
 
 /// Settings with a value for every field.
-fn rich(gateways: u32) -> Settings {
+fn full_settings(gateways: u32) -> Settings {
     Settings {
         gateways: Some(gateways),
         zone: Some(1),
@@ -102,7 +102,7 @@
 }
 
 /// Settings with the classes, the engine kinds and optionally the number of gateways.
-fn bare(gateways: Option<u32>) -> Settings {
+fn minimal_settings(gateways: Option<u32>) -> Settings {
     Settings {
         gateways,
         classes: classes(),
@@ -133,7 +133,7 @@
 }
 
 /// Returns the scenario without load reports and costs.
-fn untold(scenario: Scenario) -> Scenario {
+fn without_feedback(scenario: Scenario) -> Scenario {
     Scenario {
         reports_cost: false,
         reports: false,
@@ -141,7 +141,7 @@
     }
 }
 
-fn without_notes(settings: Settings) -> Settings {
+fn without_progress_reports(settings: Settings) -> Settings {
     Settings {
         progress_period: None,
         ..settings
@@ -167,53 +167,70 @@
     let unlimited = Settings {
         retry_budget: None,
         zone: None,
-        ..rich(2)
+        ..full_settings(2)
     };
     let nothing_known = Settings {
         classes: vec![Class::default(); 3],
         ..Settings::default()
     };
-    let no_notes = without_reports(without_notes(rich(2)));
+    let no_progress_reports = without_reports(without_progress_reports(full_settings(2)));
     vec![
-        ("8 engines, all told", scenario(1, 8, 10, rich(1))),
+        ("8 engines, all told", scenario(1, 8, 10, full_settings(1))),
         (
             "8 engines, 3 gateways, overload",
             scenario(2, 8, 5, unlimited),
         ),
-        ("8 engines, bare", untold(scenario(3, 8, 10, bare(None)))),
+        (
+            "8 engines, bare",
+            without_feedback(scenario(3, 8, 10, minimal_settings(None))),
+        ),
         (
             "8 engines, nothing known",
-            untold(scenario(4, 8, 20, nothing_known)),
+            without_feedback(scenario(4, 8, 20, nothing_known)),
         ),
         (
             "8 engines, no notes, no costs",
-            untold(scenario(5, 8, 10, no_notes)),
+            without_feedback(scenario(5, 8, 10, no_progress_reports)),
         ),
     ]
 }
 
 fn many_engines() -> Vec<(&'static str, Scenario)> {
-    let no_notes = without_reports(without_notes(rich(150)));
+    let no_progress_reports = without_reports(without_progress_reports(full_settings(150)));
     vec![
-        ("80 engines, all told", scenario(6, 80, 2, rich(12))),
+        (
+            "80 engines, all told",
+            scenario(6, 80, 2, full_settings(12)),
+        ),
         (
             "80 engines, no costs, grants",
-            untold(scenario(7, 80, 3, without_reports(rich(10)))),
+            without_feedback(scenario(7, 80, 3, without_reports(full_settings(10)))),
+        ),
+        (
+            "80 engines, thin parts",
+            scenario(8, 80, 10, full_settings(100)),
         ),
-        ("80 engines, thin parts", scenario(8, 80, 10, rich(100))),
         (
             "80 engines, thin parts, untold",
-            untold(scenario(9, 80, 10, with_cancel(bare(Some(100))))),
+            without_feedback(scenario(
+                9,
+                80,
+                10,
+                with_cancel(minimal_settings(Some(100))),
+            )),
         ),
         (
             "300 engines, sampled",
-            scenario(10, 300, 4, without_notes(rich(200))),
+            scenario(10, 300, 4, without_progress_reports(full_settings(200))),
         ),
         (
             "300 engines, sampled, untold",
-            untold(scenario(11, 300, 4, no_notes)),
+            without_feedback(scenario(11, 300, 4, no_progress_reports)),
+        ),
+        (
+            "300 engines, all looked at",
+            scenario(12, 300, 2, full_settings(8)),
         ),
-        ("300 engines, all looked at", scenario(12, 300, 2, rich(8))),
     ]
 }
 
--- a/policy/tests/trace_digest.rs
+++ b/policy/tests/trace_digest.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn actions_over_drawn_events_equal_the_stored_digests() {
+fn actions_over_generated_events_equal_the_stored_digests() {
     for (name, digest, seen) in played() {
         println!("(\"{name}\", {digest:#018x}), // {seen:?}");
     }
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn drawn_events_reach_every_kind_of_action() {
+fn generated_events_reach_every_kind_of_action() {
     let total = |count: fn(&trace::Seen) -> u32| {
         played().iter().map(|(_, _, seen)| count(seen)).sum::<u32>()
     };
--- a/policy/tests/wire_session.rs
+++ b/policy/tests/wire_session.rs
@@ -1,8 +1,8 @@
 //! Replays recorded sessions with the simulator and compares the replies byte for byte.
 //!
-//! The sessions were recorded before the identifiers of this module were renamed, so they show
-//! that the wire format did not change. Odd lines of a recording are the simulator's lines, even
-//! lines are the replies.
+//! The sessions were recorded before the identifiers of the decision module were renamed, so they
+//! show that the wire format did not change. Odd lines of a recording are the simulator's lines,
+//! even lines are the replies.
 
 use violetgate_policy::wire::Adapter;
 
