--- a/policy/tests/attempts.rs
+++ b/policy/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that wait, are slow or silent.
+//! Tests of attempts that wait for memory, are slow or send no progress.
 
 mod common;
 
@@ -6,8 +6,8 @@
 use violetgate_policy::interface::{Class, DedupGroup, Idempotency, NewQuery, Outcome, Progress};
 use violetgate_policy::{Event, Settings};
 
-/// A class whose late answers earn nothing.
-fn worthless_when_late() -> Class {
+/// A class whose late answers have no weight.
+fn zero_late_weight() -> Class {
     Class {
         latency_objective: Some(2 * S),
         late_weight_fraction: Some(0.0),
@@ -15,8 +15,9 @@
     }
 }
 
-/// A deployment without notes, with reports of 2 s of work whose aim is 1.5 s and 2.5 runs.
-fn without_notes() -> Settings {
+/// A deployment without progress reports. Its only class is for queries of 2 s of work on two
+/// threads, with a latency objective of 1.5 s plus 2.5 times the run.
+fn without_progress_reports() -> Settings {
     let report = Class {
         latency_objective: Some(1_500 * MS),
         objective_stretch: Some(2.5),
@@ -37,7 +38,7 @@
     }
 }
 
-fn keyed() -> Settings {
+fn deduplicated() -> Settings {
     let load = Class {
         idempotency: Idempotency::Deduplicated,
         dedup_group: DedupGroup::All,
@@ -47,7 +48,7 @@
     settings(vec![load], 8.0)
 }
 
-/// The last attempt is kept for faults.
+/// Moves because of memory leave one attempt for faults.
 #[test]
 fn a_query_that_waits_for_memory_moves_to_another_engine() {
     let mut gateway = TestGateway::new(
@@ -63,7 +64,7 @@
         sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
         Some(1 - first)
     );
-    // The last attempt is kept for faults.
+    // The third attempt of four is not moved, so that the last one is left for faults.
     gateway.report_progress(1, 1, Progress::WaitingForMemory);
     gateway.now += 2 * S;
     let again = gateway.end_attempt(1, 1, 1 - first, Outcome::Cancelled);
@@ -79,12 +80,12 @@
 
 #[test]
 fn a_silent_attempt_is_given_up_while_others_wait_and_moved_otherwise() {
-    let after_silence = |held: bool| {
+    let after_silence = |others_queued: bool| {
         let mut gateway = TestGateway::new(
-            settings(vec![worthless_when_late()], 1.0),
+            settings(vec![zero_late_weight()], 1.0),
             vec![engine(0), engine(1)],
         );
-        (1..=if held { 5 } else { 1 }).for_each(|id| {
+        (1..=if others_queued { 5 } else { 1 }).for_each(|id| {
             gateway.arrive(query(id, 500 * MS));
         });
         gateway.now += 1_700 * MS;
@@ -100,14 +101,14 @@
 
 #[test]
 fn a_slow_attempt_is_moved_before_its_objective_without_progress_reports() {
-    let mut gateway = TestGateway::new(without_notes(), vec![engine(0), engine(1)]);
+    let mut gateway = TestGateway::new(without_progress_reports(), vec![engine(0), engine(1)]);
     let first = sent_to(&gateway.arrive(report(1)), 1).expect("there is room");
     let moved = (0..100)
         .find(|step| is_cancelled(&gateway.advance_to(S + step * 50 * MS), 1))
         .expect("moved")
         * 50
         * MS;
-    // The aim is 4 s away and a fresh start takes one.
+    // The objective is 4 s after the arrival and a new attempt takes 1 s.
     assert!((2 * S..=3_050 * MS).contains(&moved), "moved after {moved}");
     assert_eq!(
         sent_to(&gateway.end_attempt(1, 0, first, Outcome::Cancelled), 1),
@@ -118,13 +119,13 @@
 #[test]
 fn a_deduplicated_query_that_waits_for_memory_moves_only_within_its_window() {
     for (wait, moves) in [(S, true), (14_500 * MS, false)] {
-        let mut gateway = TestGateway::new(keyed(), vec![engine(0), engine(1)]);
+        let mut gateway = TestGateway::new(deduplicated(), vec![engine(0), engine(1)]);
         let load = NewQuery {
             client_timeout: 25 * S,
             ..query(1, 2 * S)
         };
         let target = sent_to(&gateway.arrive(load), 1).expect("there is room");
-        // Notes keep it from passing for silent.
+        // Without these progress reports the attempt would count as silent.
         for step in 1..=wait / (500 * MS) {
             gateway.now = S + step * 500 * MS;
             assert!(!is_cancelled(
--- a/policy/tests/load_reports.rs
+++ b/policy/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! What load reports change about the threads that a gateway uses.
+//! Tests of how load reports change the thread limits of a gateway.
 
 mod common;
 
@@ -8,8 +8,8 @@
 use violetgate_policy::interface::{AttemptEnded, Class, Cost, LoadReport, Outcome};
 use violetgate_policy::{Action, Event, Settings};
 
-/// One gateway of many with wide queries always at hand: how many threads it holds on average
-/// over 60 s of answers after two seconds each, with reports that engines are busy or idle.
+/// Returns the mean number of threads that one gateway of many uses over 60 s. Queries of four
+/// threads are always queued and each takes 2 s. `busy` is the disk utilisation in load reports.
 fn mean_threads(busy: f64) -> f64 {
     let wide = Class {
         threads: Some(4.0),
@@ -22,17 +22,17 @@
     };
     config.progress_period = None;
     let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-    let mut out = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let (mut id, mut held) = (0, 0.0);
     for step in 0..600 {
         gateway.now = S + step * 100 * MS;
         id += 1;
         let mut actions = gateway.arrive(query(id, 8 * S));
-        if out
+        if in_flight
             .front()
             .is_some_and(|(_, _, at)| gateway.now >= at + 2 * S)
         {
-            let (query, engine, _) = out.pop_front().expect("one is out");
+            let (query, engine, _) = in_flight.pop_front().expect("one is out");
             let mut more = Vec::new();
             let end = AttemptEnded {
                 query,
@@ -56,19 +56,20 @@
                 .handle(gateway.now, &[Event::AttemptEnded(end)], &mut more);
             actions.extend(more);
         }
-        out.extend(actions.iter().filter_map(|a| match a {
+        in_flight.extend(actions.iter().filter_map(|a| match a {
             Action::Send { query, engine, .. } => Some((*query, *engine, gateway.now)),
             _ => None,
         }));
-        held += 4.0 * out.len() as f64 / 600.0;
+        held += 4.0 * in_flight.len() as f64 / 600.0;
     }
     held
 }
 
-/// One query of each class always goes, unless engines report that they are busy.
+/// One query of each class may be sent even if it exceeds the gateway's share. Guards against doing
+/// so all the time while engines report that they are busy.
 #[test]
-fn threads_stay_within_the_part_on_average_while_disks_are_busy() {
-    // 2 x 8 x 20 / 160: two threads are this gateway's part.
+fn threads_stay_within_the_fair_share_on_average_while_disks_are_busy() {
+    // 2 x 8 cores x 20 engines / 160 gateways: this gateway's fair share is two threads.
     let (jammed, idle) = (mean_threads(0.95), mean_threads(0.3));
     assert!(
         (0.5..=2.6).contains(&jammed),
@@ -77,7 +78,8 @@
     assert!(idle > 3.5, "{idle} threads while they are idle");
 }
 
-/// Such as a counter in place of a fraction, or no number.
+/// Guards against a report with a counter in place of a fraction, NaN or a negative number that
+/// affects the average for good.
 #[test]
 fn one_report_out_of_range_does_not_stop_growth() {
     let grown = |first: f64| {
@@ -87,7 +89,7 @@
         };
         (config.gateways, config.progress_period) = (Some(160), None);
         let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-        let probed = |u| Event::HealthChecked {
+        let health_check = |u| Event::HealthChecked {
             engine: 0,
             passed: true,
             load: LoadReport {
@@ -95,23 +97,23 @@
                 ..LoadReport::default()
             },
         };
-        gateway.handle(probed(first));
-        let (mut id, mut out) = (0, VecDeque::new());
+        gateway.handle(health_check(first));
+        let (mut id, mut in_flight) = (0, VecDeque::new());
         for _ in 0..200 {
-            gateway.handle(probed(0.2));
+            gateway.handle(health_check(0.2));
             loop {
                 id += 1;
                 let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, target));
+                in_flight.push_back((id, target));
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = out.pop_front().expect("one is out");
+            let (query, engine) = in_flight.pop_front().expect("one is out");
             gateway.end_attempt_after(query, 0, engine, Outcome::Completed, S);
         }
-        out.len()
+        in_flight.len()
     };
     for first in [1e12, f64::NAN, -1.0] {
         assert!(grown(first) > 8, "{} after {first}", grown(first));
@@ -128,19 +130,19 @@
         };
         config.progress_period = None;
         let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
-        let (mut id, mut out) = (0, VecDeque::new());
+        let (mut id, mut in_flight) = (0, VecDeque::new());
         for _ in 0..200 {
             loop {
                 id += 1;
                 let Some(target) = sent_to(&gateway.arrive(query(id, S)), id) else {
                     break;
                 };
-                out.push_back((id, target));
+                in_flight.push_back((id, target));
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = out.pop_front().expect("one is out");
-            // Spilling makes it slow: 0.6 of its unloaded pace.
+            let (query, engine) = in_flight.pop_front().expect("one is out");
+            // Spilling slows the query to 0.6 of its unloaded speed.
             let end = AttemptEnded {
                 query,
                 attempt: 0,
@@ -159,7 +161,7 @@
             };
             gateway.handle(Event::AttemptEnded(end));
         }
-        out.len()
+        in_flight.len()
     };
     let (idle, busy) = (held(0.3), held(0.9));
     assert!(
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -1,6 +1,6 @@
-//! A rough embedding on simulated time: it draws events from a fixed seed, plays the engines'
-//! part, and digests every action that the gateway returns. The digest is made over numbers that
-//! this file writes, so that it does not depend on any name of the module.
+//! Simulation of a gateway's clients and engines: it generates events from a fixed seed and hashes
+//! every action that the gateway returns. The hash is computed from numbers that `digest` assigns,
+//! so it does not depend on any name in the decision module.
 
 mod digest;
 mod load;
@@ -18,21 +18,21 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// One drawn stream of events.
+/// The parameters of one generated stream of events.
 pub struct Scenario {
     pub seed: u64,
     pub engines: u32,
     pub events: u32,
-    /// Mean time between arrivals.
+    /// The mean time between arrivals is 1.25 times this, or 0.25 times this during overload.
     pub gap: Micros,
-    /// Engines report what an answer cost.
+    /// Engines report the cost of a completed query.
     pub reports_cost: bool,
-    /// Load reports come with answers and probes.
+    /// Engines send load reports with answers and health checks.
     pub reports: bool,
     pub settings: Settings,
 }
 
-/// How often each thing was seen, so that a test can check that the deep paths are reached.
+/// Counts of events and actions. A test checks with them that the scenarios reach all kinds.
 #[derive(Debug, Default)]
 pub struct Seen {
     pub events: u32,
@@ -47,11 +47,11 @@
     pub most_avoided: usize,
 }
 
-/// What is due to happen.
+/// A scheduled step of the simulation.
 enum Due {
-    /// A new query; the next one follows.
+    /// A new query arrives and the next arrival is scheduled.
     Arrive,
-    /// A query of a client that was refused.
+    /// A client whose query was rejected sends a new one.
     ClientRetry,
     End {
         query: QueryId,
@@ -63,27 +63,27 @@
         attempt: u32,
         progress: Progress,
     },
-    Streams(QueryId),
+    ResponseStarts(QueryId),
     ClientDisconnects(QueryId),
     EngineFault,
     List(ListScope),
     Timer,
 }
 
-/// What the embedding knows of a query.
+/// The state of a query in the simulation.
 struct KnownQuery {
     class: u32,
     deadline: Micros,
     work: Micros,
     memory_mb: f64,
     attempts: u32,
-    /// The attempt that is out: its engine and when it was sent.
-    out: Option<(EngineId, Micros)>,
+    /// The engine and the send time of the attempt in flight.
+    in_flight: Option<(EngineId, Micros)>,
     granted_mb: f64,
     finished: bool,
 }
 
-/// How an engine fares; drawn anew from time to time.
+/// The fault of an engine. It changes from time to time.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
@@ -92,12 +92,12 @@
     Silent,
     RefusesConnections,
     Full,
-    /// Silent under one class only.
+    /// Does not answer queries of one class.
     DropsClass(u32),
 }
 
-/// The embedding.
-struct World {
+/// The simulated clients and engines around one gateway.
+struct Simulation {
     scenario: Scenario,
     gateway: Gateway,
     rng: ChaCha8Rng,
@@ -106,23 +106,23 @@
     sequence: u64,
     next_query: QueryId,
     known: BTreeMap<QueryId, KnownQuery>,
-    engines: Vec<load::Machine>,
+    engines: Vec<load::SimulatedEngine>,
     digest: Digest,
     seen: Seen,
 }
 
-/// Plays a scenario to its end.
+/// Runs a scenario to its end and returns the digest and the counts.
 pub fn play(scenario: Scenario) -> (u64, Seen) {
-    let mut world = World::new(scenario);
-    while world.seen.events < world.scenario.events {
-        world.step();
+    let mut simulation = Simulation::new(scenario);
+    while simulation.seen.events < simulation.scenario.events {
+        simulation.step();
     }
-    (world.digest.value(), world.seen)
+    (simulation.digest.value(), simulation.seen)
 }
 
-impl World {
+impl Simulation {
     fn new(scenario: Scenario) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             gateway: Gateway::new(scenario.settings.clone(), scenario.seed),
             rng: ChaCha8Rng::seed_from_u64(scenario.seed ^ 0x5eed),
             now: S,
@@ -130,23 +130,23 @@
             sequence: 0,
             next_query: 0,
             known: BTreeMap::new(),
-            engines: load::machines(scenario.engines),
+            engines: load::simulated_engines(scenario.engines),
             digest: Digest::default(),
             seen: Seen::default(),
             scenario,
         };
-        world.later(0, Due::List(ListScope::Snapshot));
-        world.later(1, Due::Arrive);
-        world.later(50 * MS, Due::EngineFault);
-        world
+        simulation.schedule(0, Due::List(ListScope::Snapshot));
+        simulation.schedule(1, Due::Arrive);
+        simulation.schedule(50 * MS, Due::EngineFault);
+        simulation
     }
 
-    fn later(&mut self, wait: Micros, due: Due) {
+    fn schedule(&mut self, wait: Micros, due: Due) {
         self.sequence += 1;
         self.due.insert((self.now + wait, self.sequence), due);
     }
 
-    /// A number below `end`.
+    /// Returns a random number below `end`.
     fn draw(&mut self, end: u64) -> u64 {
         self.rng.next_u64() % end.max(1)
     }
@@ -155,8 +155,8 @@
         self.draw(times) == 0
     }
 
-    /// Takes what is due next, at times with what comes right after it, and lets the gateway
-    /// handle it.
+    /// Lets the gateway handle the next due step, at times in a batch with up to two more that are
+    /// due within a millisecond.
     fn step(&mut self) {
         let mut events = Vec::new();
         let batch = 1 + self.draw(3);
@@ -166,19 +166,19 @@
             }
             self.now = self.now.max(key.0);
             if let Some(due) = self.due.remove(&key) {
-                events.extend(self.happen(due));
+                events.extend(self.run_due(due));
             }
         }
         self.seen.events += events.len() as u32;
         let mut actions = Vec::new();
         self.gateway.handle(self.now, &events, &mut actions);
         for action in actions {
-            self.digest.action(self.now, &action);
+            self.digest.add_action(self.now, &action);
             self.carry_out(action);
         }
         if self.one_in(16) {
             let EngineCounts { listed, avoided } = self.gateway.engine_counts();
-            self.digest.words(&[listed as u64, avoided as u64]);
+            self.digest.add_numbers(&[listed as u64, avoided as u64]);
             self.seen.most_avoided = self.seen.most_avoided.max(avoided);
         }
     }
@@ -198,7 +198,7 @@
                 self.seen.cancels += 1;
                 let wait = 100 + self.draw(5 * MS);
                 let outcome = Outcome::Cancelled;
-                self.later(
+                self.schedule(
                     wait,
                     Due::End {
                         query,
@@ -209,38 +209,38 @@
             }
             Action::Reject { query, retry_after } => {
                 self.seen.refusals += 1;
-                self.answered(query);
-                // Some clients come back.
+                self.finish_query(query);
+                // One client in three retries.
                 if self.one_in(3) {
-                    self.later(retry_after + 1, Due::ClientRetry);
+                    self.schedule(retry_after + 1, Due::ClientRetry);
                 }
             }
             Action::Fail { query } => {
                 self.seen.failures += 1;
-                self.answered(query);
+                self.finish_query(query);
             }
             Action::SetTimer { at } => {
                 self.seen.wakes += 1;
-                self.later(at.saturating_sub(self.now), Due::Timer);
+                self.schedule(at.saturating_sub(self.now), Due::Timer);
             }
             Action::SubscribeEngineList => {
                 self.seen.follows += 1;
-                self.later(20 * MS, Due::List(ListScope::Snapshot));
+                self.schedule(20 * MS, Due::List(ListScope::Snapshot));
             }
         }
     }
 
-    fn answered(&mut self, query: QueryId) {
-        let gone = self.known.get_mut(&query).is_some_and(|known| {
+    fn finish_query(&mut self, query: QueryId) {
+        let is_done = self.known.get_mut(&query).is_some_and(|known| {
             known.finished = true;
-            known.out.is_none()
+            known.in_flight.is_none()
         });
-        if gone {
+        if is_done {
             self.known.remove(&query);
         }
     }
 
-    fn happen(&mut self, due: Due) -> Option<Event> {
+    fn run_due(&mut self, due: Due) -> Option<Event> {
         match due {
             Due::Arrive => {
                 self.next_arrival();
@@ -261,18 +261,19 @@
                 attempt,
                 progress,
             }),
-            Due::Streams(query) => {
+            Due::ResponseStarts(query) => {
                 let known = self.known.get(&query)?;
-                (!known.finished && known.out.is_some()).then_some(Event::ResponseStarted { query })
+                (!known.finished && known.in_flight.is_some())
+                    .then_some(Event::ResponseStarted { query })
             }
             Due::ClientDisconnects(query) => {
                 if self.known.get(&query)?.finished {
                     return None;
                 }
-                self.answered(query);
+                self.finish_query(query);
                 Some(Event::ClientDisconnected { query })
             }
-            Due::EngineFault => Some(self.disturb()),
+            Due::EngineFault => Some(self.engine_event()),
             Due::List(scope) => Some(self.list(scope)),
             Due::Timer => Some(Event::TimerFired),
         }
@@ -281,6 +282,6 @@
     fn is_out(&self, query: QueryId, attempt: u32) -> bool {
         self.known
             .get(&query)
-            .is_some_and(|known| known.out.is_some() && known.attempts == attempt + 1)
+            .is_some_and(|known| known.in_flight.is_some() && known.attempts == attempt + 1)
     }
 }
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios: settings of both kinds, few and many engines.
+//! The scenarios: full and minimal settings, with few and with many engines.
 
 use violetgate_policy::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget};
 use violetgate_policy::Settings;
@@ -16,8 +16,8 @@
     }
 }
 
-/// Classes of each effect, bound and unbound, in order by key, loads and those that wait for
-/// them.
+/// Classes of each idempotency, with and without allowed zones, ordered by key, for bulk loads and
+/// waiting for bulk loads.
 fn classes() -> Vec<Class> {
     let short = Class {
         latency_objective: Some(600 * MS),
@@ -70,8 +70,8 @@
     vec![kind(4.0, 1_000.0), kind(8.0, 2_000.0)]
 }
 
-/// Everything that can be told is told.
-fn rich(gateways: u32) -> Settings {
+/// Settings with a value for every field.
+fn full_settings(gateways: u32) -> Settings {
     Settings {
         gateways: Some(gateways),
         zone: Some(1),
@@ -101,8 +101,8 @@
     }
 }
 
-/// Nothing but classes and kinds.
-fn bare(gateways: Option<u32>) -> Settings {
+/// Settings with the classes, the engine kinds and optionally the number of gateways.
+fn minimal_settings(gateways: Option<u32>) -> Settings {
     Settings {
         gateways,
         classes: classes(),
@@ -119,7 +119,7 @@
     }
 }
 
-/// A scenario with reports and costs; `load` is the mean time between arrivals.
+/// A scenario with load reports and costs. `gap` is in milliseconds.
 fn scenario(seed: u64, engines: u32, gap: u64, settings: Settings) -> Scenario {
     Scenario {
         seed,
@@ -132,8 +132,8 @@
     }
 }
 
-/// Without reports and costs.
-fn untold(scenario: Scenario) -> Scenario {
+/// Returns the scenario without load reports and costs.
+fn without_feedback(scenario: Scenario) -> Scenario {
     Scenario {
         reports_cost: false,
         reports: false,
@@ -141,7 +141,7 @@
     }
 }
 
-fn without_notes(settings: Settings) -> Settings {
+fn without_progress_reports(settings: Settings) -> Settings {
     Settings {
         progress_period: None,
         ..settings
@@ -167,53 +167,70 @@
     let unlimited = Settings {
         retry_budget: None,
         zone: None,
-        ..rich(2)
+        ..full_settings(2)
     };
     let nothing_known = Settings {
         classes: vec![Class::default(); 3],
         ..Settings::default()
     };
-    let no_notes = without_reports(without_notes(rich(2)));
+    let no_progress_reports = without_reports(without_progress_reports(full_settings(2)));
     vec![
-        ("8 engines, all told", scenario(1, 8, 10, rich(1))),
+        ("8 engines, all told", scenario(1, 8, 10, full_settings(1))),
         (
             "8 engines, 3 gateways, overload",
             scenario(2, 8, 5, unlimited),
         ),
-        ("8 engines, bare", untold(scenario(3, 8, 10, bare(None)))),
+        (
+            "8 engines, bare",
+            without_feedback(scenario(3, 8, 10, minimal_settings(None))),
+        ),
         (
             "8 engines, nothing known",
-            untold(scenario(4, 8, 20, nothing_known)),
+            without_feedback(scenario(4, 8, 20, nothing_known)),
         ),
         (
             "8 engines, no notes, no costs",
-            untold(scenario(5, 8, 10, no_notes)),
+            without_feedback(scenario(5, 8, 10, no_progress_reports)),
         ),
     ]
 }
 
 fn many_engines() -> Vec<(&'static str, Scenario)> {
-    let no_notes = without_reports(without_notes(rich(150)));
+    let no_progress_reports = without_reports(without_progress_reports(full_settings(150)));
     vec![
-        ("80 engines, all told", scenario(6, 80, 2, rich(12))),
+        (
+            "80 engines, all told",
+            scenario(6, 80, 2, full_settings(12)),
+        ),
         (
             "80 engines, no costs, grants",
-            untold(scenario(7, 80, 3, without_reports(rich(10)))),
+            without_feedback(scenario(7, 80, 3, without_reports(full_settings(10)))),
+        ),
+        (
+            "80 engines, thin parts",
+            scenario(8, 80, 10, full_settings(100)),
         ),
-        ("80 engines, thin parts", scenario(8, 80, 10, rich(100))),
         (
             "80 engines, thin parts, untold",
-            untold(scenario(9, 80, 10, with_cancel(bare(Some(100))))),
+            without_feedback(scenario(
+                9,
+                80,
+                10,
+                with_cancel(minimal_settings(Some(100))),
+            )),
         ),
         (
             "300 engines, sampled",
-            scenario(10, 300, 4, without_notes(rich(200))),
+            scenario(10, 300, 4, without_progress_reports(full_settings(200))),
         ),
         (
             "300 engines, sampled, untold",
-            untold(scenario(11, 300, 4, no_notes)),
+            without_feedback(scenario(11, 300, 4, no_progress_reports)),
+        ),
+        (
+            "300 engines, all looked at",
+            scenario(12, 300, 2, full_settings(8)),
         ),
-        ("300 engines, all looked at", scenario(12, 300, 2, rich(8))),
     ]
 }
 
