--- a/policy/src/attempt/ending.rs
+++ b/policy/src/attempt/ending.rs
@@ -73,7 +73,7 @@
     /// Learns from the outcome of an attempt.
     fn record_outcome(&mut self, ended: &AttemptEnded, taken: &TakenAttempt) {
         let engine = taken.attempt.engine;
-        if let Some(reason) = self.blame_for_end(ended.query, engine, ended.outcome) {
+        if let Some(reason) = self.failure_reason(ended.query, engine, ended.outcome) {
             self.record_failure(engine, reason);
         }
         match ended.outcome {
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -59,7 +59,7 @@
     ///
     /// An error may lie with the query. Its engine is blamed once another has served the query,
     /// and at once where that cannot be, or where the engine was on trial.
-    pub(crate) fn blame_for_end(
+    pub(crate) fn failure_reason(
         &self,
         query: QueryId,
         engine: EngineId,
