--- a/policy/src/bin/violetgate-simhost.rs
+++ b/policy/src/bin/violetgate-simhost.rs
@@ -1,14 +1,15 @@
-//! Runs the decision module under the simulator: one line in, one line out, until input ends.
+//! Runs the decision module for the simulator. Reads lines from standard input until it ends, and
+//! writes one reply for each line to standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
 use violetgate_policy::wire::{Adapter, WireError};
 
-/// Why the program ends early.
+/// The reason why the program ends before its input does.
 #[derive(Debug, thiserror::Error)]
 enum HostError {
-    /// A line could not be read.
+    /// A line could not be read from standard input.
     #[error("line {number}: {error}")]
     Read {
         /// The number of the line, from 1.
@@ -24,7 +25,7 @@
         #[source]
         error: WireError,
     },
-    /// A reply could not be written.
+    /// A reply could not be written to standard output.
     #[error("{0}")]
     Write(#[source] io::Error),
 }
--- a/policy/src/gateway.rs
+++ b/policy/src/gateway.rs
@@ -1,6 +1,6 @@
-//! One gateway: its state, and the order in which it handles events.
+//! The state of one gateway, and the order in which it handles events.
 //!
-//! Its settings, events and actions are in `policy/src/interface.rs`.
+//! Its settings, events and actions are defined in `policy/src/interface.rs`.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,14 @@
 use crate::interface::{Action, Class, EngineId, EngineState, Event, Micros, Settings};
 use crate::state::{ClassStats, EngineRecord, EngineSampler, OverallStats, Query, QueryTable};
 
-/// The decisions of one gateway.
+/// The state and the decisions of one gateway.
 #[derive(Debug)]
 pub struct Gateway {
     pub(crate) settings: Settings,
-    /// Gateways that share the engines, this one included; at least 1.
+    /// The number of gateways that share the engines, this one included; at least 1.
     pub(crate) gateways: f64,
-    /// Makes this gateway's choices differ from those of others.
+    /// The seed of the random choices and of this gateway's own order of engines. It differs
+    /// between gateways, so that they choose differently.
     pub(crate) seed: u64,
     pub(crate) rng: ChaCha8Rng,
     pub(crate) now: Micros,
@@ -25,25 +26,25 @@
     pub(crate) queries: QueryTable,
     pub(crate) class_stats: Vec<ClassStats>,
     pub(crate) overall: OverallStats,
-    /// When the timer that was last set fires.
+    /// The time at which the most recently set timer fires.
     pub(crate) timer_at: Option<Micros>,
 }
 
-/// Counts of engines, for the embedding's metrics.
+/// The counts of engines that the embedding publishes as metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Engines in the list that are not removed.
+    /// The number of engines in the list that are not removed.
     pub listed: usize,
-    /// Those of them that are cordoned, or ejected as outliers.
+    /// The number of listed engines that are cordoned, or ejected as outliers.
     pub avoided: usize,
 }
 
 impl Gateway {
-    /// Creates a gateway that knows no engines yet. The seed fixes all its random choices; each
-    /// gateway of a fleet has one of its own.
+    /// Creates a gateway that knows no engines yet. The seed determines all its random choices;
+    /// each gateway of a fleet should have a different one.
     #[must_use]
     pub fn new(mut settings: Settings, seed: u64) -> Self {
-        // Queries of classes that the settings do not name share a last class without settings.
+        // Queries of unknown classes share this additional class, which sets nothing.
         settings.classes.push(Class::default());
         let classes = settings.classes.len();
         Gateway {
@@ -61,11 +62,12 @@
         }
     }
 
-    /// Handles what happened at `now`, in order, and appends what is to be done about it.
+    /// Handles the events that happened at `now`, in order, and appends the resulting actions. If
+    /// `now` is before the time of an earlier call, that time is used instead.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
-        // Admission reads the totals as events are handled; dispatch reads what the events have
-        // made of them.
+        // Admission reads the totals while events are handled. Dispatch needs the totals after the
+        // events, so they are updated again below.
         self.update_engine_totals();
         for event in events {
             self.on_event(event, actions);
@@ -105,7 +107,8 @@
         }
     }
 
-    /// Counts the listed engines, and those of them that are avoided though not draining.
+    /// Counts the listed engines, and the listed engines that are avoided. A draining engine counts
+    /// as avoided only if it is cordoned.
     #[must_use]
     pub fn engine_counts(&self) -> EngineCounts {
         let listed = || {
@@ -122,12 +125,12 @@
         }
     }
 
-    /// The settings of a query's class.
+    /// Returns the settings of a query's class.
     pub(crate) fn class_of(&self, query: &Query) -> &Class {
         &self.settings.classes[query.class]
     }
 
-    /// What is learned of a query's class.
+    /// Returns the statistics of a query's class.
     pub(crate) fn stats_of(&self, query: &Query) -> &ClassStats {
         &self.class_stats[query.class]
     }
--- a/policy/src/interface.rs
+++ b/policy/src/interface.rs
@@ -1,7 +1,8 @@
 //! The interface of the decision module: settings and events go in, actions come out.
 //!
+//! The embedding is the program that owns the gateway. It reports events and carries out actions.
 //! All times are integer microseconds on one clock that never goes backwards. A setting that the
-//! operator omits is `None`; the rule that uses it defines what its absence means.
+//! operator omits is `None`; the rule that uses the setting defines what happens then.
 //!
 //! ```
 //! use violetgate_policy::interface::{
@@ -39,5 +40,5 @@
 pub use query::{Cost, NewQuery, Outcome, Progress, QueryId};
 pub use settings::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget, Settings};
 
-/// A moment, or a span of time, in microseconds.
+/// A point in time, or a span of time, in microseconds.
 pub type Micros = u64;
--- a/policy/src/interface/action.rs
+++ b/policy/src/interface/action.rs
@@ -1,50 +1,50 @@
-//! What a gateway has its embedding do.
+//! The actions that a gateway asks its embedding to carry out.
 
 use super::{EngineId, Micros, QueryId};
 
-/// Something that the embedding has to do, in the order given.
+/// An action that the embedding has to carry out, in the order in which actions are returned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Action {
-    /// Set the memory grant and the priority of the query's further attempts.
+    /// Set the memory grant and the priority of all attempts of a query that are sent later.
     SetResources {
-        /// The query.
+        /// The query whose attempts get the grant and the priority.
         query: QueryId,
-        /// Megabytes; with 0 the engine decides.
+        /// The memory grant in megabytes. With 0 the engine decides.
         memory_mb: f64,
-        /// 0 (lowest) to 3 (highest).
+        /// The priority, from 0 (lowest) to 3 (highest).
         priority: u8,
     },
-    /// Send an attempt; its number is the count of earlier ones.
+    /// Send an attempt. Its number is the count of the query's earlier attempts.
     Send {
-        /// The query.
+        /// The query to send.
         query: QueryId,
-        /// The engine to send it to.
+        /// The engine that the attempt goes to.
         engine: EngineId,
-        /// Time-out; 0 means until the client gives up.
+        /// The time-out of the attempt. With 0 it runs until the client gives up.
         timeout: Micros,
     },
-    /// Cancel an attempt; its end is reported as an event.
+    /// Cancel an attempt. Its end is reported as an event.
     Cancel {
-        /// The query.
+        /// The query that the attempt belongs to.
         query: QueryId,
         /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected without an effect; the client may retry.
+    /// Give the final answer that the query is rejected. The client may retry without harm.
     Reject {
-        /// The query.
+        /// The query that is rejected.
         query: QueryId,
         /// How long the client should wait before it retries.
         retry_after: Micros,
     },
-    /// Final answer: failed, and the query may have had its effect.
+    /// Give the final answer that the query failed, and may have had its effect.
     Fail {
-        /// The query.
+        /// The query that failed.
         query: QueryId,
     },
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) at this time.
+    /// Report [`Event::TimerFired`](super::Event::TimerFired) at a given time.
     SetTimer {
-        /// When.
+        /// The time at which the timer fires.
         at: Micros,
     },
     /// Subscribe to the engine list.
--- a/policy/src/interface/engine.rs
+++ b/policy/src/interface/engine.rs
@@ -1,48 +1,49 @@
-//! Engines as the engine list and their load reports describe them.
+//! Engines, as the engine list and load reports describe them.
 
 use super::Micros;
 
-/// An engine, numbered by the embedding; the number belongs to the machine, not to its address.
+/// The number of an engine, assigned by the embedding. It identifies the machine, not its address.
 pub type EngineId = u32;
 
 /// The state of an engine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineState {
-    /// Its process runs and takes queries.
+    /// The engine's process runs and takes queries.
     Ready,
-    /// It finishes the queries that it has and takes no more.
+    /// The engine finishes the queries that it has and takes no more.
     Draining,
-    /// It was removed.
+    /// The engine was removed.
     Removed,
 }
 
 /// One entry of the engine list.
 #[derive(Debug, Clone, Copy)]
 pub struct Engine {
-    /// The engine.
+    /// The number of the engine.
     pub id: EngineId,
-    /// Its availability zone.
+    /// The engine's availability zone.
     pub zone: u32,
-    /// Its kind, an index into [`Settings::engine_kinds`](super::Settings::engine_kinds).
+    /// The engine's kind, an index into [`Settings::engine_kinds`](super::Settings::engine_kinds).
     pub kind: u32,
-    /// Its cell, a part of its zone.
+    /// The engine's cell, a part of its zone.
     pub cell: u32,
-    /// Its state.
+    /// Whether the engine takes queries.
     pub state: EngineState,
-    /// When its process last started, if the list says so.
+    /// The time at which the engine's process last started, if the list contains it.
     pub started: Option<Micros>,
 }
 
 /// How much of the engine list an event carries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListScope {
-    /// The full list; engines that it does not hold are removed.
+    /// The event carries the full list. Engines that are not in it are removed.
     Snapshot,
-    /// The full list as it was known before a restart of this gateway; it may be out of date.
+    /// The event carries the full list as this gateway knew it before it restarted. The list may be
+    /// out of date.
     StaleSnapshot,
-    /// Changed entries only.
+    /// The event carries changed entries only.
     Patch,
-    /// The watch or a poll failed; the list known so far holds.
+    /// The watch or a poll of the list failed. The last known list stays in use.
     WatchFailed,
 }
 
@@ -55,6 +56,6 @@
     pub disk_utilisation: Option<f64>,
     /// The granted fraction of its memory, 0 to 1. No rule uses it.
     pub memory_utilisation: Option<f64>,
-    /// How many queries wait there for memory. No rule uses it.
+    /// The number of queries that wait at the engine for memory. No rule uses it.
     pub memory_queue_length: Option<f64>,
 }
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -1,84 +1,87 @@
-//! What happens to a gateway.
+//! The events that the embedding reports to a gateway.
 
 use super::{
     Cost, Engine, EngineId, ListScope, LoadReport, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 
-/// The end of an attempt.
+/// Reports the end of an attempt.
 #[derive(Debug, Clone)]
 pub struct AttemptEnded {
-    /// The query.
+    /// The query that the attempt belonged to.
     pub query: QueryId,
     /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// The engine that it was sent to.
+    /// The engine that the attempt was sent to.
     pub engine: EngineId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The client has got the final answer to the query.
+    /// Whether the client has received the final answer to the query.
     pub query_answered: bool,
-    /// Time since the attempt was sent.
+    /// The time from when the attempt was sent to its end.
     pub elapsed: Micros,
-    /// What the query cost, if the engine reports it.
+    /// The resources that the query used, if the engine reports them.
     pub cost: Option<Cost>,
-    /// The engine's load report.
+    /// The load report that came with the answer.
     pub load: LoadReport,
 }
 
-/// Something that happened to this gateway.
+/// An event at this gateway.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The engine list, or a change of it.
+    /// The engine list arrived or changed, or the watch on it failed.
     EngineList {
         /// How much of the list `engines` holds.
         scope: ListScope,
-        /// The entries.
+        /// The entries of the list, or the changed ones.
         engines: Vec<Engine>,
     },
-    /// An operator cordoned or uncordoned an engine. Either holds until the other, whatever the
-    /// list says meanwhile.
+    /// An operator cordoned or uncordoned an engine. A cordon lasts until the engine is uncordoned,
+    /// whatever the engine list contains.
     Cordon {
-        /// The engine, whether it is in the list or not.
+        /// The engine. It need not be in the list.
         engine: EngineId,
-        /// `true`: send it nothing more; `false`: it was restarted and may be used again.
+        /// If `true`, nothing more is sent to the engine. If `false`, the engine was restarted and
+        /// may be used again.
         cordoned: bool,
     },
-    /// A client sent a query; it gets exactly one final answer.
+    /// A client sent a query. The query gets exactly one final answer.
     QueryArrived(NewQuery),
     /// A running attempt reported its progress.
     Progress {
-        /// The query.
+        /// The query that the attempt belongs to.
         query: QueryId,
         /// The number of the attempt, from 0.
         attempt: u32,
-        /// The progress.
+        /// The reported progress.
         progress: Progress,
     },
-    /// The response has begun to stream; the query has no deadline from here on.
+    /// The response has begun to stream. From now on the query has no deadline.
     ResponseStarted {
-        /// The query.
+        /// The query whose response streams.
         query: QueryId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
     /// The client disconnected.
     ClientDisconnected {
-        /// The query that it waited for.
+        /// The query whose answer the client waited for.
         query: QueryId,
     },
-    /// The embedding made a health check of its own accord.
+    /// A health check ended. The embedding makes health checks without an action that asks for
+    /// them.
     HealthChecked {
-        /// The engine.
+        /// The engine that was checked.
         engine: EngineId,
-        /// The engine answered.
+        /// Whether the engine answered.
         passed: bool,
-        /// The engine's load report.
+        /// The load report that came with the answer.
         load: LoadReport,
     },
-    /// The number of gateways that share the engines changed. The sender makes sure that the
-    /// quotas of all gateways, each by the number that it was last given, never exceed the total.
+    /// The number of gateways that share the engines changed. Each gateway computes its quota from
+    /// the number that it received last. The sender must ensure that the quotas of all gateways
+    /// never add up to more than the total.
     FleetSize {
-        /// How many, this one included; 0 counts as 1.
+        /// The number of gateways, this one included. 0 counts as 1.
         gateways: u32,
     },
     /// A timer that [`Action::SetTimer`](super::Action::SetTimer) set has fired.
--- a/policy/src/interface/query.rs
+++ b/policy/src/interface/query.rs
@@ -2,42 +2,43 @@
 
 use super::Micros;
 
-/// A query, numbered by the embedding; a number is never used twice.
+/// The number of a query, assigned by the embedding. A number is never used twice.
 pub type QueryId = u64;
 
 /// A query that a client has just sent.
 #[derive(Debug, Clone, Default)]
 pub struct NewQuery {
-    /// Its number.
+    /// The number of the query.
     pub id: QueryId,
-    /// Its class, an index into [`Settings::classes`](super::Settings::classes).
+    /// The query's class, an index into [`Settings::classes`](super::Settings::classes). An index
+    /// beyond the last class stands for a class without settings.
     pub class: u32,
-    /// Its tenant.
+    /// The number of the tenant that sent the query.
     pub tenant: u32,
-    /// Estimated time on one thread.
+    /// The estimated time on one thread.
     pub estimated_work: Option<Micros>,
-    /// Estimated memory in megabytes.
+    /// The estimated memory in megabytes.
     pub estimated_memory_mb: Option<f64>,
-    /// Time until the client gives up on this request.
+    /// The time from now until the client gives up on this request.
     pub client_timeout: Micros,
-    /// The group of tables that it reads.
+    /// The group of tables that the query uses.
     pub table_group: Option<u64>,
-    /// Queries with the same key run in order, where the class is ordered by key.
+    /// The ordering key. Queries with the same key run in order if their class is ordered by key.
     pub ordering_key: Option<u64>,
-    /// The client marked it as a retry of its own.
+    /// Whether the client marked the request as a retry of an earlier request.
     pub is_client_retry: bool,
 }
 
 /// The progress of a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Progress {
-    /// The fraction of its work that is done, 0 to 1.
+    /// The attempt has done this fraction of its work, from 0 to 1.
     FractionDone(f64),
-    /// It spills to disk; the megabytes that it lacks.
+    /// The attempt spills to disk because it lacks this many megabytes of memory.
     Spilling(f64),
-    /// It is queued at the engine for memory.
+    /// The attempt is queued at the engine until memory is free.
     WaitingForMemory,
-    /// It is queued at the engine behind a bulk load.
+    /// The attempt is queued at the engine until a bulk load ends.
     WaitingForBulkLoad,
 }
 
@@ -48,22 +49,22 @@
     Completed,
     /// The engine answered with an error.
     Error,
-    /// The engine rejected it without running it, since it is full.
+    /// The engine was full and rejected the attempt without running it.
     Overloaded,
     /// No answer came in time.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the engine could be made.
     ConnectionRefused,
-    /// The connection broke while the attempt was out.
+    /// The connection broke after the attempt was sent and before it was answered.
     ConnectionLost,
-    /// This gateway cancelled it.
+    /// This gateway cancelled the attempt.
     Cancelled,
-    /// It was never written to the engine.
+    /// The attempt was never written to the engine.
     NeverSent,
 }
 
 impl Outcome {
-    /// Whether the engine may have run the attempt, in part or in full.
+    /// Returns whether the engine may have run the attempt, in part or in full.
     #[must_use]
     pub fn may_have_run(self) -> bool {
         match self {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Whether the engine may still be running the attempt.
+    /// Returns whether the engine may still be running the attempt.
     #[must_use]
     pub fn may_still_run(self) -> bool {
         matches!(
@@ -86,11 +87,11 @@
     }
 }
 
-/// What a query really cost, as its answer reports.
+/// The resources that a query used, as its answer reports them.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Cost {
-    /// Time on one thread.
+    /// The work of the query, as time on one thread.
     pub work: Micros,
-    /// Memory needed, in megabytes.
+    /// The memory that the query needed, in megabytes.
     pub memory_mb: f64,
 }
--- a/policy/src/lib.rs
+++ b/policy/src/lib.rs
@@ -1,36 +1,37 @@
 //! Decisions for a *gateway*: the front end that admits queries, queues them, and sends them to
 //! query engines with limited threads and memory.
 //!
-//! [`Gateway`] does no input or output and has no clock. An embedding passes it [`Event`]s with
-//! the time at which they happened, and carries out the [`Action`]s that it returns. See
-//! [`interface`] for an example.
+//! [`Gateway`] does no input or output and has no clock. The program that embeds it (the
+//! *embedding*) passes it [`Event`]s with the time at which they happened, and carries out the
+//! [`Action`]s that it returns. See [`interface`] for an example.
 //!
 //! # Where each rule is
 //!
-//! [`Gateway::handle`] lists what happens at each call. Each rule has a module of its own:
+//! [`Gateway::handle`] shows the order of the steps in each call. Each rule has its own module:
 //!
 //! | module | question |
 //! | --- | --- |
 //! | `admission` | Is a query that arrives sent, queued or rejected? |
-//! | `queueing` | Which queued query goes next, and in which order do those of one key run? |
+//! | `queueing` | Which queued query goes next, and in which order do queries of one key run? |
 //! | `deadline` | When does a query have to be answered, and when is it given up? |
 //! | `placement` | Which engine does a query go to? |
-//! | `eligibility` | Is this send allowed at all? |
+//! | `eligibility` | May an attempt of this query go to this engine? |
 //! | `capacity` | Does an engine have capacity for a query now? |
 //! | `concurrency_limit` | How many threads may this gateway use at an engine, and in all? |
 //! | `memory_grant` | How much memory is a query granted, and this gateway at an engine? |
 //! | `slow_start` | How much work does an engine get while it warms up? |
 //! | `outlier_detection` | Which engines are ejected, and when are they tried again? |
 //! | `retry` | Does a query get a further attempt? |
-//! | `attempt` | What follows from an attempt's start, progress, silence and end? |
-//! | `final_answer` | Is a query rejected or failed, and what becomes of its attempt? |
+//! | `attempt` | What happens when an attempt is sent, reports progress, goes silent or ends? |
+//! | `final_answer` | Is a query rejected or failed, and is its attempt cancelled? |
 //! | `priority` | How do queries rank against each other at a busy engine? |
-//! | `engine_list` | What follows from the engine list and from cordons? |
+//! | `engine_list` | How do the engine list and cordons change which engines are used? |
 //! | `speed` | How fast do engines work, and how long will a query run? |
 //! | `engine_totals` | What is the capacity of all engines together? |
 //! | `timers` | When does the gateway act without an event? |
 //!
-//! `state` holds what a gateway remembers, `estimators` how it learns from samples.
+//! `state` holds the data that a gateway keeps between calls. `estimators` computes moving means
+//! and regressions from samples.
 
 mod admission;
 mod attempt;
--- a/policy/src/wire.rs
+++ b/policy/src/wire.rs
@@ -1,13 +1,13 @@
 //! The codec of the simulator's JSON: one line in, one line out.
 //!
-//! The simulator has names of its own for most things. They are written down once, as serde
-//! renames and as the constants of `command` and `report_field`; everything else uses the
-//! terms of [`crate::interface`]. Nothing is decided here.
+//! The simulator uses other names than this crate for most things. Its names occur only in serde
+//! renames, in the constants of `command` and `report_field`, and in texts that name a field.
+//! Everything else uses the terms of [`crate::interface`]. No rule is decided here.
 //!
-//! - `adapter`: the gateways of one process, and the lines that come in and go out;
-//! - `event`: the form of an event and its conversion to [`crate::Event`];
-//! - `settings`: the form of the settings and their conversion to [`crate::Settings`];
-//! - `reply`: the form of a reply and the conversion from [`crate::Action`].
+//! - `adapter` holds the gateways of one process, reads lines and writes replies.
+//! - `event` defines the JSON of an event and converts it to [`crate::Event`].
+//! - `settings` defines the JSON of the settings and converts it to [`crate::Settings`].
+//! - `reply` defines the JSON of a reply and converts it from [`crate::Action`].
 
 mod adapter;
 mod event;
@@ -21,15 +21,15 @@
 
 use crate::interface::{EngineId, Micros};
 
-/// The names of events on the wire, the values of the field `cmd`.
+/// The names of events on the wire: the values of the field `cmd`.
 mod command {
-    /// A list that later `discovery` events refer to by its slot.
+    /// A list of engines that later `discovery` events refer to by its slot.
     pub const STORE_LIST: &str = "ledger";
     /// A gateway starts.
     pub const START: &str = "boot";
     /// A gateway ends.
     pub const STOP: &str = "shutdown";
-    /// The engine list, or a change of it.
+    /// The engine list arrived or changed, or the watch on it failed.
     pub const ENGINE_LIST: &str = "discovery";
     /// A query arrives.
     pub const QUERY_ARRIVED: &str = "ask";
@@ -41,46 +41,46 @@
     pub const ATTEMPT_ENDED: &str = "completed";
     /// A client disconnects.
     pub const CLIENT_DISCONNECTED: &str = "client-gone";
-    /// A health check has its result.
+    /// A health check ends.
     pub const HEALTH_CHECKED: &str = "checked";
     /// A timer fires.
     pub const TIMER_FIRED: &str = "fired";
-    /// A message between gateways; this module uses none.
+    /// A message from another gateway arrives. It is ignored.
     pub const GATEWAY_MESSAGE: &str = "mail";
 }
 
 /// The names of the values in a load report.
 mod report_field {
-    /// Busy fraction of the cores.
+    /// The busy fraction of the cores, 0 to 1.
     pub const CPU_UTILISATION: &str = "utilization";
-    /// Busy fraction of the disks.
+    /// The busy fraction of the disks, 0 to 1.
     pub const DISK_UTILISATION: &str = "x1";
-    /// Granted fraction of the memory.
+    /// The granted fraction of the memory, 0 to 1.
     pub const MEMORY_UTILISATION: &str = "x0";
-    /// Queries that wait for memory.
+    /// The number of queries that wait for memory.
     pub const MEMORY_QUEUE_LENGTH: &str = "backlog";
 }
 
-/// What was wrong with a line.
+/// The reason why a line from the simulator could not be handled.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A field is missing, or holds what it must not.
+    /// The line is not valid JSON, or a field of it is missing or has an invalid value.
     #[error("field `{path}`: {source}")]
     Malformed {
-        /// The path of the field from the top of the line.
+        /// The path of the field from the root of the JSON object.
         path: String,
-        /// What is wrong with it.
+        /// The error of the JSON parser at that field.
         source: serde_json::Error,
     },
-    /// Something follows the JSON object.
+    /// Other text follows the JSON object in the line.
     #[error("after the batch: {0}")]
     TrailingInput(#[source] serde_json::Error),
-    /// An event lacks a field that its command needs, or holds what it must not.
+    /// An event lacks a field that its command requires, or has an invalid value.
     #[error("events[{index}]: {error}")]
     InvalidEvent {
-        /// The place of the event in the batch, from 0.
+        /// The index of the event in the line, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The reason why the event is invalid.
         #[source]
         error: EventError,
     },
@@ -98,24 +98,24 @@
     }
 }
 
-/// What was wrong with one event.
+/// The reason why an event is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
-    /// Its command needs a field that it lacks.
+    /// The event lacks a field that its command requires.
     #[error("field `{0}` is missing")]
     MissingField(&'static str),
-    /// A number that has to be written as 16 hexadecimal digits is not.
+    /// A field that requires 16 lower-case hexadecimal digits contains something else.
     #[error("field `{0}` is not 16 hex digits")]
     NotHex(&'static str),
-    /// It refers to an engine list that no event has stored.
+    /// The event refers to an engine list that no earlier event has stored.
     #[error("field `slot` names no ledger")]
     UnknownList,
-    /// Its command is not known.
+    /// The command of the event is unknown.
     #[error("field `cmd`: no event is called `{0}`")]
     UnknownCommand(String),
 }
 
-/// The names of engines on the wire and their numbers, in order of first mention.
+/// Maps the names of engines on the wire to numbers, assigned in order of first mention.
 #[derive(Debug, Default)]
 struct EngineNames {
     ids: BTreeMap<String, EngineId>,
@@ -123,7 +123,7 @@
 }
 
 impl EngineNames {
-    /// The number of a name; a new name gets the next number.
+    /// Returns the number of a name. A new name gets the next number.
     fn id(&mut self, name: &str) -> EngineId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -134,19 +134,19 @@
         id
     }
 
-    /// The name of a number.
+    /// Returns the name of a number, or an empty text for an unknown number.
     fn name(&self, id: EngineId) -> String {
         self.names.get(id as usize).cloned().unwrap_or_default()
     }
 }
 
-/// Seconds on the wire to microseconds. Rounds, unlike `units::micros`: a decimal fraction of a
-/// second is rarely an exact number.
+/// Converts seconds on the wire to microseconds. Rounds, unlike `units::micros`, since the binary
+/// form of a decimal fraction of a second is rarely exact.
 fn micros(seconds: f64) -> Micros {
     (seconds.max(0.0) * 1e6).round() as Micros
 }
 
-/// Microseconds to seconds on the wire.
+/// Converts microseconds to seconds on the wire.
 fn seconds(micros: Micros) -> f64 {
     micros as f64 / 1e6
 }
--- a/policy/src/wire/adapter.rs
+++ b/policy/src/wire/adapter.rs
@@ -1,4 +1,4 @@
-//! The gateways of one simulator process, and the lines that come in and go out.
+//! Passes the simulator's lines to the gateways of one process, and returns the replies.
 
 use std::collections::BTreeMap;
 
@@ -18,13 +18,13 @@
     events: Vec<EventLine>,
 }
 
-/// One gateway with the names that the wire gives its engines.
+/// One gateway, with the names of its engines on the wire and its pending events.
 struct Instance {
     gateway: Gateway,
     names: EngineNames,
     reports_cost: bool,
     report_fields: ReportFields,
-    /// Events of the present line that it has not handled yet.
+    /// The events of the current line that the gateway has not handled yet.
     pending: Vec<Event>,
 }
 
@@ -40,8 +40,8 @@
     }
 }
 
-/// All the gateways of one process. They share nothing but the engine lists that are sent once
-/// for all of them.
+/// The gateways of one process. They share only the stored engine lists, which the simulator sends
+/// once for all gateways.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u32, Instance>,
@@ -59,7 +59,8 @@
     ///
     /// # Errors
     ///
-    /// The line is not valid JSON, or a field is missing or malformed; the error names the field.
+    /// Returns an error if the line is not valid JSON, or a field is missing or malformed. The
+    /// error names the field.
     pub fn line(&mut self, line: &str) -> Result<String, WireError> {
         let mut json = serde_json::Deserializer::from_str(line);
         let batch: Batch = serde_path_to_error::deserialize(&mut json)?;
@@ -83,7 +84,8 @@
         serde_json::to_string(&Reply { actions: reply }).map_err(WireError::Encode)
     }
 
-    /// Carries out what concerns the adapter itself; other events wait for their gateway.
+    /// Handles the events that start and stop gateways and store lists. Adds other events to the
+    /// pending events of their gateway. Events for an unknown gateway are ignored.
     fn receive(&mut self, line: EventLine) -> Result<(), EventError> {
         if line.command == command::STORE_LIST {
             let (slot, entries) = line.stored_list()?;
--- a/policy/src/wire/event.rs
+++ b/policy/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! The form of an event on the wire, and its conversion to [`crate::Event`].
+//! Defines the JSON of an event, and converts it to [`crate::Event`].
 
 use std::collections::BTreeMap;
 
@@ -12,30 +12,32 @@
 };
 use crate::Event;
 
-/// Bit of `state-bits`: the estimate of the query's work is valid.
+/// The bit of `state-bits` that says that the estimate of the query's work is valid.
 const HAS_ESTIMATE: u32 = 1;
-/// Bit of `state-bits`: the client marked the query as a retry.
+/// The bit of `state-bits` that says that the client marked the query as a retry.
 const IS_CLIENT_RETRY: u32 = 2;
-/// `stats` of an answer: the low bits hold the memory in units, the others the work in
-/// milliseconds.
+/// The number of low bits of `stats` that hold the memory of a query, in units of
+/// `MEMORY_UNIT_MB`. The other bits hold the work in milliseconds.
 const MEMORY_BITS: u32 = 12;
+/// The unit of memory in `stats`, in megabytes.
 const MEMORY_UNIT_MB: f64 = 4.0;
 const MICROS_PER_MILLISECOND: u64 = 1000;
 
-/// The kinds of progress, values of `topic`.
+/// The kinds of progress: the values of the field `topic`. They define the meaning of `value`.
 mod topic {
-    /// The value is the fraction done.
+    /// The value is the fraction of the work that is done, 0 to 1.
     pub const FRACTION_DONE: u32 = 1;
-    /// The value is the memory that is missing, in megabytes.
+    /// The value is the memory that the attempt lacks, in megabytes.
     pub const SPILLING: u32 = 2;
-    /// The value says what for.
+    /// The attempt is queued at the engine. The value says what it waits for.
     pub const WAITING: u32 = 3;
 }
-/// Values of the topic `WAITING`.
+/// The value of `WAITING` for an attempt that waits for memory.
 const FOR_MEMORY: i64 = 1;
+/// The value of `WAITING` for an attempt that waits for a bulk load.
 const FOR_BULK_LOAD: i64 = 2;
 
-/// Every field that an event may carry; the command determines which of them it needs.
+/// The fields that an event may have. The command determines which of them are required.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "struct Line")]
 pub(super) struct EventLine {
@@ -180,7 +182,7 @@
 }
 
 impl EventLine {
-    /// The slot and the entries of a list that is stored for later events.
+    /// Returns the slot and the entries of a list that is stored for later events.
     pub(super) fn stored_list(self) -> Result<(u8, Vec<ListEntry>), EventError> {
         let slot = need(self.slot, "slot")?;
         Ok((slot, need(self.entries, "lines")?))
@@ -212,7 +214,7 @@
         })
     }
 
-    /// The progress that an event reports; `None` where this module does not know its kind.
+    /// Returns the progress that an event reports, or `None` if its kind is unknown.
     fn progress(&self) -> Result<Option<Progress>, EventError> {
         let value = self.value.unwrap_or(0.0);
         Ok(match (need(self.topic, "topic")?, value as i64) {
@@ -234,7 +236,7 @@
     }
 }
 
-/// The places of the values in a load report.
+/// The index of each value in a load report, or `None` if reports do not contain the value.
 #[derive(Debug)]
 pub(super) struct ReportFields {
     cpu_utilisation: Option<usize>,
@@ -244,7 +246,7 @@
 }
 
 impl ReportFields {
-    /// The places as the settings list them.
+    /// Returns the indexes that the settings define.
     pub(super) fn of(settings: &WireSettings) -> Self {
         ReportFields {
             cpu_utilisation: settings.report_field(report_field::CPU_UTILISATION),
@@ -254,7 +256,7 @@
         }
     }
 
-    /// The report of a row. Values that are missing, or are no fraction or count, are `None`.
+    /// Converts the values of a load report. A value that is missing or negative is `None`.
     fn report(&self, row: Option<&[f64]>) -> LoadReport {
         let value = |place: Option<usize>| {
             let value = place.and_then(|place| row?.get(place).copied());
@@ -278,7 +280,7 @@
 }
 
 impl Decoder<'_> {
-    /// The event of a line; `None` where the module has no use for it.
+    /// Converts an event. Returns `None` if the gateway has no use for it.
     pub(super) fn decode(mut self, line: &EventLine) -> Result<Option<Event>, EventError> {
         let event = match line.command.as_str() {
             command::ENGINE_LIST => self.engine_list(line)?,
--- a/policy/src/wire/reply.rs
+++ b/policy/src/wire/reply.rs
@@ -1,11 +1,11 @@
-//! The form of a reply on the wire, and the conversion from [`Action`].
+//! Defines the JSON of a reply, and converts it from [`Action`].
 
 use serde::Serialize;
 
 use super::{seconds, EngineNames};
 use crate::Action;
 
-/// A line to the simulator.
+/// The reply to a line from the simulator.
 #[derive(Debug, Serialize)]
 pub(super) struct Reply {
     #[serde(rename = "do")]
@@ -63,7 +63,7 @@
         gateway: u32,
         #[serde(rename = "moment")]
         at: f64,
-        /// Echoed by the simulator; one timer name is enough here.
+        /// The simulator returns this name with the timer event. A gateway uses only one name.
         #[serde(rename = "nonce")]
         name: &'static str,
     },
@@ -72,7 +72,7 @@
 }
 
 impl WireAction {
-    /// The form of an action of a gateway.
+    /// Converts an action of the gateway with the number `gateway`.
     pub(super) fn of(action: Action, gateway: u32, names: &EngineNames) -> Self {
         let hex = |query| format!("{query:016x}");
         match action {
--- a/policy/src/wire/settings.rs
+++ b/policy/src/wire/settings.rs
@@ -1,11 +1,11 @@
-//! The form of the settings on the wire, and their conversion to [`Settings`].
+//! Defines the JSON of the settings, and converts it to [`Settings`].
 
 use serde::Deserialize;
 
 use super::{micros, report_field, WireError};
 use crate::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget, Settings};
 
-/// The settings of one gateway, as `boot` carries them.
+/// The settings of one gateway, as the event `boot` contains them.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(super) struct WireSettings {
@@ -69,7 +69,8 @@
     Cell,
 }
 
-/// What is particular to query engines; lists are by the number of the class or kind.
+/// The settings that are specific to query engines. Lists are indexed by the number of the class or
+/// of the kind of engine.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 struct Domain {
@@ -93,7 +94,7 @@
     reports_cost: bool,
 }
 
-/// Load reports: the names of their values in order, and how they come.
+/// The settings of load reports: the names of their values in order, and how they are sent.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Feedback {
@@ -146,19 +147,19 @@
     quota_per_s: Option<f64>,
 }
 
-/// Reads a settings object, the one that `boot` carries, for an embedding that gets it some other
-/// way.
+/// Reads a settings object as the event `boot` contains it, for an embedding that receives the
+/// object in another way.
 ///
 /// # Errors
 ///
-/// A field is malformed; the error names it.
+/// Returns an error if a field is malformed. The error names the field.
 pub fn settings_from_json(object: &serde_json::Value) -> Result<Settings, WireError> {
     let settings: WireSettings = serde_path_to_error::deserialize(object)?;
     Ok(settings.convert())
 }
 
 impl WireSettings {
-    /// The settings in the terms of the interface.
+    /// Converts to the settings of the interface.
     pub(super) fn convert(&self) -> Settings {
         let (domain, limits, rules) = (&self.domain, &self.limits, &self.rules);
         let retry_after = limits.max_retry_after;
@@ -193,12 +194,12 @@
         }
     }
 
-    /// Whether answers report what they cost.
+    /// Returns whether answers report the cost of their query.
     pub(super) fn reports_cost(&self) -> bool {
         self.domain.reports_cost
     }
 
-    /// The place of a value in load reports.
+    /// Returns the index of a value in load reports, or `None` if they do not contain it.
     pub(super) fn report_field(&self, name: &str) -> Option<usize> {
         self.feedback.fields.iter().position(|field| field == name)
     }
@@ -252,7 +253,8 @@
 }
 
 impl Rules {
-    /// A budget needs its window and at least one of its two parts.
+    /// Returns the retry budget, or `None` if the settings lack its window or both of the minimum
+    /// and the ratio of retries.
     fn retry_budget(&self) -> Option<RetryBudget> {
         let window = self.retry_window?;
         if self.min_retries.is_none() && self.retry_ratio.is_none() {
