--- a/policy/src/attempt.rs
+++ b/policy/src/attempt.rs
@@ -1,13 +1,13 @@
-//! The life of an attempt.
+//! The stages of an attempt, from the send to its end.
 //!
-//! - `sending`: it is sent;
-//! - `progress`: it reports how far it is, and may be rerouted or given up for that;
-//! - `silence`: it is silent for too long;
-//! - `ending`: it ends, its capacity is released, and the query is retried or answered;
-//! - `completion`: what an answer teaches.
+//! - `sending` sends an attempt.
+//! - `progress` handles progress reports, which can reroute or give up the query.
+//! - `silence` handles attempts that are silent for too long.
+//! - `ending` releases the capacity of an attempt that ended, and retries or answers the query.
+//! - `completion` updates statistics and limits from an answer.
 //!
-//! Each of them carries out what the rules decide: placement and eligibility before it, retry,
-//! outlier detection and deadlines after it.
+//! Placement and eligibility decide where an attempt is sent. Retry, outlier detection and
+//! deadlines decide what follows from its result.
 
 mod completion;
 mod ending;
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -1,5 +1,5 @@
-//! What an answer teaches: the work and memory of its class, the speed of its engine and of all
-//! engines, whether answers come late, and through them the limits on threads and memory.
+//! Updates statistics and limits from an answer: the work and memory of the class, the speed of the
+//! engine and of all engines, the fraction of late answers, and the limits on threads and memory.
 
 use crate::concurrency_limit::LimitSample;
 use crate::interface::{AttemptEnded, Micros};
@@ -10,21 +10,22 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// The fraction of this gateway's fair share up to which an engine counts as lightly used, so
-/// that the time of an answer shows its work.
+/// The fraction of this gateway's fair share below which an engine counts as lightly used. On such
+/// an engine the run time of a query equals its work.
 const LIGHT_USE_FRACTION: f64 = 0.4;
-/// The least time that an answer is taken to need; its speed is divided by it.
+/// The minimum thread-seconds of an answer. The speed is computed by a division by this time.
 const MIN_THREAD_SECONDS: f64 = 1e-4;
 
-/// An answer, as far as it teaches.
+/// The properties of an answer that statistics and limits are updated from.
 #[derive(Debug, Clone, Copy)]
 struct CompletionSample {
     class: usize,
     threads: f64,
     thread_seconds: f64,
-    /// Work in seconds on one thread, as reported or shown by the time; otherwise as expected.
+    /// The measured work or, if there is none, the expected work, in seconds on one thread.
     work: f64,
-    /// The same, only if reported or shown.
+    /// The work that the engine reported, or the run time on a lightly used engine, in seconds on
+    /// one thread.
     measured_work: Option<f64>,
     estimated_work: Option<Micros>,
     memory: MemorySample,
@@ -32,14 +33,14 @@
 }
 
 impl CompletionSample {
-    /// Work per thread-second.
+    /// Returns the work per thread-second.
     fn speed(&self) -> f64 {
         self.work / self.thread_seconds
     }
 }
 
 impl Gateway {
-    /// Learns from an answer.
+    /// Updates statistics and limits from an answer.
     pub(super) fn record_completion(&mut self, ended: &AttemptEnded, attempt: &Attempt) {
         let Some(sample) = self.completion_sample(ended, attempt) else {
             return;
@@ -91,12 +92,13 @@
                 cost: ended.cost,
                 has_spilled: attempt.has_spilled,
             },
-            // By when the answer came, not by when this gateway got to handle it.
+            // The time at which the answer came counts, not the time at which it is handled.
             is_late: attempt.sent_at + ended.elapsed > self.objective_at(query),
         })
     }
 
-    /// Whether an engine is lightly used by this gateway, and not mostly by others.
+    /// Returns whether this gateway uses little of its fair share of an engine. If that share is
+    /// less than a thread, mostly other gateways use the engine, and the result is `false`.
     fn is_lightly_used(&self, engine: &EngineRecord) -> bool {
         let fair_share = self.fair_share_of(engine.cores);
         fair_share >= 1.0 && engine.threads_in_use() < LIGHT_USE_FRACTION * fair_share
--- a/policy/src/attempt/ending.rs
+++ b/policy/src/attempt/ending.rs
@@ -1,5 +1,5 @@
-//! An attempt ends: its capacity is released, its outcome is learned from, and the query is
-//! retried or answered.
+//! Handles the end of an attempt: releases its capacity, records its outcome, and retries or
+//! answers the query.
 
 use crate::interface::{Action, AttemptEnded, EngineId, Outcome, QueryId};
 use crate::outlier_detection::FailureReason;
@@ -7,15 +7,15 @@
 use crate::state::{Attempt, FirstRun};
 use crate::Gateway;
 
-/// Control periods for which nothing is sent to an engine that rejected an attempt since it is
-/// full.
+/// How long nothing is sent to an engine that rejected an attempt because it was full, in control
+/// periods.
 const OVERLOAD_BACKOFF_PERIODS: f64 = 0.25;
 
-/// An attempt that has ended, taken from its query.
+/// An attempt that has ended and was removed from its query.
 #[derive(Debug)]
 struct TakenAttempt {
     attempt: Attempt,
-    /// The engine that answered an earlier attempt of the query with an error.
+    /// The engine that answered an earlier attempt of the query with an error, if any.
     earlier_error: Option<EngineId>,
 }
 
@@ -32,7 +32,8 @@
         self.retry_or_answer(ended.query, failed_twice, actions);
     }
 
-    /// Takes the attempt from its query; `None` if it is not the one that is out.
+    /// Removes the attempt from its query. Returns `None` if the event is about another attempt
+    /// than the one that is out.
     fn take_attempt(&mut self, ended: &AttemptEnded) -> Option<TakenAttempt> {
         let query = self.queries.get_mut(ended.query)?;
         if ended.attempt + 1 != query.attempts {
@@ -70,7 +71,8 @@
             .release_attempt(class, attempt.priority, threads);
     }
 
-    /// Learns from the outcome of an attempt.
+    /// Updates the health, the backoff and the statistics of engines from the outcome of an
+    /// attempt.
     fn record_outcome(&mut self, ended: &AttemptEnded, taken: &TakenAttempt) {
         let engine = taken.attempt.engine;
         if let Some(reason) = self.failure_reason(ended.query, engine, ended.outcome) {
@@ -78,7 +80,7 @@
         }
         match ended.outcome {
             Outcome::Completed => {
-                // The query was well, so the engine that answered it with an error is at fault.
+                // The query is valid, so an engine that answered it with an error is at fault.
                 let other = taken.earlier_error.filter(|other| *other != engine);
                 if let Some(other) = other {
                     self.record_failure(other, FailureReason::Error);
--- a/policy/src/attempt/sending.rs
+++ b/policy/src/attempt/sending.rs
@@ -1,7 +1,7 @@
-//! An attempt is sent.
+//! Sends an attempt to the engine that placement chose.
 //!
-//! Carries out a placement: sets grant and priority where engines heed them, counts the threads
-//! and memory that the attempt takes, and schedules the first check for silence.
+//! Sets grant and priority if engines apply them, counts the threads and memory of the attempt,
+//! and schedules the first check for silence.
 
 use crate::interface::{Action, EngineId, Micros, QueryId};
 use crate::state::{Attempt, WarmUpSend};
@@ -12,21 +12,21 @@
 struct PreparedSend {
     query: QueryId,
     engine: EngineId,
-    /// The class of the query.
+    /// The index of the query's class.
     class: usize,
     work: f64,
     threads: f64,
     memory_mb: f64,
     priority: u8,
-    /// The engine is warming up.
+    /// Whether the engine is warming up.
     is_warm_up: bool,
-    /// When it is checked for silence first.
+    /// The time of the first check for silence.
     check_at: Micros,
 }
 
 impl Gateway {
-    /// Sends an attempt of a query to an engine, if that is allowed. This is the only place where
-    /// an attempt is sent. Returns whether it did.
+    /// Sends an attempt of a query to an engine, if that is allowed. Returns whether it was sent.
+    /// This is the only function that sends attempts.
     pub(crate) fn send(
         &mut self,
         query: QueryId,
@@ -115,7 +115,7 @@
         self.forget_before_budget_window();
     }
 
-    /// Bounds the history of arrivals and retries to the window of the retry budget.
+    /// Removes arrivals and retries before the window of the retry budget from the history.
     fn forget_before_budget_window(&mut self) {
         let budget = self.settings.retry_budget;
         let window = budget.map_or(0, |budget| budget.window);
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -1,16 +1,16 @@
-//! Whether an engine has capacity for a query now.
+//! Decides whether an engine has capacity for a query now.
 //!
-//! - Decides: [`NoCapacity`], or that a query fits.
-//! - Inputs: the engine's health, its backoff, this gateway's threads and memory there against
-//!   their limits, and the bulk loads there.
+//! - Decides: this module decides that a query fits, or returns [`NoCapacity`].
+//! - Inputs: it uses the engine's health and backoff, the threads and memory that this gateway uses
+//!   there with their limits, and the bulk loads that run there.
 //! - Reason: an engine that gets more than it can run at once makes all its queries late. The
-//!   gateway queues them instead, and sends each where it can run.
+//!   gateway queues queries instead, and sends each one when an engine can run it.
 
 use crate::interface::{Idempotency, QueryId};
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
-/// Sums of threads are compared with this tolerance.
+/// The tolerance for rounding errors when sums of threads are compared.
 pub(crate) const THREAD_ROUNDING: f64 = 1e-9;
 
 /// Why a query does not fit on an engine now.
@@ -18,21 +18,23 @@
 pub(crate) enum NoCapacity {
     /// The engine is ejected, and no trial is due or the query does not suit one.
     Ejected,
-    /// The same for queries of its class.
+    /// The engine is ejected for the query's class, and no trial is due or the query does not suit
+    /// one.
     EjectedForClass,
-    /// The engine said a short while ago that it is full, or that queries wait there for memory.
+    /// The engine recently reported that it is full, or that queries wait there for memory.
     BackingOff,
-    /// This gateway's threads there are in use.
+    /// The query would exceed this gateway's thread limit at the engine.
     ThreadLimit,
-    /// This gateway's memory there is granted.
+    /// The query would exceed this gateway's quota of the engine's memory.
     MemoryQuota,
-    /// A bulk load there locks its group of tables, or it would lock the group of others.
+    /// A bulk load at the engine locks the query's group of tables, or the query is a bulk load and
+    /// would lock the group of a query there.
     BulkLoad,
 }
 
 impl Gateway {
-    /// Whether an engine has capacity for a query. One without any query of this gateway always
-    /// has, unless it is ejected or backing off.
+    /// Checks whether an engine has capacity for a query. An engine without any query of this
+    /// gateway always has capacity, unless it is ejected or backing off.
     pub(crate) fn check_capacity(
         &self,
         query: &Query,
@@ -67,16 +69,18 @@
         Ok(())
     }
 
-    /// An ejected engine gets one trial at a time, by idempotent queries only: deduplicated ones
-    /// have no part in it, other than where one class avoids an engine.
+    /// Returns whether a query may be a trial of an ejected engine. Such an engine gets one trial
+    /// at a time, by idempotent queries only. Deduplicated queries may only be trials of engines
+    /// that are ejected for their class (see `class_ejection_blocks`).
     fn may_try_ejected(&self, query: &Query, engine: &EngineRecord) -> bool {
         self.class_of(query).idempotency == Idempotency::Idempotent
             && engine.running.is_empty()
             && engine.health.ejected_until <= self.now
     }
 
-    /// The same where an engine is ejected for one class, as long as enough others serve the
-    /// class.
+    /// Returns whether the ejection of an engine for the query's class keeps the query away. The
+    /// ejection only applies while enough other engines serve the class. One trial at a time is
+    /// allowed, by a query that may safely run twice.
     fn class_ejection_blocks(&self, query: &Query, engine: &EngineRecord) -> bool {
         let Some(health) = engine.class_health.get(&query.class) else {
             return false;
@@ -89,16 +93,18 @@
             || self.runs_class(query.class, engine)
     }
 
-    /// One query of each class always fits, since a single wide one may pass the limit and would
-    /// shut out the short ones. A slow engine, with a limit of 0, has one query in all.
+    /// Returns whether a query would exceed the thread limit of an engine. One query of each class
+    /// always fits: a single query with many threads may exceed the limit, and would keep out
+    /// short queries of other classes. A slow engine, with a limit of 0, gets one query in all.
     fn thread_limit_blocks(&self, query: &Query, engine: &EngineRecord) -> bool {
         let limit = self.thread_limit(engine);
         let threads = self.competing_threads(query, &engine.threads) + query.threads;
         threads > limit + THREAD_ROUNDING && (limit <= 0.0 || self.runs_class(query.class, engine))
     }
 
-    /// A bulk load locks its group of tables, which classes that wait for bulk loads use as well.
-    /// Loads whose group is not known keep off each other, as if it were one.
+    /// Returns whether a query conflicts with a query on an engine. A bulk load conflicts with
+    /// bulk loads, and with queries of classes that wait for bulk loads, in the same group of
+    /// tables. Queries whose group is unknown count as one group.
     fn bulk_load_blocks(&self, query: &Query, engine: &EngineRecord) -> bool {
         let class = self.class_of(query);
         if !class.is_bulk_load && !class.waits_for_bulk_loads {
@@ -115,7 +121,7 @@
         engine.running.iter().any(conflicts)
     }
 
-    /// Whether a query of a class runs on an engine.
+    /// Returns whether a query of a class runs on an engine.
     fn runs_class(&self, class: usize, engine: &EngineRecord) -> bool {
         let of_class = |id: &QueryId| {
             let other = self.queries.get(*id);
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -1,14 +1,15 @@
-//! How many threads this gateway may use at an engine, and in all.
+//! Decides how many threads this gateway may use at one engine, and at all engines together.
 //!
-//! - Decides: the thread limit of each engine, its growth and decrease, and whether one more
-//!   query is within the limits of all engines together.
-//! - Inputs: the cores of the engine, the number of gateways that use it, its speed (work per
-//!   thread-second, against that of all engines), utilisation from load reports (0 to 1), and late
-//!   answers.
-//! - Rule: each gateway starts with its fair share. A limit grows while the engine is near its
-//!   unloaded speed, or reports that it is not busy, and this gateway uses what it has; it
-//!   shrinks back to the fair share as answers slow down.
-//! - Reason: other gateways may use less than their share, but none sees what the others send.
+//! - Decides: this module decides the thread limit of each engine, its growth and decrease, and
+//!   whether one more query is within the limits of all engines together.
+//! - Inputs: it uses the cores of the engine, the number of gateways that use it, its speed (work
+//!   per thread-second, compared with that of all engines), the utilisation from load reports
+//!   (0 to 1), and the fraction of late answers.
+//! - Rule: each gateway starts with its fair share. A limit grows while this gateway uses it and
+//!   the engine is near its unloaded speed, or reports that it is not busy. The limit shrinks back
+//!   to the fair share if answers slow down or the engine reports that it is busy.
+//! - Reason: other gateways may use less than their share, but no gateway sees what the others
+//!   send.
 
 use crate::capacity::THREAD_ROUNDING;
 use crate::deadline::HIGH_LATE_FRACTION;
@@ -17,62 +18,62 @@
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
-/// Threads per core that all gateways together use at an engine, before any growth.
+/// The threads per core that the fair shares of all gateways at an engine add up to.
 const THREADS_PER_CORE: f64 = 2.0;
-/// A limit grows while speed is above this fraction of the unloaded one ...
+/// The speed above which a limit grows, as a fraction of the unloaded speed.
 const NEAR_UNLOADED_SPEED: f64 = 0.7;
-/// ... and shrinks below this one.
+/// The speed below which a limit shrinks, as a fraction of the unloaded speed.
 pub(crate) const FAR_BELOW_UNLOADED_SPEED: f64 = 0.45;
 /// The utilisation above which an engine counts as busy.
 const BUSY_UTILISATION: f64 = 0.8;
-/// A limit grows only while more than this fraction of it is in use.
+/// The fraction of a limit above which it counts as in use. Only a limit in use grows.
 pub(crate) const IN_USE_FRACTION: f64 = 0.6;
 /// The factor by which a load report changes a limit.
 const REPORT_FACTOR: f64 = 1.2;
-/// The fraction of its own threads by which an answer changes a limit.
+/// The step by which an answer changes a limit, as a fraction of the query's threads.
 const ANSWER_STEP: f64 = 0.25;
-/// An engine below this fraction of the overall speed gets one query at a time.
+/// The fraction of the overall speed below which an engine gets one query at a time.
 const SLOW_ENGINE_FRACTION: f64 = 0.35;
 
 /// How a limit changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LimitChange {
-    /// Engines have capacity to spare.
+    /// The limit grows, since engines have spare capacity.
     Grow,
-    /// Engines are overloaded.
+    /// The limit shrinks, since engines are overloaded.
     Shrink,
-    /// Neither.
+    /// The limit stays as it is.
     Keep,
 }
 
-/// What an answer says of the load on the engines that a limit holds for.
+/// The signals in an answer that decide how a limit changes.
 #[derive(Debug, Clone, Copy)]
 struct AnswerSignals {
-    /// Work per thread-second.
+    /// The work per thread-second.
     speed: f64,
     /// The speed above which the limit grows.
     growth_speed: f64,
-    /// No load report forbids growth.
+    /// Whether the load reports allow growth by answers.
     may_grow: bool,
-    /// The limit is in use.
+    /// Whether the limit is in use.
     is_in_use: bool,
-    /// The answer came after its objective.
+    /// Whether the answer came after its objective.
     is_late: bool,
-    /// Few answers of its class do.
+    /// Whether few answers of the class come after their objective.
     class_is_in_time: bool,
 }
 
-/// An answer, as far as limits depend on it.
+/// The properties of an answer that limits depend on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LimitSample {
     pub engine: EngineId,
-    /// This gateway's fair share of its threads.
+    /// This gateway's fair share of the engine, in threads.
     pub fair_share: f64,
-    /// Threads of the query.
+    /// The threads of the query.
     pub threads: f64,
-    /// Work per thread-second.
+    /// The work per thread-second.
     pub speed: f64,
-    /// The engine reported what the query cost.
+    /// Whether the engine reported the cost of the query.
     pub has_cost: bool,
     pub is_late: bool,
     /// The fraction of the class's answers that come late, this one included.
@@ -80,25 +81,25 @@
 }
 
 impl Gateway {
-    /// The fair share of each gateway, in threads at an engine with so many cores.
+    /// Returns the fair share of each gateway at an engine with `cores` cores, in threads.
     pub(crate) fn fair_share_of(&self, cores: f64) -> f64 {
         THREADS_PER_CORE * cores / self.gateways
     }
 
-    /// The most threads that a limit grows to at an engine: the fair shares of all gateways, which
-    /// one may use while the others don't.
+    /// Returns the maximum thread limit at an engine: the sum of the fair shares of all gateways.
+    /// One gateway may use all of them while the others do not.
     fn max_thread_limit(cores: f64) -> f64 {
         THREADS_PER_CORE * cores
     }
 
-    /// Whether this gateway's share of an engine is less than a thread, so that it meets each
-    /// engine too seldom to learn its limit.
+    /// Returns whether this gateway's fair share of an engine is less than a thread. Such a gateway
+    /// uses each engine too rarely to estimate a limit for it.
     pub(crate) fn has_fractional_share(&self, cores: f64) -> bool {
         self.fair_share_of(cores) < 1.0
     }
 
-    /// The threads that this gateway may use at an engine now; 0 means one query at a time, which
-    /// also shows when a slow engine recovers.
+    /// Returns the number of threads that this gateway may use at an engine now. With 0, a slow
+    /// engine gets one query at a time, which also shows when it recovers.
     pub(crate) fn thread_limit(&self, engine: &EngineRecord) -> f64 {
         if engine.speed < SLOW_ENGINE_FRACTION * self.overall_speed() {
             return 0.0;
@@ -108,14 +109,15 @@
         } else {
             1.0
         };
-        // The threads of an engine that is warming up are slow, but not as few.
+        // While an engine warms up its threads are slow, but it sustains more of them than the
+        // fraction of its capacity suggests. The square root accounts for that.
         engine.thread_limit * growth * self.warm_fraction(engine).sqrt()
     }
 
-    /// Whether one more query is within the sum of all limits: with many gateways, "one query
-    /// always fits on each engine" would be many times what engines sustain. One query of each
-    /// class always goes, unless engines report that they are busy and this gateway has overdrawn
-    /// its capacity.
+    /// Returns whether one more query is within the sum of the limits of all engines. One query
+    /// always fits on an idle engine, but with many gateways that alone would allow many times the
+    /// load that engines sustain. One query of each class is always allowed, unless engines report
+    /// that they are busy and this gateway has overdrawn its capacity.
     pub(crate) fn engines_have_capacity(&self, query: &Query) -> bool {
         let threads = self.competing_threads(query, &self.queries.threads_out) + query.threads;
         let has_spare = self.overall.utilisation.mean < BUSY_UTILISATION;
@@ -124,7 +126,8 @@
             || (self.queries.attempts_out(query.class) == 0 && may_exceed)
     }
 
-    /// More or fewer gateways share the engines: the limits of this one follow, growth included.
+    /// Handles a change in the number of gateways. Scales the limits of this gateway, including
+    /// their growth.
     pub(crate) fn on_fleet_size(&mut self, gateways: u32) {
         let ratio = self.gateways / f64::from(gateways.max(1));
         self.gateways /= ratio;
@@ -135,7 +138,8 @@
         }
     }
 
-    /// Changes an engine's limit by its load report; cores or disks, whichever are busier.
+    /// Changes an engine's limit by its load report. The utilisation of the cores or of the disks
+    /// counts, whichever is higher.
     pub(crate) fn on_load_report(&mut self, engine: EngineId, load: LoadReport) {
         let reported = load
             .cpu_utilisation
@@ -157,8 +161,8 @@
         };
         engine.headroom = usual - utilisation;
         engine.headroom_at = self.now;
-        // With fractional shares one engine says little of all of them; there answers change the
-        // limit.
+        // With fractional shares a report of one engine says little about all engines. In that
+        // case answers change the overall limit.
         if fair_share < 1.0 {
             return;
         }
@@ -174,7 +178,8 @@
         }
     }
 
-    /// Changes the limit of an engine, or of all engines where shares are fractional, by an answer.
+    /// Changes a limit after an answer: the limit of the engine or, if this gateway's share of it
+    /// is less than a thread, the limit of all engines.
     pub(crate) fn adjust_limits_after_answer(&mut self, sample: &LimitSample) {
         if sample.fair_share < 1.0 {
             self.adjust_overall_limit(sample);
@@ -211,9 +216,9 @@
         }
     }
 
-    /// The speed that counts is that of all engines, since this gateway meets each engine too seldom: the
-    /// mean logarithm where costs are reported, otherwise a mean over more answers, as estimates
-    /// scatter.
+    /// Changes the growth of the limits of all engines after an answer. The speed of all engines
+    /// counts, since this gateway uses each engine too rarely. It is the mean logarithm if engines
+    /// report costs. Otherwise it is a mean over more answers, since estimates vary.
     fn adjust_overall_limit(&mut self, sample: &LimitSample) {
         let overall = &mut self.overall;
         let growth = 1.0 + overall.limit_growth;
@@ -260,7 +265,8 @@
     }
 }
 
-/// Late answers are not near the unloaded time, however high the speed that an estimate suggests.
+/// Decides how an answer changes a limit. While many answers of a class are late, the limit does
+/// not grow, however high the speed that estimates suggest.
 fn limit_change_by_answer(signals: &AnswerSignals) -> LimitChange {
     let is_fast = signals.speed > signals.growth_speed;
     if signals.may_grow && signals.class_is_in_time && is_fast && signals.is_in_use {
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -1,10 +1,10 @@
-//! Whether a send is allowed at all.
+//! Decides whether an attempt of a query may go to an engine.
 //!
-//! - Decides: [`SendDenied`], or that an attempt of a query may go to an engine.
-//! - Inputs: the state of the query, the class's bounds on zones, kinds and repetition, the
-//!   engine's state in the list, and the limits on retries and on engines that are warming up.
-//! - Reason: these constraints hold whatever placement prefers. Every send passes them, once
-//!   when an engine is chosen and again when the attempt is sent.
+//! - Decides: this module allows the attempt, or denies it with a [`SendDenied`].
+//! - Inputs: it uses the state of the query, the class's limits on zones, kinds and repetition, the
+//!   engine's state in the list, and the limits on retries and on engines that warm up.
+//! - Reason: these constraints apply whatever placement prefers. Every send is checked twice: when
+//!   an engine is chosen, and when the attempt is sent.
 
 use crate::interface::Engine;
 use crate::state::{EngineRecord, Query};
@@ -15,28 +15,29 @@
 pub(crate) enum SendDenied {
     /// The query has its final answer.
     QueryFinished,
-    /// Another attempt of it is out.
+    /// Another attempt of the query has not ended.
     AttemptOut,
-    /// Its deadline has passed.
+    /// The deadline of the query has passed.
     DeadlinePassed,
     /// The engine is not listed as ready, or is cordoned.
     EngineNotInUse,
-    /// The class is bound to other zones or kinds of engine.
+    /// The class may not run in the engine's zone or on its kind.
     OutsideBounds,
-    /// It has had all its attempts, or must not run twice.
+    /// The query has had its maximum number of attempts, or it may have run and must not run twice.
     NotRepeatable,
-    /// The engine would not discard a duplicate, or no longer.
+    /// The query may have run, and the engine does not discard a duplicate of it now.
     OutsideDedupGroup,
-    /// An earlier query of its key comes first.
+    /// An earlier query with the same ordering key is open, or an attempt of another query with
+    /// that key may still run.
     KeyOrder,
-    /// The engine warms up and has had its share of work.
+    /// The engine warms up, and this gateway may not send it more work now.
     EngineWarmingUp,
-    /// The retry budget is spent.
+    /// The attempt would be a retry, and the retry budget is spent.
     RetryBudgetSpent,
 }
 
 impl Gateway {
-    /// Whether an attempt of a query may go to an engine now.
+    /// Checks whether an attempt of a query may go to an engine now.
     pub(crate) fn check_send(
         &self,
         query: &Query,
@@ -75,7 +76,7 @@
         Ok(())
     }
 
-    /// Whether a class may run in an engine's zone and on its kind.
+    /// Returns whether a query's class may run in an engine's zone and on its kind.
     fn is_within_bounds(&self, query: &Query, engine: &Engine) -> bool {
         let class = self.class_of(query);
         let allows = |allowed: &Option<Vec<u32>>, number: u32| {
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -1,20 +1,20 @@
-//! What follows from the engine list and from operators' cordons.
+//! Applies the engine list and operators' cordons.
 //!
-//! - Decides: which engines are known and in use, what is remembered of an engine that
-//!   restarts, and when the list is subscribed to.
-//! - Inputs: snapshots and patches of the list, and cordons.
-//! - Reason: an engine with a new start time is a new process, of which nothing that was
-//!   learned holds; a cordon holds whatever the list says.
+//! - Decides: this module decides which engines are known and in use, what is kept of an engine
+//!   that restarts, and when the gateway subscribes to the list.
+//! - Inputs: it uses snapshots and patches of the list, and cordons.
+//! - Reason: an engine with a new start time is a new process, so the statistics of the earlier
+//!   process do not apply to it. A cordon applies whatever the list contains.
 
 use crate::interface::{Action, Engine, EngineId, EngineState, ListScope};
 use crate::state::{EngineRecord, InitialLimits};
 use crate::Gateway;
 
-/// The cores of an engine whose kind is unknown.
+/// The number of cores that is assumed for an engine if its kind or the kind's cores are unknown.
 const DEFAULT_CORES: f64 = 1.0;
 
 impl Gateway {
-    /// Handles the engine list, or a change of it.
+    /// Handles a snapshot or a patch of the engine list, or a failed watch.
     pub(crate) fn on_engine_list(
         &mut self,
         scope: ListScope,
@@ -35,7 +35,7 @@
     }
 
     /// Handles an operator's cordon, or its end. An engine that is uncordoned has been restarted:
-    /// it warms up from now on, and nothing that was learned of it holds.
+    /// it warms up from now on, and its statistics are reset.
     pub(crate) fn on_cordon(&mut self, engine: EngineId, cordoned: bool) {
         let changed = if cordoned {
             self.overall.cordoned.insert(engine)
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A snapshot lists all engines that are not removed.
+    /// Marks all engines as removed, before the entries of a snapshot are applied.
     fn mark_all_removed(&mut self) {
         self.sampler.clear();
         self.overall.totals_at = 0;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes in one entry of the list.
+    /// Applies one entry of the list.
     fn update_engine(&mut self, listed: &Engine) {
         let kind = self.settings.engine_kinds.get(listed.kind as usize);
         let memory_mb = kind.and_then(|kind| kind.memory_mb);
@@ -86,7 +86,8 @@
         self.sampler.update(listed);
     }
 
-    /// What a new process is taken to sustain: this gateway's fair share, at the overall speed.
+    /// Returns the initial limits of a new process: this gateway's fair share, at the overall
+    /// speed.
     fn initial_limits(&self, cores: f64) -> InitialLimits {
         InitialLimits {
             thread_limit: self.fair_share_of(cores),
--- a/policy/src/estimators.rs
+++ b/policy/src/estimators.rs
@@ -1,7 +1,8 @@
-//! Estimators that learn from samples as they come: a moving mean with its deviation, and a
-//! regression in logarithms. Neither stores its samples.
+//! Estimators that are updated with one sample at a time: a moving mean with its deviation, and a
+//! linear regression of logarithms. Neither stores its samples.
 
-/// A moving mean with its mean absolute deviation. The first samples count as in a plain mean.
+/// A moving mean with its mean absolute deviation. It starts as the plain mean of all samples, and
+/// becomes an exponential moving mean once `1 / samples` is less than the minimum gain.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct MovingMean {
     pub mean: f64,
@@ -10,7 +11,7 @@
 }
 
 impl MovingMean {
-    /// Takes in a sample, which weighs `min_gain` at least.
+    /// Adds a sample, with a weight of at least `min_gain`.
     pub fn record(&mut self, sample: f64, min_gain: f64) {
         self.samples += 1.0;
         let gain = (1.0 / self.samples).max(min_gain);
@@ -21,21 +22,22 @@
         }
     }
 
-    /// The mean, once there is a sample.
+    /// Returns the mean, or `None` before the first sample.
     pub fn known(&self) -> Option<f64> {
         (self.samples > 0.0).then_some(self.mean)
     }
 }
 
-/// What a regression predicts, as a logarithm.
+/// The prediction of a regression: the mean and the variance of the logarithm.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LogPrediction {
     pub mean: f64,
     pub variance: f64,
 }
 
-/// A line through the logarithms of estimates and of the needs that were observed. It starts at
-/// "the need is the estimate", and tends to the mean need where estimates predict nothing.
+/// A linear regression from the logarithms of estimates to the logarithms of observed needs. With
+/// few samples the slope is near 1: the need is proportional to the estimate. If estimates predict
+/// nothing, the prediction tends to the mean need.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LogLogRegression {
     samples: f64,
@@ -47,7 +49,7 @@
 }
 
 impl LogLogRegression {
-    /// Takes in a sample, which weighs `min_gain` at least. Samples without a logarithm are
+    /// Adds a sample, with a weight of at least `min_gain`. A sample without a finite logarithm is
     /// ignored.
     pub fn record(&mut self, estimate: f64, need: f64, min_gain: f64) {
         let (Some(estimate), Some(need)) = (finite_ln(estimate), finite_ln(need)) else {
@@ -71,7 +73,8 @@
         }
     }
 
-    /// The need that an estimate predicts, once there is a sample.
+    /// Predicts the need from an estimate. Returns `None` before the first sample, or if the
+    /// estimate has no finite logarithm.
     pub fn predict(&self, estimate: f64) -> Option<LogPrediction> {
         let estimate = finite_ln(estimate).filter(|_| self.samples > 0.0)?;
         let slope =
--- a/policy/src/final_answer.rs
+++ b/policy/src/final_answer.rs
@@ -1,11 +1,11 @@
-//! The final answer to a query without a result, and what becomes of its attempt.
+//! Gives the final answer to a query without a result, and decides what happens to its attempt.
 //!
-//! - Decides: whether the query is rejected or failed, the retry-after time in microseconds,
-//!   and whether its attempt is cancelled.
-//! - Inputs: the idempotency of its class, whether it may have run, the predicted wait and the
-//!   expected run.
-//! - Reason: a client may retry after a rejection without harm, so only queries that may have
-//!   had their effect are failed.
+//! - Decides: this module decides whether the query is rejected or failed, the retry-after time in
+//!   microseconds, and whether the attempt is cancelled.
+//! - Inputs: it uses the idempotency of the class, whether the query may have run, the predicted
+//!   wait and the expected run.
+//! - Reason: a client may retry after a rejection without harm. A query is failed only if it may
+//!   have had its effect and a retry could repeat that effect.
 
 use crate::interface::{Action, DedupGroup, Idempotency, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -16,15 +16,15 @@
 /// The final answer to a query without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FinalAnswer {
-    /// It had no effect, or a duplicate has none.
+    /// The query is rejected: it had no effect, or a duplicate of it has none.
     Reject,
-    /// It may have had its effect.
+    /// The query is failed: it may have had its effect, and a duplicate could repeat that effect.
     Fail,
 }
 
 impl Gateway {
-    /// Rejects or fails a query, at once, and cancels its attempt where that does no harm. This is
-    /// the only place where a final answer other than a result is given.
+    /// Rejects or fails a query at once, and cancels its attempt if that does no harm. This is the
+    /// only function that gives a final answer other than a result.
     pub(crate) fn answer_finally(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.queries.leave_queue(id);
         let is_open = |query: &&mut Query| !query.is_finished && !query.is_streaming;
@@ -46,8 +46,8 @@
         self.remove_if_done(id);
     }
 
-    /// Gives up a query that was admitted and can no longer be in time. For the statistics of its
-    /// class that is a late answer.
+    /// Gives up a query that was admitted and can no longer be in time. It counts as a late answer
+    /// in the statistics of its class.
     pub(crate) fn give_up(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(id) else {
             return;
@@ -57,7 +57,7 @@
         self.answer_finally(id, actions);
     }
 
-    /// Handles that the client of a query disconnected.
+    /// Handles the event that the client of a query disconnected.
     pub(crate) fn on_client_disconnected(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         self.queries.leave_queue(id);
         if let Some(query) = self.queries.get_mut(id) {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Handles that the response to a query has begun to stream.
+    /// Handles the event that the response to a query has begun to stream.
     pub(crate) fn on_response_started(&mut self, id: QueryId) {
         if let Some(query) = self.queries.get_mut(id) {
             query.is_streaming = true;
@@ -89,8 +89,8 @@
         }
     }
 
-    /// How long the client should wait: the predicted wait, but at least an expected run, since
-    /// engines that are full free no threads before.
+    /// Returns how long the client should wait before a retry: the predicted wait, but at least an
+    /// expected run, since full engines free no threads sooner.
     fn retry_after(&self, query: &Query) -> Micros {
         let wait = self.predicted_wait().max(self.expected_run(query));
         micros(wait).min(self.settings.max_retry_after.unwrap_or(0))
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Removes a query that is finished and has no attempt out, and lets the next one of its key
-    /// in.
+    /// Removes a query that is finished and has no attempt out, and lets the next query with the
+    /// same ordering key into its queue.
     pub(crate) fn remove_if_done(&mut self, id: QueryId) {
         let is_done = |query: &&Query| query.is_finished && query.attempt.is_none();
         let Some(query) = self.queries.get(id).filter(is_done) else {
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -1,12 +1,12 @@
-//! Which engines are ejected as outliers, and when they are tried again.
+//! Decides which engines are ejected as outliers, and when they are tried again.
 //!
-//! - Decides: the failure rate of each engine, in all and for each class, ejection, and the
-//!   time until the next trial.
-//! - Inputs: how attempts end, failed health checks, attempts that are silent for too long, and
-//!   the retry budget, since each trial of a bad engine costs a retry.
-//! - Rule: a moving failure rate above a threshold ejects an engine; a success in a trial
-//!   lowers it. Where over half of the engines are ejected, the cause is not theirs and
-//!   ejection is ignored.
+//! - Decides: this module decides the failure rate of each engine (over all classes and for each
+//!   class), whether the engine is ejected, and the time until its next trial.
+//! - Inputs: it uses the outcomes of attempts, failed health checks, attempts that are silent for
+//!   too long, and the retry budget, since each failed trial costs a retry.
+//! - Rule: an engine is ejected if its moving failure rate is above a threshold. A success in a
+//!   trial lowers the rate. If over half of the engines are ejected, the failures have a common
+//!   cause, and ejection is ignored.
 //! - Reason: an engine that fails fast seems free and would attract all queries.
 
 use crate::concurrency_limit::FAR_BELOW_UNLOADED_SPEED;
@@ -15,50 +15,60 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// Weight of a failure in the failure rate.
+/// The weight of a failure in the failure rate.
 const FAILURE_WEIGHT: f64 = 0.25;
-/// Weight of a refused connection; the engine is surely down.
+/// The weight of a refused connection, which shows that the engine is down.
 const CONNECTION_REFUSED_WEIGHT: f64 = 1.0;
-/// How much more an error weighs where this gateway's share of the engine is less than a thread,
-/// so that it meets the engine too seldom to count errors: one is enough to eject.
+/// The factor on the weight of an error if this gateway's share of the engine is less than a
+/// thread. Such a gateway uses the engine too rarely to count errors, so one error is enough to
+/// eject.
 const FRACTIONAL_SHARE_ERROR_FACTOR: f64 = 2.0;
-/// The failure rate above which an engine is ejected, and below which it is trusted again.
+/// The failure rate above which an engine is ejected.
 const EJECTION_RATE: f64 = 0.4;
+/// The failure rate below which the ejection of an engine ends.
 const TRUST_RATE: f64 = 0.12;
-/// The fraction of silent attempts of a class at which one says little of its engine.
+/// The fraction of silent attempts of a class at which a silent attempt says little about its
+/// engine.
 const USUAL_SILENT_FRACTION: f64 = 0.1;
-/// Control periods from an ejection to the first trial; doubled so many times at failed trials.
+/// The time from an ejection to the first trial, in control periods.
 const EJECTION_PERIODS: f64 = 1.0;
+/// How often failed trials may double the time to the next trial.
 const MAX_EJECTION_DOUBLINGS: u32 = 1;
-/// The fraction of the retry budget that trials of ejected engines may take.
+/// The fraction of the retry budget that trials of ejected engines may use.
 const TRIAL_BUDGET_FRACTION: f64 = 0.25;
-/// A class avoids the engines that fail it only while one engine in this many serves it.
+/// A class avoids the engines that are ejected for it only if at least one healthy engine in this
+/// many serves the class.
 const MIN_SERVING_DIVISOR: usize = 3;
 
-/// Why a failure counts against an engine. Silent attempts count, too, by a weight of their own.
+/// Why a failure counts against an engine. Silent attempts also count; their weight is computed in
+/// [`Gateway::record_silence`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FailureReason {
-    /// It answered with an error that another engine did not.
+    /// The engine answered with an error and counts as its cause, as [`Gateway::failure_reason`]
+    /// describes.
     Error,
-    /// It refused the connection.
+    /// The engine refused the connection.
     ConnectionRefused,
-    /// The connection broke. One may break for what was on it; an engine that died refuses the
-    /// next.
+    /// The connection broke. The cause may lie with that connection only. If the engine died, it
+    /// refuses the next connection.
     ConnectionLost,
-    /// It did not answer a health check.
+    /// The engine did not answer a health check.
     HealthCheckFailed,
 }
 
 impl Gateway {
-    /// Whether an engine is in use and not ejected.
+    /// Returns whether an engine is in use and not ejected. While ejection is suspended, ejected
+    /// engines are available.
     pub(crate) fn is_available(&self, engine: &EngineRecord) -> bool {
         engine.in_use() && (!engine.health.ejected || self.overall.ejection_suspended)
     }
 
-    /// The reason, if any, for which an engine is to blame for the end of an attempt there.
+    /// Returns the reason, if any, for which the end of an attempt counts as a failure of its
+    /// engine.
     ///
-    /// An error may lie with the query. Its engine is blamed once another has served the query,
-    /// and at once where that cannot be, or where the engine was on trial.
+    /// The query may be the cause of an error. Normally an error counts against its engine once
+    /// another engine has answered the query. It counts at once if the query may not run again, or
+    /// if the engine was on trial.
     pub(crate) fn failure_reason(
         &self,
         query: QueryId,
@@ -104,8 +114,8 @@
         }
     }
 
-    /// Counts an attempt that was silent for too long, at an engine that was silent to others
-    /// too. Without progress reports that says the less, the more attempts of the class are
+    /// Counts an attempt that was silent for too long, at an engine that was silent for all other
+    /// queries too. Without progress reports, its weight falls as more attempts of the class are
     /// silent.
     pub(crate) fn record_silence(&mut self, engine: EngineId, class_silent_fraction: f64) {
         let usual = if self.settings.progress_period.is_some() {
@@ -117,9 +127,9 @@
         self.record_failure_of_weight(engine, weight);
     }
 
-    /// Counts an attempt that was silent for too long while its engine answered others fast:
-    /// the engine is not slow, it loses queries, maybe those of one class only. The class avoids
-    /// the engine and returns by trials, while other classes keep it.
+    /// Counts an attempt that was silent for too long while its engine answered other queries fast.
+    /// Such an engine is not slow but loses queries, perhaps of one class only. That class avoids
+    /// the engine until trials succeed, while other classes still use it.
     pub(crate) fn record_silence_of_class(&mut self, engine: EngineId, class: usize) {
         let ejection = self.control_periods(EJECTION_PERIODS);
         let now = self.now;
@@ -130,14 +140,15 @@
         }
     }
 
-    /// Whether so many engines serve a class that it may avoid the others; otherwise the cause is
-    /// not theirs.
+    /// Returns whether enough engines serve a class that it may avoid the engines that are ejected
+    /// for it. With fewer, the failures have a common cause.
     pub(crate) fn enough_engines_serve(&self, class: usize) -> bool {
         let counts = self.health_counts();
         MIN_SERVING_DIVISOR * counts.serving(class) >= counts.healthy
     }
 
-    /// The counts of engines: of this moment, or, of many engines, as they were last counted.
+    /// Returns the counts of engines. If all engines are scanned for each query they are counted
+    /// now; otherwise these are the latest totals.
     fn health_counts(&self) -> HealthCounts {
         if self.scans_all_engines() {
             HealthCounts::of(self.engines.values(), self.overall.ejection_suspended)
@@ -153,13 +164,13 @@
         }
     }
 
-    /// Whether this gateway's share of an engine is less than a thread.
+    /// Returns whether this gateway's fair share of an engine is less than a thread.
     fn has_fractional_share_of(&self, engine: EngineId) -> bool {
         let engine = self.engines.get(&engine);
         engine.is_some_and(|engine| self.has_fractional_share(engine.cores))
     }
 
-    /// How long an ejected engine goes without a trial: so long that the trials of all of them
+    /// Returns how long an ejected engine gets no trial. The trials of all ejected engines together
     /// take no more than their fraction of the retry budget.
     fn ejection_time(&self) -> Micros {
         let shortest = self.control_periods(EJECTION_PERIODS);
@@ -174,7 +185,7 @@
     }
 }
 
-/// Counts a success of an engine, in all and for a class.
+/// Counts a success of an engine, over all classes and for one class.
 pub(crate) fn record_success(engine: &mut EngineRecord, class: usize) {
     if let Some(health) = engine.class_health.get_mut(&class) {
         health.record_success();
@@ -183,7 +194,7 @@
 }
 
 impl Health {
-    /// Counts a failure; enough of them eject.
+    /// Counts a failure, and ejects the engine if the failure rate is above the threshold.
     fn record_failure(&mut self, weight: f64, now: Micros, ejection: Micros) {
         self.failure_rate += weight * (1.0 - self.failure_rate);
         if self.failure_rate > EJECTION_RATE && self.ejected_until <= now {
@@ -194,7 +205,7 @@
         }
     }
 
-    /// Counts a success; one of a trial weighs double.
+    /// Counts a success. The success of a trial counts twice.
     fn record_success(&mut self) {
         let weight = 1 + i32::from(self.ejected);
         self.failure_rate *= (1.0 - FAILURE_WEIGHT).powi(weight);
--- a/policy/src/queueing.rs
+++ b/policy/src/queueing.rs
@@ -1,12 +1,14 @@
-//! Which queued query is sent next, and in which order queries of one key run.
+//! Decides which queued query is sent next, and in which order queries with the same ordering key
+//! run.
 //!
-//! - Decides: when a query enters its queue, and which one is sent as capacity opens.
-//! - Inputs: the order of arrival, the ordering keys of queries and their open attempts, and
-//!   whether the retry budget is spent.
-//! - Rule: each class has a queue. The oldest query at the head of any queue is sent, if it
-//!   fits on an engine; otherwise the next oldest head.
-//! - Reason: in order of arrival no query is passed over for ever, and a query that fits
-//!   nowhere holds up its own class only.
+//! - Decides: this module decides when a query enters its queue, and which query is sent when an
+//!   engine has capacity.
+//! - Inputs: it uses the order of arrival, the ordering keys of queries and their open attempts,
+//!   and whether the retry budget is spent.
+//! - Rule: each class has a queue. Of the queries at the heads of the queues, the oldest one that
+//!   fits on an engine is sent.
+//! - Reason: order of arrival never starves a query, and a query that fits nowhere delays its own
+//!   class only.
 
 use crate::interface::{Action, EngineId, Micros, Outcome, QueryId};
 use crate::state::{KeyHold, Query};
@@ -14,13 +16,14 @@
 use crate::Gateway;
 
 impl Gateway {
-    /// Queues a query. It is checked again when, as things are now, it can no longer be in time.
+    /// Queues a query, and schedules a check at the time from which, by present estimates, it can
+    /// no longer be in time.
     pub(crate) fn enqueue(&mut self, id: QueryId) {
         self.queries.count_as_queued(id);
         self.enter_queue_in_order(id);
         let soonest = self.now + self.control_periods(QUEUE_POLL_PERIODS);
         let at = self.queries.get(id).map_or(0, |query| {
-            // No event reports the end of a hold on a key.
+            // No event reports the end of a hold on a key, so a check is needed then.
             let hold_ends = self
                 .key_hold_of(query)
                 .map_or(Micros::MAX, |hold| hold.until);
@@ -29,7 +32,7 @@
         self.schedule_check(id, at.max(soonest));
     }
 
-    /// Sends queued queries for as long as an engine fits the head of a queue.
+    /// Sends queued queries as long as the head of any queue fits on an engine.
     pub(crate) fn dispatch_queued(&mut self, actions: &mut Vec<Action>) {
         while let Some((id, engine)) = self.next_to_send() {
             self.queries.leave_queue(id);
@@ -39,8 +42,9 @@
         }
     }
 
-    /// The next query to send, with its engine. While the retry budget is spent, queries that had
-    /// an attempt must not hold up those behind them that had none.
+    /// Returns the next query to send, with its engine. While the retry budget is spent, queries
+    /// that have had an attempt are skipped, so that they do not delay queries behind them that
+    /// have had none.
     fn next_to_send(&mut self) -> Option<(QueryId, EngineId)> {
         let first_attempts_only = !self.retry_budget_allows();
         let heads = self.queries.queue_heads(first_attempts_only);
@@ -49,7 +53,7 @@
             .find_map(|id| Some((id, self.choose_engine(id)?)))
     }
 
-    /// Puts a query that counts as queued into its queue, unless its key makes it wait.
+    /// Adds a query that counts as queued to its queue, unless it has to wait for its ordering key.
     fn enter_queue_in_order(&mut self, id: QueryId) {
         let query = self.queries.get(id);
         if query.is_some_and(|query| self.key_allows(query)) {
@@ -57,8 +61,8 @@
         }
     }
 
-    /// Whether a query may run as far as its ordering key is concerned: it is the oldest one
-    /// open, and no attempt of another may still run.
+    /// Returns whether the ordering key of a query lets it run: the query is the oldest open one
+    /// with that key, and no attempt of another query with that key may still run.
     pub(crate) fn key_allows(&self, query: &Query) -> bool {
         let key = query.request.ordering_key;
         let order = key.and_then(|key| self.queries.keys.get(&key));
@@ -71,7 +75,7 @@
         hold.filter(|hold| hold.until > self.now)
     }
 
-    /// Holds the ordering key of a query whose attempt may still run.
+    /// Holds the ordering key of a query if the attempt that ended may still run on its engine.
     pub(crate) fn hold_key_after(&mut self, id: QueryId, outcome: Outcome) {
         if !outcome.may_still_run() {
             return;
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Takes a query out of the order of its key and lets the next one in.
+    /// Removes a query from the order of its key, and adds the next query to its queue.
     pub(crate) fn release_key(&mut self, key: u64, sequence: u64) {
         let Some(order) = self.queries.keys.get_mut(&key) else {
             return;
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -1,50 +1,51 @@
-//! Whether a query gets a further attempt.
+//! Decides whether a query gets a further attempt.
 //!
-//! - Decides: [`RetryDecision`] once an attempt has ended, and the limits on every further
-//!   attempt: their number, whether the query may run twice and where, and the retry budget.
-//! - Inputs: the class's idempotency and deduplication window (microseconds), the time to the
-//!   deadline, the expected run, and the retries of the budget's window.
-//! - Reason: retries hide faults of single engines, but add load, and a query that may have run
-//!   must not run again where that would have an effect.
+//! - Decides: this module makes the [`RetryDecision`] when an attempt has ended. It also decides
+//!   the limits on every further attempt: the number of attempts, whether and where the query may
+//!   run twice, and the retry budget.
+//! - Inputs: it uses the class's idempotency and deduplication window (microseconds), the time to
+//!   the deadline, the expected run, and the retries in the window of the budget.
+//! - Reason: retries hide failures of single engines but add load. A query that may have run must
+//!   not run again if that would have an effect.
 
 use crate::interface::{DedupGroup, Engine, Idempotency, Micros, RetryBudget};
 use crate::state::Query;
 use crate::units::micros;
 use crate::Gateway;
 
-/// The expected run of a retry counts as no more than its client's timeout over this, so that no
-/// estimate, however long, rules out a retry before the last quarter of that time.
+/// The expected run of a retry counts as no more than the client's timeout divided by this number.
+/// No estimate, however long, prevents a retry before the last quarter of that timeout.
 const MAX_RETRY_RUN_DIVISOR: u64 = 4;
 
-/// What follows once an attempt of a query has ended.
+/// The decision about a query after one of its attempts has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RetryDecision {
-    /// It is queued for a further attempt.
+    /// The query is queued for a further attempt.
     Retry,
-    /// It gets no further attempt.
+    /// The query gets no further attempt, for this reason.
     Stop(StopReason),
 }
 
 /// Why a query gets no further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopReason {
-    /// A further run would not end before its deadline.
+    /// A further run would not end before the deadline.
     DeadlineTooClose,
-    /// It may have run, and no engine would discard a duplicate, or no longer.
+    /// The query may have run, and no engine discards a duplicate of it now.
     OutsideDedupGroup,
-    /// A second engine answered with an error: the fault is the query's.
+    /// A second attempt ended in an error, so the query is the cause.
     FailedTwice,
-    /// It has had all its attempts.
+    /// The query has had its maximum number of attempts.
     AttemptsSpent,
-    /// It may have run, and must not run twice.
+    /// The query may have run, and must not run twice.
     NotIdempotent,
-    /// It would be late, and useless then.
+    /// The answer would be late, and a late answer would be useless.
     ObjectiveUnachievable,
 }
 
 impl Gateway {
-    /// Whether a query gets a further attempt; `failed_twice` says that two attempts ended in
-    /// errors.
+    /// Decides whether a query gets a further attempt. `failed_twice` is whether two attempts ended
+    /// in errors.
     pub(crate) fn retry_decision(&self, query: &Query, failed_twice: bool) -> RetryDecision {
         let max_run = query.request.client_timeout / MAX_RETRY_RUN_DIVISOR;
         let run = micros(self.expected_run(query)).min(max_run);
@@ -67,7 +68,8 @@
         RetryDecision::Retry
     }
 
-    /// Why a query may have no further attempt anywhere, if so.
+    /// Returns the reason why a query may have no further attempt at any engine, or `None` if it
+    /// may have one.
     pub(crate) fn repetition_limit(&self, query: &Query) -> Option<StopReason> {
         let max_attempts = self.settings.max_attempts.unwrap_or(u32::MAX).max(1);
         let at_most_once = self.class_of(query).idempotency == Idempotency::AtMostOnce;
@@ -80,8 +82,9 @@
         }
     }
 
-    /// Whether a duplicate of a query would have no effect on an engine. A deduplicated query
-    /// that may have run goes only to engines that still remember it.
+    /// Returns whether deduplication allows an attempt of a query at an engine. A deduplicated
+    /// query that may have run goes only to engines that still remember it and would discard a
+    /// duplicate. For all other queries the result is `true`.
     pub(crate) fn discards_duplicates_of(&self, query: &Query, engine: &Engine) -> bool {
         let class = self.class_of(query);
         let is_deduplicated = class.idempotency == Idempotency::Deduplicated;
@@ -97,8 +100,8 @@
         in_group && self.now < first.sent_at + class.dedup_window.unwrap_or(0)
     }
 
-    /// Whether a duplicate of a query would have no effect anywhere, for more than a control
-    /// period yet.
+    /// Returns whether a duplicate of a query would have no effect at any engine, now and for more
+    /// than a control period.
     pub(crate) fn is_safe_to_duplicate(&self, query: &Query) -> bool {
         let class = self.class_of(query);
         match class.idempotency {
@@ -113,14 +116,15 @@
         }
     }
 
-    /// When the attempt was sent that engines remember first.
+    /// Returns the time from which engines remember a query: when the first attempt that may have
+    /// run was sent, or else the attempt that is out, or else now.
     fn first_sent_at(&self, query: &Query) -> Micros {
         let first_run = query.first_run.map(|first| first.sent_at);
         let running = query.attempt.as_ref().map(|attempt| attempt.sent_at);
         first_run.or(running).unwrap_or(self.now)
     }
 
-    /// Whether the retry budget allows a further attempt.
+    /// Returns whether the retry budget allows one more retry.
     pub(crate) fn retry_budget_allows(&self) -> bool {
         let Some(budget) = self.settings.retry_budget else {
             return true;
@@ -129,7 +133,7 @@
         self.queries.history.retries_since(from) + 1.0 <= self.retries_allowed(&budget)
     }
 
-    /// The retries that the budget allows in the window that ends now.
+    /// Returns the number of retries that the budget allows in the window that ends now.
     pub(crate) fn retries_allowed(&self, budget: &RetryBudget) -> f64 {
         let from = self.now.saturating_sub(budget.window);
         let arrivals = self.queries.history.arrivals_since(from);
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -1,9 +1,9 @@
-//! How fast engines work, and how long a query will run.
+//! Estimates how fast engines work, and how long a query will run.
 //!
-//! - Decides: the expected work and run time of a query.
-//! - Inputs: estimates that come with queries, and the costs and times of answers. Work is in
-//!   seconds on one thread, speed in seconds of work per thread-second: 1 for an engine that
-//!   runs a query as if alone, less as queries compete for cores.
+//! - Decides: this module estimates the work and the run time of a query.
+//! - Inputs: it uses the estimates that come with queries, and the costs and run times of answers.
+//!   Work is in seconds on one thread. Speed is in seconds of work per thread-second: 1 if a query
+//!   runs as if alone on its engine, and less if queries compete for cores.
 //! - Reason: admission, deadlines and limits need to know how long a query will take under the
 //!   present load.
 
@@ -13,32 +13,38 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// The overall speed remembers this many queries of mean work of each class.
+/// The amount of work that the moving overall speed covers, as a number of queries of mean work of
+/// each class.
 const SPEED_MEMORY_QUERIES: f64 = 40.0;
-/// The part of that memory which counts as done at speed 1 from the start.
+/// The fraction of that amount which is assumed to have been done at speed 1.
 const PRIOR_FRACTION: f64 = 0.1;
-/// One answer replaces at most this part of the memory.
+/// The maximum fraction of that amount which one answer replaces.
 const MAX_ANSWER_FRACTION: f64 = 0.5;
-/// Bounds of the overall speed.
+/// The minimum of the overall speed.
 const MIN_OVERALL_SPEED: f64 = 0.02;
+/// The maximum of the overall speed.
 const MAX_OVERALL_SPEED: f64 = 50.0;
-/// Bounds of the speed that one sample may show.
+/// The minimum speed that one sample counts as.
 pub(crate) const MIN_SAMPLE_SPEED: f64 = 0.01;
+/// The maximum speed that one sample counts as.
 pub(crate) const MAX_SAMPLE_SPEED: f64 = 10.0;
-/// Work of a query of which nothing is known, as a fraction of its objective.
+/// The expected work of a query without an estimate and without earlier answers of its class, as a
+/// fraction of its objective.
 const UNKNOWN_WORK_FRACTION: f64 = 0.2;
-/// The least work that a query is taken to be.
+/// The minimum expected or measured work of a query, in seconds on one thread.
 pub(crate) const MIN_WORK_S: f64 = 1e-4;
-/// Weight of a sample in the moving means of a class.
+/// The minimum weight of a sample in the moving means of a class.
 pub(crate) const CLASS_GAIN: f64 = 0.05;
-/// Weight of an answer in the speed of its engine, and of all engines where shares are fractional.
+/// The weight of an answer in the speed of its engine. With fractional shares it is also the weight
+/// in the speed of all engines.
 pub(crate) const ANSWER_SPEED_GAIN: f64 = 0.15;
-/// Weight of a progress report in the speed of its engine.
+/// The weight of a progress report in the speed of its engine.
 pub(crate) const PROGRESS_SPEED_GAIN: f64 = 0.05;
 
 impl Gateway {
-    /// Expected work of a new query: its estimate, corrected as estimates of its class turned
-    /// out; without one, the mean of its class.
+    /// Returns the expected work of a new query, in seconds on one thread. It is the query's
+    /// estimate times the mean ratio of work to estimate in its class. Without an estimate it is
+    /// the mean work of the class.
     pub(crate) fn expected_work(&self, class_index: usize, request: &NewQuery) -> f64 {
         let class = &self.settings.classes[class_index];
         let stats = &self.class_stats[class_index];
@@ -52,27 +58,27 @@
         work.max(MIN_WORK_S)
     }
 
-    /// The speed of all engines together: a moving ratio of work done to the thread-seconds that it
-    /// took.
+    /// Returns the speed of all engines together: the moving ratio of the work done to the
+    /// thread-seconds that it took.
     pub(crate) fn overall_speed(&self) -> f64 {
         let prior = self.work_of_each_class().max(1e-3) * SPEED_MEMORY_QUERIES * PRIOR_FRACTION;
         ((self.overall.work_done + prior) / (self.overall.thread_seconds + prior))
             .clamp(MIN_OVERALL_SPEED, MAX_OVERALL_SPEED)
     }
 
-    /// Expected run time of a query in seconds, at the overall speed.
+    /// Returns the expected run time of a query in seconds, at the overall speed.
     pub(crate) fn expected_run(&self, query: &Query) -> f64 {
         query.work / (query.threads * self.overall_speed())
     }
 
-    /// Expected run time in seconds of a query that is at least as much work as is usual in its
-    /// class.
+    /// Returns the usual run time of a query in seconds, at the overall speed. It is the run time
+    /// of the expected work or of the mean work of the class, whichever is more.
     pub(crate) fn usual_run(&self, query: &Query) -> f64 {
         let class_work = self.stats_of(query).work.known().unwrap_or(0.0);
         class_work.max(query.work) / (query.threads * self.overall_speed())
     }
 
-    /// Learns the overall speed from an answer.
+    /// Updates the overall speed from an answer.
     pub(crate) fn record_overall_speed(&mut self, work: f64, thread_seconds: f64) {
         let memory = SPEED_MEMORY_QUERIES * self.work_of_each_class();
         let retained = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
@@ -80,8 +86,8 @@
         self.overall.thread_seconds = self.overall.thread_seconds * retained + thread_seconds;
     }
 
-    /// Learns an engine's speed from an attempt there. An attempt of low priority says less,
-    /// since it yields to others.
+    /// Updates an engine's speed and headroom from an attempt there. An attempt of low priority
+    /// has less weight, since other queries slow it down.
     pub(crate) fn record_engine_speed(
         &mut self,
         engine: EngineId,
@@ -104,7 +110,7 @@
         }
     }
 
-    /// The sum of the classes' mean work.
+    /// Returns the sum of the mean work of all classes, in seconds on one thread.
     fn work_of_each_class(&self) -> f64 {
         let means = self
             .class_stats
--- a/policy/src/state.rs
+++ b/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers: plain data and its bookkeeping. Nothing is decided here.
+//! The data that a gateway keeps between calls, and its bookkeeping. No rule is decided here.
 
 mod class_stats;
 mod engine_record;
@@ -20,5 +20,5 @@
 pub(crate) use query_table::QueryTable;
 pub(crate) use retry_history::RetryHistory;
 
-/// Threads in use, by the priority of their queries, 0 (lowest) to 3.
+/// The number of threads in use, indexed by the priority of their queries: 0 (lowest) to 3.
 pub(crate) type ThreadsByPriority = [f64; 4];
--- a/policy/src/state/engine_record.rs
+++ b/policy/src/state/engine_record.rs
@@ -1,88 +1,89 @@
-//! An engine as this gateway knows it.
+//! The state that a gateway keeps for each engine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::ThreadsByPriority;
 use crate::interface::{Engine, EngineState, Micros, QueryId};
 
-/// How attempts fare at an engine: a moving failure rate, and whether it has led to ejection.
+/// The failure rate of attempts at an engine, and whether it has led to ejection.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Health {
-    /// 0 to 1.
+    /// The moving failure rate, 0 to 1.
     pub failure_rate: f64,
     pub ejected: bool,
-    /// No trial before this time.
+    /// The time before which the ejected engine gets no trial.
     pub ejected_until: Micros,
-    /// Trials that have failed since the ejection.
+    /// The number of trials that have failed since the ejection.
     pub failed_trials: u32,
 }
 
-/// Work that was sent to an engine while it warmed up.
+/// An attempt that was sent to an engine while it warmed up.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WarmUpSend {
     pub at: Micros,
-    /// Seconds on one thread.
+    /// The expected work, in seconds on one thread.
     pub work: f64,
 }
 
-/// A draw that decides whether this gateway may send a query to an engine that is warming up; the
-/// lower, the sooner.
+/// The random draw that decides whether this gateway may send a query to an engine that warms up.
+/// The query is allowed if the value is below a threshold.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SlowStartDraw {
-    /// From 0 to 1; the first one is larger by the factor by which first sends are rarer.
+    /// The drawn value, from 0 to 1. The first value is multiplied by `FIRST_DRAW_FACTOR`.
     pub value: f64,
-    /// When the next is drawn; 0 before the first.
+    /// The time at which a new value is drawn; 0 before the first draw.
     pub until: Micros,
 }
 
-/// What a new process is taken to sustain until there is experience with it.
+/// The limits and the speed that are assumed for a new engine process before any of its answers.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct InitialLimits {
-    /// Threads that this gateway may use there.
+    /// The number of threads that this gateway may use at the engine.
     pub thread_limit: f64,
-    /// The fraction of its memory that this gateway may grant.
+    /// The fraction of the engine's memory that this gateway may grant.
     pub memory_quota: f64,
-    /// Work per thread-second.
+    /// The work per thread-second.
     pub speed: f64,
 }
 
-/// An engine as this gateway knows it.
+/// The state that this gateway keeps for one engine.
 #[derive(Debug)]
 pub(crate) struct EngineRecord {
-    /// Its entry in the list.
+    /// The engine's entry in the engine list.
     pub listed: Engine,
     pub cores: f64,
     pub memory_mb: Option<f64>,
-    /// Threads that this gateway may use there.
+    /// The number of threads that this gateway may use at the engine.
     pub thread_limit: f64,
-    /// The fraction of its memory that this gateway may grant.
+    /// The fraction of the engine's memory that this gateway may grant.
     pub memory_quota: f64,
-    /// Threads of this gateway's attempts there.
+    /// The threads of this gateway's attempts at the engine.
     pub threads: ThreadsByPriority,
-    /// Memory granted to this gateway's attempts there.
+    /// The memory granted to this gateway's attempts at the engine.
     pub granted_mb: f64,
-    /// Queries of this gateway that run there.
+    /// The queries of this gateway that have an attempt at the engine.
     pub running: BTreeSet<QueryId>,
-    /// Moving mean of work per thread-second.
+    /// The moving mean of work per thread-second.
     pub speed: f64,
-    /// How much less loaded than usual it last was, as a fraction, and when that was seen.
+    /// How much less loaded than usual the engine was when last observed, as a fraction.
     pub headroom: f64,
+    /// The time at which `headroom` was observed.
     pub headroom_at: Micros,
-    /// When this gateway last got an answer or a progress report from it.
+    /// The time of the latest answer or progress report from the engine.
     pub last_active_at: Micros,
     pub health: Health,
-    /// The same for the queries of one class, by the index of the class.
+    /// The health of the engine for the queries of one class, by the index of the class.
     pub class_health: BTreeMap<usize, Health>,
-    /// It said that it is full, or that queries wait there for memory; nothing is sent before this
-    /// time.
+    /// The time before which nothing is sent, because the engine reported that it is full or that
+    /// queries wait there for memory.
     pub backoff_until: Micros,
-    /// Sends while it was warming up, in order.
+    /// The attempts that were sent while the engine warmed up, in order.
     pub warm_up_sends: VecDeque<WarmUpSend>,
     pub slow_start_draw: SlowStartDraw,
     pub cordoned: bool,
-    /// When an operator uncordoned it.
+    /// The time at which an operator uncordoned the engine.
     pub uncordoned_at: Option<Micros>,
-    /// It has not answered since it was uncordoned.
+    /// Whether the engine has not answered since it was uncordoned.
     pub awaits_first_answer: bool,
 }
 
@@ -115,8 +116,8 @@
         }
     }
 
-    /// Replaces what was learned of an earlier process. Attempts there still end one by one, and
-    /// what operators ordered still holds.
+    /// Resets the statistics after the engine's process restarted. Keeps the capacity in use, since
+    /// attempts at the earlier process still end one by one, and keeps the cordon.
     pub fn restart(&mut self, fresh: EngineRecord) {
         let old = std::mem::replace(self, fresh);
         self.running = old.running;
@@ -127,35 +128,36 @@
         self.awaits_first_answer = old.awaits_first_answer;
     }
 
-    /// Listed as ready, and not cordoned.
+    /// Returns whether the engine is listed as ready and not cordoned.
     pub fn in_use(&self) -> bool {
         self.listed.state == EngineState::Ready && !self.cordoned
     }
 
-    /// When its process started, as far as is known.
+    /// Returns the time at which the engine's process started, if known.
     pub fn started(&self) -> Option<Micros> {
         self.listed.started.max(self.uncordoned_at)
     }
 
-    /// Threads of this gateway's attempts there.
+    /// Returns the number of threads of this gateway's attempts at the engine.
     pub fn threads_in_use(&self) -> f64 {
         self.threads.iter().sum()
     }
 
-    /// Counts an attempt that is sent there.
+    /// Adds the capacity of an attempt that is sent to the engine.
     pub fn count_attempt(&mut self, id: QueryId, priority: u8, threads: f64, granted_mb: f64) {
         self.running.insert(id);
         self.threads[usize::from(priority)] += threads;
         self.granted_mb += granted_mb;
     }
 
-    /// Releases the capacity of an attempt that ended there.
+    /// Releases the capacity of an attempt that ended at the engine.
     pub fn release_attempt(&mut self, id: QueryId, priority: u8, threads: f64, granted_mb: f64) {
         self.running.remove(&id);
         self.threads[usize::from(priority)] -= threads;
         self.granted_mb -= granted_mb;
         if self.running.is_empty() {
-            // Started anew at 0, so that rounding errors do not add up.
+            // Without attempts the sums are exactly 0. The reset keeps rounding errors from adding
+            // up.
             self.threads = ThreadsByPriority::default();
             self.granted_mb = 0.0;
         }
--- a/policy/src/state/health_counts.rs
+++ b/policy/src/state/health_counts.rs
@@ -1,22 +1,23 @@
-//! Counts of the engines in use: ejected ones, healthy ones, and those that each class avoids.
+//! Counts the engines in use that are ejected, healthy, or avoided by a class.
 
 use super::EngineRecord;
 
-/// The counts at one moment.
+/// The counts of engines at one point in time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct HealthCounts {
-    /// Engines that are listed as ready and not cordoned.
+    /// The number of engines that are listed as ready and not cordoned.
     pub in_use: usize,
-    /// Those of them that are ejected.
+    /// The number of engines in use that are ejected.
     pub ejected: usize,
-    /// Those of them that are healthy.
+    /// The number of engines in use that are not ejected, or of all engines in use if ejection is
+    /// ignored.
     pub healthy: usize,
-    /// Healthy ones that are ejected for one class, by the number of the class.
+    /// The number of healthy engines that are ejected for a class, by the index of the class.
     ejected_for_class: Vec<usize>,
 }
 
 impl HealthCounts {
-    /// Counts engines. With `ignore_ejection`, ejected ones are healthy too.
+    /// Counts engines. With `ignore_ejection`, ejected engines also count as healthy.
     pub fn of<'a>(engines: impl Iterator<Item = &'a EngineRecord>, ignore_ejection: bool) -> Self {
         let mut counts = HealthCounts::default();
         for engine in engines.filter(|engine| engine.in_use()) {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// How many engines serve a class.
+    /// Returns the number of healthy engines that are not ejected for a class.
     pub fn serving(&self, class: usize) -> usize {
         self.healthy - self.ejected_for_class.get(class).copied().unwrap_or(0)
     }
--- a/policy/src/state/key_order.rs
+++ b/policy/src/state/key_order.rs
@@ -1,27 +1,29 @@
-//! The order of queries that share an ordering key.
+//! Keeps the order of queries that share an ordering key.
 
 use std::collections::BTreeMap;
 
 use crate::interface::{Micros, QueryId};
 
-/// An earlier attempt may still run: until a time only its own query may go on.
+/// A hold on an ordering key, set when an attempt ended that may still run on its engine. Until
+/// the hold ends, only the query of that attempt may run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KeyHold {
     pub until: Micros,
-    /// The sequence number of that query.
+    /// The sequence number of the query that may run.
     pub sequence: u64,
 }
 
 /// The open queries of one ordering key.
 #[derive(Debug, Default)]
 pub(crate) struct KeyOrder {
-    /// By sequence number, that is in order of arrival.
+    /// The open queries by sequence number, which is the order of arrival.
     pub open: BTreeMap<u64, QueryId>,
     pub hold: Option<KeyHold>,
 }
 
 impl KeyOrder {
-    /// Whether a query of the key may run at `now`.
+    /// Returns whether the query with a sequence number may run at `now`. A query that is not in
+    /// the order may always run.
     pub fn may_run(&self, sequence: u64, now: Micros) -> bool {
         if !self.open.contains_key(&sequence) {
             return true;
@@ -32,7 +34,7 @@
         is_first && !self.hold.is_some_and(blocks)
     }
 
-    /// The oldest open query.
+    /// Returns the oldest open query.
     pub fn first(&self) -> Option<QueryId> {
         self.open.first_key_value().map(|(_, query)| *query)
     }
--- a/policy/src/state/overall_stats.rs
+++ b/policy/src/state/overall_stats.rs
@@ -1,4 +1,4 @@
-//! What is learned over all engines and all queries, and the totals over the engines.
+//! The statistics over all engines and all queries, and the totals over all engines.
 
 use std::collections::BTreeSet;
 
@@ -6,39 +6,40 @@
 use crate::estimators::MovingMean;
 use crate::interface::{EngineId, Micros};
 
-/// What is learned over all engines and all queries.
+/// The statistics over all engines and all queries.
 #[derive(Debug, Default)]
 pub(crate) struct OverallStats {
-    /// Engines that operators cordoned, in the list or not.
+    /// The engines that operators cordoned. They need not be in the list.
     pub cordoned: BTreeSet<EngineId>,
-    /// Moving sum of work done, in seconds on one thread.
+    /// The moving sum of the work of answered queries, in seconds on one thread.
     pub work_done: f64,
-    /// Moving sum of the thread-seconds that it took.
+    /// The moving sum of the thread-seconds that the work in `work_done` took.
     pub thread_seconds: f64,
-    /// Priority weights of the queries that arrive.
+    /// The priority weight of the queries that arrive.
     pub priority_weight: MovingMean,
-    /// Work of the queries that arrive, in seconds on one thread.
+    /// The expected work of the queries that arrive, in seconds on one thread.
     pub work: MovingMean,
-    /// Utilisation from load reports, 0 to 1.
+    /// The utilisation from load reports, 0 to 1.
     pub utilisation: MovingMean,
-    /// Thread-seconds of capacity that were unused (above 0) or overdrawn, as of a time.
+    /// The thread-seconds of capacity that were unused (positive) or overdrawn (negative).
     pub capacity_credit: f64,
+    /// The time at which `capacity_credit` was last updated.
     pub capacity_credit_at: Micros,
-    /// Logarithm of the moving speed of answers, whichever engine gave them.
+    /// The moving mean logarithm of the speed of answers, over all engines.
     pub log_speed: f64,
-    /// When the totals below were last taken over all engines.
+    /// The time at which the totals below were last computed over all engines.
     pub totals_at: Micros,
-    /// When all engines were last searched for one that fits.
+    /// The time at which all engines were last searched for one with capacity.
     pub full_search_at: Micros,
-    /// The engines as they were last counted.
+    /// The counts of engines at `totals_at`.
     pub counts: HealthCounts,
-    /// Ejection is ignored, since over half of the engines in use are ejected.
+    /// Whether ejection is ignored because over half of the engines in use are ejected.
     pub ejection_suspended: bool,
-    /// The thread limits of all available engines together.
+    /// The sum of the thread limits of all available engines.
     pub thread_capacity: f64,
-    /// The same without engines that are backing off.
+    /// The sum of the thread limits of all available engines that are not backing off.
     pub open_thread_capacity: f64,
-    /// Growth of this gateway's thread limits, as a fraction of its fair shares, where these are
-    /// less than one thread an engine.
+    /// The growth of this gateway's thread limits, as a fraction of its fair shares. It applies to
+    /// engines of which this gateway's fair share is less than one thread.
     pub limit_growth: f64,
 }
--- a/policy/src/state/query.rs
+++ b/policy/src/state/query.rs
@@ -1,22 +1,22 @@
-//! A query and its running attempt.
+//! The state that a gateway keeps for a query and its attempt.
 
 use crate::interface::{Engine, EngineId, Micros, NewQuery};
 
-/// An attempt that is out.
+/// An attempt that was sent and has not ended.
 #[derive(Debug, Default)]
 pub(crate) struct Attempt {
     pub engine: EngineId,
     pub sent_at: Micros,
-    /// When it last reported progress; at first when it was sent.
+    /// The time of the latest progress report, or the time of the send before the first report.
     pub last_progress_at: Micros,
     pub granted_mb: f64,
-    /// 0 (lowest) to 3.
+    /// The priority, from 0 (lowest) to 3.
     pub priority: u8,
-    /// It last reported that it is queued at the engine.
+    /// Whether the latest report says that the attempt is queued at the engine.
     pub is_queued_at_engine: bool,
-    /// It reported that it lacks memory.
+    /// Whether the attempt reported that it lacks memory.
     pub has_spilled: bool,
-    /// It was silent for too long at least once.
+    /// Whether the attempt was silent for too long at least once.
     pub was_silent: bool,
     pub cancelled: bool,
 }
@@ -34,32 +34,32 @@
     pub request: NewQuery,
     /// The index of its class in the settings.
     pub class: usize,
-    /// Its place in the order of arrival.
+    /// The number of the query in the order of arrival.
     pub sequence: u64,
-    /// When its client first sent it, maybe in an earlier request.
+    /// The time at which the client first sent the query, perhaps in an earlier request.
     pub first_requested_at: Micros,
     pub deadline: Micros,
-    /// Expected work, in seconds on one thread.
+    /// The expected work, in seconds on one thread.
     pub work: f64,
     pub threads: f64,
-    /// Memory to be granted, in megabytes; 0 where nothing is known.
+    /// The memory to be granted, in megabytes; 0 if the need is unknown.
     pub memory_mb: f64,
-    /// Attempts sent so far.
+    /// The number of attempts sent so far.
     pub attempts: u32,
-    /// The attempt that is out.
+    /// The attempt that has not ended, if any.
     pub attempt: Option<Attempt>,
     pub may_have_run: bool,
     pub first_run: Option<FirstRun>,
-    /// The engine of the latest attempt that ended; it is chosen last.
+    /// The engine of the latest attempt that ended. Placement prefers all other engines.
     pub last_engine: Option<EngineId>,
-    /// The engine that last answered with an error.
+    /// The engine that most recently answered the query with an error.
     pub error_engine: Option<EngineId>,
-    /// It waits here for an engine.
+    /// Whether the query waits in this gateway for an engine.
     pub is_queued: bool,
-    /// Its final answer is given.
+    /// Whether the query has its final answer, or its client disconnected.
     pub is_finished: bool,
-    /// Its response has begun to stream.
+    /// Whether the response has begun to stream.
     pub is_streaming: bool,
-    /// When it is to be checked next.
+    /// The time of the next check.
     pub check_at: Micros,
 }
--- a/policy/src/state/query_table.rs
+++ b/policy/src/state/query_table.rs
@@ -1,33 +1,35 @@
-//! The table of open queries: queues by class, attempts by class and priority, checks by time.
+//! The table of open queries. It indexes queued queries by class and checks by time, and counts
+//! attempts by class and their threads by priority.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{KeyOrder, Query, RetryHistory, ThreadsByPriority};
 use crate::interface::{Micros, QueryId};
 
-/// Queued queries by their sequence number.
+/// Queued queries, by sequence number.
 type Queue = BTreeMap<u64, QueryId>;
 
-/// All open queries.
+/// The table of open queries.
 #[derive(Debug, Default)]
 pub(crate) struct QueryTable {
     queries: BTreeMap<QueryId, Query>,
     /// One queue for each class.
     queues: Vec<Queue>,
-    /// Those of the queues that have had no attempt yet.
+    /// The queries of each queue that have had no attempt yet.
     first_attempt_queues: Vec<Queue>,
-    /// When queries are to be checked.
+    /// The time of the next check of each query.
     checks: BTreeSet<(Micros, QueryId)>,
-    /// Queued queries, those included that wait for their key outside of the queues.
+    /// The number of queued queries. It includes queries that wait for their ordering key and are
+    /// not in a queue.
     queued: usize,
     queued_work: f64,
-    /// Attempts out, by class.
+    /// The number of attempts that have not ended, by class.
     attempts_out: Vec<usize>,
-    /// Threads of all attempts out.
+    /// The threads of all attempts that have not ended.
     pub threads_out: ThreadsByPriority,
-    /// Open queries by ordering key.
+    /// The open queries of each ordering key.
     pub keys: BTreeMap<u64, KeyOrder>,
-    /// Queries that have arrived, ever.
+    /// The number of queries that have arrived since the gateway started.
     pub arrivals: u64,
     pub history: RetryHistory,
 }
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Counts a query as queued; it is in no queue yet.
+    /// Counts a query as queued, without adding it to its queue.
     pub fn count_as_queued(&mut self, id: QueryId) {
         let waits = |query: &&mut Query| !query.is_queued && !query.is_finished;
         if let Some(query) = self.queries.get_mut(&id).filter(waits) {
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Puts a query that counts as queued into its queue.
+    /// Adds a query that counts as queued to its queue.
     pub fn enter_queue(&mut self, id: QueryId) {
         if let Some(query) = self.queries.get(&id).filter(|query| query.is_queued) {
             self.queues[query.class].insert(query.sequence, id);
@@ -99,7 +101,8 @@
             self.queues[query.class].remove(&query.sequence);
             self.first_attempt_queues[query.class].remove(&query.sequence);
             self.queued -= 1;
-            // Started anew at 0, so that rounding errors do not add up.
+            // With no query queued the sum is exactly 0. A reset keeps rounding errors from adding
+            // up.
             self.queued_work = if self.queued == 0 {
                 0.0
             } else {
@@ -108,8 +111,8 @@
         }
     }
 
-    /// The oldest query of each queue, the oldest of them first; with `first_attempts_only`, of
-    /// those that have had no attempt yet.
+    /// Returns the oldest query of each queue, ordered from the oldest to the newest. With
+    /// `first_attempts_only`, queries that have had an attempt are left out.
     pub fn queue_heads(&self, first_attempts_only: bool) -> Vec<QueryId> {
         let queues = if first_attempts_only {
             &self.first_attempt_queues
@@ -125,17 +128,17 @@
         self.queues[class].is_empty()
     }
 
-    /// Whether any queue holds a query.
+    /// Returns whether any queue holds a query.
     pub fn any_queued(&self) -> bool {
         self.queues.iter().any(|queue| !queue.is_empty())
     }
 
-    /// How many queries count as queued.
+    /// Returns the number of queries that count as queued.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// The work of all queries that count as queued, in seconds on one thread.
+    /// Returns the work of all queries that count as queued, in seconds on one thread.
     pub fn queued_work(&self) -> f64 {
         self.queued_work
     }
@@ -153,12 +156,12 @@
         }
     }
 
-    /// How many attempts of a class are out.
+    /// Returns the number of attempts of a class that have not ended.
     pub fn attempts_out(&self, class: usize) -> usize {
         self.attempts_out[class]
     }
 
-    /// Sets when a query is to be checked next.
+    /// Sets the time of a query's next check.
     pub fn set_check(&mut self, id: QueryId, at: Micros) {
         if let Some(query) = self.queries.get_mut(&id) {
             self.checks.remove(&(query.check_at, id));
@@ -167,12 +170,12 @@
         }
     }
 
-    /// When the next check is due.
+    /// Returns the time of the next check of any query.
     pub fn first_check(&self) -> Option<Micros> {
         self.checks.first().map(|(at, _)| *at)
     }
 
-    /// Takes the next query whose check is due.
+    /// Removes the next check that is due and returns its query.
     pub fn take_due_check(&mut self, now: Micros) -> Option<QueryId> {
         let (at, id) = self.checks.first().copied().filter(|(at, _)| *at <= now)?;
         self.checks.remove(&(at, id));
--- a/policy/src/state/retry_history.rs
+++ b/policy/src/state/retry_history.rs
@@ -1,10 +1,10 @@
-//! When queries arrived and when further attempts were sent, over the window of the retry budget.
+//! The times at which queries arrived and retries were sent, over the window of the retry budget.
 
 use std::collections::VecDeque;
 
 use crate::interface::Micros;
 
-/// Times of arrivals and of retries, in order.
+/// The times of arrivals and of retries, in order.
 #[derive(Debug, Default)]
 pub(crate) struct RetryHistory {
     arrivals: VecDeque<Micros>,
@@ -20,7 +20,7 @@
         self.retries.push_back(now);
     }
 
-    /// Forgets what happened before a time.
+    /// Removes the arrivals and retries before a time.
     pub fn forget_before(&mut self, time: Micros) {
         for history in [&mut self.retries, &mut self.arrivals] {
             while history.front().is_some_and(|at| *at < time) {
@@ -29,17 +29,17 @@
         }
     }
 
-    /// All arrivals that are remembered.
+    /// Returns the number of arrivals in the history.
     pub fn remembered_arrivals(&self) -> usize {
         self.arrivals.len()
     }
 
-    /// How many queries arrived after a time.
+    /// Returns the number of queries that arrived after a time, not at that time.
     pub fn arrivals_since(&self, time: Micros) -> f64 {
         (self.arrivals.len() - self.arrivals.partition_point(|at| *at <= time)) as f64
     }
 
-    /// How many retries were sent at a time or later.
+    /// Returns the number of retries that were sent at a time or later.
     pub fn retries_since(&self, time: Micros) -> f64 {
         (self.retries.len() - self.retries.partition_point(|at| *at < time)) as f64
     }
