--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! What a statement and a patch of the engine list cost the decisions, by the number of engines:
-//! `cargo bench`.
+//! Measures the time that the decisions take for one statement, and for one patch of the engine
+//! list, for several numbers of engines. Run it with `cargo bench`.
 
 use std::collections::VecDeque;
 use std::hint::black_box;
@@ -12,19 +12,19 @@
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const SECOND: Micros = 1_000_000;
-/// Statements that a gateway of a large fleet gets in a second.
+/// The rate at which a gateway of a large fleet receives statements.
 const STATEMENTS_PER_SECOND: u64 = 1_842;
-/// Statements that are out at a time.
-const OUT: usize = 20;
-/// What a statement costs an engine.
-const WORK: Micros = 10_000;
+/// The number of statements that have an attempt out at the same time.
+const MAX_ATTEMPTS_OUT: usize = 20;
+/// The work of one statement on an engine.
+const STATEMENT_WORK: Micros = 10_000;
 
-/// A gateway with statements out, on injected time.
-struct Loop {
+/// A gateway under constant load, on simulated time.
+struct LoadedGateway {
     gateway: Gateway,
     now: Micros,
-    next: QueryId,
-    out: VecDeque<(QueryId, EngineId)>,
+    last_query: QueryId,
+    attempts_out: VecDeque<(QueryId, EngineId)>,
     actions: Vec<Action>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-impl Loop {
+impl LoadedGateway {
     fn new(engines: u32, gateways: u32) -> Self {
         let mut gateway = Gateway::new(settings(gateways), 7);
         let list = Event::EngineList {
@@ -74,40 +74,41 @@
             engines: (0..engines).map(engine).collect(),
         };
         gateway.handle(SECOND, &[list], &mut Vec::new());
-        let mut all = Loop {
+        let mut loaded = LoadedGateway {
             gateway,
             now: SECOND,
-            next: 0,
-            out: VecDeque::new(),
+            last_query: 0,
+            attempts_out: VecDeque::new(),
             actions: Vec::new(),
         };
-        // As it is after some seconds of the same traffic.
-        (0..5 * STATEMENTS_PER_SECOND).for_each(|_| all.statement());
-        all
+        // Five seconds of traffic fill the window of the retry budget.
+        (0..5 * STATEMENTS_PER_SECOND).for_each(|_| loaded.statement());
+        loaded
     }
 
-    /// One statement arrives; where so many are out, the oldest ends.
+    /// Handles the arrival of one statement. If the maximum number of attempts is then out, also
+    /// handles the end of the oldest attempt.
     fn statement(&mut self) {
         self.now += SECOND / STATEMENTS_PER_SECOND;
-        self.next += 1;
+        self.last_query += 1;
         let request = NewQuery {
-            id: self.next,
-            estimated_work: Some(WORK),
+            id: self.last_query,
+            estimated_work: Some(STATEMENT_WORK),
             client_timeout: 10 * SECOND,
             ..NewQuery::default()
         };
         self.handle(Event::QueryArrived(request));
-        if self.out.len() >= OUT {
-            if let Some((query, engine)) = self.out.pop_front() {
+        if self.attempts_out.len() >= MAX_ATTEMPTS_OUT {
+            if let Some((query, engine)) = self.attempts_out.pop_front() {
                 self.handle(Event::AttemptEnded(AttemptEnded {
                     query,
                     attempt: 0,
                     engine,
                     outcome: Outcome::Completed,
                     query_answered: true,
-                    elapsed: WORK,
+                    elapsed: STATEMENT_WORK,
                     cost: Some(Cost {
-                        work: WORK,
+                        work: STATEMENT_WORK,
                         memory_mb: 1.0,
                     }),
                     load: LoadReport::default(),
@@ -136,7 +137,7 @@
             Action::Send { query, engine, .. } => Some((*query, *engine)),
             _ => None,
         });
-        self.out.extend(sent);
+        self.attempts_out.extend(sent);
     }
 }
 
@@ -145,16 +146,16 @@
         let mut group = criterion.benchmark_group(format!("{gateways} gateways"));
         for engines in [80, 300, 1_000, 4_000, 12_000] {
             group.bench_function(BenchmarkId::new("statement", engines), |b| {
-                let mut all = Loop::new(engines, gateways);
-                b.iter(|| all.statement());
+                let mut loaded = LoadedGateway::new(engines, gateways);
+                b.iter(|| loaded.statement());
             });
             group.bench_function(BenchmarkId::new("patch", engines), |b| {
-                let mut all = Loop::new(engines, gateways);
+                let mut loaded = LoadedGateway::new(engines, gateways);
                 let mut id = 0;
                 b.iter(|| {
                     id = (id + 1) % engines;
-                    all.now += SECOND / STATEMENTS_PER_SECOND;
-                    all.patch(id);
+                    loaded.now += SECOND / STATEMENTS_PER_SECOND;
+                    loaded.patch(id);
                 });
             });
         }
--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -1,12 +1,13 @@
-//! Whether a query that arrives is sent at once, queued, or rejected.
+//! Decides whether a query that arrives is sent at once, queued, or rejected.
 //!
-//! - Decides: [`AdmissionDecision`].
-//! - Inputs: the predicted wait (queued work over what the engines do for this gateway) and the
-//!   threshold, the longest wait with which the query can still be in time; both in seconds.
+//! - Decides: this module makes the [`AdmissionDecision`].
+//! - Inputs: it uses the predicted wait (queued work divided by the rate at which engines work for
+//!   this gateway) and the threshold (the longest wait after which the query can still be in time).
+//!   Both are in seconds.
 //! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability
 //!   that falls from 1 to 0 as the predicted wait passes the threshold (a logistic function,
 //!   after M. Mazzucco, "Virtual queues from scratch, Part 4").
-//! - Reason: a queue that is longer than clients wait makes every query late.
+//! - Reason: a queue that takes longer than clients wait makes every query late.
 
 use crate::deadline::HIGH_LATE_FRACTION;
 use crate::interface::{Action, EngineId, Micros, NewQuery, QueryId};
@@ -16,41 +17,40 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// The width of the fall from admission to rejection, as a fraction of the threshold.
+/// The scale of the logistic function, as a fraction of the threshold.
 const SLOPE_FRACTION: f64 = 0.1;
-/// The threshold is at least this fraction of the deadline (of the objective, where answers come
-/// late).
+/// The minimum threshold, as a fraction of the deadline, or of the objective if answers come late.
 const MIN_THRESHOLD_FRACTION: f64 = 0.5;
-/// The least threshold, in seconds; the admission probability divides by it.
+/// The minimum threshold, in seconds. The admission probability divides by the threshold.
 const MIN_THRESHOLD_S: f64 = 1e-3;
-/// All queries of a class use one draw for this fraction of the threshold, so that a client
-/// that retries at once gets the same answer.
+/// The time for which all queries of a class share a random draw, as a fraction of the threshold.
+/// A client that retries at once gets the same answer.
 const SHARED_DRAW_FRACTION: f64 = 0.1;
 
-/// What becomes of a query that arrives.
+/// The decision about a query that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AdmissionDecision {
-    /// It goes to this engine at once.
+    /// The query is sent to this engine at once.
     Send(EngineId),
-    /// It waits for an engine.
+    /// The query waits for an engine.
     Queue,
-    /// It is rejected.
+    /// The query is rejected for this reason.
     Reject(RejectReason),
 }
 
 /// Why a query that arrives is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RejectReason {
-    /// It is a client's retry that would be late, and useless then.
+    /// The query is a client's retry that would be late, and a late answer would be useless.
     ObjectiveUnachievable,
     /// The predicted wait is too long.
     PredictedWaitTooLong,
 }
 
-/// What the threshold is made from; times in seconds.
+/// The inputs of the admission threshold. Times are in seconds.
 #[derive(Debug, Clone, Copy)]
 struct ThresholdInputs {
-    /// The deadline of the class, or the client's time if that is less.
+    /// The deadline of the class, or the client's timeout if that is shorter.
     deadline: f64,
     objective: f64,
     expected_run: f64,
@@ -101,13 +101,13 @@
         query.is_some_and(|query| self.objective_is_unachievable(query))
     }
 
-    /// The index of a query's class; classes that the settings do not name share the last one.
+    /// Returns the index of a query's class. Unknown classes share the last one.
     fn class_index(&self, request: &NewQuery) -> usize {
         (request.class as usize).min(self.settings.classes.len() - 1)
     }
 
-    /// Enters a query in the table, with what is expected of it. Returns how long ago its client
-    /// first sent it.
+    /// Adds a query to the table, with its expected work and memory. Returns how long ago its
+    /// client first sent it.
     fn register_query(&mut self, class_index: usize, request: &NewQuery) -> Micros {
         let sequence = self.queries.next_sequence(self.now);
         let age = self.age_of_request(class_index, request);
@@ -139,7 +139,8 @@
         age
     }
 
-    /// Whether a query may wait, by the draw that all queries of its class use for a while.
+    /// Returns whether a query may wait in the queue. Compares the admission probability with the
+    /// random draw that all queries of the class share for a limited time.
     fn admits_to_queue(&mut self, id: QueryId) -> bool {
         let Some(query) = self.queries.get(id) else {
             return false;
@@ -155,8 +156,9 @@
         stats.admission_draw < probability
     }
 
-    /// The wait in seconds that a query would have: queued work over what the engines do for this
-    /// gateway. Engines that are backing off take nothing, so they do not count.
+    /// Predicts how long a new query would wait, in seconds: the queued work divided by the rate at
+    /// which engines work for this gateway. Engines that are backing off take no queries, so they
+    /// do not count.
     pub(crate) fn predicted_wait(&self) -> f64 {
         let threads = self.overall.open_thread_capacity.max(1.0);
         self.queries.queued_work() / (threads * self.overall_speed())
@@ -176,18 +178,19 @@
     }
 }
 
-/// The threshold in seconds: the deadline less the expected run. As answers of the class come
-/// late, which earn less, it approaches the same figure made from the objective.
+/// Returns the threshold in seconds: the deadline minus the expected run. Late answers earn less,
+/// so the more answers of the class come late, the closer the threshold is to the objective minus
+/// the expected run.
 fn wait_threshold(inputs: &ThresholdInputs) -> f64 {
-    let in_time_for =
+    let max_wait_for =
         |limit: f64| (limit - inputs.expected_run).max(MIN_THRESHOLD_FRACTION * limit);
-    let by_deadline = in_time_for(inputs.deadline);
-    let by_objective = in_time_for(inputs.objective).min(by_deadline);
+    let by_deadline = max_wait_for(inputs.deadline);
+    let by_objective = max_wait_for(inputs.objective).min(by_deadline);
     let lateness = (inputs.late_fraction / HIGH_LATE_FRACTION).min(1.0);
     (by_deadline + (by_objective - by_deadline) * lateness).max(MIN_THRESHOLD_S)
 }
 
-/// The probability of admission; 1/2 where the predicted wait equals the threshold.
+/// Returns the probability of admission. It is 1/2 if the predicted wait equals the threshold.
 fn admission_probability(predicted_wait: f64, threshold: f64) -> f64 {
     1.0 / (1.0 + ((predicted_wait - threshold) / (SLOPE_FRACTION * threshold)).exp())
 }
--- a/policy/src/attempt/progress.rs
+++ b/policy/src/attempt/progress.rs
@@ -1,11 +1,11 @@
-//! An attempt reports its progress.
+//! Handles the progress reports of an attempt.
 //!
-//! - Decides: [`ProgressDecision`].
-//! - Inputs: the fraction of its work that is done, the time that took, memory that it lacks,
-//!   and whether it is queued at the engine; the expected run and the predicted wait of a new
-//!   attempt, in seconds.
-//! - Reason: an attempt that is stuck or far slower than expected is better off elsewhere, as
-//!   long as a new one would be done well before it.
+//! - Decides: this module makes the [`ProgressDecision`].
+//! - Inputs: it uses the fraction of the work that is done, the time that it took, the memory that
+//!   the attempt lacks, and whether the attempt is queued at the engine. It also uses the expected
+//!   run and the predicted wait of a new attempt, in seconds.
+//! - Reason: a query whose attempt is stuck or far slower than expected is sent elsewhere, provided
+//!   that a new attempt would end well before this one.
 
 use crate::interface::{Action, EngineId, Micros, Progress, QueryId};
 use crate::memory_grant::cut_memory_quota;
@@ -15,43 +15,45 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// An attempt is slow that takes this many times its expected run in all ...
+/// An attempt is slow if its total run time is more than this multiple of the expected run.
 const SLOW_RUN_FACTOR: f64 = 3.0;
-/// ... and is rerouted if it still takes this many times as long as a new attempt.
+/// A slow attempt is rerouted if its remaining run time is more than this multiple of the time that
+/// a new attempt would take.
 const REMAINING_RUN_FACTOR: f64 = 2.0;
-/// Control periods for which nothing is sent to an engine where queries wait for memory.
+/// How long nothing is sent to an engine where queries wait for memory, in control periods.
 const MEMORY_BACKOFF_PERIODS: f64 = 1.2;
-/// Bounds of what a report is taken to say.
+/// The minimum fraction done that a report counts as, since the run time is divided by it.
 const MIN_FRACTION_DONE: f64 = 1e-3;
+/// The minimum run time at a report, in seconds, since the speed is computed by a division by it.
 const MIN_TIME_S: f64 = 1e-3;
 
-/// What follows from a progress report.
+/// The decision about an attempt after a progress report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProgressDecision {
     /// The attempt goes on.
     Continue,
-    /// It is cancelled, so that the query is sent elsewhere.
+    /// The attempt is cancelled if it may be, so that the query is sent elsewhere.
     Reroute,
     /// The query is given up.
     GiveUp,
 }
 
-/// What is known of an attempt as it reports.
+/// The attempt that a progress report is about.
 #[derive(Debug, Clone, Copy)]
-struct Reporting {
+struct ReportingAttempt {
     engine: EngineId,
     sent_at: Micros,
     priority: u8,
 }
 
-/// How fast an attempt runs, by its report.
+/// The run time and the speed of an attempt, estimated from its report.
 #[derive(Debug, Clone, Copy)]
 struct RunEstimate {
-    /// Run time in all, in seconds.
+    /// The total run time, in seconds.
     total: f64,
-    /// Time to the end, in seconds.
+    /// The remaining run time, in seconds.
     remaining: f64,
-    /// Work per thread-second.
+    /// The work per thread-second.
     speed: f64,
 }
 
@@ -67,7 +69,7 @@
         let Some(reporting) = self.record_progress(id, attempt, progress) else {
             return;
         };
-        let restart_with_more = match progress {
+        let needs_larger_grant = match progress {
             Progress::Spilling(missing_mb) => self.on_spill(id, missing_mb),
             _ => false,
         };
@@ -76,8 +78,9 @@
             return;
         };
         match progress {
-            Progress::Spilling(_) if restart_with_more => self.reroute(id, actions),
-            // A queued attempt has done no work yet; the last attempt is reserved for faults.
+            Progress::Spilling(_) if needs_larger_grant => self.reroute(id, actions),
+            // A queued attempt has done no work yet, so a reroute loses none. The last attempt is
+            // reserved for failures.
             Progress::WaitingForMemory if self.has_spare_attempt(query) => {
                 self.reroute(id, actions);
             }
@@ -88,7 +91,7 @@
                     ProgressDecision::Reroute => self.reroute(id, actions),
                     ProgressDecision::Continue => {}
                 }
-                let Reporting {
+                let ReportingAttempt {
                     engine, priority, ..
                 } = reporting;
                 self.record_engine_speed(engine, priority, run.speed, PROGRESS_SPEED_GAIN);
@@ -98,13 +101,14 @@
         self.schedule_check_after_progress(id);
     }
 
-    /// Records the report with its attempt; `None` if that is not the one that is out.
+    /// Records a report in its attempt. Returns `None` if the report is about another attempt than
+    /// the one that is out.
     fn record_progress(
         &mut self,
         id: QueryId,
         number: u32,
         progress: Progress,
-    ) -> Option<Reporting> {
+    ) -> Option<ReportingAttempt> {
         let query = self.queries.get_mut(id)?;
         if number + 1 != query.attempts {
             return None;
@@ -115,15 +119,15 @@
             progress,
             Progress::WaitingForMemory | Progress::WaitingForBulkLoad
         );
-        Some(Reporting {
+        Some(ReportingAttempt {
             engine: attempt.engine,
             sent_at: attempt.sent_at,
             priority: attempt.priority,
         })
     }
 
-    /// Records the report with its engine. One where queries wait for memory gets nothing for a
-    /// while.
+    /// Records a report in its engine. If queries wait for memory there, the memory quota is cut
+    /// and the engine backs off.
     fn record_progress_of_engine(&mut self, engine: EngineId, progress: Progress) {
         let backoff_until = self.now + self.control_periods(MEMORY_BACKOFF_PERIODS);
         let Some(engine) = self.engines.get_mut(&engine) else {
@@ -136,14 +140,14 @@
         }
     }
 
-    /// Whether a query has an attempt to spare after the next one.
+    /// Returns whether a query may have at least two more attempts.
     fn has_spare_attempt(&self, query: &Query) -> bool {
         query.attempts + 1 < self.settings.max_attempts.unwrap_or(u32::MAX)
     }
 
     fn estimate_run(&self, query: &Query, sent_at: Micros, fraction: f64) -> RunEstimate {
         let elapsed = seconds(self.now - sent_at).max(MIN_TIME_S);
-        // `max` first, so that a fraction that is not a number counts as nearly nothing done.
+        // `max` turns NaN into 0, so that NaN counts as the minimum.
         let done = fraction.max(0.0).clamp(MIN_FRACTION_DONE, 1.0);
         let total = elapsed / done;
         RunEstimate {
@@ -155,8 +159,8 @@
 
     fn progress_decision(&self, query: &Query, run: &RunEstimate) -> ProgressDecision {
         let ends_at = self.now + micros(run.remaining);
-        // The work that so long a run comes to at the usual speed, where that is more than
-        // expected.
+        // If the run takes longer than expected, assume the work that it would do at the overall
+        // speed. More work extends the objective.
         let work = query
             .work
             .max(self.overall_speed() * run.total * query.threads);
@@ -174,8 +178,8 @@
         }
     }
 
-    /// The next check is for silence. An attempt that is queued at its engine reports no more, so
-    /// it is also checked when it can no longer be in time.
+    /// Schedules the next check, for silence. An attempt that is queued at its engine sends no
+    /// further reports, so it is also checked when its query can no longer be in time.
     fn schedule_check_after_progress(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(id) else {
             return;
--- a/policy/src/attempt/silence.rs
+++ b/policy/src/attempt/silence.rs
@@ -1,10 +1,13 @@
-//! A query's check is due: its attempt was silent for too long, or it is queued too long.
+//! Checks queries whose attempt may have been silent for too long, or that may have been queued
+//! for too long.
 //!
-//! - Decides: when an attempt counts as silent, and what follows.
-//! - Inputs: the time since it was last active, the progress period, or without progress
-//!   reports the expected run, in microseconds; other activity of its engine.
-//! - Reason: an engine that hangs or loses queries answers nothing, so that only its silence
-//!   shows it.
+//! - Decides: this module decides when an attempt counts as silent, and whether the query is then
+//!   rerouted or given up.
+//! - Inputs: it uses the time since the attempt was last active, the progress period or, without
+//!   progress reports, the usual run, in microseconds. It also uses the activity of the engine for
+//!   other queries.
+//! - Reason: an engine that hangs or loses queries sends no answer. Only its silence shows the
+//!   failure.
 
 use crate::interface::{Action, EngineId, Micros, QueryId};
 use crate::speed::CLASS_GAIN;
@@ -12,22 +15,23 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// Control periods without activity after which an attempt is silent, where progress is
-/// reported.
+/// The time without a report after which an attempt is silent, in control periods. It applies if
+/// engines report progress.
 const SILENT_PERIODS: f64 = 1.7;
-/// Without progress reports an attempt is silent once a new one could only just meet the objective,
-/// but after no fewer and no more than so many usual runs.
+/// The minimum time after which an attempt is silent, in usual runs. It applies if engines report
+/// no progress. Then an attempt is silent once a new attempt could only just meet the objective.
 const MIN_SILENT_RUNS: f64 = 3.0;
+/// The maximum time after which an attempt is silent, in usual runs, without progress reports.
 const MAX_SILENT_RUNS: f64 = 6.0;
 
-/// An attempt as its check finds it.
+/// The state of an attempt at a check.
 #[derive(Debug, Clone, Copy)]
 struct CheckedAttempt {
     engine: EngineId,
     class: usize,
     last_active_at: Micros,
     is_silent: bool,
-    /// It was silent at an earlier check.
+    /// Whether the attempt was silent at an earlier check.
     was_silent: bool,
     is_queued_at_engine: bool,
     cancelled: bool,
@@ -74,7 +78,7 @@
     fn check_attempt(&mut self, id: QueryId, checked: &CheckedAttempt, actions: &mut Vec<Action>) {
         if !checked.cancelled {
             if checked.is_silent {
-                self.blame_for_silence(checked);
+                self.record_silence_failure(checked);
                 self.count_silence(id, checked.class);
             }
             if checked.is_unachievable {
@@ -87,10 +91,10 @@
         self.schedule_check(id, checked.next_check_at);
     }
 
-    /// A silent attempt speaks against its engine if that was silent to others too, and
-    /// otherwise against the engine with queries of this class. One that is queued there is
-    /// expected to be silent: it is rerouted, but the engine is well.
-    fn blame_for_silence(&mut self, checked: &CheckedAttempt) {
+    /// Counts a silent attempt as a failure of its engine. If the engine has been active for other
+    /// queries, the failure counts for this class only, and once for each attempt. An attempt that
+    /// is queued at the engine is expected to be silent, so it does not count as a failure.
+    fn record_silence_failure(&mut self, checked: &CheckedAttempt) {
         if checked.is_queued_at_engine {
             return;
         }
@@ -112,8 +116,9 @@
         *silent_fraction += CLASS_GAIN * (1.0 - *silent_fraction);
     }
 
-    /// How long an attempt may be silent since a time. Without progress reports, until a new
-    /// attempt could just meet the objective, within some usual runs, since estimates scatter.
+    /// Returns how long an attempt may be silent, counted from `since`. Without progress reports
+    /// the limit is the time at which a new attempt could only just meet the objective. It is kept
+    /// between a minimum and a maximum number of usual runs, since estimates vary.
     pub(super) fn silence_limit(&self, query: &Query, since: Micros) -> Micros {
         if self.settings.progress_period.is_some() {
             return self.control_periods(SILENT_PERIODS);
@@ -125,8 +130,8 @@
         micros(limit.max(MIN_SILENT_RUNS * usual)).max(1)
     }
 
-    /// Cancels an attempt so that the query can go elsewhere, if there is another engine, enough
-    /// time, and a duplicate does no harm.
+    /// Cancels an attempt so that the query can go elsewhere. Does so only if another engine is
+    /// available, a new attempt has enough time and is allowed, and a duplicate does no harm.
     pub(super) fn reroute(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let query = self.queries.get(id);
         if query.is_some_and(|query| self.may_reroute(query)) {
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -1,11 +1,11 @@
-//! When a query has to be answered, and when it is given up.
+//! Decides when a query has to be answered, and when it is given up.
 //!
-//! - Decides: the time by which an answer earns its full weight (the objective), whether that
-//!   can still be met, and when a queued query is given up.
-//! - Inputs: the deadline and objective of its class and its client, its expected run time,
-//!   and, for deduplicated queries, the time at which engines forget its first attempt; all in
-//!   microseconds.
-//! - Reason: a query that cannot be in time only delays those that can, and the retries of its
+//! - Decides: this module decides the time by which an answer earns its full weight (the
+//!   objective), whether a query can still meet it, and when a queued query is given up.
+//! - Inputs: it uses the deadline and objective of the query's class, the client's timeout, the
+//!   expected run time and, for deduplicated queries, the time at which engines forget the first
+//!   attempt. Times are in microseconds.
+//! - Reason: a query that cannot be in time only delays queries that can, and the retries of its
 //!   client prolong an overload.
 
 use crate::interface::{Idempotency, Micros, NewQuery, QueryId};
@@ -13,18 +13,19 @@
 use crate::units::micros;
 use crate::Gateway;
 
-/// A class whose late answers earn less than this fraction of their weight has only its
-/// objective.
-const LITTLE_LATE_WEIGHT: f64 = 0.5;
+/// The fraction of their weight below which late answers count as useless.
+const LOW_LATE_WEIGHT_FRACTION: f64 = 0.5;
 /// The fraction of late answers at which a class counts as late.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
-/// The expected run of a queued query counts as no more than its client's timeout over this, so
-/// that no estimate, however long, has it given up before half of that time.
+/// The expected run of a queued query counts as no more than the client's timeout divided by this
+/// number. So no estimate, however long, causes a query to be given up before half of that
+/// timeout has passed.
 const MAX_QUEUED_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
-    /// How long ago the client first sent a request. A retry brings less time than a first
-    /// request; what is not marked as a retry counts as a first request.
+    /// Returns how long ago the client first sent a request. For a client's retry this is derived
+    /// from its timeout, which is shorter than that of first requests. A request that is not marked
+    /// as a retry counts as a first request.
     pub(crate) fn age_of_request(&mut self, class: usize, request: &NewQuery) -> Micros {
         let deadline = self.settings.classes[class].deadline.unwrap_or(0);
         let grace = self.settings.answer_grace.unwrap_or(0);
@@ -40,13 +41,13 @@
         }
     }
 
-    /// When an answer to a query is late.
+    /// Returns the time after which an answer to a query is late.
     pub(crate) fn objective_at(&self, query: &Query) -> Micros {
         self.objective_for_work(query, query.work)
     }
 
-    /// When an answer to a query would be late if it were this much work, in seconds on one
-    /// thread.
+    /// Returns the time after which an answer to a query would be late if the query had the given
+    /// work, in seconds on one thread.
     pub(crate) fn objective_for_work(&self, query: &Query, work: f64) -> Micros {
         let class = self.class_of(query);
         let stretch = class.objective_stretch.unwrap_or(0.0) * work / query.threads;
@@ -55,26 +56,28 @@
         })
     }
 
-    /// Whether an answer to a query is useless once its objective is missed: late answers of its
-    /// class earn little, and other queries wait or are late too.
+    /// Returns whether an answer to a query is useless once its objective is missed. This is so if
+    /// late answers of its class earn little, and other queries are queued or many answers of the
+    /// class are late.
     pub(crate) fn is_useless_when_late(&self, query: &Query) -> bool {
         let class = self.class_of(query);
         let late_weight = class.late_weight_fraction.unwrap_or(1.0);
         let earns_little_late =
-            class.idempotency == Idempotency::Idempotent && late_weight < LITTLE_LATE_WEIGHT;
+            class.idempotency == Idempotency::Idempotent && late_weight < LOW_LATE_WEIGHT_FRACTION;
         let others_queued = self.queries.queued() > usize::from(query.is_queued);
         let many_late = self.stats_of(query).late_fraction > HIGH_LATE_FRACTION;
         earns_little_late && (others_queued || many_late)
     }
 
-    /// Whether a query would be late even if it were sent now, and is useless then.
+    /// Returns whether a query would be late even if it were sent now, and would then be useless.
     pub(crate) fn objective_is_unachievable(&self, query: &Query) -> bool {
         self.is_useless_when_late(query)
             && self.now + micros(self.expected_run(query)) >= self.objective_at(query)
     }
 
-    /// When a queued query can no longer be in time, by its objective, its deadline or the time
-    /// at which engines forget its first attempt.
+    /// Returns the time from which a queued query can no longer be in time. The limit is the
+    /// objective if late answers are useless. Otherwise it is the deadline or the time at which
+    /// engines forget the first attempt, whichever comes first.
     pub(crate) fn give_up_at(&self, query: &Query) -> Micros {
         let run = micros(self.expected_run(query));
         if self.is_useless_when_late(query) {
@@ -93,9 +96,9 @@
             .min(forgotten_at)
     }
 
-    /// Sets when a query is checked next, no later than its deadline, so that it is always
-    /// answered in time. With an attempt out that is a little later, since its time-out comes at
-    /// the deadline.
+    /// Sets the time of a query's next check. It is no later than the deadline, so that the query
+    /// is always answered in time. While an attempt is out the check may be up to
+    /// [`Self::time_out_slack`] later, since the attempt's time-out arrives at the deadline.
     pub(crate) fn schedule_check(&mut self, id: QueryId, at: Micros) {
         let Some(query) = self.queries.get(id) else {
             return;
@@ -108,7 +111,7 @@
         self.queries.set_check(id, at.min(last));
     }
 
-    /// How long after the deadline an attempt's time-out is awaited.
+    /// Returns how long after the deadline the gateway waits for the time-out of an attempt.
     pub(crate) fn time_out_slack(&self) -> Micros {
         self.settings.answer_grace.unwrap_or(0) / 2
     }
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -1,11 +1,13 @@
-//! How much memory a query is granted, and how much of an engine's memory this gateway grants.
+//! Decides how much memory a query is granted, and how much of an engine's memory this gateway may
+//! grant.
 //!
-//! - Decides: the grant of a query in megabytes, and this gateway's quota of an engine's
-//!   memory, a fraction from 0 to 1.
-//! - Inputs: estimates that come with queries, the needs that answers report or, where they
-//!   report none, how often queries spill to disk, and reports of queries that wait for memory.
-//! - Reason: a grant that is too small makes a query spill, which is slow; one that is too
-//!   large makes others wait.
+//! - Decides: this module decides the grant of a query in megabytes, and this gateway's quota of an
+//!   engine's memory, a fraction from 0 to 1.
+//! - Inputs: it uses the estimates that come with queries, and the memory needs that answers report
+//!   or, if they report none, how often queries spill to disk. It also uses reports that queries
+//!   wait for memory.
+//! - Reason: a grant that is too small makes a query spill, which is slow. A grant that is too
+//!   large makes other queries wait.
 
 use crate::concurrency_limit::IN_USE_FRACTION;
 use crate::interface::{Cost, Micros, NewQuery, QueryId};
@@ -13,38 +15,39 @@
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
-/// A grant is the expected need plus this many deviations.
+/// The margin of a grant over the expected need, in deviations of the need.
 const GRANT_DEVIATIONS: f64 = 1.3;
-/// The grant as a multiple of the estimate, before any need or spill was seen.
+/// The grant as a multiple of the estimate, before any need or spill was reported.
 const INITIAL_GRANT_MULTIPLE: f64 = 1.25;
-/// Weight of a need in the regression on estimates.
+/// The minimum weight of a reported need in the regression on estimates.
 const REGRESSION_GAIN: f64 = 0.02;
-/// Where needs are not reported: the fraction of queries that is to spill, and the step by which
-/// the logarithm of grants rises at a spill and falls without one, so that this fraction
-/// results.
+/// The target fraction of queries that spill, if engines do not report memory needs.
 const TARGET_SPILL_FRACTION: f64 = 0.2;
+/// The size of the steps by which the logarithm of grants changes, if engines do not report memory
+/// needs. It rises by this times `1 - TARGET_SPILL_FRACTION` at a spill, and falls by this times
+/// `TARGET_SPILL_FRACTION` at an answer without one. Both balance at the target fraction.
 const GRANT_LOG_STEP: f64 = 0.3;
-/// The fraction of its need above which an attempt lacks so much that it starts again.
+/// The missing fraction of its need above which an attempt is restarted with a larger grant.
 const MUCH_MISSING_FRACTION: f64 = 0.2;
-/// The most megabytes that a query is taken to lack.
+/// The maximum amount of missing memory that a report counts as, in megabytes.
 const MAX_MISSING_MB: f64 = 1e9;
-/// A report that a query waits for memory cuts the quota to this fraction of it ...
+/// The factor by which a report that a query waits for memory reduces the quota.
 const QUOTA_CUT: f64 = 0.7;
-/// ... and each answer raises it by this much while it is in use.
+/// The amount by which each answer raises the quota while the quota is in use.
 const QUOTA_STEP: f64 = 0.02;
 
-/// An answer, as far as grants depend on it.
+/// The properties of an answer that grants depend on.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MemorySample {
     /// The estimate that came with the query, in megabytes.
     pub estimate_mb: Option<f64>,
-    /// What the query cost, if the engine reports it.
+    /// The cost of the query, if the engine reports it.
     pub cost: Option<Cost>,
     pub has_spilled: bool,
 }
 
 impl Gateway {
-    /// The memory in megabytes that a query is to be granted; 0 where nothing is known.
+    /// Returns the memory that a query is to be granted, in megabytes; 0 if the need is unknown.
     pub(crate) fn expected_grant(&self, class: usize, request: &NewQuery) -> f64 {
         let stats = &self.class_stats[class];
         let Some(estimate) = request.estimated_memory_mb else {
@@ -58,16 +61,17 @@
         }
     }
 
-    /// The grant of a query on an engine, which no query gets more than a fraction of.
+    /// Returns the grant of a query on an engine, in megabytes. It is limited to the maximum
+    /// fraction of the engine's memory.
     pub(crate) fn grant_on(&self, query: &Query, engine: &EngineRecord) -> f64 {
         let fraction = self.settings.max_grant_fraction.unwrap_or(1.0);
-        let most = engine
+        let max_grant_mb = engine
             .memory_mb
             .map_or(f64::MAX, |memory| memory * fraction);
-        query.memory_mb.min(most)
+        query.memory_mb.min(max_grant_mb)
     }
 
-    /// Learns from an answer what queries of its class need.
+    /// Updates the statistics of a class's memory need from an answer.
     pub(crate) fn record_memory_need(&mut self, class: usize, sample: &MemorySample) {
         let stats = &mut self.class_stats[class];
         if let Some(cost) = sample.cost {
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Learns that an attempt spills. Returns whether it lacks so much that it should start again
-    /// with a larger grant.
+    /// Handles a report that an attempt spills. Returns whether the attempt lacks so much memory
+    /// that it should be restarted with a larger grant.
     pub(crate) fn on_spill(&mut self, id: QueryId, missing_mb: f64) -> bool {
         if !self.settings.memory_grants {
             return false;
@@ -106,12 +110,12 @@
     }
 }
 
-/// Cuts this gateway's quota of an engine where queries wait for memory, whoever granted too
-/// much. There is one cut until the engine's backoff ends.
+/// Cuts this gateway's quota of an engine where queries wait for memory, even if other gateways
+/// granted too much. The quota is cut at most once until the engine's backoff ends.
 pub(crate) fn cut_memory_quota(engine: &mut EngineRecord, now: Micros, gateways: f64) {
     if engine.backoff_until <= now {
-        let least = QUOTA_CUT / gateways;
-        engine.memory_quota = (engine.memory_quota * QUOTA_CUT).max(least);
+        let min_quota = QUOTA_CUT / gateways;
+        engine.memory_quota = (engine.memory_quota * QUOTA_CUT).max(min_quota);
     }
 }
 
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -1,15 +1,17 @@
-//! Which engine a query goes to.
+//! Decides which engine a query goes to.
 //!
-//! - Decides: the engine with the highest [`PlacementScore`] among those that are allowed
-//!   ([`eligibility`](crate::eligibility)) and have capacity ([`capacity`](crate::capacity)).
-//! - Inputs: the free threads of each engine, its zone, warm-up and recent load, and this
+//! - Decides: this module chooses the engine with the highest [`PlacementScore`] among the engines
+//!   that are allowed ([`eligibility`](crate::eligibility)) and have capacity
+//!   ([`capacity`](crate::capacity)).
+//! - Inputs: it uses the free threads of each engine, its zone, warm-up and recent load, and this
 //!   gateway's seed.
-//! - Rule: where engines are few, or this gateway's share of each is large, each query scans
-//!   all of them. Of many, it samples a few: first from this gateway's subset, as many engines
-//!   as its rate of queries occupies, then from ever more until one is idle.
-//! - Reason: a scan of thousands of engines for each query would take too long, and an engine
-//!   that a gateway uses often has a warm connection and up-to-date statistics. Sampling does
-//!   badly where few engines fit.
+//! - Rule: if engines are few, or this gateway's share of any kind is at least a thread, each query
+//!   scans all engines. Otherwise it samples: first from this gateway's subset, which has as many
+//!   engines as its rate of queries needs, then from larger and larger sets until an engine is
+//!   idle. If no sampled engine fits, all engines are searched, but not for every query.
+//! - Reason: a scan of thousands of engines for each query would take too long. An engine that a
+//!   gateway uses often has a warm connection and up-to-date statistics. Sampling alone rarely
+//!   finds an engine if few engines fit, hence the search.
 
 use rand_chacha::rand_core::RngCore;
 
@@ -18,44 +20,47 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// Up to so many engines each query scans all of them.
+/// The maximum number of engines that are all scanned for each query.
 pub(crate) const MAX_SCANNED_ENGINES: usize = 128;
-/// Engines in a sample.
+/// The number of engines in a sample.
 const SAMPLE_SIZE: usize = 16;
-/// Each sample is drawn from so many times as many engines as the one before.
+/// The factor by which the set that a sample is drawn from grows with each sample.
 const SAMPLE_GROWTH: usize = 4;
-/// Where no sampled engine fits, all are searched; at most this often.
+/// The minimum interval between searches of all engines, in microseconds.
 const SEARCH_INTERVAL_US: Micros = 10_000;
-/// Engines in the subset of a gateway at least, and queries a second for each further one.
+/// The minimum number of engines in the subset of a gateway.
 const MIN_SUBSET_SIZE: f64 = 10.0;
+/// The rate of queries for which a gateway's subset has one engine, in queries per second.
 const QUERIES_PER_S_PER_SUBSET_ENGINE: f64 = 8.0;
-/// The window of arrivals where there is no retry budget to define one.
+/// The window in which arrivals are counted if there is no retry budget with a window, in seconds.
 const DEFAULT_RATE_WINDOW_S: f64 = 1.0;
-/// Control periods after which an engine's headroom counts no more.
+/// The age at which an engine's headroom has faded to 0, in control periods.
 const HEADROOM_FADE_PERIODS: f64 = 4.0;
-/// The least warm fraction by which a limit is divided.
+/// The minimum warm fraction that a limit is divided by.
 const MIN_WARM_FRACTION: f64 = 1e-3;
 
-/// How well an engine suits a query. The fields are compared in this order, higher first.
+/// How well an engine suits a query. Scores are compared field by field in this order; higher is
+/// better.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct PlacementScore {
-    /// The last attempt did not end there.
+    /// Whether the latest attempt of the query ended at another engine, or there was none.
     is_another_engine: bool,
-    /// It was uncordoned and has not answered since, and the query suits a first trial. Without
-    /// that it would come last, as the least free, while it warms up.
+    /// Whether the engine was uncordoned and has not answered since, and the query suits a first
+    /// trial. Without this field the engine would rank last while it warms up, since it has the
+    /// fewest free threads.
     wants_first_trial: bool,
-    /// Free threads of this gateway's fair share. The growth of a limit only matters for whether
-    /// a query fits: otherwise the first engine to grow would attract all queries of all
-    /// gateways.
+    /// The free threads of this gateway's fair share. The growth of a limit counts for whether a
+    /// query fits, but not here: otherwise the first engine whose limit grows would attract all
+    /// queries of all gateways.
     free_threads: f64,
-    /// It is in this gateway's zone.
+    /// Whether the engine is in this gateway's zone.
     is_in_own_zone: bool,
-    /// It is in this gateway's subset.
+    /// Whether the engine is in this gateway's subset.
     is_in_subset: bool,
-    /// How much less loaded than usual it was last seen.
+    /// How much less loaded than usual the engine was when last observed.
     headroom: f64,
-    /// Where this gateway's share of each engine is less than a thread: a random draw by which
-    /// each engine comes first with a probability proportional to its limit. Otherwise all
+    /// A random draw that ranks each engine first with a probability proportional to its limit. It
+    /// is used if this gateway's share of the engine is less than a thread, since otherwise all
     /// gateways would choose the largest kind.
     weighted_draw: f64,
 }
@@ -72,23 +77,25 @@
     };
 }
 
-/// The engines among which the best is sought.
+/// The engines that one is chosen from.
 #[derive(Debug)]
 enum Candidates {
-    /// All of them. The first ones of this gateway's own order are its subset; `nearby` engines
-    /// are available in its zone.
-    All { nearby: f64 },
-    /// A sample, taken from the subset first; all count as part of it.
+    /// All engines are candidates. About the first `MIN_SUBSET_SIZE` of the `own_zone_engines`
+    /// available engines in this gateway's zone, in its own order, are its subset.
+    All { own_zone_engines: f64 },
+    /// A sample of engines. All of them count as part of the subset.
     Sample(Vec<EngineId>),
-    /// All of them, since no sampled one fits; none counts as part of the subset.
+    /// All engines are candidates, because no sampled engine fits. None counts as part of the
+    /// subset.
     FullSearch,
 }
 
 impl Candidates {
-    /// The number of engines of which the subset is the first part.
+    /// Returns the number of engines that the subset is the first part of. With 0 all engines are
+    /// in the subset, and with the maximum none is.
     fn subset_population(&self) -> f64 {
         match self {
-            Candidates::All { nearby } => *nearby,
+            Candidates::All { own_zone_engines } => *own_zone_engines,
             Candidates::Sample(_) => 0.0,
             Candidates::FullSearch => f64::MAX,
         }
@@ -122,7 +129,7 @@
         }
     }
 
-    /// One of the best at random.
+    /// Returns one of the best candidates at random.
     fn pick(&self, rng: &mut impl RngCore) -> Placement {
         let count = self.engines.len();
         let index = if count > 1 {
@@ -137,22 +144,22 @@
     }
 }
 
-/// A random number between 0 and 1, neither of them included.
+/// Draws a random number between 0 and 1, both excluded.
 pub(crate) fn draw_fraction(rng: &mut impl RngCore) -> f64 {
     (f64::from(rng.next_u32()) + 0.5) / 4_294_967_296.0
 }
 
-/// The best of some candidates.
+/// The best engine among candidates.
 #[derive(Debug, Clone, Copy)]
 struct Placement {
     engine: Option<EngineId>,
-    /// It has threads free, and the last attempt did not end there.
+    /// Whether the engine has free threads, and the latest attempt of the query did not end there.
     is_idle: bool,
 }
 
 impl Gateway {
-    /// Whether engines are so few, or this gateway's share of each so large, that each query
-    /// scans all of them.
+    /// Returns whether each query scans all engines. This is so if engines are few, or if this
+    /// gateway's fair share of an engine of any kind is at least a thread.
     pub(crate) fn scans_all_engines(&self) -> bool {
         let is_fractional =
             |kind: &EngineKind| self.has_fractional_share(kind.cores.unwrap_or(1.0));
@@ -160,43 +167,45 @@
             || !self.settings.engine_kinds.iter().all(is_fractional)
     }
 
-    /// The engine that a query goes to, if it may go anywhere now.
+    /// Returns the engine that a query goes to, or `None` if it may go to none now.
     pub(crate) fn choose_engine(&mut self, id: QueryId) -> Option<EngineId> {
         let query = self.queries.get(id)?;
         if !self.engines_have_capacity(query) {
             return None;
         }
         if self.scans_all_engines() {
-            let nearby = self.count_nearby() as f64;
-            return self.best_of(id, &Candidates::All { nearby }).engine;
+            let own_zone_engines = self.count_available_in_own_zone() as f64;
+            return self
+                .best_of(id, &Candidates::All { own_zone_engines })
+                .engine;
         }
         let sampled = self.choose_from_samples(id);
         sampled.or_else(|| self.search_all(id))
     }
 
-    /// Samples ever more engines, first in this gateway's zone and then everywhere, until one is
-    /// idle. Otherwise the latest one that fits is taken.
+    /// Samples from larger and larger sets of engines, first in this gateway's zone and then
+    /// everywhere, until an engine is idle. If none is idle, returns the latest engine that fits.
     fn choose_from_samples(&mut self, id: QueryId) -> Option<EngineId> {
         let subset = self.subset_size();
         let mut best_fit = None;
         for region in [Region::OwnZone, Region::Everywhere] {
-            let (mut among, listed) = (subset, self.sampler.len(region));
-            while among < SAMPLE_GROWTH * listed {
+            let (mut prefix_len, listed) = (subset, self.sampler.len(region));
+            while prefix_len < SAMPLE_GROWTH * listed {
                 let sample = self
                     .sampler
-                    .sample(region, among, SAMPLE_SIZE, &mut self.rng);
+                    .sample(region, prefix_len, SAMPLE_SIZE, &mut self.rng);
                 let best = self.best_of(id, &Candidates::Sample(sample));
                 if best.is_idle {
                     return best.engine;
                 }
                 best_fit = best.engine.or(best_fit);
-                among *= SAMPLE_GROWTH;
+                prefix_len *= SAMPLE_GROWTH;
             }
         }
         best_fit
     }
 
-    /// Searches all engines, unless that was done a moment ago.
+    /// Searches all engines, unless the latest search was less than `SEARCH_INTERVAL_US` ago.
     fn search_all(&mut self, id: QueryId) -> Option<EngineId> {
         if self.now < self.overall.full_search_at + SEARCH_INTERVAL_US {
             return None;
@@ -205,7 +214,7 @@
         self.best_of(id, &Candidates::FullSearch).engine
     }
 
-    /// How many engines this gateway's rate of queries occupies.
+    /// Returns the number of engines in this gateway's subset, by its rate of queries.
     fn subset_size(&self) -> usize {
         let budget = self.settings.retry_budget;
         let window = budget.map_or(DEFAULT_RATE_WINDOW_S, |budget| {
@@ -215,15 +224,15 @@
         (rate / QUERIES_PER_S_PER_SUBSET_ENGINE).max(MIN_SUBSET_SIZE) as usize
     }
 
-    /// Available engines in this gateway's zone.
-    fn count_nearby(&self) -> usize {
+    /// Counts the available engines in this gateway's zone.
+    fn count_available_in_own_zone(&self) -> usize {
         let engines = self.engines.values();
         engines
             .filter(|engine| self.is_in_own_zone(engine) && self.is_available(engine))
             .count()
     }
 
-    /// The candidate with the highest score among those that are allowed and have capacity.
+    /// Returns the candidate with the highest score among those that are allowed and have capacity.
     fn best_of(&mut self, id: QueryId, candidates: &Candidates) -> Placement {
         let mut best = BestCandidates::default();
         let Some(query) = self.queries.get(id) else {
@@ -253,8 +262,8 @@
         best.pick(&mut self.rng)
     }
 
-    /// The score of an engine for a query; `draw` is a random number from 0 to 1 where this
-    /// gateway's share of the engine is less than a thread.
+    /// Returns the score of an engine for a query. `draw` is a random number from 0 to 1 if this
+    /// gateway's share of the engine is less than a thread, and otherwise `None`.
     fn placement_score(
         &self,
         query: &Query,
@@ -265,7 +274,8 @@
         let limit = self.thread_limit(engine);
         let warm_fraction = self.warm_fraction(engine);
         let (own_threads, weighted_draw) = match draw {
-            // The slow start draw already limits an engine that warms up, so its weight does not.
+            // The slow start draw already limits what an engine gets while it warms up. The
+            // division removes the warm-up from the limit, so that it is not counted twice.
             Some(draw) => (
                 0.0,
                 draw.ln() / (limit / warm_fraction.max(MIN_WARM_FRACTION)),
@@ -284,7 +294,8 @@
         }
     }
 
-    /// An engine that was uncordoned is tried by one short query that may be repeated.
+    /// Returns whether a query suits the first trial of an engine after it was uncordoned. The
+    /// trial is one short query that may safely run twice.
     fn wants_first_trial(&self, query: &Query, engine: &EngineRecord) -> bool {
         let is_short = query.work <= self.overall.work.mean;
         engine.awaits_first_answer
@@ -293,7 +304,8 @@
             && self.is_safe_to_duplicate(query)
     }
 
-    /// An engine's headroom; it fades, since all gateways that saw it act on it.
+    /// Returns an engine's headroom. It fades with its age, since all gateways that observed it
+    /// react to it.
     fn recent_headroom(&self, engine: &EngineRecord) -> f64 {
         let lifetime = HEADROOM_FADE_PERIODS * seconds(self.control_period());
         let age = seconds(self.now - engine.headroom_at) / lifetime;
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -1,14 +1,15 @@
-//! How much work an engine gets while it warms up.
+//! Decides how much work an engine gets while it warms up.
 //!
-//! - Decides: the fraction of its capacity that an engine surely has by now, and whether a
-//!   query may go to it.
-//! - Inputs: when its process started, the slow start window, the initial fraction, and the
-//!   load (a multiple of its present capacity, throughout the collapse window) under which it
-//!   fails; times in microseconds, work in seconds on one thread.
-//! - Rule: each gateway sends no more than its share of what the engine sustains. Where that
-//!   share is less than a query, each draws whether it may send one, so that the sum over all
-//!   gateways is within what the engine sustains, deviations included.
-//! - Reason: an engine with empty caches that gets its full load at once fails, and no gateway
+//! - Decides: this module decides the fraction of its full capacity that an engine surely has now,
+//!   and whether a query may go to it.
+//! - Inputs: it uses the start time of the engine's process, the slow start window, the initial
+//!   fraction, and the load under which the engine fails (a multiple of its present capacity,
+//!   throughout the collapse window). Times are in microseconds, work in seconds on one thread.
+//! - Rule: each gateway sends no more than its share of what the engine sustains. If that share is
+//!   less than one query, each gateway draws at random whether it may send one. The probability is
+//!   such that the sum over all gateways, random deviations included, stays within what the engine
+//!   sustains.
+//! - Reason: an engine with empty caches fails if it gets its full load at once, and no gateway
 //!   sees what the others send.
 
 use rand_chacha::rand_core::RngCore;
@@ -17,17 +18,18 @@
 use crate::units::seconds;
 use crate::Gateway;
 
-/// The fraction used of the load under which an engine would fail.
+/// The load that gateways may send, as a fraction of the load under which an engine would fail.
 const SAFETY_FRACTION: f64 = 0.5;
-/// The sum over all gateways is this many deviations below what an engine sustains.
+/// The margin between the mean load from all gateways and what an engine sustains, in deviations.
 const SAFETY_DEVIATIONS: f64 = 4.0;
-/// How much rarer sends are before a gateway's own first window begins. All gateways learn of an
-/// engine at once, and these sends come on top of those of the window.
+/// The factor on a gateway's first draw for an engine, which makes sends rarer before the gateway's
+/// first window begins. All gateways learn of an engine at the same time, and these sends add to
+/// the sends of the windows.
 const FIRST_DRAW_FACTOR: f64 = 4.0;
 
 impl Gateway {
-    /// The fraction of its capacity that an engine has surely reached, 0 to 1. It grows slowly at
-    /// first, since how fast engines warm up is not known.
+    /// Returns the fraction of its full capacity that an engine has surely reached, 0 to 1. The
+    /// fraction grows slowly at first, since it is not known how fast engines warm up.
     pub(crate) fn warm_fraction(&self, engine: &EngineRecord) -> f64 {
         let (Some(started), Some(window)) = (engine.started(), self.settings.slow_start_window)
         else {
@@ -45,7 +47,7 @@
         initial + (1.0 - initial) * age * age
     }
 
-    /// Whether a query may go to an engine as far as its warm-up is concerned.
+    /// Returns whether the warm-up of an engine allows a query.
     pub(crate) fn slow_start_allows(&self, query: &Query, engine: &EngineRecord) -> bool {
         let (Some(multiple), Some(window)) = (
             self.settings.collapse_load_multiple,
@@ -64,23 +66,23 @@
             .sum();
         let stats = self.stats_of(query);
         let work = stats.work.known().unwrap_or(0.0).max(query.work);
-        let bearable = multiple * engine.cores * warm_fraction * seconds(window);
-        if sent + work <= SAFETY_FRACTION * bearable / self.gateways {
+        let max_work = multiple * engine.cores * warm_fraction * seconds(window);
+        if sent + work <= SAFETY_FRACTION * max_work / self.gateways {
             return true;
         }
-        // Where costs are reported, work is known well enough to need no further margin.
+        // If engines report costs, the expected work is accurate enough without a further margin.
         let margin = if stats.work_ratio.known().is_some() {
             1.0
         } else {
             SAFETY_FRACTION
         };
-        let mean = safe_mean_load(work, bearable);
+        let mean = safe_mean_load(work, max_work);
         let draw = engine.slow_start_draw;
         sent <= 0.0 && draw.until > self.now && draw.value < margin * mean / (self.gateways * work)
     }
 
-    /// Draws anew for the engines whose window is over. The first window of each gateway ends at
-    /// a time of its own, so that the windows of all gateways spread evenly.
+    /// Draws a new value for each engine whose window has ended. The first window of each gateway
+    /// ends at a random time, so that the windows of all gateways are spread evenly.
     pub(crate) fn renew_slow_start_draws(&mut self) {
         let window = self.settings.collapse_window.unwrap_or(0).max(1);
         let engines = self.engines.values_mut();
@@ -99,9 +101,9 @@
     }
 }
 
-/// The mean load by independent queries of so much work that is the safety deviations below
-/// what is bearable.
-fn safe_mean_load(work: f64, bearable: f64) -> f64 {
-    let spread = SAFETY_DEVIATIONS / 2.0 * (work / bearable).sqrt();
-    ((spread * spread + 1.0).sqrt() - spread).powi(2) * bearable
+/// Returns the mean load, from independent queries of `work` each, that is `SAFETY_DEVIATIONS`
+/// below the load `max_work` under which an engine would fail.
+fn safe_mean_load(work: f64, max_work: f64) -> f64 {
+    let spread = SAFETY_DEVIATIONS / 2.0 * (work / max_work).sqrt();
+    ((spread * spread + 1.0).sqrt() - spread).powi(2) * max_work
 }
--- a/policy/src/state/engine_sampler.rs
+++ b/policy/src/state/engine_sampler.rs
@@ -1,21 +1,21 @@
-//! The listed engines in an order that is this gateway's own, so that it can sample from the
-//! first of many engines without a pass over all of them.
+//! Keeps the listed engines in an order that differs from gateway to gateway. A gateway draws
+//! samples from the first engines of its order without a pass over all engines.
 
 use rand_chacha::rand_core::RngCore;
 
 use crate::interface::{Engine, EngineId, EngineState};
 
-/// The engines that a sample is drawn from.
+/// The set of engines that a sample is drawn from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Region {
-    /// Those of this gateway's zone; all of them where it has none.
+    /// The engines of this gateway's zone, or all engines if the gateway has no zone.
     OwnZone,
-    /// All of them.
+    /// All engines.
     Everywhere,
 }
 
-/// A number from 0 to 1 that is fixed for a gateway and an engine, and as good as random for each
-/// pair (SplitMix64).
+/// Hashes a gateway and an engine to a number from 0 to 1 (SplitMix64). The number never changes
+/// for a pair, and is uniformly distributed over pairs.
 pub(crate) fn stable_hash_fraction(gateway: u64, engine: EngineId) -> f64 {
     let mut hash = gateway
         ^ u64::from(engine)
@@ -26,15 +26,16 @@
     ((hash ^ (hash >> 31)) >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// An engine with its place in the order.
+/// An engine with the hash that determines its place in the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
-    /// The bits of its [`stable_hash_fraction`]; positive floats and their bits sort alike.
+    /// The bits of the engine's [`stable_hash_fraction`]. Positive floats and their bits sort
+    /// alike.
     hash_bits: u64,
     engine: EngineId,
 }
 
-/// The listed engines in order of their [`stable_hash_fraction`].
+/// The listed engines, in order of their [`stable_hash_fraction`].
 #[derive(Debug)]
 pub(crate) struct EngineSampler {
     gateway: u64,
@@ -44,7 +45,8 @@
 }
 
 impl EngineSampler {
-    /// A sampler without engines, for a gateway by its seed and the zone that it is in.
+    /// Creates a sampler without engines. `gateway` is the seed of the gateway, and `zone` is its
+    /// zone.
     pub fn new(gateway: u64, zone: Option<u32>) -> Self {
         EngineSampler {
             gateway,
@@ -54,13 +56,13 @@
         }
     }
 
-    /// Forgets all engines.
+    /// Removes all engines.
     pub fn clear(&mut self) {
         self.everywhere.clear();
         self.own_zone.clear();
     }
 
-    /// Takes in an entry of the engine list: an engine that is removed loses its place.
+    /// Applies an entry of the engine list. An engine that is listed as removed loses its place.
     pub fn update(&mut self, engine: &Engine) {
         let place = Place {
             hash_bits: stable_hash_fraction(self.gateway, engine.id).to_bits(),
@@ -74,22 +76,24 @@
         }
     }
 
-    /// How many engines a region has.
+    /// Returns the number of engines in a region.
     pub fn len(&self, region: Region) -> usize {
         self.places(region).len()
     }
 
-    /// Draws `count` engines, each with the same chance, from the first `among` of a region. An
-    /// engine may come up more than once.
+    /// Draws `count` engines, each with the same probability, from the first `prefix_len` engines
+    /// of a region. An engine may be drawn more than once.
     pub fn sample(
         &self,
         region: Region,
-        among: usize,
+        prefix_len: usize,
         count: usize,
         rng: &mut impl RngCore,
     ) -> Vec<EngineId> {
         let places = self.places(region);
-        let first = places.get(..among.min(places.len())).unwrap_or_default();
+        let first = places
+            .get(..prefix_len.min(places.len()))
+            .unwrap_or_default();
         let mut draw = || {
             let index = rng.next_u32() as usize % first.len().max(1);
             first.get(index).map(|place| place.engine)
--- a/policy/src/state/engine_sampler/tests.rs
+++ b/policy/src/state/engine_sampler/tests.rs
@@ -1,4 +1,4 @@
-//! The sampler against plain sets of what was listed.
+//! Compares the sampler with plain sets of the listed engines.
 
 use std::collections::BTreeMap;
 
@@ -39,9 +39,9 @@
 }
 
 proptest! {
-    /// After any changes of the list, the sampler holds just the listed engines, in order of
-    /// their hashes; those of its own zone also by themselves, and without a zone all are in its
-    /// own.
+    /// After any changes of the list, the sampler holds exactly the listed engines, in order of
+    /// their hashes. The region `OwnZone` holds the engines of the gateway's zone, or all engines
+    /// if the gateway has no zone.
     #[test]
     fn order_holds_exactly_the_listed_engines(
         gateway in any::<u64>(),
@@ -66,8 +66,8 @@
     }
 }
 
-/// Engines are drawn from the first places alone, each of them about as often, and none from
-/// none.
+/// A sample contains only engines from the first places, each about as often. Without engines it
+/// is empty.
 #[test]
 fn samples_come_evenly_from_the_first_places_only() {
     let mut sampler = EngineSampler::new(5, None);
