--- a/policy/benches/decisions.rs
+++ b/policy/benches/decisions.rs
@@ -82,13 +82,13 @@
             actions: Vec::new(),
         };
         // Five seconds of traffic fill the window of the retry budget.
-        (0..5 * STATEMENTS_PER_SECOND).for_each(|_| loaded.statement());
+        (0..5 * STATEMENTS_PER_SECOND).for_each(|_| loaded.handle_statement());
         loaded
     }
 
     /// Handles the arrival of one statement. If the maximum number of attempts is then out, also
     /// handles the end of the oldest attempt.
-    fn statement(&mut self) {
+    fn handle_statement(&mut self) {
         self.now += SECOND / STATEMENTS_PER_SECOND;
         self.last_query += 1;
         let request = NewQuery {
@@ -117,7 +117,8 @@
         }
     }
 
-    fn patch(&mut self, id: EngineId) {
+    /// Handles a patch of the engine list in which one engine has a new start time.
+    fn handle_patch(&mut self, id: EngineId) {
         let started = Some(self.now);
         let engines = vec![Engine {
             started,
@@ -147,7 +148,7 @@
         for engines in [80, 300, 1_000, 4_000, 12_000] {
             group.bench_function(BenchmarkId::new("statement", engines), |b| {
                 let mut loaded = LoadedGateway::new(engines, gateways);
-                b.iter(|| loaded.statement());
+                b.iter(|| loaded.handle_statement());
             });
             group.bench_function(BenchmarkId::new("patch", engines), |b| {
                 let mut loaded = LoadedGateway::new(engines, gateways);
@@ -155,7 +156,7 @@
                 b.iter(|| {
                     id = (id + 1) % engines;
                     loaded.now += SECOND / STATEMENTS_PER_SECOND;
-                    loaded.patch(id);
+                    loaded.handle_patch(id);
                 });
             });
         }
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -29,8 +29,8 @@
         }
         let usual = self.overall.priority_weight.mean / self.overall.work.mean.max(1e-6);
         let weight = self.class_of(query).priority_weight.unwrap_or(1.0);
-        let earns = weight / query.work / usual.max(1e-6);
-        let halvings = (-earns.log2())
+        let relative_weight = weight / query.work / usual.max(1e-6);
+        let halvings = (-relative_weight.log2())
             .ceil()
             .clamp(0.0, f64::from(HIGHEST_PRIORITY));
         HIGHEST_PRIORITY.saturating_sub(halvings as u8)
@@ -39,11 +39,11 @@
     /// Returns the number of threads that a query competes with. A thread of lower priority counts
     /// as a fraction: its share divided by the share of the query's priority.
     pub(crate) fn competing_threads(&self, query: &Query, threads: &ThreadsByPriority) -> f64 {
-        let own = SHARES_BY_PRIORITY[usize::from(self.priority(query))];
+        let own_share = SHARES_BY_PRIORITY[usize::from(self.priority(query))];
         threads
             .iter()
             .zip(SHARES_BY_PRIORITY)
-            .map(|(count, weight)| count * (weight / own).min(1.0))
+            .map(|(count, weight)| count * (weight / own_share).min(1.0))
             .sum()
     }
 }
