--- a/cluster/replicated-state/src/entries.rs
+++ b/cluster/replicated-state/src/entries.rs
@@ -1,37 +1,37 @@
-//! Read access to the replicated state, whoever holds it: a replica's store, or a subscriber's
-//! copy without history.
+//! Read access to the replicated state, common to a replica's store and to a subscriber's copy,
+//! which has no history.
 
 use crate::{Revision, Store};
 
-/// A key with its value.
+/// A key, its value, and the revision that set the value.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct KeyValue {
-    /// The key.
+    /// The name of the key.
     pub key: String,
-    /// The revision that last changed it.
+    /// The revision that last changed the key.
     pub revision: Revision,
-    /// Its value.
+    /// The value of the key as of the revision that was read.
     pub value: Vec<u8>,
 }
 
-/// A value of a key, and the revision that set it.
+/// A borrowed value of a key, and the revision that set the value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CurrentValue<'a> {
     /// The revision that last changed the key.
     pub revision: Revision,
-    /// The value.
+    /// The bytes of the value.
     pub value: &'a [u8],
 }
 
-/// The current keys and values.
+/// Read access to the current keys and values.
 pub trait Entries {
-    /// The revision that they are of.
+    /// Returns the revision of the keys and values.
     fn revision(&self) -> Revision;
 
-    /// A key's value; `None` if the key doesn't exist.
+    /// Returns the value of a key, or `None` if the key does not exist.
     fn entry(&self, key: &str) -> Option<CurrentValue<'_>>;
 
-    /// All keys that begin with `prefix`, in order.
+    /// Returns all keys that begin with `prefix`, in ascending order.
     fn entries_with_prefix(&self, prefix: &str) -> Vec<KeyValue>;
 }
 
--- a/cluster/replicated-state/src/lib.rs
+++ b/cluster/replicated-state/src/lib.rs
@@ -1,11 +1,11 @@
 //! The replicated state machine, without I/O.
 //!
-//! - [`Store`]: keys and values with revisions, changed only by committed [`Command`]s, so that
-//!   every replica that has applied the same commands has the same state, to the byte.
-//! - [`StalenessGuard`]: whether this replica's copy is recent enough to route requests by.
+//! - [`Store`] holds keys and values with revisions. Only committed [`Command`]s change it, so
+//!   replicas that have applied the same commands have byte-for-byte the same state.
+//! - [`StalenessGuard`] decides whether a copy of the state is recent enough to route requests.
 //!
-//! Nothing here reads a clock: commands carry the time of the leader that proposed them, and the
-//! guard is given the time. Times and spans are in microseconds.
+//! This crate reads no clock: commands carry the time of the leader that proposed them, and the
+//! caller passes the time to the guard. Times and durations are in microseconds.
 //!
 //! ```
 //! use violetgate_replicated_state::{Command, Mutation, Operation, Outcome, Store, Txn};
@@ -20,7 +20,7 @@
 //! let mut store = Store::default();
 //! let outcome = store.apply(&command);
 //! assert_eq!(outcome, Outcome::Applied { revision: 1, conditions_held: true });
-//! // The same request again changes nothing.
+//! // A repetition of the same request changes nothing.
 //! assert_eq!(store.apply(&command), outcome);
 //! let limit = store.get("limit").unwrap();
 //! assert_eq!((limit.revision, limit.value), (1, b"300".as_slice()));
@@ -39,7 +39,8 @@
     MAX_VALUE_BYTES,
 };
 
-/// A moment or a span in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// The number of a state of the store. Each change makes the next one, from 1.
+/// The number of a state of the store. The empty store has revision 0, and each command that
+/// changes a key creates the next revision.
 pub type Revision = u64;
--- a/cluster/replicated-state/src/staleness_guard.rs
+++ b/cluster/replicated-state/src/staleness_guard.rs
@@ -1,13 +1,13 @@
-//! The guard between the replicated state and routing: no request is routed by a copy that was not
-//! confirmed within the limit.
+//! The guard that keeps stale copies of the replicated state from routing requests: a request may
+//! be routed only if the copy was confirmed within the limit.
 //!
-//! A copy is confirmed by a linearizable read: the confirmation is begun, a majority acknowledges
-//! the leader after that, and everything up to the read index is applied here. The copy is then as
-//! recent as the beginning of the confirmation, by this replica's own clock; clocks of different
+//! A linearizable read confirms a copy. The confirmation begins, then a majority acknowledges the
+//! leader, then everything up to the read index is applied to the copy. The copy is then at least
+//! as recent as the beginning of the confirmation, measured on the local clock; clocks of different
 //! machines are never compared. The clock has to count the time during which the process or the
-//! machine is suspended (`CLOCK_BOOTTIME`): one that wakes up finds its copy stale. A replica that
-//! is cut off, one that came back with an old disk, and one whose leader is deposed without
-//! knowing it fail in the same way: none of their confirmations is answered.
+//! machine is suspended (`CLOCK_BOOTTIME`), so that a copy is stale after a long suspension. A
+//! replica that is partitioned, that restarted with an old disk, or whose leader was deposed
+//! without knowing it gets no answer to its confirmations, and its copy becomes stale.
 
 use std::collections::BTreeMap;
 
@@ -16,29 +16,32 @@
 #[cfg(test)]
 mod tests;
 
-/// The most confirmations in progress; the oldest is dropped first.
+/// Maximum number of confirmations in progress. The oldest is dropped first.
 const MAX_PENDING: usize = 64;
 
-/// The copy is too old to route by.
+/// The error for a copy of the state that is too old to route requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the replicated state is stale")]
 pub struct Stale {
-    /// How old it is, in microseconds; `None`: it was never confirmed.
+    /// The age of the copy in microseconds. `None` if the age is unknown: the copy was never
+    /// confirmed, or the clock went back.
     pub age: Option<Micros>,
 }
 
-/// A confirmation in progress.
+/// A confirmation that is not complete yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct PendingConfirmation {
     begun_at: Micros,
-    /// The entry that has to be applied; `None` until the cluster has answered.
+    /// The index up to which the copy has to be applied. `None` until the cluster has answered.
     read_index: Option<u64>,
 }
 
-/// Decides whether this replica's copy of the state is recent enough.
+/// Decides whether a copy of the state is recent enough to route requests.
+///
+/// Indexes are Raft log indexes for a replica and store revisions for a subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct StalenessGuard {
-    /// The age from which on a copy is stale.
+    /// A copy of this age or older is stale.
     limit: Micros,
     confirmed_at: Option<Micros>,
     applied: u64,
@@ -47,7 +50,8 @@
 }
 
 impl StalenessGuard {
-    /// A guard that lets nothing pass until the first confirmation. `limit` is in microseconds.
+    /// Creates a guard that rejects every request until the first confirmation is complete.
+    /// A copy whose age reaches `limit` microseconds is stale.
     #[must_use]
     pub fn new(limit: Micros) -> Self {
         StalenessGuard {
@@ -59,8 +63,8 @@
         }
     }
 
-    /// Begins a confirmation. Returns its id; the read index has to be requested from now on and
-    /// not before.
+    /// Begins a confirmation and returns its id. The caller must request the read index after this
+    /// call, not before it.
     pub fn begin_confirmation(&mut self, now: Micros) -> u64 {
         self.last_id += 1;
         let pending = PendingConfirmation {
@@ -74,7 +78,8 @@
         self.last_id
     }
 
-    /// The cluster has answered: everything up to this entry has to be applied here.
+    /// Records the cluster's answer to a confirmation. The confirmation is complete once the copy
+    /// is applied up to `read_index`.
     pub fn confirmation_answered(&mut self, id: u64, read_index: u64) {
         if let Some(pending) = self.pending.get_mut(&id) {
             pending.read_index = Some(read_index);
@@ -82,12 +87,12 @@
         self.complete_confirmations();
     }
 
-    /// The cluster can't answer.
+    /// Drops a confirmation that the cluster could not answer.
     pub fn confirmation_failed(&mut self, id: u64) {
         self.pending.remove(&id);
     }
 
-    /// Everything up to this entry is applied here.
+    /// Records that the copy is applied up to `index`. A lower index than before has no effect.
     pub fn applied_up_to(&mut self, index: u64) {
         self.applied = self.applied.max(index);
         self.complete_confirmations();
@@ -105,12 +110,13 @@
         });
     }
 
-    /// Whether a request may be routed now.
+    /// Checks whether a request may be routed now.
     ///
     /// # Errors
     ///
-    /// The copy is stale, or the clock went back, which it never should: then the age is not
-    /// known.
+    /// Returns [`Stale`] if the copy has reached the limit, was never confirmed, or if `now` is
+    /// before the last confirmation. The clock should never go back; if it does, the age is
+    /// unknown.
     pub fn check(&self, now: Micros) -> Result<(), Stale> {
         match self.age(now) {
             Some(age) if age < self.limit => Ok(()),
@@ -118,8 +124,8 @@
         }
     }
 
-    /// For how long from now requests may be routed without another confirmation, in microseconds;
-    /// 0: not at all.
+    /// Returns for how many microseconds from `now` requests may be routed without another
+    /// confirmation. 0 means that the copy is already stale.
     #[must_use]
     pub fn remaining_validity(&self, now: Micros) -> Micros {
         self.age(now)
--- a/cluster/replicated-state/src/staleness_guard/tests.rs
+++ b/cluster/replicated-state/src/staleness_guard/tests.rs
@@ -2,18 +2,19 @@
 
 const LIMIT: Micros = 2_000_000;
 
-/// An answer that names an entry that is not applied yet confirms nothing; late answers never make
-/// the copy younger; time during which the process slept counts.
+/// The age of the copy counts from the beginning of a confirmation. An answer confirms nothing
+/// until its read index is applied, and a late answer to an older confirmation does not make the
+/// copy younger. If the clock goes back, the age is unknown.
 #[test]
-fn the_age_counts_from_the_question_and_not_from_the_answer() {
+fn the_age_counts_from_the_beginning_of_the_confirmation() {
     let mut guard = StalenessGuard::new(LIMIT);
     assert_eq!(
         (guard.check(5), guard.remaining_validity(5)),
         (Err(Stale { age: None }), 0)
     );
-    let (one, two) = (guard.begin_confirmation(100), guard.begin_confirmation(200));
-    guard.confirmation_answered(two, 7);
-    assert!(guard.check(300).is_err(), "entry 7 is not applied here");
+    let (older, newer) = (guard.begin_confirmation(100), guard.begin_confirmation(200));
+    guard.confirmation_answered(newer, 7);
+    assert!(guard.check(300).is_err(), "entry 7 is not applied yet");
     guard.applied_up_to(6);
     assert!(guard.check(300).is_err());
     guard.applied_up_to(7);
@@ -26,20 +27,20 @@
         (1, 0)
     );
     assert_eq!(guard.check(200 + LIMIT), Err(Stale { age: Some(LIMIT) }));
-    guard.confirmation_answered(one, 3);
+    guard.confirmation_answered(older, 3);
     assert_eq!(
         guard.check(200 + LIMIT),
         Err(Stale { age: Some(LIMIT) }),
-        "an older question"
+        "a late answer to an older confirmation must not make the copy younger"
     );
     assert_eq!(
         guard.check(150),
         Err(Stale { age: None }),
-        "a clock that goes back tells no age"
+        "the age must be unknown after the clock went back"
     );
-    let lost = guard.begin_confirmation(LIMIT);
-    guard.confirmation_failed(lost);
-    guard.confirmation_answered(lost, 1);
+    let failed = guard.begin_confirmation(LIMIT);
+    guard.confirmation_failed(failed);
+    guard.confirmation_answered(failed, 1);
     assert!(guard.check(200 + LIMIT).is_err());
 }
 
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: keys and values with revisions, leases, and the outcomes of requests.
+//! The replicated store: keys and values with revisions, leases, and the outcomes of requests.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,37 +22,38 @@
 
 /// The state that all replicas share.
 ///
-/// It is encoded by postcard: the order and the types of the fields are the format of snapshots.
+/// Snapshots hold it in the postcard encoding, so the order and the types of the fields define the
+/// snapshot format.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Store {
     revision: Revision,
-    /// Revisions before this one were compacted away.
+    /// The earliest revision that can be read. Earlier revisions were compacted away.
     first_revision: Revision,
-    /// The latest time of a command, in microseconds.
+    /// The latest time of all applied commands, in microseconds.
     time: Micros,
     /// The versions of each key that can still be read, oldest first.
     keys: BTreeMap<String, Vec<Version>>,
     live_size: LiveSize,
     /// The change log, oldest first.
     changes: VecDeque<KeyChange>,
-    /// When each lease expires, in microseconds.
+    /// The expiry time of each lease by its id, in microseconds.
     leases: BTreeMap<u64, Micros>,
     requests: RequestOutcomes,
 }
 
-/// The bytes are no encoded store.
+/// The error for bytes that are not an encoded store.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecodeError(#[source] postcard::Error);
 
 impl Store {
-    /// The current revision.
+    /// Returns the current revision.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// A key's current value; `None` if the key doesn't exist.
+    /// Returns the current value of a key, or `None` if the key does not exist.
     #[must_use]
     pub fn get(&self, key: &str) -> Option<CurrentValue<'_>> {
         let latest = self.keys.get(key)?.last()?;
@@ -63,7 +64,8 @@
         })
     }
 
-    /// Applies a committed command.
+    /// Applies a committed command and returns its outcome. A command whose request id is still
+    /// remembered changes nothing and returns the remembered outcome.
     pub fn apply(&mut self, command: &Command) -> Outcome {
         let request_id = command.request_id.as_deref();
         if let Some(known) = request_id.and_then(|id| self.requests.outcome(id)) {
@@ -84,7 +86,7 @@
         outcome
     }
 
-    /// Carries a command out. Returns whether its conditions held.
+    /// Executes a command and returns the `conditions_held` of its outcome.
     fn execute(&mut self, command: &Command) -> Result<bool, CommandError> {
         let actor = &command.actor;
         match &command.operation {
@@ -107,23 +109,23 @@
         }
     }
 
-    /// The outcome of an earlier request with this id, if it is still remembered.
+    /// Returns the outcome of an earlier request with this id, if it is still remembered.
     #[must_use]
     pub fn outcome(&self, request_id: &str) -> Option<&Outcome> {
         self.requests.outcome(request_id)
     }
 
-    /// The complete state as bytes. Equal states are equal bytes on every replica.
+    /// Encodes the complete state. Equal states have equal encodings on every replica.
     #[must_use]
     pub fn to_snapshot(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// The state of a snapshot.
+    /// Decodes the state in a snapshot.
     ///
     /// # Errors
     ///
-    /// The bytes are no snapshot.
+    /// Returns an error if the bytes are not a snapshot of a store.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, DecodeError> {
         postcard::from_bytes(bytes).map_err(DecodeError)
     }
--- a/cluster/replicated-state/src/store/idempotency.rs
+++ b/cluster/replicated-state/src/store/idempotency.rs
@@ -1,5 +1,5 @@
-//! Idempotency: the outcomes of recent requests, so that a repeated one is answered and not
-//! carried out again.
+//! Idempotency: remembers the outcomes of recent requests, so that a repeated request gets the
+//! first outcome and is not carried out again.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,14 +7,14 @@
 
 use crate::Outcome;
 
-/// The most outcomes that are remembered; the oldest is forgotten first.
+/// Maximum number of remembered outcomes. The oldest is dropped first.
 const MAX_OUTCOMES: usize = 10_000;
 
-/// The outcomes of recent requests.
+/// The outcomes of the most recent requests, by request id.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct RequestOutcomes {
     by_id: BTreeMap<String, Outcome>,
-    /// The ids, oldest first.
+    /// The request ids, oldest first.
     order: VecDeque<String>,
 }
 
--- a/cluster/replicated-state/src/store/leases.rs
+++ b/cluster/replicated-state/src/store/leases.rs
@@ -1,12 +1,12 @@
-//! Leases: keys that are attached to one are deleted when it ends.
+//! Leases. When a lease ends, the keys that are attached to it are deleted.
 
 use super::revisions::Version;
 use super::Store;
 use crate::{CommandError, Micros, Mutation, Operation};
 
 impl Store {
-    /// The leases that have expired at `now` (microseconds of wall-clock time), as commands for
-    /// the leader to propose.
+    /// Returns an [`Operation::ExpireLease`] for each lease that has expired at `now`, for the
+    /// leader to propose. `now` is wall-clock time in microseconds.
     #[must_use]
     pub fn expired_leases(&self, now: Micros) -> Vec<Operation> {
         let leases = self.leases.iter();
@@ -31,8 +31,8 @@
         Ok(())
     }
 
-    /// Ends a lease if it still has the expiry that the leader saw, and that has passed; whether
-    /// it was ended.
+    /// Ends a lease if it still has the expiry time that the leader saw, and the store's time has
+    /// reached it. Returns whether the lease was ended.
     pub(super) fn expire_lease(&mut self, id: u64, expires_at: Micros, actor: &str) -> bool {
         let is_expired = self.leases.get(&id) == Some(&expires_at) && expires_at <= self.time;
         if is_expired {
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -1,4 +1,4 @@
-//! Revisions: reading the store as of an earlier revision, and compacting the history.
+//! Reading the store as of an earlier revision, and compacting the history.
 
 use std::ops::Bound;
 
@@ -7,25 +7,25 @@
 use super::Store;
 use crate::{CurrentValue, KeyValue, Revision};
 
-/// The most changes in the history; beyond it, the oldest are compacted away.
+/// Maximum number of changes in the history. If there are more, the oldest are compacted away.
 const MAX_CHANGES: usize = 100_000;
 
-/// What a key holds from a revision on.
+/// The value of a key from one revision until the key's next version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Version {
     pub(super) revision: Revision,
-    /// `None`: the key was deleted.
+    /// `None` if this revision deleted the key.
     pub(super) value: Option<StoredValue>,
 }
 
-/// A value and the lease that it is attached to.
+/// A value, and the lease that its key is attached to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct StoredValue {
     pub(super) bytes: Vec<u8>,
     pub(super) lease: Option<u64>,
 }
 
-/// The requested revision is compacted away.
+/// The error for a revision that was compacted away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("compacted away: the earliest revision is {first_revision}")]
 pub struct Compacted {
@@ -33,24 +33,28 @@
     pub first_revision: Revision,
 }
 
-/// One page of a listing.
+/// One page of a listing of keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listing {
-    /// The revision of all pages.
+    /// The revision that was read. Pass it as `at` to read the following pages.
     pub revision: Revision,
-    /// The keys of this page.
+    /// The keys and values of this page, in ascending order of the keys.
     pub entries: Vec<KeyValue>,
-    /// The key after which the next page begins, if there is one.
+    /// The last key of this page, to pass as `after` for the next one. `None` on the last page.
     pub next: Option<String>,
 }
 
 impl Store {
-    /// One page of the keys that begin with `prefix`, after the key `after`, `limit` at most, all
-    /// as of one revision. The first page (`at` is `None`) chooses the current one.
+    /// Returns one page of the keys that begin with `prefix` and follow the key `after`, as of the
+    /// revision `at`. The page has at most `limit` keys; a `limit` of 0 counts as 1.
+    ///
+    /// The first page is read with `at` as `None`, which selects the current revision. All
+    /// following pages are read at the revision of the first one.
     ///
     /// # Errors
     ///
-    /// The revision is compacted away: the listing has to begin anew.
+    /// Returns [`Compacted`] if the revision was compacted away. The listing has to start again
+    /// from the first page.
     pub fn list(
         &self,
         prefix: &str,
@@ -74,7 +78,7 @@
                     value: current.value.to_vec(),
                 })
             });
-        // One more than the page, to know whether another page follows.
+        // Takes one key more than the page holds, to know whether another page follows.
         let limit = limit.max(1);
         let mut entries: Vec<_> = existing.take(limit.saturating_add(1)).collect();
         let has_more = entries.len() > limit;
@@ -95,7 +99,7 @@
         Ok(())
     }
 
-    /// Compacts the history as far as its length requires.
+    /// Compacts the history until it has at most [`MAX_CHANGES`] changes.
     pub(super) fn bound_history(&mut self) {
         while self.changes.len() > MAX_CHANGES {
             let Some(oldest) = self.changes.front().map(|change| change.revision) else {
@@ -105,14 +109,14 @@
         }
     }
 
-    /// Discards the history up to a revision, which can still be read.
+    /// Discards the history before a revision. The revision itself can still be read.
     pub(super) fn compact(&mut self, revision: Revision) {
         if revision < self.first_revision {
             return;
         }
         self.first_revision = revision;
-        // Whatever version can be discarded was followed, or ended, by a change that is discarded
-        // now: no other key has to be looked at.
+        // A version that can be discarded was replaced by a change up to `revision`, or is itself
+        // a deletion up to `revision`. So only the keys of these changes have to be compacted.
         while self
             .changes
             .front()
@@ -129,7 +133,7 @@
         let Some(versions) = self.keys.get_mut(key) else {
             return;
         };
-        // Of the versions up to the revision, the last is still valid.
+        // The latest of the versions up to the revision is still valid at that revision.
         let valid = versions
             .iter()
             .rposition(|version| version.revision <= revision)
@@ -143,7 +147,7 @@
     }
 }
 
-/// What a key held as of a revision.
+/// Returns the value of a key as of a revision, or `None` if the key did not exist then.
 fn value_at(versions: &[Version], revision: Revision) -> Option<CurrentValue<'_>> {
     let version = versions.iter().rev().find(|v| v.revision <= revision)?;
     let value = version.value.as_ref()?;
--- a/cluster/replicated-state/src/store/transactions.rs
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -1,4 +1,4 @@
-//! Transactions: their conditions, their limits, and the changes that they make.
+//! Execution of transactions: conditions, size limits and changes.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,18 +6,18 @@
 use super::{KeyChange, Store};
 use crate::{CommandError, Condition, Mutation, Txn};
 
-/// The longest key, in bytes.
+/// Maximum length of a key, in bytes.
 pub const MAX_KEY_BYTES: usize = 512;
-/// The longest value, in bytes.
+/// Maximum length of a value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 64 << 10;
-/// The most conditions, and the most changes, of one transaction.
+/// Maximum number of conditions, and of changes in the selected branch, of one transaction.
 pub const MAX_TXN_LENGTH: usize = 128;
-/// The most keys in the store.
+/// Maximum number of current keys in the store.
 const MAX_KEYS: usize = 1_000_000;
-/// The most bytes of current keys and values in the store.
+/// Maximum total size of the current keys and values in the store, in bytes.
 const MAX_BYTES: usize = 256 << 20;
 
-/// How much the store holds, without its history.
+/// Number and total size of the current keys and values, without the history.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LiveSize {
     keys: usize,
@@ -41,7 +41,7 @@
 }
 
 impl Store {
-    /// Carries a transaction out. Returns whether its conditions held.
+    /// Executes a transaction. Returns whether its conditions held.
     pub(super) fn transact(&mut self, txn: &Txn, actor: &str) -> Result<bool, CommandError> {
         let conditions_held = txn.conditions.iter().all(|condition| self.holds(condition));
         let mutations = if conditions_held {
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Checks all changes before any is made. What a key held before counts as if it stayed.
+    /// Checks all changes before any of them is made. Values that the transaction replaces or
+    /// deletes still count towards the size of the store.
     fn check_limits(&self, mutations: &[Mutation]) -> Result<(), CommandError> {
         let mut size = self.live_size;
         for mutation in mutations {
@@ -91,8 +92,8 @@
         Ok(())
     }
 
-    /// Makes changes, all in one revision. The deletion of a key that doesn't exist makes no
-    /// trace.
+    /// Makes all changes in one revision. The deletion of a key that does not exist is skipped; if
+    /// every change is skipped, the revision stays the same.
     pub(super) fn commit_mutations(&mut self, mutations: &[Mutation], actor: &str) {
         let revision = self.revision + 1;
         for mutation in mutations {
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Adds a version of a key. The last of several in one revision counts.
+    /// Adds a version of a key. It replaces an earlier version of the same revision.
     fn set_version(&mut self, key: &str, version: Version) {
         if let Some(bytes) = self.get(key).map(|current| current.value.len()) {
             self.live_size.subtract(key, bytes);
--- a/cluster/replicated-state/src/store/watches.rs
+++ b/cluster/replicated-state/src/store/watches.rs
@@ -1,4 +1,4 @@
-//! Watches: the change log, from which watchers read what has changed since a revision.
+//! The change log, from which watchers read the changes since a revision.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,26 +8,27 @@
 /// One change of one key, in the change log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyChange {
-    /// The revision that it made. Changes of one transaction share it.
+    /// The revision that the change belongs to. All changes of one transaction share a revision.
     pub revision: Revision,
-    /// The key.
+    /// The key that was changed.
     pub key: String,
-    /// Its value from then on; `None`: it was deleted.
+    /// The new value, or `None` if the key was deleted.
     pub value: Option<Vec<u8>>,
-    /// Who changed it.
+    /// The originator of the command that changed the key.
     pub actor: String,
-    /// The store's time of the change, in microseconds.
+    /// The store's time at the change, in microseconds.
     pub time: Micros,
 }
 
 impl Store {
-    /// The changes after a revision of keys that begin with `prefix`, oldest first, about `limit`
-    /// of them. Changes of one revision are never separated.
+    /// Returns the changes after the revision `after` of keys that begin with `prefix`, oldest
+    /// first. A `limit` of 0 counts as 1. The result can exceed `limit`, because the changes of one
+    /// revision are never split.
     ///
     /// # Errors
     ///
-    /// Some of them are compacted away: the watcher has to list the keys anew instead of missing
-    /// changes.
+    /// Returns [`Compacted`] if some of the changes may have been compacted away. The watcher has
+    /// to list the keys again, or it would miss changes.
     pub fn changes(
         &self,
         after: Revision,
@@ -53,7 +54,8 @@
         Ok(matching)
     }
 
-    /// Adds a change to the log. The last of several changes of a key in one revision counts.
+    /// Adds a change to the log. It replaces an earlier change of the same key in the same
+    /// revision.
     pub(super) fn log_change(&mut self, change: KeyChange) {
         let start = self
             .changes
--- a/cluster/replicated-state/tests/encoding.rs
+++ b/cluster/replicated-state/tests/encoding.rs
@@ -1,5 +1,6 @@
-//! The bytes of commands, outcomes and a whole store, as commit 5065b36 encodes them: replicas of
-//! that version and of this one read each other's entries and snapshots.
+//! Checks that commands, outcomes and a whole store are encoded to the same bytes as by commit
+//! 5065b36. Replicas of that version and of this one have to read each other's log entries and
+//! snapshots.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
@@ -10,8 +11,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
-/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back
-/// as it was.
+/// The encodings of values in hex, one per line, in the order of the fixture's lines. Each added
+/// value also has to decode to itself.
 #[derive(Default)]
 struct Encoded(String);
 
@@ -51,9 +52,9 @@
     }
 }
 
-/// One command of each kind, applied in this order by the fixture's store.
+/// Commands with each kind of operation, in the order in which the fixture's store applied them.
 fn commands() -> Vec<Command> {
-    let hung = Txn {
+    let attach_to_leases = Txn {
         conditions: vec![
             Condition::RevisionIs("settings/limit".to_owned(), 0),
             Condition::ValueIs("duty".to_owned(), b"two".to_vec()),
@@ -69,7 +70,7 @@
         Operation::GrantLease { id: 7, ttl: 50_000 },
         Operation::GrantLease { id: 8, ttl: 9 },
         Operation::Txn(transaction()),
-        Operation::Txn(hung),
+        Operation::Txn(attach_to_leases),
         Operation::Txn(transaction()),
         Operation::ExpireLease {
             id: 8,
@@ -117,11 +118,11 @@
     assert_eq!(encoded.0, FIXTURE);
 }
 
-/// What the old version saved is read, and holds what it held.
+/// A snapshot that commit 5065b36 saved decodes to the same state as applying the commands.
 #[test]
-fn a_stored_snapshot_is_read_with_all_that_it_holds() {
-    // The last snapshot stands before the outcomes: after ten commands, each followed by the
-    // store.
+fn a_stored_snapshot_is_decoded_completely() {
+    // The fixture begins with ten commands, each followed by a snapshot of the store. Line 19,
+    // counted from 0, is the last of these snapshots.
     let hex = FIXTURE.lines().nth(19).unwrap();
     let bytes: Vec<u8> = (0..hex.len() / 2)
         .map(|n| u8::from_str_radix(hex.get(2 * n..2 * n + 2).unwrap(), 16).unwrap())
--- a/cluster/replicated-state/tests/staleness_guard_model.rs
+++ b/cluster/replicated-state/tests/staleness_guard_model.rs
@@ -1,7 +1,7 @@
-//! The staleness guard, checked in every order of events by stateright: a drain that is committed,
-//! confirmations and answers that are late or dropped, a replica that is cut off, or sleeps and
-//! wakes up. The code of [`StalenessGuard`] itself runs in the model; models in which it is
-//! ignored or used wrongly have to be caught.
+//! Checks the staleness guard with the model checker stateright in every order of events: an engine
+//! is drained, confirmations and answers are late or dropped, the replica is partitioned, or is
+//! suspended and resumed. The model runs the code of [`StalenessGuard`] itself. The checker also
+//! has to detect variants of the model that ignore the guard or use it wrongly.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -11,58 +11,66 @@
 use stateright::{Checker, Model, Property};
 use violetgate_replicated_state::StalenessGuard;
 
-/// The drain limit, in steps of time, and how far time goes.
+/// The limit of the guard, in ticks.
 const LIMIT: u64 = 3;
+/// The last tick that the checker explores.
 const END: u64 = 9;
-/// The most confirmations.
+/// Maximum number of confirmations in one run.
 const MAX_CONFIRMATIONS: u64 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    /// As it is.
+    /// The guard is used correctly.
     Real,
-    /// The guard is ignored.
+    /// Requests are routed regardless of the guard.
     NoGuard,
-    /// The age counts from the answer, not from the beginning.
+    /// The age counts from the arrival of the answer instead of the beginning of the confirmation.
     AgeFromAnswer,
-    /// An answer counts before its read index is applied.
+    /// An answer confirms the copy before its read index is applied.
     Unapplied,
-    /// The replica's clock stops while it sleeps.
+    /// The replica's clock stops during a suspension.
     ClockStopsInSleep,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
+    /// The actual time in ticks.
     now: u64,
-    /// The replica's own clock.
+    /// The time on the replica's clock, in ticks.
     clock: u64,
-    /// When the drain was committed.
+    /// The time at which the drain was committed.
     drained: Option<u64>,
-    /// The replica has applied it.
-    knows: bool,
-    cut: bool,
+    /// Whether the replica has applied the drain.
+    drain_applied: bool,
+    /// Whether the replica is partitioned from the cluster.
+    partitioned: bool,
     guard: StalenessGuard,
-    /// Confirmations on their way.
+    /// The ids of the confirmations that the cluster has not answered.
     unanswered: Vec<u64>,
-    /// Answers on their way: the id of the confirmation, and its read index.
+    /// Answers that have not arrived yet: the id of the confirmation, and its read index.
     answers: Vec<(u64, u64)>,
+    /// Number of confirmations begun so far.
     confirmations: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
     Tick,
-    /// The replica sleeps for longer than the limit.
+    /// The replica is suspended for longer than the limit, then resumes.
     Sleep,
+    /// The cluster commits the drain of the engine.
     Drain,
-    Cut,
+    /// The replica is partitioned from the cluster.
+    Partition,
+    /// The partition ends.
     Heal,
-    Ask,
-    /// A majority answers a confirmation.
+    /// The replica begins a confirmation.
+    BeginConfirmation,
+    /// The cluster answers the confirmation at this position in `State::unanswered`.
     Answer(usize),
-    /// The answer arrives.
+    /// The answer at this position in `State::answers` arrives at the replica.
     Arrive(usize),
-    /// The drain is replicated to the replica, and applied.
+    /// The drain is replicated to the replica and applied.
     Apply,
 }
 
@@ -75,8 +83,8 @@
             now: 0,
             clock: 0,
             drained: None,
-            knows: false,
-            cut: false,
+            drain_applied: false,
+            partitioned: false,
             guard: StalenessGuard::new(LIMIT),
             unanswered: Vec::new(),
             answers: Vec::new(),
@@ -88,9 +96,9 @@
         out.extend([
             Event::Tick,
             Event::Sleep,
-            Event::Cut,
+            Event::Partition,
             Event::Heal,
-            Event::Ask,
+            Event::BeginConfirmation,
             Event::Drain,
             Event::Apply,
         ]);
@@ -109,19 +117,19 @@
                 }
             }
             Event::Drain => state.drained = Some(state.drained.xor(Some(state.now))?),
-            Event::Cut => state.cut = true,
-            Event::Heal => state.cut = false,
-            Event::Ask if state.confirmations < MAX_CONFIRMATIONS => {
+            Event::Partition => state.partitioned = true,
+            Event::Heal => state.partitioned = false,
+            Event::BeginConfirmation if state.confirmations < MAX_CONFIRMATIONS => {
                 state.confirmations += 1;
                 let id = state.guard.begin_confirmation(state.clock);
                 state.unanswered.push(id);
             }
-            Event::Ask => return None,
-            Event::Answer(n) if !state.cut => {
+            Event::BeginConfirmation => return None,
+            Event::Answer(n) if !state.partitioned => {
                 let id = state.unanswered.remove(n);
                 state.answers.push((id, u64::from(state.drained.is_some())));
             }
-            // An answer that is on its way arrives, whatever is cut later.
+            // An answer that was sent before a partition still arrives.
             Event::Arrive(n) => {
                 let (id, mut index) = state.answers.remove(n);
                 if *self == Variant::Unapplied {
@@ -133,8 +141,10 @@
                 }
                 state.guard.confirmation_answered(id, index);
             }
-            Event::Apply if state.drained.is_some() && !state.cut && !state.knows => {
-                state.knows = true;
+            Event::Apply
+                if state.drained.is_some() && !state.partitioned && !state.drain_applied =>
+            {
+                state.drain_applied = true;
                 state.guard.applied_up_to(1);
             }
             Event::Answer(_) | Event::Apply => return None,
@@ -149,29 +159,29 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "nothing goes to a drained engine past the limit",
+                "no request goes to a drained engine after the limit",
                 |variant: &Variant, state: &State| {
-                    let open =
+                    let may_route =
                         *variant == Variant::NoGuard || state.guard.check(state.clock).is_ok();
-                    let routes = open && !state.knows;
+                    let routes = may_route && !state.drain_applied;
                     !(routes && state.drained.is_some_and(|at| state.now >= at + LIMIT))
                 },
             ),
-            Property::sometimes("it routes", |_, state: &State| {
+            Property::sometimes("requests are routed", |_, state: &State| {
                 state.guard.check(state.clock).is_ok()
             }),
-            Property::sometimes("it routes, knowing the drain", |_, state: &State| {
-                state.knows && state.guard.check(state.clock).is_ok()
+            Property::sometimes("requests are routed after the drain", |_, state: &State| {
+                state.drain_applied && state.guard.check(state.clock).is_ok()
             }),
         ]
     }
 }
 
 #[test]
-fn nothing_is_routed_by_stale_state_in_any_order_of_events() {
+fn no_request_is_routed_by_stale_state_in_any_order_of_events() {
     let checker = Variant::Real.checker().spawn_bfs().join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -180,7 +190,7 @@
 }
 
 #[test]
-fn faulty_guards_are_caught() {
+fn faulty_uses_of_the_guard_are_detected() {
     for variant in [
         Variant::NoGuard,
         Variant::AgeFromAnswer,
@@ -188,7 +198,10 @@
         Variant::ClockStopsInSleep,
     ] {
         let checker = variant.checker().spawn_bfs().join();
-        let found = checker.discovery("nothing goes to a drained engine past the limit");
-        assert!(found.is_some(), "{variant:?} is not caught");
+        let found = checker.discovery("no request goes to a drained engine after the limit");
+        assert!(
+            found.is_some(),
+            "the checker does not detect the fault {variant:?}"
+        );
     }
 }
--- a/cluster/replicated-state/tests/store.rs
+++ b/cluster/replicated-state/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store case by case: transactions, idempotency and leases.
+//! Tests of single cases of the store: transactions, idempotency and leases.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -35,12 +35,13 @@
     Some(CurrentValue { revision, value })
 }
 
-/// A transaction makes all of its changes or none.
+/// Of two transactions that expect the same revision only the first changes the store. If one
+/// change of a transaction is rejected, none of them is made.
 #[test]
-fn of_two_that_compare_and_swap_one_wins() {
+fn only_one_of_two_conflicting_transactions_is_applied() {
     let mut store = Store::default();
-    let set = |seen, value| {
-        let checks = vec![Condition::RevisionIs("limit".to_owned(), seen)];
+    let set = |expected, value| {
+        let checks = vec![Condition::RevisionIs("limit".to_owned(), expected)];
         command(Operation::Txn(Txn {
             conditions: checks,
             then: vec![put("limit", value), put("by", value)],
@@ -74,14 +75,15 @@
         value: vec![0; MAX_VALUE_BYTES + 1],
         lease: None,
     };
-    let refused = store.apply(&command(Operation::Txn(txn(vec![put("y", 1), large]))));
+    let rejected = store.apply(&command(Operation::Txn(txn(vec![put("y", 1), large]))));
     assert_eq!(
-        (refused, store.get("y")),
+        (rejected, store.get("y")),
         (Outcome::Rejected(CommandError::TooLarge), None)
     );
 }
 
-/// A repeated request gets the same outcome and changes nothing, though others came in between.
+/// A repeated request gets the outcome of the first one and changes nothing, even if another
+/// request changed the same key in between, and after the store was loaded from a snapshot.
 #[test]
 fn a_repeated_request_is_carried_out_once() {
     let mut store = Store::default();
@@ -92,11 +94,15 @@
     assert_eq!(store.apply(&first), outcome);
     assert_eq!(store.get("a"), current(2, &[2]));
     let mut loaded = Store::from_snapshot(&store.to_snapshot()).unwrap();
-    assert_eq!(loaded.apply(&first), outcome, "also after a snapshot");
+    assert_eq!(
+        loaded.apply(&first),
+        outcome,
+        "a store loaded from a snapshot must remember the outcome"
+    );
 }
 
-/// An expired lease deletes its keys; one renewed since its expiry was seen is not ended; time
-/// never goes back.
+/// The expiry of a lease deletes the keys that are attached to it. A lease that was renewed after
+/// the leader saw its expiry does not end. The store's time never goes back.
 #[test]
 fn an_expired_lease_deletes_its_keys() {
     let mut store = Store::default();
@@ -105,19 +111,19 @@
         ..command(step)
     };
     store.apply(&at(100, Operation::GrantLease { id: 7, ttl: 50 }));
-    let hung = Mutation::Put {
+    let attached = Mutation::Put {
         key: "duty".to_owned(),
         value: vec![1],
         lease: Some(7),
     };
     store.apply(&at(
         110,
-        Operation::Txn(txn(vec![hung.clone(), put("other", 1)])),
+        Operation::Txn(txn(vec![attached.clone(), put("other", 1)])),
     ));
     assert!(store.expired_leases(149).is_empty());
-    let seen = store.expired_leases(150);
+    let expiries = store.expired_leases(150);
     assert_eq!(
-        seen,
+        expiries,
         [Operation::ExpireLease {
             id: 7,
             expires_at: 150
@@ -125,14 +131,14 @@
     );
     store.apply(&at(140, Operation::GrantLease { id: 7, ttl: 50 }));
     assert_eq!(
-        store.apply(&at(160, seen[0].clone())),
+        store.apply(&at(160, expiries[0].clone())),
         Outcome::Applied {
             revision: 1,
             conditions_held: false
         }
     );
     assert!(store.get("duty").is_some());
-    // A new leader whose clock is behind: its renewal counts from the store's time.
+    // The clock of a new leader is behind. The renewal counts from the store's time.
     store.apply(&at(5, Operation::GrantLease { id: 7, ttl: 50 }));
     assert_eq!(
         store.expired_leases(210),
@@ -153,7 +159,7 @@
         (None, current(1, &[1]))
     );
     assert_eq!(
-        store.apply(&at(211, Operation::Txn(txn(vec![hung])))),
+        store.apply(&at(211, Operation::Txn(txn(vec![attached])))),
         Outcome::Rejected(CommandError::UnknownLease(7))
     );
 }
--- a/cluster/replicated-state/tests/store_model.rs
+++ b/cluster/replicated-state/tests/store_model.rs
@@ -1,4 +1,4 @@
-//! The store against a plain model that keeps every state it ever had.
+//! Compares the store with a simple model that keeps the state of every revision.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -14,16 +14,17 @@
 
 type State = BTreeMap<String, Vec<u8>>;
 
-/// The keys that are listed page by page.
+/// The prefix of the keys that are listed page by page.
 const LISTED_PREFIX: &str = "a";
 
-/// One round of the test.
+/// The steps of one round of the test.
 #[derive(Debug, Clone)]
 struct Round {
     mutations: Vec<Mutation>,
     compacts: bool,
     watches: bool,
-    /// The length of a page, and of what a watch reads; and how far behind a compaction stops.
+    /// The maximum length of a page and of one read of the watcher. Also the number of revisions
+    /// before the current one that a compaction keeps.
     limit: usize,
 }
 
@@ -62,7 +63,7 @@
     entries.map(|entry| (entry.key, entry.value)).collect()
 }
 
-/// The state after some changes, and whether they changed anything.
+/// Returns the state after the mutations, and whether they change anything.
 fn state_after(before: &State, mutations: &[Mutation]) -> (State, bool) {
     let mut state = before.clone();
     let mut changed = false;
@@ -80,11 +81,13 @@
 
 struct Model {
     store: Store,
-    /// The state of each revision.
+    /// The state of each revision, from 0 on.
     states: Vec<State>,
+    /// The earliest revision that can still be read.
     first_revision: Revision,
-    /// What a watcher has seen, and up to which revision.
+    /// The state that the watcher has built from the changes it read.
     watcher: State,
+    /// The revision up to which the watcher has read.
     watched: Revision,
 }
 
@@ -99,7 +102,7 @@
         }
     }
 
-    fn play(&mut self, round: &Round) -> TestCaseResult {
+    fn run_round(&mut self, round: &Round) -> TestCaseResult {
         self.change_during_a_listing(round)?;
         if round.compacts {
             self.compact(round.limit);
@@ -113,7 +116,8 @@
         Ok(())
     }
 
-    /// A listing whose first page was read before a change goes on at its revision.
+    /// Changes the store after the first page of a listing. The following pages have to show the
+    /// revision of the first page.
     fn change_during_a_listing(&mut self, round: &Round) -> TestCaseResult {
         let at = self.states.len() as u64 - 1;
         let first_page = self.store.list(LISTED_PREFIX, None, None, round.limit);
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Compacts the history but for the last revisions. What the watcher has not seen yet may go.
+    /// Compacts the history except for the last `remaining` revisions. This may discard changes
+    /// that the watcher has not read.
     fn compact(&mut self, remaining: usize) {
         let revision = self.store.revision().saturating_sub(remaining as u64);
         self.first_revision = self.first_revision.max(revision);
@@ -166,7 +171,8 @@
         self.store.apply(&command(compact));
     }
 
-    /// The watcher reads on, or lists everything if changes that it misses are compacted away.
+    /// Reads the next changes for the watcher. If changes that it has not read were compacted away,
+    /// it lists all keys instead.
     fn watch(&mut self, limit: usize) -> TestCaseResult {
         match self.store.changes(self.watched, "", limit) {
             Ok(changes) => {
@@ -205,20 +211,20 @@
 }
 
 proptest! {
-    /// Every revision that can be read is as it was, page by page, whatever is written between the
-    /// pages; watches miss nothing and report what is compacted away; a decoded snapshot is the
-    /// same store.
+    /// Every revision that was not compacted away reads as it was, also page by page with changes
+    /// between the pages. A watcher misses no change, and gets an error if a change was compacted
+    /// away. A decoded snapshot is equal to the store.
     #[test]
-    fn every_revision_reads_as_it_was(rounds in vec(round(), 1..60)) {
+    fn every_readable_revision_stays_unchanged(rounds in vec(round(), 1..60)) {
         let mut model = Model::new();
         for round in &rounds {
-            model.play(round)?;
+            model.run_round(round)?;
         }
     }
 
-    /// Bytes that are no snapshot are an error.
+    /// Random bytes are rejected as a snapshot.
     #[test]
-    fn random_bytes_are_no_snapshot(bytes in vec(any::<u8>(), 0..60)) {
+    fn random_bytes_are_rejected_as_a_snapshot(bytes in vec(any::<u8>(), 0..60)) {
         prop_assert!(Store::from_snapshot(&bytes).is_err());
     }
 }
