--- a/cluster/replica/src/config.rs
+++ b/cluster/replica/src/config.rs
@@ -1,23 +1,25 @@
-//! The settings of a replica, and why it can't start.
+//! The settings of a replica, and the errors that keep it from starting.
 
 use violetgate_raft::{Config, ConfigError};
 use violetgate_replicated_state::{DecodeError, Micros};
 
-/// The most calls that wait for their response; more are rejected as busy.
+/// Maximum number of waiting proposals, and of waiting reads. Beyond it, new commands or reads are
+/// rejected as busy.
 pub(crate) const MAX_WAITING_CALLS: usize = 10_000;
 
-/// How a replica behaves.
+/// The settings of a replica.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaConfig {
-    /// The settings of Raft; of the settings file, `election_timeout` and `heartbeat` go here.
+    /// The settings of Raft. They include `election_timeout` and `heartbeat` of the settings file.
     pub raft: Config,
-    /// A snapshot is saved after this many entries; `snapshot_every` in the settings file.
+    /// The number of applied entries after which a snapshot is saved. The settings file calls it
+    /// `snapshot_every`.
     pub snapshot_interval: u64,
-    /// State that was not confirmed for this long is not routed by, in microseconds;
-    /// `drain_limit` in the settings file.
+    /// The age in microseconds at which the state is stale: requests are no longer routed by it.
+    /// The settings file calls it `drain_limit`.
     pub max_staleness: Micros,
-    /// How often the state is confirmed, in microseconds; a fraction of `max_staleness`.
-    /// `confirm_every` in the settings file.
+    /// The interval between confirmations of the state, in microseconds, a fraction of
+    /// `max_staleness`. The settings file calls it `confirm_every`.
     pub confirm_interval: Micros,
 }
 
@@ -32,13 +34,13 @@
     }
 }
 
-/// Why a replica can't start.
+/// The reason why a replica cannot start.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReplicaError {
-    /// Its settings contradict each other.
+    /// The settings of Raft are invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// Its snapshot holds no state. The replica has to be replaced by a new one.
+    /// The stored snapshot cannot be decoded. The replica has to be replaced by a new one.
     #[error(transparent)]
     Snapshot(#[from] DecodeError),
 }
--- a/cluster/replica/src/effect.rs
+++ b/cluster/replica/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a replica requests from its caller, and how it responds to calls.
+//! The effects that a replica requests from its caller, and its responses to calls.
 
 use std::rc::Rc;
 
@@ -6,63 +6,65 @@
 use violetgate_raft::{Message, NodeId, ProposalError, SnapshotMetadata, StorageWrite};
 use violetgate_replicated_state::Outcome;
 
-/// A client's call, by the number that the caller gives it.
+/// The id of a client's call, assigned by the caller of the replica.
 pub type CallId = u64;
 
-/// How a call ended.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Response {
-    /// The command was committed, and applied here.
+    /// The command was committed and applied to the local store.
     Applied(Outcome),
     /// The membership change was committed, or leadership is being transferred.
     MembershipChanged,
     /// The store may be read: it holds everything that was committed before the call.
     ReadReady,
-    /// This replica is not the leader; the leader, if it knows it.
+    /// This replica is not the leader, or it could not serve the read. Holds the leader if this
+    /// replica knows it.
     NotLeader(Option<NodeId>),
-    /// It was rejected, and nothing was done.
+    /// The call was rejected and had no effect.
     Rejected(ProposalError),
-    /// The leader was deposed before it was committed. It may still be: repeat it under the same
-    /// request id.
+    /// The replica lost leadership, or could not decode the committed command. The call may have
+    /// taken effect or may still do so: repeat it under the same request id.
     OutcomeUnknown,
 }
 
-/// One thing to be done by the caller. The effects of
-/// [`Replica::take_effects`](crate::Replica::take_effects) are to be carried out in their order.
+/// An action that the caller has to carry out. The effects that
+/// [`Replica::take_effects`](crate::Replica::take_effects) returns are carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Make this durable, then call [`Replica::persisted`](crate::Replica::persisted).
+    /// Make this write durable, then call [`Replica::persisted`](crate::Replica::persisted).
     Persist(StorageWrite),
     /// Send a message to another replica.
     Send {
-        /// The receiver.
+        /// The replica that receives the message.
         to: NodeId,
-        /// The message.
+        /// The Raft message to send.
         message: Message,
     },
     /// Respond to a call.
     Respond {
-        /// The call.
+        /// The id of the call, as the caller passed it to the replica.
         call: CallId,
-        /// The response.
+        /// The result of the call.
         response: Response,
     },
     /// Save this snapshot durably, then call
     /// [`Replica::snapshot_saved`](crate::Replica::snapshot_saved).
     SaveSnapshot {
-        /// What it stands for.
+        /// The log position and the membership of the snapshot.
         metadata: SnapshotMetadata,
-        /// The encoded state.
+        /// The encoded state of the store.
         state: Rc<Vec<u8>>,
     },
-    /// Put this snapshot of the leader's in place of everything on disk but the hard state, then
-    /// call [`Replica::snapshot_installed`](crate::Replica::snapshot_installed).
+    /// Replace the stored snapshot and log with this snapshot from the leader and the entries of
+    /// [`Replica::entries_after`](crate::Replica::entries_after). The hard state stays. Then call
+    /// [`Replica::snapshot_installed`](crate::Replica::snapshot_installed).
     InstallSnapshot {
-        /// The leader that sent it.
+        /// The leader that sent the snapshot.
         from: NodeId,
-        /// What it stands for.
+        /// The log position and the membership of the snapshot.
         metadata: SnapshotMetadata,
-        /// The encoded state.
+        /// The encoded state of the store.
         state: Rc<Vec<u8>>,
     },
 }
--- a/cluster/replica/src/lib.rs
+++ b/cluster/replica/src/lib.rs
@@ -1,13 +1,13 @@
-//! One replica of the cluster, without I/O: Raft, the replicated state and the staleness guard
-//! tied together.
+//! One replica of the cluster, without I/O. It combines a Raft node, the replicated store and the
+//! staleness guard.
 //!
-//! A client's command is answered once it is committed and applied here, and not before. If the
-//! leader is deposed meanwhile, its outcome is unknown, and it may be repeated under its request
-//! id. A read is answered once the store holds everything that was committed before the call; a
-//! replica never answers by its own copy alone.
+//! A client's command is answered only after it is committed and applied to the local store. If the
+//! leader is deposed before that, the outcome is unknown, and the command may be repeated under its
+//! request id. A read is answered once the store holds everything that was committed before the
+//! call. A replica never serves a read without confirmation by a majority.
 //!
-//! The caller passes in time, messages, calls and completed storage work, and carries out the
-//! [`Effect`]s.
+//! The caller passes in the time, messages, calls and completed storage writes, and carries out
+//! the [`Effect`]s.
 //!
 //! ```
 //! use violetgate_raft::{Membership, SnapshotMetadata};
@@ -31,14 +31,14 @@
 //!     }
 //!     for effect in effects {
 //!         match effect {
-//!             // A real caller makes the write durable first.
+//!             // A production caller makes the write durable first.
 //!             Effect::Persist(write) => replica.persisted(write.sequence),
 //!             Effect::Respond { call, response } => responses.push((call, response)),
 //!             _ => {}
 //!         }
 //!     }
 //! }
-//! // Nobody led yet when the read came; the client retries.
+//! // There was no leader yet when the read arrived. The client retries.
 //! assert_eq!(responses, [(1, Response::NotLeader(None))]);
 //! replica.read(2);
 //! assert!(matches!(
--- a/cluster/replica/src/proposals.rs
+++ b/cluster/replica/src/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals: commands and membership changes that wait to be committed.
+//! Proposals: commands and membership changes, and the calls that wait for their commit.
 
 use std::collections::BTreeMap;
 
@@ -8,18 +8,19 @@
 use crate::config::MAX_WAITING_CALLS;
 use crate::{CallId, Replica, Response};
 
-/// The actor that the change log names for the expiry of leases.
+/// The actor in the change log for keys that are deleted because their lease expired.
 const LEASE_EXPIRY_ACTOR: &str = "leases";
 
-/// A call whose entry is not committed yet.
+/// A call that waits until its proposed entry is applied.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingProposal {
-    /// The term that the entry has if it is the one that was proposed.
+    /// The term in which the entry was proposed. An entry of another term at the same index is not
+    /// the proposed one.
     pub(crate) term: Term,
     pub(crate) call: CallId,
 }
 
-/// The calls that wait, by the index of their entries.
+/// The waiting calls, by the log index of their proposed entries.
 #[derive(Debug, Default)]
 pub(crate) struct PendingProposals {
     by_index: BTreeMap<Index, PendingProposal>,
@@ -40,7 +41,7 @@
         self.by_index.remove(&index)
     }
 
-    /// All calls that wait, in the order of their entries; none waits any more.
+    /// Removes all waiting calls and returns them in the order of their entries.
     pub(crate) fn take_all(&mut self) -> Vec<CallId> {
         let all = std::mem::take(&mut self.by_index);
         all.into_values().map(|proposal| proposal.call).collect()
@@ -52,8 +53,8 @@
 }
 
 impl Replica {
-    /// Proposes a client's command. `request_id` makes it safe to repeat; the command's time is
-    /// set here.
+    /// Proposes a client's command with the replica's wall-clock time. A `request_id` makes it safe
+    /// to repeat the call.
     pub fn propose(
         &mut self,
         call: CallId,
@@ -74,17 +75,17 @@
         self.await_commit(call, proposed);
     }
 
-    /// Proposes an operator's change of the membership.
+    /// Proposes a membership change that an operator requested.
     pub fn change_membership(&mut self, call: CallId, change: MembershipChange) {
         let proposed = self.raft.propose_membership_change(change);
         self.await_commit(call, proposed);
     }
 
-    /// Begins a transfer of leadership.
+    /// Starts a transfer of leadership to another voter.
     ///
     /// # Errors
     ///
-    /// This replica is not the leader, or the target is not another voter.
+    /// Returns an error if this replica is not the leader, or the target is not another voter.
     pub fn transfer_leadership(&mut self, target: NodeId) -> Result<(), ProposalError> {
         self.raft.transfer_leadership(target)
     }
@@ -99,8 +100,8 @@
         }
     }
 
-    /// Proposes the end of the leases that have expired. A proposal that is dropped is repeated by
-    /// the next tick; one too many changes nothing.
+    /// Proposes to end the leases that have expired. If a proposal is dropped, a later tick repeats
+    /// it. A duplicate has no effect.
     pub(crate) fn propose_lease_expiries(&mut self) {
         for operation in self.store.expired_leases(self.wall_clock) {
             let command = Command {
--- a/cluster/replica/src/reads.rs
+++ b/cluster/replica/src/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads: clients' reads, and the confirmations of the staleness guard.
+//! Linearizable reads: reads by clients, and the confirmations of the staleness guard.
 
 use std::collections::BTreeMap;
 
@@ -8,22 +8,23 @@
 use crate::config::MAX_WAITING_CALLS;
 use crate::{CallId, Replica, Response};
 
-/// The most confirmations that wait for a read index; the oldest is dropped first.
+/// Maximum number of confirmations that wait for a read index. The oldest is dropped first.
 const MAX_CONFIRMATIONS: usize = 16;
 
-/// Who waits for a read.
+/// The origin of a waiting read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PendingRead {
+    /// A client's read, by the id of its call.
     Client(CallId),
     /// A confirmation of the staleness guard, by its id.
     Confirmation(u64),
 }
 
-/// The reads that wait.
+/// The reads that are not served yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingReads {
     last_id: u64,
-    /// Reads that wait for a read index, by their ids for Raft.
+    /// Reads that wait for a read index, by the read ids that were passed to Raft.
     unanswered: BTreeMap<u64, PendingRead>,
     /// Reads that wait for their read index to be applied.
     unapplied: Vec<(Index, PendingRead)>,
@@ -34,7 +35,7 @@
         self.unanswered.len() + self.unapplied.len() >= MAX_WAITING_CALLS
     }
 
-    /// Adds a read; its id.
+    /// Adds a read and returns its id.
     fn insert(&mut self, read: PendingRead) -> u64 {
         self.last_id += 1;
         if matches!(read, PendingRead::Confirmation(_)) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Takes the reads that may be served once `applied` is applied.
+    /// Removes and returns the reads whose read index is at most `applied`.
     fn take_applied(&mut self, applied: Index) -> Vec<(Index, PendingRead)> {
         let (ready, rest) = std::mem::take(&mut self.unapplied)
             .into_iter()
@@ -74,8 +75,9 @@
 }
 
 impl Replica {
-    /// A client's read: answered by [`Response::ReadReady`] once the store may be read. Where
-    /// messages are dropped it is not answered, and has to be repeated.
+    /// Requests a linearizable read for a client. The response is [`Response::ReadReady`] once the
+    /// store may be read. If messages are dropped there may be no response, and the caller has to
+    /// repeat the read.
     pub fn read(&mut self, call: CallId) {
         if self.reads.is_full() {
             return self.respond(call, Response::Rejected(ProposalError::Busy));
@@ -83,7 +85,7 @@
         self.request_read_index(PendingRead::Client(call));
     }
 
-    /// Begins to confirm that the state here is recent.
+    /// Begins a confirmation that the local state is recent.
     pub(crate) fn begin_confirmation(&mut self, now: Micros) {
         let id = self.guard.begin_confirmation(now);
         self.request_read_index(PendingRead::Confirmation(id));
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Answers the reads and confirmations for which enough is applied now.
+    /// Answers the reads and confirmations whose read index is applied.
     pub(crate) fn complete_reads(&mut self) {
         let applied = self.applied.index;
         self.guard.applied_up_to(applied);
--- a/cluster/replica/src/replica.rs
+++ b/cluster/replica/src/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its parts, its clock, and the way of Raft's actions to whatever handles them.
+//! The replica: its components, its clock, and the dispatch of Raft's actions.
 
 use violetgate_raft::{
     Action, Entry, HardState, Index, LogPosition, Membership, Message, NodeId, Payload, RaftNode,
@@ -12,43 +12,44 @@
 use crate::snapshots::Snapshots;
 use crate::{CallId, Effect, ReplicaError, Response};
 
-/// What a replica's storage holds when it starts.
+/// The contents of a replica's storage when the replica starts.
 #[derive(Debug, Clone, Default)]
 pub struct InitialState {
-    /// The term and the vote.
+    /// The term and the vote of the Raft node.
     pub hard_state: HardState,
-    /// The latest snapshot.
+    /// The log position and the membership of the latest snapshot.
     pub snapshot: SnapshotMetadata,
-    /// The encoded state in that snapshot; empty for a new replica.
+    /// The encoded state in that snapshot. Empty for a new replica.
     pub state: Vec<u8>,
-    /// The entries after it.
+    /// The log entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// One replica of the cluster.
+/// One replica of the cluster, driven by its caller.
 pub struct Replica {
     pub(crate) config: ReplicaConfig,
     pub(crate) raft: RaftNode,
     pub(crate) store: Store,
     pub(crate) guard: StalenessGuard,
-    /// The last entry that is applied to the store.
+    /// The position of the last entry that is applied to the store.
     pub(crate) applied: LogPosition,
     pub(crate) pending_proposals: PendingProposals,
     pub(crate) reads: PendingReads,
     pub(crate) snapshots: Snapshots,
+    /// The time of the next confirmation, in microseconds.
     confirm_at: Micros,
-    /// Wall-clock time in microseconds, by which leases run.
+    /// Wall-clock time in microseconds since the epoch, which decides when leases expire.
     pub(crate) wall_clock: Micros,
     effects: Vec<Effect>,
 }
 
 impl Replica {
-    /// A replica as its storage has it. `seed` feeds Raft's random time-outs; `now` is in
-    /// microseconds.
+    /// Creates a replica from the contents of its storage. `seed` determines Raft's random
+    /// timeouts. `now` is in microseconds.
     ///
     /// # Errors
     ///
-    /// The settings are invalid, or the snapshot holds no state.
+    /// Returns an error if the settings are invalid, or the snapshot cannot be decoded.
     pub fn new(
         id: NodeId,
         config: ReplicaConfig,
@@ -86,48 +87,49 @@
         })
     }
 
-    /// The replicated state, as far as it is applied here. To be read after
-    /// [`Response::ReadReady`], or where old state is good enough.
+    /// Returns the replicated state as far as it is applied to this replica. It may be old unless
+    /// the caller has received [`Response::ReadReady`] for a read.
     #[must_use]
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Its Raft node.
+    /// Returns the Raft node of the replica.
     #[must_use]
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
 
-    /// The membership of the cluster.
+    /// Returns the latest membership in this replica's log, whether committed or not.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.raft.membership()
     }
 
-    /// The last entry that is applied here.
+    /// Returns the index of the last entry that is applied to the store.
     #[must_use]
     pub fn applied(&self) -> Index {
         self.applied.index
     }
 
-    /// Whether a request may be routed now by the state that is here.
+    /// Checks whether the local state is recent enough to route a request now.
     ///
     /// # Errors
     ///
-    /// The state is stale: nothing new may be sent, and clients have to go to another instance.
+    /// Returns [`Stale`] if it is not. No new requests may be sent to engines, and clients have to
+    /// use another gateway instance.
     pub fn may_route(&self, now: Micros) -> Result<(), Stale> {
         self.guard.check(now)
     }
 
-    /// When [`Replica::tick`] is to be called next, in microseconds.
+    /// Returns the time of the next call to [`Replica::tick`], in microseconds.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
         self.raft.next_tick().min(self.confirm_at)
     }
 
-    /// Advances time, in microseconds: `now` on the clock that counts suspended time, `wall_clock`
-    /// since the epoch.
+    /// Advances the time and runs the periodic work that is due. `now` is the time in microseconds
+    /// on a clock that counts suspended time; `wall_clock` is in microseconds since the epoch.
     pub fn tick(&mut self, now: Micros, wall_clock: Micros) {
         self.wall_clock = wall_clock;
         self.raft.tick(now);
@@ -146,18 +148,19 @@
         self.raft.step(from, message);
     }
 
-    /// All writes up to this sequence number are durable.
+    /// Records that all writes up to this sequence number are durable.
     pub fn persisted(&mut self, sequence: u64) {
         self.raft.persisted(sequence);
     }
 
-    /// Nobody waits for this call any more.
+    /// Drops the pending response to a call that its client has given up.
     pub fn cancel(&mut self, call: CallId) {
         self.pending_proposals.cancel(call);
         self.reads.cancel(call);
     }
 
-    /// Takes what is to be done since the last call, in order. Carrying it out may lead to more.
+    /// Returns the effects since the last call, in order. The caller calls this again after it has
+    /// carried them out, because that may cause more effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         loop {
             let actions = self.raft.take_actions();
@@ -193,22 +196,22 @@
         }
     }
 
-    /// Applies a committed entry, and responds to the call that proposed it.
+    /// Applies a committed entry and responds to the call that proposed it.
     fn apply(&mut self, entry: Entry) {
         let waiting = self.pending_proposals.take(entry.index);
         let response = match &entry.payload {
             Payload::Blank => Response::OutcomeUnknown,
             Payload::Membership(_) => Response::MembershipChanged,
-            // What can't be decoded can't be decoded by any replica: all skip it alike.
+            // A command that cannot be decoded fails on every replica, so all of them skip it.
             Payload::Command(bytes) => match postcard::from_bytes::<Command>(bytes) {
                 Ok(command) => Response::Applied(self.store.apply(&command)),
                 Err(_) => Response::OutcomeUnknown,
             },
         };
         if let Some(proposal) = waiting {
-            // Another leader's entry may have taken the place of the one that was proposed.
-            let is_its_own = proposal.term == entry.term;
-            let response = if is_its_own {
+            // Another leader's entry may have replaced the proposed entry at this index.
+            let is_proposed_entry = proposal.term == entry.term;
+            let response = if is_proposed_entry {
                 response
             } else {
                 Response::OutcomeUnknown
--- a/cluster/replica/src/snapshots.rs
+++ b/cluster/replica/src/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots: saving the own state, sending it to replicas that are far behind, and taking in the
-//! leader's.
+//! Snapshots: saving the local state, sending it to replicas that are far behind, and installing
+//! the leader's snapshot.
 
 use std::rc::Rc;
 
@@ -8,26 +8,27 @@
 
 use crate::{Effect, Replica};
 
-/// The most bytes of a snapshot in one message.
+/// Maximum number of snapshot bytes in one message.
 const MAX_CHUNK_BYTES: usize = 256 << 10;
-/// The longest snapshot that is taken in.
+/// Maximum number of bytes received of a snapshot before its last chunk.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
 
-/// A snapshot of the state.
+/// A snapshot of the store.
 #[derive(Debug, Clone)]
 struct Snapshot {
     metadata: SnapshotMetadata,
+    /// The encoded state of the store.
     state: Rc<Vec<u8>>,
 }
 
-/// The snapshots that a replica works with.
+/// The snapshots that a replica has saved, is saving or is receiving.
 #[derive(Debug)]
 pub(crate) struct Snapshots {
-    /// The latest one that is durable here.
+    /// The latest snapshot that is durable on this replica.
     latest: Snapshot,
-    /// The one that is being saved.
+    /// The snapshot that is being saved.
     saving: Option<Snapshot>,
-    /// The bytes so far of the one that is being received.
+    /// The bytes received so far of the leader's snapshot.
     received: Vec<u8>,
 }
 
@@ -41,10 +42,10 @@
         }
     }
 
-    /// The part of the latest snapshot from `offset` on.
+    /// Returns at most [`MAX_CHUNK_BYTES`] of the latest snapshot, starting at `offset`.
     fn chunk(&self, offset: u64) -> SnapshotChunk {
         let Snapshot { metadata, state } = &self.latest;
-        let start = clamped(offset).min(state.len());
+        let start = saturating_usize(offset).min(state.len());
         let end = start.saturating_add(MAX_CHUNK_BYTES).min(state.len());
         SnapshotChunk {
             metadata: metadata.clone(),
@@ -55,13 +56,15 @@
     }
 }
 
-/// An offset in memory; what is beyond all memory is beyond the end.
-fn clamped(offset: u64) -> usize {
+/// Converts an offset to `usize`. An offset that does not fit becomes `usize::MAX`, which is beyond
+/// the end of every snapshot.
+fn saturating_usize(offset: u64) -> usize {
     usize::try_from(offset).unwrap_or(usize::MAX)
 }
 
 impl Replica {
-    /// Saves a snapshot if enough entries were applied since the latest one.
+    /// Starts to save a snapshot if `snapshot_interval` entries were applied since the latest one
+    /// and no snapshot is being saved.
     pub(crate) fn snapshot_if_due(&mut self) {
         let latest = self.snapshots.latest.metadata.index;
         let since = self.applied.index.saturating_sub(latest);
@@ -81,10 +84,11 @@
         self.push_effect(Effect::SaveSnapshot { metadata, state });
     }
 
-    /// The snapshot up to this entry is saved durably: the log up to there is discarded.
+    /// Records that the snapshot up to the entry `index` is durable, and discards the log up to
+    /// this entry.
     pub fn snapshot_saved(&mut self, index: Index) {
-        let is_it = |saving: &mut Snapshot| saving.metadata.index == index;
-        if let Some(saved) = self.snapshots.saving.take_if(is_it) {
+        let is_saved = |saving: &mut Snapshot| saving.metadata.index == index;
+        if let Some(saved) = self.snapshots.saving.take_if(is_saved) {
             self.raft.compact_log(saved.metadata.position());
             self.snapshots.latest = saved;
         }
@@ -95,11 +99,12 @@
         self.raft.snapshot_chunk_loaded(to, chunk);
     }
 
-    /// Takes in a chunk of the leader's snapshot. What is no valid state, or is too long, is
-    /// requested again from its beginning.
+    /// Adds a chunk to the received part of the leader's snapshot. After the last chunk, requests
+    /// the installation of the snapshot. If an incomplete snapshot is too long, or a complete one
+    /// cannot be decoded, the snapshot is requested again from the beginning.
     pub(crate) fn store_snapshot_chunk(&mut self, from: NodeId, chunk: SnapshotChunk) {
         let received = &mut self.snapshots.received;
-        received.truncate(clamped(chunk.offset));
+        received.truncate(saturating_usize(chunk.offset));
         received.extend_from_slice(&chunk.data);
         let metadata = chunk.metadata;
         if !chunk.is_last && received.len() <= MAX_SNAPSHOT_BYTES {
@@ -119,7 +124,7 @@
         }
     }
 
-    /// The leader's snapshot is in place on disk: the store is replaced by it.
+    /// Records that the leader's snapshot is durable, and replaces the store with its state.
     pub fn snapshot_installed(
         &mut self,
         from: NodeId,
@@ -139,7 +144,8 @@
         }
     }
 
-    /// The entries that follow a snapshot of the leader's and stay, to be installed with it.
+    /// Returns the log entries after the leader's snapshot, which are kept when it is installed.
+    /// Empty if the log does not contain the last entry of the snapshot.
     #[must_use]
     pub fn entries_after(&self, metadata: &SnapshotMetadata) -> Vec<Entry> {
         let log = self.raft.log();
--- a/cluster/replica/tests/encoding.rs
+++ b/cluster/replica/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of each answer, as commit 5065b36 encodes them for another replica that has forwarded
-//! a call.
+//! Checks that responses are encoded to the same bytes as by commit 5065b36. A replica sends its
+//! response in this encoding to a replica that forwarded a call.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use violetgate_raft::ProposalError;
@@ -9,8 +9,8 @@
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
 #[test]
-fn answers_are_encoded_as_in_the_fixture() {
-    let answers = [
+fn responses_are_encoded_as_in_the_fixture() {
+    let responses = [
         Response::Applied(Outcome::Applied {
             revision: 1_000,
             conditions_held: true,
@@ -24,10 +24,10 @@
         Response::OutcomeUnknown,
     ];
     let mut encoded = String::new();
-    for answer in answers {
-        let bytes = postcard::to_stdvec(&answer).unwrap();
+    for response in responses {
+        let bytes = postcard::to_stdvec(&response).unwrap();
         let back: Response = postcard::from_bytes(&bytes).unwrap();
-        assert_eq!(back, answer);
+        assert_eq!(back, response);
         let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
         encoded += &(hex + "\n");
     }
--- a/cluster/replica/tests/linearizable/clients.rs
+++ b/cluster/replica/tests/linearizable/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: each has one operation at a time, and repeats it under its request id until it is
-//! answered or given up.
+//! Simulated clients. Each client has one operation at a time and repeats it under the same request
+//! id until it is answered or times out.
 
 use violetgate_linearizability::{Operation as ClientOperation, OperationKind};
 use violetgate_raft::NodeId;
@@ -10,14 +10,14 @@
 
 pub const CLIENTS: usize = 4;
 pub const KEYS: u64 = 3;
-/// Clients write numbers below this.
+/// Clients write and expect numbers below this limit.
 const VALUES: u64 = 4;
 const OPERATION_TIMEOUT: Micros = 3 * SECOND;
 
 #[derive(Default)]
 pub struct Client {
     pub current: Option<CurrentOperation>,
-    /// The number of its latest operation.
+    /// The number of the client's latest operation, counted from 1.
     pub last_operation: u64,
 }
 
@@ -25,11 +25,11 @@
 pub struct CurrentOperation {
     operation: ClientOperation,
     number: u64,
-    /// The server that is asked next.
+    /// The server that the next attempt calls.
     server: NodeId,
 }
 
-/// A call's id holds the client and the number of its operation.
+/// Returns the id of a call: the client in the upper 32 bits, the operation's number in the lower.
 fn call_id(client: usize, number: u64) -> CallId {
     (client as u64) << 32 | number
 }
@@ -38,7 +38,7 @@
     format!("k{key}")
 }
 
-/// The transaction of an operation that changes something.
+/// Returns the transaction of a write or compare-and-swap, or `None` for a read.
 fn transaction(operation: &ClientOperation) -> Option<Txn> {
     let key = key_name(operation.key);
     let put = |value: u64| Mutation::Put {
@@ -61,7 +61,7 @@
 }
 
 impl SimulatedCluster {
-    /// A client begins an operation, or repeats one that was not answered yet.
+    /// Starts an operation of a client, or repeats the one that was not answered yet.
     pub fn client_call(&mut self, client: usize) {
         if self.clients[client].current.is_none() {
             self.begin_operation(client);
@@ -82,10 +82,10 @@
                 ),
                 None => replica.read(call),
             }
-            self.carry_out_all(current.server);
+            self.run_effects(current.server);
         } else {
             let other = self.draw_server();
-            self.ask_next(client, other);
+            self.set_next_server(client, other);
         }
     }
 
@@ -122,13 +122,14 @@
         self.schedule(OPERATION_TIMEOUT, timeout);
     }
 
-    fn ask_next(&mut self, client: usize, server: NodeId) {
+    fn set_next_server(&mut self, client: usize, server: NodeId) {
         if let Some(current) = &mut self.clients[client].current {
             current.server = server;
         }
     }
 
-    /// A client's operation is over: answered with this result, or given up.
+    /// Ends a client's operation and adds it to the history. `result` is `None` if the client gave
+    /// the operation up.
     pub fn end_operation(&mut self, client: usize, result: Option<OperationKind>) {
         let Some(current) = self.clients[client].current.take() else {
             return;
@@ -139,7 +140,7 @@
                 operation.kind = kind;
                 operation.finished_at = Some(self.now);
             }
-            // A read that nobody answered says nothing.
+            // A read without an answer has no effect and no result to check.
             None if matches!(operation.kind, OperationKind::Read(_)) => return,
             None => {}
         }
@@ -174,13 +175,13 @@
                 let seen = value.map(|current| u64::from(current.value[0]));
                 self.end_operation(client, Some(OperationKind::Read(seen)));
             }
-            (Response::NotLeader(Some(leader)), _) => self.ask_next(client, leader),
-            _ => self.ask_next(client, current.server % SERVERS + 1),
+            (Response::NotLeader(Some(leader)), _) => self.set_next_server(client, leader),
+            _ => self.set_next_server(client, current.server % SERVERS + 1),
         }
     }
 }
 
-/// An operation with what its response says.
+/// Returns an operation with the result that its response carries.
 fn with_result(kind: OperationKind, conditions_held: bool) -> OperationKind {
     match kind {
         OperationKind::CompareAndSwap { expected, new, .. } => OperationKind::CompareAndSwap {
--- a/cluster/replica/tests/linearizable/cluster.rs
+++ b/cluster/replica/tests/linearizable/cluster.rs
@@ -1,5 +1,5 @@
-//! The simulated cluster: its clock, its events in order, and the check of the staleness guard
-//! after each.
+//! The simulated cluster. It has a simulated clock, handles its events in the order of their times,
+//! and checks the staleness guard after each event.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -19,7 +19,7 @@
 pub const SECOND: Micros = 1_000 * MS;
 pub const SERVERS: NodeId = 3;
 
-/// Whether servers obey the staleness guard.
+/// Whether servers route only if the staleness guard permits it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
     Active,
@@ -42,7 +42,7 @@
         starts: u64,
     },
     ClientCall(usize),
-    /// A client gives its operation up.
+    /// A client gives up its operation.
     ClientTimeout {
         client: usize,
         operation: u64,
@@ -50,14 +50,14 @@
     Fault,
 }
 
-/// Why a server does nothing now.
+/// The reason why a server does not run.
 pub enum Unavailable {
     Down,
-    /// Suspended for this long.
+    /// The process stays suspended for this many microseconds.
     Paused(Micros),
 }
 
-/// A revision that a client was told of as applied.
+/// A revision that a response to a client reported as applied, and the time of the response.
 pub struct AcknowledgedRevision {
     pub at: Micros,
     pub revision: Revision,
@@ -66,21 +66,23 @@
 pub struct SimulatedCluster {
     rng: ChaCha8Rng,
     pub now: Micros,
-    /// Times and numbers of the events to come.
+    /// Times and numbers of the scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The scheduled events by their numbers.
     events: BTreeMap<u64, Event>,
     last_event: u64,
     pub servers: BTreeMap<NodeId, Server>,
-    /// Directions in which no message arrives.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    /// Links whose messages are dropped, as (sender, receiver).
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub clients: Vec<Client>,
     pub history: Vec<Operation>,
     pub acknowledged: Vec<AcknowledgedRevision>,
-    /// How often a server was found to be allowed to route, and how often not.
+    /// Number of checks in which a server was allowed to route.
     pub routable_checks: u64,
+    /// Number of checks in which a server was not allowed to route.
     pub stale_checks: u64,
     guard: Guard,
-    /// Everything that the replicas asked for, in order.
+    /// Digest of all effects that the replicas requested, in order.
     pub digest: Digest,
 }
 
@@ -100,7 +102,7 @@
             events: BTreeMap::new(),
             last_event: 0,
             servers: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             clients: (0..CLIENTS).map(|_| Client::default()).collect(),
             history: Vec::new(),
             acknowledged: Vec::new(),
@@ -120,7 +122,7 @@
         cluster
     }
 
-    /// A random number below `below`.
+    /// Returns a random number below `below`, or 0 if `below` is 0.
     pub fn draw(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
@@ -150,14 +152,14 @@
         self.schedule_tick(id);
     }
 
-    /// Schedules the next tick where the replica wants one.
+    /// Schedules the next tick that the replica requests, unless an earlier one is scheduled.
     pub fn schedule_tick(&mut self, id: NodeId) {
         let now = self.now;
         let server = self.server(id);
-        let Some(wanted) = server.replica.as_ref().map(Replica::next_tick) else {
+        let Some(requested) = server.replica.as_ref().map(Replica::next_tick) else {
             return;
         };
-        let at = wanted.max(now + MS);
+        let at = requested.max(now + MS);
         if at < server.next_tick {
             server.next_tick = at;
             let starts = server.starts;
@@ -165,7 +167,7 @@
         }
     }
 
-    /// A replica that runs, with the time advanced.
+    /// Returns a server's replica after advancing its time, or the reason why it does not run.
     pub fn running(&mut self, id: NodeId) -> Result<&mut Replica, Unavailable> {
         let now = self.now;
         let server = self.server(id);
@@ -198,19 +200,20 @@
             Event::Fault => {
                 let delay = 100 * MS + self.draw(900 * MS);
                 self.schedule(delay, Event::Fault);
-                self.fault();
+                self.inject_fault();
             }
         }
         self.check_guard();
     }
 
-    /// Whether an event is for an earlier process, or a message that is cut off: nothing happens.
+    /// Whether to drop an event: it is for an earlier process of the server, or a message on a cut
+    /// link.
     fn is_obsolete(&self, event: &Event) -> bool {
         match event {
             Event::Tick { id, starts } | Event::Flush { id, starts } => {
                 self.servers[id].starts != *starts
             }
-            Event::Deliver { from, to, .. } => self.cut.contains(&(*from, *to)),
+            Event::Deliver { from, to, .. } => self.cut_links.contains(&(*from, *to)),
             _ => false,
         }
     }
@@ -218,7 +221,7 @@
     fn on_tick(&mut self, id: NodeId, starts: u64) {
         self.server(id).next_tick = Micros::MAX;
         match self.running(id) {
-            Ok(_) => self.carry_out_all(id),
+            Ok(_) => self.run_effects(id),
             Err(Unavailable::Down) => {}
             Err(Unavailable::Paused(delay)) => self.schedule(delay, Event::Tick { id, starts }),
         }
@@ -228,7 +231,7 @@
         match self.running(to) {
             Ok(replica) => {
                 replica.step(from, message);
-                self.carry_out_all(to);
+                self.run_effects(to);
             }
             Err(Unavailable::Down) => {}
             Err(Unavailable::Paused(delay)) => {
@@ -241,17 +244,18 @@
         let sequence = self.server(id).flush();
         if let Ok(replica) = self.running(id) {
             replica.persisted(sequence);
-            self.carry_out_all(id);
+            self.run_effects(id);
         } else if let Some(replica) = &mut self.server(id).replica {
-            // Durable; what follows is carried out once the process wakes up.
+            // The write is durable, but its effects run only after the process is resumed.
             replica.persisted(sequence);
         }
     }
 
-    /// Whoever may route knows all that was acknowledged longer ago than the guard's limit.
+    /// Checks that each server that may route has applied every revision that was acknowledged at
+    /// least the guard's limit ago.
     fn check_guard(&mut self) {
         let (now, limit) = (self.now, config().max_staleness);
-        let due = self
+        let required = self
             .acknowledged
             .iter()
             .filter(|acknowledged| acknowledged.at + limit <= now)
@@ -264,10 +268,10 @@
             };
             if replica.may_route(now).is_ok() || self.guard == Guard::Ignored {
                 self.routable_checks += 1;
-                let known = replica.store().revision();
+                let applied = replica.store().revision();
                 assert!(
-                    known >= due,
-                    "routes by revision {known}, {due} was acknowledged longer ago than the limit"
+                    applied >= required,
+                    "a server routes by revision {applied}, but {required} is older than the limit"
                 );
             } else {
                 self.stale_checks += 1;
--- a/cluster/replica/tests/linearizable/effects.rs
+++ b/cluster/replica/tests/linearizable/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the replicas ask for: disk, network, responses to clients.
+//! Runs the effects that the replicas request: storage writes, messages, responses to clients.
 
 use std::rc::Rc;
 
@@ -8,12 +8,12 @@
 use crate::cluster::{Event, SimulatedCluster, MS};
 use crate::digest::Digest;
 
-/// Messages that are lost, in percent.
+/// Share of messages that are lost, in percent.
 const LOSS_PERCENT: u64 = 2;
 
 impl SimulatedCluster {
-    /// Carries out all that a replica asks for.
-    pub fn carry_out_all(&mut self, id: NodeId) {
+    /// Runs all effects of a replica until it requests no more.
+    pub fn run_effects(&mut self, id: NodeId) {
         loop {
             let Some(replica) = self.server(id).replica.as_mut() else {
                 return;
@@ -23,13 +23,13 @@
                 break;
             }
             for effect in effects {
-                self.carry_out(id, effect);
+                self.run_effect(id, effect);
             }
         }
         self.schedule_tick(id);
     }
 
-    fn carry_out(&mut self, id: NodeId, effect: Effect) {
+    fn run_effect(&mut self, id: NodeId, effect: Effect) {
         self.digest.number(self.now);
         self.digest.number(id);
         add_effect(&mut self.digest, &effect);
@@ -38,8 +38,8 @@
             Effect::Persist(write) => {
                 let server = self.server(id);
                 let starts = server.starts;
-                server.unwritten.push(write);
-                if server.unwritten.len() == 1 {
+                server.pending_writes.push(write);
+                if server.pending_writes.len() == 1 {
                     self.schedule(delay, Event::Flush { id, starts });
                 }
             }
@@ -72,7 +72,8 @@
     ) {
         let server = self.server(id);
         let following = server.replica().entries_after(&metadata);
-        // What waits to be written comes first, and is removed by what replaces it.
+        // Pending writes have to be flushed first: they precede the installation, which replaces
+        // the log that they append to.
         let sequence = server.flush();
         server
             .storage()
@@ -83,8 +84,8 @@
     }
 }
 
-/// Adds an effect to a digest in a form of its own: a number for its kind, then its parts as they
-/// are encoded for the wire.
+/// Adds an effect to a digest: a number for its kind, then its fields. The digest therefore does
+/// not depend on the Debug output or the names of the effects.
 fn add_effect(digest: &mut Digest, effect: &Effect) {
     match effect {
         Effect::Persist(write) => {
--- a/cluster/replica/tests/linearizable/faults.rs
+++ b/cluster/replica/tests/linearizable/faults.rs
@@ -1,12 +1,12 @@
-//! Faults: processes killed and suspended, links cut.
+//! Fault injection: kills and suspends processes, and cuts links.
 
 use violetgate_raft::NodeId;
 
 use crate::cluster::{SimulatedCluster, SECOND, SERVERS};
 
 impl SimulatedCluster {
-    /// One random fault, or the end of all but pauses.
-    pub fn fault(&mut self) {
+    /// Injects one random fault, or ends all faults except suspensions.
+    pub fn inject_fault(&mut self) {
         let (id, other) = (self.draw_server(), self.draw_server());
         match self.draw(7) {
             0 | 1 => self.kill_or_start(id),
@@ -15,7 +15,7 @@
                 self.server(id).paused_until = self.now + pause;
             }
             3 => {
-                self.cut.insert((id, other));
+                self.cut_links.insert((id, other));
             }
             4 => self.isolate(id),
             _ => self.heal(),
@@ -25,7 +25,7 @@
     fn kill_or_start(&mut self, id: NodeId) {
         let server = self.server(id);
         if server.replica.take().is_some() {
-            server.unwritten.clear();
+            server.pending_writes.clear();
             server.starts += 1;
         } else {
             self.start(id);
@@ -34,13 +34,13 @@
 
     fn isolate(&mut self, id: NodeId) {
         for peer in 1..=SERVERS {
-            self.cut.insert((id, peer));
-            self.cut.insert((peer, id));
+            self.cut_links.insert((id, peer));
+            self.cut_links.insert((peer, id));
         }
     }
 
     fn heal(&mut self) {
-        self.cut.clear();
+        self.cut_links.clear();
         for id in 1..=SERVERS {
             if self.servers[&id].replica.is_none() {
                 self.start(id);
--- a/cluster/replica/tests/linearizable/main.rs
+++ b/cluster/replica/tests/linearizable/main.rs
@@ -1,7 +1,8 @@
-//! Clusters of three replicas over real storage in memory, on simulated time and network: killed,
-//! suspended, cut off. What clients saw has to be linearizable, no command is carried out twice,
-//! and the staleness guard lets nothing pass by state older than its limit. `SEED=n` replays one
-//! seed alone, `SEEDS=n` runs more of them.
+//! Simulates clusters of three replicas with a simulated clock and network. The replicas use the
+//! real storage code over files in memory, and are killed, suspended and partitioned. The clients'
+//! histories have to be linearizable, no command may be carried out twice, and the staleness guard
+//! may not permit routing by state older than its limit. `SEED=n` replays a single seed; `SEEDS=n`
+//! sets the number of seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -22,10 +23,10 @@
 use digest::Digest;
 use violetgate_linearizability::{first_operations_on, is_linearizable};
 
-/// How long clients and faults are at work.
+/// The simulated time at which a run ends, in microseconds. The clock starts at one second.
 const DURATION: u64 = 16 * SECOND;
 
-/// Runs one seed to its end.
+/// Runs the simulation with one seed until [`DURATION`].
 fn run(seed: u64, guard: Guard) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(seed, guard);
     while cluster.now < DURATION {
@@ -34,7 +35,8 @@
     cluster
 }
 
-/// Runs one seed and checks its history; how much happened.
+/// Runs the simulation with one seed and checks the history. Returns the numbers of finished
+/// operations, of checks in which a server could route, and of checks in which it could not.
 fn check(seed: u64, guard: Guard) -> [u64; 3] {
     let mut cluster = run(seed, guard);
     for client in 0..CLIENTS {
@@ -56,35 +58,35 @@
 }
 
 #[test]
-fn what_clients_see_is_linearizable() {
+fn client_histories_are_linearizable() {
     let number = |name: &str| std::env::var(name).ok().and_then(|n| n.parse::<u64>().ok());
     let seeds = number("SEED").map_or(0..number("SEEDS").unwrap_or(60), |seed| seed..seed + 1);
     let mut sums = [0; 3];
     for seed in seeds {
         let result = std::panic::catch_unwind(|| check(seed, Guard::Active));
-        let seen = result.unwrap_or_else(|_| panic!("seed {seed}: SEED={seed} replays it"));
-        sums.iter_mut().zip(seen).for_each(|(sum, n)| *sum += n);
+        let counts =
+            result.unwrap_or_else(|_| panic!("seed {seed} failed: SEED={seed} replays it"));
+        sums.iter_mut().zip(counts).for_each(|(sum, n)| *sum += n);
     }
-    println!("operations, checks that passed the guard, and that did not: {sums:?}");
+    println!("finished operations, routable checks, stale checks: {sums:?}");
     assert!(
         std::env::var("SEED").is_ok() || sums.iter().all(|sum| *sum > 1_000),
-        "too little happens: {sums:?}"
+        "each count has to exceed 1000 (operations, routable checks, stale checks): {sums:?}"
     );
 }
 
-/// The checks work: they detect a replica that routes whatever the guard says.
+/// The simulation detects replicas that route regardless of the staleness guard.
 #[test]
 fn an_ignored_guard_is_detected() {
     let fails = |seed| std::panic::catch_unwind(|| check(seed, Guard::Ignored)).is_err();
     assert!(
         (0..60).any(fails),
-        "nobody notices that the guard is ignored"
+        "no seed detects that the guard is ignored"
     );
 }
 
-/// All that the replicas of a simulated cluster ask for, in order, is the same as in the version
-/// before the code was restructured (commit 5065b36). A change that alters a digest changes
-/// behaviour.
+/// The replicas of a simulated cluster request the same effects in the same order as at commit
+/// 5065b36, before the code was restructured. A change that alters a digest changes behaviour.
 #[test]
 fn effects_match_the_stored_digests() {
     let digests: Vec<u64> = (0..DIGESTS.len() as u64)
@@ -99,7 +101,8 @@
     assert_eq!(digests, DIGESTS, "{digests:#018x?}");
 }
 
-/// Adds all that a cluster did, and what its replicas hold at the end.
+/// Adds the effects of a cluster's run, the final state of its replicas and the numbers of guard
+/// checks.
 fn add_run(digest: &mut Digest, cluster: &SimulatedCluster) {
     digest.number(cluster.digest.value());
     for replica in cluster.servers.values().filter_map(|s| s.replica.as_ref()) {
@@ -110,10 +113,10 @@
     digest.number(cluster.stale_checks);
 }
 
-/// Seeds that go into one stored digest.
+/// Number of seeds per stored digest.
 const SEEDS_PER_DIGEST: u64 = 5;
 
-/// For seeds 1000 and up.
+/// The digests of consecutive groups of seeds, starting at seed 1000.
 const DIGESTS: [u64; 24] = [
     0x1255_decc_8560_7223,
     0xbc24_815a_faf3_628b,
--- a/cluster/replica/tests/linearizable/server.rs
+++ b/cluster/replica/tests/linearizable/server.rs
@@ -1,4 +1,4 @@
-//! A server of the simulation: its replica while it runs, and its disk.
+//! A simulated server: its storage, and its replica while the process runs.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Result};
@@ -10,7 +10,7 @@
 
 const CLUSTER: &str = "c";
 
-/// Files that outlive their replica.
+/// Files in memory that outlive the replica's process.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryDirectory(BTreeMap<String, Vec<u8>>);
 
@@ -49,19 +49,22 @@
 }
 
 pub struct Server {
-    /// `None`: the process is down.
+    /// The replica, or `None` while the process is down.
     pub replica: Option<Replica>,
     pub storage: Option<RaftStorage<MemoryDirectory>>,
-    pub unwritten: Vec<StorageWrite>,
-    /// The process is suspended until then.
+    /// Writes that are not durable yet. They are lost if the process is killed.
+    pub pending_writes: Vec<StorageWrite>,
+    /// The time until which the process is suspended.
     pub paused_until: Micros,
-    /// How often it was started or killed: events for an earlier process are ignored.
+    /// Number of starts and kills of the process. Events with a lower number are for an earlier
+    /// process and are ignored.
     pub starts: u64,
+    /// The time of the scheduled tick, or `Micros::MAX` if none is scheduled.
     pub next_tick: Micros,
 }
 
 impl Server {
-    /// A server of a new cluster, which is down.
+    /// Creates a server of a new cluster with an empty log. Its process is down.
     pub fn new(id: NodeId, voters: impl IntoIterator<Item = NodeId>) -> Self {
         let identity = Identity {
             cluster: CLUSTER.to_owned(),
@@ -77,19 +80,19 @@
         Server {
             replica: None,
             storage: Some(storage),
-            unwritten: vec![],
+            pending_writes: vec![],
             paused_until: 0,
             starts: 0,
             next_tick: 0,
         }
     }
 
-    /// Opens the storage anew, as a process does that starts.
+    /// Reopens the storage as a new process does, and returns its contents.
     pub fn reopen_storage(&mut self, id: NodeId) -> InitialState {
         let directory = self.storage.take().unwrap().into_directory();
         let (storage, recovered) = RaftStorage::open(directory, CLUSTER, id).unwrap();
         self.storage = Some(storage);
-        self.unwritten.clear();
+        self.pending_writes.clear();
         initial_state(recovered)
     }
 
@@ -97,14 +100,16 @@
         self.storage.as_mut().unwrap()
     }
 
-    /// The replica, which runs.
+    /// Returns the running replica.
+    ///
+    /// Panics if the process is down.
     pub fn replica(&mut self) -> &mut Replica {
         self.replica.as_mut().unwrap()
     }
 
-    /// Writes what waits to be written; the last sequence number of it.
+    /// Writes all pending writes. Returns their highest sequence number, or 0 if there were none.
     pub fn flush(&mut self) -> u64 {
-        let writes = std::mem::take(&mut self.unwritten);
+        let writes = std::mem::take(&mut self.pending_writes);
         self.storage().write(&writes).unwrap();
         let sequences = writes.iter().map(|write| write.sequence);
         sequences.max().unwrap_or(0)
