--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -13,20 +13,20 @@
 //!
 //! ```
 //! use std::collections::BTreeMap;
-//! use std::net::TcpListener;
 //! use std::rc::Rc;
 //! use std::time::Duration;
 //!
 //! use async_executor::LocalExecutor;
 //! use violetgate_replica::ReplicaConfig;
 //! use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
+//! use violetgate_test_harness::reserve_tcp_address;
 //!
 //! # fn main() -> Result<(), Box<dyn std::error::Error>> {
 //! let folder = std::env::temp_dir().join(format!("replica-example-{}", std::process::id()));
 //! let bootstrap = Bootstrap { initial_members: vec![1], initial_state: Vec::new() };
 //! ReplicaRuntime::initialize("example", 1, &folder, 42, bootstrap)?;
 //!
-//! let listen = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
+//! let listen = reserve_tcp_address()?;
 //! let options = ReplicaOptions {
 //!     cluster: "example".to_owned(),
 //!     id: 1,
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -16,6 +16,7 @@
     SubscriberConfig, Subscription,
 };
 use violetgate_replicated_state::{Entries, Mutation, Operation, Outcome, Revision, Txn};
+use violetgate_test_harness::reserve_tcp_address;
 
 /// How long anything may take on a busy machine.
 pub const WAIT: Duration = Duration::from_secs(60);
@@ -51,12 +52,6 @@
     }
 }
 
-fn reserved() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap();
-    (listener, address)
-}
-
 impl Fleet {
     /// Starts voters 1 to `voters` and, as learners, the observers that follow; nothing is served
     /// yet.
@@ -67,21 +62,17 @@
         ));
         let _ = std::fs::remove_dir_all(&folder);
         let ids = 1..=voters + observers;
-        let held: Vec<_> = ids.clone().map(|id| (id, reserved())).collect();
-        let served: Vec<_> = (voters + 1..=voters + observers)
-            .map(|id| (id, reserved()))
-            .collect();
+        let reserve = |id| (id, reserve_tcp_address().unwrap());
         let mut fleet = Fleet {
             executor: Rc::new(LocalExecutor::new()),
             folder,
-            addresses: held.iter().map(|(id, (_, at))| (*id, *at)).collect(),
+            addresses: ids.clone().map(reserve).collect(),
             members: BTreeMap::new(),
-            serving_at: served.iter().map(|(id, (_, at))| (*id, *at)).collect(),
+            serving_at: (voters + 1..=voters + observers).map(reserve).collect(),
             services: BTreeMap::new(),
             subscriptions: Vec::new(),
             requests: 0,
         };
-        drop((held, served));
         for id in ids {
             let members = if id <= voters {
                 (1..=voters).collect()
--- a/cluster/replica-runtime/tests/replica_group/mod.rs
+++ b/cluster/replica-runtime/tests/replica_group/mod.rs
@@ -13,6 +13,7 @@
 use violetgate_replica::{ReplicaConfig, Response};
 use violetgate_replica_runtime::{Bootstrap, CallOutcome, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::{Mutation, Operation, Outcome, Txn};
+use violetgate_test_harness::reserve_tcp_address;
 
 /// How long anything may take on a busy machine.
 pub const WAIT: Duration = Duration::from_secs(30);
@@ -49,13 +50,7 @@
         let folder =
             std::env::temp_dir().join(format!("violetgate-cluster-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
-        let held: Vec<_> = ids
-            .map(|id| (id, std::net::TcpListener::bind("127.0.0.1:0").unwrap()))
-            .collect();
-        let addresses = held
-            .iter()
-            .map(|(id, listener)| (*id, listener.local_addr().unwrap()))
-            .collect();
+        let addresses = ids.map(|id| (id, reserve_tcp_address().unwrap())).collect();
         ReplicaGroup {
             executor: Rc::new(LocalExecutor::new()),
             folder,
--- a/tools/acceptance/src/bin/prove-run/running.rs
+++ b/tools/acceptance/src/bin/prove-run/running.rs
@@ -10,7 +10,7 @@
 use violetgate_acceptance::{AcceptanceError, Result, Verdict};
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
-use violetgate_test_harness::{free_tcp_addresses, wait_until, KillOnDrop};
+use violetgate_test_harness::{reserve_tcp_addresses, wait_until, KillOnDrop};
 
 use crate::Deployment;
 
@@ -33,7 +33,7 @@
 /// Runs the program as the deploy file says, and inspects its process after some queries.
 pub fn check(deployment: &Deployment, program: &Path, verdict: &mut Verdict) -> Result<()> {
     let engines = FakeUpstreams::start(2, Profile::default())?;
-    let [listen, management] = free_tcp_addresses()?;
+    let [listen, management] = reserve_tcp_addresses()?;
     let process_id = std::process::id();
     let folder = std::env::temp_dir().join(format!("violetgate-prove-run-{process_id}"));
     std::fs::create_dir_all(&folder)?;
--- a/tools/acceptance/src/cluster/files.rs
+++ b/tools/acceptance/src/cluster/files.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 
 use violetgate_fake_upstreams::FakeUpstreams;
-use violetgate_test_harness::{free_tcp_addresses, SETTINGS_FILE};
+use violetgate_test_harness::{reserve_tcp_addresses, SETTINGS_FILE};
 
 use crate::{AcceptanceError, Result};
 
@@ -28,9 +28,9 @@
 }
 
 impl InstanceAddresses {
-    /// Addresses that nothing listens on.
+    /// Reserves addresses for an instance.
     pub(super) fn choose() -> Result<Self> {
-        let [peer, postgres, rest, api] = free_tcp_addresses()?;
+        let [peer, postgres, rest, api] = reserve_tcp_addresses()?;
         Ok(InstanceAddresses {
             peer,
             postgres,
--- a/tools/acceptance/src/gateway.rs
+++ b/tools/acceptance/src/gateway.rs
@@ -7,7 +7,7 @@
 use violetgate_fake_upstreams::client::{HttpClient, PostgresClient};
 use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_test_harness::{
-    free_tcp_addresses, wait_until, LogTarget, ProcessUsage, ServerProcess, SETTINGS_FILE,
+    reserve_tcp_addresses, wait_until, LogTarget, ProcessUsage, ServerProcess, SETTINGS_FILE,
 };
 
 use crate::{AcceptanceError, Result};
@@ -44,7 +44,7 @@
     ///
     /// It can't be started, or does not listen within ten seconds.
     pub fn start(program: &Path, engines: &FakeUpstreams, rest_settings: &str) -> Result<Self> {
-        let [postgres_addr, rest_addr] = free_tcp_addresses()?;
+        let [postgres_addr, rest_addr] = reserve_tcp_addresses()?;
         let folder = std::env::temp_dir().join(format!("violetgate-prove-{}", std::process::id()));
         write_files(&folder, engines, postgres_addr, rest_addr, rest_settings)?;
         let mut process = ServerProcess::new(program, folder, LogTarget::Discard);
--- a/tools/acceptance/src/in_process.rs
+++ b/tools/acceptance/src/in_process.rs
@@ -13,7 +13,7 @@
 use violetgate_replica::ReplicaConfig;
 use violetgate_replica_runtime::{Bootstrap, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
-use violetgate_test_harness::free_tcp_addresses;
+use violetgate_test_harness::reserve_tcp_address;
 
 use crate::{AcceptanceError, Result, Verdict};
 
@@ -67,7 +67,7 @@
         executor: &Rc<LocalExecutor<'static>>,
         snapshot_interval: u64,
     ) -> Result<Rc<ReplicaRuntime>> {
-        let [listen] = free_tcp_addresses()?;
+        let listen = reserve_tcp_address()?;
         let options = ReplicaOptions {
             cluster: CLUSTER.to_owned(),
             id: MEMBER,
--- a/tools/fleet-harness/src/harness.rs
+++ b/tools/fleet-harness/src/harness.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use violetgate_fake_upstreams::{FakeUpstreams, Profile};
-use violetgate_test_harness::{free_tcp_addresses, free_udp_addresses, wait_until};
+use violetgate_test_harness::{reserve_tcp_addresses, reserve_udp_addresses, wait_until};
 
 use crate::process::{GatewayProcess, ObservedState};
 use crate::relay::Relay;
@@ -50,7 +50,7 @@
         let engines = FakeUpstreams::start(ENGINE_COUNT, Profile::default())?;
         let process_id = std::process::id();
         let folder = std::env::temp_dir().join(format!("violetgate-fleet-{process_id}-{seed}"));
-        let member_addrs = free_udp_addresses(count)?;
+        let member_addrs = reserve_udp_addresses(count)?;
         let mut fleet = FleetHarness {
             processes: Vec::new(),
             relay: Relay::new(&member_addrs, seed)?,
@@ -78,7 +78,7 @@
         let name = member_name(number);
         let folder = self.folder.join(&name);
         std::fs::create_dir_all(&folder)?;
-        let [listen, management] = free_tcp_addresses()?;
+        let [listen, management] = reserve_tcp_addresses()?;
         let mut settings = violetgate_fake_upstreams::settings();
         settings["balancers"] = count.into();
         let mut config = self.engines.config(&name, &listen.to_string(), &settings);
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -9,7 +9,7 @@
 
 use crate::error::ScaleError;
 use crate::figures::{Figures, Options};
-use crate::gateway_process::{free_address, ScaleGateway};
+use crate::gateway_process::{reserve_address, ScaleGateway};
 use crate::slope::{MeasuredRole, Slope};
 
 const ROLE: MeasuredRole = MeasuredRole {
@@ -88,7 +88,7 @@
 }
 
 fn start_gateway(engines: &FakeUpstreams) -> Result<ScaleGateway, ScaleError> {
-    let listen = free_address()?;
+    let listen = reserve_address()?;
     let mut config = engines.config(
         "scale",
         &listen.to_string(),
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -10,7 +10,7 @@
 
 use crate::error::ScaleError;
 use crate::figures::{CapacityLimit, Figures, Options};
-use crate::gateway_process::{free_address, ScaleGateway};
+use crate::gateway_process::{reserve_address, ScaleGateway};
 use crate::slope::{MeasuredRole, Slope};
 use crate::usage::{least, median};
 use scripted_bus::{event, full_list, server, ScriptedBus};
@@ -47,7 +47,7 @@
 /// The program can't be started or does not come to the bus.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let mut bus = ScriptedBus::start()?;
-    let listen = free_address()?;
+    let listen = reserve_address()?;
     let gateway = ScaleGateway::start(listen, &config(listen, &bus)?)?;
     let mut slopes = Slopes::default();
     for &engines in options.select(&SHORT_SIZES[..], &SIZES[..]) {
--- a/tools/scale/src/gateway_process.rs
+++ b/tools/scale/src/gateway_process.rs
@@ -7,7 +7,7 @@
 
 use serde_json::Value;
 use violetgate_test_harness::{
-    free_tcp_addresses, program_beside, wait_until, LogTarget, ProcessUsage, ServerProcess,
+    program_beside, reserve_tcp_address, wait_until, LogTarget, ProcessUsage, ServerProcess,
 };
 
 use crate::error::ScaleError;
@@ -31,14 +31,13 @@
     }
 }
 
-/// A free address of the loopback interface.
+/// Reserves an address of the loopback interface, as [`reserve_tcp_address`] does.
 ///
 /// # Errors
 ///
-/// The machine has none.
-pub fn free_address() -> Result<SocketAddr, ScaleError> {
-    let [address] = free_tcp_addresses().map_err(ScaleError::io("find a free port"))?;
-    Ok(address)
+/// No port is left to reserve.
+pub fn reserve_address() -> Result<SocketAddr, ScaleError> {
+    reserve_tcp_address().map_err(ScaleError::io("reserve a port"))
 }
 
 impl ScaleGateway {
--- a/tools/scale/src/replicated_state/group.rs
+++ b/tools/scale/src/replicated_state/group.rs
@@ -21,7 +21,7 @@
 use super::relay::{self, RelayCounts};
 use crate::error::ScaleError;
 use crate::figures::Options;
-use crate::gateway_process::free_address;
+use crate::gateway_process::reserve_address;
 use crate::usage::{median, process_cpu, thread_cpu};
 
 /// How long a group is idle while its costs are measured.
@@ -63,7 +63,7 @@
     ) -> Result<Self, ScaleError> {
         let folders = Rc::new(MemberFolders::new(seed));
         let progress = Arc::new(MemberProgress::default());
-        let listen = free_address()?;
+        let listen = reserve_address()?;
         let counts = Arc::new(RelayCounts::default());
         let relay = relay::start(listen, Arc::clone(&counts))?;
         let listens = BTreeMap::from([(LEADER, listen)]);
@@ -87,7 +87,7 @@
         let first = self.listens.len() as u64 + 1;
         let mut new = BTreeMap::new();
         for id in first..=size {
-            new.insert(id, free_address()?);
+            new.insert(id, reserve_address()?);
         }
         self.listens.extend(&new);
         let mut addresses = self.listens.clone();
--- a/tools/test-harness/src/addresses.rs
+++ b/tools/test-harness/src/addresses.rs
@@ -2,7 +2,8 @@
 
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result};
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::SocketAddr;
+use std::path::Path;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
 
@@ -11,68 +12,106 @@
 
 use crate::lock;
 
-/// Any free port of the loopback interface.
-const ANY_PORT: &str = "127.0.0.1:0";
 /// Ports below those that the machine gives to connections.
 const FIRST_RESERVED_PORT: u32 = 12_000;
 const RESERVED_PORTS: u32 = 20_000;
 /// By how far the first ports of two processes with successive ids lie apart.
 const PORTS_PER_PROCESS: u32 = 97;
+/// The state of a listening socket in `/proc/net/tcp`.
+const LISTEN_STATE: &str = "0A";
 
-/// Returns different TCP addresses that are free now; another process may take one before it is
-/// used.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Protocol {
+    Tcp,
+    Udp,
+}
+
+/// Returns a TCP address whose port lies below those that the machine gives to connections, since
+/// one of them could take it before the program listens. No address is returned twice, also not to
+/// another process that reserves addresses while this one runs.
 ///
 /// # Errors
 ///
-/// The machine has no free port.
-pub fn free_tcp_addresses<const N: usize>() -> Result<[SocketAddr; N]> {
-    // All are bound at the same time, so that no address is returned twice.
-    let listeners: Vec<TcpListener> = (0..N)
-        .map(|_| TcpListener::bind(ANY_PORT))
-        .collect::<Result<_>>()?;
-    let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); N];
-    for (address, listener) in addresses.iter_mut().zip(&listeners) {
-        *address = listener.local_addr()?;
-    }
-    Ok(addresses)
+/// Every port of the range is in use, the files that mark reserved ports can't be made, or the
+/// kernel's lists of sockets below `/proc/net` can't be read.
+pub fn reserve_tcp_address() -> Result<SocketAddr> {
+    reserve_address(Protocol::Tcp)
 }
 
-/// Returns `count` different UDP addresses that are free now; another process may take one before
-/// it is used.
+/// Returns `N` TCP addresses, each reserved as by [`reserve_tcp_address`].
 ///
 /// # Errors
 ///
-/// The machine has no free port.
-pub fn free_udp_addresses(count: usize) -> Result<Vec<SocketAddr>> {
-    let sockets: Vec<UdpSocket> = (0..count)
-        .map(|_| UdpSocket::bind(ANY_PORT))
-        .collect::<Result<_>>()?;
-    sockets.iter().map(UdpSocket::local_addr).collect()
+/// As [`reserve_tcp_address`].
+pub fn reserve_tcp_addresses<const N: usize>() -> Result<[SocketAddr; N]> {
+    let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); N];
+    for address in &mut addresses {
+        *address = reserve_tcp_address()?;
+    }
+    Ok(addresses)
 }
 
-/// Returns a TCP address whose port lies below those that the machine gives to connections, since
-/// one of them could take it before the program listens. No address is returned twice, also not to
-/// another process that reserves addresses while this one runs.
+/// Returns `count` UDP addresses, each reserved as by [`reserve_tcp_address`]. No port is reserved
+/// for both TCP and UDP.
 ///
 /// # Errors
 ///
-/// Every port of the range is in use, or the files that mark reserved ports can't be made.
-pub fn reserve_tcp_address() -> Result<SocketAddr> {
+/// As [`reserve_tcp_address`].
+pub fn reserve_udp_addresses(count: usize) -> Result<Vec<SocketAddr>> {
+    (0..count).map(|_| reserve_address(Protocol::Udp)).collect()
+}
+
+/// Claims ports of the range until one is not in use, and returns its address.
+fn reserve_address(protocol: Protocol) -> Result<SocketAddr> {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(PORTS_PER_PROCESS);
     for _ in 0..RESERVED_PORTS {
         let offset = first.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % RESERVED_PORTS;
         let port = u16::try_from(FIRST_RESERVED_PORT + offset).unwrap_or(u16::MAX);
-        if !claim_port(port)? {
-            continue;
-        }
-        if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
-            return listener.local_addr();
+        if claim_port(port)? && !is_port_in_use(protocol, port)? {
+            return Ok(SocketAddr::from(([127, 0, 0, 1], port)));
         }
     }
     Err(Error::new(ErrorKind::AddrInUse, "no reserved port is free"))
 }
 
+/// Whether a TCP socket listens or a UDP socket is bound at a port, at any address. No socket is
+/// bound to find out: a child process that another thread starts at that moment would inherit it
+/// and hold the port until it executes its program.
+fn is_port_in_use(protocol: Protocol, port: u16) -> Result<bool> {
+    let lists = match protocol {
+        Protocol::Tcp => ["tcp", "tcp6"],
+        Protocol::Udp => ["udp", "udp6"],
+    };
+    for list in lists {
+        let sockets = match std::fs::read_to_string(Path::new("/proc/net").join(list)) {
+            Ok(sockets) => sockets,
+            // The machine has no IPv6.
+            Err(error) if error.kind() == ErrorKind::NotFound && list.ends_with('6') => continue,
+            Err(error) => return Err(error),
+        };
+        if sockets
+            .lines()
+            .any(|socket| holds_port(socket, protocol, port))
+        {
+            return Ok(true);
+        }
+    }
+    Ok(false)
+}
+
+/// Whether a line of the kernel's list of sockets is of a TCP socket that listens or a UDP socket
+/// that is bound at the port.
+fn holds_port(socket: &str, protocol: Protocol, port: u16) -> bool {
+    let mut fields = socket.split_whitespace().skip(1);
+    let local_port = fields
+        .next()
+        .and_then(|address| address.rsplit_once(':'))
+        .and_then(|(_, digits)| u16::from_str_radix(digits, 16).ok());
+    let state = fields.nth(1);
+    local_port == Some(port) && (protocol == Protocol::Udp || state == Some(LISTEN_STATE))
+}
+
 /// Claims a port for this process until it ends, by a lock on a file that is never removed. False:
 /// another process has claimed it.
 fn claim_port(port: u16) -> Result<bool> {
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -11,7 +11,7 @@
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-pub use addresses::{free_tcp_addresses, free_udp_addresses, reserve_tcp_address};
+pub use addresses::{reserve_tcp_address, reserve_tcp_addresses, reserve_udp_addresses};
 pub use metrics::{parse_metrics, read_metrics, Metrics};
 pub use process::{
     program_beside, send_signal, server_command, KillOnDrop, LogTarget, ServerProcess,
--- a/tools/test-harness/tests/harness.rs
+++ b/tools/test-harness/tests/harness.rs
@@ -2,14 +2,14 @@
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeSet;
-use std::net::TcpListener;
+use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::Path;
 use std::process::Command;
 use std::time::Duration;
 
 use violetgate_test_harness::{
-    free_tcp_addresses, free_udp_addresses, reserve_tcp_address, wait_until, KillOnDrop, LogTarget,
-    ProcessUsage, ServerProcess,
+    reserve_tcp_address, reserve_tcp_addresses, reserve_udp_addresses, wait_until, KillOnDrop,
+    LogTarget, ProcessUsage, ServerProcess,
 };
 
 fn temporary_folder(name: &str) -> std::path::PathBuf {
@@ -20,10 +20,17 @@
 
 #[test]
 fn free_addresses_differ() {
-    let tcp = free_tcp_addresses::<20>().unwrap();
+    let tcp = reserve_tcp_addresses::<20>().unwrap();
     assert_eq!(tcp.iter().collect::<BTreeSet<_>>().len(), 20);
-    let udp = free_udp_addresses(20).unwrap();
+    let udp = reserve_udp_addresses(20).unwrap();
     assert_eq!(udp.iter().collect::<BTreeSet<_>>().len(), 20);
+    // All are bound at the same time.
+    let _listeners = tcp.map(|address| TcpListener::bind(address).unwrap());
+    let _sockets: Vec<_> = udp.iter().map(|at| UdpSocket::bind(at).unwrap()).collect();
+    let all: BTreeSet<SocketAddr> = tcp.into_iter().chain(udp).collect();
+    assert_eq!(all.len(), 40);
+    let in_range = |address: &SocketAddr| (12_000..32_000).contains(&address.port());
+    assert!(all.iter().all(in_range));
 }
 
 #[test]
@@ -38,6 +45,38 @@
     assert_eq!(addresses.len(), 20);
 }
 
+/// The sockets are bound at 127.0.0.2, so that they can't take an address that another process has
+/// reserved at 127.0.0.1 and does not listen at yet.
+#[test]
+fn ports_in_use_are_not_reserved() {
+    let next = reserve_tcp_address().unwrap().port() + 1;
+    let at = |port| SocketAddr::from(([127, 0, 0, 2], port));
+    let listeners: Vec<_> = (next..next + 20)
+        .filter_map(|port| TcpListener::bind(at(port)).ok())
+        .collect();
+    let tcp = reserve_tcp_addresses::<40>().unwrap();
+    let held = |port| {
+        listeners
+            .iter()
+            .any(|l| l.local_addr().unwrap().port() == port)
+    };
+    assert!(!listeners.is_empty());
+    assert!(!tcp.iter().any(|address| held(address.port())));
+
+    let next = reserve_udp_addresses(1).unwrap().first().unwrap().port() + 1;
+    let sockets: Vec<_> = (next..next + 20)
+        .filter_map(|port| UdpSocket::bind(at(port)).ok())
+        .collect();
+    let udp = reserve_udp_addresses(40).unwrap();
+    let held = |port| {
+        sockets
+            .iter()
+            .any(|s| s.local_addr().unwrap().port() == port)
+    };
+    assert!(!sockets.is_empty());
+    assert!(!udp.iter().any(|address| held(address.port())));
+}
+
 #[test]
 fn waiting_ends_when_the_condition_holds_or_the_time_is_over() {
     let mut checks = 0;
