--- a/gateway/src/dispatch/attempts.rs
+++ b/gateway/src/dispatch/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their start, their cancellation, and the one end that each of them gets.
+//! Starts and cancels attempts, and reports the end of each attempt to the decisions exactly once.
 
 use std::rc::Rc;
 
@@ -14,8 +14,8 @@
 use crate::fence::rejection_or_failure;
 
 impl Dispatch {
-    /// Sends an attempt of a query to an engine, with a time-out in microseconds; 0 stands for
-    /// none.
+    /// Sends the next attempt of a query to an engine. `timeout` is in microseconds; with 0, only
+    /// the request's deadline applies. An attempt that can't be sent ends as `NeverSent`.
     pub(super) fn send(&self, query: QueryId, engine: EngineId, timeout: Micros) {
         let now = self.clock.now();
         let mut open = self.open.borrow_mut();
@@ -66,19 +66,19 @@
         self.engines.send(attempt);
     }
 
-    /// Cancels an attempt that the decisions withdraw.
+    /// Cancels an attempt at the request of the decisions.
     pub(super) fn cancel_attempt(&self, query: QueryId, attempt: u32) {
-        self.give_up(query, attempt, Outcome::Cancelled);
+        self.abort_attempt(query, attempt, Outcome::Cancelled);
     }
 
-    /// Cancels an attempt whose time is over.
+    /// Cancels an attempt whose deadline has passed.
     pub(super) fn time_out_attempt(&self, query: QueryId, attempt: u32) {
-        self.give_up(query, attempt, Outcome::TimedOut);
+        self.abort_attempt(query, attempt, Outcome::TimedOut);
     }
 
-    /// Cancels an attempt if it is in flight: the engine first, then the decisions learn of its
-    /// end.
-    fn give_up(&self, query: QueryId, attempt: u32, outcome: Outcome) {
+    /// Cancels an attempt if it is in flight. The cancellation goes to the engine before the
+    /// attempt's end goes to the decisions. `outcome` is reported unless nothing was written.
+    fn abort_attempt(&self, query: QueryId, attempt: u32, outcome: Outcome) {
         if self.number_in_flight(query) != Some(attempt) {
             return;
         }
@@ -89,7 +89,8 @@
         self.attempt_ended(AttemptEnd::without_result(query, attempt, outcome));
     }
 
-    /// Takes back the attempt of a query that nobody waits for, if nothing of it was written yet.
+    /// Recalls the attempt in flight of a query whose answer is no longer awaited, if nothing of
+    /// the attempt has been written.
     pub(super) fn recall_attempt(&self, query: QueryId) {
         let Some(number) = self.number_in_flight(query) else {
             return;
@@ -107,7 +108,7 @@
     }
 }
 
-/// The moment by which an attempt has to end.
+/// Returns the time by which an attempt has to end, in microseconds since the Unix epoch.
 fn attempt_deadline(request_deadline: Micros, now: Micros, timeout: Micros) -> Micros {
     if timeout == 0 {
         request_deadline
@@ -116,7 +117,7 @@
     }
 }
 
-/// The end of an attempt of which nothing left this process.
+/// Returns the end of an attempt of which nothing left this process.
 fn never_sent(query: QueryId, attempt: u32, engine: EngineId) -> AttemptEnded {
     AttemptEnded {
         query,
@@ -130,8 +131,8 @@
     }
 }
 
-/// Whether an engine may have seen an attempt that ended so.
-fn may_have_been_seen(outcome: Outcome) -> bool {
+/// Returns whether an engine may have run an attempt that ended with `outcome`.
+fn may_have_run(outcome: Outcome) -> bool {
     !matches!(
         outcome,
         Outcome::Overloaded | Outcome::ConnectionRefused | Outcome::NeverSent
@@ -160,12 +161,12 @@
         let Some(request) = open.get_mut(&end.query) else {
             return;
         };
-        let is_this = |attempt: &mut AttemptInFlight| attempt.number == end.number;
-        let Some(attempt) = request.in_flight.take_if(is_this) else {
+        let is_same = |attempt: &mut AttemptInFlight| attempt.number == end.number;
+        let Some(attempt) = request.in_flight.take_if(is_same) else {
             return;
         };
-        if may_have_been_seen(end.outcome) {
-            request.first_seen_at = request.first_seen_at.or(Some(attempt.sent_at));
+        if may_have_run(end.outcome) {
+            request.dedup_window_start = request.dedup_window_start.or(Some(attempt.sent_at));
         }
         let timer = TimerEvent::AttemptDeadline {
             query: end.query,
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -1,8 +1,9 @@
-//! The dispatcher: owns the decision module, feeds it the events and carries out its actions, in
+//! The dispatcher owns the decision module, passes events to it and carries out its actions in
 //! order.
 //!
-//! It decides nothing. It does the bookkeeping that the module's interface requires: the number of
-//! each attempt, one end for each, one answer for each request, and one queue of timers.
+//! The dispatcher makes no routing decisions. It does the bookkeeping that the decision module's
+//! interface requires: it numbers the attempts, reports one end for each attempt, gives one answer
+//! to each request, and keeps the timers.
 
 mod attempts;
 mod open_request;
@@ -24,29 +25,29 @@
 use recent_ids::RecentIds;
 use timers::{TimerEvent, TimerQueue};
 
-/// The dispatcher of one gateway.
+/// Connects the client protocols, the decision module and the upstream side of one gateway.
 pub struct Dispatch {
     clock: Clock,
     decisions: RefCell<Gateway>,
     classes: Vec<ClassProperties>,
     engines: Rc<dyn UpstreamEngines>,
-    /// Whether anything may be sent, where that is not always so.
+    /// Checked before anything is sent upstream. `None`: sending is always allowed.
     fence: Option<Rc<dyn Fence>>,
-    /// Requests and attempts that the fence has stopped.
+    /// The number of requests and attempts that the fence has stopped.
     fenced_count: Cell<u64>,
-    /// The process ends, and takes no more requests.
+    /// Whether the process is ending, so that new requests are rejected.
     is_shut_down: Cell<bool>,
     open: RefCell<HashMap<QueryId, OpenRequest>>,
     recent_ids: RefCell<RecentIds>,
     events: RefCell<VecDeque<Event>>,
-    /// The decision module runs: what happens meanwhile is queued.
+    /// Whether `process_events` is running. Events that occur meanwhile are only queued.
     is_running: Cell<bool>,
     timers: TimerQueue,
 }
 
 impl Dispatch {
-    /// Creates a dispatcher before an upstream side. `seed` is that of the decisions' random
-    /// numbers.
+    /// Creates a dispatcher that sends attempts to `engines`. `seed` initialises the random numbers
+    /// of the decision module. Without a `fence`, sending is always allowed.
     #[must_use]
     pub fn new(
         clock: Clock,
@@ -78,42 +79,42 @@
     /// Updates the engine list.
     pub fn update_engines(&self, scope: ListScope, listed: &[ListedEngine]) {
         let engines = listed.iter().map(|listed| listed.engine).collect();
-        // The decisions learn of it before the ends of the attempts that it ends, and before any
-        // further send.
+        // The decision module gets the new list before the ends of the attempts that
+        // `update_list` ends, and before any further attempt is sent.
         self.queue(Event::EngineList { scope, engines });
         self.engines.update_list(scope, listed);
         self.process_events();
     }
 
-    /// The number of listed engines, and how many of them are avoided.
+    /// Returns the number of listed engines, and how many of them the decisions avoid.
     #[must_use]
     pub fn engine_counts(&self) -> EngineCounts {
         self.decisions.borrow().engine_counts()
     }
 
-    /// Sets how many gateways share the engines from now on.
+    /// Sets the number of gateways that share the engines.
     pub fn set_fleet_size(&self, gateways: u32) {
         self.queue(Event::FleetSize { gateways });
         self.process_events();
     }
 
-    /// Cordons an engine: nothing more is sent to it. Or uncordons it.
+    /// Cordons an engine, so that nothing more is sent to it, or uncordons it.
     pub fn set_cordoned(&self, engine: EngineId, cordoned: bool) {
         self.queue(Event::Cordon { engine, cordoned });
         self.engines.set_cordoned(engine, cordoned);
         self.process_events();
     }
 
-    /// Answers every open request, as the process ends: with a rejection where a retry does no
-    /// harm, else with a failure. Requests submitted later are answered so at once: begun now, they
-    /// would be cut off.
+    /// Answers every open request because the process is ending: with a rejection if a retry does
+    /// no harm, else with a failure. Requests submitted later are rejected at once, because the end
+    /// of the process would interrupt them.
     pub fn shut_down(&self) {
         self.is_shut_down.set(true);
         self.reject_open(&Answer::ShuttingDown, |_| true);
     }
 
-    /// Answers every request that waits to be sent, as the fence is closed. Attempts in flight may
-    /// still end.
+    /// Answers every request that has no attempt in flight, because the fence has closed. Attempts
+    /// in flight may still complete.
     pub fn reject_queued(&self) {
         self.reject_open(&Answer::StateUnconfirmed, |request| {
             request.in_flight.is_none()
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Whether anything may be sent; what may not is counted.
+    /// Returns whether sending is allowed, and counts the calls for which it is not.
     fn check_fence(&self) -> bool {
         let is_open = self.fence.as_ref().is_none_or(|fence| fence.is_open());
         let stopped = u64::from(!is_open);
@@ -146,7 +147,7 @@
         is_open
     }
 
-    /// The number of requests and attempts that the fence has stopped.
+    /// Returns the number of requests and attempts that the fence has stopped.
     #[must_use]
     pub fn fenced_count(&self) -> u64 {
         self.fenced_count.get()
@@ -156,9 +157,9 @@
         self.events.borrow_mut().push_back(event);
     }
 
-    /// Feeds queued events to the decision module until none is left. A call from within, as when
-    /// an attempt ends while it is being sent, only queues its event, so that actions are carried
-    /// out in order.
+    /// Passes queued events to the decision module and carries out its actions, until no event is
+    /// left. A nested call returns at once, for example when an attempt ends while it is being
+    /// sent: the outer call processes the event later, so that actions are carried out in order.
     fn process_events(&self) {
         if self.is_running.replace(true) {
             return;
@@ -197,19 +198,19 @@
             }
             Action::Fail { query } => self.answer(query, Answer::Failed),
             Action::SetTimer { at } => self.timers.schedule(at, TimerEvent::Decisions),
-            // The engine list is always followed.
+            // The engine list is always subscribed to.
             Action::SubscribeEngineList => {}
         }
     }
 
-    /// Sets the memory grant of a query's next attempts, and the priority also of the one in
-    /// flight.
+    /// Sets the memory grant and the priority of a query's next attempts. The priority also applies
+    /// to the attempt in flight. `memory_mb` is rounded to whole megabytes.
     fn set_resources(&self, query: QueryId, memory_mb: f64, priority: u8) {
         let mut open = self.open.borrow_mut();
         let Some(request) = open.get_mut(&query) else {
             return;
         };
-        // A value out of range saturates.
+        // The cast saturates if the value is out of range.
         request.memory_grant_mb = memory_mb.round() as u64;
         let is_new = request.priority.replace(priority) != Some(priority);
         let is_in_flight = request.in_flight.is_some();
@@ -219,8 +220,8 @@
         }
     }
 
-    /// Gives a request its answer. An attempt of which nothing was written yet must not begin any
-    /// more; one that has begun is the decisions' to cancel or to let run.
+    /// Answers a request. An attempt of which nothing has been written is recalled, so that it does
+    /// not begin. Whether an attempt that has begun is cancelled is up to the decision module.
     fn answer(&self, query: QueryId, answer: Answer) {
         let mut open = self.open.borrow_mut();
         let Some(request) = open.get_mut(&query) else {
@@ -235,13 +236,13 @@
         self.recall_attempt(query);
     }
 
-    /// Closes a request that has its answer, or needs none, and no attempt in flight.
+    /// Closes a request that is answered or withdrawn and has no attempt in flight.
     fn close(&self, open: &mut HashMap<QueryId, OpenRequest>, query: QueryId) {
         open.remove(&query);
         self.recent_ids.borrow_mut().add(query, self.clock.now());
     }
 
-    /// Fires timers for ever.
+    /// Fires timers when they are due. Never returns.
     pub async fn run_timers(&self) {
         self.timers.run(self.clock, || self.fire_due_timers()).await;
     }
--- a/gateway/src/dispatch/open_request.rs
+++ b/gateway/src/dispatch/open_request.rs
@@ -6,12 +6,12 @@
 
 use crate::exchange::{Answer, Exchange};
 
-/// What the dispatcher needs to know of a class of requests.
+/// The properties of a request class that the dispatcher uses.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ClassProperties {
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated, and whether engines discard repeats.
     pub idempotency: Idempotency,
-    /// For how long engines discard a repeat, in microseconds.
+    /// How long engines discard a repeated request, in microseconds.
     pub dedup_window: Option<Micros>,
 }
 
@@ -24,7 +24,8 @@
     }
 }
 
-/// An attempt in flight.
+/// The attempt of a request that was sent upstream and has not ended. Times are in microseconds
+/// since the Unix epoch.
 pub(super) struct AttemptInFlight {
     pub number: u32,
     pub engine: EngineId,
@@ -32,16 +33,17 @@
     pub deadline: Micros,
 }
 
-/// A request without its answer, or with an attempt in flight.
+/// A request that has no answer yet, or still has an attempt in flight.
 pub(super) struct OpenRequest {
     pub exchange: Rc<Exchange>,
     pub idempotency: Idempotency,
-    /// For how long engines discard a repeat, where they do.
+    /// How long engines discard a repeat of this request, in microseconds. `None`: they don't.
     pub dedup_window: Option<Micros>,
-    /// When the first attempt was sent that an engine may have seen.
-    pub first_seen_at: Option<Micros>,
+    /// When the first attempt that may have run was sent, in microseconds since the Unix epoch.
+    /// The deduplication window begins at this time.
+    pub dedup_window_start: Option<Micros>,
     pub is_answered: bool,
-    /// Attempts so far; also the number of the next one.
+    /// The number of attempts so far, which is also the number of the next attempt.
     pub attempts: u32,
     pub priority: Option<u8>,
     pub memory_grant_mb: u64,
@@ -55,7 +57,7 @@
             exchange,
             idempotency: class.idempotency,
             dedup_window: class.dedup_window.filter(|_| is_deduplicated),
-            first_seen_at: None,
+            dedup_window_start: None,
             is_answered: false,
             attempts: 0,
             priority: None,
@@ -64,17 +66,18 @@
         }
     }
 
-    /// Gives the request its answer, unless it has one.
+    /// Completes the request with an answer, unless it already has one.
     pub(super) fn answer(&mut self, answer: Answer) {
         if !std::mem::replace(&mut self.is_answered, true) {
             self.exchange.complete(answer);
         }
     }
 
-    /// The moment by which an attempt has to begin. It may wait for a connection: a repeat that
-    /// left after the deduplication window would run a second time.
+    /// Returns the time by which an attempt with this deadline has to begin, in microseconds since
+    /// the Unix epoch. An attempt may wait for a connection, and an engine would run a retry that
+    /// reaches it after the deduplication window a second time.
     pub(super) fn begin_by(&self, deadline: Micros) -> Micros {
-        let window_end = self.first_seen_at.zip(self.dedup_window);
-        window_end.map_or(deadline, |(first, window)| deadline.min(first + window))
+        let dedup_window = self.dedup_window_start.zip(self.dedup_window);
+        dedup_window.map_or(deadline, |(start, length)| deadline.min(start + length))
     }
 }
--- a/gateway/src/dispatch/recent_ids.rs
+++ b/gateway/src/dispatch/recent_ids.rs
@@ -1,23 +1,23 @@
-//! Request ids that were in use a short while ago, so that none is taken twice.
+//! Remembers the ids of recently closed requests, so that none of them is accepted again.
 
 use std::collections::{HashSet, VecDeque};
 
 use violetgate_policy::interface::{Micros, QueryId};
 
-/// How long an id that was in use is not taken again, in microseconds. Ids are new with every
-/// request: one that comes again is a client's mistake, and its bytes may mean something else.
+/// How long the id of a closed request is rejected, in microseconds. Clients use a new id for every
+/// request, so a repeated id is a client error, and the second request may differ from the first.
 pub(super) const RECENT_ID_LIFETIME_US: Micros = 10_000_000;
 
-/// Ids that were in use a short while ago.
+/// The ids of requests that were closed recently.
 #[derive(Default)]
 pub(super) struct RecentIds {
     ids: HashSet<QueryId>,
-    /// The same, oldest first, with the time of each.
+    /// The same ids, oldest first, each with the time at which its request was closed.
     by_age: VecDeque<(Micros, QueryId)>,
 }
 
 impl RecentIds {
-    /// Adds an id, and removes those whose time is over.
+    /// Adds an id, and removes ids older than [`RECENT_ID_LIFETIME_US`].
     pub(super) fn add(&mut self, id: QueryId, now: Micros) {
         while let Some((at, oldest)) = self.by_age.front().copied() {
             if at + RECENT_ID_LIFETIME_US >= now {
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Whether an id was in use a short while ago.
+    /// Returns whether an id belongs to a request that was closed recently.
     pub(super) fn contains(&self, id: QueryId) -> bool {
         self.ids.contains(&id)
     }
 
-    /// The number of ids, in both of its parts.
+    /// Returns the lengths of `ids` and `by_age`.
     #[cfg(test)]
     pub(super) fn sizes(&self) -> (usize, usize) {
         (self.ids.len(), self.by_age.len())
--- a/gateway/src/dispatch/request_sink.rs
+++ b/gateway/src/dispatch/request_sink.rs
@@ -1,4 +1,4 @@
-//! What client protocols ask of the dispatcher: it takes requests, and clients withdraw them.
+//! Accepts requests from the client protocols and handles their withdrawal.
 
 use std::rc::Rc;
 
@@ -21,8 +21,8 @@
             return Ok(());
         }
         let mut open = self.open.borrow_mut();
-        // An engine that sees an id again takes it for a further attempt of the first request,
-        // which has its answer.
+        // An engine would treat a second request with the same id as another attempt of the first
+        // request, which may already be answered.
         if open.contains_key(&id) || self.recent_ids.borrow().contains(id) {
             return Err(RequestIdInUse);
         }
--- a/gateway/src/dispatch/tests/attempts.rs
+++ b/gateway/src/dispatch/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: their numbers, ends, deadlines, priorities and grants.
+//! Tests of the attempts' numbers, ends, deadlines, priorities and memory grants.
 
 use futures_lite::FutureExt;
 use violetgate_policy::interface::Progress;
@@ -19,14 +19,15 @@
     }
 }
 
-/// A late end of the first attempt changes nothing, and no end is reported twice.
+/// A late end of the first attempt is ignored while the second is in flight, and so is a second end
+/// of the same attempt.
 #[test]
 fn each_attempt_ends_once_and_is_retried_under_the_next_number() {
     let (dispatch, upstream) = dispatch(2);
     let exchange = submit(&dispatch, 1, 60_000_000);
     assert!(
         dispatch.submit(&exchange) == Err(RequestIdInUse),
-        "an id that is open is not taken again"
+        "the id of an open request is not accepted again"
     );
     dispatch.attempt_ended(end(1, 0, Outcome::ConnectionLost));
     dispatch.attempt_ended(end(1, 0, Outcome::Completed));
@@ -39,14 +40,14 @@
     assert_eq!(
         dispatch.submit(&again),
         Err(RequestIdInUse),
-        "nor is one that was open a moment ago"
+        "the id of a recently closed request is not accepted"
     );
     let sends = upstream.calls("send 1.").len();
     assert_eq!(sends, 2);
 }
 
-/// At the end of the client's time the engine gets its cancel first, then the client its answer,
-/// once.
+/// When the client's time is over, the attempt is first cancelled at its engine, then the client
+/// gets its one answer. A late result is ignored, and the attempt's timer is removed.
 #[test]
 fn a_silent_attempt_is_cancelled_before_its_client_is_answered() {
     let (dispatch, upstream) = dispatch(1);
@@ -71,14 +72,14 @@
     );
 }
 
-/// At the very end of its budget the client's own cancel request may come first, and the request is
-/// lost.
+/// An attempt that ended only at the end of the client's timeout would be answered too late: the
+/// client's own cancel request could arrive first, and the request would be lost.
 #[test]
 fn an_attempt_ends_early_enough_for_the_answer_to_arrive() {
     let (dispatch, _) = dispatch(1);
-    for (id, budget, kept) in [(1, 6_000_000, 25_000), (2, 8_000, 2_000)] {
-        let exchange = submit(&dispatch, id, budget);
-        let at = exchange.request.received + budget - kept;
+    for (id, client_timeout, allowance) in [(1, 6_000_000, 25_000), (2, 8_000, 2_000)] {
+        let exchange = submit(&dispatch, id, client_timeout);
+        let at = exchange.request.received + client_timeout - allowance;
         assert!(
             has_timer(&dispatch, at, id),
             "{:?}",
@@ -87,17 +88,17 @@
     }
 }
 
-/// A client writes requests of one ordering key apart, and counts what it waited before into the
-/// time that it states.
+/// A client waits between requests with the same ordering key, and its stated timeout includes that
+/// wait.
 #[test]
 fn an_ordered_request_ends_earlier_by_what_its_client_may_have_waited() {
     let (dispatch, _) = dispatch(1);
-    for (id, budget, kept) in [(1, 6_000_000, 275_000), (2, 400_000, 100_000)] {
-        let mut keyed = request(&dispatch, id, budget);
+    for (id, client_timeout, allowance) in [(1, 6_000_000, 275_000), (2, 400_000, 100_000)] {
+        let mut keyed = request(&dispatch, id, client_timeout);
         keyed.query.ordering_key = Some(7 + id);
         let exchange = Exchange::new(keyed);
         assert_eq!(dispatch.submit(&exchange), Ok(()));
-        let at = exchange.request.received + budget - kept;
+        let at = exchange.request.received + client_timeout - allowance;
         assert!(
             has_timer(&dispatch, at, id),
             "{:?}",
@@ -121,7 +122,8 @@
     assert_eq!(priorities, ["priority 1 3", "priority 1 2"]);
 }
 
-/// The one in flight keeps its own.
+/// A grant that changes while an attempt is in flight does not change that attempt, and the
+/// decision module sets the grant of the retry again.
 #[test]
 fn an_attempt_carries_the_grant_that_is_in_force_when_it_is_sent() {
     let (dispatch, upstream) = dispatch_with(
@@ -132,9 +134,9 @@
             ..Settings::default()
         },
     );
-    let mut wanted = request(&dispatch, 1, 60_000_000);
-    wanted.query.estimated_memory_mb = Some(100.0);
-    let exchange = Exchange::new(wanted);
+    let mut with_estimate = request(&dispatch, 1, 60_000_000);
+    with_estimate.query.estimated_memory_mb = Some(100.0);
+    let exchange = Exchange::new(with_estimate);
     assert_eq!(dispatch.submit(&exchange), Ok(()));
     let first = upstream.last_call();
     assert!(
@@ -150,11 +152,12 @@
     let second = upstream.last_call();
     assert!(
         second.starts_with("send 1.1 ") && !second.contains("333"),
-        "the module's last word: {second}"
+        "the decision module sets another grant for the retry: {second}"
     );
 }
 
-/// And only that: an attempt that waits for memory is cancelled and goes elsewhere.
+/// An attempt that waits for memory is cancelled and retried at another engine. Reports for another
+/// attempt number or an unknown query are ignored.
 #[test]
 fn progress_of_the_attempt_in_flight_reaches_the_decisions() {
     let (dispatch, upstream) = dispatch_with(
@@ -184,8 +187,8 @@
     );
 }
 
-/// Engines would run it a second time once they have forgotten its first attempt. The window counts
-/// from the first attempt that may have run.
+/// A retry that began after the deduplication window would run a second time, because engines no
+/// longer know the first attempt. The window counts from the first attempt that may have run.
 #[test]
 fn a_retry_begins_within_the_deduplication_window() {
     let window = Some(2_000_000);
@@ -199,14 +202,14 @@
     dispatch.attempt_ended(end(1, 0, Outcome::ConnectionRefused));
     let before = dispatch.now();
     dispatch.attempt_ended(end(1, 1, Outcome::ConnectionLost));
-    let by = upstream.begin_by.borrow().clone();
+    let begin_by = upstream.begin_by.borrow().clone();
     assert_eq!(
-        by[..2],
+        begin_by[..2],
         [exchange.request.deadline(); 2],
-        "nothing has run: only the deadline counts"
+        "no attempt has run, so only the deadline applies"
     );
     assert!(
-        by[2] <= before + 2_000_000 && by[2] >= exchange.request.received + 2_000_000,
-        "{by:?}"
+        begin_by[2] <= before + 2_000_000 && begin_by[2] >= exchange.request.received + 2_000_000,
+        "{begin_by:?}"
     );
 }
--- a/gateway/src/dispatch/tests/clients.rs
+++ b/gateway/src/dispatch/tests/clients.rs
@@ -1,9 +1,9 @@
-//! Clients that disconnect, request ids that come again, and the end of the process.
+//! Tests of clients that disconnect, of the memory of recent request ids, and of shutdown.
 
 use super::*;
 use crate::dispatch::recent_ids::RECENT_ID_LIFETIME_US;
 
-/// They would pile up otherwise.
+/// Ids that were never removed would use more memory with every request.
 #[test]
 fn recent_ids_are_forgotten_in_their_time() {
     let mut recent = RecentIds::default();
@@ -22,8 +22,9 @@
     assert!(answer(&exchange).is_none() && has_no_open_request(&dispatch));
 }
 
-/// Whatever its class: it would run for nobody once its connection came up. One that has begun is
-/// the decisions' to end.
+/// If the client disconnects while an attempt of any class waits for its connection, the attempt is
+/// recalled; else it would run for no one once it is connected. An attempt that has begun is left
+/// to the decisions, which cancel it if its class is idempotent.
 #[test]
 fn an_attempt_without_a_connection_ends_with_its_client() {
     for idempotency in [
@@ -43,27 +44,31 @@
             upstream.awaits_connection.set(waits);
             let exchange = submit(&dispatch, 1, 60_000_000);
             dispatch.withdraw(1);
-            let taken_back = upstream
+            let is_stopped = upstream
                 .calls
                 .borrow()
                 .iter()
                 .any(|n| n == "cancel 1" || n == "recall 1");
-            let over = has_no_open_request(&dispatch);
+            let is_closed = has_no_open_request(&dispatch);
             assert!(
-                taken_back && answer(&exchange).is_none(),
+                is_stopped && answer(&exchange).is_none(),
                 "{idempotency:?} {waits}: {:?}",
                 upstream.calls.borrow()
             );
-            assert!(over || !waits, "{idempotency:?}: it goes on waiting");
             assert!(
-                over || idempotency != Idempotency::Idempotent,
-                "{waits}: one that may be repeated is withdrawn"
+                is_closed || !waits,
+                "{idempotency:?}: an attempt that waits for its connection ends"
+            );
+            assert!(
+                is_closed || idempotency != Idempotency::Idempotent,
+                "awaits_connection={waits}: an idempotent request is cancelled"
             );
         }
     }
 }
 
-/// Nothing begins for a query that has its answer.
+/// When a query is answered while its attempt waits for a connection, the attempt is recalled, so
+/// that it does not begin.
 #[test]
 fn an_attempt_without_a_connection_ends_with_its_answer() {
     let (dispatch, upstream) = dispatch_with(
@@ -81,7 +86,8 @@
     assert_eq!(upstream.last_call(), "recall 1");
 }
 
-/// Open requests are answered, and so are later ones: begun, they would be cut off by the end.
+/// Shutdown answers the open requests. Later requests are rejected, because the end of the process
+/// would interrupt them.
 #[test]
 fn nothing_begins_once_the_process_ends() {
     let (dispatch, upstream) = dispatch(1);
--- a/gateway/src/dispatch/tests/fence.rs
+++ b/gateway/src/dispatch/tests/fence.rs
@@ -1,8 +1,9 @@
-//! A closed fence.
+//! Tests of a dispatcher whose fence is closed.
 
 use super::*;
 
-/// New and queued requests are rejected at once; attempts in flight may still complete.
+/// New requests and those that wait for a retry are rejected at once. Attempts in flight may still
+/// complete.
 #[test]
 fn nothing_is_sent_or_retried_while_the_fence_is_closed() {
     let (dispatch, upstream) = dispatch(2);
--- a/gateway/src/dispatch/tests/mod.rs
+++ b/gateway/src/dispatch/tests/mod.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher owes the decisions and the clients, without sockets.
+//! Tests of the dispatcher against a recording upstream side, without sockets.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -20,14 +20,14 @@
     Attempt, AttemptEnd, AttemptEvents as _, CancelOutcome, Exchange, Request, RequestIdInUse,
 };
 
-/// An upstream side that records what it is asked, and ends nothing by itself; also a fence.
+/// A fake upstream side that records its calls and ends no attempt by itself. It is also the fence.
 #[derive(Default)]
 struct RecordingEngines {
     calls: RefCell<Vec<String>>,
     is_fence_closed: Cell<bool>,
-    /// Whether attempts still wait for their connection.
+    /// Whether attempts still wait for their connection, so that `recall_unsent` succeeds.
     awaits_connection: Cell<bool>,
-    /// By when each attempt had to begin.
+    /// `begin_by` of each attempt, in the order in which they were sent.
     begin_by: RefCell<Vec<Micros>>,
 }
 
@@ -36,12 +36,12 @@
         self.calls.borrow_mut().push(call);
     }
 
-    /// The calls that begin with a text.
-    fn calls(&self, start: &str) -> Vec<String> {
+    /// Returns the recorded calls that start with `prefix`.
+    fn calls(&self, prefix: &str) -> Vec<String> {
         let calls = self.calls.borrow();
         calls
             .iter()
-            .filter(|call| call.starts_with(start))
+            .filter(|call| call.starts_with(prefix))
             .cloned()
             .collect()
     }
@@ -119,8 +119,8 @@
     };
     let upstream = Rc::new(RecordingEngines::default());
     let fence: Rc<dyn Fence> = Rc::<RecordingEngines>::clone(&upstream);
-    let engines_side: Rc<dyn UpstreamEngines> = Rc::<RecordingEngines>::clone(&upstream);
-    let dispatch = Dispatch::new(Clock::start(), settings, 7, engines_side, Some(fence));
+    let engine_pool: Rc<dyn UpstreamEngines> = Rc::<RecordingEngines>::clone(&upstream);
+    let dispatch = Dispatch::new(Clock::start(), settings, 7, engine_pool, Some(fence));
     let addr = SocketAddr::from(([127, 0, 0, 1], 1));
     let listed = |id| ListedEngine {
         engine: Engine {
--- a/gateway/src/dispatch/timers.rs
+++ b/gateway/src/dispatch/timers.rs
@@ -1,4 +1,4 @@
-//! The queue of timers, fired by one task.
+//! The dispatcher's timer queue. One task fires the timers.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -12,25 +12,26 @@
 
 use crate::clock::Clock;
 
-/// What a timer is for. Of those due at one time, the decisions' come first.
+/// What a timer triggers. At the same due time, the decisions' timer fires before the attempts'
+/// deadlines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerEvent {
-    /// The decision module set it.
+    /// Runs the decision module, which set this timer.
     Decisions,
-    /// An attempt has to end.
+    /// Times out an attempt that is still in flight.
     AttemptDeadline {
-        /// The query that it serves.
+        /// The query of the attempt.
         query: QueryId,
-        /// Its number.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
 }
 
-/// Timers by the time at which they are due, in microseconds since the Unix epoch.
+/// Timers, ordered by due time in microseconds since the Unix epoch.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     pub(super) entries: RefCell<BTreeSet<(Micros, TimerEvent)>>,
-    /// The time that the task waits for; `None`: it waits for the first entry.
+    /// The due time that the task is waiting for. `None`: the queue is empty.
     armed_at: Cell<Option<Micros>>,
     waker: RefCell<Option<Waker>>,
 }
@@ -49,7 +50,7 @@
         self.entries.borrow_mut().remove(&(at, event));
     }
 
-    /// Takes the first timer that is due.
+    /// Removes and returns the earliest timer that is due.
     pub(super) fn pop_due(&self, now: Micros) -> Option<TimerEvent> {
         let mut entries = self.entries.borrow_mut();
         let first = entries.first().copied();
@@ -58,7 +59,7 @@
         Some(event)
     }
 
-    /// Calls `fire_due` whenever a timer is due, for ever.
+    /// Calls `fire_due` whenever a timer may be due. Never returns.
     pub(super) async fn run(&self, clock: Clock, fire_due: impl Fn()) {
         let mut timer = Timer::never();
         poll_fn(|context| loop {
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -1,10 +1,9 @@
-//! The exchange: the one place where the downstream (client) side and the upstream (engine) side
-//! meet.
+//! The interface between the downstream (client) side and the upstream (engine) side.
 //!
-//! A client protocol makes a [`Request`] of what it read, opens an [`Exchange`] for it, submits
-//! that to a [`RequestSink`] and waits for the [`Answer`]. An engine protocol carries out an
-//! [`Attempt`] at an exchange and reports its end to [`AttemptEvents`]. Neither knows the other;
-//! nothing here knows a protocol.
+//! A client protocol reads a [`Request`], opens an [`Exchange`] for it, submits the exchange to a
+//! [`RequestSink`] and waits for the [`Answer`]. An engine protocol carries out each [`Attempt`]
+//! and reports its end to [`AttemptEvents`]. The two sides do not depend on each other, and this
+//! module depends on no protocol.
 
 use std::cell::RefCell;
 use std::future::poll_fn;
@@ -17,43 +16,45 @@
     Cost, Engine, EngineId, ListScope, Micros, NewQuery, Outcome, Progress, QueryId,
 };
 
-/// The part of a client's time that is reserved for the transit of the request and of its answer,
-/// and for the rounding of a budget to milliseconds: an answer made at the very end of the time
-/// arrives after its client has given up.
+/// The part of a client's timeout, in microseconds, that is reserved for the transit of the request
+/// and of its answer, and for the rounding of the timeout to milliseconds. An answer given at the
+/// very end of the timeout would arrive after the client has stopped waiting.
 const TRANSIT_US: Micros = 25_000;
 
-/// What a client may have waited, of the time that it states, before it wrote a request with an
-/// ordering key: it writes those of one key a quarter of a second apart where the earlier one came
-/// on a new connection.
+/// How long, in microseconds, a client may have waited before it wrote a request with an ordering
+/// key; its stated timeout includes this wait. Clients write requests with the same key 250 ms
+/// apart if the earlier one used a new connection.
 const ORDERED_CLIENT_DELAY_US: Micros = 250_000;
 
-/// Of a client's time, one part in so many is the most that the two allowances above may take: they
-/// would eat up a short one.
-const LARGEST_ALLOWANCE_DIVISOR: Micros = 4;
+/// The two allowances above together take at most a client's timeout divided by this number, as
+/// they would otherwise use up a short timeout.
+const MAX_ALLOWANCE_DIVISOR: Micros = 4;
 
-/// The most bytes of a result; the upstream side lets no more pass. Engines are allowed 48,000.
+/// The maximum size of a result in bytes. The upstream side rejects larger results. Engines may
+/// send up to 48,000 bytes.
 pub const MAX_RESULT_BYTES: usize = 64 * 1024;
 
-/// One client's request: what the decisions need, and the bytes that are forwarded as they came.
+/// A client's request: the query as the decisions see it, and the parts that are forwarded to the
+/// engine unchanged.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// What the decisions need; its `client_timeout` counts from `received`.
+    /// The query as the decisions see it. Its `client_timeout` counts from `received`.
     pub query: NewQuery,
-    /// When its last byte was read, in microseconds since the Unix epoch.
+    /// When the last byte of the request was read, in microseconds since the Unix epoch.
     pub received: Micros,
-    /// The request id in the client's own spelling.
+    /// The request id as the client wrote it.
     pub id_text: Box<str>,
-    /// The class's name.
+    /// The name of the request's class.
     pub class: Box<str>,
-    /// The idempotency key, where the class has one.
+    /// The idempotency key, if the request has one.
     pub idempotency_key: Option<Box<str>>,
-    /// The statement, without the comment that held the fields.
+    /// The statement, without the comment that carried the request's fields.
     pub statement: Box<[u8]>,
 }
 
 impl Request {
-    /// The last moment at which an answer still reaches the client, in microseconds since the Unix
-    /// epoch.
+    /// Returns the latest time at which an answer can be given and still reach the client before
+    /// its timeout, in microseconds since the Unix epoch.
     #[must_use]
     pub fn deadline(&self) -> Micros {
         let client_timeout = self.query.client_timeout;
@@ -62,7 +63,7 @@
         } else {
             0
         };
-        let allowance = (TRANSIT_US + client_delay).min(client_timeout / LARGEST_ALLOWANCE_DIVISOR);
+        let allowance = (TRANSIT_US + client_delay).min(client_timeout / MAX_ALLOWANCE_DIVISOR);
         self.received.saturating_add(client_timeout - allowance)
     }
 }
@@ -70,69 +71,70 @@
 /// The pages of a complete result, as the engine sent them.
 pub type Pages = Vec<Box<[u8]>>;
 
-/// A complete result, and the attempt that made it.
+/// A complete result, and the attempt that produced it.
 #[derive(Debug)]
 pub struct QueryResult {
-    /// Its pages.
+    /// All pages of the result, in order.
     pub pages: Pages,
-    /// The query that ran.
+    /// The query that produced the result.
     pub query: QueryId,
-    /// The number of the attempt, from 0.
+    /// The number of the attempt that produced the result, from 0.
     pub attempt: u32,
 }
 
 impl QueryResult {
-    /// The size of all its pages in bytes.
+    /// Returns the total size of the pages in bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.pages.iter().map(|page| page.len()).sum()
     }
 }
 
-/// The one final answer to a request.
+/// The final answer to a request. Each request gets at most one.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    /// All rows.
+    /// The query completed with this result.
     Served(Rc<QueryResult>),
     /// Rejected to shed load; a retry does no harm.
     Rejected {
         /// How long the client should wait before it retries, in microseconds.
         retry_after: Micros,
     },
-    /// Rejected because this process ends; a retry does no harm.
+    /// Rejected because this process is ending; a retry does no harm.
     ShuttingDown,
-    /// Rejected because this instance can't confirm the shared state; another instance
-    /// may serve it.
+    /// Rejected because this instance can't confirm the shared state. Another instance may serve
+    /// the request.
     StateUnconfirmed,
-    /// Failed; it may have had its effect.
+    /// Failed; the query may have had its effect.
     Failed,
-    /// Its idempotency key was used with another query; nothing ran.
+    /// The idempotency key was already used with a different query. Nothing ran.
     KeyConflict,
-    /// An earlier query of its idempotency key may have had its effect, and engines would no longer
-    /// discard a second one; nothing ran.
+    /// An earlier query with the same idempotency key may have had its effect, and engines would no
+    /// longer discard a repeat. Nothing ran.
     OutcomeUnknown,
 }
 
-/// The answer of an exchange, and who waits for it.
+/// The answer of an exchange, until it is taken, and the task that waits for it.
 #[derive(Debug, Default)]
 struct AnswerSlot {
     answer: Option<Answer>,
     waker: Option<Waker>,
 }
 
-/// A request on its way to its one answer.
+/// A request together with its pending answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The request.
+    /// The client's request.
     pub request: Request,
-    /// The engine connections that earlier attempts used. A later attempt avoids them, so that a
-    /// duplicated answer to a dead attempt can't pass for an answer to a live one with the same id.
+    /// The ids of the engine connections that the request's attempts used. Later attempts avoid
+    /// these connections, because all attempts have the same request id: a late or duplicated
+    /// answer to an earlier attempt would be taken for the answer to the current one.
     pub used_connections: RefCell<Vec<u64>>,
     slot: RefCell<AnswerSlot>,
 }
 
 impl Exchange {
-    /// Opens an exchange.
+    /// Creates an exchange without an answer.
     #[must_use]
     pub fn new(request: Request) -> Rc<Self> {
         Rc::new(Exchange {
@@ -142,13 +144,13 @@
         })
     }
 
-    /// The id of the request.
+    /// Returns the id of the request.
     #[must_use]
     pub fn id(&self) -> QueryId {
         self.request.query.id
     }
 
-    /// Gives the answer.
+    /// Stores the answer and wakes the task that waits for it.
     pub fn complete(&self, answer: Answer) {
         let mut slot = self.slot.borrow_mut();
         slot.answer = Some(answer);
@@ -157,7 +159,7 @@
         }
     }
 
-    /// Waits for the answer.
+    /// Waits for the answer and takes it out of the exchange.
     pub async fn answer(&self) -> Answer {
         poll_fn(|context| {
             let mut slot = self.slot.borrow_mut();
@@ -173,63 +175,65 @@
     }
 }
 
-/// A request was not taken: its id is that of a request which is open, or was until just now.
+/// The request was not accepted, because its id belongs to a request that is open or was closed
+/// recently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("this request id is in use: send the request under another one")]
 pub struct RequestIdInUse;
 
-/// Where client protocols submit requests.
+/// Accepts requests from the client protocols.
 pub trait RequestSink {
-    /// Takes a request; its answer comes through the exchange.
+    /// Submits a request. Its answer arrives through the exchange.
     ///
     /// # Errors
     ///
-    /// Its id is in use; the exchange gets no answer.
+    /// Fails if the request's id is in use. The exchange then gets no answer.
     fn submit(&self, exchange: &Rc<Exchange>) -> Result<(), RequestIdInUse>;
 
-    /// The client no longer waits for its answer.
+    /// Withdraws a request whose client no longer waits for the answer. Without effect if the
+    /// request is unknown or answered.
     fn withdraw(&self, query: QueryId);
 
-    /// The time on the one clock, in microseconds since the Unix epoch.
+    /// Returns the time on the process's clock, in microseconds since the Unix epoch.
     fn now(&self) -> Micros;
 }
 
 /// One attempt of a request at an engine.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The exchange that it serves.
+    /// The exchange of the request.
     pub exchange: Rc<Exchange>,
-    /// Its number, from 0.
+    /// The number of the attempt among those of its request, from 0.
     pub number: u32,
-    /// The engine that it goes to.
+    /// The engine that the attempt is sent to.
     pub engine: EngineId,
-    /// Its priority level at the engine, if one was set.
+    /// The priority level at the engine, if one was set.
     pub priority: Option<u8>,
-    /// Memory granted, in MB; 0: the engine decides.
+    /// The memory granted to the attempt, in MB. With 0, the engine decides.
     pub memory_grant_mb: u64,
-    /// The moment from which nothing of it may be written any more if nothing was yet.
+    /// When it becomes too late to begin writing the attempt, in microseconds since the Unix epoch.
     pub begin_by: Micros,
-    /// The moment by which it has to end.
+    /// When the attempt has to end, in microseconds since the Unix epoch.
     pub deadline: Micros,
 }
 
-/// The end of an attempt that the upstream side saw.
+/// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// The query that it served.
+    /// The query that the attempt belonged to.
     pub query: QueryId,
-    /// Its number, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
-    /// How it ended.
+    /// The outcome as the decisions see it.
     pub outcome: Outcome,
-    /// What it cost, if the engine reported that.
+    /// The cost of the query, if the engine reported it.
     pub cost: Option<Cost>,
-    /// The result, if `outcome` is `Completed`.
+    /// The pages of the result if `outcome` is `Completed`, else empty.
     pub pages: Pages,
 }
 
 impl AttemptEnd {
-    /// An end without a result.
+    /// Creates an end without cost and result.
     #[must_use]
     pub fn without_result(query: QueryId, number: u32, outcome: Outcome) -> Self {
         AttemptEnd {
@@ -242,64 +246,64 @@
     }
 }
 
-/// What an engine reported of an attempt that still runs.
+/// An engine's progress report on a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptProgress {
-    /// The query that it serves.
+    /// The query that the attempt belongs to.
     pub query: QueryId,
-    /// Its number, from 0.
+    /// The number of the attempt, from 0.
     pub number: u32,
-    /// The report.
+    /// The progress that the engine reported.
     pub progress: Progress,
 }
 
-/// Where the upstream side reports on attempts.
+/// Receives the upstream side's reports on attempts.
 pub trait AttemptEvents {
-    /// An attempt ended by itself.
+    /// Reports that an attempt ended without having been cancelled.
     fn attempt_ended(&self, end: AttemptEnd);
 
-    /// An attempt that still runs made progress.
+    /// Reports the progress of a running attempt.
     fn attempt_progressed(&self, progress: AttemptProgress);
 }
 
-/// An engine of the list, and where it listens.
+/// An entry of the engine list.
 #[derive(Debug, Clone)]
 pub struct ListedEngine {
-    /// What the decisions need.
+    /// The engine as the decisions see it.
     pub engine: Engine,
-    /// Where it listens.
+    /// The address at which the engine listens.
     pub addr: SocketAddr,
 }
 
-/// What became of a cancelled attempt.
+/// Whether a cancelled attempt may have reached its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// Some of it was written: the engine may have run it.
+    /// Part of the attempt was written, so the engine may have run it.
     MayHaveRun,
-    /// Nothing of it was ever written: the engine has not seen it.
+    /// Nothing of the attempt was written, so the engine has not received it.
     NeverSent,
 }
 
-/// What the dispatcher requests of an engine protocol.
+/// The upstream side as the dispatcher uses it.
 pub trait UpstreamEngines {
-    /// Starts an attempt. Its end comes through `AttemptEvents`, unless it is cancelled first.
+    /// Starts an attempt. Its end is reported to [`AttemptEvents`], unless it is cancelled first.
     fn send(&self, attempt: Attempt);
 
-    /// Cancels the attempt of a query; nothing more is reported of it.
+    /// Cancels the attempt of a query. Nothing more is reported about it.
     fn cancel(&self, query: QueryId) -> CancelOutcome;
 
-    /// Takes back the attempt of a query if nothing of it was written yet; nothing more is reported
-    /// of it. False: it has begun, and goes on.
+    /// Cancels the attempt of a query if nothing of it has been written, and reports nothing more
+    /// about it. Returns false, and lets the attempt continue, if it has begun.
     fn recall_unsent(&self, query: QueryId) -> bool;
 
     /// Sets the priority level of the attempt of a query.
     fn set_priority(&self, query: QueryId, priority: u8);
 
-    /// Cordons an engine: attempts not yet written to it end as never sent, and it gets no more. Or
-    /// uncordons it: it may be used again, but not by its old connections.
+    /// Cordons or uncordons an engine. A cordoned engine gets no more attempts, and those not yet
+    /// written to it end as `NeverSent`. An uncordoned engine is used again, on new connections.
     fn set_cordoned(&self, engine: EngineId, cordoned: bool);
 
-    /// Updates the engine list. Attempts not yet written to an engine that takes no more end as
-    /// never sent.
+    /// Updates the engine list. Attempts not yet written to an engine that accepts no more end as
+    /// `NeverSent`.
     fn update_list(&self, scope: ListScope, engines: &[ListedEngine]);
 }
--- a/gateway/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -1,25 +1,27 @@
-//! The fence: whether anything may be sent upstream now, and the answer to a request while nothing
-//! may. An open fence lets all pass; a closed one, of which the log says that it is shut, nothing.
+//! The fence, which decides whether anything may be sent upstream, and the answer to requests that
+//! may not be sent. An open fence allows every send, and a closed fence none. The log calls a
+//! closed fence "shut".
 //!
 //! Instances that share state may route only on a confirmed copy of it. A fenced instance rejects
-//! requests at once and never holds them back: another instance may serve them.
+//! requests at once instead of queuing them, because another instance may serve them.
 
 use violetgate_policy::interface::Idempotency;
 
 use crate::exchange::Answer;
 
-/// Checked before every send, and again before what was queued is written.
+/// Decides whether anything may be sent upstream. The fence is checked before every send, and again
+/// before a queued attempt is written to its connection.
 pub trait Fence {
-    /// Whether anything may be sent now.
+    /// Returns whether anything may be sent upstream at the moment.
     fn is_open(&self) -> bool;
 }
 
-/// The answer to a request that may not be sent, or not again, as the fence is closed or the process
-/// ends, after `attempts` attempts:
-/// `rejection` where a retry does no harm, else a failure.
+/// Returns the answer to a request that may not be sent any more, because the fence is closed or
+/// the process is ending, after `attempts` attempts: `rejection` if a retry does no harm, else
+/// [`Answer::Failed`].
 ///
-/// A retry of a deduplicated request may have to go to the engine that saw the first attempt, so it
-/// must not be sent to another instance.
+/// A retry of a deduplicated request may have to go to the engine that got the first attempt, so
+/// the client must not be told to send it to another instance.
 #[must_use]
 pub fn rejection_or_failure(idempotency: Idempotency, attempts: u32, rejection: Answer) -> Answer {
     if idempotency == Idempotency::Idempotent || attempts == 0 {
--- a/gateway/src/fence/tests.rs
+++ b/gateway/src/fence/tests.rs
@@ -1,4 +1,4 @@
-//! Which requests may be sent to another instance.
+//! Tests which requests are rejected, so that clients may retry them at another instance.
 
 use super::*;
 
--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -1,4 +1,5 @@
-//! Sockets: listening beside another process, and closing without a reset.
+//! Socket helpers: listening on an address shared with another process, and closing a connection
+//! without a reset.
 
 use std::io::Read;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,18 +10,19 @@
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
 
-/// Connections that the kernel may queue until they are accepted. The standard library's 128 are
-/// taken by one burst of silent clients; the kernel then drops what arrives, and the usual clients
-/// among it retry only after one, three and seven seconds.
+/// The number of connections that the kernel may queue until they are accepted. One burst of silent
+/// clients fills the standard library's 128. The kernel then drops further connections, and regular
+/// clients among them retry only after one, three and seven seconds.
 const BACKLOG: i32 = 4096;
-/// A connection that is closed for what it sent is still read for this time, up to this many bytes:
-/// unread input makes the close a reset, which can destroy the error on its way.
+/// How long, and up to how many bytes (`LINGER_BYTES`), input is still read before a connection is
+/// closed because of what the peer sent. Closing with unread input would reset the connection, and
+/// the reset can destroy an error response in transit.
 const LINGER_TIME: Duration = Duration::from_millis(300);
 const LINGER_BYTES: usize = 256 * 1024;
 const LINGER_CHUNK_BYTES: usize = 4096;
 
-/// Listens at an address that another process of the same user may share: at an upgrade the new
-/// version listens beside the old one, and the kernel distributes connections over both.
+/// Listens on an address that another process of the same user may share. During an upgrade the old
+/// and the new version both listen, and the kernel distributes connections over both.
 ///
 /// # Errors
 ///
@@ -39,7 +41,7 @@
     Async::new(TcpListener::from(socket))
 }
 
-/// Whether the peer has closed the connection, even if what it sent before has not been read.
+/// Returns whether the peer has closed the connection, even if data that it sent before is unread.
 #[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
@@ -54,7 +56,8 @@
             .any(|descriptor| descriptor.revents().intersects(hang_up))
 }
 
-/// Shuts the sending side, and reads for a moment what the peer still sends.
+/// Shuts down the sending side, then reads and discards what the peer still sends, within
+/// `LINGER_TIME` and `LINGER_BYTES`.
 pub async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let drain = async {
