--- a/gateway/src/upstream/close_reason.rs
+++ b/gateway/src/upstream/close_reason.rs
@@ -1,33 +1,35 @@
-//! Why a connection to an engine ended.
+//! The reasons for which connections to engines end.
 
 use std::fmt;
 
-/// Why a connection to an engine ended; its text is the reason code in the log.
+/// Why a connection to an engine ended. The `Display` form is the reason code in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Closed here before the engine would do so.
+    /// The connection was idle, and was closed before the engine would close it.
     Idle,
-    /// Its engine was removed or has restarted, and nothing was open any more.
+    /// The connection was no longer to be used, for example because its engine was removed or has
+    /// restarted, and no attempt was open on it.
     Retired,
-    /// Idle, and closed in favour of another engine.
+    /// The connection was idle, and was closed to keep within the limit on connections.
     Evicted,
-    /// Its only query was cancelled, so nothing more may be sent on it.
+    /// The last open attempt was cancelled, and the connection can't be reused.
     Cancelled,
-    /// The engine closed it.
+    /// The engine closed the connection.
     Closed,
-    /// It broke.
+    /// Reading or writing failed.
     Reset,
     /// The rest of an answer did not arrive in time.
     IncompleteAnswer,
-    /// It did not come up, though nobody refused it: it was reset, or descriptors ran out.
+    /// Connecting failed without being refused: the connection was reset, or the process ran out of
+    /// file descriptors.
     ConnectError,
-    /// Nobody listens at the engine's address.
+    /// Nothing listens at the engine's address.
     ConnectRefused,
-    /// It did not come up in time.
+    /// Connecting took too long.
     ConnectTimeout,
-    /// The engine sent what is no answer.
+    /// The engine violated the protocol.
     ProtocolError,
-    /// The engine no longer reads.
+    /// The engine no longer reads its commands.
     Stalled,
 }
 
--- a/gateway/src/upstream/codec.rs
+++ b/gateway/src/upstream/codec.rs
@@ -1,8 +1,8 @@
-//! The line protocol: commands out, answers in.
+//! Writes the commands and parses the answers of the engines' line protocol.
 //!
-//! A line of words ends in CR LF; where its last word is a length, that many bytes and CR LF
-//! follow. An answer is `RID WORD FIELDS LENGTH`, its fields `NAME=VALUE` with commas between them,
-//! or `-`.
+//! A line consists of words separated by spaces and ends in CR LF. If its last word is a length,
+//! that many bytes and another CR LF follow. The line of an answer is `RID WORD FIELDS LENGTH`.
+//! `FIELDS` is a comma-separated list of `NAME=VALUE`, or `-` if there are none.
 
 use std::fmt::{Display, Write as _};
 
@@ -10,13 +10,14 @@
 
 use crate::hex;
 
-/// The longest line of an answer.
+/// The maximum length of an answer's line.
 const MAX_LINE_BYTES: usize = 1024;
-/// The longest body of an answer: well over the 6,000 bytes that a page may have.
+/// The maximum length of an answer's body. Pages have at most 6,000 bytes, well below this limit.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 const MICROS_PER_MS: f64 = 1e3;
 
-/// The protocol's own words, by the terms that the code uses. They stand nowhere else.
+/// Words of the wire protocol that differ from the terms used in the code. The codec uses them only
+/// through these constants.
 mod wire_word {
     pub const RUN: &str = "serve";
     pub const CANCEL: &str = "cancel";
@@ -40,27 +41,27 @@
     pub const WAITING: &str = "stall";
 }
 
-/// What an engine needs to know of an attempt, beside its statement.
+/// The command that starts an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct RunCommand<'a> {
-    /// The request's id in the client's spelling.
+    /// The request's id as the client wrote it.
     pub request_id: &'a str,
     /// The name of the request's class.
     pub class: &'a str,
-    /// Whole milliseconds until the answer is of no use.
+    /// The time left until the attempt's deadline, in milliseconds.
     pub time_left_ms: u64,
     /// The idempotency key, if the request has one.
     pub idempotency_key: Option<&'a str>,
-    /// Memory granted, in MB; 0 leaves it to the engine.
+    /// The memory granted, in MB. With 0, the engine decides.
     pub memory_grant_mb: u64,
     /// The priority level, if one was set.
     pub priority: Option<u8>,
-    /// The statement.
+    /// The statement to run, sent unchanged after the command line.
     pub statement: &'a [u8],
 }
 
 impl RunCommand<'_> {
-    /// Appends the command to `out`.
+    /// Appends the encoded command to `out`.
     pub fn write_to(&self, out: &mut Vec<u8>) {
         let head = format!(
             "{} {} {} {}\r\n",
@@ -98,44 +99,45 @@
     }
 }
 
-/// `cancel`: the attempt is given up before its answer has begun.
+/// Returns the `cancel` command, which cancels an attempt before its answer has begun.
 #[must_use]
 pub fn cancel_line(request_id: &str) -> String {
     format!("{} {request_id}\r\n", wire_word::CANCEL)
 }
 
-/// `release`: the remaining pages of an answer are given up.
+/// Returns the `release` command, which lets the engine discard the remaining pages of an answer.
 #[must_use]
 pub fn release_line(request_id: &str) -> String {
     format!("{} {request_id}\r\n", wire_word::DISCARD_PAGES)
 }
 
-/// `weigh`: the attempt has another priority level.
+/// Returns the `weigh` command, which changes the priority level of an attempt.
 #[must_use]
 pub fn priority_line(request_id: &str, priority: u8) -> String {
     format!("{} {request_id} {priority}\r\n", wire_word::SET_PRIORITY)
 }
 
-/// `read`: a further page is requested.
+/// Returns the `read` command, which requests a page of an answer after the first. Pages count
+/// from 0.
 #[must_use]
 pub fn page_line(request_id: &str, page: usize) -> String {
     format!("read {request_id} {page}\r\n")
 }
 
-/// What an answer is.
+/// The kind of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyKind {
     /// Page 0 of the result.
     FirstPage,
-    /// A further page.
+    /// A page after page 0.
     FurtherPage,
-    /// The engine is full: it never ran.
+    /// The engine is overloaded and did not run the attempt.
     Overloaded,
-    /// It failed, and may have run.
+    /// The attempt failed, and may have run.
     Error,
-    /// It was over already: it never ran.
+    /// The attempt was already over when the engine got to it, and did not run.
     NeverRan,
-    /// It still runs.
+    /// The attempt is still running.
     Progress,
 }
 
@@ -153,39 +155,39 @@
     }
 }
 
-/// One answer.
+/// A parsed answer of an engine.
 #[derive(Debug)]
 pub struct Reply<'a> {
-    /// The query that it answers.
+    /// The query that the answer belongs to.
     pub query: QueryId,
-    /// The same in the engine's spelling.
+    /// The query's request id as the engine wrote it.
     pub request_id: &'a str,
-    /// What it is.
+    /// The kind of the answer.
     pub kind: ReplyKind,
-    /// The number of all pages.
+    /// The total number of pages of the result, if reported.
     pub page_count: Option<usize>,
-    /// The number of this page, from 0.
+    /// The number of this page, from 0, if reported.
     pub page: Option<usize>,
-    /// What the query cost, if reported.
+    /// The cost of the query, if reported.
     pub cost: Option<Cost>,
-    /// The progress of an attempt that still runs, if it is of a known kind.
+    /// The progress of a running attempt, if reported and of a known kind.
     pub progress: Option<Progress>,
-    /// The page.
+    /// The content of the page; empty if the answer carries none.
     pub body: &'a [u8],
 }
 
-/// What stands at the start of the bytes read.
+/// The result of parsing the start of the received bytes.
 #[derive(Debug)]
 pub enum Parsed<'a> {
-    /// Not yet a complete answer.
+    /// More bytes are needed.
     Incomplete,
-    /// An answer, and how many bytes it took.
+    /// An answer, and the number of bytes that it takes up.
     Complete(Reply<'a>, usize),
-    /// Nothing that an engine may send.
+    /// The bytes violate the protocol.
     Garbage,
 }
 
-/// Reads the answer at the start of `bytes`.
+/// Parses the answer at the start of `bytes`.
 #[must_use]
 pub fn parse(bytes: &[u8]) -> Parsed<'_> {
     let Some(line_end) = memchr::memchr(b'\n', bytes) else {
@@ -213,7 +215,7 @@
     }
 }
 
-/// The line of an answer.
+/// The first line of an answer, split into its words.
 struct Head<'a> {
     query: QueryId,
     request_id: &'a str,
@@ -243,7 +245,8 @@
         })
     }
 
-    /// The answer; `None`: its word is unknown, or a field has no value.
+    /// Combines the line with the body. `None`: the line's word is unknown, or a field is not
+    /// `NAME=VALUE`.
     fn reply(self, body: &'a [u8]) -> Option<Reply<'a>> {
         let kind = ReplyKind::from_word(self.word)?;
         let fields = Fields::parse(self.fields)?;
@@ -260,7 +263,7 @@
     }
 }
 
-/// The fields of an answer that mean something here.
+/// The fields of an answer that the gateway uses. Other fields are ignored.
 #[derive(Default)]
 struct Fields<'a> {
     page_count: Option<usize>,
@@ -299,7 +302,7 @@
         })
     }
 
-    /// Progress of a kind that is not known says nothing.
+    /// Returns the reported progress. Progress of an unknown kind or without an amount is ignored.
     fn progress(&self) -> Option<Progress> {
         let (kind, amount) = self.progress_kind.zip(self.progress_amount)?;
         match kind {
--- a/gateway/src/upstream/connection/command_queue.rs
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -1,4 +1,4 @@
-//! The commands that wait to be written to an engine, and the one that is being written.
+//! The queue of commands to an engine, and the command that is being written.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::{ErrorKind, Write};
@@ -10,29 +10,29 @@
 use super::ActiveAttempt;
 use crate::exchange::Attempt;
 
-/// With more commands than this waiting, the engine has stopped reading.
+/// If more commands than this are waiting, the engine counts as having stopped reading.
 const MAX_QUEUED_COMMANDS: usize = 2_000;
 const MICROS_PER_MS: Micros = 1_000;
 
 /// A command to an engine.
 pub(super) enum Command {
-    /// Starts an attempt, if it has not been cancelled by then.
+    /// Starts an attempt, unless it is cancelled before the command is written.
     Run {
-        /// The query.
+        /// The query of the attempt.
         query: QueryId,
-        /// The number of the attempt.
+        /// The number of the attempt, from 0.
         attempt: u32,
     },
-    /// A line as it is written.
+    /// Sends this line, which includes its CR LF.
     Line(String),
 }
 
-/// How far a write came.
+/// The state of the queue after a successful write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
     /// All commands were written.
     Done,
-    /// The socket takes no more at the moment.
+    /// The socket accepts no more data at the moment.
     Blocked,
 }
 
@@ -41,9 +41,10 @@
 struct CurrentWrite {
     bytes: Vec<u8>,
     written: usize,
-    /// The query that it starts, until some of it has been written.
+    /// The query whose attempt the command starts. `None` for other commands, and once part of the
+    /// command has been written.
     starts: Option<QueryId>,
-    /// It is an attempt, which counts once it has been written completely.
+    /// Whether the command starts an attempt, which is counted once it is written completely.
     is_attempt: bool,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// Commands in the order in which they are written.
+/// The commands to one engine, in the order in which they are written.
 #[derive(Default)]
 pub(super) struct CommandQueue {
     waiting: VecDeque<Command>,
@@ -69,15 +70,17 @@
         self.waiting.clear();
     }
 
-    /// Discards the current command if it starts this query, as nothing of it was written yet.
+    /// Discards the current command if it starts the attempt of `query` and none of it has been
+    /// written.
     pub(super) fn discard_unwritten(&mut self, query: QueryId) {
         if self.current.starts == Some(query) {
             self.current = CurrentWrite::default();
         }
     }
 
-    /// Answers a reply that belongs to no attempt here: a late one to a dead attempt, a duplicate,
-    /// or one under an unknown id. It is skipped, and the engine can discard its further pages.
+    /// Handles a reply that belongs to no open attempt: a late reply to an attempt that has ended,
+    /// a duplicate, or a reply with an unknown id. The reply is skipped, and if it is the first of
+    /// several pages, the engine is told that it may discard the others.
     pub(super) fn release_unknown(&mut self, reply: &Reply<'_>) {
         let has_more = reply.page_count.is_some_and(|pages| pages > 1);
         if reply.kind == ReplyKind::FirstPage && has_more {
@@ -86,12 +89,13 @@
         }
     }
 
-    /// Writes as much as the socket takes. An attempt in `open` has begun once some of it was
-    /// written; `count_attempt` is called for each that was written completely.
+    /// Writes as much as the socket accepts. Attempts in `open` are marked as begun once part of
+    /// them is written. Calls `count_attempt` for each attempt that is written completely.
     ///
     /// # Errors
     ///
-    /// The connection is lost.
+    /// Fails if the connection is lost or too many commands are waiting, and returns the reason to
+    /// close it with.
     pub(super) fn write_to(
         &mut self,
         socket: &mut impl Write,
@@ -130,8 +134,8 @@
         }
     }
 
-    /// Takes the next command as the current one; one that was cancelled meanwhile is empty. False:
-    /// there is none.
+    /// Makes the next waiting command the current one. The command of an attempt that was cancelled
+    /// in the meantime becomes empty. Returns false if no command is waiting.
     fn start_next(&mut self, open: &HashMap<QueryId, ActiveAttempt>, now: Micros) -> bool {
         let mut bytes = std::mem::take(&mut self.current.bytes);
         bytes.clear();
@@ -156,8 +160,7 @@
     }
 }
 
-/// Appends the command that starts an attempt. Engines get its time left in milliseconds, rounded
-/// up.
+/// Appends the command that starts an attempt. The time left is sent in milliseconds, rounded up.
 pub(super) fn write_attempt(out: &mut Vec<u8>, attempt: &Attempt, now: Micros) {
     let request = &attempt.exchange.request;
     let time_left_ms = attempt.deadline.saturating_sub(now).div_ceil(MICROS_PER_MS);
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -1,7 +1,7 @@
-//! One connection to an engine, which carries many requests.
+//! A connection to an engine, which can carry many attempts at a time.
 //!
-//! What is sent waits as commands until the moment it is written, so that a request cancelled
-//! before that has not run.
+//! Attempts wait in a command queue and are encoded only when the socket accepts them. An attempt
+//! that is cancelled before that has not run.
 
 mod command_queue;
 mod partial_result;
@@ -22,12 +22,12 @@
 use command_queue::{Command, CommandQueue, WriteOutcome};
 use partial_result::{PageOutcome, PartialResult};
 
-/// An attempt that is out on this connection.
+/// An attempt that is queued or running on this connection.
 struct ActiveAttempt {
     attempt: Attempt,
-    /// How many connections have broken before any of it was written.
+    /// The number of earlier connections that broke before any of the attempt was written.
     broken_connections: u32,
-    /// Some of it has been written.
+    /// Whether part of the attempt has been written.
     has_begun: bool,
     result: PartialResult,
 }
@@ -53,42 +53,44 @@
     stream: Option<Rc<Async<TcpStream>>>,
 }
 
-/// What an engine said of an attempt.
+/// What an engine reported about an attempt.
 pub(super) enum UpstreamEvent {
-    /// It has ended.
+    /// The attempt has ended.
     Ended(AttemptEnd),
-    /// It still runs, and made progress.
+    /// The attempt is still running and made progress.
     Progressed(AttemptProgress),
 }
 
-/// An attempt of which nothing was written on a connection that has ended.
+/// An attempt on a connection that ended before any of the attempt was written.
 pub(super) struct UnsentAttempt {
     pub attempt: Attempt,
-    /// How many connections have broken under it so far.
+    /// The number of connections that broke before any of the attempt was written.
     pub broken_connections: u32,
 }
 
-/// What became of the attempts on a connection that has ended.
+/// The attempts that were open on a connection when it ended.
 #[derive(Default)]
 pub(super) struct UnfinishedAttempts {
-    /// Those that were written; their outcome is not known.
+    /// The ends of the attempts of which at least a part was written. They may have run.
     pub interrupted: Vec<AttemptEnd>,
-    /// Those that were not, and have not run.
+    /// The attempts of which nothing was written. They have not run.
     pub unsent: Vec<UnsentAttempt>,
 }
 
-/// One connection to an engine.
+/// A connection to an engine, from the start of connecting to its close.
 pub(super) struct Connection {
     pub id: u64,
     pub engine: EngineId,
     pub addr: SocketAddr,
-    /// It takes no further requests.
+    /// Whether the connection accepts no further attempts.
     pub is_retired: Cell<bool>,
+    /// When the connection was opened or an attempt on it last ended, in microseconds since the
+    /// Unix epoch. Meaningful only while no attempt is open.
     pub idle_since: Cell<Micros>,
-    /// Requests that it has carried.
+    /// The number of attempts queued on the connection so far.
     pub requests: Cell<u64>,
     pub has_ended: Cell<bool>,
-    /// The socket takes no more at the moment.
+    /// Whether the socket accepts no more data at the moment.
     pub is_blocked: Cell<bool>,
     stats: Rc<Stats>,
     state: RefCell<State>,
@@ -116,12 +118,13 @@
         })
     }
 
-    /// The number of attempts that are out on it.
+    /// Returns the number of attempts that are queued or running on the connection.
     pub(super) fn load(&self) -> usize {
         self.state.borrow().open.len()
     }
 
-    /// Whether its engine has closed it, or has sent something unasked, which is read next.
+    /// Returns whether the engine has closed the connection, or data from it waits to be read.
+    /// On an idle connection, such data was not requested.
     pub(super) fn has_unread_input(&self) -> bool {
         let state = self.state.borrow();
         let peeked = state
@@ -145,7 +148,8 @@
         self.state.borrow_mut().stream = Some(stream);
     }
 
-    /// Queues an attempt, under which so many connections have broken.
+    /// Queues an attempt. `broken_connections` is the number of earlier connections that broke
+    /// before any of it was written.
     pub(super) fn queue_attempt(&self, attempt: Attempt, broken_connections: u32) {
         let mut state = self.state.borrow_mut();
         let query = attempt.exchange.id();
@@ -164,7 +168,7 @@
         self.requests.set(self.requests.get() + 1);
     }
 
-    /// Cancels the attempt of a query.
+    /// Cancels the attempt of a query. If it has begun, the connection is retired.
     pub(super) fn cancel(&self, query: QueryId, now: Micros) -> CancelOutcome {
         let mut state = self.state.borrow_mut();
         let Some(active) = state.open.remove(&query) else {
@@ -175,10 +179,10 @@
             state.commands.discard_unwritten(query);
             return CancelOutcome::NeverSent;
         }
-        // Its engine, or this connection, did not respond in time; where an answer stopped in the
-        // middle, what follows here would be taken for its rest. And a late answer must not pass
-        // for one to a later attempt of the same query. So nothing more is sent here, while other
-        // open attempts still get their answers.
+        // The engine or this connection may have stopped responding. If an answer stopped part-way,
+        // the bytes after it would be read as its rest. A late answer must also not be taken for
+        // the answer to a later attempt of the same query. So no further attempt is sent on this
+        // connection, while other open attempts still get their answers.
         self.is_retired.set(true);
         let line = if active.result.has_begun() {
             codec::release_line(active.request_id())
@@ -189,7 +193,8 @@
         CancelOutcome::MayHaveRun
     }
 
-    /// Sets the priority level of the attempt of a query.
+    /// Sets the priority level of the attempt of a query. The engine is told if the attempt has
+    /// begun and its answer has not.
     pub(super) fn set_priority(&self, query: QueryId, priority: u8) {
         let mut state = self.state.borrow_mut();
         let Some(active) = state.open.get_mut(&query) else {
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Whether some of the attempt of a query has been written.
+    /// Returns whether part of the attempt of a query has been written.
     pub(super) fn has_begun(&self, query: QueryId) -> bool {
         let state = self.state.borrow();
         state
@@ -211,18 +216,19 @@
             .is_some_and(|active| active.has_begun)
     }
 
-    /// Takes back every attempt of which nothing was written: its engine takes no more, and one
-    /// that was sent late would violate its drain.
+    /// Cancels every attempt of which nothing was written, and returns their ends. Used when
+    /// attempts may no longer be sent to the engine, for example because it is draining.
     pub(super) fn take_unwritten(&self) -> Vec<AttemptEnd> {
-        self.take_back(|_| true)
+        self.cancel_unwritten(|_| true)
     }
 
-    /// Takes back every attempt of which nothing was written by the time it had to begin.
+    /// Cancels every attempt of which nothing was written before its `begin_by`, and returns their
+    /// ends.
     pub(super) fn take_late(&self, now: Micros) -> Vec<AttemptEnd> {
-        self.take_back(|attempt| now >= attempt.begin_by)
+        self.cancel_unwritten(|attempt| now >= attempt.begin_by)
     }
 
-    fn take_back(&self, is_affected: impl Fn(&Attempt) -> bool) -> Vec<AttemptEnd> {
+    fn cancel_unwritten(&self, is_affected: impl Fn(&Attempt) -> bool) -> Vec<AttemptEnd> {
         let ends: Vec<_> = self
             .state
             .borrow()
@@ -237,11 +243,12 @@
         ends
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much as the socket accepts.
     ///
     /// # Errors
     ///
-    /// The connection is lost.
+    /// Fails if the connection is lost or the engine has stopped reading, and returns the reason to
+    /// close the connection with.
     pub(super) fn flush(&self, now: Micros) -> Result<(), CloseReason> {
         let mut guard = self.state.borrow_mut();
         let state = &mut *guard;
@@ -258,12 +265,13 @@
         Ok(())
     }
 
-    /// Takes the next complete answer off `buffer` that says something of an attempt. `used` counts
-    /// the bytes that were taken.
+    /// Parses answers from `buffer`, starting at byte `used`, up to the first one that ends an
+    /// attempt or reports its progress. Adds the size of the parsed answers to `used`. `None`: the
+    /// buffer holds no such complete answer.
     ///
     /// # Errors
     ///
-    /// The engine sent what is no answer.
+    /// Fails if the engine violated the protocol.
     pub(super) fn next_event(
         &self,
         buffer: &[u8],
@@ -320,7 +328,7 @@
         Ok(Some(UpstreamEvent::Ended(active.into_end(outcome))))
     }
 
-    /// Ends the connection, once.
+    /// Ends the connection and returns its open attempts. A second call returns none.
     pub(super) fn end(&self) -> UnfinishedAttempts {
         let mut end = UnfinishedAttempts::default();
         if self.has_ended.replace(true) {
@@ -347,7 +355,7 @@
 }
 
 impl ActiveAttempt {
-    /// Once an answer has begun, its attempt makes no more progress.
+    /// Returns the event for a progress report. Reports after the first page are ignored.
     fn progress_event(&self, reply: &Reply<'_>) -> Option<UpstreamEvent> {
         let progress = reply.progress.filter(|_| !self.result.has_begun())?;
         Some(UpstreamEvent::Progressed(AttemptProgress {
--- a/gateway/src/upstream/connection/partial_result.rs
+++ b/gateway/src/upstream/connection/partial_result.rs
@@ -1,4 +1,4 @@
-//! The pages of a result as they arrive.
+//! Collects the pages of a result as they arrive.
 
 use std::ops::Range;
 
@@ -8,23 +8,23 @@
 use super::super::codec::{Reply, ReplyKind};
 use crate::exchange::{Pages, MAX_RESULT_BYTES};
 
-/// More pages than this are no result. The longest one takes 8 of 6,000 bytes; an engine may cut
-/// shorter ones.
+/// A result with more pages is a protocol error. The largest result takes 8 pages of 6,000 bytes,
+/// and an engine may use smaller pages.
 const MAX_PAGES: usize = 256;
-/// The columns of a row.
+/// A row has three columns, separated by tabs.
 const TABS_PER_ROW: usize = 2;
 
-/// What a page did to a result.
+/// The state of a result after a page was added.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum PageOutcome {
-    /// It is here already. The first copy counts, and the answers behind it are sound.
+    /// The page had arrived before. The first copy is kept, and later answers remain valid.
     Duplicate,
-    /// More pages are missing; these have not been requested yet.
+    /// Some pages are still missing.
     Incomplete {
-        /// Their numbers.
+        /// The numbers of the missing pages that have not been requested yet.
         pages_to_request: Range<usize>,
     },
-    /// It was the last one.
+    /// All pages have arrived.
     Complete,
 }
 
@@ -38,21 +38,21 @@
 }
 
 impl PartialResult {
-    /// Whether the first page is here.
+    /// Returns whether the first page has arrived.
     pub(super) fn has_begun(&self) -> bool {
         !self.pages.is_empty()
     }
 
-    /// What the query cost, as its first page has it.
+    /// Returns the cost of the query that was reported with the first page, if any.
     pub(super) fn reported_cost(&self) -> Option<Cost> {
         self.cost
     }
 
-    /// Adds a page.
+    /// Adds the page in `reply`.
     ///
     /// # Errors
     ///
-    /// It can't belong to this result.
+    /// Fails if the page can't belong to this result, for example because it is not made of rows.
     pub(super) fn add_page(&mut self, reply: &Reply<'_>) -> Result<PageOutcome, CloseReason> {
         let is_first = reply.kind == ReplyKind::FirstPage;
         let number = reply.page.filter(|_| !is_first).unwrap_or(0);
@@ -66,10 +66,10 @@
             self.begin(reply)?;
         }
         self.bytes += reply.body.len();
-        let is_sound = self.bytes <= MAX_RESULT_BYTES && is_rows(reply.body);
+        let is_valid = self.bytes <= MAX_RESULT_BYTES && is_rows(reply.body);
         let page = self.pages.get_mut(number).filter(|page| page.is_none());
         *page
-            .filter(|_| is_sound)
+            .filter(|_| is_valid)
             .ok_or(CloseReason::ProtocolError)? = Some(reply.body.into());
         self.missing -= 1;
         if self.missing == 0 {
@@ -95,7 +95,8 @@
     }
 }
 
-/// Whether a page holds complete rows of three columns of text, each row ended by a line feed.
+/// Returns whether a page consists of complete rows: UTF-8 text without NUL, in three tab-separated
+/// columns, each row ended by a line feed. An empty page is valid.
 pub(super) fn is_rows(page: &[u8]) -> bool {
     let is_row = |row: &[u8]| {
         let tabs = row.iter().filter(|byte| **byte == b'\t').count();
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -1,4 +1,4 @@
-//! One connection, most of the time without a socket.
+//! Tests of a single connection, most of them without a socket.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -49,8 +49,8 @@
     )
 }
 
-/// What waits for its connection has surely not run, and no longer may: one that left late would
-/// break the rule on drains.
+/// An attempt that waits for its connection has certainly not run. Once it is cancelled, it must
+/// not be sent: a late send to a draining engine would violate the drain.
 #[test]
 fn attempts_of_which_nothing_was_written_never_ran() {
     let connection = connection();
@@ -78,11 +78,15 @@
             .collect::<Vec<_>>(),
         [(4, 1)]
     );
-    assert!(connection.end().unsent.is_empty(), "it ends once");
+    assert!(
+        connection.end().unsent.is_empty(),
+        "a second end returns no attempts"
+    );
 }
 
-/// What was written goes out whole, may have run, and is given up with a word to the engine; its
-/// connection takes nothing further, so that no later attempt meets its late answer.
+/// A written attempt is sent completely, may have run, and is cancelled at the engine. Its
+/// connection accepts no further attempts, because a late answer could be taken for the answer to
+/// a later attempt.
 #[test]
 fn attempts_that_were_written_may_have_run_and_are_cancelled() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -106,18 +110,20 @@
     assert_eq!(ends, [(2, Outcome::ConnectionLost)]);
     let mut sent = String::new();
     engine.read_to_string(&mut sent).unwrap();
-    let serve = |id| format!("serve {id:016x} sort=lookup,patience=2,level=2 8\r\nSELECT 1\r\n");
+    let run_command =
+        |id| format!("serve {id:016x} sort=lookup,patience=2,level=2 8\r\nSELECT 1\r\n");
     let rest = format!("weigh {:016x} 3\r\ncancel {:016x}\r\n", 1, 1);
-    assert_eq!(sent, [serve(1), serve(2), rest].concat());
+    assert_eq!(sent, [run_command(1), run_command(2), rest].concat());
 }
 
-/// Second copies and answers under unknown ids are skipped; the result is whole and once. What
-/// can't be the answer to anything still ends the connection.
+/// Duplicate pages and answers with unknown ids are skipped, and the result is complete and
+/// reported once. An answer that can't belong to its attempt is an error, which ends the
+/// connection.
 #[test]
 fn duplicates_and_unknown_answers_are_skipped_and_malformed_ones_end_it() {
     let connection = connection();
-    let exchange = attempt(1);
-    connection.queue_attempt(exchange, 0);
+    let first_attempt = attempt(1);
+    connection.queue_attempt(first_attempt, 0);
     connection
         .state
         .borrow_mut()
@@ -128,16 +134,16 @@
     let page = |id: u8, word: &str, row: &str| {
         format!("{id:016x} {word} {}\r\n{row}\r\n", row.len()).into_bytes()
     };
-    let (zero, one) = (
+    let (first, next) = (
         page(1, "ok chunks=2,spent=5", "a\tb\tc\n"),
         page(1, "batch at=1", "d\te\tf\n"),
     );
     let other = page(9, "batch at=4", "x\ty\tz\n");
-    let bytes = [&other[..], &zero, &zero, &other, &one, &one, &zero].concat();
+    let bytes = [&other[..], &first, &first, &other, &next, &next, &first].concat();
     let mut used = 0;
     let Some(UpstreamEvent::Ended(end)) = connection.next_event(&bytes, &mut used, 0).unwrap()
     else {
-        unreachable!("an end")
+        unreachable!("expected the end of the attempt")
     };
     assert_eq!((end.query, end.outcome), (1, Outcome::Completed));
     assert_eq!(end.pages.concat(), b"a\tb\tc\nd\te\tf\n");
@@ -148,7 +154,7 @@
             .is_none()
             && used == bytes.len()
     );
-    for corrupt in [
+    for malformed in [
         page(2, "batch at=0", ""),
         page(2, "ok chunks=999", ""),
         page(2, "ok -", "a\tb\n"),
@@ -161,12 +167,13 @@
             .get_mut(&2)
             .unwrap()
             .has_begun = true;
-        assert!(connection.next_event(&corrupt, &mut 0, 0).is_err());
+        assert!(connection.next_event(&malformed, &mut 0, 0).is_err());
     }
-    assert!(!is_rows(b"a\t\xff\tc\n"), "noise is no text");
+    assert!(!is_rows(b"a\t\xff\tc\n"), "invalid UTF-8 is not a row");
 }
 
-/// No bytes that an engine may send end in anything but an answer, a wait for more, or garbage.
+/// The parser classifies any received bytes as a complete answer, the start of one, or garbage. An
+/// engine can't make it fail in another way.
 #[test]
 fn bytes_are_an_answer_or_the_start_of_one_or_garbage() {
     let ok = b"0000000000000001 ok chunks=2,spent=5,wanted=9 6\r\na\tb\tc\n\r\n";
@@ -196,9 +203,9 @@
     }
 }
 
-/// News of a running attempt is passed on under its number and ends nothing; a kind that is not
-/// known, news without a figure, and news of what nobody here has running are skipped, and the
-/// connection goes on.
+/// Progress of a running attempt is reported with the attempt's number and does not end it. Reports
+/// of an unknown kind, without an amount, or about an unknown query are skipped, and the connection
+/// stays open.
 #[test]
 fn progress_is_reported_and_ends_nothing() {
     let connection = connection();
@@ -216,22 +223,22 @@
         .get_mut(&1)
         .unwrap()
         .has_begun = true;
-    let note = |id: u8, fields: &str| format!("{id:016x} progress {fields} 0\r\n\r\n");
+    let report = |id: u8, fields: &str| format!("{id:016x} progress {fields} 0\r\n\r\n");
     let skipped = [
-        note(1, "n=mood,amount=3"),
-        note(1, "n=disk"),
-        note(1, "-"),
-        note(1, "n=stall,amount=7"),
-        note(9, "n=disk,amount=1"),
+        report(1, "n=mood,amount=3"),
+        report(1, "n=disk"),
+        report(1, "-"),
+        report(1, "n=stall,amount=7"),
+        report(9, "n=disk,amount=1"),
     ];
-    let told = [
-        note(1, "n=advance,amount=0.25"),
-        note(1, "amount=96.5,n=disk"),
-        note(1, "n=stall,amount=1"),
-        note(1, "n=stall,amount=2"),
+    let passed_on = [
+        report(1, "n=advance,amount=0.25"),
+        report(1, "amount=96.5,n=disk"),
+        report(1, "n=stall,amount=1"),
+        report(1, "n=stall,amount=2"),
     ];
     let answer = format!("{:016x} ok chunks=1 6\r\na\tb\tc\n\r\n", 1);
-    let bytes = [skipped.concat(), told.concat(), answer]
+    let bytes = [skipped.concat(), passed_on.concat(), answer]
         .concat()
         .into_bytes();
     let mut used = 0;
@@ -261,10 +268,10 @@
     assert!(used == bytes.len() && !connection.has_ended.get());
 }
 
-/// Memory that is granted stands in the request's fields; where none is, nothing does.
+/// A memory grant is sent in the fields of the command. Without a grant the field is absent.
 #[test]
 fn a_memory_grant_is_a_field_of_the_request() {
-    let fields = |grant_mb| {
+    let command = |grant_mb| {
         let mut out = Vec::new();
         write_attempt(
             &mut out,
@@ -277,9 +284,9 @@
         String::from_utf8(out).unwrap()
     };
     assert!(
-        fields(384).contains("patience=2,reserve=384,level=2 8\r\n"),
+        command(384).contains("patience=2,reserve=384,level=2 8\r\n"),
         "{}",
-        fields(384)
+        command(384)
     );
-    assert!(!fields(0).contains("reserve"));
+    assert!(!command(0).contains("reserve"));
 }
--- a/gateway/src/upstream/mod.rs
+++ b/gateway/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The upstream (engine) side: the line protocol, its connections and the pool of them.
+//! The upstream (engine) side: the line protocol, the connections to engines and their pool.
 
 mod close_reason;
 pub mod codec;
--- a/gateway/src/upstream/pool/driver.rs
+++ b/gateway/src/upstream/pool/driver.rs
@@ -1,4 +1,5 @@
-//! The tasks of a connection: one connects and reads, one writes while the socket is full.
+//! The tasks of a connection. One task connects and reads; a second one runs while the socket's
+//! send buffer is full, and writes when the socket is ready again.
 
 use std::future::pending;
 use std::io::{self, Read};
@@ -13,15 +14,15 @@
 use super::super::connection::{Connection, UpstreamEvent};
 use super::Pool;
 
-/// How long the rest of an answer may take once some of it is here. Engines write answers at once,
-/// and may pause for half a second; what takes longer has stopped in the middle, and nothing behind
-/// it can be read.
+/// The maximum time from the first part of an answer to its end. Engines write an answer in one go
+/// and may pause for half a second. An answer that takes longer counts as stopped part-way, and the
+/// answers after it can't be read.
 const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(600);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 impl Pool {
-    /// Writes what the socket takes, but no attempt that was queued before the fence was closed, or
-    /// that waited too long for its connection.
+    /// Writes as much as the socket accepts. Once connected, it first cancels attempts that waited
+    /// past their `begin_by`, or, if the fence is closed, all attempts not yet begun.
     fn write(&self, connection: &Connection) -> Result<(), CloseReason> {
         let now = self.now();
         if connection.is_connected() {
@@ -35,12 +36,14 @@
         connection.flush(now)
     }
 
+    /// Writes as much as the socket accepts, and starts the writer task if some of it remains.
+    /// Closes the connection on an error.
     pub(super) fn flush(&self, connection: &Rc<Connection>) {
         let was_blocked = connection.is_blocked.get();
         if let Err(reason) = self.write(connection) {
             self.close(connection, reason);
         } else if connection.is_blocked.get() && !was_blocked {
-            // A task of its own waits for the socket, so that no other engine does.
+            // A separate task waits for the socket, so that other engines don't have to wait.
             if let Some(pool) = self.this.upgrade() {
                 let writer = pool.write_when_possible(Rc::clone(connection));
                 self.executor.spawn(writer).detach();
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Connects, and reads up to the end of the connection.
+    /// Connects, then reads answers until the connection ends.
     pub(super) async fn drive(self: Rc<Self>, connection: Rc<Connection>) {
         let stream = match self.connect(&connection).await {
             Ok(stream) => Rc::new(stream),
@@ -90,15 +93,18 @@
         })
     }
 
-    /// Reads answers until the connection has ended elsewhere; `Err`: it has to end for this
-    /// reason.
+    /// Reads answers until another task ends the connection.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason for which the caller has to close the connection.
     async fn read_answers(
         &self,
         connection: &Rc<Connection>,
         stream: &Async<TcpStream>,
     ) -> Result<(), CloseReason> {
         let mut buffer = Vec::new();
-        // When the rest of an answer that has begun is due.
+        // The time by which the rest of a partly received answer has to arrive.
         let mut rest_due = None;
         while !connection.has_ended.get() {
             match read(stream, &mut buffer).or(time_out_at(rest_due)).await {
@@ -116,7 +122,7 @@
             } else if used > 0 || rest_due.is_none() {
                 rest_due = Some(Instant::now() + ANSWER_REST_TIMEOUT);
             }
-            // An engine that sends without end always has more to read: other tasks run in between.
+            // Lets other tasks run even if an engine sends without pause.
             future::yield_now().await;
             if !connection.has_ended.get() {
                 self.flush(connection);
@@ -125,7 +131,7 @@
         Ok(())
     }
 
-    /// Takes the complete answers at the start of `buffer`; the number of bytes taken.
+    /// Handles the complete answers at the start of `buffer`, and returns their size in bytes.
     fn take_answers(&self, connection: &Connection, buffer: &[u8]) -> Result<usize, CloseReason> {
         let mut used = 0;
         while !connection.has_ended.get() {
@@ -139,7 +145,8 @@
     }
 }
 
-/// Reads once into `buffer`; the number of bytes read, 0 at the end of the stream.
+/// Reads once and appends to `buffer`. Returns the number of bytes read, 0 at the end of the
+/// stream.
 async fn read(stream: &Async<TcpStream>, buffer: &mut Vec<u8>) -> io::Result<usize> {
     let mut chunk = [0u8; READ_CHUNK_BYTES];
     let size = stream
@@ -154,7 +161,7 @@
     Err(io::ErrorKind::TimedOut.into())
 }
 
-/// Times out at a moment; `None`: never.
+/// Fails with `TimedOut` at the given time. `None`: never completes.
 async fn time_out_at<T>(at: Option<Instant>) -> io::Result<T> {
     match at {
         Some(at) => Timer::at(at).await,
--- a/gateway/src/upstream/pool/mod.rs
+++ b/gateway/src/upstream/pool/mod.rs
@@ -1,5 +1,7 @@
-//! The pool of engine connections, by engine id: an address may pass from an engine to its
-//! successor, so a connection never does.
+//! The pool of connections to engines.
+//!
+//! Connections belong to an engine id, not to an address. An engine's address may pass to its
+//! successor, and a connection to the old engine is never used for the new one.
 
 mod driver;
 mod placement;
@@ -23,34 +25,35 @@
 use crate::log;
 use crate::stats::Stats;
 
-/// How often idle connections are looked at.
+/// The time between checks for idle connections to close.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// So many connections may break under an attempt before any of it is written; then its engine
-/// counts as unreachable.
+/// If this many connections break before any of an attempt is written, its engine counts as
+/// unreachable.
 const MAX_BROKEN_CONNECTIONS: u32 = 3;
 
-/// The connections to all engines, and the engines that they may lead to.
+/// The connections to all engines, and the list of engines that they may be opened to.
 pub struct Pool {
     this: Weak<Pool>,
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     limits: UpstreamLimits,
     stats: Rc<Stats>,
-    /// Whether anything may be sent, where that is not always so.
+    /// Checked before anything is sent. `None`: sending is always allowed.
     fence: Option<Rc<dyn Fence>>,
     max_connections: Cell<usize>,
     events: RefCell<Option<Weak<dyn AttemptEvents>>>,
     listed: RefCell<BTreeMap<EngineId, ListedEngine>>,
-    /// Engines that get nothing, whatever the list says.
+    /// Engines that get no attempts, whatever their state in the list.
     cordoned: RefCell<BTreeSet<EngineId>>,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
-    /// The connection on which the attempt of a query is out.
+    /// The connection that carries the attempt of each query.
     by_query: RefCell<HashMap<QueryId, Rc<Connection>>>,
     next_id: Cell<u64>,
 }
 
 impl Pool {
-    /// Creates a pool that knows no engines yet, for `max_connections` connections.
+    /// Creates a pool with an empty engine list and at most `max_connections` connections. Without
+    /// a `fence`, sending is always allowed.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -77,12 +80,13 @@
         })
     }
 
-    /// Sets where events of attempts are reported.
+    /// Sets the receiver of the reports on attempts.
     pub fn report_to(&self, events: Weak<dyn AttemptEvents>) {
         *self.events.borrow_mut() = Some(events);
     }
 
-    /// Changes how many connections there may be. Idle ones over it are closed, longest idle first.
+    /// Changes the maximum number of connections. If there are more, idle connections are closed,
+    /// the longest idle first.
     pub fn resize(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         let mut idle = self.select(|connection| connection.load() == 0);
@@ -94,10 +98,10 @@
         }
     }
 
-    /// Closes, for ever, connections that an engine would soon close for being idle, so that no
-    /// request crosses its close, and retired ones that carry nothing any more.
+    /// Periodically closes idle connections that are retired, or that their engine would soon
+    /// close, so that no request is sent while the engine closes its connection. Never returns.
     pub async fn sweep(&self) {
-        // The rest of an engine's idle time is a margin for requests on their way.
+        // The remaining quarter of the engine's idle timeout is a margin for requests in transit.
         let max_idle = micros(self.limits.idle_close) / 4 * 3;
         loop {
             Timer::after(SWEEP_INTERVAL).await;
@@ -112,12 +116,12 @@
         }
     }
 
-    /// Connections of a kind, oldest first.
-    fn select(&self, is_of_kind: impl Fn(&Connection) -> bool) -> Vec<Rc<Connection>> {
+    /// Returns the connections for which `is_selected` is true, oldest first.
+    fn select(&self, is_selected: impl Fn(&Connection) -> bool) -> Vec<Rc<Connection>> {
         let connections = self.connections.borrow();
         connections
             .values()
-            .filter(|connection| is_of_kind(connection))
+            .filter(|connection| is_selected(connection))
             .cloned()
             .collect()
     }
@@ -143,10 +147,12 @@
         }
     }
 
-    /// Closes a connection. What was written on it is interrupted; what was not takes another
-    /// connection, unless too many have broken under it or its engine can't be reached.
+    /// Closes a connection. Attempts on it that have begun end as interrupted. The others are
+    /// placed on another connection; they end as refused if the engine can't be reached or
+    /// [`MAX_BROKEN_CONNECTIONS`] have broken before they were written.
     fn close(&self, connection: &Connection, reason: CloseReason) {
-        // An engine that refuses a connection, or does not respond, is no better at the next one.
+        // If the engine refused the connection or did not respond, another connection would not
+        // help.
         let may_reconnect = connection.is_connected() || reason == CloseReason::ConnectError;
         let end = connection.end();
         if self
--- a/gateway/src/upstream/pool/placement.rs
+++ b/gateway/src/upstream/pool/placement.rs
@@ -1,4 +1,4 @@
-//! Which connection an attempt gets.
+//! Chooses the connection for an attempt.
 
 use std::cmp::Reverse;
 use std::rc::Rc;
@@ -11,8 +11,9 @@
 use crate::exchange::{Attempt, AttemptEnd, ListedEngine};
 
 impl Pool {
-    /// Puts an attempt, under which so many connections have broken, on a connection, unless its
-    /// engine has left the list meanwhile or was cordoned.
+    /// Queues an attempt on a connection to its engine. `broken_connections` is the number of
+    /// earlier connections that broke before any of it was written. The attempt ends as `NeverSent`
+    /// if its engine may not be used, and as `ConnectionRefused` if no connection is available.
     pub(super) fn place(&self, attempt: Attempt, broken_connections: u32) {
         let (query, number) = (attempt.exchange.id(), attempt.number);
         let fail = |outcome| {
@@ -32,6 +33,7 @@
         self.flush(&connection);
     }
 
+    /// Returns the attempt's engine if it is ready, not cordoned, and the fence allows sending.
     fn usable_engine(&self, attempt: &Attempt) -> Option<ListedEngine> {
         let listed = self.listed.borrow().get(&attempt.engine).cloned();
         let is_cordoned = self.cordoned.borrow().contains(&attempt.engine);
@@ -40,11 +42,12 @@
         })
     }
 
-    /// A connection for an attempt, none of those in `used`.
+    /// Returns a connection to `engine` whose id is not in `used`.
     ///
-    /// What breaks or spoils a connection costs all that is open on it, so each attempt gets one of
-    /// its own, the one used last, while there may be more connections. At the limit the least
-    /// loaded one of the engine is shared, or one that is idle longest gives way.
+    /// A connection that fails interrupts every attempt on it, so each attempt gets a connection of
+    /// its own if possible: the engine's most recently used idle connection, or a new one. At the
+    /// limit on connections, the attempt shares the engine's least loaded connection. If there is
+    /// none, the longest idle connection to any engine is closed to make room for a new one.
     fn pick_connection(&self, engine: &ListedEngine, used: &[u64]) -> Option<Rc<Connection>> {
         let mut candidates = self.select(|connection| {
             connection.engine == engine.engine.id
@@ -53,7 +56,8 @@
                 && !used.contains(&connection.id)
         });
         candidates.sort_by_key(|connection| Reverse(connection.idle_since.get()));
-        // One that its engine has just closed would lose the attempt, and it might have run.
+        // An attempt written to a connection that the engine has just closed would be lost, and
+        // would count as one that may have run.
         let idle = candidates
             .iter()
             .find(|connection| connection.load() == 0 && !connection.has_unread_input());
@@ -71,7 +75,7 @@
         self.open(engine)
     }
 
-    /// Closes the connection that is idle longest; `None`: none is idle.
+    /// Closes the longest idle connection. `None`: no connection is idle.
     fn evict_idle(&self) -> Option<()> {
         let idle = self.select(|connection| connection.load() == 0);
         let longest = idle
@@ -81,6 +85,7 @@
         Some(())
     }
 
+    /// Starts to open a connection to `engine`. `None`: the pool has been dropped.
     fn open(&self, engine: &ListedEngine) -> Option<Rc<Connection>> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
--- a/gateway/src/upstream/pool/requests.rs
+++ b/gateway/src/upstream/pool/requests.rs
@@ -1,4 +1,4 @@
-//! What the dispatcher requests of the pool.
+//! The pool as the dispatcher uses it: [`UpstreamEngines`].
 
 use violetgate_policy::interface::{EngineId, EngineState, ListScope, QueryId};
 
@@ -50,7 +50,7 @@
                 self.report_ends(connection.take_unwritten());
                 continue;
             }
-            // The engine's process is a new one: what is open leads to the old one.
+            // An uncordoned engine may be a new process; open connections lead to the old one.
             connection.is_retired.set(true);
             if connection.load() == 0 {
                 self.close(&connection, CloseReason::Retired);
@@ -81,8 +81,8 @@
 }
 
 impl Pool {
-    /// Updates the list; the engines that have a new process or a new address, to which open
-    /// connections do not lead.
+    /// Updates the list, and returns the engines that have a new process or a new address. Open
+    /// connections do not lead to those.
     fn update_listed(&self, scope: ListScope, engines: &[ListedEngine]) -> Vec<EngineId> {
         let mut listed = self.listed.borrow_mut();
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
--- a/gateway/src/upstream/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -1,4 +1,4 @@
-//! Which connection an attempt gets, and what becomes of one that may not begin any more.
+//! Tests of the choice of a connection for an attempt, and of attempts that may no longer begin.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -25,13 +25,13 @@
     fn attempt_progressed(&self, _: AttemptProgress) {}
 }
 
-/// A pool with one listed engine. Its tasks are never run, so its connections stay as the test has
-/// them.
-fn pool(most: usize) -> (Rc<Pool>, Rc<Ends>) {
-    pool_at(([127, 0, 0, 1], 1).into(), most)
+/// Creates a pool with one listed engine. The pool's tasks are never run, so its connections stay
+/// in the state in which the test puts them.
+fn pool(max_connections: usize) -> (Rc<Pool>, Rc<Ends>) {
+    pool_at(([127, 0, 0, 1], 1).into(), max_connections)
 }
 
-fn pool_at(addr: SocketAddr, most: usize) -> (Rc<Pool>, Rc<Ends>) {
+fn pool_at(addr: SocketAddr, max_connections: usize) -> (Rc<Pool>, Rc<Ends>) {
     let limits = UpstreamLimits {
         connect_timeout: Duration::from_secs(60),
         idle_close: Duration::from_secs(60),
@@ -45,11 +45,11 @@
         limits,
         stats,
         None,
-        most,
+        max_connections,
     );
     let ends = Rc::new(Ends::default());
-    let reports: Rc<dyn AttemptEvents> = Rc::<Ends>::clone(&ends);
-    pool.report_to(Rc::downgrade(&reports));
+    let events: Rc<dyn AttemptEvents> = Rc::<Ends>::clone(&ends);
+    pool.report_to(Rc::downgrade(&events));
     let engine = Engine {
         id: 0,
         zone: 0,
@@ -92,7 +92,7 @@
     });
 }
 
-/// An engine that the test plays itself, and the pool before it.
+/// A fake engine whose answers the test writes, and a pool that lists it.
 struct FakeEngine {
     pool: Rc<Pool>,
     ends: Rc<Ends>,
@@ -100,9 +100,9 @@
 }
 
 impl FakeEngine {
-    fn new(most: usize) -> Self {
+    fn new(max_connections: usize) -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        let (pool, ends) = pool_at(listener.local_addr().unwrap(), most);
+        let (pool, ends) = pool_at(listener.local_addr().unwrap(), max_connections);
         FakeEngine {
             pool,
             ends,
@@ -110,38 +110,39 @@
         }
     }
 
-    /// Lets the pool run until something holds.
-    fn until(&self, what: &str, mut holds: impl FnMut() -> bool) {
+    /// Runs the pool's tasks until `is_met` returns true, for at most 30 seconds.
+    fn run_until(&self, condition: &str, mut is_met: impl FnMut() -> bool) {
         let end = Instant::now() + Duration::from_secs(30);
         async_io::block_on(self.pool.executor.run(async {
-            while !holds() {
-                assert!(Instant::now() < end, "never: {what}");
+            while !is_met() {
+                assert!(Instant::now() < end, "timed out waiting: {condition}");
                 future::yield_now().await;
             }
         }));
     }
 
-    /// Takes a connection, and one command from it.
-    fn serves(&self) -> (TcpStream, String) {
-        let (mut accepted, mut got) = (None, Vec::new());
+    /// Accepts a connection and reads one command from it.
+    fn accept_command(&self) -> (TcpStream, String) {
+        let (mut accepted, mut command) = (None, Vec::new());
         self.listener.set_nonblocking(true).unwrap();
-        self.until("a connection comes", || {
+        self.run_until("the pool connects", || {
             accepted = self.listener.accept().ok();
             accepted.is_some()
         });
         let (mut stream, _) = accepted.unwrap();
         stream.set_nonblocking(true).unwrap();
-        self.until("a command comes", || {
+        self.run_until("the pool sends a command", || {
             let mut chunk = [0; 512];
             let n = stream.read(&mut chunk).unwrap_or(0);
-            got.extend_from_slice(&chunk[..n]);
-            got.ends_with(b"SELECT 1\r\n")
+            command.extend_from_slice(&chunk[..n]);
+            command.ends_with(b"SELECT 1\r\n")
         });
-        (stream, String::from_utf8(got).unwrap())
+        (stream, String::from_utf8(command).unwrap())
     }
 }
 
-/// Each attempt has a connection of its own while there is room; then the least loaded is shared.
+/// Each attempt gets a connection of its own up to the limit. Further attempts share the least
+/// loaded connection.
 #[test]
 fn each_attempt_has_a_connection_of_its_own_up_to_the_limit() {
     let (pool, _) = pool(3);
@@ -155,8 +156,8 @@
     assert_eq!(loads, [2, 2, 1]);
 }
 
-/// What an engine that is called out has not been written yet is taken back, and nothing more is
-/// put on its connections; called back, it gets a new one.
+/// Cordoning an engine ends the attempts not yet written to it, and those sent to it afterwards.
+/// After it is uncordoned, attempts use a new connection.
 #[test]
 fn a_cordoned_engine_gets_nothing_and_an_uncordoned_one_a_new_connection() {
     let (pool, ends) = pool(3);
@@ -178,8 +179,9 @@
     assert_eq!(loads, [(1, 1)]);
 }
 
-/// A connection that is reset before anything was written is no attempt: the next one takes it, a
-/// few times. One that is refused is: the engine does not run.
+/// If a connection is reset before any of the attempt was written, the pool tries another
+/// connection, up to `MAX_BROKEN_CONNECTIONS` in all. A refused connection ends the attempt at
+/// once, because the engine is not running.
 #[test]
 fn a_reset_of_a_new_connection_is_retried_and_a_refused_one_is_not() {
     let (pool, ends) = pool(3);
@@ -197,65 +199,68 @@
     assert_eq!(ends.0.take(), [(2, Outcome::ConnectionRefused)]);
 }
 
-/// An engine closes a connection at rest, and its close is here, unread, as the next attempt
-/// leaves: it takes a new connection. Written to the old one it would be lost in the reset, and
-/// count as one that may have run.
+/// An engine closes an idle connection, and the pool has not read the close when the next attempt
+/// is sent. The attempt has to use a new connection: on the old one it would be lost in the reset,
+/// and would count as one that may have run.
 #[test]
 fn an_attempt_avoids_a_connection_that_was_just_closed() {
     let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
-    let (mut first, _) = engine.serves();
+    let (mut first, _) = engine.accept_command();
     first
         .write_all(b"0000000000000001 refused - 0\r\n\r\n")
         .unwrap();
-    engine.until("it ends", || engine.ends.0.borrow().len() == 1);
+    engine.run_until("the attempt ends", || engine.ends.0.borrow().len() == 1);
     drop(first);
     send(&engine.pool, 2);
-    let (_second, got) = engine.serves();
-    assert!(got.starts_with("serve 0000000000000002 "), "{got}");
+    let (_second, command) = engine.accept_command();
+    assert!(command.starts_with("serve 0000000000000002 "), "{command}");
     assert_eq!(engine.ends.0.take(), [(1, Outcome::Overloaded)]);
 }
 
-/// A connection at rest that is well is used again, whatever its age.
+/// The next attempt reuses an idle connection that the engine has not closed, however old it is.
 #[test]
 fn an_idle_connection_is_used_again() {
     let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
-    let (mut first, _) = engine.serves();
+    let (mut first, _) = engine.accept_command();
     first
         .write_all(b"0000000000000001 refused - 0\r\n\r\n")
         .unwrap();
-    engine.until("it ends", || engine.ends.0.borrow().len() == 1);
+    engine.run_until("the attempt ends", || engine.ends.0.borrow().len() == 1);
     send(&engine.pool, 2);
     assert_eq!(engine.pool.connections.borrow().len(), 1);
 }
 
-/// Its connection comes up late: an attempt that had to begin before is not written, and surely
-/// never ran.
+/// An attempt whose connection is established after its `begin_by` is not written, and has
+/// certainly not run.
 #[test]
 fn an_attempt_that_waited_too_long_does_not_begin() {
     let engine = FakeEngine::new(3);
     send_by(&engine.pool, 1, 0);
-    engine.until("it ends", || engine.ends.0.borrow().len() == 1);
+    engine.run_until("the attempt ends", || engine.ends.0.borrow().len() == 1);
     assert_eq!(engine.ends.0.take(), [(1, Outcome::NeverSent)]);
     send(&engine.pool, 2);
-    let (_stream, got) = engine.serves();
+    let (_stream, command) = engine.accept_command();
     assert!(
-        got.starts_with("serve 0000000000000002 "),
-        "the first was never written: {got}"
+        command.starts_with("serve 0000000000000002 "),
+        "the first attempt is never written: {command}"
     );
 }
 
-/// Taken back while it waits for its connection, an attempt never begins, and nothing is told of
-/// it; one that has begun stays.
+/// An attempt that is recalled while it waits for its connection never begins, and its end is not
+/// reported. An attempt that has begun can't be recalled.
 #[test]
 fn only_an_attempt_that_has_not_begun_is_recalled() {
     let engine = FakeEngine::new(3);
     send(&engine.pool, 1);
-    assert!(engine.pool.recall_unsent(1), "it waits for its connection");
+    assert!(
+        engine.pool.recall_unsent(1),
+        "an attempt that waits for its connection is recalled"
+    );
     send(&engine.pool, 2);
-    let (mut stream, got) = engine.serves();
-    assert!(got.starts_with("serve 0000000000000002 "), "{got}");
+    let (mut stream, command) = engine.accept_command();
+    assert!(command.starts_with("serve 0000000000000002 "), "{command}");
     assert!(
         !engine.pool.recall_unsent(2)
             && !engine.pool.recall_unsent(1)
@@ -264,13 +269,13 @@
     stream
         .write_all(b"0000000000000002 refused - 0\r\n\r\n")
         .unwrap();
-    engine.until("it ends by itself", || engine.ends.0.borrow().len() == 1);
+    engine.run_until("the attempt ends", || engine.ends.0.borrow().len() == 1);
     assert_eq!(engine.ends.0.take(), [(2, Outcome::Overloaded)]);
 }
 
-/// An answer that begins and then trickles, byte by byte, is cut short in time counted from its
-/// beginning, not from its last byte: it can't hold its attempt, and neither does one whose line
-/// never ends.
+/// An engine begins an answer and then sends it byte by byte. The time limit counts from the start
+/// of the answer, not from its last byte; otherwise the attempt would never end. The same holds for
+/// an answer whose first line never ends.
 #[test]
 fn an_answer_that_trickles_is_cut_short() {
     for begin in [
@@ -279,13 +284,13 @@
     ] {
         let engine = FakeEngine::new(3);
         send(&engine.pool, 1);
-        let (mut stream, _) = engine.serves();
+        let (mut stream, _) = engine.accept_command();
         stream.write_all(begin.as_bytes()).unwrap();
-        let mut said = Instant::now();
-        engine.until("it is cut short", || {
-            if said.elapsed() > Duration::from_millis(20) {
+        let mut last_sent = Instant::now();
+        engine.run_until("the attempt ends", || {
+            if last_sent.elapsed() > Duration::from_millis(20) {
                 let _ = stream.write(b"1");
-                said = Instant::now();
+                last_sent = Instant::now();
             }
             !engine.ends.0.borrow().is_empty()
         });
