--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -286,7 +286,7 @@
 
 /// The upstream side as the dispatcher uses it.
 pub trait UpstreamEngines {
-    /// Starts an attempt. Its end is reported to [`AttemptEvents`], unless it is cancelled first.
+    /// Starts an attempt. Its end is reported to `AttemptEvents`, unless it is cancelled first.
     fn send(&self, attempt: Attempt);
 
     /// Cancels the attempt of a query. Nothing more is reported about it.
