--- a/cluster/raft/src/action.rs
+++ b/cluster/raft/src/action.rs
@@ -1,63 +1,65 @@
-//! What a node requests from its caller.
+//! The actions that a node requests from its caller.
 
 use crate::{Entry, HardState, Index, Message, NodeId, SnapshotChunk};
 
-/// One thing to be done by the caller. The actions of
-/// [`RaftNode::take_actions`](crate::RaftNode::take_actions) are to be carried out in their order.
+/// A side effect that the caller performs for the node. The caller performs the actions that
+/// [`RaftNode::take_actions`](crate::RaftNode::take_actions) returns in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Make this durable, then call [`RaftNode::persisted`](crate::RaftNode::persisted).
+    /// Make this write durable, then call [`RaftNode::persisted`](crate::RaftNode::persisted).
     Persist(StorageWrite),
-    /// Send a message. It may be dropped, delayed, duplicated or reordered.
+    /// Send a message to another node. Raft tolerates that messages are dropped, delayed,
+    /// duplicated or reordered.
     Send {
-        /// The receiver.
+        /// The node that receives the message.
         to: NodeId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Apply these entries to the state machine; they are committed, and durable here.
+    /// Apply these entries to the state machine. They are committed, and durable on this node.
     Apply(Vec<Entry>),
-    /// A read may be served from the state machine once all entries up to `index` are applied.
+    /// Serve a read from the state machine once all entries up to `index` are applied.
     ReadReady {
         /// The id that was given to [`RaftNode::read_index`](crate::RaftNode::read_index).
         read_id: u64,
         /// The read index.
         index: Index,
     },
-    /// A read can't be served: no leader is known, or the leader was deposed.
+    /// Fail a read: no leader is known, or the leader has stepped down.
     ReadFailed {
         /// The id that was given to [`RaftNode::read_index`](crate::RaftNode::read_index).
         read_id: u64,
     },
-    /// Read a part of the latest snapshot, then call
+    /// Read a chunk of the latest snapshot, then call
     /// [`RaftNode::snapshot_chunk_loaded`](crate::RaftNode::snapshot_chunk_loaded).
     LoadSnapshotChunk {
-        /// The peer that it is for.
+        /// The peer that receives the chunk.
         to: NodeId,
-        /// The first byte wanted.
+        /// The offset of the chunk's first byte in the snapshot.
         offset: u64,
     },
-    /// Store a part of a snapshot aside, then call
+    /// Store a chunk of a snapshot that is not complete yet, then call
     /// [`RaftNode::snapshot_chunk_stored`](crate::RaftNode::snapshot_chunk_stored). After the last
-    /// chunk the snapshot replaces the state machine's state and the log, durably, before
-    /// [`RaftNode::snapshot_installed`](crate::RaftNode::snapshot_installed) is called.
+    /// chunk, durably replace the state machine's state and the log by the snapshot, then call
+    /// [`RaftNode::snapshot_installed`](crate::RaftNode::snapshot_installed).
     StoreSnapshotChunk {
-        /// The leader that sent it.
+        /// The leader that sent the chunk.
         from: NodeId,
-        /// The chunk.
+        /// The chunk to store.
         chunk: SnapshotChunk,
     },
 }
 
-/// One write to durable storage. Writes are carried out in order, each atomically.
+/// One write to durable storage. Writes are performed in order, and each is atomic.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct StorageWrite {
-    /// Its number, counted from 1, for [`RaftNode::persisted`](crate::RaftNode::persisted).
+    /// The sequence number of the write, counted from 1. The caller passes it to
+    /// [`RaftNode::persisted`](crate::RaftNode::persisted).
     pub sequence: u64,
-    /// The term and the vote, if they changed.
+    /// The new term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// Entries from this index on are removed first.
+    /// The first index to remove from the log, before `append` is written.
     pub truncate_from: Option<Index>,
-    /// Entries to be appended.
+    /// The entries to append to the log.
     pub append: Vec<Entry>,
 }
--- a/cluster/raft/src/append_entries.rs
+++ b/cluster/raft/src/append_entries.rs
@@ -1,8 +1,8 @@
-//! Log replication at a follower: appending the leader's entries where the logs match.
+//! Log replication at a follower: appends the leader's entries if the logs match.
 
 use crate::{AppendOutcome, Entry, Index, LogPosition, Message, NodeId, Payload, RaftNode, Term};
 
-/// The entries of one [`Message::AppendEntries`], as a follower handles them.
+/// The part of [`Message::AppendEntries`] that concerns the follower's log.
 pub(crate) struct AppendRequest {
     pub(crate) previous: LogPosition,
     pub(crate) entries: Vec<Entry>,
@@ -20,7 +20,7 @@
         let outcome = if self.accept_leader(from, term) {
             self.append_as_follower(request)
         } else {
-            // An outdated leader learns of the newer term.
+            // The response carries the newer term, which makes an outdated leader step down.
             AppendOutcome::Conflict(0)
         };
         let response = Message::AppendResponse {
@@ -31,7 +31,7 @@
         self.send_when_durable(from, response);
     }
 
-    /// Appends the leader's entries if this log matches the leader's at the entry before them.
+    /// Appends the leader's entries if both logs have the same entry at `request.previous`.
     fn append_as_follower(&mut self, request: AppendRequest) -> AppendOutcome {
         let previous = request.previous;
         let base = self.log.base().index;
@@ -50,7 +50,8 @@
         AppendOutcome::Matched(end)
     }
 
-    /// Appends new entries in place of those that contradict them, which were never committed.
+    /// Removes the entries that conflict with the new entries, then appends the new ones.
+    /// Conflicting entries were never committed.
     fn replace_tail(&mut self, new_entries: Vec<Entry>) {
         let truncate_from = new_entries
             .first()
@@ -72,8 +73,8 @@
         self.persist_entries(truncate_from, new_entries);
     }
 
-    /// Where the logs may match, for the leader to try next: not beyond this log, and before all
-    /// entries of the conflicting term.
+    /// Returns the index that the leader should probe next. It is at most the last index of this
+    /// log, and skips all entries of a conflicting term that is newer than `previous.term`.
     fn conflict_hint(&self, previous: LogPosition) -> Index {
         let mut hint = self.log.last_index().min(previous.index.saturating_sub(1));
         let conflicting = self.log.term(hint);
--- a/cluster/raft/src/commit.rs
+++ b/cluster/raft/src/commit.rs
@@ -1,12 +1,12 @@
-//! The commit index, and the hand-over of committed entries to the state machine.
+//! Advances the commit index and passes committed entries to the state machine.
 
 use crate::role::RoleState;
 use crate::{Action, Index, LogPosition, RaftNode};
 
 impl RaftNode {
-    /// Commits what a majority has durably, if the last of it is of the leader's own term. An
-    /// entry of an earlier term that a majority has may still be overwritten (section 5.4.2 of the
-    /// paper).
+    /// Commits the entries that are durable on a majority, if the last of them is of the leader's
+    /// own term. An entry of an earlier term may still be overwritten although a majority has it
+    /// (section 5.4.2 of the Raft paper).
     pub(crate) fn advance_commit(&mut self) {
         let Some(index) = self.majority_index() else {
             return;
@@ -25,17 +25,19 @@
         if let RoleState::Leader(leader) = &mut self.role {
             leader.uncommitted_bytes = leader.uncommitted_bytes.saturating_sub(committed_bytes);
         }
-        // The others learn of it with the next entries, or with the next heartbeat.
+        // The next message with entries or the next heartbeat tells the followers.
         self.commit = index;
         self.confirm_reads();
         if !self.is_voter() && self.membership.index <= self.commit {
-            // Its own removal is committed: it lets the others know, and steps down.
+            // This leader's own removal is committed: a last round tells the followers, then the
+            // leader steps down.
             self.begin_heartbeat_round();
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// The last entry that a majority has durably; `None` on a node that doesn't lead.
+    /// Returns the highest index that is durable on a majority, or `None` on a node that is not
+    /// the leader.
     fn majority_index(&self) -> Option<Index> {
         let RoleState::Leader(leader) = &self.role else {
             return None;
@@ -54,7 +56,8 @@
         Some(indexes.get(membership.quorum() - 1).copied().unwrap_or(0))
     }
 
-    /// Hands over the entries that are committed, and durable here, in batches.
+    /// Requests that the entries that are committed and durable on this node be applied, in
+    /// batches of at most `max_apply_batch` entries.
     pub(crate) fn apply_committed(&mut self) {
         let ready = self.commit.min(self.writes.durable());
         while self.applied < ready {
--- a/cluster/raft/src/config.rs
+++ b/cluster/raft/src/config.rs
@@ -1,27 +1,29 @@
-//! The settings of a node.
+//! Timing and limits of a node, and their validation.
 
 use crate::Micros;
 
 #[cfg(test)]
 mod tests;
 
-/// How a node behaves. All nodes of a cluster should have the same settings.
+/// The timing and limits of a node. All nodes of a cluster should have the same settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Config {
-    /// How long a follower waits for a leader before it campaigns, in microseconds. The actual
-    /// time-out is random, between this and twice this.
+    /// The minimum time without a message from a leader after which a follower campaigns, in
+    /// microseconds. The actual timeout is random, between this value and twice this value.
     pub election_timeout: Micros,
-    /// How often a leader sends heartbeats, in microseconds.
+    /// The interval between a leader's heartbeats, in microseconds.
     pub heartbeat_interval: Micros,
-    /// The most bytes of entries in one message; a single entry may be larger.
+    /// The maximum size of the entries in one message, in bytes. A single larger entry is sent
+    /// alone.
     pub max_message_bytes: usize,
-    /// The most unanswered messages with entries to one peer.
+    /// The maximum number of unanswered messages with entries to one peer.
     pub max_inflight_messages: usize,
-    /// The most bytes of proposed but uncommitted entries; above this, proposals are rejected.
+    /// The limit on proposed but uncommitted entries, in bytes. Proposals are rejected while it is
+    /// exceeded.
     pub max_uncommitted_bytes: usize,
-    /// The most entries that a learner may be missing when it is promoted.
+    /// The maximum number of entries that a learner may be missing when it is promoted.
     pub promotion_threshold: u64,
-    /// The most entries in one [`Action::Apply`](crate::Action::Apply).
+    /// The maximum number of entries in one [`Action::Apply`](crate::Action::Apply).
     pub max_apply_batch: usize,
 }
 
@@ -39,23 +41,24 @@
     }
 }
 
-/// Why a [`Config`] can't be used.
+/// The reason why a [`Config`] is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// A setting that has to be positive is zero.
+    /// A setting that must be positive is zero.
     #[error("`{0}` must be greater than zero")]
     Zero(&'static str),
-    /// Followers would campaign against a live leader.
+    /// The heartbeat interval is not shorter than the election timeout, so followers would
+    /// campaign against a live leader.
     #[error("`heartbeat_interval` must be shorter than `election_timeout`")]
     HeartbeatTooSlow,
 }
 
 impl Config {
-    /// Checks that the settings make sense together.
+    /// Checks that the settings are in range and consistent with each other.
     ///
     /// # Errors
     ///
-    /// The first rule that they break.
+    /// Returns the first rule that the settings break.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let positive = [
             ("election_timeout", self.election_timeout > 0),
--- a/cluster/raft/src/durability.rs
+++ b/cluster/raft/src/durability.rs
@@ -1,18 +1,19 @@
-//! Nothing is sent before it is durable: writes in progress, and the messages that wait for them.
+//! Tracks the writes in progress, and holds messages back until the writes that they depend on are
+//! durable.
 
 use std::collections::VecDeque;
 
 use crate::{Action, Entry, Index, Message, NodeId, RaftNode, StorageWrite};
 
-/// A write that the caller has not confirmed yet.
+/// A write that the caller has not reported as durable yet.
 #[derive(Debug, Clone, Copy)]
 struct InProgressWrite {
     sequence: u64,
-    /// The last entry of the log once the write is done.
+    /// The last index of the log once the write is durable.
     last_index: Index,
 }
 
-/// A message that must not leave before a write is durable.
+/// A message that must not be sent before the write `after_write` is durable.
 #[derive(Debug)]
 struct HeldMessage {
     after_write: u64,
@@ -20,18 +21,18 @@
     message: Message,
 }
 
-/// Which writes are in progress, and what depends on them.
+/// The writes in progress and the messages that depend on them.
 #[derive(Debug)]
 pub(crate) struct WriteTracker {
     last_sequence: u64,
     in_progress: VecDeque<InProgressWrite>,
-    /// The last entry that is durable here.
+    /// The last index that is durable on this node.
     durable: Index,
     held: VecDeque<HeldMessage>,
 }
 
 impl WriteTracker {
-    /// All entries up to `durable` are on disk.
+    /// Creates a tracker for a log whose entries up to `durable` are on disk.
     pub(crate) fn new(durable: Index) -> Self {
         WriteTracker {
             last_sequence: 0,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// The last entry that is durable here.
+    /// Returns the last index that is durable on this node.
     pub(crate) fn durable(&self) -> Index {
         self.durable
     }
 
-    /// Begins a write after which the log ends at `last_index`; its sequence number.
+    /// Begins a write after which the log ends at `last_index`, and returns its sequence number.
     fn begin(&mut self, truncate_from: Option<Index>, last_index: Index) -> u64 {
         self.last_sequence += 1;
         if let Some(from) = truncate_from {
@@ -63,14 +64,15 @@
         self.last_sequence
     }
 
-    /// The latest write got more entries, up to `last_index`.
+    /// Records that entries up to `last_index` were added to the latest write.
     fn extend_latest(&mut self, last_index: Index) {
         if let Some(latest) = self.in_progress.back_mut() {
             latest.last_index = last_index;
         }
     }
 
-    /// All writes up to `sequence` are durable; the log ends at `last_index` now.
+    /// Records that all writes up to `sequence` are durable. `last_index` is the current end of
+    /// the log.
     fn complete(&mut self, sequence: u64, last_index: Index) {
         while let Some(write) = self.in_progress.front().copied() {
             if write.sequence > sequence {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The next message that waited for a write up to `sequence`.
+    /// Removes and returns the next held message whose write is at most `sequence`.
     fn release(&mut self, sequence: u64) -> Option<HeldMessage> {
         let is_due = self
             .held
@@ -90,7 +92,8 @@
         is_due.then(|| self.held.pop_front()).flatten()
     }
 
-    /// A snapshot up to `index` is durable and has replaced the log, which ends at `last_index`.
+    /// Records that a snapshot up to `index` is durable and has replaced the log, which now ends at
+    /// `last_index`.
     pub(crate) fn snapshot_installed(&mut self, index: Index, last_index: Index) {
         self.durable = self.durable.min(last_index).max(index);
         for write in &mut self.in_progress {
@@ -100,7 +103,8 @@
 }
 
 impl RaftNode {
-    /// All writes up to this sequence number are durable.
+    /// Reports that all writes up to `sequence` are durable. Messages that waited for them are
+    /// sent, and entries may become committed.
     pub fn persisted(&mut self, sequence: u64) {
         self.writes.complete(sequence, self.log.last_index());
         while let Some(held) = self.writes.release(sequence) {
@@ -109,7 +113,7 @@
         self.advance_commit();
     }
 
-    /// Writes the term and the vote.
+    /// Requests a write of the term and the vote.
     pub(crate) fn persist_hard_state(&mut self) {
         let hard_state = Some(self.hard_state);
         self.persist(StorageWrite {
@@ -118,7 +122,7 @@
         });
     }
 
-    /// Writes entries, after the removal of those from `truncate_from` on.
+    /// Requests a write that removes the entries from `truncate_from` on, then appends `append`.
     pub(crate) fn persist_entries(&mut self, truncate_from: Option<Index>, append: Vec<Entry>) {
         self.persist(StorageWrite {
             truncate_from,
@@ -127,8 +131,8 @@
         });
     }
 
-    /// Writes an entry that the leader has appended. Entries appended between two calls of
-    /// [`RaftNode::take_actions`] are one write where nothing else came between them.
+    /// Requests a write of an entry that the leader has appended. Entries appended between two
+    /// calls of [`RaftNode::take_actions`] share one write if no other action comes between them.
     pub(crate) fn persist_appended(&mut self, entry: Entry) {
         match self.actions.last_mut() {
             Some(Action::Persist(write))
@@ -148,8 +152,8 @@
         self.actions.push(Action::Persist(write));
     }
 
-    /// Sends a message that depends on all writes so far: it is sent once they are durable. A node
-    /// may send to itself.
+    /// Sends a message once all writes requested so far are durable. A node may send a message to
+    /// itself.
     pub(crate) fn send_when_durable(&mut self, to: NodeId, message: Message) {
         if self.writes.in_progress.is_empty() {
             self.deliver(to, message);
--- a/cluster/raft/src/election.rs
+++ b/cluster/raft/src/election.rs
@@ -1,7 +1,7 @@
-//! Elections: time-outs, pre-votes, votes, and the beginning and the end of a leadership.
+//! Elections: timeouts, pre-votes, votes, becoming the leader and stepping down.
 //!
-//! A node campaigns only after a majority has said by pre-vote that it would win, so that one that
-//! was cut off doesn't end a leadership that works when it comes back.
+//! After an election timeout a node begins a new term only if a majority has granted it a pre-vote.
+//! Otherwise a node that returns from a network partition would depose a working leader.
 
 use std::collections::BTreeSet;
 
@@ -11,17 +11,17 @@
 use crate::role::{LeaderState, RoleState};
 use crate::{HardState, LogPosition, Membership, Message, NodeId, Payload, RaftNode, Term};
 
-/// Why a node campaigns.
+/// The reason why a node campaigns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CampaignReason {
-    /// There was no message from a leader, and a majority would vote for it.
+    /// No leader was heard from for an election timeout, and a majority granted a pre-vote.
     Timeout,
-    /// The leader has requested it.
+    /// The leader has asked this node to campaign.
     LeadershipTransfer,
 }
 
 impl RaftNode {
-    /// Draws a new election time-out, between once and twice the configured one.
+    /// Draws a new random election timeout between one and two times the configured value.
     pub(crate) fn reset_election_deadline(&mut self) {
         let timeout = self.config.election_timeout.max(1);
         self.election_deadline = self.now + timeout + self.rng.next_u64() % timeout;
@@ -35,8 +35,9 @@
         }
     }
 
-    /// A voter may campaign. So may a node whose removal is in its log but, as far as it knows,
-    /// not committed: it may have the only log that the others' votes need.
+    /// Returns whether this node may campaign. Voters may. So may a node whose removal is in its
+    /// log but not known to be committed: it may be the only node with a log that is recent enough
+    /// to win.
     fn may_campaign(&self) -> bool {
         let is_voter = |membership: &Membership| membership.voters.contains(&self.id);
         let removal_uncommitted = self.membership.index > self.commit;
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Begins a new term and requests votes in it.
+    /// Begins a new term and requests votes for it.
     pub(crate) fn campaign(&mut self, reason: CampaignReason) {
         self.hard_state = HardState {
             term: self.hard_state.term + 1,
@@ -72,7 +73,7 @@
         self.reset_election_deadline();
         let term = self.hard_state.term;
         let last_log = self.log.last();
-        // Its own vote counts once it is durable, as others' do: it is sent to itself.
+        // The node sends its own vote to itself, so that the vote counts only once it is durable.
         let own_vote = Message::VoteResponse {
             term,
             granted: true,
@@ -132,7 +133,7 @@
         last_log: LogPosition,
         leadership_transfer: bool,
     ) {
-        // A node that was removed, or cut off, must not end a leadership that works.
+        // A node that was removed or partitioned must not depose a working leader.
         if term > self.hard_state.term && self.has_live_leader() && !leadership_transfer {
             return;
         }
@@ -165,7 +166,9 @@
         }
     }
 
-    /// Whether a leader was active so recently that a campaign would only disturb.
+    /// Returns whether this node leads or has heard from a leader within the election timeout. If
+    /// so, pre-votes are denied, and vote requests for newer terms are ignored unless they belong
+    /// to a leadership transfer.
     fn has_live_leader(&self) -> bool {
         match self.role {
             RoleState::Leader(_) => true,
@@ -189,20 +192,22 @@
             ..LeaderState::default()
         }));
         self.leader = Some(self.id);
-        // A leader may only commit entries of its own term, so it begins with one.
+        // A leader can commit earlier entries only together with one of its own term, so it
+        // appends a blank entry at once.
         self.append_as_leader(Payload::Blank);
         self.begin_heartbeat_round();
     }
 
-    /// Follows in the given term if it is newer; its leader is not known yet.
+    /// Becomes a follower in the given term if it is newer. The leader of that term is not known
+    /// yet.
     pub(crate) fn follow_if_newer(&mut self, term: Term) {
         if term > self.hard_state.term {
             self.become_follower(term, None);
         }
     }
 
-    /// Follows in the given term, which is the current one or newer. Pending reads of a leader
-    /// fail.
+    /// Becomes a follower in the given term, which is the current one or newer. If this node was
+    /// the leader, its pending reads fail.
     pub(crate) fn become_follower(&mut self, term: Term, leader: Option<NodeId>) {
         if term > self.hard_state.term {
             self.hard_state = HardState { term, vote: None };
@@ -218,8 +223,8 @@
         self.leader = leader;
     }
 
-    /// A leader has sent something. Returns whether it leads the current term; an older one is
-    /// ignored.
+    /// Handles the term of a message from a leader: adopts it and follows the leader. Returns
+    /// `false` if the term is outdated, and changes nothing then.
     pub(crate) fn accept_leader(&mut self, from: NodeId, term: Term) -> bool {
         if term < self.hard_state.term {
             return false;
@@ -231,7 +236,7 @@
     }
 }
 
-/// Adds a vote; returns whether the votes are a majority now.
+/// Adds a vote, and returns whether the votes are now a majority.
 fn add_vote(votes: &mut BTreeSet<NodeId>, from: NodeId, membership: &Membership) -> bool {
     votes.insert(from);
     membership.is_quorum(|id| votes.contains(&id))
--- a/cluster/raft/src/entry.rs
+++ b/cluster/raft/src/entry.rs
@@ -1,22 +1,22 @@
-//! Log entries, and the state that a node must never forget.
+//! Log entries, and the hard state that a node keeps across restarts.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Index, Membership, NodeId, Term};
 
-/// What an entry holds.
+/// The content of a log entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of a leader's term.
+    /// No content. A leader appends a blank entry at the start of its term.
     Blank,
-    /// A command for the state machine.
+    /// A command for the state machine, opaque to Raft.
     Command(Vec<u8>),
-    /// The membership of the cluster from this entry on.
+    /// The membership of the cluster, which takes effect with this entry.
     Membership(Membership),
 }
 
 impl Payload {
-    /// Roughly how many bytes it takes in memory and in a message.
+    /// Returns the approximate size in memory and in a message, in bytes.
     #[must_use]
     pub fn approximate_bytes(&self) -> usize {
         match self {
@@ -29,19 +29,19 @@
     }
 }
 
-/// One entry of the log.
+/// An entry of the replicated log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that created it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// Its index.
+    /// The index of the entry in the log.
     pub index: Index,
-    /// What it holds.
+    /// The content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Its term and index.
+    /// Returns the term and index of the entry.
     #[must_use]
     pub fn position(&self) -> LogPosition {
         LogPosition {
@@ -51,8 +51,8 @@
     }
 }
 
-/// The term and index of an entry. Positions are ordered as Raft compares logs: the later term is
-/// more up to date, and within a term the higher index.
+/// The term and index of an entry. Positions are ordered as Raft compares logs: first by term, then
+/// by index; the greater position is more up to date.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -63,11 +63,11 @@
     pub index: Index,
 }
 
-/// What has to be durable before any message that depends on it is sent.
+/// The term and vote, which must be durable before any message that depends on them is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct HardState {
-    /// The latest term that the node knows.
+    /// The latest term that the node has seen.
     pub term: Term,
-    /// The candidate that got this node's vote in that term.
+    /// The candidate that this node voted for in that term.
     pub vote: Option<NodeId>,
 }
--- a/cluster/raft/src/heartbeat.rs
+++ b/cluster/raft/src/heartbeat.rs
@@ -1,24 +1,25 @@
-//! The clock of a leader: heartbeat rounds, and stepping down without a majority.
+//! A leader's periodic work: heartbeat rounds, and stepping down without a majority.
 //!
-//! Each round has a number that its responses repeat. So the leader knows which peers have
-//! answered after a given moment, which is what linearizable reads need.
+//! Each round has a number that its responses echo. From it the leader knows which peers have
+//! answered since a given point in time, which linearizable reads require.
 
 use crate::role::RoleState;
 use crate::{NodeId, RaftNode};
 
-/// Unanswered messages time out after this many heartbeat intervals.
+/// The timeout of unanswered messages, in heartbeat intervals.
 const TIMEOUT_IN_HEARTBEATS: u64 = 2;
 
 impl RaftNode {
-    /// Steps down if a majority has not answered for an election time-out; otherwise sends
-    /// heartbeats when due.
+    /// Steps down if a majority has not answered for an election timeout. Otherwise sends
+    /// heartbeats when they are due.
     pub(crate) fn tick_leader(&mut self) {
         let now = self.now;
         let RoleState::Leader(leader) = &mut self.role else {
             return;
         };
-        // A leader that a majority has not answered for so long was cut off, or stood still:
-        // another may lead by now. This is checked before anything else is done at the new time.
+        // A leader without answers from a majority for an election timeout was partitioned or
+        // suspended, and another node may lead by now. This is checked before anything else
+        // happens at the new time.
         let oldest = now.saturating_sub(self.config.election_timeout);
         let (id, progress) = (self.id, &leader.progress);
         let is_alive = |peer: NodeId| {
@@ -37,8 +38,8 @@
         }
     }
 
-    /// Begins a heartbeat round: every peer gets a message that also carries the entries that it
-    /// lacks.
+    /// Begins a heartbeat round: sends every peer the entries that it lacks, or an empty message if
+    /// there are none to send.
     pub(crate) fn begin_heartbeat_round(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -58,7 +59,8 @@
         self.confirm_reads();
     }
 
-    /// Sends what was appended since the last call; if a read waits for a round, begins one.
+    /// Sends the entries that were appended since the last call. Begins a heartbeat round instead
+    /// if a read waits for one.
     pub(crate) fn send_unsent(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
--- a/cluster/raft/src/leadership_transfer.rs
+++ b/cluster/raft/src/leadership_transfer.rs
@@ -1,24 +1,24 @@
-//! Leadership transfer: the leader brings a voter up to date and makes it campaign at once.
+//! Leadership transfer: the leader brings a voter's log up to date and makes it campaign at once.
 
 use crate::election::CampaignReason;
 use crate::role::RoleState;
 use crate::{Message, Micros, NodeId, ProposalError, RaftNode, Term};
 
-/// A transfer in progress.
+/// A leadership transfer in progress.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Transfer {
     pub(crate) target: NodeId,
-    /// The transfer is given up then, in microseconds.
+    /// The time at which the transfer is abandoned, in microseconds.
     pub(crate) deadline: Micros,
 }
 
 impl RaftNode {
-    /// Transfers leadership to a voter. No proposals are accepted meanwhile, for an election
-    /// time-out at most.
+    /// Starts a transfer of leadership to another voter. Proposals are rejected until the transfer
+    /// ends, for an election timeout at most.
     ///
     /// # Errors
     ///
-    /// This node is not the leader, or the target is not another voter.
+    /// Returns an error if this node is not the leader, or if the target is not another voter.
     pub fn transfer_leadership(&mut self, target: NodeId) -> Result<(), ProposalError> {
         let deadline = self.now + self.config.election_timeout;
         let is_other_voter = self.membership().voters.contains(&target) && target != self.id;
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    /// Makes the target of a transfer campaign, once it has the complete log.
+    /// Makes `peer` campaign if it is the target of a transfer and has the complete log.
     pub(crate) fn try_finish_transfer(&mut self, peer: NodeId) {
         let RoleState::Leader(leader) = &self.role else {
             return;
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -1,21 +1,21 @@
-//! The Raft consensus algorithm (Ongaro and Ousterhout) without I/O: the replicas' agreement on
-//! one log.
+//! The Raft consensus algorithm (Ongaro and Ousterhout) without I/O. It replicates one log to the
+//! replicas of a cluster.
 //!
-//! [`RaftNode`] is driven by its caller: it is given time ([`RaftNode::tick`]), messages
-//! ([`RaftNode::step`]), proposals and completed writes, and returns what is to be persisted, sent
-//! and applied as a list of [`Action`]s. It reads no clock, opens no socket or file and draws its
-//! random numbers from a seed, so that a failed run can be replayed. No vote, term or entry is
-//! sent before it is durable: messages that depend on a write are held back until
-//! [`RaftNode::persisted`] confirms it.
+//! The caller drives a [`RaftNode`]: it passes in the time ([`RaftNode::tick`]), messages
+//! ([`RaftNode::step`]), proposals and completed writes, and gets back a list of [`Action`]s to
+//! persist, send and apply. The node reads no clock, opens no socket or file and draws its random
+//! numbers from a seed, so that a failed run can be replayed. A vote, a term or an acknowledgement
+//! of entries is sent only once it is durable: messages that depend on a write are held back until
+//! [`RaftNode::persisted`] confirms the write.
 //!
-//! Besides elections and replication it has pre-votes, linearizable reads by the read-index
-//! protocol, snapshots in chunks, leadership transfer, and membership changes of one replica at a
-//! time. Entries are opaque bytes.
+//! Besides elections and replication, the crate implements pre-votes, linearizable reads by the
+//! read-index protocol, snapshot transfer in chunks, leadership transfer, and membership changes of
+//! one replica at a time. Commands are opaque bytes.
 //!
 //! ```
 //! use violetgate_raft::{Action, Config, Membership, RaftNode, Restored, Role, SnapshotMetadata};
 //!
-//! // A cluster of one: it needs nobody's vote but its own.
+//! // A cluster of one node elects itself.
 //! let restored = Restored {
 //!     snapshot: SnapshotMetadata {
 //!         membership: Membership::bootstrap([1]),
@@ -76,12 +76,12 @@
 pub use role::Role;
 pub use snapshot::{SnapshotChunk, SnapshotMetadata};
 
-/// A moment or a span in microseconds, on one clock that never goes backwards.
+/// A point in time or a duration, in microseconds of a monotonic clock.
 pub type Micros = u64;
-/// The id of a node, which is a replica's part in Raft and goes by the replica's id. Ids are
-/// assigned by the cluster and never reused.
+/// The id of a node, which equals the id of its replica. The cluster assigns ids and never reuses
+/// one.
 pub type NodeId = u64;
-/// The number of a term.
+/// The number of a term, in which at most one leader is elected.
 pub type Term = u64;
-/// The index of a log entry, from 1.
+/// The index of a log entry, counted from 1.
 pub type Index = u64;
--- a/cluster/raft/src/log.rs
+++ b/cluster/raft/src/log.rs
@@ -1,29 +1,29 @@
-//! The log as a node sees it: the entries since the latest snapshot, in memory. Making them
-//! durable is the caller's task.
+//! The in-memory log of a node: the entries since the latest snapshot. The caller makes them
+//! durable.
 
 use std::collections::VecDeque;
 
 use crate::{Entry, Index, LogPosition, Membership, Payload, SnapshotMetadata, Term};
 
-/// The entries after a snapshot.
+/// The latest snapshot's metadata and the entries that follow it.
 #[derive(Debug, Clone, Default)]
 pub struct Log {
-    /// The snapshot that stands for the entries before the first one here.
+    /// The snapshot that replaces all entries before the first one in `entries`.
     base: SnapshotMetadata,
     entries: VecDeque<Entry>,
 }
 
-/// A membership and the entry that set it.
+/// A membership and the index from which it is in effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EffectiveMembership {
-    /// The entry that set it, or the snapshot's last entry.
+    /// The index of the entry that set the membership, or of the snapshot's last entry.
     pub index: Index,
-    /// The membership from that entry on.
+    /// The membership that is in effect from that entry on.
     pub membership: Membership,
 }
 
 impl Log {
-    /// Entries that follow a snapshot.
+    /// Creates a log of a snapshot and the entries that follow it.
     #[must_use]
     pub fn new(base: SnapshotMetadata, entries: Vec<Entry>) -> Self {
         Log {
@@ -32,13 +32,13 @@
         }
     }
 
-    /// The snapshot before the first entry.
+    /// Returns the metadata of the snapshot that precedes the first entry.
     #[must_use]
     pub fn base(&self) -> &SnapshotMetadata {
         &self.base
     }
 
-    /// The position of the last entry.
+    /// Returns the position of the last entry, or of the snapshot if there are no entries.
     #[must_use]
     pub fn last(&self) -> LogPosition {
         self.entries
@@ -46,13 +46,14 @@
             .map_or(self.base.position(), Entry::position)
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry, or of the snapshot if there are no entries.
     #[must_use]
     pub fn last_index(&self) -> Index {
         self.last().index
     }
 
-    /// The term of an entry; `None` if it is not here.
+    /// Returns the term of the entry at `index`, or `None` if the log has no such entry. The last
+    /// entry of the snapshot counts as present.
     #[must_use]
     pub fn term(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
@@ -61,21 +62,21 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Whether the log has this entry with this term.
+    /// Returns whether the entry at `position.index` is known and has the term `position.term`.
     #[must_use]
     pub fn contains(&self, position: LogPosition) -> bool {
         self.term(position.index) == Some(position.term)
     }
 
-    /// An entry; `None` if it is not here.
+    /// Returns the entry at `index`, or `None` if it is compacted or beyond the end of the log.
     #[must_use]
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.checked_sub(self.base.index + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The entries from `from` to `to`, both included, up to `max_bytes`, but at least one if
-    /// there is one.
+    /// Returns the entries from `from` to `to` inclusive, up to `max_bytes` bytes in total. The
+    /// first entry is returned even if it is larger.
     #[must_use]
     pub fn slice(&self, from: Index, to: Index, max_bytes: usize) -> Vec<Entry> {
         let mut slice = Vec::new();
@@ -90,20 +91,20 @@
         slice
     }
 
-    /// Appends an entry, whose index has to be the next.
+    /// Appends an entry, whose index must be [`Log::last_index`] + 1.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         self.entries.push_back(entry);
     }
 
-    /// Removes the entries from `from` on.
+    /// Removes the entry at `from` and all later ones.
     pub fn truncate(&mut self, from: Index) {
         let remaining = from.saturating_sub(self.base.index + 1);
         self.entries
             .truncate(usize::try_from(remaining).unwrap_or(usize::MAX));
     }
 
-    /// Discards the entries up to a snapshot that is durable.
+    /// Discards the entries that a durable snapshot covers.
     pub fn compact(&mut self, snapshot: SnapshotMetadata) {
         while self
             .entries
@@ -115,8 +116,8 @@
         self.base = snapshot;
     }
 
-    /// Begins anew after a snapshot from the leader. Entries that follow it stay if they continue
-    /// the same log.
+    /// Replaces the log by a snapshot from the leader. The entries after the snapshot are kept if
+    /// this log contains the snapshot's last entry.
     pub fn reset(&mut self, snapshot: SnapshotMetadata) {
         if self.contains(snapshot.position()) && snapshot.index >= self.base.index {
             self.compact(snapshot);
@@ -126,8 +127,8 @@
         }
     }
 
-    /// The membership at the end of the log. A node uses it from the moment it appends it,
-    /// committed or not.
+    /// Returns the latest membership in the log. A node uses a membership as soon as it appends
+    /// the entry, before the entry is committed.
     #[must_use]
     pub fn membership(&self) -> EffectiveMembership {
         let latest = self.entries.iter().rev().find_map(|entry| {
@@ -142,7 +143,7 @@
         })
     }
 
-    /// The membership as of an entry.
+    /// Returns the membership that is in effect at the entry at `index`.
     #[must_use]
     pub fn membership_at(&self, index: Index) -> Membership {
         let entries = self.entries.iter().rev();
@@ -153,13 +154,13 @@
             .clone()
     }
 
-    /// How many entries are here.
+    /// Returns the number of entries after the snapshot.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is here.
+    /// Returns whether no entries follow the snapshot.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
--- a/cluster/raft/src/membership_change.rs
+++ b/cluster/raft/src/membership_change.rs
@@ -6,12 +6,13 @@
 use crate::{LogPosition, MembershipChange, NodeId, Payload, ProposalError, RaftNode};
 
 impl RaftNode {
-    /// Proposes one change of the membership; the position of its entry. It takes effect at once,
-    /// and is safe when it is committed.
+    /// Proposes a membership change, and returns the position of its entry. The new membership
+    /// takes effect at once, but may be overwritten until the entry is committed.
     ///
     /// # Errors
     ///
-    /// This node is not the leader, or the change is not allowed, or not for now.
+    /// Returns an error if this node is not the leader, or if the change is not allowed now or at
+    /// all.
     pub fn propose_membership_change(
         &mut self,
         change: MembershipChange,
@@ -19,8 +20,8 @@
         let RoleState::Leader(leader) = &self.role else {
             return Err(ProposalError::NotLeader);
         };
-        // Two changes at a time, or one before an entry of this term is committed, could make two
-        // majorities that share no replica.
+        // With two uncommitted changes, or a change before an entry of this term is committed,
+        // there could be two majorities that share no replica.
         let uncommitted = self.membership.index > self.commit || leader.first_index > self.commit;
         if uncommitted || leader.transfer.is_some() {
             return Err(ProposalError::ChangeInProgress);
@@ -39,7 +40,7 @@
         Ok(position)
     }
 
-    /// Whether a learner lacks few enough entries to be promoted.
+    /// Returns whether a learner lacks at most `promotion_threshold` entries.
     fn has_caught_up(&self, leader: &LeaderState, id: NodeId) -> bool {
         leader.progress.get(&id).is_some_and(|progress| {
             let missing = self.log.last_index().saturating_sub(progress.match_index);
@@ -47,7 +48,8 @@
         })
     }
 
-    /// Uses a new membership, and replicates to its nodes and no others.
+    /// Switches to a new membership, and starts and stops replication to the nodes that it adds and
+    /// removes.
     fn adopt_membership(&mut self, effective: EffectiveMembership) {
         self.membership = effective;
         let next_index = self.log.last_index() + 1;
--- a/cluster/raft/src/message.rs
+++ b/cluster/raft/src/message.rs
@@ -1,53 +1,54 @@
-//! The messages between nodes, named as in the Raft paper.
+//! The messages between nodes, named after those of the Raft paper.
 //!
-//! They are encoded by postcard: the order of variants and fields is the wire format, the names
-//! are free.
+//! Messages are encoded by postcard. The order of variants and fields is part of the wire format;
+//! their names are not.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Entry, Index, LogPosition, SnapshotChunk, Term};
 
-/// What one node sends to another.
+/// A message from one node to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Queries whether the receiver would vote for the sender; it changes nothing at the receiver.
+    /// Asks whether the receiver would vote for the sender. It does not change the receiver's
+    /// state.
     RequestPreVote {
         /// The term that the sender would begin.
         term: Term,
-        /// The sender's last entry.
+        /// The position of the sender's last entry.
         last_log: LogPosition,
     },
     /// The answer to [`Message::RequestPreVote`].
     PreVoteResponse {
-        /// The requested term if granted, else the responder's own term.
+        /// The requested term if the pre-vote is granted, otherwise the responder's own term.
         term: Term,
         /// Whether the responder would vote for the sender.
         granted: bool,
     },
-    /// Requests a vote.
+    /// Asks the receiver to vote for the sender.
     RequestVote {
         /// The term that the candidate begins.
         term: Term,
-        /// The candidate's last entry.
+        /// The position of the candidate's last entry.
         last_log: LogPosition,
-        /// The leader itself has requested the campaign: its lease on leadership doesn't
-        /// protect it.
+        /// Whether the leader has requested the campaign. If so, receivers vote even if they have
+        /// heard from the leader recently.
         leadership_transfer: bool,
     },
     /// The answer to [`Message::RequestVote`].
     VoteResponse {
         /// The responder's term.
         term: Term,
-        /// Whether the vote was given.
+        /// Whether the responder voted for the candidate.
         granted: bool,
     },
-    /// Entries from the leader; without any, a heartbeat.
+    /// Carries entries from the leader. Without entries it is a heartbeat.
     AppendEntries {
         /// The leader's term.
         term: Term,
-        /// The position of the entry just before these.
+        /// The position of the entry that precedes `entries`.
         previous: LogPosition,
-        /// The entries.
+        /// The entries to append.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: Index,
@@ -58,51 +59,52 @@
     AppendResponse {
         /// The responder's term.
         term: Term,
-        /// How its log compares to the leader's.
+        /// How the responder's log compares to the leader's.
         outcome: AppendOutcome,
-        /// The round of the request.
+        /// The heartbeat round of the request.
         round: u64,
     },
-    /// A part of a snapshot from the leader.
+    /// Carries a chunk of a snapshot from the leader.
     InstallSnapshot {
         /// The leader's term.
         term: Term,
-        /// The part.
+        /// The chunk to store.
         chunk: SnapshotChunk,
     },
     /// The answer to [`Message::InstallSnapshot`].
     SnapshotResponse {
         /// The responder's term.
         term: Term,
-        /// The snapshot's last entry.
+        /// The index of the last entry that the snapshot covers.
         index: Index,
-        /// The next byte wanted; `None`: the snapshot is complete and installed.
+        /// The offset of the next byte to send, or `None` if the responder needs no more of the
+        /// snapshot.
         next_offset: Option<u64>,
     },
     /// Requests a read index from the leader.
     ReadIndex {
-        /// The sender's id of the read.
+        /// The id that the sender has given to the read.
         read_id: u64,
     },
     /// The answer to [`Message::ReadIndex`].
     ReadIndexResponse {
         /// The id of the request.
         read_id: u64,
-        /// The read index; `None`: the responder is not the leader.
+        /// The read index, or `None` if the responder is not the leader.
         index: Option<Index>,
     },
-    /// Makes the receiver campaign at once: the leader transfers its leadership.
+    /// Makes the receiver campaign at once, because the leader transfers its leadership to it.
     TimeoutNow {
         /// The leader's term.
         term: Term,
     },
 }
 
-/// How a follower's log compares to what the leader has sent.
+/// The result of comparing a follower's log with the entries that the leader has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The logs match up to this index, and the follower has all of it durably.
+    /// The logs match up to this index, and the follower's entries up to it are durable.
     Matched(Index),
-    /// The logs don't match at the previous entry; they may match at this earlier index.
+    /// The logs don't match at the previous entry. They may match at this earlier index.
     Conflict(Index),
 }
--- a/cluster/raft/src/progress.rs
+++ b/cluster/raft/src/progress.rs
@@ -1,49 +1,50 @@
-//! What a leader knows of another node's log.
+//! The leader's view of a peer's log.
 
 use std::collections::VecDeque;
 
 use crate::{Index, Micros};
 
-/// Whether it is known where the peer's log matches the leader's.
+/// How a leader sends entries to a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) enum ReplicationMode {
-    /// Not known yet: one message at a time.
+    /// The leader doesn't know where the logs match, and sends one message with entries at a time.
     #[default]
     Probe,
-    /// Known: entries are pipelined.
+    /// The leader knows where the logs match, and pipelines entries.
     Replicate,
 }
 
-/// A snapshot on its way to a peer.
+/// The transfer of a snapshot to a peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SnapshotTransfer {
-    /// The first byte of the chunk that is out.
+    /// The offset of the latest chunk requested for the peer.
     pub(crate) offset: u64,
-    /// When the chunk was last sent.
+    /// The time at which that chunk was last requested.
     pub(crate) sent_at: Micros,
 }
 
 /// The replication progress of one peer.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Progress {
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(crate) next_index: Index,
-    /// The last entry that the peer is known to have.
+    /// The highest index up to which the peer's log is known to match.
     pub(crate) match_index: Index,
     pub(crate) mode: ReplicationMode,
-    /// The last entry of each message that is unanswered.
+    /// The index of the last entry of each unanswered message.
     pub(crate) in_flight: VecDeque<Index>,
     /// The latest heartbeat round that the peer has answered.
     pub(crate) answered_round: u64,
-    /// When the peer last answered anything.
+    /// The time of the peer's latest response.
     pub(crate) last_response: Micros,
-    /// When the oldest unanswered message was sent, or entries were last acknowledged.
+    /// The time at which the oldest unanswered message was sent or entries were last acknowledged,
+    /// whichever is later.
     pub(crate) unacknowledged_since: Micros,
     pub(crate) snapshot: Option<SnapshotTransfer>,
 }
 
 impl Progress {
-    /// A peer of which nothing is known: probing begins at `next_index`.
+    /// Creates the progress of a peer whose log is unknown. Probing begins at `next_index`.
     pub(crate) fn new(next_index: Index, now: Micros) -> Self {
         Progress {
             next_index,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The most unanswered messages for now.
+    /// Returns the maximum number of unanswered messages in the current mode.
     pub(crate) fn window(&self, max_inflight: usize) -> usize {
         match self.mode {
             ReplicationMode::Probe => 1,
@@ -60,8 +61,8 @@
         }
     }
 
-    /// Probes again from where the logs are known to match if messages that were sent before
-    /// `oldest` are unanswered: they, or the answers to them, were dropped.
+    /// Returns to probing after the last matching entry if nothing was acknowledged since before
+    /// `oldest` although messages are unanswered: the messages or the responses were dropped.
     pub(crate) fn restart_if_timed_out(&mut self, oldest: Micros) {
         if !self.in_flight.is_empty() && self.unacknowledged_since < oldest {
             self.probe_from(self.match_index + 1);
@@ -74,10 +75,11 @@
         self.next_index = next_index;
     }
 
-    /// The peer has acknowledged all entries up to `index`.
+    /// Records that the peer has acknowledged all entries up to `index`.
     pub(crate) fn on_matched(&mut self, index: Index, now: Micros) {
         if index > self.match_index {
-            // Only this shows that messages arrive; heartbeats are answered all the same.
+            // Only new entries show that messages with entries arrive. Heartbeats may be answered
+            // even if those messages are dropped.
             self.match_index = index;
             self.unacknowledged_since = now;
         }
@@ -91,8 +93,10 @@
         self.next_index = self.next_index.max(match_index + 1);
     }
 
-    /// The peer's log doesn't match before `next_index`; probing goes on at or below `hint + 1`.
-    /// Returns whether that changes anything: a stale or duplicated answer doesn't.
+    /// Handles a response that the peer's log doesn't match before `next_index`: probing continues
+    /// at `hint + 1`, but after the last match and at most one past the end of the leader's log.
+    /// Returns whether probing moved back or began, which it doesn't on a stale or duplicated
+    /// response.
     pub(crate) fn on_conflict(&mut self, hint: Index, last_index: Index) -> bool {
         let next_index = (hint + 1).max(self.match_index + 1).min(last_index + 1);
         let changes = self.mode == ReplicationMode::Replicate || next_index < self.next_index;
@@ -100,7 +104,7 @@
         changes
     }
 
-    /// Entries up to `end` were sent.
+    /// Records that entries up to `end` were sent.
     pub(crate) fn on_sent(&mut self, end: Index, now: Micros) {
         if self.in_flight.is_empty() {
             self.unacknowledged_since = now;
@@ -108,8 +112,8 @@
         self.in_flight.push_back(end);
     }
 
-    /// Begins or repeats the transfer of a snapshot: the offset of the chunk to send now, if it is
-    /// time.
+    /// Begins a snapshot transfer, or repeats its current chunk if that was sent at least
+    /// `retry_after` ago. Returns the offset of the chunk to send, or `None` if none is due.
     pub(crate) fn snapshot_chunk_due(&mut self, now: Micros, retry_after: Micros) -> Option<u64> {
         let offset = match self.snapshot {
             Some(transfer) if now < transfer.sent_at + retry_after => return None,
--- a/cluster/raft/src/proposal.rs
+++ b/cluster/raft/src/proposal.rs
@@ -1,11 +1,12 @@
-//! Proposals of commands to the leader.
+//! Proposals of commands, and the reasons for which the leader rejects one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::role::RoleState;
 use crate::{Entry, LogPosition, Payload, RaftNode};
 
-/// Why a proposal, a membership change or a leadership transfer is rejected. Nothing was done.
+/// The reason why a proposal, a membership change or a leadership transfer was rejected. A rejected
+/// call has no effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum ProposalError {
     /// This node is not the leader.
@@ -14,30 +15,33 @@
     /// An earlier membership change, or the first entry of this term, is not committed yet.
     #[error("an earlier change is not committed yet; retry later")]
     ChangeInProgress,
-    /// The id was assigned before; ids are never reused.
+    /// The id of the new replica was assigned before. Ids are never reused.
     #[error("the id was assigned before; ids are never reused")]
     IdAlreadyUsed,
-    /// There is no such replica, or it is not of the kind that the change needs.
+    /// There is no such replica, or it doesn't have the role (voter or learner) that the call
+    /// requires.
     #[error("there is no such replica, or it is of another kind")]
     UnknownMember,
-    /// The learner has not caught up.
+    /// The learner lacks too many entries to be promoted.
     #[error("the learner has not caught up yet; retry later")]
     LearnerBehind,
-    /// The last voter can't be removed.
+    /// The change would remove the last voter.
     #[error("the last voter can't be removed")]
     LastVoter,
-    /// Too many uncommitted bytes, or leadership is being transferred. A replica also says so of
-    /// too many calls that wait.
+    /// Too many bytes are uncommitted, or leadership is being transferred. The replica runtime also
+    /// returns this error if too many calls are waiting.
     #[error("too much is uncommitted, or leadership is being transferred; retry later")]
     Busy,
 }
 
 impl RaftNode {
-    /// Proposes a command; the position that it will have if it is committed in this term.
+    /// Proposes a command, and returns the position of its entry. The command is committed only if
+    /// the entry committed at that index has the same term.
     ///
     /// # Errors
     ///
-    /// This node is not the leader, or can't take more for now.
+    /// Returns an error if this node is not the leader, or if it accepts no proposals at the
+    /// moment.
     pub fn propose(&mut self, command: Vec<u8>) -> Result<LogPosition, ProposalError> {
         let RoleState::Leader(leader) = &self.role else {
             return Err(ProposalError::NotLeader);
--- a/cluster/raft/src/raft_node.rs
+++ b/cluster/raft/src/raft_node.rs
@@ -1,4 +1,4 @@
-//! One node: its state, its clock, and the way of each message to the rule that handles it.
+//! The Raft node: its state, its clock, and the dispatch of messages to their handlers.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,16 @@
     SnapshotMetadata, Term,
 };
 
-/// What a node's durable storage holds when it starts. A new cluster's nodes begin with an empty
-/// snapshot that names the first members, a node that joins with one that names nobody.
+/// The durable state from which a node starts. The nodes of a new cluster start from an empty
+/// snapshot whose membership is that of the new cluster. A node that joins later starts from an
+/// empty snapshot with an empty membership.
 #[derive(Debug, Clone, Default)]
 pub struct Restored {
-    /// The term and the vote.
+    /// The stored term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot.
+    /// The metadata of the latest snapshot.
     pub snapshot: SnapshotMetadata,
-    /// The entries after it.
+    /// The entries that follow the snapshot.
     pub entries: Vec<Entry>,
 }
 
@@ -41,7 +42,7 @@
     pub(crate) commit: Index,
     pub(crate) applied: Index,
     pub(crate) election_deadline: Micros,
-    /// When the last message from a leader came.
+    /// The time of the latest message from a leader.
     pub(crate) leader_seen_at: Micros,
     pub(crate) writes: WriteTracker,
     pub(crate) incoming_snapshot: Option<IncomingSnapshot>,
@@ -49,8 +50,8 @@
 }
 
 impl RaftNode {
-    /// A node as its storage has it. `seed` feeds the random election time-outs; `now` is in
-    /// microseconds.
+    /// Creates a follower from its durable state. `seed` seeds the random election timeouts. `now`
+    /// is the current time in microseconds.
     #[must_use]
     pub fn new(id: NodeId, config: Config, seed: u64, restored: Restored, now: Micros) -> Self {
         let commit = restored.snapshot.index;
@@ -74,56 +75,57 @@
             log,
         };
         node.reset_election_deadline();
-        // A node that is a majority by itself has nobody to wait for.
+        // A node that is a majority by itself need not wait for a leader.
         if node.is_sole_quorum() {
             node.election_deadline = now;
         }
         node
     }
 
-    /// This node's id.
+    /// Returns the node's id.
     #[must_use]
     pub fn id(&self) -> NodeId {
         self.id
     }
 
-    /// Its role.
+    /// Returns the node's current role.
     #[must_use]
     pub fn role(&self) -> Role {
         self.role.role()
     }
 
-    /// The leader of the current term, if this node knows it.
+    /// Returns the leader of the current term, if the node knows it.
     #[must_use]
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The latest term that it knows.
+    /// Returns the latest term that the node has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The last entry that it knows to be committed.
+    /// Returns the index of the last entry that the node knows to be committed.
     #[must_use]
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// Returns the node's log, including entries that are not durable or committed yet.
     #[must_use]
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// The membership at the end of its log.
+    /// Returns the latest membership in the node's log, which may be uncommitted.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership.membership
     }
 
-    /// On a leader, the last entry that each other node is known to have; empty otherwise.
+    /// Returns the last index that each other node is known to have, by node id. It is empty on a
+    /// node that is not the leader.
     #[must_use]
     pub fn match_indexes(&self) -> BTreeMap<NodeId, Index> {
         match &self.role {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// When [`RaftNode::tick`] is to be called next, in microseconds.
+    /// Returns the time by which [`RaftNode::tick`] must be called next, in microseconds.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
         match &self.role {
@@ -145,15 +147,16 @@
         }
     }
 
-    /// Takes what is to be done since the last call, in order. Carrying it out may lead to more.
+    /// Takes the actions requested since the last call, in the order in which they must be
+    /// performed. Performing them may lead to further actions.
     pub fn take_actions(&mut self) -> Vec<Action> {
         self.send_unsent();
         self.apply_committed();
         std::mem::take(&mut self.actions)
     }
 
-    /// Advances the clock to `now`, in microseconds. To be called before anything else is done at
-    /// a new time.
+    /// Advances the clock to `now`, in microseconds, and handles timeouts. The caller calls it
+    /// before any other method when time has passed. The clock never goes backwards.
     pub fn tick(&mut self, now: Micros) {
         self.now = now.max(self.now);
         if matches!(self.role, RoleState::Leader(_)) {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Handles a message.
+    /// Handles a message from the node `from`.
     pub fn step(&mut self, from: NodeId, message: Message) {
         match message {
             Message::RequestPreVote { .. }
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Whether this node is a majority by itself.
+    /// Returns whether this node is a majority by itself.
     pub(crate) fn is_sole_quorum(&self) -> bool {
         self.membership().is_quorum(|id| id == self.id)
     }
@@ -198,13 +201,13 @@
         self.membership().voters.contains(&self.id)
     }
 
-    /// All voters but this node.
+    /// Returns all voters except this node.
     pub(crate) fn other_voters(&self) -> Vec<NodeId> {
         let voters = self.membership().voters.iter().copied();
         voters.filter(|id| *id != self.id).collect()
     }
 
-    /// Sends a message that depends on no write.
+    /// Sends a message without waiting for writes. The message must not depend on one.
     pub(crate) fn send_now(&mut self, to: NodeId, message: Message) {
         self.actions.push(Action::Send { to, message });
     }
--- a/cluster/raft/src/read_index.rs
+++ b/cluster/raft/src/read_index.rs
@@ -1,28 +1,28 @@
 //! Linearizable reads by the read-index protocol (section 6.4 of Ongaro's thesis).
 //!
-//! The leader notes its commit index, and answers with it once a majority has responded to a
-//! heartbeat round that began after the read: so it was still the leader when the read began.
-//! Whoever has applied all up to that index may serve the read.
+//! The leader records its commit index, and answers with it once a majority has responded to a
+//! heartbeat round that began after the read. That proves that it was still the leader when the
+//! read began. A node that has applied all entries up to that index may serve the read.
 
 use crate::role::RoleState;
 use crate::{Action, Index, Message, NodeId, RaftNode};
 
-/// A read that waits for a heartbeat round.
+/// A read for which the leader waits until a majority has answered a heartbeat round.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRead {
     pub(crate) read_id: u64,
     /// The node that requested it, possibly the leader itself.
     pub(crate) from: NodeId,
-    /// The read index.
+    /// The index up to which entries must be applied before the read is served.
     index: Index,
-    /// The round that a majority has to answer.
+    /// The heartbeat round that a majority must answer.
     pub(crate) round: u64,
 }
 
 impl RaftNode {
     /// Requests the index that this node must have applied to serve a linearizable read. The
-    /// answer is [`Action::ReadReady`] or [`Action::ReadFailed`], or none where messages are
-    /// dropped: then the caller retries.
+    /// result is [`Action::ReadReady`] or [`Action::ReadFailed`]. If messages are dropped there may
+    /// be no result, and the caller must retry.
     pub fn read_index(&mut self, read_id: u64) {
         match (&self.role, self.leader) {
             (RoleState::Leader(_), _) => self.begin_read(self.id, read_id),
@@ -38,15 +38,16 @@
         leader.pending_reads.push(PendingRead {
             read_id,
             from,
-            // Until an entry of its own term is committed, a leader doesn't know what was
-            // committed before it.
+            // Until an entry of its own term is committed, a leader doesn't know the last index
+            // that earlier leaders have committed.
             index: self.commit.max(leader.first_index),
             round: leader.round + 1,
         });
         leader.has_unsent = true;
     }
 
-    /// Answers the reads whose round a majority has answered.
+    /// Answers the pending reads whose heartbeat round a majority has answered and whose index is
+    /// committed.
     pub(crate) fn confirm_reads(&mut self) {
         let RoleState::Leader(leader) = &mut self.role else {
             return;
@@ -76,7 +77,7 @@
         });
     }
 
-    /// Answers the node that requested the read; `None`: this node is not the leader.
+    /// Answers the node that requested a read. `index` is `None` if this node is not the leader.
     pub(crate) fn answer_read(&mut self, from: NodeId, read_id: u64, index: Option<Index>) {
         if from == self.id {
             self.on_read_index_response(read_id, index);
--- a/cluster/raft/src/replication.rs
+++ b/cluster/raft/src/replication.rs
@@ -1,4 +1,4 @@
-//! Log replication at the leader: sending entries to the peers, and handling their responses.
+//! Log replication at the leader: sends entries to the peers and handles their responses.
 
 use crate::append_entries::AppendRequest;
 use crate::progress::{Progress, ReplicationMode};
@@ -6,8 +6,8 @@
 use crate::{Action, AppendOutcome, Entry, Index, LogPosition, Message, NodeId, RaftNode, Term};
 
 impl RaftNode {
-    /// Sends a peer the entries that it lacks, as far as its window allows. Returns whether any
-    /// were sent.
+    /// Sends a peer the entries that it lacks, as far as its window of unanswered messages allows.
+    /// Returns whether any were sent.
     pub(crate) fn send_entries(&mut self, to: NodeId) -> bool {
         let mut sent_any = false;
         while let Some(entries) = self.next_entries(to) {
@@ -25,8 +25,8 @@
         sent_any
     }
 
-    /// The entries that may be sent to a peer now. A peer whose next entry is compacted away gets
-    /// a snapshot instead.
+    /// Returns the next entries to send to a peer, and records them as sent. If the peer's next
+    /// entry is compacted, returns `None` and requests a snapshot chunk for the peer if one is due.
     fn next_entries(&mut self, to: NodeId) -> Option<Vec<Entry>> {
         let now = self.now;
         let last = self.log.last_index();
@@ -51,7 +51,7 @@
         Some(entries)
     }
 
-    /// Sends one message with these entries, or a heartbeat without any.
+    /// Sends a message with the given entries. Without entries it is a heartbeat.
     pub(crate) fn send_append(&mut self, to: NodeId, entries: Vec<Entry>) {
         let RoleState::Leader(leader) = &self.role else {
             return;
@@ -59,8 +59,8 @@
         let Some(progress) = leader.progress.get(&to) else {
             return;
         };
-        // A heartbeat refers to the last entry that the peer is known to have; while that is
-        // searched for, it probes, too.
+        // A heartbeat refers to the last entry that the peer is known to have. While that entry is
+        // not known, the heartbeat probes for it.
         let is_heartbeat = entries.is_empty() && progress.mode == ReplicationMode::Replicate;
         let previous_index = if is_heartbeat {
             progress.match_index
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A peer has all entries up to `index`.
+    /// Handles a response that a peer has all entries up to `index`.
     pub(crate) fn on_matched(&mut self, from: NodeId, index: Index, round: u64) {
         let now = self.now;
         let last = self.log.last_index();
@@ -142,14 +142,14 @@
         };
         let changes = progress.on_conflict(hint, last);
         self.confirm_reads();
-        // A stale answer is not answered again: the next heartbeat probes again. Otherwise every
-        // duplicated message would begin an exchange that never ends.
+        // Nothing is sent after a stale response: the next heartbeat probes again. Otherwise every
+        // duplicated message would start an endless exchange of messages.
         if changes {
             self.send_entries(from);
         }
     }
 
-    /// Records that a peer has answered a heartbeat round.
+    /// Records that a peer has answered a heartbeat round, and returns its progress.
     fn responding_peer(&mut self, from: NodeId, round: u64) -> Option<&mut Progress> {
         let now = self.now;
         let progress = self.progress_mut(from)?;
@@ -158,7 +158,8 @@
         Some(progress)
     }
 
-    /// A peer's progress; `None` if this node doesn't lead, or the peer is no member.
+    /// Returns a peer's progress, or `None` if this node is not the leader or the peer is not in
+    /// the membership.
     pub(crate) fn progress_mut(&mut self, peer: NodeId) -> Option<&mut Progress> {
         match &mut self.role {
             RoleState::Leader(leader) => leader.progress.get_mut(&peer),
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The other nodes, if this node leads.
+    /// Returns the nodes that this leader replicates to, or nothing if it is not the leader.
     pub(crate) fn peers(&self) -> Vec<NodeId> {
         match &self.role {
             RoleState::Leader(leader) => leader.progress.keys().copied().collect(),
--- a/cluster/raft/src/role.rs
+++ b/cluster/raft/src/role.rs
@@ -1,4 +1,4 @@
-//! The roles of a node, and the state that belongs to one of them.
+//! The roles of a node, and the state that exists only in a role.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,26 +7,26 @@
 use crate::read_index::PendingRead;
 use crate::{Index, Micros, NodeId};
 
-/// The role of a node.
+/// The role of a node in the current term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It follows a leader, or waits for one.
+    /// The node follows a leader, or waits for one.
     Follower,
-    /// It requests votes or pre-votes.
+    /// The node requests votes or pre-votes.
     Candidate,
-    /// It leads.
+    /// The node is the leader of its term.
     Leader,
 }
 
-/// The role with its state.
+/// The role of a node together with the state of that role.
 pub(crate) enum RoleState {
     Follower,
     PreCandidate {
-        /// The nodes that would vote for this one.
+        /// The nodes that have granted this node a pre-vote.
         votes: BTreeSet<NodeId>,
     },
     Candidate {
-        /// The nodes that have voted for this one.
+        /// The nodes that have voted for this node.
         votes: BTreeSet<NodeId>,
     },
     Leader(Box<LeaderState>),
@@ -42,19 +42,19 @@
     }
 }
 
-/// The state of a leader.
+/// The state that a node has only while it is the leader.
 #[derive(Default)]
 pub(crate) struct LeaderState {
-    /// What is known of each other node.
+    /// The replication progress of each other node.
     pub(crate) progress: BTreeMap<NodeId, Progress>,
-    /// The latest heartbeat round.
+    /// The number of the latest heartbeat round.
     pub(crate) round: u64,
     pub(crate) next_heartbeat: Micros,
-    /// The first entry of this leader's term.
+    /// The index of the first entry of this leader's term.
     pub(crate) first_index: Index,
     pub(crate) pending_reads: Vec<PendingRead>,
     pub(crate) transfer: Option<Transfer>,
     pub(crate) uncommitted_bytes: usize,
-    /// Something was appended, or a read begun, that was not sent to the others yet.
+    /// Whether entries were appended or reads begun that the peers have not been sent yet.
     pub(crate) has_unsent: bool,
 }
--- a/cluster/raft/src/snapshot.rs
+++ b/cluster/raft/src/snapshot.rs
@@ -1,23 +1,23 @@
-//! Snapshots: log compaction, and their transfer in chunks to a node whose next entry is compacted
-//! away.
+//! Snapshots: log compaction, and the transfer of a snapshot in chunks to a node whose next entry
+//! is compacted.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Action, Index, LogPosition, Membership, Message, NodeId, RaftNode, Term};
 
-/// What a snapshot stands for.
+/// The position and the membership up to which a snapshot replaces the log.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
-    /// The last entry that it covers.
+    /// The index of the last entry that the snapshot covers.
     pub index: Index,
     /// The term of that entry.
     pub term: Term,
-    /// The membership as of that entry.
+    /// The membership that is in effect at that entry.
     pub membership: Membership,
 }
 
 impl SnapshotMetadata {
-    /// The position of the last entry that it covers.
+    /// Returns the position of the last entry that the snapshot covers.
     #[must_use]
     pub fn position(&self) -> LogPosition {
         LogPosition {
@@ -27,16 +27,16 @@
     }
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot in transfer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// What the snapshot stands for.
+    /// The metadata of the whole snapshot.
     pub metadata: SnapshotMetadata,
-    /// The place of the first byte of this part.
+    /// The offset of the chunk's first byte in the snapshot.
     pub offset: u64,
-    /// The bytes.
+    /// The bytes of the chunk.
     pub data: Vec<u8>,
-    /// Whether the snapshot ends here.
+    /// Whether this is the last chunk of the snapshot.
     pub is_last: bool,
 }
 
@@ -44,12 +44,13 @@
 #[derive(Debug)]
 pub(crate) struct IncomingSnapshot {
     metadata: SnapshotMetadata,
-    /// The next byte wanted; `None` while a chunk is being stored.
+    /// The offset of the next byte to receive, or `None` while a chunk is being stored.
     next_offset: Option<u64>,
 }
 
 impl RaftNode {
-    /// The state up to an entry is durable as a snapshot: the log up to there is discarded.
+    /// Reports that a snapshot of the state up to `snapshot` is durable, and discards the log up to
+    /// that entry. Does nothing if the entry is not applied or is already compacted.
     pub fn compact_log(&mut self, snapshot: LogPosition) {
         if snapshot.index > self.log.base().index && snapshot.index <= self.applied {
             let membership = self.log.membership_at(snapshot.index);
@@ -61,7 +62,8 @@
         }
     }
 
-    /// A chunk of the latest snapshot, as [`Action::LoadSnapshotChunk`] requested.
+    /// Reports the chunk that [`Action::LoadSnapshotChunk`] requested, and sends it to the peer if
+    /// this node still leads.
     pub fn snapshot_chunk_loaded(&mut self, to: NodeId, chunk: SnapshotChunk) {
         let term = self.hard_state.term;
         if self.role() == crate::Role::Leader {
@@ -69,7 +71,8 @@
         }
     }
 
-    /// A chunk that is not the last one is stored; the next one is wanted from `next_offset`.
+    /// Reports that a chunk other than the last is stored, and asks the leader for the chunk at
+    /// `next_offset`.
     pub fn snapshot_chunk_stored(
         &mut self,
         from: NodeId,
@@ -84,7 +87,8 @@
         self.respond_to_snapshot(from, index, Some(next_offset));
     }
 
-    /// The last chunk is stored, and the snapshot durably in place of the state and the log.
+    /// Reports that the snapshot is complete and has durably replaced the state machine's state
+    /// and the log.
     pub fn snapshot_installed(&mut self, from: NodeId, metadata: SnapshotMetadata) {
         let index = metadata.index;
         self.incoming_snapshot = None;
