--- a/cluster/raft-storage/src/directory.rs
+++ b/cluster/raft-storage/src/directory.rs
@@ -1,35 +1,35 @@
-//! The few file operations that the storage needs, in one folder.
+//! The file operations that the storage needs, limited to one folder.
 
 use std::fs::{File, OpenOptions};
 use std::io::{Result, Write};
 use std::path::PathBuf;
 
-/// The files of one folder. Errors are those of the operating system.
+/// The files of one folder. All methods return the errors of the operating system.
 #[expect(
     clippy::missing_errors_doc,
     reason = "the errors of all methods are said once, above"
 )]
 pub trait Directory {
-    /// The names of all files.
+    /// Returns the names of all files, in any order.
     fn list(&self) -> Result<Vec<String>>;
-    /// The content of a file.
+    /// Returns the content of a file.
     fn read(&self, name: &str) -> Result<Vec<u8>>;
-    /// Appends to a file, which is created if it doesn't exist. After an error any part may have
-    /// been written.
+    /// Appends bytes to a file, and creates the file if it doesn't exist. After an error, any
+    /// prefix of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()>;
-    /// Cuts a file off at a length in bytes.
+    /// Truncates a file to a length in bytes.
     fn truncate(&mut self, name: &str, length: u64) -> Result<()>;
     /// Makes the content of a file durable.
     fn sync(&mut self, name: &str) -> Result<()>;
-    /// Makes the names of the files durable.
+    /// Makes created, renamed and removed file names durable.
     fn sync_dir(&mut self) -> Result<()>;
-    /// Renames a file, replacing one that has the new name.
+    /// Renames a file, and replaces the file `to` if it exists.
     fn rename(&mut self, from: &str, to: &str) -> Result<()>;
-    /// Removes a file.
+    /// Removes a file, which must exist.
     fn remove(&mut self, name: &str) -> Result<()>;
 }
 
-/// A folder of the file system. The file of the last append is held open.
+/// A folder of the file system. It keeps the file that was last written or synced open.
 #[derive(Debug)]
 pub struct FsDirectory {
     path: PathBuf,
@@ -37,11 +37,11 @@
 }
 
 impl FsDirectory {
-    /// A folder, which is created if it doesn't exist.
+    /// Opens a folder, and creates it and its parents if they don't exist.
     ///
     /// # Errors
     ///
-    /// It can't be created.
+    /// Returns an error if the folder can't be created.
     pub fn new(path: impl Into<PathBuf>) -> Result<Self> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
--- a/cluster/raft-storage/src/error.rs
+++ b/cluster/raft-storage/src/error.rs
@@ -1,94 +1,95 @@
-//! What can go wrong with a replica's storage.
+//! The errors of a replica's storage.
 
 use std::io;
 
-/// Why storage can't be opened or written.
+/// The reason why storage can't be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
-    /// The disk is full, or takes nothing for another reason. Nothing was written, and the same
-    /// may be retried.
+    /// The write failed, for example because the disk is full. Nothing was written, and the same
+    /// write may be retried.
     #[error("nothing can be written for now: {0}")]
     WriteFailed(#[source] io::Error),
-    /// It is not known what is durable, so nothing can be written any more: the replica has to
-    /// stop.
+    /// A sync, a rename or the undoing of a failed append failed, so it is unknown what is durable.
+    /// All further writes fail, and the replica must stop.
     #[error("nothing can be written any more: {0}")]
     DurabilityUnknown(String),
-    /// What is on disk is damaged. The replica has to be replaced by a new one.
+    /// The stored data is damaged. The replica must be replaced by a new one.
     #[error("what is on disk can't be believed: {0}")]
     Corrupt(#[from] Corruption),
-    /// The folder belongs to another replica, or to nobody.
+    /// The folder belongs to another replica, belongs to none, or is already in use.
     #[error(transparent)]
     NotOwned(#[from] OwnershipError),
 }
 
-/// What is damaged, or can't be put on disk in the first place.
+/// The kind and the place of damaged data, or of a value that can't be stored.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
     /// A file, or the folder itself, can't be read or repaired.
     #[error("{file}: {source}")]
     Io {
-        /// The file.
+        /// The name of the file, or `folder`.
         file: String,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A file that is one record holds none.
+    /// A file that should consist of one record holds no valid record.
     #[error("{file}: no record")]
     NoRecord {
-        /// The file.
+        /// The name of the file.
         file: String,
     },
-    /// There is no snapshot; every replica begins with one.
+    /// There is no snapshot, although every replica is created with one.
     #[error("no snapshot")]
     NoSnapshot,
-    /// The name of a segment is not a number.
+    /// The part of a segment's file name after the prefix is not a number.
     #[error("{file}: {source}")]
     SegmentName {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// The cause.
+        /// The error from parsing the number.
         source: std::num::ParseIntError,
     },
-    /// A record has the right checksum, but its content can't be decoded.
+    /// A record has a valid checksum, but its content can't be decoded.
     #[error("{file}: record at {offset}: {source}")]
     Undecodable {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// The place of the record, in bytes.
+        /// The offset of the record in the file, in bytes.
         offset: usize,
-        /// The cause.
+        /// The error from decoding the record.
         source: postcard::Error,
     },
-    /// An entry is missing.
+    /// A record's entry doesn't follow the previous entry of the log.
     #[error("{file}: record at {offset}: entry {actual} where {expected} should be")]
     MissingEntry {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// The place of the record, in bytes.
+        /// The offset of the record in the file, in bytes.
         offset: usize,
-        /// The index in the record.
+        /// The index of the entry in the record.
         actual: u64,
         /// The index that comes next in the log.
         expected: u64,
     },
-    /// A record that others follow is damaged: it was durable once.
+    /// A record is damaged although later data follows it. It was durable before, so it is not an
+    /// interrupted write.
     #[error("{file}: a record at {offset} is spoilt, and others follow")]
     DamagedRecord {
-        /// The file.
+        /// The name of the file.
         file: String,
-        /// The place of the record, in bytes.
+        /// The offset of the record in the file, in bytes.
         offset: usize,
     },
-    /// A value can't be encoded.
+    /// A value to be stored can't be encoded.
     #[error("{0}")]
     Encoding(postcard::Error),
-    /// A value is too long for a record.
+    /// The encoded value is longer than the length field of a record can express.
     #[error("{0}")]
     RecordTooLong(std::num::TryFromIntError),
 }
 
 impl Corruption {
-    /// For `map_err` on the I/O of a file.
+    /// Returns a function that adds the file name to an I/O error, for use with `map_err`.
     pub(crate) fn io_error(file: &str) -> impl FnOnce(io::Error) -> Corruption + '_ {
         move |source| Corruption::Io {
             file: file.to_owned(),
@@ -97,24 +98,24 @@
     }
 }
 
-/// Whose a folder is, if it is not this replica's.
+/// The reason why a replica must not use a folder.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum OwnershipError {
-    /// A new replica can't be made in a folder that is in use.
+    /// A new replica can't be created in a folder that already holds files.
     #[error("this folder is a member's already: it holds {file}")]
     InUse {
-        /// A file that is there.
+        /// The name of a file in the folder.
         file: String,
     },
-    /// The folder was never made for a replica, or its identity is missing.
+    /// The folder was not created for a replica, or its identity file is missing.
     #[error("this folder is no member's; one that lost its disk joins anew")]
     Unowned,
-    /// The folder is another replica's.
+    /// The folder belongs to another replica or another cluster.
     #[error("this folder is member {replica_id} of {cluster}")]
     OtherReplica {
-        /// The id of its owner.
+        /// The id of the replica that owns the folder.
         replica_id: u64,
-        /// The cluster of its owner.
+        /// The name of the owner's cluster.
         cluster: String,
     },
 }
--- a/cluster/raft-storage/src/identity.rs
+++ b/cluster/raft-storage/src/identity.rs
@@ -1,21 +1,21 @@
-//! Whose folder it is.
+//! The identity file, which states the replica that owns a folder.
 
 use serde::{Deserialize, Serialize};
 
-/// The file with the identity.
+/// The name of the file that holds the [`Identity`].
 pub(crate) const IDENTITY_FILE: &str = "member";
 
-/// The owner of a folder. Without its disk a replica has no record of its votes, and has to join
-/// again under another id.
+/// The replica that owns a folder. A replica that has lost its disk has no record of its votes, and
+/// must join again under another id.
 ///
-/// It is stored by postcard: the order of the fields is the format.
+/// The identity is encoded by postcard, so the order of the fields is part of the stored format.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Identity {
     /// The name of the cluster.
     pub cluster: String,
-    /// The id of the replica.
+    /// The id of the replica in its cluster.
     pub replica_id: u64,
-    /// A random number from when the folder was made: another disk under the same id has another
-    /// one. The runtime calls it the disk's id.
+    /// A random number chosen when the folder was created. It tells apart two disks with the same
+    /// replica id. The replica runtime calls it the disk id.
     pub incarnation: u64,
 }
--- a/cluster/raft-storage/src/lib.rs
+++ b/cluster/raft-storage/src/lib.rs
@@ -1,21 +1,21 @@
-//! Durable storage of a replica: who it is, its hard state (term and vote), its log and its latest
-//! snapshot.
+//! Durable storage of a replica: its identity, its hard state (term and vote), its log and its
+//! latest snapshot.
 //!
 //! | file | content |
 //! | --- | --- |
-//! | `member` | one record with the [`Identity`]: a folder without it belongs to nobody |
-//! | `log-N` | segment N of the log, from 1; it begins with the hard state, so that older ones can go |
+//! | `member` | one record with the [`Identity`]; a folder without it belongs to no replica |
+//! | `log-N` | segment N of the log, from 1; it begins with the hard state, so older ones can go |
 //! | `snapshot-I` | one record with the snapshot up to entry I |
-//! | `*.new` | a file that was being written; it has no meaning |
+//! | `*.new` | an incomplete file whose writing was interrupted; it is ignored |
 //!
-//! A record is its length and a checksum (4 bytes each, little-endian), then a postcard value. One
-//! [`StorageWrite`](violetgate_raft::StorageWrite) is one record, so it is there completely or not
-//! at all.
+//! A record consists of its length and a checksum (4 bytes each, little-endian), then a postcard
+//! value. Each [`StorageWrite`](violetgate_raft::StorageWrite) is stored as one record, so it is
+//! recovered completely or not at all.
 //!
-//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can cut a file at any byte,
-//! fail a sync or fill the disk. A write is durable when [`RaftStorage::write`] returns, and not
-//! before. After a failed sync nothing is written any more: the operating system may have dropped
-//! what it could not write, so a retry could only seem to succeed.
+//! [`RaftStorage`] does all I/O through [`Directory`], so that tests can truncate a file at any
+//! byte, fail a sync or fill the disk. A write is durable when [`RaftStorage::write`] returns `Ok`,
+//! and not before. After a failed sync all further writes fail: the operating system may have
+//! dropped the data that it could not write, so a retry could succeed without making it durable.
 //!
 //! ```
 //! use violetgate_raft::{HardState, Membership, SnapshotMetadata, StorageWrite};
--- a/cluster/raft-storage/src/record.rs
+++ b/cluster/raft-storage/src/record.rs
@@ -5,12 +5,12 @@
 
 use crate::{Corruption, StorageError};
 
-/// Bytes before the content of a record: its length and its checksum.
+/// The size of a record's header, in bytes: the length and the checksum.
 const HEADER_BYTES: usize = 8;
-/// A record that claims to be longer than this is none.
+/// The maximum size of a record's content, in bytes. A longer record is treated as damaged.
 const MAX_CONTENT_BYTES: usize = 64 << 20;
 
-/// The bytes of a record with this value.
+/// Encodes a value as a record: header and content.
 pub(crate) fn encode(value: &impl Serialize) -> Result<Vec<u8>, StorageError> {
     let content = postcard::to_stdvec(value).map_err(Corruption::Encoding)?;
     let length = u32::try_from(content.len()).map_err(Corruption::RecordTooLong)?;
@@ -28,16 +28,17 @@
     hasher.finalize()
 }
 
-/// A complete and undamaged record.
+/// A complete record with a valid checksum, not decoded yet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RawRecord<'a> {
     pub(crate) content: &'a [u8],
-    /// Its length with the header, in bytes.
+    /// The size of the record including its header, in bytes.
     pub(crate) size: usize,
 }
 
 impl<'a> RawRecord<'a> {
-    /// The record at the start of `bytes`; `None` if there is no complete and undamaged one.
+    /// Returns the record at the start of `bytes`, or `None` if there is no complete and undamaged
+    /// record.
     pub(crate) fn at_start(bytes: &'a [u8]) -> Option<Self> {
         let (length, rest) = bytes.split_first_chunk()?;
         let (stored_checksum, rest) = rest.split_first_chunk()?;
@@ -45,8 +46,8 @@
         let content = rest
             .get(..length as usize)
             .filter(|content| content.len() <= MAX_CONTENT_BYTES)?;
-        // An empty record is none: a file that the system has extended with zeros holds no
-        // records.
+        // An empty record is invalid, so that zeros with which the operating system has extended a
+        // file are never read as records.
         let is_valid =
             length > 0 && checksum(length, content) == u32::from_le_bytes(*stored_checksum);
         is_valid.then_some(RawRecord {
@@ -56,7 +57,7 @@
     }
 }
 
-/// The value of a file that is one record.
+/// Decodes the value of a file that consists of one record.
 pub(crate) fn decode_file<T: DeserializeOwned>(file: &str, bytes: &[u8]) -> Result<T, Corruption> {
     RawRecord::at_start(bytes)
         .and_then(|record| postcard::from_bytes(record.content).ok())
--- a/cluster/raft-storage/src/recovery.rs
+++ b/cluster/raft-storage/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Opening a replica's storage: what is read back, and how an interrupted write is discarded.
+//! Recovery: opens a replica's storage, reads its state back and discards an interrupted write.
 
 use violetgate_raft::{Entry, HardState, Index, SnapshotMetadata, StorageWrite};
 
@@ -8,25 +8,25 @@
 use crate::snapshot::{StoredSnapshot, SNAPSHOT_PREFIX, TEMPORARY_SUFFIX};
 use crate::{Corruption, Directory, Identity, OwnershipError, RaftStorage, StorageError};
 
-/// What a replica's storage held when it was opened.
+/// The state that a replica's storage held when it was opened.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RecoveredState {
-    /// The random number from when the folder was made.
+    /// The random number chosen when the folder was created, see [`Identity::incarnation`].
     pub incarnation: u64,
-    /// The term and the vote.
+    /// The latest durable term and vote.
     pub hard_state: HardState,
-    /// The latest snapshot.
+    /// The metadata of the latest snapshot.
     pub snapshot: SnapshotMetadata,
     /// The state machine's state in that snapshot.
     pub state: Vec<u8>,
-    /// The entries after it.
+    /// The log entries that follow the snapshot.
     pub entries: Vec<Entry>,
-    /// Bytes of an interrupted write that were removed from the end of the log.
+    /// The number of bytes of an interrupted write that were removed from the end of the log.
     pub discarded_bytes: usize,
 }
 
 impl RecoveredState {
-    /// The last entry of the log.
+    /// Returns the index of the last entry, or of the snapshot if there are no entries.
     fn last_index(&self) -> Index {
         self.entries
             .last()
@@ -35,11 +35,12 @@
 }
 
 impl<D: Directory> RaftStorage<D> {
-    /// Opens the storage of a replica, and reads back what it holds.
+    /// Opens the storage of a replica, and returns it with the state that it holds.
     ///
     /// # Errors
     ///
-    /// The folder is not this replica's, or what it holds is damaged.
+    /// Returns an error if the folder does not belong to this replica, if the stored data is
+    /// damaged, or if the log can't be repaired after a crash.
     pub fn open(
         mut directory: D,
         cluster: &str,
@@ -86,8 +87,8 @@
         let valid_bytes = self.replay(file, &bytes, recovered)?;
         let rest = bytes.get(valid_bytes..).unwrap_or_default();
         if !rest.is_empty() {
-            // Only the very last write can have been interrupted. What is damaged before a valid
-            // record, or in an earlier segment, was durable once.
+            // Only the last write can have been interrupted. Damaged data before a valid record, or
+            // in an earlier segment, was durable before.
             if !is_last || contains_record(rest) {
                 let (file, offset) = (file.to_owned(), valid_bytes);
                 return Err(Corruption::DamagedRecord { file, offset }.into());
@@ -108,8 +109,8 @@
         Ok(())
     }
 
-    /// Applies the records from the start of a segment to what is recovered; how many bytes they
-    /// are.
+    /// Applies the valid records at the start of a segment to `recovered`, and returns their total
+    /// size in bytes.
     fn replay(
         &mut self,
         file: &str,
@@ -136,8 +137,9 @@
         Ok(offset)
     }
 
-    /// After a crash between another replica's snapshot and the record that removes the old log,
-    /// the old log is still there: what has an older term than the snapshot can't follow it.
+    /// Discards the recovered entries if the first one has an older term than the snapshot, and so
+    /// can't follow it. Such entries remain after a crash between installing another replica's
+    /// snapshot and writing the record that removes the old log.
     fn discard_older_log(&mut self, recovered: &mut RecoveredState) -> Result<(), StorageError> {
         let snapshot_term = recovered.snapshot.term;
         let is_older = |first: &Entry| first.term < snapshot_term;
@@ -152,7 +154,7 @@
     }
 }
 
-/// An entry whose index is not the next.
+/// An entry whose index does not follow the previous entry's.
 struct IndexGap {
     actual: Index,
     expected: Index,
@@ -178,7 +180,7 @@
     Ok(())
 }
 
-/// Whether a valid record begins anywhere after the first byte.
+/// Returns whether a valid record begins anywhere after the first byte.
 fn contains_record(bytes: &[u8]) -> bool {
     (1..bytes.len()).any(|offset| {
         bytes
@@ -210,14 +212,15 @@
     Ok(identity)
 }
 
-/// Reads the latest snapshot, and removes incomplete and outdated ones.
+/// Reads the latest snapshot, and removes outdated snapshots and all incomplete files.
 fn load_latest_snapshot(
     directory: &mut impl Directory,
     files: &[String],
 ) -> Result<StoredSnapshot, Corruption> {
     let is_snapshot = |file: &str| file.starts_with(SNAPSHOT_PREFIX);
     let is_temporary = |file: &str| file.ends_with(TEMPORARY_SUFFIX);
-    // A snapshot gets its name only once it is complete: one that is damaged was complete before.
+    // A snapshot gets its final name only once it is complete and durable. If the latest one is
+    // damaged, it was complete before, so falling back to an older one would lose data.
     let latest = files
         .iter()
         .rev()
@@ -229,7 +232,7 @@
     let snapshot = decode_file(latest, &bytes)?;
     for file in files {
         if file != latest && (is_snapshot(file) || is_temporary(file)) {
-            // What can't be removed now is removed another time.
+            // A file that can't be removed now is removed at a later start.
             let _ = directory.remove(file);
         }
     }
--- a/cluster/raft-storage/src/segment.rs
+++ b/cluster/raft-storage/src/segment.rs
@@ -1,4 +1,4 @@
-//! The log in segments: appending writes, and beginning a new segment when one is full.
+//! The segments of the log: appends writes, and begins a new segment when the latest one is full.
 
 use serde::{Deserialize, Serialize};
 use violetgate_raft::{Entry, HardState, Index, StorageWrite};
@@ -6,14 +6,14 @@
 use crate::record::encode;
 use crate::{Directory, RaftStorage, StorageError};
 
-/// A segment that has grown beyond this is followed by another.
+/// The size in bytes at which a segment is full and the next write begins a new one.
 const MAX_SEGMENT_BYTES: usize = 8 << 20;
 
-/// Segments are named by this and their number.
+/// The prefix of a segment's file name, followed by the segment's number.
 pub(crate) const SEGMENT_PREFIX: &str = "log-";
 
-/// The content of a record of the log. It is stored by postcard: the order of the fields is the
-/// format.
+/// The content of a log record. It is encoded by postcard, so the order of the fields is part of
+/// the stored format.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct LogRecord {
     pub(crate) hard_state: Option<HardState>,
@@ -21,27 +21,28 @@
     pub(crate) append: Vec<Entry>,
 }
 
-/// A segment of the log.
+/// The number, size and end of a segment of the log.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Segment {
     pub(crate) number: u64,
     pub(crate) bytes: usize,
-    /// The last entry of the log as of the end of this segment.
+    /// The last index of the log after all records up to the end of this segment.
     pub(crate) last_index: Index,
 }
 
-/// The file of a segment.
+/// Returns the file name of a segment.
 pub(crate) fn segment_file(number: u64) -> String {
     format!("{SEGMENT_PREFIX}{number:016}")
 }
 
 impl<D: Directory> RaftStorage<D> {
-    /// Makes writes durable, all with one sync.
+    /// Appends writes to the log and makes them durable with one sync.
     ///
     /// # Errors
     ///
-    /// [`StorageError::WriteFailed`]: none of them is on disk, and they may be retried.
-    /// [`StorageError::DurabilityUnknown`]: the replica has to stop.
+    /// Returns [`StorageError::WriteFailed`] if none of the writes is on disk and they may be
+    /// retried, [`StorageError::DurabilityUnknown`] if the replica must stop, and
+    /// [`StorageError::Corrupt`] if a write can't be encoded.
     pub fn write(&mut self, writes: &[StorageWrite]) -> Result<(), StorageError> {
         self.ensure_usable()?;
         let segment = self.writable_segment()?;
@@ -66,7 +67,7 @@
         Ok(())
     }
 
-    /// Bytes of the log on disk.
+    /// Returns the size of the log on disk, in bytes.
     #[must_use]
     pub fn log_bytes(&self) -> usize {
         self.segments.iter().map(|segment| segment.bytes).sum()
@@ -75,19 +76,19 @@
     fn append_to_segment(&mut self, segment: Segment, bytes: &[u8]) -> Result<(), StorageError> {
         let file = segment_file(segment.number);
         if let Err(error) = self.directory.append(&file, bytes) {
-            // A part may be there, and would be taken for an interrupted write: it is removed, or
-            // the storage stops.
-            let undone = self.directory.truncate(&file, segment.bytes as u64);
-            return Err(self.append_failed(&file, error, undone));
+            // A part of the bytes may be in the file, and later records after it would make it look
+            // like damage. If it can't be removed, no more writes are accepted.
+            let undo_result = self.directory.truncate(&file, segment.bytes as u64);
+            return Err(self.append_failed(&file, error, undo_result));
         }
-        // After a failed sync the system may have dropped what it could not write: a retry could
-        // only seem to work.
+        // After a failed sync the operating system may have dropped the data that it could not
+        // write, so a retry could succeed without making it durable.
         self.directory
             .sync(&file)
             .map_err(|e| self.fail_permanently(format!("{file}: sync: {e}")))
     }
 
-    /// The latest segment, or a new one where it is full.
+    /// Returns the latest segment, or begins a new one if there is none or the latest is full.
     fn writable_segment(&mut self) -> Result<Segment, StorageError> {
         match self.segments.last() {
             Some(segment) if segment.bytes < MAX_SEGMENT_BYTES => Ok(*segment),
@@ -99,7 +100,7 @@
         let previous = self.segments.last();
         let number = previous.map_or(1, |segment| segment.number + 1);
         let last_index = previous.map_or(self.snapshot_index, |segment| segment.last_index);
-        // Each segment begins with the hard state, so that those before it can be removed.
+        // Each segment begins with the hard state, so that earlier segments can be removed.
         let head = encode(&LogRecord {
             hard_state: Some(self.hard_state),
             truncate_from: None,
@@ -107,8 +108,8 @@
         })?;
         let file = segment_file(number);
         if let Err(error) = self.directory.append(&file, &head) {
-            let undone = self.directory.remove(&file);
-            return Err(self.append_failed(&file, error, undone));
+            let undo_result = self.directory.remove(&file);
+            return Err(self.append_failed(&file, error, undo_result));
         }
         self.directory
             .sync(&file)
@@ -123,21 +124,22 @@
         Ok(segment)
     }
 
-    /// The error of an append, which can be retried if the file could be restored.
+    /// Returns the error for a failed append: one that can be retried if the append was undone,
+    /// otherwise a permanent one.
     fn append_failed(
         &mut self,
         file: &str,
         error: std::io::Error,
-        undone: std::io::Result<()>,
+        undo_result: std::io::Result<()>,
     ) -> StorageError {
-        match undone {
+        match undo_result {
             Ok(()) => StorageError::WriteFailed(error),
-            Err(again) => self.fail_permanently(format!("{file}: {error}, and then {again}")),
+            Err(undo_err) => self.fail_permanently(format!("{file}: {error}, and then {undo_err}")),
         }
     }
 
-    /// Removes the segments that a snapshot up to `index` covers. One that can't be removed is
-    /// replayed without effect at the next start.
+    /// Removes the segments that a snapshot up to `index` covers, except the latest one. A segment
+    /// that can't be removed is replayed without effect at the next start.
     pub(crate) fn remove_covered_segments(&mut self, index: Index) {
         while let [first, _, ..] = self.segments.as_slice() {
             let file = segment_file(first.number);
@@ -149,7 +151,7 @@
     }
 }
 
-/// The last entry of the log after a write.
+/// Returns the last index of the log after a write.
 fn last_index_after(last_index: Index, write: &StorageWrite) -> Index {
     let remaining = write
         .truncate_from
--- a/cluster/raft-storage/src/snapshot.rs
+++ b/cluster/raft-storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: saving the own one, and installing another replica's.
+//! Snapshots: saves a snapshot of this replica, and installs one from another replica.
 
 use serde::{Deserialize, Serialize};
 use violetgate_raft::{Entry, Index, SnapshotMetadata, StorageWrite};
@@ -6,36 +6,36 @@
 use crate::record::encode;
 use crate::{Directory, RaftStorage, StorageError};
 
-/// Snapshots are named by this and their last entry.
+/// The prefix of a snapshot's file name, followed by the index of its last entry.
 pub(crate) const SNAPSHOT_PREFIX: &str = "snapshot-";
-/// Files that are being written end with this.
+/// The suffix of a file's name while the file is being written.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".new";
 
-/// The content of a snapshot's file. It is stored by postcard: the order of the fields is the
-/// format.
+/// The content of a snapshot's file. It is encoded by postcard, so the order of the fields is part
+/// of the stored format.
 #[derive(Serialize, Deserialize)]
 pub(crate) struct StoredSnapshot {
     pub(crate) metadata: SnapshotMetadata,
     pub(crate) state: Vec<u8>,
 }
 
-/// The file of a snapshot up to an entry.
+/// Returns the file name of a snapshot up to the entry at `index`.
 pub(crate) fn snapshot_file(index: Index) -> String {
     format!("{SNAPSHOT_PREFIX}{index:016}")
 }
 
-/// The name that a file has while it is being written.
+/// Returns the name that a file has while it is being written.
 pub(crate) fn temporary_file(file: &str) -> String {
     format!("{file}{TEMPORARY_SUFFIX}")
 }
 
 impl<D: Directory> RaftStorage<D> {
-    /// Saves a snapshot in place of the one before, and removes the segments that it covers.
-    /// Entries after it stay.
+    /// Replaces the previous snapshot, and removes the log segments that the new snapshot covers.
+    /// The entries after the new snapshot are kept.
     ///
     /// # Errors
     ///
-    /// As for [`RaftStorage::write`]; the snapshot before is still valid.
+    /// Returns the errors of [`RaftStorage::write`]. The previous snapshot stays valid.
     pub fn save_snapshot(
         &mut self,
         metadata: &SnapshotMetadata,
@@ -49,19 +49,19 @@
         self.replace_file(&snapshot_file(metadata.index), &record)?;
         let previous = std::mem::replace(&mut self.snapshot_index, metadata.index);
         if previous != metadata.index {
-            // What can't be removed now is removed at the next start.
+            // A file that can't be removed now is removed at the next start.
             let _ = self.directory.remove(&snapshot_file(previous));
         }
         self.remove_covered_segments(metadata.index);
         Ok(())
     }
 
-    /// Installs another replica's snapshot in place of everything but the hard state. `following`
-    /// are the entries after it that stay.
+    /// Replaces the previous snapshot and the whole log by another replica's snapshot and the
+    /// entries `following` it. The hard state is kept.
     ///
     /// # Errors
     ///
-    /// As for [`RaftStorage::write`].
+    /// Returns the errors of [`RaftStorage::write`].
     pub fn install_snapshot(
         &mut self,
         metadata: &SnapshotMetadata,
@@ -69,7 +69,7 @@
         following: &[Entry],
     ) -> Result<(), StorageError> {
         self.save_snapshot(metadata, state)?;
-        // From here on the log is what follows the snapshot: a record of its own removes the rest.
+        // This record removes all earlier entries, so that the log consists of `following`.
         self.write(&[StorageWrite {
             truncate_from: Some(0),
             append: following.to_vec(),
@@ -77,11 +77,12 @@
         }])
     }
 
-    /// Writes a file under a temporary name, and renames it once it is complete and durable.
+    /// Creates or replaces a file: writes it under a temporary name, and renames it once it is
+    /// complete and durable.
     pub(crate) fn replace_file(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let temporary = temporary_file(file);
-        let is_remnant = |files: Vec<String>| files.contains(&temporary);
-        if self.directory.list().is_ok_and(is_remnant) {
+        let contains_temporary = |files: Vec<String>| files.contains(&temporary);
+        if self.directory.list().is_ok_and(contains_temporary) {
             self.directory
                 .remove(&temporary)
                 .map_err(StorageError::WriteFailed)?;
--- a/cluster/raft-storage/src/storage.rs
+++ b/cluster/raft-storage/src/storage.rs
@@ -1,4 +1,4 @@
-//! The storage of one replica: its creation, and what happens after a failure.
+//! The storage of one replica: its creation, and its state after a permanent failure.
 
 use violetgate_raft::{HardState, Index, SnapshotMetadata};
 
@@ -8,20 +8,21 @@
 use crate::snapshot::{snapshot_file, temporary_file};
 use crate::{Directory, Identity, OwnershipError, RecoveredState, StorageError};
 
-/// The durable storage of one replica.
+/// The durable storage of one replica in a [`Directory`].
 #[derive(Debug)]
 pub struct RaftStorage<D> {
     pub(crate) directory: D,
     pub(crate) hard_state: HardState,
     pub(crate) segments: Vec<Segment>,
-    /// The last entry of the latest snapshot.
+    /// The index of the last entry that the latest snapshot covers.
     pub(crate) snapshot_index: Index,
-    /// Why nothing can be written any more.
+    /// The failure after which all writes are rejected, if there was one.
     failure: Option<String>,
 }
 
 impl<D: Directory> RaftStorage<D> {
-    /// A storage without any log, whose snapshot is up to `snapshot_index`.
+    /// Returns a storage that has no log segments and whose snapshot covers the entries up to
+    /// `snapshot_index`. It writes nothing.
     pub(crate) fn empty(directory: D, snapshot_index: Index) -> Self {
         RaftStorage {
             directory,
@@ -32,12 +33,13 @@
         }
     }
 
-    /// Creates the storage of a new replica, with a first snapshot: of an empty or a given state
-    /// that names the first members, or of nothing that names nobody, for a replica that joins.
+    /// Creates the storage of a new replica with its first snapshot. In a new cluster the snapshot
+    /// holds the first membership and the initial state, which may be empty. For a replica that
+    /// joins a cluster, membership and state are empty.
     ///
     /// # Errors
     ///
-    /// The folder is in use, or can't be written.
+    /// Returns an error if the folder is in use or can't be written.
     pub fn create(
         directory: D,
         identity: &Identity,
@@ -47,18 +49,19 @@
         ensure_unused(&directory)?;
         let mut storage = Self::empty(directory, 0);
         storage.save_snapshot(snapshot, state)?;
-        // Last: without its identity, nothing here belongs to anybody.
+        // The identity is written last: an interrupted creation leaves a folder without an owner,
+        // in which the creation can be repeated.
         storage.replace_file(IDENTITY_FILE, &encode(identity)?)?;
         Self::open(storage.directory, &identity.cluster, identity.replica_id)
     }
 
-    /// The directory, for tests and for closing.
+    /// Closes the storage and returns its directory.
     #[must_use]
     pub fn into_directory(self) -> D {
         self.directory
     }
 
-    /// Fails if nothing may be written any more.
+    /// Returns an error if an earlier failure forbids further writes.
     pub(crate) fn ensure_usable(&self) -> Result<(), StorageError> {
         match &self.failure {
             Some(cause) => Err(StorageError::DurabilityUnknown(cause.clone())),
@@ -66,7 +69,7 @@
         }
     }
 
-    /// From now on nothing is written any more.
+    /// Rejects all further writes, and returns the error for the failed one.
     pub(crate) fn fail_permanently(&mut self, cause: String) -> StorageError {
         self.failure = Some(cause.clone());
         StorageError::DurabilityUnknown(cause)
@@ -79,7 +82,8 @@
     }
 }
 
-/// Fails if the folder holds more than an interrupted creation may have written.
+/// Returns an error if the folder holds files other than those that an interrupted creation may
+/// have left.
 fn ensure_unused(directory: &impl Directory) -> Result<(), StorageError> {
     let first_snapshot = snapshot_file(0);
     let remnants = [
--- a/cluster/raft-storage/tests/error_texts.rs
+++ b/cluster/raft-storage/tests/error_texts.rs
@@ -1,4 +1,5 @@
-//! The texts of storage errors, which operators see at a failed start, are as in commit 5065b36.
+//! Storage errors keep the texts that they had in commit 5065b36, because operators see them when
+//! a replica fails to start.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Files with two writes in the log.
+/// Returns the files of a replica with two writes in its log.
 fn files() -> Memory {
     let (mut storage, _) =
         RaftStorage::create(Memory::default(), &identity(), &first_snapshot(), &[]).unwrap();
--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Files cut at every byte, syncs that fail, a disk that is full, and a crash between any two
-//! operations.
+//! Storage faults: a log truncated at every byte, damaged bytes, failed syncs, a full disk, and a
+//! crash between any two operations.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -58,17 +58,18 @@
         .0
 }
 
-/// What a storage with these files recovers.
+/// Opens a storage with these files, and returns the state that it recovers.
 fn recover(files: &Memory) -> RecoveredState {
     RaftStorage::open(files.clone(), "c", 1).unwrap().1
 }
 
-/// A log of several writes, with what is recovered after each.
+/// A log of several writes, with the state that is recovered after each write.
 struct WrittenLog {
     files: Memory,
-    /// The file of the log.
+    /// The file name of the log's only segment.
     name: String,
-    /// Bytes of the log, and what is recovered from them: at first and after each write.
+    /// The size of the log in bytes and the state recovered from it, before the first write and
+    /// after each write.
     complete: Vec<(usize, RecoveredState)>,
 }
 
@@ -108,7 +109,8 @@
     }
 }
 
-/// Truncated at any byte, the log holds exactly the complete writes, and takes new ones.
+/// A crash can leave only a part of the last write. Truncated at any byte, the log recovers exactly
+/// the complete writes, and accepts new ones.
 #[test]
 fn a_truncated_log_holds_complete_writes_only() {
     let log = WrittenLog::new();
@@ -135,7 +137,8 @@
     }
 }
 
-/// The write was durable once, so the damage is reported and not discarded.
+/// A damaged write before a valid one was durable, so it must be reported, not discarded like an
+/// interrupted write.
 #[test]
 fn a_flipped_bit_in_a_write_that_others_follow_is_reported() {
     let log = WrittenLog::new();
@@ -150,7 +153,7 @@
     }
 }
 
-/// After a sync that failed nothing is written any more, even if syncs work again.
+/// After a failed sync it is unknown what is durable, so all later writes and snapshots fail.
 #[test]
 fn after_a_failed_sync_nothing_is_written() {
     let mut storage = new_storage();
@@ -172,8 +175,8 @@
     ));
 }
 
-/// On a full disk a write is there completely or not at all, and once there is space it can be
-/// retried.
+/// On a full disk a write is stored completely or not at all. Once there is space, writes succeed
+/// again.
 #[test]
 fn a_write_on_a_full_disk_can_be_retried() {
     for free_bytes in 0..200 {
@@ -206,8 +209,8 @@
     }
 }
 
-/// With snapshots in between, a crash after any operation keeps what was durable, and nothing
-/// incomplete.
+/// Writes and snapshots alternate. After a crash at any operation, all that was durable is
+/// recovered, and nothing that is incomplete.
 #[test]
 fn a_crash_between_any_operations_keeps_what_was_durable() {
     let run =
@@ -260,7 +263,8 @@
     }
 }
 
-/// A replica's folder is its own: another id, another cluster or an empty folder is rejected.
+/// A replica opens only its own folder. Another replica's folder, one without an identity and an
+/// empty one are rejected, and no new replica is created in a folder that is in use.
 #[test]
 fn a_folder_belongs_to_one_replica() {
     let files = new_storage().into_directory();
@@ -272,7 +276,7 @@
         RaftStorage::create(files.clone(), &identity(), &base(), &[]),
         Err(StorageError::NotOwned(_))
     ));
-    // Without its identity it belongs to nobody, and isn't used for a new replica.
+    // A folder whose identity is missing belongs to no replica, but is still in use.
     let mut storage = RaftStorage::open(files, "c", 1).unwrap().0;
     storage.write(&[write(1, None, 1..2)]).unwrap();
     let mut files = storage.into_directory();
@@ -291,7 +295,7 @@
     ));
 }
 
-/// A folder in the file system, which is removed with it.
+/// A folder in the file system that is removed when this value is dropped.
 struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -302,7 +306,7 @@
         TemporaryFolder(path)
     }
 
-    /// A storage with 8 entries of 3 MiB in several segments.
+    /// Creates a storage with 8 entries of 3 MiB in several segments.
     fn storage(&self) -> RaftStorage<FsDirectory> {
         let directory = FsDirectory::new(&self.0).unwrap();
         let (mut storage, _) = RaftStorage::create(directory, &identity(), &base(), &[]).unwrap();
--- a/cluster/raft-storage/tests/memory/mod.rs
+++ b/cluster/raft-storage/tests/memory/mod.rs
@@ -1,17 +1,17 @@
-//! A directory in memory, for tests of what happens when the disk fails.
+//! A directory in memory, for tests with disk failures.
 
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 
 use violetgate_raft_storage::Directory;
 
-/// A disk in memory that fails on demand.
+/// A [`Directory`] in memory that fails on demand.
 #[derive(Debug, Clone, Default)]
 pub struct Memory {
     pub files: BTreeMap<String, Vec<u8>>,
-    /// Operations until a crash, after which all fail.
+    /// The number of operations that still succeed before a crash. All later ones fail.
     pub operations_until_crash: Option<usize>,
-    /// Bytes that still fit.
+    /// The free space in bytes; `None` if it is unlimited.
     pub free_bytes: Option<usize>,
     pub syncs_fail: bool,
 }
@@ -40,7 +40,7 @@
             .ok_or_else(|| ErrorKind::NotFound.into())
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
-        // A crash in the middle of an append writes a part.
+        // A crash during an append writes the first half of the bytes.
         let result = self.operate();
         let fits = self
             .free_bytes
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -1,5 +1,5 @@
-//! A replica's folder as commit 5065b36 wrote it: it is opened with all that it holds, and equal
-//! writes make equal bytes.
+//! Compatibility of the stored format with commit 5065b36: a folder that it wrote is recovered
+//! completely, and the same writes produce the same bytes.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -80,7 +80,7 @@
     Some(HardState { term, vote })
 }
 
-/// Writes what the stored folder holds.
+/// Repeats the writes that produced the stored folder.
 fn write_folder() -> RaftStorage<Memory> {
     let base = SnapshotMetadata {
         membership: Membership::bootstrap([1, 2, 3]),
@@ -145,8 +145,8 @@
     );
 }
 
-/// Segments that are too long to be stored here, by their lengths and checksums; and what replaces
-/// them.
+/// Full segments are too large for a fixture, so their lengths and checksums are compared, before
+/// and after another replica's snapshot is installed.
 #[test]
 fn segments_are_as_long_as_they_were_and_hold_the_same() {
     let (mut storage, _) = RaftStorage::create(
@@ -189,7 +189,7 @@
     assert_eq!(after, AFTER);
 }
 
-/// Name, length and checksum of each file.
+/// The name, length in bytes and CRC-32 checksum of each file before the installation.
 const BEFORE: [&str; 5] = [
     "log-0000000000000001 9437257 83108230",
     "log-0000000000000002 9437257 28157926",
@@ -197,7 +197,7 @@
     "member 26 89ffd9c8",
     "snapshot-0000000000000000 14 41055c5f",
 ];
-/// The same after a snapshot of another replica was installed.
+/// The name, length in bytes and CRC-32 checksum of each file after the installation.
 const AFTER: [&str; 3] = [
     "log-0000000000000003 6291524 352fd1ae",
     "member 26 89ffd9c8",
