--- a/cluster/raft-storage/src/directory.rs
+++ b/cluster/raft-storage/src/directory.rs
@@ -7,7 +7,7 @@
 /// The files of one folder. All methods return the errors of the operating system.
 #[expect(
     clippy::missing_errors_doc,
-    reason = "the errors of all methods are said once, above"
+    reason = "the trait documents the errors of all methods"
 )]
 pub trait Directory {
     /// Returns the names of all files, in any order.
--- a/cluster/raft-storage/src/error.rs
+++ b/cluster/raft-storage/src/error.rs
@@ -27,7 +27,7 @@
     /// A file, or the folder itself, can't be read or repaired.
     #[error("{file}: {source}")]
     Io {
-        /// The name of the file, or `folder`.
+        /// The name of the file, or `folder` for the folder itself.
         file: String,
         /// The error of the operating system.
         source: io::Error,
--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -123,7 +123,7 @@
         assert_eq!(
             (recovered.hard_state, &recovered.entries),
             (expected.hard_state, &expected.entries),
-            "cut at {cut}"
+            "truncated at byte {cut}"
         );
         if *bytes > 0 {
             assert_eq!(recovered.discarded_bytes, cut - bytes);
@@ -148,7 +148,7 @@
         let opened = RaftStorage::open(log.with_bytes(bytes), "c", 1);
         assert!(
             matches!(opened, Err(StorageError::Corrupt(_))),
-            "bit at {at}"
+            "flipped bit in byte {at}"
         );
     }
 }
@@ -214,11 +214,11 @@
 #[test]
 fn a_crash_between_any_operations_keeps_what_was_durable() {
     let run =
-        |storage: &mut RaftStorage<Memory>, done: &mut (u64, u64)| -> Result<(), StorageError> {
+        |storage: &mut RaftStorage<Memory>, durable: &mut (u64, u64)| -> Result<(), StorageError> {
             for round in 1..6u64 {
                 let from = (round - 1) * 4 + 1;
                 storage.write(&[write(round, None, from..from + 4)])?;
-                done.0 = from + 3;
+                durable.0 = from + 3;
                 let members = Membership::bootstrap([1, 2, 3]);
                 storage.save_snapshot(
                     &SnapshotMetadata {
@@ -228,28 +228,28 @@
                     },
                     &[round as u8; 30],
                 )?;
-                done.1 = from + 1;
+                durable.1 = from + 1;
             }
             Ok(())
         };
     for operations in 0..60 {
         let mut files = new_storage().into_directory();
         files.operations_until_crash = Some(operations);
-        let mut done = (0, 0);
+        let mut durable = (0, 0);
         let mut storage = RaftStorage::open(files, "c", 1).unwrap().0;
-        let ended = run(&mut storage, &mut done);
+        let ended = run(&mut storage, &mut durable);
         let mut files = storage.into_directory();
         files.operations_until_crash = None;
         let recovered = RaftStorage::open(files, "c", 1)
-            .unwrap_or_else(|e| panic!("after {operations}: {e}"))
+            .unwrap_or_else(|e| panic!("after {operations} operations: {e}"))
             .1;
         let last = recovered
             .entries
             .last()
             .map_or(recovered.snapshot.index, |e| e.index);
         assert!(
-            last >= done.0 && recovered.snapshot.index >= done.1,
-            "after {operations}: {last} of {done:?}"
+            last >= durable.0 && recovered.snapshot.index >= durable.1,
+            "after {operations} operations: recovered up to {last}, {durable:?} were durable"
         );
         assert_eq!(
             recovered.state.len(),
@@ -350,7 +350,7 @@
     let before = storage.log_bytes();
     storage.save_snapshot(&snapshot(7, 1), b"state").unwrap();
     let after = storage.log_bytes();
-    assert!(after < before / 2, "{after} of {before}");
+    assert!(after < before / 2, "{after} of {before} bytes are left");
     let (_, recovered) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
     assert_eq!(
         (
--- a/cluster/raft-storage/tests/stored_folder.rs
+++ b/cluster/raft-storage/tests/stored_folder.rs
@@ -141,7 +141,7 @@
     assert_eq!(
         storage.into_directory().files,
         files.files,
-        "opening changes nothing"
+        "opening the folder changed it"
     );
 }
 
--- a/cluster/raft/src/lib.rs
+++ b/cluster/raft/src/lib.rs
@@ -36,7 +36,7 @@
 //!             // A real caller makes the write durable first.
 //!             Action::Persist(write) => node.persisted(write.sequence),
 //!             Action::Apply(entries) => applied.extend(entries),
-//!             other => panic!("nobody to talk to: {other:?}"),
+//!             other => panic!("unexpected action: {other:?}"),
 //!         }
 //!     }
 //! }
--- a/cluster/raft/src/membership/tests.rs
+++ b/cluster/raft/src/membership/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// All memberships that can follow within one change.
-fn neighbours(membership: &Membership) -> Vec<Membership> {
+/// Returns all memberships that one change can produce.
+fn memberships_after_one_change(membership: &Membership) -> Vec<Membership> {
     let ids = 1..=membership.highest_id + 1;
     ids.flat_map(|id| {
         [
@@ -14,7 +14,7 @@
     .collect()
 }
 
-/// Whether some majority of the first and some majority of the second share nobody.
+/// Returns whether some majority of `before` and some majority of `after` share no replica.
 fn has_disjoint_majorities(before: &Membership, after: &Membership) -> bool {
     let voters: Vec<_> = before.voters.iter().collect();
     (0..1u32 << voters.len()).any(|set| {
@@ -24,7 +24,7 @@
                 .position(|voter| **voter == id)
                 .is_some_and(|bit| set >> bit & 1 == 1)
         };
-        // A majority before, and all that are not in it: those must not be a majority after.
+        // The replicas outside a majority of `before` must not be a majority of `after`.
         before.is_quorum(chosen) && after.is_quorum(|id| !chosen(id))
     })
 }
@@ -34,7 +34,7 @@
     const DEPTH: usize = 6;
     let mut stack = vec![(Membership::bootstrap([1]), 0)];
     while let Some((membership, depth)) = stack.pop() {
-        for next in neighbours(&membership) {
+        for next in memberships_after_one_change(&membership) {
             assert!(!has_disjoint_majorities(&membership, &next));
             if depth < DEPTH {
                 stack.push((next, depth + 1));
--- a/cluster/raft/src/message.rs
+++ b/cluster/raft/src/message.rs
@@ -31,8 +31,8 @@
         term: Term,
         /// The position of the candidate's last entry.
         last_log: LogPosition,
-        /// Whether the leader has requested the campaign. If so, receivers vote even if they have
-        /// heard from the leader recently.
+        /// Whether the leader has requested the campaign. If so, receivers consider the request
+        /// even if they have heard from the leader recently.
         leadership_transfer: bool,
     },
     /// The answer to [`Message::RequestVote`].
--- a/cluster/raft/src/read_index.rs
+++ b/cluster/raft/src/read_index.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PendingRead {
     pub(crate) read_id: u64,
-    /// The node that requested it, possibly the leader itself.
+    /// The node that requested the read, possibly the leader itself.
     pub(crate) from: NodeId,
     /// The index up to which entries must be applied before the read is served.
     index: Index,
--- a/cluster/raft/src/replication.rs
+++ b/cluster/raft/src/replication.rs
@@ -59,8 +59,8 @@
         let Some(progress) = leader.progress.get(&to) else {
             return;
         };
-        // A heartbeat refers to the last entry that the peer is known to have. While that entry is
-        // not known, the heartbeat probes for it.
+        // In replicate mode a heartbeat refers to the last entry that the peer is known to have. In
+        // probe mode it probes, as a message with entries does.
         let is_heartbeat = entries.is_empty() && progress.mode == ReplicationMode::Replicate;
         let previous_index = if is_heartbeat {
             progress.match_index
--- a/cluster/raft/src/snapshot.rs
+++ b/cluster/raft/src/snapshot.rs
@@ -5,7 +5,7 @@
 
 use crate::{Action, Index, LogPosition, Membership, Message, NodeId, RaftNode, Term};
 
-/// The position and the membership up to which a snapshot replaces the log.
+/// The position of the last entry that a snapshot covers, and the membership at that entry.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
     /// The index of the last entry that the snapshot covers.
--- a/cluster/raft/tests/encoding.rs
+++ b/cluster/raft/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! The bytes of each message, entry and stored value, as commit 5065b36 encodes them: replicas of
-//! that version and of this one work together during an upgrade, and read each other's disks.
+//! Messages, entries and stored values are encoded as in commit 5065b36, because replicas of both
+//! versions work together during an upgrade and each version reads disks that the other wrote.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
@@ -10,8 +10,8 @@
 
 const FIXTURE: &str = include_str!("fixtures/encoding.hex");
 
-/// The values, in the order of the fixture's lines, each in its encoding; each has to be read back
-/// as it was.
+/// The encoded values as lines of hexadecimal digits, in the order of the fixture. Each value is
+/// also decoded and compared with the original.
 #[derive(Default)]
 struct Encoded(String);
 
@@ -49,14 +49,14 @@
         .collect()
 }
 
-fn at(term: Term, index: Index) -> LogPosition {
+fn position(term: Term, index: Index) -> LogPosition {
     LogPosition { term, index }
 }
 
 fn add_elections(encoded: &mut Encoded) {
     encoded.add(Message::RequestPreVote {
         term: 4,
-        last_log: at(3, 131),
+        last_log: position(3, 131),
     });
     encoded.add(Message::PreVoteResponse {
         term: 4,
@@ -68,12 +68,12 @@
     });
     encoded.add(Message::RequestVote {
         term: 4,
-        last_log: at(3, 131),
+        last_log: position(3, 131),
         leadership_transfer: true,
     });
     encoded.add(Message::RequestVote {
         term: 1 << 40,
-        last_log: at(0, 0),
+        last_log: position(0, 0),
         leadership_transfer: false,
     });
     encoded.add(Message::VoteResponse {
@@ -86,14 +86,14 @@
 fn add_replication(encoded: &mut Encoded) {
     encoded.add(Message::AppendEntries {
         term: 4,
-        previous: at(3, 128),
+        previous: position(3, 128),
         entries: entries(),
         commit: 127,
         round: 77,
     });
     encoded.add(Message::AppendEntries {
         term: 4,
-        previous: at(3, 131),
+        previous: position(3, 131),
         entries: Vec::new(),
         commit: 131,
         round: 78,
--- a/cluster/raft/tests/membership_model.rs
+++ b/cluster/raft/tests/membership_model.rs
@@ -1,7 +1,7 @@
-//! Membership changes, checked in every order of events by stateright: elections, replication to
-//! any node or none, commits by the majority of whatever membership the log names, and changes as
-//! [`Membership::after_change`] makes them. Models that leave out a rule of the implementation
-//! have to be caught.
+//! Checks membership changes with the model checker stateright, in every order of events up to a
+//! bound: elections, replication to any node, commits by a majority of the leader's latest
+//! membership, and changes made by [`Membership::after_change`]. A model that omits a rule of the
+//! implementation must violate the safety property.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -17,19 +17,19 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
-    /// As it is implemented.
+    /// The rules of the implementation.
     Real,
-    /// A change may come before an entry of the leader's own term is committed.
+    /// The leader may propose a change before an entry of its own term is committed.
     ChangeBeforeOwnEntry,
-    /// Further changes may come before the first is committed.
+    /// The leader may propose a change before the previous change is committed.
     ConcurrentChanges,
 }
 
-/// An entry of a log.
+/// A log entry of the model, reduced to its term and the voters that it sets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Entry {
     term: u8,
-    /// The voters from this entry on, if it changes them.
+    /// The voters from this entry on, if the entry changes the membership.
     voters: Option<Vec<NodeId>>,
 }
 
@@ -37,9 +37,9 @@
 struct Node {
     term: u8,
     log: Vec<Entry>,
-    /// How many entries are committed, as far as it knows.
+    /// The number of entries that the node knows to be committed.
     commit: usize,
-    /// The length of its log when it became the leader, while it leads.
+    /// The length of the log just before the node became the leader, or `None` if it doesn't lead.
     leads_since: Option<usize>,
 }
 
@@ -49,8 +49,9 @@
         Membership::bootstrap(voters.unwrap_or_else(|| (1..=NODES as NodeId).collect()))
     }
 
-    /// What votes compare: the term of the last entry, then the length.
-    fn up_to_date(&self) -> (u8, usize) {
+    /// Returns the values by which voters compare logs: the term of the last entry, then the
+    /// length of the log.
+    fn log_recency(&self) -> (u8, usize) {
         (
             self.log.last().map_or(0, |entry| entry.term),
             self.log.len(),
@@ -63,19 +64,19 @@
     nodes: Vec<Node>,
     committed: Vec<Entry>,
     changes: u8,
-    /// Different entries were committed at the same index.
+    /// Whether different entries were committed at the same index.
     diverged: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
-    /// A node is elected by these (one bit each) in this term.
+    /// A node is elected in a term. `by` holds one bit for each node that votes for it.
     Elect { node: usize, by: u8, term: u8 },
-    /// A node gets all that a leader has.
+    /// A node receives the leader's complete log.
     Replicate { leader: usize, to: usize },
-    /// A leader commits what a majority has.
+    /// A leader commits the entries that a majority has.
     Commit { leader: usize },
-    /// A leader proposes to remove a node.
+    /// A leader proposes the removal of a node.
     Remove { leader: usize, id: NodeId },
 }
 
@@ -88,14 +89,14 @@
 }
 
 impl State {
-    /// Elects a node. `None`: it is not elected.
+    /// Elects a node as leader, and returns `None` if the votes are invalid or the log is full.
     fn elect(&mut self, node: usize, by: u8, term: u8) -> Option<()> {
         let membership = self.nodes[node].membership();
-        let candidate = self.nodes[node].up_to_date();
+        let candidate = self.nodes[node].log_recency();
         let votes = |voter: usize| by >> voter & 1 == 1;
         let may_vote = |voter: usize| {
             let other = &self.nodes[voter];
-            voter == node || (other.term < term && other.up_to_date() <= candidate)
+            voter == node || (other.term < term && other.log_recency() <= candidate)
         };
         let is_elected = membership.voters.contains(&id_of(node))
             && membership.is_quorum(|id| votes(node_of(id)))
@@ -115,7 +116,7 @@
         Some(())
     }
 
-    /// Copies a leader's log. `None`: the node knows a later term.
+    /// Copies a leader's log to a node, and returns `None` if the node has seen a later term.
     fn replicate(&mut self, leader: usize, to: usize) -> Option<()> {
         let leader = self.nodes[leader].clone();
         let follower = &mut self.nodes[to];
@@ -130,7 +131,8 @@
         Some(())
     }
 
-    /// Commits the longest part of a leader's log that a majority has. `None`: there is none.
+    /// Commits the longest prefix of a leader's log that a majority has and whose last entry is of
+    /// the leader's term. Returns `None` if there is no such prefix.
     fn commit(&mut self, leader: usize) -> Option<()> {
         let node = self.nodes[leader].clone();
         let membership = node.membership();
@@ -151,7 +153,8 @@
         Some(())
     }
 
-    /// Proposes to remove a node. `None`: the rules of the variant don't allow it.
+    /// Proposes the removal of a node, and returns `None` if the rules of the variant or the bounds
+    /// of the model don't allow it.
     fn remove(&mut self, variant: Variant, leader: usize, id: NodeId) -> Option<()> {
         let node = &self.nodes[leader];
         let own_entry_committed = node.leads_since.is_some_and(|since| node.commit > since)
@@ -161,7 +164,7 @@
             || variant == Variant::ConcurrentChanges;
         let change = MembershipChange::Remove(id);
         let membership = node.membership().after_change(change).ok()?;
-        // Uncommitted changes reach a majority of their own only with the third.
+        // At least three concurrent changes are needed for two majorities that share no replica.
         let max_changes = if variant == Variant::ConcurrentChanges {
             3
         } else {
@@ -196,11 +199,12 @@
 
     fn actions(&self, state: &State, out: &mut Vec<Event>) {
         for node in 0..NODES {
-            // A majority and not more: other votes change nothing but their term.
+            // Only minimal majorities are tried, because a further vote would only change the
+            // voter's term.
             let quorum = state.nodes[node].membership().quorum() as u32;
             let voters =
                 (0..1u8 << NODES).filter(|by| by >> node & 1 == 1 && by.count_ones() == quorum);
-            // Elections that fail skip terms.
+            // An election may skip terms, which stands for failed elections before it.
             let next_term = state.nodes[node].term + 1;
             out.extend(voters.flat_map(|by| {
                 (next_term..=MAX_TERM).map(move |term| Event::Elect { node, by, term })
@@ -210,9 +214,9 @@
                 let others = (0..NODES).filter(|to| *to != leader);
                 out.extend(others.map(|to| Event::Replicate { leader, to }));
                 out.push(Event::Commit { leader });
-                out.extend((0..NODES).map(|gone| Event::Remove {
+                out.extend((0..NODES).map(|removed| Event::Remove {
                     leader,
-                    id: id_of(gone),
+                    id: id_of(removed),
                 }));
             }
         }
@@ -250,7 +254,7 @@
         .spawn_bfs()
         .join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -268,7 +272,7 @@
             .join();
         assert!(
             checker.discovery(COMMITTED_STAYS).is_some(),
-            "{variant:?} is not caught"
+            "the model checker finds no violation for {variant:?}"
         );
     }
 }
--- a/cluster/raft/tests/simulation/actions.rs
+++ b/cluster/raft/tests/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out what the nodes ask for: disk, network, state machine.
+//! Performs the actions that the nodes request, on the simulated disk, network and state machine.
 
 use violetgate_raft::*;
 
@@ -6,15 +6,15 @@
 use crate::digest::Digest;
 use crate::faults::InjectedBug;
 
-/// A snapshot is taken at every entry whose index is a multiple of this.
+/// A snapshot is taken after each entry whose index is a multiple of this interval.
 const SNAPSHOT_INTERVAL: Index = 17;
 const CHUNK_BYTES: usize = 100;
-/// Bytes of one applied command in an encoded snapshot: its index and itself.
+/// The size in bytes of one applied command in an encoded snapshot: its index and its content.
 const COMMAND_BYTES: usize = 16;
 
 impl SimulatedCluster {
-    /// Carries out all that a node asks for, and checks it afterwards.
-    pub fn carry_out_all(&mut self, id: NodeId) {
+    /// Performs a node's actions until it requests no more, then checks the leader properties.
+    pub fn perform_actions(&mut self, id: NodeId) {
         loop {
             let replica = self.replica(id);
             let Some(node) = replica.node.as_mut() else {
@@ -25,14 +25,14 @@
                 break;
             }
             for action in actions {
-                self.carry_out(id, action);
+                self.perform_action(id, action);
             }
         }
         self.schedule_tick(id);
         self.check_leader(id);
     }
 
-    fn carry_out(&mut self, id: NodeId, action: Action) {
+    fn perform_action(&mut self, id: NodeId, action: Action) {
         self.digest.number(self.now);
         self.digest.number(id);
         add_action(&mut self.digest, &action);
@@ -78,7 +78,7 @@
         } = message
         {
             self.observed.check_vote(from, *term, to);
-            // The moment at which a vote that is not durable does harm.
+            // A restart just after a vote was sent exposes a vote that is not durable.
             if self.draw(4) == 0 {
                 self.schedule(MS, Event::Restart(from));
             }
@@ -155,7 +155,7 @@
             .collect::<Vec<_>>();
         assert!(
             state.iter().all(|(index, _)| *index <= metadata.index),
-            "chunks of two snapshots"
+            "chunks of two snapshots were mixed"
         );
         replica.disk.install(metadata.clone(), state.clone());
         replica.state = state;
@@ -164,8 +164,8 @@
     }
 }
 
-/// Adds an action to a digest in a form of its own: a number for its kind, then its parts as they
-/// are encoded for the wire.
+/// Adds an action to a digest: first a number for its kind, then its fields, as numbers or in their
+/// wire encoding.
 fn add_action(digest: &mut Digest, action: &Action) {
     match action {
         Action::Persist(write) => {
--- a/cluster/raft/tests/simulation/checks.rs
+++ b/cluster/raft/tests/simulation/checks.rs
@@ -1,5 +1,5 @@
-//! What was seen so far, and what must never happen: the safety properties of Raft, and
-//! linearizable reads.
+//! Records the events of a simulation, and checks the safety properties of Raft and the
+//! linearizability of reads.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,8 @@
 
 use crate::cluster::{SimulatedCluster, SECOND};
 
-/// How long an undisturbed cluster may take until all replicas have the same.
+/// The time in microseconds within which all members of a cluster without further faults must
+/// have committed the same entries.
 const CONVERGENCE: Micros = 8 * SECOND;
 
 #[derive(Default)]
@@ -15,9 +16,10 @@
     pub leaders: BTreeMap<Term, NodeId>,
     votes: BTreeMap<(NodeId, Term), NodeId>,
     committed: BTreeMap<Index, (Term, Payload)>,
-    /// Commands that a leader has taken, and where they were applied.
+    /// The commands that a leader has accepted, each with the index at which it was applied.
     pub commands: BTreeMap<Vec<u8>, Option<Index>>,
-    /// Reads in progress, and the last entry that was applied anywhere when they began.
+    /// The reads in progress by id, each with the last index at which any replica had applied a
+    /// command when the read began.
     reads: BTreeMap<u64, Index>,
     pub answered_reads: u64,
     pub installed_snapshots: u64,
@@ -37,16 +39,16 @@
         let seen = (entry.term, entry.payload.clone());
         let before = self.committed.entry(entry.index);
         let before = before.or_insert_with(|| seen.clone());
-        assert_eq!(*before, seen, "entry {} is committed twice", entry.index);
+        assert_eq!(*before, seen, "two entries committed at {}", entry.index);
     }
 
     pub fn check_applied_once(&mut self, command: &[u8], index: Index) {
-        if let Some(place) = self.commands.get_mut(command) {
+        if let Some(applied_at) = self.commands.get_mut(command) {
             assert!(
-                place.is_none_or(|other| other == index),
+                applied_at.is_none_or(|other| other == index),
                 "a command is applied twice"
             );
-            *place = Some(index);
+            *applied_at = Some(index);
         }
     }
 
@@ -58,16 +60,17 @@
 
 impl SimulatedCluster {
     pub fn check_read(&mut self, read_id: u64, index: Index) {
-        if let Some(least) = self.observed.reads.remove(&read_id) {
+        if let Some(min_index) = self.observed.reads.remove(&read_id) {
             assert!(
-                index >= least,
-                "a read at {index} misses what was applied at {least} before it was asked"
+                index >= min_index,
+                "a read at index {index} misses entry {min_index}, applied before the read began"
             );
             self.observed.answered_reads += 1;
         }
     }
 
-    /// One leader a term, and it has everything that was committed before.
+    /// Checks that a term has one leader, and that the leader of the latest term has the last entry
+    /// committed in earlier terms.
     pub fn check_leader(&mut self, id: NodeId) {
         let Some(node) = &self.replicas[&id].node else {
             return;
@@ -89,7 +92,7 @@
         }
     }
 
-    /// Without further faults, somebody leads, and in the end all members have committed the same.
+    /// Ends all faults, and checks that every member then commits the same entries.
     pub fn converge(&mut self) {
         self.heal();
         for replica in self.replicas.values_mut() {
@@ -100,7 +103,7 @@
             self.step_undisturbed();
         }
         let leaders = self.observed.leaders.values();
-        let leader = *leaders.last().expect("nobody has ever led");
+        let leader = *leaders.last().expect("no leader was ever elected");
         let membership = self.replica(leader).node().membership().clone();
         let committed = self.observed.committed.keys().next_back();
         let committed = committed.copied().unwrap_or(0);
@@ -109,7 +112,7 @@
             if commit != committed {
                 self.print_nodes();
             }
-            assert_eq!(commit, committed, "{id} is behind for good");
+            assert_eq!(commit, committed, "replica {id} doesn't catch up");
         }
     }
 
--- a/cluster/raft/tests/simulation/client.rs
+++ b/cluster/raft/tests/simulation/client.rs
@@ -1,16 +1,16 @@
-//! Clients and operators: commands, reads, leadership transfers and membership changes, at any
-//! replica.
+//! Simulated clients and operators, which send commands, reads, leadership transfers and membership
+//! changes to random replicas.
 
 use violetgate_raft::*;
 
 use crate::cluster::SimulatedCluster;
 use crate::faults::InjectedBug;
 
-/// Beyond this, no more replicas are added.
+/// New replicas are added only while there are fewer voters than this number.
 const MAX_VOTERS: usize = 5;
 
 impl SimulatedCluster {
-    /// One random request at a random replica.
+    /// Sends a random request to a random replica.
     pub fn client_request(&mut self) {
         let id = self.draw_replica();
         let kind = self.draw(20);
@@ -26,7 +26,7 @@
             18 => drop(replica.node().transfer_leadership(target)),
             _ => self.change_membership(id, target),
         }
-        self.carry_out_all(id);
+        self.perform_actions(id);
     }
 
     fn propose_command(&mut self, id: NodeId) {
@@ -61,7 +61,8 @@
         if node.propose_membership_change(change).is_ok() {
             self.observed.membership_changes += 1;
             if let MembershipChange::AddLearner(id) = change {
-                // The new replica knows nobody, and learns everything from the leader.
+                // The new replica starts with an empty membership, and gets the current one from
+                // the leader.
                 self.join(id, SnapshotMetadata::default());
             }
         }
--- a/cluster/raft/tests/simulation/cluster.rs
+++ b/cluster/raft/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated cluster: its clock, and its events in order.
+//! The simulated cluster: its clock and its event queue.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -33,7 +33,7 @@
     },
     ClientRequest,
     Fault,
-    /// The process dies and is restarted at once.
+    /// The process crashes and is restarted at once.
     Restart(NodeId),
 }
 
@@ -41,17 +41,17 @@
     rng: ChaCha8Rng,
     pub now: Micros,
     pub last_event: u64,
-    /// Times and numbers of the events to come.
+    /// The time and number of each future event, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: BTreeMap<u64, Event>,
     pub replicas: BTreeMap<NodeId, SimulatedReplica>,
-    /// Directions in which no message arrives.
+    /// The links, as (sender, receiver), on which all messages are dropped.
     pub cut: BTreeSet<(NodeId, NodeId)>,
-    /// Messages that are lost, in percent.
+    /// The share of messages that are lost, in percent.
     pub loss_percent: u64,
     pub bug: InjectedBug,
     pub observed: Observed,
-    /// Everything that the nodes asked for, in order.
+    /// A digest of all actions that the nodes have requested, in order.
     pub digest: Digest,
 }
 
@@ -92,7 +92,7 @@
         cluster
     }
 
-    /// A random number below `below`.
+    /// Returns a random number less than `below`, or 0 if `below` is 0.
     pub fn draw(&mut self, below: u64) -> u64 {
         self.rng.next_u64() % below.max(1)
     }
@@ -138,7 +138,7 @@
         self.schedule_tick(id);
     }
 
-    /// Schedules the next tick where the node wants one.
+    /// Schedules a tick for the time that the node requests, unless an earlier one is scheduled.
     pub fn schedule_tick(&mut self, id: NodeId) {
         let now = self.now;
         let replica = self.replica(id);
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Advances to the next event, and handles it.
+    /// Advances the clock to the next event and handles the event.
     pub fn step(&mut self) {
         let Reverse((at, number)) = self.queue.pop().unwrap();
         self.now = at;
@@ -191,7 +191,7 @@
         }
         replica.next_tick = Micros::MAX;
         replica.node().tick(now);
-        self.carry_out_all(id);
+        self.perform_actions(id);
     }
 
     fn on_deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
@@ -207,10 +207,10 @@
             let delay = replica.paused_until - now;
             return self.schedule(delay, Event::Deliver { from, to, message });
         }
-        // A process that was suspended looks at the clock before it reads what has come.
+        // A process that was suspended updates its clock before it handles pending messages.
         replica.node().tick(now);
         replica.node().step(from, message);
-        self.carry_out_all(to);
+        self.perform_actions(to);
     }
 
     fn on_written(&mut self, id: NodeId, starts: u64, sequence: u64) {
@@ -220,10 +220,10 @@
         }
         replica.disk.flush(sequence);
         replica.node().persisted(sequence);
-        self.carry_out_all(id);
+        self.perform_actions(id);
     }
 
-    /// Handles the next event unless it is a client's request or a fault, which is dropped.
+    /// Handles the next event, or drops it if it is a client request or a fault.
     pub fn step_undisturbed(&mut self) {
         let Reverse((_, number)) = *self.queue.peek().unwrap();
         if matches!(self.events[&number], Event::ClientRequest | Event::Fault) {
--- a/cluster/raft/tests/simulation/digest.rs
+++ b/cluster/raft/tests/simulation/digest.rs
@@ -1,8 +1,8 @@
-//! A digest of what was seen in a simulation, which does not depend on the names of types.
+//! A digest of the actions in a simulation. It doesn't depend on the names of types or fields.
 
 use serde::Serialize;
 
-/// FNV-1a over bytes that the test chooses.
+/// A 64-bit FNV-1a hash of the bytes added to it.
 pub struct Digest(u64);
 
 impl Default for Digest {
@@ -12,26 +12,26 @@
 }
 
 impl Digest {
-    /// Adds bytes.
+    /// Adds bytes without their length.
     pub fn bytes(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 
-    /// Adds a number.
+    /// Adds a number as 8 bytes, little-endian.
     pub fn number(&mut self, number: u64) {
         self.bytes(&number.to_le_bytes());
     }
 
-    /// Adds a value as it is encoded for the wire and the disk, with its length.
+    /// Adds the length and the bytes of a value's encoding for the wire and the disk.
     pub fn encoded(&mut self, value: &impl Serialize) {
         let bytes = postcard::to_stdvec(value).unwrap();
         self.number(bytes.len() as u64);
         self.bytes(&bytes);
     }
 
-    /// The digest of all that was added.
+    /// Returns the hash of all bytes added so far.
     pub fn value(&self) -> u64 {
         self.0
     }
--- a/cluster/raft/tests/simulation/faults.rs
+++ b/cluster/raft/tests/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of machines and network, and bugs that the checks have to notice.
+//! Faults of machines and the network, and injected bugs that the checks must detect.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 
 use crate::cluster::{SimulatedCluster, SECOND};
 
-/// A bug in the code around the nodes.
+/// A bug in the simulated runtime around the nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InjectedBug {
     None,
     /// Writes are acknowledged before they are durable.
     AcknowledgesUnwritten,
-    /// Votes are not durable.
+    /// A crash loses the stored vote.
     ForgetsVotes,
-    /// Reads are served without asking a majority.
+    /// Reads are served without confirmation by a majority.
     ReadsWithoutQuorum,
 }
 
 impl SimulatedCluster {
-    /// One random fault, or the end of all.
+    /// Causes a random fault, starts a crashed replica, or heals the cluster.
     pub fn fault(&mut self) {
         let id = self.draw_replica();
         match self.draw(9) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Cuts one direction, or both.
+    /// Cuts the link between a replica and a random one, in one or both directions.
     fn cut_link(&mut self, id: NodeId) {
         let other = self.draw_replica();
         self.cut.insert((id, other));
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Divides the cluster in two.
+    /// Divides the cluster into two random partitions.
     fn partition(&mut self) {
         let ids = self.ids();
         let mut side = BTreeSet::new();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ends all faults of the network, and starts what is down.
+    /// Ends all network faults, and starts the replicas that are down.
     pub fn heal(&mut self) {
         self.cut.clear();
         self.loss_percent = 0;
@@ -79,7 +79,8 @@
         }
     }
 
-    /// The process dies: of the writes in progress, some have reached the disk, in order.
+    /// Crashes a replica's process. Of its writes in progress, the oldest 0 to 2 have reached the
+    /// disk, but none if the injected bug is [`InjectedBug::AcknowledgesUnwritten`].
     pub fn crash(&mut self, id: NodeId) {
         let written = self.draw(3) as usize;
         let bug = self.bug;
--- a/cluster/raft/tests/simulation/main.rs
+++ b/cluster/raft/tests/simulation/main.rs
@@ -1,7 +1,8 @@
-//! Whole clusters in one thread, on simulated time, network and disks: loss, delay, reordering,
-//! duplication, partitions, crashes with writes that are not durable yet, pauses, membership
-//! changes and snapshots. The safety properties are checked after every step. A failure prints its
-//! seed; `SEED=n` replays that one alone, `SEEDS=n` runs more of them.
+//! Simulates whole clusters in one thread, with simulated time, network and disks. The faults are
+//! message loss, delay, reordering and duplication, partitions, pauses, and crashes with writes in
+//! progress; the clusters also change members and transfer snapshots. The safety properties are
+//! checked after every step. A failure prints its seed. `SEED=n` runs only the seed n, and
+//! `SEEDS=n` sets the number of seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -23,10 +24,12 @@
 use digest::Digest;
 use faults::InjectedBug;
 
-/// How long clients and faults are at work.
+/// The simulated time in microseconds at which client requests and faults end. The simulation
+/// starts at one second.
 const DURATION: u64 = 11 * SECOND;
 
-/// Runs one seed to its end.
+/// Simulates a cluster of 3 or 5 replicas with one seed, including its convergence after the
+/// faults.
 fn run(seed: u64, bug: InjectedBug) -> SimulatedCluster {
     let replicas = 3 + seed % 2 * 2;
     let mut cluster = SimulatedCluster::new(seed, replicas, bug);
@@ -37,7 +40,7 @@
     cluster
 }
 
-/// What was seen in a run, as numbers that are summed over the seeds.
+/// Returns the counts of a run that are summed over all seeds.
 fn totals(observed: &Observed) -> [u64; 5] {
     let committed = observed.commands.values().flatten().count() as u64;
     [
@@ -62,17 +65,17 @@
     let mut sums = [0; 5];
     for seed in seeds() {
         let result = std::panic::catch_unwind(|| totals(&run(seed, InjectedBug::None).observed));
-        let seen = result.unwrap_or_else(|_| panic!("seed {seed}: SEED={seed} replays it"));
+        let seen = result.unwrap_or_else(|_| panic!("seed {seed} failed: replay with SEED={seed}"));
         sums.iter_mut().zip(seen).for_each(|(sum, n)| *sum += n);
     }
     println!("commands, reads, terms with a leader, snapshots, membership changes: {sums:?}");
     assert!(
         std::env::var("SEED").is_ok() || sums.iter().all(|sum| *sum > 100),
-        "too little happens: {sums:?}"
+        "an event of some kind occurred too rarely: {sums:?}"
     );
 }
 
-/// The checks work: each injected bug fails some seed.
+/// Proves that the checks are effective: each injected bug makes a run fail with some seed.
 #[test]
 fn injected_bugs_are_detected() {
     for bug in [
@@ -85,9 +88,8 @@
     }
 }
 
-/// All that the nodes of a simulated cluster ask for, in order, is the same as in the version
-/// before the code was restructured (commit 5065b36). A change that alters a digest changes
-/// behaviour.
+/// The nodes request the same actions in the same order as in commit 5065b36, before the code was
+/// restructured. A change that alters a digest changes behaviour.
 #[test]
 fn actions_match_the_stored_digests() {
     let digests: Vec<u64> = (0..DIGESTS.len() as u64)
@@ -102,10 +104,10 @@
     assert_eq!(digests, DIGESTS, "{digests:#018x?}");
 }
 
-/// Seeds that go into one stored digest.
+/// The number of seeds that are combined into one stored digest.
 const SEEDS_PER_DIGEST: u64 = 10;
 
-/// For seeds 1000 and up.
+/// The stored digests, for consecutive groups of seeds from 1000 on.
 const DIGESTS: [u64; 24] = [
     0x62eb_452f_0515_f896,
     0x86fa_583c_541f_fa01,
--- a/cluster/raft/tests/simulation/replica.rs
+++ b/cluster/raft/tests/simulation/replica.rs
@@ -1,11 +1,11 @@
-//! A replica of the simulation: its node while it runs, its state machine, and its disk.
+//! A simulated replica: its node while the process runs, its state machine, and its disk.
 
 use violetgate_raft::*;
 
-/// The state machine: the commands that were applied, with their indexes.
+/// The state of the state machine: the applied commands with their indexes.
 pub type AppliedCommands = Vec<(Index, Vec<u8>)>;
 
-/// What a replica's disk holds, and what is still being written.
+/// The durable content of a replica's disk, the writes in progress, and a snapshot in transfer.
 #[derive(Default, Clone)]
 pub struct Disk {
     pub hard_state: HardState,
@@ -13,7 +13,7 @@
     pub snapshot_state: AppliedCommands,
     pub entries: Vec<Entry>,
     pub unwritten: Vec<StorageWrite>,
-    /// The bytes so far of a snapshot that is received.
+    /// The bytes received so far of a snapshot in transfer.
     pub received: Vec<u8>,
 }
 
@@ -31,7 +31,7 @@
             .extend(appended.filter(|entry| entry.index > snapshot_index));
     }
 
-    /// Completes the writes up to a sequence number.
+    /// Completes the writes in progress up to a sequence number.
     pub fn flush(&mut self, sequence: u64) {
         while self
             .unwritten
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Replaces the log by another replica's snapshot, after all writes that were begun before, as
-    /// on a real disk.
+    /// Completes all writes in progress, then replaces the log by another replica's snapshot, in
+    /// the order of a real disk.
     pub fn install(&mut self, metadata: SnapshotMetadata, state: AppliedCommands) {
         for write in std::mem::take(&mut self.unwritten) {
             self.write(write);
@@ -69,13 +69,14 @@
 }
 
 pub struct SimulatedReplica {
-    /// `None`: the process is down.
+    /// The running node, or `None` while the process is down.
     pub node: Option<RaftNode>,
     pub disk: Disk,
     pub state: AppliedCommands,
-    /// The process is suspended until then.
+    /// The time until which the process is suspended.
     pub paused_until: Micros,
-    /// How often it was started: events for an earlier process are ignored.
+    /// The number of times that the process was started. Events for an earlier process are
+    /// ignored.
     pub starts: u64,
     pub next_tick: Micros,
 }
