--- a/cluster/raft-storage/tests/faults.rs
+++ b/cluster/raft-storage/tests/faults.rs
@@ -1,5 +1,5 @@
-//! Files cut at every byte, syncs that fail, a disk that is full, and a crash between any two
-//! operations.
+//! Storage faults: a log truncated at every byte, damaged bytes, failed syncs, a full disk, and a
+//! crash between any two operations.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -58,17 +58,18 @@
         .0
 }
 
-/// What a storage with these files recovers.
+/// Opens a storage with these files, and returns the state that it recovers.
 fn recover(files: &Memory) -> RecoveredState {
     RaftStorage::open(files.clone(), "c", 1).unwrap().1
 }
 
-/// A log of several writes, with what is recovered after each.
+/// A log of several writes, with the state that is recovered after each write.
 struct WrittenLog {
     files: Memory,
-    /// The file of the log.
+    /// The file name of the log's only segment.
     name: String,
-    /// Bytes of the log, and what is recovered from them: at first and after each write.
+    /// The size of the log in bytes and the state recovered from it, before the first write and
+    /// after each write.
     complete: Vec<(usize, RecoveredState)>,
 }
 
@@ -108,7 +109,8 @@
     }
 }
 
-/// Truncated at any byte, the log holds exactly the complete writes, and takes new ones.
+/// A crash can leave only a part of the last write. Truncated at any byte, the log recovers exactly
+/// the complete writes, and accepts new ones.
 #[test]
 fn a_truncated_log_holds_complete_writes_only() {
     let log = WrittenLog::new();
@@ -121,7 +123,7 @@
         assert_eq!(
             (recovered.hard_state, &recovered.entries),
             (expected.hard_state, &expected.entries),
-            "cut at {cut}"
+            "truncated at byte {cut}"
         );
         if *bytes > 0 {
             assert_eq!(recovered.discarded_bytes, cut - bytes);
@@ -135,7 +137,8 @@
     }
 }
 
-/// The write was durable once, so the damage is reported and not discarded.
+/// A damaged write before a valid one was durable, so it must be reported, not discarded like an
+/// interrupted write.
 #[test]
 fn a_flipped_bit_in_a_write_that_others_follow_is_reported() {
     let log = WrittenLog::new();
@@ -145,12 +148,12 @@
         let opened = RaftStorage::open(log.with_bytes(bytes), "c", 1);
         assert!(
             matches!(opened, Err(StorageError::Corrupt(_))),
-            "bit at {at}"
+            "flipped bit in byte {at}"
         );
     }
 }
 
-/// After a sync that failed nothing is written any more, even if syncs work again.
+/// After a failed sync it is unknown what is durable, so all later writes and snapshots fail.
 #[test]
 fn after_a_failed_sync_nothing_is_written() {
     let mut storage = new_storage();
@@ -172,8 +175,8 @@
     ));
 }
 
-/// On a full disk a write is there completely or not at all, and once there is space it can be
-/// retried.
+/// On a full disk a write is stored completely or not at all. Once there is space, writes succeed
+/// again.
 #[test]
 fn a_write_on_a_full_disk_can_be_retried() {
     for free_bytes in 0..200 {
@@ -206,16 +209,16 @@
     }
 }
 
-/// With snapshots in between, a crash after any operation keeps what was durable, and nothing
-/// incomplete.
+/// Writes and snapshots alternate. After a crash at any operation, all that was durable is
+/// recovered, and nothing that is incomplete.
 #[test]
 fn a_crash_between_any_operations_keeps_what_was_durable() {
     let run =
-        |storage: &mut RaftStorage<Memory>, done: &mut (u64, u64)| -> Result<(), StorageError> {
+        |storage: &mut RaftStorage<Memory>, durable: &mut (u64, u64)| -> Result<(), StorageError> {
             for round in 1..6u64 {
                 let from = (round - 1) * 4 + 1;
                 storage.write(&[write(round, None, from..from + 4)])?;
-                done.0 = from + 3;
+                durable.0 = from + 3;
                 let members = Membership::bootstrap([1, 2, 3]);
                 storage.save_snapshot(
                     &SnapshotMetadata {
@@ -225,28 +228,28 @@
                     },
                     &[round as u8; 30],
                 )?;
-                done.1 = from + 1;
+                durable.1 = from + 1;
             }
             Ok(())
         };
     for operations in 0..60 {
         let mut files = new_storage().into_directory();
         files.operations_until_crash = Some(operations);
-        let mut done = (0, 0);
+        let mut durable = (0, 0);
         let mut storage = RaftStorage::open(files, "c", 1).unwrap().0;
-        let ended = run(&mut storage, &mut done);
+        let ended = run(&mut storage, &mut durable);
         let mut files = storage.into_directory();
         files.operations_until_crash = None;
         let recovered = RaftStorage::open(files, "c", 1)
-            .unwrap_or_else(|e| panic!("after {operations}: {e}"))
+            .unwrap_or_else(|e| panic!("after {operations} operations: {e}"))
             .1;
         let last = recovered
             .entries
             .last()
             .map_or(recovered.snapshot.index, |e| e.index);
         assert!(
-            last >= done.0 && recovered.snapshot.index >= done.1,
-            "after {operations}: {last} of {done:?}"
+            last >= durable.0 && recovered.snapshot.index >= durable.1,
+            "after {operations} operations: recovered up to {last}, {durable:?} were durable"
         );
         assert_eq!(
             recovered.state.len(),
@@ -260,7 +263,8 @@
     }
 }
 
-/// A replica's folder is its own: another id, another cluster or an empty folder is rejected.
+/// A replica opens only its own folder. Another replica's folder, one without an identity and an
+/// empty one are rejected, and no new replica is created in a folder that is in use.
 #[test]
 fn a_folder_belongs_to_one_replica() {
     let files = new_storage().into_directory();
@@ -272,7 +276,7 @@
         RaftStorage::create(files.clone(), &identity(), &base(), &[]),
         Err(StorageError::NotOwned(_))
     ));
-    // Without its identity it belongs to nobody, and isn't used for a new replica.
+    // A folder whose identity is missing belongs to no replica, but is still in use.
     let mut storage = RaftStorage::open(files, "c", 1).unwrap().0;
     storage.write(&[write(1, None, 1..2)]).unwrap();
     let mut files = storage.into_directory();
@@ -291,7 +295,7 @@
     ));
 }
 
-/// A folder in the file system, which is removed with it.
+/// A folder in the file system that is removed when this value is dropped.
 struct TemporaryFolder(PathBuf);
 
 impl TemporaryFolder {
@@ -302,7 +306,7 @@
         TemporaryFolder(path)
     }
 
-    /// A storage with 8 entries of 3 MiB in several segments.
+    /// Creates a storage with 8 entries of 3 MiB in several segments.
     fn storage(&self) -> RaftStorage<FsDirectory> {
         let directory = FsDirectory::new(&self.0).unwrap();
         let (mut storage, _) = RaftStorage::create(directory, &identity(), &base(), &[]).unwrap();
@@ -346,7 +350,7 @@
     let before = storage.log_bytes();
     storage.save_snapshot(&snapshot(7, 1), b"state").unwrap();
     let after = storage.log_bytes();
-    assert!(after < before / 2, "{after} of {before}");
+    assert!(after < before / 2, "{after} of {before} bytes are left");
     let (_, recovered) = RaftStorage::open(storage.into_directory(), "c", 1).unwrap();
     assert_eq!(
         (
