--- a/cluster/replica-runtime/src/clock.rs
+++ b/cluster/replica-runtime/src/clock.rs
@@ -1,4 +1,5 @@
-//! The machine's clocks, and the timer that drives a core which reads no clock.
+//! Reads the system clocks, and holds the timer that calls a core's tick. The cores read no clock
+//! themselves: the time is passed to them.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -10,12 +11,12 @@
 use futures_lite::Future;
 use violetgate_replicated_state::Micros;
 
-/// The least time between two calls of a core's tick.
+/// The shortest time between two calls of a core's tick.
 const MIN_TICK_INTERVAL_US: Micros = 500;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const NANOS_PER_MICRO: Micros = 1_000;
 
-/// Microseconds since the machine's start, in which time that it was suspended counts.
+/// Returns the microseconds since the machine booted, including the time it was suspended.
 #[must_use]
 pub(crate) fn boot_time() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
@@ -24,14 +25,14 @@
     seconds * MICROS_PER_SECOND + nanos / NANOS_PER_MICRO
 }
 
-/// Microseconds since the Unix epoch.
+/// Returns the microseconds since the Unix epoch.
 #[must_use]
 pub(crate) fn wall_time() -> Micros {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     u64::try_from(since_epoch.unwrap_or_default().as_micros()).unwrap_or(u64::MAX)
 }
 
-/// A timer that is set to the moment at which a core's tick is due, in [`boot_time`].
+/// A timer for a core's next tick, set to a time in [`boot_time`].
 pub(crate) struct TickTimer {
     due_at: Cell<Micros>,
     waker: RefCell<Option<Waker>>,
@@ -47,7 +48,7 @@
 }
 
 impl TickTimer {
-    /// Sets the moment, which may be earlier or later than the one set before.
+    /// Sets the time of the next tick, which may be earlier or later than the previous one.
     pub(crate) fn set(&self, due_at: Micros) {
         let is_earlier = due_at < self.due_at.replace(due_at);
         if is_earlier {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Waits until the moment has come, and for [`MIN_TICK_INTERVAL_US`] at least.
+    /// Waits until the tick is due, and for at least [`MIN_TICK_INTERVAL_US`].
     pub(crate) async fn wait(&self) {
         let mut timer = Timer::never();
         let earliest = boot_time() + MIN_TICK_INTERVAL_US;
--- a/cluster/replica-runtime/src/close_reason.rs
+++ b/cluster/replica-runtime/src/close_reason.rs
@@ -1,15 +1,15 @@
-//! Why a connection ended.
+//! The reasons for which a connection ends.
 
-/// Why a connection ended. Its text is the reason code in logs.
+/// The reason for which a connection ended. Its `Display` text is the reason code in logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CloseReason {
-    /// The other side closed it.
+    /// The other side closed the connection.
     #[error("closed")]
     Closed,
     /// Reading or writing failed.
     #[error("reset")]
     Reset,
-    /// The other side read nothing for too long.
+    /// The other side read nothing for longer than the stall timeout.
     #[error("stalled")]
     Stalled,
     /// The attempt to connect failed.
@@ -18,28 +18,28 @@
     /// The attempt to connect took too long.
     #[error("connect_timeout")]
     ConnectTimeout,
-    /// The greeting, or the answer to it, did not arrive in time.
+    /// The hello, or the answer to it, did not arrive within the timeout.
     #[error("greeting_timeout")]
     HelloTimeout,
-    /// A frame is longer than any message.
+    /// A frame is longer than the maximum for its kind of message.
     #[error("frame_too_long")]
     FrameTooLong,
-    /// A frame holds no message of this protocol.
+    /// The content of a frame can't be decoded as a message of this protocol.
     #[error("malformed_frame")]
     MalformedFrame,
-    /// More is queued than the queue takes.
+    /// A message did not fit into the send queue.
     #[error("queue_full")]
     QueueFull,
-    /// A subscriber reads more slowly than changes arise.
+    /// A subscriber reads more slowly than changes are made.
     #[error("too_slow")]
     TooSlow,
-    /// The core closed this connection over an earlier message.
+    /// The core closed this connection because of an earlier message.
     #[error("closed_locally")]
     ClosedByCore,
     /// The service or subscription that the connection belongs to was dropped.
     #[error("stopped")]
     Stopped,
-    /// The observer rejected the subscriber, by this code of
+    /// The observer rejected the subscriber. The text is the code of the
     /// [`Rejection`](violetgate_state_distribution::Rejection).
     #[error("{0}")]
     Rejected(&'static str),
--- a/cluster/replica-runtime/src/framing.rs
+++ b/cluster/replica-runtime/src/framing.rs
@@ -1,5 +1,5 @@
-//! Reading and writing frames on one connection, and the time limits that all connections of this
-//! package share.
+//! Reads and writes frames on one connection, and defines the timeouts that all connections of
+//! this package share.
 
 use std::cell::RefCell;
 use std::io::{Read, Write};
@@ -15,31 +15,32 @@
 
 /// How long an attempt to connect may take.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a greeting, or the answer to one, may take.
+/// How long a hello, or the answer to one, may take.
 pub(crate) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the other side may read nothing. Observers give their subscribers longer.
+/// How long the other side may read nothing. Observers allow their subscribers a longer time.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the other side may take to read why its connection ends.
+/// How long a closed connection waits for the other side to read the last message and close too.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many bytes of what the other side still sends are skipped meanwhile.
+/// The maximum number of bytes from the other side that are discarded during that time.
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
-/// Bytes that are read at a time.
+/// The maximum number of bytes per read.
 const READ_BYTES: usize = 16 << 10;
-/// Bytes of buffer that a connection holds between two frames.
+/// The buffer capacity, in bytes, that a connection keeps when all its frames are decoded.
 const IDLE_BUFFER_BYTES: usize = 4 << 10;
 
 thread_local! {
-    /// All connections read through one buffer, so that an idle connection holds none.
+    /// The read buffer that all connections of a thread share, so that an idle connection needs
+    /// none of its own.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
-/// Fails with a reason after a time. Raced against an operation, it limits the operation's time.
+/// Fails with `reason` after `limit`. Racing it against an operation limits the operation's time.
 pub(crate) async fn fail_after<T>(limit: Duration, reason: CloseReason) -> Result<T, CloseReason> {
     Timer::after(limit).await;
     Err(reason)
 }
 
-/// Connects within [`CONNECT_TIMEOUT`], without delaying small frames.
+/// Connects within [`CONNECT_TIMEOUT`] and disables Nagle's algorithm.
 pub(crate) async fn connect(
     address: std::net::SocketAddr,
 ) -> Result<Async<TcpStream>, CloseReason> {
@@ -53,7 +54,8 @@
     Ok(stream)
 }
 
-/// Has small frames sent at once. Where that fails they are only slower.
+/// Disables Nagle's algorithm, so that small frames are sent at once. An error is ignored, as it
+/// only makes them slower.
 pub(crate) fn disable_nagle(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
 }
@@ -62,17 +64,17 @@
 #[derive(Default)]
 pub(crate) struct FrameReader {
     bytes: Vec<u8>,
-    /// Where the next frame begins in `bytes`.
+    /// The offset of the next frame in `bytes`.
     start: usize,
 }
 
 impl FrameReader {
-    /// The bytes read and not decoded yet.
+    /// Returns the bytes that were read and not decoded yet.
     pub(crate) fn buffered(&self) -> &[u8] {
         self.bytes.get(self.start..).unwrap_or_default()
     }
 
-    /// Decodes the next message, if its frame is complete.
+    /// Decodes the next message from the buffer; `None` if its frame is not complete yet.
     pub(crate) fn next<T: DeserializeOwned>(
         &mut self,
         max_bytes: usize,
@@ -91,7 +93,7 @@
         Ok(Some(decoded))
     }
 
-    /// Reads more bytes.
+    /// Waits for input and appends up to [`READ_BYTES`] to the buffer.
     pub(crate) async fn read_more(&mut self, stream: &Async<TcpStream>) -> Result<(), CloseReason> {
         let bytes = &mut self.bytes;
         let read = stream.read_with(|mut stream| {
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Reads until the next message is complete.
+    /// Reads until the next message is complete, and returns it.
     pub(crate) async fn read_message<T: DeserializeOwned>(
         &mut self,
         stream: &Async<TcpStream>,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Reads a greeting, or the answer to one, within [`HELLO_TIMEOUT`].
+    /// Reads a hello, or the answer to one, within [`HELLO_TIMEOUT`].
     pub(crate) async fn read_hello<T: DeserializeOwned>(
         &mut self,
         stream: &Async<TcpStream>,
@@ -135,7 +137,8 @@
     }
 }
 
-/// Writes some of the bytes; how many.
+/// Writes some of the bytes and returns their number. Fails if none can be written within
+/// `stall_timeout`.
 pub(crate) async fn write_some(
     stream: &Async<TcpStream>,
     bytes: &[u8],
@@ -149,7 +152,7 @@
     writing.or(timeout).await
 }
 
-/// Writes all of the bytes.
+/// Writes all of the bytes. Fails if nothing can be written for [`STALL_TIMEOUT`].
 pub(crate) async fn write_all(
     stream: &Async<TcpStream>,
     mut bytes: &[u8],
@@ -161,8 +164,9 @@
     Ok(())
 }
 
-/// Closes this side of a connection and waits shortly for the other one. A socket that is closed
-/// with unread input resets the connection, and what was written last might not arrive.
+/// Shuts down the write side of a connection and waits up to [`LINGER_TIMEOUT`] for the other side
+/// to close it. Closing a socket with unread input resets the connection, and the last message
+/// might be lost.
 pub(crate) async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let skipping = async {
--- a/cluster/replica-runtime/src/lib.rs
+++ b/cluster/replica-runtime/src/lib.rs
@@ -1,15 +1,15 @@
-//! Runs replicas, observers and subscribers over TCP, on one thread each with a second one for the
-//! disk.
+//! Runs replicas, observers and subscribers over TCP. All tasks of one of them run on one thread; a
+//! replica has a second thread that writes to disk.
 //!
 //! - [`ReplicaRuntime`] runs a [`Replica`](violetgate_replica::Replica): its connections to other
 //!   replicas ([`transport`]), its storage and its timer.
-//! - [`ObserverService`] serves a replica's copy to gateways; [`Subscription`] is a gateway's
-//!   side of that. They run the cores of [`violetgate_state_distribution`].
+//! - [`ObserverService`] serves a replica's copy of the state to gateways, and [`Subscription`]
+//!   receives it at a gateway. They run the cores of [`violetgate_state_distribution`].
 //!
-//! Nothing is decided here: who leads, what is committed and whether requests may be routed is
-//! decided by the cores.
+//! This package does I/O only. The cores decide which replica leads, what is committed and whether
+//! requests may be routed.
 //!
-//! A cluster of one replica:
+//! This example starts a cluster of one replica:
 //!
 //! ```
 //! use std::collections::BTreeMap;
--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -1,8 +1,8 @@
 //! Serves a replica's copy of the state to subscribers: accepts their connections and carries out
 //! the actions of the [`Observer`] core.
 //!
-//! - [`listener`]: accepting connections and their greetings.
-//! - [`subscriber_connection`]: one connection, from its greeting to its end.
+//! - [`listener`]: accepts connections and handles their hellos.
+//! - [`subscriber_connection`]: runs one connection, from its hello to its end.
 
 mod listener;
 mod subscriber_connection;
@@ -27,45 +27,45 @@
 use crate::traffic_stats::{TrafficCounter, TrafficStats};
 use crate::wire;
 
-/// How often all replicas are sent how far this observer's subscribers are.
+/// How often this observer sends its subscribers' progress to all replicas.
 const PROGRESS_INTERVAL_US: Micros = 250_000;
-/// How long one linearizable read may take. The core abandons it after the same time
-/// (`READ_TIMEOUT_US` in its `observer/polls.rs`): a longer one would be of no use.
+/// How long one linearizable read may take. The core abandons a read after the same time
+/// (`READ_TIMEOUT_US` in its `observer/polls.rs`), so a longer timeout would have no effect.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Why an observer can't serve subscribers.
+/// The reason why an observer can't serve subscribers.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// Its address can't be used.
+    /// The service can't listen at its address.
     #[error(
         "subscribers can't connect at {address}: {source}; \
          choose an address of this machine that is free"
     )]
     Listen {
-        /// The address.
+        /// The address where subscribers were to connect.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Its configuration lets nothing through.
+    /// A limit in the configuration is too low for the service to work.
     #[error(transparent)]
     Config(#[from] InvalidObserverConfig),
 }
 
-/// A subscriber whose greeting was accepted.
+/// A subscriber whose hello was accepted.
 struct AcceptedSubscriber {
     queue: Rc<SendQueue>,
     task: Task<()>,
 }
 
-/// The last message sent, so that one which goes to many connections one after another is encoded
-/// once.
+/// The last message sent and its frame. A message that is sent to several connections in
+/// succession is encoded once.
 struct EncodedMessage {
     message: ObserverMessage,
     frame: SharedFrame,
 }
 
-/// A replica's service to subscribers. It ends with the last reference to it.
+/// Serves a replica's copy of the state to subscribers. Dropping the last reference stops it.
 pub struct ObserverService {
     weak_self: Weak<ObserverService>,
     replica: Rc<ReplicaRuntime>,
@@ -75,7 +75,7 @@
     tick_timer: Rc<TickTimer>,
     next_progress_at: Cell<Micros>,
     next_connection: Cell<ConnectionId>,
-    /// Connections whose greeting was not accepted yet.
+    /// Connections whose hello was not accepted yet.
     unaccepted: RefCell<BTreeMap<ConnectionId, Task<()>>>,
     accepted: RefCell<BTreeMap<ConnectionId, AcceptedSubscriber>>,
     counter: TrafficCounter,
@@ -83,7 +83,7 @@
 }
 
 impl ObserverService {
-    /// Begins to serve a replica's copy at an address, on the replica's executor.
+    /// Starts serving a replica's copy of the state at an address, on the replica's executor.
     ///
     /// # Errors
     ///
@@ -129,38 +129,39 @@
         Ok(service)
     }
 
-    /// Where subscribers connect.
+    /// Returns the address where subscribers connect.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How far this observer's subscribers are.
+    /// Summarizes which revisions this observer's subscribers have applied.
     #[must_use]
     pub fn progress(&self) -> ProgressSummary {
         self.core.borrow().progress(boot_time())
     }
 
-    /// Subscribers connected now.
+    /// Returns the number of connected subscribers.
     #[must_use]
     pub fn subscribers(&self) -> usize {
         self.core.borrow().sizes().subscribers
     }
 
-    /// Messages and bytes exchanged with subscribers.
+    /// Returns the numbers of messages and bytes exchanged with subscribers.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
         self.counter.stats()
     }
 
-    /// Called while the replica's store is borrowed: the core is driven with that very store.
+    /// Tells the core that more is applied to the store. The replica's store is borrowed during
+    /// this call, so it is passed in and not read through the replica.
     fn store_applied(&self, store: &Store) {
         let now = boot_time();
         self.core.borrow_mut().store_applied(now, store);
         self.carry_out_actions();
     }
 
-    /// Calls the core, and carries out the actions that follow.
+    /// Calls the core and carries out the actions that it requests.
     fn drive<T>(&self, call: impl FnOnce(&mut Observer, Micros, &Store) -> T) -> T {
         let result = self
             .replica
@@ -230,21 +231,21 @@
         accepted.get(&id).map(|it| Rc::clone(&it.queue))
     }
 
-    /// Sends a subscriber the reason why its connection ends, and closes it after that. The core
-    /// has forgotten it.
+    /// Sends a subscriber the reason for its rejection and then closes the connection. The core has
+    /// already removed the subscriber.
     fn reject(&self, id: ConnectionId, rejection: Rejection) {
         let Some(queue) = self.send_queue(id) else {
             return;
         };
         let code = rejection.code();
         if let Ok(frame) = wire::encode_frame(&ObserverMessage::Rejected(rejection)) {
-            // A full queue has no place for the reason; the connection ends all the same.
+            // If the queue is full, the connection ends without the reason.
             let _ = queue.push(Rc::new(frame));
         }
         queue.finish(CloseReason::Rejected(code));
     }
 
-    /// Closes a connection at once.
+    /// Closes a connection without sending what is queued, and removes it from the core.
     fn drop_connection(&self, id: ConnectionId, reason: CloseReason) {
         if let Some(queue) = self.send_queue(id) {
             queue.abort(reason);
@@ -252,7 +253,7 @@
         }
     }
 
-    /// Begins a linearizable read, which confirms all polls that came so far.
+    /// Starts a linearizable read, which confirms all polls received before it.
     fn begin_read(&self, read: ReadId) {
         let (weak, replica) = (self.weak_self.clone(), Rc::clone(&self.replica));
         let reading = async move {
--- a/cluster/replica-runtime/src/observer_service/listener.rs
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting subscribers' connections, and their greetings.
+//! Accepts subscribers' connections and handles their hellos.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::{Rc, Weak};
@@ -11,20 +11,21 @@
 use super::{subscriber_connection, AcceptedSubscriber, ObserverService};
 use crate::send_queue::SendQueue;
 
-/// Connections whose greeting was not accepted yet; beyond them the oldest is closed.
+/// The maximum number of connections whose hello was not accepted yet. If there are more, the
+/// oldest one is closed.
 const MAX_UNACCEPTED: usize = 512;
-/// How long a subscriber may read nothing before its connection is closed without a word. Longer
-/// than the 10 s after which the core rejects it (`observer/housekeeping.rs` there), so that it can
-/// see why.
+/// How long a subscriber may read nothing before its connection is closed without a reason. This is
+/// longer than the 10 s after which the core rejects it (`observer/housekeeping.rs` in
+/// `violetgate-state-distribution`), so that the subscriber can receive that rejection.
 const SUBSCRIBER_STALL_TIMEOUT: Duration = Duration::from_secs(15);
-/// Connections that the kernel holds until they are accepted. The standard library's 128 are
-/// exceeded where thousands of gateways return together, and a connection that is dropped then
-/// is retried only after a second.
+/// The maximum number of connections that the kernel queues until they are accepted. The standard
+/// library's 128 are too few when thousands of gateways reconnect at once, and the kernel retries a
+/// connection dropped from a full queue only after a second.
 const BACKLOG: i32 = 4_096;
-/// The delay after an accept that failed.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// A socket that listens, and its address.
+/// A listening socket and its address.
 pub(super) struct Listener {
     pub socket: Async<TcpListener>,
     pub address: SocketAddr,
@@ -32,7 +33,7 @@
 
 pub(super) fn bind(listen: SocketAddr) -> std::io::Result<Listener> {
     let socket = Async::<TcpListener>::bind(listen)?;
-    // The standard library has called `listen` with its own backlog; the second call raises that.
+    // The standard library called `listen` with its own backlog. A second call raises it.
     rustix::net::listen(socket.get_ref(), BACKLOG)?;
     let address = socket.get_ref().local_addr()?;
     Ok(Listener { socket, address })
@@ -49,7 +50,7 @@
             Ok((stream, peer)) => service.accept(stream, peer),
             Err(error) => {
                 drop(service);
-                tracing::info!("subscribers' accept failed: {error}");
+                tracing::info!("subscriber accept failed: {error}");
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -57,7 +58,7 @@
     }
 }
 
-/// The answer to a greeting, and the queue of the subscriber if it was accepted.
+/// The answer to a hello, and the send queue of the subscriber if it was accepted.
 pub(super) struct HelloAnswer {
     pub welcome: ObserverWelcome,
     pub queue: Option<Rc<SendQueue>>,
@@ -76,7 +77,7 @@
         unaccepted.insert(id, self.replica.executor().spawn(serving));
     }
 
-    /// Handles a subscriber's greeting.
+    /// Passes a subscriber's hello to the core, and creates its send queue if it is accepted.
     pub(super) fn handle_hello(&self, id: ConnectionId, hello: &SubscriberHello) -> HelloAnswer {
         let welcome = self.drive(|core, now, store| core.accept(now, id, hello, store));
         let mut answer = HelloAnswer {
@@ -97,7 +98,8 @@
         answer
     }
 
-    /// A connection has ended; its task, which calls this, ends after the call.
+    /// Removes a connection that has ended. The connection's own task calls this, so the task is
+    /// detached rather than dropped, which would cancel it.
     pub(super) fn connection_ended(&self, id: ConnectionId) {
         if let Some(task) = self.unaccepted.borrow_mut().remove(&id) {
             task.detach();
@@ -105,7 +107,7 @@
         let accepted = self.accepted.borrow_mut().remove(&id);
         if let Some(AcceptedSubscriber { queue, task }) = accepted {
             task.detach();
-            // The core has forgotten those that it rejected.
+            // The core has already removed the subscribers that it rejected.
             if !queue.is_ending() {
                 self.drive(|core, now, _| core.disconnected(now, id));
             }
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -1,4 +1,4 @@
-//! One subscriber's connection: its greeting, then messages in both directions.
+//! Runs one subscriber's connection: its hello, then messages in both directions.
 
 use std::future::pending;
 use std::net::{SocketAddr, TcpStream};
@@ -18,25 +18,26 @@
 use crate::send_queue::SendQueue;
 use crate::wire;
 
-/// The longest message of a subscriber: a snapshot cursor holds one key.
+/// The maximum length of a subscriber's message, in bytes. The longest one is a snapshot cursor,
+/// which holds one key.
 const MAX_REQUEST_BYTES: usize = 16 << 10;
-/// The name in logs of a subscriber whose greeting can't be read.
+/// The name in logs of a subscriber whose hello can't be read.
 const UNKNOWN_NAME: &str = "unknown";
 
-/// One connection of the service.
+/// One connection of the service, before and after its hello.
 struct SubscriberStream<'a> {
     service: &'a Weak<ObserverService>,
     id: ConnectionId,
     stream: &'a Async<TcpStream>,
 }
 
-/// A subscriber whose greeting was accepted.
+/// A subscriber whose hello was accepted.
 struct Accepted {
     name: String,
     queue: Rc<SendQueue>,
 }
 
-/// The end of a connection, for the log.
+/// The subscriber's name and the reason why its connection ended, for the log.
 struct ConnectionEnd {
     name: String,
     reason: CloseReason,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Reads the greeting and answers it.
+    /// Reads the hello and answers it.
     async fn greet(&self, reader: &mut FrameReader) -> Result<Accepted, ConnectionEnd> {
         let hello = match reader.read_hello::<SubscriberHello>(self.stream).await {
             Ok(hello) => hello,
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Answers a greeting that can't be read, where the other side may still read why.
+    /// Ends a connection whose hello can't be read. If a frame was received, the other side is sent
+    /// the reason.
     async fn greeting_failed(&self, reason: CloseReason, reader: &FrameReader) -> ConnectionEnd {
         let name = UNKNOWN_NAME.to_owned();
         if !matches!(
@@ -151,8 +153,8 @@
         write_all(self.stream, &frame).await
     }
 
-    /// Receives messages until the connection ends. Where this side ends it, this waits, as the
-    /// writing side has yet to send the reason.
+    /// Receives messages until the connection ends. If this side ends it, this function waits
+    /// forever, as the writer still has to send the reason.
     async fn receive_all(&self, reader: &mut FrameReader) -> CloseReason {
         loop {
             match self.receive_buffered(reader) {
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Passes on the messages that are complete.
+    /// Passes all complete messages in the buffer to the core.
     fn receive_buffered(&self, reader: &mut FrameReader) -> Result<Received, CloseReason> {
         loop {
             let next = reader.next::<SubscriberMessage>(MAX_REQUEST_BYTES);
@@ -196,14 +198,14 @@
 }
 
 enum Received {
-    /// All messages that were complete.
+    /// All complete messages were passed on.
     All,
-    /// This side has ended the connection over one of them.
+    /// This side ends the connection because of one of the messages.
     ConnectionIsEnding,
 }
 
-/// Why a greeting that can't be read is rejected: a greeting of another version may have other
-/// fields.
+/// Returns the reason to reject a hello that can't be decoded. A hello of another protocol version
+/// may have other fields, so only its magic number and version are read.
 fn unreadable_hello(frame: &[u8]) -> Rejection {
     let body = frame.get(wire::FRAME_HEADER_BYTES..).unwrap_or_default();
     match postcard::from_bytes::<([u8; 4], u16)>(body) {
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -1,12 +1,12 @@
-//! A replica at work: its core, its connections, its storage thread, its timer, and the calls that
+//! Runs a replica: its core, its connections, its storage thread, its timer, and the calls that
 //! wait for an answer.
 //!
-//! - [`bootstrap`]: making a replica's folder.
-//! - [`startup`]: opening it and starting all tasks.
-//! - [`effects`]: carrying out what the core requests.
-//! - [`storage_worker`]: the thread that writes to disk.
-//! - [`calls`], [`forwarding`]: calls of this program, carried out here or by the leader.
-//! - [`fleet_reports`]: how far all gateways are, as observers report it.
+//! - [`bootstrap`]: creates a replica's folder.
+//! - [`startup`]: opens the folder and starts all tasks.
+//! - [`effects`]: carries out the effects that the core requests.
+//! - [`storage_worker`]: runs the thread that writes to disk.
+//! - [`calls`], [`forwarding`]: carry out calls of this process here or at the leader.
+//! - [`fleet_reports`]: collects which revisions the gateways have applied, as observers report it.
 
 mod bootstrap;
 mod calls;
@@ -44,21 +44,21 @@
 pub use startup::{ReplicaOptions, StartError};
 pub use status::{MatchedIndex, ReplicaStatus};
 
-/// Called with the store whenever more is applied to it.
+/// A callback that receives the store whenever more is applied to it.
 pub type AppliedCallback = Rc<dyn Fn(&Store)>;
 
-/// Why a replica has stopped: it takes part no more until it is started again.
+/// The reason why a replica has stopped. It takes no part in the cluster until it is started again.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum StopReason {
     /// The storage thread has ended.
-    #[error("the disk's thread has ended")]
+    #[error("the storage thread has ended")]
     StorageThreadEnded,
-    /// The storage can't be written any more.
+    /// The storage failed, and nothing more can be written to it.
     #[error("{0}")]
     Storage(Rc<StorageError>),
 }
 
-/// A replica at work. It ends with the last reference to it.
+/// A running replica. Dropping the last reference stops it.
 pub struct ReplicaRuntime {
     weak_self: Weak<ReplicaRuntime>,
     replica: RefCell<Replica>,
@@ -66,67 +66,67 @@
     transport: Rc<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     callbacks: RefCell<Vec<AppliedCallback>>,
-    /// The index that the callbacks were last called at.
+    /// The applied index at the last call of the callbacks.
     notified_index: Cell<Index>,
     fleet_reports: RefCell<FleetReports>,
-    /// Calls of this program that another replica carries out.
+    /// Calls of this process that another replica carries out.
     forwarded_calls: RefCell<BTreeMap<CallId, Rc<PendingAnswer>>>,
-    /// How many calls of other replicas are carried out here.
+    /// The number of calls that are being carried out here for other replicas.
     calls_for_others: Cell<usize>,
-    /// Calls that are carried out here.
+    /// Calls that are being carried out here.
     pending_calls: RefCell<BTreeMap<CallId, Rc<PendingAnswer>>>,
     last_call: Cell<CallId>,
     storage_jobs: mpsc::Sender<StorageJob>,
     tick_timer: Rc<TickTimer>,
-    /// Woken when more is applied, or the replica stops.
+    /// Tasks to wake when more is applied or the replica stops.
     apply_wakers: RefCell<Vec<Waker>>,
     stop_reason: RefCell<Option<StopReason>>,
     tasks: RefCell<Vec<Task<()>>>,
 }
 
 impl ReplicaRuntime {
-    /// This replica's id.
+    /// Returns this replica's id.
     #[must_use]
     pub fn id(&self) -> NodeId {
         self.replica.borrow().raft().id()
     }
 
-    /// The executor that its tasks run on.
+    /// Returns the executor that runs the replica's tasks.
     pub(crate) fn executor(&self) -> &Rc<LocalExecutor<'static>> {
         &self.executor
     }
 
-    /// The connections to other replicas.
+    /// Returns the connections to other replicas.
     #[must_use]
     pub fn transport(&self) -> &Transport {
         &self.transport
     }
 
-    /// The random number that identifies this replica's folder.
+    /// Returns the random number that identifies this replica's folder.
     #[must_use]
     pub fn disk_id(&self) -> u64 {
         self.disk_id
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before anything
-    /// else can be decided on the new state.
+    /// Adds a callback. It is called at once, and then whenever more is applied, before any
+    /// decision is made on the new state.
     pub fn on_applied(&self, callback: AppliedCallback) {
         callback(self.replica.borrow().store());
         self.callbacks.borrow_mut().push(callback);
     }
 
-    /// The state, encoded for a backup.
+    /// Returns the state, encoded for a backup.
     #[must_use]
     pub fn save(&self) -> Vec<u8> {
         self.replica.borrow().store().to_snapshot()
     }
 
-    /// Reads the store as it is applied here.
+    /// Reads this replica's store. It may lag behind the leader's.
     pub fn store<T>(&self, read: impl FnOnce(&Store) -> T) -> T {
         read(self.replica.borrow().store())
     }
 
-    /// Whether requests may be routed on the state that is applied here.
+    /// Checks whether the state applied here is fresh enough to route requests on it.
     ///
     /// # Errors
     ///
@@ -150,7 +150,7 @@
         .await;
     }
 
-    /// Why the replica has stopped, if it has.
+    /// Returns the reason why the replica has stopped, if it has.
     #[must_use]
     pub fn stop_reason(&self) -> Option<StopReason> {
         self.stop_reason.borrow().clone()
@@ -160,7 +160,7 @@
         self.stop_reason.borrow().is_some()
     }
 
-    /// Calls the core, after its tick, and carries out the effects that follow.
+    /// Calls the core's tick and then `call`, and carries out the effects that the core requests.
     fn drive<T>(&self, call: impl FnOnce(&mut Replica) -> T) -> T {
         let (now, wall) = (boot_time(), wall_time());
         let result = {
@@ -193,7 +193,7 @@
     }
 }
 
-/// Passes on what the storage thread reports.
+/// Handles the storage thread's reports until the runtime is dropped or the thread ends.
 async fn on_storage_events(weak: Weak<ReplicaRuntime>, events: Receiver<StorageEvent>) {
     while let Ok(event) = events.recv().await {
         let Some(runtime) = weak.upgrade() else {
--- a/cluster/replica-runtime/src/runtime/bootstrap.rs
+++ b/cluster/replica-runtime/src/runtime/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Making the folder of a new replica.
+//! Creates the folder of a new replica.
 
 use std::path::{Path, PathBuf};
 
@@ -8,47 +8,48 @@
 
 use super::ReplicaRuntime;
 
-/// What the folder of a new replica holds at first.
+/// The initial content of a new replica's folder.
 #[derive(Debug, Clone)]
 pub struct Bootstrap {
-    /// The first voters of a new cluster; empty: the replica joins a cluster that exists.
+    /// The first voters of a new cluster. If this is empty, the replica joins an existing cluster.
     pub initial_members: Vec<NodeId>,
-    /// The encoded state of the store to begin with; empty: an empty store.
+    /// The encoded initial state of the store. If this is empty, the store is empty.
     pub initial_state: Vec<u8>,
 }
 
-/// Why a replica's folder can't be made.
+/// The reason why a replica's folder can't be created.
 #[derive(Debug, thiserror::Error)]
 pub enum InitializeError {
-    /// The folder can't be made or used.
+    /// The folder can't be created or opened.
     #[error("{}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// The initial state is no encoded store.
+    /// The initial state can't be decoded as a store.
     #[error("this is no saved state: {0}")]
     InitialState(#[from] DecodeError),
-    /// The folder is another replica's already, or can't be written.
+    /// The folder already belongs to a replica, or can't be written.
     #[error("{}: {source}", folder.display())]
     Storage {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the storage.
         source: StorageError,
     },
 }
 
 impl ReplicaRuntime {
-    /// Makes a replica's folder. This is done once: a replica without its old folder has forgotten
-    /// its term and vote, and must not return under the same id. `disk_id` is a random number by
-    /// which the others recognise the folder.
+    /// Creates a replica's folder. This may be done only once per id: a replica that has lost its
+    /// folder no longer knows its term and vote, and must not return under the same id. `disk_id`
+    /// is a random number by which the other replicas recognise the folder.
     ///
     /// # Errors
     ///
-    /// The folder is another replica's already or can't be written, or the initial state is none.
+    /// The folder already belongs to a replica or can't be written, or the initial state can't be
+    /// decoded.
     pub fn initialize(
         cluster: &str,
         id: NodeId,
@@ -83,13 +84,14 @@
     }
 }
 
-/// The snapshot that the log begins with.
+/// Returns the metadata of the snapshot that the log begins with.
 fn initial_snapshot(members: Vec<NodeId>, state: &[u8]) -> SnapshotMetadata {
     if members.is_empty() {
         return SnapshotMetadata::default();
     }
     SnapshotMetadata {
-        // An initial state counts as the first entry, so that a replica without it is sent it.
+        // An initial state counts as the first entry, so that the leader sends a snapshot to a
+        // replica that was created without it.
         index: Index::from(!state.is_empty()),
         membership: Membership::bootstrap(members),
         ..SnapshotMetadata::default()
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -1,5 +1,4 @@
-//! Calls that are carried out by this replica itself. Each waits for its answer for a bounded
-//! time.
+//! Calls that this replica carries out itself. Each waits for its answer up to a timeout.
 
 use std::time::{Duration, Instant};
 
@@ -11,17 +10,17 @@
 use super::pending_answer::PendingEntry;
 use super::ReplicaRuntime;
 
-/// How long one linearizable read may take before it is begun again.
+/// How long one linearizable read may take before it is started again.
 const READ_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
-/// The delay between two attempts at a linearizable read.
+/// The delay between two attempts of a linearizable read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// How a call ended for its caller.
+/// The outcome of a call, as its caller learns it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// It was answered.
+    /// The call was answered.
     Completed(Response),
-    /// There was no answer in time. A command may still be committed.
+    /// No answer arrived before the timeout. A command may still be committed.
     TimedOut,
 }
 
@@ -31,7 +30,7 @@
         self.last_call.get()
     }
 
-    /// Makes one call to the core, and waits for its answer.
+    /// Makes one call to the core and waits for its answer.
     async fn call(
         &self,
         timeout: Duration,
@@ -44,8 +43,8 @@
         entry.wait(timeout).await
     }
 
-    /// Proposes a command here, once. With a request id it may be proposed again: it is applied
-    /// once.
+    /// Proposes a command at this replica, without a retry. A command with a request id may be
+    /// proposed several times and is applied once.
     pub async fn propose(
         &self,
         request_id: Option<String>,
@@ -59,7 +58,7 @@
         self.call(timeout, start).await
     }
 
-    /// Proposes one change of the membership here, once.
+    /// Proposes one membership change at this replica, without a retry.
     pub async fn change_membership(
         &self,
         change: MembershipChange,
@@ -69,8 +68,8 @@
         self.call(timeout, start).await
     }
 
-    /// Waits until the store is current, retrying the linearizable read where there is no answer;
-    /// whether it is within the time.
+    /// Waits until the store is current, and retries the linearizable read if there is no answer.
+    /// Returns whether the store became current before the timeout.
     pub async fn wait_until_current(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         loop {
@@ -86,17 +85,17 @@
         }
     }
 
-    /// Hands leadership over to another replica.
+    /// Transfers leadership to another replica.
     ///
     /// # Errors
     ///
-    /// This replica does not lead, or the other one can't take over.
+    /// This replica is not the leader, or the other one can't become leader.
     pub fn transfer_leadership(&self, to: NodeId) -> Result<(), ProposalError> {
         self.drive(|replica| replica.transfer_leadership(to))
     }
 }
 
-/// Has the core forget a call that nobody waits for any more.
+/// Cancels a call in the core when its caller no longer waits for it.
 struct CancelOnDrop<'a> {
     runtime: &'a ReplicaRuntime,
     id: CallId,
--- a/cluster/replica-runtime/src/runtime/effects.rs
+++ b/cluster/replica-runtime/src/runtime/effects.rs
@@ -1,4 +1,4 @@
-//! Carrying out the effects of the core: messages, writes, and answers to calls.
+//! Carries out the effects that the core requests: messages, writes, and answers to calls.
 
 use std::rc::Rc;
 use std::task::Waker;
@@ -30,8 +30,8 @@
         self.tick_timer.set(self.replica.borrow().next_tick());
     }
 
-    /// Carries out one effect. Writes are collected, so that those of one call are made durable by
-    /// one sync.
+    /// Carries out one effect. Writes are collected, so that one sync makes all writes of a call
+    /// durable.
     fn carry_out(&self, effect: Effect, writes: &mut Vec<StorageWrite>) {
         match effect {
             Effect::Persist(write) => writes.push(write),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Calls the callbacks if more was applied.
+    /// Calls the callbacks if more was applied since their last call.
     fn notify_applied(&self) {
         let replica = self.replica.borrow();
         let applied = replica.applied();
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -1,4 +1,5 @@
-//! How far all gateways are, as observers report it to all replicas.
+//! Collects the observers' reports on which revisions the gateways have applied. Each observer
+//! sends its report to all replicas.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +12,10 @@
 use crate::clock::boot_time;
 use crate::wire::PeerMessage;
 
-/// An observer whose last report is older than this counts as silent.
+/// How long an observer's last report is used. An observer with an older one counts as silent.
 const REPORT_FRESH_FOR_US: Micros = 1_000_000;
 
-/// The reports, and the observers that sent them.
+/// The reports received, and the ids of the observers that sent them.
 #[derive(Default)]
 pub(super) struct FleetReports {
     progress: FleetProgress,
@@ -50,21 +51,22 @@
 }
 
 impl ReplicaRuntime {
-    /// How far all gateways are, as observers have reported it recently.
+    /// Returns the progress of all gateways, as observers have reported it recently.
     #[must_use]
     pub fn fleet_progress(&self) -> FleetTotals {
         let reports = self.fleet_reports.borrow();
         reports.progress.totals(boot_time(), REPORT_FRESH_FOR_US)
     }
 
-    /// The latest revision that was in force at all serving gateways, and when it was.
+    /// Returns the latest revision that came into force at all serving gateways, and the time at
+    /// which it did.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
         let reports = self.fleet_reports.borrow();
         reports.progress.in_force().last().copied()
     }
 
-    /// Reports how far this replica's subscribers are to all replicas, this one included.
+    /// Reports the progress of this replica's subscribers to all replicas, including this one.
     pub(crate) fn report_progress(&self, summary: ProgressSummary) {
         let ReplicaStatus { id, members, .. } = self.status();
         let message = PeerMessage::Progress(summary.clone());
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -1,4 +1,4 @@
-//! Calls that any replica may make: carried out by the leader, whichever it is, and retried until
+//! Calls that may be made at any replica. The leader carries them out, and they are retried until
 //! their outcome is known.
 
 use std::time::{Duration, Instant};
@@ -18,14 +18,14 @@
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often it is checked whether the replica that carries out a call is still taken for the
-/// leader.
+/// How often a forwarded call checks whether the replica that carries it out is still the leader,
+/// as far as this replica knows.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The most calls of other replicas that are carried out at a time. More are rejected, and retried
-/// by their callers.
+/// The maximum number of calls that are carried out for other replicas at a time. Further calls are
+/// rejected, and their callers retry them.
 const MAX_CALLS_FOR_OTHERS: usize = 1_000;
 
-/// Whether an earlier attempt may have taken effect.
+/// Whether an earlier attempt of a call may have taken effect.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EarlierAttempts {
     HadNoEffect,
@@ -33,9 +33,9 @@
 }
 
 impl ReplicaRuntime {
-    /// Has a call carried out by whoever leads. It is made again, under its one request id, until
-    /// its outcome is known or the time is over. After [`CallOutcome::TimedOut`] it may still be
-    /// committed; the same call again returns its outcome.
+    /// Submits a call to the leader. It is retried, under the same request id, until its outcome is
+    /// known or the timeout has passed. After [`CallOutcome::TimedOut`] a command may still be
+    /// committed; submitting the same command again then returns its outcome.
     pub async fn submit(&self, call: Call, timeout: Duration) -> CallOutcome {
         let deadline = Instant::now() + timeout;
         let mut earlier = EarlierAttempts::HadNoEffect;
@@ -50,7 +50,8 @@
                     earlier = EarlierAttempts::MayHaveTakenEffect;
                 }
                 CallOutcome::Completed(response) if is_retried(&response) => {}
-                // A change that an earlier attempt has made can't be made again.
+                // A membership change that an earlier attempt has made is rejected if it is
+                // proposed again.
                 CallOutcome::Completed(Response::Rejected(_))
                     if earlier == EarlierAttempts::MayHaveTakenEffect
                         && self.has_taken_effect(&call) =>
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Makes a call once, here or at the leader.
+    /// Makes one attempt of a call, here or at the leader.
     async fn attempt(&self, call: &Call, timeout: Duration) -> CallOutcome {
         let ReplicaStatus {
             id, role, leader, ..
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Carries a call out here, if this replica leads.
+    /// Carries out a call at this replica, which must be the leader for the call to succeed.
     async fn carry_out_here(&self, call: Call, timeout: Duration) -> CallOutcome {
         match call {
             Call::Propose {
@@ -88,7 +89,7 @@
             }
             Call::ChangeMembership(change) => self.change_membership(change, timeout).await,
             Call::TransferLeadership(to) => {
-                // There is no response of its own for a transfer: `MembershipChanged` says done.
+                // A transfer has no response of its own: `MembershipChanged` stands for success.
                 let response = match self.transfer_leadership(to) {
                     Ok(()) => Response::MembershipChanged,
                     Err(ProposalError::NotLeader) => Response::NotLeader(self.status().leader),
@@ -99,25 +100,28 @@
         }
     }
 
-    /// Has another replica carry a call out.
+    /// Forwards a call to another replica and waits for its answer.
     async fn forward(&self, leader: NodeId, call: Call, timeout: Duration) -> CallOutcome {
         let id = self.next_call_id();
         let entry = PendingEntry::new(&self.forwarded_calls, id);
         self.transport
             .send(leader, &PeerMessage::ForwardCall { id, call });
-        entry.wait(timeout).or(self.until_deposed(leader)).await
+        entry
+            .wait(timeout)
+            .or(self.wait_until_deposed(leader))
+            .await
     }
 
-    /// Waits until a replica is no longer taken for the leader: it won't answer, or another one
-    /// can sooner.
-    async fn until_deposed(&self, leader: NodeId) -> CallOutcome {
+    /// Waits until this replica no longer takes `leader` for the leader. The call then ends early,
+    /// as the former leader won't answer or a new one can answer sooner.
+    async fn wait_until_deposed(&self, leader: NodeId) -> CallOutcome {
         while self.replica.borrow().raft().leader() == Some(leader) {
             Timer::after(LEADER_CHECK_INTERVAL).await;
         }
         CallOutcome::TimedOut
     }
 
-    /// Whether the membership is already as a call wants it.
+    /// Whether the membership already is as the call would make it.
     fn has_taken_effect(&self, call: &Call) -> bool {
         let replica = self.replica.borrow();
         let membership = replica.membership();
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Another replica has answered a call that was forwarded to it.
+    /// Handles another replica's answer to a call that was forwarded to it.
     pub(super) fn on_forwarded_answer(&self, id: CallId, answer: Response) {
         let pending = self.forwarded_calls.borrow().get(&id).cloned();
         if let Some(pending) = pending {
@@ -139,8 +143,8 @@
         }
     }
 
-    /// Carries a call out for another replica, and sends it the answer. A caller that gets none
-    /// retries.
+    /// Carries out a call for another replica and sends it the answer. If the call times out, no
+    /// answer is sent and the other replica retries.
     pub(super) fn carry_out_for(&self, from: NodeId, id: CallId, call: Call) {
         if self.calls_for_others.get() >= MAX_CALLS_FOR_OTHERS {
             let answer = Response::Rejected(ProposalError::Busy);
@@ -165,7 +169,7 @@
     }
 }
 
-/// Whether a call that was answered like this had no effect and may succeed later.
+/// Whether this response means that the call had no effect and may succeed later.
 fn is_retried(response: &Response) -> bool {
     matches!(
         response,
--- a/cluster/replica-runtime/src/runtime/pending_answer.rs
+++ b/cluster/replica-runtime/src/runtime/pending_answer.rs
@@ -1,4 +1,4 @@
-//! Waiting for the answer to a call.
+//! Waits for the answer to a call.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 
 use super::calls::CallOutcome;
 
-/// The place where the answer to a call arrives.
+/// A slot for the answer to a call, and the waker of the task that waits for it.
 #[derive(Default)]
 pub(super) struct PendingAnswer {
     answer: RefCell<Option<Response>>,
@@ -21,7 +21,7 @@
 }
 
 impl PendingAnswer {
-    /// The answer has arrived.
+    /// Stores the answer and wakes the waiting task.
     pub(super) fn complete(&self, answer: Response) {
         *self.answer.borrow_mut() = Some(answer);
         if let Some(waker) = self.waker.borrow_mut().take() {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Waits for the answer.
+    /// Waits for the answer, up to the timeout.
     pub(super) async fn wait(&self, timeout: Duration) -> CallOutcome {
         let answered = poll_fn(|context| match self.answer.borrow_mut().take() {
             Some(answer) => Poll::Ready(CallOutcome::Completed(answer)),
@@ -46,8 +46,8 @@
     }
 }
 
-/// A call's entry among those that wait. Dropping it, also with the future that holds it, removes
-/// the entry.
+/// A call's entry in the map of pending calls. Dropping it, for instance with the future that holds
+/// it, removes the call from the map.
 pub(super) struct PendingEntry<'a> {
     calls: &'a RefCell<BTreeMap<CallId, Rc<PendingAnswer>>>,
     id: CallId,
--- a/cluster/replica-runtime/src/runtime/startup.rs
+++ b/cluster/replica-runtime/src/runtime/startup.rs
@@ -1,4 +1,4 @@
-//! Starting a replica on its folder.
+//! Starts a replica from its folder.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,62 +21,63 @@
 use crate::clock::boot_time;
 use crate::transport::{MessageHandler, Transport};
 
-/// What a replica needs to start.
+/// The settings that a replica is started with.
 #[derive(Debug, Clone)]
 pub struct ReplicaOptions {
-    /// The cluster's name.
+    /// The cluster's name. Replicas of other clusters are rejected.
     pub cluster: String,
-    /// This replica's id.
+    /// This replica's id, which must be the one that its folder was created with.
     pub id: NodeId,
-    /// Its folder, made by [`ReplicaRuntime::initialize`].
+    /// The replica's folder, created by [`ReplicaRuntime::initialize`].
     pub folder: PathBuf,
-    /// Where it listens for other replicas.
+    /// The address where the replica listens for other replicas.
     pub listen: SocketAddr,
     /// The addresses of all replicas that are known.
     pub members: BTreeMap<NodeId, SocketAddr>,
-    /// Its limits and intervals.
+    /// The limits and intervals of the core.
     pub config: ReplicaConfig,
-    /// The seed of its random numbers.
+    /// The seed of the core's random numbers.
     pub seed: u64,
 }
 
-/// Why a replica can't start.
+/// The reason why a replica can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its folder can't be used.
+    /// The folder can't be created or opened.
     #[error("{}: {source}", folder.display())]
     Folder {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// What its folder holds can't be used.
+    /// The content of the folder can't be used.
     #[error("{}: {source}", folder.display())]
     Storage {
-        /// The folder.
+        /// The path of the folder.
         folder: PathBuf,
-        /// What is wrong with it.
+        /// The error of the storage.
         source: StorageError,
     },
-    /// Its address can't be used.
+    /// The replica can't listen at its address.
     #[error("{address}: {source}")]
     Listen {
-        /// The address.
+        /// The address where other replicas were to connect.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Its configuration or its snapshot can't be used.
+    /// The core rejected the configuration or the state from the folder.
     #[error(transparent)]
     Replica(#[from] ReplicaError),
-    /// The system gives no thread.
-    #[error("a thread for the disk: {0}")]
+    /// The storage thread can't be started.
+    #[error("can't start the storage thread: {0}")]
     Thread(std::io::Error),
 }
 
 impl StartError {
-    /// Whether the folder is no replica's: [`ReplicaRuntime::initialize`] makes one.
+    /// Whether the folder belongs to no replica yet and can be passed to
+    /// [`ReplicaRuntime::initialize`].
     #[must_use]
     pub fn is_uninitialized_folder(&self) -> bool {
         matches!(
@@ -89,7 +90,7 @@
     }
 }
 
-/// A replica's storage, and what it held.
+/// A replica's storage and the state that was read from it.
 struct OpenedStorage {
     storage: RaftStorage<FsDirectory>,
     recovered: RecoveredState,
@@ -102,11 +103,12 @@
 }
 
 impl ReplicaRuntime {
-    /// Opens a replica's folder and begins to take part.
+    /// Opens a replica's folder and starts its tasks on the executor.
     ///
     /// # Errors
     ///
-    /// Its folder, its address or its configuration can't be used.
+    /// The folder, the address or the configuration can't be used, or the storage thread can't be
+    /// started.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         options: &ReplicaOptions,
@@ -156,7 +158,7 @@
     }
 }
 
-/// The core, with the state that its folder held.
+/// Creates the core from the state that was read from its folder.
 fn new_replica(
     options: &ReplicaOptions,
     recovered: RecoveredState,
--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -1,4 +1,4 @@
-//! The state of a replica, for operators and tests.
+//! Reports the state of a replica to operators and tests.
 
 use violetgate_raft::{Index, Membership, NodeId, Role, Term};
 use violetgate_replicated_state::{Revision, Stale};
@@ -6,42 +6,42 @@
 use super::ReplicaRuntime;
 use crate::clock::boot_time;
 
-/// How far another replica's log matches the leader's.
+/// The position up to which another replica's log is known to match the leader's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MatchedIndex {
-    /// The replica.
+    /// The other replica's id.
     pub id: NodeId,
     /// The last index at which its log is known to match.
     pub index: Index,
 }
 
-/// The state of a replica.
+/// The state of a replica at one moment, as that replica knows it.
 #[derive(Debug, Clone)]
 pub struct ReplicaStatus {
-    /// Its id.
+    /// The replica's id.
     pub id: NodeId,
-    /// Its role in Raft.
+    /// The replica's role in Raft.
     pub role: Role,
-    /// The term.
+    /// The current Raft term.
     pub term: Term,
-    /// The leader, as far as it is known here.
+    /// The leader of this term, if it is known here.
     pub leader: Option<NodeId>,
     /// The last index that is known here to be committed.
     pub commit: Index,
     /// The last index that is applied here.
     pub applied: Index,
-    /// The membership.
+    /// The voters and learners of the cluster.
     pub members: Membership,
-    /// The store's revision, as it is applied here.
+    /// The revision of this replica's store.
     pub revision: Revision,
-    /// Whether requests may be routed on the state, or how old it is.
+    /// Whether requests may be routed on the state. The error holds the state's age.
     pub freshness: Result<(), Stale>,
-    /// At the leader, how far each other replica is; elsewhere empty.
+    /// The other replicas' progress. It is empty unless this replica is the leader.
     pub progress: Vec<MatchedIndex>,
 }
 
 impl ReplicaRuntime {
-    /// The state of this replica.
+    /// Returns the current state of this replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let replica = self.replica.borrow();
--- a/cluster/replica-runtime/src/runtime/storage_worker.rs
+++ b/cluster/replica-runtime/src/runtime/storage_worker.rs
@@ -1,7 +1,7 @@
-//! The thread that writes to disk: its jobs, its reports, and its loop.
+//! Runs the thread that writes to disk.
 //!
-//! Jobs are carried out in their order. Consecutive writes are joined and made durable by one
-//! sync.
+//! Jobs are carried out in the order in which they are submitted. Consecutive writes are combined
+//! and made durable by one sync.
 
 use std::sync::mpsc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 use violetgate_raft::{Entry, Index, NodeId, SnapshotMetadata, StorageWrite};
 use violetgate_raft_storage::{FsDirectory, RaftStorage, StorageError};
 
-/// The delay before a write that failed, as on a full disk, is retried.
+/// The delay before a failed write, for instance on a full disk, is retried.
 const WRITE_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A job of the thread.
+/// A job for the storage thread.
 pub(super) enum StorageJob {
     Write(Vec<StorageWrite>),
     SaveSnapshot {
@@ -25,14 +25,14 @@
         from: NodeId,
         metadata: SnapshotMetadata,
         state: Vec<u8>,
-        /// The entries of the log that remain after the snapshot.
+        /// The log entries after the snapshot, which remain in the log.
         entries_after: Vec<Entry>,
     },
 }
 
-/// What the thread reports.
+/// A report of the storage thread to the runtime.
 pub(super) enum StorageEvent {
-    /// All writes up to this one are durable.
+    /// All writes up to this sequence number are durable.
     Persisted {
         sequence: u64,
     },
@@ -44,13 +44,13 @@
         metadata: SnapshotMetadata,
         state: Vec<u8>,
     },
-    /// A write failed, and is retried until it succeeds.
+    /// A write failed. The thread retries it until it succeeds.
     WriteFailed(std::io::Error),
-    /// Nothing can be written any more. The thread ends.
+    /// The storage failed, and nothing more can be written. The thread ends.
     Failed(StorageError),
 }
 
-/// Why the thread ends.
+/// The reason why the thread ends.
 enum WorkerEnd {
     /// The runtime was dropped.
     RuntimeDropped,
@@ -75,7 +75,7 @@
             Ok(()) => {}
             Err(WorkerEnd::RuntimeDropped) => return,
             Err(WorkerEnd::Failed(error)) => {
-                // If the runtime is gone, it needs no report.
+                // Sending fails only if the runtime was dropped, and then nobody needs the report.
                 let _ = worker.report(StorageEvent::Failed(error));
                 return;
             }
@@ -87,7 +87,7 @@
     storage: RaftStorage<FsDirectory>,
     jobs: &'a mpsc::Receiver<StorageJob>,
     events: &'a Sender<StorageEvent>,
-    /// A job that was received and not carried out yet.
+    /// A job that was received but not carried out yet.
     next_job: Option<StorageJob>,
 }
 
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Adds the writes that are queued directly behind.
+    /// Adds the writes that are queued directly behind this one, up to the next job of another
+    /// kind.
     fn add_queued_writes(&mut self, writes: &mut Vec<StorageWrite>) {
         while let Ok(job) = self.jobs.try_recv() {
             match job {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Repeats an operation while the disk takes nothing, which is reported once.
+    /// Repeats an operation while its writes fail. Only the first failure is reported.
     fn retry(
         &mut self,
         mut operation: impl FnMut(&mut RaftStorage<FsDirectory>) -> Result<(), StorageError>,
--- a/cluster/replica-runtime/src/send_queue.rs
+++ b/cluster/replica-runtime/src/send_queue.rs
@@ -1,4 +1,4 @@
-//! The frames queued for one connection, bounded in bytes.
+//! A queue of frames for one connection, bounded in bytes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,26 +13,26 @@
 use crate::close_reason::CloseReason;
 use crate::framing::write_some;
 
-/// A frame; one that goes to many connections is held once.
+/// A frame that several connections' queues may share.
 pub(crate) type SharedFrame = Rc<Vec<u8>>;
 
-/// The queue of one connection, which ends with it. Its bytes count until they are written, as an
-/// observer judges by them whether a subscriber reads.
+/// The send queue of one connection, which ends with that connection. Bytes count as queued until
+/// they are written, as an observer uses their number to tell whether a subscriber still reads.
 ///
-/// The queue between replicas is another, `PeerQueue`: it outlives its connections.
+/// Replicas use another queue between them, `PeerQueue`, which outlives its connections.
 pub(crate) struct SendQueue {
     max_bytes: usize,
-    /// How long the other side may read nothing.
+    /// How long the other side may read nothing before the connection is closed.
     stall_timeout: Duration,
     frames: RefCell<VecDeque<SharedFrame>>,
     bytes: Cell<usize>,
-    /// Set once the connection is to end: after what is queued was written.
+    /// The reason to end the connection once the queued frames are written, if it is ending.
     end: Cell<Option<CloseReason>>,
     waker: RefCell<Option<Waker>>,
 }
 
 impl SendQueue {
-    /// An empty queue of at most `max_bytes`.
+    /// Creates an empty queue of at most `max_bytes`.
     pub(crate) fn new(max_bytes: usize, stall_timeout: Duration) -> Rc<Self> {
         Rc::new(SendQueue {
             max_bytes,
@@ -44,7 +44,8 @@
         })
     }
 
-    /// Appends a frame, unless the queue is full or ends.
+    /// Appends a frame. Returns `false` and drops the frame if it does not fit or the queue is
+    /// ending.
     #[must_use]
     pub(crate) fn push(&self, frame: SharedFrame) -> bool {
         let bytes = self.bytes.get() + frame.len();
@@ -57,7 +58,7 @@
         true
     }
 
-    /// Ends the connection once what is queued was written.
+    /// Ends the connection once the queued frames are written.
     pub(crate) fn finish(&self, reason: CloseReason) {
         if !self.is_ending() {
             self.end.set(Some(reason));
@@ -65,14 +66,14 @@
         }
     }
 
-    /// Ends the connection at once; what is queued is dropped.
+    /// Drops the queued frames and ends the connection.
     pub(crate) fn abort(&self, reason: CloseReason) {
         self.frames.borrow_mut().clear();
         self.bytes.set(0);
         self.finish(reason);
     }
 
-    /// Whether this side is about to end the connection.
+    /// Whether this side is ending the connection.
     pub(crate) fn is_ending(&self) -> bool {
         self.end.get().is_some()
     }
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Writes what is queued until the queue ends or the connection fails. `on_written` is called
-    /// after each write, with the number of bytes that are still queued.
+    /// Writes queued frames until the queue ends or the connection fails, and returns the reason.
+    /// `on_written` is called after each write with the number of bytes that are still queued.
     pub(crate) async fn write_to(
         &self,
         stream: &Async<TcpStream>,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// The next frame, or why there will be none.
+    /// Waits for the next frame. Fails with the reason for the end if the queue ends.
     async fn next(&self) -> Result<SharedFrame, CloseReason> {
         poll_fn(|context| {
             if let Some(frame) = self.frames.borrow_mut().pop_front() {
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -1,5 +1,5 @@
-//! A gateway's subscription: connects to observers as the [`Subscriber`] core requests, and
-//! holds the replica.
+//! Runs a gateway's subscription: connects to observers as the [`Subscriber`] core requests, and
+//! holds the gateway's replica of the state.
 
 mod observer_connection;
 
@@ -25,38 +25,38 @@
 use crate::wire;
 use observer_connection::ConnectionContext;
 
-/// The most bytes queued for one observer: polls and requests are short and few.
+/// The maximum number of bytes queued for one observer. Polls and requests are short and few.
 const MAX_QUEUED_BYTES: usize = 64 << 10;
 
-/// Called with the replica whenever more is applied to it.
+/// A callback that receives the replica whenever more is applied to it.
 pub type ReplicaCallback = Rc<dyn Fn(&SubscriberReplica)>;
 
-/// The state of a subscription, for operators.
+/// The state of a subscription at one moment, for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SubscriptionStatus {
-    /// The replica's revision.
+    /// The revision of the replica.
     pub revision: Revision,
-    /// The observer that sends changes.
+    /// The observer that sends changes to this gateway.
     pub watched: Option<NodeId>,
     /// The observer that takes over when the watched one fails.
     pub standby: Option<NodeId>,
-    /// Whether requests may be routed on the replica, or how old it is.
+    /// Whether requests may be routed on the replica. The error holds the replica's age.
     pub freshness: Result<(), Stale>,
-    /// The last rejection by an observer that has not accepted this gateway since.
+    /// The last rejection by an observer that has not accepted this gateway since then.
     pub rejection: Option<Rejection>,
 }
 
-/// Identifies a connection among all that a subscription has made.
+/// Identifies a connection among all connections that a subscription has made.
 type ConnectionNumber = u64;
 
-/// A connection to an observer, or an attempt at one.
+/// A connection to an observer, which may still be in progress.
 struct ObserverConnection {
     number: ConnectionNumber,
     queue: Rc<SendQueue>,
     task: Task<()>,
 }
 
-/// A gateway's subscription. It ends with the last reference to it.
+/// A gateway's subscription. Dropping the last reference ends it.
 pub struct Subscription {
     weak_self: Weak<Subscription>,
     executor: Rc<LocalExecutor<'static>>,
@@ -65,22 +65,23 @@
     tick_timer: Rc<TickTimer>,
     connections: RefCell<BTreeMap<NodeId, ObserverConnection>>,
     next_connection: Cell<ConnectionNumber>,
-    /// Why the last connection to each observer ended.
+    /// The reason for which the last connection to each observer ended.
     last_ends: RefCell<BTreeMap<NodeId, CloseReason>>,
     callbacks: RefCell<Vec<ReplicaCallback>>,
-    /// The revision that the callbacks were last called with.
+    /// The replica's revision at the last call of the callbacks.
     notified_revision: Cell<Revision>,
     counter: TrafficCounter,
     tick_task: RefCell<Option<Task<()>>>,
 }
 
 impl Subscription {
-    /// Begins to subscribe to the observers at these addresses. Nothing may be routed until the
-    /// state is confirmed.
+    /// Starts a subscription to the observers at these addresses. No requests may be routed until
+    /// an observer has confirmed the state.
     ///
     /// # Errors
     ///
-    /// The replica would be stale between two polls, or another figure makes no sense.
+    /// The configuration is not valid, for instance because the replica would become stale between
+    /// two polls.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         config: SubscriberConfig,
@@ -108,34 +109,35 @@
         Ok(subscription)
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before anything
-    /// else can be decided on the new state.
+    /// Adds a callback. It is called at once, and then whenever more is applied, before any
+    /// decision is made on the new state.
     pub fn on_applied(&self, callback: ReplicaCallback) {
         callback(self.core.borrow().replica());
         self.callbacks.borrow_mut().push(callback);
     }
 
-    /// Whether requests may be routed on the replica now.
+    /// Checks whether the replica is fresh enough to route requests on it.
     ///
     /// # Errors
     ///
-    /// The replica is too old.
+    /// The replica is too old, or was never confirmed.
     pub fn may_route(&self) -> Result<(), Stale> {
         self.core.borrow().may_route(boot_time())
     }
 
-    /// How long from now requests may be routed without another confirmation; zero: they may not.
+    /// Returns how long from now requests may be routed without another confirmation. Zero means
+    /// that they may not be routed.
     #[must_use]
     pub fn time_until_stale(&self) -> Duration {
         Duration::from_micros(self.core.borrow().time_until_stale(boot_time()))
     }
 
-    /// Reads the replica as it is applied here.
+    /// Reads the replica.
     pub fn replica<T>(&self, read: impl FnOnce(&SubscriberReplica) -> T) -> T {
         read(self.core.borrow().replica())
     }
 
-    /// The state of the subscription.
+    /// Returns the current state of the subscription.
     #[must_use]
     pub fn status(&self) -> SubscriptionStatus {
         let core = self.core.borrow();
@@ -149,13 +151,14 @@
         }
     }
 
-    /// Messages and bytes exchanged with observers, greetings included.
+    /// Returns the numbers of messages and bytes exchanged with observers. Hellos that were sent
+    /// count.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
         self.counter.stats()
     }
 
-    /// Calls the core, and carries out the actions that follow.
+    /// Calls the core and carries out the actions that it requests.
     fn drive(&self, call: impl FnOnce(&mut Subscriber, Micros)) {
         call(&mut self.core.borrow_mut(), boot_time());
         self.notify_applied();
@@ -177,7 +180,7 @@
         self.tick_timer.set(self.core.borrow().next_tick());
     }
 
-    /// Calls the callbacks if more was applied.
+    /// Calls the callbacks if more was applied since their last call.
     fn notify_applied(&self) {
         let core = self.core.borrow();
         let replica = core.replica();
@@ -234,14 +237,14 @@
         current.is_some_and(|current| current.number == number)
     }
 
-    /// Records why a connection to an observer ended; whether the one before ended for another
-    /// reason.
+    /// Records why a connection to an observer ended. Returns whether this reason differs from that
+    /// of the previous connection.
     fn record_end(&self, observer: NodeId, reason: CloseReason) -> bool {
         self.last_ends.borrow_mut().insert(observer, reason) != Some(reason)
     }
 
-    /// A connection has ended, or could not be made; its task, which calls this, ends after the
-    /// call.
+    /// Removes a connection that has ended or could not be made. The connection's own task calls
+    /// this, so the task is detached rather than dropped, which would cancel it.
     fn connection_ended(
         &self,
         observer: NodeId,
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a subscription to an observer: its greeting, then messages in both
+//! Runs one connection of a subscription to an observer: the hello, then messages in both
 //! directions.
 
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
 use crate::send_queue::SendQueue;
 use crate::wire::{self, Decoded};
 
-/// Which connection of which subscription it is.
+/// Identifies a connection and the subscription that it belongs to.
 pub(super) struct ConnectionContext {
     pub subscription: Weak<Subscription>,
     pub observer: NodeId,
@@ -25,11 +25,11 @@
     pub address: SocketAddr,
 }
 
-/// Why a connection ended.
+/// The reason why a connection ended.
 enum ConnectionEnd {
-    /// The observer has rejected this gateway.
+    /// The observer rejected this gateway.
     Rejected(Rejection),
-    /// It failed, or was never made.
+    /// The connection failed or could not be made.
     Closed(CloseReason),
 }
 
@@ -58,7 +58,7 @@
         let reason = self.reason();
         match self {
             ConnectionEnd::Rejected(rejection) => tracing::info!(
-                "observer {observer} at {address} refused reason={reason}: {rejection}"
+                "observer {observer} at {address} rejected reason={reason}: {rejection}"
             ),
             ConnectionEnd::Closed(_) => {
                 tracing::info!("observer {observer} at {address} ended reason={reason}");
@@ -67,7 +67,7 @@
     }
 }
 
-/// Connects, greets, and carries messages until the connection ends.
+/// Connects, sends the hello, and exchanges messages until the connection ends.
 pub(super) async fn run(context: ConnectionContext, hello: SubscriberHello, queue: Rc<SendQueue>) {
     let mut accepted = false;
     let end = context.exchange(&hello, &queue, &mut accepted).await;
@@ -80,7 +80,7 @@
     let Some(subscription) = subscription.upgrade() else {
         return;
     };
-    // Attempts that fail alike one after another are logged once.
+    // Consecutive attempts that fail for the same reason are logged once.
     if subscription.record_end(observer, end.reason()) || accepted {
         end.log(observer, address);
     }
@@ -92,8 +92,8 @@
         self.subscription.upgrade().ok_or(CloseReason::Stopped)
     }
 
-    /// Runs the connection until its end. `accepted` is set once the observer has accepted the
-    /// greeting.
+    /// Runs the connection until it ends. `accepted` is set once the observer has accepted the
+    /// hello.
     async fn exchange(
         &self,
         hello: &SubscriberHello,
@@ -110,7 +110,7 @@
         writing.or(self.receive_all(&stream, &mut reader)).await
     }
 
-    /// Connects and greets the observer.
+    /// Connects to the observer and sends the hello. Fails if the observer rejects it.
     async fn open(
         &self,
         hello: &SubscriberHello,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Passes on the messages that are complete.
+    /// Passes all complete messages in the buffer to the core.
     fn receive_buffered(&self, reader: &mut FrameReader) -> Result<(), ConnectionEnd> {
         while let Some(received) = reader.next(MAX_MESSAGE_BYTES)? {
             self.receive(received)?;
@@ -155,7 +155,7 @@
 
     fn receive(&self, received: Decoded<ObserverMessage>) -> Result<(), ConnectionEnd> {
         let subscription = self.subscription()?;
-        // The core may have closed this connection over an earlier message.
+        // The core may have closed this connection because of an earlier message.
         if !subscription.is_current(self.observer, self.number) {
             return Err(CloseReason::ClosedByCore.into());
         }
--- a/cluster/replica-runtime/src/traffic_stats.rs
+++ b/cluster/replica-runtime/src/traffic_stats.rs
@@ -1,26 +1,26 @@
-//! How much was exchanged on the connections of one side.
+//! Counts the messages and bytes that one side exchanges on its connections.
 
 use std::cell::Cell;
 
-/// Messages and bytes since the start, frame headers included.
+/// The numbers of messages and bytes since the start. Bytes include frame headers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficStats {
-    /// Messages sent.
+    /// The number of messages sent.
     pub messages_sent: u64,
-    /// Messages received.
+    /// The number of messages received.
     pub messages_received: u64,
-    /// Bytes sent.
+    /// The number of bytes sent.
     pub bytes_sent: u64,
-    /// Bytes received.
+    /// The number of bytes received.
     pub bytes_received: u64,
 }
 
-/// Counts what is exchanged.
+/// Counters behind [`TrafficStats`].
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounter(Cell<TrafficStats>);
 
 impl TrafficCounter {
-    /// One message was sent.
+    /// Counts one sent message, whose frame has `bytes` bytes.
     pub(crate) fn count_sent(&self, bytes: usize) {
         let mut stats = self.0.get();
         stats.messages_sent += 1;
@@ -28,7 +28,7 @@
         self.0.set(stats);
     }
 
-    /// One message was received.
+    /// Counts one received message, whose frame has `bytes` bytes.
     pub(crate) fn count_received(&self, bytes: usize) {
         let mut stats = self.0.get();
         stats.messages_received += 1;
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -1,9 +1,9 @@
-//! The connections between replicas.
+//! Connections between replicas.
 //!
-//! Each replica makes one connection to each other one, on which it sends and never receives:
-//! `outgoing`. Those that the others make to it are `incoming`. A connection that fails is made
-//! again after a backoff. A message that finds its queue full is dropped: Raft sends again what
-//! matters.
+//! Each replica makes one connection to each other replica and only sends messages on it
+//! (`outgoing`). It receives messages on the connections that the others make to it (`incoming`). A
+//! connection that fails is made again after a backoff. A message for a full queue is dropped, as
+//! Raft retries every message that matters.
 
 mod incoming;
 mod outgoing;
@@ -23,45 +23,45 @@
 use crate::wire::{self, Hello, PeerMessage};
 use outgoing::PeerQueue;
 
-/// The most connections that others may have here.
+/// The maximum number of incoming connections.
 const MAX_INCOMING: usize = 64;
-/// The delay after an accept that failed.
+/// The delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Called with each message received and the replica that sent it.
+/// A callback that receives each message and the id of the replica that sent it.
 pub type MessageHandler = Box<dyn Fn(NodeId, PeerMessage)>;
 
-/// A replica that may be sent to.
+/// A replica that messages may be sent to.
 struct Peer {
     address: SocketAddr,
     queue: Rc<PeerQueue>,
-    /// Maintains the connection; ends with the peer.
+    /// Maintains the connection. Dropping the peer cancels it.
     _task: Task<()>,
 }
 
-/// The connections of one replica. They end with it.
+/// The connections of one replica. Dropping the transport closes them.
 pub struct Transport {
     weak_self: Weak<Transport>,
     executor: Rc<LocalExecutor<'static>>,
     cluster: String,
     id: NodeId,
     disk_id: u64,
-    /// The ids of replicas' disks, as far as they are committed.
+    /// The disk id of each replica for which one is committed.
     known_disks: RefCell<BTreeMap<NodeId, u64>>,
     peers: RefCell<BTreeMap<NodeId, Peer>>,
     on_message: MessageHandler,
     incoming: RefCell<BTreeMap<u64, Task<()>>>,
-    /// Incoming connections that have ended and whose tasks can be dropped.
+    /// The numbers of incoming connections that have ended and whose tasks can be dropped.
     ended_incoming: Rc<RefCell<Vec<u64>>>,
     next_incoming: Cell<u64>,
     dropped_messages: Cell<u64>,
     counter: TrafficCounter,
-    /// Replicas with which no messages are exchanged, for tests of network partitions.
+    /// Replicas with which no messages are exchanged, set by tests of network partitions.
     blocked: RefCell<Vec<NodeId>>,
 }
 
 impl Transport {
-    /// The transport of a replica that knows no others yet.
+    /// Creates the transport of a replica, without any peers.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -88,8 +88,8 @@
         })
     }
 
-    /// Sets the replicas that may be sent to, and their addresses. Connections to others are
-    /// closed.
+    /// Sets the replicas that messages may be sent to, and their addresses. Connections to other
+    /// replicas or other addresses are closed.
     pub fn set_peers(&self, addresses: &BTreeMap<NodeId, SocketAddr>) {
         let mut peers = self.peers.borrow_mut();
         peers.retain(|id, peer| addresses.get(id) == Some(&peer.address));
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Sets the ids of replicas' disks. A replica that comes with another disk is rejected, as it
-    /// may have forgotten its term and vote.
+    /// Sets the committed disk ids of the replicas. A replica that connects with another disk is
+    /// rejected, as it may have lost its term and vote.
     pub fn set_known_disks(&self, disks: BTreeMap<NodeId, u64>) {
         *self.known_disks.borrow_mut() = disks;
     }
@@ -121,26 +121,27 @@
         self.known_disks.borrow().get(&id).copied()
     }
 
-    /// Whether a replica's disk is another one than is committed. Before one is committed any is
-    /// accepted.
+    /// Whether a replica's disk differs from the committed one. If none is committed yet, any disk
+    /// is accepted.
     fn is_other_disk(&self, id: NodeId, disk_id: u64) -> bool {
         self.known_disk(id).is_some_and(|known| known != disk_id)
     }
 
-    /// Messages dropped so far because their queue was full.
+    /// Returns the number of messages dropped so far because they were too long or their queue was
+    /// full.
     #[must_use]
     pub fn dropped_messages(&self) -> u64 {
         self.dropped_messages.get()
     }
 
-    /// Messages and bytes exchanged with other replicas, greetings aside.
+    /// Returns the numbers of messages and bytes exchanged with other replicas, without hellos.
     #[must_use]
     pub fn traffic(&self) -> TrafficStats {
         self.counter.stats()
     }
 
-    /// Exchanges no messages with these replicas until the next call, for tests of network
-    /// partitions.
+    /// Stops exchanging messages with these replicas, and only these, until the next call. This is
+    /// for tests of network partitions.
     pub fn block_peers(&self, ids: &[NodeId]) {
         *self.blocked.borrow_mut() = ids.to_vec();
     }
@@ -149,7 +150,7 @@
         self.blocked.borrow().contains(&id)
     }
 
-    /// Queues a message. One that is too long, or finds its queue full, is dropped and counted.
+    /// Queues a message. If it is too long or the queue is full, it is dropped and counted.
     pub fn send(&self, to: NodeId, message: &PeerMessage) {
         if self.is_blocked(to) {
             return;
@@ -161,7 +162,7 @@
                 self.counter.count_sent(frame.len());
                 peer.queue.push(frame);
             }
-            // The queue is full, or the message is longer than any that may be sent.
+            // The queue is full, or the message exceeds the maximum frame length.
             _ => self.dropped_messages.set(self.dropped_messages.get() + 1),
         }
     }
@@ -205,12 +206,13 @@
     }
 }
 
-/// Why a connection between replicas ended. Its text is the reason in logs.
+/// The reason for which a connection between replicas ended. Its `Display` text is the reason in
+/// logs.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 enum PeerConnectionEnd {
     #[error(transparent)]
     Closed(#[from] crate::close_reason::CloseReason),
-    /// One side has rejected the other, for this reason.
+    /// The accepting replica rejected the hello, for this reason.
     #[error("refused: {0}")]
     Rejected(String),
     /// The other side's disk is not the one that is committed.
--- a/cluster/replica-runtime/src/transport/incoming.rs
+++ b/cluster/replica-runtime/src/transport/incoming.rs
@@ -1,4 +1,4 @@
-//! Connections that other replicas make to this one: a greeting, then messages.
+//! Handles connections that other replicas make to this one: a hello, then messages.
 
 use std::net::TcpStream;
 use std::rc::{Rc, Weak};
@@ -10,7 +10,7 @@
 use crate::framing::{disable_nagle, write_all, FrameReader};
 use crate::wire::{self, Decoded, Hello, PeerMessage, Welcome};
 
-/// Handles a connection until it ends; why it did.
+/// Handles a connection until it ends, and returns the reason.
 pub(super) async fn serve(
     transport: &Weak<Transport>,
     stream: &Async<TcpStream>,
@@ -68,7 +68,7 @@
         hello: &Hello,
         received: Decoded<PeerMessage>,
     ) -> Result<(), PeerConnectionEnd> {
-        // The committed disk may have changed since the greeting.
+        // The committed disk may have changed since the hello.
         if self.is_other_disk(hello.from, hello.disk_id) {
             return Err(PeerConnectionEnd::OtherDisk(hello.from));
         }
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -1,4 +1,5 @@
-//! The connection to one other replica: made again whenever it ends, and used for sending only.
+//! Maintains the connection to one other replica. It is used for sending only, and made again
+//! whenever it ends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,17 +19,17 @@
 use crate::framing::{connect, write_all, FrameReader};
 use crate::wire::{self, Hello, Welcome};
 
-/// The delay before another attempt, doubled at each one that fails.
+/// The delay before the next attempt. It doubles with each failed attempt, up to [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The most bytes queued for one replica.
+/// The maximum number of bytes queued for one replica.
 const MAX_QUEUED_BYTES: usize = 32 << 20;
 
-/// The frames queued for one replica.
+/// The queue of frames for one replica.
 ///
 /// Unlike a [`SendQueue`](crate::send_queue::SendQueue), it outlives its connections: it never
-/// ends, is emptied between two of them, and counts a frame only until its write begins.
+/// ends, is emptied between two connections, and counts a frame only until its write begins.
 #[derive(Default)]
 pub(super) struct PeerQueue {
     frames: RefCell<VecDeque<Vec<u8>>>,
@@ -67,15 +68,15 @@
     }
 }
 
-/// Whether the other replica accepted the greeting of the last attempt.
+/// Whether the other replica accepted the hello of the last attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Greeting {
     NotAccepted,
     Accepted,
 }
 
-/// Maintains a connection to a replica until the transport is dropped, and writes what is queued
-/// for it.
+/// Maintains a connection to a replica until the transport is dropped, and writes the queued frames
+/// to it.
 pub(super) async fn keep_connected(
     transport: Weak<Transport>,
     id: NodeId,
@@ -94,7 +95,7 @@
             Err(end) => end,
         };
         let accepted = greeting == Greeting::Accepted;
-        // Attempts that fail alike one after another are logged once.
+        // Consecutive attempts that fail for the same reason are logged once.
         if accepted || last_end.as_ref() != Some(&end) {
             tracing::info!("member {id} at {address} ended reason={end}");
         }
@@ -104,13 +105,13 @@
         } else {
             (backoff * 2).min(MAX_BACKOFF)
         };
-        // What was queued for this connection is outdated by the time there is another.
+        // Frames queued for this connection are outdated by the time the next one is made.
         queue.clear();
         Timer::after(backoff).await;
     }
 }
 
-/// Connects, and writes what is queued until the connection ends.
+/// Connects, and writes queued frames until the connection ends.
 async fn send_all(
     transport: &Weak<Transport>,
     hello: &Hello,
@@ -145,8 +146,8 @@
     Ok(())
 }
 
-/// Waits until the connection ends. The other replica sends nothing on it after the greeting: what
-/// can be read is the end.
+/// Waits until the other replica closes the connection. It sends nothing after its answer to the
+/// hello, so the first read that completes is taken for the end of the connection.
 async fn closed_by_peer(stream: &Async<TcpStream>) -> Result<Vec<u8>, CloseReason> {
     let mut byte = [0];
     let _ = stream.read_with(|mut stream| stream.read(&mut byte)).await;
--- a/cluster/replica-runtime/src/wire.rs
+++ b/cluster/replica-runtime/src/wire.rs
@@ -1,8 +1,8 @@
-//! The protocol between replicas: one greeting each way, then frames that hold one message each.
-//! It does no I/O.
+//! The protocol between replicas: a hello and its answer, then frames that hold one message each.
+//! This module does no I/O.
 //!
-//! Messages are encoded by postcard, by position: the order of fields and variants is part of the
-//! protocol, their names are not.
+//! Messages are encoded by postcard, which encodes fields and variants by position: their order is
+//! part of the protocol, their names are not.
 
 mod codec;
 mod hello;
@@ -21,7 +21,8 @@
 
 /// The version of this protocol. A replica of another version is rejected.
 pub(crate) const PROTOCOL_VERSION: u16 = 1;
-/// The longest frame: a transaction of 128 entries of 64 KiB fits.
+/// The maximum length of a message in a frame, in bytes. A transaction of 128 entries of 64 KiB
+/// fits.
 pub(crate) const MAX_FRAME_BYTES: usize = 16 << 20;
-/// The longest greeting.
+/// The maximum length of a hello or of the answer to one, in bytes.
 pub(crate) const MAX_HELLO_BYTES: usize = 1 << 10;
--- a/cluster/replica-runtime/src/wire/codec.rs
+++ b/cluster/replica-runtime/src/wire/codec.rs
@@ -1,4 +1,5 @@
-//! Frames: the length of a message in four bytes, little-endian, then the message.
+//! Encodes and decodes frames. A frame is the length of a message in four bytes, little-endian,
+//! then the message.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -6,17 +7,17 @@
 use super::MAX_FRAME_BYTES;
 use crate::close_reason::CloseReason;
 
-/// Bytes before a message: its length.
+/// The number of bytes before a message, which hold its length.
 pub(crate) const FRAME_HEADER_BYTES: usize = 4;
 
-/// A message, and the bytes of its frame.
+/// A decoded message and the length of its frame in bytes, including the header.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Decoded<T> {
     pub message: T,
     pub frame_bytes: usize,
 }
 
-/// The frame of a message; fails if it would be too long.
+/// Encodes a message as a frame. Fails if the message is longer than [`MAX_FRAME_BYTES`].
 pub(crate) fn encode_frame(message: &impl Serialize) -> Result<Vec<u8>, CloseReason> {
     let too_long = CloseReason::FrameTooLong;
     let mut frame =
@@ -31,7 +32,8 @@
     Ok(frame)
 }
 
-/// The first message in the bytes read so far; `None`: its frame is not complete yet.
+/// Decodes the first message in `bytes`; `None` if its frame is not complete yet. Fails if the
+/// message is longer than `max_bytes` or can't be decoded.
 pub(crate) fn decode_frame<T: DeserializeOwned>(
     bytes: &[u8],
     max_bytes: usize,
--- a/cluster/replica-runtime/src/wire/hello.rs
+++ b/cluster/replica-runtime/src/wire/hello.rs
@@ -1,60 +1,60 @@
-//! The greetings between replicas, and which of them are accepted.
+//! The hello of a connecting replica, its checks, and the answer to it.
 
 use serde::{Deserialize, Serialize};
 use violetgate_raft::NodeId;
 
 use super::PROTOCOL_VERSION;
 
-/// The first bytes of a greeting.
+/// The first bytes of a hello, by which it differs from the messages of other protocols.
 const MAGIC: [u8; 4] = *b"VGCL";
 
-/// The greeting of the replica that connects.
+/// The first message on a connection, sent by the replica that connects.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Hello {
-    /// `VGCL`: another protocol is recognised by its first bytes.
+    /// Always `VGCL`. A client of another protocol is recognised by other first bytes.
     pub magic: [u8; 4],
-    /// [`PROTOCOL_VERSION`].
+    /// The sender's [`PROTOCOL_VERSION`].
     pub version: u16,
-    /// The cluster's name.
+    /// The name of the cluster that the sender belongs to.
     pub cluster: String,
-    /// The replica that connects.
+    /// The id of the replica that connects.
     pub from: NodeId,
-    /// The replica that it means to reach.
+    /// The id of the replica that it connects to.
     pub to: NodeId,
-    /// The random id of the disk of the replica that connects.
+    /// The random id of the connecting replica's disk.
     pub disk_id: u64,
 }
 
-/// The answer to a greeting.
+/// The answer to a hello.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Welcome {
-    /// Why the greeting is rejected, for the log of the other side; `None`: it is accepted, and
-    /// frames may follow.
+    /// The reason why the hello is rejected, for the other side's log. `None` means that it is
+    /// accepted and messages may follow.
     pub rejected: Option<String>,
-    /// The random id of this replica's disk.
+    /// The random id of the answering replica's disk.
     pub disk_id: u64,
 }
 
-/// Why a greeting is rejected. The text is sent to the other side.
+/// The reason why a hello is rejected. Its `Display` text is sent to the other side.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum HelloRejection {
-    /// The other side speaks another protocol.
+    /// The other side uses another protocol.
     #[error("this is no member")]
     NotAReplica,
-    /// It speaks another version.
+    /// The other side uses another version of the protocol.
     #[error("it speaks version {theirs}, this is version {PROTOCOL_VERSION}")]
     WrongVersion { theirs: u16 },
-    /// It belongs to another cluster.
+    /// The other side belongs to another cluster.
     #[error("it belongs to cluster {theirs:?}, this is {ours:?}")]
     WrongCluster { theirs: String, ours: String },
-    /// It means another replica.
+    /// The hello is addressed to another replica.
     #[error("it looks for member {wanted}, this is {actual}")]
     WrongReplica { wanted: NodeId, actual: NodeId },
-    /// It has this replica's id.
+    /// The other side uses this replica's id.
     #[error("it has this member's id, {id}")]
     DuplicateId { id: NodeId },
-    /// Its disk is not the one that the cluster knows: it may have forgotten its vote, and vote
-    /// twice.
+    /// The other side's disk is not the committed one. It may have lost its vote, and could vote
+    /// twice in a term.
     #[error("member {id} had another disk: it may have forgotten its votes")]
     OtherDisk { id: NodeId },
 }
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Checks the greeting at a replica. `known_disk` is the disk of the greeting replica, if the
-    /// cluster knows it.
+    /// Checks the hello at the replica that receives it. `known_disk` is the committed disk id of
+    /// the sender, if there is one.
     pub fn check(
         &self,
         cluster: &str,
--- a/cluster/replica-runtime/src/wire/peer_message.rs
+++ b/cluster/replica-runtime/src/wire/peer_message.rs
@@ -1,4 +1,4 @@
-//! The messages between replicas after the greeting.
+//! The messages that replicas exchange after the hello.
 
 use serde::{Deserialize, Serialize};
 use violetgate_raft::{MembershipChange, Message, NodeId};
@@ -6,45 +6,46 @@
 use violetgate_replicated_state::Operation;
 use violetgate_state_distribution::ProgressSummary;
 
-/// A call that a client may make at any replica, and that the leader carries out.
+/// A call that may be made at any replica and is carried out by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// A command. Its request id makes it idempotent.
+    /// Proposes a command.
     Propose {
-        /// The request's id.
+        /// The id that makes the command idempotent: it is applied once however often it is
+        /// proposed.
         request_id: String,
-        /// The client, for the change log.
+        /// The client that makes the change, for the change log.
         actor: String,
-        /// What it does.
+        /// The operation on the store.
         operation: Operation,
     },
-    /// One change of the membership.
+    /// Makes one change of the membership.
     ChangeMembership(MembershipChange),
-    /// Leadership is to be handed over to this replica.
+    /// Transfers leadership to this replica.
     TransferLeadership(NodeId),
 }
 
 /// A message between replicas.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// A message of Raft.
+    /// A Raft message for the receiver's core.
     Raft(Message),
-    /// A call that the receiver is to carry out, as it is taken for the leader.
+    /// A call for the receiver to carry out, as the sender takes it for the leader.
     ForwardCall {
-        /// The sender's id of the call.
+        /// The id that the answer is to carry, unique among the sender's calls.
         id: u64,
-        /// The call.
+        /// The call to carry out.
         call: Call,
     },
     /// The answer to a forwarded call.
     CallAnswer {
         /// The id that the call was sent with.
         id: u64,
-        /// The answer.
+        /// The core's response to the call.
         answer: Response,
     },
-    /// How far the sender's subscribers are. A replica of a version without observers closes the
-    /// connection over it: all replicas have to be upgraded before the first one serves
-    /// subscribers.
+    /// The progress of the sender's subscribers. A replica of a version without observers can't
+    /// decode it and closes the connection, so all replicas have to be upgraded before the first
+    /// one serves subscribers.
     Progress(ProgressSummary),
 }
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! The form of frames and greetings.
+//! Tests of the encoding of frames, and of the checks of a hello.
 
 mod fixtures;
 
@@ -7,8 +7,8 @@
 use violetgate_replica::Response;
 use violetgate_state_distribution::ProgressSummary;
 
-/// A frame is the same wherever it is cut; what is no frame is told apart from one that is not
-/// whole.
+/// An incomplete frame must not be taken for a malformed one, wherever the stream is cut. Corrupted
+/// bytes must not cause a panic.
 #[test]
 fn frames_are_decoded_however_they_are_cut() {
     let entries = vec![Entry {
@@ -47,13 +47,14 @@
     );
     assert!(decode_frame::<PeerMessage>(&bytes, 10).is_err());
     for at in 4..12 {
-        let mut bent = bytes.clone();
-        bent[at] ^= 0x55;
-        let _ = decode_frame::<PeerMessage>(&bent, MAX_FRAME_BYTES);
+        let mut corrupted = bytes.clone();
+        corrupted[at] ^= 0x55;
+        let _ = decode_frame::<PeerMessage>(&corrupted, MAX_FRAME_BYTES);
     }
 }
 
-/// Frames keep their numbers, so that members of another age read those that they know.
+/// The message variants must keep their numbers, so that replicas of different releases can decode
+/// the messages that both know.
 #[test]
 fn frame_variants_keep_their_numbers() {
     let progress = ProgressSummary {
@@ -92,12 +93,12 @@
     }
 }
 
-/// Who is turned away, and why.
+/// A hello that does not match in one field must be rejected with the reason for that field.
 #[test]
-fn greetings_of_others_are_rejected_with_their_reason() {
+fn mismatched_hellos_are_rejected_with_a_reason() {
     let hello = Hello::new("c", 2, 1, 5);
     assert_eq!(hello.check("c", 1, Some(5)), Ok(()));
-    for (hello, says) in [
+    for (hello, expected) in [
         (
             Hello {
                 magic: *b"GET ",
@@ -145,6 +146,6 @@
             .check("c", 1, Some(5))
             .unwrap_err()
             .to_string()
-            .contains(says));
+            .contains(expected));
     }
 }
--- a/cluster/replica-runtime/src/wire/tests/fixtures.rs
+++ b/cluster/replica-runtime/src/wire/tests/fixtures.rs
@@ -1,5 +1,5 @@
-//! Each frame between members as an earlier release encodes it. Both directions are compared: an
-//! instance of that release and a new one work together during an upgrade.
+//! Compares each frame between replicas with the encoding of an earlier release, in both
+//! directions. During an upgrade, replicas of both releases exchange messages.
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
@@ -17,7 +17,8 @@
 
 use crate::wire::*;
 
-/// One frame a line: its name here, and its bytes in hexadecimal, with the length before them.
+/// The stored frames, one per line: the name that is used here, then the bytes of the whole frame
+/// in hexadecimal.
 const FIXTURES: &str = include_str!("../../../tests/fixtures/frames.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -29,7 +30,7 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixtures, and the frames that were compared with theirs.
+/// The fixtures that are not compared yet, and the encoded frames that differ from theirs.
 struct Comparison {
     stored: BTreeMap<&'static str, &'static str>,
     differing: Vec<String>,
@@ -76,8 +77,15 @@
 
     fn finish(self) {
         let found = self.differing.join("\n");
-        assert!(found.is_empty(), "differ from the stored ones:\n{found}");
-        assert!(self.stored.is_empty(), "not compared: {:?}", self.stored);
+        assert!(
+            found.is_empty(),
+            "frames differ from the fixtures:\n{found}"
+        );
+        assert!(
+            self.stored.is_empty(),
+            "fixtures not compared: {:?}",
+            self.stored
+        );
     }
 }
 
@@ -185,7 +193,7 @@
     ]
 }
 
-fn steps() -> Vec<Operation> {
+fn operations() -> Vec<Operation> {
     let txn = Txn {
         conditions: vec![
             Condition::RevisionIs("k".to_owned(), 300),
@@ -221,12 +229,12 @@
 }
 
 fn calls() -> Vec<Call> {
-    let propose = |step| Call::Propose {
+    let propose = |command| Call::Propose {
         request_id: "r-1".to_owned(),
         actor: "operator".to_owned(),
-        operation: step,
+        operation: command,
     };
-    let mut calls: Vec<Call> = steps().into_iter().map(propose).collect();
+    let mut calls: Vec<Call> = operations().into_iter().map(propose).collect();
     calls.extend([
         Call::ChangeMembership(MembershipChange::AddLearner(300)),
         Call::ChangeMembership(MembershipChange::PromoteLearner(4)),
@@ -237,13 +245,13 @@
 }
 
 fn answers() -> Vec<Response> {
-    let refused_outcomes = [
+    let command_errors = [
         CommandError::TooLarge,
         CommandError::StoreFull,
         CommandError::UnknownLease(7),
         CommandError::FutureRevision,
     ];
-    let rejected = [
+    let proposal_errors = [
         ProposalError::NotLeader,
         ProposalError::ChangeInProgress,
         ProposalError::IdAlreadyUsed,
@@ -252,20 +260,20 @@
         ProposalError::LastVoter,
         ProposalError::Busy,
     ];
-    let done = Outcome::Applied {
+    let applied = Outcome::Applied {
         revision: 300,
         conditions_held: true,
     };
     let mut answers = vec![
-        Response::Applied(done),
+        Response::Applied(applied),
         Response::MembershipChanged,
         Response::ReadReady,
         Response::NotLeader(None),
         Response::NotLeader(Some(300)),
         Response::OutcomeUnknown,
     ];
-    answers.extend(refused_outcomes.map(|why| Response::Applied(Outcome::Rejected(why))));
-    answers.extend(rejected.map(Response::Rejected));
+    answers.extend(command_errors.map(|error| Response::Applied(Outcome::Rejected(error))));
+    answers.extend(proposal_errors.map(Response::Rejected));
     answers
 }
 
@@ -295,10 +303,10 @@
         replication().into_iter().map(PeerMessage::Raft),
     );
     comparison.compare_all("snapshot", snapshots().into_iter().map(PeerMessage::Raft));
-    let ask = |call| PeerMessage::ForwardCall { id: 1_000, call };
-    comparison.compare_all("call", calls().into_iter().map(ask));
-    let told = |answer| PeerMessage::CallAnswer { id: 1_000, answer };
-    comparison.compare_all("answer", answers().into_iter().map(told));
+    let forward = |call| PeerMessage::ForwardCall { id: 1_000, call };
+    comparison.compare_all("call", calls().into_iter().map(forward));
+    let answer_message = |answer| PeerMessage::CallAnswer { id: 1_000, answer };
+    comparison.compare_all("answer", answers().into_iter().map(answer_message));
     let summary = ProgressSummary {
         revision: 300,
         serving: 1_900,
--- a/cluster/replica-runtime/tests/commits.rs
+++ b/cluster/replica-runtime/tests/commits.rs
@@ -1,5 +1,5 @@
-//! Three replicas on loopback with real files, in one thread: they commit, lose one, and take it
-//! back; any of them has calls committed.
+//! Tests commits by three replicas on loopback with real files, all on one thread, while one of
+//! them stops and returns, and calls made at any replica.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,34 +18,36 @@
 use violetgate_replicated_state::Outcome;
 
 #[test]
-fn three_replicas_commit_lose_one_and_take_it_back() {
+fn three_replicas_commit_and_one_returns() {
     let mut group = ReplicaGroup::new("agree", 1..=3);
-    group.begin_three();
+    group.start_first_three();
     let executor = Rc::clone(&group.executor);
     async_io::block_on(executor.run(async {
         for n in 0..120 {
             group.put("limit", &n.to_string()).await;
         }
-        group.all_hold("limit", "119").await;
-        // The leader stops; the others commit past a snapshot; it returns with its old folder.
+        group.assert_all_hold("limit", "119").await;
+        // The leader stops, the others commit until they save a snapshot, and the old leader
+        // returns with its folder.
         let stopped = group.leader().await.status().id;
         group.members.remove(&stopped);
         for n in 0..120 {
             group.put("limit", &format!("later-{n}")).await;
         }
         group.start(stopped);
-        group.all_hold("limit", "later-119").await;
-        // The same request again has the same outcome.
+        group.assert_all_hold("limit", "later-119").await;
+        // A repeated request has the same outcome.
         let first = group.put("once", "x").await;
         assert_eq!(group.put("once", "x").await, first);
     }));
 }
 
-/// Any replica has a call committed, by whoever leads; made again, it has the outcome that it had.
+/// A call at any replica must be committed by the leader. The same call at another replica must
+/// have the same outcome and must not be applied again.
 #[test]
-fn any_replica_has_a_call_committed_once() {
+fn a_call_at_any_replica_is_committed_once() {
     let mut group = ReplicaGroup::new("commit-anywhere", 1..=3);
-    group.begin_three();
+    group.start_first_three();
     let executor = Rc::clone(&group.executor);
     let call = |n: u8| Call::Propose {
         request_id: format!("r-{n}"),
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Voters, observers and subscriptions on loopback, in one thread, with real files.
+//! Runs voters, observers and subscriptions on loopback with real files, all on one thread.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -17,19 +17,19 @@
 };
 use violetgate_replicated_state::{Entries, Mutation, Operation, Outcome, Revision, Txn};
 
-/// How long anything may take on a busy machine.
+/// The timeout of each wait. It is long enough for a busy machine.
 pub const WAIT: Duration = Duration::from_secs(60);
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(2);
+/// How often a condition is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 const CLUSTER: &str = "test";
 
-/// A cluster with its observers and its front ends.
+/// A cluster with its observers and gateways.
 pub struct Fleet {
     pub executor: Rc<LocalExecutor<'static>>,
     folder: PathBuf,
     addresses: BTreeMap<NodeId, SocketAddr>,
     pub members: BTreeMap<NodeId, Rc<ReplicaRuntime>>,
-    /// Where observers serve.
+    /// The addresses where observers serve subscribers.
     pub serving_at: BTreeMap<NodeId, SocketAddr>,
     pub services: BTreeMap<NodeId, Rc<ObserverService>>,
     pub subscriptions: Vec<Rc<Subscription>>,
@@ -42,12 +42,12 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds, and panics if it does not within [`WAIT`].
 pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT;
     while !holds() {
-        assert!(Instant::now() < deadline, "{what}: not in {WAIT:?}");
-        Timer::after(LOOK).await;
+        assert!(Instant::now() < deadline, "timeout after {WAIT:?}: {what}");
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl Fleet {
-    /// Starts voters 1 to `voters` and, as learners, the observers that follow; nothing is served
-    /// yet.
+    /// Starts voters 1 to `voters` and, with the ids that follow, the replicas of the observers.
+    /// These are not members yet and serve no subscribers until [`serve`](Self::serve) is called.
     pub fn start(name: &str, voters: u64, observers: u64) -> Self {
         let folder = std::env::temp_dir().join(format!(
             "violetgate-observers-{}-{name}",
@@ -89,11 +89,11 @@
                 Vec::new()
             };
             let folder = fleet.folder.join(id.to_string());
-            let from = Bootstrap {
+            let bootstrap = Bootstrap {
                 initial_members: members,
                 initial_state: Vec::new(),
             };
-            ReplicaRuntime::initialize(CLUSTER, id, &folder, 100 + id, from).unwrap();
+            ReplicaRuntime::initialize(CLUSTER, id, &folder, 100 + id, bootstrap).unwrap();
             fleet.start_member(id);
         }
         fleet
@@ -116,22 +116,22 @@
             .insert(id, ReplicaRuntime::start(&self.executor, &options).unwrap());
     }
 
-    /// Adds the observers to the cluster as learners and begins to serve; the configuration is
-    /// changed as wanted.
+    /// Adds the observers to the cluster as learners and starts their services. `change` adjusts
+    /// the default configuration.
     pub async fn serve(&mut self, change: impl Fn(&mut ObserverConfig)) {
         for id in self.serving_at.keys().copied().collect::<Vec<_>>() {
-            self.agree(Call::ChangeMembership(MembershipChange::AddLearner(id)))
+            self.submit(Call::ChangeMembership(MembershipChange::AddLearner(id)))
                 .await;
             self.serve_at(id, &change).await;
         }
     }
 
-    /// Begins to serve at one observer, once its address is free.
+    /// Starts the service of one observer once its address is free.
     pub async fn serve_at(&mut self, id: NodeId, change: impl Fn(&mut ObserverConfig)) {
         let mut config = ObserverConfig::default_for(CLUSTER, id);
         change(&mut config);
         let mut service = None;
-        until("an observer serves", || {
+        until("the observer's service starts", || {
             service =
                 ObserverService::start(&self.members[&id], self.serving_at[&id], config.clone())
                     .ok();
@@ -141,7 +141,7 @@
         self.services.insert(id, service.unwrap());
     }
 
-    /// Ends an observer: its service and its member.
+    /// Stops a replica, and its service if it is an observer.
     pub fn kill(&mut self, id: NodeId) {
         self.services.remove(&id);
         self.members.remove(&id);
@@ -151,7 +151,7 @@
         SubscriberConfig::default_for(CLUSTER, name, self.serving_at.keys().copied().collect())
     }
 
-    /// Starts so many front ends.
+    /// Starts `count` more gateways.
     pub fn subscribe(&mut self, count: usize) {
         for _ in 0..count {
             let number = self.subscriptions.len();
@@ -167,8 +167,8 @@
         }
     }
 
-    /// Has a call agreed on by whoever leads.
-    pub async fn agree(&mut self, call: Call) -> Response {
+    /// Submits a call until it is answered.
+    pub async fn submit(&mut self, call: Call) -> Response {
         self.requests += 1;
         loop {
             let member = Rc::clone(self.members.values().next().unwrap());
@@ -178,36 +178,36 @@
         }
     }
 
-    /// Takes a step, once; the revision after it.
-    pub async fn step(&mut self, step: Operation) -> Revision {
+    /// Has a command applied once, and returns the revision after it.
+    pub async fn propose(&mut self, command: Operation) -> Revision {
         let call = Call::Propose {
             request_id: format!("r-{}", self.requests),
             actor: "test".to_owned(),
-            operation: step,
+            operation: command,
         };
-        match self.agree(call).await {
+        match self.submit(call).await {
             Response::Applied(Outcome::Applied { revision, .. }) => revision,
             other => panic!("{other:?}"),
         }
     }
 
-    /// Sets a key; the revision that it made.
+    /// Sets a key, and returns the revision of that change.
     pub async fn put(&mut self, key: &str, value: &[u8]) -> Revision {
-        let op = Mutation::Put {
+        let put = Mutation::Put {
             key: key.to_owned(),
             value: value.to_vec(),
             lease: None,
         };
-        self.step(Operation::Txn(Txn {
-            then: vec![op],
+        self.propose(Operation::Txn(Txn {
+            then: vec![put],
             ..Txn::default()
         }))
         .await
     }
 
-    /// Waits until every front end has a revision and may route.
-    pub async fn in_force(&self, revision: Revision) {
-        until("a change is in force everywhere", || {
+    /// Waits until every gateway has applied a revision and may route.
+    pub async fn wait_in_force(&self, revision: Revision) {
+        until("the revision is in force at all gateways", || {
             let current =
                 |s: &Rc<Subscription>| s.status().revision >= revision && s.may_route().is_ok();
             self.subscriptions.iter().all(current)
@@ -215,8 +215,8 @@
         .await;
     }
 
-    /// Every front end holds the very entries that a member has.
-    pub fn same_everywhere(&self) {
+    /// Asserts that every gateway's replica holds the same entries as a cluster member.
+    pub fn assert_same_entries(&self) {
         let member = self.members.values().next().unwrap();
         let held = member.store(|store| store.entries_with_prefix(""));
         for subscription in &self.subscriptions {
--- a/cluster/replica-runtime/tests/membership.rs
+++ b/cluster/replica-runtime/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Replicas that join, and replicas that return without their folder.
+//! Tests replicas that join, and replicas that return without their folder.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,41 +18,42 @@
 use violetgate_replica::Response;
 use violetgate_replica_runtime::{Bootstrap, CallOutcome, ReplicaRuntime};
 
-/// A replica joins as a learner and becomes a voter. One that has lost its identity can't start,
-/// and its folder can't be made again.
+/// A replica must be able to join as a learner and become a voter. A removed id must not be added
+/// again. A replica whose identity file is lost must not start, and its folder must not be
+/// initialized again.
 #[test]
 fn a_replica_joins_and_one_without_its_folder_does_not_return() {
     let mut group = ReplicaGroup::new("join", 1..=4);
-    group.begin_three();
+    group.start_first_three();
     let executor = Rc::clone(&group.executor);
     async_io::block_on(executor.run(async {
         group.put("a", "1").await;
-        group.begin(4, Vec::new());
-        let within = Duration::from_secs(2);
-        for (change, done) in [
+        group.create_and_start(4, Vec::new());
+        let limit = Duration::from_secs(2);
+        for (change, voter_count) in [
             (MembershipChange::AddLearner(4), 3),
             (MembershipChange::PromoteLearner(4), 4),
             (MembershipChange::Remove(2), 3),
         ] {
-            let until = Instant::now() + WAIT;
-            while group.leader().await.status().members.voters.len() != done
+            let deadline = Instant::now() + WAIT;
+            while group.leader().await.status().members.voters.len() != voter_count
                 || !group.leader().await.status().members.contains(4)
             {
-                assert!(Instant::now() < until, "{change:?} is never done");
-                group.leader().await.change_membership(change, within).await;
+                assert!(Instant::now() < deadline, "{change:?} not done in {WAIT:?}");
+                group.leader().await.change_membership(change, limit).await;
             }
         }
         let leader = group.leader().await;
-        let again = leader
-            .change_membership(MembershipChange::AddLearner(2), within)
+        let rejoined = leader
+            .change_membership(MembershipChange::AddLearner(2), limit)
             .await;
         assert!(
-            matches!(again, CallOutcome::Completed(Response::Rejected(_))),
-            "{again:?}"
+            matches!(rejoined, CallOutcome::Completed(Response::Rejected(_))),
+            "{rejoined:?}"
         );
         group.members.remove(&2);
         group.put("a", "2").await;
-        group.all_hold("a", "2").await;
+        group.assert_all_hold("a", "2").await;
     }));
     group.members.remove(&3);
     group.run_pending_tasks();
@@ -66,7 +67,7 @@
         rejected.contains("this folder is no member's"),
         "{rejected}"
     );
-    let begun = ReplicaRuntime::initialize(
+    let initialized = ReplicaRuntime::initialize(
         "test",
         3,
         &folder,
@@ -76,24 +77,24 @@
             initial_state: vec![],
         },
     );
-    assert!(begun
+    assert!(initialized
         .unwrap_err()
         .to_string()
         .contains("a member's already"));
 }
 
-/// A replica that returns with another folder than the committed one exchanges messages with
-/// nobody.
+/// A replica that returns with a new folder must not exchange messages with the others: it has lost
+/// its vote, and could vote twice in a term.
 #[test]
 fn a_replica_with_another_disk_is_rejected() {
     let mut group = ReplicaGroup::new("another-disk", 1..=3);
-    group.begin_three();
+    group.start_first_three();
     let executor = Rc::clone(&group.executor);
     async_io::block_on(executor.run(async {
         group.put("k", "1").await;
-        group.all_hold("k", "1").await;
+        group.assert_all_hold("k", "1").await;
     }));
-    // Replica 3 loses its folder, and one is made anew under its id: it could vote twice.
+    // Replica 3 loses its folder, and a new one is created under the same id.
     group.members.remove(&3);
     group.run_pending_tasks();
     std::fs::remove_dir_all(group.folder.join("3")).unwrap();
@@ -118,7 +119,7 @@
         assert_eq!((status.applied, status.term), (0, 0));
         assert!(
             group.members[&1].wait_until_current(WAIT).await,
-            "the two others go on"
+            "replica 1 is not current without replica 3"
         );
     }));
 }
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -1,5 +1,5 @@
-//! Observers and subscriptions over real sockets: changes reach all front ends, whichever process
-//! ends, and a slow one does not delay the others.
+//! Tests observers and subscriptions over real sockets: changes reach all gateways after a process
+//! fails, and a slow subscriber does not delay the others.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 use fleet::{until, Fleet};
-use raw::Raw;
+use raw::RawSubscriber;
 use violetgate_raft::Role;
 use violetgate_replica_runtime::Subscription;
 use violetgate_replicated_state::{Entries, Operation};
@@ -28,63 +28,68 @@
         .count()
 }
 
-/// A change reaches all front ends, in the very turn in which it is applied; one observer's death
-/// shuts no gate, and after the leader's the next change reaches all; members know what is in
-/// force.
+/// A change must reach all gateways, also after an observer or the leader fails. The callbacks run
+/// when it is applied. The failure of one observer must not stop any gateway from routing, and the
+/// replicas must learn which revision is in force.
 #[test]
-fn changes_reach_all_front_ends_whichever_process_ends() {
+fn changes_reach_all_gateways_after_process_failures() {
     let mut fleet = Fleet::start("deaths", 3, 2);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
         fleet.serve(|_| ()).await;
         fleet.subscribe(20);
         let first = fleet.put("cordons/e-1", b"{}").await;
-        fleet.in_force(first).await;
-        fleet.same_everywhere();
-        let told = Rc::new(Cell::new(0));
-        let seen = Rc::clone(&told);
+        fleet.wait_in_force(first).await;
+        fleet.assert_same_entries();
+        let last_notified = Rc::new(Cell::new(0));
+        let seen = Rc::clone(&last_notified);
         fleet.subscriptions[0].on_applied(Rc::new(move |replica| seen.set(replica.revision())));
-        assert_eq!(told.get(), first, "it is called at once");
-        until("members know what is in force", || {
+        assert_eq!(
+            last_notified.get(),
+            first,
+            "the callback was not called at once"
+        );
+        until("replicas know the revision in force", || {
             let totals = fleet.members[&1].fleet_progress();
             totals.serving == 20 && totals.in_force == first && totals.observers == 2
         })
         .await;
-        until("all hold two observers", || {
+        until("all gateways have a watched observer and a standby", || {
             fleet
                 .subscriptions
                 .iter()
                 .all(|s| s.status().watched.is_some() && s.status().standby.is_some())
         })
         .await;
-        // Observer 4 dies: nobody's gate shuts while its subscribers move.
+        // Observer 4 fails. All gateways may route while its subscribers move to the other one.
         fleet.kill(4);
-        until("all watch the other observer", || {
+        until("all gateways watch the other observer", || {
             let open = fleet.subscriptions.iter().all(|s| s.may_route().is_ok());
-            assert!(open, "a gate has shut");
+            assert!(open, "a gateway may not route");
             watched_by(&fleet.subscriptions, 5) == 20
         })
         .await;
         let second = fleet.put("cordons/e-2", b"{}").await;
-        fleet.in_force(second).await;
-        assert_eq!(told.get(), second);
-        // The leader dies.
-        let leads = fleet
+        fleet.wait_in_force(second).await;
+        assert_eq!(last_notified.get(), second);
+        // The leader fails.
+        let leader = fleet
             .members
             .values()
             .find(|m| m.status().role == Role::Leader)
             .map(|m| m.id());
-        fleet.kill(leads.unwrap());
+        fleet.kill(leader.unwrap());
         let third = fleet.put("cordons/e-3", b"{}").await;
-        fleet.in_force(third).await;
-        fleet.same_everywhere();
+        fleet.wait_in_force(third).await;
+        fleet.assert_same_entries();
     }));
 }
 
-/// Without any observer all gates shut; once one serves again the front ends go on from what they
-/// hold, or from a snapshot in chunks where the changes since are compacted away.
+/// Without any observer, all gateways must stop routing. When observers serve again and the changes
+/// since the gateways' revision are compacted, the gateways must fetch a snapshot in chunks. The
+/// same holds for a gateway without any state.
 #[test]
-fn front_ends_fetch_a_snapshot_where_changes_are_compacted() {
+fn gateways_fetch_a_snapshot_when_changes_are_compacted() {
     let mut fleet = Fleet::start("snapshot", 1, 2);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
@@ -94,9 +99,9 @@
             fleet.put(&format!("key/{n}"), &[n; 4_000]).await;
         }
         let held = fleet.put("key/first", b"1").await;
-        fleet.in_force(held).await;
+        fleet.wait_in_force(held).await;
         fleet.services.clear();
-        until("all gates shut", || {
+        until("no gateway may route", || {
             fleet.subscriptions.iter().all(|s| s.may_route().is_err())
         })
         .await;
@@ -104,9 +109,9 @@
             fleet.put(&format!("key/{n}"), &[n + 1; 4_000]).await;
         }
         let revision = fleet.members[&1].status().revision;
-        fleet.step(Operation::Compact(revision)).await;
+        fleet.propose(Operation::Compact(revision)).await;
         let last = fleet.put("key/last", b"2").await;
-        // Some begin with nothing, the others hold what is compacted away.
+        // The new gateways have no state. The others have a revision that is compacted away.
         fleet.subscribe(5);
         fleet
             .serve_at(2, |config| config.chunk_bytes = 8 << 10)
@@ -114,15 +119,15 @@
         fleet
             .serve_at(3, |config| config.chunk_bytes = 8 << 10)
             .await;
-        fleet.in_force(last).await;
-        fleet.same_everywhere();
+        fleet.wait_in_force(last).await;
+        fleet.assert_same_entries();
     }));
 }
 
-/// A subscriber that takes nothing costs a bounded queue, slows nobody, and sees why it was turned
-/// away.
+/// A subscriber that reads nothing must be rejected with the reason once its bounded queue is full,
+/// and must not delay the others.
 #[test]
-fn a_slow_reader_is_rejected_and_delays_nobody() {
+fn a_slow_subscriber_is_rejected_and_delays_no_other() {
     let mut fleet = Fleet::start("slow", 1, 1);
     let executor = Rc::clone(&fleet.executor);
     async_io::block_on(executor.run(async {
@@ -131,31 +136,33 @@
             .await;
         fleet.subscribe(3);
         let first = fleet.put("a", b"1").await;
-        fleet.in_force(first).await;
-        let mut slow = Raw::greeted(fleet.serving_at[&2], &Raw::hello(2, "slow")).await;
+        fleet.wait_in_force(first).await;
+        let mut slow =
+            RawSubscriber::connect_accepted(fleet.serving_at[&2], &RawSubscriber::hello(2, "slow"))
+                .await;
         slow.send(&SubscriberMessage::Watch { after: 0 }).await;
         let mut last = first;
         for n in 0..200u8 {
             last = fleet.put("big", &vec![n; 60_000]).await;
         }
-        fleet.in_force(last).await;
-        until("it is turned away", || {
+        fleet.wait_in_force(last).await;
+        until("the slow subscriber is rejected", || {
             fleet.services[&2].subscribers() == 3
         })
         .await;
         let mut changes = 0;
         let rejection = loop {
-            match slow.message().await {
+            match slow.read_message().await {
                 ObserverMessage::Rejected(rejection) => break rejection,
-                ObserverMessage::Changes(ChangeBatch { changes: some, .. }) => {
-                    changes += some.len()
+                ObserverMessage::Changes(ChangeBatch { changes: batch, .. }) => {
+                    changes += batch.len()
                 }
                 _ => {}
             }
         };
         assert_eq!(rejection.code(), "too_slow");
-        assert!(changes < 200, "what waits for it is bounded");
+        assert!(changes < 200, "the send queue took all changes");
         let after = fleet.put("a", b"2").await;
-        fleet.in_force(after).await;
+        fleet.wait_in_force(after).await;
     }));
 }
--- a/cluster/replica-runtime/tests/partition.rs
+++ b/cluster/replica-runtime/tests/partition.rs
@@ -1,4 +1,4 @@
-//! A replica that can't reach the others.
+//! Tests a leader that is partitioned from the other replicas.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,12 +18,13 @@
 use violetgate_replica::Response;
 use violetgate_replica_runtime::CallOutcome;
 
-/// A leader without the others may not route once its state is older than the drain limit, answers
-/// no read, and takes part again when the partition ends.
+/// A partitioned leader must not route once its state is older than the drain limit, and must not
+/// complete a linearizable read or commit a command. It must take part again when the partition
+/// ends.
 #[test]
 fn a_partitioned_leader_does_not_route() {
     let mut group = ReplicaGroup::new("cut", 1..=3);
-    group.begin_three();
+    group.start_first_three();
     let executor = Rc::clone(&group.executor);
     async_io::block_on(executor.run(async {
         group.put("a", "1").await;
@@ -35,33 +36,39 @@
             .filter(|replica| !Rc::ptr_eq(replica, &leader))
             .cloned()
             .collect();
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT;
         while leader.may_route().is_ok() {
-            assert!(Instant::now() < until, "it routes on");
+            assert!(
+                Instant::now() < deadline,
+                "the partitioned leader still routes"
+            );
             Timer::after(Duration::from_millis(10)).await;
         }
         assert!(!leader.wait_until_current(Duration::from_millis(300)).await);
         let operation = put_operation("a", b"2");
-        let answered = leader
+        let outcome = leader
             .propose(None, "test", operation, Duration::from_millis(300))
             .await;
         assert!(
-            !matches!(answered, CallOutcome::Completed(Response::Applied(_))),
-            "{answered:?}"
+            !matches!(outcome, CallOutcome::Completed(Response::Applied(_))),
+            "{outcome:?}"
         );
         while !others
             .iter()
             .any(|replica| replica.status().role == Role::Leader)
         {
-            assert!(Instant::now() < until, "nobody takes over");
+            assert!(Instant::now() < deadline, "no other replica became leader");
             Timer::after(Duration::from_millis(10)).await;
         }
         group.put("a", "3").await;
         leader.transport().block_peers(&[]);
-        group.all_hold("a", "3").await;
-        // It confirms its state by itself, every 250 ms.
+        group.assert_all_hold("a", "3").await;
+        // The old leader confirms its state by itself, every 250 ms.
         while leader.may_route().is_err() {
-            assert!(Instant::now() < until, "it never routes again");
+            assert!(
+                Instant::now() < deadline,
+                "the old leader does not route again"
+            );
             Timer::after(Duration::from_millis(10)).await;
         }
     }));
--- a/cluster/replica-runtime/tests/raw/mod.rs
+++ b/cluster/replica-runtime/tests/raw/mod.rs
@@ -1,4 +1,4 @@
-//! A subscriber written by hand, which may send anything.
+//! A subscriber for tests that sends arbitrary bytes and messages.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::io::{Read, Write};
@@ -14,13 +14,13 @@
 
 use crate::fleet::WAIT;
 
-pub struct Raw {
+pub struct RawSubscriber {
     stream: Async<TcpStream>,
     input: Vec<u8>,
 }
 
-impl Raw {
-    /// A greeting that is right.
+impl RawSubscriber {
+    /// Returns a valid hello.
     pub fn hello(observer: u64, name: &str) -> SubscriberHello {
         SubscriberHello {
             magic: PROTOCOL_MAGIC,
@@ -33,19 +33,20 @@
     }
 
     pub async fn connect(at: SocketAddr) -> Self {
-        Raw {
+        RawSubscriber {
             stream: Async::<TcpStream>::connect(at).await.unwrap(),
             input: Vec::new(),
         }
     }
 
-    /// Connects and is taken.
-    pub async fn greeted(at: SocketAddr, hello: &SubscriberHello) -> Self {
+    /// Connects, and returns once the observer has accepted the hello. While the observer is full,
+    /// it tries again.
+    pub async fn connect_accepted(at: SocketAddr, hello: &SubscriberHello) -> Self {
         loop {
-            let mut raw = Raw::connect(at).await;
+            let mut raw = RawSubscriber::connect(at).await;
             raw.send(hello).await;
-            // The place of one that has just been turned away may not be free yet.
-            match raw.welcome().await.rejected {
+            // A subscriber that was just rejected may still count towards the capacity.
+            match raw.read_welcome().await.rejected {
                 None => return raw,
                 Some(Rejection::Full { .. }) => {}
                 Some(other) => panic!("{other}"),
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Writes bytes; that the other side has gone already is seen in reading.
+    /// Writes bytes. Errors are ignored: if the other side has closed the connection, reading
+    /// shows it.
     pub async fn write(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             match self.stream.write_with(|mut s| s.write(bytes)).await {
@@ -70,7 +72,7 @@
         self.write(&frame).await;
     }
 
-    /// What comes next; `None`: the end.
+    /// Reads the next message; `None` at the end of the connection.
     async fn next<T: DeserializeOwned>(&mut self) -> Option<T> {
         let mut chunk = [0; 4096];
         loop {
@@ -90,7 +92,7 @@
             };
             let late = async {
                 Timer::after(WAIT).await;
-                panic!("nothing comes in {WAIT:?}")
+                panic!("nothing received in {WAIT:?}")
             };
             match read.or(late).await {
                 0 => return None,
@@ -99,25 +101,27 @@
         }
     }
 
-    pub async fn welcome(&mut self) -> ObserverWelcome {
-        self.next().await.expect("an answer to the greeting")
+    pub async fn read_welcome(&mut self) -> ObserverWelcome {
+        self.next().await.expect("no answer to the hello")
     }
 
-    pub async fn message(&mut self) -> ObserverMessage {
-        self.next().await.expect("a message")
+    pub async fn read_message(&mut self) -> ObserverMessage {
+        self.next()
+            .await
+            .expect("connection closed before a message")
     }
 
-    /// Passes over messages until one says why the connection ends.
-    pub async fn rejected(&mut self) -> Rejection {
+    /// Skips messages until a rejection arrives, and returns it.
+    pub async fn read_rejection(&mut self) -> Rejection {
         loop {
-            if let ObserverMessage::Rejected(rejection) = self.message().await {
+            if let ObserverMessage::Rejected(rejection) = self.read_message().await {
                 return rejection;
             }
         }
     }
 
-    /// Waits until the other side ends the connection.
-    pub async fn closed(&mut self) {
+    /// Skips messages until the other side closes the connection.
+    pub async fn wait_closed(&mut self) {
         while self.next::<ObserverMessage>().await.is_some() {}
     }
 }
--- a/cluster/replica-runtime/tests/rejections.rs
+++ b/cluster/replica-runtime/tests/rejections.rs
@@ -1,5 +1,5 @@
-//! What an observer can't serve gets one clear rejection with its code over a real socket; the
-//! others go on.
+//! Tests that an observer rejects invalid subscribers with a code, over real sockets, and continues
+//! to serve the others.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,23 +15,23 @@
 use std::rc::Rc;
 
 use fleet::{until, Fleet};
-use raw::Raw;
+use raw::RawSubscriber;
 use violetgate_state_distribution::{SubscriberHello, SubscriberMessage, SubscriberProgress};
 
-/// The observer that all of this file connects to.
+/// The id of the observer that all tests of this file connect to.
 const OBSERVER: u64 = 2;
 
-fn good_hello() -> SubscriberHello {
-    Raw::hello(OBSERVER, "stranger")
+fn valid_hello() -> SubscriberHello {
+    RawSubscriber::hello(OBSERVER, "stranger")
 }
 
-/// The code by which a greeting is rejected.
-async fn greeting_rejected(raw: &mut Raw) -> &'static str {
-    raw.welcome().await.rejected.unwrap().code()
+/// Returns the code with which a hello is rejected.
+async fn hello_rejection(raw: &mut RawSubscriber) -> &'static str {
+    raw.read_welcome().await.rejected.unwrap().code()
 }
 
-async fn check_greetings_that_do_not_fit(at: SocketAddr) {
-    let good = good_hello();
+async fn check_mismatched_hellos(at: SocketAddr) {
+    let good = valid_hello();
     let wrong_cluster = SubscriberHello {
         cluster: "other".to_owned(),
         ..good.clone()
@@ -54,34 +54,34 @@
         (wrong_observer, "wrong_observer"),
         (not_a_subscriber, "not_a_subscriber"),
     ] {
-        let mut raw = Raw::connect(at).await;
+        let mut raw = RawSubscriber::connect(at).await;
         raw.send(&hello).await;
-        assert_eq!(greeting_rejected(&mut raw).await, code);
-        raw.closed().await;
+        assert_eq!(hello_rejection(&mut raw).await, code);
+        raw.wait_closed().await;
     }
 }
 
-/// Another protocol, and a greeting of a later version with other fields.
-async fn check_greetings_that_can_not_be_read(at: SocketAddr) {
-    let mut raw = Raw::connect(at).await;
+/// Sends bytes of another protocol, and a hello of another version with other fields.
+async fn check_undecodable_hellos(at: SocketAddr) {
+    let mut raw = RawSubscriber::connect(at).await;
     raw.write(b"GET /v1/cluster HTTP/1.1\r\nhost: x\r\n\r\n")
         .await;
-    assert_eq!(greeting_rejected(&mut raw).await, "not_a_subscriber");
-    let mut raw = Raw::connect(at).await;
+    assert_eq!(hello_rejection(&mut raw).await, "not_a_subscriber");
+    let mut raw = RawSubscriber::connect(at).await;
     raw.write(&[8, 0, 0, 0, b'V', b'G', b'S', b'B', 7, 0xff, 0xff, 0xff])
         .await;
-    assert_eq!(greeting_rejected(&mut raw).await, "wrong_version");
+    assert_eq!(hello_rejection(&mut raw).await, "wrong_version");
 }
 
-/// After a good greeting: a frame too long, a malformed one, too many polls.
+/// After a valid hello, sends a frame that is too long, a malformed one, and too many polls.
 async fn check_protocol_violations(at: SocketAddr) {
     for bad in [vec![0xff; 64], vec![2, 0, 0, 0, 0x77, 0x77]] {
-        let mut raw = Raw::greeted(at, &good_hello()).await;
+        let mut raw = RawSubscriber::connect_accepted(at, &valid_hello()).await;
         raw.write(&bad).await;
-        assert_eq!(raw.rejected().await.code(), "protocol");
-        raw.closed().await;
+        assert_eq!(raw.read_rejection().await.code(), "protocol");
+        raw.wait_closed().await;
     }
-    let mut raw = Raw::greeted(at, &good_hello()).await;
+    let mut raw = RawSubscriber::connect_accepted(at, &valid_hello()).await;
     for poll in 0..500 {
         let progress = SubscriberProgress {
             applied: 0,
@@ -89,41 +89,43 @@
         };
         raw.send(&SubscriberMessage::Poll { poll, progress }).await;
     }
-    assert_eq!(raw.rejected().await.code(), "protocol");
+    assert_eq!(raw.read_rejection().await.code(), "protocol");
 }
 
 async fn check_future_revision(at: SocketAddr) {
     let hello = SubscriberHello {
         revision: 1_000_000,
-        ..good_hello()
+        ..valid_hello()
     };
-    let mut raw = Raw::greeted(at, &hello).await;
+    let mut raw = RawSubscriber::connect_accepted(at, &hello).await;
     raw.send(&SubscriberMessage::Watch { after: 1_000_000 })
         .await;
-    assert_eq!(raw.rejected().await.code(), "revision_ahead");
+    assert_eq!(raw.read_rejection().await.code(), "revision_ahead");
 }
 
-/// The sixth place is free after all that was rejected before, and there is no seventh.
+/// The rejected connections must not count towards the capacity of six: a sixth subscriber is
+/// accepted, a seventh is not.
 async fn check_capacity(fleet: &Fleet, at: SocketAddr) {
-    let mut sixth = Raw::greeted(at, &good_hello()).await;
-    let mut seventh = Raw::connect(at).await;
-    seventh.send(&Raw::hello(OBSERVER, "seventh")).await;
-    assert_eq!(greeting_rejected(&mut seventh).await, "observer_full");
+    let mut sixth = RawSubscriber::connect_accepted(at, &valid_hello()).await;
+    let mut seventh = RawSubscriber::connect(at).await;
+    seventh
+        .send(&RawSubscriber::hello(OBSERVER, "seventh"))
+        .await;
+    assert_eq!(hello_rejection(&mut seventh).await, "observer_full");
     sixth.send(&SubscriberMessage::StopWatching).await;
     check_silent_connections(at).await;
     drop((sixth, seventh));
     let service = &fleet.services[&OBSERVER];
-    until("places are free", || service.subscribers() == 5).await;
+    until("the sixth one is gone", || service.subscribers() == 5).await;
 }
 
-/// A connection without a greeting is closed, and connections that are opened and dropped use
-/// nothing.
+/// A connection without a hello must be closed, also while 600 others are opened and dropped.
 async fn check_silent_connections(at: SocketAddr) {
-    let mut silent = Raw::connect(at).await;
+    let mut silent = RawSubscriber::connect(at).await;
     for _ in 0..600 {
-        drop(Raw::connect(at).await);
+        drop(RawSubscriber::connect(at).await);
     }
-    silent.closed().await;
+    silent.wait_closed().await;
 }
 
 #[test]
@@ -134,14 +136,14 @@
         fleet.serve(|config| config.capacity = 6).await;
         fleet.subscribe(5);
         let before = fleet.put("a", b"1").await;
-        fleet.in_force(before).await;
+        fleet.wait_in_force(before).await;
         let at = fleet.serving_at[&OBSERVER];
-        check_greetings_that_do_not_fit(at).await;
-        check_greetings_that_can_not_be_read(at).await;
+        check_mismatched_hellos(at).await;
+        check_undecodable_hellos(at).await;
         check_protocol_violations(at).await;
         check_future_revision(at).await;
         check_capacity(&fleet, at).await;
         let after = fleet.put("a", b"2").await;
-        fleet.in_force(after).await;
+        fleet.wait_in_force(after).await;
     }));
 }
--- a/cluster/replica-runtime/tests/replica_group/mod.rs
+++ b/cluster/replica-runtime/tests/replica_group/mod.rs
@@ -1,4 +1,4 @@
-//! A group of replicas on loopback.
+//! Runs a group of replicas on loopback with real files, all on one thread.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use std::collections::BTreeMap;
@@ -14,10 +14,10 @@
 use violetgate_replica_runtime::{Bootstrap, CallOutcome, ReplicaOptions, ReplicaRuntime};
 use violetgate_replicated_state::{Mutation, Operation, Outcome, Txn};
 
-/// How long anything may take on a busy machine.
+/// The timeout of each wait. It is long enough for a busy machine.
 pub const WAIT: Duration = Duration::from_secs(30);
 
-/// An operation that puts one key.
+/// Returns an operation that puts one key.
 pub fn put_operation(key: &str, value: &[u8]) -> Operation {
     let put = Mutation::Put {
         key: key.to_owned(),
@@ -30,7 +30,7 @@
     })
 }
 
-/// Replicas on loopback with real files, in one thread.
+/// A group of replicas, of which `members` are running.
 pub struct ReplicaGroup {
     pub executor: Rc<LocalExecutor<'static>>,
     pub folder: PathBuf,
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Makes a member's folder and starts it.
-    pub fn begin(&mut self, id: NodeId, members: Vec<NodeId>) {
-        let from = Bootstrap {
+    /// Creates a replica's folder and starts the replica.
+    pub fn create_and_start(&mut self, id: NodeId, members: Vec<NodeId>) {
+        let bootstrap = Bootstrap {
             initial_members: members,
             initial_state: Vec::new(),
         };
@@ -90,7 +90,7 @@
             id,
             &self.folder.join(id.to_string()),
             100 + id,
-            from,
+            bootstrap,
         )
         .unwrap();
         self.start(id);
@@ -98,8 +98,8 @@
 
     pub fn start(&mut self, id: NodeId) {
         let options = self.options(id);
-        // One that has just been dropped may hold its address until its tasks are gone.
-        let until = Instant::now() + WAIT;
+        // A replica that was just dropped may hold its address until its tasks are dropped.
+        let deadline = Instant::now() + WAIT;
         loop {
             match ReplicaRuntime::start(&self.executor, &options) {
                 Ok(member) => {
@@ -107,7 +107,7 @@
                     return;
                 }
                 Err(error) => assert!(
-                    Instant::now() < until && error.to_string().contains("in use"),
+                    Instant::now() < deadline && error.to_string().contains("in use"),
                     "{error}"
                 ),
             }
@@ -116,7 +116,7 @@
     }
 
     pub async fn leader(&self) -> Rc<ReplicaRuntime> {
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT;
         loop {
             let leads = |replica: &&Rc<ReplicaRuntime>| {
                 replica.status().role == Role::Leader && replica.may_route().is_ok()
@@ -124,27 +124,26 @@
             if let Some(leader) = self.members.values().find(leads) {
                 return Rc::clone(leader);
             }
-            assert!(Instant::now() < until, "nobody leads");
+            assert!(Instant::now() < deadline, "no leader in {WAIT:?}");
             Timer::after(Duration::from_millis(5)).await;
         }
     }
 
-    /// Runs until all tasks that can run now have run, such as those of replicas that were
-    /// dropped.
+    /// Runs all tasks that can run now, such as those of dropped replicas.
     pub fn run_pending_tasks(&self) {
         while self.executor.try_tick() {}
     }
 
-    /// Starts replicas 1 to 3 as the first members.
-    pub fn begin_three(&mut self) {
-        (1..=3).for_each(|id| self.begin(id, vec![1, 2, 3]));
+    /// Creates and starts replicas 1 to 3, which are the initial members.
+    pub fn start_first_three(&mut self) {
+        (1..=3).for_each(|id| self.create_and_start(id, vec![1, 2, 3]));
     }
 
-    /// Puts a key, by whoever leads, until it is done.
+    /// Puts a key at the leader, and retries until it is applied.
     pub async fn put(&self, key: &str, value: &str) -> Outcome {
         let request_id = format!("put-{key}-{value}");
-        let until = Instant::now() + WAIT;
-        while Instant::now() < until {
+        let deadline = Instant::now() + WAIT;
+        while Instant::now() < deadline {
             let operation = put_operation(key, value.as_bytes());
             let leader = self.leader().await;
             if let CallOutcome::Completed(Response::Applied(outcome)) = leader
@@ -159,11 +158,11 @@
                 return outcome;
             }
         }
-        panic!("{key} is never put");
+        panic!("{key} not put in {WAIT:?}");
     }
 
-    /// What every member holds at a key, once its copy is current.
-    pub async fn all_hold(&self, key: &str, value: &str) {
+    /// Waits until every running replica is current, and asserts that it holds a value at a key.
+    pub async fn assert_all_hold(&self, key: &str, value: &str) {
         for (id, member) in &self.members {
             assert!(
                 member.wait_until_current(WAIT).await,
