--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -47,7 +47,7 @@
         /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A limit in the configuration is too low for the service to work.
+    /// A limit in the configuration is 0, so that the service could not work.
     #[error(transparent)]
     Config(#[from] InvalidObserverConfig),
 }
--- a/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
+++ b/cluster/replica-runtime/src/observer_service/subscriber_connection.rs
@@ -66,7 +66,7 @@
     async fn run(&self) -> ConnectionEnd {
         disable_nagle(self.stream);
         let mut reader = FrameReader::default();
-        let Accepted { name, queue } = match self.greet(&mut reader).await {
+        let Accepted { name, queue } = match self.exchange_hellos(&mut reader).await {
             Ok(accepted) => accepted,
             Err(end) => return end,
         };
@@ -88,10 +88,10 @@
     }
 
     /// Reads the hello and answers it.
-    async fn greet(&self, reader: &mut FrameReader) -> Result<Accepted, ConnectionEnd> {
+    async fn exchange_hellos(&self, reader: &mut FrameReader) -> Result<Accepted, ConnectionEnd> {
         let hello = match reader.read_hello::<SubscriberHello>(self.stream).await {
             Ok(hello) => hello,
-            Err(reason) => return Err(self.greeting_failed(reason, reader).await),
+            Err(reason) => return Err(self.hello_failed(reason, reader).await),
         };
         let name = hello.name.clone();
         let Some(service) = self.service.upgrade() else {
@@ -118,7 +118,7 @@
 
     /// Ends a connection whose hello can't be read. If a frame was received, the other side is sent
     /// the reason.
-    async fn greeting_failed(&self, reason: CloseReason, reader: &FrameReader) -> ConnectionEnd {
+    async fn hello_failed(&self, reason: CloseReason, reader: &FrameReader) -> ConnectionEnd {
         let name = UNKNOWN_NAME.to_owned();
         if !matches!(
             reason,
--- a/cluster/replica-runtime/src/subscription/observer_connection.rs
+++ b/cluster/replica-runtime/src/subscription/observer_connection.rs
@@ -117,9 +117,9 @@
         reader: &mut FrameReader,
     ) -> Result<Async<TcpStream>, ConnectionEnd> {
         let stream = connect(self.address).await?;
-        let greeting = wire::encode_frame(hello)?;
-        write_all(&stream, &greeting).await?;
-        self.subscription()?.counter.count_sent(greeting.len());
+        let frame = wire::encode_frame(hello)?;
+        write_all(&stream, &frame).await?;
+        self.subscription()?.counter.count_sent(frame.len());
         let welcome: ObserverWelcome = reader.read_hello(&stream).await?;
         if let Some(rejection) = welcome.rejected {
             return Err(ConnectionEnd::Rejected(rejection));
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -70,7 +70,7 @@
 
 /// Whether the other replica accepted the hello of the last attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Greeting {
+enum HelloStatus {
     NotAccepted,
     Accepted,
 }
@@ -89,12 +89,12 @@
         let Some(hello) = transport.upgrade().map(|transport| transport.hello(id)) else {
             return;
         };
-        let mut greeting = Greeting::NotAccepted;
-        let end = match send_all(&transport, &hello, address, &queue, &mut greeting).await {
+        let mut hello_status = HelloStatus::NotAccepted;
+        let end = match send_all(&transport, &hello, address, &queue, &mut hello_status).await {
             Ok(never) => match never {},
             Err(end) => end,
         };
-        let accepted = greeting == Greeting::Accepted;
+        let accepted = hello_status == HelloStatus::Accepted;
         // Consecutive attempts that fail for the same reason are logged once.
         if accepted || last_end.as_ref() != Some(&end) {
             tracing::info!("member {id} at {address} ended reason={end}");
@@ -117,11 +117,11 @@
     hello: &Hello,
     address: SocketAddr,
     queue: &PeerQueue,
-    greeting: &mut Greeting,
+    hello_status: &mut HelloStatus,
 ) -> Result<std::convert::Infallible, PeerConnectionEnd> {
     let stream = connect(address).await?;
-    greet(transport, hello, &stream).await?;
-    *greeting = Greeting::Accepted;
+    exchange_hellos(transport, hello, &stream).await?;
+    *hello_status = HelloStatus::Accepted;
     loop {
         let next = async { Ok(queue.next().await) };
         let frame = next.or(closed_by_peer(&stream)).await?;
@@ -129,7 +129,7 @@
     }
 }
 
-async fn greet(
+async fn exchange_hellos(
     transport: &Weak<Transport>,
     hello: &Hello,
     stream: &Async<TcpStream>,
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -28,9 +28,9 @@
         .count()
 }
 
-/// A change must reach all gateways, also after an observer or the leader fails. The callbacks run
-/// when it is applied. The failure of one observer must not stop any gateway from routing, and the
-/// replicas must learn which revision is in force.
+/// A change must reach all gateways, also after an observer or the leader fails, and a gateway must
+/// call its callbacks as soon as it applies the change. The failure of one observer must not stop
+/// any gateway from routing. The cluster members must learn which revision is in force.
 #[test]
 fn changes_reach_all_gateways_after_process_failures() {
     let mut fleet = Fleet::start("deaths", 3, 2);
@@ -124,8 +124,8 @@
     }));
 }
 
-/// A subscriber that reads nothing must be rejected with the reason once its bounded queue is full,
-/// and must not delay the others.
+/// A subscriber that reads nothing must use only a bounded queue, be rejected with the reason, and
+/// not delay the others.
 #[test]
 fn a_slow_subscriber_is_rejected_and_delays_no_other() {
     let mut fleet = Fleet::start("slow", 1, 1);
--- a/cluster/replica-runtime/tests/rejections.rs
+++ b/cluster/replica-runtime/tests/rejections.rs
@@ -119,7 +119,8 @@
     until("the sixth one is gone", || service.subscribers() == 5).await;
 }
 
-/// A connection without a hello must be closed, also while 600 others are opened and dropped.
+/// A connection without a hello must be closed, and 600 connections that are opened and dropped
+/// must not use up any capacity.
 async fn check_silent_connections(at: SocketAddr) {
     let mut silent = RawSubscriber::connect(at).await;
     for _ in 0..600 {
