--- a/cluster/state-distribution/src/fleet_progress.rs
+++ b/cluster/state-distribution/src/fleet_progress.rs
@@ -1,4 +1,4 @@
-//! How far all gateways are: summed at each observer, and over all observers.
+//! Which revisions the gateways have applied: summed at each observer, and over all observers.
 //!
 //! A revision is in force once every serving gateway has applied it.
 
@@ -8,53 +8,53 @@
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Micros, Revision};
 
-/// The most laggards that are named.
+/// The maximum number of laggards listed in a summary.
 pub const MAX_LAGGARDS: usize = 8;
 
-/// A serving gateway that lacks a revision.
+/// A serving gateway that has not applied the latest revision.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Laggard {
     /// The gateway's name.
     pub name: String,
-    /// The revision that it has applied.
+    /// The latest revision that the gateway has applied.
     pub applied: Revision,
 }
 
-/// How far the subscribers of one observer are. Sent between replicas.
+/// The progress of one observer's subscribers. Sent between replicas.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProgressSummary {
     /// The observer's own revision.
     pub revision: Revision,
-    /// Subscribers that watch this observer and serve (their state is fresh enough to route on).
+    /// Subscribers that watch this observer and serve: their state is fresh enough to route on.
     pub serving: u32,
     /// Subscribers that watch this observer and do not serve.
     pub not_serving: u32,
-    /// The least revision that a serving subscriber has applied; `None`: there is none.
+    /// The lowest revision that a serving subscriber has applied; `None` if no subscriber serves.
     pub least_applied: Option<Revision>,
-    /// Serving subscribers that lack the observer's revision, by how long they have lacked it:
-    /// under 0.1 s, under 1 s, under 10 s, longer.
+    /// Serving subscribers that lack the observer's revision, counted by how long they have lacked
+    /// it: under 0.1 s, under 1 s, under 10 s, and longer.
     pub behind: [u32; 4],
-    /// Up to [`MAX_LAGGARDS`] of those furthest behind.
+    /// The serving subscribers that are furthest behind, at most [`MAX_LAGGARDS`].
     pub laggards: Vec<Laggard>,
 }
 
-/// The most observers whose reports are held; the oldest report is dropped first.
+/// The maximum number of observers whose reports are held; the oldest report is dropped first.
 const MAX_OBSERVERS: usize = 256;
-/// The most revisions of which it is recorded when they were known and when they were in force.
+/// The maximum length of each record queue: revisions not in force yet, and revisions in force.
 const MAX_RECORDS: usize = 4_096;
-/// How long after an observer's last report that report still limits what counts as in force. An
-/// observer that can't reach the cluster confirms nothing: by then its gateways have stopped
-/// serving (2 s), or have reported to another.
+/// How long an observer's last report limits the revision in force. An observer that can't reach
+/// the cluster confirms no polls, so after this time its gateways have stopped serving (2 s) or
+/// have reported to another observer.
 const SILENT_OBSERVER_LIMITS_US: Micros = 5_000_000;
 
 /// When a revision came into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct RevisionInForce {
-    /// The revision.
+    /// The revision that came into force.
     pub revision: Revision,
-    /// When an observer first reported it, in microseconds of this machine's clock.
+    /// When an observer first reported the revision, in microseconds of this machine's clock.
     pub known_at: Micros,
-    /// When it was first seen in force, in microseconds of this machine's clock.
+    /// When the revision was first found in force, in microseconds of this machine's clock.
     pub in_force_at: Micros,
 }
 
@@ -72,7 +72,7 @@
     known_at: Micros,
 }
 
-/// The last reports of all observers, and when each revision came into force.
+/// Holds the last report of each observer, and when each revision came into force.
 #[derive(Debug, Clone, Default)]
 pub struct FleetProgress {
     reports: BTreeMap<NodeId, ObserverReport>,
@@ -81,16 +81,16 @@
     in_force: VecDeque<RevisionInForce>,
 }
 
-/// The sum over all observers.
+/// The progress of the gateways, summed over all observers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct FleetTotals {
     /// Observers that reported recently.
     pub observers: u32,
-    /// Observers that did not.
+    /// Observers that did not report recently.
     pub silent_observers: u32,
-    /// Front ends that serve.
+    /// Gateways that serve.
     pub serving: u32,
-    /// Front ends that do not serve.
+    /// Gateways that do not serve.
     pub not_serving: u32,
     /// The latest revision known to any observer.
     pub revision: Revision,
@@ -98,12 +98,12 @@
     pub in_force: Revision,
     /// Serving gateways that are behind, by age as in [`ProgressSummary::behind`].
     pub behind: [u32; 4],
-    /// Up to [`MAX_LAGGARDS`] of those furthest behind.
+    /// The serving gateways that are furthest behind, at most [`MAX_LAGGARDS`].
     pub laggards: Vec<Laggard>,
 }
 
 impl FleetProgress {
-    /// Takes an observer's report in place of its last one.
+    /// Replaces an observer's last report with a new one.
     pub fn report(&mut self, now: Micros, observer: NodeId, summary: ProgressSummary) {
         let reports = self.reports.values();
         let latest = reports.map(|report| report.summary.revision).max();
@@ -137,13 +137,13 @@
         self.reports.remove(&observer);
     }
 
-    /// The sum at `now`. Observers whose last report is older than `fresh_for` microseconds count
-    /// as silent, and their gateways are not counted.
+    /// Returns the sum at `now`. Observers whose last report is older than `fresh_for` microseconds
+    /// count as silent, and their gateways are not counted.
     ///
-    /// [`FleetTotals::in_force`] never exceeds what was reported: a silent observer's last report
-    /// limits it for 5 s after its arrival, or for `fresh_for` if that is longer, and it is 0
-    /// where no gateway is known to serve. It may decrease when a gateway that is behind
-    /// begins to serve, or a silent observer reports again.
+    /// [`FleetTotals::in_force`] is the lowest revision that a serving gateway has applied, or 0 if
+    /// no gateway is known to serve. A silent observer's last report still limits it for 5 s after
+    /// the report arrived, or for `fresh_for` if that is longer. The revision in force may decrease
+    /// when a gateway that is behind begins to serve, or when a silent observer reports again.
     #[must_use]
     pub fn totals(&self, now: Micros, fresh_for: Micros) -> FleetTotals {
         let mut totals = FleetTotals::default();
@@ -169,8 +169,8 @@
         totals
     }
 
-    /// The sum as in [`FleetProgress::totals`], and a record of the revisions that it shows in
-    /// force for the first time.
+    /// Returns the sum as [`FleetProgress::totals`] does, and records the revisions that have come
+    /// into force since the last call.
     pub fn record(&mut self, now: Micros, fresh_for: Micros) -> FleetTotals {
         let totals = self.totals(now, fresh_for);
         while let Some(known) = self.pending.front().copied() {
@@ -188,8 +188,8 @@
         totals
     }
 
-    /// When the latest revisions came into force, oldest first. A revision that an observer
-    /// reported together with a later one has no record of its own.
+    /// Returns when the latest revisions came into force, oldest first. A revision has a record
+    /// only if an observer reported it as its latest before any observer reported a later one.
     pub fn in_force(&self) -> impl Iterator<Item = &RevisionInForce> {
         self.in_force.iter()
     }
--- a/cluster/state-distribution/src/lib.rs
+++ b/cluster/state-distribution/src/lib.rs
@@ -1,18 +1,18 @@
-//! Distribution of replicated state from a few voters through observers to many subscribers,
-//! without I/O.
+//! Distribution of replicated state from a few voters through observers to many subscribers. This
+//! crate contains the protocol logic and does no I/O.
 //!
 //! Voters agree on the state. Observers are learners of the same Raft group: they hold a full copy
 //! of the store and serve it to subscribers. Each gateway subscribes to observers and holds a
 //! [`SubscriberReplica`]: the current entries, without history.
 //!
-//! - [`Observer`] is the serving side: watches, snapshot transfers in chunks, confirmations of
-//!   freshness polls, progress.
+//! - [`Observer`] is the serving side: it serves watches and snapshot transfers in chunks, confirms
+//!   freshness polls, and tracks the progress of its subscribers.
 //! - [`Subscriber`] is the gateway's side: its connections to observers, its replica, and the
 //!   staleness check before routing.
-//! - [`FleetProgress`] sums what all observers report.
+//! - [`FleetProgress`] sums the progress that all observers report.
 //!
-//! Neither side reads a clock or opens a socket: each call is given the time, and what has to be
-//! done is returned as actions.
+//! Neither side reads a clock or opens a socket: the caller passes the time to each call, and
+//! performs the actions that [`Observer::take_actions`] and [`Subscriber::take_actions`] return.
 //!
 //! ```
 //! use violetgate_replicated_state::Store;
--- a/cluster/state-distribution/src/mutant.rs
+++ b/cluster/state-distribution/src/mutant.rs
@@ -1,17 +1,17 @@
-//! Deliberately wrong decisions, each of which the tests have to detect. Without the feature
-//! `mutants` none is ever active.
+//! Deliberately wrong decisions (mutants), each of which the tests have to detect. No mutant can be
+//! active without the feature `mutants`.
 
-/// A wrong decision.
+/// A deliberately wrong decision.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Mutant {
     /// A poll is confirmed by a read that began before the poll arrived.
     ConfirmsByEarlierRead,
-    /// An observer confirms from its own copy, without a read.
+    /// An observer confirms polls from its own copy, without a linearizable read.
     ConfirmsFromOwnCopy,
     /// The age of a replica counts from the confirmation, not from the poll.
     AgeFromConfirmation,
-    /// A batch that is held back from a slow subscriber is never sent.
+    /// A batch that is held back from a slow subscriber is never sent to it.
     SkipsHeldBack,
     /// A subscriber applies changes that leave a gap.
     AppliesGaps,
--- a/cluster/state-distribution/src/observer/admission.rs
+++ b/cluster/state-distribution/src/observer/admission.rs
@@ -1,9 +1,9 @@
-//! Which subscribers an observer accepts.
+//! Admission of subscribers to an observer.
 //!
-//! A greeting is rejected where it is of another protocol, version or cluster, means another
-//! observer, has no usable name, or finds all places taken. A revision that the observer does not
-//! have is no reason yet: the observer itself may be behind, which only a linearizable read can
-//! show.
+//! A greeting is rejected if it is of another protocol, version or cluster, is addressed to another
+//! observer, has no valid name, or if the observer is at its capacity. A revision that the observer
+//! does not have is not a reason to reject the greeting: the observer itself may be behind, which
+//! only a linearizable read can show.
 
 use violetgate_replicated_state::{Micros, Store};
 
@@ -12,13 +12,13 @@
 use crate::message::{ObserverWelcome, SubscriberHello, PROTOCOL_MAGIC, PROTOCOL_VERSION};
 use crate::rejection::Rejection;
 
-/// The longest name of a subscriber, in bytes.
+/// The maximum length of a subscriber's name, in bytes.
 const MAX_NAME_BYTES: usize = 256;
 
 impl Observer {
-    /// Handles the greeting of a subscriber that has connected. The caller writes the answer;
-    /// where it is a rejection, it closes the connection then, of which nothing is remembered
-    /// here.
+    /// Handles the greeting of a subscriber that has connected. The caller sends the answer. If the
+    /// answer is a rejection, the caller then closes the connection; the observer keeps no state
+    /// for it.
     pub fn accept(
         &mut self,
         now: Micros,
@@ -81,7 +81,7 @@
         u32::try_from(self.connections.len()).unwrap_or(u32::MAX)
     }
 
-    /// A connection has ended.
+    /// Handles the end of a subscriber's connection.
     pub fn disconnected(&mut self, now: Micros, id: ConnectionId) {
         self.now = now;
         self.forget(id);
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -1,4 +1,4 @@
-//! Cutting what a store holds into messages of bounded size.
+//! Splits a store's changes and entries into messages of bounded size.
 
 use violetgate_replicated_state::{Compacted, KeyChange, Revision, Store};
 
@@ -6,12 +6,12 @@
     ChangeBatch, EntryChange, ObserverMessage, SnapshotChunk, SnapshotCursor, SnapshotEntry,
 };
 
-/// Changes, or entries, that are read from the store at a time.
+/// The number of changes or entries that are read from the store at a time.
 const READ_LIMIT: usize = 64;
-/// Bytes of a message for each entry beside its key and value.
+/// The estimated encoded size of an entry besides its key and value, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 16;
 
-/// A batch of changes and the bytes of its entries.
+/// A batch of changes and the approximate size of its entries.
 #[derive(Debug, Clone)]
 pub(super) struct SizedBatch {
     pub batch: ChangeBatch,
@@ -19,14 +19,15 @@
 }
 
 impl SizedBatch {
-    /// The message of the batch, which shares the changes.
+    /// Returns a message that shares the batch's changes in memory.
     pub fn message(&self) -> ObserverMessage {
         ObserverMessage::Changes(self.batch.clone())
     }
 }
 
-/// The changes after a revision, cut once they exceed `max_bytes`, but one complete revision at
-/// least; `None`: there are none.
+/// Returns the next batch of changes after a revision, or `None` if there are no changes. A batch
+/// ends at the latest with the revision at which it reaches `max_bytes`, and holds at least one
+/// revision.
 pub(super) fn changes_after(
     store: &Store,
     after: Revision,
@@ -66,13 +67,14 @@
     key.len() + value.map_or(0, <[u8]>::len) + ENTRY_OVERHEAD_BYTES
 }
 
-/// A snapshot chunk and the bytes of its entries.
+/// A snapshot chunk and the approximate size of its entries.
 pub(super) struct SizedChunk {
     pub chunk: SnapshotChunk,
     pub bytes: usize,
 }
 
-/// The next chunk of a snapshot, cut once it exceeds `max_bytes`, but one entry at least.
+/// Returns the next chunk of a snapshot. A chunk ends with the entry at which it reaches
+/// `max_bytes`.
 pub(super) fn snapshot_chunk(
     store: &Store,
     from: Option<&SnapshotCursor>,
--- a/cluster/state-distribution/src/observer/config.rs
+++ b/cluster/state-distribution/src/observer/config.rs
@@ -1,4 +1,4 @@
-//! An observer's limits and intervals.
+//! Configuration of an observer, with its defaults and validation.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::Micros;
@@ -6,36 +6,37 @@
 /// The limits and intervals of an [`Observer`](crate::Observer).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ObserverConfig {
-    /// The cluster's name.
+    /// The name of the cluster; subscribers of other clusters are rejected.
     pub cluster: String,
-    /// This observer's id.
+    /// The id of this observer in the cluster.
     pub id: NodeId,
-    /// The most subscribers that are connected at once.
+    /// The maximum number of subscribers connected at once.
     pub capacity: u32,
-    /// The most snapshot transfers under way at once; further requests are queued in their order.
+    /// The maximum number of snapshot transfers under way at once; further requests are queued in
+    /// the order of their arrival.
     pub max_concurrent_snapshots: usize,
-    /// The size in bytes at which a snapshot chunk or a batch of changes is cut. One holds at
-    /// least one entry, or one revision, however large.
+    /// The size in bytes at which a snapshot chunk or a batch of changes ends. A chunk holds at
+    /// least one entry and a batch at least one revision, however large.
     pub chunk_bytes: usize,
-    /// Bytes queued for one subscriber above which changes are held back. A subscriber that falls
-    /// behind the store's change history fetches a snapshot anew.
+    /// The number of bytes queued for one subscriber above which changes are held back. A
+    /// subscriber that falls behind the store's change history has to fetch a snapshot again.
     pub send_queue_bytes: usize,
-    /// The least time between the beginnings of two linearizable reads, in microseconds.
+    /// The minimum time between the beginnings of two linearizable reads, in microseconds.
     pub min_read_interval: Micros,
     /// How often subscribers are sent this observer's load, in microseconds.
     pub load_report_interval: Micros,
 }
 
-/// A limit without which an observer can't serve anybody.
+/// A limit or interval is 0, with which an observer can't serve any subscriber.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("an observer's {field} has to be at least 1")]
 pub struct InvalidObserverConfig {
-    /// The field that is 0.
+    /// The name of the field that is 0.
     pub field: &'static str,
 }
 
 impl ObserverConfig {
-    /// The defaults for an observer of a cluster.
+    /// Returns the default configuration for an observer of a cluster.
     #[must_use]
     pub fn default_for(cluster: &str, id: NodeId) -> Self {
         ObserverConfig {
@@ -50,11 +51,11 @@
         }
     }
 
-    /// Checks that each limit lets something through.
+    /// Checks that no limit and no load report interval is 0.
     ///
     /// # Errors
     ///
-    /// A limit is 0; the error names it.
+    /// Returns an error that names the first field that is 0.
     pub fn validate(&self) -> Result<(), InvalidObserverConfig> {
         let limits = [
             ("capacity", self.capacity == 0),
--- a/cluster/state-distribution/src/observer/housekeeping.rs
+++ b/cluster/state-distribution/src/observer/housekeeping.rs
@@ -1,5 +1,5 @@
-//! What an observer does as time passes: it closes connections that are stalled or silent, reports
-//! its load, and begins reads.
+//! Periodic work of an observer: it closes connections that are stalled or silent, reports its load
+//! to subscribers, and begins linearizable reads.
 
 use violetgate_replicated_state::{Micros, Store};
 
@@ -10,15 +10,16 @@
 
 /// How often all connections are checked.
 pub(super) const CHECK_INTERVAL_US: Micros = 1_000_000;
-/// A subscriber whose queue is over its bound is closed once it has read nothing for this time.
+/// A subscriber whose send queue is over its bound and that has read nothing for this time is
+/// disconnected.
 const STALL_TIMEOUT_US: Micros = 10_000_000;
-/// A subscriber that has sent nothing for this time is taken as dead, though its connection has
-/// not ended.
+/// A subscriber that has sent no message for this time is considered dead, even if its connection
+/// has not ended.
 const SILENCE_TIMEOUT_US: Micros = 30_000_000;
 const SECOND_US: Micros = 1_000_000;
 
 impl Observer {
-    /// Does what is due at `now`.
+    /// Performs the periodic work that is due at `now`.
     pub fn tick(&mut self, now: Micros, store: &Store) {
         self.now = now;
         self.send_new_changes(store);
@@ -37,7 +38,7 @@
         self.begin_read();
     }
 
-    /// When [`Observer::tick`] has to be called next.
+    /// Returns when [`Observer::tick`] has to be called next.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
         self.polls
--- a/cluster/state-distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! - [`config`]: limits and intervals.
 //! - [`admission`]: which greetings are accepted.
-//! - [`watch`]: sending changes, and catching up.
+//! - [`watch`]: sending changes, and catching up subscribers that are behind.
 //! - [`snapshot_transfer`], [`snapshot_slots`]: snapshots in chunks, a bounded number at once.
 //! - [`polls`]: freshness polls and the linearizable reads that answer them.
-//! - [`progress_table`]: how far the subscribers are.
-//! - [`housekeeping`]: what happens as time passes.
+//! - [`progress_table`]: which revisions the subscribers have applied.
+//! - [`housekeeping`]: periodic work.
 
 mod admission;
 mod batch;
@@ -35,54 +35,55 @@
 
 pub use config::{InvalidObserverConfig, ObserverConfig};
 
-/// Identifies a subscriber's connection. The caller chooses it, and never uses one twice.
+/// Identifies a subscriber's connection. The caller assigns the ids and never reuses an id.
 pub type ConnectionId = u64;
 /// Identifies a linearizable read that the observer has requested.
 pub type ReadId = u64;
 
-/// About the bytes of a message that carries neither changes nor entries.
+/// The approximate size of a message that carries neither changes nor entries.
 const SHORT_MESSAGE_BYTES: usize = 16;
 
-/// What the caller has to do, in this order.
+/// An action that the caller has to perform. Actions are performed in the order in which
+/// [`Observer::take_actions`] returns them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ObserverAction {
-    /// Send a message.
+    /// Send a message to a subscriber.
     Send {
-        /// Where to.
+        /// The subscriber's connection.
         connection: ConnectionId,
-        /// The message.
+        /// The message to send.
         message: ObserverMessage,
     },
-    /// Close a connection, once all messages before and then [`ObserverMessage::Rejected`] are
-    /// written.
+    /// Close a connection after all earlier messages and an [`ObserverMessage::Rejected`] are
+    /// written to it.
     Close {
-        /// Which one.
+        /// The connection to close.
         connection: ConnectionId,
-        /// Why.
+        /// The reason, which is sent to the subscriber.
         rejection: Rejection,
     },
     /// Begin a linearizable read, and report its end by [`Observer::read_completed`].
     BeginRead(ReadId),
 }
 
-/// How a linearizable read ended.
+/// The result of a linearizable read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadResult {
-    /// The store was current at some moment after the read began, and all up to that moment is
-    /// applied here.
+    /// The state was current at some moment after the read began, and the observer's store has
+    /// applied everything up to that moment.
     Current,
-    /// There was no answer.
+    /// The read got no answer.
     Failed,
 }
 
-/// How many of each thing an observer holds; all of them are bounded.
+/// The sizes of an observer's collections, all of which are bounded.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ObserverSizes {
-    /// Subscribers connected.
+    /// Subscribers connected now.
     pub subscribers: usize,
     /// Subscribers that are sent each change as it is applied.
     pub current: usize,
-    /// Subscribers that wait for a revision that is not applied here yet.
+    /// Subscribers that wait for a revision that the observer has not applied yet.
     pub awaiting: usize,
     /// Connections whose polls wait for the next read.
     pub polls_waiting: usize,
@@ -92,11 +93,12 @@
     pub snapshots_active: usize,
     /// Snapshot requests that are queued.
     pub snapshots_queued: usize,
-    /// Front ends that served here and disconnected recently.
+    /// Gateways that served, and stopped watching this observer recently.
     pub departed: usize,
 }
 
-/// An observer's side of all its subscriptions.
+/// The observer's side of its subscriptions. The caller delivers messages and read results, and
+/// performs the actions that [`Observer::take_actions`] returns.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Observer {
     config: ObserverConfig,
@@ -106,7 +108,7 @@
     revision: Revision,
     /// Connections that were sent all changes up to `revision`.
     current: BTreeSet<ConnectionId>,
-    /// Connections that wait for a revision that is not applied here yet.
+    /// Connections that wait for a revision that the observer has not applied yet.
     awaiting: BTreeSet<(Revision, ConnectionId)>,
     polls: PollQueue,
     snapshots: SnapshotSlots,
@@ -119,7 +121,7 @@
 }
 
 impl Observer {
-    /// An observer without subscribers.
+    /// Creates an observer without subscribers.
     #[must_use]
     pub fn new(config: ObserverConfig, now: Micros) -> Self {
         Observer {
@@ -190,7 +192,8 @@
         self.polls.enqueue(self.now, id, poll, reads);
     }
 
-    /// A subscriber watches another observer from now on.
+    /// Handles a subscriber that watches another observer from now on and holds this one as its
+    /// standby.
     fn become_standby(&mut self, id: ConnectionId, store: &Store) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.is_watched = false;
@@ -201,8 +204,9 @@
             .record_departure(self.now, id, self.config.capacity as usize);
     }
 
-    /// Takes the number of bytes that are queued for a connection, after some were written. It has
-    /// to be called also when none remain: a subscriber that lacks changes is sent more only then.
+    /// Reports the number of bytes that are still queued for a connection after some were written.
+    /// The caller also has to report when the queue is empty: a subscriber that is behind gets more
+    /// changes only after such reports.
     pub fn bytes_queued(&mut self, id: ConnectionId, bytes: usize, store: &Store) {
         self.send_new_changes(store);
         let Some(connection) = self.connections.get_mut(&id) else {
@@ -214,14 +218,14 @@
         self.admit_snapshots(store);
     }
 
-    /// More commands were applied to the store.
+    /// Sends new changes to subscribers after commands were applied to the store.
     pub fn store_applied(&mut self, now: Micros, store: &Store) {
         self.now = now;
         self.send_new_changes(store);
     }
 
-    /// A linearizable read has ended. Polls are confirmed if it succeeded; otherwise they wait for
-    /// another read.
+    /// Handles the end of a linearizable read. If it succeeded, its polls are confirmed; otherwise
+    /// they wait for the next read.
     pub fn read_completed(&mut self, now: Micros, read: ReadId, result: ReadResult, store: &Store) {
         self.now = now;
         self.send_new_changes(store);
@@ -250,7 +254,7 @@
         }
     }
 
-    /// Sends a message with about this many bytes of changes or entries.
+    /// Sends a message. `payload_bytes` is the approximate size of its changes or entries.
     fn send(&mut self, id: ConnectionId, message: ObserverMessage, payload_bytes: usize) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -264,7 +268,7 @@
         });
     }
 
-    /// Ends a subscriber's connection for a reason.
+    /// Closes a subscriber's connection and tells the subscriber why.
     fn close(&mut self, id: ConnectionId, rejection: Rejection) {
         if self.connections.contains_key(&id) {
             self.forget(id);
@@ -275,7 +279,7 @@
         }
     }
 
-    /// Forgets all that is known of a connection.
+    /// Removes all state of a connection. If its subscriber served, it still counts as departed.
     fn forget(&mut self, id: ConnectionId) {
         self.stop_watching(id);
         self.connections.remove(&id);
@@ -285,12 +289,12 @@
             .record_departure(self.now, id, self.config.capacity as usize);
     }
 
-    /// The actions that have accumulated since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<ObserverAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// How far this observer's subscribers are, summed.
+    /// Returns the summed progress of this observer's subscribers.
     #[must_use]
     pub fn progress(&self, now: Micros) -> ProgressSummary {
         let name_of = |id| {
@@ -300,7 +304,7 @@
         self.progress.summary(now, self.revision, name_of)
     }
 
-    /// How many of each thing it holds.
+    /// Returns the sizes of the observer's collections.
     #[must_use]
     pub fn sizes(&self) -> ObserverSizes {
         let SnapshotLoad { active, queued } = self.snapshots.load();
@@ -316,7 +320,7 @@
         }
     }
 
-    /// Makes it decide wrongly.
+    /// Activates a mutant: a wrong decision that the tests have to detect.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutant(&mut self, mutant: Option<Mutant>) {
--- a/cluster/state-distribution/src/observer/polls.rs
+++ b/cluster/state-distribution/src/observer/polls.rs
@@ -1,10 +1,10 @@
 //! Freshness polls: one linearizable read answers all polls that arrived before it began.
 //!
-//! A poll that arrives while a read is under way waits for the next one: a read proves nothing
-//! about the time after its beginning. At most one read is under way. The next begins once that
-//! has ended, and no sooner than [`min_read_interval`](super::ObserverConfig::min_read_interval)
-//! after its beginning. Polls whose read failed wait for the next read until they are older than
-//! [`POLL_LIFETIME_US`].
+//! A poll that arrives while a read is under way waits for the next read, because a read proves
+//! nothing about the time after its beginning. At most one read is under way. The next read begins
+//! when that read has ended, and at least
+//! [`min_read_interval`](super::ObserverConfig::min_read_interval) after that read began. Polls
+//! whose read failed wait for the next read until they are older than [`POLL_LIFETIME_US`].
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -13,13 +13,13 @@
 use super::{ConnectionId, ReadId, ReadResult};
 use crate::message::PollId;
 
-/// The most polls that wait on one connection; the oldest are dropped first.
+/// The maximum number of polls that wait on one connection; the oldest are dropped first.
 pub(super) const MAX_POLLS_PER_CONNECTION: usize = 8;
-/// A read that has not ended within this time is abandoned, so that another can begin.
+/// A read that has not ended within this time is abandoned, so that another read can begin.
 const READ_TIMEOUT_US: Micros = 400_000;
-/// The delay before the read after a failed one.
+/// The minimum delay between the failure of a read and the beginning of the next read.
 const FAILED_READ_DELAY_US: Micros = 100_000;
-/// Polls older than this are dropped: the subscriber has sent another since.
+/// Polls older than this are dropped: the subscriber has sent a newer poll by then.
 const POLL_LIFETIME_US: Micros = 1_000_000;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -28,18 +28,18 @@
     received_at: Micros,
 }
 
-/// What one connection waits for.
+/// The polls and the claimed revision of one connection that wait for a read.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct PendingPolls {
     /// Oldest first.
     polls: VecDeque<Poll>,
-    /// A revision that the subscriber claims to hold, to be compared with the one that the read
-    /// confirms.
+    /// A revision that the subscriber claims to hold, to be compared with the revision that the
+    /// read confirms.
     pub claimed_revision: Option<Revision>,
 }
 
 impl PendingPolls {
-    /// The newest poll; its confirmation covers those before it.
+    /// Returns the newest poll. Its confirmation covers the earlier polls.
     pub fn newest(&self) -> Option<PollId> {
         self.polls.back().map(|poll| poll.id)
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Drops the polls that are too old, and appends newer ones.
+    /// Drops expired polls, and appends newer polls and their claimed revision.
     fn merge(&mut self, now: Micros, newer: PendingPolls) {
         let counts = |poll: &Poll| now.saturating_sub(poll.received_at) < POLL_LIFETIME_US;
         self.polls.retain(counts);
@@ -75,9 +75,9 @@
 /// Which reads may answer a poll that arrives now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PendingReads {
-    /// The next one to begin: the only sound choice.
+    /// The next read to begin: the only correct choice.
     Next,
-    /// The one under way, if there is one: what a mutant does.
+    /// The read under way, if there is one, otherwise the next read. Only a mutant uses this.
     RunningOrNext,
 }
 
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A poll has arrived.
+    /// Adds a poll that has arrived.
     pub fn enqueue(
         &mut self,
         now: Micros,
@@ -134,14 +134,14 @@
             .push(Poll { id, received_at });
     }
 
-    /// A subscriber claims to hold a revision. Only a read that begins from now on can show
-    /// whether it exists.
+    /// Queues a check of a revision that a subscriber claims to hold. Only a read that begins from
+    /// now on can show whether the revision exists.
     pub fn check_revision(&mut self, connection: ConnectionId, claimed: Revision) {
         let pending = self.waiting.entry(connection).or_default();
         pending.claimed_revision = pending.claimed_revision.max(Some(claimed));
     }
 
-    /// A connection has ended.
+    /// Removes the polls of a connection that has ended.
     pub fn forget(&mut self, connection: ConnectionId) {
         self.waiting.remove(&connection);
         if let Some(running) = &mut self.running {
@@ -149,7 +149,8 @@
         }
     }
 
-    /// Begins a read for all that waits, if one is due.
+    /// Begins a read for all waiting polls and checks, if a read is due. Abandons the read under
+    /// way first if it has timed out.
     pub fn begin_read(&mut self, now: Micros) -> Option<ReadId> {
         if let Some(timed_out) = self.running.take_if(|read| now >= read.times_out_at()) {
             self.requeue(now, timed_out.batch);
@@ -167,7 +168,8 @@
         Some(self.last_read)
     }
 
-    /// A read has ended: the polls that it confirms. One that was abandoned confirms none.
+    /// Handles the end of a read, and returns the polls that it confirms. An abandoned read
+    /// confirms none.
     pub fn complete(&mut self, now: Micros, read: ReadId, result: ReadResult) -> PollBatch {
         let Some(running) = self.running.take_if(|running| running.id == read) else {
             return PollBatch::new();
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Polls without an answer wait for the next read, before those that arrived since.
+    /// Makes polls without an answer wait for the next read, ahead of polls that arrived later.
     fn requeue(&mut self, now: Micros, batch: PollBatch) {
         for (connection, mut pending) in batch {
             let newer = self.waiting.remove(&connection).unwrap_or_default();
@@ -194,7 +196,7 @@
         }
     }
 
-    /// When a read has to begin or to be abandoned.
+    /// Returns when the next read has to begin, or when the read under way has to be abandoned.
     pub fn next_tick(&self) -> Micros {
         match &self.running {
             Some(running) => running.times_out_at(),
@@ -203,12 +205,12 @@
         }
     }
 
-    /// Connections whose polls wait for the next read.
+    /// Returns the number of connections whose polls wait for the next read.
     pub fn connections_waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Connections whose polls are answered by the read that is under way.
+    /// Returns the number of connections whose polls are answered by the read under way.
     pub fn connections_reading(&self) -> usize {
         let running = self.running.as_ref();
         running.map_or(0, |running| running.batch.len())
--- a/cluster/state-distribution/src/observer/progress_table.rs
+++ b/cluster/state-distribution/src/observer/progress_table.rs
@@ -1,4 +1,4 @@
-//! How far the subscribers of one observer are, held so that a report costs O(log n).
+//! The progress of one observer's subscribers, indexed so that a report costs O(log n).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,15 +8,16 @@
 use crate::fleet_progress::{Laggard, ProgressSummary, MAX_LAGGARDS};
 use crate::message::SubscriberProgress;
 
-/// The most revisions of which the time of arrival is held.
+/// The maximum number of revisions whose arrival times are held.
 const MAX_ARRIVALS: usize = 4_096;
-/// A subscriber that has not reported for this time does not serve, whatever it reported last: its
-/// state is stale.
+/// A subscriber that has not reported for this time counts as not serving, whatever it reported
+/// last: its state is stale.
 const REPORT_LIFETIME_US: Micros = 3_000_000;
-/// How long a gateway that served and disconnected still counts in the least applied revision:
-/// the drain limit. By then it has reported to another observer, or its state is stale.
+/// How long a gateway that served and no longer watches this observer still counts in the lowest
+/// applied revision. This is the drain limit: after it the gateway has reported to another
+/// observer, or its state is stale.
 const DEPARTED_LIFETIME_US: Micros = 2_000_000;
-/// The bounds of the ages in [`ProgressSummary::behind`].
+/// The bounds of the age buckets in [`ProgressSummary::behind`].
 const AGE_BOUNDS_US: [Micros; 3] = [100_000, 1_000_000, 10_000_000];
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -25,7 +26,7 @@
     received_at: Micros,
 }
 
-/// A gateway that served here and has disconnected.
+/// A gateway that served and no longer watches this observer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Departed {
     applied: Revision,
@@ -42,7 +43,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct ProgressTable {
     reports: BTreeMap<ConnectionId, Report>,
-    /// Serving subscribers, by the revision applied.
+    /// Serving subscribers, ordered by the revision that they have applied.
     serving: BTreeSet<(Revision, ConnectionId)>,
     /// The number of serving subscribers at each applied revision.
     serving_at: BTreeMap<Revision, u32>,
@@ -52,7 +53,7 @@
 }
 
 impl ProgressTable {
-    /// The observer's store has reached a revision.
+    /// Records that the observer's store has reached a revision.
     pub fn revision_arrived(&mut self, now: Micros, revision: Revision) {
         self.arrivals.push_back(Arrival { revision, at: now });
         if self.arrivals.len() > MAX_ARRIVALS {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A subscriber that watches here has reported.
+    /// Records a report of a subscriber that watches this observer.
     pub fn report(&mut self, now: Micros, connection: ConnectionId, progress: SubscriberProgress) {
         self.remove(connection);
         let report = Report {
@@ -74,8 +75,8 @@
         }
     }
 
-    /// A subscriber does not watch here any more. Of the departed, at most `max_departed` are
-    /// held.
+    /// Removes a subscriber that no longer watches this observer. If it served, it is held as
+    /// departed for a while; at most `max_departed` are held.
     pub fn record_departure(&mut self, now: Micros, connection: ConnectionId, max_departed: usize) {
         let Some(report) = self.remove(connection) else {
             return;
@@ -106,8 +107,8 @@
         Some(report)
     }
 
-    /// Takes subscribers that have not reported for long as not serving, and drops those departed
-    /// long ago. Called periodically, not for each message.
+    /// Marks subscribers without a recent report as not serving, and drops departed gateways that
+    /// no longer count. Called periodically, not for each message.
     pub fn expire(&mut self, now: Micros) {
         let expired =
             |report: &Report| now.saturating_sub(report.received_at) >= REPORT_LIFETIME_US;
@@ -130,12 +131,12 @@
         }
     }
 
-    /// How many of the departed are held.
+    /// Returns the number of departed gateways that are held.
     pub fn departed(&self) -> usize {
         self.departed.len()
     }
 
-    /// The sum. `name_of` gives the names of laggards.
+    /// Sums the progress of all subscribers. `name_of` returns the name of a laggard.
     pub fn summary(
         &self,
         now: Micros,
@@ -181,8 +182,8 @@
             .collect()
     }
 
-    /// Serving subscribers that lack `revision`, by how long they have lacked the revision after
-    /// theirs.
+    /// Counts serving subscribers that lack `revision`, by the time since the first revision that
+    /// they lack arrived at this observer.
     fn behind(&self, now: Micros, revision: Revision) -> [u32; 4] {
         let mut behind = [0; 4];
         for (applied, count) in self.serving_at.range(..revision) {
@@ -198,8 +199,8 @@
         behind
     }
 
-    /// When the first revision after `applied` arrived; the earliest time held if that is no
-    /// longer known.
+    /// Returns when the first revision after `applied` arrived, or the earliest arrival held if
+    /// that one was dropped. Returns 0 if no later revision has arrived.
     fn arrival_after(&self, applied: Revision) -> Micros {
         let place = self
             .arrivals
--- a/cluster/state-distribution/src/observer/send_backlog.rs
+++ b/cluster/state-distribution/src/observer/send_backlog.rs
@@ -1,9 +1,9 @@
-//! How many bytes are queued for one subscriber, and whether it reads any.
+//! Tracks the bytes queued for one subscriber, and whether the subscriber reads them.
 
 use violetgate_replicated_state::Micros;
 
-/// The bytes queued for a subscriber, as far as is known: those that the caller reported last, and
-/// those sent since.
+/// An estimate of the bytes queued for a subscriber: the bytes in the caller's last report, plus
+/// the bytes sent since.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct SendBacklog {
     bytes: usize,
@@ -25,7 +25,7 @@
         self.bytes
     }
 
-    /// A message of this size was sent.
+    /// Adds a message that was sent, of `bytes` bytes.
     pub fn add(&mut self, now: Micros, bytes: usize) {
         if self.bytes == 0 {
             self.last_read_at = now;
@@ -33,7 +33,7 @@
         self.bytes = self.bytes.saturating_add(bytes);
     }
 
-    /// The caller has reported how many bytes are queued now.
+    /// Replaces the estimate with the number of queued bytes that the caller reports.
     pub fn report(&mut self, now: Micros, bytes: usize) {
         if bytes < self.bytes.max(self.reported) {
             self.last_read_at = now;
@@ -42,7 +42,8 @@
         self.reported = bytes;
     }
 
-    /// Whether more than `bound` bytes are queued and none were read for `timeout` microseconds.
+    /// Returns whether more than `bound` bytes are queued and the subscriber has read none of them
+    /// for `timeout` microseconds.
     pub fn is_stalled(&self, now: Micros, bound: usize, timeout: Micros) -> bool {
         self.bytes > bound && now.saturating_sub(self.last_read_at) >= timeout
     }
--- a/cluster/state-distribution/src/observer/snapshot_slots.rs
+++ b/cluster/state-distribution/src/observer/snapshot_slots.rs
@@ -1,7 +1,7 @@
-//! Which snapshot transfers are under way, and which requests are queued.
+//! The slots that limit concurrent snapshot transfers, and the queue of requests for them.
 //!
-//! A request takes a free slot unless others are queued before it. A slot is freed when its
-//! subscriber wants no more chunks, or has requested none for [`IDLE_TIMEOUT_US`].
+//! A request takes a free slot unless other requests are queued. A slot is freed when its
+//! subscriber needs no more chunks, or has requested none for [`IDLE_TIMEOUT_US`].
 
 use std::collections::BTreeMap;
 
@@ -9,26 +9,26 @@
 
 use super::ConnectionId;
 
-/// A transfer of which no chunk was requested for this time loses its slot.
+/// A transfer loses its slot if its subscriber requests no chunk for this time.
 const IDLE_TIMEOUT_US: Micros = 5_000_000;
 
-/// The order of queued requests.
+/// The place of a request in the queue. Tickets are issued in ascending order.
 type Ticket = u64;
 
-/// A queued request, with the position that its subscriber was sent last.
+/// A queued request, with the last position that its subscriber was sent.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct QueuedRequest {
     connection: ConnectionId,
     sent_position: u32,
 }
 
-/// A position in the queue that a subscriber is to be sent.
+/// A queue position that has to be sent to a subscriber.
 pub(super) struct PositionUpdate {
     pub connection: ConnectionId,
     pub position: u32,
 }
 
-/// How many transfers are under way, and how many requests are queued.
+/// The number of transfers under way, and of requests queued.
 pub(super) struct SnapshotLoad {
     pub active: usize,
     pub queued: usize,
@@ -56,7 +56,8 @@
         }
     }
 
-    /// Whether a connection holds a slot, or takes a free one now.
+    /// Takes a free slot for a connection if no request is queued. Returns whether the connection
+    /// holds a slot.
     pub fn try_acquire(&mut self, now: Micros, connection: ConnectionId) -> bool {
         let is_free = self.active.len() < self.max_active && self.queue.is_empty();
         let acquired = is_free || self.active.contains_key(&connection);
@@ -66,7 +67,8 @@
         acquired
     }
 
-    /// Puts a connection at the end of the queue; its position, or `None` if it is queued already.
+    /// Puts a connection at the end of the queue. Returns its position, or `None` if it is already
+    /// queued.
     pub fn enqueue(&mut self, connection: ConnectionId) -> Option<u32> {
         if self.tickets.contains_key(&connection) {
             return None;
@@ -82,7 +84,7 @@
         Some(position)
     }
 
-    /// A connection wants no more chunks.
+    /// Frees the slot of a connection that needs no more chunks, or removes it from the queue.
     pub fn release(&mut self, connection: ConnectionId) {
         self.active.remove(&connection);
         if let Some(ticket) = self.tickets.remove(&connection) {
@@ -107,8 +109,8 @@
             .retain(|_, requested_at| now.saturating_sub(*requested_at) < IDLE_TIMEOUT_US);
     }
 
-    /// The positions to send: those that are at most half of what was sent before, so that
-    /// messages stay few.
+    /// Returns the positions to send. A position is sent again only when it is at most half of the
+    /// position sent before, which limits the number of messages.
     pub fn position_updates(&mut self) -> Vec<PositionUpdate> {
         let mut updates = Vec::new();
         for (position, request) in (0_u32..).zip(self.queue.values_mut()) {
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -1,8 +1,8 @@
-//! Snapshot transfers: each chunk is requested by the subscriber, and a bounded number of
-//! transfers is under way.
+//! Snapshot transfers: each chunk is requested by the subscriber, and the number of concurrent
+//! transfers is bounded.
 //!
-//! A request is answered at once if its revision is applied here, a slot is free and the
-//! subscriber's queue is short enough. Otherwise it waits for that.
+//! A request is answered at once if the observer has applied its revision, a slot is free, and the
+//! subscriber's send queue is short enough. Otherwise it waits until all three hold.
 
 use violetgate_replicated_state::{Store, MAX_KEY_BYTES};
 
@@ -13,7 +13,7 @@
 use crate::rejection::Rejection;
 
 impl Observer {
-    /// A subscriber requests a chunk.
+    /// Handles a request for a snapshot chunk.
     pub(super) fn request_snapshot(
         &mut self,
         id: ConnectionId,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Answers the request of a connection, if there is one and nothing stands against it.
+    /// Answers the pending request of a connection, if there is one that can be answered now.
     pub(super) fn serve_snapshot(&mut self, id: ConnectionId, store: &Store) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
@@ -64,8 +64,8 @@
 
     fn send_chunk(&mut self, id: ConnectionId, from: Option<&SnapshotCursor>, store: &Store) {
         match snapshot_chunk(store, from, self.config.chunk_bytes) {
-            // The last chunk does not free the slot: the subscriber's next message does, which
-            // shows that the chunk has arrived. This bounds what is queued for all subscribers
+            // The last chunk does not free the slot. The subscriber's next message does, because it
+            // shows that the chunk has arrived. This bounds the bytes queued for all subscribers
             // together.
             Ok(SizedChunk { chunk, bytes }) => {
                 self.send(id, ObserverMessage::SnapshotChunk(chunk), bytes);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A subscriber wants no snapshot any more.
+    /// Drops the snapshot request of a connection, and frees its slot or its place in the queue.
     pub(super) fn cancel_snapshot(&mut self, id: ConnectionId, store: &Store) {
         self.forget_awaited_revision(id);
         if let Some(connection) = self.connections.get_mut(&id) {
@@ -84,7 +84,7 @@
         self.admit_snapshots(store);
     }
 
-    /// Gives free slots to queued requests.
+    /// Assigns free slots to queued requests, and answers those requests.
     pub(super) fn admit_snapshots(&mut self, store: &Store) {
         while let Some(id) = self.snapshots.admit_next(self.now) {
             self.serve_snapshot(id, store);
--- a/cluster/state-distribution/src/observer/subscriber_connection.rs
+++ b/cluster/state-distribution/src/observer/subscriber_connection.rs
@@ -1,25 +1,25 @@
-//! What an observer knows of one subscriber.
+//! The state that an observer holds for one connected subscriber.
 
 use violetgate_replicated_state::{Micros, Revision};
 
 use super::send_backlog::SendBacklog;
 use crate::message::{SnapshotCursor, SubscriberMessage};
 
-/// The most messages that a subscriber may send in a second, not counting requests to continue a
-/// snapshot.
+/// The maximum number of messages that a subscriber may send in a second, not counting requests to
+/// continue a snapshot.
 pub(super) const MAX_MESSAGES_PER_SECOND: u32 = 100;
 const SECOND_US: Micros = 1_000_000;
 
-/// Which changes a subscriber was sent.
+/// The state of a subscriber's watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Watch {
-    /// It wants none.
+    /// The subscriber does not watch.
     Off,
-    /// All that this observer has.
+    /// The subscriber was sent all changes that this observer has.
     Current,
-    /// All up to this revision, which is older than the observer's.
+    /// The subscriber was sent all changes up to this revision, and may lack later ones.
     Behind(Revision),
-    /// None: it holds this revision, which this observer does not have yet.
+    /// The subscriber holds this revision, which this observer has not applied yet.
     AwaitingRevision(Revision),
 }
 
@@ -29,18 +29,18 @@
     pub from: Option<SnapshotCursor>,
 }
 
-/// One subscriber.
+/// The connection of one subscriber.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct SubscriberConnection {
     pub name: String,
     pub watch: Watch,
     pub snapshot: Option<SnapshotRequest>,
     pub backlog: SendBacklog,
-    /// The subscriber watches this observer, rather than holding it as its standby: its progress
-    /// counts here.
+    /// Whether the subscriber watches this observer, rather than holding it as its standby. Only
+    /// the progress of a subscriber that watches counts here.
     pub is_watched: bool,
     pub last_message_at: Micros,
-    /// The current second of the rate limit, and the messages counted in it.
+    /// When the current second of the rate limit began.
     second_began_at: Micros,
     messages_in_second: u32,
 }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Counts a message; whether the subscriber is within its rate limit.
+    /// Counts a message, and returns whether the subscriber is within its rate limit.
     pub fn count_message(&mut self, now: Micros, message: &SubscriberMessage) -> bool {
         self.last_message_at = now;
         if matches!(message, SubscriberMessage::FetchSnapshot { from: Some(_) }) {
@@ -73,7 +73,7 @@
         self.messages_in_second <= MAX_MESSAGES_PER_SECOND
     }
 
-    /// The revision that this connection waits for the observer to apply.
+    /// Returns the revision that the observer has to apply before it can serve this connection.
     pub fn awaited_revision(&self) -> Option<Revision> {
         if let Watch::AwaitingRevision(revision) = self.watch {
             return Some(revision);
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -1,5 +1,5 @@
-//! Sending changes. Subscribers that are current get each batch as it is applied; the others catch
-//! up at their own pace.
+//! Sends changes to subscribers. Subscribers that are current get each batch as it is applied;
+//! subscribers that are behind catch up as fast as they read.
 
 use violetgate_replicated_state::{Compacted, Revision, Store};
 
@@ -10,8 +10,8 @@
 use crate::mutant::Mutant;
 
 impl Observer {
-    /// Sends what the store has applied since the last call. Each batch is read from the store
-    /// once, for all subscribers that are current.
+    /// Sends the changes that the store has applied since the last call. Each batch is read from
+    /// the store once, for all subscribers that are current.
     pub(super) fn send_new_changes(&mut self, store: &Store) {
         if store.revision() <= self.revision {
             return;
@@ -67,7 +67,7 @@
         self.send(id, ObserverMessage::Compacted { first }, 0);
     }
 
-    /// A subscriber wants all changes after a revision.
+    /// Begins a watch: the subscriber is sent all changes after a revision.
     pub(super) fn watch(&mut self, id: ConnectionId, after: Revision, store: &Store) {
         self.stop_watching(id);
         self.cancel_snapshot(id, store);
@@ -75,7 +75,7 @@
         self.catch_up(id, store);
     }
 
-    /// Sends a connection no more changes.
+    /// Ends the watch of a connection: it is sent no more changes.
     pub(super) fn stop_watching(&mut self, id: ConnectionId) {
         self.current.remove(&id);
         self.forget_awaited_revision(id);
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Sends the next changes to a subscriber that is behind, as far as its queue is short enough.
+    /// Sends the next changes to a subscriber that is behind, until it is current or
+    /// [`Observer::max_catch_up_bytes`] are queued for it.
     pub(super) fn catch_up(&mut self, id: ConnectionId, store: &Store) {
         loop {
             let Some(connection) = self.connections.get(&id) else {
@@ -121,7 +122,8 @@
         }
     }
 
-    /// The queue length from which on a subscriber that is behind is sent no more.
+    /// Returns the number of queued bytes from which a subscriber that is behind is sent no more
+    /// changes. It is at most the size of a chunk.
     fn max_catch_up_bytes(&self) -> usize {
         let ObserverConfig {
             chunk_bytes,
@@ -131,8 +133,8 @@
         chunk_bytes.min(send_queue_bytes).max(1)
     }
 
-    /// A subscriber holds a revision that is not applied here yet: it waits, and a read shows
-    /// whether there is one.
+    /// Makes a subscriber wait until the observer has applied the revision that the subscriber
+    /// holds. A linearizable read checks that this revision exists.
     pub(super) fn wait_for_revision(&mut self, id: ConnectionId, revision: Revision) {
         self.awaiting.insert((revision, id));
         self.polls.check_revision(id, revision);
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Serves the subscribers whose revision has been applied.
+    /// Serves the subscribers whose awaited revision has been applied.
     fn resume_awaiting(&mut self, store: &Store) {
         while let Some((revision, id)) = self.awaiting.first().copied() {
             if revision > self.revision {
--- a/cluster/state-distribution/src/rejection.rs
+++ b/cluster/state-distribution/src/rejection.rs
@@ -1,4 +1,5 @@
-//! Why an observer rejects a subscriber, with the reason code and the text that operators see.
+//! The reasons for which an observer rejects a subscriber, with the codes and texts that operators
+//! see.
 
 use serde::{Deserialize, Serialize};
 use violetgate_raft::NodeId;
@@ -8,10 +9,10 @@
 /// code in logs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// The greeting is not one of this protocol.
+    /// The greeting does not belong to this protocol.
     #[error("this is no subscriber: check that the address is an observer's subscriber address")]
     NotASubscriber,
-    /// The subscriber speaks another version.
+    /// The subscriber uses another version of the protocol.
     #[error(
         "the subscriber speaks version {theirs}, this observer version {ours}: \
          upgrade observers first, then front ends"
@@ -33,28 +34,28 @@
         /// The observer's cluster.
         ours: String,
     },
-    /// The subscriber meant to reach another observer.
+    /// The subscriber intended to reach another observer.
     #[error(
         "the subscriber looks for observer {wanted}, this is {actual}: \
          correct the observers' addresses"
     )]
     WrongObserver {
-        /// The observer that it meant to reach.
+        /// The observer that the subscriber intended to reach.
         wanted: NodeId,
-        /// The observer that it reached.
+        /// The observer that the subscriber reached.
         actual: NodeId,
     },
-    /// The observer serves as many subscribers as it may.
+    /// The observer already serves its maximum number of subscribers.
     #[error(
         "all {capacity} places for subscribers are taken: \
          add an observer or raise `cluster.subscribers`"
     )]
     Full {
-        /// The most subscribers that this observer serves.
+        /// The maximum number of subscribers that this observer serves.
         capacity: u32,
     },
-    /// The subscriber holds a revision that the cluster has not reached (compared with a confirmed
-    /// revision).
+    /// The subscriber holds a revision that the cluster has not reached. The observer compares it
+    /// with a revision that a linearizable read confirmed.
     #[error(
         "the subscriber holds revision {theirs}, the cluster has reached {ours}: \
          its state is of another history; restart it"
@@ -65,12 +66,13 @@
         /// The cluster's confirmed revision.
         ours: Revision,
     },
-    /// A message breaks the protocol: a chunk out of order, a message too long, too many messages.
+    /// A peer breaks the protocol: for example, a chunk is out of order, a message is too long, or
+    /// messages are too frequent.
     #[error(
         "the subscriber broke the protocol ({detail}): it may be of another version; see its log"
     )]
     ProtocolViolation {
-        /// Which rule was broken.
+        /// The rule that was broken.
         detail: String,
     },
     /// The subscriber reads too slowly.
@@ -79,13 +81,13 @@
          check its processor time and network"
     )]
     TooSlow {
-        /// Bytes that were queued for it.
+        /// The number of bytes that were queued for the subscriber.
         queued_bytes: u64,
     },
 }
 
 impl Rejection {
-    /// The reason code, as it appears in logs and metrics.
+    /// Returns the reason code, as it appears in logs and metrics.
     #[must_use]
     pub fn code(&self) -> &'static str {
         match self {
--- a/cluster/state-distribution/src/subscriber/config.rs
+++ b/cluster/state-distribution/src/subscriber/config.rs
@@ -1,10 +1,10 @@
-//! A subscriber's intervals and time limits.
+//! Configuration of a subscriber, with its defaults and validation.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::Micros;
 
-/// The delay before another connection attempt: drawn evenly from 0 up to a bound (full jitter),
-/// which doubles with each failure.
+/// The delay before another connection attempt: drawn uniformly between 0 and a bound (full
+/// jitter), which doubles with each failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Backoff {
     /// The first bound, in microseconds.
@@ -14,7 +14,8 @@
 }
 
 impl Backoff {
-    /// The bound after one of these microseconds; 0: after none.
+    /// Returns the bound that follows `bound`, in microseconds. A `bound` of 0 is followed by the
+    /// first bound.
     pub(super) fn next_bound(&self, bound: Micros) -> Micros {
         bound.saturating_mul(2).clamp(self.initial, self.max)
     }
@@ -23,30 +24,30 @@
 /// The intervals and time limits of a [`Subscriber`](crate::Subscriber).
 #[derive(Debug, Clone)]
 pub struct SubscriberConfig {
-    /// The cluster's name.
+    /// The name of the cluster; observers of other clusters reject this subscriber.
     pub cluster: String,
     /// This gateway's name, unique in the fleet.
     pub name: String,
-    /// All observers.
+    /// The ids of all observers that this subscriber may connect to.
     pub observers: Vec<NodeId>,
-    /// The age in microseconds from which the replica is too old to route on.
+    /// The age in microseconds at which the replica becomes too old to route on.
     pub drain_limit: Micros,
     /// How often the watched observer is polled, in microseconds.
     pub poll_interval: Micros,
     /// How long an observer may leave a poll unanswered before the standby is polled as well and
     /// takes over, in microseconds.
     pub poll_timeout: Micros,
-    /// The delay between connection attempts.
+    /// The bounds of the delay between connection attempts.
     pub backoff: Backoff,
 }
 
-/// A figure with which a subscriber can't keep its replica fresh.
+/// A configured value with which a subscriber can't keep its replica fresh.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSubscriberConfig {
     /// An interval or limit is 0.
     #[error("a subscriber's {field} has to be at least 1 us")]
     Zero {
-        /// The field.
+        /// The name of the field that is 0.
         field: &'static str,
     },
     /// The replica would be stale before the next poll.
@@ -60,7 +61,7 @@
         /// The drain limit, in microseconds.
         drain_limit: Micros,
     },
-    /// The backoff's bounds are in the wrong order.
+    /// The first bound of the backoff is larger than the largest.
     #[error(
         "a subscriber's first backoff of {initial} us has to be at most the largest, {max} us"
     )]
@@ -73,7 +74,7 @@
 }
 
 impl SubscriberConfig {
-    /// The defaults for a gateway of a cluster with these observers.
+    /// Returns the default configuration for a gateway of a cluster with these observers.
     #[must_use]
     pub fn default_for(cluster: &str, name: &str, observers: Vec<NodeId>) -> Self {
         SubscriberConfig {
@@ -90,12 +91,12 @@
         }
     }
 
-    /// Checks that the replica can be kept fresh with these figures.
+    /// Checks that the replica can be kept fresh with this configuration.
     ///
     /// # Errors
     ///
-    /// An interval is 0, the poll interval is not shorter than the drain limit, or the backoff's
-    /// bounds are in the wrong order.
+    /// Returns an error if an interval or limit is 0, if the poll interval is not shorter than the
+    /// drain limit, or if the first backoff bound is larger than the largest.
     pub fn validate(&self) -> Result<(), InvalidSubscriberConfig> {
         let fields = [
             ("drain limit", self.drain_limit),
--- a/cluster/state-distribution/src/subscriber/connections.rs
+++ b/cluster/state-distribution/src/subscriber/connections.rs
@@ -1,10 +1,10 @@
-//! Which observers a subscriber is connected to: one watched, one as standby, and at times one
-//! under trial.
+//! A subscriber's connections to observers: one is watched, one is the standby, and sometimes a
+//! third is under trial.
 //!
-//! The standby takes over at once when the watched observer's connection ends. Load is spread by
-//! two rare random events at load reports of the watched observer: a move to a standby with far
-//! less load, and the trial of another observer, which replaces the standby if it has far less
-//! load.
+//! The standby takes over at once when the watched observer's connection ends. Two rare random
+//! events balance the load when the watched observer reports its load. Either the subscriber moves
+//! to its standby if the standby has far less load, or it tries another observer, which replaces
+//! the standby if it has far less load.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros};
@@ -16,19 +16,19 @@
 use crate::message::{ObserverWelcome, SubscriberHello, PROTOCOL_MAGIC, PROTOCOL_VERSION};
 use crate::rejection::Rejection;
 
-/// Observers that a subscriber is always connected to: the watched one and the standby.
+/// The number of observers that a subscriber stays connected to: the watched one and the standby.
 const HELD_OBSERVERS: usize = 2;
-/// How long an attempt may take, the greeting included.
+/// The timeout of a connection attempt, including the greeting.
 const CONNECT_TIMEOUT_US: Micros = 1_000_000;
-/// At one load report of so many, the subscriber moves to its standby if that has far less load.
+/// The average number of load reports per move to a standby that has far less load.
 const REPORTS_PER_MOVE: u64 = 16;
-/// At one load report of so many, the subscriber tries an observer that it is not connected to.
+/// The average number of load reports per trial of an observer that is not connected.
 const REPORTS_PER_TRIAL: u64 = 32;
-/// Of two loads, one is far more if it exceeds one and a half times the other by this.
+/// A load is far more than another if it exceeds 1.5 times the other by this margin.
 const LOAD_MARGIN: u64 = FULL_LOAD / 20;
 
 impl Subscriber {
-    /// An observer has answered the greeting.
+    /// Handles an observer's answer to the greeting.
     pub fn connected(&mut self, now: Micros, observer: NodeId, welcome: &ObserverWelcome) {
         self.now = now;
         if !self.connections.contains_key(&observer) {
@@ -52,21 +52,21 @@
         }
     }
 
-    /// An attempt to connect has failed or a connection has ended, with the observer's rejection
-    /// if there was one.
+    /// Handles a failed connection attempt or the end of a connection. `rejection` is the
+    /// observer's rejection, if it sent one.
     pub fn disconnected(&mut self, now: Micros, observer: NodeId, rejection: Option<&Rejection>) {
         self.now = now;
         self.on_connection_closed(observer, rejection);
     }
 
-    /// Closes a connection that is of no use.
+    /// Closes a connection that has failed or was rejected.
     pub(super) fn close_connection(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
         self.actions.push(SubscriberAction::Disconnect(observer));
         self.on_connection_closed(observer, rejection);
     }
 
-    /// A connection has ended: the standby takes over at once, and another connection is attempted
-    /// after a delay.
+    /// Handles the end of a connection: the standby takes over at once if the connection was
+    /// watched, and another connection is attempted after a delay.
     fn on_connection_closed(&mut self, observer: NodeId, rejection: Option<&Rejection>) {
         let Some(connection) = self.connections.remove(&observer) else {
             return;
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The standby, or another connection that is open.
+    /// Returns the standby, or another observer whose connection is open.
     fn next_to_watch(&self) -> Option<NodeId> {
         let mut connections = self.connections.iter();
         let open = connections.find(|(_, connection)| connection.is_open);
@@ -96,7 +96,8 @@
     }
 
     /// Draws the delay before the next attempt. A subscriber that still has an open connection
-    /// waits longer, so that those whose observer failed do not all come to the others at once.
+    /// waits longer, so that the subscribers of a failed observer do not all connect to the
+    /// remaining observers at once.
     fn schedule_attempt(&mut self, was_open: bool) {
         let backoff = self.config.backoff;
         if !was_open {
@@ -111,13 +112,14 @@
         self.next_attempt_at = self.now.saturating_add(random_up_to(&mut self.rng, bound));
     }
 
-    /// Takes an observer as standby. Its first answer shows that it can take over.
+    /// Makes an observer the standby, and polls it to check that it can take over.
     fn hold_as_standby(&mut self, observer: NodeId) {
         self.standby = Some(observer);
         self.poll_standby(observer);
     }
 
-    /// The observer under trial replaces the standby if it has far less load.
+    /// Replaces the standby with the observer under trial if that has far less load. Otherwise
+    /// closes the connection under trial.
     fn compare_with_standby(&mut self, tried: NodeId) {
         match self.standby {
             Some(standby) if self.has_far_more_load(standby, tried) => {
@@ -143,8 +145,8 @@
         }
     }
 
-    /// The watched observer has reported its load. Moves and trials are rare and random, so that
-    /// not all subscribers move at once.
+    /// Moves to the standby or tries another observer, after the watched observer has reported its
+    /// load. Moves and trials are rare and random, so that not all subscribers move at once.
     pub(super) fn rebalance(&mut self) {
         let (Some(watched), Some(standby)) = (self.watched, self.standby) else {
             return;
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Does what is due at `now`.
+    /// Performs the work that is due at `now`: timeouts, polls and connection attempts.
     pub fn tick(&mut self, now: Micros) {
         let was_suspended = now.saturating_sub(self.now) >= self.config.drain_limit;
         self.now = now;
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Attempts a connection to one more observer; whether there was one to try.
+    /// Attempts a connection to one more observer. Returns whether there was an observer to try.
     fn attempt_connection(&mut self) -> bool {
         let connections = &self.connections;
         let is_connected = |id| connections.contains_key(&id);
@@ -227,7 +229,7 @@
         }
     }
 
-    /// When [`Subscriber::tick`] has to be called next.
+    /// Returns when [`Subscriber::tick`] has to be called next.
     #[must_use]
     pub fn next_tick(&self) -> Micros {
         let mut next = self.next_poll_tick();
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -2,8 +2,8 @@
 //! routing.
 //!
 //! - [`config`]: intervals and time limits.
-//! - [`connections`]: which observers are connected: one watched, one as standby, and at times one
-//!   under trial.
+//! - [`connections`]: which observers are connected: one is watched, one is the standby, and
+//!   sometimes a third is under trial.
 //! - [`observer_connection`]: one connection and its unanswered polls.
 //! - [`observer_directory`]: load and backoff of each observer, and the choice of the next one.
 //! - [`polling`]: freshness polls, and what their timeouts cause.
@@ -36,24 +36,25 @@
 
 pub use config::{Backoff, InvalidSubscriberConfig, SubscriberConfig};
 
-/// What the caller has to do, in this order.
+/// An action that the caller has to perform. Actions are performed in the order in which
+/// [`Subscriber::take_actions`] returns them.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SubscriberAction {
     /// Connect to an observer and send the greeting. The result is reported by
     /// [`Subscriber::connected`] or [`Subscriber::disconnected`].
     Connect {
-        /// The observer.
+        /// The observer to connect to.
         observer: NodeId,
-        /// The greeting.
+        /// The greeting to send.
         hello: SubscriberHello,
     },
-    /// Close the connection to an observer. Its end is not reported.
+    /// Close the connection to an observer. The caller does not report its end.
     Disconnect(NodeId),
-    /// Send a message.
+    /// Send a message to an observer.
     Send {
-        /// Where to.
+        /// The observer to send to.
         observer: NodeId,
-        /// The message.
+        /// The message to send.
         message: SubscriberMessage,
     },
 }
@@ -61,25 +62,27 @@
 /// The observers that a subscriber is connected to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldObservers {
-    /// The one that sends changes.
+    /// The observer that sends changes.
     pub watched: Option<NodeId>,
-    /// The one that takes over when the watched one fails.
+    /// The observer that takes over when the watched observer fails.
     pub standby: Option<NodeId>,
 }
 
-/// A gateway's subscription.
+/// The gateway's side of its subscription. The caller delivers messages and connection events, and
+/// performs the actions that [`Subscriber::take_actions`] returns.
 #[derive(Debug)]
 pub struct Subscriber {
     config: SubscriberConfig,
     rng: ChaCha8Rng,
     now: Micros,
     replica: SubscriberReplica,
-    /// Whether the replica is the cluster's; the empty one before the first snapshot is not.
+    /// Whether a snapshot was installed. Before that, the replica is empty and not the cluster's
+    /// state.
     has_replica: bool,
     staleness_guard: StalenessGuard,
     directory: ObserverDirectory,
-    /// Connections and attempts: the watched observer, the standby, and one more that is under
-    /// trial.
+    /// Open connections and attempts: the watched observer, the standby, and possibly an observer
+    /// under trial.
     connections: BTreeMap<NodeId, ObserverConnection>,
     watched: Option<NodeId>,
     standby: Option<NodeId>,
@@ -90,7 +93,7 @@
     next_attempt_at: Micros,
     /// The bound of the delay before the next attempt to connect to any observer, in microseconds.
     attempt_backoff: Micros,
-    /// Connections closed for want of answers since the last answer.
+    /// The number of connections closed because polls were not answered, since the last answer.
     unanswered_closes: u32,
     actions: Vec<SubscriberAction>,
     #[cfg(feature = "mutants")]
@@ -98,7 +101,8 @@
 }
 
 impl Subscriber {
-    /// A subscriber without a replica. Nothing may be routed until its state is confirmed.
+    /// Creates a subscriber without a replica. No request may be routed until its state is
+    /// confirmed.
     #[must_use]
     pub fn new(config: SubscriberConfig, seed: u64, now: Micros) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -145,8 +149,8 @@
             ObserverMessage::SnapshotChunk(chunk) if is_watched => {
                 self.receive_chunk(observer, chunk);
             }
-            // These were on their way when another observer took over. Positions in the queue need
-            // no action.
+            // Changes and chunks of another observer were under way when the watched observer took
+            // over. Queue positions need no action.
             ObserverMessage::Changes(_)
             | ObserverMessage::Compacted { .. }
             | ObserverMessage::SnapshotChunk(_)
@@ -180,18 +184,18 @@
             .push(SubscriberAction::Send { observer, message });
     }
 
-    /// The actions that have accumulated since the last call.
+    /// Takes the actions that have accumulated since the last call.
     pub fn take_actions(&mut self) -> Vec<SubscriberAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// The replicated entries as they are applied here.
+    /// Returns the replicated entries that this subscriber has applied.
     #[must_use]
     pub fn replica(&self) -> &SubscriberReplica {
         &self.replica
     }
 
-    /// The observers that it is connected to.
+    /// Returns the watched observer and the standby.
     #[must_use]
     pub fn held_observers(&self) -> HeldObservers {
         HeldObservers {
@@ -200,30 +204,30 @@
         }
     }
 
-    /// The last rejection by an observer that has not accepted this subscriber since, for
-    /// operators.
+    /// Returns the last rejection by an observer that has not accepted this subscriber since, for
+    /// display to operators.
     #[must_use]
     pub fn rejection(&self) -> Option<&Rejection> {
         self.directory.last_rejection()
     }
 
-    /// Whether requests may be routed on the replica.
+    /// Checks that the replica is fresh enough to route requests on.
     ///
     /// # Errors
     ///
-    /// The replica is older than the drain limit, or was never confirmed.
+    /// Returns an error if the replica has reached the drain limit, or was never confirmed.
     pub fn may_route(&self, now: Micros) -> Result<(), Stale> {
         self.staleness_guard.check(now)
     }
 
-    /// How long from now requests may be routed without another confirmation, in microseconds; 0:
-    /// they may not.
+    /// Returns how long requests may be routed without another confirmation, in microseconds from
+    /// `now`; 0 if they may not be routed.
     #[must_use]
     pub fn time_until_stale(&self, now: Micros) -> Micros {
         self.staleness_guard.remaining_validity(now)
     }
 
-    /// Makes it decide wrongly.
+    /// Activates a mutant: a wrong decision that the tests have to detect.
     #[cfg(feature = "mutants")]
     #[doc(hidden)]
     pub fn set_mutant(&mut self, mutant: Option<Mutant>) {
--- a/cluster/state-distribution/src/subscriber/observer_connection.rs
+++ b/cluster/state-distribution/src/subscriber/observer_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to one observer, and the polls that it has not answered.
+//! A connection to one observer, and the polls that the observer has not answered.
 
 use std::collections::VecDeque;
 
@@ -6,36 +6,36 @@
 
 use crate::message::PollId;
 
-/// The most unanswered polls that are held of one connection; the oldest are dropped first.
+/// The maximum number of unanswered polls held per connection; the oldest are dropped first.
 const MAX_UNANSWERED_POLLS: usize = 16;
 
 /// A poll that was sent.
 #[derive(Debug, Clone, Copy)]
 struct SentPoll {
     id: PollId,
-    /// The confirmation that the answer completes at the staleness guard; `None`: the guard was
-    /// replaced since.
+    /// The staleness guard's id of the confirmation that the answer completes; `None` if the guard
+    /// was replaced since.
     confirmation: Option<u64>,
     sent_at: Micros,
 }
 
-/// A connection, or an attempt at one.
+/// A connection to an observer, or an attempt to connect.
 #[derive(Debug)]
 pub(super) struct ObserverConnection {
-    /// The observer has accepted the greeting.
+    /// Whether the observer has accepted the greeting.
     pub is_open: bool,
-    /// The observer has answered a poll.
+    /// Whether the observer has answered a poll on this connection.
     pub has_answered: bool,
-    /// When the attempt began, or the connection opened.
+    /// When the attempt began, or when the connection opened if it is open.
     pub state_since: Micros,
-    /// When changes or a snapshot were last requested on it.
+    /// When changes or a snapshot were last requested on this connection.
     pub requested_at: Micros,
     unanswered: VecDeque<SentPoll>,
     unanswered_since: Option<Micros>,
 }
 
 impl ObserverConnection {
-    /// An attempt that begins now.
+    /// Creates an attempt that begins at `now`.
     pub fn new(now: Micros) -> Self {
         ObserverConnection {
             is_open: false,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// The greeting was accepted.
+    /// Records that the observer has accepted the greeting.
     pub fn opened(&mut self, now: Micros) {
         self.is_open = true;
         self.state_since = now;
     }
 
-    /// A poll was sent.
+    /// Records a poll that was sent.
     pub fn poll_sent(&mut self, now: Micros, id: PollId, confirmation: u64) {
         self.unanswered.push_back(SentPoll {
             id,
@@ -66,7 +66,8 @@
         }
     }
 
-    /// A poll was answered, and with it all before it. Returns the confirmation that it completes.
+    /// Records the answer to a poll, which also answers all earlier polls. Returns the confirmation
+    /// that the answer completes.
     pub fn poll_answered(&mut self, id: PollId) -> Option<u64> {
         let position = self.unanswered.iter().position(|sent| sent.id == id)?;
         let answered = self.unanswered.drain(..=position).next_back()?;
@@ -74,15 +75,16 @@
         answered.confirmation
     }
 
-    /// The staleness guard was replaced: answers to polls sent before confirm nothing.
+    /// Drops the pending confirmations after the staleness guard was replaced: answers to earlier
+    /// polls confirm nothing.
     pub fn forget_confirmations(&mut self) {
         for sent in &mut self.unanswered {
             sent.confirmation = None;
         }
     }
 
-    /// This process was suspended: the observer is not to blame for what stayed unanswered
-    /// meanwhile.
+    /// Restarts the timeouts after this process was suspended: polls that stayed unanswered
+    /// meanwhile say nothing about the observer.
     pub fn restart_timeouts(&mut self, now: Micros) {
         if let Some(since) = &mut self.unanswered_since {
             *since = now;
@@ -92,12 +94,12 @@
         }
     }
 
-    /// Since when a poll is unanswered.
+    /// Returns since when a poll has been unanswered, or `None` if all are answered.
     pub fn unanswered_since(&self) -> Option<Micros> {
         self.unanswered_since
     }
 
-    /// Whether a poll has been unanswered for at least this many microseconds.
+    /// Returns whether a poll has been unanswered for at least `timeout` microseconds.
     pub fn is_overdue(&self, now: Micros, timeout: Micros) -> bool {
         self.unanswered_since
             .is_some_and(|since| now.saturating_sub(since) >= timeout)
--- a/cluster/state-distribution/src/subscriber/observer_directory.rs
+++ b/cluster/state-distribution/src/subscriber/observer_directory.rs
@@ -1,5 +1,5 @@
-//! What a subscriber knows of each observer, and which one it tries next: of two drawn at random,
-//! the one with less load.
+//! Load, backoff and rejections of each observer, and the choice of the observer to try next: of
+//! two drawn at random, the one with less load.
 
 use std::collections::BTreeMap;
 
@@ -32,13 +32,14 @@
 #[derive(Debug, Default)]
 struct ObserverRecord {
     load: Option<Load>,
-    /// The bound of the delay after the last failure, in microseconds; 0: it has answered since.
+    /// The bound of the delay after the last failure, in microseconds; 0 if the observer has not
+    /// failed or has answered a poll since.
     backoff: Micros,
     not_before: Micros,
     rejection: Option<ReceivedRejection>,
 }
 
-/// All observers.
+/// The records of all observers that this subscriber may connect to.
 #[derive(Debug)]
 pub(super) struct ObserverDirectory {
     observers: BTreeMap<NodeId, ObserverRecord>,
@@ -58,7 +59,7 @@
         self.observers.len()
     }
 
-    /// An observer has reported its load.
+    /// Records the load that an observer has reported.
     pub fn record_load(&mut self, now: Micros, id: NodeId, subscribers: u32, capacity: u32) {
         if let Some(record) = self.observers.get_mut(&id) {
             let subscribers = u64::from(subscribers);
@@ -69,29 +70,29 @@
         }
     }
 
-    /// An observer's load in thousandths of its capacity, if it was reported recently.
+    /// Returns an observer's load in thousandths of its capacity, if it was reported recently.
     pub fn load(&self, now: Micros, id: NodeId) -> Option<u64> {
         let load = self.observers.get(&id)?.load.as_ref()?;
         let age = now.saturating_sub(load.reported_at);
         (age < LOAD_LIFETIME_US).then_some(load.thousandths)
     }
 
-    /// An observer has accepted this subscriber.
+    /// Records that an observer has accepted this subscriber.
     pub fn record_acceptance(&mut self, id: NodeId) {
         if let Some(record) = self.observers.get_mut(&id) {
             record.rejection = None;
         }
     }
 
-    /// An observer has answered a poll: its backoff starts over.
+    /// Resets the backoff of an observer that has answered a poll.
     pub fn record_answer(&mut self, id: NodeId) {
         if let Some(record) = self.observers.get_mut(&id) {
             record.backoff = 0;
         }
     }
 
-    /// A connection failed or ended. A full observer has not failed: its load is taken as full,
-    /// and its backoff does not grow.
+    /// Records that a connection or attempt has failed or ended. An observer that is full has not
+    /// failed: its load is recorded as full, and its backoff does not grow.
     pub fn record_failure(
         &mut self,
         now: Micros,
@@ -120,7 +121,7 @@
         record.not_before = now.saturating_add(random_up_to(rng, record.backoff));
     }
 
-    /// The latest rejection among observers that have not accepted this subscriber since.
+    /// Returns the latest rejection among observers that have not accepted this subscriber since.
     pub fn last_rejection(&self) -> Option<&Rejection> {
         let records = self.observers.values();
         let received = records.filter_map(|record| record.rejection.as_ref());
@@ -128,8 +129,8 @@
         Some(&latest.rejection)
     }
 
-    /// Of two observers drawn at random, the one with less load; none that is `excluded` or
-    /// backing off.
+    /// Draws two observers at random and returns the one with less load. Observers that are
+    /// `excluded` or backing off are not drawn.
     pub fn choose(
         &self,
         now: Micros,
@@ -154,7 +155,7 @@
         }
     }
 
-    /// When the first of those not `excluded` may be tried.
+    /// Returns when the first observer that is not `excluded` may be tried.
     pub fn ready_at(&self, excluded: impl Fn(NodeId) -> bool) -> Micros {
         let others = self.observers.iter().filter(|(id, _)| !excluded(**id));
         let ready_at = others.map(|(_, record)| record.not_before).min();
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -1,10 +1,11 @@
-//! Freshness polls: how often each observer is polled, and what happens where no answer comes.
+//! Freshness polls: how often each observer is polled, and what happens when no answer arrives.
 //!
 //! The watched observer is polled every [`poll_interval`](super::SubscriberConfig::poll_interval),
-//! the standby less often. A confirmation counts from the moment of its poll. Once the watched
-//! observer has not answered a poll for [`poll_timeout`](super::SubscriberConfig::poll_timeout),
-//! the standby is polled as well, and its answer makes it the watched one. A connection without an
-//! answer for long is closed.
+//! the standby less often. A confirmation counts from the moment at which its poll was sent. When
+//! the watched observer has not answered a poll for
+//! [`poll_timeout`](super::SubscriberConfig::poll_timeout), the standby is polled as well, and
+//! becomes the watched observer if it answers first. A connection whose polls stay unanswered
+//! longer is closed.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros, Revision};
@@ -13,15 +14,15 @@
 use crate::message::{PollId, SubscriberMessage, SubscriberProgress};
 use crate::mutant::Mutant;
 
-/// The standby is polled once in so many poll intervals.
+/// The number of poll intervals between two polls of the standby.
 const POLL_INTERVALS_PER_STANDBY_POLL: u64 = 8;
-/// The longest time that polls may stay unanswered, after several connections were closed for it.
+/// The limit up to which the answer timeout grows with each connection closed for unanswered polls.
 const MAX_ANSWER_TIMEOUT_US: Micros = 30_000_000;
-/// The answer timeout doubles this many times at most, so that the shift can't overflow.
+/// The maximum number of times that the answer timeout doubles, so that the shift can't overflow.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 16;
 
 impl Subscriber {
-    /// Polls an observer. The confirmation will count from now.
+    /// Polls an observer. Its confirmation counts from the present moment.
     pub(super) fn poll(&mut self, observer: NodeId) {
         let serving = self.may_route(self.now).is_ok();
         let Some(connection) = self.connections.get_mut(&observer) else {
@@ -52,7 +53,7 @@
         self.next_standby_poll_at = self.now.saturating_add(interval);
     }
 
-    /// Polls whichever observer is due.
+    /// Polls the watched observer and the standby if their polls are due.
     pub(super) fn send_due_polls(&mut self) {
         let now = self.now;
         if let Some(watched) = self.watched.filter(|_| now >= self.next_poll_at) {
@@ -63,7 +64,7 @@
         }
     }
 
-    /// An observer has confirmed a poll. It counts once the revision that it names is applied.
+    /// Handles the confirmation of a poll. It counts as soon as its revision is applied here.
     pub(super) fn receive_confirmation(
         &mut self,
         observer: NodeId,
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Polls the standby where the watched observer has not answered in time, and closes
-    /// connections that have not answered for long.
+    /// Polls the standby if the watched observer has not answered in time, and closes connections
+    /// whose answer timeout has passed.
     pub(super) fn check_answers(&mut self) {
         if let Some(standby) = self.standby {
             if self.is_overdue(standby, self.standby_answer_timeout()) {
@@ -123,18 +124,18 @@
         connection.is_some_and(|connection| connection.is_overdue(self.now, timeout))
     }
 
-    /// After this time without an answer the standby's connection is closed.
+    /// Returns the time without an answer after which the standby's connection is closed.
     fn standby_answer_timeout(&self) -> Micros {
         self.answer_timeout(self.config.poll_timeout)
     }
 
-    /// After this time without an answer the watched observer's connection is closed.
+    /// Returns the time without an answer after which the watched observer's connection is closed.
     fn watched_answer_timeout(&self) -> Micros {
         self.answer_timeout(self.config.drain_limit.saturating_mul(2))
     }
 
-    /// A timeout that doubles with each connection closed for want of answers: where no observer
-    /// can answer, changing the observer does not help.
+    /// Doubles a timeout for each connection that was closed for unanswered polls, up to a limit.
+    /// If no observer can answer, changing the observer does not help.
     fn answer_timeout(&self, initial: Micros) -> Micros {
         let doublings = self.unanswered_closes.min(MAX_TIMEOUT_DOUBLINGS);
         let factor = 1_u64.checked_shl(doublings).unwrap_or(1);
@@ -143,7 +144,7 @@
             .min(MAX_ANSWER_TIMEOUT_US.max(initial))
     }
 
-    /// When a poll is due or an answer is overdue next.
+    /// Returns when the next poll is due or the next answer becomes overdue.
     pub(super) fn next_poll_tick(&self) -> Micros {
         let mut next = Micros::MAX;
         if self.watched.is_some() {
--- a/cluster/state-distribution/src/subscriber/random.rs
+++ b/cluster/state-distribution/src/subscriber/random.rs
@@ -3,7 +3,7 @@
 use rand_chacha::rand_core::RngCore;
 use rand_chacha::ChaCha8Rng;
 
-/// A number from 0 to `max`, both included, drawn evenly.
+/// Returns a uniformly distributed number from 0 to `max` inclusive.
 pub(super) fn random_up_to(rng: &mut ChaCha8Rng, max: u64) -> u64 {
     match max.checked_add(1) {
         Some(values) => rng.next_u64() % values,
@@ -11,7 +11,7 @@
     }
 }
 
-/// Whether an event with a probability of 1 in `count` happens.
+/// Returns `true` with a probability of 1 in `count`.
 pub(super) fn happens_one_in(rng: &mut ChaCha8Rng, count: u64) -> bool {
     random_up_to(rng, count.saturating_sub(1)) == 0
 }
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -1,4 +1,4 @@
-//! Applying what the watched observer sends: changes in order, or a snapshot where changes are
+//! Applies what the watched observer sends: changes in order, or a snapshot if the changes are
 //! compacted away.
 
 use violetgate_raft::NodeId;
@@ -10,12 +10,12 @@
 use crate::mutant::Mutant;
 use crate::rejection::Rejection;
 
-/// For this time after a request to an observer, messages that answer an earlier request may still
-/// arrive.
+/// How long after a request to an observer the answers to earlier requests may still arrive.
 const STALE_MESSAGE_WINDOW_US: Micros = 1_000_000;
 
 impl Subscriber {
-    /// Watches an observer from now on; the one watched before becomes the standby.
+    /// Watches an observer from now on. The observer watched before becomes the standby if its
+    /// connection still exists and there is no other standby.
     pub(super) fn watch(&mut self, observer: NodeId) {
         let previous = self.watched.replace(observer).filter(|id| *id != observer);
         if self.standby == Some(observer) {
@@ -29,12 +29,13 @@
         self.poll_watched(observer);
     }
 
-    /// Requests what comes next from the watched observer: changes, or a snapshot chunk.
+    /// Requests the next data from the watched observer: changes, or a snapshot chunk.
     fn request_next(&mut self, observer: NodeId) {
         self.note_request(observer);
         let download = self.download.as_ref();
         let cursor = download.and_then(|download| download.cursor().cloned());
-        // Without a chunk yet, this observer may have the changes that the one before had not.
+        // If no chunk was received yet, this observer may have the changes that the previous
+        // observer had compacted away.
         if cursor.is_none() && self.has_replica {
             self.download = None;
             let after = self.replica.revision();
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Applies changes of the watched observer, as far as they are newer than the replica.
+    /// Applies the changes of a batch that are newer than the replica.
     pub(super) fn receive_changes(&mut self, observer: NodeId, batch: &ChangeBatch) {
         let applied = self.replica.revision();
         if self.download.is_some() || batch.to <= applied {
@@ -69,7 +70,8 @@
         self.staleness_guard.applied_up_to(batch.to);
     }
 
-    /// The wanted changes, or the revision of the snapshot under way, are compacted away.
+    /// Begins a new snapshot: the requested changes, or the revision of the snapshot under way, are
+    /// compacted away.
     pub(super) fn receive_compacted(&mut self, observer: NodeId, first: Revision) {
         match &self.download {
             Some(download) if download.cursor().is_none() => return,
@@ -80,7 +82,7 @@
         self.send(observer, SubscriberMessage::FetchSnapshot { from: None });
     }
 
-    /// Takes a chunk of the snapshot under way.
+    /// Adds a chunk to the snapshot under way, and installs the snapshot after the last chunk.
     pub(super) fn receive_chunk(&mut self, observer: NodeId, chunk: SnapshotChunk) {
         let may_be_stale = self.may_be_stale(observer);
         let Some(mut download) = self.download.take() else {
@@ -92,7 +94,8 @@
         let SnapshotChunk { revision, last, .. } = chunk;
         let is_older = revision < self.replica.revision();
         match download.add(chunk) {
-            // The observer is behind this replica: the changes after it are requested instead.
+            // The observer is behind this replica, so the changes after the replica's revision are
+            // requested instead.
             Ok(()) if is_older => self.request_next(observer),
             Ok(()) if last => self.install_snapshot(observer, revision, download),
             Ok(()) => {
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Replaces the replica by a complete snapshot. The staleness guard starts over, as no answer
-    /// to an earlier poll confirms these entries.
+    /// Replaces the replica with a complete snapshot. The staleness guard starts over, because an
+    /// answer to an earlier poll does not confirm these entries.
     fn install_snapshot(
         &mut self,
         observer: NodeId,
@@ -126,7 +129,7 @@
         self.poll_watched(observer);
     }
 
-    /// Whether a message may answer a request before the last one.
+    /// Returns whether a message may answer a request before the last one.
     fn may_be_stale(&self, observer: NodeId) -> bool {
         let Some(connection) = self.connections.get(&observer) else {
             return false;
@@ -134,7 +137,7 @@
         self.now.saturating_sub(connection.requested_at) < STALE_MESSAGE_WINDOW_US
     }
 
-    /// An observer broke the protocol: its connection is closed, and another one is tried.
+    /// Closes the connection to an observer that broke the protocol.
     fn protocol_violation(&mut self, observer: NodeId, detail: &str) {
         let detail = detail.to_owned();
         let rejection = Rejection::ProtocolViolation { detail };
@@ -142,7 +145,8 @@
     }
 }
 
-/// Whether the changes are of revisions after `after` up to `to`, in ascending order.
+/// Returns whether the revisions of the changes are after `after`, at most `to`, and in ascending
+/// order.
 fn is_in_order(batch: &ChangeBatch) -> bool {
     let mut least = batch.after.saturating_add(1);
     for change in batch.changes.iter() {
--- a/cluster/state-distribution/src/subscriber/snapshot_download.rs
+++ b/cluster/state-distribution/src/subscriber/snapshot_download.rs
@@ -1,5 +1,5 @@
-//! A snapshot that is being received in chunks, beside the replica that is used until it is
-//! complete.
+//! A snapshot that is being received in chunks. The current replica stays in use until the snapshot
+//! is complete.
 
 use std::collections::BTreeMap;
 
@@ -8,24 +8,26 @@
 use crate::message::{SnapshotChunk, SnapshotCursor, SnapshotEntry};
 use crate::subscriber_replica::{SubscriberReplica, VersionedValue};
 
-/// The most bytes of keys and values of a snapshot: twice the 256 MiB that a store may hold.
+/// The maximum size of a snapshot's keys and values in bytes: twice the 256 MiB that a store may
+/// hold.
 const MAX_SNAPSHOT_BYTES: usize = 512 << 20;
 
-/// Why a chunk is not taken. The texts are sent as the detail of a rejection.
+/// Why a chunk is rejected. The texts are the detail of the resulting rejection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ChunkError {
-    /// It does not follow the chunks so far.
+    /// The chunk does not follow the chunks received so far, or is empty but not the last.
     #[error("a snapshot piece out of order")]
     OutOfOrder,
-    /// Its keys are not in ascending order, or one is too long or of a later revision.
+    /// The keys are not in ascending order, a key is too long, or an entry is of a revision later
+    /// than the snapshot's.
     #[error("a snapshot piece with keys out of order")]
     KeysOutOfOrder,
-    /// The snapshot is larger than any store.
+    /// The snapshot is larger than [`MAX_SNAPSHOT_BYTES`].
     #[error("a snapshot larger than any store")]
     SnapshotTooLarge,
 }
 
-/// The chunks received so far.
+/// The entries of the chunks received so far.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotDownload {
     cursor: Option<SnapshotCursor>,
@@ -34,12 +36,12 @@
 }
 
 impl SnapshotDownload {
-    /// Where the transfer resumes; `None`: nothing was received yet.
+    /// Returns the position at which the transfer resumes, or `None` if no entry was received yet.
     pub fn cursor(&self) -> Option<&SnapshotCursor> {
         self.cursor.as_ref()
     }
 
-    /// Adds the next chunk.
+    /// Checks the next chunk and adds its entries.
     pub fn add(&mut self, chunk: SnapshotChunk) -> Result<(), ChunkError> {
         self.check_continues(&chunk)?;
         check_keys(&chunk)?;
@@ -81,7 +83,7 @@
         continues.then_some(()).ok_or(ChunkError::OutOfOrder)
     }
 
-    /// The replica that the chunks make up.
+    /// Converts the entries received into a replica at `revision`.
     pub fn into_replica(self, revision: Revision) -> SubscriberReplica {
         SubscriberReplica::from_snapshot(revision, self.entries)
     }
--- a/cluster/state-distribution/src/subscriber_replica.rs
+++ b/cluster/state-distribution/src/subscriber_replica.rs
@@ -13,7 +13,7 @@
     pub value: Vec<u8>,
 }
 
-/// The entries at one revision.
+/// The entries of the replicated state at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct SubscriberReplica {
     revision: Revision,
@@ -21,7 +21,7 @@
 }
 
 impl SubscriberReplica {
-    /// A replica of a complete snapshot.
+    /// Creates a replica from the entries of a complete snapshot.
     pub(crate) fn from_snapshot(
         revision: Revision,
         entries: BTreeMap<String, VersionedValue>,
@@ -29,8 +29,8 @@
         SubscriberReplica { revision, entries }
     }
 
-    /// Applies the changes that are newer than this replica, which then stands at `to`. The caller
-    /// has checked that they leave no gap after its revision.
+    /// Applies the changes that are newer than this replica, and advances its revision to `to`. The
+    /// caller has checked that there is no gap between the replica's revision and the changes.
     pub(crate) fn apply(&mut self, to: Revision, changes: &[EntryChange]) {
         let applied = self.revision;
         for change in changes.iter().filter(|change| change.revision > applied) {
