--- a/cluster/state-distribution/tests/bounded_resources.rs
+++ b/cluster/state-distribution/tests/bounded_resources.rs
@@ -1,5 +1,5 @@
-//! What must not grow: subscribers, queues and snapshot transfers are bounded, and nobody slows
-//! the others.
+//! Tests that subscribers, queues and snapshot transfers are bounded, and that a slow subscriber
+//! does not delay the others.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -17,7 +17,7 @@
     ObserverConfig::default_for("c", 1)
 }
 
-/// Snapshot transfers under way, and requests that are queued.
+/// Returns the number of snapshot transfers under way and of queued requests.
 fn snapshot_load(observer: &Observer) -> (usize, usize) {
     let sizes = observer.sizes();
     (sizes.snapshots_active, sizes.snapshots_queued)
@@ -49,7 +49,7 @@
     let first = changes(&messages[0].message);
     assert!(
         messages.iter().all(|sent| changes(&sent.message) == first),
-        "one copy in memory for all"
+        "all subscribers share one copy in memory"
     );
 }
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_subscriber_that_reads_nothing_is_held_back_then_closed_and_slows_nobody() {
+fn a_subscriber_that_reads_nothing_is_held_back_then_closed_and_delays_no_other() {
     let config = ObserverConfig {
         send_queue_bytes: 10_000,
         chunk_bytes: 1_000,
@@ -107,14 +107,15 @@
     }
     assert_eq!(
         taken[1], 1_000,
-        "the other one is sent every change at once"
+        "the other subscriber is sent every change at once"
     );
     assert!(
         taken[0] < 100,
-        "{} changes wait for one that takes nothing",
+        "{} changes were sent to a subscriber that reads nothing",
         taken[0]
     );
-    // It reads again: it goes on from where it stood, and ends up with all.
+    // Subscriber 1 reads again: it continues after the last change that it was sent, and gets all
+    // changes.
     let mut to = 0;
     for _ in 0..2_000 {
         observer.bytes_queued(1, 0, &store);
@@ -183,9 +184,13 @@
     assert_eq!(
         positions(&mut observer),
         (0..16).collect::<Vec<u32>>(),
-        "positions that changed by much"
+        "only positions of at most half the position sent before"
     );
-    // Those that hold a slot and ask for nothing more give it up.
+    // Subscribers that hold a slot and request no more chunks lose it.
     (1..=30).for_each(|n| observer.tick(n * SECOND - 1, &store));
-    assert_eq!(observer.sizes().snapshots_queued, 0, "all had their turn");
+    assert_eq!(
+        observer.sizes().snapshots_queued,
+        0,
+        "all requests were served"
+    );
 }
--- a/cluster/state-distribution/tests/common/mod.rs
+++ b/cluster/state-distribution/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Stores, entries and configurations that several tests share.
+//! Helpers that several tests share: stores, messages, and the collection of an observer's output.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use violetgate_replicated_state::{Command, Mutation, Operation, Store, Txn};
@@ -34,7 +34,8 @@
     apply(store, Operation::Compact(to));
 }
 
-/// A store with so many revisions, each of which puts a key of its own with a value of 100 bytes.
+/// Creates a store with this number of revisions, each of which puts a different key with a value
+/// of 100 bytes.
 pub fn store(revisions: u64) -> Store {
     let mut store = Store::default();
     (0..revisions).for_each(|n| put(&mut store, &format!("key-{n:04}"), &[7; 100]));
@@ -49,7 +50,7 @@
     }
 }
 
-/// A greeting that observer 1 of cluster `c` accepts.
+/// Returns a greeting that observer 1 of cluster `c` accepts.
 pub fn hello(revision: u64) -> SubscriberHello {
     SubscriberHello {
         magic: PROTOCOL_MAGIC,
@@ -61,7 +62,7 @@
     }
 }
 
-/// A poll of a subscriber that has applied nothing.
+/// Returns a poll of a subscriber that has applied nothing.
 pub fn poll_message(poll: PollId, serving: bool) -> SubscriberMessage {
     let progress = SubscriberProgress {
         applied: 0,
@@ -84,7 +85,7 @@
     pub rejection: Rejection,
 }
 
-/// What an observer wants done, reads aside.
+/// The actions of an observer, except the reads that it begins.
 #[derive(Debug, Default)]
 pub struct Output {
     pub sent: Vec<Sent>,
--- a/cluster/state-distribution/tests/config_validation.rs
+++ b/cluster/state-distribution/tests/config_validation.rs
@@ -1,4 +1,4 @@
-//! Which configurations of observers and subscribers are valid.
+//! Tests the validation of observer and subscriber configurations.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/cluster/state-distribution/tests/digest.rs
+++ b/cluster/state-distribution/tests/digest.rs
@@ -1,5 +1,6 @@
-//! What observers and subscribers do over fixed seeds, message by message, as a digest that a
-//! change of the code's form leaves as it is. A digest that differs is a change of behaviour.
+//! Compares digests of all messages and states of observers and subscribers over fixed seeds with
+//! stored digests. Refactoring does not change a digest; a digest that differs shows a change of
+//! behaviour.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -10,10 +11,10 @@
 mod world;
 
 use violetgate_state_distribution::ObserverConfig;
-use world::scenario::{play, world_of};
+use world::scenario::{run_scenario, world_for_seed};
 use world::{Trace, World, MS, SECOND};
 
-/// Seeds of the drawn scenario, each with its digest and the number of records that went into it.
+/// Seeds of the random scenario, each with its digest and the number of records in the digest.
 const DRAWN: [(u64, u64, u64); 8] = [
     (0, 0xd581_e878_4b05_cdfe, 29_011),
     (1, 0x8ad1_2171_2d02_0eda, 38_876),
@@ -24,7 +25,7 @@
     (1_234, 0xd647_889f_c4a6_a8de, 68_045),
     (99_999, 0xae71_e80c_9bdd_0332, 29_520),
 ];
-/// The digest of the fleet at its default configuration.
+/// The digest of the fleet with its default configuration, and the number of records in it.
 const DEFAULT_CONFIG: (u64, u64) = (0xb004_0e7d_99e1_4620, 213_100);
 
 fn digest(world: &World) -> (u64, u64) {
@@ -35,9 +36,9 @@
 #[test]
 fn drawn_scenarios_have_their_stored_digests() {
     let found = DRAWN.map(|(seed, ..)| {
-        let (mut world, observers) = world_of(seed);
+        let (mut world, observers) = world_for_seed(seed);
         world.trace = Some(Trace::default());
-        let (digest, records) = digest(&play(world, observers));
+        let (digest, records) = digest(&run_scenario(world, observers));
         (seed, digest, records)
     });
     assert_eq!(found, DRAWN, "{found:#x?}");
--- a/cluster/state-distribution/tests/fleet_progress.rs
+++ b/cluster/state-distribution/tests/fleet_progress.rs
@@ -1,4 +1,4 @@
-//! How far front ends are, summed over subscribers and observers.
+//! Tests the progress of gateways, summed over subscribers and observers.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,7 +1,7 @@
-//! The staleness guard with the hop, in every order of events, by stateright: a drain that is
-//! agreed on, an observer that applies it late, reads upstream that are slow or fail, polls and
-//! answers that are late, a front end that stands still. The very code of [`Observer`] and
-//! [`StalenessGuard`] runs in the model. Mutants of it have to be caught.
+//! Checks the staleness guard of a gateway behind an observer in every order of events, with
+//! stateright: a drain is agreed on, the observer applies it late, reads upstream are slow or fail,
+//! polls and answers are late, and the gateway is suspended. The model runs the production code of
+//! [`Observer`] and [`StalenessGuard`]. The model has to detect mutants of that code.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -15,14 +15,15 @@
 use violetgate_replicated_state::{Command, Mutation, Operation, StalenessGuard, Store, Txn};
 use violetgate_state_distribution::*;
 
-/// The drain limit, in steps of time, and how far time goes.
+/// The drain limit, in steps of time.
 const LIMIT: u64 = 2;
+/// The last step of time that the model explores.
 const END: u64 = 5;
-/// PollQueue that the front end asks at most.
+/// The maximum number of polls that the gateway sends.
 const POLLS: u64 = 2;
 const CONNECTION: ConnectionId = 1;
 
-/// The store before the drain, or with it.
+/// Returns the store with or without the drain.
 fn store(drained: bool) -> &'static Store {
     static STORES: OnceLock<[Store; 2]> = OnceLock::new();
     let stores = STORES.get_or_init(|| {
@@ -48,16 +49,17 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Hop {
+struct ObserverModel {
     mutant: Option<Mutant>,
 }
 
-/// A read upstream.
+/// A linearizable read that the observer has begun.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Read {
     id: ReadId,
-    /// A majority has vouched, after the read began, that the drain was agreed on, or was not.
-    vouched: Option<bool>,
+    /// Whether the drain was agreed on when a majority confirmed the read; `None` before the
+    /// majority has confirmed it.
+    confirmed: Option<bool>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -65,53 +67,56 @@
     now: u64,
     drained: Option<u64>,
     observer: Observer,
-    observer_knows: bool,
+    observer_has_drain: bool,
     reads: Vec<Read>,
     to_observer: VecDeque<u64>,
-    to_front_end: VecDeque<ObserverMessage>,
-    gate: StalenessGuard,
-    front_end_knows: bool,
+    to_gateway: VecDeque<ObserverMessage>,
+    guard: StalenessGuard,
+    gateway_has_drain: bool,
     polls: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Event {
     Tick,
-    /// The front end stands still for longer than the limit.
-    Sleep,
+    /// The gateway is suspended for longer than the drain limit.
+    Suspend,
     Drain,
     ApplyAtObserver,
-    Ask,
+    SendPoll,
     ArriveAtObserver,
-    Vouch(usize),
+    ConfirmRead(usize),
     EndRead(usize),
     FailRead(usize),
-    ArriveAtFrontEnd,
+    ArriveAtGateway,
 }
 
 impl State {
-    fn is_open(&self) -> bool {
-        self.gate.check(self.now).is_ok()
+    fn may_route(&self) -> bool {
+        self.guard.check(self.now).is_ok()
     }
 
-    fn settle(&mut self) {
+    fn perform_actions(&mut self) {
         for action in self.observer.take_actions() {
             match action {
                 ObserverAction::Send {
                     connection: _,
                     message,
-                } => self.to_front_end.push_back(message),
-                ObserverAction::BeginRead(id) => self.reads.push(Read { id, vouched: None }),
+                } => self.to_gateway.push_back(message),
+                ObserverAction::BeginRead(id) => self.reads.push(Read {
+                    id,
+                    confirmed: None,
+                }),
                 ObserverAction::Close { .. } => {}
             }
         }
         self.observer
-            .bytes_queued(CONNECTION, 0, store(self.observer_knows));
+            .bytes_queued(CONNECTION, 0, store(self.observer_has_drain));
     }
 
     fn advance(&mut self, time: u64) {
         self.now += time;
-        self.observer.tick(self.now, store(self.observer_knows));
+        self.observer.tick(self.now, store(self.observer_has_drain));
     }
 
     fn arrive_at_observer(&mut self) -> Option<()> {
@@ -121,37 +126,37 @@
             serving: false,
         };
         let message = SubscriberMessage::Poll { poll, progress };
-        let store = store(self.observer_knows);
+        let store = store(self.observer_has_drain);
         self.observer.receive(self.now, CONNECTION, message, store);
         Some(())
     }
 
     fn end_read(&mut self, n: usize, result: ReadResult) {
         let read = self.reads.remove(n);
-        let store = store(self.observer_knows);
+        let store = store(self.observer_has_drain);
         self.observer
             .read_completed(self.now, read.id, result, store);
     }
 
-    fn arrive(&mut self, message: ObserverMessage, mutant: Option<Mutant>) {
+    fn arrive_at_gateway(&mut self, message: ObserverMessage, mutant: Option<Mutant>) {
         match message {
             ObserverMessage::Changes(ChangeBatch { to, .. }) => {
-                self.front_end_knows = true;
-                self.gate.applied_up_to(to);
+                self.gateway_has_drain = true;
+                self.guard.applied_up_to(to);
             }
             ObserverMessage::PollConfirmed { poll, revision } => {
                 if mutant == Some(Mutant::AgeFromConfirmation) {
-                    let late = self.gate.begin_confirmation(self.now);
-                    self.gate.confirmation_answered(late, revision);
+                    let late = self.guard.begin_confirmation(self.now);
+                    self.guard.confirmation_answered(late, revision);
                 }
-                self.gate.confirmation_answered(poll, revision);
+                self.guard.confirmation_answered(poll, revision);
             }
             _ => {}
         }
     }
 }
 
-impl Model for Hop {
+impl Model for ObserverModel {
     type State = State;
     type Action = Event;
 
@@ -187,12 +192,12 @@
             now: 0,
             drained: None,
             observer,
-            observer_knows: false,
+            observer_has_drain: false,
             reads: Vec::new(),
             to_observer: VecDeque::new(),
-            to_front_end: VecDeque::new(),
-            gate: StalenessGuard::new(LIMIT),
-            front_end_knows: false,
+            to_gateway: VecDeque::new(),
+            guard: StalenessGuard::new(LIMIT),
+            gateway_has_drain: false,
             polls: 0,
         }]
     }
@@ -200,14 +205,14 @@
     fn actions(&self, state: &State, out: &mut Vec<Event>) {
         out.extend([
             Event::Tick,
-            Event::Sleep,
+            Event::Suspend,
             Event::Drain,
             Event::ApplyAtObserver,
-            Event::Ask,
+            Event::SendPoll,
         ]);
-        out.extend([Event::ArriveAtObserver, Event::ArriveAtFrontEnd]);
+        out.extend([Event::ArriveAtObserver, Event::ArriveAtGateway]);
         for n in 0..state.reads.len() {
-            out.extend([Event::Vouch(n), Event::EndRead(n), Event::FailRead(n)]);
+            out.extend([Event::ConfirmRead(n), Event::EndRead(n), Event::FailRead(n)]);
         }
     }
 
@@ -215,35 +220,35 @@
         let mut next = last.clone();
         match event {
             Event::Tick => next.advance(1),
-            Event::Sleep => next.advance(LIMIT + 1),
+            Event::Suspend => next.advance(LIMIT + 1),
             Event::Drain => next.drained = Some(next.drained.xor(Some(next.now))?),
-            Event::ApplyAtObserver if next.drained.is_some() && !next.observer_knows => {
-                next.observer_knows = true;
+            Event::ApplyAtObserver if next.drained.is_some() && !next.observer_has_drain => {
+                next.observer_has_drain = true;
                 next.observer.store_applied(next.now, store(true));
             }
-            Event::Ask if next.polls < POLLS => {
+            Event::SendPoll if next.polls < POLLS => {
                 next.polls += 1;
-                let poll = next.gate.begin_confirmation(next.now);
+                let poll = next.guard.begin_confirmation(next.now);
                 next.to_observer.push_back(poll);
             }
             Event::ArriveAtObserver => next.arrive_at_observer()?,
-            Event::Vouch(n) if next.reads[n].vouched.is_none() => {
-                next.reads[n].vouched = Some(next.drained.is_some());
+            Event::ConfirmRead(n) if next.reads[n].confirmed.is_none() => {
+                next.reads[n].confirmed = Some(next.drained.is_some());
             }
-            // It ends once what a majority vouched for is applied at the observer.
+            // A read ends successfully once the observer has applied what the majority confirmed.
             Event::EndRead(n) => {
-                let vouched = next.reads[n].vouched;
-                vouched.filter(|drained| !drained || next.observer_knows)?;
+                let confirmed = next.reads[n].confirmed;
+                confirmed.filter(|drained| !drained || next.observer_has_drain)?;
                 next.end_read(n, ReadResult::Current);
             }
             Event::FailRead(n) => next.end_read(n, ReadResult::Failed),
-            Event::ArriveAtFrontEnd => {
-                let message = next.to_front_end.pop_front()?;
-                next.arrive(message, self.mutant);
+            Event::ArriveAtGateway => {
+                let message = next.to_gateway.pop_front()?;
+                next.arrive_at_gateway(message, self.mutant);
             }
-            Event::ApplyAtObserver | Event::Ask | Event::Vouch(_) => return None,
+            Event::ApplyAtObserver | Event::SendPoll | Event::ConfirmRead(_) => return None,
         }
-        next.settle();
+        next.perform_actions();
         (next != *last).then_some(next)
     }
 
@@ -253,25 +258,29 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(SAFE, |_, s: &State| {
-                let routes = s.is_open() && !s.front_end_knows;
+            Property::always(NO_STALE_ROUTING, |_, s: &State| {
+                let routes = s.may_route() && !s.gateway_has_drain;
                 !(routes && s.drained.is_some_and(|at| s.now >= at + LIMIT))
             }),
-            Property::sometimes("it routes", |_, s: &State| s.is_open()),
-            Property::sometimes("it routes on, knowing the drain", |_, s: &State| {
-                s.front_end_knows && s.is_open()
+            Property::sometimes("requests are routed", |_, s: &State| s.may_route()),
+            Property::sometimes("requests are routed after the drain", |_, s: &State| {
+                s.gateway_has_drain && s.may_route()
             }),
         ]
     }
 }
 
-const SAFE: &str = "nothing goes to a drained engine past the limit";
+const NO_STALE_ROUTING: &str = "no request goes to a drained engine after the limit";
 
 #[test]
-fn nothing_goes_out_on_old_state_through_an_observer() {
-    let checker = Hop { mutant: None }.checker().threads(2).spawn_bfs().join();
+fn no_request_is_routed_on_stale_state_through_an_observer() {
+    let checker = ObserverModel { mutant: None }
+        .checker()
+        .threads(2)
+        .spawn_bfs()
+        .join();
     println!(
-        "{} states, {} of them different",
+        "{} states, {} of them unique",
         checker.state_count(),
         checker.unique_state_count()
     );
@@ -280,24 +289,24 @@
 }
 
 #[test]
-fn an_age_that_counts_from_the_answer_is_caught() {
-    assert_caught(Mutant::AgeFromConfirmation);
+fn an_age_that_counts_from_the_answer_is_detected() {
+    assert_detected(Mutant::AgeFromConfirmation);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn an_answer_by_an_earlier_read_is_caught() {
-    assert_caught(Mutant::ConfirmsByEarlierRead);
+fn an_answer_by_an_earlier_read_is_detected() {
+    assert_detected(Mutant::ConfirmsByEarlierRead);
 }
 
 #[cfg(feature = "mutants")]
 #[test]
-fn an_observer_that_answers_from_its_own_copy_is_caught() {
-    assert_caught(Mutant::ConfirmsFromOwnCopy);
+fn an_observer_that_answers_from_its_own_copy_is_detected() {
+    assert_detected(Mutant::ConfirmsFromOwnCopy);
 }
 
-fn assert_caught(mutant: Mutant) {
-    let checker = Hop {
+fn assert_detected(mutant: Mutant) {
+    let checker = ObserverModel {
         mutant: Some(mutant),
     }
     .checker()
@@ -305,7 +314,7 @@
     .spawn_bfs()
     .join();
     assert!(
-        checker.discovery(SAFE).is_some(),
-        "{mutant:?} is not caught"
+        checker.discovery(NO_STALE_ROUTING).is_some(),
+        "{mutant:?} is not detected"
     );
 }
--- a/cluster/state-distribution/tests/pair/mod.rs
+++ b/cluster/state-distribution/tests/pair/mod.rs
@@ -1,4 +1,4 @@
-//! One observer and one subscriber, joined without delay.
+//! One observer and one subscriber, connected without delay.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use violetgate_replicated_state::{Entries, Store};
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Carries out all actions of both until there are none.
-    fn settle(&mut self) {
+    /// Performs the actions of both sides until there are none left.
+    fn perform_actions(&mut self) {
         loop {
             let (from_subscriber, from_observer) =
                 (self.subscriber.take_actions(), self.observer.take_actions());
@@ -95,7 +95,7 @@
         self.now += by;
         self.subscriber.tick(self.now);
         self.observer.tick(self.now, &self.store);
-        self.settle();
+        self.perform_actions();
     }
 
     pub fn complete_reads(&mut self, result: ReadResult) {
@@ -103,13 +103,13 @@
             self.observer
                 .read_completed(self.now, read, result, &self.store);
         }
-        self.settle();
+        self.perform_actions();
     }
 
     pub fn change(&mut self, key: &str, value: &str) {
         put(&mut self.store, key, value.as_bytes());
         self.observer.store_applied(self.now, &self.store);
-        self.settle();
+        self.perform_actions();
     }
 
     pub fn assert_same(&self) {
--- a/cluster/state-distribution/tests/rejections.rs
+++ b/cluster/state-distribution/tests/rejections.rs
@@ -1,4 +1,4 @@
-//! What must not be taken: each such message gets one clear rejection, and changes nothing.
+//! Tests that each invalid message gets one rejection with the right reason, and changes no state.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -16,7 +16,7 @@
     ObserverConfig::default_for("c", 1)
 }
 
-/// A subscriber that holds revision 2 and is connected to observer 1, which it watches.
+/// Returns a subscriber that holds revision 2 and watches observer 1.
 fn watching() -> Subscriber {
     let config = SubscriberConfig::default_for("c", "front-end", vec![1]);
     let mut subscriber = Subscriber::new(config, 1, 0);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_greeting_that_does_not_fit_is_rejected_with_its_code() {
+fn an_invalid_greeting_is_rejected_with_its_code() {
     let mut observer = Observer::new(config(), 0);
     let bad = [
         (
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_revision_of_the_future_is_rejected_only_after_a_read() {
+fn a_revision_ahead_of_the_cluster_is_rejected_only_after_a_read() {
     let (mut observer, old, new) = (Observer::new(config(), 0), store(5), store(11));
     for (connection, revision) in [(1, 10), (2, 12)] {
         assert_eq!(
@@ -115,8 +115,8 @@
             &old,
         );
     }
-    // The read began before the second one watched: it says nothing of it. The first one's
-    // revision comes meanwhile.
+    // The read began before the second subscriber watched, so it says nothing about the second
+    // subscriber's revision. The observer applies the first subscriber's revision meanwhile.
     assert_eq!(observer.take_actions(), vec![ObserverAction::BeginRead(1)]);
     assert_eq!(observer.sizes().awaiting, 2);
     observer.store_applied(SECOND, &new);
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! Whole fleets on injected time: a few observers that apply one history at different times, and
-//! front ends that follow them, while connections break, observer_connections are cut, processes
-//! stop, die and return, and the history is compacted. A failure prints its seed; `SEED=n` plays
-//! that one alone, `SEEDS=n` more of them.
+//! Simulates whole fleets on injected time: a few observers apply one history at different times,
+//! and gateways subscribe to them, while connections break, links are cut, processes stop, die and
+//! restart, and the history is compacted. A failure prints its seed; `SEED=n` runs that seed alone,
+//! `SEEDS=n` runs the first `n` seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,11 +15,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-use world::scenario::{play, world_of};
+use world::scenario::{run_scenario, world_for_seed};
 use world::Seen;
 
 const SEEDS: u64 = 200;
-/// Seeds that are played at once.
+/// The number of seeds that run concurrently.
 const THREADS: u64 = 4;
 
 fn variable(name: &str) -> Option<u64> {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn every_replica_is_what_was_agreed_and_no_gate_is_open_on_old_state() {
+fn replicas_match_the_agreed_history_and_stale_replicas_are_not_routed_on() {
     let seeds = match variable("SEED") {
         Some(seed) => seed..seed + 1,
         None => 0..variable("SEEDS").unwrap_or(SEEDS),
@@ -40,10 +40,10 @@
         if seed >= seeds.end {
             return;
         }
-        let (world, observers) = world_of(seed);
-        match catch_unwind(AssertUnwindSafe(|| play(world, observers))) {
+        let (world, observers) = world_for_seed(seed);
+        match catch_unwind(AssertUnwindSafe(|| run_scenario(world, observers))) {
             Ok(world) => seen.lock().unwrap().add(&world.seen),
-            Err(_) => panic!("seed {seed} failed; SEED={seed} plays it again"),
+            Err(_) => panic!("seed {seed} failed; run it again with SEED={seed}"),
         }
     };
     std::thread::scope(|scope| (0..THREADS).for_each(|_| drop(scope.spawn(work))));
@@ -56,10 +56,10 @@
     assert!(seen.gates_open > 0 && seen.gates_shut > 0, "{seen:?}");
 }
 
-/// Each mutant is noticed within a few seeds.
+/// Each mutant has to fail the simulation for at least one of the seeds.
 #[cfg(feature = "mutants")]
 #[test]
-fn mutants_are_noticed() {
+fn mutants_are_detected() {
     use violetgate_state_distribution::Mutant;
     let mutants = [
         Mutant::ConfirmsByEarlierRead,
@@ -69,12 +69,12 @@
         Mutant::AppliesGaps,
     ];
     for mutant in mutants {
-        let noticed = (0..SEEDS).find(|seed| {
-            let (mut world, observers) = world_of(*seed);
+        let detected_by = (0..SEEDS).find(|seed| {
+            let (mut world, observers) = world_for_seed(*seed);
             world.set_mutant(mutant);
-            catch_unwind(AssertUnwindSafe(|| play(world, observers))).is_err()
+            catch_unwind(AssertUnwindSafe(|| run_scenario(world, observers))).is_err()
         });
-        println!("{mutant:?}: noticed by seed {noticed:?}");
-        assert!(noticed.is_some(), "{mutant:?} is not noticed");
+        println!("{mutant:?}: detected by seed {detected_by:?}");
+        assert!(detected_by.is_some(), "{mutant:?} is not detected");
     }
 }
--- a/cluster/state-distribution/tests/snapshot_resume.rs
+++ b/cluster/state-distribution/tests/snapshot_resume.rs
@@ -1,5 +1,5 @@
-//! A snapshot transfer that changes its observer, begins anew, or is complete and not confirmed
-//! yet.
+//! Tests snapshot transfers that resume at another observer, start over, or are complete but not
+//! confirmed yet.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -13,7 +13,8 @@
 use violetgate_replicated_state::Entries;
 use violetgate_state_distribution::*;
 
-/// A subscriber whose connections to observers 1 and 2 are open; the watched one, and the other.
+/// Returns a subscriber with open connections to observers 1 and 2, the id of the watched observer,
+/// and the id of the standby.
 fn subscriber_of_two() -> (Subscriber, u64, u64) {
     let config = SubscriberConfig::default_for("c", "one", vec![1, 2]);
     let mut subscriber = Subscriber::new(config, 7, 0);
@@ -56,7 +57,11 @@
         message: SubscriberMessage::FetchSnapshot { from },
     };
     assert!(subscriber.take_actions().contains(&asked));
-    assert_eq!(subscriber.replica().revision(), 0, "not whole yet");
+    assert_eq!(
+        subscriber.replica().revision(),
+        0,
+        "the snapshot is not complete yet"
+    );
     subscriber.receive(80 * MS, standby, chunk(Some("a"), "b", true));
     assert_eq!(
         (
--- a/cluster/state-distribution/tests/subscription_course.rs
+++ b/cluster/state-distribution/tests/subscription_course.rs
@@ -1,4 +1,4 @@
-//! The course of a subscription, step by step, between one observer and one subscriber joined
+//! Tests the steps of a subscription between one observer and one subscriber that are connected
 //! without delay.
 #![allow(
     clippy::unwrap_used,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_gate_shuts_without_confirmations_and_opens_with_the_next_one() {
+fn routing_stops_without_confirmations_and_resumes_with_the_next_one() {
     let mut pair = Pair::new(Store::default());
     pair.change("a", "1");
     pair.advance(50 * MS);
@@ -66,7 +66,11 @@
     observer.receive(0, 1, poll_message(1, false), &store);
     assert_eq!(observer.take_actions(), vec![ObserverAction::BeginRead(1)]);
     observer.receive(5 * MS, 1, poll_message(2, false), &store);
-    assert_eq!(observer.take_actions(), vec![], "one read runs");
+    assert_eq!(
+        observer.take_actions(),
+        vec![],
+        "at most one read is under way"
+    );
     observer.read_completed(30 * MS, 1, ReadResult::Current, &store);
     let answer = |poll| ObserverAction::Send {
         connection: 1,
@@ -101,7 +105,7 @@
         assert_eq!(
             pair.chunks > chunks,
             lost,
-            "a snapshot where changes were compacted away, and only there"
+            "a snapshot is sent exactly when changes were compacted away"
         );
     }
 }
--- a/cluster/state-distribution/tests/wire_fixtures.rs
+++ b/cluster/state-distribution/tests/wire_fixtures.rs
@@ -1,6 +1,6 @@
-//! Each message between a front end and an observer as an earlier release encodes it. Both
-//! directions are compared: an instance of that release and a new one work together during an
-//! upgrade.
+//! Compares the encoding of each message between a gateway and an observer with that of an earlier
+//! release. Encoding and decoding are both compared, because instances of both releases work
+//! together during an upgrade.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,7 +15,7 @@
 use serde::Serialize;
 use violetgate_state_distribution::*;
 
-/// One message a line: its name here, and its bytes in hexadecimal.
+/// One message per line: its name in this test, and its bytes in hexadecimal.
 const FIXTURES: &str = include_str!("fixtures/messages.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -27,7 +27,7 @@
     (0..text.len()).step_by(2).map(digits).collect()
 }
 
-/// The fixtures, and the messages that were compared with theirs.
+/// The fixtures that are not compared yet, and the messages that differ from their fixture.
 struct Comparison {
     stored: BTreeMap<&'static str, &'static str>,
     differing: Vec<String>,
@@ -59,7 +59,10 @@
 
     fn finish(self) {
         let found = self.differing.join("\n");
-        assert!(found.is_empty(), "differ from the stored ones:\n{found}");
+        assert!(
+            found.is_empty(),
+            "encodings that differ from their fixture:\n{found}"
+        );
         assert!(self.stored.is_empty(), "not compared: {:?}", self.stored);
     }
 }
@@ -245,9 +248,9 @@
     comparison.finish();
 }
 
-/// The reason codes and texts of rejections are shown to operators.
+/// The reason codes and texts of rejections are shown to operators, so they must not change.
 #[test]
-fn refusals_have_their_stored_codes_and_texts() {
+fn rejections_have_their_stored_codes_and_texts() {
     let found: Vec<String> = rejections()
         .iter()
         .map(|(_, rejection)| format!("{} {rejection}", rejection.code()))
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step.
+//! Invariants that are checked at every step of the simulation.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 
 use super::World;
 
-/// What a run was made of.
+/// Counts of the events and states in a run, which show that the run covered them.
 #[derive(Debug, Default, Clone)]
 pub struct Seen {
     pub connections: u64,
@@ -21,8 +21,11 @@
     pub queued: u64,
     pub compacted: u64,
     pub rejections: BTreeMap<&'static str, u64>,
+    /// The number of checks at which a gateway was allowed to route.
     pub gates_open: u64,
+    /// The number of checks at which a gateway was refused routing.
     pub gates_shut: u64,
+    /// The maximum number of bytes queued for one subscriber.
     pub most_waiting: usize,
     pub most_snapshots: usize,
     pub most_snapshots_queued: usize,
@@ -69,32 +72,34 @@
 }
 
 impl World {
-    /// A replica is exactly what was agreed at its revision, and never goes back.
+    /// Checks that a replica equals the agreed state at its revision, and that its revision never
+    /// decreases.
     pub(super) fn check_replica(&mut self, n: usize) {
         let process = &mut self.subscribers[n];
         let revision = process.core.replica().revision();
         if revision != process.last_revision {
             assert!(
                 revision > process.last_revision,
-                "front end {n} went back to {revision}"
+                "gateway {n}: revision decreased to {revision}"
             );
             process.last_revision = revision;
             let found = fingerprint(process.core.replica());
             assert_eq!(
                 found, self.fingerprints[revision as usize],
-                "front end {n} at revision {revision}"
+                "gateway {n} at revision {revision}"
             );
         }
         let rejection = self.subscribers[n].core.rejection();
         assert!(
             !matches!(rejection, Some(Rejection::ProtocolViolation { .. })),
-            "front end {n}: {rejection:?}"
+            "gateway {n}: {rejection:?}"
         );
-        self.check_gate(n);
+        self.check_routing(n);
     }
 
-    /// Whoever's gate is open knows all that was agreed on by a drain limit ago.
-    fn check_gate(&mut self, n: usize) {
+    /// Checks that a gateway that may route has applied every revision that was agreed on at least
+    /// a drain limit ago.
+    fn check_routing(&mut self, n: usize) {
         let process = &self.subscribers[n];
         if process.core.may_route(self.now).is_err() {
             self.seen.gates_shut += 1;
@@ -103,17 +108,17 @@
         self.seen.gates_open += 1;
         let limit = self.subscriber_config.drain_limit;
         let known = process.core.replica().revision() as usize;
-        if let Some(next) = self.agreed.get(known + 1) {
+        if let Some(next) = self.agreed_at.get(known + 1) {
             assert!(
                 next + limit > self.now,
-                "front end {n} routes on revision {known}, {next} {}",
+                "gateway {n} routes on revision {known}; the next was agreed on at {next}, now {}",
                 self.now
             );
         }
     }
 
     pub(super) fn check_all(&mut self) {
-        (0..self.subscribers.len()).for_each(|n| self.check_gate(n));
+        (0..self.subscribers.len()).for_each(|n| self.check_routing(n));
         let config = &self.observer_config;
         for process in self.observers.values() {
             let Some(core) = &process.core else { continue };
@@ -135,27 +140,27 @@
             self.seen.most_snapshots_queued =
                 self.seen.most_snapshots_queued.max(sizes.snapshots_queued);
         }
-        // Changes of one batch, or a chunk, beyond the bound, and short messages.
+        // A batch of changes or a chunk may exceed the bound, and short messages come on top.
         let bound = config.send_queue_bytes + 2 * config.chunk_bytes + (16 << 10);
         assert!(
             self.seen.most_waiting <= bound,
-            "{} bytes wait, bound {bound}",
+            "{} bytes queued for one subscriber, bound {bound}",
             self.seen.most_waiting
         );
     }
 
-    /// How a front end stands, for a failed test.
+    /// Describes a gateway's state for the message of a failed test.
     pub fn describe(&self, n: usize) -> String {
         let core = &self.subscribers[n].core;
-        let (held, gate) = (core.held_observers(), core.may_route(self.now));
+        let (held, guard) = (core.held_observers(), core.may_route(self.now));
         let (has, links) = (core.replica().revision(), &self.subscribers[n].links);
-        let last = self.truth.revision();
-        format!("front end {n} has {has} of {last}, gate {gate:?}, holds {held:?} of {links:?}")
+        let last = self.agreed_store.revision();
+        format!("gateway {n} has {has} of {last}, guard {guard:?}, holds {held:?} of {links:?}")
     }
 
-    /// Front ends that lack a revision, whose gate is shut, or that hold fewer than two observers.
+    /// Returns the gateways that lack a revision, may not route, or hold fewer than two observers.
     pub fn not_current(&self) -> Vec<usize> {
-        let revision = self.truth.revision();
+        let revision = self.agreed_store.revision();
         let lacks = |n: &usize| {
             let core = &self.subscribers[*n].core;
             let held = core.held_observers();
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! Observers, subscribers and the network between them in one thread, on injected time: delay,
-//! connections that break, cuts, processes that stop, die and return, and subscribers that read
-//! slowly.
+//! Simulates observers, subscribers and the network between them in one thread, on injected time:
+//! delays, broken connections, network cuts, processes that stop, die and restart, and subscribers
+//! that read slowly.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 mod check;
@@ -26,50 +26,52 @@
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000 * MS;
 
-/// What happens at a moment.
+/// An event that is scheduled for a point in time.
 #[derive(Debug)]
 pub enum Event {
     TickObserver(NodeId),
     TickSubscriber(usize),
-    /// An attempt to connect arrives.
+    /// A connection attempt arrives at an observer.
     Connect(usize, NodeId, u64, SubscriberHello),
-    /// Something may be due on a connection, one way or the other.
+    /// A message to the observer may be due on a connection.
     ToObserver(ConnectionId),
+    /// A message to the subscriber may be due on a connection.
     ToSubscriber(ConnectionId),
-    /// An end of a connection learns that the other one is gone.
+    /// The subscriber learns that its connection or attempt has ended.
     SubscriberLost(usize, NodeId, u64, Option<Rejection>),
+    /// The observer learns that a connection has ended.
     ObserverLost(NodeId, ConnectionId),
-    /// An observer applies what was agreed.
+    /// An observer applies the next commands of the history.
     Apply(NodeId),
-    /// A majority vouches for what is agreed now.
+    /// A majority confirms the present history for a read.
     ReadConfirmed(NodeId, u64, ReadId),
     ReadFailed(NodeId, u64, ReadId),
     CheckAll,
 }
 
-/// An observer's process; its store outlives it.
+/// An observer's process, and the store that outlives it.
 pub struct ObserverProcess {
-    /// `None`: it is down.
+    /// The observer; `None` while the process is down.
     pub core: Option<Observer>,
     pub store: Store,
-    /// Commands of the history that its store has.
+    /// The number of commands of the history that the store has applied.
     pub applied: usize,
     pub paused_until: u64,
     pub starts: u64,
     tick_at: u64,
-    /// Reads that wait until so many commands are applied here.
+    /// Confirmed reads, each with the number of commands that the store has to apply first.
     reads: Vec<(usize, ReadId)>,
-    apply_planned: bool,
+    apply_scheduled: bool,
 }
 
-/// A front end's process.
+/// A gateway's process.
 pub struct SubscriberProcess {
     pub core: Subscriber,
     pub paused_until: u64,
-    /// Bytes that it takes in a second.
+    /// The number of bytes that the process reads per second.
     pub rate: u64,
     tick_at: u64,
-    /// Its attempts and connections, by observer, with the number of the attempt.
+    /// The number of each attempt by observer, with the connection if it was accepted.
     links: BTreeMap<NodeId, (u64, Option<ConnectionId>)>,
     last_revision: Revision,
 }
@@ -79,29 +81,34 @@
     pub now: u64,
     serial: u64,
     events: BinaryHeap<Reverse<(u64, u64)>>,
-    planned: BTreeMap<u64, Event>,
+    scheduled: BTreeMap<u64, Event>,
     pub observers: BTreeMap<NodeId, ObserverProcess>,
     pub subscribers: Vec<SubscriberProcess>,
     connections: BTreeMap<ConnectionId, Connection>,
     attempts: u64,
-    /// Subscribers that can't reach observers, and observers that can't reach the voters.
+    /// Subscribers and the observers that they can't reach.
     pub cut: BTreeSet<(usize, NodeId)>,
+    /// Observers that can't reach the voters.
     pub cut_upstream: BTreeSet<NodeId>,
-    /// The longest delay of a message, of a change to an observer, and of a read.
+    /// The maximum delay of a message between a subscriber and an observer.
     pub delay: u64,
+    /// The maximum delay after which an observer applies the next commands.
     pub apply_delay: u64,
+    /// The maximum delay of a read.
     pub read_delay: u64,
-    /// Bytes that are on their way to a subscriber at a time.
+    /// The bytes under way to a subscriber at which its observer stops sending.
     pub window: usize,
-    /// Of a thousand reads, so many fail.
-    pub reads_fail: u64,
+    /// The number of reads that fail out of a thousand.
+    pub failed_reads_per_thousand: u64,
     pub history: Vec<Command>,
-    pub truth: Store,
-    /// When each revision was agreed on, and the entries' fingerprint at each.
-    agreed: Vec<u64>,
+    /// The store with the whole history applied.
+    pub agreed_store: Store,
+    /// When each revision was agreed on.
+    agreed_at: Vec<u64>,
+    /// The fingerprint of the entries at each revision.
     fingerprints: Vec<u64>,
     pub seen: Seen,
-    /// A digest of all that the cores do, where one is wanted.
+    /// A digest of all actions and states, if the test needs one.
     pub trace: Option<Trace>,
     observer_config: ObserverConfig,
     subscriber_config: SubscriberConfig,
@@ -117,7 +124,7 @@
             now: SECOND,
             serial: 0,
             events: BinaryHeap::new(),
-            planned: BTreeMap::new(),
+            scheduled: BTreeMap::new(),
             observers: BTreeMap::new(),
             subscribers: Vec::new(),
             connections: BTreeMap::new(),
@@ -128,10 +135,10 @@
             apply_delay: 20 * MS,
             read_delay: 10 * MS,
             window: 64 << 10,
-            reads_fail: 0,
+            failed_reads_per_thousand: 0,
             history: Vec::new(),
-            truth: Store::default(),
-            agreed: vec![0],
+            agreed_store: Store::default(),
+            agreed_at: vec![0],
             fingerprints: vec![check::fingerprint(&Store::default())],
             seen: Seen::default(),
             trace: None,
@@ -146,7 +153,7 @@
         };
         ids.iter().for_each(|id| world.add_observer(*id));
         (0..subscribers).for_each(|n| world.add_subscriber(n));
-        world.plan(world.now, Event::CheckAll);
+        world.schedule(world.now, Event::CheckAll);
         world
     }
 
@@ -154,13 +161,13 @@
         self.rng.next_u64() % below.max(1)
     }
 
-    pub(crate) fn plan(&mut self, at: u64, event: Event) {
+    pub(crate) fn schedule(&mut self, at: u64, event: Event) {
         self.serial += 1;
         self.events.push(Reverse((at.max(self.now), self.serial)));
-        self.planned.insert(self.serial, event);
+        self.scheduled.insert(self.serial, event);
     }
 
-    /// Plays all events up to a moment.
+    /// Handles all events up to and including `until`.
     pub fn run_until(&mut self, until: u64) {
         while let Some(Reverse((at, serial))) = self.events.peek().copied() {
             if at > until {
@@ -168,8 +175,8 @@
             }
             self.events.pop();
             self.now = at;
-            if let Some(event) = self.planned.remove(&serial) {
-                self.play(event);
+            if let Some(event) = self.scheduled.remove(&serial) {
+                self.handle_event(event);
             }
         }
         self.now = until;
@@ -179,7 +186,7 @@
         self.run_until(self.now + time);
     }
 
-    fn play(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::TickObserver(id) => self.tick_observer(id),
             Event::TickSubscriber(n) => self.tick_subscriber(n),
@@ -196,7 +203,7 @@
             Event::CheckAll => {
                 self.check_all();
                 self.trace_states();
-                self.plan(self.now + 20 * MS, Event::CheckAll);
+                self.schedule(self.now + 20 * MS, Event::CheckAll);
             }
         }
     }
@@ -205,7 +212,7 @@
         let process = self.observers.get_mut(&id).unwrap();
         if process.paused_until > self.now {
             let at = process.paused_until;
-            return self.plan(at, Event::TickObserver(id));
+            return self.schedule(at, Event::TickObserver(id));
         }
         if process.tick_at > self.now {
             return;
@@ -221,7 +228,7 @@
         let process = &mut self.subscribers[n];
         if process.paused_until > self.now {
             let at = process.paused_until;
-            return self.plan(at, Event::TickSubscriber(n));
+            return self.schedule(at, Event::TickSubscriber(n));
         }
         if process.tick_at > self.now {
             return;
@@ -231,7 +238,7 @@
         self.after_subscriber(n);
     }
 
-    /// Carries out what an observer wants done, and plans its next tick.
+    /// Performs the actions of an observer, and schedules its next tick.
     pub(crate) fn after_observer(&mut self, id: NodeId) {
         loop {
             let Some(core) = self.observers.get_mut(&id).unwrap().core.as_mut() else {
@@ -266,11 +273,11 @@
             .max(self.now + 1);
         if next < process.tick_at {
             process.tick_at = next;
-            self.plan(next, Event::TickObserver(id));
+            self.schedule(next, Event::TickObserver(id));
         }
     }
 
-    /// Carries out what a subscriber wants done, checks it, and plans its next tick.
+    /// Performs the actions of a subscriber, checks its replica, and schedules its next tick.
     pub(crate) fn after_subscriber(&mut self, n: usize) {
         for action in self.subscribers[n].core.take_actions() {
             self.trace_subscriber(n, &action);
@@ -291,7 +298,7 @@
         let next = process.core.next_tick().max(self.now + 1);
         if next < process.tick_at {
             process.tick_at = next;
-            self.plan(next, Event::TickSubscriber(n));
+            self.schedule(next, Event::TickSubscriber(n));
         }
     }
 }
--- a/cluster/state-distribution/tests/world/network.rs
+++ b/cluster/state-distribution/tests/world/network.rs
@@ -1,5 +1,5 @@
-//! Connections: in order, with delay; what a subscriber does not take waits in its observer's
-//! carrier.
+//! Connections deliver messages in order and with delay. Messages that a subscriber does not read
+//! wait in its observer's send queue.
 
 use std::collections::VecDeque;
 
@@ -9,20 +9,22 @@
 use super::trace::Record;
 use super::{Event, World, MS, SECOND};
 
-/// How often a connection that is cut, or whose end stands still, is looked at again.
-const AGAIN: u64 = 20 * MS;
+/// How often delivery is retried on a connection that is cut, or whose receiver is paused.
+const RETRY_INTERVAL: u64 = 20 * MS;
 
 pub struct Connection {
     pub subscriber: usize,
     pub observer: NodeId,
     attempt: u64,
     to_observer: VecDeque<(u64, SubscriberMessage)>,
-    /// In the carrier's memory, and on the way.
-    waiting: VecDeque<(usize, ObserverMessage)>,
-    pub waiting_bytes: usize,
-    flying: VecDeque<(u64, usize, ObserverMessage)>,
-    flying_bytes: usize,
-    /// The observer has ended it: the subscriber is told once all has arrived.
+    /// Messages in the observer's send queue, with their sizes.
+    queued: VecDeque<(usize, ObserverMessage)>,
+    pub queued_bytes: usize,
+    /// Messages on the network, with their arrival times and sizes.
+    in_flight: VecDeque<(u64, usize, ObserverMessage)>,
+    in_flight_bytes: usize,
+    /// Set when the observer has closed the connection, with its rejection if there is one. The
+    /// subscriber learns of it after all messages have arrived.
     closed: Option<Option<Rejection>>,
 }
 
@@ -55,7 +57,7 @@
         let attempt = self.attempts;
         self.subscribers[n].links.insert(id, (attempt, None));
         let at = self.now + self.draw_delay();
-        self.plan(at, Event::Connect(n, id, attempt, hello));
+        self.schedule(at, Event::Connect(n, id, attempt, hello));
     }
 
     pub(super) fn connect(&mut self, n: usize, id: NodeId, attempt: u64, hello: SubscriberHello) {
@@ -67,16 +69,16 @@
         let process = self.observers.get_mut(&id).unwrap();
         if process.paused_until > self.now {
             let until = process.paused_until;
-            return self.plan(until, Event::Connect(n, id, attempt, hello));
+            return self.schedule(until, Event::Connect(n, id, attempt, hello));
         }
         let Some(core) = &mut process.core else {
-            return self.plan(at, Event::SubscriberLost(n, id, attempt, None));
+            return self.schedule(at, Event::SubscriberLost(n, id, attempt, None));
         };
         let welcome = core.accept(self.now, attempt, &hello, &process.store);
         self.trace(id, Record::Welcome(attempt, &welcome));
         if let Some(rejection) = &welcome.rejected {
             *self.seen.rejections.entry(rejection.code()).or_default() += 1;
-            self.plan(
+            self.schedule(
                 at,
                 Event::SubscriberLost(n, id, attempt, welcome.rejected.clone()),
             );
@@ -87,15 +89,15 @@
             observer: id,
             attempt,
             to_observer: VecDeque::new(),
-            waiting: VecDeque::new(),
-            waiting_bytes: 0,
-            flying: VecDeque::new(),
-            flying_bytes: 0,
+            queued: VecDeque::new(),
+            queued_bytes: 0,
+            in_flight: VecDeque::new(),
+            in_flight_bytes: 0,
             closed: None,
         };
         self.connections.insert(attempt, connection);
         self.seen.connections += 1;
-        // The answer to the greeting is taken as having arrived with it.
+        // The answer to the greeting arrives without delay.
         self.subscribers[n]
             .links
             .insert(id, (attempt, Some(attempt)));
@@ -115,7 +117,7 @@
                 .back()
                 .map_or(at, |(before, _)| at.max(*before));
             connection.to_observer.push_back((at, message));
-            self.plan(at, Event::ToObserver(link));
+            self.schedule(at, Event::ToObserver(link));
         }
     }
 
@@ -133,7 +135,7 @@
         }
         let paused = self.observers[&id].paused_until > self.now;
         if paused || self.cut.contains(&(n, id)) {
-            return self.plan(self.now + AGAIN, Event::ToObserver(link));
+            return self.schedule(self.now + RETRY_INTERVAL, Event::ToObserver(link));
         }
         let Some((_, message)) = self
             .connections
@@ -157,39 +159,39 @@
             return;
         };
         let bytes = size(&message);
-        connection.waiting.push_back((bytes, message));
-        connection.waiting_bytes += bytes;
-        self.seen.most_waiting = self.seen.most_waiting.max(connection.waiting_bytes);
-        self.take_off(link);
+        connection.queued.push_back((bytes, message));
+        connection.queued_bytes += bytes;
+        self.seen.most_waiting = self.seen.most_waiting.max(connection.queued_bytes);
+        self.send_queued(link);
     }
 
-    /// Puts what waits on its way, as far as the window allows, and tells the observer what still
-    /// waits.
-    fn take_off(&mut self, link: ConnectionId) {
+    /// Moves messages from the send queue to the network, as far as the window allows, and reports
+    /// the bytes that are still queued to the observer.
+    fn send_queued(&mut self, link: ConnectionId) {
         let mut moved = false;
         while let Some(connection) = self.connections.get(&link) {
-            if connection.waiting.is_empty() || connection.flying_bytes >= self.window {
+            if connection.queued.is_empty() || connection.in_flight_bytes >= self.window {
                 break;
             }
             let rate = self.subscribers[connection.subscriber].rate;
             let delay = self.draw_delay();
             let connection = self.connections.get_mut(&link).unwrap();
-            let Some((bytes, message)) = connection.waiting.pop_front() else {
+            let Some((bytes, message)) = connection.queued.pop_front() else {
                 break;
             };
-            let before = connection.flying.back().map_or(self.now, |(at, ..)| *at);
+            let before = connection.in_flight.back().map_or(self.now, |(at, ..)| *at);
             let transfer = (bytes as u64).saturating_mul(SECOND) / rate;
             let at = before.max(self.now + delay).saturating_add(transfer);
-            connection.waiting_bytes -= bytes;
-            connection.flying_bytes += bytes;
-            connection.flying.push_back((at, bytes, message));
-            self.plan(at, Event::ToSubscriber(link));
+            connection.queued_bytes -= bytes;
+            connection.in_flight_bytes += bytes;
+            connection.in_flight.push_back((at, bytes, message));
+            self.schedule(at, Event::ToSubscriber(link));
             moved = true;
         }
         let Some(connection) = self.connections.get(&link).filter(|_| moved) else {
             return;
         };
-        let (id, bytes) = (connection.observer, connection.waiting_bytes);
+        let (id, bytes) = (connection.observer, connection.queued_bytes);
         let process = self.observers.get_mut(&id).unwrap();
         if let Some(core) = &mut process.core {
             core.bytes_queued(link, bytes, &process.store);
@@ -206,7 +208,7 @@
             connection.attempt,
         );
         if connection
-            .flying
+            .in_flight
             .front()
             .is_some_and(|(at, ..)| *at > self.now)
         {
@@ -214,21 +216,21 @@
         }
         let paused = self.subscribers[n].paused_until > self.now;
         if paused || self.is_cut(n, id) {
-            return self.plan(self.now + AGAIN, Event::ToSubscriber(link));
+            return self.schedule(self.now + RETRY_INTERVAL, Event::ToSubscriber(link));
         }
         let connection = self.connections.get_mut(&link).unwrap();
-        if let Some((_, bytes, message)) = connection.flying.pop_front() {
-            connection.flying_bytes -= bytes;
+        if let Some((_, bytes, message)) = connection.in_flight.pop_front() {
+            connection.in_flight_bytes -= bytes;
             self.seen.count(&message);
             self.subscribers[n].core.receive(self.now, id, message);
             self.after_subscriber(n);
         }
-        self.take_off(link);
+        self.send_queued(link);
         self.after_observer(id);
         let Some(connection) = self.connections.get_mut(&link) else {
             return;
         };
-        if connection.flying.is_empty() && connection.waiting.is_empty() {
+        if connection.in_flight.is_empty() && connection.queued.is_empty() {
             if let Some(rejection) = connection.closed.take() {
                 self.connections.remove(&link);
                 self.subscriber_lost(n, id, attempt, rejection);
@@ -236,7 +238,7 @@
         }
     }
 
-    /// The observer's end of a connection closes; what was sent before still arrives.
+    /// Closes a connection at the observer's end. Messages that are on the network still arrive.
     pub(super) fn end_by_observer(&mut self, link: ConnectionId, rejection: Option<Rejection>) {
         let at = self.now + self.draw_delay();
         let Some(connection) = self.connections.get_mut(&link) else {
@@ -245,17 +247,17 @@
         if let Some(rejection) = &rejection {
             *self.seen.rejections.entry(rejection.code()).or_default() += 1;
         } else {
-            // A process that dies takes along what it had not written.
-            connection.waiting.clear();
-            connection.waiting_bytes = 0;
+            // Messages that a dead process had not written yet are lost.
+            connection.queued.clear();
+            connection.queued_bytes = 0;
         }
         connection.to_observer.clear();
         connection.closed = Some(rejection);
         let at = connection
-            .flying
+            .in_flight
             .back()
             .map_or(at, |(last, ..)| at.max(*last));
-        self.plan(at, Event::ToSubscriber(link));
+        self.schedule(at, Event::ToSubscriber(link));
     }
 
     pub(super) fn disconnect_by_subscriber(&mut self, n: usize, id: NodeId) {
@@ -264,15 +266,15 @@
         }
     }
 
-    /// The subscriber's end of a connection closes.
+    /// Closes a connection at the subscriber's end.
     pub(super) fn end_by_subscriber(&mut self, link: ConnectionId) {
         if let Some(connection) = self.connections.remove(&link) {
             let at = self.now + self.draw_delay();
-            self.plan(at, Event::ObserverLost(connection.observer, link));
+            self.schedule(at, Event::ObserverLost(connection.observer, link));
         }
     }
 
-    /// A connection breaks, and both ends learn of it.
+    /// Breaks a connection, and informs both ends.
     pub fn break_connection(&mut self, link: ConnectionId) {
         if let Some(connection) = self.connections.get(&link) {
             let (n, id, attempt) = (
@@ -281,7 +283,7 @@
                 connection.attempt,
             );
             self.end_by_subscriber(link);
-            self.plan(self.now + MS, Event::SubscriberLost(n, id, attempt, None));
+            self.schedule(self.now + MS, Event::SubscriberLost(n, id, attempt, None));
         }
     }
 
@@ -306,7 +308,7 @@
         }
         if process.paused_until > self.now {
             let at = process.paused_until;
-            return self.plan(at, Event::SubscriberLost(n, id, attempt, rejection));
+            return self.schedule(at, Event::SubscriberLost(n, id, attempt, rejection));
         }
         process.links.remove(&id);
         process.core.disconnected(self.now, id, rejection.as_ref());
@@ -317,7 +319,7 @@
         let process = self.observers.get_mut(&id).unwrap();
         if process.paused_until > self.now {
             let at = process.paused_until;
-            return self.plan(at, Event::ObserverLost(id, link));
+            return self.schedule(at, Event::ObserverLost(id, link));
         }
         if let Some(core) = &mut process.core {
             core.disconnected(self.now, link);
--- a/cluster/state-distribution/tests/world/processes.rs
+++ b/cluster/state-distribution/tests/world/processes.rs
@@ -1,4 +1,4 @@
-//! Processes that start, stop and run on.
+//! Starts, stops, restarts and resumes the simulated processes.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::{Event, ObserverProcess, SubscriberProcess, World};
 
 impl World {
-    /// Has all processes decide wrongly.
+    /// Activates a mutant in all processes.
     #[cfg(feature = "mutants")]
     pub fn set_mutant(&mut self, mutant: Mutant) {
         self.mutant = Some(mutant);
@@ -35,7 +35,7 @@
             starts: 0,
             tick_at: u64::MAX,
             reads: Vec::new(),
-            apply_planned: false,
+            apply_scheduled: false,
         };
         self.observers.insert(id, process);
         self.start_observer(id);
@@ -53,7 +53,7 @@
             #[cfg(feature = "mutants")]
             process.core.as_mut().unwrap().set_mutant(self.mutant);
             process.starts += 1;
-            self.plan_apply(id);
+            self.schedule_apply(id);
             self.after_observer(id);
         }
     }
@@ -87,7 +87,7 @@
         self.after_subscriber(n);
     }
 
-    /// A front end's process ends and another one starts in its place.
+    /// Restarts a gateway's process without its state.
     pub fn restart_subscriber(&mut self, n: usize) {
         let connections: Vec<ConnectionId> = self
             .connections
@@ -102,7 +102,7 @@
         self.after_subscriber(n);
     }
 
-    /// An observer's process ends.
+    /// Kills an observer's process. Its store remains.
     pub fn kill_observer(&mut self, id: NodeId) {
         let connections: Vec<ConnectionId> = self
             .connections
@@ -118,7 +118,7 @@
         process.reads.clear();
     }
 
-    /// All processes run on, at full speed.
+    /// Resumes all processes at full speed.
     pub fn resume_all(&mut self) {
         for process in &mut self.subscribers {
             (process.paused_until, process.rate, process.tick_at) = (0, u64::MAX, self.now);
@@ -128,7 +128,7 @@
         }
         let ids: Vec<NodeId> = self.observers.keys().copied().collect();
         ids.into_iter()
-            .for_each(|id| self.plan(self.now, Event::TickObserver(id)));
-        (0..self.subscribers.len()).for_each(|n| self.plan(self.now, Event::TickSubscriber(n)));
+            .for_each(|id| self.schedule(self.now, Event::TickObserver(id)));
+        (0..self.subscribers.len()).for_each(|n| self.schedule(self.now, Event::TickSubscriber(n)));
     }
 }
--- a/cluster/state-distribution/tests/world/scenario.rs
+++ b/cluster/state-distribution/tests/world/scenario.rs
@@ -1,6 +1,6 @@
-//! A drawn course of a whole fleet: changes are agreed on while connections break, links are cut,
-//! processes stop, die and return, and the history is compacted; at the end all is mended and
-//! every front end has to be current.
+//! A random scenario of a whole fleet: changes are agreed on while connections break, links are
+//! cut, processes stop, die and restart, and the history is compacted. At the end all faults are
+//! repaired, and every gateway has to be current.
 
 use violetgate_replicated_state::{Mutation, Operation, Txn};
 use violetgate_state_distribution::ObserverConfig;
@@ -18,12 +18,12 @@
     }
 }
 
-/// Something is agreed on.
+/// Agrees on a random command: a compaction, a deletion, or a change of some keys.
 fn change(world: &mut World) {
     match world.random(20) {
         0 => {
             let back = world.random(30);
-            let to = world.truth.revision().saturating_sub(back);
+            let to = world.agreed_store.revision().saturating_sub(back);
             world.agree(Operation::Compact(to));
         }
         1..=3 => {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Something goes wrong, or is mended.
-fn trouble(world: &mut World, observers: u64) {
+/// Injects a random fault, or repairs some faults.
+fn inject_fault(world: &mut World, observers: u64) {
     let id = 1 + world.random(observers);
     let count = world.subscribers.len() as u64;
     let n = world.random(count) as usize;
@@ -77,16 +77,16 @@
     }
 }
 
-fn mend(world: &mut World, observers: u64) {
+fn repair_all(world: &mut World, observers: u64) {
     world.cut.clear();
     world.cut_upstream.clear();
-    (world.read_delay, world.reads_fail) = (10 * MS, 0);
+    (world.read_delay, world.failed_reads_per_thousand) = (10 * MS, 0);
     (1..=observers).for_each(|id| world.start_observer(id));
     world.resume_all();
 }
 
-/// The fleet of a seed, and how many observers it has.
-pub fn world_of(seed: u64) -> (World, u64) {
+/// Creates the fleet of a seed. Also returns the number of its observers.
+pub fn world_for_seed(seed: u64) -> (World, u64) {
     let (observers, subscribers) = (3 + seed % 3, 20 + (seed * 7) % 41);
     (
         World::new(seed, observers, subscribers as usize, config()),
@@ -94,10 +94,11 @@
     )
 }
 
-/// Plays ten seconds of trouble, then ten without; the world as it is after them.
-pub fn play(mut world: World, observers: u64) -> World {
+/// Runs the world for ten seconds with faults and ten seconds without, checks that every gateway is
+/// current, and returns the world.
+pub fn run_scenario(mut world: World, observers: u64) -> World {
     world.window = 512;
-    world.reads_fail = world.random(100);
+    world.failed_reads_per_thousand = world.random(100);
     world.apply_delay = 1 + world.random(200 * MS);
     (0..30).for_each(|_| change(&mut world));
     let end = world.now + 10 * SECOND;
@@ -106,16 +107,19 @@
         world.run_for(pause);
         change(&mut world);
         if world.random(3) == 0 {
-            trouble(&mut world, observers);
+            inject_fault(&mut world, observers);
         }
     }
-    mend(&mut world, observers);
+    repair_all(&mut world, observers);
     world.run_for(10 * SECOND);
     let late: Vec<String> = world
         .not_current()
         .into_iter()
         .map(|n| world.describe(n))
         .collect();
-    assert!(late.is_empty(), "not current at the end: {late:?}");
+    assert!(
+        late.is_empty(),
+        "gateways that are not current at the end: {late:?}"
+    );
     world
 }
--- a/cluster/state-distribution/tests/world/trace.rs
+++ b/cluster/state-distribution/tests/world/trace.rs
@@ -1,5 +1,6 @@
-//! A digest of all that the cores do, in order: an FNV-1a hash over numbers and over messages as
-//! they are on the wire, so that it does not depend on any name.
+//! Computes a digest of all actions and states of the observers and subscribers, in order. The
+//! digest is an FNV-1a hash over numbers and encoded messages, so it does not depend on any
+//! identifier.
 
 use serde::Serialize;
 use violetgate_replicated_state::Entries;
@@ -10,7 +11,7 @@
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// What is hashed; the number goes before each record.
+/// A record of the digest. [`Trace::record`] hashes a number for the kind before its contents.
 pub enum Record<'a> {
     ToSubscriber(u64, &'a ObserverMessage),
     Close(u64, &'a Rejection),
@@ -172,7 +173,7 @@
         self.trace(n as u64, record);
     }
 
-    /// The state of all cores, where a trace is wanted.
+    /// Records the states of all observers and subscribers, if there is a trace.
     pub(super) fn trace_states(&mut self) {
         let Some(trace) = &mut self.trace else { return };
         for (n, process) in self.subscribers.iter().enumerate() {
--- a/cluster/state-distribution/tests/world/upstream.rs
+++ b/cluster/state-distribution/tests/world/upstream.rs
@@ -1,5 +1,5 @@
-//! The voters, as an observer sees them: one history of commands that it applies late, and reads
-//! that may be slow.
+//! Simulates the voters as an observer sees them: a history of commands that it applies late, and
+//! reads that may be slow or fail.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Command, Mutation, Operation, Txn};
@@ -9,7 +9,7 @@
 use super::{check, Event, World, MS};
 
 impl World {
-    /// The voters agree on a command.
+    /// Adds a command to the history that the voters have agreed on.
     pub fn agree(&mut self, step: Operation) {
         let command = Command {
             request_id: None,
@@ -17,15 +17,16 @@
             time: self.now,
             operation: step,
         };
-        self.truth.apply(&command);
+        self.agreed_store.apply(&command);
         self.history.push(command);
-        let revision = self.truth.revision() as usize;
-        if self.agreed.len() <= revision {
-            self.agreed.push(self.now);
-            self.fingerprints.push(check::fingerprint(&self.truth));
+        let revision = self.agreed_store.revision() as usize;
+        if self.agreed_at.len() <= revision {
+            self.agreed_at.push(self.now);
+            self.fingerprints
+                .push(check::fingerprint(&self.agreed_store));
         }
         let ids: Vec<NodeId> = self.observers.keys().copied().collect();
-        ids.into_iter().for_each(|id| self.plan_apply(id));
+        ids.into_iter().for_each(|id| self.schedule_apply(id));
     }
 
     pub fn put(&mut self, keys: &[(u64, usize)]) {
@@ -41,26 +42,26 @@
         }));
     }
 
-    pub(super) fn plan_apply(&mut self, id: NodeId) {
+    pub(super) fn schedule_apply(&mut self, id: NodeId) {
         let most = self.apply_delay;
         let at = self.now + 1 + self.random(most);
         let process = self.observers.get_mut(&id).unwrap();
-        if !process.apply_planned && process.applied < self.history.len() {
-            process.apply_planned = true;
-            self.plan(at, Event::Apply(id));
+        if !process.apply_scheduled && process.applied < self.history.len() {
+            process.apply_scheduled = true;
+            self.schedule(at, Event::Apply(id));
         }
     }
 
     pub(super) fn apply(&mut self, id: NodeId) {
         let some = 1 + self.random(4) as usize;
         let process = self.observers.get_mut(&id).unwrap();
-        process.apply_planned = false;
+        process.apply_scheduled = false;
         if process.core.is_none() {
             return;
         }
         if process.paused_until > self.now || self.cut_upstream.contains(&id) {
-            process.apply_planned = true;
-            return self.plan(self.now + 50 * MS, Event::Apply(id));
+            process.apply_scheduled = true;
+            return self.schedule(self.now + 50 * MS, Event::Apply(id));
         }
         let to = (process.applied + some).min(self.history.len());
         for command in &self.history[process.applied..to] {
@@ -75,7 +76,7 @@
             .unwrap()
             .store_applied(self.now, &process.store);
         self.end_reads(id);
-        self.plan_apply(id);
+        self.schedule_apply(id);
         self.after_observer(id);
     }
 
@@ -85,14 +86,14 @@
         let most = self.read_delay;
         let at = self.now + 1 + self.random(most);
         if self.cut_upstream.contains(&id) {
-            // Half of them end without an answer, the others never.
+            // Half of the reads fail, the others never end.
             if self.random(2) == 0 {
-                self.plan(at + 100 * MS, Event::ReadFailed(id, starts, read));
+                self.schedule(at + 100 * MS, Event::ReadFailed(id, starts, read));
             }
-        } else if self.random(1_000) < self.reads_fail {
-            self.plan(at, Event::ReadFailed(id, starts, read));
+        } else if self.random(1_000) < self.failed_reads_per_thousand {
+            self.schedule(at, Event::ReadFailed(id, starts, read));
         } else {
-            self.plan(at, Event::ReadConfirmed(id, starts, read));
+            self.schedule(at, Event::ReadConfirmed(id, starts, read));
         }
     }
 
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Ends the reads for which enough is applied.
+    /// Completes the reads whose commands the observer has applied.
     fn end_reads(&mut self, id: NodeId) {
         let process = self.observers.get_mut(&id).unwrap();
         let applied = process.applied;
