--- a/fleet/membership-udp/src/counters.rs
+++ b/fleet/membership-udp/src/counters.rs
@@ -1,21 +1,22 @@
-//! What a node counts.
+//! Traffic counters of a node.
 
 use std::cell::Cell;
 
-/// Datagrams and their bytes since the start.
+/// Traffic of a node since it started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DatagramCounters {
-    /// Bytes that the socket has taken.
+    /// Bytes of the datagrams that the socket accepted for sending.
     pub sent_bytes: u64,
-    /// Bytes received.
+    /// Bytes of all received datagrams, including rejected ones.
     pub received_bytes: u64,
-    /// Datagrams that were rejected.
+    /// Number of received datagrams that were rejected.
     pub rejected: u64,
-    /// Datagrams that the socket did not take, or that there was no socket for.
+    /// Number of datagrams that were not sent: the message was too long, the socket did not accept
+    /// the datagram, or the socket was not bound yet.
     pub unsent: u64,
 }
 
-/// The counters of a running node.
+/// Interior-mutable counters of a running node.
 #[derive(Debug, Default)]
 pub(crate) struct Counters(Cell<DatagramCounters>);
 
--- a/fleet/membership-udp/src/datagram.rs
+++ b/fleet/membership-udp/src/datagram.rs
@@ -1,33 +1,36 @@
-//! The form of a datagram: a magic number, the protocol's version, the fleet's name and one
-//! message, by postcard.
+//! Encodes and decodes datagrams. A datagram holds a magic number, the protocol version, the fleet
+//! name and one message, all encoded with postcard.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use violetgate_membership::Message;
 
-/// The version of this protocol. A gateway of another one is rejected, and the log says so.
+/// Version of the datagram format. Datagrams with another version are rejected and reported.
 pub const PROTOCOL_VERSION: u16 = 1;
-/// The longest datagram, in bytes: more than any message needs.
+/// Maximum length of a datagram, in bytes. Every valid message fits.
 pub const MAX_DATAGRAM_BYTES: usize = 8 << 10;
-/// `VGFL`: distinguishes the fleet's datagrams from those of other protocols.
+/// Distinguishes the fleet's datagrams from those of other protocols.
 const MAGIC: [u8; 4] = *b"VGFL";
-/// How much of another fleet's name is repeated in an error, in characters.
+/// Maximum number of characters of another fleet's name that an error repeats.
 const MAX_REPORTED_NAME_CHARS: usize = 64;
 
-/// Why a datagram is rejected. The texts say what an operator can check.
+/// Why a datagram is rejected. The error texts tell operators what to check.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// It is of another protocol.
-    #[error("no datagram of a fleet: something else sends to this address")]
+    /// The datagram doesn't start with the magic number, so it belongs to another protocol.
+    #[error("not a datagram of a fleet: find out which program sends to this address")]
     UnknownProtocol,
-    /// It has another version.
-    #[error("it speaks version {0} of the fleet's protocol, this is version {PROTOCOL_VERSION}: finish the upgrade")]
+    /// The sender uses the given version of the datagram format instead of [`PROTOCOL_VERSION`].
+    #[error(
+        "the sender uses version {0} of the fleet's protocol, this gateway uses version \
+         {PROTOCOL_VERSION}: finish the upgrade"
+    )]
     UnsupportedVersion(u16),
-    /// It is of another fleet.
-    #[error("it belongs to fleet {0:?}: check `fleet.name` and `fleet.seeds` in its settings")]
+    /// The sender belongs to the fleet with the given name, which may be truncated.
+    #[error("the sender belongs to fleet {0:?}: check its `fleet.name` and `fleet.seeds`")]
     OtherFleet(String),
-    /// It can't be decoded.
-    #[error("it can't be read: check that all front ends run the same build")]
+    /// The fleet name or the message can't be decoded, or bytes follow the message.
+    #[error("the datagram can't be decoded: check that all gateways run the same build")]
     Malformed,
 }
 
@@ -37,7 +40,7 @@
     version: u16,
 }
 
-/// Encodes a datagram; `None` if the message is longer than any that may be sent.
+/// Encodes a datagram. Returns `None` if it would exceed [`MAX_DATAGRAM_BYTES`].
 #[must_use]
 pub fn encode(fleet: &str, message: &Message) -> Option<Vec<u8>> {
     let header = Header {
@@ -49,13 +52,14 @@
         .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
 }
 
-/// Decodes a datagram of this fleet.
+/// Decodes a datagram and checks that its sender belongs to `fleet`.
 ///
 /// # Errors
 ///
-/// [`DatagramError`] if the datagram is rejected.
+/// Returns a [`DatagramError`] if the datagram has another protocol, version or fleet, or is
+/// malformed.
 pub fn decode(fleet: &str, bytes: &[u8]) -> Result<Message, DatagramError> {
-    // The header is decoded by itself: what follows may have another form in another version.
+    // The header is decoded separately because another version may encode the rest differently.
     let (header, rest) =
         postcard::take_from_bytes::<Header>(bytes).map_err(|_| DatagramError::UnknownProtocol)?;
     if header.magic != MAGIC {
--- a/fleet/membership-udp/src/datagram/tests.rs
+++ b/fleet/membership-udp/src/datagram/tests.rs
@@ -28,14 +28,18 @@
     }
 }
 
-/// The longest message fits; what is cut or altered is rejected, and strangers by what they are.
+/// The longest message fits into a datagram. Truncated datagrams and those of other fleets,
+/// versions and protocols are rejected. Altered bytes must not cause a panic.
 #[test]
 fn only_whole_datagrams_of_this_fleet_are_decoded() {
     let longest = longest_message();
     let bytes = encode("wards", &longest).unwrap();
     assert_eq!(decode("wards", &bytes), Ok(longest));
     for end in 0..bytes.len() {
-        assert!(decode("wards", &bytes[..end]).is_err(), "cut at {end}");
+        assert!(
+            decode("wards", &bytes[..end]).is_err(),
+            "truncated to {end} bytes"
+        );
     }
     assert_eq!(
         decode("others", &bytes),
--- a/fleet/membership-udp/src/lib.rs
+++ b/fleet/membership-udp/src/lib.rs
@@ -1,8 +1,9 @@
-//! A member of the fleet on a UDP socket: carries the datagrams of [`violetgate_membership`] and
-//! ticks it every 50 ms.
+//! Runs [`violetgate_membership`] on a UDP socket: sends and receives its datagrams and ticks it
+//! every 50 ms.
 //!
-//! Nothing is decided here: which members are alive is the core's decision. The socket is never
-//! waited for: what it doesn't take at once is lost, as any datagram may be.
+//! This crate only does the I/O; the membership core decides which members are alive. Sending never
+//! waits for the socket: a datagram that the socket doesn't accept at once is dropped, which the
+//! protocol tolerates like any other lost datagram.
 //!
 //! ```no_run
 //! use std::time::Instant;
--- a/fleet/membership-udp/src/node.rs
+++ b/fleet/membership-udp/src/node.rs
@@ -1,4 +1,4 @@
-//! The node: a socket, a timer and the membership core between them.
+//! Connects the membership core to a UDP socket and a timer.
 
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -20,75 +20,76 @@
 
 /// Time between two ticks of the core.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// How often an address that another process holds is tried again.
+/// Time between two attempts to bind an address that another process holds.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
-/// After how many datagrams other tasks may run.
+/// Number of received datagrams after which the receiving task yields to other tasks.
 const DATAGRAMS_PER_YIELD: usize = 64;
 
-/// What a node reports to the program.
+/// An event that a node reports to its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// The number of gateways to reckon with has changed; this one is included.
+    /// The fleet size has changed to this number of gateways, including this one.
     FleetSizeChanged(u32),
-    /// The state of a member has changed.
+    /// The state of another member has changed in this member's view.
     MemberStateChanged {
-        /// The member.
+        /// Name of the member.
         member: MemberName,
-        /// Its new state.
+        /// New state of the member.
         state: MemberState,
     },
-    /// The link to a member has changed.
+    /// The link to another member was cut or restored.
     LinkChanged {
-        /// The member.
+        /// Name of the member.
         member: MemberName,
-        /// The link's new state.
+        /// New state of the link.
         link: LinkState,
     },
-    /// A newer process with this member's name has started; this one has left the fleet.
+    /// A newer process with this member's name has started. This process takes no further part in
+    /// the fleet.
     Superseded,
-    /// A datagram was rejected.
+    /// A datagram was rejected. At most one is reported per sender address and minute.
     DatagramRejected {
-        /// Where it came from.
+        /// IP address of the sender.
         from: IpAddr,
-        /// Why.
+        /// Why the datagram was rejected.
         reason: RejectionReason,
     },
-    /// A member is not added to the view, as too many are known.
+    /// A member was not added to the view because [`MembershipConfig::max_members`] are known.
     TableFull {
-        /// The member that is not added.
+        /// Name of the member that was not added.
         rejected: MemberName,
     },
-    /// Another process holds the address: this one takes part once that has ended, as in an
-    /// upgrade.
+    /// Another process holds the address to listen on, as during an upgrade. This node joins the
+    /// fleet once it can bind the address.
     AddressInUse(SocketAddr),
 }
 
-/// What a node is started with.
+/// Options for starting a node.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The fleet's name.
+    /// Name of the fleet. Datagrams of other fleets are rejected.
     pub fleet: String,
     /// This member's name, address and incarnation.
     pub identity: Identity,
-    /// Where it listens.
+    /// Local address that the UDP socket is bound to.
     pub listen: SocketAddr,
-    /// Where others may be found.
+    /// Addresses at which other members may be found.
     pub seeds: Vec<SocketAddr>,
-    /// How the membership behaves.
+    /// Settings of the membership core.
     pub config: MembershipConfig,
-    /// How the fleet size follows the view.
+    /// Settings for deriving the fleet size from the view.
     pub fleet_size: FleetSizeConfig,
-    /// Seeds the core's random choices.
+    /// Seed for the core's random choices.
     pub rng_seed: u64,
 }
 
 /// Why a node can't be started.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The membership can't work with its settings.
+    /// A membership setting is out of range.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The socket can't be bound to the address.
+    /// The socket can't be bound to the listen address.
     #[error(transparent)]
     Bind(#[from] std::io::Error),
 }
@@ -96,10 +97,10 @@
 type Clock = Box<dyn Fn() -> Micros>;
 type EventHandler = Box<dyn Fn(MembershipEvent)>;
 
-/// A running member of the fleet.
+/// A running member of the fleet. A task on the executor receives datagrams and ticks the core.
 pub struct MembershipNode {
     fleet: String,
-    /// `None` as long as another process holds the address.
+    /// `None` while another process holds the address.
     socket: RefCell<Option<Rc<Async<UdpSocket>>>>,
     clock: Clock,
     on_event: EventHandler,
@@ -110,14 +111,15 @@
 }
 
 impl MembershipNode {
-    /// Binds the socket and begins to take part, once whoever holds the address has released it.
+    /// Binds the socket and joins the fleet. If another process holds the address, the node retries
+    /// in the background and joins once it can bind.
     ///
-    /// `clock` returns microseconds and never goes back; `on_event` is called for each change.
+    /// `clock` returns microseconds and must never go back. `on_event` is called for each event.
     ///
     /// # Errors
     ///
-    /// [`StartError`] if the settings are not valid, or the address can't be bound for another
-    /// reason than being in use.
+    /// Returns a [`StartError`] if the settings are invalid, or if binding fails for a reason other
+    /// than the address being in use.
     pub fn start(
         executor: &LocalExecutor<'static>,
         options: Options,
@@ -156,35 +158,35 @@
         Ok(node)
     }
 
-    /// All other members, as this one sees them.
+    /// Returns all other members in this member's view.
     #[must_use]
     pub fn members(&self) -> Vec<Member> {
         self.membership.borrow().members().collect()
     }
 
-    /// The number of gateways to reckon with, this one included.
+    /// Returns the number of gateways by which capacity is divided, including this one.
     #[must_use]
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size.borrow().size()
     }
 
-    /// Whether this process was paused and does not suspect others yet.
+    /// Returns whether this process is recovering from a pause, during which it suspects nobody.
     #[must_use]
     pub fn is_recovering_from_pause(&self) -> bool {
         self.membership.borrow().is_recovering_from_pause()
     }
 
-    /// What was sent, received, rejected and not sent since the start.
+    /// Returns the traffic counters since the start.
     #[must_use]
     pub fn counters(&self) -> DatagramCounters {
         self.counters.get()
     }
 
-    /// Leaves the fleet, as the process ends.
+    /// Leaves the fleet and notifies some other members. Called when the process shuts down.
     pub fn leave(&self) {
         let mut actions = Vec::new();
         self.membership.borrow_mut().leave(&mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     async fn run(&self, listen: SocketAddr) {
@@ -204,8 +206,8 @@
 
     async fn tick_forever(&self) {
         loop {
-            // The tick precedes what waits at the socket: a process that was paused has to notice
-            // that first.
+            // The tick runs before datagrams that wait at the socket are handled, because the core
+            // has to detect a pause of the process first.
             self.tick();
             Timer::after(TICK_INTERVAL).await;
         }
@@ -215,7 +217,7 @@
         let mut actions = Vec::new();
         let now = (self.clock)();
         self.membership.borrow_mut().tick(now, &mut actions);
-        self.carry_out(actions);
+        self.execute(actions);
         let serving = self.membership.borrow().serving_count();
         let has_changed = self.fleet_size.borrow_mut().observe(serving, now);
         if has_changed {
@@ -228,7 +230,7 @@
         let mut count = 0;
         loop {
             let Ok((size, from)) = socket.recv_from(&mut buffer).await else {
-                // On loopback a datagram to a port that nobody holds comes back as an error here.
+                // On loopback, an earlier datagram to a port without a socket causes an error here.
                 futures_lite::future::yield_now().await;
                 continue;
             };
@@ -244,13 +246,17 @@
 
     fn handle_datagram(&self, bytes: &[u8], from: IpAddr) {
         let mut actions = Vec::new();
-        match self.take_message(bytes, &mut actions) {
-            Ok(()) => self.carry_out(actions),
+        match self.process_message(bytes, &mut actions) {
+            Ok(()) => self.execute(actions),
             Err(reason) => self.reject(from, reason),
         }
     }
 
-    fn take_message(&self, bytes: &[u8], actions: &mut Vec<Action>) -> Result<(), RejectionReason> {
+    fn process_message(
+        &self,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) -> Result<(), RejectionReason> {
         let message = datagram::decode(&self.fleet, bytes)?;
         let now = (self.clock)();
         let mut membership = self.membership.borrow_mut();
@@ -267,7 +273,7 @@
         }
     }
 
-    fn carry_out(&self, actions: Vec<Action>) {
+    fn execute(&self, actions: Vec<Action>) {
         for action in actions {
             let event = match action {
                 Action::Send { to, message } => {
--- a/fleet/membership-udp/src/rejection_log.rs
+++ b/fleet/membership-udp/src/rejection_log.rs
@@ -1,5 +1,5 @@
-//! Rejected datagrams are reported once a minute for each address, so that a stranger can't flood
-//! the log.
+//! Limits reports of rejected datagrams to one per minute and address, so that a misconfigured or
+//! hostile sender can't flood the log.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -9,28 +9,29 @@
 
 use crate::datagram::DatagramError;
 
-/// How often the rejections of one address are reported.
+/// Minimum time between two reports about the same address.
 const REPORT_INTERVAL_US: Micros = 60_000_000;
-/// How many addresses are remembered; further ones are not reported.
+/// Maximum number of addresses that are remembered. Rejections from further addresses are not
+/// reported.
 const MAX_ADDRESSES: usize = 256;
 
 /// Why a datagram was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum RejectionReason {
-    /// It is no datagram of this fleet.
+    /// The datagram can't be decoded as one of this fleet.
     #[error(transparent)]
     Datagram(#[from] DatagramError),
-    /// Its message is not valid.
+    /// The datagram was decoded, but its message is invalid.
     #[error(transparent)]
     Message(#[from] InvalidMessage),
 }
 
-/// When the rejections of each address were last reported.
+/// Time of the last report, for each address with one in the last [`REPORT_INTERVAL_US`].
 #[derive(Debug, Default)]
 pub(crate) struct RejectionLog(BTreeMap<IpAddr, Micros>);
 
 impl RejectionLog {
-    /// Whether a rejection is to be reported now; records it if so.
+    /// Returns whether to report a rejection now. If so, records the time of the report.
     pub fn should_report(&mut self, from: IpAddr, now: Micros) -> bool {
         self.0
             .retain(|_, reported_at| now < *reported_at + REPORT_INTERVAL_US);
--- a/fleet/membership-udp/tests/datagrams.rs
+++ b/fleet/membership-udp/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams that the previous release wrote are read, and written alike: a fleet is upgraded one
-//! gateway at a time.
+//! Checks that the wire format has not changed since the previous release. Gateways are upgraded
+//! one at a time, so both releases exchange datagrams during an upgrade.
 
 #![allow(
     clippy::unwrap_used,
@@ -26,7 +26,7 @@
     }
 }
 
-/// One of each message; the labels are those of the stored datagrams.
+/// Returns one message of each kind, with its label in the fixture of stored datagrams.
 fn messages() -> Vec<(&'static str, Message)> {
     let target = "[2001:db8::7]:7946".parse().unwrap();
     let sums = BucketSums {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_release_are_read_and_written_alike() {
+fn datagrams_of_the_previous_release_decode_and_encode_unchanged() {
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let lines: String = messages()
         .iter()
@@ -99,9 +99,9 @@
         let bytes: Vec<u8> = (0..digits.len() / 2)
             .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).unwrap())
             .collect();
-        let heard = decode(FLEET, &bytes).unwrap();
-        assert_eq!(&heard, message, "{name}");
-        assert!(heard.validated_sender().is_ok(), "{name}");
-        assert_eq!(encode(FLEET, &heard).unwrap(), bytes, "{name}");
+        let decoded = decode(FLEET, &bytes).unwrap();
+        assert_eq!(&decoded, message, "{name}");
+        assert!(decoded.validated_sender().is_ok(), "{name}");
+        assert_eq!(encode(FLEET, &decoded).unwrap(), bytes, "{name}");
     }
 }
--- a/fleet/membership/src/anti_entropy.rs
+++ b/fleet/membership/src/anti_entropy.rs
@@ -1,16 +1,16 @@
-//! Anti-entropy: the comparison of views, which makes up for lost gossip at a cost that follows the
-//! difference.
+//! Anti-entropy: compares the views of two members and exchanges the updates that gossip has not
+//! delivered. The cost depends on how much the views differ, not on their size.
 //!
 //! 1. A member sends the digest of its view ([`MessageBody::ViewDigest`]).
 //! 2. A receiver whose digest differs answers with a sum for each bucket of names
 //!    ([`MessageBody::BucketSums`]).
-//! 3. The updates of the buckets that differ are requested in both directions
+//! 3. Both members request the updates of the buckets that differ
 //!    ([`MessageBody::BucketRequest`]).
-//! 4. They are sent in several messages ([`MessageBody::BucketTransfer`]).
+//! 4. Both send the requested updates in several messages ([`MessageBody::BucketTransfer`]).
 //!
-//! No state is kept between the steps: a lost message is made up for by the next comparison, and a
-//! late transfer is merged like any other update. What a member sends for this is limited to a
-//! budget of bytes a second.
+//! The steps of one exchange share no state: the next comparison repairs the loss of a message, and
+//! a late transfer is merged like any other update. A budget in bytes per second limits what a
+//! member sends in steps 2 and 4.
 
 use std::net::SocketAddr;
 
@@ -23,17 +23,17 @@
 use crate::transfers::{Transfer, REQUEST_INTERVAL_US};
 use crate::view_digest::{bucket_of, BucketSet, BUCKET_COUNT};
 
-/// The most updates that are requested of one member at a time, and that are sent for one request.
+/// Maximum number of updates that are sent for one request. A request covers about as many.
 const MAX_REQUESTED_UPDATES: usize = 256;
-/// From so many differing buckets on, this member has missed much and compares more often.
-const MANY_BUCKETS: usize = 16;
-/// Bytes of a datagram beside its updates, headers included.
+/// Minimum number of differing buckets that makes this member compare views more often.
+const MIN_BUCKETS_FOR_EAGER_COMPARISONS: usize = 16;
+/// Estimated bytes of a datagram without its updates, including the UDP and IP headers.
 const MESSAGE_OVERHEAD_BYTES: u64 = 64;
-/// Encoded bytes of the sums of all buckets, at most.
+/// Maximum encoded size of the sums of all buckets, in bytes.
 const BUCKET_SUMS_BYTES: u64 = 5 * BUCKET_COUNT as u64;
 
 impl Membership {
-    /// Compares views with a random member if a comparison is due.
+    /// Sends the view's digest to a random member if a comparison is due.
     pub(crate) fn compare_views(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.schedule.next_comparison_at {
             return;
@@ -44,7 +44,7 @@
         };
         let interval = self.config.anti_entropy_interval;
         let delay = interval / 2 + self.rng.next_u64() % interval;
-        let delay = if self.anti_entropy.take_eager_comparison() {
+        let delay = if self.anti_entropy.consume_eager_comparison() {
             delay.min(REQUEST_INTERVAL_US)
         } else {
             delay
@@ -54,7 +54,8 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Makes a [`MessageBody::ViewDigest`] that says that its sender reads bucket sums.
+    /// Builds a [`MessageBody::ViewDigest`] that repeats this member's own update, which tells the
+    /// receiver that this build reads [`MessageBody::BucketSums`].
     pub(crate) fn view_digest_message(&mut self, update: Option<MemberUpdate>) -> Message {
         let digest = self.digest();
         let reads_bucket_sums = Some(self.own.clone());
@@ -62,7 +63,8 @@
         self.message(MessageBody::ViewDigest { digest }, first_updates)
     }
 
-    /// Answers the digest of another member's view if it differs.
+    /// Handles the digest of another member's view. If it differs, answers with bucket sums, or
+    /// with updates if the sender doesn't read bucket sums.
     pub(crate) fn on_view_digest(
         &mut self,
         message: &Message,
@@ -94,7 +96,8 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Sends part of the view from a random member on, which makes all of it over some comparisons.
+    /// Sends up to [`MAX_REQUESTED_UPDATES`] updates as gossip, for builds that don't read bucket
+    /// sums. The first member is random, so that repeated comparisons cover the whole view.
     fn send_updates_to_older_build(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut names = self.peer_names(|_| true, usize::MAX);
         let start = (self.rng.next_u64() % names.len().max(1) as u64) as usize;
@@ -117,8 +120,8 @@
             .collect()
     }
 
-    /// Requests the updates of the buckets in which another member's view differs, as many as it
-    /// may send soon.
+    /// Handles another member's bucket sums: requests the updates of the buckets that differ,
+    /// limited to about as many updates as the other member sends for one request.
     pub(crate) fn on_bucket_sums(
         &mut self,
         theirs: &BucketSums,
@@ -126,17 +129,17 @@
         actions: &mut Vec<Action>,
     ) {
         let differing = self.differing_buckets(&theirs.sums);
-        if differing.len() >= MANY_BUCKETS {
+        if differing.len() >= MIN_BUCKETS_FOR_EAGER_COMPARISONS {
             self.anti_entropy.compare_eagerly();
             let soon = self.now + REQUEST_INTERVAL_US;
             self.schedule.next_comparison_at = self.schedule.next_comparison_at.min(soon);
         } else {
-            self.anti_entropy.compare_at_leisure();
+            self.anti_entropy.stop_eager_comparisons();
         }
         let differing: BucketSet = differing.into_iter().collect();
         let mut requestable = self.anti_entropy.requestable(&differing, self.now);
-        // From a random bucket on, so that several members get requests for different ones at the
-        // same time.
+        // The first bucket is random, so that concurrent requests to several members ask for
+        // different buckets.
         let start = (self.rng.next_u64() % requestable.len().max(1) as u64) as usize;
         requestable.rotate_left(start);
         requestable.truncate(self.buckets_per_request(theirs.known_members));
@@ -160,7 +163,8 @@
         differing
     }
 
-    /// How many buckets hold as many updates as may be requested at a time.
+    /// Estimates how many buckets hold [`MAX_REQUESTED_UPDATES`] updates, based on the larger of
+    /// the two views.
     fn buckets_per_request(&self, known_by_other: u32) -> usize {
         let known = self.peers.len().max(known_by_other as usize).max(1);
         (MAX_REQUESTED_UPDATES * BUCKET_COUNT / known).clamp(1, BUCKET_COUNT)
@@ -174,8 +178,8 @@
         self.send_without_gossip(to, MessageBody::BucketRequest(request), actions);
     }
 
-    /// Sends the updates of the buckets that another member requests; it holds others in them,
-    /// which are requested in turn.
+    /// Handles a request: starts a transfer of the updates in the requested buckets. If the request
+    /// is mutual, also requests the other member's updates in these buckets.
     pub(crate) fn on_bucket_request(
         &mut self,
         request: &BucketRequest,
@@ -189,8 +193,8 @@
             names: names.into(),
             body: MessageBody::BucketTransfer,
         });
-        // Requested before anything is sent, or the other would send back what it has just
-        // received.
+        // The request precedes the transfer. Otherwise the other member would send back the
+        // updates that it has just received.
         if request.mutual {
             let requestable = self.anti_entropy.requestable(&request.buckets, self.now);
             let request = BucketRequest {
@@ -202,7 +206,7 @@
         self.continue_transfers(actions);
     }
 
-    /// Sends requested updates as far as the budget allows.
+    /// Sends updates of the transfers in progress until the budget is used up.
     pub(crate) fn continue_transfers(&mut self, actions: &mut Vec<Action>) {
         const OTHERS_PER_MESSAGE: usize = MAX_UPDATES_PER_MESSAGE - 1;
         while let Some(transfer) = self.anti_entropy.current_transfer() {
--- a/fleet/membership/src/config.rs
+++ b/fleet/membership/src/config.rs
@@ -1,37 +1,38 @@
-//! How a member behaves. All members of a fleet need the same settings, or the slowest decides how
-//! soon a death is known.
+//! Settings of a member. All members of a fleet need the same settings; otherwise the slowest
+//! member determines how soon a death is detected.
 
 use thiserror::Error;
 
 use crate::Micros;
 
-/// Settings of a member. Spans are in microseconds.
+/// Settings of a member. Durations are in microseconds.
 #[derive(Debug, Clone)]
 pub struct MembershipConfig {
     /// Time between two probes of one member by one observer.
     pub probe_interval: Micros,
-    /// How long the answer to a probe may take, and then again the answer to indirect probes.
+    /// Time to wait for the answer to a direct probe, and then again for the answers to indirect
+    /// probes.
     pub probe_timeout: Micros,
-    /// How long a member is suspected at least before it is declared dead.
+    /// Minimum time for which a member is suspected before it is declared dead.
     pub suspicion_timeout: Micros,
-    /// How many observers probe each member.
+    /// Maximum number of observers that probe each member.
     pub observers_per_member: usize,
-    /// How many indirect probes are requested where one has no answer.
+    /// Number of members that are asked for an indirect probe when a direct probe has no answer.
     pub indirect_probes: usize,
-    /// Time between two rounds of gossip.
+    /// Minimum time between two rounds of gossip.
     pub gossip_interval: Micros,
-    /// How many members get each round of gossip.
+    /// Number of members that receive gossip in each round.
     pub gossip_fanout: usize,
     /// Mean time between two comparisons of views.
     pub anti_entropy_interval: Micros,
-    /// Bytes a second that a member may send to reconcile views.
+    /// Maximum average rate at which a member sends bucket sums and transfers, in bytes per second.
     pub anti_entropy_bytes_per_s: u64,
-    /// How long members that are dead or have left are remembered, and how long dead ones are
-    /// contacted.
+    /// How long members that are dead or have left stay in the view. Dead members are contacted
+    /// during this time.
     pub forget_after: Micros,
-    /// The most other members that are known, dead ones included.
+    /// Maximum number of other members in the view, including dead ones.
     pub max_members: usize,
-    /// A wrong decision that tests have to notice.
+    /// Fault to inject in mutation tests.
     #[cfg(feature = "mutants")]
     pub mutant: Option<Mutant>,
 }
@@ -56,23 +57,23 @@
     }
 }
 
-/// Why settings can't be used.
+/// Why a [`MembershipConfig`] is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ConfigError {
-    /// A span has to be positive.
-    #[error("`{0}` is 0: set a positive span")]
+    /// The named duration is zero.
+    #[error("`{0}` is 0: set a positive duration")]
     ZeroSpan(&'static str),
-    /// A number has to be positive.
+    /// The named count is zero.
     #[error("`{0}` is 0: set at least 1")]
     ZeroCount(&'static str),
 }
 
 impl MembershipConfig {
-    /// Checks that a member can work with these settings.
+    /// Checks that all required durations and counts are positive.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`] names the first setting that is out of range.
+    /// Returns a [`ConfigError`] that names the first setting that is zero.
     pub fn validate(&self) -> Result<(), ConfigError> {
         let spans = [
             ("probe_interval", self.probe_interval),
@@ -95,42 +96,43 @@
         }
     }
 
-    /// Whether a wrong decision is to be made, which only tests with the feature `mutants` ask for.
+    /// Returns whether a fault is to be injected. Only tests with the feature `mutants` set one.
     #[cfg(feature = "mutants")]
     pub(crate) fn has_mutant(&self, mutant: Mutant) -> bool {
         self.mutant == Some(mutant)
     }
 
-    /// Whether a wrong decision is to be made, which only tests with the feature `mutants` ask for.
+    /// Returns `false`: without the feature `mutants` no fault is injected.
     #[cfg(not(feature = "mutants"))]
     #[expect(
         clippy::unused_self,
-        reason = "the same call as with the feature `mutants`"
+        reason = "the signature is the same as with the feature `mutants`"
     )]
     pub(crate) fn has_mutant(&self, _: Mutant) -> bool {
         false
     }
 }
 
-/// A wrong decision, for tests that have to notice it. Without the feature `mutants` none is ever
-/// made.
+/// A fault that mutation tests inject to check that the other tests would detect it. Without the
+/// feature `mutants` none is ever injected.
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// After a pause of its process a member suspects others at once for what was its own silence.
+    /// After a pause of its own process, a member suspects others without waiting for messages.
     TrustsItselfAfterPause,
-    /// Any update that says alive is accepted, whatever its number of refutations.
+    /// An update with the state `Alive` is accepted even if its number of refutations is outdated.
     IgnoresRefutationCount,
-    /// Any update that says alive is accepted, whatever its incarnation.
+    /// An update with the state `Alive` is accepted even if its incarnation is outdated, and a
+    /// newer incarnation of a member doesn't supersede the older one.
     IgnoresIncarnation,
-    /// A member that answers indirect probes only is suspected.
+    /// A member that answers only indirect probes is suspected.
     TreatsCutLinkAsFailure,
     /// One observer is enough to declare a member dead.
     ConfirmsFailureAlone,
-    /// A member does not refute what is said of it.
+    /// A member doesn't refute its suspicion or death.
     NeverRefutes,
-    /// One of the buckets that differ is never requested.
+    /// The last of the buckets that differ is not requested.
     SkipsOneBucket,
-    /// Requested updates are accepted whatever their precedence.
+    /// Transferred updates are accepted even if they are outdated.
     AcceptsStaleTransfer,
 }
--- a/fleet/membership/src/dissemination.rs
+++ b/fleet/membership/src/dissemination.rs
@@ -1,17 +1,17 @@
-//! How updates reach the others: along with every message, in rounds of gossip, and at once when
+//! Dissemination of updates: piggybacked on every message, in rounds of gossip, and at once when
 //! this member leaves.
 
 use crate::member_update::{MemberName, MemberState, MemberUpdate};
 use crate::membership::{Action, Membership};
 use crate::message::{Message, MessageBody, MAX_UPDATES_PER_MESSAGE};
 
-/// An update is sent this many times the logarithm of the fleet's size.
+/// An update is sent this factor times the binary logarithm of the number of members.
 const TRANSMIT_FACTOR: f64 = 3.0;
-/// How many times the gossip fanout are notified when this member leaves.
+/// When this member leaves, it notifies this factor times the gossip fanout of other members.
 const LEAVE_FANOUT_FACTOR: usize = 3;
 
 impl Membership {
-    /// Makes a message: this member's own update, those given, and as much gossip as fits.
+    /// Builds a message with this member's own update, `first_updates`, and as much gossip as fits.
     pub(crate) fn message(
         &mut self,
         body: MessageBody,
@@ -25,20 +25,21 @@
         Message { body, updates }
     }
 
-    /// How often an update is sent until enough members have it.
+    /// Returns how many times this member sends an update, so that it reaches enough members,
+    /// before removing it from the gossip queue.
     pub(crate) fn transmit_limit(&self) -> u32 {
         let fleet_size = self.peers.len() as f64 + 2.0;
         (TRANSMIT_FACTOR * fleet_size.log2()).ceil() as u32
     }
 
-    /// What is known of a member that is not taken for alive. It is sent along with each message to
-    /// that member, which can only refute what it receives.
+    /// Returns the known update of a member if its state is not `Alive`. Probes and their answers
+    /// carry it to that member, which can only refute a suspicion or death that it receives.
     pub(crate) fn update_to_refute(&self, name: &MemberName) -> Option<MemberUpdate> {
         let peer = self.peers.get(name)?;
         (peer.update.state != MemberState::Alive).then(|| MemberUpdate::clone(&peer.update))
     }
 
-    /// Sends a round of gossip if it is due and there is any.
+    /// Sends a round of gossip if one is due and the queue is not empty.
     pub(crate) fn send_gossip(&mut self, actions: &mut Vec<Action>) {
         if self.gossip.is_empty() || self.now < self.schedule.next_gossip_at {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Leaves the fleet: some others are notified at once.
+    /// Leaves the fleet and notifies some other members at once.
     pub fn leave(&mut self, actions: &mut Vec<Action>) {
         self.own.state = MemberState::Left;
         let count = LEAVE_FANOUT_FACTOR * self.config.gossip_fanout;
--- a/fleet/membership/src/failure_detector.rs
+++ b/fleet/membership/src/failure_detector.rs
@@ -1,9 +1,8 @@
-//! Failure detection by probes: direct probes, indirect probes through other members, suspicion,
-//! and death.
+//! Failure detection: direct probes, indirect probes through other members, suspicion, and death.
 //!
-//! A silence that may be this process's own accuses nobody (Lifeguard): after a pause it suspects
-//! no one until it receives messages of others again, and the worse its local health, the longer it
-//! waits.
+//! As in Lifeguard, a member doesn't accuse others if missing answers may be its own fault. After a
+//! pause of its process it suspects nobody until it receives messages of others again, and the
+//! worse its local health, the longer its timeouts.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,16 +18,19 @@
 use crate::probe_table::{Probe, RelayedProbe};
 use crate::Micros;
 
-/// A death needs the accusations of so many observers, where a member has as many.
+/// Number of observers that must accuse a member before it is declared dead. If the member has
+/// fewer observers, all of them must.
 const ACCUSERS_FOR_DEATH: usize = 2;
-/// Each revival doubles the suspicion timeout, so often at most.
+/// Maximum number of times that revivals double the suspicion timeout.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
-/// Probe times vary by up to this part of the interval, so that observers don't fall into step.
+/// Probe intervals are randomly shortened by up to the interval divided by this number, so that the
+/// probes of several observers don't synchronize.
 const PROBE_JITTER_DIVISOR: Micros = 10;
 
 impl Membership {
-    /// This process was paused for `pause`: probes that it sent before are no longer waited for,
-    /// and the time in which others could not reach it does not count against them.
+    /// Handles a pause of this process that lasted for `pause`: forgets the probes in flight, makes
+    /// new ones due, and moves the peers' other timestamps forward by the pause, because messages
+    /// could not be handled in the meantime.
     pub(crate) fn recover_from_pause(&mut self, pause: Micros) {
         self.probes.clear();
         self.health.begin_recovery();
@@ -46,7 +48,7 @@
             .clone()
     }
 
-    /// Probes the members that this one observes and whose probe is due.
+    /// Sends the probes that are due to the members that this one observes.
     pub(crate) fn send_probes(&mut self, actions: &mut Vec<Action>) {
         for target in self.subjects() {
             let jitter = self.rng.next_u64();
@@ -81,14 +83,15 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Asks for indirect probes where a probe has no answer, and ends the probes that have none
-    /// after that either.
+    /// Requests indirect probes for the probes that have no answer after the probe timeout, and
+    /// ends the probes that still have none after the full timeout.
     pub(crate) fn check_probes(&mut self, actions: &mut Vec<Action>) {
         let timeout = self.config.probe_timeout;
         for sequence in self.probes.awaiting_indirect(self.now, timeout) {
             self.request_indirect_probes(sequence, actions);
         }
-        // In bad health it waits longer: an answer may have arrived and not been read.
+        // In bad local health the timeout is longer: an answer may have arrived and not been read
+        // yet.
         let full_timeout = self.health.extend(2 * timeout);
         for sequence in self.probes.timed_out(self.now, full_timeout) {
             if let Some(probe) = self.probes.remove(sequence) {
@@ -116,8 +119,9 @@
         self.send_ping(&target, addr, sequence, actions);
     }
 
-    /// A probe has had no direct answer: the link is cut, the member is suspected, or this process
-    /// may be at fault.
+    /// Handles a probe without a direct answer: marks the link as cut if the member has shown
+    /// another sign of life, and otherwise suspects it unless this process is recovering from a
+    /// pause.
     fn on_probe_timeout(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
         if probe.indirect_acked && !self.has_mutant(Mutant::TreatsCutLinkAsFailure) {
             return self.set_link(&probe.target, LinkState::Cut, actions);
@@ -132,7 +136,8 @@
         let Some(peer) = peer.filter(|peer| peer.is_serving()) else {
             return;
         };
-        // A message of its own has arrived since: it runs, and doesn't receive this member's.
+        // The target has sent a message since the probe, so it runs, but the probe or its answer
+        // was lost.
         if peer.last_message_at > probe.sent_at {
             return self.set_link(&probe.target, LinkState::Cut, actions);
         }
@@ -144,14 +149,14 @@
         self.merge(suspicion, UpdateSource::Gossip, actions);
     }
 
-    /// Whether a message of any member has arrived within the probe interval.
+    /// Returns whether a message of any member has arrived within the last probe interval.
     fn has_recent_message(&self) -> bool {
         self.peers
             .values()
             .any(|peer| self.now.saturating_sub(peer.last_message_at) < self.config.probe_interval)
     }
 
-    /// Handles the answer to a probe, one of this member or one made for another observer.
+    /// Handles the answer to a probe that this member sent for itself or for another observer.
     pub(crate) fn on_ack(&mut self, sequence: u64, actions: &mut Vec<Action>) {
         if let Some(probe) = self.probes.remove(sequence) {
             self.health.improve();
@@ -168,14 +173,14 @@
         }
     }
 
-    /// Handles the report that another member has had an answer.
+    /// Handles the report that the target of a probe has answered an indirect probe.
     pub(crate) fn on_indirect_ack(&mut self, sequence: u64) {
         if let Some(probe) = self.probes.get_mut(sequence) {
             probe.indirect_acked = true;
         }
     }
 
-    /// Probes a member for another observer.
+    /// Probes a member for another observer if this member knows the target at the same address.
     pub(crate) fn on_indirect_ping(
         &mut self,
         observer_addr: SocketAddr,
@@ -212,7 +217,8 @@
         actions.push(Action::LinkChanged { member, link });
     }
 
-    /// Declares the suspects dead whose suspicion has run out.
+    /// Declares the suspects dead whose suspicion has expired, unless this process is recovering
+    /// from a pause.
     pub(crate) fn declare_deaths(&mut self, actions: &mut Vec<Action>) {
         if self.health.is_recovering() {
             return;
@@ -231,11 +237,12 @@
         }
     }
 
-    /// Whether a suspect is to be declared dead by this member.
+    /// Returns whether this member is to declare a suspect dead.
     ///
-    /// It takes two observers without an answer, this one among them, or one where there is no
-    /// second. Both may be cut off, so the more observers have not accused the member, the longer
-    /// it takes; and a member that still sends messages of its own is not dead.
+    /// Two observers must have accused the suspect, or one if it has only one observer, and this
+    /// member must be among them. The accusers themselves may be cut off, so the suspicion lasts
+    /// longer for each observer that has not accused the suspect. A suspect that still sends
+    /// messages is not declared dead.
     fn is_confirmed_dead(&self, peer: &Peer) -> bool {
         let own_name = &self.own.name;
         let timeout = self.health.extend(self.config.suspicion_timeout);
@@ -243,7 +250,7 @@
             return false;
         }
         let observers = self.rings.observers_of(&peer.update.name);
-        // An accuser that is no longer an observer has not probed the member since.
+        // Accusers that are no longer observers don't count: they have stopped probing the member.
         let accusing = observers
             .iter()
             .filter(|name| peer.accusers.contains(*name));
@@ -261,9 +268,9 @@
     }
 }
 
-/// How long a suspicion lasts until death: half the timeout more for each observer that has not
-/// accused the member, and twice as long for each revival, or the view of a member that flaps would
-/// never settle.
+/// Returns how long a suspicion lasts before the member is declared dead: the timeout plus half of
+/// it for each observer that has not accused the member. Each revival doubles the result, because
+/// the view would never settle if a flapping member kept being declared dead.
 fn suspicion_span(peer: &Peer, timeout: Micros, not_accusing: usize) -> Micros {
     let span = timeout + timeout * not_accusing as u64 / 2;
     span << peer.revivals.min(MAX_TIMEOUT_DOUBLINGS)
--- a/fleet/membership/src/fleet_size.rs
+++ b/fleet/membership/src/fleet_size.rs
@@ -1,38 +1,38 @@
-//! The number of gateways by which a process divides the capacity of an engine.
+//! The fleet size: the number of gateways by which a process divides the capacity of an engine.
 //!
-//! It rises at once when the view grows and falls slowly when members die, so that the parts that
-//! all gateways take never add up to more than the whole while their views differ. It is never
-//! below the number in the view, nor, before the view has settled, below the number that the
-//! settings state.
+//! The fleet size rises at once when the view grows and falls slowly when members die, so that the
+//! shares of all gateways never add up to more than the capacity while their views differ. It is
+//! never below the number of serving gateways in the view. Until the view has settled, it is not
+//! below the configured size either.
 
 use crate::Micros;
 
-/// How the fleet size follows the view. Spans are in microseconds.
+/// Settings for deriving the fleet size from the view. Durations are in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSizeConfig {
-    /// The number of gateways that the settings state: a lower one holds only once the view has
+    /// Number of gateways according to the settings. A lower number is used only once the view has
     /// settled.
     pub configured_size: u32,
-    /// How long a lower number has to hold before it is followed: longer than any two views may
-    /// differ.
+    /// How long the view must show the same lower number before the fleet size falls. Must be
+    /// longer than the time for which any two views may differ.
     pub settle_time: Micros,
-    /// Time between two steps down, each by one.
+    /// Time between two decrements of the fleet size, each by one.
     pub step_interval: Micros,
 }
 
-/// The number of gateways to reckon with, this one included.
+/// Tracks the number of gateways by which capacity is divided, including this one.
 #[derive(Debug, Clone)]
 pub struct FleetSize {
     config: FleetSizeConfig,
     size: u32,
-    /// The number of the last observation.
+    /// Number of serving gateways at the last observation.
     last_observed: u32,
     /// When the size may next fall by one.
     next_step_at: Micros,
 }
 
 impl FleetSize {
-    /// Starts with the configured size, at least one.
+    /// Creates a fleet size that starts at the configured size, or at 1 if that is 0.
     #[must_use]
     pub fn new(config: FleetSizeConfig, now: Micros) -> Self {
         let size = config.configured_size.max(1);
@@ -44,14 +44,14 @@
         }
     }
 
-    /// The size now.
+    /// Returns the current fleet size, at least 1.
     #[must_use]
     pub fn size(&self) -> u32 {
         self.size
     }
 
-    /// Follows the view, in which `serving` gateways may be serving now. Returns whether the size
-    /// has changed.
+    /// Updates the size from the number of gateways in the view that may be serving, including this
+    /// one. Returns whether the size has changed.
     pub fn observe(&mut self, serving: u32, now: Micros) -> bool {
         let serving = serving.max(1);
         let size_before = self.size;
@@ -60,7 +60,7 @@
             self.next_step_at = self.settled_at(now);
         } else {
             if serving != self.last_observed {
-                // A view that changes has not settled.
+                // The view has just changed, so the settle time starts again.
                 self.next_step_at = self.next_step_at.max(self.settled_at(now));
             }
             self.step_down(serving, now);
--- a/fleet/membership/src/fleet_size/tests.rs
+++ b/fleet/membership/src/fleet_size/tests.rs
@@ -14,7 +14,7 @@
     FleetSize::new(config, 0)
 }
 
-/// A process that sees only itself keeps the configured size until its view has settled.
+/// A process that knows no other member keeps the configured size until its view has settled.
 #[test]
 fn configured_size_holds_until_the_view_has_settled() {
     let mut fleet_size = fleet_size(4);
@@ -28,7 +28,8 @@
     assert_eq!(sizes[10..], [3, 3, 2, 2, 1, 1, 1, 1, 1]);
 }
 
-/// A join counts at once, a death only slowly; a member that flaps is counted all the time.
+/// A join takes effect at once and a death only after the settle time. A flapping member is counted
+/// throughout, because each change restarts the settle time.
 #[test]
 fn joins_count_at_once_and_deaths_slowly() {
     let mut fleet_size = fleet_size(3);
@@ -36,7 +37,7 @@
     assert!(!fleet_size.observe(4, 2 * SECOND) && fleet_size.size() == 5);
     assert!(
         !fleet_size.observe(4, 11 * SECOND) && fleet_size.size() == 5,
-        "the view has not settled"
+        "the size fell before the view had settled"
     );
     assert!(fleet_size.observe(4, 12 * SECOND) && fleet_size.size() == 4);
     for second in 13..200u64 {
@@ -46,12 +47,12 @@
     }
 }
 
-/// The true number of gateways over time.
+/// The actual number of gateways over time.
 struct History(Vec<(Micros, u32)>);
 
 impl History {
-    /// Twenty deaths at drawn times, down to four gateways.
-    fn drawn(random: impl Fn(u64) -> u64) -> Self {
+    /// Creates a history in which gateways die at random times, from ten down to four at the least.
+    fn random_deaths(random: impl Fn(u64) -> u64) -> Self {
         let mut alive = 10u32;
         let mut history = vec![(0, alive)];
         for step in 0..20 {
@@ -71,12 +72,13 @@
     }
 }
 
-/// Each of ten gateways learns of changes up to 4 s late, less than the settle time.
+/// Guards against an overload of the engine: each of ten gateways learns of deaths up to 4 s late,
+/// which is less than the settle time, and the shares must never add up to more than the capacity.
 #[test]
-fn parts_never_exceed_the_whole_while_views_differ() {
+fn shares_never_exceed_the_capacity_while_views_differ() {
     for seed in 0..200u64 {
         let random = |number: u64| stable_hash(&format!("{seed}/{number}"), 9);
-        let history = History::drawn(random);
+        let history = History::random_deaths(random);
         let delays: Vec<u64> = (0..10).map(|i| random(1000 + i) % (4 * SECOND)).collect();
         let mut gateways: Vec<FleetSize> = (0..10).map(|_| fleet_size(10)).collect();
         for now in (0..120 * SECOND).step_by(SECOND as usize / 2) {
--- a/fleet/membership/src/gossip_queue.rs
+++ b/fleet/membership/src/gossip_queue.rs
@@ -1,21 +1,21 @@
-//! Updates that are still to be passed on: each is sent a limited number of times, the least often
-//! sent first, from a queue of bounded length.
+//! A bounded queue of updates to gossip. Each update is sent a limited number of times; those that
+//! were sent least often come first.
 //!
-//! Taking and replacing updates costs the logarithm of the queue's length, since a whole fleet that
-//! starts at once fills it.
+//! Taking or replacing an update takes logarithmic time, because the queue is long when a whole
+//! fleet starts at once.
 
 use std::collections::BTreeMap;
 
 use crate::member_update::{MemberName, MemberState, MemberUpdate};
 
-/// The most updates that wait to be sent.
+/// Maximum number of queued updates.
 const MAX_QUEUED: usize = 4_096;
 
-/// Receiving a queued update from another member counts as so many transmissions of it.
+/// Number of transmissions that the receipt of a queued update from another member counts as.
 const RECEIPT_WEIGHT: u32 = 3;
 
-/// The order of the queue: the least often sent first, then deaths and suspicions, which are more
-/// urgent, then by age.
+/// Sort key of the queue: the least often sent updates first, then updates about members that are
+/// not alive, which are more urgent, then the oldest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     transmissions: u32,
@@ -23,20 +23,20 @@
     number: u64,
 }
 
-/// The queue of updates to be sent.
+/// Queue of updates to gossip.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct GossipQueue {
     queue: BTreeMap<Position, MemberUpdate>,
-    /// The positions of each member's updates: one, or several suspicions by different accusers.
+    /// Positions of each member's updates. Several suspicions by different accusers may be queued.
     by_member: BTreeMap<MemberName, Vec<Position>>,
     next_number: u64,
-    /// Updates that were dropped because the queue was full.
+    /// Number of updates that were dropped because the queue was full.
     pub dropped: u64,
 }
 
 impl GossipQueue {
-    /// Queues an update in place of those that it supersedes. A full queue drops what has been sent
-    /// most often.
+    /// Queues an update and removes those that it supersedes. If the queue is full, drops the last
+    /// update, which is one of those that were sent most often.
     pub fn push(&mut self, update: MemberUpdate) {
         let queued = self.by_member.get(&update.name).cloned();
         for position in queued.unwrap_or_default() {
@@ -60,8 +60,8 @@
         self.queue.is_empty()
     }
 
-    /// Takes the next updates to send, up to `max_updates`. Each is sent `transmit_limit` times in
-    /// all.
+    /// Returns up to `max_updates` updates to send next. An update leaves the queue after
+    /// `transmit_limit` transmissions.
     pub fn take_next(&mut self, max_updates: usize, transmit_limit: u32) -> Vec<MemberUpdate> {
         let positions: Vec<Position> = self.queue.keys().take(max_updates).copied().collect();
         let mut taken = Vec::with_capacity(positions.len());
@@ -78,8 +78,9 @@
         taken
     }
 
-    /// Another member has sent a queued update: it counts as sent several times. Else each member
-    /// of a fleet that starts at once would receive all names many times over.
+    /// Records that another member has sent a queued update, which counts as several transmissions.
+    /// Without this, each member of a fleet that starts at once would receive every update many
+    /// times.
     pub fn record_receipt(&mut self, update: &MemberUpdate, transmit_limit: u32) {
         let positions = self.by_member.get(&update.name).into_iter().flatten();
         let is_same = |position: &&Position| self.queue.get(*position) == Some(update);
--- a/fleet/membership/src/lib.rs
+++ b/fleet/membership/src/lib.rs
@@ -1,16 +1,15 @@
-//! Membership of a fleet of gateways: each member's own view of which others are alive, for up to
-//! some thousands.
+//! Membership of a fleet of up to several thousand gateways: each member keeps its own view of
+//! which other members are alive.
 //!
 //! The protocol is SWIM's (probes, indirect probes, suspicion, refutation, gossip) with Rapid's
 //! fixed observers, Lifeguard's local health, and anti-entropy between views. [`Membership`] takes
-//! messages and the time, and returns [`Action`]s; it does no I/O, reads no clock and draws random
-//! numbers from a seed. [`FleetSize`] derives from the view the number of gateways that decisions
-//! reckon with. `docs/membership.md` has the options and figures.
+//! messages and the time, and returns [`Action`]s. It does no I/O, reads no clock and takes random
+//! numbers from a seeded generator. [`FleetSize`] derives from the view the number of gateways by
+//! which capacity is divided. `docs/membership.md` describes the alternatives and has the figures.
 //!
-//! One rule stands above the others: no member is declared dead on the word of one that can't
-//! distinguish the other's silence from its own. A death takes two observers (one where there is no
-//! second), and a process that was paused suspects nobody until it receives messages of others
-//! again.
+//! The main rule is that an observer whose own process or network may be at fault must not declare
+//! another member dead. A death therefore requires two observers (one if the member has only one),
+//! and a process that was paused suspects nobody until it receives messages of others again.
 //!
 //! ```
 //! use violetgate_membership::{Action, Identity, Membership, MembershipConfig};
@@ -37,7 +36,7 @@
 //! # Ok::<(), violetgate_membership::InvalidMessage>(())
 //! ```
 
-// Data types, each below those that use it.
+// Data types and functions of the lowest layer, which don't use a member's state.
 mod config;
 mod fleet_size;
 mod member_update;
@@ -45,7 +44,7 @@
 mod stable_hash;
 mod view_digest;
 
-// The parts of a member's state.
+// Parts of a member's state.
 mod gossip_queue;
 mod local_health;
 mod membership;
@@ -55,7 +54,7 @@
 mod probe_table;
 mod transfers;
 
-// What changes the state, by concern.
+// Operations on a member's state, by concern.
 mod anti_entropy;
 mod dissemination;
 mod failure_detector;
@@ -78,5 +77,5 @@
 pub use stable_hash::stable_hash;
 pub use view_digest::{bucket_of, BucketSet, BUCKET_COUNT};
 
-/// A moment or a span in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/fleet/membership/src/member_update.rs
+++ b/fleet/membership/src/member_update.rs
@@ -1,72 +1,75 @@
-//! What is said of a member, and which of two updates takes precedence.
+//! Updates about members, and which of two updates takes precedence.
 //!
-//! Precedence depends on the updates alone, not on when or by whom they arrive, so views that have
-//! received the same updates in any order are equal.
+//! Precedence depends only on the content of the updates, not on their sender or time of arrival.
+//! Two views that have received the same updates in any order are therefore equal.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// A member's name, the same over all its restarts.
+/// Name of a member. It stays the same when the member restarts.
 pub type MemberName = Arc<str>;
 
-/// The longest name, in bytes.
+/// Maximum length of a member's name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The state of a member.
+/// State of a member in a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// Some of its observers have no answer; it can still refute that.
+    /// At least one observer has received no answer. The member can still refute the suspicion.
     Suspect,
-    /// Enough of its observers had no answer for the suspicion timeout.
+    /// Enough observers received no answer until the suspicion expired.
     Dead,
-    /// It has announced its shutdown; only a new incarnation brings it back.
+    /// The member has announced its shutdown. Only a new incarnation can rejoin.
     Left,
 }
 
-/// What is said of a member. It travels by postcard: the order of the fields is the wire format.
+/// An update about a member. It is encoded with postcard, so the order of the fields is part of the
+/// wire format.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member's name.
+    /// Name of the member.
     pub name: MemberName,
-    /// Where it receives datagrams.
+    /// Address at which the member receives datagrams.
     pub addr: SocketAddr,
-    /// When its process started, in Unix microseconds. A restart is a newer incarnation.
+    /// Start time of the member's process, in Unix microseconds. A restart is a newer incarnation.
     pub incarnation: u64,
-    /// How often it has refuted a suspicion in this incarnation. Only the member itself raises it.
+    /// Number of suspicions and deaths that the member has refuted in this incarnation. Only the
+    /// member itself increases it.
     ///
     /// SWIM's incarnation number is the pair of `incarnation` and `refutations`.
     pub refutations: u32,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Of a suspicion: the observer that has no answer.
+    /// If the state is `Suspect`: the observer that received no answer.
     pub accuser: Option<MemberName>,
 }
 
-/// The order of updates of one member: the greater one holds.
+/// Precedence of an update among those about the same member. The greatest one holds.
 ///
-/// A newer incarnation comes first, then having left, then the later refutation, then the worse
-/// state. So a refutation overrides any suspicion or death that it answers.
+/// The incarnation is compared first, then whether the member has left, then the number of
+/// refutations, then the state. A refutation therefore overrides the suspicion or death that it
+/// refutes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
-    /// When the member's process started.
+    /// Start time of the member's process, in Unix microseconds.
     pub incarnation: u64,
-    /// Whether it has left.
+    /// Whether the member has left.
     pub has_left: bool,
-    /// How often it has refuted.
+    /// Number of refutations in this incarnation.
     pub refutations: u32,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
 }
 
 impl MemberUpdate {
-    /// Encoded bytes beside the two names, at most.
+    /// Maximum encoded size without the two names, in bytes.
     const MAX_ENCODED_BYTES_WITHOUT_NAMES: usize = 42;
 
-    /// What decides between two updates of one member.
+    /// Returns the precedence of this update among those about the same member.
     #[must_use]
     pub fn precedence(&self) -> Precedence {
         Precedence {
@@ -77,13 +80,13 @@
         }
     }
 
-    /// How many bytes it takes in a message, at most.
+    /// Returns the maximum encoded size, in bytes.
     pub(crate) fn max_encoded_bytes(&self) -> u64 {
         let accuser_bytes = self.accuser.as_ref().map_or(0, |accuser| accuser.len());
         (self.name.len() + accuser_bytes + Self::MAX_ENCODED_BYTES_WITHOUT_NAMES) as u64
     }
 
-    /// Whether names, address and accuser are usable: a peer may send anything.
+    /// Returns whether names, port and accuser are valid. Peers may send arbitrary values.
     #[must_use]
     pub fn is_valid(&self) -> bool {
         let has_accuser_if_suspect = (self.state == MemberState::Suspect) == self.accuser.is_some();
--- a/fleet/membership/src/membership.rs
+++ b/fleet/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! One gateway's view of the fleet: its state and what can be read of it.
+//! One gateway's view of the fleet: its state and the methods that read it.
 //!
-//! These modules change it, each for one concern: [`crate::merging`], [`crate::dissemination`],
-//! [`crate::failure_detector`], [`crate::anti_entropy`] and [`crate::reconnect`];
-//! [`crate::message_handler`] and [`crate::ticker`] are the entries.
+//! Other modules change the state, each for one concern: [`crate::merging`],
+//! [`crate::dissemination`], [`crate::failure_detector`], [`crate::anti_entropy`] and
+//! [`crate::reconnect`]. [`crate::message_handler`] and [`crate::ticker`] are their entry points.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -23,57 +23,58 @@
 use crate::view_digest::BucketDigests;
 use crate::Micros;
 
-/// What the caller has to do, in the order given.
+/// An action for the caller. Actions must be executed in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message, which may be lost.
+    /// Send a message. The protocol tolerates its loss.
     Send {
-        /// Where to.
+        /// Address of the receiver.
         to: SocketAddr,
-        /// The message.
+        /// Message to send.
         message: Message,
     },
-    /// The view of a member has changed.
+    /// Report that the state of a member has changed in the view.
     StateChanged {
-        /// The member.
+        /// Name of the member.
         member: MemberName,
-        /// Its new state.
+        /// New state of the member.
         state: MemberState,
     },
-    /// The link to a member has changed.
+    /// Report that the link to a member was cut or restored.
     LinkChanged {
-        /// The member.
+        /// Name of the member.
         member: MemberName,
-        /// The link's new state.
+        /// New state of the link.
         link: LinkState,
     },
-    /// A process with this member's name and a newer incarnation has appeared: this one has to
-    /// stop.
+    /// Report that a process with this member's name and a newer incarnation has appeared. This
+    /// process takes no further part in the fleet.
     Superseded,
-    /// A member is not added to the view, as [`MembershipConfig::max_members`] are known.
+    /// Report that a member was not added to the view because [`MembershipConfig::max_members`]
+    /// are known.
     TableFull {
-        /// The member that is not added.
+        /// Name of the member that was not added.
         rejected: MemberName,
     },
 }
 
-/// The state of the link to a member.
+/// State of the link between this member and another one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
-    /// Only other members have answers from it.
+    /// The other member is alive but its answers to this member's probes don't arrive.
     Cut,
-    /// It answers this member's probes again.
+    /// The other member's answers to this member's probes arrive again.
     Restored,
 }
 
-/// How a new member is started.
+/// Identity of a new member.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name, the same over all its restarts.
+    /// Name of the member. It stays the same when the member restarts.
     pub name: MemberName,
-    /// Where others reach it.
+    /// Address at which other members reach this one.
     pub addr: SocketAddr,
-    /// When its process started, in Unix microseconds.
+    /// Start time of the member's process, in Unix microseconds.
     pub incarnation: u64,
 }
 
@@ -81,11 +82,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct SeedAddr {
     pub addr: SocketAddr,
-    /// The member that was last known there.
+    /// The member that was last known at this address.
     pub member: Option<MemberName>,
 }
 
-/// When periodic work is due.
+/// Times at which periodic work is due.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Schedule {
     pub next_gossip_at: Micros,
@@ -105,7 +106,7 @@
     pub(crate) health: LocalHealth,
     pub(crate) peers: PeerTable,
     pub(crate) rings: ObserverRings,
-    /// The members that this one observes; `None` since the rings last changed.
+    /// Cache of the members that this one observes. `None` if the rings have changed since.
     pub(crate) subjects: Option<BTreeSet<MemberName>>,
     pub(crate) probes: ProbeTable,
     pub(crate) gossip: GossipQueue,
@@ -116,7 +117,7 @@
 
 impl Membership {
     /// Creates a member that knows only itself and `seeds`, the addresses at which others may be
-    /// found. `rng_seed` makes its random choices.
+    /// found. `rng_seed` seeds the generator for its random choices.
     #[must_use]
     pub fn new(
         config: MembershipConfig,
@@ -161,20 +162,20 @@
         self.config.has_mutant(mutant)
     }
 
-    /// This member's name.
+    /// Returns this member's name.
     #[must_use]
     pub fn name(&self) -> &MemberName {
         &self.own.name
     }
 
-    /// What this member says of itself.
+    /// Returns the update that this member sends about itself.
     #[must_use]
     pub fn own_update(&self) -> &MemberUpdate {
         &self.own
     }
 
-    /// Copies the view of another member, as if this one had long been up. Nothing of it is
-    /// gossiped or reported.
+    /// Replaces the view by a copy of another member's view, as if this member had been running for
+    /// long. The copied updates are neither gossiped nor reported.
     pub fn adopt_view(&mut self, other: &Membership) {
         let mut peers = other.peers.clone();
         peers.remove(&self.own.name);
@@ -185,7 +186,7 @@
         self.subjects = None;
     }
 
-    /// Adds updates that are neither gossiped nor reported, and frees memory that is not used.
+    /// Adds updates to the view without gossiping or reporting them, and frees unused memory.
     pub fn adopt_updates(&mut self, updates: &[MemberUpdate]) {
         for update in updates {
             if update.name == self.own.name {
@@ -202,26 +203,26 @@
         self.subjects = None;
     }
 
-    /// The newest incarnation that is known of another member.
+    /// Returns the newest known incarnation of another member, or `None` if it is unknown.
     #[must_use]
     pub fn incarnation_of(&self, name: &str) -> Option<u64> {
         self.peers.get(name).map(|peer| peer.update.incarnation)
     }
 
-    /// Whether its process was paused and has no messages of enough others since to suspect
-    /// anybody.
+    /// Returns whether this process was paused and has not yet received messages of enough other
+    /// members. Until then it suspects nobody.
     #[must_use]
     pub fn is_recovering_from_pause(&self) -> bool {
         self.health.is_recovering()
     }
 
-    /// All other members that are known, by name.
+    /// Returns all other members in the view, sorted by name.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         self.peers.values().map(Member::from)
     }
 
-    /// How many gateways may be serving, this one included. Suspects count, since they may only be
-    /// unreachable from here.
+    /// Returns the number of gateways that may be serving. This one counts unless it was
+    /// superseded. Suspects count because they may only be unreachable from here.
     #[must_use]
     pub fn serving_count(&self) -> u32 {
         u32::try_from(self.peers.serving_count())
@@ -229,38 +230,40 @@
             .saturating_add(u32::from(!self.is_superseded))
     }
 
-    /// How many updates were dropped because the gossip queue was full.
+    /// Returns how many updates were dropped because the gossip queue was full.
     #[must_use]
     pub fn gossip_dropped(&self) -> u64 {
         self.gossip.dropped
     }
 
-    /// How many comparisons and requests were not answered, for lack of budget or because of too
-    /// many transfers.
+    /// Returns how many comparisons and requests were not answered because the byte budget was used
+    /// up or too many transfers were in progress.
     #[must_use]
     pub fn anti_entropy_dropped(&self) -> u64 {
         self.anti_entropy.dropped
     }
 
-    /// A digest of the view: equal for two members that know the same.
+    /// Returns a digest of the view, including this member. Two members whose views contain the
+    /// same updates have equal digests.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.bucket_digests().total()
     }
 
-    /// The digests of the view by bucket, this member included.
+    /// Returns the digests of the view by bucket, including this member.
     pub(crate) fn bucket_digests(&self) -> BucketDigests {
         let mut digests = self.peers.digests().clone();
         digests.add(&self.own);
         digests
     }
 
-    /// Whether it takes no further part in the fleet.
+    /// Returns whether this member has left or was superseded.
     pub(crate) fn has_stopped(&self) -> bool {
         self.is_superseded || self.own.state == MemberState::Left
     }
 
-    /// Up to `count` random members that may be serving, other than `excluded`.
+    /// Returns the addresses of up to `count` random members that may be serving, other than
+    /// `excluded`.
     pub(crate) fn random_members(
         &mut self,
         count: usize,
--- a/fleet/membership/src/merging.rs
+++ b/fleet/membership/src/merging.rs
@@ -1,4 +1,4 @@
-//! Merging updates into the view. The same updates give the same view in any order.
+//! Merges updates into the view. The same updates in any order result in the same view.
 
 use std::cmp::Ordering;
 
@@ -9,15 +9,16 @@
 use crate::membership::{Action, Membership};
 use crate::peer::Peer;
 
-/// The most accusers that are stored of one suspicion.
+/// Maximum number of accusers that are stored for one suspicion.
 const MAX_ACCUSERS: usize = 8;
 
-/// How an update has come.
+/// How an update arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum UpdateSource {
-    /// Along with a message or a round of gossip, or from this member's own failure detector.
+    /// In a message other than a transfer, as the sender's update about itself, or from this
+    /// member's own failure detector.
     Gossip,
-    /// On request, by anti-entropy: others know of the member.
+    /// In a transfer that anti-entropy requested. Other members already know the update.
     Transfer,
 }
 
@@ -36,11 +37,11 @@
             return self.merge_unknown(update, source, actions);
         };
         match update.precedence().cmp(&known.update.precedence()) {
-            Ordering::Equal => self.confirm(update),
+            Ordering::Equal => self.merge_equal(update),
             Ordering::Less if !self.accepts_outdated(&update, known, source) => {}
             Ordering::Less | Ordering::Greater => {
-                let peer = self.replacement(known, &update);
-                // A change of a member that was known here is passed on whatever its source.
+                let peer = self.updated_peer(known, &update);
+                // An update about a known member is passed on even if it was transferred.
                 self.gossip.push(update);
                 self.store(peer, actions);
             }
@@ -60,16 +61,17 @@
         let first_probe_delay = self.rng.next_u64() % self.config.probe_interval;
         let mut peer = Peer::new(update.clone(), self.now);
         peer.next_probe_at = self.now + first_probe_delay;
-        self.hasten_probe_of_suspect(&mut peer);
-        // Whoever has transferred it on request knows of the member, and so do others.
+        self.advance_probe_of_suspect(&mut peer);
+        // A transferred update isn't passed on: its sender and other members already know it.
         if source == UpdateSource::Gossip {
             self.gossip.push(update);
         }
         self.store(peer, actions);
     }
 
-    /// An update of equal precedence: gossip that has come back, or a further accuser.
-    fn confirm(&mut self, update: MemberUpdate) {
+    /// Merges an update of equal precedence. If the member is alive, counts the update as a receipt
+    /// of queued gossip. If the member is suspected, adds the update's accuser.
+    fn merge_equal(&mut self, update: MemberUpdate) {
         if update.state == MemberState::Alive {
             let transmit_limit = self.transmit_limit();
             return self.gossip.record_receipt(&update, transmit_limit);
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Whether an update is merged though a newer one is known: a wrong decision that tests have to
-    /// notice.
+    /// Returns whether an injected fault makes this member merge an outdated update. Always `false`
+    /// outside mutation tests.
     fn accepts_outdated(&self, update: &MemberUpdate, known: &Peer, source: UpdateSource) -> bool {
         let is_alive = update.state == MemberState::Alive;
         let is_same_incarnation = known.update.incarnation == update.incarnation;
@@ -95,8 +97,8 @@
             || (source == UpdateSource::Transfer && self.has_mutant(Mutant::AcceptsStaleTransfer))
     }
 
-    /// The peer after an update that overrides what is known of it.
-    fn replacement(&self, known: &Peer, update: &MemberUpdate) -> Peer {
+    /// Returns the peer with an update that overrides the known one.
+    fn updated_peer(&self, known: &Peer, update: &MemberUpdate) -> Peer {
         let is_same_incarnation = known.update.incarnation == update.incarnation;
         let is_revival =
             known.update.state == MemberState::Dead && update.state == MemberState::Alive;
@@ -110,19 +112,20 @@
             peer.link_cut_since = known.link_cut_since;
             peer.revivals = known.revivals + u32::from(is_revival);
         }
-        self.hasten_probe_of_suspect(&mut peer);
+        self.advance_probe_of_suspect(&mut peer);
         peer
     }
 
-    /// A suspect is probed soon, so that it learns of the suspicion and can refute it.
-    fn hasten_probe_of_suspect(&self, peer: &mut Peer) {
+    /// Probes a suspect within the probe timeout, so that it learns of the suspicion and can refute
+    /// it.
+    fn advance_probe_of_suspect(&self, peer: &mut Peer) {
         if peer.update.state == MemberState::Suspect {
             let soon = self.now + self.config.probe_timeout;
             peer.next_probe_at = peer.next_probe_at.min(soon);
         }
     }
 
-    /// Stores a peer, updates the rings, and reports a change of its state.
+    /// Stores a peer, updates the observer rings, and reports a change of the peer's state.
     fn store(&mut self, peer: Peer, actions: &mut Vec<Action>) {
         let member = MemberName::clone(&peer.update.name);
         let state = peer.update.state;
@@ -144,8 +147,8 @@
         }
     }
 
-    /// What others say of this member: a newer incarnation supersedes it, a suspicion or a death is
-    /// refuted.
+    /// Merges an update about this member itself. A newer incarnation supersedes this process, an
+    /// older one is answered with this member's own update, and a suspicion or death is refuted.
     fn merge_own(&mut self, update: &MemberUpdate, actions: &mut Vec<Action>) {
         let is_newer = update.incarnation > self.own.incarnation;
         if is_newer && !self.has_mutant(Mutant::IgnoresIncarnation) {
@@ -159,7 +162,7 @@
             && !self.has_mutant(Mutant::NeverRefutes)
         {
             self.own.refutations = update.refutations.saturating_add(1);
-            // A process that others suspect wrongly is likely to be slow itself.
+            // A process that others suspect although it runs is probably slow.
             self.health.worsen(1);
             self.gossip.push(self.own.clone());
         }
--- a/fleet/membership/src/message.rs
+++ b/fleet/membership/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between members. They travel by postcard: the order of variants and fields is the
-//! wire format.
+//! Messages between members. They are encoded with postcard, so the order of variants and fields is
+//! part of the wire format.
 
 use std::net::SocketAddr;
 
@@ -9,112 +9,119 @@
 use crate::member_update::{MemberName, MemberState, MemberUpdate, MAX_NAME_BYTES};
 use crate::view_digest::{BucketSet, BUCKET_COUNT};
 
-/// The most updates in one message. With the longest names it stays under 4 KiB, with usual ones
-/// under 1,400 bytes.
+/// Maximum number of updates in one message. A message stays below 4 KiB with the longest names and
+/// below 1,400 bytes with names of usual length.
 pub const MAX_UPDATES_PER_MESSAGE: usize = 16;
 
-/// What a message is for.
+/// Kind of a message and the fields that are specific to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
     /// A probe, to be answered with [`MessageBody::Ack`].
     Ping {
-        /// The prober's number for it.
+        /// Sequence number that the prober gave to the probe.
         sequence: u64,
     },
     /// The answer to a probe.
     Ack {
-        /// The probe's number.
+        /// Sequence number of the probe.
         sequence: u64,
     },
-    /// A request to probe another member, as its observer has no answer.
+    /// A request to probe another member because its observer has received no answer.
     IndirectPing {
-        /// The observer's number for its probe.
+        /// Sequence number that the observer gave to its own probe.
         sequence: u64,
         /// The member to probe.
         target: MemberName,
-        /// Where the observer knows it to be.
+        /// Address of the target in the observer's view.
         addr: SocketAddr,
     },
-    /// The target of an indirect probe has answered.
+    /// The report to an observer that the target of an indirect probe has answered.
     IndirectAck {
-        /// The number of the observer's probe.
+        /// Sequence number that the observer gave to its own probe.
         sequence: u64,
         /// The member that has answered.
         target: MemberName,
     },
-    /// Nothing but updates.
+    /// A message that carries only updates.
     Gossip,
-    /// The digest of the sender's view; a receiver whose view differs answers with
+    /// The digest of the sender's view. A receiver whose view differs answers with
     /// [`MessageBody::BucketSums`].
     ///
-    /// A sender that reads bucket sums repeats its own update as the second one, which has no
-    /// effect on a build that doesn't read them.
+    /// A sender that reads bucket sums repeats its own update as the second one. Builds that don't
+    /// read bucket sums ignore the repetition.
     ViewDigest {
-        /// The sum over all buckets.
+        /// Wrapping sum of the digests of all buckets.
         digest: u64,
     },
-    /// The digests of the sender's buckets. This message and those after it go only to members that
-    /// read them.
+    /// The truncated digests of the sender's buckets. This message and the variants below are sent
+    /// only to members whose build reads them.
     BucketSums(BucketSums),
     /// A request for the updates in some buckets.
     BucketRequest(BucketRequest),
-    /// Updates that were requested: members that the receiver doesn't know are not passed on as
-    /// gossip.
+    /// Updates that the receiver has requested. The receiver doesn't gossip those about members
+    /// that are not in its view yet.
     BucketTransfer,
 }
 
-/// A view's digests by bucket.
+/// Digests of a view by bucket, truncated to 32 bits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BucketSums {
-    /// How many other members the sender knows.
+    /// Number of other members in the sender's view.
     pub known_members: u32,
-    /// A sum for each of the [`BUCKET_COUNT`] buckets.
+    /// Truncated digest of each of the [`BUCKET_COUNT`] buckets.
     pub sums: Vec<u32>,
 }
 
 /// A request for the updates in some buckets.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BucketRequest {
-    /// The buckets.
+    /// Buckets whose updates are requested.
     pub buckets: BucketSet,
-    /// Whether the receiver should request the sender's updates in these buckets in turn.
+    /// Whether the receiver should also request the sender's updates in these buckets.
     pub mutual: bool,
 }
 
 /// A message between members.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// What it is for.
+    /// Kind of the message and the fields that are specific to it.
     pub body: MessageBody,
-    /// The sender's update of itself, then updates of others.
+    /// The sender's update about itself, followed by further updates, mostly about other members.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Why a message is rejected. The texts say what an operator can check.
+/// Why a message is rejected. The error texts tell operators what to check.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidMessage {
-    /// It has no update of its sender, or more than [`MAX_UPDATES_PER_MESSAGE`] updates.
-    #[error("a message with {0} updates: check that all gateways run the same version")]
+    /// The message has no updates or more than [`MAX_UPDATES_PER_MESSAGE`].
+    #[error(
+        "a message with {0} updates instead of 1 to {MAX_UPDATES_PER_MESSAGE}: check that all \
+         gateways run the same version"
+    )]
     UpdateCount(usize),
-    /// One of its updates is not usable.
-    #[error("an invalid update of {0:?}: check the names and addresses in its `fleet` block")]
+    /// An update about the named member is invalid.
+    #[error("an invalid update about {0:?}: check the names and addresses in its `fleet` block")]
     InvalidUpdate(String),
-    /// Its sender says of itself neither that it is alive nor that it has left.
+    /// The named sender reports its own state as neither `Alive` nor `Left`.
     #[error(
-        "a message of {0:?}, which does not say that it is alive: check that all run the same version"
+        "a message of {0:?}, which reports itself as neither alive nor left: check that all \
+         gateways run the same version"
     )]
     SenderNotAlive(String),
-    /// Its sender divides views into another number of buckets.
-    #[error("a message with {0} digest buckets: check that all gateways run the same version")]
+    /// The sender divides views into the given number of buckets instead of [`BUCKET_COUNT`].
+    #[error(
+        "a message with {0} digest buckets instead of {BUCKET_COUNT}: check that all gateways \
+         run the same version"
+    )]
     BucketCount(usize),
 }
 
 impl Message {
-    /// Validates the message and returns its sender's update of itself.
+    /// Validates the message and returns the sender's update about itself.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] if the message is to be rejected.
+    /// Returns an [`InvalidMessage`] if the message must be rejected.
     pub fn validated_sender(&self) -> Result<&MemberUpdate, InvalidMessage> {
         let sender = self
             .updates
@@ -139,7 +146,8 @@
         Ok(sender)
     }
 
-    /// Whether the sender of a [`MessageBody::ViewDigest`] reads [`MessageBody::BucketSums`].
+    /// Returns whether the sender of a [`MessageBody::ViewDigest`] reads
+    /// [`MessageBody::BucketSums`], which it indicates by repeating its own update.
     #[must_use]
     pub fn sender_reads_bucket_sums(&self) -> bool {
         self.updates.len() > 1 && self.updates.first() == self.updates.get(1)
--- a/fleet/membership/src/message_handler.rs
+++ b/fleet/membership/src/message_handler.rs
@@ -1,4 +1,4 @@
-//! The entry for received messages.
+//! Entry point for received messages.
 
 use std::net::SocketAddr;
 
@@ -9,12 +9,12 @@
 use crate::Micros;
 
 impl Membership {
-    /// Handles a message. Answers go to the address in its sender's update, not to where the
-    /// datagram came from, which address translation may have changed.
+    /// Handles a message. Answers go to the address in the sender's update, not to the source
+    /// address of the datagram, which address translation may have changed.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] if the message is rejected; then nothing has changed.
+    /// Returns an [`InvalidMessage`] if the message is rejected. The state is then unchanged.
     pub fn handle_message(
         &mut self,
         now: Micros,
@@ -31,10 +31,10 @@
             return Ok(());
         }
         let known = self.peers.get(&sender.name);
-        // A message of an older incarnation proves nothing of the current one.
+        // A message of an older incarnation doesn't show that the current one is alive.
         if known.is_some_and(|peer| peer.update.incarnation == sender.incarnation) {
-            self.record_message_of(sender, &message.body, actions);
-            self.answer(message, sender, actions);
+            self.record_message_from(sender, &message.body, actions);
+            self.dispatch(message, sender, actions);
         }
         Ok(())
     }
@@ -45,7 +45,7 @@
             _ => UpdateSource::Gossip,
         };
         for (index, update) in message.updates.iter().enumerate() {
-            // What the sender says of itself is always passed on.
+            // The sender's update about itself is passed on even if the message is a transfer.
             let source = match index {
                 0 => UpdateSource::Gossip,
                 _ => source_of_others,
@@ -54,9 +54,10 @@
         }
     }
 
-    /// Records that a member's own message has arrived; one that is taken for dead is notified,
-    /// since it can only refute what it knows.
-    fn record_message_of(
+    /// Records that a message of a member has arrived. If the sender is dead or has left according
+    /// to the view, sends it that update so that it can refute its death. Answers to probes, gossip
+    /// and transfers don't cause such a notification.
+    fn record_message_from(
         &mut self,
         sender: &MemberUpdate,
         body: &MessageBody,
@@ -82,7 +83,7 @@
         }
     }
 
-    fn answer(&mut self, message: &Message, sender: &MemberUpdate, actions: &mut Vec<Action>) {
+    fn dispatch(&mut self, message: &Message, sender: &MemberUpdate, actions: &mut Vec<Action>) {
         let from = sender.addr;
         match &message.body {
             MessageBody::Ping { sequence } => self.send_ack(&sender.name, from, *sequence, actions),
--- a/fleet/membership/src/observer_rings.rs
+++ b/fleet/membership/src/observer_rings.rs
@@ -1,8 +1,9 @@
-//! Which member observes which, as in Rapid: on each of a few rings, ordered by hash, a member is
-//! observed by the one before it.
+//! Assigns observers to members, as in Rapid: on each of a few rings, ordered by hash, a member is
+//! observed by its predecessor.
 //!
-//! All members compute the rings from their views, so each is observed by the same few others
-//! whatever the size of the fleet, and each sends a constant number of probes.
+//! Each member computes the rings from its view, so members with equal views agree on the
+//! observers. The number of observers of a member and the number of probes that it sends don't
+//! depend on the size of the fleet.
 
 use std::collections::BTreeSet;
 use std::ops::Bound;
@@ -10,7 +11,7 @@
 use crate::member_update::MemberName;
 use crate::stable_hash::stable_hash;
 
-/// A member's place on a ring; places are ordered by hash.
+/// Position of a member on a ring. Positions are ordered by hash, then by name.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct RingPlace {
     hash: u64,
@@ -26,12 +27,12 @@
     }
 }
 
-/// The rings of observers.
+/// Rings of all members that may be serving, which determine who observes whom.
 #[derive(Debug, Clone)]
 pub struct ObserverRings(Vec<BTreeSet<RingPlace>>);
 
 impl ObserverRings {
-    /// Creates empty rings.
+    /// Creates `count` empty rings. A member has at most that many observers.
     #[must_use]
     pub fn new(count: usize) -> Self {
         ObserverRings(vec![BTreeSet::new(); count])
@@ -51,14 +52,14 @@
         }
     }
 
-    /// Frees memory that is allocated and not used.
+    /// Frees allocated memory that is not used.
     pub(crate) fn shrink_to_fit(&mut self) {
         for ring in &mut self.0 {
             *ring = std::mem::take(ring).into_iter().collect();
         }
     }
 
-    /// The members that a member observes: the next one on each ring.
+    /// Returns the members that a member observes: its successor on each ring.
     #[must_use]
     pub fn subjects_of(&self, name: &MemberName) -> BTreeSet<MemberName> {
         self.neighbours(name, |ring, own| {
@@ -67,7 +68,7 @@
         })
     }
 
-    /// The members that observe a member: the one before it on each ring.
+    /// Returns the members that observe a member: its predecessor on each ring.
     #[must_use]
     pub fn observers_of(&self, name: &MemberName) -> BTreeSet<MemberName> {
         self.neighbours(name, |ring, own| {
--- a/fleet/membership/src/peer.rs
+++ b/fleet/membership/src/peer.rs
@@ -1,4 +1,4 @@
-//! What a member knows of one other.
+//! The state that a member keeps about another member.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -7,29 +7,30 @@
 use crate::member_update::{MemberName, MemberState, MemberUpdate};
 use crate::Micros;
 
-/// Another member, as the view has it.
+/// Another member in the view.
 #[derive(Debug, Clone)]
 pub(crate) struct Peer {
-    /// What is known of it; shared where views are copied, as most updates never change.
+    /// The update of highest precedence that is known. Copies of a view share it, because most
+    /// updates never change.
     pub update: Arc<MemberUpdate>,
-    /// Since when it is in its state.
+    /// When the member entered its current state.
     pub state_since: Micros,
-    /// The observers that have no answer, as of this number of refutations.
+    /// Observers that suspect the member with the current number of refutations.
     pub accusers: BTreeSet<MemberName>,
-    /// When a message of its own last arrived.
+    /// When the last message of the member arrived.
     pub last_message_at: Micros,
-    /// Since when it answers indirect probes only.
+    /// When the link was cut; `None` if it is not.
     pub link_cut_since: Option<Micros>,
-    /// When it is to be probed next.
+    /// When this member probes the other one next, if it is one of its observers.
     pub next_probe_at: Micros,
-    /// How often it was declared dead and came back in this incarnation.
+    /// How often the member was declared dead and came back in this incarnation.
     pub revivals: u32,
-    /// Its index among the serving members; only the peer table sets it.
+    /// Index among the serving members of the peer table, which is the only one to set it.
     pub serving_index: Option<u32>,
 }
 
 impl Peer {
-    /// A peer that is known from now on.
+    /// Creates a peer that becomes known at `now`.
     pub fn new(update: MemberUpdate, now: Micros) -> Self {
         Peer {
             state_since: now,
@@ -43,29 +44,29 @@
         }
     }
 
-    /// Whether it may be serving: then it is on the observer rings. A suspect counts, since it may
-    /// only be unreachable from here.
+    /// Returns whether the member may be serving. Only such members are on the observer rings. A
+    /// suspect counts because it may only be unreachable from here.
     pub fn is_serving(&self) -> bool {
         matches!(self.update.state, MemberState::Alive | MemberState::Suspect)
     }
 }
 
-/// A member as callers see it.
+/// Public view of another member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// Name of the member.
     pub name: MemberName,
-    /// Where it receives datagrams.
+    /// Address at which the member receives datagrams.
     pub addr: SocketAddr,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Since when it is in that state, on the caller's clock.
+    /// When the member entered its state, on the caller's clock.
     pub state_since: Micros,
-    /// Since when it answers indirect probes only, on the caller's clock.
+    /// When the link to the member was cut, on the caller's clock; `None` if it is not.
     pub link_cut_since: Option<Micros>,
-    /// When its process started, in Unix microseconds.
+    /// Start time of the member's process, in Unix microseconds.
     pub incarnation: u64,
-    /// How often it has refuted a suspicion.
+    /// Number of suspicions and deaths that the member has refuted in this incarnation.
     pub refutations: u32,
 }
 
--- a/fleet/membership/src/peer_table.rs
+++ b/fleet/membership/src/peer_table.rs
@@ -1,7 +1,7 @@
-//! The table of all other members, with the indexes that keep the cost of a tick constant.
+//! Table of all other members, with indexes that avoid scans of the whole table on each tick.
 //!
-//! Every change of a peer's update goes through [`PeerTable::insert`] and [`PeerTable::remove`], so
-//! that no index can differ from the table.
+//! Every change of a peer's update goes through [`PeerTable::insert`] or [`PeerTable::remove`],
+//! which keep the indexes consistent with the table.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use crate::peer::Peer;
 use crate::view_digest::BucketDigests;
 
-/// All other members, by name.
+/// All other members, by name, with indexes by state.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct PeerTable {
     peers: BTreeMap<MemberName, Peer>,
     suspects: BTreeSet<MemberName>,
     departed: BTreeSet<MemberName>,
-    /// Members that may be serving, in no order; each peer knows its index here.
+    /// Members that may be serving, in arbitrary order. Each peer stores its index in this vector.
     serving: Vec<MemberName>,
     digests: BucketDigests,
 }
@@ -28,7 +28,7 @@
         self.peers.get(name)
     }
 
-    /// A peer of which everything but its update may be changed.
+    /// Returns a peer for changes. Callers must not change its update or serving index.
     pub fn get_mut(&mut self, name: &str) -> Option<&mut Peer> {
         self.peers.get_mut(name)
     }
@@ -37,7 +37,7 @@
         self.peers.values()
     }
 
-    /// All peers, of which everything but their updates may be changed.
+    /// Returns all peers for changes. Callers must not change their updates or serving indexes.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Peer> {
         self.peers.values_mut()
     }
@@ -46,27 +46,27 @@
         self.peers.len()
     }
 
-    /// How many may be serving.
+    /// Returns the number of members that may be serving.
     pub fn serving_count(&self) -> usize {
         self.serving.len()
     }
 
-    /// Members that are suspected.
+    /// Returns the members that are suspected.
     pub fn suspects(&self) -> impl Iterator<Item = &Peer> {
         self.suspects.iter().filter_map(|name| self.peers.get(name))
     }
 
-    /// Members that are dead or have left.
+    /// Returns the members that are dead or have left.
     pub fn departed(&self) -> impl Iterator<Item = &Peer> {
         self.departed.iter().filter_map(|name| self.peers.get(name))
     }
 
-    /// The digests of all updates, by bucket.
+    /// Returns the digests of all updates, by bucket.
     pub fn digests(&self) -> &BucketDigests {
         &self.digests
     }
 
-    /// Inserts a peer in place of what was known under its name.
+    /// Inserts a peer, which replaces any peer of the same name.
     pub fn insert(&mut self, mut peer: Peer) {
         let name = MemberName::clone(&peer.update.name);
         let old_index = self.remove_from_indexes(&name);
@@ -93,13 +93,13 @@
         self.peers.insert(name, peer);
     }
 
-    /// Frees memory that is allocated and not used.
+    /// Frees allocated memory that is not used.
     pub fn shrink_to_fit(&mut self) {
         self.peers = std::mem::take(&mut self.peers).into_iter().collect();
         self.serving.shrink_to_fit();
     }
 
-    /// Removes a peer.
+    /// Removes a peer from the table and all indexes.
     pub fn remove(&mut self, name: &MemberName) {
         if let Some(index) = self.remove_from_indexes(name) {
             self.remove_from_serving(index);
@@ -107,8 +107,8 @@
         self.peers.remove(name);
     }
 
-    /// Removes a peer's update from the indexes by state and from the digests; returns its serving
-    /// index.
+    /// Removes a peer from the suspects, the departed members and the digests. Returns its serving
+    /// index, which is still valid.
     fn remove_from_indexes(&mut self, name: &MemberName) -> Option<u32> {
         let old = self.peers.get(name)?;
         self.digests.remove(&old.update);
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Draws up to `count` different serving members other than `excluded`; returns their
-    /// addresses.
+    /// Returns the addresses of up to `count` distinct random members that may be serving, other
+    /// than `excluded`.
     pub fn random_serving(
         &self,
         count: usize,
--- a/fleet/membership/src/probe_table.rs
+++ b/fleet/membership/src/probe_table.rs
@@ -1,5 +1,4 @@
-//! The probes that are in flight: those of this member, and those that it makes for other
-//! observers.
+//! Probes in flight: those of this member, and those that it sends for other observers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,10 +6,10 @@
 use crate::member_update::MemberName;
 use crate::Micros;
 
-/// The most probes that are made for other observers at a time.
+/// Maximum number of probes in flight for other observers.
 const MAX_RELAYED: usize = 1_024;
 
-/// A probe that this member has sent.
+/// A probe that this member has sent as an observer.
 #[derive(Debug, Clone)]
 pub(crate) struct Probe {
     pub target: MemberName,
@@ -18,22 +17,22 @@
     pub sent_at: Micros,
     /// Whether indirect probes have been requested from others for the target.
     pub indirect_requested: bool,
-    /// Whether another member has had an answer.
+    /// Whether another member has received an answer from the target.
     pub indirect_acked: bool,
 }
 
-/// A probe that is made for another observer.
+/// A probe that this member has sent for another observer.
 #[derive(Debug, Clone)]
 pub(crate) struct RelayedProbe {
-    /// Where the observer is.
+    /// Address of the observer, to which an answer is reported.
     pub observer_addr: SocketAddr,
-    /// The observer's number for its probe.
+    /// Sequence number that the observer gave to its own probe.
     pub observer_sequence: u64,
     pub target: MemberName,
     pub expires_at: Micros,
 }
 
-/// All probes in flight, by sequence number.
+/// All probes in flight, by this member's sequence numbers.
 #[derive(Debug, Clone)]
 pub(crate) struct ProbeTable {
     probes: BTreeMap<u64, Probe>,
@@ -42,7 +41,7 @@
 }
 
 impl ProbeTable {
-    /// An empty table; sequence numbers follow the given one.
+    /// Creates an empty table. Sequence numbers start at `last_sequence + 1`.
     pub fn new(last_sequence: u64) -> Self {
         ProbeTable {
             probes: BTreeMap::new(),
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Adds a probe; returns its sequence number.
+    /// Adds a probe and returns its sequence number.
     pub fn add(&mut self, target: MemberName, addr: SocketAddr, now: Micros) -> u64 {
         self.last_sequence += 1;
         let probe = Probe {
@@ -65,8 +64,8 @@
         self.last_sequence
     }
 
-    /// Adds a probe for another observer; returns its sequence number, or `None` if there are too
-    /// many.
+    /// Adds a probe for another observer and returns its sequence number, or `None` if
+    /// [`MAX_RELAYED`] are in flight.
     pub fn add_relayed(&mut self, probe: RelayedProbe) -> Option<u64> {
         if self.relayed.len() >= MAX_RELAYED {
             return None;
@@ -88,13 +87,13 @@
         self.relayed.remove(&sequence)
     }
 
-    /// The numbers of the probes without an answer after `timeout` for which no indirect probe has
-    /// been requested.
+    /// Returns the sequence numbers of the probes that have no answer after `timeout` and for which
+    /// no indirect probes have been requested.
     pub fn awaiting_indirect(&self, now: Micros, timeout: Micros) -> Vec<u64> {
         self.matching(|probe| !probe.indirect_requested && now >= probe.sent_at + timeout)
     }
 
-    /// The numbers of the probes without an answer after `timeout`.
+    /// Returns the sequence numbers of the probes that have no direct answer after `timeout`.
     pub fn timed_out(&self, now: Micros, timeout: Micros) -> Vec<u64> {
         self.matching(|probe| now >= probe.sent_at + timeout)
     }
@@ -104,12 +103,12 @@
         probes.map(|(sequence, _)| *sequence).collect()
     }
 
-    /// Forgets the probes of this member.
+    /// Removes the probes that this member sent as an observer.
     pub fn clear(&mut self) {
         self.probes.clear();
     }
 
-    /// Forgets the probes for others that have expired.
+    /// Removes the probes for other observers that have expired.
     pub fn expire_relayed(&mut self, now: Micros) {
         self.relayed.retain(|_, probe| probe.expires_at > now);
     }
--- a/fleet/membership/src/reconnect.rs
+++ b/fleet/membership/src/reconnect.rs
@@ -1,5 +1,5 @@
-//! Contacting dead members and seeds now and then, which heals a split; and forgetting those that
-//! departed long ago.
+//! Periodically contacts dead members and seeds, so that the parts of a split fleet find each other
+//! again, and removes members that departed long ago.
 
 use std::net::SocketAddr;
 
@@ -9,14 +9,15 @@
 use crate::membership::{Action, Membership, SeedAddr};
 use crate::peer::Peer;
 
-/// How often a second a dead member is contacted by all others together, about.
+/// Approximate limit on how often all members together contact one dead member or seed, per probe
+/// interval (1 s by default).
 const CONTACTS_PER_S: usize = 8;
-/// How many addresses one member contacts at a time.
+/// Maximum number of addresses that one member contacts in a round.
 const MAX_CONTACTS: usize = 2;
 
 impl Membership {
-    /// Sends the view's digest to some dead members, and to seeds at which nobody is known, if that
-    /// is due.
+    /// If a round is due, sends the view's digest to some dead members and to seeds at which no
+    /// member is known.
     pub(crate) fn contact_dead_and_seeds(&mut self, actions: &mut Vec<Action>) {
         if self.now < self.schedule.next_reconnect_at {
             return;
@@ -40,20 +41,22 @@
         dead.map(|peer| peer.update.addr).collect()
     }
 
-    /// How many of so many addresses to contact. In a large fleet most members leave it to others,
-    /// so that a member that is back is not flooded.
+    /// Returns how many of `addr_count` addresses to contact in this round. In a large fleet most
+    /// members randomly skip a round, so that a member that is back is not flooded.
     fn contact_count(&mut self, addr_count: usize) -> usize {
         let count = addr_count.min(MAX_CONTACTS);
-        let enough = CONTACTS_PER_S * addr_count;
+        let contact_limit = CONTACTS_PER_S * addr_count;
         let by_all_members = count * self.peers.serving_count();
-        if enough < by_all_members && self.rng.next_u64() % by_all_members as u64 >= enough as u64 {
+        if contact_limit < by_all_members
+            && self.rng.next_u64() % by_all_members as u64 >= contact_limit as u64
+        {
             return 0;
         }
         count
     }
 
-    /// The seeds at which no member is known. Which member is at a seed is remembered, so that the
-    /// whole table is searched only while none is.
+    /// Returns the seeds at which no member is known. The member at a seed is cached, so that the
+    /// whole table is searched only while the seed has none.
     fn unoccupied_seeds(&mut self) -> Vec<SocketAddr> {
         let mut unoccupied = Vec::new();
         for SeedAddr { addr, member } in &mut self.seeds {
@@ -71,14 +74,14 @@
         unoccupied
     }
 
-    /// Forgets the members that departed long ago, if that is due.
+    /// If due, removes the members that departed at least `forget_after` ago.
     pub(crate) fn forget_departed(&mut self) {
         if self.now < self.schedule.next_forget_at {
             return;
         }
         self.schedule.next_forget_at = self.now + self.config.probe_interval;
-        let is_over = |peer: &&Peer| self.now >= peer.state_since + self.config.forget_after;
-        let departed = self.peers.departed().filter(is_over);
+        let has_expired = |peer: &&Peer| self.now >= peer.state_since + self.config.forget_after;
+        let departed = self.peers.departed().filter(has_expired);
         let names: Vec<MemberName> = departed
             .map(|peer| MemberName::clone(&peer.update.name))
             .collect();
--- a/fleet/membership/src/stable_hash.rs
+++ b/fleet/membership/src/stable_hash.rs
@@ -1,7 +1,8 @@
-//! A hash that is the same on every gateway and in every release: ring positions and digest buckets
-//! depend on it.
+//! A hash function that must be the same on every gateway and in every release, because members
+//! have to agree on ring positions and digest buckets.
 
-/// Hashes a name with a salt: FNV-1a followed by the finalizer of SplitMix64, which mixes all bits.
+/// Hashes a name with a salt. Applies FNV-1a and then the finalizer of SplitMix64, which mixes all
+/// bits.
 #[must_use]
 pub fn stable_hash(name: &str, salt: u64) -> u64 {
     let mut hash = 0xcbf2_9ce4_8422_2325u64 ^ salt.wrapping_mul(0x9e37_79b9_7f4a_7c15);
--- a/fleet/membership/src/ticker.rs
+++ b/fleet/membership/src/ticker.rs
@@ -1,12 +1,12 @@
-//! The entry for the passing of time.
+//! Entry point for periodic work.
 
 use crate::config::Mutant;
 use crate::membership::{Action, Membership};
 use crate::Micros;
 
 impl Membership {
-    /// Does what is due: to be called every 50 ms or so. A call that comes late means that this
-    /// process was paused.
+    /// Does the work that is due at `now`. Must be called about every 50 ms: a call that comes more
+    /// than 200 ms after the previous one is taken for a pause of this process.
     pub fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = now.max(self.now);
         let pause = self.health.record_tick(self.now);
--- a/fleet/membership/src/transfers.rs
+++ b/fleet/membership/src/transfers.rs
@@ -1,4 +1,4 @@
-//! The state of anti-entropy: a budget of bytes, transfers under way, and when each bucket may be
+//! State of anti-entropy: the byte budget, the transfers in progress, and when each bucket may be
 //! requested again.
 
 use std::collections::VecDeque;
@@ -9,17 +9,18 @@
 use crate::view_digest::{BucketSet, BUCKET_COUNT};
 use crate::Micros;
 
-/// The most members that are sent updates at a time; others soon ask somebody else.
+/// Maximum number of transfers in progress. A member whose request is dropped soon requests the
+/// updates from another member.
 const MAX_TRANSFERS: usize = 4;
-/// A bucket that was requested is requested again, from anyone, after this at the earliest.
+/// Minimum time between two requests for the same bucket, to any member.
 pub(crate) const REQUEST_INTERVAL_US: Micros = 1_000_000;
-/// After the start, and after a large difference, so many comparisons come [`REQUEST_INTERVAL_US`]
-/// after each other, or until one finds little.
+/// Number of comparisons that follow each other within [`REQUEST_INTERVAL_US`] after the start and
+/// after a large difference. They end early if a comparison finds a small difference.
 const EAGER_COMPARISONS: u32 = 8;
 
-/// What may be sent at once after a quiet time, in seconds of the budget.
+/// Capacity of the budget, in seconds of its rate. This much may be sent at once after idle time.
 const BURST_SECONDS: u64 = 4;
-/// What may be sent at once at least: any one message.
+/// Minimum capacity of the budget. Any single message fits.
 const MIN_BURST_BYTES: u64 = 4_096;
 
 /// A token bucket of bytes.
@@ -46,7 +47,7 @@
         burst.max(MIN_BURST_BYTES)
     }
 
-    /// Takes bytes if as many are available.
+    /// Refills the budget, and takes `bytes` if they are available. Returns whether they were.
     fn try_spend(&mut self, bytes: u64, now: Micros) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         let refill = elapsed.saturating_mul(self.bytes_per_s) / 1_000_000;
@@ -62,17 +63,17 @@
     }
 }
 
-/// Updates on their way to one member. Only names are kept, and looked up when they are sent, so
-/// that what is sent is never older than the view.
+/// Updates to be sent to one member. A transfer stores only names. Updates are looked up when they
+/// are sent, so that they are never older than the view.
 #[derive(Debug, Clone)]
 pub(crate) struct Transfer {
     pub to: SocketAddr,
     pub names: VecDeque<MemberName>,
-    /// The kind of message that carries them.
+    /// Body of the messages that carry the updates.
     pub body: MessageBody,
 }
 
-/// The state of anti-entropy.
+/// State of anti-entropy between comparisons.
 #[derive(Debug, Clone)]
 pub(crate) struct AntiEntropyState {
     budget: ByteBudget,
@@ -80,13 +81,13 @@
     eager_comparisons: u32,
     /// When each bucket may be requested again.
     requestable_at: Vec<Micros>,
-    /// Comparisons and requests that were not answered, for lack of budget or because of too many
-    /// transfers.
+    /// Number of comparisons and requests that were not answered because the budget was used up or
+    /// too many transfers were in progress.
     pub dropped: u64,
 }
 
 impl AntiEntropyState {
-    /// Nothing is under way; the budget is full.
+    /// Creates a state with a full budget and no transfers.
     pub fn new(bytes_per_s: u64) -> Self {
         AntiEntropyState {
             budget: ByteBudget::new(bytes_per_s),
@@ -97,13 +98,13 @@
         }
     }
 
-    /// Takes bytes from the budget if as many are available.
+    /// Takes `bytes` from the budget if they are available. Returns whether they were.
     pub fn try_spend(&mut self, bytes: u64, now: Micros) -> bool {
         self.budget.try_spend(bytes, now)
     }
 
-    /// Begins a transfer in place of an earlier one to the same member, which requests again what
-    /// it still lacks.
+    /// Adds a transfer, or drops it if too many are in progress. It replaces an earlier transfer to
+    /// the same member, which requests the updates that it still lacks again.
     pub fn add_transfer(&mut self, transfer: Transfer) {
         self.transfers.retain(|other| other.to != transfer.to);
         if self.transfers.len() >= MAX_TRANSFERS {
@@ -113,12 +114,13 @@
         }
     }
 
-    /// The transfer that is sent next.
+    /// Returns the transfer that is sent next.
     pub fn current_transfer(&self) -> Option<&Transfer> {
         self.transfers.front()
     }
 
-    /// The first `count` names of the current transfer have been sent.
+    /// Removes the first `count` names of the current transfer after they were sent, and the
+    /// transfer itself if no names remain.
     pub fn advance_transfer(&mut self, count: usize) {
         let Some(transfer) = self.transfers.front_mut() else {
             return;
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Those of some buckets that may be requested now.
+    /// Returns those of `buckets` that may be requested now.
     pub fn requestable(&self, buckets: &BucketSet, now: Micros) -> Vec<usize> {
         let is_due = |bucket: &usize| {
             let at = self.requestable_at.get(*bucket);
@@ -138,7 +140,7 @@
         buckets.iter().filter(is_due).collect()
     }
 
-    /// Some buckets have been requested.
+    /// Records that `buckets` were requested at `now`.
     pub fn record_request(&mut self, buckets: &BucketSet, now: Micros) {
         for bucket in buckets.iter() {
             if let Some(at) = self.requestable_at.get_mut(bucket) {
@@ -147,20 +149,21 @@
         }
     }
 
-    /// Whether the next comparison is to come soon; counts it.
-    pub fn take_eager_comparison(&mut self) -> bool {
+    /// Returns whether the next comparison is to follow soon, and counts it.
+    pub fn consume_eager_comparison(&mut self) -> bool {
         let is_eager = self.eager_comparisons > 0;
         self.eager_comparisons = self.eager_comparisons.saturating_sub(1);
         is_eager
     }
 
-    /// A comparison has shown a large difference: more are to come soon.
+    /// Makes the next [`EAGER_COMPARISONS`] comparisons follow soon, after one that has found a
+    /// large difference.
     pub fn compare_eagerly(&mut self) {
         self.eager_comparisons = EAGER_COMPARISONS;
     }
 
-    /// A comparison has shown little.
-    pub fn compare_at_leisure(&mut self) {
+    /// Returns to the usual interval, after a comparison that has found a small difference.
+    pub fn stop_eager_comparisons(&mut self) {
         self.eager_comparisons = 0;
     }
 }
--- a/fleet/membership/tests/anti_entropy/main.rs
+++ b/fleet/membership/tests/anti_entropy/main.rs
@@ -1,5 +1,5 @@
-//! Two members that compare their views: whatever these differ in, they are equal after some
-//! rounds, at a cost that follows the difference, whatever messages are lost or late.
+//! Checks that two members that compare their views reach equal views within a bounded number of
+//! rounds, even if messages are lost or late, and at a cost that depends on the difference.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -25,7 +25,7 @@
     new_member(MembershipConfig::default(), number)
 }
 
-/// Handles a message and returns those that are sent in answer.
+/// Makes `member` handle a message, and returns the messages that it sends in answer.
 fn answers(member: &mut Membership, message: &Message) -> Vec<Message> {
     let mut actions = Vec::new();
     member
@@ -38,8 +38,8 @@
     sent.collect()
 }
 
-/// One update of 4,000 differs: one bucket is exchanged, not the view, and the newer update holds
-/// on both sides.
+/// If one update of 4,000 differs, the members exchange one bucket instead of the whole view, and
+/// both end up with the newer update.
 #[test]
 fn views_that_differ_in_one_update_exchange_one_bucket() {
     let all = updates(0..4_000);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn member_that_knows_nobody_receives_7600_members() {
+fn member_with_empty_view_receives_7600_members() {
     let all = updates(0..7_600);
     let mut pair = Pair::new(&[], &all);
     let rounds = pair.rounds_until_equal();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn members_that_know_different_halves_know_all_in_the_end() {
+fn members_that_know_different_halves_converge() {
     let all = updates(0..7_600);
     let mut pair = Pair::new(&all[..3_800], &all[3_800..]);
     let rounds = pair.rounds_until_equal();
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn member_sends_no_more_than_its_budget_however_much_is_requested() {
+fn requests_do_not_make_a_member_exceed_its_byte_budget() {
     let config = MembershipConfig::default();
     let allowed = config.anti_entropy_bytes_per_s * 4;
     let mut member = new_member(config, 2);
@@ -100,12 +100,12 @@
     );
     assert!(
         member.anti_entropy_dropped() > 0,
-        "what does not fit is counted"
+        "requests beyond the budget are not counted as dropped"
     );
 }
 
 #[test]
-fn lost_messages_cost_rounds_and_nothing_else() {
+fn views_converge_despite_lost_messages() {
     let all = updates(0..600);
     let mut pair = Pair::new(&all[..400], &all[200..]);
     let mut random = 1u64;
@@ -121,9 +121,10 @@
     assert!(rounds.is_some_and(|rounds| rounds > 1), "{rounds:?}");
 }
 
-/// A transfer of an old round arrives after what it says has changed: the newer update stays.
+/// Guards against a late transfer that overwrites newer updates: it arrives after the members that
+/// it describes have changed.
 #[test]
-fn late_transfer_changes_nothing() {
+fn late_transfer_does_not_change_the_view() {
     let all = updates(0..100);
     let mut newer = all.clone();
     newer[7] = MemberUpdate {
@@ -143,10 +144,10 @@
     assert_eq!(pair.members[0].digest(), before);
 }
 
-/// A build that does not read bucket sums gets updates as before, and one that reads them is not
-/// sent the whole view.
+/// A build that doesn't read bucket sums receives updates in gossip messages. A build that reads
+/// them receives bucket sums instead.
 #[test]
-fn older_build_is_sent_updates_that_it_reads() {
+fn older_build_receives_updates_in_gossip_messages() {
     let mut member = default_member(2);
     member.adopt_updates(&updates(0..40));
     let older = default_member(1);
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn sums_of_another_number_of_buckets_are_rejected_and_change_nothing() {
+fn sums_with_another_bucket_count_are_rejected_and_change_nothing() {
     let mut member = default_member(2);
     let sums = BucketSums {
         known_members: 1,
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn names_fall_into_all_buckets() {
+fn names_use_all_buckets() {
     let used: BTreeSet<usize> = (0..7_600).map(|i| bucket_of(&update(i).name)).collect();
     assert_eq!(used.len(), BUCKET_COUNT);
 }
--- a/fleet/membership/tests/anti_entropy/mutants.rs
+++ b/fleet/membership/tests/anti_entropy/mutants.rs
@@ -1,4 +1,4 @@
-//! Builds that decide wrongly are noticed.
+//! Mutation tests: with an injected fault, the properties that the other tests check don't hold.
 
 use violetgate_membership::{MemberUpdate, MembershipConfig, Message, MessageBody, Mutant};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn late_transfer_that_is_accepted_undoes_what_is_newer() {
+fn accepted_stale_transfer_overwrites_newer_updates() {
     let all = updates(0..5);
     let newer: Vec<MemberUpdate> = all.iter().map(dead).collect();
     let config = mutant(Mutant::AcceptsStaleTransfer);
--- a/fleet/membership/tests/anti_entropy/pair.rs
+++ b/fleet/membership/tests/anti_entropy/pair.rs
@@ -1,4 +1,4 @@
-//! Two members and the messages between them.
+//! Simulates two members and delivers the messages between them.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 pub const SECOND: Micros = 1_000_000;
 const INCARNATION: u64 = 1_000;
 
-/// The port of a member is its number.
+/// Returns the address of a member of the pair. Its port is the member's number.
 fn addr(number: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], number))
 }
@@ -26,7 +26,7 @@
     Membership::new(config, identity, &[], u64::from(number))
 }
 
-/// What is known of some other member that is alive.
+/// Returns an update about a numbered third member that is alive.
 pub fn update(number: usize) -> MemberUpdate {
     let name = format!("member-{number:05}");
     let addr = SocketAddr::from(([10, 0, (number >> 8) as u8, number as u8], 7_000));
@@ -51,7 +51,7 @@
     }
 }
 
-/// About how many bytes a message takes on the wire.
+/// Estimates the encoded size of a message, in bytes.
 pub fn size_estimate(message: &Message) -> usize {
     let body = match &message.body {
         MessageBody::BucketSums(view) => 5 * view.sums.len(),
@@ -65,12 +65,12 @@
 pub struct Pair {
     pub members: [Membership; 2],
     now: Micros,
-    /// About how many bytes were sent.
+    /// Estimated bytes of all messages sent, including lost ones.
     pub bytes: usize,
 }
 
 impl Pair {
-    /// Members with these views that know each other.
+    /// Creates two members with the given views that also know each other.
     pub fn new(first: &[MemberUpdate], second: &[MemberUpdate]) -> Self {
         Pair::with_config(&MembershipConfig::default(), first, second)
     }
@@ -95,7 +95,8 @@
         }
     }
 
-    /// The first member compares with the second; what follows is delivered but for what is lost.
+    /// Sends the first member's digest to the second one, and delivers it and all messages that
+    /// follow, except those for which `is_lost` returns `true`.
     pub fn compare(&mut self, is_lost: impl FnMut(&Message) -> bool) {
         let own = self.members[0].own_update().clone();
         let digest = self.members[0].digest();
@@ -107,7 +108,8 @@
         self.now += 2 * SECOND;
     }
 
-    /// Delivers a message to a member, and all that are sent in answer, but for what is lost.
+    /// Delivers a message to the member with index `to` and all messages that follow between the
+    /// two, except those for which `is_lost` returns `true`.
     pub fn deliver(
         &mut self,
         to: usize,
@@ -139,7 +141,8 @@
         self.members[0].digest() == self.members[1].digest()
     }
 
-    /// Compares until the views are equal; returns how often.
+    /// Compares until the views are equal and returns the number of comparisons. Panics if they
+    /// still differ after 199.
     pub fn rounds_until_equal(&mut self) -> usize {
         (1..200)
             .find(|_| {
--- a/fleet/membership/tests/config.rs
+++ b/fleet/membership/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings that a member can't work with are rejected, and the error names them.
+//! Checks that invalid settings are rejected with an error that names the setting.
 
 use violetgate_membership::{ConfigError, MembershipConfig};
 
