--- a/hot-restart/src/connection.rs
+++ b/hot-restart/src/connection.rs
@@ -1,8 +1,8 @@
-//! The connection between the two processes: a Unix socket in a folder that both share.
+//! The connection between the two processes: a Unix socket in a directory that both can access.
 //!
-//! A frame is the length of a message (4 bytes, little-endian) and the message by postcard.
-//! Listening sockets are passed as file descriptors along with the first byte of a frame. A peer of
-//! another user is rejected.
+//! A frame is the length of a message (4 bytes, little-endian) followed by the message, encoded
+//! with postcard. Listening sockets are passed as file descriptors with the first byte of a frame.
+//! A peer process of another user is rejected.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, IoSlice, IoSliceMut};
@@ -21,54 +21,55 @@
 
 use crate::message::{Message, MAX_PART_BYTES};
 
-/// The most sockets that are passed: the clients' and the REST interface's.
+/// Maximum number of sockets passed with a message: the listening sockets of the clients' port and
+/// of the REST interface.
 pub const MAX_SOCKETS: usize = 2;
-/// The longest message: a state part and what stands around it.
+/// Maximum length of an encoded message: a state part and the fields that enclose it.
 const MAX_MESSAGE_BYTES: usize = MAX_PART_BYTES + 64;
-/// The length before each message.
+/// Size of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
-/// How much is read at a time.
+/// Size of the buffer for one read.
 const READ_BYTES: usize = 16 * 1024;
-/// Only this user may connect.
+/// File mode of the socket: only the user that owns it may connect.
 const SOCKET_MODE: u32 = 0o600;
 
-/// Why a connection has failed.
+/// The reason why a connection failed.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// The socket has failed.
+    /// An operation on the socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The other process belongs to another user.
-    #[error("the other end is of another user")]
+    #[error("the peer process belongs to another user")]
     OtherUser,
-    /// The message is longer, or has more sockets, than may be sent.
-    #[error("a message of {bytes} bytes with {sockets} sockets is too long to be sent")]
+    /// The message to be sent exceeds the maximum length or has more than [`MAX_SOCKETS`] sockets.
+    #[error("cannot send a message of {bytes} bytes with {sockets} sockets: it exceeds a limit")]
     TooLongToSend {
-        /// The message's length.
+        /// Length of the encoded message.
         bytes: usize,
-        /// How many sockets were to go with it.
+        /// Number of sockets to be passed with it.
         sockets: usize,
     },
-    /// A frame is longer than any that is sent.
-    #[error("a frame of {0} bytes is too long")]
+    /// The length prefix of a received frame exceeds the maximum length of a message.
+    #[error("received a frame of {0} bytes, which exceeds the maximum")]
     FrameTooLong(usize),
-    /// What has been received, or is to be sent, is no message.
+    /// A received frame could not be decoded, or a message could not be encoded.
     #[error(transparent)]
     Encoding(#[from] postcard::Error),
-    /// More than [`MAX_SOCKETS`] sockets have come before a message was complete.
-    #[error("more sockets than are passed")]
+    /// More than [`MAX_SOCKETS`] sockets arrived before a message was complete.
+    #[error("received more sockets than may be passed with a message")]
     TooManySockets,
-    /// The system has dropped sockets that were passed.
-    #[error("sockets were lost on their way")]
+    /// The kernel dropped sockets that the peer passed.
+    #[error("the kernel dropped passed sockets: too many, or the open-file limit is reached")]
     SocketsDropped,
 }
 
-/// A message and the sockets that came with it.
+/// A message and the sockets passed with it.
 #[derive(Debug)]
 pub struct Received {
-    /// The message.
+    /// The decoded message.
     pub message: Message,
-    /// The sockets.
+    /// The listening sockets, at most [`MAX_SOCKETS`].
     pub sockets: Vec<OwnedFd>,
 }
 
@@ -76,17 +77,17 @@
 pub struct HandoverConnection {
     stream: Async<UnixStream>,
     input: Vec<u8>,
-    /// Sockets that belong to a message that is not complete yet.
+    /// Sockets passed with a message that is not complete yet.
     sockets: VecDeque<OwnedFd>,
 }
 
-/// Listens for successors. A socket file that a dead process has left is replaced, that of a living
-/// one is not.
+/// Listens for successors on a Unix socket at `path`. Replaces a socket file that a dead process
+/// left behind, but not one on which a process listens.
 ///
 /// # Errors
 ///
-/// [`ErrorKind::AddrInUse`] if a process listens there; others if the path is too long or Unix
-/// sockets are refused.
+/// Returns [`ErrorKind::AddrInUse`] if a process listens at `path`, and other kinds if the path is
+/// too long or the system refuses the socket.
 pub fn listen(path: &Path) -> std::io::Result<Async<UnixListener>> {
     match UnixStream::connect(path) {
         Ok(_) => return Err(ErrorKind::AddrInUse.into()),
@@ -94,27 +95,30 @@
         Err(_) => {}
     }
     let listener = UnixListener::bind(path)?;
-    // Whoever connects before this is rejected by its user all the same.
+    // A process of another user that connects before this call is rejected by its user ID in
+    // `HandoverConnection::new`.
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
     Async::new(listener)
 }
 
-/// Connects to a process to take over from.
+/// Connects to the running process that listens at `path`.
 ///
 /// # Errors
 ///
-/// [`ConnectionError::Io`] if nobody listens there, [`ConnectionError::OtherUser`] if the process
-/// is another user's.
+/// Returns [`ConnectionError::Io`] if no process listens at `path`, and
+/// [`ConnectionError::OtherUser`] if the process belongs to another user.
 pub async fn connect(path: &Path) -> Result<HandoverConnection, ConnectionError> {
     HandoverConnection::new(Async::<UnixStream>::connect(path).await?)
 }
 
 impl HandoverConnection {
-    /// Uses a stream whose other end belongs to this user.
+    /// Creates a connection from a stream and checks that the peer process belongs to this
+    /// process's effective user.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError::OtherUser`] if it belongs to another one.
+    /// Returns [`ConnectionError::OtherUser`] if the peer belongs to another user, and
+    /// [`ConnectionError::Io`] if its user can't be determined.
     pub fn new(stream: Async<UnixStream>) -> Result<Self, ConnectionError> {
         let peer = rustix::net::sockopt::socket_peercred(stream.get_ref())
             .map_err(std::io::Error::from)?;
@@ -128,11 +132,11 @@
         })
     }
 
-    /// Sends a message, with up to [`MAX_SOCKETS`] sockets.
+    /// Sends a message and passes up to [`MAX_SOCKETS`] sockets with it.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if the connection is closed or the message is too long.
+    /// Returns a [`ConnectionError`] if the connection is closed or the message is too long.
     pub async fn send(
         &self,
         message: &Message,
@@ -148,7 +152,8 @@
         }
         let length = u32::try_from(body.len()).map_err(|_| too_long)?;
         let frame = [length.to_le_bytes().as_slice(), &body].concat();
-        // The sockets go with the first byte, and only with that.
+        // Only the first write passes the sockets. If it is partial, they must not be passed again
+        // with the rest.
         let first_write = self.stream.write_with(|s| send_first(s, &frame, sockets));
         let mut sent = first_write.await?;
         while let Some(rest) = frame.get(sent..).filter(|rest| !rest.is_empty()) {
@@ -158,11 +163,11 @@
         Ok(())
     }
 
-    /// Receives the next message; `None` once the other process has closed the connection.
+    /// Receives the next message. Returns `None` once the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// [`ConnectionError`] if the connection fails or what was received is no message.
+    /// Returns a [`ConnectionError`] if the connection fails or a received frame is invalid.
     pub async fn receive(&mut self) -> Result<Option<Received>, ConnectionError> {
         loop {
             if let Some(message) = self.take_message()? {
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Takes the next message from the input, if it is complete.
+    /// Removes the next message from the input buffer and decodes it, if it is complete.
     fn take_message(&mut self) -> Result<Option<Message>, ConnectionError> {
         let Some((length, rest)) = self.input.split_first_chunk::<LENGTH_BYTES>() else {
             return Ok(None);
@@ -204,7 +209,7 @@
     }
 }
 
-/// Sends the beginning of a frame with sockets; returns how many bytes were sent.
+/// Sends the beginning of a frame and passes the sockets with it. Returns the number of bytes sent.
 fn send_first(
     stream: &UnixStream,
     frame: &[u8],
@@ -224,7 +229,7 @@
     )?)
 }
 
-/// What one read has brought.
+/// The result of one `recvmsg` call.
 struct Read {
     bytes: usize,
     sockets: Vec<OwnedFd>,
--- a/hot-restart/src/lib.rs
+++ b/hot-restart/src/lib.rs
@@ -1,14 +1,15 @@
-//! The protocol between a running process and its successor during a hot restart: who accepts
-//! clients, who accepts idempotency keys, and what the predecessor knows that the successor needs.
+//! The protocol between a running process (the predecessor) and its successor during a hot
+//! restart. It decides which process accepts clients and which accepts idempotency keys, and it
+//! transfers the predecessor's state to the successor.
 //!
-//! [`Predecessor`] and [`Successor`] are the two ends as state machines without I/O: messages and
-//! the time go in, [`Action`]s come out. [`connection`] carries the messages over a Unix socket.
-//! `docs/hot-restart.md` is the design.
+//! [`Predecessor`] and [`Successor`] implement the two ends as state machines without I/O: they
+//! receive messages and the current time, and return [`Action`]s. [`connection`] carries the
+//! messages over a Unix socket. `docs/hot-restart.md` describes the design.
 //!
-//! Two invariants hold whatever is lost, late or refused: never do both processes accept
-//! idempotency keys, and the clients' port is never without a process that accepts. Until the
-//! predecessor has transferred ownership it serves as before; a successor whose handover fails
-//! serves on a listening socket of its own beside the predecessor.
+//! Two invariants hold even if messages are lost, late or refused. The two processes never accept
+//! idempotency keys at the same time, and at least one process always accepts connections on the
+//! clients' port. The predecessor serves as before until it has transferred ownership. If the
+//! handover fails, the successor serves beside the predecessor, on a listening socket of its own.
 //!
 //! ```
 //! use violetgate_hot_restart::{Action, Message, Predecessor, Successor};
@@ -39,46 +40,47 @@
 pub use predecessor::Predecessor;
 pub use successor::Successor;
 
-/// A moment or a span in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// How long either end waits for the other's next message before it gives up the handover, in
-/// microseconds.
+/// Time in microseconds that either end waits for the other's next message before it gives up the
+/// handover. A successor that is ready waits longer; see [`Successor::handle_timeout`].
 pub const STEP_TIMEOUT_US: Micros = 2_000_000;
 
-/// What the program has to do, in the order given.
+/// An operation that the caller has to carry out. Actions must be carried out in the order in which
+/// they are returned.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Action {
     /// Send this message.
     Send(Message),
     /// Send this message together with the listening sockets.
     SendWithSockets(Message),
-    /// Make the state part of this number and send it as [`Message::StatePart`].
+    /// Create the state part with this number and send it as [`Message::StatePart`].
     SendPart(u32),
     /// Accept clients from now on.
     StartAcceptingClients,
-    /// Accept no further clients.
+    /// Stop accepting clients.
     StopAcceptingClients,
     /// Accept idempotency keys from now on.
     StartAcceptingKeys,
-    /// Accept no further idempotency keys.
+    /// Stop accepting idempotency keys.
     StopAcceptingKeys,
-    /// Send [`Message::TransferOwnership`] with what has changed since the parts were made. Nothing
-    /// new may be accepted once that is made.
+    /// Send [`Message::TransferOwnership`] with the changes to the state since the parts were
+    /// created. From the moment the changes are collected, no new client or key may be accepted.
     SendOwnership,
-    /// Keep the listening sockets that came with the last message.
+    /// Keep the listening sockets passed with the last message.
     KeepSockets,
-    /// Take over a part of the predecessor's state.
+    /// Add a part of the predecessor's state to this process's own.
     AdoptPart {
         /// The part's number, from 0.
         number: u32,
-        /// Its content.
+        /// The encoded content of the part.
         bytes: Vec<u8>,
     },
-    /// Take over what has changed since the parts were made, or what has completed since the
-    /// transfer.
+    /// Apply changes to the predecessor's state: those since the parts were created, or the
+    /// completion of a request that was in flight at the transfer of ownership.
     AdoptChanges(Vec<u8>),
-    /// Listen on a socket of one's own beside the predecessor: the handover has failed.
+    /// Listen on a new socket beside the predecessor, because the handover failed.
     ListenOnOwnSocket,
     /// Close the connection to the other process.
     Disconnect,
--- a/hot-restart/src/message.rs
+++ b/hot-restart/src/message.rs
@@ -1,9 +1,9 @@
-//! The messages between the two processes. They are encoded by postcard, so the order of variants
-//! and fields is the wire format and must not change.
+//! The messages between the two processes. They are encoded with postcard, so the order of variants
+//! and fields is part of the wire format and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// Protocol versions from the oldest to the newest that a program supports.
+/// The inclusive range of protocol versions that a program supports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VersionRange {
     /// The oldest supported version.
@@ -15,17 +15,17 @@
 /// The protocol versions that this program supports.
 pub const SUPPORTED_VERSIONS: VersionRange = VersionRange { min: 1, max: 1 };
 
-/// The largest content of one state part, in bytes.
+/// Maximum size of the content of one state part, in bytes.
 pub const MAX_PART_BYTES: usize = 64 << 10;
 
 impl VersionRange {
-    /// Whether a version is supported.
+    /// Returns whether the range contains `version`.
     #[must_use]
     pub fn contains(self, version: u16) -> bool {
         (self.min..=self.max).contains(&version)
     }
 
-    /// The newest version that both ranges support.
+    /// Returns the newest version that both ranges contain, or `None` if there is none.
     #[must_use]
     pub fn newest_common(self, other: VersionRange) -> Option<u16> {
         let newest = self.max.min(other.max);
@@ -33,10 +33,10 @@
     }
 }
 
-/// Why the predecessor refuses a handover.
+/// The reason why the predecessor refuses a handover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Refusal {
-    /// No protocol version is supported by both processes.
+    /// The two processes support no common protocol version.
     NoCommonVersion,
     /// A handover to another process is under way or complete.
     HandoverInProgress,
@@ -47,41 +47,42 @@
 /// A message between predecessor and successor.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Successor: requests a handover.
+    /// Sent by the successor: requests a handover.
     Hello {
         /// The oldest version that the successor supports.
         min_version: u16,
         /// The newest version that the successor supports.
         max_version: u16,
     },
-    /// Predecessor: no handover takes place.
+    /// Sent by the predecessor: refuses the handover.
     Refuse(Refusal),
-    /// Predecessor: the listening sockets come with this message, state parts after it.
+    /// Sent by the predecessor: passes the listening sockets and announces the state parts.
     Offer {
-        /// The version that both support.
+        /// The newest protocol version that both processes support.
         version: u16,
-        /// How many state parts follow.
+        /// Number of state parts that follow.
         part_count: u32,
     },
-    /// Predecessor: the next part of its state.
+    /// Sent by the predecessor: the next part of its state.
     StatePart {
         /// The part's number, from 0.
         number: u32,
-        /// Its content, at most [`MAX_PART_BYTES`].
+        /// The encoded content of the part, at most [`MAX_PART_BYTES`].
         bytes: Vec<u8>,
     },
-    /// Successor: the sockets and all parts before `next` have arrived.
+    /// Sent by the successor: the sockets and all parts before `next` have arrived.
     PartsReceived {
         /// The number of the first part that has not arrived.
         next: u32,
     },
-    /// Successor: it can serve.
+    /// Sent by the successor: it has the sockets and all parts and can serve clients.
     Ready,
-    /// Predecessor: the successor owns clients and keys from here on; what has changed since the
-    /// parts were made.
+    /// Sent by the predecessor: the successor owns clients and keys from now on. Contains the
+    /// encoded changes to the state since the parts were created.
     TransferOwnership(Vec<u8>),
-    /// Predecessor: a request that was in flight at the transfer has completed.
+    /// Sent by the predecessor: a request that was in flight at the transfer of ownership has
+    /// completed. Contains the encoded change to the state.
     InFlightCompleted(Vec<u8>),
-    /// Predecessor: no request is in flight any more.
+    /// Sent by the predecessor: it has no requests in flight any more.
     Drained,
 }
--- a/hot-restart/src/predecessor.rs
+++ b/hot-restart/src/predecessor.rs
@@ -1,24 +1,24 @@
-//! The running process, which hands over.
+//! The predecessor: the running process, which hands over its sockets and state to the successor.
 
 use crate::message::{Message, Refusal, VersionRange, SUPPORTED_VERSIONS};
 use crate::{Action, Micros, STEP_TIMEOUT_US};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// No successor has called.
+    /// The process serves clients, and no handover is under way.
     Serving,
-    /// The sockets are passed, and state parts are being sent.
+    /// The sockets have been passed, and state parts are being sent.
     Transferring { part_count: u32, deadline: Micros },
     /// The successor owns clients and keys.
     HandedOver,
-    /// The process is ending and hands nothing over.
+    /// The process is shutting down and refuses handovers.
     ShuttingDown,
 }
 
-/// The predecessor's end of a handover.
+/// State machine of the predecessor's end of a handover.
 ///
-/// It accepts clients and keys until it has transferred ownership, and again once the successor is
-/// known to be dead.
+/// The predecessor accepts clients and keys until it transfers ownership. It accepts them again if
+/// the successor dies afterwards.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Predecessor {
     phase: Phase,
@@ -32,7 +32,7 @@
 }
 
 impl Predecessor {
-    /// A serving process without a successor.
+    /// Creates the state machine of a process that serves clients and has no successor.
     #[must_use]
     pub fn new() -> Self {
         Predecessor {
@@ -41,18 +41,21 @@
         }
     }
 
-    /// Returns what has to be done since the last call, in order.
+    /// Returns the actions added since the last call, in the order in which they must be carried
+    /// out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.pending_actions)
     }
 
-    /// Whether the successor owns clients and keys; requests in flight are still answered here.
+    /// Returns whether the successor owns clients and keys. This process still answers the requests
+    /// that were in flight at the transfer of ownership.
     #[must_use]
     pub fn has_handed_over(&self) -> bool {
         self.phase == Phase::HandedOver
     }
 
-    /// When [`Predecessor::handle_timeout`] has to be called, if it has to be.
+    /// Returns the time at which [`Predecessor::handle_timeout`] must be called, or `None` if no
+    /// timeout is pending.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Micros> {
         match self.phase {
@@ -61,12 +64,12 @@
         }
     }
 
-    /// Checks whether a handover may begin. A refused one changes nothing.
+    /// Checks whether a handover can begin now, without changing any state.
     ///
     /// # Errors
     ///
-    /// [`Refusal::HandoverInProgress`] while another successor has one, [`Refusal::ShuttingDown`]
-    /// at the end.
+    /// Returns [`Refusal::HandoverInProgress`] while a handover to another successor is under way
+    /// or complete, and [`Refusal::ShuttingDown`] after [`Predecessor::shut_down`].
     pub fn check_available(&self) -> Result<(), Refusal> {
         match self.phase {
             Phase::Serving => Ok(()),
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Handles a message of the successor; `part_count` is how many parts the state has now.
+    /// Handles a message from the successor. `part_count` is the current number of state parts.
     pub fn handle_message(&mut self, message: &Message, part_count: u32, now: Micros) {
         let deadline = now.saturating_add(STEP_TIMEOUT_US);
         match (self.phase, message) {
@@ -106,7 +109,7 @@
             }
             (Phase::Transferring { .. }, Message::Ready) => self.hand_over(),
             (Phase::HandedOver, _) => {}
-            // A successor that sends anything else can't be trusted with the port.
+            // A successor that violates the protocol must not get ownership of the clients' port.
             _ => self.abort_transfer(),
         }
     }
@@ -131,7 +134,8 @@
         self.pending_actions.extend([refuse, Action::Disconnect]);
     }
 
-    /// Nothing may be accepted between the making of the last state and the end of accepting.
+    /// Transfers ownership. Accepting stops first, because a client or key accepted after the last
+    /// changes have been collected would be unknown to the successor.
     fn hand_over(&mut self) {
         self.phase = Phase::HandedOver;
         self.pending_actions.extend([
@@ -141,8 +145,8 @@
         ]);
     }
 
-    /// A request that was in flight at the transfer has completed; `bytes` is what the successor
-    /// has to know of it.
+    /// Reports to the successor that a request that was in flight at the transfer of ownership has
+    /// completed. `bytes` is the encoded change to the state.
     pub fn report_completion(&mut self, bytes: Vec<u8>) {
         if self.phase == Phase::HandedOver {
             let completed = Message::InFlightCompleted(bytes);
@@ -150,15 +154,15 @@
         }
     }
 
-    /// No request is in flight any more.
+    /// Reports to the successor that this process has no requests in flight any more.
     pub fn report_drained(&mut self) {
         if self.phase == Phase::HandedOver {
             self.pending_actions.push(Action::Send(Message::Drained));
         }
     }
 
-    /// The connection has closed. A successor holds it open for as long as it lives, so it has
-    /// died.
+    /// Handles the end of the connection. A successor that owns clients and keys keeps the
+    /// connection open for as long as it lives, so it is dead and this process accepts both again.
     pub fn handle_disconnect(&mut self) {
         let had_handed_over = self.phase == Phase::HandedOver;
         if self.phase != Phase::ShuttingDown {
@@ -170,15 +174,15 @@
         }
     }
 
-    /// Gives the transfer up if its deadline has passed.
+    /// Aborts the transfer if its deadline has passed.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout().is_some_and(|deadline| deadline <= now) {
             self.abort_transfer();
         }
     }
 
-    /// The process is to end. A transfer under way is given up: the successor falls back to a
-    /// socket of its own.
+    /// Prepares for shutdown. A transfer under way is aborted, and the successor then listens on a
+    /// socket of its own. Has no effect after a completed handover.
     pub fn shut_down(&mut self) {
         if self.phase == Phase::HandedOver {
             return;
--- a/hot-restart/src/successor.rs
+++ b/hot-restart/src/successor.rs
@@ -1,30 +1,32 @@
-//! The new process, which takes over.
+//! The successor: the new process, which takes over the predecessor's sockets and state.
 
 use crate::message::{Message, MAX_PART_BYTES, SUPPORTED_VERSIONS};
 use crate::{Action, Micros, STEP_TIMEOUT_US};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Phase {
-    /// A handover is requested.
+    /// A handover has been requested, and the predecessor has not answered yet.
     Requested { deadline: Micros },
-    /// It has the sockets and all state parts before `next`.
+    /// The sockets and all state parts before `next` have arrived.
     Receiving {
         next: u32,
         part_count: u32,
         deadline: Micros,
     },
-    /// It can serve and waits for the transfer of ownership.
+    /// All parts have arrived, and the successor waits for the transfer of ownership.
     Ready { deadline: Micros },
-    /// It owns clients and keys; the predecessor may still report what completes there.
+    /// The successor owns clients and keys. The predecessor may still report the completion of
+    /// requests that were in flight at the transfer.
     Owner,
-    /// It serves clients on its own socket; keys belong to the predecessor until that has ended.
+    /// The successor serves clients on its own socket. The predecessor owns the keys until its
+    /// process exits.
     BesidePredecessor,
 }
 
-/// The successor's end of a handover.
+/// State machine of the successor's end of a handover.
 ///
-/// It accepts clients once it owns them, or on its own socket where the handover fails; it accepts
-/// keys once it owns them, or once the predecessor has ended.
+/// The successor accepts clients once it owns them, or on its own socket if the handover fails. It
+/// accepts keys once it owns them, or once the predecessor's process has exited.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Successor {
     phase: Phase,
@@ -32,7 +34,7 @@
 }
 
 impl Successor {
-    /// Requests a handover from a running process.
+    /// Creates the state machine, with the request for a handover as its first action.
     #[must_use]
     pub fn start(now: Micros) -> Self {
         let hello = Message::Hello {
@@ -46,18 +48,20 @@
         }
     }
 
-    /// Returns what has to be done since the last call, in order.
+    /// Returns the actions added since the last call, in the order in which they must be carried
+    /// out.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.pending_actions)
     }
 
-    /// Whether it owns clients and keys.
+    /// Returns whether the successor owns clients and keys.
     #[must_use]
     pub fn is_owner(&self) -> bool {
         self.phase == Phase::Owner
     }
 
-    /// When [`Successor::handle_timeout`] has to be called, if it has to be.
+    /// Returns the time at which [`Successor::handle_timeout`] must be called, or `None` if no
+    /// timeout is pending.
     #[must_use]
     pub fn next_timeout(&self) -> Option<Micros> {
         match self.phase {
@@ -68,7 +72,7 @@
         }
     }
 
-    /// Handles a message of the predecessor.
+    /// Handles a message from the predecessor.
     pub fn handle_message(&mut self, message: Message, now: Micros) {
         let deadline = now.saturating_add(STEP_TIMEOUT_US);
         match (self.phase, message) {
@@ -97,7 +101,7 @@
                 self.pending_actions.push(Action::AdoptChanges(bytes));
             }
             (Phase::Owner | Phase::BesidePredecessor, _) => {}
-            // A refusal, or a message that is out of turn.
+            // The predecessor has refused the handover or violated the protocol.
             _ => self.serve_beside_predecessor(),
         }
     }
@@ -126,18 +130,20 @@
         ]);
     }
 
-    /// The connection has closed: the predecessor has disconnected, or died.
+    /// Handles the end of the connection: the predecessor has closed it or died.
     pub fn handle_disconnect(&mut self) {
         match self.phase {
             Phase::Owner | Phase::BesidePredecessor => {}
-            // Whether a transfer was under way is unknown: its sender is dead, or serves as before.
+            // A transfer of ownership may have been lost. That is safe: the predecessor either is
+            // dead or has resumed serving, and keys are accepted here only after it has exited.
             Phase::Requested { .. } | Phase::Receiving { .. } | Phase::Ready { .. } => {
                 self.serve_beside_predecessor();
             }
         }
     }
 
-    /// The predecessor's process has ended.
+    /// Handles the exit of the predecessor's process. If the handover failed, the successor becomes
+    /// the owner and accepts keys from now on.
     pub fn handle_predecessor_exit(&mut self) {
         if self.phase == Phase::BesidePredecessor {
             self.phase = Phase::Owner;
@@ -145,15 +151,16 @@
         }
     }
 
-    /// Gives the handover up if its deadline has passed, unless the transfer of ownership may be
-    /// under way.
+    /// Gives up the handover if its deadline has passed. A successor that is ready extends the
+    /// deadline instead, because the transfer of ownership may be under way.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.next_timeout().is_none_or(|deadline| deadline > now) {
             return;
         }
         if matches!(self.phase, Phase::Ready { .. }) {
-            // A transfer that is under way can't be refused any more, only waited for: the
-            // predecessor sends it, disconnects, or dies.
+            // The predecessor may already have transferred ownership and stopped accepting, so the
+            // successor can't give up any more. The wait ends when the transfer arrives, or when
+            // the connection closes because the predecessor disconnects or dies.
             let deadline = now.saturating_add(STEP_TIMEOUT_US);
             self.phase = Phase::Ready { deadline };
             return;
--- a/hot-restart/tests/connection.rs
+++ b/hot-restart/tests/connection.rs
@@ -1,5 +1,5 @@
-//! The connection over real Unix sockets: listeners are passed with their queues, frames arrive
-//! whole or not at all, and what dead processes leave is no obstacle.
+//! Tests of the connection over real Unix sockets. Listeners are passed with their accept queues,
+//! frames arrive whole or not at all, and a socket file left by a dead process is replaced.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,7 +18,7 @@
 use violetgate_hot_restart::connection::{connect, listen, HandoverConnection};
 use violetgate_hot_restart::{Message, MAX_PART_BYTES};
 
-/// A folder that is removed at the end of the test.
+/// A temporary directory that is removed at the end of the test.
 struct TestFolder(PathBuf);
 
 impl Drop for TestFolder {
@@ -40,15 +40,15 @@
     }
 }
 
-/// A connection and the raw stream at its other end.
+/// Returns a connection and the raw stream at its other end.
 fn connection_to_raw_stream() -> (HandoverConnection, UnixStream) {
     let (ours, theirs) = UnixStream::pair().unwrap();
     let connection = HandoverConnection::new(Async::new(ours).unwrap()).unwrap();
     (connection, theirs)
 }
 
-/// A client that connected before the listener was passed is accepted by the process that got it,
-/// though the one that had it has closed it.
+/// A client that connects before the listener is passed is accepted by the process that receives
+/// the listener, even though the sender has closed its copy.
 #[test]
 fn listener_is_passed_with_its_queue() {
     let folder = TestFolder::new("queue");
@@ -85,7 +85,7 @@
         drop(predecessor);
         assert!(
             successor.receive().await.unwrap().is_none(),
-            "the end of the other process closes the connection"
+            "the connection stays open after the peer closed it"
         );
     });
 }
@@ -101,7 +101,7 @@
     drop(first);
     assert!(
         folder.socket().exists(),
-        "a process that dies removes nothing"
+        "dropping the listener must leave the socket file, as the death of its process does"
     );
     assert!(async_io::block_on(connect(&folder.socket())).is_err());
     listen(&folder.socket()).unwrap();
@@ -130,7 +130,11 @@
         drop(raw);
         let received = async_io::block_on(receiver.receive()).unwrap();
         let received = received.map(|received| received.message);
-        assert_eq!(received, (cut == length).then(|| message.clone()), "{cut}");
+        assert_eq!(
+            received,
+            (cut == length).then(|| message.clone()),
+            "cut at byte {cut}"
+        );
     }
 }
 
@@ -142,7 +146,7 @@
         drop(raw);
         assert!(
             async_io::block_on(receiver.receive()).is_err(),
-            "{malformed:?}"
+            "accepted the malformed frame {malformed:?}"
         );
     }
 }
--- a/hot-restart/tests/model/main.rs
+++ b/hot-restart/tests/model/main.rs
@@ -1,6 +1,6 @@
-//! Both ends in every order of events: messages in flight, either process killed at any step,
-//! timeouts, a shutdown. Never do both accept keys; and once nothing is in flight, whoever lives
-//! accepts clients.
+//! Model checks of the handover protocol in every order of events: deliveries of messages, a kill
+//! of either process at any step, timeouts and a shutdown. The two processes must never accept
+//! keys at the same time, and if no message is in flight, a live process must accept clients.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,8 +15,8 @@
 
 use crate::processes::{Accepts, Fault, Processes, PART_COUNT};
 
-const NEVER_BOTH_ACCEPT_KEYS: &str = "never do both accept keys";
-const WHOEVER_LIVES_ACCEPTS_CLIENTS: &str = "whoever lives accepts clients";
+const AT_MOST_ONE_ACCEPTS_KEYS: &str = "at most one process accepts keys";
+const LIVE_PROCESS_ACCEPTS_CLIENTS: &str = "a live process accepts clients";
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Event {
@@ -45,11 +45,11 @@
         let predecessor = state.predecessor.as_ref();
         let successor = state.successor.as_ref();
         let has_timeout = predecessor.is_some_and(|p| p.next_timeout().is_some());
-        // A successor that has waited once for the transfer of ownership waits on in the same
-        // state.
+        // A successor that waits for the transfer of ownership changes its state only at its first
+        // timeout, which extends the deadline, so the model leaves out the later ones.
         let has_first_timeout =
             successor.is_some_and(|s| s.next_timeout() == Some(STEP_TIMEOUT_US));
-        let exit_is_news = predecessor.is_none() && successor.is_some() && !state.knows_exit;
+        let can_learn_of_exit = predecessor.is_none() && successor.is_some() && !state.knows_exit;
         let may_start = successor.is_none()
             && predecessor.is_some()
             && state.to_predecessor.is_empty()
@@ -65,7 +65,7 @@
             (Event::PredecessorTimesOut, has_timeout),
             (Event::SuccessorTimesOut, has_first_timeout),
             (Event::ShutDownPredecessor, predecessor.is_some()),
-            (Event::SuccessorLearnsOfExit, exit_is_news),
+            (Event::SuccessorLearnsOfExit, can_learn_of_exit),
             (Event::StartSuccessor, may_start),
         ] {
             events.extend(is_possible.then_some(event));
@@ -96,18 +96,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_BOTH_ACCEPT_KEYS, |_, state: &Processes| {
+            Property::always(AT_MOST_ONE_ACCEPTS_KEYS, |_, state: &Processes| {
                 !(state.predecessor_accepts.keys && state.successor_accepts.keys)
             }),
-            Property::always(WHOEVER_LIVES_ACCEPTS_CLIENTS, |_, state: &Processes| {
+            Property::always(LIVE_PROCESS_ACCEPTS_CLIENTS, |_, state: &Processes| {
                 let is_idle = state.to_predecessor.is_empty() && state.to_successor.is_empty();
-                let lives = state.predecessor.is_some() || state.successor.is_some();
+                let any_alive = state.predecessor.is_some() || state.successor.is_some();
                 !is_idle
-                    || !lives
+                    || !any_alive
                     || state.predecessor_accepts.clients
                     || state.successor_accepts.clients
             }),
-            Property::always("ownership comes with all parts", |_, state: &Processes| {
+            Property::always("an owner has all parts", |_, state: &Processes| {
                 let is_owner = state.successor.as_ref().is_some_and(Successor::is_owner);
                 !is_owner || state.knows_exit || state.adopted_parts == PART_COUNT
             }),
@@ -126,38 +126,45 @@
 }
 
 #[test]
-fn no_order_of_events_lets_both_accept_keys_or_leaves_clients_to_nobody() {
+fn properties_hold_in_every_order_of_events() {
     let checked = Handovers(Fault::None).checker().spawn_bfs().join();
-    println!("{} states", checked.unique_state_count());
+    println!("checked {} states", checked.unique_state_count());
     checked.assert_properties();
     assert!(
         checked.unique_state_count() > 500,
-        "{}",
+        "the model has only {} states",
         checked.unique_state_count()
     );
 }
 
-/// A model that can't fail shows nothing.
+/// Guards against a model that can't detect violations: each injected fault must violate its
+/// property.
 #[test]
-fn wrong_ends_are_caught() {
+fn injected_faults_violate_properties() {
     for (fault, violated) in [
         (
             Fault::SuccessorAcceptsKeysBesidePredecessor,
-            NEVER_BOTH_ACCEPT_KEYS,
+            AT_MOST_ONE_ACCEPTS_KEYS,
+        ),
+        (
+            Fault::PredecessorKeepsAcceptingKeys,
+            AT_MOST_ONE_ACCEPTS_KEYS,
         ),
-        (Fault::PredecessorKeepsAcceptingKeys, NEVER_BOTH_ACCEPT_KEYS),
         (
             Fault::PredecessorMissesDisconnect,
-            WHOEVER_LIVES_ACCEPTS_CLIENTS,
+            LIVE_PROCESS_ACCEPTS_CLIENTS,
         ),
     ] {
         let checked = Handovers(fault).checker().spawn_bfs().join();
-        assert!(checked.discovery(violated).is_some(), "{violated}");
+        assert!(
+            checked.discovery(violated).is_some(),
+            "the fault does not violate \"{violated}\""
+        );
     }
 }
 
 #[test]
-fn predecessor_serves_on_after_other_versions_and_messages_out_of_turn() {
+fn predecessor_keeps_serving_after_unsupported_versions_and_unexpected_messages() {
     let hello = |min_version, max_version| Message::Hello {
         min_version,
         max_version,
@@ -178,16 +185,16 @@
         })]
     ));
     assert!(predecessor.check_available().is_err());
-    let out_of_turn = Message::PartsReceived {
+    let unexpected = Message::PartsReceived {
         next: PART_COUNT + 1,
     };
-    predecessor.handle_message(&out_of_turn, PART_COUNT, 0);
+    predecessor.handle_message(&unexpected, PART_COUNT, 0);
     assert_eq!(predecessor.take_actions(), [Action::Disconnect]);
     assert!(predecessor.check_available().is_ok() && !predecessor.has_handed_over());
 }
 
 #[test]
-fn successor_serves_beside_predecessor_after_a_message_out_of_turn() {
+fn successor_serves_beside_predecessor_after_an_unexpected_message() {
     let mut successor = Successor::start(0);
     successor.take_actions();
     successor.handle_message(Message::TransferOwnership(vec![]), 0);
--- a/hot-restart/tests/model/processes.rs
+++ b/hot-restart/tests/model/processes.rs
@@ -1,22 +1,22 @@
-//! The state of the model: both processes and the messages between them.
+//! The state of the model: both processes and the messages in flight between them.
 
 use violetgate_hot_restart::{Action, Message, Predecessor, Successor};
 
 pub const PART_COUNT: u32 = 2;
 
-/// What is wrong on purpose.
+/// A fault that a test injects into the model.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Fault {
     None,
     /// The successor accepts keys as soon as it listens beside the predecessor.
     SuccessorAcceptsKeysBesidePredecessor,
-    /// The predecessor goes on accepting keys once it has transferred ownership.
+    /// The predecessor keeps accepting keys after it has transferred ownership.
     PredecessorKeepsAcceptingKeys,
     /// The predecessor does not notice that the successor has died.
     PredecessorMissesDisconnect,
 }
 
-/// What a process accepts.
+/// Whether a process accepts clients and idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Accepts {
     pub clients: bool,
@@ -34,7 +34,7 @@
     };
 }
 
-/// What is in flight on the connection.
+/// A message, or the end of the connection, that the receiver has not handled yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum InFlight {
     Message(Message),
@@ -50,14 +50,14 @@
     pub predecessor_accepts: Accepts,
     pub successor_accepts: Accepts,
     pub adopted_parts: u32,
-    /// How many successors were started.
+    /// Number of successors started.
     pub starts: u8,
-    /// Whether the successor knows that the predecessor's process has ended.
+    /// Whether the successor knows that the predecessor's process has exited.
     pub knows_exit: bool,
 }
 
 impl Processes {
-    /// A serving process to which a first successor connects.
+    /// Creates a state in which one process serves and a first successor has connected to it.
     pub fn new(fault: Fault) -> Self {
         let mut processes = Processes {
             predecessor: Some(Predecessor::new()),
@@ -94,7 +94,7 @@
         self.to_predecessor.push(InFlight::Disconnect);
     }
 
-    /// `None`: nobody is there to receive it.
+    /// Delivers the oldest item in flight. Returns `None` if the predecessor is dead.
     pub fn deliver_to_predecessor(&mut self, fault: Fault) -> Option<()> {
         let in_flight = self.to_predecessor.remove(0);
         let predecessor = self.predecessor.as_mut()?;
@@ -106,7 +106,7 @@
         Some(())
     }
 
-    /// `None`: nobody is there to receive it.
+    /// Delivers the oldest item in flight. Returns `None` if the successor is dead.
     pub fn deliver_to_successor(&mut self) -> Option<()> {
         let in_flight = self.to_successor.remove(0);
         let successor = self.successor.as_mut()?;
@@ -126,7 +126,7 @@
         for action in actions.unwrap_or_default() {
             self.carry_out_for_successor(action, fault);
         }
-        // Nobody receives what is sent to the dead.
+        // Messages to a dead process are lost.
         if self.predecessor.is_none() {
             self.to_predecessor.clear();
         }
@@ -155,7 +155,7 @@
                 self.to_predecessor.clear();
                 return self.to_successor.push(InFlight::Disconnect);
             }
-            other => panic!("not the predecessor's: {other:?}"),
+            other => panic!("unexpected action of the predecessor: {other:?}"),
         };
         self.to_successor.push(InFlight::Message(message));
     }
@@ -180,7 +180,7 @@
                 self.to_predecessor.push(InFlight::Disconnect);
             }
             Action::KeepSockets | Action::AdoptChanges(_) => {}
-            other => panic!("not the successor's: {other:?}"),
+            other => panic!("unexpected action of the successor: {other:?}"),
         }
     }
 }
--- a/hot-restart/tests/trace_digest.rs
+++ b/hot-restart/tests/trace_digest.rs
@@ -1,6 +1,7 @@
-//! Both ends do exactly what they did when these digests were taken: drawn streams of events, with
-//! every action written as bytes by the test itself, in one FNV-1a hash for each end. And frames
-//! that the previous release wrote are read, and written alike.
+//! Regression tests that detect any change of behaviour. Each end of the protocol handles
+//! pseudorandom sequences of events, and an FNV-1a hash over its encoded actions must equal the
+//! recorded digest. Stored frames of the previous release must decode, and encode to the same
+//! bytes.
 
 #![allow(
     clippy::unwrap_used,
@@ -17,7 +18,7 @@
     Action, Message, Predecessor, Refusal, Successor, MAX_PART_BYTES, STEP_TIMEOUT_US,
 };
 
-/// FNV-1a over everything that is written to it.
+/// A 64-bit FNV-1a hash.
 struct Fnv(u64);
 
 impl Fnv {
@@ -36,6 +37,7 @@
     }
 }
 
+/// A linear congruential generator of pseudorandom numbers.
 struct Lcg(u64);
 
 impl Lcg {
@@ -69,57 +71,57 @@
     hash.bytes(&bytes);
 }
 
-/// A message that makes sense half of the time.
-fn message(draw: &mut Lcg) -> Message {
-    match draw.below(13) {
+/// Returns a random message, valid or invalid in the current state.
+fn any_message(rng: &mut Lcg) -> Message {
+    match rng.below(13) {
         0 | 1 => Message::Hello {
-            min_version: draw.below(3) as u16,
-            max_version: draw.below(4) as u16,
+            min_version: rng.below(3) as u16,
+            max_version: rng.below(4) as u16,
         },
         2 => Message::Refuse(
             [
                 Refusal::NoCommonVersion,
                 Refusal::HandoverInProgress,
                 Refusal::ShuttingDown,
-            ][draw.below(3) as usize],
+            ][rng.below(3) as usize],
         ),
         3 | 4 => Message::Offer {
-            version: draw.below(3) as u16,
-            part_count: draw.below(3) as u32,
+            version: rng.below(3) as u16,
+            part_count: rng.below(3) as u32,
         },
         5 | 6 => {
-            let long = draw.below(10) == 0;
+            let long = rng.below(10) == 0;
             Message::StatePart {
-                number: draw.below(2) as u32,
-                bytes: vec![draw.below(256) as u8; if long { MAX_PART_BYTES + 1 } else { 3 }],
+                number: rng.below(2) as u32,
+                bytes: vec![rng.below(256) as u8; if long { MAX_PART_BYTES + 1 } else { 3 }],
             }
         }
         7 | 8 => Message::PartsReceived {
-            next: draw.below(4) as u32,
+            next: rng.below(4) as u32,
         },
         9 => Message::Ready,
-        10 => Message::TransferOwnership(vec![draw.below(256) as u8; 2]),
-        11 => Message::InFlightCompleted(vec![draw.below(256) as u8; 4]),
+        10 => Message::TransferOwnership(vec![rng.below(256) as u8; 2]),
+        11 => Message::InFlightCompleted(vec![rng.below(256) as u8; 4]),
         _ => Message::Drained,
     }
 }
 
 #[test]
-fn the_end_that_hands_over_acts_as_it_did() {
+fn predecessor_actions_match_recorded_digest() {
     let mut hash = Fnv::new();
-    let mut draw = Lcg(1);
+    let mut rng = Lcg(1);
     for _ in 0..5_000 {
         let mut predecessor = Predecessor::new();
-        let mut now = draw.below(1_000_000_000);
+        let mut now = rng.below(1_000_000_000);
         for _ in 0..20 {
-            now += draw.below(STEP_TIMEOUT_US / 4);
-            match draw.below(16) {
+            now += rng.below(STEP_TIMEOUT_US / 4);
+            match rng.below(16) {
                 0 => predecessor.handle_timeout(now),
                 1 => predecessor.handle_disconnect(),
                 2 => predecessor.report_drained(),
-                3 => predecessor.report_completion(vec![draw.below(256) as u8]),
-                4 if draw.below(4) == 0 => predecessor.shut_down(),
-                _ => predecessor.handle_message(&message(&mut draw), draw.below(3) as u32, now),
+                3 => predecessor.report_completion(vec![rng.below(256) as u8]),
+                4 if rng.below(4) == 0 => predecessor.shut_down(),
+                _ => predecessor.handle_message(&any_message(&mut rng), rng.below(3) as u32, now),
             }
             for action in predecessor.take_actions() {
                 write_action(&mut hash, &action);
@@ -138,21 +140,21 @@
 }
 
 #[test]
-fn the_end_that_takes_over_acts_as_it_did() {
+fn successor_actions_match_recorded_digest() {
     let mut hash = Fnv::new();
-    let mut draw = Lcg(2);
+    let mut rng = Lcg(2);
     for _ in 0..5_000 {
-        let mut now = draw.below(1_000_000_000);
+        let mut now = rng.below(1_000_000_000);
         let mut successor = Successor::start(now);
         let mut next_part = 0;
         for _ in 0..20 {
-            now += draw.below(STEP_TIMEOUT_US / 4);
-            match draw.below(16) {
+            now += rng.below(STEP_TIMEOUT_US / 4);
+            match rng.below(16) {
                 0 => successor.handle_timeout(now),
-                1 if draw.below(3) == 0 => successor.handle_disconnect(),
+                1 if rng.below(3) == 0 => successor.handle_disconnect(),
                 2 => successor.handle_predecessor_exit(),
                 3..=8 => {
-                    // What the other end would say next, so that conversations get to their end.
+                    // The message that a predecessor would send next, so that handovers complete.
                     let message = match next_part {
                         0 => Message::Offer {
                             version: 1,
@@ -169,8 +171,8 @@
                     successor.handle_message(message, now);
                 }
                 9..=12 => {}
-                _ if draw.below(3) > 0 => {}
-                _ => successor.handle_message(message(&mut draw), now),
+                _ if rng.below(3) > 0 => {}
+                _ => successor.handle_message(any_message(&mut rng), now),
             }
             for action in successor.take_actions() {
                 write_action(&mut hash, &action);
@@ -182,7 +184,7 @@
     assert_eq!(hash.0, 0xc18f_f6a7_fade_d73a, "{:#018x}", hash.0);
 }
 
-/// One of each message, as the stored frames hold them.
+/// One message of each kind, with its name in the file of stored frames.
 fn messages() -> Vec<(&'static str, Message)> {
     vec![
         (
@@ -217,7 +219,7 @@
     ]
 }
 
-fn written(message: &Message) -> Vec<u8> {
+fn encode(message: &Message) -> Vec<u8> {
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     let connection = HandoverConnection::new(Async::new(ours).unwrap()).unwrap();
     async_io::block_on(connection.send(message, &[])).unwrap();
@@ -227,7 +229,7 @@
     bytes
 }
 
-fn read(bytes: &[u8]) -> Message {
+fn decode(bytes: &[u8]) -> Message {
     let (ours, mut theirs) = UnixStream::pair().unwrap();
     let mut connection = HandoverConnection::new(Async::new(ours).unwrap()).unwrap();
     theirs.write_all(bytes).unwrap();
@@ -238,11 +240,11 @@
 }
 
 #[test]
-fn frames_of_the_previous_release_are_read_and_written_alike() {
+fn stored_frames_of_the_previous_release_decode_and_encode_unchanged() {
     let hex = |bytes: &[u8]| bytes.iter().map(|b| format!("{b:02x}")).collect::<String>();
     let lines: String = messages()
         .iter()
-        .map(|(name, message)| format!("{name} {}\n", hex(&written(message))))
+        .map(|(name, message)| format!("{name} {}\n", hex(&encode(message))))
         .collect();
     let stored = include_str!("fixtures/frames.txt");
     assert_eq!(lines, stored, "\n{lines}");
@@ -251,8 +253,8 @@
         let bytes: Vec<u8> = (0..digits.len() / 2)
             .map(|at| u8::from_str_radix(&digits[2 * at..2 * at + 2], 16).unwrap())
             .collect();
-        let heard = read(&bytes);
-        assert_eq!(&heard, message, "{name}");
-        assert_eq!(written(&heard), bytes, "{name}");
+        let decoded = decode(&bytes);
+        assert_eq!(&decoded, message, "{name}");
+        assert_eq!(encode(&decoded), bytes, "{name}");
     }
 }
