--- a/result-store/benches/timer_wheel.rs
+++ b/result-store/benches/timer_wheel.rs
@@ -1,5 +1,5 @@
-//! The timing wheel against a heap and an ordered set, in a steady state: each entry that expires
-//! is replaced by a new one, as cached results are.
+//! Compares the timing wheel with a binary heap and an ordered set in a steady state: a new entry
+//! replaces each one that expires, as with cached results.
 #![allow(missing_docs, reason = "criterion generates public items")]
 
 use std::cmp::Reverse;
@@ -9,12 +9,12 @@
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion, Throughput};
 use violetgate_result_store::TimerWheel;
 
-/// About how many entries expire, and are added, in each iteration.
+/// Approximate number of entries that expire, and are added, in each iteration.
 const ENTRIES_PER_ITERATION: u64 = 1_000;
-/// The longest time until an entry expires, in microseconds.
+/// Upper bound of the time until an entry expires, in microseconds.
 const MAX_DELAY_US: u64 = 20_000_000;
 
-/// A linear congruential generator of delays.
+/// A linear congruential generator of delays in microseconds.
 struct RandomDelays(u64);
 
 impl RandomDelays {
@@ -27,12 +27,13 @@
     }
 }
 
-/// How far time advances in an iteration, with so many entries.
+/// Returns the time in microseconds by which each iteration advances, so that about
+/// [`ENTRIES_PER_ITERATION`] of the `entries` expire.
 fn step(entries: u64) -> u64 {
     MAX_DELAY_US / 2 * ENTRIES_PER_ITERATION / entries
 }
 
-/// An iteration with the timing wheel.
+/// Fills a timing wheel and returns a function that runs one iteration.
 fn wheel_iteration(entries: u64) -> impl FnMut() {
     let (mut delays, mut now, mut wheel) = (RandomDelays(7), 0, TimerWheel::new(0));
     for number in 0..entries {
@@ -48,7 +49,7 @@
     }
 }
 
-/// An iteration with a heap.
+/// Fills a binary heap and returns a function that runs one iteration.
 fn heap_iteration(entries: u64) -> impl FnMut() {
     let (mut delays, mut now, mut heap) = (RandomDelays(7), 0, BinaryHeap::new());
     for number in 0..entries {
@@ -68,7 +69,7 @@
     }
 }
 
-/// An iteration with an ordered set.
+/// Fills an ordered set and returns a function that runs one iteration.
 fn ordered_set_iteration(entries: u64) -> impl FnMut() {
     let (mut delays, mut now, mut set) = (RandomDelays(7), 0, BTreeSet::new());
     let mut added = 0u64;
@@ -83,7 +84,7 @@
         }
         while (set.len() as u64) < entries {
             added += 1;
-            // Above all numbers of the first entries.
+            // The high bit keeps new numbers distinct from those of the initial entries.
             set.insert((now + delays.next_delay(), added | 1 << 40));
         }
     }
--- a/result-store/src/byte_budget.rs
+++ b/result-store/src/byte_budget.rs
@@ -1,10 +1,10 @@
-//! A budget of bytes. Whatever occupies bytes holds a [`ByteReservation`], which returns them when
-//! it is dropped.
+//! A memory budget in bytes. The owner of reserved bytes holds a [`ByteReservation`], which returns
+//! them to the budget when it is dropped.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A budget of bytes; clones share it.
+/// A memory budget in bytes. Clones share the same budget.
 #[derive(Debug, Clone)]
 pub struct ByteBudget(Rc<Usage>);
 
@@ -14,7 +14,7 @@
     reserved: Cell<usize>,
 }
 
-/// Bytes reserved from a budget.
+/// A number of bytes reserved from a [`ByteBudget`], until the reservation is dropped.
 #[derive(Debug)]
 pub struct ByteReservation {
     budget: ByteBudget,
@@ -31,12 +31,12 @@
         }))
     }
 
-    /// Changes the capacity. Reservations beyond it stay valid.
+    /// Changes the capacity. Existing reservations stay valid, even if they exceed it.
     pub fn resize(&self, capacity: usize) {
         self.0.capacity.set(capacity);
     }
 
-    /// Reserves bytes; `None` if fewer are available.
+    /// Reserves `bytes`. Returns `None` if fewer are available.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<ByteReservation> {
         let reserved = self.reserved().checked_add(bytes)?;
@@ -50,13 +50,13 @@
         })
     }
 
-    /// Bytes that are reserved now.
+    /// Returns the number of bytes reserved now.
     #[must_use]
     pub fn reserved(&self) -> usize {
         self.0.reserved.get()
     }
 
-    /// Bytes that may be reserved together.
+    /// Returns the maximum of all reservations together, in bytes.
     #[must_use]
     pub fn capacity(&self) -> usize {
         self.0.capacity.get()
@@ -64,7 +64,8 @@
 }
 
 impl ByteReservation {
-    /// Returns what exceeds `bytes` to the budget. A reservation never grows.
+    /// Reduces the reservation to `bytes` and returns the rest to the budget. Does nothing if the
+    /// reservation is not larger than `bytes`.
     pub fn shrink(&mut self, bytes: usize) {
         let returned = self.bytes.saturating_sub(bytes);
         self.bytes -= returned;
@@ -72,7 +73,7 @@
         self.budget.0.reserved.set(reserved);
     }
 
-    /// Bytes that are reserved.
+    /// Returns the size of the reservation in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.bytes
--- a/result-store/src/byte_budget/tests.rs
+++ b/result-store/src/byte_budget/tests.rs
@@ -2,7 +2,8 @@
 
 use super::*;
 
-/// Reserved bytes exceed the capacity only where it was reduced, and all of them are returned.
+/// Reserved bytes exceed the capacity only after it was reduced, and dropped reservations return
+/// all of their bytes.
 #[test]
 fn reservations_stay_within_the_capacity_and_are_returned() {
     let budget = ByteBudget::new(100);
--- a/result-store/src/idempotency.rs
+++ b/result-store/src/idempotency.rs
@@ -1,53 +1,54 @@
-//! Idempotency keys: which are in use, which requests wait for them, and what answers a repeat.
+//! The table of idempotency keys. It records which keys are in use and which requests wait for
+//! them, and decides how a repeated request is answered.
 //!
-//! A key is in use from its first request until its class's deduplication window after that
-//! request's end:
+//! A key is in use from its first request until the deduplication window of the request's class has
+//! passed after the end of the execution:
 //!
-//! - while the request runs, repeats join it and get the same answer;
-//! - once it completed, repeats get the recorded answer;
-//! - if it had no effect, the key is free at once;
-//! - if its outcome is unknown, a repeat may execute only while engines still discard a second
+//! - While the request is in flight, repeats join it and get the same answer.
+//! - After it has completed, repeats get the recorded answer.
+//! - If it had no effect, the key is free at once.
+//! - If its outcome is unknown, a repeat may execute only while engines still discard a second
 //!   execution.
 //!
-//! The table is bounded. When full it rejects new keys; it never evicts one that is in use.
+//! The number of keys is bounded. A full table rejects new keys and never evicts a key in use.
 
 use std::collections::HashMap;
 
 use crate::{Micros, TimerWheel};
 
-/// A digest, made by the caller, of what has to be equal in all requests of one key.
+/// A digest, computed by the caller, of everything that must be equal in all requests with one key.
 pub type RequestFingerprint = [u8; 16];
 
-/// How a request with a key is to be answered.
+/// The decision how to answer a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyLookup<A> {
-    /// Execute it, and report its end with [`IdempotencyKeys::finish`] or
+    /// Execute the request, and report its end with [`IdempotencyKeys::finish`] or
     /// [`IdempotencyKeys::abandon`].
     Execute,
-    /// An earlier request of the key is in flight: wait for its answer.
+    /// An earlier request with the key is in flight: wait for its answer.
     JoinInFlight,
-    /// An earlier request completed with this answer.
+    /// An earlier request with the key completed with this answer.
     Replay(A),
-    /// The key is in use by a different request.
+    /// The key is in use by a request with another fingerprint.
     KeyConflict,
-    /// The outcome of an earlier request is unknown, and a second execution might take effect
-    /// twice.
+    /// The outcome of an earlier request is unknown, and engines may no longer discard a second
+    /// execution, so the request could take effect twice.
     OutcomeUnknown,
     /// The table is full, or too many requests wait for the key.
     Full {
-        /// After how long, in microseconds, a retry may succeed; 0 if that is unknown.
+        /// Time in microseconds after which a retry may succeed, or 0 if that is unknown.
         retry_after: Micros,
     },
 }
 
-/// How the execution for a key ended.
+/// The outcome of the execution of a request with an idempotency key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExecutionOutcome<A> {
-    /// It was answered.
+    /// The request was answered.
     Completed(A),
-    /// It was rejected before it could take effect.
+    /// The request was rejected before it could take effect.
     NoEffect,
-    /// It may have taken effect.
+    /// The request may have taken effect.
     Unknown,
 }
 
@@ -61,23 +62,24 @@
 #[derive(Debug)]
 struct KeyEntry<W, A> {
     fingerprint: RequestFingerprint,
-    /// When the key's first request came: engines discard repeats at least for `dedup_window` from
-    /// then on.
+    /// When the first request with the key arrived. Engines discard repeats for at least
+    /// `dedup_window` after this time.
     first_request_at: Micros,
     dedup_window: Micros,
-    /// When the entry expires, unless it is in flight; [`NEVER`] until an execution has ended.
+    /// When the entry expires, unless it is in flight. [`NEVER`] until its first execution has
+    /// ended.
     expires_at: Micros,
-    /// Distinguishes this entry from others that used the same key before or after.
+    /// Distinguishes this entry from earlier and later entries with the same key.
     generation: u64,
     state: KeyState<W, A>,
 }
 
 const NEVER: Micros = Micros::MAX;
 
-/// An entry of the timer wheel: the key and the generation that expires.
+/// An entry of the timer wheel: the key and generation of the entry that expires.
 type KeyExpiry = (Box<str>, u64);
 
-/// The table of idempotency keys. Waiters are identified by `W`, recorded answers are `A`.
+/// The table of idempotency keys. `W` identifies a waiting request, and `A` is a recorded answer.
 #[derive(Debug)]
 pub struct IdempotencyKeys<W, A> {
     max_keys: usize,
@@ -88,7 +90,7 @@
 }
 
 impl<W: PartialEq, A: Clone> IdempotencyKeys<W, A> {
-    /// Creates an empty table. At least one waiter is allowed for each key.
+    /// Creates an empty table. A `max_waiters_per_key` of 0 counts as 1.
     #[must_use]
     pub fn new(max_keys: usize, max_waiters_per_key: usize, now: Micros) -> Self {
         IdempotencyKeys {
@@ -100,27 +102,30 @@
         }
     }
 
-    /// Changes how many keys may be in use. Those in use stay.
+    /// Changes the maximum number of keys in use. Keys that are in use stay, even if they exceed
+    /// it.
     pub fn resize(&mut self, max_keys: usize) {
         self.max_keys = max_keys;
     }
 
-    /// How many keys are in use.
+    /// Returns the number of keys in use. Expired keys count until [`IdempotencyKeys::expire`]
+    /// removes them.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no key is in use.
+    /// Returns whether no key is in use.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Decides how a request with `key` is to be answered.
+    /// Decides how to answer a request with `key`, and records `waiter` if it executes or joins
+    /// another request.
     ///
-    /// `dedup_window` is for how long, in microseconds, the engines of the request's class discard
-    /// a repeat.
+    /// `dedup_window` is the time in microseconds for which the engines of the request's class
+    /// discard a repeat.
     pub fn begin(
         &mut self,
         now: Micros,
@@ -131,7 +136,8 @@
     ) -> KeyLookup<A> {
         self.expire(now);
         if let Some(entry) = self.entries.get_mut(key) {
-            // An entry expires at its exact moment, whether the wheel has come to it or not.
+            // The timer wheel may hand out an expiry up to a tick late, so the exact time is
+            // checked here.
             if entry.has_expired(now) {
                 self.entries.remove(key);
             } else {
@@ -157,7 +163,8 @@
         KeyLookup::Execute
     }
 
-    /// Records the end of the execution for a key; returns all that wait for its answer.
+    /// Records the outcome of the execution for `key`. Returns all requests that wait for its
+    /// answer, or none if no request with the key is in flight.
     pub fn finish(&mut self, now: Micros, key: &str, outcome: ExecutionOutcome<A>) -> Vec<W> {
         let Some(entry) = self.entries.get_mut(key) else {
             return Vec::new();
@@ -182,10 +189,10 @@
         waiters
     }
 
-    /// Removes a waiter that no longer waits.
+    /// Removes a request that no longer waits for the answer.
     ///
-    /// Returns `true` if it was the last one: the caller then cancels the execution, whose outcome
-    /// counts as unknown.
+    /// Returns `true` if it was the last waiter. The caller must then cancel the execution, whose
+    /// outcome is recorded as unknown.
     pub fn abandon(&mut self, now: Micros, key: &str, waiter: &W) -> bool {
         let Some(KeyEntry {
             state: KeyState::InFlight { waiters },
@@ -203,12 +210,13 @@
         was_last
     }
 
-    /// Removes the keys that have expired; returns how many.
+    /// Removes the keys that have expired. Returns the number of removed keys.
     pub fn expire(&mut self, now: Micros) -> usize {
         let count_before = self.entries.len();
         let entries = &mut self.entries;
         self.expiries.advance(now, |(key, generation)| {
-            // A later use of the key, or a second execution, has an expiry of its own.
+            // A newer entry with the same key, or a second execution, has its own expiry in the
+            // wheel.
             let is_due = |e: &KeyEntry<W, A>| e.generation == generation && e.has_expired(now);
             if entries.get(&key).is_some_and(is_due) {
                 entries.remove(&key);
--- a/result-store/src/idempotency/tests.rs
+++ b/result-store/src/idempotency/tests.rs
@@ -6,7 +6,7 @@
 const FINGERPRINT: RequestFingerprint = [1; 16];
 const OTHER_FINGERPRINT: RequestFingerprint = [2; 16];
 
-/// A table for two keys with two waiters each.
+/// Creates a table for two keys with two waiters each.
 fn small_table() -> IdempotencyKeys<u32, &'static str> {
     IdempotencyKeys::new(2, 2, 0)
 }
@@ -20,10 +20,10 @@
     keys.begin(now, key, FINGERPRINT, WINDOW, waiter)
 }
 
-/// In flight, repeats join up to a limit; then they get the answer for the window; then the key is
-/// new.
+/// While a request is in flight, repeats join it up to the limit of waiters. After it has
+/// completed, they get its answer until the window has passed. Then the key is free again.
 #[test]
-fn repeat_joins_then_replays_then_executes_anew() {
+fn repeat_joins_then_replays_then_executes_again() {
     let mut keys = small_table();
     assert_eq!(begin(&mut keys, 0, "a", 1), KeyLookup::Execute);
     assert_eq!(begin(&mut keys, 1, "a", 2), KeyLookup::JoinInFlight);
@@ -50,9 +50,9 @@
     assert_eq!(begin(&mut keys, WINDOW + 5, "a", 5), KeyLookup::Execute);
 }
 
-/// A rejection frees the key at once; an unknown outcome lets it execute again while engines
-/// discard a second one, and no longer; a rejection of the second execution does not make the first
-/// one harmless.
+/// A rejection frees the key at once. After an unknown outcome, a repeat executes only while
+/// engines discard a second execution. A rejection of the second execution does not free the key,
+/// because the first one may have taken effect.
 #[test]
 fn unknown_outcome_is_executed_again_only_within_the_window() {
     let mut keys = small_table();
@@ -78,8 +78,8 @@
     assert_eq!(begin(&mut keys, 2 * WINDOW + 9, "a", 4), KeyLookup::Execute);
 }
 
-/// The request runs while anybody waits for it; with the last waiter it is cancelled, and may have
-/// taken effect.
+/// The execution continues while at least one request waits for it. When the last waiter abandons
+/// it, it is cancelled, and its outcome is unknown.
 #[test]
 fn last_waiter_to_abandon_cancels_the_execution() {
     let mut keys = small_table();
@@ -93,7 +93,7 @@
     assert_eq!(begin(&mut keys, 4, "a", 3), KeyLookup::Execute);
 }
 
-/// A full table takes no new key, says when a retry may succeed, and evicts none that is in use.
+/// A full table rejects a new key, reports when a retry may succeed, and evicts no key in use.
 #[test]
 fn full_table_rejects_new_keys_and_evicts_none() {
     let mut keys = small_table();
@@ -101,7 +101,7 @@
     begin(&mut keys, 0, "b", 2);
     keys.finish(0, "b", ExecutionOutcome::Completed("b"));
     let KeyLookup::Full { retry_after } = begin(&mut keys, 1, "c", 3) else {
-        unreachable!("full")
+        unreachable!("a full table accepted a new key")
     };
     assert!(retry_after <= WINDOW + 2_000);
     assert_eq!(begin(&mut keys, WINDOW - 1, "b", 4), KeyLookup::Replay("b"));
--- a/result-store/src/lib.rs
+++ b/result-store/src/lib.rs
@@ -1,15 +1,15 @@
-//! State that a gateway holds for its clients between requests: cached result pages and idempotency
+//! State that a gateway keeps for its clients between requests: cached result pages and idempotency
 //! keys.
 //!
-//! Nothing here does I/O or reads a clock: the time is an argument of each call, in microseconds.
-//! Which endpoint a request goes to and whether it is retried is decided elsewhere
-//! (`violetgate-policy`).
+//! This crate does no I/O and reads no clock: callers pass the current time in microseconds. The
+//! crate `violetgate-policy` decides which endpoint a request goes to and whether it is retried.
 //!
-//! - [`ByteBudget`]: bytes that results may occupy, reserved before a request is admitted.
-//! - [`ResultCache`]: results whose pages may be fetched until they expire, under sealed
-//!   [`PageToken`]s.
-//! - [`IdempotencyKeys`]: keys in use, the requests that wait for them, and what answers a repeat.
-//! - [`TimerWheel`]: expiries at a constant cost an entry.
+//! - [`ByteBudget`] limits the memory for results, which is reserved before a request is admitted.
+//! - [`ResultCache`] holds results, whose pages clients fetch with sealed [`PageToken`]s until the
+//!   results expire.
+//! - [`IdempotencyKeys`] records the keys in use and the requests that wait for them, and decides
+//!   how repeated requests are answered.
+//! - [`TimerWheel`] schedules expiries at a constant cost for each entry.
 //!
 //! ```
 //! use violetgate_result_store::{ExecutionOutcome, IdempotencyKeys, KeyLookup};
@@ -38,5 +38,6 @@
 };
 pub use timer_wheel::TimerWheel;
 
-/// A moment or a span in microseconds, on one clock that never goes backwards.
+/// A point in time or a duration, in microseconds. All points in time must come from the same
+/// clock, which must never go backwards.
 pub type Micros = u64;
--- a/result-store/src/page_token.rs
+++ b/result-store/src/page_token.rs
@@ -1,8 +1,8 @@
-//! Tokens with which clients ask for pages of a cached result.
+//! Tokens with which clients fetch pages of a cached result.
 //!
-//! A token is opaque to clients and sealed with a key that only this process has; it names the
-//! result and its expiry. A forged one, or one of another process, is rejected in the same time
-//! whatever is wrong with it.
+//! A token is opaque to clients. It identifies the result and its expiry, and is authenticated with
+//! a key that only this process has. The time to reject a forged token, or a token of another
+//! process, does not depend on what is wrong with it.
 
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
@@ -11,36 +11,36 @@
 
 use crate::Micros;
 
-/// Bytes of the fields that are sealed.
+/// Size of the encoded fields of a token, which the seal authenticates.
 const BODY_BYTES: usize = 28;
-/// Bytes of the seal: HMAC-SHA256, truncated.
+/// Size of the seal, a truncated HMAC-SHA256.
 const SEAL_BYTES: usize = 16;
-/// SHA-256 works on blocks of this size; HMAC pads a shorter key with zeros.
+/// Block size of SHA-256. HMAC pads a shorter key with zeros to this size.
 const HMAC_BLOCK_BYTES: usize = 64;
-/// Characters of a token's text.
+/// Length of a token's text in characters.
 pub const TOKEN_LENGTH: usize = (BODY_BYTES + SEAL_BYTES) * 4 / 3 + 1;
 
-/// The attempt that made a result.
+/// Identifies the attempt that produced a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request's number.
+    /// The number of the request.
     pub request: u64,
     /// The number of the attempt within the request.
     pub attempt: u32,
 }
 
-/// What a token stands for.
+/// The fields of a page token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PageToken {
     /// The result's number in the cache.
     pub result_id: u64,
-    /// The attempt that made the result.
+    /// The attempt that produced the result.
     pub origin: AttemptId,
-    /// Until when its pages may be fetched, in microseconds.
+    /// When the result expires, in microseconds. Its pages can't be fetched from then on.
     pub expires_at: Micros,
 }
 
-/// Seals and opens tokens with one key.
+/// Seals tokens with a secret key, and verifies them.
 #[derive(Clone)]
 pub struct TokenSealer(Hmac<Sha256>);
 
@@ -51,7 +51,7 @@
 }
 
 impl TokenSealer {
-    /// Creates a sealer for a key, which has to be secret and random.
+    /// Creates a sealer with `key`, which must be secret and random.
     #[must_use]
     pub fn new(key: &[u8; 32]) -> Self {
         let mut block = [0; HMAC_BLOCK_BYTES];
@@ -61,7 +61,8 @@
         TokenSealer(Hmac::new(&block.into()))
     }
 
-    /// Returns the token's text: its fields in big-endian order and their seal, as URL-safe base64.
+    /// Returns the token's text: its fields in big-endian byte order and their seal, encoded as
+    /// URL-safe base64 without padding.
     #[must_use]
     pub fn seal(&self, token: &PageToken) -> String {
         let mut bytes = Vec::with_capacity(BODY_BYTES + SEAL_BYTES);
@@ -75,11 +76,11 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Reads a token's text; `None` if this key has not sealed it.
+    /// Verifies and decodes a token's text. Returns `None` if it was not sealed with this key.
     #[must_use]
     pub fn open(&self, text: &str) -> Option<PageToken> {
-        // Text that is no token at all is verified like one, so that the time taken reveals
-        // nothing.
+        // The seal is verified even if the text is malformed, so that the time taken does not
+        // reveal why a token was rejected.
         let mut bytes = [0u8; BODY_BYTES + SEAL_BYTES];
         let is_well_formed = text.len() == TOKEN_LENGTH
             && URL_SAFE_NO_PAD.decode_slice(text, &mut bytes) == Ok(BODY_BYTES + SEAL_BYTES);
--- a/result-store/src/result_cache.rs
+++ b/result-store/src/result_cache.rs
@@ -1,8 +1,9 @@
-//! Cached results, whose pages a client may fetch with a token until the result expires.
+//! The cache of results, whose pages a client may fetch with a token until the result expires.
 //!
-//! A result is complete when it enters the cache, so that a page never depends on the engine that
-//! made it. Its bytes were reserved before its request was admitted, and only its expiry or its
-//! client removes it: a full cache rejects new requests, it never evicts.
+//! A result is complete when it enters the cache, so fetching a page never depends on the engine
+//! that produced the result. Its memory is reserved before its request is admitted. A result is
+//! removed only when it expires or its client deletes it: a full cache rejects new requests and
+//! never evicts a result.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -11,76 +12,78 @@
 use crate::page_token::{AttemptId, PageToken, TokenSealer};
 use crate::{ByteBudget, ByteReservation, Micros, TimerWheel};
 
-/// What cached results may use.
+/// Limits on the size and number of cached results.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResultLimits {
-    /// Bytes of all results together.
+    /// Maximum size of all results together, in bytes.
     pub total_bytes: usize,
-    /// Bytes of one result at most; as many are reserved before its request is admitted.
+    /// Maximum size of one result, in bytes. The cache reserves this much before a request is
+    /// admitted.
     pub max_result_bytes: usize,
-    /// Results at a time, those whose requests are in flight included.
+    /// Maximum number of results, including those whose requests are in flight.
     pub max_results: usize,
 }
 
-/// Why a token has no page.
+/// The reason why the page for a token was not found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LookupError {
-    /// This process has sealed no such token, or the result has no page of that number.
+    /// The token was not sealed by this process, or the result has no page with the requested
+    /// number.
     UnknownToken,
-    /// The result has expired, or its client has deleted it.
+    /// The result has expired, or its client deleted it.
     Gone,
 }
 
-/// The cache is full.
+/// The error for a reservation that the cache rejects because it is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheFull {
-    /// After how long, in microseconds, the first cached result expires; 0 if there is none.
+    /// Time in microseconds until the next cached result may expire, or 0 if none is cached.
     pub retry_after: Micros,
 }
 
-/// Reserved capacity for a result that is still being made. Dropping it frees the capacity.
+/// Capacity reserved for the result of a request in flight. Dropping the slot frees the capacity.
 #[derive(Debug)]
 pub struct ResultSlot {
     reservation: ByteReservation,
-    _in_flight: InFlightCount,
+    _in_flight: InFlightGuard,
 }
 
-/// One of the results that are still being made, counted until it is dropped.
+/// A guard that counts a result as in flight until it is dropped.
 #[derive(Debug)]
-struct InFlightCount(Rc<Cell<usize>>);
+struct InFlightGuard(Rc<Cell<usize>>);
 
-impl InFlightCount {
+impl InFlightGuard {
     fn add_to(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
-        InFlightCount(Rc::clone(count))
+        InFlightGuard(Rc::clone(count))
     }
 }
 
-impl Drop for InFlightCount {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
 }
 
-/// A result to be cached.
+/// A complete result for [`ResultCache::insert`].
 #[derive(Debug)]
 pub struct NewResult<P> {
-    /// Its pages.
+    /// The pages of the result.
     pub pages: Rc<P>,
-    /// The bytes that they occupy.
+    /// Size of the pages in bytes.
     pub bytes: usize,
-    /// The attempt that made it.
+    /// The attempt that produced the result.
     pub origin: AttemptId,
-    /// Until when its pages may be fetched, in microseconds.
+    /// When the result expires, in microseconds. Its pages can't be fetched from then on.
     pub expires_at: Micros,
 }
 
-/// A cached result and the token that names it.
+/// A cached result and the token that identifies it.
 #[derive(Debug)]
 pub struct CachedResult<P> {
-    /// What the client's token stands for.
+    /// The decoded fields of the client's token.
     pub token: PageToken,
-    /// The result's pages.
+    /// The pages of the result, shared with the cache.
     pub pages: Rc<P>,
 }
 
@@ -91,7 +94,7 @@
     _reservation: ByteReservation,
 }
 
-/// All cached results, of pages `P`.
+/// The cache of results. `P` is the type of a result's pages.
 #[derive(Debug)]
 pub struct ResultCache<P> {
     sealer: TokenSealer,
@@ -100,7 +103,7 @@
     entries: HashMap<u64, Entry<P>>,
     expiries: TimerWheel<u64>,
     last_result_id: u64,
-    /// Slots that are reserved and whose results are not cached yet.
+    /// Number of reserved slots whose results are not cached yet.
     in_flight: Rc<Cell<usize>>,
 }
 
@@ -119,35 +122,37 @@
         }
     }
 
-    /// Changes the limits. Cached results stay.
+    /// Changes the limits. Cached results stay, even if they exceed the new limits.
     pub fn set_limits(&mut self, limits: ResultLimits) {
         self.limits = limits;
         self.budget.resize(limits.total_bytes);
     }
 
-    /// The budget of bytes.
+    /// Returns the memory budget of the results.
     #[must_use]
     pub fn budget(&self) -> &ByteBudget {
         &self.budget
     }
 
-    /// How many results are cached.
+    /// Returns the number of cached results. Expired results count until [`ResultCache::expire`]
+    /// removes them.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no result is cached.
+    /// Returns whether no result is cached.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Reserves capacity for one result, before its request is admitted.
+    /// Reserves capacity for one result of maximum size. Call this before its request is admitted.
     ///
     /// # Errors
     ///
-    /// [`CacheFull`] if there are too many results or too few bytes.
+    /// Returns [`CacheFull`] if the maximum number of results is reached or too few bytes are
+    /// available.
     pub fn reserve(&mut self, now: Micros) -> Result<ResultSlot, CacheFull> {
         self.expire(now);
         let has_slot = self.entries.len() + self.in_flight.get() < self.limits.max_results;
@@ -159,11 +164,11 @@
         })?;
         Ok(ResultSlot {
             reservation,
-            _in_flight: InFlightCount::add_to(&self.in_flight),
+            _in_flight: InFlightGuard::add_to(&self.in_flight),
         })
     }
 
-    /// Caches a result in the slot that was reserved for it; returns its token's text.
+    /// Caches a result in the slot reserved for it, and returns the text of its token.
     pub fn insert(&mut self, slot: ResultSlot, result: NewResult<P>) -> String {
         let mut reservation = slot.reservation;
         reservation.shrink(result.bytes);
@@ -183,17 +188,20 @@
         self.sealer.seal(&token)
     }
 
-    /// Finds the result that a token's text stands for.
+    /// Returns the result that a token's text identifies.
     ///
     /// # Errors
     ///
-    /// [`LookupError`] if the token is not of this process, or its result is not cached any more.
+    /// Returns [`LookupError::UnknownToken`] if this process did not seal the token, and
+    /// [`LookupError::Gone`] if its result is not cached any more.
     pub fn get(&self, now: Micros, token_text: &str) -> Result<CachedResult<P>, LookupError> {
         let token = self.sealer.open(token_text);
-        // Looked up in any case, so that a forged token takes as long as a good one.
+        // The lookup takes place for invalid tokens too, so that a forged token takes as long as a
+        // valid one.
         let entry = self.entries.get(&token.map_or(0, |token| token.result_id));
         let token = token.ok_or(LookupError::UnknownToken)?;
-        // A result expires at its exact moment, whether the wheel has come to it or not.
+        // The timer wheel may hand out an expiry up to a tick late, so the exact time is checked
+        // here.
         let entry = entry
             .filter(|entry| entry.token == token && now < token.expires_at)
             .ok_or(LookupError::Gone)?;
@@ -203,18 +211,18 @@
         })
     }
 
-    /// Removes a result before it expires, on its client's request.
+    /// Removes a result before it expires, at the request of its client.
     ///
     /// # Errors
     ///
-    /// [`LookupError`] as for [`ResultCache::get`].
+    /// Returns the same errors as [`ResultCache::get`].
     pub fn delete(&mut self, now: Micros, token_text: &str) -> Result<(), LookupError> {
         let cached = self.get(now, token_text)?;
         self.entries.remove(&cached.token.result_id);
         Ok(())
     }
 
-    /// Removes the results that have expired; returns how many.
+    /// Removes the results that have expired. Returns the number of removed results.
     pub fn expire(&mut self, now: Micros) -> usize {
         let count_before = self.entries.len();
         let entries = &mut self.entries;
@@ -224,7 +232,8 @@
         count_before - self.entries.len()
     }
 
-    /// When [`ResultCache::expire`] has to be called next.
+    /// Returns the time at which [`ResultCache::expire`] must be called next, or `None` if no
+    /// expiry is pending.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Micros> {
         self.expiries.next_expiry()
--- a/result-store/src/timer_wheel.rs
+++ b/result-store/src/timer_wheel.rs
@@ -1,32 +1,35 @@
-//! A hierarchical timing wheel: expiries at a constant cost an entry, however many there are.
+//! A hierarchical timing wheel. The cost of an entry is constant and does not depend on the number
+//! of entries.
 //!
-//! Each level has 64 slots, and each slot of a level spans the whole level below. An entry lies in
-//! the lowest level that distinguishes its tick from now, and moves down as that comes nearer, five
-//! times at most. A bit for each slot says whether it holds anything, so that empty time costs
-//! nothing.
+//! Each level has 64 slots, and one slot spans all slots of the level below. An entry lies in the
+//! lowest level that distinguishes its tick from the current one. It moves to lower levels as its
+//! tick comes nearer, at most five times. Each level has a bitmap of its occupied slots, so
+//! advancing over empty slots costs nothing.
 //!
-//! Entries can't be removed: their owner ignores an expiry that no longer applies.
+//! Entries can't be removed. The owner of the wheel must ignore expiries that no longer apply.
 
 use crate::Micros;
 
-/// A tick is 2^10 microseconds, 1.024 ms.
+/// A tick is 2^10 microseconds (1.024 ms).
 const TICK_BITS: u32 = 10;
 /// Each level has 2^6 slots.
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
-/// Six levels of 64 slots span 2^36 ticks, two years. What expires later waits in the last slot and
-/// is placed anew when that comes up.
+/// Six levels of 64 slots span 2^36 ticks, about two years. An entry that expires later goes into
+/// the last slot and is placed again when that slot comes up.
 const LEVELS: usize = 6;
 const SPAN_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
 
-/// Expiries of entries `K`.
+/// A timing wheel that hands out keys of type `K` when they expire.
 #[derive(Debug)]
 pub struct TimerWheel<K> {
-    /// All entries before this tick have been handed out.
+    /// The tick to which the wheel has advanced. Between calls of [`TimerWheel::advance`], all
+    /// entries up to and including this tick have been handed out.
     current_tick: u64,
     len: usize,
     levels: Vec<Level<K>>,
-    /// The entries of the slot that is being emptied; kept between calls for its allocation.
+    /// Buffer for the entries of the slot that is being emptied. It is kept between calls to reuse
+    /// its allocation.
     due_slot: Vec<Entry<K>>,
 }
 
@@ -38,12 +41,13 @@
 
 #[derive(Debug)]
 struct Level<K> {
-    /// A bit for each slot that holds anything.
+    /// Bitmap of the slots that contain entries.
     occupied: u64,
     slots: Vec<Vec<Entry<K>>>,
 }
 
-/// The next slot of a level that comes up. Of two at the same tick the lower level goes first.
+/// The next occupied slot of a level. If two slots come up at the same tick, the one of the lower
+/// level is processed first, as the order of the fields determines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UpcomingSlot {
     tick: u64,
@@ -72,22 +76,23 @@
         }
     }
 
-    /// How many entries have not been handed out.
+    /// Returns the number of entries that have not been handed out.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no entry is waiting.
+    /// Returns whether all entries have been handed out.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Adds an entry, which expires at `at` or up to a tick later, never before.
+    /// Adds an entry that expires at `at`. It is handed out up to one tick later, never before.
     pub fn insert(&mut self, at: Micros, key: K) {
         self.len += 1;
-        // Rounded up, and never into the tick that has been handed out.
+        // Rounds up, so that no entry expires early. The current tick has already been handed out,
+        // so the entry goes into the next one at the earliest.
         let tick = at.div_ceil(1 << TICK_BITS).max(self.current_tick + 1);
         self.place(Entry { tick, key });
     }
@@ -107,7 +112,7 @@
         }
     }
 
-    /// The first occupied slot of a level after the current one.
+    /// Returns the first occupied slot of a level after its current one.
     fn upcoming_of(&self, level: usize) -> Option<UpcomingSlot> {
         let occupied = self.levels.get(level)?.occupied;
         if occupied == 0 {
@@ -115,8 +120,8 @@
         }
         let shift = level as u32 * SLOT_BITS;
         let current_slot = (self.current_tick >> shift) as usize & (SLOTS - 1);
-        // Slots are used in a circle that begins after the current one (only the last level ever
-        // comes round).
+        // The search begins after the current slot and wraps around. Only the last level ever
+        // contains entries that lie before the current slot.
         let empty_slots_between = occupied
             .rotate_right((current_slot as u32 + 1) % SLOTS as u32)
             .trailing_zeros();
@@ -134,19 +139,21 @@
             .min()
     }
 
-    /// When to call [`TimerWheel::advance`] next: no entry expires before. `None` if there is none.
+    /// Returns the time in microseconds at which [`TimerWheel::advance`] must be called next. No
+    /// entry is handed out before. Returns `None` if the wheel is empty.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Micros> {
         self.upcoming().map(|slot| slot.tick << TICK_BITS)
     }
 
-    /// How long it is from `now` until [`TimerWheel::next_expiry`], in microseconds.
+    /// Returns the time in microseconds from `now` until [`TimerWheel::next_expiry`], or `None` if
+    /// the wheel is empty.
     #[must_use]
     pub fn time_until_next(&self, now: Micros) -> Option<Micros> {
         self.next_expiry().map(|at| at.saturating_sub(now))
     }
 
-    /// Hands out all entries that have expired at `now`.
+    /// Advances the wheel to `now` and passes the keys of all expired entries to `on_expired`.
     pub fn advance(&mut self, now: Micros, mut on_expired: impl FnMut(K)) {
         let now_tick = now >> TICK_BITS;
         while let Some(upcoming) = self.upcoming().filter(|slot| slot.tick <= now_tick) {
--- a/result-store/src/timer_wheel/tests.rs
+++ b/result-store/src/timer_wheel/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// A linear congruential generator.
+/// A linear congruential generator of pseudorandom numbers.
 struct Random(u64);
 
 impl Random {
@@ -20,7 +20,8 @@
     }
 }
 
-/// What expires is handed out, once, never early and at most a tick late, however far the steps go.
+/// Each entry is handed out exactly once, never early and at most one tick late, for short and long
+/// steps of the time.
 #[test]
 fn entries_are_never_early_late_or_lost() {
     let spans = [
@@ -64,11 +65,14 @@
     let mut expired = Vec::new();
     wheel.advance(now, |entry| expired.push(entry));
     for entry in &expired {
-        assert!(entry.0 <= now && model.remove(entry), "{entry:?} at {now}");
+        assert!(
+            entry.0 <= now && model.remove(entry),
+            "{entry:?} was handed out early or twice at {now}"
+        );
     }
     let late = model
         .first()
         .map(|entry| entry.0)
         .filter(|at| at + (1 << TICK_BITS) < now);
-    assert_eq!(late, None, "expired and not handed out at {now}");
+    assert_eq!(late, None, "an expired entry was not handed out at {now}");
 }
--- a/result-store/tests/model/idempotency.rs
+++ b/result-store/tests/model/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys.
+//! Compares the table of idempotency keys with a simple model.
 
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
@@ -11,7 +11,7 @@
 const MAX_WAITERS: usize = 3;
 const KEY_NAMES: [&str; 4] = ["a", "b", "c", "d"];
 
-/// A key in use, as the model keeps it.
+/// The model's state of a key in use.
 #[derive(Clone, Default)]
 struct Expected {
     fingerprint: u8,
@@ -26,7 +26,8 @@
 struct Model {
     keys: IdempotencyKeys<u32, u32>,
     entries: [Option<Expected>; KEY_NAMES.len()],
-    /// When each key last expired: it counts until the wheel has come to it.
+    /// When each key last expired. The table may count the key until the timer wheel has handed it
+    /// out.
     expired_at: [u64; KEY_NAMES.len()],
     now: u64,
     last_waiter: u32,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Keys that have expired and may still count, apart from one.
+    /// Returns the number of expired keys, except `key`, that the table may still count.
     fn lingering_besides(&self, key: usize) -> usize {
         let lingers = |(index, expired_at): &(usize, &u64)| {
             *index != key && **expired_at + WHEEL_DELAY_US > self.now
@@ -74,7 +75,7 @@
                 prop_assert!(in_use + lingering >= MAX_KEYS);
             }
             None if in_use >= MAX_KEYS => {
-                prop_assert!(false, "{:?} in a full table", found);
+                prop_assert!(false, "a full table answered a new key with {:?}", found);
             }
             None => {
                 prop_assert_eq!(found, KeyLookup::Execute);
@@ -165,11 +166,11 @@
 }
 
 proptest! {
-    /// Of all requests of a key one executes at a time; what completed is replayed for the window
-    /// and no longer; what may have taken effect is executed again only within the window of the
-    /// first; every waiter is notified once.
+    /// At most one request of a key executes at a time. A completed answer is replayed only within
+    /// the window. A request that may have taken effect is executed again only within the window
+    /// after the first request. Every waiter is notified once.
     #[test]
-    fn keys_answer_as_a_plain_model_does(
+    fn keys_match_model(
         calls in proptest::collection::vec((0u8..6, 0usize..4, 0u8..2, 1u64..9_000), 1..200),
     ) {
         let mut model = Model::new();
--- a/result-store/tests/model/main.rs
+++ b/result-store/tests/model/main.rs
@@ -1,5 +1,5 @@
-//! The store against plain models, lists that are searched from end to end, under any order of
-//! calls.
+//! Property tests that compare the store with simple models (lists that are searched linearly) for
+//! random sequences of calls.
 
 #![allow(
     clippy::unwrap_used,
@@ -10,5 +10,6 @@
 mod idempotency;
 mod result_cache;
 
-/// Expired entries may count until the timer wheel has come to them, two ticks later at most.
+/// Upper bound, in microseconds, of the time for which an expired entry may still count: the timer
+/// wheel hands it out at most two ticks later.
 const WHEEL_DELAY_US: u64 = 2_048;
--- a/result-store/tests/model/result_cache.rs
+++ b/result-store/tests/model/result_cache.rs
@@ -1,4 +1,4 @@
-//! Cached results and their tokens.
+//! Compares the result cache with a simple model, and tests the page tokens.
 
 use std::rc::Rc;
 
@@ -33,7 +33,7 @@
     ]
 }
 
-/// A result as the model keeps it.
+/// The model's state of a result.
 struct Expected {
     token: String,
     bytes: usize,
@@ -51,7 +51,7 @@
             .filter(move |result| !result.is_deleted && result.expires_at > now)
     }
 
-    fn has_room_at(&self, now: u64) -> bool {
+    fn has_space_at(&self, now: u64) -> bool {
         let bytes: usize = self.cached_at(now).map(|result| result.bytes).sum();
         bytes + LIMITS.max_result_bytes <= LIMITS.total_bytes
             && self.cached_at(now).count() < LIMITS.max_results
@@ -59,8 +59,8 @@
 }
 
 proptest! {
-    /// A result is cached until it expires and not a moment longer, only its client removes it
-    /// before, and what is reserved never exceeds the budget.
+    /// A result is available exactly until it expires or its client deletes it, and reserved bytes
+    /// never exceed the budget.
     #[test]
     fn results_stay_until_they_expire_or_are_deleted(calls in proptest::collection::vec(call(), 1..120)) {
         let mut now = 1_000_000;
@@ -72,7 +72,7 @@
                 Call::Insert { bytes, lifetime } => {
                     match results.reserve(now) {
                         Ok(slot) => {
-                            prop_assert!(model.has_room_at(now));
+                            prop_assert!(model.has_space_at(now));
                             let expires_at = now + lifetime;
                             let origin = AttemptId { request: now, attempt: 3 };
                             let pages = Rc::new(bytes);
@@ -80,7 +80,7 @@
                             model.0.push(Expected { token, bytes, expires_at, is_deleted: false });
                         }
                         Err(full) => {
-                            prop_assert!(!model.has_room_at(now.saturating_sub(WHEEL_DELAY_US)));
+                            prop_assert!(!model.has_space_at(now.saturating_sub(WHEEL_DELAY_US)));
                             let earliest = now + full.retry_after.min(1);
                             prop_assert!(model.cached_at(now).all(|r| r.expires_at + WHEEL_DELAY_US >= earliest));
                         }
@@ -104,19 +104,20 @@
         prop_assert!(results.is_empty() && results.budget().reserved() == 0);
     }
 
-    /// A token is what was sealed, and nothing else is one.
+    /// A sealed token decodes to the same fields. Tokens sealed with another key, altered tokens
+    /// and arbitrary text are rejected.
     #[test]
     fn only_sealed_tokens_are_opened(
         (result_id, request, attempt, expires_at) in any::<(u64, u64, u32, u64)>(),
         index in 0usize..58,
-        noise in "\\PC{0,80}",
+        arbitrary_text in "\\PC{0,80}",
     ) {
         let token = PageToken { result_id, origin: AttemptId { request, attempt }, expires_at };
         let sealer = TokenSealer::new(&[1; 32]);
         let text = sealer.seal(&token);
         prop_assert_eq!(sealer.open(&text), Some(token));
         prop_assert_eq!(TokenSealer::new(&[2; 32]).open(&text), None);
-        prop_assert_eq!(sealer.open(&noise), None);
+        prop_assert_eq!(sealer.open(&arbitrary_text), None);
         let mut altered = text.clone().into_bytes();
         altered[index] = if altered[index] == b'A' { b'B' } else { b'A' };
         prop_assert_eq!(sealer.open(std::str::from_utf8(&altered).unwrap()), None);
--- a/result-store/tests/trace_digest.rs
+++ b/result-store/tests/trace_digest.rs
@@ -1,5 +1,6 @@
-//! The store answers exactly as it did when these digests were taken: drawn streams of calls, with
-//! every answer written as bytes by the test itself, in one FNV-1a hash for each kind.
+//! Regression tests that detect any change of behaviour. Each part of the store handles
+//! pseudorandom sequences of calls, and an FNV-1a hash over its encoded answers must equal the
+//! recorded digest.
 
 #![allow(
     clippy::unwrap_used,
@@ -14,7 +15,7 @@
     PageToken, ResultCache, ResultLimits, ResultSlot, TimerWheel, TokenSealer,
 };
 
-/// FNV-1a over everything that is written to it.
+/// A 64-bit FNV-1a hash.
 struct Fnv(u64);
 
 impl Fnv {
@@ -33,6 +34,7 @@
     }
 }
 
+/// A linear congruential generator of pseudorandom numbers.
 struct Lcg(u64);
 
 impl Lcg {
@@ -63,39 +65,39 @@
 }
 
 #[test]
-fn idempotency_keys_answer_as_they_did() {
+fn idempotency_key_answers_match_recorded_digest() {
     let mut hash = Fnv::new();
     for seed in 0..20u64 {
-        let mut draw = Lcg(seed);
-        let mut now = 1_000_000 + draw.below(1_000_000_000);
+        let mut rng = Lcg(seed);
+        let mut now = 1_000_000 + rng.below(1_000_000_000);
         let mut keys: IdempotencyKeys<u32, u32> = IdempotencyKeys::new(40, 3, now);
         for call in 0..5_000u32 {
-            now += draw.below(40_000);
-            let key = format!("key-{}", draw.below(60));
-            let window = 100_000 + draw.below(3) * 4_000_000;
-            match draw.below(10) {
+            now += rng.below(40_000);
+            let key = format!("key-{}", rng.below(60));
+            let window = 100_000 + rng.below(3) * 4_000_000;
+            match rng.below(10) {
                 0..=4 => {
-                    let fingerprint = [draw.below(20).saturating_sub(18) as u8; 16];
+                    let fingerprint = [rng.below(20).saturating_sub(18) as u8; 16];
                     let lookup = keys.begin(now, &key, fingerprint, window, call % 50);
                     write_lookup(&mut hash, lookup);
                 }
                 5..=7 => {
-                    let ending = match draw.below(4) {
+                    let outcome = match rng.below(4) {
                         0 | 1 => ExecutionOutcome::Completed(call),
                         2 => ExecutionOutcome::NoEffect,
                         _ => ExecutionOutcome::Unknown,
                     };
-                    for waiter in keys.finish(now, &key, ending) {
+                    for waiter in keys.finish(now, &key, outcome) {
                         hash.number(u64::from(waiter));
                     }
                 }
                 8 => {
-                    let waiter = draw.below(50) as u32;
+                    let waiter = rng.below(50) as u32;
                     hash.number(u64::from(keys.abandon(now, &key, &waiter)));
                 }
                 _ => {
-                    if draw.below(20) == 0 {
-                        keys.resize(20 + draw.below(40) as usize);
+                    if rng.below(20) == 0 {
+                        keys.resize(20 + rng.below(40) as usize);
                     }
                     hash.number(keys.expire(now) as u64);
                 }
@@ -114,12 +116,12 @@
     });
 }
 
-/// A cache, the slots that are reserved in it and the tokens that it gave out.
+/// A cache with its reserved slots and the tokens that it has returned.
 struct CacheCalls {
     cache: ResultCache<u64>,
     slots: Vec<ResultSlot>,
     tokens: Vec<String>,
-    draw: Lcg,
+    rng: Lcg,
     now: u64,
 }
 
@@ -131,27 +133,27 @@
 
 impl CacheCalls {
     fn new(seed: u64) -> Self {
-        let mut draw = Lcg(seed);
-        let now = 1_700_000_000_000_000 + draw.below(1_000_000_000);
+        let mut rng = Lcg(seed);
+        let now = 1_700_000_000_000_000 + rng.below(1_000_000_000);
         let sealer = TokenSealer::new(&[seed as u8; 32]);
         CacheCalls {
             cache: ResultCache::new(sealer, LIMITS, now),
             slots: Vec::new(),
             tokens: vec!["no token".to_owned()],
-            draw,
+            rng,
             now,
         }
     }
 
     fn make_call(&mut self, call: u64, hash: &mut Fnv) {
-        self.now += self.draw.below(100_000);
-        match self.draw.below(12) {
+        self.now += self.rng.below(100_000);
+        match self.rng.below(12) {
             0..=3 => self.reserve(hash),
             4 | 5 => self.insert(call, hash),
             6 => drop(self.slots.pop()),
             7 | 8 => self.get(hash),
             9 => {
-                let token = self.drawn_token();
+                let token = self.any_token();
                 match self.cache.delete(self.now, &token) {
                     Ok(()) => hash.number(9),
                     Err(error) => write_error(hash, error),
@@ -159,8 +161,8 @@
             }
             10 => hash.number(self.cache.expire(self.now) as u64),
             _ => {
-                if self.draw.below(30) == 0 {
-                    let total_bytes = 4_000 + self.draw.below(10_000) as usize;
+                if self.rng.below(30) == 0 {
+                    let total_bytes = 4_000 + self.rng.below(10_000) as usize;
                     self.cache.set_limits(ResultLimits {
                         total_bytes,
                         ..LIMITS
@@ -175,8 +177,8 @@
         hash.number(self.cache.budget().capacity() as u64);
     }
 
-    fn drawn_token(&mut self) -> String {
-        let index = self.draw.below(self.tokens.len() as u64) as usize;
+    fn any_token(&mut self) -> String {
+        let index = self.rng.below(self.tokens.len() as u64) as usize;
         self.tokens[index].clone()
     }
 
@@ -197,7 +199,7 @@
         let Some(slot) = self.slots.pop() else {
             return;
         };
-        let bytes = self.draw.below(1_200) as usize;
+        let bytes = self.rng.below(1_200) as usize;
         let result = NewResult {
             pages: Rc::new(call),
             bytes,
@@ -205,7 +207,7 @@
                 request: call,
                 attempt: 7,
             },
-            expires_at: self.now + self.draw.below(5_000_000),
+            expires_at: self.now + self.rng.below(5_000_000),
         };
         let text = self.cache.insert(slot, result);
         hash.text(text.as_bytes());
@@ -213,7 +215,7 @@
     }
 
     fn get(&mut self, hash: &mut Fnv) {
-        let token = self.drawn_token();
+        let token = self.any_token();
         match self.cache.get(self.now, &token) {
             Ok(cached) => {
                 let token = cached.token;
@@ -229,7 +231,7 @@
 }
 
 #[test]
-fn cached_results_answer_as_they_did() {
+fn result_cache_answers_match_recorded_digest() {
     let mut hash = Fnv::new();
     for seed in 100..120u64 {
         let mut calls = CacheCalls::new(seed);
@@ -241,14 +243,14 @@
 }
 
 #[test]
-fn the_byte_budget_answers_as_it_did() {
+fn byte_budget_answers_match_recorded_digest() {
     let mut hash = Fnv::new();
-    let mut draw = Lcg(200);
+    let mut rng = Lcg(200);
     let budget = ByteBudget::new(10_000);
     let mut reservations = Vec::new();
     for _ in 0..20_000 {
-        match draw.below(5) {
-            0 | 1 => match budget.reserve(draw.below(3_000) as usize) {
+        match rng.below(5) {
+            0 | 1 => match budget.reserve(rng.below(3_000) as usize) {
                 Some(reservation) => {
                     hash.number(reservation.bytes() as u64);
                     reservations.push(reservation);
@@ -256,15 +258,15 @@
                 None => hash.number(u64::MAX),
             },
             2 if !reservations.is_empty() => {
-                let at = draw.below(reservations.len() as u64) as usize;
+                let at = rng.below(reservations.len() as u64) as usize;
                 reservations.swap_remove(at);
             }
             3 if !reservations.is_empty() => {
-                let at = draw.below(reservations.len() as u64) as usize;
-                reservations[at].shrink(draw.below(2_000) as usize);
+                let at = rng.below(reservations.len() as u64) as usize;
+                reservations[at].shrink(rng.below(2_000) as usize);
                 hash.number(reservations[at].bytes() as u64);
             }
-            4 if draw.below(50) == 0 => budget.resize(5_000 + draw.below(10_000) as usize),
+            4 if rng.below(50) == 0 => budget.resize(5_000 + rng.below(10_000) as usize),
             _ => {}
         }
         hash.number(budget.reserved() as u64);
@@ -274,11 +276,11 @@
 }
 
 #[test]
-fn the_timer_wheel_hands_out_as_it_did() {
+fn timer_wheel_expiries_match_recorded_digest() {
     let mut hash = Fnv::new();
     for seed in 300..310u64 {
-        let mut draw = Lcg(seed);
-        let mut now = draw.below(2_000_000_000_000_000);
+        let mut rng = Lcg(seed);
+        let mut now = rng.below(2_000_000_000_000_000);
         let mut wheel = TimerWheel::new(now);
         for entry in 0..10_000u64 {
             let span = [
@@ -290,13 +292,13 @@
                 90_000_000_000_000,
                 1 << 52,
             ];
-            let span = span[draw.below(7) as usize];
-            let delay = draw.below(span);
-            wheel.insert((now + delay).saturating_sub(draw.below(2_000)), entry);
-            if draw.below(3) == 0 {
+            let span = span[rng.below(7) as usize];
+            let delay = rng.below(span);
+            wheel.insert((now + delay).saturating_sub(rng.below(2_000)), entry);
+            if rng.below(3) == 0 {
                 let steps = [900, 60_000, 50_000_000, 70_000_000_000_000];
-                let step = steps[draw.below(4) as usize];
-                now += draw.below(step);
+                let step = steps[rng.below(4) as usize];
+                now += rng.below(step);
                 wheel.advance(now, |due| hash.number(due));
             }
             hash.number(wheel.next_expiry().unwrap_or(u64::MAX));
@@ -307,9 +309,9 @@
     assert_eq!(hash.0, 0x9e69_066a_a5f0_62ec, "{:#018x}", hash.0);
 }
 
-/// Clients hold tokens across calls; one of a fixed key has a fixed text.
+/// Clients keep tokens between calls, so the text of a token must not change for a given key.
 #[test]
-fn a_page_token_has_the_text_it_had() {
+fn page_token_text_matches_recorded_text() {
     let sealer = TokenSealer::new(&[0x5a; 32]);
     let token = PageToken {
         result_id: 1,
