--- a/hot-restart/src/predecessor.rs
+++ b/hot-restart/src/predecessor.rs
@@ -134,8 +134,8 @@
         self.pending_actions.extend([refuse, Action::Disconnect]);
     }
 
-    /// Transfers ownership. Accepting stops first, because a client or key accepted after the last
-    /// changes have been collected would be unknown to the successor.
+    /// Transfers ownership. Accepting stops first, because the successor would not learn of
+    /// anything accepted after the last changes to the state have been collected.
     fn hand_over(&mut self) {
         self.phase = Phase::HandedOver;
         self.pending_actions.extend([
