--- a/gateway/src/postgres/session_end.rs
+++ b/gateway/src/postgres/session_end.rs
@@ -28,7 +28,7 @@
     /// The start-up packet named no user.
     NoUser,
     /// The connection limit was reached, and no other connection could be evicted.
-    TooMany,
+    ConnectionLimit,
     /// This process closed the connection for the given reason.
     Requested(&'static str),
 }
@@ -64,7 +64,7 @@
             SessionEnd::Idle => "idle",
             SessionEnd::ProtocolViolation => "protocol_violation",
             SessionEnd::NoUser => "no_user",
-            SessionEnd::TooMany => "connection_limit",
+            SessionEnd::ConnectionLimit => "connection_limit",
             SessionEnd::Requested(reason) => reason,
         })
     }
--- a/gateway/src/postgres/sessions.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -191,7 +191,7 @@
         if linger.is_some() {
             net::linger(&stream).await;
         }
-        log::connection_ended("client", peer, SessionEnd::TooMany, 0);
+        log::connection_ended("client", peer, SessionEnd::ConnectionLimit, 0);
     }
 
     async fn run_session(
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -53,7 +53,7 @@
     /// What was received is no HTTP.
     ProtocolViolation,
     /// There are too many.
-    TooMany,
+    ConnectionLimit,
     /// It lasted too long.
     TooLong,
 }
@@ -65,7 +65,7 @@
             ConnectionEnd::Reset => "reset",
             ConnectionEnd::HeadTimeout => "head_timeout",
             ConnectionEnd::ProtocolViolation => "protocol_violation",
-            ConnectionEnd::TooMany => "connection_limit",
+            ConnectionEnd::ConnectionLimit => "connection_limit",
             ConnectionEnd::TooLong => "too_long",
         })
     }
@@ -86,7 +86,7 @@
     loop {
         match listener.accept().await {
             Ok((_, peer)) if Rc::strong_count(&open) > MAX_CONNECTIONS => {
-                log_end(peer, ConnectionEnd::TooMany);
+                log_end(peer, ConnectionEnd::ConnectionLimit);
             }
             Ok((stream, peer)) => {
                 let (member, open) = (Rc::clone(&member), Rc::clone(&open));
--- a/gateway/src/rest/connection_end.rs
+++ b/gateway/src/rest/connection_end.rs
@@ -20,7 +20,7 @@
     /// What was received is no HTTP.
     ProtocolViolation,
     /// There is no slot for it.
-    TooMany,
+    ConnectionLimit,
     /// This process closed it, for this reason.
     Requested(&'static str),
 }
@@ -35,7 +35,7 @@
             ConnectionEnd::HeadTimeout => "head_timeout",
             ConnectionEnd::Stalled => "stalled",
             ConnectionEnd::ProtocolViolation => "protocol_violation",
-            ConnectionEnd::TooMany => "connection_limit",
+            ConnectionEnd::ConnectionLimit => "connection_limit",
             ConnectionEnd::Requested(reason) => reason,
         })
     }
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -178,7 +178,7 @@
                     "every place is taken by a connection with a request open",
                 );
                 write_raw(&stream, &error);
-                log::connection_ended("rest", peer, ConnectionEnd::TooMany, 0);
+                log::connection_ended("rest", peer, ConnectionEnd::ConnectionLimit, 0);
             }
         }
     }
