--- a/gateway/src/admin/http.rs
+++ b/gateway/src/admin/http.rs
@@ -1,33 +1,34 @@
-//! HTTP/1.1, as far as one call to a connection needs it.
+//! The subset of HTTP/1.1 that the management API needs: one call per connection.
 
-/// The longest head and the longest body of a call.
+/// The maximum size of a call's head.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The maximum size of a call's body.
 const MAX_BODY_BYTES: usize = 4 * 1024;
-/// The most headers of a call.
+/// The maximum number of headers of a call.
 const MAX_HEADERS: usize = 64;
 
-/// Status codes that are given here.
+/// The status codes of the management API.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     /// The call was carried out.
     Ok = 200,
-    /// The call, or its body, can't be read.
+    /// The call or its body can't be parsed.
     BadRequest = 400,
-    /// No such path, or no such engine.
+    /// The path or the engine does not exist.
     NotFound = 404,
-    /// The path has another method.
+    /// The path does not support the method.
     MethodNotAllowed = 405,
-    /// The call was not complete in time.
+    /// The call did not arrive completely in time.
     RequestTimeout = 408,
-    /// A body without its length.
+    /// The call has a body of unstated length.
     LengthRequired = 411,
-    /// Another instance has to be called.
+    /// The call has to go to another instance.
     Conflict = 409,
     /// The body is too long.
     ContentTooLarge = 413,
     /// The head is too long.
     HeadTooLarge = 431,
-    /// Not at the moment.
+    /// The gateway can't carry out the call now, or is not ready.
     ServiceUnavailable = 503,
 }
 
@@ -48,22 +49,22 @@
     }
 }
 
-/// One complete call.
+/// A complete call, which borrows from the input buffer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Call<'a> {
-    /// The method.
+    /// The HTTP method as the client sent it.
     pub method: &'a str,
-    /// The path, without its query.
+    /// The path, without the query string.
     pub path: &'a str,
-    /// The body.
+    /// The body, of at most [`MAX_BODY_BYTES`].
     pub body: &'a [u8],
 }
 
-/// Reads the call at the start of `bytes`; `None` while it is not yet complete.
+/// Parses the call at the start of `bytes`. Returns `None` if it is not complete yet.
 ///
 /// # Errors
 ///
-/// The bytes are no call, or one that is too long.
+/// Returns the status to answer with if the bytes are not a valid call, or the call is too long.
 pub fn parse(bytes: &[u8]) -> Result<Option<Call<'_>>, Status> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -86,7 +87,7 @@
     }))
 }
 
-/// The length of the body, as the headers state it.
+/// Returns the length of the body as the headers state it; 0 if they state none.
 fn body_length(headers: &[httparse::Header<'_>]) -> Result<usize, Status> {
     let mut length = None;
     for header in headers {
@@ -98,7 +99,7 @@
             let stated = stated
                 .filter(|text| is_digits(text))
                 .ok_or(Status::BadRequest)?;
-            // Two lengths that differ leave it open where the call ends.
+            // If two lengths differ, the end of the call is ambiguous.
             if length.replace(stated).is_some_and(|other| other != stated) {
                 return Err(Status::BadRequest);
             }
@@ -113,11 +114,11 @@
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())
 }
 
-/// The complete answer to a call, after which the connection closes.
+/// Formats the complete answer to a call. It tells the client that the connection closes.
 #[must_use]
 pub fn response(status: Status, body: &str) -> Vec<u8> {
     let (code, phrase) = (status as u16, status.phrase());
-    // 405 has to name the methods of its path; every path here has one of these two.
+    // A 405 response has to name the allowed methods. Every path supports one of these two.
     let allow = if status == Status::MethodNotAllowed {
         "Allow: GET, PUT\r\n"
     } else {
--- a/gateway/src/admin/http/tests.rs
+++ b/gateway/src/admin/http/tests.rs
@@ -1,4 +1,4 @@
-//! Calls as bytes.
+//! Tests of the parser for management calls.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -8,7 +8,7 @@
 use super::*;
 
 #[test]
-fn a_call_may_arrive_in_any_pieces() {
+fn a_call_is_parsed_only_after_its_last_byte_has_arrived() {
     let bytes =
         b"PUT /admin/cordon?x=1 HTTP/1.1\r\nHost: a\r\ncontent-length: 14\r\n\r\n{\"host\":\"s-1\"}";
     for cut in 0..bytes.len() {
@@ -21,9 +21,10 @@
     );
 }
 
-/// What is no call, or is too long, differs from one that is not yet complete.
+/// Guards against waiting for more bytes of a call that is invalid or too long: the parser must
+/// tell it from an incomplete one.
 #[test]
-fn bytes_that_are_no_call_get_their_status() {
+fn invalid_and_too_long_calls_get_their_status() {
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(MAX_HEAD_BYTES));
     let many = format!(
         "GET / HTTP/1.1\r\n{}\r\n",
--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! Management: the second address, where operators make calls over HTTP/1.1, one to a connection.
+//! The management API: a second address for operators' calls over HTTP/1.1, one per connection.
 //!
-//! It knows nothing of clients, engines or the decisions: what a call does is behind
-//! [`Operations`].
+//! This module has no access to clients, engines or the decisions: [`Operations`] carries out the
+//! calls.
 
 mod http;
 pub mod operations;
@@ -25,14 +25,14 @@
 use crate::net;
 use http::{Call, Status};
 
-/// Connections that are served at a time. They come out of the descriptors that neither clients nor
-/// engines get; silent callers must not use up more than these.
+/// The maximum number of open connections. Their file descriptors come from the reserve that
+/// neither clients nor engines use, so that idle callers can't exhaust the descriptors.
 const MAX_CONNECTIONS: usize = 12;
-/// How long a call may take to arrive completely.
+/// The time within which a call has to arrive completely.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a caller may take no byte of its answer.
+/// The time within which the caller has to accept the whole answer.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a connection could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 const READ_CHUNK_BYTES: usize = 2048;
 
@@ -45,54 +45,54 @@
     "/admin/resume",
 ];
 
-/// The engine that a call names.
+/// The body of a cordon or uncordon call, which names the engine.
 #[derive(Deserialize)]
 struct CordonBody {
     host: String,
 }
 
-/// How an operation ended.
+/// The outcome of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// It is in force.
+    /// The change is in force.
     Done,
-    /// No engine has that name.
+    /// No engine has this name.
     UnknownEngine,
-    /// It was not committed in its time; it may still come into force.
+    /// The change was not committed in time; it may still come into force.
     OutcomeUnknown,
-    /// This instance subscribes to a cluster: only its members can commit it.
+    /// This instance is a subscriber of a cluster: only members can commit the change.
     NotAMember,
 }
 
-/// An operation under way.
+/// An operation that is being carried out.
 pub type PendingOperation<'a> = Pin<Box<dyn Future<Output = OperationOutcome> + 'a>>;
 
-/// What operators may ask of the program.
+/// The operations that the management API offers.
 pub trait Operations {
-    /// Whether this process can serve.
+    /// Returns whether this process is ready to serve clients.
     fn is_healthy(&self) -> bool;
-    /// All metrics, in the text format of Prometheus.
+    /// Returns all metrics in the Prometheus text format.
     fn metrics(&self) -> String;
-    /// Cordons an engine, to which nothing more is sent, or uncordons it.
+    /// Cordons an engine, so that it gets no more queries, or uncordons it.
     fn set_cordon<'a>(&'a self, engine: &'a str, cordoned: bool) -> PendingOperation<'a>;
-    /// Drains this instance, so that clients connect elsewhere, or ends that.
+    /// Drains this instance, so that clients connect elsewhere, or ends the drain.
     fn set_drain(&self, drained: bool) -> PendingOperation<'_>;
 }
 
-/// Why a management connection ended; its text is the reason code in the log.
+/// Why a management connection ended. The `Display` form is the reason code in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
     /// A call was answered.
     Answered,
-    /// The caller closed it before it had sent a complete call.
+    /// The caller closed the connection before it had sent a complete call.
     Closed,
-    /// It broke.
+    /// Reading or writing failed.
     Reset,
-    /// No complete call in time.
+    /// No complete call arrived within [`CALL_TIMEOUT`].
     CallTimeout,
-    /// The caller took no byte of its answer for too long.
+    /// The caller did not accept the whole answer within [`WRITE_TIMEOUT`].
     Stalled,
-    /// This process closed it, for this reason.
+    /// This process closed the connection, for the given reason.
     Requested(&'static str),
 }
 
@@ -116,7 +116,7 @@
 }
 
 impl CallAnswer {
-    /// An answer of one line.
+    /// Creates an answer whose body is one line.
     fn one_line(status: Status, text: &str) -> Self {
         CallAnswer {
             status,
@@ -129,7 +129,7 @@
     }
 }
 
-/// The management side.
+/// The server of the management API.
 pub struct Admin {
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
@@ -138,7 +138,7 @@
 }
 
 impl Admin {
-    /// Creates the management side.
+    /// Creates the server. [`Admin::listen`] starts it.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -153,12 +153,12 @@
         })
     }
 
-    /// Accepts calls for ever.
+    /// Accepts connections forever.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
-                // At the limit the longest silent one is evicted; a call that is here is answered
-                // in the step that reads it, so that a connection is never busy for long.
+                // At the limit, the connection that has been silent for longest is evicted. A call
+                // is answered as soon as it is read, so no connection is busy for long.
                 Ok((stream, peer)) => {
                     if let Some(slot) = self.limiter.acquire(self.clock.now()) {
                         let connection = Rc::clone(&self).run_connection(stream, peer, slot);
@@ -202,7 +202,7 @@
         log::connection_ended("management", peer, end, calls);
     }
 
-    /// Reads a call, in whatever pieces it arrives, and carries it out.
+    /// Reads a call, which may arrive in several pieces, and carries it out.
     async fn call(
         &self,
         stream: &Async<TcpStream>,
@@ -269,7 +269,7 @@
     }
 }
 
-/// Logs a call that changes something.
+/// Logs a call, unless it only reads.
 fn log_change(peer: SocketAddr, call: &Call<'_>, answer: &CallAnswer) {
     if call.method != "GET" {
         let (method, path, code) = (call.method, call.path, answer.status as u16);
@@ -297,7 +297,7 @@
     }
 }
 
-/// Writes the answer and shuts the connection.
+/// Writes the answer and closes the connection.
 async fn respond(stream: &Async<TcpStream>, answer: &CallAnswer) -> ConnectionEnd {
     let output = answer.to_bytes();
     let timed_out = async {
--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -1,4 +1,5 @@
-//! What operators' calls do: the one place that reaches the program's parts for management.
+//! Carries out operators' calls. Only this module connects the management API with the other parts
+//! of the gateway.
 
 use std::cell::RefCell;
 use std::future::ready;
@@ -22,50 +23,51 @@
 use crate::rest::RestFrontend;
 use crate::stats::Stats;
 
-/// How long an event bus that does not answer delays readiness; engines are known from the
-/// configuration all the same.
+/// How long readiness waits for the first message of the event bus. The engines of the
+/// configuration are known without it.
 const BUS_WAIT: Duration = Duration::from_secs(1);
-/// How often the cordon file is read: calls to the process beside this one are in force here, too.
+/// How often the cordon file is read. The processes of one gateway share it, so that a call to one
+/// of them takes effect in all.
 const CORDON_FILE_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a call that has to be committed may take.
+/// The time within which a change has to be committed to the cluster.
 const COMMIT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Who requested what is called for here, in the change log.
+/// The operator name under which changes by management calls appear in the cluster's change log.
 const OPERATOR: &str = "management";
 
-/// The parts of the program that operators' calls reach.
+/// The parts of the gateway that operators' calls read and change.
 pub struct OperationTargets {
-    /// Where the event bus is, and whether it has said anything.
+    /// The connection to the event bus.
     pub discovery: Rc<DiscoverySource>,
-    /// Engine ids by name.
+    /// The engine ids by name.
     pub engine_ids: Rc<EngineIds>,
-    /// The decisions.
+    /// The dispatcher, which applies cordons.
     pub dispatch: Rc<Dispatch>,
-    /// Whether clients are let in.
+    /// The drain state of this process.
     pub drain: Rc<DrainState>,
     /// The request metrics.
     pub stats: Rc<Stats>,
-    /// The REST front end, if there is one.
+    /// The REST front end, if it is configured.
     pub rest: Option<Rc<RestFrontend>>,
-    /// The stored cordons.
+    /// The file that stores the cordons of a gateway outside a cluster.
     pub cordon_file: CordonFile,
-    /// This instance's part in a cluster, if it has one.
+    /// This instance's role in a cluster, if it takes part in one.
     pub cluster: Option<Participant>,
-    /// The fleet that this gateway belongs to, if it does to one.
+    /// The membership of a fleet, if the gateway belongs to one.
     pub fleet: Option<Rc<FleetMembership>>,
 }
 
-/// The operations of a gateway.
+/// The [`Operations`] of a gateway.
 pub struct GatewayOperations {
     clock: Clock,
     started_at: Micros,
     targets: OperationTargets,
-    /// Engines that are cordoned, as far as this process has carried it out.
+    /// The names of the engines that this process has cordoned from the cordon file.
     cordons: RefCell<EngineNames>,
 }
 
 impl GatewayOperations {
-    /// Creates the operations, and cordons the engines that were cordoned before. The clients'
-    /// address has to be bound by now, and the initial engine list known.
+    /// Creates the operations and cordons the engines in the cordon file. Must be called after the
+    /// client address is bound and the initial engine list is known.
     #[must_use]
     pub fn new(clock: Clock, targets: OperationTargets) -> Rc<Self> {
         let operations = GatewayOperations {
@@ -80,8 +82,8 @@
         Rc::new(operations)
     }
 
-    /// Carries out, for ever, what another process of this gateway was called for. The shared
-    /// configuration of a cluster arrives another way.
+    /// Applies changes of the cordon file that other processes of this gateway make. Runs forever,
+    /// but returns at once in a cluster, whose cordons are part of the shared configuration.
     pub async fn follow_cordon_file(&self) {
         if self.targets.cluster.is_some() {
             return;
@@ -90,14 +92,14 @@
         loop {
             Timer::after(CORDON_FILE_INTERVAL).await;
             let was_corrupt = std::mem::replace(&mut is_corrupt, !self.load_cordons());
-            // Logged once: a file that remains corrupt would fill the log.
+            // Logged only once, because a file that remains corrupt would fill the log.
             if is_corrupt && !was_corrupt {
                 log::write_line("cordons can't be read; those in force here stay");
             }
         }
     }
 
-    /// Carries out what the cordon file holds. False: it can't be read.
+    /// Applies the cordons of the cordon file. Returns false if the file can't be read.
     fn load_cordons(&self) -> bool {
         let stored = self.targets.cordon_file.load();
         if let Ok(Some(names)) = &stored {
@@ -131,7 +133,7 @@
         OperationOutcome::Done
     }
 
-    /// Metrics of the event bus, which are shown beside those of a cluster or a fleet.
+    /// Returns the traffic metrics of the event bus, shown only in a cluster or a fleet.
     fn discovery_metrics(&self) -> String {
         let traffic = self.targets.discovery.traffic();
         let mut out = MetricsText::new();
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -1,5 +1,5 @@
-//! This gateway as a member of a fleet: events of the membership go to the decisions, the log and
-//! the metrics. It decides nothing.
+//! This gateway's membership of a fleet. Reports membership events to the decisions, the log and
+//! the metrics, and makes no decisions itself.
 
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
 
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// The gateway can't take part in its fleet: its address is not available.
+/// The gateway can't join its fleet because its address is not available.
 #[derive(Debug, Error)]
 #[error("`fleet.listen` {listen}: {error}")]
 pub struct FleetStartError {
@@ -28,27 +28,27 @@
     error: StartError,
 }
 
-/// Bytes of datagrams since the start.
+/// The traffic of the membership protocol since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FleetTraffic {
-    /// Bytes sent.
+    /// The size of all datagrams sent.
     pub sent_bytes: u64,
-    /// Bytes received.
+    /// The size of all datagrams received.
     pub received_bytes: u64,
 }
 
-/// This gateway's membership of its fleet.
+/// The membership of this gateway in its fleet.
 pub struct FleetMembership {
     clock: Clock,
     node: Rc<MembershipNode>,
 }
 
 impl FleetMembership {
-    /// Begins to take part; `configured_size` is the number of gateways that the platform states.
+    /// Joins the fleet. `configured_size` is the number of gateways that the platform configures.
     ///
     /// # Errors
     ///
-    /// The address is not available.
+    /// Returns an error if the address is not available.
     pub fn start(
         executor: &LocalExecutor<'static>,
         settings: &settings::Fleet,
@@ -80,12 +80,12 @@
         Ok(FleetMembership { clock, node })
     }
 
-    /// Removes this gateway from the fleet, as its process ends.
+    /// Leaves the fleet. Called when the process ends.
     pub fn leave(&self) {
         self.node.leave();
     }
 
-    /// Bytes of datagrams since the start.
+    /// Returns the bytes sent and received since the start of the process.
     #[must_use]
     pub fn traffic(&self) -> FleetTraffic {
         let counters = self.node.counters();
@@ -95,13 +95,13 @@
         }
     }
 
-    /// The number of gateways that the decisions reckon with, this one included.
+    /// Returns the number of gateways that the decisions assume, including this one.
     #[must_use]
     pub fn fleet_size(&self) -> u32 {
         self.node.fleet_size()
     }
 
-    /// The metrics, in the text format of Prometheus.
+    /// Returns the metrics of the fleet in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let counters = self.node.counters();
@@ -155,7 +155,7 @@
     }
 }
 
-/// A member's state, as the log and the metrics name it.
+/// Returns the name of a member's state in the log and the metrics.
 fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
@@ -182,7 +182,7 @@
         MembershipEvent::LinkChanged {
             member,
             link: LinkState::Restored,
-        } => log::write_line(format_args!("fleet: the link to {member} is whole again")),
+        } => log::write_line(format_args!("fleet: the link to {member} is restored")),
         MembershipEvent::Superseded => log::write_line(
             "fleet: a newer process has this front end's name, this one has left the fleet",
         ),
@@ -198,7 +198,8 @@
     }
 }
 
-/// Writes how long a member has been in its state, and its link cut, in seconds.
+/// Writes for how many seconds a member has been in its state and, if its link is cut, for how many
+/// seconds it has been cut.
 fn write_member(out: &mut MetricsText, member: &Member, now: Micros) {
     let seconds_since = |since| now.saturating_sub(since) / MICROS_PER_SECOND;
     let address = member.addr.to_string();
--- a/gateway/src/http_error.rs
+++ b/gateway/src/http_error.rs
@@ -1,4 +1,4 @@
-//! Errors over HTTP, as the REST front end and the cluster API report them.
+//! HTTP errors of the REST front end and the cluster API.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -12,20 +12,21 @@
 const MICROS_PER_MS: Micros = 1_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// Why a call over HTTP failed: application/problem+json (RFC 9457).
+/// An HTTP error response with a problem details body (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpError {
-    /// The status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The last part of its type.
+    /// The last part of the problem type, `urn:violetgate:problem:KIND`.
     pub kind: &'static str,
-    /// What went wrong, in words.
+    /// A description of the error for the reader of the response.
     pub detail: String,
-    /// After how many microseconds a retry may succeed.
+    /// The time in microseconds after which a retry may succeed.
     pub retry_after: Option<Micros>,
-    /// The methods that the path takes, where another one was used.
+    /// The methods that the path supports, if the request used another one.
     pub allow: Option<&'static str>,
-    /// Nothing that follows on this connection can be read.
+    /// Whether the connection closes after the response, because the rest of the request was not
+    /// read.
     pub closes_connection: bool,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl HttpError {
-    /// An error of a kind.
+    /// Creates an error without retry time that leaves the connection open.
     #[must_use]
     pub fn new(status: StatusCode, kind: &'static str, detail: impl Into<String>) -> Self {
         HttpError {
@@ -53,7 +54,8 @@
         }
     }
 
-    /// The path takes other methods.
+    /// Creates the error for a method that the path does not support; `allow` lists the methods
+    /// that it does.
     #[must_use]
     pub fn method_not_allowed(allow: &'static str) -> Self {
         let detail = format!("this path takes {allow}");
@@ -63,7 +65,7 @@
         }
     }
 
-    /// With the time in microseconds after which a retry may succeed.
+    /// Sets the time in microseconds after which a retry may succeed.
     #[must_use]
     pub fn with_retry_after(self, retry_after: Micros) -> Self {
         HttpError {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// With the end of the connection.
+    /// Makes the connection close after the response.
     #[must_use]
     pub fn closing(self) -> Self {
         HttpError {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Its body.
+    /// Returns the body of the response, as JSON.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
         let body = ProblemBody {
@@ -94,14 +96,14 @@
         serde_json::to_vec(&body).unwrap_or_default()
     }
 
-    /// Seconds for the Retry-After header, rounded up, at least one.
+    /// Returns the value of the `Retry-After` header in seconds, rounded up and at least 1.
     #[must_use]
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after
             .map(|at| at.div_ceil(MICROS_PER_SECOND).max(1))
     }
 
-    /// The response that reports it.
+    /// Returns the complete HTTP response.
     #[must_use]
     pub fn response(&self) -> Response<Full<Bytes>> {
         let mut response = Response::new(Full::from(self.body()));
