--- a/gateway/src/rest/connection.rs
+++ b/gateway/src/rest/connection.rs
@@ -1,4 +1,4 @@
-//! One REST connection, from its start to its end.
+//! Serves one REST connection from accept to close.
 
 use std::convert::Infallible;
 use std::future::{poll_fn, Future};
@@ -21,7 +21,7 @@
 use crate::log;
 use crate::net;
 
-/// The most headers of a request.
+/// The maximum number of headers of a request.
 const MAX_HEADERS: usize = 64;
 
 impl RestFrontend {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Serves a connection up to its end.
+    /// Serves a connection until it ends, and returns the reason.
     async fn serve(
         self: &Rc<Self>,
         stream: &Rc<Async<TcpStream>>,
@@ -82,7 +82,7 @@
             if closing.is_none() {
                 if let Poll::Ready(reason) = close_requested.as_mut().poll(context) {
                     closing = Some(reason);
-                    // What is here is answered, and then it closes.
+                    // Requests that have already arrived are still answered.
                     server.as_mut().graceful_shutdown();
                     if let Poll::Ready(result) = server.as_mut().poll(context) {
                         return Poll::Ready(Ok(result));
@@ -113,14 +113,14 @@
     )
 }
 
-/// Why the HTTP server ended by itself.
+/// Returns why the connection ended after the HTTP server stopped without a request to close.
 fn end_of_server(result: hyper::Result<()>, watch: &ConnectionWatch) -> ConnectionEnd {
     if watch.phase() == Phase::Request {
         return ConnectionEnd::ClosedDuringRequest;
     }
     match result {
         Ok(()) => ConnectionEnd::Closed,
-        // The server has answered with the status for it.
+        // The server has already answered with the status for the parse error.
         Err(error) if error.is_parse() => {
             watch.has_unread_input.set(true);
             ConnectionEnd::ProtocolViolation
@@ -130,12 +130,14 @@
     }
 }
 
-/// The timer of a connection's phases, which is set anew only for an earlier deadline: one that
-/// fires too early is checked again, and most of them never fire.
+/// The timer for the timeouts of a connection's phases.
+///
+/// It is set again only for an earlier deadline, because most deadlines are replaced before they
+/// pass. When it fires too early, the current deadline is checked and the timer set to it.
 struct DeadlineTimer {
     clock: Clock,
     timer: Timer,
-    /// The time that it is set to.
+    /// The time at which the timer fires; `None` if it is not set.
     armed_at: Option<Micros>,
 }
 
@@ -148,7 +150,7 @@
         }
     }
 
-    /// Why the connection has to end, once it has timed out.
+    /// Completes with the reason when the current phase has timed out.
     fn poll(
         &mut self,
         watch: &ConnectionWatch,
--- a/gateway/src/rest/connection_end.rs
+++ b/gateway/src/rest/connection_end.rs
@@ -1,27 +1,27 @@
-//! Why a REST connection ended.
+//! The reasons for which REST connections end.
 
 use std::fmt;
 
-/// Why a REST connection ended; its text is the reason code in the log.
+/// Why a REST connection ended. The `Display` form is the reason code in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// The client closed it.
+    /// The client closed the connection while no request was open.
     Closed,
-    /// The client closed it while a request was open.
+    /// The client closed the connection while a request was open.
     ClosedDuringRequest,
-    /// It broke.
+    /// Reading or writing failed.
     Reset,
-    /// No request for long.
+    /// The client sent no request within the idle timeout.
     Idle,
-    /// The head of a request was not complete in time.
+    /// The head of a request did not arrive completely in time.
     HeadTimeout,
-    /// The client took no byte of its answer for too long.
+    /// The client accepted no data of its answer within the write timeout.
     Stalled,
-    /// What was received is no HTTP.
+    /// The received data is not valid HTTP.
     ProtocolViolation,
-    /// There is no slot for it.
+    /// The connection limit was reached, and no connection could be evicted.
     ConnectionLimit,
-    /// This process closed it, for this reason.
+    /// This process closed the connection, for the given reason.
     Requested(&'static str),
 }
 
--- a/gateway/src/rest/metrics.rs
+++ b/gateway/src/rest/metrics.rs
@@ -1,4 +1,4 @@
-//! The REST front end's counts, and how the metrics show them.
+//! The counters and metrics of the REST front end.
 
 use std::cell::Cell;
 
@@ -7,21 +7,23 @@
 use crate::metrics::catalog::rest;
 use crate::metrics::text::MetricsText;
 
-/// Counts since the start.
+/// Counts since the start of the process.
 #[derive(Default)]
 pub(super) struct Counters {
-    /// Further pages served.
+    /// The number of pages fetched from stored results. The page that answers a query is not
+    /// counted.
     pub pages: Cell<u64>,
-    /// Pages requested after their time.
+    /// The number of requests for a result that has expired or was deleted.
     pub expired_pages: Cell<u64>,
-    /// Tokens that nobody here has made.
+    /// The number of requests with a token that this process did not create, or with a page number
+    /// that the result does not have.
     pub unknown_tokens: Cell<u64>,
-    /// Queries rejected as the results of others take all capacity.
+    /// The number of queries rejected because stored results take all capacity.
     pub results_full: Cell<u64>,
 }
 
 impl RestFrontend {
-    /// The metrics.
+    /// Returns the metrics of the front end in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let results = self.parts.results.borrow();
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -1,9 +1,10 @@
-//! The REST front end: queries over HTTP/1.1, results in pages. docs/rest.md is its design,
-//! docs/openapi.yaml its description.
+//! The REST front end: queries over HTTP/1.1 with paged results. docs/rest.md describes the design,
+//! docs/openapi.yaml the API.
 //!
-//! It submits queries to a [`RequestSink`] as the PostgreSQL front end does, and knows neither that
-//! nor the engines. It decides nothing about a query: what is rejected to shed load is the decision
-//! module's, what is rejected for want of capacity for results, or for a key, the result store's.
+//! It submits queries to a [`RequestSink`], as the PostgreSQL front end does, and depends neither
+//! on that front end nor on the engines. It makes no decisions about queries: the decision module
+//! rejects queries to shed load, and the result store rejects them if it has no capacity for their
+//! results or because of their idempotency key.
 
 mod connection;
 mod connection_end;
@@ -42,45 +43,45 @@
 use connection_end::ConnectionEnd;
 use metrics::Counters;
 
-/// The pause after a connection could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How often expired results are removed, and a drain is looked for.
+/// How often expired results are removed and idle connections are closed during a drain.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 
 type Reply = Response<Full<Bytes>>;
 
-/// The parts of the program that the front end uses.
+/// The parts of the gateway that the front end uses.
 pub struct RestParts {
-    /// Where tasks run.
+    /// The executor of the connection tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// The one clock.
+    /// The clock that all parts of the gateway share.
     pub clock: Clock,
-    /// Where queries are submitted.
+    /// The receiver of queries.
     pub sink: Rc<dyn RequestSink>,
-    /// The names of classes and tenants.
+    /// The names of the classes and tenants that queries may state.
     pub names: NameTable,
     /// The request metrics.
     pub stats: Rc<Stats>,
-    /// Whether clients are let in.
+    /// The drain state of this process.
     pub drain: Rc<DrainState>,
-    /// The results whose pages were promised.
+    /// The stored results, whose pages clients can fetch until they expire.
     pub results: Rc<RefCell<ResultCache<QueryResult>>>,
-    /// The idempotency keys.
+    /// The layer that stores idempotency keys and recognises repeated queries.
     pub idempotency: Rc<IdempotencyLayer>,
 }
 
-/// The REST front end.
+/// The server of the REST protocol.
 pub struct RestFrontend {
     parts: RestParts,
     limiter: ConnectionLimiter,
     limits: RefCell<settings::Rest>,
     rng: RefCell<ChaCha8Rng>,
-    /// Requests that are open.
+    /// The number of open requests.
     busy: Cell<usize>,
     counters: Counters,
 }
 
-/// The limits on results that the settings name.
+/// Returns the limits of the result store that the settings define.
 #[must_use]
 pub fn result_limits(settings: &settings::Rest) -> ResultLimits {
     ResultLimits {
@@ -91,7 +92,7 @@
 }
 
 impl RestFrontend {
-    /// Creates the front end for `max_connections` connections; request ids are drawn from `rng`.
+    /// Creates a front end for up to `max_connections` connections. Request ids come from `rng`.
     #[must_use]
     pub fn new(
         parts: RestParts,
@@ -109,7 +110,7 @@
         })
     }
 
-    /// Applies the limits of new settings; the address where it listens does not change.
+    /// Applies the limits of new settings. The listen address does not change.
     pub fn apply_limits(&self, settings: &settings::Rest) {
         *self.limits.borrow_mut() = settings.clone();
         let limits = result_limits(settings);
@@ -117,19 +118,19 @@
         self.parts.idempotency.resize(settings.idempotency_keys);
     }
 
-    /// Changes how many connections there may be.
+    /// Changes the maximum number of connections.
     pub fn resize(&self, max_connections: usize) {
         self.limiter.resize(max_connections, self.parts.clock.now());
     }
 
-    /// The number of open requests, and of connections whose clients may still fetch pages that
-    /// they were promised.
+    /// Returns the number of open requests plus the number of connections whose clients may still
+    /// fetch further pages of a result.
     #[must_use]
     pub fn busy_or_sticky(&self) -> usize {
         self.busy.get() + self.limiter.sticky_count(self.parts.clock.now())
     }
 
-    /// Removes expired results, and closes idle connections during a drain, for ever.
+    /// Removes expired results, and closes idle connections during a drain. Runs forever.
     pub async fn sweep(&self) {
         loop {
             Timer::after(SWEEP_INTERVAL).await;
@@ -141,7 +142,7 @@
         }
     }
 
-    /// Accepts connections for ever.
+    /// Accepts connections forever.
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
             match listener.accept().await {
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Closes the listener. Connections that the kernel has queued for it are accepted in the same
-    /// step: they would be reset with it.
+    /// Closes the listener after accepting the connections in the kernel's queue, which would
+    /// otherwise be reset.
     pub fn close_listener(self: &Rc<Self>, listener: Rc<Async<TcpListener>>) {
         while let Ok((stream, peer)) = listener.get_ref().accept() {
             if let Ok(stream) = Async::new(stream) {
@@ -184,7 +185,8 @@
     }
 }
 
-/// Writes an error where no HTTP server does, in one write that an empty socket takes completely.
+/// Writes an error response without the HTTP server. The response is short enough that an empty
+/// socket buffer takes it in one write.
 fn write_raw(stream: &Async<TcpStream>, error: &HttpError) {
     let body = error.body();
     let head = format!(
--- a/gateway/src/rest/pages.rs
+++ b/gateway/src/rest/pages.rs
@@ -1,5 +1,5 @@
-//! Results in pages: the first one answers the query, further ones stay fetchable for the client's
-//! time.
+//! Paged results: the first page answers the query, and clients can fetch further pages until the
+//! time that the query allows has passed.
 
 use std::rc::Rc;
 
@@ -16,12 +16,12 @@
 use crate::http_error::HttpError;
 use crate::stats::increment;
 
-/// Clients count pages from 1; engines count them from 0.
+/// The number of the first page in the REST protocol. Engines count pages from 0.
 const FIRST_PAGE: usize = 1;
 
 impl RestFrontend {
-    /// The answer to a query that was served. A result of one page is complete in it; others stay
-    /// fetchable until `expires_at`.
+    /// Returns the answer to a query that was served. A result of several pages is stored, and its
+    /// pages can be fetched until `expires_at`.
     pub(super) fn first_page(
         &self,
         result: Rc<QueryResult>,
@@ -50,7 +50,7 @@
         page_reply(&result, FIRST_PAGE, Some(continuation))
     }
 
-    /// A further page, from 1.
+    /// Returns a page of a stored result. `page` counts from 1.
     pub(super) fn fetch_page(
         &self,
         token: &str,
@@ -66,13 +66,13 @@
         }
         increment(&self.counters.pages);
         let is_last = page == result.pages.len();
-        // Its last page read, a client needs this process no more.
+        // After the last page, the client no longer depends on this process.
         watch.set_sticky_until(if is_last { 0 } else { expires_at });
         let continuation = Continuation { token, expires_at };
         Ok(page_reply(&result, page, Some(continuation)))
     }
 
-    /// Deletes a result.
+    /// Deletes a stored result.
     pub(super) fn delete(&self, token: &str) -> Result<Reply, HttpError> {
         let now = self.parts.clock.now();
         let deleted = self.parts.results.borrow_mut().delete(now, token);
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/queries`: one query, from its request to the first page of its result.
+//! `POST /v1/queries`: runs a query and returns the first page of its result.
 
 use std::rc::Rc;
 
@@ -13,10 +13,11 @@
 use crate::http_error::HttpError;
 use crate::stats::{increment, RequestEnding};
 
-/// Request ids are random; for one that is in use another is generated, so often at most.
+/// How many random request ids are tried before a query fails. An id that is already in use is
+/// replaced by another one.
 const MAX_ID_DRAWS: u32 = 4;
 
-/// The status of a rejection: a retry does no harm.
+/// The status of a rejected query. The client may safely retry it.
 const REJECTED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
 impl RestFrontend {
@@ -41,7 +42,7 @@
         ))
     }
 
-    /// Runs one query, and counts how it ended; `Err`: its id is in use.
+    /// Runs a query and counts its outcome. Returns `Err` if its request id is in use.
     async fn run_query(
         &self,
         request: Request,
@@ -60,7 +61,7 @@
         Ok(reply)
     }
 
-    /// Reserves capacity for a result, unless this instance drains or has none left.
+    /// Reserves capacity for a result. Fails if this instance is draining or has no capacity left.
     fn reserve_result(&self, now: Micros) -> Result<ResultSlot, HttpError> {
         if self.parts.drain.rejects_requests(now) {
             return Err(draining());
@@ -97,8 +98,8 @@
     }
 }
 
-/// A query that waits for its answer. Dropped before that, as when its client has disconnected, it
-/// is withdrawn.
+/// Withdraws a query if it is dropped before the query is answered, for example because the client
+/// has disconnected.
 struct WithdrawGuard<'a> {
     sink: &'a Rc<dyn RequestSink>,
     query: Option<QueryId>,
@@ -123,7 +124,7 @@
     HttpError::new(REJECTED, "draining", detail).with_retry_after(0)
 }
 
-/// The error that reports an answer other than a result.
+/// Returns the error that reports an answer other than a result.
 fn error_of(answer: &Answer) -> HttpError {
     match answer {
         Answer::Rejected { retry_after } => {
--- a/gateway/src/rest/routes.rs
+++ b/gateway/src/rest/routes.rs
@@ -1,5 +1,5 @@
-//! What one request of the REST front end requests: a query, a page of a result, or the end of a
-//! result.
+//! Routes a request of the REST front end: it runs a query, or fetches a page of a result, or
+//! deletes a result.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use super::{Reply, RestFrontend};
 use crate::http_error::HttpError;
 
-/// Counts a request as open for as long as it exists.
+/// Counts a request as open until the guard is dropped.
 struct BusyGuard<'a>(&'a Cell<usize>);
 
 impl<'a> BusyGuard<'a> {
@@ -48,8 +48,8 @@
             error.response()
         });
         let now = self.parts.clock.now();
-        // Pages that its client may still fetch here keep a connection open, as no other process
-        // has them.
+        // While the client may fetch further pages, the connection stays open during a drain: no
+        // other process has these pages.
         let is_sticky = watch.sticky_until() > now;
         if self.parts.drain.close_reason(now).is_some() && !is_sticky {
             let close = HeaderValue::from_static("close");
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Reads a body completely, within its limits.
+    /// Reads a complete body within the size and time limits of the settings.
     async fn read_body(&self, body: Incoming) -> Result<Vec<u8>, HttpError> {
         let (max_bytes, timeout) = {
             let limits = self.limits.borrow();
             (limits.max_body.0 as usize, limits.body_timeout.0)
         };
-        // A stated length is checked before a byte is read, and before `100 Continue` is sent.
+        // A declared length is checked before hyper reads the body or sends `100 Continue`.
         if body.size_hint().lower() > max_bytes as u64 {
             return Err(body_too_large(max_bytes));
         }
@@ -108,7 +108,7 @@
             let detail = format!("the body can't be read: {error}");
             HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail).closing()
         })?;
-        // Trailers are ignored.
+        // Trailers have no data frame and are ignored.
         let data = frame.into_data().unwrap_or_default();
         if bytes.len() + data.len() > max_bytes {
             return Err(body_too_large(max_bytes));
--- a/gateway/src/rest/watch.rs
+++ b/gateway/src/rest/watch.rs
@@ -1,6 +1,6 @@
-//! What a REST connection does, since when, and whether its client takes what is written: what its
-//! timeouts need. The HTTP server reads and writes through a [`WatchedStream`] and knows nothing of
-//! it.
+//! Tracks the phase of a REST connection, the start time of the phase, and whether writes are
+//! blocked. Timeouts are based on these. The HTTP server reads and writes through a
+//! [`WatchedStream`], which updates them.
 
 use std::cell::Cell;
 use std::io::{self, Read};
@@ -18,56 +18,57 @@
 use crate::clock::{micros, Clock};
 use crate::connection_limit::{ConnectionSlot, ConnectionState};
 
-/// What a connection does.
+/// The phase of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It may send a request, and does not.
+    /// The client has not begun a request.
     Idle,
-    /// Some of a request's head is here.
+    /// The head of a request has arrived in part.
     Head,
-    /// A request is being read, or waits for its answer.
+    /// The body of a request is being read, or the request waits for its answer.
     Request,
     /// An answer is being written.
     Answer,
 }
 
-/// How long a phase may last.
+/// The maximum durations of the phases that have a timeout.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PhaseTimeouts {
-    /// Without a request.
+    /// The time that a connection may be idle.
     pub idle: Duration,
-    /// With an incomplete head.
+    /// The time in which the head of a request has to arrive completely.
     pub head: Duration,
-    /// Without taking a byte of its answer.
+    /// The time for which writes may be blocked.
     pub write: Duration,
 }
 
-/// When a phase times out.
+/// The time at which a phase times out.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PhaseDeadline {
-    /// The moment, in microseconds since the Unix epoch.
+    /// The time in microseconds since the Unix epoch.
     pub at: Micros,
-    /// Why the connection ends then.
+    /// The reason for which the connection ends at that time.
     pub end: ConnectionEnd,
 }
 
-/// What is known of a connection.
+/// The activity of a connection.
 pub(super) struct ConnectionWatch {
     clock: Clock,
     slot: Rc<ConnectionSlot>,
     phase: Cell<Phase>,
-    /// Since when it is in this phase.
+    /// The time at which the current phase began.
     since: Cell<Micros>,
-    /// Since when it has taken nothing, though there is more to write.
+    /// The time since which writes have been blocked; `None` if the last write was accepted.
     blocked_since: Cell<Option<Micros>>,
-    /// Requests answered so far.
+    /// The number of requests answered so far.
     pub answered: Cell<u64>,
-    /// A request was answered before its body was read: what still arrives has to be read over.
+    /// Whether a request was answered before its input was read completely. The rest has to be read
+    /// and discarded before the connection closes.
     pub has_unread_input: Cell<bool>,
 }
 
 impl ConnectionWatch {
-    /// A connection that has just come up.
+    /// Creates the state of a connection that was just accepted.
     pub(super) fn new(clock: Clock, slot: Rc<ConnectionSlot>) -> Rc<Self> {
         Rc::new(ConnectionWatch {
             clock,
@@ -84,7 +85,7 @@
         self.phase.get()
     }
 
-    /// Records what the connection does from now on.
+    /// Records the start of a phase. Setting the current phase again keeps its start time.
     pub(super) fn set_phase(&self, phase: Phase) {
         if self.phase() == phase {
             return;
@@ -100,17 +101,19 @@
         self.slot.set_state(state, now);
     }
 
-    /// Its client was promised further pages until then, and needs this very process.
+    /// Records the time, in microseconds since the Unix epoch, until which the client can fetch
+    /// further pages, which only this process has.
     pub(super) fn set_sticky_until(&self, until: Micros) {
         self.slot.set_sticky_until(until);
     }
 
-    /// Until when its client needs this very process.
+    /// Returns the time until which the client depends on this process. It is 0 or in the past if
+    /// the client does not depend on it now.
     pub(super) fn sticky_until(&self) -> Micros {
         self.slot.sticky_until()
     }
 
-    /// When the connection times out as things are now.
+    /// Returns the time at which the current phase times out; `None` if it has no timeout.
     pub(super) fn deadline(&self, timeouts: &PhaseTimeouts) -> Option<PhaseDeadline> {
         let since = self.since.get();
         let (since, timeout, end) = match (self.phase(), self.blocked_since.get()) {
@@ -134,17 +137,19 @@
     }
 }
 
-/// A connection's bytes, as the HTTP server reads and writes them.
+/// The stream through which the HTTP server reads and writes. It updates the connection's
+/// [`ConnectionWatch`].
 pub(super) struct WatchedStream {
     stream: Rc<Async<TcpStream>>,
     watch: Rc<ConnectionWatch>,
-    /// The last read took all that was there. The server reads several times a request, and each
-    /// read would be a system call that brings nothing: it waits until the kernel reports more.
+    /// Whether the last read emptied the socket's receive buffer. The next read then waits until
+    /// the kernel reports more data: the server reads several times per request, and each such
+    /// read would be a system call that returns nothing.
     is_drained: bool,
 }
 
 impl WatchedStream {
-    /// Watches a connection.
+    /// Wraps a stream whose activity is recorded in `watch`.
     pub(super) fn new(stream: Rc<Async<TcpStream>>, watch: Rc<ConnectionWatch>) -> Self {
         WatchedStream {
             stream,
@@ -203,7 +208,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // A socket buffers nothing here. The server flushes once an answer has been written
+        // There is no buffer to flush. The server calls this after it has written an answer
         // completely.
         if self.watch.phase() == Phase::Answer {
             self.watch.set_phase(Phase::Idle);
--- a/gateway/src/rest/wire.rs
+++ b/gateway/src/rest/wire.rs
@@ -1,4 +1,4 @@
-//! The REST protocol as text: requests read, answers written. It does no I/O.
+//! Parses requests and formats answers of the REST protocol, without I/O.
 
 use std::borrow::Cow;
 
@@ -14,37 +14,37 @@
 use crate::request_validation::{InvalidField, RawRequest, RequestField};
 
 const QUERIES_PATH: &str = "/v1/queries";
-/// The most digits of a page number.
+/// The maximum number of digits of a page number.
 const MAX_PAGE_DIGITS: usize = 6;
 const MICROS_PER_MS: Micros = 1_000;
 
-/// What a path and a method ask for.
+/// The operation that a path and a method select.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route<'a> {
     /// `POST /v1/queries`
     Query,
     /// `GET /v1/queries/{token}/pages/{page}`
     Page {
-        /// The result's token.
+        /// The token of the result.
         token: &'a str,
-        /// The page, from 1.
+        /// The page number, from 1.
         page: usize,
     },
     /// `DELETE /v1/queries/{token}`
     Delete {
-        /// The result's token.
+        /// The token of the result.
         token: &'a str,
     },
-    /// The path takes other methods.
+    /// The path does not support the method.
     MethodNotAllowed {
-        /// Those.
+        /// The methods that the path supports, as the `Allow` header lists them.
         allow: &'static str,
     },
-    /// There is no such path.
+    /// The path does not exist.
     NotFound,
 }
 
-/// Finds what a path and a method ask for.
+/// Returns the operation that a path and a method select.
 #[must_use]
 pub fn route<'a>(method: &Method, path: &'a str) -> Route<'a> {
     let Some(rest) = path.strip_prefix(QUERIES_PATH) else {
@@ -123,11 +123,12 @@
     HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail)
 }
 
-/// Reads a query whose last byte was read at `received` and that gets the request id `id`.
+/// Parses a query. `id` becomes its request id, and `received` is the time at which its last byte
+/// was read.
 ///
 /// # Errors
 ///
-/// It can't be used; the error says why.
+/// Returns the error to answer with if a header or the body is not valid.
 pub fn parse_query(
     headers: &HeaderMap,
     body: &[u8],
@@ -163,8 +164,8 @@
         })
 }
 
-/// Checks that a body is JSON, if its media type is stated. curl states that of a form for any
-/// `--data`, and means nothing by it.
+/// Checks that the media type of a body, if stated, is JSON. The media type of an HTML form is
+/// accepted, too, because curl sends it by default with `--data`.
 fn check_media_type(headers: &HeaderMap) -> Result<(), HttpError> {
     let Some(value) = headers.get(CONTENT_TYPE) else {
         return Ok(());
@@ -183,8 +184,8 @@
     ))
 }
 
-/// The idempotency key: a structured field (a string in quotes), or the bare words that most
-/// clients send.
+/// Returns the idempotency key: a structured field (a string in quotes), or the unquoted value that
+/// most clients send.
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, HttpError> {
     let mut values = headers.get_all("idempotency-key").iter();
     let Some(value) = values.next() else {
@@ -202,7 +203,7 @@
     Ok(Some(quoted.unwrap_or(value)))
 }
 
-/// Whether a class is known, and its requests carry no idempotency key.
+/// Returns whether a class is known and its requests take no idempotency key.
 fn takes_no_key(class: Option<&str>, names: &NameTable) -> bool {
     let known = |name| names.classes.iter().filter(move |class| class.name == name);
     class.is_some_and(|name| {
@@ -210,32 +211,32 @@
     })
 }
 
-/// How the further pages of a result are fetched.
+/// The token and the expiry time with which a client fetches further pages of a result.
 #[derive(Debug, Clone, Copy)]
 pub struct Continuation<'a> {
-    /// The result's token.
+    /// The token of the result.
     pub token: &'a str,
-    /// Until when: microseconds since the Unix epoch.
+    /// The time at which the result expires, in microseconds since the Unix epoch.
     pub expires_at: Micros,
 }
 
-/// One page of a result, as it is written.
+/// A page of a result. It serialises to the body of the answer.
 #[derive(Debug)]
 pub struct Page<'a> {
-    /// How further pages are fetched; `None`: there are none.
+    /// The continuation of a stored result; `None` if the result has only one page.
     pub continuation: Option<Continuation<'a>>,
-    /// The query's id, as engines' logs have it.
+    /// The id of the query, which also appears in the logs of engines.
     pub query: QueryId,
-    /// Which page, from 1.
+    /// The page number, from 1.
     pub page: usize,
-    /// How many there are.
+    /// The number of pages of the result.
     pub page_count: usize,
-    /// The rows as the engine sent them.
+    /// The rows as the engine sent them: tabs separate columns, and a newline ends each row.
     pub rows: &'a [u8],
 }
 
 impl Page<'_> {
-    /// The path of the next page, if there is one.
+    /// Returns the path of the next page, if there is one.
     #[must_use]
     pub fn next(&self) -> Option<String> {
         let continuation = self.continuation.filter(|_| self.page < self.page_count)?;
@@ -243,10 +244,10 @@
         Some(format!("{QUERIES_PATH}/{token}/pages/{next}"))
     }
 
-    /// Its body. The same page gives the same bytes, whenever it is fetched.
+    /// Returns the JSON body. The same page gives the same bytes each time it is fetched.
     #[must_use]
     pub fn body(&self) -> Vec<u8> {
-        // Quotes and commas take up to about half of the rows' size.
+        // Quotes and commas add up to about half of the rows' size.
         let mut out = Vec::with_capacity(self.rows.len() * 3 / 2 + 256);
         let _ = serde_json::to_writer(&mut out, self);
         out
@@ -270,12 +271,12 @@
     }
 }
 
-/// Rows as arrays of columns.
+/// Serialises rows as an array of arrays of columns.
 struct Rows<'a>(&'a [u8]);
 
 impl Serialize for Rows<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        // The upstream side lets nothing but text pass.
+        // The upstream side has checked that the rows are valid UTF-8.
         let text = std::str::from_utf8(self.0).unwrap_or_default();
         let mut rows = serializer.serialize_seq(None)?;
         for row in text.split_inclusive('\n') {
--- a/gateway/src/rest/wire/tests.rs
+++ b/gateway/src/rest/wire/tests.rs
@@ -1,4 +1,4 @@
-//! What clients send, and what is written to them.
+//! Tests of parsing requests and formatting answers.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -27,7 +27,8 @@
     "order_key":"7f3a9c21e0b4d655","statement":"SELECT '\u00fc' FROM sales_17.plan"}"#;
 
 proptest! {
-    /// Whatever a client sends as a body, a header or a path is a request, a route or an error.
+    /// Guards against panics on input from clients: any body, header or path gives a request, a
+    /// route or an error.
     #[test]
     fn nothing_that_a_client_sends_panics(
         body in proptest::collection::vec(any::<u8>(), 0..200),
@@ -36,9 +37,9 @@
     ) {
         let mut headers = HeaderMap::new();
         headers.insert("idempotency-key", key.parse().unwrap());
-        let mut bent = GOOD.as_bytes().to_vec();
-        bent.splice(at..=at, [byte]);
-        for body in [&body[..], GOOD.as_bytes().get(..cut).unwrap(), &bent] {
+        let mut mutated = GOOD.as_bytes().to_vec();
+        mutated.splice(at..=at, [byte]);
+        for body in [&body[..], GOOD.as_bytes().get(..cut).unwrap(), &mutated] {
             let read = parse_query(&headers, body, &names(), "00000000000000a1", 5);
             if let Ok(request) = read {
                 prop_assert!(request.query.client_timeout <= 86_400_000_000 && request.idempotency_key.is_some());
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Rows come out as the engine sent them, whatever text they hold.
+    /// Guards against changing the text of rows, whatever characters they contain.
     #[test]
     fn rows_are_written_as_the_engine_sent_them(rows in proptest::collection::vec(["[^\t\n\0]{0,9}", "[^\t\n\0]{0,3}", "\\PC{0,3}"], 0..9)) {
         let clean = |c: &String| c.replace(['\t', '\n'], " ");
@@ -65,7 +66,6 @@
     }
 }
 
-/// Which methods a path takes.
 #[test]
 fn a_route_is_found_by_path_and_method() {
     let not_allowed = |allow| Route::MethodNotAllowed { allow };
