--- a/gateway/src/replication/api/bodies.rs
+++ b/gateway/src/replication/api/bodies.rs
@@ -1,4 +1,4 @@
-//! The bodies of calls, and entries as JSON.
+//! Parses the JSON bodies of calls and formats store entries as JSON.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use hyper::StatusCode;
@@ -11,14 +11,14 @@
 use super::responses::invalid_request;
 use crate::http_error::HttpError;
 
-/// A value and the JSON key under which it is written.
+/// A value and the JSON key under which an answer contains it.
 pub(super) struct JsonValue {
     pub key: &'static str,
     pub value: Value,
 }
 
 impl JsonValue {
-    /// Bytes, as text where they are text.
+    /// Represents bytes as text if they are valid UTF-8, otherwise in base64.
     pub(super) fn from_bytes(bytes: &[u8]) -> Self {
         match std::str::from_utf8(bytes) {
             Ok(text) => JsonValue {
@@ -33,18 +33,19 @@
     }
 }
 
-/// An entry of the store.
+/// Formats an entry of the store.
 pub(super) fn entry_json(key: &str, revision: Revision, bytes: &[u8]) -> Value {
     let value = JsonValue::from_bytes(bytes);
     json!({"key": key, "revision": revision, value.key: value.value})
 }
 
-/// Reads a body of JSON.
+/// Parses a JSON body.
 pub(super) fn read_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, HttpError> {
     serde_json::from_slice(body).map_err(|error| invalid_request(format!("the body: {error}")))
 }
 
-/// Checks that a key has no meaning of its own: those are changed by calls that check their values.
+/// Checks that a key is not reserved. Reserved keys are changed only by calls that validate the
+/// values.
 pub(super) fn check_not_reserved(key: &str) -> Result<(), HttpError> {
     let is_reserved = RESERVED_PREFIXES
         .iter()
@@ -56,7 +57,7 @@
     Ok(())
 }
 
-/// A condition of a transaction, as a client writes it.
+/// The JSON form of a transaction's condition.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ConditionBody {
@@ -66,7 +67,7 @@
     holds_base64: Option<String>,
 }
 
-/// A change of a transaction, as a client writes it.
+/// The JSON form of a transaction's mutation.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct MutationBody {
@@ -77,7 +78,7 @@
     lease: Option<u64>,
 }
 
-/// A transaction, as a client writes it.
+/// The JSON form of a transaction.
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct TransactionBody {
@@ -86,7 +87,7 @@
     otherwise: Vec<MutationBody>,
 }
 
-/// A lease, as a client writes it.
+/// The JSON form of a lease to be granted.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct LeaseBody {
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -1,4 +1,5 @@
-//! Calls about members, instances and engines.
+//! Calls that read or change the cluster's members, the drains of instances and the cordons of
+//! engines.
 
 use std::net::SocketAddr;
 
@@ -20,24 +21,24 @@
 
 const MICROS_PER_MS: u64 = 1_000;
 
-/// A step of the membership, as an operator writes it.
+/// A step of a membership change, in the JSON form that operators send.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum MembershipStep {
-    /// Adds a new member, as a learner.
+    /// Adds a new member as a learner.
     Add {
-        /// Its id.
+        /// The id of the member, which has to be higher than all ids used so far.
         id: u64,
-        /// Its address for other members.
+        /// The address at which other members reach it.
         listen: SocketAddr,
-        /// The address of its API.
+        /// The address of its cluster API.
         api: SocketAddr,
     },
-    /// Makes a learner a voter.
+    /// Promotes the learner with this id to a voter.
     Promote(u64),
-    /// Removes a member for good.
+    /// Removes the member with this id. The id can't be used again.
     Remove(u64),
-    /// Transfers leadership to a voter.
+    /// Transfers leadership to the voter with this id.
     Transfer(u64),
 }
 
@@ -50,7 +51,7 @@
 }
 
 impl Api {
-    /// The state of this member, and the members as it knows them.
+    /// Returns the state of this member and the membership that it knows.
     pub(super) fn cluster(&self) -> Reply {
         let status = self.member.status();
         let state_age = status.freshness.as_ref().err().and_then(|stale| stale.age);
@@ -89,12 +90,12 @@
         status.members.ids().map(member).collect()
     }
 
-    /// Takes one step of the membership.
+    /// Carries out one step of a membership change.
     pub(super) async fn change_membership(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&[])?;
         let change = match read_json(&call.body)? {
             MembershipStep::Add { id, listen, api } => {
-                // Its address is recorded first, so that the leader finds it.
+                // The address is recorded first, so that the leader can connect to the member.
                 self.record_new_member(call, id, listen, api).await?;
                 Call::ChangeMembership(MembershipChange::AddLearner(id))
             }
@@ -136,7 +137,8 @@
             .runtime
             .store(|store| shared_config::record_member(store, id, &address));
         if let Some(transaction) = transaction {
-            // Under a request id of its own: the call's is that of the membership change.
+            // This commit gets a new request id, because the call's id is the one of the membership
+            // change.
             let commit = self
                 .member
                 .commit(None, &call.operator, transaction, call.timeout);
@@ -166,7 +168,8 @@
         commit_reply(self.commit(call, transaction).await?)
     }
 
-    /// Drains an instance, or resumes it: a member by its id, or a subscriber by its name.
+    /// Drains or resumes an instance: a member, given by its id, or a subscriber, given by its
+    /// name. Without either, the call concerns this member.
     pub(super) async fn set_drain(&self, call: &ApiCall, drained: bool) -> ReplyResult {
         call.query.allow_only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
@@ -196,7 +199,7 @@
         }
     }
 
-    /// How far all subscribers are, as observers reported it of late.
+    /// Returns the progress of all subscribers, from the latest reports of the observers.
     pub(super) fn fleet_progress(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&[])?;
         let totals = self.member.fleet_progress();
--- a/gateway/src/replication/api/errors.rs
+++ b/gateway/src/replication/api/errors.rs
@@ -1,4 +1,4 @@
-//! Errors of the shared state as HTTP errors.
+//! Conversions from errors of the shared state to HTTP errors.
 
 use hyper::StatusCode;
 use violetgate_raft::ProposalError;
--- a/gateway/src/replication/api/hyper_timer.rs
+++ b/gateway/src/replication/api/hyper_timer.rs
@@ -1,4 +1,4 @@
-//! The timers that hyper is given, on the one reactor.
+//! A timer implementation for hyper that uses the reactor of async-io.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,7 +7,7 @@
 
 use async_io::Timer;
 
-/// Makes timers for hyper.
+/// Creates timers for hyper.
 #[derive(Clone, Copy)]
 pub(super) struct HyperTimer;
 
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -1,8 +1,9 @@
-//! The cluster API: operators read and change the shared state over HTTP/1.1.
-//! docs/daemon-operations.md has the calls.
+//! The cluster API, through which operators read and change the shared state over HTTP/1.1.
+//! docs/daemon-operations.md lists the calls.
 //!
-//! Any member takes any call; a change is answered once it is committed, or as unknown. A read is
-//! never answered from a copy that is not current, unless the call allows that.
+//! Every member accepts every call. A change is answered after it is committed, or with the error
+//! that its outcome is unknown. A read is answered from a current copy of the state, unless the
+//! call allows a stale one.
 
 mod bodies;
 mod cluster;
@@ -32,29 +33,29 @@
 
 pub use cluster::MembershipStep;
 
-/// Connections at a time; more are closed at once.
+/// The maximum number of open connections. Further ones are closed at once.
 const MAX_CONNECTIONS: usize = 64;
-/// How long the head of a request may take to arrive.
+/// The time within which the head of a request has to arrive completely.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may last.
+/// The maximum lifetime of a connection.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(600);
-/// The pause after a connection could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Why a connection ended; its text is the reason code in the log.
+/// Why a connection ended. The `Display` form is the reason code in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// The client closed it.
+    /// The client closed the connection.
     Closed,
-    /// It broke.
+    /// Reading or writing failed.
     Reset,
-    /// The head of a request was not complete in time.
+    /// The head of a request did not arrive within [`HEAD_TIMEOUT`].
     HeadTimeout,
-    /// What was received is no HTTP.
+    /// The received data is not valid HTTP.
     ProtocolViolation,
-    /// There are too many.
+    /// [`MAX_CONNECTIONS`] other connections were open.
     ConnectionLimit,
-    /// It lasted too long.
+    /// The connection reached [`MAX_CONNECTION_AGE`].
     TooLong,
 }
 
@@ -75,13 +76,13 @@
     log::connection_ended("cluster api", peer, end, 0);
 }
 
-/// Accepts connections for ever.
+/// Accepts connections forever.
 pub async fn listen(
     member: Rc<ClusterMember>,
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
 ) {
-    // Each open connection holds a reference.
+    // Each open connection holds a reference, so that the reference count gives their number.
     let open = Rc::new(());
     loop {
         match listener.accept().await {
--- a/gateway/src/replication/api/query.rs
+++ b/gateway/src/replication/api/query.rs
@@ -1,4 +1,4 @@
-//! The query of a call: what stands behind the question mark.
+//! The query string of a call.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,16 +9,18 @@
 use super::responses::invalid_request;
 use crate::http_error::HttpError;
 
-/// The time that a call has unless it states another, and the most that it may state.
+/// The timeout of a call that states none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(5);
+/// The maximum timeout. A call that states a longer one gets this one.
 pub(super) const MAX_TIMEOUT: Duration = Duration::from_secs(60);
-/// Entries and changes of a page unless the call states another number, and the most.
+/// The number of entries or changes per page if the call states none.
 const DEFAULT_PAGE_LENGTH: usize = 100;
+/// The maximum number of entries or changes per page.
 const MAX_PAGE_LENGTH: usize = 1_000;
-/// The parameter that every call takes.
+/// The name of the timeout parameter, which every call accepts.
 const TIMEOUT_PARAMETER: &str = "within_ms";
 
-/// The parameters of a call.
+/// The parameters of a call, by name.
 pub(super) struct Query(HashMap<String, String>);
 
 impl Query {
@@ -29,7 +31,8 @@
         Ok(Query(pairs.into_iter().collect()))
     }
 
-    /// Checks that there are no parameters but these: a misspelt one would be ignored silently.
+    /// Checks that the call has only parameters with these names, and the timeout. Otherwise, a
+    /// misspelt parameter would be ignored silently.
     pub(super) fn allow_only(&self, names: &[&str]) -> Result<(), HttpError> {
         let is_known = |name: &str| names.contains(&name) || name == TIMEOUT_PARAMETER;
         let unknown = self.0.keys().find(|name| !is_known(name));
@@ -60,7 +63,7 @@
         self.number(name)?.ok_or_else(|| missing(name))
     }
 
-    /// The number of entries or changes of a page.
+    /// Returns the maximum number of entries or changes per page.
     pub(super) fn page_length(&self) -> Result<usize, HttpError> {
         let length = self.number("limit")?;
         let length = length.map_or(DEFAULT_PAGE_LENGTH, |length| length as usize);
--- a/gateway/src/replication/api/responses.rs
+++ b/gateway/src/replication/api/responses.rs
@@ -1,4 +1,4 @@
-//! What the API's answers are made of.
+//! Helpers that build the answers of the cluster API.
 
 use http_body_util::Full;
 use hyper::body::Bytes;
@@ -12,12 +12,12 @@
 pub(super) type Reply = Response<Full<Bytes>>;
 pub(super) type ReplyResult = Result<Reply, HttpError>;
 
-/// A request that can't be used.
+/// Creates the error for a request that is not valid.
 pub(super) fn invalid_request(detail: impl Into<String>) -> HttpError {
     HttpError::new(StatusCode::BAD_REQUEST, "invalid-request", detail)
 }
 
-/// A reply with a body of a media type.
+/// Creates a reply with a body of the given media type.
 pub(super) fn reply(media_type: &'static str, body: Vec<u8>) -> Reply {
     let mut reply = Response::new(Full::from(body));
     let headers = reply.headers_mut();
@@ -26,12 +26,12 @@
     reply
 }
 
-/// A reply of JSON.
+/// Creates a reply with a JSON body.
 pub(super) fn json_reply(value: &Value) -> Reply {
     reply("application/json", format!("{value}\n").into_bytes())
 }
 
-/// A reply that names the revision that a change made.
+/// Creates a reply that contains the revision of a committed change.
 pub(super) fn revision_reply(revision: Revision) -> Reply {
     json_reply(&json!({"revision": revision}))
 }
--- a/gateway/src/replication/api/router.rs
+++ b/gateway/src/replication/api/router.rs
@@ -1,4 +1,4 @@
-//! One call of the API: what it says, and what carries it out.
+//! Reads a call of the cluster API and dispatches it to its handler.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,25 +17,26 @@
 use crate::http_error::HttpError;
 use crate::log;
 
-/// The longest body: a transaction of the most and longest changes, in base64.
+/// The maximum size of a body. It allows a transaction with the maximum number of mutations of the
+/// maximum size, in base64.
 const MAX_BODY_BYTES: usize = 12 << 20;
-/// How long a body may take to arrive.
+/// The time within which a body has to arrive completely.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// The longest request id, and the longest name of an operator.
+/// The length to which request ids and operator names are truncated.
 const MAX_HEADER_CHARS: usize = 128;
 
-/// What a call says, beside its method and path.
+/// A call without its method and path.
 pub(super) struct ApiCall {
     pub query: Query,
     pub body: Vec<u8>,
-    /// The request id; the same again gets the same outcome.
+    /// The request id. A repeated change with the same id gets the same outcome.
     pub request_id: Option<String>,
-    /// Who makes the call, for the change log.
+    /// The name of the caller in the change log; by default its IP address.
     pub operator: String,
     pub timeout: Duration,
 }
 
-/// The calls of one client.
+/// Handles the calls of one client.
 pub(super) struct Api {
     pub(super) member: Rc<ClusterMember>,
     peer: SocketAddr,
@@ -46,11 +47,11 @@
         Api { member, peer }
     }
 
-    /// Answers one call; a call that changes something is logged.
+    /// Answers a call, and logs it unless it only reads.
     pub(super) async fn answer(&self, request: Request<Incoming>) -> ReplyResult {
         let (method, path) = (request.method().clone(), request.uri().path().to_owned());
         let call = self.read_call(request).await?;
-        let reply = self.carry_out(&method, &path, &call).await;
+        let reply = self.dispatch(&method, &path, &call).await;
         if method != Method::GET {
             let result = match &reply {
                 Ok(reply) => reply.status().as_u16().to_string(),
@@ -88,7 +89,7 @@
         })
     }
 
-    async fn carry_out(&self, method: &Method, path: &str, call: &ApiCall) -> ReplyResult {
+    async fn dispatch(&self, method: &Method, path: &str, call: &ApiCall) -> ReplyResult {
         match (method.as_str(), path) {
             ("GET", "/v1/state") => self.read_state(call).await,
             ("PUT", "/v1/state") => self.put_key(call).await,
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Waits until this member's copy is current, unless the call takes a stale one.
+    /// Waits until this member's copy of the state is current, unless the call accepts a stale one.
+    /// Fails if that takes longer than the call's timeout.
     pub(super) async fn wait_until_current(&self, call: &ApiCall) -> Result<(), HttpError> {
         let takes_stale = call.query.text("stale") == Some("true");
         if takes_stale || self.member.runtime.wait_until_current(call.timeout).await {
@@ -143,7 +145,7 @@
     }
 }
 
-/// The reply to a change that was committed, if its conditions held.
+/// Returns the reply to a committed transaction, or an error if its conditions did not hold.
 pub(super) fn commit_reply(commit: Commit) -> ReplyResult {
     if commit.conditions_held {
         return Ok(revision_reply(commit.revision));
--- a/gateway/src/replication/api/settings.rs
+++ b/gateway/src/replication/api/settings.rs
@@ -1,4 +1,4 @@
-//! Calls about the shared settings.
+//! Calls that read and change the shared settings.
 
 use hyper::header::HeaderValue;
 use serde_json::json;
@@ -12,7 +12,7 @@
 use crate::http_error::HttpError;
 
 impl Api {
-    /// The settings in force, or those of an earlier version.
+    /// Returns the settings in force, or those of an earlier version.
     pub(super) async fn read_settings(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["version", "stale"])?;
         let version = call.query.number("version")?;
@@ -35,7 +35,7 @@
         Ok(reply)
     }
 
-    /// Puts settings in force.
+    /// Puts new settings in force as a new version.
     pub(super) async fn apply_settings(&self, call: &ApiCall) -> ReplyResult {
         self.change_settings(call, |store| {
             call.query.allow_only(&["expect"])?;
@@ -47,7 +47,7 @@
         .await
     }
 
-    /// Puts the settings of an earlier version in force again.
+    /// Puts the settings of an earlier version in force again, as a new version.
     pub(super) async fn roll_back_settings(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["version"])?;
         let version = call.query.required_number("version")?;
@@ -64,7 +64,8 @@
     ) -> ReplyResult {
         self.wait_until_current(call).await?;
         let runtime = &self.member.runtime;
-        // What an earlier call under the same request id has brought about is not proposed again.
+        // A change that was applied by an earlier call with the same request id is not proposed
+        // again.
         let commit = match self.earlier_outcome(call) {
             Some(Outcome::Applied {
                 revision,
@@ -85,7 +86,7 @@
             let current = runtime.store(settings_versions::current);
             return Err(SettingsRejection::VersionConflict { current }.into());
         }
-        // Where this member only forwarded the call, its copy may be behind.
+        // If this member only forwarded the change to the leader, its copy may be behind.
         self.wait_until_current(call).await?;
         let revision = commit.revision;
         let version = runtime.store(|store| settings_versions::made_by(store, revision));
@@ -100,7 +101,7 @@
         self.member.runtime.store(outcome)
     }
 
-    /// The retained versions.
+    /// Returns the current version and the retained ones.
     pub(super) async fn settings_versions(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["stale"])?;
         self.wait_until_current(call).await?;
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -1,4 +1,4 @@
-//! Calls that read and change entries of the store.
+//! Calls that read and change the entries of the store, its leases and its history.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
 const MICROS_PER_MS: u64 = 1_000;
 
 impl Api {
-    /// One entry, or a page of entries.
+    /// Returns one entry, or a page of entries.
     pub(super) async fn read_state(&self, call: &ApiCall) -> ReplyResult {
         let query = &call.query;
         query.allow_only(&["key", "prefix", "limit", "revision", "after", "stale"])?;
@@ -75,7 +75,8 @@
         Ok(json_reply(&json!({"revision": revision, "held": held})))
     }
 
-    /// Changes after a revision; while there are none, the call waits for them.
+    /// Returns the changes after a revision. If there are none, waits for them for the time that
+    /// the call states, at most [`MAX_TIMEOUT`].
     pub(super) async fn changes(&self, call: &ApiCall) -> ReplyResult {
         let query = &call.query;
         query.allow_only(&["after", "prefix", "limit", "wait_ms"])?;
@@ -104,29 +105,29 @@
         }
     }
 
-    /// Compacts the history up to a revision.
+    /// Compacts the history up to the given revision.
     pub(super) async fn compact(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["revision"])?;
         let revision = call.query.required_number("revision")?;
-        self.operate(call, Operation::Compact(revision)).await
+        self.propose(call, Operation::Compact(revision)).await
     }
 
-    /// Grants a lease, or renews it.
+    /// Grants or renews a lease.
     pub(super) async fn grant_lease(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&[])?;
         let LeaseBody { id, ttl_ms } = read_json(&call.body)?;
         let ttl = ttl_ms.saturating_mul(MICROS_PER_MS);
-        self.operate(call, Operation::GrantLease { id, ttl }).await
+        self.propose(call, Operation::GrantLease { id, ttl }).await
     }
 
     /// Releases a lease.
     pub(super) async fn release_lease(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["id"])?;
         let id = call.query.required_number("id")?;
-        self.operate(call, Operation::RevokeLease(id)).await
+        self.propose(call, Operation::RevokeLease(id)).await
     }
 
-    async fn operate(&self, call: &ApiCall, operation: Operation) -> ReplyResult {
+    async fn propose(&self, call: &ApiCall, operation: Operation) -> ReplyResult {
         let request_id = call.request_id.clone();
         let commit = self
             .member
@@ -135,7 +136,7 @@
         Ok(revision_reply(commit.revision))
     }
 
-    /// The complete state, as a file that `violetgate ctl snapshot save` writes.
+    /// Returns the complete state, in the file format of `violetgate ctl snapshot save`.
     pub(super) async fn snapshot(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["stale"])?;
         self.wait_until_current(call).await?;
@@ -155,7 +156,7 @@
     Ok(json_reply(&entry_json(key, revision, value)))
 }
 
-/// A page of entries, with the path of the next one, which is of the same revision.
+/// Returns a page of entries and the path of the next page, which reads the same revision.
 fn list_entries(store: &Store, query: &Query, revision: Option<u64>, limit: usize) -> ReplyResult {
     let prefix = query.text("prefix").unwrap_or_default();
     let listing = store.list(prefix, revision, query.text("after"), limit)?;
@@ -179,7 +180,7 @@
     ))
 }
 
-/// A page of changes, and the revision after which the next one begins.
+/// A page of changes, and the revision after which the next page begins.
 struct ChangesPage {
     revision: u64,
     changes: Vec<Value>,
@@ -193,7 +194,7 @@
 ) -> Result<ChangesPage, HttpError> {
     let changes = store.changes(after, prefix, limit)?;
     let current = store.revision();
-    // The page after a full one begins at its last revision.
+    // After a full page, the next one begins after the revision of the last change.
     let revision = match changes.last() {
         Some(last) if changes.len() >= limit => last.revision,
         _ => current.max(after),
--- a/gateway/src/replication/error.rs
+++ b/gateway/src/replication/error.rs
@@ -1,4 +1,4 @@
-//! Errors of this instance's part in a cluster.
+//! Errors of taking part in a cluster.
 
 use thiserror::Error;
 use violetgate_raft::ProposalError;
@@ -8,30 +8,30 @@
 /// Why a change was not committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitError {
-    /// Not in its time: it may still come into force. The same call under the same request id shows
-    /// whether.
+    /// The change was not committed in time, and may still come into force. A repeated call with
+    /// the same request id shows its outcome.
     OutcomeUnknown,
     /// The store rejected the command.
     CommandRejected(CommandError),
     /// Raft rejected the proposal.
     ProposalRejected(ProposalError),
-    /// This instance subscribes: only a member can commit a change.
+    /// This instance is a subscriber: only a member can commit a change.
     NotAMember,
 }
 
-/// Why this instance can't take part in its cluster; the settings key is named.
+/// Why this instance can't take part in its cluster. The message names the settings key.
 #[derive(Debug, Error)]
 pub enum ClusterStartError {
-    /// The folder holds no member's state.
+    /// The folder contains no state of a member.
     #[error("`cluster.folder`: {0} (`violetgate members init` makes one)")]
     NoMemberFolder(StartError),
     /// The member can't be started.
     #[error("`cluster`: {0}")]
     Member(StartError),
-    /// The service to subscribers can't be started.
+    /// The service for subscribers can't be started.
     #[error("`cluster.subscribers_listen`: {0}")]
     ObserverService(#[from] ServiceError),
-    /// A subscriber's settings can't keep its state fresh.
+    /// The settings of a subscriber can't guarantee that its state stays fresh.
     #[error("`cluster`: {0}")]
     Subscriber(#[from] InvalidSubscriberConfig),
 }
--- a/gateway/src/replication/member.rs
+++ b/gateway/src/replication/member.rs
@@ -1,5 +1,4 @@
-//! This instance as a member of a cluster: it replicates the shared state, and commits what
-//! operators request.
+//! The member role in a cluster: replicates the shared state and commits operators' changes.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,28 +18,28 @@
 use super::metrics::MemberMetrics;
 use super::reconcile::{ControlTargets, MembersChange, Reconciler};
 use super::shared_config::{self, SharedConfig};
-use super::{shown_or, MICROS_PER_MS};
+use super::{display_or, MICROS_PER_MS};
 use crate::clock::micros;
 use crate::fence::Fence;
 use crate::log;
 use crate::settings::{self, Settings};
 
-/// A transaction that was committed.
+/// The result of a committed transaction or operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Commit {
-    /// The store's revision after it.
+    /// The revision of the store after the commit.
     pub revision: Revision,
-    /// Whether its conditions held, so that it changed anything.
+    /// Whether the conditions held. If not, the `otherwise` branch was applied.
     pub conditions_held: bool,
 }
 
-/// This instance as a member.
+/// A member of a cluster, with its replica of the shared state.
 pub struct ClusterMember {
     pub(super) runtime: Rc<ReplicaRuntime>,
     pub(super) id: NodeId,
     pub(super) reconciler: Reconciler,
     pub(super) settings_at_start: settings::Cluster,
-    /// The service to subscribers, if this member is an observer.
+    /// The service for subscribers, if this member is an observer.
     observer: Option<Rc<ObserverService>>,
     /// Whether the fence was closed when it was last checked.
     was_fenced: Cell<bool>,
@@ -52,12 +51,12 @@
     }
 }
 
-/// An id for a request that its client gave none.
+/// Generates an id for a request whose client sent none.
 #[must_use]
 pub fn new_request_id() -> String {
     let mut bytes = [0; 16];
-    // Without random numbers two requests could be taken for one: then the time makes the ids
-    // differ.
+    // Two requests with the same id would be treated as one. If the system provides no random
+    // bytes, the time makes the ids differ.
     if getrandom::fill(&mut bytes).is_err() {
         let now = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -90,7 +89,7 @@
     }
 }
 
-/// Starts the service to subscribers, if the settings make this member an observer.
+/// Starts the service for subscribers if the settings make this member an observer.
 fn start_observer(
     runtime: &Rc<ReplicaRuntime>,
     settings: &settings::Cluster,
@@ -106,12 +105,12 @@
 }
 
 impl ClusterMember {
-    /// Opens this member's folder and begins to take part. Nothing may be sent until its state is
+    /// Opens the member's folder and starts its replica. The fence stays closed until the state is
     /// confirmed.
     ///
     /// # Errors
     ///
-    /// Its folder or an address can't be used.
+    /// Returns an error if the folder or an address can't be used.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         own_settings: &Settings,
@@ -131,13 +130,13 @@
         }))
     }
 
-    /// Connects the parts that the shared configuration reaches, carries out what is committed so
-    /// far, and goes on doing so.
+    /// Connects the parts that the shared configuration controls, applies the committed
+    /// configuration to them, and keeps applying its changes.
     pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
         self.reconciler.attach(targets);
         let member = Rc::downgrade(self);
-        // Carried out in the step in which it is applied: the staleness guard may count on it from
-        // then on.
+        // The configuration takes effect in the same step in which the replica applies an entry,
+        // because the staleness guard treats the entry as in force from then on.
         self.runtime.on_applied(Rc::new(move |store| {
             if let Some(member) = member.upgrade() {
                 member.reconcile(store);
@@ -162,13 +161,13 @@
         transport.set_known_disks(config.disk_ids());
     }
 
-    /// The settings in force here: the shared ones over this instance's own.
+    /// Returns the settings in force: this instance's own, overridden by the shared ones.
     #[must_use]
     pub fn settings(&self) -> Settings {
         self.reconciler.settings()
     }
 
-    /// Applies this instance's own settings, which were read again.
+    /// Applies this instance's own settings after they were reloaded.
     pub fn set_own_settings(&self, own: &Settings) {
         self.reconciler.set_own_settings(own);
         if self.reconciler.targets().is_some() {
@@ -176,29 +175,31 @@
         }
     }
 
-    /// How far all subscribers are, as observers reported it of late.
+    /// Returns the progress of all subscribers, from the latest reports of the observers.
     #[must_use]
     pub fn fleet_progress(&self) -> FleetTotals {
         self.runtime.fleet_progress()
     }
 
-    /// The latest revision that was in force at all gateways that serve, and when it was.
+    /// Returns the latest revision that was in force at all serving gateways, and the time at which
+    /// it was.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
         self.runtime.last_in_force()
     }
 
-    /// The state of the replica.
+    /// Returns the state of the replica.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         self.runtime.status()
     }
 
-    /// Commits a transaction, once for each request id; without one it gets a new id.
+    /// Commits a transaction. It is applied at most once for each request id; without an id, it
+    /// gets a new one.
     ///
     /// # Errors
     ///
-    /// It was not committed, or that is not known.
+    /// Returns an error if the transaction was rejected, or if its outcome is unknown.
     pub async fn commit(
         &self,
         request_id: Option<String>,
@@ -210,11 +211,11 @@
         self.propose(request_id, operator, operation, timeout).await
     }
 
-    /// Commits an operation, as [`ClusterMember::commit`] does a transaction.
+    /// Commits an operation in the same way as [`ClusterMember::commit`] commits a transaction.
     ///
     /// # Errors
     ///
-    /// It was not committed, or that is not known.
+    /// Returns an error if the operation was rejected, or if its outcome is unknown.
     pub(super) async fn propose(
         &self,
         request_id: Option<String>,
@@ -245,11 +246,11 @@
         }
     }
 
-    /// Cordons an engine everywhere, or uncordons it.
+    /// Cordons or uncordons an engine at all instances.
     ///
     /// # Errors
     ///
-    /// As [`ClusterMember::commit`].
+    /// Returns the errors of [`ClusterMember::commit`].
     pub async fn set_cordon(
         &self,
         engine: &str,
@@ -262,11 +263,11 @@
         commit.await.map(|_| ())
     }
 
-    /// Drains this instance, or resumes it.
+    /// Drains or resumes this instance.
     ///
     /// # Errors
     ///
-    /// As [`ClusterMember::commit`].
+    /// Returns the errors of [`ClusterMember::commit`].
     pub async fn set_drain(
         &self,
         drained: bool,
@@ -278,7 +279,7 @@
         commit.await.map(|_| ())
     }
 
-    /// The metrics, in the text format of Prometheus.
+    /// Returns the metrics of the member in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let transport = self.runtime.transport();
@@ -296,7 +297,8 @@
         metrics.render()
     }
 
-    /// Carries out that the fence is closed, or that it was opened or closed.
+    /// Rejects queued requests while the fence is closed. If the fence has opened or closed since
+    /// the last check, updates the drain state and logs it.
     pub(super) fn check_fence(&self) {
         let Some(targets) = self.reconciler.targets() else {
             return;
@@ -313,7 +315,7 @@
 
     fn log_fence(&self, is_fenced: bool) {
         let status = self.status();
-        let (term, leader) = (status.term, shown_or(status.leader, "none"));
+        let (term, leader) = (status.term, display_or(status.leader, "none"));
         if !is_fenced {
             return log::write_line(format_args!(
                 "cluster fence is open: term={term} leader={leader}"
@@ -325,7 +327,7 @@
             ));
         }
         let age = status.freshness.err().and_then(|stale| stale.age);
-        let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
+        let age_ms = display_or(age.map(|age| age / MICROS_PER_MS), "unknown");
         log::write_line(format_args!(
             "cluster reason=stale fence is shut: age_ms={age_ms} term={term} leader={leader}"
         ));
--- a/gateway/src/replication/member_upkeep.rs
+++ b/gateway/src/replication/member_upkeep.rs
@@ -1,5 +1,5 @@
-//! The periodic tasks of a member: it watches its fence and its leader, and maintains its own
-//! record and, as the leader, the stored engine list.
+//! The periodic tasks of a member: watching its fence and leader, and maintaining its address
+//! record and, on the leader, the stored engine list.
 
 use std::rc::Weak;
 use std::time::Duration;
@@ -16,13 +16,15 @@
 
 /// How often the records are compared with the store.
 const RECORD_INTERVAL: Duration = Duration::from_millis(200);
-/// How long the commit of one record may take.
+/// The time within which the commit of one record has to complete.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
-/// Who requested the records, in the change log.
+/// The operator name in the change log for updates of a member's address record.
 const MEMBER_OPERATOR: &str = "member";
+/// The operator name in the change log for updates of the stored engine list.
 const ENGINE_LIST_OPERATOR: &str = "bus";
 
-/// Checks the fence, and logs a new leader and a stop of the replica.
+/// Checks the fence periodically, and logs a change of leader and a stop of the replica. Ends when
+/// the member is dropped.
 pub(super) async fn watch_fence(member: Weak<ClusterMember>) {
     let mut known_leader = None;
     let mut stop_is_logged = false;
@@ -43,7 +45,8 @@
     }
 }
 
-/// Updates this member's record and, as the leader, the stored engine list.
+/// Periodically updates the member's address record and, on the leader, the stored engine list.
+/// Ends when the member is dropped.
 pub(super) async fn keep_records(member: Weak<ClusterMember>) {
     let mut conflict_is_logged = false;
     while let Some(member) = member.upgrade() {
@@ -62,10 +65,10 @@
     }
 }
 
-/// Whether a member's address could be recorded.
+/// The result of recording a member's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AddressRecord {
-    /// It is recorded, or will be once a commit succeeds.
+    /// The address is recorded, or will be when a commit succeeds.
     NoConflict,
     /// Another disk is recorded under this member's id.
     OtherDisk,
@@ -91,13 +94,13 @@
         }
     }
 
-    /// The engine list, if this member is the leader and the stored one is older.
+    /// Returns the engine list if this member is the leader and the stored list is older.
     fn newer_engine_list(&self) -> Option<EngineListSnapshot> {
         if self.status().role != Role::Leader {
             return None;
         }
         let discovery = &self.reconciler.targets()?.discovery;
-        // Compared before it is copied: it seldom changes.
+        // The offsets are compared before the list is copied, because the list rarely changes.
         let last_offset = discovery.last_offset()?;
         let stored = self.runtime.store(engine_list::stored_offset);
         if stored.is_some_and(|stored| stored >= last_offset) {
@@ -106,7 +109,8 @@
         discovery.retained_list()
     }
 
-    /// Stores a list, in as many transactions as it takes.
+    /// Stores an engine list, in several transactions if it is long. Stops at the first one that
+    /// fails; the next round continues.
     async fn store_engine_list(&self, list: &EngineListSnapshot) {
         let next = || {
             self.runtime
--- a/gateway/src/replication/metrics.rs
+++ b/gateway/src/replication/metrics.rs
@@ -1,4 +1,4 @@
-//! What the metrics show of the shared state, at a member and at a subscriber.
+//! The metrics of members and subscribers about the shared state.
 
 use violetgate_raft::Role;
 use violetgate_replica_runtime::{
@@ -9,33 +9,33 @@
 use crate::metrics::catalog::cluster;
 use crate::metrics::text::MetricsText;
 
-/// Upper bounds, in seconds, of the time by which serving gateways are behind: the label
-/// values of [`cluster::GATEWAYS_BEHIND`].
+/// The label values of [`cluster::GATEWAYS_BEHIND`]: upper bounds, in seconds, of the time by which
+/// serving gateways are behind.
 pub(super) const BEHIND_UNDER_S: [&str; 4] = ["0.1", "1", "10", "inf"];
 
-/// The label that says such a bound.
+/// The label of [`cluster::GATEWAYS_BEHIND`] that contains the upper bound.
 const BEHIND_LABEL: &str = "under_s";
 
-/// The label that says why an observer rejected a subscriber.
+/// The label that contains the reason for which an observer rejected a subscriber.
 const REJECTION_LABEL: &str = "code";
 
-/// The metrics of a member.
+/// The values from which a member's metrics are rendered.
 pub(super) struct MemberMetrics {
     pub status: ReplicaStatus,
     pub may_route: bool,
-    /// Requests and attempts that the fence has stopped.
+    /// The number of requests and attempts that were not sent because the fence was closed.
     pub fenced: u64,
     pub dropped_messages: u64,
-    /// Traffic with other members.
+    /// The traffic with other members.
     pub traffic: TrafficStats,
-    /// Subscribers connected here; `None`: it is no observer.
+    /// The number of connected subscribers; `None` if the member is not an observer.
     pub subscribers: Option<usize>,
     pub fleet: FleetTotals,
     pub last_in_force: Option<RevisionInForce>,
 }
 
-/// Milliseconds from the moment at which a revision was known to an observer until it was in force
-/// everywhere.
+/// Returns the milliseconds from the time at which an observer knew a revision until the revision
+/// was in force at all serving gateways.
 pub(super) fn propagation_ms(record: &RevisionInForce) -> u64 {
     record.in_force_at.saturating_sub(record.known_at) / MICROS_PER_MS
 }
@@ -70,7 +70,7 @@
         out.write_value(&cluster::MESSAGES_RECEIVED, traffic.messages_received);
     }
 
-    /// The gateways that subscribe, as observers report them.
+    /// Writes the metrics of the subscribers, as observers report them.
     fn write_fleet(&self, out: &mut MetricsText) {
         let fleet = &self.fleet;
         if let Some(subscribers) = self.subscribers {
@@ -89,11 +89,11 @@
     }
 }
 
-/// The metrics of a subscriber.
+/// The values from which a subscriber's metrics are rendered.
 pub(super) struct SubscriberMetrics {
     pub status: SubscriptionStatus,
     pub traffic: TrafficStats,
-    /// Requests and attempts that the fence has stopped.
+    /// The number of requests and attempts that were not sent because the fence was closed.
     pub fenced: u64,
 }
 
--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -1,10 +1,10 @@
-//! This instance's part in a cluster with a shared configuration.
+//! This instance's role in a cluster with a shared configuration.
 //!
 //! A [`ClusterMember`](member::ClusterMember) replicates the shared state with the other members; a
-//! [`ClusterSubscriber`] follows it through observers. Both carry out what is committed through a
-//! [`reconcile::Reconciler`], in the very step in which it is applied, and both are the program's
-//! [`crate::fence::Fence`]: nothing is sent on state that can't be confirmed. What the shared state
-//! means is [`shared_config`]'s, which does no I/O.
+//! [`ClusterSubscriber`] follows it through observers. Both apply the committed configuration
+//! through a [`reconcile::Reconciler`], in the same step in which they apply the state. Both
+//! implement [`crate::fence::Fence`]: the gateway sends nothing based on state that can't be
+//! confirmed. [`shared_config`] defines the meaning of the shared state and does no I/O.
 
 mod api;
 mod error;
@@ -29,7 +29,7 @@
 const FENCE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const MICROS_PER_MS: u64 = 1_000;
 
-/// An age or an id for a log line.
-fn shown_or<T: ToString>(value: Option<T>, otherwise: &str) -> String {
+/// Formats an optional value for a log line.
+fn display_or<T: ToString>(value: Option<T>, otherwise: &str) -> String {
     value.map_or_else(|| otherwise.to_owned(), |value| value.to_string())
 }
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -1,4 +1,4 @@
-//! This instance's part in a cluster: a member, or a subscriber.
+//! A common interface for the two roles that an instance can have in a cluster.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,21 +13,23 @@
 use crate::fence::Fence;
 use crate::settings::{self, ClusterRole, Settings};
 
-/// This instance's part in a cluster.
+/// This instance's role in a cluster.
 #[derive(Clone)]
 pub enum Participant {
-    /// It replicates the shared state with the other members.
+    /// The instance replicates the shared state with the other members.
     Member(Rc<ClusterMember>),
-    /// It follows the shared state.
+    /// The instance follows the shared state through observers.
     Subscriber(Rc<ClusterSubscriber>),
 }
 
 impl Participant {
-    /// Begins to take part as the settings say. Nothing may be sent until the state is confirmed.
+    /// Starts the role that the settings define. The fence stays closed until the state is
+    /// confirmed.
     ///
     /// # Errors
     ///
-    /// A member's folder or addresses can't be used, or a subscriber's settings.
+    /// Returns an error if a member's folder or addresses, or a subscriber's settings, can't be
+    /// used.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         own_settings: &Settings,
@@ -46,8 +48,8 @@
         })
     }
 
-    /// Connects the parts that the shared configuration reaches, carries out what is committed so
-    /// far, and goes on doing so.
+    /// Connects the parts that the shared configuration controls, applies the committed
+    /// configuration to them, and keeps applying its changes.
     pub fn attach(&self, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
         match self {
             Participant::Member(member) => member.attach(executor, targets),
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The fence that is checked before every send.
+    /// Returns the fence, which is checked before every send.
     #[must_use]
     pub fn fence(&self) -> Rc<dyn Fence> {
         match self {
@@ -64,7 +66,7 @@
         }
     }
 
-    /// Whether anything may be sent now.
+    /// Returns whether the fence is open, so that queries may be sent now.
     #[must_use]
     pub fn is_open(&self) -> bool {
         match self {
@@ -73,7 +75,8 @@
         }
     }
 
-    /// Whether the engine list is retained here, to be stored for others.
+    /// Returns whether this instance retains the engine list, so that it can be stored for other
+    /// instances.
     #[must_use]
     pub fn list_retention(&self) -> ListRetention {
         match self {
@@ -82,7 +85,8 @@
         }
     }
 
-    /// Applies this instance's own settings, which were read again; the settings in force then.
+    /// Applies this instance's own settings after they were reloaded, and returns the settings that
+    /// are in force then.
     #[must_use]
     pub fn apply_own_settings(&self, own: &Settings) -> Settings {
         match self {
@@ -97,7 +101,7 @@
         }
     }
 
-    /// The metrics, in the text format of Prometheus.
+    /// Returns the metrics of the role in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         match self {
@@ -106,11 +110,12 @@
         }
     }
 
-    /// Cordons an engine everywhere, or uncordons it.
+    /// Cordons or uncordons an engine at all instances.
     ///
     /// # Errors
     ///
-    /// It was not committed, or that is not known; only a member can commit it.
+    /// Returns an error if the change was rejected, if its outcome is unknown, or if this instance
+    /// is a subscriber, because only members can commit changes.
     pub async fn set_cordon(
         &self,
         engine: &str,
@@ -126,11 +131,12 @@
         }
     }
 
-    /// Drains this instance, or resumes it. A subscriber does so by itself.
+    /// Drains or resumes this instance. A member commits the change; a subscriber applies it
+    /// locally.
     ///
     /// # Errors
     ///
-    /// A member's drain was not committed, or that is not known.
+    /// Returns an error if a member's change was rejected, or if its outcome is unknown.
     pub async fn set_drain(
         &self,
         drained: bool,
--- a/gateway/src/replication/reconcile.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -1,5 +1,5 @@
-//! Carries out the shared configuration: the same for a member, which holds the shared state
-//! itself, and for a subscriber.
+//! Applies the shared configuration to the parts of this gateway, for members and subscribers
+//! alike.
 
 use std::cell::{Cell, OnceCell, Ref, RefCell};
 use std::rc::Rc;
@@ -15,46 +15,46 @@
 use crate::rest::RestFrontend;
 use crate::settings::{Settings, SharedSettings};
 
-/// The parts of the program that the shared configuration reaches.
+/// The parts of the gateway that the shared configuration controls.
 pub struct ControlTargets {
-    /// The one clock.
+    /// The clock that all parts of the gateway share.
     pub clock: Clock,
-    /// The decisions.
+    /// The dispatcher, which applies cordons.
     pub dispatch: Rc<Dispatch>,
-    /// Whether clients are let in.
+    /// The drain state of this process.
     pub drain: Rc<DrainState>,
-    /// Engine ids by name.
+    /// The engine ids by name.
     pub engine_ids: Rc<EngineIds>,
-    /// Where the event bus is, and what it has said.
+    /// The event bus connection, which uses the stored engine list until the bus answers.
     pub discovery: Rc<DiscoverySource>,
-    /// The REST front end, if there is one.
+    /// The REST front end, if it is configured.
     pub rest: Option<Rc<RestFrontend>>,
 }
 
-/// Whether members have other addresses, or there are others.
+/// Whether the members or their addresses have changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum MembersChange {
-    /// Members have other addresses, or there are others.
+    /// Members were added or removed, or have other addresses.
     Changed,
-    /// Members and their addresses are as they were.
+    /// The members and their addresses are the same.
     Unchanged,
 }
 
-/// The shared configuration as far as this instance has carried it out.
+/// Applies the shared configuration and keeps the one that was last applied.
 pub(super) struct Reconciler {
-    /// The name by which this instance is drained.
+    /// The name of this instance in drains: a member's id or a subscriber's name.
     instance: String,
     targets: OnceCell<ControlTargets>,
-    /// This instance's own settings, under the shared ones.
+    /// This instance's own settings, which the shared ones override.
     own_settings: RefCell<Settings>,
     revision: Cell<Option<Revision>>,
     config: RefCell<SharedConfig>,
-    /// This instance was drained by itself, not by the shared configuration.
+    /// Whether this instance was drained locally, independently of the shared configuration.
     is_drained_locally: Cell<bool>,
 }
 
 impl Reconciler {
-    /// Nothing is carried out yet.
+    /// Creates a reconciler that has not applied any configuration.
     pub(super) fn new(instance: String, own_settings: &Settings) -> Self {
         Reconciler {
             instance,
@@ -66,29 +66,29 @@
         }
     }
 
-    /// Connects the parts that the shared configuration reaches. Nothing may be sent from then on
-    /// until the state is confirmed.
+    /// Connects the parts that the shared configuration controls, and reports this instance as
+    /// fenced until the state is confirmed.
     pub(super) fn attach(&self, targets: ControlTargets) {
         targets.drain.set_fenced(true);
         let _ = self.targets.set(targets);
     }
 
-    /// The parts that the shared configuration reaches, once they are connected.
+    /// Returns the parts that the shared configuration controls, if they are connected.
     pub(super) fn targets(&self) -> Option<&ControlTargets> {
         self.targets.get()
     }
 
-    /// The shared configuration in force.
+    /// Returns the shared configuration in force.
     pub(super) fn config(&self) -> Ref<'_, SharedConfig> {
         self.config.borrow()
     }
 
-    /// This instance's own settings.
+    /// Returns this instance's own settings, without the shared ones.
     pub(super) fn own_settings(&self) -> Ref<'_, Settings> {
         self.own_settings.borrow()
     }
 
-    /// Carries out what the shared state holds and was not carried out yet.
+    /// Applies the changes of the shared state since the last call.
     pub(super) fn reconcile(&self, state: &impl Entries) -> MembersChange {
         let revision = Some(state.revision());
         if self.revision.replace(revision) == revision {
@@ -104,7 +104,7 @@
             if change == ConfigChange::Members {
                 members = MembersChange::Changed;
             }
-            self.carry_out(change, targets);
+            self.apply_change(change, targets);
         }
         if !targets.discovery.has_received() {
             if let Some(list) = engine_list::stored(state) {
@@ -114,7 +114,7 @@
         members
     }
 
-    fn carry_out(&self, change: ConfigChange, targets: &ControlTargets) {
+    fn apply_change(&self, change: ConfigChange, targets: &ControlTargets) {
         match change {
             ConfigChange::Cordon { engine, cordoned } => {
                 log::engine_cordoned(&engine, cordoned);
@@ -124,16 +124,16 @@
             ConfigChange::Drain(_) => self.apply_drain(targets),
             ConfigChange::Settings(settings) => {
                 let version = settings.map_or(0, |settings| settings.number);
-                log::write_line(format_args!("cluster settings version={version} hold"));
+                log::write_line(format_args!("cluster settings version={version} in force"));
                 self.apply_settings(targets);
             }
-            // Members' addresses matter to members alone: the caller applies them.
+            // Only members use the addresses of members, so the caller applies them.
             ConfigChange::Members => {}
         }
     }
 
-    /// Drains this instance by itself, or ends that; a drain of the shared configuration is not
-    /// affected.
+    /// Drains this instance locally, or ends the local drain. A drain in the shared configuration
+    /// is not affected.
     pub(super) fn set_local_drain(&self, drained: bool) {
         self.is_drained_locally.set(drained);
         if let Some(targets) = self.targets.get() {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// The settings in force here: the shared ones over this instance's own.
+    /// Returns the settings in force: this instance's own, overridden by the shared ones.
     pub(super) fn settings(&self) -> Settings {
         let own = self.own_settings.borrow();
         let Some(SettingsVersion { number, text }) = self.config.borrow().settings.clone() else {
@@ -158,7 +158,7 @@
         match SharedSettings::parse(&text) {
             Ok(shared) => shared.applied_over(&own),
             Err(errors) => {
-                // A member of another version of the program has accepted it.
+                // A member that runs another version of the program has accepted these settings.
                 let first = errors.first().map(ToString::to_string).unwrap_or_default();
                 log::write_line(format_args!(
                     "cluster settings version={number} can't be used here: {first}"
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Applies this instance's own settings, which were read again.
+    /// Applies this instance's own settings after they were reloaded.
     pub(super) fn set_own_settings(&self, own: &Settings) {
         *self.own_settings.borrow_mut() = own.clone();
         if let Some(targets) = self.targets.get() {
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Requests and attempts that were not sent, as the state was not confirmed.
+    /// Returns the number of requests and attempts that were not sent because the fence was closed.
     pub(super) fn fenced_count(&self) -> u64 {
         let targets = self.targets.get();
         targets.map_or(0, |targets| targets.dispatch.fenced_count())
--- a/gateway/src/replication/shared_config/encoding.rs
+++ b/gateway/src/replication/shared_config/encoding.rs
@@ -1,11 +1,13 @@
-//! The names of the keys and the form of their values. Both are stored: they stay as they are.
+//! The names of the keys and the encoding of their values. Both are stored, and other versions of
+//! the program read them, so they must not change.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use violetgate_replicated_state::{Entries, Mutation, Revision};
 
-/// Keys with these prefixes have a meaning of their own: only the calls of this module change them.
+/// The prefixes of the keys that contain the shared configuration. Only the transactions of
+/// [`shared_config`](super) change these keys.
 pub const RESERVED_PREFIXES: [&str; 6] = [
     CORDON_PREFIX,
     DRAIN_PREFIX,
@@ -20,31 +22,32 @@
 pub(super) const MEMBER_PREFIX: &str = "members/";
 pub(super) const ENGINE_PREFIX: &str = "engines/";
 pub(super) const SETTINGS_VERSION_PREFIX: &str = "settings/versions/";
-/// Holds the number of the settings version in force.
+/// The key that contains the number of the settings version in force.
 pub(super) const CURRENT_SETTINGS: &str = "settings/current";
-/// Holds the offset of the last event that the stored engine list includes.
+/// The key that contains the offset of the last event included in the stored engine list.
 pub(super) const ENGINE_LIST_OFFSET: &str = "list";
 
-/// Where a member can be reached, and which disk holds its log.
+/// The addresses of a member and the id of the disk that contains its log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberAddress {
-    /// The address for other members.
+    /// The address at which other members reach it.
     pub listen: SocketAddr,
-    /// The address of its API, for operators.
+    /// The address of its cluster API.
     pub api: SocketAddr,
     /// The id of the member's disk; `None` until the member has started.
     #[serde(rename = "born")]
     pub disk_id: Option<u64>,
 }
 
-/// The value of a cordon and of a drain: who requested it.
+/// The value of a cordon or drain key: the operator who requested it.
 #[derive(Debug, Serialize)]
 struct RequestedBy<'a> {
     #[serde(rename = "by")]
     operator: &'a str,
 }
 
-/// The key of a settings version. The number has leading zeros, so that keys sort by it.
+/// Returns the key of a settings version. The number has leading zeros, so that the keys sort by
+/// version.
 pub(super) fn settings_version_key(version: u64) -> String {
     format!("{SETTINGS_VERSION_PREFIX}{version:08}")
 }
@@ -61,7 +64,7 @@
     }
 }
 
-/// All entries under a prefix, by the rest of their keys.
+/// Returns all entries whose keys have the prefix, with the prefix removed from the keys.
 pub(super) fn entries_under(
     state: &impl Entries,
     prefix: &'static str,
@@ -73,7 +76,7 @@
     })
 }
 
-/// The number that a key holds in decimal digits.
+/// Parses the value of a key as a decimal number. Returns `None` if there is no such key or number.
 pub(super) fn number_at(state: &impl Entries, key: &str) -> Option<u64> {
     std::str::from_utf8(state.entry(key)?.value)
         .ok()?
@@ -81,7 +84,7 @@
         .ok()
 }
 
-/// The revision that last changed a key; 0 if there is no such key.
+/// Returns the revision that last changed a key; 0 if there is no such key.
 pub(super) fn revision_of(state: &impl Entries, key: &str) -> Revision {
     state.entry(key).map_or(0, |current| current.revision)
 }
--- a/gateway/src/replication/shared_config/engine_list.rs
+++ b/gateway/src/replication/shared_config/engine_list.rs
@@ -1,5 +1,5 @@
-//! The last known engine list, stored by the members for instances that start while the event bus
-//! is silent.
+//! The stored engine list. The leader stores the last known list for instances that start while the
+//! event bus does not answer.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 };
 use crate::discovery::EngineListSnapshot;
 
-/// The stored engine list, if there is one.
+/// Returns the stored engine list, if there is one.
 #[must_use]
 pub fn stored(state: &impl Entries) -> Option<EngineListSnapshot> {
     let engine =
@@ -23,16 +23,16 @@
     })
 }
 
-/// The offset of the last event that the stored list includes.
+/// Returns the offset of the last event included in the stored list.
 #[must_use]
 pub fn stored_offset(state: &impl Entries) -> Option<u64> {
     number_at(state, ENGINE_LIST_OFFSET)
 }
 
-/// The next transaction towards storing `list`; `None`: the stored list is as new.
+/// Returns the next transaction towards storing `list`, or `None` if the stored list is as recent.
 ///
-/// A transaction has at most [`MAX_TXN_LENGTH`] mutations, so a long list takes several. The offset
-/// is written with the last one: until then the stored list counts as of the earlier offset.
+/// A transaction has at most [`MAX_TXN_LENGTH`] mutations, so a long list takes several. The last
+/// one writes the offset; until then, the stored list keeps its earlier offset.
 #[must_use]
 pub fn next_update(state: &impl Entries, list: &EngineListSnapshot) -> Option<Txn> {
     if stored_offset(state).is_some_and(|offset| offset >= list.last_offset) {
@@ -55,7 +55,8 @@
     })
 }
 
-/// What the stored engines lack: deletions first, then new or changed engines.
+/// Returns the mutations that turn the stored engines into `list`: deletions first, then new or
+/// changed engines.
 fn missing_mutations(state: &impl Entries, list: &EngineListSnapshot) -> Vec<Mutation> {
     let stored: BTreeMap<String, Vec<u8>> = entries_under(state, ENGINE_PREFIX).collect();
     let encoded = |(name, engine): (&String, &serde_json::Value)| {
--- a/gateway/src/replication/shared_config/mod.rs
+++ b/gateway/src/replication/shared_config/mod.rs
@@ -1,19 +1,20 @@
-//! The configuration that all instances share, as keys of the replicated store.
+//! The configuration that all instances share, stored as keys of the replicated store.
 //!
-//! Nothing here does I/O or reads a clock. A [`SharedConfig`] is read from the store; the
-//! [`ConfigChange`]s between two of them are what an instance has to carry out; the functions that
-//! return a transaction say what has to be proposed.
+//! Nothing in this module does I/O or reads a clock. A [`SharedConfig`] is read from the store. The
+//! [`ConfigChange`]s between two of them are the steps that an instance has to apply. The functions
+//! that return a transaction build changes to be proposed.
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `cordons/ENGINE` | the engine is cordoned: who requested it |
-//! | `drains/MEMBER`, `drains/FRONT_END` | the instance is drained: who requested it |
+//! | `cordons/ENGINE` | the operator who cordoned the engine |
+//! | `drains/MEMBER`, `drains/FRONT_END` | the operator who drained the instance |
 //! | `settings/current` | the number of the settings version in force |
 //! | `settings/versions/N` | the text of version N |
 //! | `members/MEMBER` | a member's addresses and the id of its disk |
 //! | `engines/ENGINE`, `list` | the last known engine list, and the offset of its last event |
 //!
-//! It decides nothing about a request, and about an engine only what operators requested.
+//! This module makes no decisions about requests. Of engines, it contains only the cordons that
+//! operators requested and the last known list.
 
 mod encoding;
 pub mod engine_list;
--- a/gateway/src/replication/shared_config/operator_requests.rs
+++ b/gateway/src/replication/shared_config/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Transactions for what operators request and for what members record about themselves.
+//! Builds the transactions for operators' requests and for the address records of members.
 
 use violetgate_replicated_state::{Condition, Entries, Mutation, Revision, Txn};
 
@@ -6,20 +6,21 @@
     put, requested_by, MemberAddress, CORDON_PREFIX, DRAIN_PREFIX, MEMBER_PREFIX,
 };
 
-/// Cordons an engine, or uncordons it.
+/// Returns the transaction that cordons or uncordons an engine.
 #[must_use]
 pub fn set_cordon(engine: &str, cordoned: bool, operator: &str) -> Txn {
-    set_mark(format!("{CORDON_PREFIX}{engine}"), cordoned, operator)
+    set_flag(format!("{CORDON_PREFIX}{engine}"), cordoned, operator)
 }
 
-/// Drains an instance, or resumes it. `instance` is a member's id or a subscriber's name.
+/// Returns the transaction that drains or resumes an instance. `instance` is a member's id or a
+/// subscriber's name.
 #[must_use]
 pub fn set_drain(instance: &str, drained: bool, operator: &str) -> Txn {
-    set_mark(format!("{DRAIN_PREFIX}{instance}"), drained, operator)
+    set_flag(format!("{DRAIN_PREFIX}{instance}"), drained, operator)
 }
 
-fn set_mark(key: String, marked: bool, operator: &str) -> Txn {
-    let mutation = if marked {
+fn set_flag(key: String, is_set: bool, operator: &str) -> Txn {
+    let mutation = if is_set {
         put(key, requested_by(operator))
     } else {
         Mutation::Delete(key)
@@ -30,9 +31,10 @@
     }
 }
 
-/// Records a member's addresses; `None`: they are recorded already.
+/// Returns the transaction that records a member's addresses, or `None` if they are recorded
+/// already.
 ///
-/// The transaction's condition does not hold while another disk is recorded under the same id.
+/// The condition of the transaction does not hold if another disk is recorded under the same id.
 #[must_use]
 pub fn record_member(state: &impl Entries, id: u64, address: &MemberAddress) -> Option<Txn> {
     let key = format!("{MEMBER_PREFIX}{id}");
@@ -46,7 +48,7 @@
         .and_then(|member| member.disk_id)
         .is_some_and(|disk_id| Some(disk_id) != address.disk_id);
     let expected_revision = if is_other_disk {
-        // No key is ever of this revision: the condition can't hold.
+        // No key ever reaches this revision, so the condition can't hold.
         Revision::MAX
     } else {
         entry.map_or(0, |current| current.revision)
--- a/gateway/src/replication/shared_config/settings_versions.rs
+++ b/gateway/src/replication/shared_config/settings_versions.rs
@@ -1,4 +1,4 @@
-//! The shared settings: numbered versions, one of which is in force.
+//! The shared settings as numbered versions, one of which is in force.
 
 use thiserror::Error;
 use violetgate_replicated_state::{
@@ -10,61 +10,61 @@
 };
 use crate::settings::{SettingsError, SharedSettings};
 
-/// How many versions stay in the store; the oldest is deleted with each new one.
+/// The number of versions that stay in the store. Each further version deletes the oldest one.
 pub(super) const RETAINED_VERSIONS: u64 = 50;
 
 /// A numbered version of the shared settings.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SettingsVersion {
-    /// Its number, from 1.
+    /// The version number, from 1.
     pub number: u64,
-    /// Its text, in the form of a settings file.
+    /// The settings, in the format of a settings file.
     pub text: String,
 }
 
-/// Why settings are not proposed.
+/// Why settings are rejected before they are proposed.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum SettingsRejection {
     /// The text has errors.
     #[error("the settings have {} errors: correct each line that is named", .0.len())]
     Invalid(Vec<SettingsError>),
-    /// The text is longer than a value of the store may be.
+    /// The text is longer than the store allows a value to be.
     #[error("the settings are too long: {MAX_VALUE_BYTES} bytes are the most")]
     TooLong,
-    /// Another version is in force than the one that was to be replaced.
+    /// The version in force is not the one that the caller expected to replace.
     #[error("version {current} is in force: read it, and apply the change to it")]
     VersionConflict {
-        /// The version in force; 0: none is.
+        /// The number of the version in force; 0 if there is none.
         current: u64,
     },
-    /// The store no longer holds that version.
+    /// The version does not exist or is no longer retained.
     #[error("that version is not retained: only the last {RETAINED_VERSIONS} are")]
     UnknownVersion,
 }
 
-/// A version that is retained, and the revision of the store that made it.
+/// A retained version and the revision of the store that created it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetainedVersion {
-    /// Its number.
+    /// The version number, from 1.
     pub number: u64,
-    /// The revision that made it.
+    /// The revision of the store that created the version.
     pub revision: Revision,
 }
 
-/// The text of a version, if it is retained.
+/// Returns the text of a version, if it is retained.
 #[must_use]
 pub fn text(state: &impl Entries, version: u64) -> Option<String> {
     let text = state.entry(&settings_version_key(version))?.value;
     String::from_utf8(text.to_vec()).ok()
 }
 
-/// The number of the version in force; 0: none is.
+/// Returns the number of the version in force; 0 if there is none.
 #[must_use]
 pub fn current(state: &impl Entries) -> u64 {
     number_at(state, CURRENT_SETTINGS).unwrap_or(0)
 }
 
-/// The version in force, with its text.
+/// Returns the version in force with its text, if there is one.
 #[must_use]
 pub fn in_force(state: &impl Entries) -> Option<SettingsVersion> {
     let number = number_at(state, CURRENT_SETTINGS)?;
@@ -72,7 +72,7 @@
     Some(SettingsVersion { number, text })
 }
 
-/// The retained versions, oldest first.
+/// Returns the retained versions, oldest first.
 #[must_use]
 pub fn retained(state: &impl Entries) -> Vec<RetainedVersion> {
     let entries = state.entries_with_prefix(SETTINGS_VERSION_PREFIX);
@@ -89,7 +89,7 @@
     entries.iter().filter_map(version).collect()
 }
 
-/// The version that a revision of the store made.
+/// Returns the number of the version that a revision of the store created, if it is retained.
 #[must_use]
 pub fn made_by(state: &impl Entries, revision: Revision) -> Option<u64> {
     let versions = retained(state);
@@ -97,14 +97,14 @@
     made.map(|version| version.number)
 }
 
-/// The transaction that puts a text in force as a new version, and the number of that version.
+/// Returns the number of a new version and the transaction that puts it in force with this text.
 ///
-/// With `expected`, only while that version is in force; 0 stands for none. Of two proposals that
-/// replace the same version, the condition of one does not hold.
+/// If `expected` is given, that version has to be in force; 0 stands for none. If two proposals
+/// replace the same version, the condition holds for only one of them.
 ///
 /// # Errors
 ///
-/// The text can't be used, or another version is in force.
+/// Returns an error if the text is not valid, or if another version than `expected` is in force.
 pub fn propose(
     state: &impl Entries,
     text: &str,
@@ -138,11 +138,12 @@
     Ok((next, transaction))
 }
 
-/// The transaction that puts an earlier version in force again, as a new one, and its number.
+/// Returns the number of a new version and the transaction that puts it in force with the text of
+/// an earlier version.
 ///
 /// # Errors
 ///
-/// That version is not retained, or can't be used any more.
+/// Returns an error if the earlier version is not retained, or if its text is no longer valid.
 pub fn roll_back(state: &impl Entries, version: u64) -> Result<(u64, Txn), SettingsRejection> {
     let text = text(state, version).ok_or(SettingsRejection::UnknownVersion)?;
     propose(state, &text, None)
--- a/gateway/src/replication/shared_config/tests.rs
+++ b/gateway/src/replication/shared_config/tests.rs
@@ -1,4 +1,4 @@
-//! The shared configuration over a store, without a cluster.
+//! Tests of the shared configuration on a store, without a cluster.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
 use super::*;
 use crate::discovery::EngineListSnapshot;
 
-/// Applies a transaction; whether its conditions held.
+/// Applies a transaction and returns whether its conditions held.
 fn apply(store: &mut Store, transaction: Txn) -> bool {
     let command = Command {
         request_id: None,
@@ -62,7 +62,11 @@
     };
     let changes = [cordon_change("e-2", true), cordon_change("e-1", false)];
     assert_eq!(step(both), changes);
-    assert_eq!(step(set_drain("1", true, "op")), [], "another instance");
+    assert_eq!(
+        step(set_drain("1", true, "op")),
+        [],
+        "a drain of another instance changes nothing"
+    );
     assert_eq!(
         step(set_drain("2", true, "op")),
         [ConfigChange::Drain(true)]
@@ -73,8 +77,8 @@
     );
 }
 
-/// Settings are checked before they are proposed; of two proposals at once one holds; an earlier
-/// version comes back as a new one, and the oldest are deleted.
+/// Settings are validated before they are proposed. Only one of two concurrent proposals takes
+/// effect. A rollback creates a new version, and the oldest versions are deleted.
 #[test]
 fn settings_versions_are_proposed_checked_and_rolled_back() {
     let mut store = Store::default();
@@ -84,8 +88,8 @@
         Err(SettingsRejection::Invalid(_))
     ));
     let (one, first) = propose(&store, &text(1), Some(0)).unwrap();
-    let (_, rival) = propose(&store, &text(9), Some(0)).unwrap();
-    assert!(one == 1 && apply(&mut store, first) && !apply(&mut store, rival));
+    let (_, concurrent) = propose(&store, &text(9), Some(0)).unwrap();
+    assert!(one == 1 && apply(&mut store, first) && !apply(&mut store, concurrent));
     assert_eq!(
         propose(&store, &text(2), Some(0)),
         Err(SettingsRejection::VersionConflict { current: 1 })
@@ -106,7 +110,8 @@
     );
 }
 
-/// A list of any length is stored in steps, its offset last; an older one changes nothing.
+/// Guards against a partly stored list that passes as complete: a long list takes several
+/// transactions, and only the last one writes the offset. An older list changes nothing.
 #[test]
 fn engine_list_is_stored_in_steps_with_its_offset_last() {
     let mut store = Store::default();
@@ -158,7 +163,7 @@
     );
 }
 
-/// Other versions of the program read these values: their form stays.
+/// Guards against changes of the stored encoding, which other versions of the program read.
 #[test]
 fn stored_values_have_the_form_that_other_versions_read() {
     assert_eq!(requested_by("amina"), br#"{"by":"amina"}"#);
--- a/gateway/src/replication/shared_config/view.rs
+++ b/gateway/src/replication/shared_config/view.rs
@@ -1,5 +1,4 @@
-//! What the shared configuration means for one instance, and what changes from one state to the
-//! next.
+//! The shared configuration as one instance sees it, and the changes between two states of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,29 +11,29 @@
 /// The shared configuration as one instance sees it.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SharedConfig {
-    /// Names of the cordoned engines.
+    /// The names of the cordoned engines.
     pub cordons: BTreeSet<String>,
-    /// Whether this instance is drained.
+    /// Whether operators have drained this instance.
     pub drained: bool,
     /// The settings version in force, if there is one.
     pub settings: Option<SettingsVersion>,
-    /// Members by id, as far as they have recorded their addresses.
+    /// The members that have recorded their addresses, by id.
     pub members: BTreeMap<u64, MemberAddress>,
 }
 
-/// One step from an earlier shared configuration to a later one.
+/// A single change from an earlier shared configuration to a later one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ConfigChange {
     /// An engine was cordoned or uncordoned.
     Cordon {
-        /// The engine's name.
+        /// The name of the engine.
         engine: String,
-        /// Whether it is cordoned now.
+        /// Whether the engine is cordoned now.
         cordoned: bool,
     },
-    /// This instance was drained (`true`) or resumed.
+    /// This instance was drained (`true`) or resumed (`false`).
     Drain(bool),
-    /// Other settings are in force; `None`: no shared settings any more.
+    /// Other settings are in force; `None` if there are no shared settings any more.
     Settings(Option<SettingsVersion>),
     /// Members were added or removed, or have other addresses.
     Members,
@@ -59,9 +58,10 @@
         }
     }
 
-    /// The changes that lead from this configuration to `next`.
+    /// Returns the changes that lead from this configuration to `next`.
     ///
-    /// Cordons come before uncordons, so that nothing is sent to a cordoned engine in between.
+    /// Cordons come before uncordons, so that while the changes are applied, no query is sent to an
+    /// engine that is about to be cordoned.
     #[must_use]
     pub fn changes_to(&self, next: &SharedConfig) -> Vec<ConfigChange> {
         let added = next.cordons.difference(&self.cordons);
@@ -82,7 +82,8 @@
         changes
     }
 
-    /// The members' addresses: those of this instance's own settings come before recorded ones.
+    /// Returns the addresses of the members. An address in this instance's own settings (`own`)
+    /// overrides the recorded one.
     #[must_use]
     pub fn addresses(&self, own: &BTreeMap<u64, SocketAddr>) -> BTreeMap<u64, SocketAddr> {
         let recorded = self.members.iter().map(|(id, member)| (*id, member.listen));
@@ -91,7 +92,8 @@
             .collect()
     }
 
-    /// The ids of the members' disks, as far as they are known.
+    /// Returns the ids of the members' disks, by member id. Members with an unknown disk are left
+    /// out.
     #[must_use]
     pub fn disk_ids(&self) -> BTreeMap<u64, u64> {
         let members = self.members.iter();
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -1,4 +1,5 @@
-//! This instance as a subscriber of a cluster: it follows the shared state without being a member.
+//! The subscriber role in a cluster: follows the shared state through observers, without being a
+//! member.
 
 use std::cell::Cell;
 use std::rc::{Rc, Weak};
@@ -12,20 +13,19 @@
 
 use super::metrics::SubscriberMetrics;
 use super::reconcile::{ControlTargets, Reconciler};
-use super::{shown_or, FENCE_CHECK_INTERVAL, MICROS_PER_MS};
+use super::{display_or, FENCE_CHECK_INTERVAL, MICROS_PER_MS};
 use crate::clock::micros;
 use crate::fence::Fence;
 use crate::log;
 use crate::settings::{self, Settings};
 
-/// An observer may leave a poll unanswered for this part of the drain limit, and for the default at
-/// most.
+/// The poll timeout is the drain limit divided by this value, but at most the default timeout.
 const POLL_TIMEOUTS_IN_DRAIN_LIMIT: u32 = 5;
-/// The longest pause between checks of an open fence; a change of observer is logged within this
+/// The maximum pause between checks of an open fence. A change of observer is logged within this
 /// time.
 const MAX_FENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// This instance as a subscriber.
+/// A subscriber of a cluster, with its subscription to observers.
 pub struct ClusterSubscriber {
     subscription: Rc<Subscription>,
     reconciler: Reconciler,
@@ -54,11 +54,11 @@
 }
 
 impl ClusterSubscriber {
-    /// Begins to subscribe. Nothing may be sent until the state is confirmed.
+    /// Starts the subscription. The fence stays closed until the state is confirmed.
     ///
     /// # Errors
     ///
-    /// These settings can't guarantee a fresh state.
+    /// Returns an error if the settings can't guarantee a fresh state.
     pub fn start(
         executor: &Rc<LocalExecutor<'static>>,
         own_settings: &Settings,
@@ -75,52 +75,52 @@
         }))
     }
 
-    /// Connects the parts that the shared configuration reaches, carries out what is committed so
-    /// far, and goes on doing so.
+    /// Connects the parts that the shared configuration controls, applies the committed
+    /// configuration to them, and keeps applying its changes.
     pub fn attach(self: &Rc<Self>, executor: &Rc<LocalExecutor<'static>>, targets: ControlTargets) {
         self.reconciler.attach(targets);
         let subscriber = Rc::downgrade(self);
-        // Carried out in the step in which it is applied: the staleness guard may count on it from
-        // then on.
+        // The configuration takes effect in the same step in which the subscription applies a
+        // change, because the staleness guard treats the change as in force from then on.
         self.subscription.on_applied(Rc::new(move |replica| {
             if let Some(subscriber) = subscriber.upgrade() {
-                // Members' addresses matter to members alone.
+                // Only members use the addresses of members.
                 let _ = subscriber.reconciler.reconcile(replica);
             }
         }));
         executor.spawn(watch_fence(Rc::downgrade(self))).detach();
     }
 
-    /// The settings in force here: the shared ones over this instance's own.
+    /// Returns the settings in force: this instance's own, overridden by the shared ones.
     #[must_use]
     pub fn settings(&self) -> Settings {
         self.reconciler.settings()
     }
 
-    /// Applies this instance's own settings, which were read again.
+    /// Applies this instance's own settings after they were reloaded.
     pub fn set_own_settings(&self, own: &Settings) {
         self.reconciler.set_own_settings(own);
     }
 
-    /// Drains this instance by itself, or ends that; a drain of the shared configuration is not
-    /// affected.
+    /// Drains this instance locally, or ends the local drain. A drain in the shared configuration
+    /// is not affected.
     pub fn set_local_drain(&self, drained: bool) {
         self.reconciler.set_local_drain(drained);
     }
 
-    /// The state of the subscription.
+    /// Returns the state of the subscription.
     #[must_use]
     pub fn status(&self) -> SubscriptionStatus {
         self.subscription.status()
     }
 
-    /// The subscription itself.
+    /// Returns the subscription.
     #[must_use]
     pub fn subscription(&self) -> &Subscription {
         &self.subscription
     }
 
-    /// The metrics, in the text format of Prometheus.
+    /// Returns the metrics of the subscriber in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         let metrics = SubscriberMetrics {
@@ -131,7 +131,8 @@
         metrics.render()
     }
 
-    /// Carries out that the fence is closed, or that it was opened or closed.
+    /// Rejects queued requests while the fence is closed. If the fence has opened or closed since
+    /// the last check, updates the drain state and logs it.
     fn check_fence(&self) {
         let Some(targets) = self.reconciler.targets() else {
             return;
@@ -154,16 +155,16 @@
             freshness,
             rejection,
         } = self.status();
-        let (observer, reserve) = (shown_or(watched, "none"), shown_or(standby, "none"));
+        let (observer, reserve) = (display_or(watched, "none"), display_or(standby, "none"));
         if !is_fenced {
             return log::write_line(format_args!(
                 "cluster fence is open: revision={revision} observer={observer} reserve={reserve}"
             ));
         }
         let age = freshness.err().and_then(|stale| stale.age);
-        let age_ms = shown_or(age.map(|age| age / MICROS_PER_MS), "unknown");
+        let age_ms = display_or(age.map(|age| age / MICROS_PER_MS), "unknown");
         let refused = rejection.map(|reason| format!("{}: {reason}", reason.code()));
-        let refused = shown_or(refused, "none");
+        let refused = display_or(refused, "none");
         log::write_line(format_args!(
             "cluster reason=stale fence is shut: age_ms={age_ms} revision={revision} \
              observer={observer} reserve={reserve} refused={refused}"
@@ -171,7 +172,8 @@
     }
 }
 
-/// Checks the fence, and logs a change of observer.
+/// Checks the fence periodically, and logs a change of observer. Ends when the subscriber is
+/// dropped.
 async fn watch_fence(subscriber: Weak<ClusterSubscriber>) {
     let mut known_observer = None;
     while let Some(subscriber) = subscriber.upgrade() {
@@ -179,15 +181,15 @@
         let status = subscriber.status();
         if known_observer != status.watched {
             known_observer = status.watched;
-            let observer = shown_or(status.watched, "none");
-            let reserve = shown_or(status.standby, "none");
+            let observer = display_or(status.watched, "none");
+            let reserve = display_or(status.standby, "none");
             log::write_line(format_args!(
                 "cluster observer={observer} reserve={reserve} revision={}",
                 status.revision
             ));
         }
-        // An open fence can't close before that: fifty checks a second would be most of what
-        // control costs.
+        // An open fence can't close before its state becomes stale, so no check is needed until
+        // then. Fifty checks a second would be most of the CPU cost of the control plane.
         let time_left = subscriber.subscription.time_until_stale();
         drop(subscriber);
         let pause = time_left.clamp(FENCE_CHECK_INTERVAL, MAX_FENCE_CHECK_INTERVAL);
