--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -135,7 +135,7 @@
         fleet: settings.name.clone(),
         identity: Identity {
             name: settings.member.as_str().into(),
-            addr: settings.reached_at(),
+            addr: settings.advertised_address(),
             incarnation: clock.now(),
         },
         listen: settings.listen,
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -339,7 +339,7 @@
 impl Fleet {
     /// Where others reach this gateway.
     #[must_use]
-    pub fn reached_at(&self) -> SocketAddr {
+    pub fn advertised_address(&self) -> SocketAddr {
         if self.address.port() == 0 {
             self.listen
         } else {
@@ -349,7 +349,7 @@
 
     /// What is wrong with keys together that are valid one by one.
     pub(super) fn check(&self) -> Result<(), KeyConflict> {
-        let at = self.reached_at();
+        let at = self.advertised_address();
         if at.ip().is_unspecified() || at.port() == 0 {
             return Err(KeyConflict::new(
                 "address",
