--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the configuration and the settings are read again.
+//! Reloads the platform's configuration and the operators' settings at SIGHUP.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -11,19 +11,20 @@
 use crate::rest::RestFrontend;
 use crate::settings::{self, Settings};
 
-/// What a reload reaches. Of all that is read, the address of the event bus can change in a running
-/// program, and the settings whose reference says so.
+/// The parts that a reload changes. A running program applies a new address of the event bus, and
+/// the settings whose reference says `SIGHUP`; everything else takes effect at the next start.
 #[derive(Clone)]
 pub(super) struct Reloader {
     pub discovery: Rc<DiscoverySource>,
-    /// The operators' settings file, if there is one.
+    /// The path of the operators' settings file, if one was given.
     pub settings_file: Option<PathBuf>,
     pub rest: Option<Rc<RestFrontend>>,
     pub participant: Option<Participant>,
 }
 
 impl Reloader {
-    /// Reads all again. Where any of it can't be used, nothing changes.
+    /// Reads the configuration and the settings again, and applies them. If either is invalid, this
+    /// is logged and nothing changes.
     pub(super) fn reload(&self) {
         match self.read() {
             Ok((config, settings)) => self.apply(&config, &settings),
@@ -52,7 +53,7 @@
         match (&self.rest, &settings.rest) {
             (Some(rest), Some(settings)) => rest.apply_limits(settings),
             (None, None) => {}
-            _ => log::write_line("violetgate takes the REST front up, or out, at its next start"),
+            _ => log::write_line("violetgate adds or removes the REST front end at its next start"),
         }
     }
 }
