--- a/gateway/src/settings/check.rs
+++ b/gateway/src/settings/check.rs
@@ -1,5 +1,5 @@
-//! Checks a settings text against the tables of [`super::schema`]: all errors, each with its line
-//! and key.
+//! Checks a settings text against the tables of [`super::schema`], and reports every error with its
+//! line and key.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,36 +12,37 @@
 use super::error::SettingsError;
 use super::schema::{Block, Key, Role, ValueKind, BLOCKS, MAX_MEMBERS, MAX_MEMBER_ID};
 
-/// Why a key can't be used.
+/// An error in the value or the place of a known key.
 #[derive(Debug, Error)]
 enum KeyError {
-    /// Instances of this role do not take it.
+    /// Instances with this role don't take the key.
     #[error("is no key of a {0}: take it out, or correct `role`")]
     OtherRole(&'static str),
-    /// It is each instance's own.
+    /// The key is given in shared settings, but each instance has to set it in its own file.
     #[error("can't be agreed on: it stands in each instance's own file")]
     NotShareable,
-    /// It is given as a block.
+    /// The key is given as a block.
     #[error("is a key, not a block")]
     Block,
-    /// Its value is of another kind, or out of bounds.
+    /// The value is of another kind than this one, or out of its bounds.
     #[error("has to be {}", .0.about())]
     Value(ValueKind),
 }
 
-/// What a text is.
+/// Where a settings text comes from, which decides the keys that it may and must hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum TextKind {
     /// An instance's own settings file.
     OwnFile,
-    /// Settings that a cluster's members share.
+    /// The settings that a cluster's members share.
     Shared,
 }
 
-/// The lines of a text's blocks (`block`) and keys (`block.key`), from 1.
+/// The line numbers, from 1, of a text's blocks (as `block`) and keys (as `block.key`).
 pub(super) type Lines = BTreeMap<String, usize>;
 
-/// Checks a text against the tables.
+/// Checks a text against the tables. Returns its line numbers, or all errors in the order of their
+/// lines.
 pub(super) fn check(text: &str, kind: TextKind) -> Result<Lines, Vec<SettingsError>> {
     let body = hcl_edit::parser::parse_body(text).map_err(|error| {
         vec![SettingsError {
@@ -124,19 +125,19 @@
                 Structure::Block(block) => &block.ident,
             };
             let (name, line) = (ident.as_str(), self.line_of(ident));
-            let place = format!("{}.{name}", table.name);
+            let path = format!("{}.{name}", table.name);
             let Some(key) = table.keys.iter().find(|key| key.name == name) else {
                 let known = table.keys.iter().map(|key| key.name);
-                self.report(line, place, unknown(name, "key", known));
+                self.report(line, path, unknown(name, "key", known));
                 continue;
             };
             if seen.contains(&name) {
-                self.report(line, place.clone(), "this key is given twice");
+                self.report(line, path.clone(), "this key is given twice");
             }
             seen.push(name);
-            self.lines.insert(place.clone(), line);
+            self.lines.insert(path.clone(), line);
             if let Err(error) = self.check_key(key, role, structure) {
-                self.report(line, place, error.to_string());
+                self.report(line, path, error.to_string());
             }
         }
         if self.kind == TextKind::OwnFile {
@@ -153,7 +154,7 @@
         if let Some(role) = role.filter(|role| !role.takes(key.name)) {
             return Err(KeyError::OtherRole(role.name));
         }
-        // Members' addresses are each instance's own, though they are applied while it runs.
+        // Members' addresses belong to each instance, although a reload applies them.
         let can_be_shared = key.reloads && !matches!(key.kind, ValueKind::Members);
         if self.kind == TextKind::Shared && !can_be_shared {
             return Err(KeyError::NotShareable);
@@ -175,8 +176,8 @@
         for key in table.keys {
             let is_taken = role.is_none_or(|role| role.takes(key.name));
             if key.default.is_none() && is_taken && !seen.contains(&key.name) {
-                let place = format!("{}.{}", table.name, key.name);
-                self.report(block_line, place, "is missing in this block");
+                let path = format!("{}.{}", table.name, key.name);
+                self.report(block_line, path, "is missing in this block");
             }
         }
     }
@@ -204,7 +205,7 @@
     })
 }
 
-/// Whether a value is an object of members' addresses by their ids.
+/// Returns whether a value is an object that maps members' ids to their addresses.
 fn are_members(value: &Expression) -> bool {
     let is_member = |id: &ObjectKey, address: &Expression| {
         let id = match id {
@@ -225,7 +226,8 @@
     unknown(name, "block", BLOCKS.iter().map(|block| block.name))
 }
 
-/// That there is no such name, and which known one is near it.
+/// Returns an error text for an unknown name, with the most similar known name if it is close
+/// enough to be a misspelling.
 fn unknown<'a>(name: &str, what: &str, known: impl Iterator<Item = &'a str>) -> String {
     let nearest = known
         .map(|known| (strsim::damerau_levenshtein(name, known), known))
--- a/gateway/src/settings/error.rs
+++ b/gateway/src/settings/error.rs
@@ -1,27 +1,27 @@
-//! What is wrong with settings.
+//! Errors in the operators' settings.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
 use thiserror::Error;
 
-/// Why a settings file can't be used; one line names all that is wrong with it.
+/// An error of a settings file. Its message is one line that lists everything that is wrong.
 #[derive(Debug, Error)]
 pub enum SettingsFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{}: {error}", .file.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// Why.
+        /// The error of the read.
         error: std::io::Error,
     },
-    /// Its text has errors.
+    /// The text of the file has errors.
     #[error("{}", join_errors(.file, .errors))]
     Invalid {
-        /// The file.
+        /// The path of the file.
         file: PathBuf,
-        /// All errors, by line.
+        /// All errors, in the order of their lines.
         errors: Vec<SettingsError>,
     },
 }
@@ -35,19 +35,19 @@
     lines.join("; ")
 }
 
-/// What is wrong with a settings text, and where.
+/// An error in a settings text, with its line and key.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SettingsError {
-    /// The line, from 1.
+    /// The line number, from 1.
     pub line: usize,
-    /// `block.key`, or the block; empty where the text can't be read at all.
+    /// The key as `block.key`, or the name of the block. Empty if the text can't be parsed.
     pub key: String,
-    /// What is wrong.
+    /// The description of the error.
     pub text: String,
 }
 
 impl SettingsError {
-    /// An error of a text that can't be read at all.
+    /// Returns the error for a text that can't be parsed, at line 1.
     pub(super) fn of_text(error: impl ToString) -> Self {
         SettingsError {
             line: 1,
@@ -64,12 +64,12 @@
     }
 }
 
-/// What is wrong with a key only together with others of its block.
+/// A conflict between a key and other keys of its block, each of which is valid by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct KeyConflict {
-    /// The key.
+    /// The name of the key to which the error is attributed.
     pub key: &'static str,
-    /// What is wrong.
+    /// The description of the error.
     pub text: &'static str,
 }
 
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The operators' settings: one HCL file, whose every key is optional unless its block says
-//! otherwise.
+//! The operators' settings: one HCL file. A key is optional if the tables in [`schema`] give it a
+//! default.
 //!
-//! A file is checked completely before anything of it counts: all errors are reported at once, each
-//! with its line and key. What the platform states is not here, but in `config.rs`.
+//! A file is checked completely before any of it is applied: all errors are reported at once, each
+//! with its line and key. The platform's configuration is in `config.rs`.
 
 mod check;
 mod error;
@@ -21,31 +21,31 @@
 pub use reference::reference;
 pub use types::{gateway_name, Cluster, ClusterRole, Fleet, InvalidName, Log, Rest, Size, Span};
 
-/// All settings.
+/// The operators' settings, a field for each block of the file.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Settings {
-    /// The log.
+    /// Settings of the log.
     pub log: Log,
-    /// The REST front, if there is one.
+    /// Settings of the REST front end; `None` disables it.
     pub rest: Option<Rest>,
-    /// The cluster that this instance takes part in, if it does in one.
+    /// Settings of the cluster that this instance takes part in, if any.
     pub cluster: Option<Cluster>,
-    /// The fleet that this gateway belongs to, if it does to one.
+    /// Settings of the fleet that this gateway belongs to, if any.
     pub fleet: Option<Fleet>,
 }
 
-/// Settings that a cluster's members share: some of the keys that are applied while the program
-/// runs. They come before what an instance's own file says.
+/// Settings that a cluster's members share. They can hold only keys that a running program applies,
+/// and take precedence over each instance's own file.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SharedSettings(Value);
 
 impl SharedSettings {
-    /// Reads their text, which has the form of a settings file.
+    /// Parses the shared settings, which are written like a settings file.
     ///
     /// # Errors
     ///
-    /// All errors of the text, by line.
+    /// Returns all errors of the text, in the order of their lines.
     pub fn parse(text: &str) -> Result<Self, Vec<SettingsError>> {
         check(text, TextKind::Shared)?;
         hcl::from_str(text)
@@ -53,14 +53,15 @@
             .map_err(|error| vec![SettingsError::of_text(error)])
     }
 
-    /// An instance's settings under these.
+    /// Returns an instance's own settings with the shared ones applied over them.
     #[must_use]
     pub fn applied_over(&self, own: &Settings) -> Settings {
         let Ok(mut all) = serde_json::to_value(own) else {
             return own.clone();
         };
         for (name, block) in self.0.as_object().into_iter().flatten() {
-            // A block that the instance does not have, as that of a front end, is not added.
+            // A block that the instance does not have is not added: it would, for example, enable a
+            // REST front end.
             let Some(own_block) = all.get_mut(name).and_then(Value::as_object_mut) else {
                 continue;
             };
@@ -72,11 +73,11 @@
     }
 }
 
-/// Reads a file; without one, every setting has its default.
+/// Reads and checks a settings file. Without a file, every setting has its default.
 ///
 /// # Errors
 ///
-/// It can't be read or used.
+/// Fails if the file can't be read or its text has errors.
 pub fn read(file: Option<&Path>) -> Result<Settings, SettingsFileError> {
     let Some(file) = file else {
         return Ok(Settings::default());
@@ -91,15 +92,16 @@
     })
 }
 
-/// Reads a file's text.
+/// Parses and checks the text of a settings file.
 ///
 /// # Errors
 ///
-/// All errors of the text, by line.
+/// Returns all errors of the text, in the order of their lines. Conflicts between keys are checked
+/// only if there are no other errors, and only the first one is returned.
 pub fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let lines = check(text, TextKind::OwnFile)?;
-    // The tables and the types agree (tested in `tests.rs`), so this can't fail on what has passed
-    // them.
+    // The tables and the types agree (tested in `tests.rs`), so a text that has passed the tables
+    // can be deserialized.
     let settings: Settings =
         hcl::from_str(text).map_err(|error| vec![SettingsError::of_text(error)])?;
     let cluster = settings.cluster.as_ref().map_or(Ok(()), Cluster::check);
--- a/gateway/src/settings/reference.rs
+++ b/gateway/src/settings/reference.rs
@@ -1,10 +1,11 @@
-//! The reference of all settings, as Markdown: `docs/configuration.md` holds it.
+//! Generates the reference of all settings as Markdown, which is part of `docs/configuration.md`.
 
 use std::fmt::Write;
 
 use super::schema::{Block, Key, BLOCKS};
 
-/// The reference.
+/// Returns the reference as Markdown: for each block a heading, its description and a table of its
+/// keys.
 #[must_use]
 pub fn reference() -> String {
     let mut out = String::new();
@@ -31,7 +32,8 @@
     );
 }
 
-/// By which roles a key without a default must be given.
+/// Returns the text for the default of a required key: the roles that require it, or "must be
+/// given" if all do.
 fn required_by(block: &Block, key: &Key) -> String {
     let roles = block.roles.iter();
     let roles: Vec<_> = roles
--- a/gateway/src/settings/schema.rs
+++ b/gateway/src/settings/schema.rs
@@ -1,8 +1,7 @@
-//! What a settings file may hold: every block and key with its kind, its bounds, its default and
-//! its meaning.
+//! The tables of all settings: every block and key with its kind, bounds, default and description.
 //!
-//! The checks, the reference in `docs/configuration.md` and the sample under `deploy/` all follow
-//! from these tables; nothing here reads a file.
+//! Files are checked against these tables, and the reference in `docs/configuration.md` is generated
+//! from them. A test compares the sample under `deploy/` with them.
 
 use std::time::Duration;
 
@@ -12,17 +11,17 @@
 use cluster::CLUSTER;
 use fleet::FLEET;
 
-/// The most members of a cluster.
+/// The maximum number of members of a cluster.
 pub const MAX_MEMBERS: usize = 15;
-/// The highest id of a member.
+/// The highest id of a member; the lowest is 1.
 pub const MAX_MEMBER_ID: u64 = 65_535;
 
-/// What a key's value may be.
+/// The kind of a key's value, with its bounds. All bounds are inclusive.
 #[derive(Debug, Clone, Copy)]
 pub enum ValueKind {
     /// One of these words.
     OneOf(&'static [&'static str]),
-    /// `"HOST:PORT"` with a numeric host.
+    /// An address as `"HOST:PORT"`, where the host is an IP address.
     Address,
     /// A whole number within these bounds.
     Count(u64, u64),
@@ -30,56 +29,56 @@
     Span(u64, u64),
     /// A number of bytes with its unit, within these bounds.
     Bytes(u64, u64),
-    /// Text of at most so many bytes; a name has no more than letters, digits, `.`, `-` and `_`.
+    /// A name of 1 to this many bytes, which are letters, digits, `.`, `-` or `_`.
     Name(usize),
     /// The path of a folder.
     Folder,
-    /// Members of a cluster: their addresses by their ids.
+    /// Members of a cluster: an object that maps their ids to their addresses.
     Members,
-    /// A list of addresses, so many at most.
+    /// A list of 1 to this many addresses.
     Addresses(usize),
 }
 
-/// One key of a block.
+/// The definition of a key.
 #[derive(Debug)]
 pub struct Key {
-    /// Its name.
+    /// The name of the key, as written in a file.
     pub name: &'static str,
-    /// What it may hold.
+    /// The kind and the bounds of its value.
     pub kind: ValueKind,
-    /// Its default as it would stand in a file; `None`: it must be given.
+    /// The default, written as in a file. `None` if the key is required.
     pub default: Option<&'static str>,
-    /// Whether a new value is applied at SIGHUP; else it is at the next start.
+    /// Whether a new value is applied at SIGHUP. Otherwise it is applied at the next start.
     pub reloads: bool,
-    /// What it does.
+    /// The description of the key in the reference.
     pub about: &'static str,
 }
 
-/// One block.
+/// The definition of a block.
 #[derive(Debug)]
 pub struct Block {
-    /// Its name.
+    /// The name of the block, as written in a file.
     pub name: &'static str,
-    /// What it is for.
+    /// The description of the block in the reference.
     pub about: &'static str,
-    /// Its keys.
+    /// The keys of the block, in the order of the reference.
     pub keys: &'static [Key],
-    /// The roles that an instance may have by this block's key `role`, the default first; none:
-    /// there is no such key.
+    /// The values of this block's key `role`, the default first. Empty if the block has no such key.
     pub roles: &'static [Role],
 }
 
-/// A role that an instance may have.
+/// A role that an instance may have, which decides the keys that its block takes.
 #[derive(Debug)]
 pub struct Role {
-    /// Its name, the value of the key `role`.
+    /// The name of the role, which is the value of the key `role`.
     pub name: &'static str,
-    /// Keys that it does not take.
+    /// The keys that an instance of this role does not take.
     pub without: &'static [&'static str],
 }
 
 impl Block {
-    /// The role by that name; without one, the default.
+    /// Returns the role with this name, or the default role if there is none. Returns `None` if the
+    /// block has no roles.
     #[must_use]
     pub fn role(&self, name: Option<&str>) -> Option<&'static Role> {
         name.and_then(|name| self.roles.iter().find(|role| role.name == name))
@@ -88,14 +87,14 @@
 }
 
 impl Role {
-    /// Whether an instance of this role takes a key.
+    /// Returns whether an instance of this role takes a key.
     #[must_use]
     pub fn takes(&self, key: &str) -> bool {
         !self.without.contains(&key)
     }
 }
 
-/// All blocks.
+/// All blocks, in the order of the reference.
 pub const BLOCKS: &[Block] = &[LOG, REST, CLUSTER, FLEET];
 
 const LOG: Block = Block {
@@ -210,14 +209,14 @@
     roles: &[],
 };
 
-/// Reads a span: a number and `ms`, `s`, `m` or `h`.
+/// Parses a span: a whole number and the unit `ms`, `s`, `m` or `h`.
 #[must_use]
 pub fn parse_span(text: &str) -> Option<Duration> {
     let milliseconds = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
     parse_with_unit(text, &milliseconds).map(Duration::from_millis)
 }
 
-/// Reads a number of bytes: a number and `B`, `KiB`, `MiB` or `GiB`.
+/// Parses a number of bytes: a whole number and the unit `B`, `KiB`, `MiB` or `GiB`.
 #[must_use]
 pub fn parse_bytes(text: &str) -> Option<u64> {
     let bytes = [
@@ -240,12 +239,15 @@
 }
 
 fn is_name(text: &str, max_bytes: usize) -> bool {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    (1..=max_bytes).contains(&text.len()) && text.bytes().all(is_plain)
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    (1..=max_bytes).contains(&text.len()) && text.bytes().all(is_allowed)
 }
 
 impl ValueKind {
-    /// Whether a value can be used: `text` is what stands between quotes, `number` a bare number.
+    /// Returns whether a value is valid. A quoted value is passed as `text`, without its quotes, and
+    /// an unquoted number as `number`.
+    ///
+    /// Always false for the kinds that are not a single value (`Members` and `Addresses`).
     #[must_use]
     pub fn accepts(&self, text: Option<&str>, number: Option<f64>) -> bool {
         match *self {
@@ -267,12 +269,12 @@
             }
             ValueKind::Name(max_bytes) => text.is_some_and(|text| is_name(text, max_bytes)),
             ValueKind::Folder => text.is_some_and(|text| !text.is_empty()),
-            // They are no single value: checked by their parts.
+            // `super::check` checks these kinds part by part.
             ValueKind::Members | ValueKind::Addresses(_) => false,
         }
     }
 
-    /// What may stand there.
+    /// Describes the valid values, for the reference and for error messages.
     #[must_use]
     pub fn about(&self) -> String {
         match *self {
--- a/gateway/src/settings/schema/cluster.rs
+++ b/gateway/src/settings/schema/cluster.rs
@@ -1,4 +1,4 @@
-//! The block of a cluster's members and subscribers.
+//! The table of the `cluster` block, for members and subscribers.
 
 use super::{Block, Key, Role, ValueKind};
 
--- a/gateway/src/settings/tests.rs
+++ b/gateway/src/settings/tests.rs
@@ -1,15 +1,16 @@
-//! The tables, the types, the page and the sample file agree, and every error is reported with its
-//! place.
+//! Tests that the tables, the types, the docs page and the sample file agree, and that every error
+//! is reported with its line and key.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::schema::{ValueKind, BLOCKS};
 use super::*;
 
-/// Every error of a file is told at once, each with its line, its key and the nearest known name.
+/// All errors of a file are reported at once, each with its line and key, and an unknown name with
+/// a similar known one.
 #[test]
-fn all_errors_are_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = "lgo {\n}\nlog {\n  format = \"xml\"\n  lines_wating = 5\n  lines_waiting = 1.5\n}\nx = 1\n";
-    let told: Vec<_> = parse(text)
+    let reported: Vec<_> = parse(text)
         .unwrap_err()
         .iter()
         .map(ToString::to_string)
@@ -21,11 +22,12 @@
         "6: log.lines_waiting: has to be a whole number from 16 to 1000000",
         "8: x: no such block",
     ];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
     assert_eq!(parse("log {").unwrap_err().len(), 1);
 }
 
-/// What is wrong only together is told with its line, too; and what can't be agreed on is not.
+/// Conflicts between valid keys are reported with a line and key, too. Shared settings are applied
+/// over an instance's own, and keys that can't be shared are errors.
 #[test]
 fn a_cluster_is_checked_as_a_whole() {
     let file = |extra: &str| {
@@ -38,7 +40,7 @@
         parse(&file("")).unwrap().cluster.unwrap().addresses().len(),
         1
     );
-    for (extra, told) in [
+    for (extra, expected) in [
         (
             "heartbeat = \"300ms\"",
             "8: cluster.heartbeat: has to be a third of `election_timeout` at most",
@@ -58,7 +60,7 @@
                 .first()
                 .unwrap()
                 .to_string(),
-            told
+            expected
         );
     }
     let members = file("").replace("\"2\" =", "two =");
@@ -72,15 +74,18 @@
         rest: Some(Rest::default()),
         ..Settings::default()
     };
-    let agreed = SharedSettings::parse("rest {\n results = 5\n}\n").unwrap();
-    assert_eq!(agreed.applied_over(&own).rest.unwrap().results, 5);
-    assert_eq!(agreed.applied_over(&Settings::default()).rest, None);
-    let wrong =
+    let shared = SharedSettings::parse("rest {\n results = 5\n}\n").unwrap();
+    assert_eq!(shared.applied_over(&own).rest.unwrap().results, 5);
+    assert_eq!(shared.applied_over(&Settings::default()).rest, None);
+    let errors =
         SharedSettings::parse("rest {\n results = 0\n listen = \"127.0.0.1:1\"\n}\n").unwrap_err();
-    assert_eq!(wrong.iter().map(|p| p.line).collect::<Vec<_>>(), [2, 3]);
+    assert_eq!(
+        errors.iter().map(|error| error.line).collect::<Vec<_>>(),
+        [2, 3]
+    );
 }
 
-/// A file with every key that is taken, where the block of a cluster has this role.
+/// Returns a file with every block, and every key that an instance of this cluster role takes.
 fn whole_file(cluster_role: &str) -> String {
     let mut file = String::new();
     for block in BLOCKS {
@@ -100,7 +105,7 @@
             });
             let default = match key.name {
                 "role" => &format!("\"{cluster_role}\""),
-                // Two listeners of one instance can't be at one place.
+                // `api` and `listen` of one instance can't be the same address.
                 "api" => "\"127.0.0.1:2\"",
                 _ => default,
             };
@@ -111,7 +116,7 @@
     file
 }
 
-/// The tables, the types and their defaults are one, whatever an instance is in its cluster.
+/// The tables and the types have the same keys and defaults, for every role in a cluster.
 #[test]
 fn tables_and_types_agree() {
     for (name, role) in [
@@ -119,8 +124,8 @@
         ("subscriber", ClusterRole::Subscriber),
     ] {
         let file = whole_file(name);
-        let given = serde_json::to_value(parse(&file).unwrap()).unwrap();
-        for (name, block) in given.as_object().unwrap() {
+        let parsed = serde_json::to_value(parse(&file).unwrap()).unwrap();
+        for (name, block) in parsed.as_object().unwrap() {
             let table = BLOCKS.iter().find(|b| b.name == name).unwrap();
             let keys: Vec<_> = block
                 .as_object()
@@ -133,7 +138,7 @@
             assert_eq!(keys, known, "{name}");
         }
         let api = if role == ClusterRole::Member { 2 } else { 1 };
-        let all = Settings {
+        let defaults = Settings {
             rest: Some(Rest::default()),
             cluster: Some(Cluster {
                 role,
@@ -143,25 +148,25 @@
             fleet: Some(Fleet::default()),
             ..Settings::default()
         };
-        let none = serde_json::to_value(all).unwrap();
-        for (name, block) in none
+        let defaults = serde_json::to_value(defaults).unwrap();
+        for (name, block) in defaults
             .as_object()
             .unwrap()
             .iter()
             .filter(|(_, b)| !b.is_null())
         {
-            assert_eq!(given.get(name), Some(block), "{name}");
+            assert_eq!(parsed.get(name), Some(block), "{name}");
         }
     }
 }
 
-/// The errors of a text.
+/// Returns the messages of all errors of a text.
 fn errors(text: &str) -> Vec<String> {
     let errors = parse(text).unwrap_err();
     errors.iter().map(ToString::to_string).collect()
 }
 
-/// A subscriber's settings with further lines.
+/// Returns a subscriber's settings with `extra` lines.
 fn subscriber(extra: &str) -> String {
     format!(
         "cluster {{\n role = \"subscriber\"\n name = \"w\"\n front_end = \"fe-17\"\n \
@@ -169,7 +174,7 @@
     )
 }
 
-/// A member's settings with further lines.
+/// Returns a member's settings with `extra` lines.
 fn member(extra: &str) -> String {
     format!(
         "cluster {{\n name = \"w\"\n id = 2\n folder = \"f\"\n listen = \"127.0.0.1:1\"\n \
@@ -177,8 +182,8 @@
     )
 }
 
-/// Keys of the other role are errors with their lines, and so are those that are missing in this
-/// one.
+/// Keys that only members take are reported as errors with their lines, and so are missing keys of
+/// a subscriber.
 #[test]
 fn a_subscriber_takes_its_own_keys_only() {
     let given = parse(&subscriber("drain_limit = \"1s\""))
@@ -253,14 +258,14 @@
     }
 }
 
-/// The page for operators is what the tables say, and the sample file can be used.
+/// The docs page contains the reference, and the sample file is valid and shows every key.
 #[test]
 fn the_page_and_the_sample_are_current() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let page = std::fs::read_to_string(root.join("docs/configuration.md")).unwrap();
     assert!(
         page.contains(&reference()),
-        "write the output of `violetgate reference` into the page"
+        "docs/configuration.md is out of date: copy the output of `violetgate reference` into it"
     );
     let sample = std::fs::read_to_string(root.join("deploy/violetgate.hcl")).unwrap();
     parse(&sample).unwrap();
@@ -281,7 +286,7 @@
     }
 }
 
-/// What is wrong with a fleet's block is told with its line and key.
+/// Errors in the `fleet` block, and conflicts between its keys, are reported with a line and key.
 #[test]
 fn a_fleet_is_checked_as_a_whole() {
     let file = |listen: &str, extra: &str| {
@@ -303,7 +308,7 @@
     );
     let all = "0.0.0.0:1";
     let one = "127.0.0.1:1";
-    for (listen, extra, told) in [
+    for (listen, extra, expected) in [
         (all, "", "1: fleet.address: or `listen` has to say where others reach this one, not every address"),
         (
             one,
@@ -317,6 +322,6 @@
         ),
         (one, "seeds = 7", "6: fleet.seeds: has to be 1 to 15 addresses, such as [\"10.0.0.1:7500\"]"),
     ] {
-        assert_eq!(parse(&file(listen, extra)).unwrap_err().first().unwrap().to_string(), told);
+        assert_eq!(parse(&file(listen, extra)).unwrap_err().first().unwrap().to_string(), expected);
     }
 }
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -1,5 +1,5 @@
-//! What a settings file holds once it has passed the tables of [`super::schema`]: a type for each
-//! block, with the same defaults. Nothing here reads a file.
+//! The types of the settings: one for each block, with the defaults of the tables in
+//! [`super::schema`]. A text is checked against these tables before it is deserialized.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,13 +12,13 @@
 use super::schema;
 use crate::log::Format;
 
-/// The log.
+/// Settings of the log.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Log {
-    /// How lines are written.
+    /// The format of the lines.
     pub format: Format,
-    /// Lines that may wait to be written.
+    /// The maximum number of lines in the queue; further lines are dropped.
     pub lines_waiting: usize,
 }
 
@@ -31,11 +31,11 @@
     }
 }
 
-/// A span of time, written as `"250ms"` or `"2s"`.
+/// A span of time, written as a number with its unit, such as `"250ms"` or `"2s"`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span(pub Duration);
 
-/// A number of bytes, written as `"64KiB"`.
+/// A number of bytes, written with its unit, such as `"64KiB"`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size(pub u64);
 
@@ -44,7 +44,7 @@
         let text = String::deserialize(from)?;
         schema::parse_span(&text)
             .map(Span)
-            .ok_or_else(|| serde::de::Error::custom("no span"))
+            .ok_or_else(|| serde::de::Error::custom("not a span such as \"250ms\""))
     }
 }
 
@@ -59,7 +59,7 @@
         let text = String::deserialize(from)?;
         schema::parse_bytes(&text)
             .map(Size)
-            .ok_or_else(|| serde::de::Error::custom("no size"))
+            .ok_or_else(|| serde::de::Error::custom("not a size such as \"64KiB\""))
     }
 }
 
@@ -69,7 +69,7 @@
     }
 }
 
-/// The REST front; `docs/configuration.md` explains its keys.
+/// Settings of the REST front end; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(
@@ -108,18 +108,18 @@
     }
 }
 
-/// What an instance is in its cluster.
+/// The role of an instance in its cluster.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ClusterRole {
-    /// It replicates the shared state with the other members.
+    /// The instance replicates the shared state with the other members.
     #[default]
     Member,
-    /// It follows the shared state through observers.
+    /// The instance follows the shared state through observers.
     Subscriber,
 }
 
-/// An instance's part in a cluster; `docs/configuration.md` explains its keys.
+/// Settings of an instance's participation in a cluster; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(
@@ -146,16 +146,18 @@
 }
 
 impl Default for Cluster {
+    // Keys without a default hold placeholders here: the tables require them in the file, or do not
+    // allow them in the instance's role.
     fn default() -> Self {
-        let nowhere: SocketAddr = ([127, 0, 0, 1], 1).into();
+        let placeholder: SocketAddr = ([127, 0, 0, 1], 1).into();
         Cluster {
             role: ClusterRole::Member,
             name: "x".to_owned(),
             id: 1,
             folder: "x".into(),
-            listen: nowhere,
-            api: nowhere,
-            members: BTreeMap::from([("1".to_owned(), nowhere)]),
+            listen: placeholder,
+            api: placeholder,
+            members: BTreeMap::from([("1".to_owned(), placeholder)]),
             drain_limit: Span(Duration::from_secs(2)),
             confirm_every: Span(Duration::from_millis(250)),
             election_timeout: Span(Duration::from_millis(500)),
@@ -164,31 +166,32 @@
             subscribers_listen: ([0, 0, 0, 0], 0).into(),
             subscribers: 4_000,
             front_end: "x".to_owned(),
-            observers: BTreeMap::from([("1".to_owned(), nowhere)]),
+            observers: BTreeMap::from([("1".to_owned(), placeholder)]),
         }
     }
 }
 
 impl Cluster {
-    /// The members by id; the tables let nothing else pass.
+    /// Returns the members' addresses by id. The tables allow only numbers as ids, so none is left
+    /// out.
     #[must_use]
     pub fn addresses(&self) -> BTreeMap<u64, SocketAddr> {
         by_id(&self.members)
     }
 
-    /// The observers by id.
+    /// Returns the observers' addresses by id.
     #[must_use]
     pub fn observer_addresses(&self) -> BTreeMap<u64, SocketAddr> {
         by_id(&self.observers)
     }
 
-    /// Where subscribers connect, if this member is an observer.
+    /// Returns the address on which subscribers connect, if this member is an observer.
     #[must_use]
     pub fn subscribers_listen(&self) -> Option<SocketAddr> {
         Some(self.subscribers_listen).filter(|at| at.port() != 0)
     }
 
-    /// What this instance is in its cluster, as the log states it at the start.
+    /// Describes this instance's role and addresses for the log line at the start.
     #[must_use]
     pub fn description(&self) -> String {
         let Cluster {
@@ -213,7 +216,7 @@
         }
     }
 
-    /// What is wrong with keys together that are valid one by one.
+    /// Checks the keys against each other, and returns the first conflict.
     pub(super) fn check(&self) -> Result<(), KeyConflict> {
         if self.confirm_every.0 * 3 > self.drain_limit.0 {
             return Err(KeyConflict::new(
@@ -260,16 +263,16 @@
         .collect()
 }
 
-/// The longest name of a gateway.
+/// The maximum length of a gateway's name.
 const MAX_NAME_BYTES: usize = 64;
 
-/// Why a text is no name of a gateway.
+/// The reason why a text is not a valid gateway name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{}", self.text())]
 pub enum InvalidName {
-    /// It is empty, too long, or has other characters.
+    /// The text is empty, too long, or has characters that a name can't have.
     Form,
-    /// It is a number, as members' ids are.
+    /// The text is a number, which could be confused with a member's id.
     Number,
 }
 
@@ -282,14 +285,15 @@
     }
 }
 
-/// A gateway's name, if it may be one.
+/// Checks a gateway's name, and returns it unchanged. A name has 1 to 64 letters, digits, `.`, `-`
+/// or `_`, and not only digits.
 ///
 /// # Errors
 ///
-/// It may not be one.
+/// Returns the rule that the name breaks.
 pub fn gateway_name(name: &str) -> Result<&str, InvalidName> {
-    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
-    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_plain) {
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"._-".contains(&byte);
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || !name.bytes().all(is_allowed) {
         Err(InvalidName::Form)
     } else if name.bytes().all(|byte| byte.is_ascii_digit()) {
         Err(InvalidName::Number)
@@ -298,7 +302,7 @@
     }
 }
 
-/// A gateway of a fleet; `docs/configuration.md` explains its keys.
+/// Settings of a gateway as a member of a fleet; `docs/configuration.md` explains its keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 #[allow(
@@ -319,14 +323,15 @@
 }
 
 impl Default for Fleet {
+    // Keys without a default hold placeholders here: the tables require them in the file.
     fn default() -> Self {
-        let nowhere: SocketAddr = ([127, 0, 0, 1], 1).into();
+        let placeholder: SocketAddr = ([127, 0, 0, 1], 1).into();
         Fleet {
             name: "x".to_owned(),
             member: "x".to_owned(),
-            listen: nowhere,
+            listen: placeholder,
             address: ([0, 0, 0, 0], 0).into(),
-            seeds: vec![nowhere],
+            seeds: vec![placeholder],
             probe_every: Span(Duration::from_secs(1)),
             reply_within: Span(Duration::from_millis(300)),
             suspect_for: Span(Duration::from_millis(3_400)),
@@ -337,7 +342,8 @@
 }
 
 impl Fleet {
-    /// Where others reach this gateway.
+    /// Returns the address that this gateway advertises to the fleet: `address`, or `listen` if
+    /// `address` is not set.
     #[must_use]
     pub fn advertised_address(&self) -> SocketAddr {
         if self.address.port() == 0 {
@@ -347,7 +353,7 @@
         }
     }
 
-    /// What is wrong with keys together that are valid one by one.
+    /// Checks the keys against each other, and returns the first conflict.
     pub(super) fn check(&self) -> Result<(), KeyConflict> {
         let at = self.advertised_address();
         if at.ip().is_unspecified() || at.port() == 0 {
