--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -1,4 +1,6 @@
-//! The command line: it parses, starts the log and calls the subcommand, which is elsewhere.
+//! The command line: parses the arguments, and runs the subcommand that they name.
+//!
+//! Most subcommands are implemented in other modules.
 
 use std::fmt::Display;
 use std::io::Write;
@@ -27,7 +29,7 @@
     serve: Serve,
 }
 
-/// What `serve` takes, with or without the word.
+/// Arguments of `serve`, which also apply without a subcommand.
 #[derive(Debug, Default, clap::Args)]
 struct Serve {
     /// The operators' settings (HCL); without it every setting has its default
@@ -61,7 +63,7 @@
     },
 }
 
-/// Runs the command of the command line.
+/// Parses the command line and runs its subcommand; without one, runs `serve`.
 #[must_use]
 pub fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -83,7 +85,7 @@
     }
 }
 
-/// The exit code of a command; an error is printed.
+/// Returns the exit code for a command's result, and prints its error to standard error.
 fn finish(result: Result<(), impl Display>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -91,7 +93,7 @@
     }
 }
 
-/// Writes to standard output; a closed pipe (`| head`) is no failure.
+/// Writes to standard output. A closed pipe (`| head`) is not a failure.
 fn print(text: &str) -> ExitCode {
     let _ = std::io::stdout().lock().write_all(text.as_bytes());
     ExitCode::SUCCESS
@@ -133,7 +135,8 @@
     print_error(&errors.join("\n"))
 }
 
-/// All errors of a settings file, or the first one of the platform's configuration, a line each.
+/// Returns all errors of a settings file, or the first error of the platform's configuration if
+/// the file's extension is `json`. Each is one line.
 fn configuration_errors(file: &Path) -> Vec<String> {
     let name = file.display();
     let text = match std::fs::read_to_string(file) {
--- a/gateway/src/cli/tests.rs
+++ b/gateway/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! The definition of the command line.
+//! Tests that the definition of the command line is consistent.
 
 use super::*;
 
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -1,10 +1,12 @@
-//! The one clock: Unix time at the start of the program plus a monotonic offset, in microseconds.
+//! The gateway's clock: Unix time at the start of the program plus the monotonic time since, in
+//! microseconds.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use violetgate_policy::interface::Micros;
 
-/// A clock that never goes backwards and whose zero is the Unix epoch, as in the engine list.
+/// A clock that never goes backwards and counts from the Unix epoch, as the times in the engine
+/// list do.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     unix_at_start: Micros,
@@ -12,7 +14,7 @@
 }
 
 impl Clock {
-    /// Starts the clock.
+    /// Reads the system time once, and starts the clock there.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now()
@@ -24,13 +26,14 @@
         }
     }
 
-    /// The time in microseconds since the Unix epoch.
+    /// Returns the time in microseconds since the Unix epoch.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.unix_at_start + micros(self.start.elapsed())
     }
 
-    /// A time of this clock as the system's timers take it.
+    /// Converts a time of this clock to an [`Instant`], for timers. A time before the start of the
+    /// clock becomes its start.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
         let offset = Duration::from_micros(at.saturating_sub(self.unix_at_start));
@@ -38,7 +41,7 @@
     }
 }
 
-/// A duration in microseconds; the longest one where it does not fit.
+/// Converts a duration to microseconds, or to `Micros::MAX` if it is longer than that.
 #[must_use]
 pub fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! What the platform states at the start of the program: environment variables and one JSON file.
+//! The platform's configuration, which is read at the start of the program and again at SIGHUP:
+//! environment variables and one JSON file.
 
 use std::env::VarError;
 use std::net::{AddrParseError, SocketAddr};
@@ -14,132 +15,132 @@
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 const DEFAULT_IDLE_CLOSE_S: f64 = 30.0;
 const DEFAULT_STREAMS_PER_CONNECTION: usize = 100;
-/// In place of a span that is too long to be one.
+/// Replaces a number of seconds that a [`Duration`] can't hold.
 const FALLBACK_SPAN: Duration = Duration::from_secs(1);
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Why the program's configuration can't be used.
+/// An error in the platform's configuration, or in finding or reading it.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The variable that names the file is not set.
+    /// The variable that names the file, `PROXY_CONFIG`, is not set or is not Unicode.
     #[error("PROXY_CONFIG: {0}")]
     Variable(#[from] VarError),
     /// The file can't be read.
     #[error("PROXY_CONFIG {path}: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The error of the read.
         error: std::io::Error,
     },
-    /// The file's text can't be used.
+    /// The file's text is invalid.
     #[error("PROXY_CONFIG {path}: {error}")]
     Text {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The error in its text.
         error: ConfigTextError,
     },
 }
 
-/// What is wrong with the text of a configuration; the field at fault is named.
+/// An error in the text of the configuration file. Its message names the field.
 #[derive(Debug, Error)]
 pub enum ConfigTextError {
-    /// It is no JSON, or a field has another type.
+    /// The text is not JSON, or a field has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A field that must be given is not.
+    /// A required field is missing.
     #[error("`{0}` is missing")]
     Missing(&'static str),
-    /// A field is no address.
+    /// A field does not hold an address.
     #[error("`{field}`: {text:?}: {error}")]
     Address {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// What it holds.
+        /// The text that it holds.
         text: String,
-        /// Why that is no address.
+        /// The error of the parse.
         error: AddrParseError,
     },
-    /// Clients and operators would connect to one address.
+    /// `management` is the same address as `listen`.
     #[error("`management`: {0} is where clients connect")]
     SharedAddress(SocketAddr),
-    /// The seed is no hexadecimal number.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("`seed`: {0}")]
     Seed(ParseIntError),
-    /// The settings of the decisions can't be used.
+    /// The settings of the decisions are invalid.
     #[error("`settings`: {0}")]
     Settings(String),
 }
 
-/// All that the platform states at the start.
+/// The platform's configuration.
 #[derive(Debug)]
 pub struct Config {
     /// This gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which PostgreSQL clients connect.
     pub listen: SocketAddr,
-    /// Where operators connect, if anywhere.
+    /// The address on which operators connect; `None` disables the management listener.
     pub management: Option<SocketAddr>,
-    /// The seed of random numbers.
+    /// The seed of this gateway's random number generators.
     pub seed: u64,
-    /// File descriptors that this process may hold.
+    /// The maximum number of file descriptors that this process may hold.
     pub max_sockets: usize,
     /// The address of the event bus.
     pub bus: SocketAddr,
-    /// The events of the engine list that are known at the start.
+    /// Events from which the engine list is built before the event bus is followed.
     pub initial_events: InitialEvents,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// The names by which the protocols call what the decisions number.
+    /// The names of classes, tenants, zones and engine kinds, which the decisions know by number.
     pub names: NameTable,
     /// Limits of engine connections.
     pub upstream: UpstreamLimits,
 }
 
-/// Events of the engine list that are known at the start.
+/// Events from which the engine list is built before the event bus is followed.
 #[derive(Debug, Deserialize)]
 pub struct InitialEvents {
-    /// The offset of the last of them.
+    /// The offset of the last event on the bus; the bus is followed from there.
     #[serde(rename = "offset")]
     pub last_offset: u64,
-    /// The events, in the bus's own form.
+    /// The events, in the format of the bus.
     #[serde(rename = "batch", default)]
     pub events: Vec<Value>,
 }
 
-/// A class of requests, as clients name it.
+/// A class of requests, by the name that clients use.
 #[derive(Debug, Clone)]
 pub struct ClassName {
-    /// The name.
+    /// The name that requests use.
     pub name: String,
-    /// Whether its requests carry an idempotency key.
+    /// Whether requests of this class take an idempotency key.
     pub takes_idempotency_key: bool,
 }
 
-/// Names by number.
+/// The names of what the decisions know by number; the index in each list is the number.
 #[derive(Debug, Clone, Default)]
 pub struct NameTable {
-    /// Classes.
+    /// The classes of requests.
     pub classes: Vec<ClassName>,
-    /// Tenants.
+    /// The names of tenants.
     pub tenants: Vec<String>,
-    /// Zones.
+    /// The names of zones.
     pub zones: Vec<String>,
-    /// Kinds of engine.
+    /// The names of engine kinds.
     pub kinds: Vec<String>,
 }
 
 /// Limits of engine connections.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamLimits {
-    /// How long a connection may take to come up.
+    /// The maximum time to establish a connection.
     pub connect_timeout: Duration,
-    /// How long an engine allows an idle connection.
+    /// The time after which an engine closes an idle connection.
     pub idle_close: Duration,
-    /// How many requests a connection carries at a time.
+    /// The maximum number of concurrent requests on a connection, at least 1.
     pub streams_per_connection: usize,
-    /// Whether answers report what they cost.
+    /// Whether engines report the cost of a query in its answer.
     pub reports_cost: bool,
 }
 
@@ -162,7 +163,7 @@
     sockets: Option<usize>,
 }
 
-/// The part of the settings that the sockets need and the decisions do not.
+/// The part of the `settings` field that the gateway itself needs beside the decisions.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 struct SocketSettings {
@@ -200,14 +201,15 @@
     reports_cost: bool,
 }
 
-/// What the environment states, with precedence over the file.
+/// Values of environment variables that take precedence over the configuration file.
 #[derive(Debug, Default)]
 pub struct Overrides {
-    /// Where clients connect.
+    /// `PROXY_LISTEN`: the address on which PostgreSQL clients connect.
     pub listen: Option<String>,
-    /// Where operators connect; empty: nowhere.
+    /// `PROXY_MANAGEMENT`: the address on which operators connect. An empty text disables the
+    /// management listener.
     pub management: Option<String>,
-    /// The gateway's name.
+    /// `PROXY_NAME`: the gateway's name.
     pub name: Option<String>,
 }
 
@@ -223,11 +225,11 @@
 }
 
 impl Config {
-    /// Reads the environment and the file that it names.
+    /// Reads the environment variables and the file that `PROXY_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// Something is missing or can't be used; the error names it.
+    /// Fails if the variable, the file or a field is missing or invalid; the error names it.
     pub fn from_env() -> Result<Self, ConfigError> {
         let path = std::env::var("PROXY_CONFIG")?;
         let text = match std::fs::read_to_string(&path) {
@@ -237,11 +239,11 @@
         Self::parse(&text, Overrides::from_env()).map_err(|error| ConfigError::Text { path, error })
     }
 
-    /// Reads the file's text; `overrides` come before its own addresses and name.
+    /// Parses the file's text. The addresses and the name in `overrides` replace those of the file.
     ///
     /// # Errors
     ///
-    /// Something is missing or can't be used; the error names the field.
+    /// Fails if a field is missing or invalid; the error names it.
     pub fn parse(text: &str, overrides: Overrides) -> Result<Self, ConfigTextError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let listen = overrides.listen.or(file.listen);
@@ -252,7 +254,8 @@
             .filter(|address| !address.is_empty())
             .map(|address| parse_address("management", &address))
             .transpose()?;
-        // Both listeners share their ports with another process, and so they would with each other.
+        // Listeners share their ports, so that a second process can listen beside this one during
+        // an upgrade. For this reason binding both listeners to one address would not fail.
         if management == Some(listen) {
             return Err(ConfigTextError::SharedAddress(listen));
         }
@@ -275,8 +278,8 @@
     }
 }
 
-/// The simulator's clients get no retry-after where the settings say so, but an error message on a
-/// socket can always carry one, so the decisions may name it here.
+/// Restores the maximum retry-after that the settings of the decisions leave out for clients of the
+/// simulator that can't receive one. Real clients always can: error messages have a field for it.
 fn with_max_retry_after(mut settings: Settings, limits: &SocketLimits) -> Settings {
     let own = limits.max_retry_after_s.filter(|seconds| *seconds > 0.0);
     let own = own.map(|seconds| (seconds * MICROS_PER_SECOND) as u64);
@@ -292,7 +295,7 @@
     })
 }
 
-/// A span in seconds; the default stands for one that is not above 0.
+/// Converts a number of seconds to a duration. If it is missing or not above 0, `default` is used.
 fn span_or_default(seconds: Option<f64>, default: f64) -> Duration {
     let seconds = seconds.filter(|seconds| *seconds > 0.0).unwrap_or(default);
     Duration::try_from_secs_f64(seconds).unwrap_or(FALLBACK_SPAN)
--- a/gateway/src/control.rs
+++ b/gateway/src/control.rs
@@ -1,8 +1,8 @@
-//! The control plane of a gateway, for programs that run many in one process.
+//! The control plane of a gateway, for programs that run many gateways in one process.
 //!
-//! These are the parts that follow the event bus, the fleet and the shared configuration, and feed
-//! the decisions with them. Scale tests run them without client and engine connections; they use
-//! the constructors that `serve` uses.
+//! It consists of the parts that follow the event bus, the fleet and the shared configuration, and
+//! pass their changes to the decisions. Scale tests run these parts without client and engine
+//! connections, and create them with the constructors that `serve` uses.
 
 pub use crate::clock::Clock;
 pub use crate::config::{Config, ConfigTextError, InitialEvents, NameTable, Overrides};
--- a/gateway/src/lib.rs
+++ b/gateway/src/lib.rs
@@ -1,9 +1,8 @@
-//! violetgate: a gateway for query engines. Clients speak the PostgreSQL protocol or HTTP, engines
-//! a line protocol; between them the decisions of `violetgate-policy` admit, queue and place every
-//! query.
+//! violetgate: a gateway for query engines. Clients speak the PostgreSQL protocol or HTTP, and
+//! engines speak a line protocol. Between them `violetgate-policy` decides which queries are
+//! admitted, how they are queued and which engine runs each of them.
 //!
-//! The program is a thin `main` over [`cli`]; this library holds everything else, one concern to a
-//! module.
+//! `main` only calls [`cli`]; everything else is in this library.
 
 mod admin;
 pub mod cli;
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -1,9 +1,9 @@
-//! The log: one line for each connection that ended, and few others; `docs/on-call.md` explains
-//! them all.
+//! The log on standard error: one line for each connection that ended, and a few others.
+//! `docs/on-call.md` explains every line.
 //!
-//! Lines go through `tracing` to a thread that writes them, by a queue of bounded length: what
-//! can't be written because standard error blocks is dropped and counted, and never blocks the
-//! thread that serves.
+//! Lines go through `tracing` into a queue of bounded length, which a separate thread writes. If
+//! standard error blocks and the queue is full, further lines are dropped and counted, so that the
+//! thread that serves is never blocked.
 
 use std::fmt::{self, Display};
 use std::sync::OnceLock;
@@ -16,27 +16,29 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How lines are written.
+/// The format of the log's lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Format {
-    /// The bare text.
+    /// The message alone, without time or level.
     #[default]
     Text,
-    /// One JSON object a line, with the time, the text and, for a connection that ended, its parts.
+    /// One JSON object per line, with the time and the message. For a connection that ended, it
+    /// also holds the side, the peer, the reason and the number of requests as fields.
     Json,
 }
 
-/// Counts the lines that could not be written, once the log has been started.
+/// The counter of dropped lines, which is set when the log starts.
 static DROPPED: OnceLock<ErrorCounter> = OnceLock::new();
 
-/// Holds the log open; dropped, it writes what is still queued, for a second at most.
+/// Keeps the log's writer running. When it is dropped, the lines that are still queued are written,
+/// for at most a second.
 pub struct LogGuard {
     _worker: Option<WorkerGuard>,
 }
 
-/// Starts the log; at most `queue_lines` lines wait to be written. A second start in one process
-/// changes nothing.
+/// Starts the log, with a queue of at most `queue_lines` lines. A second start in the same process
+/// has no effect.
 #[must_use]
 pub fn start(format: Format, queue_lines: usize) -> LogGuard {
     let (writer, guard) = NonBlockingBuilder::default()
@@ -71,13 +73,13 @@
     }
 }
 
-/// The number of lines dropped since the start because standard error took none.
+/// Returns the number of lines dropped since the start because the queue was full.
 #[must_use]
 pub fn dropped_lines() -> usize {
     DROPPED.get().map_or(0, ErrorCounter::dropped_lines)
 }
 
-/// Writes the message alone, as `docs/on-call.md` has it.
+/// Formats an event as its message alone, in the form that `docs/on-call.md` quotes.
 struct MessageOnly;
 
 impl<S, N> FormatEvent<S, N> for MessageOnly
@@ -100,7 +102,7 @@
     }
 }
 
-/// Writes the field that holds the message.
+/// Writes the `message` field of an event, and ignores its other fields.
 struct MessageVisitor<'a, 'w> {
     out: &'a mut Writer<'w>,
     result: fmt::Result,
@@ -114,13 +116,13 @@
     }
 }
 
-/// Writes one line. A log that can't be written is no reason to stop serving.
+/// Logs one line. If it can't be written, it is dropped and the gateway goes on serving.
 pub fn write_line(text: impl Display) {
     tracing::info!("{text}");
 }
 
-/// Logs the end of a connection: which side it was on, its peer, the reason, and the requests it
-/// carried.
+/// Logs the end of a connection: its side (such as `client` or `engine`), its peer, the reason
+/// code, and the number of requests that it carried.
 pub fn connection_ended(side: &str, peer: impl Display, reason: impl Display, requests: u64) {
     tracing::info!(
         side,
@@ -131,7 +133,7 @@
     );
 }
 
-/// Logs that an engine was cordoned or uncordoned.
+/// Logs whether an engine is now cordoned.
 pub fn engine_cordoned(engine: &str, cordoned: bool) {
     let state = if cordoned { "cordoned" } else { "uncordoned" };
     write_line(format_args!("engine {engine} is {state}"));
--- a/gateway/src/main.rs
+++ b/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: everything is in the library; see `violetgate --help`.
+//! The `violetgate` program. All code is in the library; `violetgate --help` lists the commands.
 
 use std::process::ExitCode;
 
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of the gateway together.
+//! Creates the parts of the gateway and connects them.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -29,18 +29,19 @@
 use crate::stats::Stats;
 use crate::upstream::pool::Pool;
 
-/// Random numbers other than the decisions' are drawn from streams of their own.
+// Cancel keys and REST ids use random streams of their own, so that drawing them does not change
+// the decisions' random numbers.
 const CANCEL_KEY_STREAM: u64 = 1;
 const REST_ID_STREAM: u64 = 2;
 
-/// The parts of a gateway.
+/// The parts of a gateway that live until the process ends.
 pub(super) struct GatewayParts {
     pub executor: Rc<LocalExecutor<'static>>,
     pub clock: Clock,
     pub name: String,
     pub listen: SocketAddr,
     pub max_sockets: usize,
-    /// The longest deadline of a class of requests.
+    /// The longest deadline of all classes of requests.
     pub longest_deadline: Duration,
     pub stats: Rc<Stats>,
     pub dispatch: Rc<Dispatch>,
@@ -55,7 +56,8 @@
 }
 
 impl GatewayParts {
-    /// Creates all parts, and starts the tasks behind the front ends. Clients are not accepted yet.
+    /// Creates all parts, and starts the tasks that follow the engine list, run timers and maintain
+    /// the pool. Clients are not accepted yet.
     pub(super) fn assemble(
         clock: Clock,
         config: Config,
@@ -77,7 +79,7 @@
         let (names, ids) = (config.names.clone(), Rc::clone(&engine_ids));
         let client = DiscoveryClient::new(names, ids, Rc::clone(&discovery));
         follow_engine_list(&executor, client, config.initial_events, &dispatch);
-        start_upkeep(&executor, &dispatch, &pool);
+        start_background_tasks(&executor, &dispatch, &pool);
         let drain = Rc::new(DrainState::default());
         let front_ends = FrontEnds {
             executor: &executor,
@@ -110,7 +112,7 @@
         })
     }
 
-    /// The parts that the shared configuration of a cluster reaches.
+    /// Returns the parts to which a cluster's shared configuration is applied.
     pub(super) fn control_targets(&self) -> ControlTargets {
         ControlTargets {
             clock: self.clock,
@@ -123,7 +125,7 @@
     }
 }
 
-/// The dispatcher and the pool, and this instance's part in a cluster and a fleet.
+/// The dispatcher, the connection pool, and this instance's participation in a cluster and a fleet.
 struct Core {
     stats: Rc<Stats>,
     participant: Option<Participant>,
@@ -172,7 +174,7 @@
     Duration::from_micros(longest.unwrap_or(0))
 }
 
-/// Begins to take part in a cluster, if the settings name one.
+/// Starts this instance as a member or subscriber of a cluster, if the settings name one.
 fn join_cluster(
     executor: &Rc<LocalExecutor<'static>>,
     settings: &Settings,
@@ -185,7 +187,7 @@
     Ok(Some(participant))
 }
 
-/// Creates the dispatcher, and connects it with the pool.
+/// Creates the dispatcher, and connects it to the pool in both directions.
 fn create_dispatch(
     clock: Clock,
     config: &Config,
@@ -201,8 +203,8 @@
     dispatch
 }
 
-/// Loads the initial engine list, and follows the event bus. That is the first task, so that events
-/// of the bus are taken before requests that are read in the same step.
+/// Loads the initial engine list, and starts the task that follows the event bus. It is the first
+/// task, so that events of the bus are handled before requests that are read in the same step.
 fn follow_engine_list(
     executor: &LocalExecutor<'static>,
     mut client: DiscoveryClient,
@@ -219,7 +221,11 @@
         .detach();
 }
 
-fn start_upkeep(executor: &LocalExecutor<'static>, dispatch: &Rc<Dispatch>, pool: &Rc<Pool>) {
+fn start_background_tasks(
+    executor: &LocalExecutor<'static>,
+    dispatch: &Rc<Dispatch>,
+    pool: &Rc<Pool>,
+) {
     let dispatch = Rc::clone(dispatch);
     executor
         .spawn(async move { dispatch.run_timers().await })
@@ -228,7 +234,7 @@
     executor.spawn(async move { pool.sweep().await }).detach();
 }
 
-/// What the front ends are made from.
+/// The parts from which the PostgreSQL and the REST front end are created.
 struct FrontEnds<'a> {
     executor: &'a Rc<LocalExecutor<'static>>,
     clock: Clock,
@@ -240,8 +246,9 @@
 }
 
 impl FrontEnds<'_> {
-    /// Creates the PostgreSQL front end, and the REST one if the settings have one. With REST,
-    /// idempotency keys are shared by both: both submit through the layer that has them.
+    /// Creates the PostgreSQL front end, and the REST front end if the settings have a `rest`
+    /// block. If there is a REST front end, both submit their requests through one idempotency
+    /// layer, so that an idempotency key is valid across both.
     fn create(
         &self,
         dispatch: &Rc<Dispatch>,
--- a/gateway/src/serve/connection_budget.rs
+++ b/gateway/src/serve/connection_budget.rs
@@ -1,5 +1,5 @@
-//! How many connections clients and engines may have, alone and beside another process of this
-//! gateway.
+//! Limits the connections of clients and engines, so that this process stays within its file
+//! descriptors, and within its part of them while another process of this gateway runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,22 +13,23 @@
 use crate::sibling_process::ProcessMark;
 use crate::upstream::pool::Pool;
 
-/// How often another process is looked for.
+/// The interval between checks for another process.
 const SIBLING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What this process is at the moment.
+/// Whether this process runs alone, or takes part in an upgrade, during which two processes of one
+/// gateway run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProcessRole {
-    /// It runs alone.
+    /// No other process runs.
     Alone,
-    /// It was started beside another process, which is still here.
+    /// This process was started while another one ran, and the other one still runs.
     Successor,
-    /// Another process was started beside it.
+    /// Another process was started while this one ran.
     Predecessor,
 }
 
 impl ProcessRole {
-    /// The role of a process that has just started.
+    /// Returns the role of a process that has just started.
     pub(super) fn at_start(mark: &ProcessMark) -> Self {
         if mark.has_sibling() {
             ProcessRole::Successor
@@ -46,25 +47,27 @@
     }
 }
 
-/// How many connections there may be.
+/// The maximum numbers of connections of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ConnectionBudget {
-    /// Of PostgreSQL clients.
+    /// Connections of PostgreSQL clients.
     pub postgres: usize,
-    /// Of REST clients.
+    /// Connections of REST clients.
     pub rest: usize,
-    /// To engines.
+    /// Connections to engines.
     pub engines: usize,
 }
 
 impl ConnectionBudget {
-    /// The budget of a process that may hold `max_sockets` descriptors.
+    /// Returns the budget of a process that may hold `max_sockets` descriptors.
     ///
-    /// Engines get a quarter and clients a half; the rest is for the program itself, for management
-    /// and for connections that linger in their close. Two processes beside each other stay within
-    /// `max_sockets` together: clients get 9/16 of it and engines 4/15. Usual clients hold a third of it at most, and soon all of them
-    /// are with the successor: a limit that is too low for them would reject, or evict, those that
-    /// have just connected.
+    /// A process that runs alone gives a quarter to engines and a half to clients. The rest is for
+    /// the program itself, for management and for connections that linger while they close.
+    ///
+    /// Two processes stay within `max_sockets` together: clients get 9/16 of it and engines 4/15.
+    /// The successor gets the larger part, because clients usually hold at most a third of
+    /// `max_sockets` and soon all of them are connected to the successor. A lower limit would make
+    /// it reject or evict clients that have just connected.
     pub(super) fn for_role(
         max_sockets: usize,
         role: ProcessRole,
@@ -84,18 +87,19 @@
     }
 }
 
-/// Applies the budget of this process's role, for ever.
+/// Applies the connection budget of this process's role whenever the role changes.
 pub(super) struct BudgetKeeper {
     pub mark: Rc<ProcessMark>,
     pub role: ProcessRole,
     pub max_sockets: usize,
     pub sessions: Rc<Sessions>,
-    /// The REST front end, and its settings at the start.
+    /// The REST front end, and the settings with which it was started.
     pub rest: Option<(Rc<RestFrontend>, settings::Rest)>,
     pub pool: Rc<Pool>,
 }
 
 impl BudgetKeeper {
+    /// Follows the role of this process. Never returns.
     pub(super) async fn run(mut self) {
         loop {
             Timer::after(SIBLING_CHECK_INTERVAL).await;
--- a/gateway/src/serve/error.rs
+++ b/gateway/src/serve/error.rs
@@ -1,4 +1,4 @@
-//! Why the gateway can't start.
+//! Errors that prevent the gateway from starting, or a reload from being applied.
 
 use std::net::SocketAddr;
 
@@ -9,38 +9,39 @@
 use crate::replication::ClusterStartError;
 use crate::settings::SettingsFileError;
 
-/// Why the gateway can't start; the text names the variable, file or key at fault, in one line.
+/// An error that prevents the gateway from starting, or a reload from being applied. Its message is
+/// one line and names the variable, file or key at fault.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The operators' settings can't be used.
+    /// The operators' settings file can't be read or is invalid.
     #[error("{0}")]
     Settings(#[from] SettingsFileError),
-    /// The platform's configuration can't be used.
+    /// The platform's configuration can't be read or is invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
-    /// An address is not available.
+    /// The gateway can't listen on an address.
     #[error("{purpose} {address}: {error}")]
     Bind {
-        /// What it is for.
+        /// The field or key that holds the address.
         purpose: &'static str,
         /// The address.
         address: SocketAddr,
-        /// Why it is not available.
+        /// The error of the bind.
         error: std::io::Error,
     },
-    /// REST clients would connect where others do.
-    #[error("`rest.listen`: {0} is where others connect")]
+    /// `rest.listen` is the same address as `listen` or `management` of the platform.
+    #[error("`rest.listen`: {0} is already the address of PostgreSQL clients or of management")]
     RestAddressInUse(SocketAddr),
-    /// Signals can't be received.
-    #[error("signals: {0}")]
+    /// Signal handlers can't be installed.
+    #[error("can't receive signals: {0}")]
     Signals(std::io::Error),
-    /// There are no random numbers for the tokens of results.
-    #[error("no random numbers for tokens: {0}")]
+    /// The system provides no random numbers for the secret that seals result tokens.
+    #[error("can't get random numbers for result tokens: {0}")]
     Random(getrandom::Error),
-    /// The gateway can't take part in its cluster.
+    /// The gateway can't start as a member or subscriber of its cluster.
     #[error("{0}")]
     Cluster(#[from] ClusterStartError),
-    /// The gateway can't take part in its fleet.
+    /// The gateway can't start as a member of its fleet.
     #[error("{0}")]
     Fleet(#[from] FleetStartError),
 }
--- a/gateway/src/serve/listeners.rs
+++ b/gateway/src/serve/listeners.rs
@@ -1,4 +1,4 @@
-//! The addresses where the gateway listens, bound before anything else starts.
+//! Binds the addresses on which the gateway listens, before anything else starts.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use crate::net;
 use crate::settings::{ClusterRole, Settings};
 
-/// The listeners.
+/// The bound listeners of the gateway. Those that the configuration leaves out are `None`.
 pub(super) struct Listeners {
-    /// For PostgreSQL clients.
+    /// PostgreSQL clients connect here.
     pub postgres: Rc<Async<TcpListener>>,
-    /// For operators.
+    /// Operators and metrics scrapers connect here.
     pub management: Option<Async<TcpListener>>,
-    /// For REST clients.
+    /// REST clients connect here.
     pub rest: Option<Rc<Async<TcpListener>>>,
-    /// For the API of a cluster's member.
+    /// Operators of the cluster connect here. Only members have this listener.
     pub cluster_api: Option<Async<TcpListener>>,
 }
 
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -1,7 +1,6 @@
-//! `violetgate serve`: puts the parts together, serves, and ends at a signal.
+//! `violetgate serve`: starts the gateway, serves, and shuts down at a signal.
 //!
-//! It decides nothing about a request: which engine, whether to retry and what to reject is the
-//! decision module's.
+//! Nothing here decides about a request: `violetgate-policy` chooses engines, retries and rejects.
 
 mod assembly;
 mod connection_budget;
@@ -34,12 +33,12 @@
 
 pub use error::StartError;
 
-/// Serves until SIGTERM or SIGINT, under the operators' settings and the file that they came from,
-/// if any. The log has been started.
+/// Runs the gateway until SIGTERM or SIGINT, and shuts it down. `settings_file` is the file that
+/// `settings` were read from, which is read again at SIGHUP. The log must have been started.
 ///
 /// # Errors
 ///
-/// It can't start; the error names the variable, file or key at fault.
+/// Fails if the gateway can't start; the error names the variable, file or key at fault.
 pub fn run(settings: &Settings, settings_file: Option<&Path>) -> Result<(), StartError> {
     let clock = Clock::start();
     let config = Config::from_env()?;
@@ -50,8 +49,8 @@
     let role = ProcessRole::at_start(&mark);
     let budget = ConnectionBudget::for_role(config.max_sockets, role, settings.rest.as_ref());
     let gateway = GatewayParts::assemble(clock, config, settings, budget)?;
-    start_budget(&gateway, &mark, role, settings);
-    start_front_end_upkeep(&gateway);
+    start_budget_keeper(&gateway, &mark, role, settings);
+    start_front_end_tasks(&gateway);
     start_cluster(&gateway, listeners.cluster_api);
     let operations = start_operations(&gateway);
     let accepting = Accepting::start(&gateway, listeners.postgres, listeners.rest);
@@ -75,7 +74,7 @@
     Ok(())
 }
 
-/// Serves until a signal ends the program, and up to its end.
+/// Serves until SIGTERM or SIGINT, and then runs the shutdown.
 async fn serve(
     gateway: &GatewayParts,
     mark: &ProcessMark,
@@ -95,7 +94,7 @@
     log::write_line(format_args!(
         "violetgate ends after {signal}: {open} requests open"
     ));
-    // It goes on serving, and a bus whose address changes now is still followed.
+    // The gateway goes on serving for a while, so a reload can still change the bus's address.
     gateway
         .executor
         .spawn(reload_on_hangup(signals, reloader))
@@ -111,8 +110,8 @@
     }
 }
 
-/// Starts to apply the connection budget of this process's role.
-fn start_budget(
+/// Starts the task that applies the connection budget of this process's role.
+fn start_budget_keeper(
     gateway: &GatewayParts,
     mark: &Rc<ProcessMark>,
     role: ProcessRole,
@@ -129,7 +128,8 @@
     gateway.executor.spawn(keeper.run()).detach();
 }
 
-fn start_front_end_upkeep(gateway: &GatewayParts) {
+/// Starts the tasks that close idle client connections and remove expired REST results.
+fn start_front_end_tasks(gateway: &GatewayParts) {
     let sessions = Rc::clone(&gateway.sessions);
     gateway
         .executor
@@ -143,7 +143,7 @@
     }
 }
 
-/// Begins to carry out the shared configuration, and serves the API of a member.
+/// Starts to apply the cluster's shared configuration. A member also serves the cluster API.
 fn start_cluster(
     gateway: &GatewayParts,
     api_listener: Option<async_io::Async<std::net::TcpListener>>,
@@ -159,7 +159,8 @@
     }
 }
 
-/// Creates the operations, and follows the cordon file.
+/// Creates the operations of the management interface, and starts the task that follows the cordon
+/// file.
 fn start_operations(gateway: &GatewayParts) -> Rc<GatewayOperations> {
     let targets = OperationTargets {
         discovery: Rc::clone(&gateway.discovery),
--- a/gateway/src/serve/shutdown.rs
+++ b/gateway/src/serve/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of the process: it serves on for a while, drains, and answers what is still open in
-//! time.
+//! Shuts the process down: keeps serving for a while, drains, and answers the requests that are
+//! still open before the platform sends SIGKILL.
 
 use std::net::TcpListener;
 use std::rc::Rc;
@@ -13,21 +13,25 @@
 use crate::rest::RestFrontend;
 use crate::sibling_process::ProcessMark;
 
-/// After SIGTERM new requests still arrive for this long.
+/// How long new clients are still accepted after SIGTERM or SIGINT at a planned restart, because
+/// new requests still arrive for this long.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(700);
-/// SIGKILL comes so long after the longest deadline, counted from SIGTERM ...
+/// The platform sends SIGKILL when the longest deadline and this time have passed since SIGTERM.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// ... which counts as at most this at a planned restart, and as this where another process takes
-/// over.
+/// The platform counts a deadline as at most this at a planned restart.
 const MAX_DEADLINE_AT_RESTART: Duration = Duration::from_secs(3);
+/// The platform counts a deadline as at most this when another process takes over.
 const MAX_DEADLINE_AT_UPGRADE: Duration = Duration::from_secs(5);
-/// What is still open this long before SIGKILL is answered, so that the program ends by itself.
+/// Requests that are still open this long before SIGKILL are answered, so that the process ends by
+/// itself.
 const MARGIN_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// How often the end is looked for, and how long it may take once all is answered.
+/// The interval between checks whether the shutdown is complete.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// How long connections may take to close after all requests are answered, or after the time limit
+/// for requests.
 const MAX_CLOSE_TIME: Duration = Duration::from_millis(200);
 
-/// The tasks that accept clients.
+/// The tasks that accept clients, with their listeners.
 pub(super) struct Accepting {
     sessions: Rc<Sessions>,
     listener: Rc<Async<TcpListener>>,
@@ -42,7 +46,7 @@
 }
 
 impl Accepting {
-    /// Begins to accept clients.
+    /// Starts the tasks that accept PostgreSQL and REST clients.
     pub(super) fn start(
         gateway: &GatewayParts,
         listener: Rc<Async<TcpListener>>,
@@ -65,8 +69,8 @@
         }
     }
 
-    /// Closes the listeners. Where another process listens too, it gets all that arrives from now
-    /// on; what has arrived is served here.
+    /// Closes the listeners. Connections that the kernel has already queued for them are served
+    /// here. If another process listens on the same addresses, it gets all later connections.
     async fn stop(self) {
         self.task.cancel().await;
         self.sessions.close_listener(self.listener);
@@ -77,49 +81,50 @@
     }
 }
 
-/// Why the process ends.
+/// Why the process shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Occasion {
-    /// It is to be started again.
+enum ShutdownReason {
+    /// No other process runs: a planned restart.
     Restart,
-    /// Another process takes over.
+    /// Another process runs and takes over.
     Upgrade,
 }
 
-/// The end of the process.
+/// A shutdown in progress.
 pub(super) struct Shutdown<'a> {
     gateway: &'a GatewayParts,
-    occasion: Occasion,
-    begun: Instant,
-    /// Open requests were answered, as their time is over.
+    reason: ShutdownReason,
+    started_at: Instant,
+    /// Whether the requests that were still open at the time limit have been answered.
     has_answered_open: bool,
-    /// Since when all is answered.
+    /// When the shutdown began to close idle connections, as all requests were answered. `None` if
+    /// it has not begun, or if another request has arrived since.
     answered_since: Option<Instant>,
 }
 
 impl<'a> Shutdown<'a> {
     pub(super) fn begin(gateway: &'a GatewayParts, mark: &ProcessMark) -> Self {
-        let occasion = if mark.has_sibling() {
-            Occasion::Upgrade
+        let reason = if mark.has_sibling() {
+            ShutdownReason::Upgrade
         } else {
-            Occasion::Restart
+            ShutdownReason::Restart
         };
         Shutdown {
             gateway,
-            occasion,
-            begun: Instant::now(),
+            reason,
+            started_at: Instant::now(),
             has_answered_open: false,
             answered_since: None,
         }
     }
 
-    /// Serves up to the end.
+    /// Serves until the shutdown is complete.
     pub(super) async fn run(mut self, accepting: Accepting) {
-        if self.occasion == Occasion::Restart {
+        if self.reason == ShutdownReason::Restart {
             Timer::after(ACCEPT_AFTER_SIGNAL).await;
         }
         accepting.stop().await;
-        if self.occasion == Occasion::Upgrade {
+        if self.reason == ShutdownReason::Upgrade {
             self.gateway.drain.hand_over();
         }
         while !self.advance() {
@@ -127,23 +132,24 @@
         }
     }
 
-    /// How long requests may stay open, counted from the signal.
+    /// Returns how long requests may stay open, counted from the signal.
     fn time_limit(&self) -> Duration {
-        let max_deadline = match self.occasion {
-            Occasion::Restart => MAX_DEADLINE_AT_RESTART,
-            Occasion::Upgrade => MAX_DEADLINE_AT_UPGRADE,
+        let max_deadline = match self.reason {
+            ShutdownReason::Restart => MAX_DEADLINE_AT_RESTART,
+            ShutdownReason::Upgrade => MAX_DEADLINE_AT_UPGRADE,
         };
         let deadline = self.gateway.longest_deadline.min(max_deadline);
         deadline + KILL_AFTER_DEADLINE - MARGIN_BEFORE_KILL
     }
 
-    /// Takes one step towards the end; whether it has come.
+    /// Takes the next step of the shutdown. Returns whether it is complete: no request, PostgreSQL
+    /// connection or sticky REST connection is left, or the time for them is over.
     fn advance(&mut self) -> bool {
         let sessions = &self.gateway.sessions;
         let rest = self.gateway.rest.as_ref();
         let busy = sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
         let open = busy + sessions.len() + sessions.lingering();
-        let overdue = self.begun.elapsed().saturating_sub(self.time_limit());
+        let overdue = self.started_at.elapsed().saturating_sub(self.time_limit());
         if open == 0 || overdue > MAX_CLOSE_TIME {
             return true;
         }
@@ -153,10 +159,11 @@
         }
         if busy > 0 {
             self.answered_since = None;
-        } else if self.occasion == Occasion::Restart || self.has_answered_open {
-            // All is answered. Idle connections are closed one by one, so that what arrives just
-            // then, and what was written last, is not destroyed by a reset; one with an incomplete
-            // message is cut off.
+        } else if self.reason == ShutdownReason::Restart || self.has_answered_open {
+            // All requests are answered. Each idle connection is closed by itself, because a reset
+            // at the end of the process could destroy the last answer, or a request that is just
+            // arriving. A connection with an incomplete message is reset when `MAX_CLOSE_TIME` is
+            // over.
             let since = *self.answered_since.get_or_insert_with(Instant::now);
             if since.elapsed() > MAX_CLOSE_TIME {
                 return true;
