--- a/tools/scale/src/bin/prove-scale.rs
+++ b/tools/scale/src/bin/prove-scale.rs
@@ -1,4 +1,5 @@
-//! `prove-scale`: measures what each role costs by size and holds the figures to their bounds.
+//! `prove-scale`: measures what each role costs by size and checks the figures against their
+//! bounds.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -10,16 +11,16 @@
 };
 use violetgate_scale::{Figures, Options, ScaleError};
 
-/// Where random numbers begin unless the command line says otherwise.
+/// The default seed of random numbers.
 const SEED: u64 = 7;
 
-/// What can be measured.
+/// A part of the system whose costs can be measured, and the function that measures it.
 struct Role {
     name: &'static str,
     measure: fn(&Options, &mut Figures) -> Result<(), ScaleError>,
 }
 
-/// All roles, in the order in which they are measured. A new one is a line here.
+/// All roles, in the order in which they are measured.
 const ROLES: &[Role] = &[
     Role {
         name: "decisions",
@@ -59,22 +60,23 @@
     Ok(fleet_run::measure(options, figures)?)
 }
 
-/// Measures what each role costs by size, fits it, and prints the size at which each passes its budget
+/// Measures what each role costs by size, fits the costs, and prints the size at which each exceeds
+/// its budget
 #[derive(Debug, Parser)]
 struct Arguments {
-    /// The form for CI: small sizes, held to counts and bytes and not to time
+    /// Measures the small sizes for CI, and checks counts and bytes but no times
     #[arg(long)]
     short: bool,
     /// Measures only this role; may be given several times
     #[arg(long, value_name = "ROLE", value_parser = PossibleValuesParser::new(ROLES.iter().map(|role| role.name)))]
     only: Vec<String>,
-    /// Where random numbers begin
+    /// The seed of random numbers
     #[arg(long, default_value_t = SEED)]
     seed: u64,
-    /// Measures nothing: compares this page's block of figures with the saved ones
+    /// Compares this page's block of figures with the saved ones, and measures nothing
     #[arg(long, value_name = "FILE")]
     page: Option<PathBuf>,
-    /// The saved last line of a run
+    /// The file with the saved last line of a run
     #[arg(
         long,
         value_name = "FILE",
@@ -82,7 +84,7 @@
         requires = "page"
     )]
     figures: PathBuf,
-    /// Rewrites the page's block instead
+    /// Rewrites the page's block instead of comparing it
     #[arg(long, requires = "page")]
     write: bool,
 }
@@ -127,19 +129,20 @@
     finish(&figures)
 }
 
-/// Prints the order in which roles end, what missed its bound, and last the line of all figures.
+/// Prints the capacity limits, the tightest first, then the failures, and last the line of all
+/// figures.
 fn finish(figures: &Figures) -> ExitCode {
-    for (place, role_ends) in figures.limits().iter().enumerate() {
-        let (name, size_of, target) = (&role_ends.name, role_ends.size_of, role_ends.target);
-        match role_ends.size {
+    for (place, limit) in figures.limits().iter().enumerate() {
+        let (name, size_of, target) = (&limit.name, limit.size_of, limit.target);
+        match limit.size {
             Some(size) => {
-                let percent = 100.0 * role_ends.fraction_of_target();
+                let percent = 100.0 * limit.fraction_of_target();
                 println!(
-                    "ends {}: {name} at {size:.0} {size_of}, {percent:.1}% of {target}",
+                    "limit {}: {name} at {size:.0} {size_of}, {percent:.1}% of {target}",
                     place + 1
                 );
             }
-            None => println!("ends {}: {name} at no size of {size_of}", place + 1),
+            None => println!("limit {}: {name} at no number of {size_of}", place + 1),
         }
     }
     figures
--- a/tools/scale/src/bin/whole-run.rs
+++ b/tools/scale/src/bin/whole-run.rs
@@ -1,5 +1,5 @@
-//! `whole-run`: the fleet run alone, at a size and with the parts that are chosen; `prove-scale`
-//! has it as one of its roles.
+//! `whole-run`: runs only the fleet run, with a chosen size and chosen parts. `prove-scale` runs it
+//! as one of its roles.
 
 use std::process::ExitCode;
 
@@ -10,13 +10,13 @@
 
 #[derive(Debug, Parser)]
 #[command(
-    about = "Runs control processes, real front ends and hollow ones, and holds the figures to their bounds"
+    about = "Runs control processes, real and hollow front ends, and checks the figures against their bounds"
 )]
 struct Arguments {
-    /// The form for CI: few front ends, held to counts and bytes and not to time
+    /// Runs few front ends, for CI, and checks counts and bytes but no times
     #[arg(long)]
     short: bool,
-    /// Hollow front ends of the long form
+    /// The number of hollow front ends, without --short
     #[arg(long, default_value_t = 7_600)]
     front_ends: usize,
     /// The parts that hollow front ends run
@@ -26,7 +26,7 @@
         default_value = "subscription,bus,membership,decisions"
     )]
     parts: Vec<Part>,
-    /// Where random numbers begin
+    /// The seed of random numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -1,5 +1,5 @@
-//! Client connections of the real gateway: memory, descriptors and CPU time of idle ones, and
-//! CPU time of a statement beside them.
+//! Measures client connections of the real gateway: memory, descriptors and CPU time of idle
+//! connections, and the CPU time of a statement while they are open.
 
 use std::net::TcpStream;
 use std::time::Duration;
@@ -19,28 +19,28 @@
 };
 const SIZES: [usize; 6] = [100, 400, 800, 1_200, 1_700, 2_240];
 const SHORT_SIZES: [usize; 3] = [20, 40, 60];
-/// Connections of a gateway that have to be carried: 17 million over 7,600.
+/// Client connections that a gateway has to carry: 17 million over 7,600 gateways.
 const TARGET: f64 = 2_240.0;
 const ENGINES: usize = 3;
-/// Descriptors that the gateway may hold for anything but clients.
+/// The maximum number of descriptors that the gateway may hold besides those of clients.
 const MAX_DESCRIPTORS_BESIDE_CLIENTS: f64 = 64.0;
-/// Descriptors that the program may hold; clients get half of them.
-const SOCKETS: u32 = 4_608;
-/// The memory that a gateway's configuration grants it.
+/// The gateway's limit on descriptors; clients get half of them.
+const SOCKET_LIMIT: u32 = 4_608;
+/// The memory that a gateway's configuration grants it, in bytes.
 const MEMORY_BUDGET_BYTES: f64 = 192.0 * 1024.0 * 1024.0;
-/// The time between two statements at 1,842 a second.
+/// The maximum CPU time of a statement: the time between two statements at 1,842 a second.
 const STATEMENT_BUDGET_US: f64 = 543.0;
-/// Connections that send statements, and statements of each.
+/// Connections that send statements in one measurement.
 const ACTIVE: usize = 8;
-const STATEMENTS: usize = 150;
-const SHORT_STATEMENTS: usize = 10;
+const STATEMENTS_PER_CLIENT: usize = 150;
+const SHORT_STATEMENTS_PER_CLIENT: usize = 10;
 const IDLE_WINDOW: Duration = Duration::from_secs(2);
 const SHORT_IDLE_WINDOW: Duration = Duration::from_millis(100);
-/// How long the program may leave what was opened unsettled.
+/// How long the gateway gets to finish work for newly opened connections before it is measured.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Costs at one size.
+/// The gateway's costs at one number of connections.
 struct Costs {
     resident_bytes: f64,
     descriptors: f64,
@@ -49,30 +49,32 @@
     served: usize,
 }
 
-/// Measures the program with more and more idle connections.
+/// Measures the gateway with a growing number of idle connections.
 ///
 /// # Errors
 ///
-/// The program or the fake engines can't be started, or a connection is refused.
+/// Returns an error if the gateway or the fake engines can't be started, or if a connection is
+/// refused.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let engines = FakeUpstreams::start(ENGINES, Profile::default())
-        .map_err(ScaleError::io("start stand-in engines"))?;
+        .map_err(ScaleError::io("start fake engines"))?;
     let gateway = start_gateway(&engines)?;
     let mut load = Load {
-        each: options.select(SHORT_STATEMENTS, STATEMENTS),
-        next: 1,
+        statements_per_client: options.select(SHORT_STATEMENTS_PER_CLIENT, STATEMENTS_PER_CLIENT),
+        next_request: 1,
     };
     let mut slopes = Slopes::default();
     let mut unserved = 0;
     let mut idle = Vec::new();
-    // The first statements open the connections to engines, which are no cost of idle clients.
+    // The first statements open the connections to engines, which idle clients must not be charged
+    // for.
     load.run(&gateway)?;
     for &size in options.select(&SHORT_SIZES[..], &SIZES[..]) {
         while idle.len() < size {
             idle.push(session(&gateway)?);
         }
         let costs = costs(&gateway, &mut load, options)?;
-        unserved += ACTIVE * load.each - costs.served;
+        unserved += ACTIVE * load.statements_per_client - costs.served;
         slopes.push(size, &costs);
         if options.short {
             let name = format!("client_side_descriptors_beside_{size}_clients");
@@ -94,11 +96,11 @@
         &listen.to_string(),
         &violetgate_fake_upstreams::settings(),
     );
-    config["limits"]["sockets"] = SOCKETS.into();
+    config["limits"]["sockets"] = SOCKET_LIMIT.into();
     ScaleGateway::start(listen, &config)
 }
 
-/// Each cost by the number of connections.
+/// The slopes of each cost over the number of connections.
 struct Slopes {
     memory: Slope,
     descriptors: Slope,
@@ -110,7 +112,7 @@
     fn default() -> Self {
         Slopes {
             memory: ROLE.slope("memory", "bytes", Some(MEMORY_BUDGET_BYTES)),
-            descriptors: ROLE.slope("descriptors", "count", Some(f64::from(SOCKETS))),
+            descriptors: ROLE.slope("descriptors", "count", Some(f64::from(SOCKET_LIMIT))),
             idle: ROLE.slope("idle", "us_per_s", None),
             statement: ROLE.slope("statement", "us", Some(STATEMENT_BUDGET_US)),
         }
@@ -154,29 +156,32 @@
     })
 }
 
-/// Statements of a few connections, each sent once the one before is answered.
+/// Sends statements on a few connections; each connection waits for an answer before it sends the
+/// next statement.
 struct Load {
-    /// Statements of one connection.
-    each: usize,
-    /// The next request's id: no id is used twice, as the program refuses an id that was just open.
-    next: usize,
+    /// Statements that each connection sends in one run.
+    statements_per_client: usize,
+    /// The id of the next request. No id is used twice, as the gateway refuses the id of a request
+    /// that is open or was open a moment ago.
+    next_request: usize,
 }
 
 impl Load {
-    /// CPU time a statement, and how many were served.
+    /// Returns the gateway's CPU time per statement in microseconds, and the number of statements
+    /// that were served.
     fn run(&mut self, gateway: &ScaleGateway) -> Result<(f64, usize), ScaleError> {
         let clients = (0..ACTIVE)
             .map(|_| session(gateway))
             .collect::<Result<Vec<_>, _>>()?;
-        let (first, each) = (self.next, self.each);
-        self.next += ACTIVE * each;
+        let (first, per_client) = (self.next_request, self.statements_per_client);
+        self.next_request += ACTIVE * per_client;
         let before = gateway.usage()?;
         let served_by_client = std::thread::scope(|scope| {
-            let starts = (first..).step_by(each);
+            let starts = (first..).step_by(per_client);
             let threads: Vec<_> = starts
                 .zip(clients)
                 .map(|(start, client)| {
-                    scope.spawn(move || send_statements(client, start..start + each))
+                    scope.spawn(move || send_statements(client, start..start + per_client))
                 })
                 .collect();
             threads
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -1,5 +1,5 @@
-//! The decision module by the number of engines: CPU time of a statement, of a patch of the
-//! engine list and of a full list, and memory an engine.
+//! Measures the decision module by the number of engines: the CPU time of a statement, of a patch
+//! of the engine list and of a full list, and the memory per engine.
 
 use violetgate_policy::interface::EngineState;
 
@@ -17,21 +17,22 @@
 const SIZES: [u32; 6] = [80, 300, 1_000, 4_000, 7_600, 12_000];
 const SHORT_SIZES: [u32; 5] = [80, 300, 600, 1_000, 2_000];
 const GATEWAYS: [u32; 2] = [300, 7_600];
-/// Engines that have to be carried.
+/// Engines that a gateway has to support.
 const TARGET: f64 = 12_000.0;
-/// A statement may cost half a millisecond: at 1,842 a second that is nearly all of a core.
+/// The maximum CPU time of a statement: at 1,842 a second it is nearly all of a core.
 const STATEMENT_BUDGET_US: f64 = 500.0;
-/// Batches of statements that are timed; the least counts, as other processes only add.
+/// Batches of statements that are timed. The shortest time is used, as other processes can only
+/// lengthen a measurement.
 const BATCHES: usize = 5;
-/// Engines that the statements of a batch consider, all together.
+/// The number of engines that all statements of a batch consider together; it sets the batch size.
 const VISITS_PER_BATCH: u32 = 400_000;
-/// The same where only counts are held.
+/// The same for the short form, which checks only counts.
 const SHORT_VISITS_PER_BATCH: u32 = 40_000;
 const PATCHES: u32 = 10;
-/// Gateways that are built at once to see what an engine takes in memory.
+/// Gateways that are held at the same time to measure the memory per engine.
 const HELD: usize = 8;
 
-/// Costs at one size.
+/// The decision module's costs at one number of engines, and what happened to the statements.
 struct Costs {
     statement_us: f64,
     patch_us: f64,
@@ -45,12 +46,12 @@
 ///
 /// # Errors
 ///
-/// The module refuses the settings, or /proc can't be read.
+/// Returns an error if the module refuses the settings, or if /proc can't be read.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     if !options.short {
         figures.add_number(
             "decisions_memory_an_engine_bytes",
-            memory_an_engine(options.seed)?,
+            memory_per_engine(options.seed)?,
         );
     }
     let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
@@ -60,7 +61,7 @@
     Ok(())
 }
 
-/// Measures a gateway of a fleet of so many.
+/// Measures one gateway of a fleet of `gateways` gateways.
 fn measure_fleet(
     gateways: u32,
     sizes: &[u32],
@@ -84,7 +85,7 @@
     Ok(())
 }
 
-/// Each cost by the number of engines.
+/// The slopes of each cost over the number of engines.
 struct Slopes {
     statement: Slope,
     patch: Slope,
@@ -166,8 +167,9 @@
     })
 }
 
-/// The growth of this process's resident memory with several gateways that know all engines.
-fn memory_an_engine(seed: u64) -> Result<f64, ScaleError> {
+/// Returns the memory that one gateway needs per engine, in bytes: the growth of this process's
+/// resident memory as it builds several gateways that know all engines.
+fn memory_per_engine(seed: u64) -> Result<f64, ScaleError> {
     let engines = TARGET as u32;
     let before = own_usage()?.resident_bytes;
     let mut held = Vec::new();
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -1,5 +1,6 @@
-//! The engine list over the event bus by the number of engines: bytes of a line, time and CPU time
-//! until the real program has applied it, its memory, and the longest full list that it accepts.
+//! Measures the engine list over the event bus by the number of engines: the bytes of a line, the
+//! time and CPU time until the real gateway has applied it, the gateway's memory, and the longest
+//! full list that it accepts.
 
 mod scripted_bus;
 
@@ -22,29 +23,30 @@
 };
 const SIZES: [u32; 6] = [80, 300, 1_000, 2_500, 5_000, 7_600];
 const SHORT_SIZES: [u32; 3] = [80, 300, 1_000];
-/// Engines that have to be carried.
+/// Engines that a gateway has to support.
 const TARGET: u32 = 12_000;
-/// The longest line that the program takes: `MAX_LINE_BYTES` in gateway/src/discovery/client.rs.
-const LONGEST_LINE: f64 = 1_048_576.0;
-/// Full lists of one size, and patches, that are timed.
+/// The longest line that the gateway accepts: `MAX_LINE_BYTES` in gateway/src/discovery/client.rs.
+const MAX_LINE_BYTES: f64 = 1_048_576.0;
+/// Full lists, and also patches, that are timed at each size.
 const REPEATS: usize = 3;
 
-/// Costs at one size.
+/// The costs of the engine list at one number of engines.
 struct Costs {
     line_bytes: f64,
-    /// The time until a full list was applied.
+    /// The time until a full list was applied, in milliseconds.
     applied_ms: f64,
-    /// CPU time of a full list and of a patch.
+    /// The gateway's CPU time for a full list, in microseconds.
     full_list_us: f64,
+    /// The gateway's CPU time for a patch, in microseconds.
     patch_us: f64,
     memory_bytes: f64,
 }
 
-/// Measures the program behind a scripted bus.
+/// Measures the gateway while it follows a scripted bus.
 ///
 /// # Errors
 ///
-/// The program can't be started or does not come to the bus.
+/// Returns an error if the gateway can't be started or does not follow the bus.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let mut bus = ScriptedBus::start()?;
     let listen = reserve_address()?;
@@ -77,7 +79,7 @@
 }
 
 fn add_largest_full_list(largest: u32, figures: &mut Figures) {
-    println!("engine_list: the largest whole list that the program takes has {largest} engines");
+    println!("engine_list: the largest full list that the gateway accepts has {largest} engines");
     figures.add("engine_list_largest_whole_list_engines", largest);
     figures.add_limit(CapacityLimit {
         name: "engine_list_whole_list".to_owned(),
@@ -87,7 +89,7 @@
     });
 }
 
-/// Each cost by the number of engines.
+/// The slopes of each cost over the number of engines.
 struct Slopes {
     line: Slope,
     applied: Slope,
@@ -99,7 +101,7 @@
 impl Default for Slopes {
     fn default() -> Self {
         Slopes {
-            line: ROLE.slope("line", "bytes", Some(LONGEST_LINE)),
+            line: ROLE.slope("line", "bytes", Some(MAX_LINE_BYTES)),
             applied: ROLE.slope("whole_list_applied", "ms", None),
             full_list_cpu: ROLE.slope("whole_list_cpu", "us", None),
             patch_cpu: ROLE.slope("patch_cpu", "us", None),
@@ -140,13 +142,13 @@
     }))
 }
 
-/// What a line took until it was applied.
+/// The time and the gateway's CPU time until a line was applied.
 struct Applied {
     took: Duration,
     cpu_us: f64,
 }
 
-/// Measures the costs at one size.
+/// Measures the costs at one number of engines.
 fn measure_size(
     bus: &mut ScriptedBus,
     gateway: &ScaleGateway,
@@ -180,7 +182,7 @@
     })
 }
 
-/// Has a line applied.
+/// Sends a line, waits until the gateway has applied it, and returns what it cost.
 fn apply_timed(
     bus: &mut ScriptedBus,
     gateway: &ScaleGateway,
@@ -197,8 +199,8 @@
     })
 }
 
-/// The largest full list that is applied, between the largest size that was and the smallest
-/// that was not.
+/// Finds the number of engines in the largest full list that the gateway accepts, by bisection
+/// between the largest size in [`SIZES`] and [`TARGET`], which is known to be refused.
 fn largest_full_list(bus: &mut ScriptedBus) -> Result<u32, ScaleError> {
     let mut applied = SIZES.last().copied().unwrap_or(1);
     let mut refused = TARGET;
--- a/tools/scale/src/engine_list/scripted_bus.rs
+++ b/tools/scale/src/engine_list/scripted_bus.rs
@@ -1,8 +1,8 @@
-//! A bus with one follower, which sends what the test says.
+//! An event bus with one follower, which sends the events that the test gives it.
 //!
-//! It sends one event and then a number that is larger than it. The program answers that by a new
-//! connection, in whose greeting stands the last event that it has applied: so nothing has to be
-//! guessed from outside.
+//! After each event the bus sends a bare offset beyond that event. The gateway answers it with a
+//! new connection, whose greeting names the last event that the gateway has applied. So the bus
+//! learns from the gateway itself when an event is applied.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,13 +12,14 @@
 
 use crate::error::ScaleError;
 
-/// How long the program may take to apply an event.
+/// How long the gateway may take to apply an event.
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often an event that was not applied is sent again before it counts as refused: the program
-/// may have ended the connection by itself just then.
+/// How often an event is sent before it counts as refused. One failure proves nothing, as the
+/// gateway may have closed the connection for another reason at that moment.
 const MAX_ATTEMPTS: usize = 2;
 
-/// One engine in the bus's form; the address is on loopback, and nothing is ever sent to it here.
+/// Returns one engine in the JSON form of the bus. Its address is on loopback, and the tests never
+/// send anything to it.
 pub(super) fn server(number: u32, state: &str) -> Value {
     let [_, high, middle, low] = number.to_be_bytes();
     json!({
@@ -27,13 +28,13 @@
     })
 }
 
-/// The line of one event; `full`: its engines are all there are.
+/// Returns the line of one event. `full` means that the event lists all engines.
 pub(super) fn event(offset: u64, full: bool, servers: &[Value]) -> String {
     let topology = json!({"version": offset, "full": full, "servers": servers});
     format!("{}\n", json!({"offset": offset, "topology": topology}))
 }
 
-/// The line of an event with all engines, numbered from 1.
+/// Returns the line of an event that lists all engines, numbered from 1 to `engines`.
 pub(super) fn full_list(offset: u64, engines: u32) -> String {
     let servers: Vec<_> = (1..=engines)
         .map(|number| server(number, "in_service"))
@@ -41,17 +42,17 @@
     event(offset, true, &servers)
 }
 
-/// A bus with one follower; the test says what it announces.
+/// An event bus with one follower, which announces the events that the test gives it.
 pub(super) struct ScriptedBus {
     listener: TcpListener,
-    /// The connection that the follower has greeted on.
+    /// The follower's current connection, whose greeting was read.
     follower: Option<TcpStream>,
-    /// The last event that the follower has applied.
+    /// The offset of the last event that the follower has applied.
     last_offset: u64,
 }
 
 impl ScriptedBus {
-    /// Starts a bus on a free port; nothing follows it yet.
+    /// Starts a bus on a free port, without a follower.
     pub(super) fn start() -> Result<Self, ScaleError> {
         let listener =
             TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a bus"))?;
@@ -62,8 +63,8 @@
         })
     }
 
-    /// Sends an event until it is applied; how long that took, or `None` where the follower refuses
-    /// it.
+    /// Sends an event until it is applied, and returns how long that took. Returns `None` if the
+    /// follower refuses the event.
     pub(super) fn apply(&mut self, line: &str) -> Result<Option<Duration>, ScaleError> {
         for _ in 0..MAX_ATTEMPTS {
             let mut follower = match self.follower.take() {
@@ -104,26 +105,26 @@
         })
     }
 
-    /// The address that the follower connects to.
+    /// Returns the address that the follower connects to.
     pub(super) fn address(&self) -> Result<SocketAddr, ScaleError> {
         let address = self.listener.local_addr();
-        address.map_err(ScaleError::io("address of a bus"))
+        address.map_err(ScaleError::io("read the address of a bus"))
     }
 
-    /// The offset of the next event.
+    /// Returns the offset of the next event.
     pub(super) fn next_offset(&self) -> u64 {
         self.last_offset + 1
     }
 }
 
-/// A connection of the follower, and the last event that it has applied.
+/// A new connection of the follower, and the offset of the last event that its greeting names.
 struct Greeting {
     stream: TcpStream,
     last_offset: u64,
 }
 
-/// Sends an event and a number past it, and waits until the follower ends the connection. It may do
-/// so while it is still being written to.
+/// Sends an event and the offset `past` beyond it, and waits until the follower closes the
+/// connection. The follower may close it while the lines are still being written.
 fn send_and_wait(follower: &mut TcpStream, line: &str, past: u64) {
     let lines = format!("{line}{past}\n");
     if follower.write_all(lines.as_bytes()).is_ok() {
--- a/tools/scale/src/engine_side.rs
+++ b/tools/scale/src/engine_side.rs
@@ -1,9 +1,9 @@
-//! Connections between gateways and engines, by the module's own choice of engines: how many
-//! engines a gateway sends to before an idle connection is closed, and how many gateways an
-//! engine sees.
+//! Counts connections between gateways and engines, with engines chosen by the real decision
+//! module: how many connections a gateway holds, and how many gateways an engine has connections
+//! from.
 //!
 //! A gateway uses one connection to an engine for all its statements there, and closes it after an
-//! idle time, so its connections are the distinct engines that it sent to within that time.
+//! idle timeout. So its connections are the distinct engines that it sent to within that time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,49 +19,53 @@
     size_of: "engines",
     target: ENGINES as f64,
 };
-/// Engines for each gateway, as at the size that has to be carried.
+/// Engines and gateways of the fleet at full size. Smaller fleets keep the proportion of the two.
 const ENGINES: u32 = 12_000;
 const GATEWAYS: u32 = 7_600;
-/// Fleets of the same proportion that are simulated.
+/// Numbers of engines in the fleets that are simulated.
 const SIZES: [u32; 5] = [150, 300, 450, 600, 800];
 const SHORT_SIZES: [u32; 3] = [100, 150, 300];
-/// Connections to engines that the program opens at most: a quarter of its descriptors, half of
-/// which are for its 2,240 clients.
-const ENGINE_CONNECTIONS: f64 = 1_120.0;
-/// An engine that got this many times the mean of its zone is one that the gateway prefers.
+/// The maximum number of connections to engines that a gateway opens: a quarter of its descriptors.
+/// Half of the descriptors are for its 2,240 clients.
+const MAX_ENGINE_CONNECTIONS: f64 = 1_120.0;
+/// An engine counts as preferred if it got more than this many times the mean number of statements
+/// of its zone.
 const PREFERRED_FACTOR: f64 = 10.0;
-/// How long an engine holds an idle connection open, in seconds, as the stand-in's settings have
-/// it.
-const IDLE_CLOSE_S: u64 = 30;
-/// Statements that are driven through a gateway at full size; the rest of the idle time is
-/// reckoned.
+/// How long an idle connection to an engine stays open, in seconds, in the settings of the fake
+/// engines.
+const IDLE_TIMEOUT_S: u64 = 30;
+/// Statements that are simulated for a gateway at full size. The connections after a whole idle
+/// timeout are extrapolated from them.
 const STATEMENTS_AT_FULL_SIZE: u64 = 1_500;
-/// Statements of each gateway where all of a fleet is simulated.
+/// Statements of each gateway when all gateways of a fleet are simulated.
 const STATEMENTS_IN_FLEET: u64 = 400;
 const SHORT_STATEMENTS_IN_FLEET: u64 = 60;
-/// Engines of the fleet that is simulated with all its gateways.
+/// Engines of the fleet whose gateways are all simulated.
 const FLEET_ENGINES: u32 = 300;
 const SHORT_FLEET_ENGINES: u32 = 80;
-/// One gateway in so many is replaced.
-const REPLACED: u32 = 10;
-/// An odd number that spreads seeds.
-const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
+/// One in this many gateways is replaced.
+const REPLACEMENT_INTERVAL: u32 = 10;
+/// An odd multiplier that makes the seeds of gateways differ in many bits.
+const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Counts connections by simulation, and reckons those at full size.
+/// Counts connections by simulation, and extrapolates those at full size.
 ///
 /// # Errors
 ///
-/// The module refuses the settings.
+/// Returns an error if the decision module refuses the settings.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
-    let mut slope = ROLE.slope("front_end", "connections", Some(ENGINE_CONNECTIONS));
+    let mut slope = ROLE.slope("front_end", "connections", Some(MAX_ENGINE_CONNECTIONS));
     let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
-    let window = options.select(STATEMENTS_PER_SECOND, STATEMENTS_PER_SECOND * IDLE_CLOSE_S);
+    let window = options.select(
+        STATEMENTS_PER_SECOND,
+        STATEMENTS_PER_SECOND * IDLE_TIMEOUT_S,
+    );
     for &engines in sizes {
         let sent = simulate_gateway(options.seed, 0, engines, window)?;
         let distinct: BTreeSet<_> = sent.iter().collect();
         slope.push(f64::from(engines), distinct.len() as f64);
         if options.short {
-            // It has enough capacity in its own zone, and sends to no other.
+            // The gateway has enough capacity in its own zone, and sends to no other zone.
             let connections = distinct.len() as f64;
             let zone_engines = f64::from(engines / ZONES);
             figures.at_most(
@@ -78,31 +82,36 @@
     simulate_fleet(options, figures)
 }
 
-fn gateways_before(engines: u32) -> u32 {
+fn gateways_for(engines: u32) -> u32 {
     (engines * GATEWAYS / ENGINES).max(1)
 }
 
-/// Where one gateway of a fleet sends its statements.
+/// Simulates one gateway of a fleet, and returns the engine of each of its statements.
 fn simulate_gateway(
     seed: u64,
     gateway: u32,
     engines: u32,
     statements: u64,
 ) -> Result<Vec<EngineId>, ScaleError> {
-    let gateways = gateways_before(engines);
+    let gateways = gateways_for(engines);
     let mut settings = settings(gateways)?;
     settings.zone = Some(gateway % ZONES);
-    let own = seed
+    let gateway_seed = seed
         .wrapping_add(u64::from(gateway) + 1)
-        .wrapping_mul(SPREAD);
-    let mut driver = GatewayDriver::new(settings, own, engines, max_in_flight(gateways, engines));
+        .wrapping_mul(SEED_MULTIPLIER);
+    let mut driver = GatewayDriver::new(
+        settings,
+        gateway_seed,
+        engines,
+        max_in_flight(gateways, engines),
+    );
     (0..statements).for_each(|_| driver.send_statement());
     Ok(driver.sent().to_vec())
 }
 
-/// Drives one gateway at full size for a part of the idle time. Engines that it came back to are
-/// those that it prefers; the others are taken as chosen evenly from its zone, which gives the
-/// connections after all of the idle time.
+/// Simulates one gateway at full size for a part of the idle timeout. The engines that it used far
+/// more often than the mean are its preferred ones. All other statements are assumed to go evenly
+/// to the engines of its zone, which gives the connections after a whole idle timeout.
 fn at_full_size(seed: u64, figures: &mut Figures) -> Result<(), ScaleError> {
     let sent = simulate_gateway(seed, 0, ENGINES, STATEMENTS_AT_FULL_SIZE)?;
     let mut times: BTreeMap<EngineId, u64> = BTreeMap::new();
@@ -117,13 +126,13 @@
         .collect();
     let sent_to_preferred: u64 = preferred.iter().sum();
     let elsewhere = 1.0 - sent_to_preferred as f64 / sent.len().max(1) as f64;
-    let evenly_sent = elsewhere * (STATEMENTS_PER_SECOND * IDLE_CLOSE_S) as f64;
+    let evenly_sent = elsewhere * (STATEMENTS_PER_SECOND * IDLE_TIMEOUT_S) as f64;
     let others = zone_engines - preferred.len() as f64;
     let connections = preferred.len() as f64 + others * (1.0 - (-evenly_sent / zone_engines).exp());
     let seen = connections * f64::from(GATEWAYS) / f64::from(ENGINES);
     println!(
-        "engine_side: at {ENGINES} engines a front end keeps to {} and sends {:.1}% elsewhere, to {} engines in {} \
-         statements; reckoned for {IDLE_CLOSE_S} s: {connections:.0} connections, an engine sees {seen:.0}",
+        "engine_side: at {ENGINES} engines a front end prefers {} and sends {:.1}% elsewhere, to {} engines in {} \
+         statements; extrapolated to {IDLE_TIMEOUT_S} s: {connections:.0} connections, {seen:.0} per engine",
         preferred.len(),
         100.0 * elsewhere,
         times.len(),
@@ -137,13 +146,14 @@
     Ok(())
 }
 
-/// Simulates every gateway of a small fleet, and again with a tenth of them replaced.
+/// Simulates every gateway of a small fleet, then the same fleet with a tenth of its gateways
+/// replaced.
 fn simulate_fleet(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let (engines, statements) = options.select(
         (SHORT_FLEET_ENGINES, SHORT_STATEMENTS_IN_FLEET),
         (FLEET_ENGINES, STATEMENTS_IN_FLEET),
     );
-    let gateways = gateways_before(engines);
+    let gateways = gateways_for(engines);
     let engines_of = |gateway| {
         let sent = simulate_gateway(options.seed, gateway, engines, statements)?;
         Ok(sent.into_iter().collect::<BTreeSet<_>>())
@@ -152,10 +162,10 @@
         .map(engines_of)
         .collect::<Result<Vec<_>, ScaleError>>()?;
     add_seen("before", &engines_by_gateway, engines, figures);
-    // Those that come instead have seeds of their own and stand where the old ones stood.
+    // A replacement has a seed of its own and the zone of the gateway that it replaces.
     let step = gateways.div_ceil(ZONES) * ZONES;
     for (gateway, engines_met) in (0..gateways).zip(&mut engines_by_gateway) {
-        if gateway % REPLACED == 0 {
+        if gateway % REPLACEMENT_INTERVAL == 0 {
             *engines_met = engines_of(gateway + step)?;
         }
     }
@@ -179,8 +189,8 @@
     let mean = f64::from(all) / f64::from(engines);
     let gateways = engines_by_gateway.len();
     println!(
-        "engine_side: {gateways} front ends, {engines} engines, {when}: a front end met {:.1}, an engine saw \
-         {mean:.1}, the busiest {busiest}",
+        "engine_side: {gateways} front ends, {engines} engines, {when}: {:.1} connections per front end, \
+         {mean:.1} per engine, {busiest} at the busiest engine",
         f64::from(all) / gateways as f64
     );
     figures.add_number(
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -1,19 +1,20 @@
-//! The figures of a run, and the bounds they are held to.
+//! The figures of a run, and the checks against their bounds.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-/// How much is measured.
+/// Options of a run: its form and its seed.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// The form for CI: small sizes, fixed seeds, held to counts and bytes and not to time.
+    /// Selects the short form, for CI: small sizes and fixed seeds, with bounds on counts and bytes
+    /// but not on times.
     pub short: bool,
     /// The seed of random numbers.
     pub seed: u64,
 }
 
 impl Options {
-    /// The first value in the short form, else the second.
+    /// Returns `short` in the short form, otherwise `long`.
     #[must_use]
     pub fn select<T>(&self, short: T, long: T) -> T {
         if self.short {
@@ -24,28 +25,28 @@
     }
 }
 
-/// The size at which a cost of a role passes its budget.
+/// The size at which a cost of a role exceeds its budget.
 #[derive(Debug, Clone)]
 pub struct CapacityLimit {
-    /// The role and the cost that passes its budget.
+    /// The names of the role and of the cost that exceeds its budget.
     pub name: String,
-    /// The size at which it passes it; `None`: at none.
+    /// The size at which the budget is exceeded; `None` if no size exceeds it.
     pub size: Option<f64>,
-    /// What the size counts.
+    /// The unit of the size, such as `engines`.
     pub size_of: &'static str,
-    /// The size that has to be carried.
+    /// The size that the role has to support.
     pub target: f64,
 }
 
 impl CapacityLimit {
-    /// The size as a fraction of what has to be carried; infinite where no budget is passed.
+    /// Returns the size as a fraction of the target; infinite if no size exceeds the budget.
     #[must_use]
     pub fn fraction_of_target(&self) -> f64 {
         self.size.map_or(f64::INFINITY, |size| size / self.target)
     }
 }
 
-/// Figures by name, in the order of their names, and what missed its bound.
+/// Figures by name, in the order of their names, with the failures and capacity limits of the run.
 #[derive(Debug, Default)]
 pub struct Figures {
     values: BTreeMap<String, String>,
@@ -71,7 +72,7 @@
         self.add(name, format!("{value:.decimals$}"));
     }
 
-    /// Adds a figure that has to stay at or under a bound.
+    /// Adds a figure, and a failure if it exceeds its bound or is NaN.
     pub fn at_most(&mut self, name: &str, value: f64, bound: f64) {
         self.add_number(name, value);
         if value.is_nan() || value > bound {
@@ -80,17 +81,17 @@
         }
     }
 
-    /// Adds a failure that is no number.
+    /// Adds a failure that is not a figure above its bound.
     pub fn add_failure(&mut self, what: impl Into<String>) {
         self.failures.push(what.into());
     }
 
-    /// Adds the size at which a role ends.
+    /// Adds the size at which a cost exceeds its budget.
     pub fn add_limit(&mut self, limit: CapacityLimit) {
         self.limits.push(limit);
     }
 
-    /// Where roles end, the smallest fraction of what has to be carried first.
+    /// Returns the capacity limits, the smallest fraction of its target first.
     #[must_use]
     pub fn limits(&self) -> Vec<&CapacityLimit> {
         let mut limits: Vec<_> = self.limits.iter().collect();
@@ -98,13 +99,13 @@
         limits
     }
 
-    /// What missed its bound.
+    /// Returns the failures, in the order in which they were added.
     #[must_use]
     pub fn failures(&self) -> &[String] {
         &self.failures
     }
 
-    /// The line `NAME: key=value ...`.
+    /// Formats all figures as the line `NAME: key=value ...`.
     #[must_use]
     pub fn line(&self, name: &str) -> String {
         let mut line = format!("{name}:");
--- a/tools/scale/src/fit.rs
+++ b/tools/scale/src/fit.rs
@@ -1,29 +1,29 @@
-//! Least squares through measured costs: the line `cost = intercept + slope x size`, the standard
-//! errors of both, and whether a quadratic explains the costs so much better that they have to be
-//! called a curve.
+//! Weighted least squares on measured costs: the line `cost = intercept + slope x size`, the
+//! standard errors of intercept and slope, and a test of whether a quadratic fits the costs
+//! significantly better.
 
-/// One measurement.
+/// One measurement: a cost at a size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Point {
-    /// The size at which it was made.
+    /// The size at which the cost was measured.
     pub size: f64,
-    /// What it cost.
+    /// The measured cost, in the caller's unit.
     pub cost: f64,
 }
 
-/// Whether the costs follow a line.
+/// The shape of the costs over the size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
-    /// A quadratic explains them no better.
+    /// A quadratic does not fit the costs significantly better than a line.
     Line,
-    /// A quadratic explains them better, beyond the scatter of the measurements.
+    /// A quadratic fits the costs better than a line, beyond the scatter of the measurements.
     Curve,
-    /// There are fewer than five sizes: too few to say.
+    /// Fewer than five measurements were made, which are too few for the test.
     Unknown,
 }
 
 impl Shape {
-    /// Its name in figures.
+    /// Returns the name of the shape in figures.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -42,52 +42,53 @@
     square: f64,
 }
 
-/// What was fitted through the measurements.
+/// The result of a fit.
 #[derive(Debug, Clone, Copy)]
 pub struct Fit {
-    /// The cost at size 0.
+    /// The cost of the line at size 0.
     pub intercept: f64,
-    /// Its standard error.
+    /// The standard error of the intercept.
     pub intercept_error: f64,
-    /// What one more costs.
+    /// The additional cost for each unit of size.
     pub slope: f64,
-    /// Its standard error.
+    /// The standard error of the slope.
     pub slope_error: f64,
-    /// The share of the variance that the line explains.
+    /// The fraction of the variance that the line explains, from 0 to 1.
     pub r_squared: f64,
-    /// Whether the line is the right picture.
+    /// Whether a line or a quadratic describes the costs.
     pub shape: Shape,
     quadratic: Quadratic,
 }
 
-/// A slope of fewer than so many of its standard errors is none.
-const SURE: f64 = 2.0;
-/// Fewer sizes say nothing about a curve.
-const FEWEST_FOR_SHAPE: usize = 5;
-/// A quadratic that changes the cost at the largest size by less than this share of it is no curve
-/// of interest.
-const LEAST_BEND: f64 = 0.03;
-/// Critical values of the F distribution with one degree of freedom over 1, 2, ... at a level of
-/// 1%.
-const F_AT_ONE_PERCENT: [f64; 10] = [
+/// A slope has to exceed this many of its standard errors to count as growth.
+const MIN_SLOPE_ERRORS: f64 = 2.0;
+/// The minimum number of measurements for the test of the shape.
+const MIN_SIZES_FOR_SHAPE: usize = 5;
+/// The costs count as a curve only if the quadratic changes the cost at the largest size by more
+/// than this fraction of it.
+const MIN_BEND_FRACTION: f64 = 0.03;
+/// Critical values of the F distribution at a level of 1%, with 1 degree of freedom in the
+/// numerator and 1, 2, ... in the denominator.
+const CRITICAL_F_VALUES: [f64; 10] = [
     4052.2, 98.5, 34.12, 21.2, 16.26, 13.75, 12.25, 11.26, 10.56, 10.04,
 ];
 
-/// How much each measurement counts.
+/// How the measurements are weighted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weights {
-    /// All alike: their errors are of one size.
+    /// All measurements have the same weight, as their absolute errors are alike.
     Equal,
-    /// By the inverse square of the cost: errors are a share of it, as those of times over sizes of
-    /// many magnitudes.
+    /// Measurements are weighted by the inverse square of the cost, as their errors are
+    /// proportional to it. This holds for times over sizes of several magnitudes.
     Relative,
 }
 
-/// Costs under this fraction of the largest one have the weight of one of it.
-const LEAST_WEIGHED: f64 = 1e-4;
+/// Costs below this fraction of the largest cost are weighted as if they were equal to it, so that
+/// weights stay finite.
+const MIN_COST_FRACTION: f64 = 1e-4;
 
 impl Weights {
-    /// The weights of costs, with 1 as their mean.
+    /// Returns the weight of each cost; the mean of the weights is 1.
     fn of(self, costs: &[f64]) -> Vec<f64> {
         let largest = costs
             .iter()
@@ -95,14 +96,15 @@
         if self == Weights::Equal || largest == 0.0 {
             return vec![1.0; costs.len()];
         }
-        let weight = |cost: &f64| (largest / cost.abs().max(LEAST_WEIGHED * largest)).powi(2);
+        let weight = |cost: &f64| (largest / cost.abs().max(MIN_COST_FRACTION * largest)).powi(2);
         let weights: Vec<f64> = costs.iter().map(weight).collect();
         let mean = weights.iter().sum::<f64>() / costs.len() as f64;
         weights.into_iter().map(|weight| weight / mean).collect()
     }
 }
 
-/// Weighted sums about the means of two series.
+/// The weighted means of two series, and the weighted sums of squares and products of the
+/// deviations from them.
 struct Moments {
     mean_x: f64,
     mean_y: f64,
@@ -117,7 +119,7 @@
         let mean =
             |values: &[f64]| values.iter().zip(weights).map(|(v, w)| v * w).sum::<f64>() / total;
         let (mean_x, mean_y) = (mean(x), mean(y));
-        let apart = || {
+        let deviations = || {
             x.iter()
                 .zip(y)
                 .map(|(x, y)| (x - mean_x, y - mean_y))
@@ -126,9 +128,9 @@
         Moments {
             mean_x,
             mean_y,
-            xx: apart().map(|((dx, _), w)| w * dx * dx).sum(),
-            xy: apart().map(|((dx, dy), w)| w * dx * dy).sum(),
-            yy: apart().map(|((_, dy), w)| w * dy * dy).sum(),
+            xx: deviations().map(|((dx, _), w)| w * dx * dx).sum(),
+            xy: deviations().map(|((dx, dy), w)| w * dx * dy).sum(),
+            yy: deviations().map(|((_, dy), w)| w * dy * dy).sum(),
         }
     }
 
@@ -145,7 +147,8 @@
     }
 }
 
-/// Fits measurements. `None`: there are fewer than three, all of one size, or one is no number.
+/// Fits measurements. Returns `None` if there are fewer than three, if all have the same size, or
+/// if one is not finite.
 #[must_use]
 pub fn fit(points: &[Point], weights: Weights) -> Option<Fit> {
     let sizes: Vec<f64> = points.iter().map(|p| p.size).collect();
@@ -175,34 +178,40 @@
     })
 }
 
-/// The square's part that the line does not explain is fitted to the line's own residuals.
+/// Fits a quadratic, given the fitted line. The squared sizes are reduced to the remainder that a
+/// line in the size does not explain, and the costs are fitted to that remainder.
 fn quadratic(sizes: &[f64], costs: &[f64], weights: &[f64], line: &Moments) -> Quadratic {
     let squares: Vec<f64> = sizes.iter().map(|x| x * x).collect();
     let of_squares = Moments::of(sizes, &squares, weights);
-    let (rest_constant, rest_linear) = (of_squares.intercept(), of_squares.slope());
-    let rests = || {
+    let (remainder_constant, remainder_linear) = (of_squares.intercept(), of_squares.slope());
+    let remainders = || {
         sizes
             .iter()
             .zip(&squares)
-            .map(|(x, square)| square - rest_constant - rest_linear * x)
+            .map(|(x, square)| square - remainder_constant - remainder_linear * x)
     };
-    let own: f64 = rests()
+    let remainder_squares: f64 = remainders()
         .zip(weights)
-        .map(|(rest, weight)| weight * rest * rest)
+        .map(|(remainder, weight)| weight * remainder * remainder)
         .sum();
-    let products = rests().zip(costs).zip(weights);
-    let shared: f64 = products
-        .map(|((rest, cost), weight)| weight * rest * cost)
+    let products = remainders().zip(costs).zip(weights);
+    let remainder_products: f64 = products
+        .map(|((remainder, cost), weight)| weight * remainder * cost)
         .sum();
-    let square = if own > 0.0 { shared / own } else { 0.0 };
+    let square = if remainder_squares > 0.0 {
+        remainder_products / remainder_squares
+    } else {
+        0.0
+    };
     Quadratic {
-        constant: line.intercept() - square * rest_constant,
-        linear: line.slope() - square * rest_linear,
+        constant: line.intercept() - square * remainder_constant,
+        linear: line.slope() - square * remainder_linear,
         square,
     }
 }
 
-/// The F test of the quadratic against the line, and whether the bend matters at the largest size.
+/// Determines the shape by an F test of the quadratic against the line, and by how much the two
+/// differ at the largest size.
 fn shape(
     sizes: &[f64],
     costs: &[f64],
@@ -210,7 +219,7 @@
     line: &Moments,
     quadratic: Quadratic,
 ) -> Shape {
-    if sizes.len() < FEWEST_FOR_SHAPE {
+    if sizes.len() < MIN_SIZES_FOR_SHAPE {
         return Shape::Unknown;
     }
     let Quadratic {
@@ -218,23 +227,23 @@
         linear,
         square,
     } = quadratic;
-    let rest = |x: &f64, cost: &f64| cost - constant - linear * x - square * x * x;
-    let rests = sizes.iter().zip(costs).zip(weights);
-    let bent: f64 = rests
-        .map(|((x, cost), weight)| weight * rest(x, cost).powi(2))
+    let remainder = |x: &f64, cost: &f64| cost - constant - linear * x - square * x * x;
+    let remainders = sizes.iter().zip(costs).zip(weights);
+    let quadratic_residual: f64 = remainders
+        .map(|((x, cost), weight)| weight * remainder(x, cost).powi(2))
         .sum();
-    let freedom = sizes.len() - 3;
+    let degrees_of_freedom = sizes.len() - 3;
     let largest = sizes.iter().copied().fold(0.0, f64::max);
     let at_largest = line.intercept() + line.slope() * largest;
     let bend = (constant + linear * largest + square * largest * largest - at_largest).abs();
-    let matters = bend > LEAST_BEND * at_largest.abs();
-    let critical = F_AT_ONE_PERCENT
-        .get(freedom - 1)
-        .or(F_AT_ONE_PERCENT.last())
+    let matters = bend > MIN_BEND_FRACTION * at_largest.abs();
+    let critical = CRITICAL_F_VALUES
+        .get(degrees_of_freedom - 1)
+        .or(CRITICAL_F_VALUES.last())
         .copied()
         .unwrap_or(f64::MAX);
-    let gained = line.residual() - bent;
-    if matters && gained > critical * bent / freedom as f64 {
+    let gained = line.residual() - quadratic_residual;
+    if matters && gained > critical * quadratic_residual / degrees_of_freedom as f64 {
         Shape::Curve
     } else {
         Shape::Line
@@ -242,32 +251,33 @@
 }
 
 impl Fit {
-    /// The fitted cost at a size: by the quadratic where the costs are a curve.
+    /// Returns the fitted cost at a size: by the quadratic if the costs are a curve, otherwise by
+    /// the line.
     #[must_use]
     pub fn cost_at(&self, size: f64) -> f64 {
         let Quadratic {
             constant,
             linear,
             square,
-        } = self.used();
+        } = self.coefficients();
         constant + linear * size + square * size * size
     }
 
-    /// The fitted size at which the cost passes a budget; 0 where it is passed from the start,
-    /// `None` where it never is, or where the cost does not surely grow.
+    /// Returns the fitted size at which the cost exceeds a budget, or 0 if it already does at size
+    /// 0. Returns `None` if it never does, or if a linear cost does not grow significantly.
     #[must_use]
     pub fn size_at(&self, budget: f64) -> Option<f64> {
         let Quadratic {
             constant,
             linear,
             square,
-        } = self.used();
+        } = self.coefficients();
         let below = constant - budget;
         if below >= 0.0 {
             return Some(0.0);
         }
         if square == 0.0 {
-            let grows = linear > SURE * self.slope_error;
+            let grows = linear > MIN_SLOPE_ERRORS * self.slope_error;
             return grows.then(|| -below / linear);
         }
         let under_root = linear * linear - 4.0 * square * below;
@@ -283,7 +293,7 @@
             .min_by(f64::total_cmp)
     }
 
-    fn used(&self) -> Quadratic {
+    fn coefficients(&self) -> Quadratic {
         match self.shape {
             Shape::Curve => self.quadratic,
             Shape::Line | Shape::Unknown => Quadratic {
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -1,5 +1,6 @@
-//! A gateway around the real decision module: statements at a fixed rate in simulated time, each
-//! answered after a fixed number of further ones. It decides nothing itself.
+//! Drives the real decision module of one gateway with statements at a fixed rate in simulated
+//! time. The oldest statement is answered when a fixed number of them is in flight. All decisions
+//! are the module's.
 
 use std::collections::VecDeque;
 
@@ -11,39 +12,41 @@
 
 use crate::error::ScaleError;
 
-/// Statements a second at one gateway: 14 million over 7,600.
+/// Statements per second at one gateway: 14 million over 7,600 gateways.
 pub const STATEMENTS_PER_SECOND: u64 = 1_842;
-/// Time between two of them.
-pub const GAP: Micros = 1_000_000 / STATEMENTS_PER_SECOND;
-/// Zones; engines are distributed over them by their ids.
+/// The time between two statements, in microseconds.
+pub const STATEMENT_INTERVAL: Micros = 1_000_000 / STATEMENTS_PER_SECOND;
+/// The number of zones; an engine's zone is its id modulo this number.
 pub const ZONES: u32 = 5;
-/// One statement in so many is a report; the others are lookups.
-const REPORT_EVERY: u64 = 20;
-/// Where simulated time begins.
+/// One in this many statements is of the report class; the others are lookups.
+const REPORT_INTERVAL: u64 = 20;
+/// The time at which the simulation starts, in microseconds.
 const START: Micros = 1_000_000;
-/// How long a client waits for its answer.
+/// How long a client waits for its answer, in microseconds.
 const CLIENT_TIMEOUT: Micros = 5_000_000;
 
-/// Statements in flight at a time, where the gateway's part of the engines allows as many.
+/// The maximum number of statements in flight, even if the gateway's share of the engines would
+/// allow more.
 const MAX_IN_FLIGHT: f64 = 20.0;
-/// Threads that the module allows a core, over all gateways; cores of one engine.
+/// Threads per engine core that the module allows, over all gateways.
 const THREADS_PER_CORE: f64 = 2.0;
+/// Cores of one engine.
 const CORES: f64 = 8.0;
-/// The fraction of its capacity that a gateway uses.
+/// The fraction of its share of the engines' capacity that a gateway uses.
 const UTILIZATION: f64 = 0.7;
 
-/// How many statements a gateway has in flight within its part of the engines.
+/// Returns how many statements a gateway keeps in flight within its share of the engines.
 #[must_use]
 pub fn max_in_flight(gateways: u32, engines: u32) -> usize {
     let capacity = THREADS_PER_CORE * CORES * f64::from(engines) / f64::from(gateways);
     (UTILIZATION * capacity).clamp(1.0, MAX_IN_FLIGHT) as usize
 }
 
-/// Settings of a gateway that is one of so many.
+/// Returns the settings of a gateway in a fleet of `gateways` gateways.
 ///
 /// # Errors
 ///
-/// The module refuses them.
+/// Returns an error if the decision module refuses the settings.
 pub fn settings(gateways: u32) -> Result<Settings, ScaleError> {
     let mut settings =
         violetgate_policy::wire::settings_from_json(&violetgate_fake_upstreams::settings())
@@ -53,7 +56,7 @@
     Ok(settings)
 }
 
-/// One warm engine.
+/// Returns an engine that is past its warm-up.
 #[must_use]
 pub fn engine(id: EngineId, state: EngineState) -> Engine {
     Engine {
@@ -66,7 +69,7 @@
     }
 }
 
-/// So many warm engines.
+/// Returns `count` engines that are ready and past their warm-up, with ids from 0.
 #[must_use]
 pub fn engines(count: u32) -> Vec<Engine> {
     (0..count)
@@ -81,7 +84,7 @@
     sent_at: Micros,
 }
 
-/// A gateway's decisions under load.
+/// A simulated gateway under load.
 pub struct GatewayDriver {
     gateway: Gateway,
     now: Micros,
@@ -95,8 +98,8 @@
 }
 
 impl GatewayDriver {
-    /// A gateway that knows so many engines; a statement is answered once `max_in_flight` are in
-    /// flight.
+    /// Creates a gateway that knows `count` engines. The oldest statement is answered when
+    /// `max_in_flight` statements are in flight.
     #[must_use]
     pub fn new(settings: Settings, seed: u64, count: u32, max_in_flight: usize) -> Self {
         let mut driver = GatewayDriver {
@@ -114,16 +117,17 @@
         driver
     }
 
-    /// One statement arrives; the oldest one in flight is answered once there are enough.
+    /// Sends one statement to the gateway, then answers the oldest ones until fewer than the
+    /// maximum are in flight.
     pub fn send_statement(&mut self) {
-        self.now += GAP;
+        self.now += STATEMENT_INTERVAL;
         if self.timer.is_some_and(|at| at <= self.now) {
             self.timer = None;
             self.handle(Event::TimerFired);
         }
         self.last_query += 1;
-        let class = u32::from(self.last_query % REPORT_EVERY == 0);
-        let work = GAP * self.max_in_flight as Micros;
+        let class = u32::from(self.last_query % REPORT_INTERVAL == 0);
+        let work = STATEMENT_INTERVAL * self.max_in_flight as Micros;
         let query = NewQuery {
             id: self.last_query,
             class,
@@ -141,7 +145,7 @@
         let Some(attempt) = self.in_flight.pop_front() else {
             return;
         };
-        let elapsed = (self.now - attempt.sent_at).max(GAP);
+        let elapsed = (self.now - attempt.sent_at).max(STATEMENT_INTERVAL);
         self.handle(Event::AttemptEnded(AttemptEnded {
             query: attempt.query,
             attempt: 0,
@@ -162,7 +166,7 @@
         self.update_list(ListScope::Patch, vec![engine(id, state)]);
     }
 
-    /// Announces the full engine list.
+    /// Announces a full list of `count` engines.
     pub fn update_all_engines(&mut self, count: u32) {
         self.update_list(ListScope::Snapshot, engines(count));
     }
@@ -193,13 +197,13 @@
         }
     }
 
-    /// Where statements were sent so far, in order.
+    /// Returns the engines that statements were sent to so far, in order.
     #[must_use]
     pub fn sent(&self) -> &[EngineId] {
         &self.sent
     }
 
-    /// Statements that were refused or failed so far.
+    /// Returns the number of statements that were refused or failed so far.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused
--- a/tools/scale/src/gateway_process.rs
+++ b/tools/scale/src/gateway_process.rs
@@ -1,4 +1,5 @@
-//! The real program in a process of its own: `violetgate` beside the running binary.
+//! The real gateway in a process of its own. Its program, `violetgate`, is in the folder of the
+//! running binary.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -13,14 +14,14 @@
 use crate::error::ScaleError;
 use crate::usage::usage_of;
 
-/// How long it may take to listen, and how often that is checked.
+/// How long the gateway may take until it listens, and how often that is checked.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running gateway. It is killed when this is dropped, and its folder is removed.
+/// A running gateway. Dropping it kills the process and removes its folder.
 pub struct ScaleGateway {
     process: ServerProcess,
-    /// Where PostgreSQL clients connect.
+    /// The address that PostgreSQL clients connect to.
     pub listen: SocketAddr,
 }
 
@@ -35,27 +36,28 @@
 ///
 /// # Errors
 ///
-/// No port is left to reserve.
+/// Returns an error if no port can be reserved.
 pub fn reserve_address() -> Result<SocketAddr, ScaleError> {
     reserve_tcp_address().map_err(ScaleError::io("reserve a port"))
 }
 
 impl ScaleGateway {
-    /// Starts the program with a configuration, whose `listen` has to be `listen`.
+    /// Starts a gateway with a configuration, and waits until it listens. The configuration has to
+    /// contain the address `listen`.
     ///
     /// # Errors
     ///
-    /// It is not built, or does not listen in time.
+    /// Returns an error if the program is not built, or if it ends or does not listen in time.
     pub fn start(listen: SocketAddr, config: &Value) -> Result<Self, ScaleError> {
         let program =
-            program_beside("violetgate").map_err(ScaleError::io("find the running binary"))?;
+            program_beside("violetgate").map_err(ScaleError::io("locate the running binary"))?;
         if !program.exists() {
             return Err(ScaleError::NoProgram(program));
         }
         let folder = unused_folder();
-        std::fs::create_dir_all(&folder).map_err(ScaleError::io("make a folder"))?;
+        std::fs::create_dir_all(&folder).map_err(ScaleError::io("create the gateway's folder"))?;
         std::fs::write(folder.join("config.json"), config.to_string())
-            .map_err(ScaleError::io("write a configuration"))?;
+            .map_err(ScaleError::io("write the gateway's configuration"))?;
         let mut process = ServerProcess::new(&program, folder, LogTarget::File);
         process
             .start()
@@ -76,21 +78,21 @@
             return Err(ScaleError::Program(self.last_log_line()));
         }
         waited.map(drop).ok_or(ScaleError::Late {
-            what: "violetgate's listening",
+            what: "listening by violetgate",
             seconds: START_TIMEOUT.as_secs(),
         })
     }
 
     fn last_log_line(&self) -> String {
         let log = self.process.log();
-        log.lines().last().unwrap_or("it is empty").to_owned()
+        log.lines().last().unwrap_or("the log is empty").to_owned()
     }
 
-    /// What it uses now.
+    /// Reads the CPU time, memory and descriptors that the process uses.
     ///
     /// # Errors
     ///
-    /// It has ended.
+    /// Returns an error if the process has ended or /proc can't be read.
     pub fn usage(&self) -> Result<ProcessUsage, ScaleError> {
         usage_of(self.process.pid().unwrap_or(0))
     }
--- a/tools/scale/src/lib.rs
+++ b/tools/scale/src/lib.rs
@@ -1,7 +1,8 @@
-//! Scale tests: what each role costs as its size grows, and the size at which it passes its budget.
+//! Scale tests: what each role costs as its size grows, and the size at which it exceeds its
+//! budget.
 //!
-//! Each role has a module with one function, `measure`, which drives the product's own code at
-//! several sizes and adds its figures. docs/CAPACITY.md stands on these figures.
+//! Each role has a module with a function `measure`, which runs the gateway's own code at several
+//! sizes and adds its figures. docs/CAPACITY.md is based on these figures.
 
 pub mod client_side;
 pub mod decisions;
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -1,5 +1,5 @@
-//! What membership costs by the size of the fleet: the real core of each member, in a simulated
-//! network.
+//! Measures what membership costs by the size of the fleet. Each member runs the real membership
+//! core, in a simulated network.
 
 use std::time::Duration;
 
@@ -9,26 +9,27 @@
 
 use crate::figures::{Figures, Options};
 
-/// Sizes of the short form.
+/// Fleet sizes of the short form.
 const SHORT_SIZES: [usize; 2] = [100, 300];
-/// Sizes of the long form. The core knows at most [`MembershipConfig::max_members`] others; larger
-/// sizes are skipped.
+/// Fleet sizes of the long form. Sizes above [`MembershipConfig::max_members`], the core's limit,
+/// are skipped.
 const SIZES: [usize; 5] = [300, 600, 1_000, 2_000, 4_000];
-/// Cases of the short form: those that are soon played.
+/// Cases of the short form: those that are simulated quickly.
 const SHORT_CASES: [Case; 2] = [Case::Rest, Case::Start];
-/// How long a case of the long form may be played; what is longer is reported as cut short.
-const LONGEST: Duration = Duration::from_secs(60);
-/// How long a case of the short form may be played: enough on any machine, so that its counts stay
-/// the same.
-const LONGEST_SHORT: Duration = Duration::from_secs(120);
-/// Bytes a second that a member may send in a quiet fleet, whatever its size.
-const REST_BYTES_PER_S: f64 = 1_000.0;
+/// How long a case of the long form may run, in real time. A case that takes longer is ended and
+/// reported as cut short.
+const TIME_LIMIT: Duration = Duration::from_secs(60);
+/// How long a case of the short form may run, in real time. It is enough for any machine, so that
+/// no case is cut short and its counts do not vary.
+const SHORT_TIME_LIMIT: Duration = Duration::from_secs(120);
+/// The maximum rate at which a member may send in a quiet fleet of any size.
+const MAX_REST_BYTES_PER_S: f64 = 1_000.0;
 
-/// Why membership could not be measured.
+/// The reason that membership could not be measured.
 #[derive(Debug, Error)]
 pub enum MembershipError {
-    /// The limit of members is under every size to measure.
-    #[error("the membership's limit of {0} members is under every size to measure: raise `MembershipConfig::max_members`")]
+    /// The core's limit on members is below every size to measure.
+    #[error("the membership's limit of {0} members is below every size to measure: raise `MembershipConfig::max_members`")]
     NoSize(usize),
 }
 
@@ -36,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// There is no size that the core takes.
+/// Returns an error if every size is above the core's limit on members.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), MembershipError> {
     let config = MembershipConfig::default();
     let fits = |size: &usize| *size <= config.max_members;
@@ -46,20 +47,20 @@
         return Err(MembershipError::NoSize(config.max_members));
     }
     let cases: &[Case] = options.select(&SHORT_CASES, &Case::ALL);
-    let longest = options.select(LONGEST_SHORT, LONGEST);
+    let time_limit = options.select(SHORT_TIME_LIMIT, TIME_LIMIT);
     for size in sizes {
         for case in cases {
-            let load = play(*case, size, &config, options.seed, longest);
-            report(*case, size, &load, options, figures);
+            let load = play(*case, size, &config, options.seed, time_limit);
+            add_figures(*case, size, &load, options, figures);
         }
     }
     Ok(())
 }
 
-fn report(case: Case, size: usize, load: &Load, options: &Options, figures: &mut Figures) {
+fn add_figures(case: Case, size: usize, load: &Load, options: &Options, figures: &mut Figures) {
     let name = |unit: &str| format!("membership_{}_{size}_{unit}", case.name());
     let bound = if case == Case::Rest {
-        REST_BYTES_PER_S
+        MAX_REST_BYTES_PER_S
     } else {
         f64::INFINITY
     };
@@ -79,18 +80,19 @@
     if load.cut_short {
         figures.add_number(&name("cut_short_at_s"), load.simulated_s);
     }
-    // Across a cut the living are declared dead; elsewhere that is a fault.
+    // Members on the two sides of a network split declare each other dead. In all other cases, no
+    // running member may be declared dead.
     let expects_none = case != Case::Halves;
     if expects_none && load.false_declarations > 0 {
         figures.add_failure(format!(
-            "{}: {} members that run were declared dead",
+            "{}: {} running members were declared dead",
             name("false_declarations"),
             load.false_declarations
         ));
     }
     if case == Case::Start && load.known_s.is_none() && !load.cut_short {
         figures.add_failure(format!(
-            "{}: a fleet that started at once has not come to one view",
+            "{}: the members of a fleet that started at once did not converge on one view",
             name("known_s")
         ));
     }
--- a/tools/scale/src/page.rs
+++ b/tools/scale/src/page.rs
@@ -1,5 +1,5 @@
-//! The generated block of docs/CAPACITY.md: tables of the figures that a run of `prove-scale` gave,
-//! and the check that the page still holds them.
+//! Generates the tables in docs/CAPACITY.md from the saved figures of a `prove-scale` run, and
+//! checks that the page matches them.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -7,38 +7,38 @@
 
 use crate::error::ScaleError;
 
-/// Where the block begins and ends.
+/// The mark at which the generated block begins.
 pub const BEGIN: &str = "<!-- figures: begin -->";
-/// See [`BEGIN`].
+/// The mark at which the generated block ends.
 pub const END: &str = "<!-- figures: end -->";
-/// What the saved line begins with.
-const LINE: &str = "scale:";
-/// What the name of a fitted cost's shape ends in; each fitted cost has one.
+/// The prefix of the line that holds the figures.
+const LINE_PREFIX: &str = "scale:";
+/// The suffix of the figure with a fitted cost's shape. Each fitted cost has this figure.
 const SHAPE: &str = "_shape";
 
 /// The figures of a saved run, by name.
 #[derive(Debug)]
-pub struct Saved(BTreeMap<String, String>);
+pub struct SavedFigures(BTreeMap<String, String>);
 
-/// The size at which a cost passes its budget.
+/// The size at which a cost exceeds its budget.
 #[derive(Debug, Clone, Copy)]
 struct Limit<'a> {
     size: &'a str,
-    /// What sizes count.
+    /// The unit of the size, such as `engines`.
     size_of: &'a str,
 }
 
-/// One measured cost.
+/// A cost that was measured at one size.
 #[derive(Debug, Clone, Copy)]
 struct Measurement<'a> {
     size: u64,
     cost: &'a str,
 }
 
-/// One fitted cost.
+/// One fitted cost: a row of the first table. Values are the texts of the saved figures.
 #[derive(Debug, Default)]
 struct Row<'a> {
-    /// Costs by size, as measured.
+    /// The measured costs by size.
     measured: Vec<Measurement<'a>>,
     unit: &'a str,
     intercept: &'a str,
@@ -47,19 +47,19 @@
     slope_error: &'a str,
     r_squared: &'a str,
     shape: &'a str,
-    /// Where the budget is passed.
+    /// The size at which the budget is exceeded, if the cost has a budget.
     limit: Option<Limit<'a>>,
 }
 
-impl Saved {
-    /// Reads the figures of a saved run: of its last line that begins with `scale:`. `None`: there
-    /// is none, or one of its figures is no `key=value`.
+impl SavedFigures {
+    /// Parses the figures of a saved run from its last line that begins with `scale:`. Returns
+    /// `None` if there is no such line, or if a word of it is not of the form `key=value`.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let line = text
             .lines()
             .rev()
-            .find_map(|line| line.strip_prefix(LINE))?;
+            .find_map(|line| line.strip_prefix(LINE_PREFIX))?;
         let pair = |word: &str| {
             word.split_once('=')
                 .map(|(key, value)| (key.to_owned(), value.to_owned()))
@@ -67,10 +67,10 @@
         line.split_whitespace()
             .map(pair)
             .collect::<Option<_>>()
-            .map(Saved)
+            .map(SavedFigures)
     }
 
-    /// The block, without its marks.
+    /// Renders the block, without its marks.
     #[must_use]
     pub fn render(&self) -> String {
         let names = self.0.keys().filter_map(|key| key.strip_suffix(SHAPE));
@@ -79,7 +79,7 @@
             names.iter().map(|name| (*name, Row::default())).collect();
         let mut others = Vec::new();
         for (key, value) in &self.0 {
-            // The longest name: one may begin with another.
+            // A name can be the prefix of another, so the longest match is used.
             let found = names
                 .iter()
                 .filter_map(|name| Some((*name, suffix(key, name)?)));
@@ -103,13 +103,13 @@
     }
 }
 
-/// What follows a cost's name and an underscore.
+/// Returns the rest of `key` after a cost's name and an underscore.
 fn suffix<'a>(key: &'a str, name: &str) -> Option<&'a str> {
     key.strip_prefix(name)?.strip_prefix('_')
 }
 
 impl<'a> Row<'a> {
-    /// Takes one of the cost's figures; `None`: it is none of the kinds that a fit gives.
+    /// Stores one figure of the cost. Returns `None` if it is not a figure of a fit.
     fn take(&mut self, part: &'a str, value: &'a str) -> Option<()> {
         if let Some(size_of) = part.strip_prefix("breaks_at_") {
             self.limit = Some(Limit {
@@ -168,8 +168,8 @@
     }
 }
 
-/// A page with another block between the marks. `None`: the page lacks a mark, or they stand in the
-/// wrong order.
+/// Returns the page with `block` between the marks. Returns `None` if a mark is missing or the
+/// marks are in the wrong order.
 #[must_use]
 pub fn with_block(page: &str, block: &str) -> Option<String> {
     let (before, rest) = page.split_once(BEGIN)?;
@@ -188,13 +188,13 @@
     }
 }
 
-/// The page as it is, and as it has to be.
+/// Reads the page, and returns its current text and the text that matches the saved figures.
 fn current_and_wanted(page: &Path, figures: &Path) -> Result<(String, String), ScaleError> {
-    let saved = Saved::parse(&read(figures)?);
+    let saved = SavedFigures::parse(&read(figures)?);
     let saved = saved.ok_or_else(|| {
         page_error(
             figures,
-            "holds no line `scale: key=value ...`; save the last line of a run there",
+            "has no line of the form `scale: key=value ...`; save the last line of a run there",
         )
     })?;
     let text = read(page)?;
@@ -207,11 +207,11 @@
     Ok((text, wanted))
 }
 
-/// Checks that a page holds the figures of a saved run.
+/// Checks that a page matches the figures of a saved run.
 ///
 /// # Errors
 ///
-/// It holds others, or one of the files can't be used.
+/// Returns an error if the page differs from them, or if one of the files can't be used.
 pub fn check(page: &Path, figures: &Path) -> Result<(), ScaleError> {
     let (text, wanted) = current_and_wanted(page, figures)?;
     if text == wanted {
@@ -225,15 +225,15 @@
         + 1;
     Err(page_error(
         page,
-        format!("line {line} differs from the saved figures; rewrite it with --write"),
+        format!("line {line} differs from the saved figures; rewrite the block with --write"),
     ))
 }
 
-/// Puts the figures of a saved run into a page.
+/// Writes the figures of a saved run into a page.
 ///
 /// # Errors
 ///
-/// One of the files can't be used.
+/// Returns an error if one of the files can't be used.
 pub fn rewrite(page: &Path, figures: &Path) -> Result<(), ScaleError> {
     let (_, wanted) = current_and_wanted(page, figures)?;
     std::fs::write(page, wanted).map_err(|e| page_error(page, e.to_string()))
--- a/tools/scale/src/replicated_state.rs
+++ b/tools/scale/src/replicated_state.rs
@@ -1,6 +1,6 @@
-//! Replicated state by the number of instances, each a member as `violetgate serve` makes it: what
-//! the leader spends at rest, the read-index requests that it answers, how long a change takes
-//! until all have applied it, and how many may route.
+//! Measures replicated state by the number of instances, each of which is a member with the runtime
+//! of `violetgate serve`: the leader's CPU time at rest, the read-index requests that it receives,
+//! the time until all members have applied a change, and the number of members that may route.
 
 mod costs;
 mod group;
@@ -16,16 +16,17 @@
 use costs::{Slopes, TARGET};
 use group::{Group, READY_TIMEOUT};
 
-/// Around 65 every size is measured: there the transport's limit on connections is expected to
-/// show.
+/// The numbers of instances. The sizes around 65 are close together, as the transport's limit on
+/// connections is expected to show there.
 const SIZES: [u64; 10] = [3, 5, 9, 17, 33, 49, 60, 65, 66, 70];
 const SHORT_SIZES: [u64; 3] = [3, 5, 9];
 
-/// Measures groups of several sizes, each grown from the one before.
+/// Measures a cluster at several sizes, as it grows from each size to the next.
 ///
 /// # Errors
 ///
-/// Members can't be started, or none leads.
+/// Returns an error if members can't be started or added, if the first member does not become
+/// leader, or if changes are not applied in time.
 pub fn measure(options: &Options, figures: &mut Figures) -> Result<(), ScaleError> {
     let sizes = options.select(&SHORT_SIZES[..], &SIZES[..]);
     let executor = Rc::new(LocalExecutor::new());
@@ -58,7 +59,7 @@
     Ok(())
 }
 
-/// Costs by size, and the largest size at which all instances routed.
+/// The costs by size, and the largest size at which all instances routed.
 struct Measured {
     slopes: Slopes,
     largest: Option<u64>,
--- a/tools/scale/src/replicated_state/costs.rs
+++ b/tools/scale/src/replicated_state/costs.rs
@@ -1,4 +1,4 @@
-//! What a group of instances costs, and the slopes of these costs by its size.
+//! The costs of a cluster, and the slopes of these costs by the number of its instances.
 
 use crate::figures::Figures;
 use crate::slope::{MeasuredRole, Slope};
@@ -8,14 +8,15 @@
     size_of: "instances",
     target: TARGET,
 };
-/// Instances that have to be carried.
+/// The number of instances that replicated state has to support.
 pub const TARGET: f64 = 7_600.0;
-/// The leader's loop is one thread: it has a core at most.
+/// The budget of the leader's CPU time: its event loop is one thread, so it can use one core at
+/// most.
 const CORE_US_PER_S: f64 = 1_000_000.0;
-/// A change has to be in force everywhere within ten seconds.
+/// The budget of a change: it has to be in force everywhere within ten seconds.
 const CHANGE_BUDGET_MS: f64 = 10_000.0;
 
-/// What a group spends, and what its leader receives, while nothing changes.
+/// The CPU time of a cluster, and the messages that its leader receives, while nothing changes.
 pub struct IdleCosts {
     pub leader_us_per_s: f64,
     pub others_us_per_s: f64,
@@ -25,7 +26,7 @@
     pub bytes_per_s: f64,
 }
 
-/// What a group of one size costs.
+/// The costs of a cluster at one size.
 pub struct Costs {
     pub idle: IdleCosts,
     pub other_us_per_s: f64,
@@ -35,7 +36,7 @@
     pub changes: u64,
 }
 
-/// Each cost by the number of instances.
+/// The slopes of each cost over the number of instances.
 pub struct Slopes {
     leader: Slope,
     other: Slope,
@@ -63,7 +64,7 @@
 }
 
 impl Slopes {
-    /// Adds the costs of a group of `size` instances.
+    /// Adds the costs of a cluster of `size` instances.
     pub fn push(&mut self, size: f64, costs: &Costs) {
         self.leader.push(size, costs.idle.leader_us_per_s);
         self.other.push(size, costs.other_us_per_s);
--- a/tools/scale/src/replicated_state/group.rs
+++ b/tools/scale/src/replicated_state/group.rs
@@ -1,4 +1,4 @@
-//! A cluster that grows: its leader, the thread of the others, and measurements of both.
+//! A growing cluster: its leader, the thread of the other members, and measurements of both.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,15 +24,15 @@
 use crate::gateway_process::reserve_address;
 use crate::usage::{median, process_cpu, thread_cpu};
 
-/// How long a group is idle while its costs are measured.
+/// How long the idle costs of a cluster are measured.
 const IDLE_WINDOW: Duration = Duration::from_secs(2);
 const SHORT_IDLE_WINDOW: Duration = Duration::from_millis(250);
-/// Changes that are measured at each size.
+/// The number of changes that are measured at each size.
 const CHANGES: u64 = 20;
 const SHORT_CHANGES: u64 = 5;
-/// How often a window is measured until one leader has led through it.
+/// How often an idle window is measured before giving up, if the leader changes in each of them.
 const MAX_WINDOWS: usize = 5;
-/// How long members may take to lead, to join and to route.
+/// How long members may take to become leader, to join, and to route.
 pub(super) const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// How long one attempt to transfer leadership may take.
 const TRANSFER_TIMEOUT: Duration = Duration::from_secs(1);
@@ -40,23 +40,25 @@
 const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// A cluster: the leader on this thread, the others on their own. The folders are removed last.
+/// A cluster: the leader on the calling thread, and the other members on a second one. The folders
+/// are removed last, after the members have ended.
 pub(super) struct Group {
     leader: Rc<ReplicaRuntime>,
     others: OtherMembers,
     progress: Arc<MemberProgress>,
     counts: Arc<RelayCounts>,
-    /// Where each member listens; the others reach the leader by a relay.
+    /// The address at which each member listens.
     listens: BTreeMap<NodeId, SocketAddr>,
+    /// The address of the relay through which the other members reach the leader.
     relay: SocketAddr,
     next_change: u64,
-    /// Windows in which the leader changed, which were measured anew.
+    /// The number of idle windows in which the leader changed, and which were measured again.
     pub(super) repeated_windows: u64,
     _folders: Rc<MemberFolders>,
 }
 
 impl Group {
-    /// Starts a cluster of the leader alone.
+    /// Starts the cluster's first member, without the others.
     pub(super) fn start(
         executor: &Rc<LocalExecutor<'static>>,
         seed: u64,
@@ -82,7 +84,8 @@
         })
     }
 
-    /// Adds members until there are so many, and waits until they route; how many do.
+    /// Adds members until the cluster has `size`, waits until all of them route, and returns how
+    /// many do so by the timeout.
     pub(super) async fn grow_to(&mut self, size: u64) -> Result<usize, ScaleError> {
         let first = self.listens.len() as u64 + 1;
         let mut new = BTreeMap::new();
@@ -111,7 +114,7 @@
             if added != CallOutcome::Completed(Response::MembershipChanged) {
                 return Err(ScaleError::Member {
                     id,
-                    reason: format!("it was not added: {added:?}"),
+                    reason: format!("adding it to the cluster failed: {added:?}"),
                 });
             }
         }
@@ -124,7 +127,7 @@
         self.progress.routing() + usize::from(self.leader.may_route().is_ok())
     }
 
-    /// Has the member on this thread lead.
+    /// Transfers leadership to the member on this thread, and waits until it leads and may route.
     async fn ensure_leadership(&self) -> Result<(), ScaleError> {
         let deadline = Instant::now() + READY_TIMEOUT;
         while Instant::now() < deadline {
@@ -145,7 +148,7 @@
         })
     }
 
-    /// Costs at rest and of changes.
+    /// Measures the costs at rest and of changes, in a cluster of `size` members.
     pub(super) async fn measure_costs(
         &mut self,
         options: &Options,
@@ -153,7 +156,7 @@
     ) -> Result<Costs, ScaleError> {
         let (window, changes) =
             options.select((SHORT_IDLE_WINDOW, SHORT_CHANGES), (IDLE_WINDOW, CHANGES));
-        // The quieter one of two windows: other processes only add.
+        // Other processes can only add to the measured cost, so the cheaper of two windows is used.
         let (first, second) = (
             self.idle_costs(window).await?,
             self.idle_costs(window).await?,
@@ -180,7 +183,8 @@
         })
     }
 
-    /// What is spent while nothing changes. A window in which the leader changed is measured anew.
+    /// Measures the costs while nothing changes. A window in which the leader changed is measured
+    /// again.
     async fn idle_costs(&mut self, window: Duration) -> Result<IdleCosts, ScaleError> {
         for _ in 0..MAX_WINDOWS {
             self.ensure_leadership().await?;
@@ -222,7 +226,7 @@
         }
     }
 
-    /// One change, from its proposal until all have applied it.
+    /// Makes one change, and returns the time from its proposal until all members have applied it.
     async fn measure_change(&mut self, size: u64) -> Result<Duration, ScaleError> {
         self.next_change += 1;
         let value = format!("{:026}", self.next_change).into_bytes();
@@ -267,7 +271,7 @@
     }
 }
 
-/// Waits until a condition holds; `false` if it does not within the time.
+/// Waits until a condition holds. Returns `false` if it does not hold within the time.
 async fn wait_async(within: Duration, condition: impl Fn() -> bool) -> bool {
     let deadline = Instant::now() + within;
     while !condition() {
--- a/tools/scale/src/replicated_state/members.rs
+++ b/tools/scale/src/replicated_state/members.rs
@@ -1,5 +1,5 @@
-//! Real cluster members with their real transport and disks, in one process: the leader on the
-//! calling thread, all others on a second one, so that their CPU time is counted apart.
+//! Real cluster members with their real transport and disks, in one process. The leader runs on the
+//! calling thread and all others on a second one, so that their CPU time is measured separately.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 /// The member that leads while costs are measured.
 pub const LEADER: NodeId = 1;
-/// Members that vote; all others are learners.
+/// The members that vote; all others are learners.
 pub const VOTERS: [NodeId; 3] = [1, 2, 3];
 /// How often the thread of the other members updates its progress.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(10);
@@ -35,7 +35,7 @@
     at: Instant,
 }
 
-/// What the other members and the thread that measures share.
+/// The state that the thread of the other members shares with the measuring thread.
 #[derive(Default)]
 pub struct MemberProgress {
     applied: Mutex<BTreeMap<NodeId, AppliedRevision>>,
@@ -45,7 +45,8 @@
 }
 
 impl MemberProgress {
-    /// When the last of so many members applied a revision; `None`: not all have.
+    /// Returns the latest time at which one of `members` members applied a revision, or `None` if
+    /// not all of them have applied it.
     #[must_use]
     pub fn applied_by_all(&self, members: usize, revision: Revision) -> Option<Instant> {
         let applied = lock(&self.applied);
@@ -57,24 +58,24 @@
         last.filter(|_| times.len() >= members)
     }
 
-    /// How many of the other members may route now.
+    /// Returns how many of the other members may route.
     #[must_use]
     pub fn routing(&self) -> usize {
         self.routing.load(SeqCst)
     }
 
-    /// CPU time of the other members' thread.
+    /// Returns the CPU time that the thread of the other members has used.
     #[must_use]
     pub fn others_cpu(&self) -> Duration {
         Duration::from_nanos(self.others_cpu_ns.load(SeqCst))
     }
 }
 
-/// Starts a member and records what it applies.
+/// Starts a member, and records in `progress` which revisions it applies.
 ///
 /// # Errors
 ///
-/// Its folder or address can't be used.
+/// Returns an error if the member's folder or address can't be used.
 pub fn start_member(
     executor: &Rc<LocalExecutor<'static>>,
     folders: &MemberFolders,
@@ -118,14 +119,14 @@
     Ok(member)
 }
 
-/// The folder of all members and the seed of the test. The folder is removed when this is dropped.
+/// The folder of all members, and the seed of the test. Dropping it removes the folder.
 pub struct MemberFolders {
     root: PathBuf,
     seed: u64,
 }
 
 impl MemberFolders {
-    /// Folders that do not exist yet.
+    /// Chooses a folder for the members of this process, without creating it.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         let process_id = std::process::id();
@@ -142,15 +143,15 @@
     }
 }
 
-/// More members, for the thread of the others.
+/// A request to the thread of the other members to start more members.
 pub struct Growth {
-    /// Where the new ones listen.
+    /// The address at which each new member listens.
     pub new: BTreeMap<NodeId, SocketAddr>,
-    /// Where each member is reached by the others.
+    /// The address at which the others reach each member.
     pub addresses: BTreeMap<NodeId, SocketAddr>,
 }
 
-/// The thread of all members but the leader.
+/// The thread of all members except the leader. Dropping it ends the thread and its members.
 pub struct OtherMembers {
     growths: mpsc::Sender<Growth>,
     results: mpsc::Receiver<Result<(), ScaleError>>,
@@ -169,11 +170,11 @@
 }
 
 impl OtherMembers {
-    /// Starts the thread, with no member yet.
+    /// Starts the thread, without members.
     ///
     /// # Errors
     ///
-    /// The machine gives no thread.
+    /// Returns an error if the operating system refuses a thread.
     pub fn start(
         folders: &Rc<MemberFolders>,
         progress: &Arc<MemberProgress>,
@@ -199,11 +200,11 @@
         })
     }
 
-    /// Starts more members.
+    /// Starts more members, and waits until they have started.
     ///
     /// # Errors
     ///
-    /// One can't be started.
+    /// Returns an error if a member can't be started or the thread has ended.
     pub fn grow(&self, growth: Growth) -> Result<(), ScaleError> {
         let ended = || ScaleError::Thread("others");
         self.growths.send(growth).map_err(|_| ended())?;
@@ -247,7 +248,7 @@
     }));
 }
 
-/// Starts the members of a growth, and makes all known to each other.
+/// Starts the new members of a growth, and gives all members the addresses of their peers.
 fn start_members(
     executor: &Rc<LocalExecutor<'static>>,
     folders: &MemberFolders,
--- a/tools/scale/src/replicated_state/relay.rs
+++ b/tools/scale/src/replicated_state/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of the leader that counts what other members send to it.
+//! A relay in front of the leader that counts the messages that other members send to it.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,40 +11,41 @@
 
 use crate::error::ScaleError;
 
-/// Bytes before a frame: its length.
+/// The length of a frame's header, which holds the length of its body.
 const HEADER_BYTES: usize = 4;
 const BUFFER_BYTES: usize = 16 * 1024;
-/// The longest frame that is decoded; longer ones end the connection.
+/// The maximum length of a frame's body; a longer frame ends the connection.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// How long the leader may take to accept a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What the leader was sent by others.
+/// Counts of what the other members have sent to the leader.
 #[derive(Debug, Default)]
 pub struct RelayCounts {
-    /// Read-index requests, which come before routing.
+    /// Read-index requests, which a member sends to confirm its state before it routes.
     pub read_index_requests: AtomicU64,
-    /// All frames.
+    /// All frames except the greetings of connections.
     pub frames: AtomicU64,
-    /// All bytes.
+    /// All bytes, including those of headers and greetings.
     pub bytes: AtomicU64,
 }
 
-/// Starts a relay to the leader. It ends with the process.
+/// Starts a relay to the leader, and returns the relay's address. The relay runs until the process
+/// ends.
 ///
 /// # Errors
 ///
-/// The machine gives no address or no thread.
+/// Returns an error if the operating system refuses an address or a thread.
 pub fn start(leader: SocketAddr, counts: Arc<RelayCounts>) -> Result<SocketAddr, ScaleError> {
     let listener =
         TcpListener::bind("127.0.0.1:0").map_err(ScaleError::io("listen for a relay"))?;
     let address = listener
         .local_addr()
-        .map_err(ScaleError::io("address of a relay"))?;
+        .map_err(ScaleError::io("read the address of a relay"))?;
     spawn("relay", move || {
         for stream in listener.incoming().flatten() {
             let counts = Arc::clone(&counts);
-            // A connection that gets no thread is closed, and its member tries again.
+            // If no thread can be started, the connection is closed and its member tries again.
             let _ = spawn("relayed", move || {
                 relay_connection(&stream, leader, &counts)
             });
@@ -60,7 +61,7 @@
     thread.map(drop).map_err(ScaleError::io("start a thread"))
 }
 
-/// Relays one connection until either side ends it.
+/// Relays one connection until either side closes it.
 fn relay_connection(member: &TcpStream, leader: SocketAddr, counts: &RelayCounts) {
     let Ok(upstream) = TcpStream::connect_timeout(&leader, CONNECT_TIMEOUT) else {
         return;
@@ -105,7 +106,7 @@
     }
 }
 
-/// The frames of one connection; the first one is a greeting.
+/// Counts the frames of one connection. The first frame is a greeting, which is not counted.
 #[derive(Default)]
 struct FrameCounter {
     buffer: Vec<u8>,
@@ -131,7 +132,7 @@
         Ok(())
     }
 
-    /// The length of the first frame, once it is complete.
+    /// Returns the length of the body of the first frame, or `None` if the frame is not complete.
     fn complete_frame(&self) -> std::io::Result<Option<usize>> {
         let Some((length, rest)) = self.buffer.split_first_chunk::<HEADER_BYTES>() else {
             return Ok(None);
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -1,32 +1,33 @@
-//! A role's cost by size: the measurements, their fit, and the size at which the budget is passed.
+//! A role's cost by size: the measurements, their fit, and the size at which the budget is
+//! exceeded.
 
 use std::fmt;
 
 use crate::figures::{CapacityLimit, Figures};
 use crate::fit::{fit, Fit, Point, Weights};
 
-/// What a cost is held against.
+/// The maximum of a cost, and the size up to which it has to hold.
 #[derive(Debug, Clone, Copy)]
 pub struct Budget {
-    /// The most that it may cost.
+    /// The maximum cost, in the cost's unit.
     pub cost: f64,
-    /// The size that has to be carried.
+    /// The size that the role has to support.
     pub target: f64,
 }
 
 /// A role whose costs are measured by size.
 #[derive(Debug, Clone, Copy)]
 pub struct MeasuredRole {
-    /// The role's name, with which its figures begin.
+    /// The role's name, which is the prefix of its figures.
     pub name: &'static str,
-    /// What sizes count.
+    /// The unit of sizes, such as `engines`.
     pub size_of: &'static str,
-    /// The size that has to be carried.
+    /// The size that the role has to support.
     pub target: f64,
 }
 
 impl MeasuredRole {
-    /// One cost of the role, with nothing measured yet; `budget` is the most that it may cost.
+    /// Creates a slope of one cost of the role, without measurements. `budget` is the maximum cost.
     #[must_use]
     pub fn slope(&self, name: &'static str, unit: &'static str, budget: Option<f64>) -> Slope {
         let target = self.target;
@@ -44,17 +45,17 @@
 /// One cost of one role by size.
 #[derive(Debug)]
 pub struct Slope {
-    /// The role, as `--only` names it.
+    /// The role's name, which is the prefix of its figures.
     pub role: &'static str,
-    /// The cost's name; figures begin with the role and this.
+    /// The cost's name, which follows the role in the names of figures.
     pub name: &'static str,
-    /// The cost's unit, as figures end in it.
+    /// The cost's unit, which is the suffix of figures in that unit.
     pub unit: &'static str,
-    /// What sizes count.
+    /// The unit of sizes, such as `engines`.
     pub size_of: &'static str,
     /// The budget, if the cost has one.
     pub budget: Option<Budget>,
-    /// What was measured.
+    /// The measurements, in the order in which they were added.
     pub points: Vec<Point>,
 }
 
@@ -64,20 +65,21 @@
         self.points.push(Point { size, cost });
     }
 
-    /// The fit, where enough was measured.
+    /// Returns the fit, or `None` if there are too few measurements.
     #[must_use]
     pub fn fitted(&self) -> Option<Fit> {
         fit(&self.points, Weights::Relative)
     }
 
-    /// The size at which the budget is passed.
+    /// Returns the size at which the budget is exceeded, or `None` if there is no such size, no
+    /// budget or no fit.
     #[must_use]
     pub fn breaks_at(&self) -> Option<f64> {
         self.fitted()?.size_at(self.budget?.cost)
     }
 
-    /// Adds the measurements, the fit and the size at which the budget is passed, and prints the
-    /// slope as a line.
+    /// Prints the slope as a line, and adds the measurements, the fit and the size at which the
+    /// budget is exceeded to the figures.
     pub fn record(&self, figures: &mut Figures) {
         println!("{self}");
         let Slope {
@@ -93,7 +95,7 @@
         }
         let Some(fit) = self.fitted() else {
             return figures.add_failure(format!(
-                "{key}: {} measurements are too few to fit",
+                "{key}: {} measurements are too few for a fit",
                 self.points.len()
             ));
         };
--- a/tools/scale/src/usage.rs
+++ b/tools/scale/src/usage.rs
@@ -1,4 +1,4 @@
-//! CPU time of this thread and process, and what processes use of the machine.
+//! CPU time of the calling thread and of this process, and the resource usage of processes.
 
 use std::time::Duration;
 
@@ -13,52 +13,54 @@
     Duration::new(seconds, u32::try_from(time.tv_nsec).unwrap_or(0))
 }
 
-/// CPU time of the calling thread.
+/// Returns the CPU time that the calling thread has used.
 #[must_use]
 pub fn thread_cpu() -> Duration {
     read_clock(ClockId::ThreadCPUTime)
 }
 
-/// CPU time of this process, all threads.
+/// Returns the CPU time that all threads of this process have used.
 #[must_use]
 pub fn process_cpu() -> Duration {
     read_clock(ClockId::ProcessCPUTime)
 }
 
-/// CPU time of the calling thread for some work, in microseconds, with what the work returned.
+/// Runs `work`, and returns the CPU time that the calling thread used for it, in microseconds, and
+/// its result.
 pub fn timed<T>(work: impl FnOnce() -> T) -> (f64, T) {
     let began = thread_cpu();
     let result = work();
     ((thread_cpu() - began).as_secs_f64() * 1e6, result)
 }
 
-/// The middle one of several values; NaN where there are none.
+/// Returns the median of several values (the upper one of two middle values), or NaN if there are
+/// none.
 #[must_use]
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(f64::NAN)
 }
 
-/// The least of several values; infinite where there are none.
+/// Returns the least of several values, or infinity if there are none.
 #[must_use]
 pub fn least(values: &[f64]) -> f64 {
     values.iter().copied().fold(f64::INFINITY, f64::min)
 }
 
-/// Reads what a process uses, by its id.
+/// Reads the resource usage of the process with the id `pid`.
 ///
 /// # Errors
 ///
-/// It has ended, or /proc can't be read.
+/// Returns an error if the process has ended or /proc can't be read.
 pub fn usage_of(pid: u32) -> Result<ProcessUsage, ScaleError> {
     ProcessUsage::read(pid).ok_or(ScaleError::NoUsage(pid))
 }
 
-/// Reads what this process uses.
+/// Reads the resource usage of this process.
 ///
 /// # Errors
 ///
-/// /proc can't be read.
+/// Returns an error if /proc can't be read.
 pub fn own_usage() -> Result<ProcessUsage, ScaleError> {
     usage_of(std::process::id())
 }
--- a/tools/scale/tests/fit.rs
+++ b/tools/scale/tests/fit.rs
@@ -1,5 +1,5 @@
-//! Known lines and curves come out of the fit, with their errors and the size at which they pass a
-//! budget.
+//! Tests of the fit on known lines and curves: the coefficients, their standard errors, and the
+//! size at which a budget is exceeded.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -21,23 +21,27 @@
     violetgate_scale::fit::fit(points, Weights::Equal)
 }
 
-fn near(value: f64, wanted: f64) -> bool {
-    (value - wanted).abs() <= 1e-6 * wanted.abs().max(1.0)
+fn is_close(value: f64, expected: f64) -> bool {
+    (value - expected).abs() <= 1e-6 * expected.abs().max(1.0)
 }
 
 #[test]
 fn a_line_without_scatter_is_fitted_exactly() {
     let line = fit(&points(|size| 12.0 + 0.5 * size)).unwrap();
-    assert!(near(line.intercept, 12.0) && near(line.slope, 0.5) && near(line.r_squared, 1.0));
+    assert!(
+        is_close(line.intercept, 12.0)
+            && is_close(line.slope, 0.5)
+            && is_close(line.r_squared, 1.0)
+    );
     assert!(line.slope_error < 1e-6 && line.intercept_error < 1e-3);
     assert_eq!(line.shape, Shape::Line);
-    assert!(near(line.size_at(512.0).unwrap(), 1_000.0));
-    assert!(near(line.cost_at(2_000.0), 1_012.0));
+    assert!(is_close(line.size_at(512.0).unwrap(), 1_000.0));
+    assert!(is_close(line.cost_at(2_000.0), 1_012.0));
 }
 
-/// Textbook figures: x = 1..5, y = 2, 4, 5, 4, 5.
+/// The example has x = 1..5 and y = 2, 4, 5, 4, 5.
 #[test]
-fn errors_are_the_textbook_ones() {
+fn standard_errors_match_a_textbook_example() {
     let costs = [2.0, 4.0, 5.0, 4.0, 5.0];
     let measured: Vec<_> = costs
         .iter()
@@ -48,7 +52,9 @@
         })
         .collect();
     let line = fit(&measured).unwrap();
-    assert!(near(line.intercept, 2.2) && near(line.slope, 0.6) && near(line.r_squared, 0.6));
+    assert!(
+        is_close(line.intercept, 2.2) && is_close(line.slope, 0.6) && is_close(line.r_squared, 0.6)
+    );
     assert!(
         (line.slope_error - 0.282_843).abs() < 1e-5,
         "{}",
@@ -63,7 +69,7 @@
 }
 
 #[test]
-fn a_square_is_a_curve_and_passes_its_budget_where_the_square_does() {
+fn quadratic_costs_are_a_curve_and_exceed_the_budget_at_the_right_size() {
     let curve = fit(&points(|size| 10.0 + 0.001 * size * size)).unwrap();
     assert_eq!(curve.shape, Shape::Curve);
     assert!((curve.size_at(1_010.0).unwrap() - 1_000.0).abs() < 1e-3);
@@ -73,10 +79,10 @@
     assert_eq!(falls.size_at(10_000.0), None);
 }
 
-/// Scatter of two per cent with alternating signs hides no line, and a bend smaller than it is
-/// none.
+/// A line with a scatter of 2% is still found as a line: the bend that a quadratic fits to the
+/// scatter is not significant.
 #[test]
-fn scatter_is_no_curve() {
+fn scatter_is_not_classified_as_a_curve() {
     let signs = [1.0, -1.0, 1.0, 1.0, -1.0, 1.0];
     let mut measured = points(|size| 20.0 + 0.5 * size);
     measured
@@ -90,7 +96,7 @@
 }
 
 #[test]
-fn too_little_is_not_fitted_and_four_sizes_say_nothing_of_a_curve() {
+fn too_few_points_are_not_fitted_and_four_sizes_leave_the_shape_unknown() {
     let all = points(|size| size * size);
     assert!(fit(&all[..2]).is_none());
     assert!(fit(&[all[0]; 5]).is_none());
@@ -109,23 +115,30 @@
     );
 }
 
-/// Twenty per cent too much at the largest size bends an even fit away from the small sizes, and
-/// not a relative one.
+/// A cost at the largest size that is 20% too high moves a fit with equal weights far away from the
+/// small sizes. It hardly moves a fit with relative weights.
 #[test]
-fn relative_weights_keep_to_the_small_sizes() {
+fn an_outlier_at_the_largest_size_barely_moves_a_relative_fit() {
     let mut measured = points(|size| 20.0 + 0.5 * size);
     measured[5].cost *= 1.2;
     let relative = violetgate_scale::fit::fit(&measured, Weights::Relative).unwrap();
-    let even = fit(&measured).unwrap();
-    let off = |fit: &Fit| (fit.cost_at(300.0) - 170.0).abs() / 170.0;
-    assert!(off(&relative) < 0.03, "{}", off(&relative));
-    assert!(off(&even) > 0.5, "{}", off(&even));
+    let equal = fit(&measured).unwrap();
+    let relative_error = |fit: &Fit| (fit.cost_at(300.0) - 170.0).abs() / 170.0;
+    assert!(
+        relative_error(&relative) < 0.03,
+        "{}",
+        relative_error(&relative)
+    );
+    assert!(relative_error(&equal) > 0.5, "{}", relative_error(&equal));
     let exact =
         violetgate_scale::fit::fit(&points(|size| 20.0 + 0.5 * size), Weights::Relative).unwrap();
-    assert!(near(exact.intercept, 20.0) && near(exact.slope, 0.5) && exact.shape == Shape::Line);
+    assert!(
+        is_close(exact.intercept, 20.0) && is_close(exact.slope, 0.5) && exact.shape == Shape::Line
+    );
 }
 
-/// A slope within its error says nothing of where a budget is passed.
+/// If a slope is within its standard error, the cost does not surely grow, and no size exceeds the
+/// budget.
 #[test]
 fn a_slope_within_its_error_passes_no_budget() {
     let costs = [30.0, 36.0, 29.0, 35.0, 31.0, 34.0];
--- a/tools/scale/tests/page.rs
+++ b/tools/scale/tests/page.rs
@@ -1,8 +1,8 @@
-//! The page's block follows the saved figures, and roles are listed in the order in which they end.
+//! Tests of the page's generated block, and of the order of capacity limits.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use violetgate_scale::figures::{CapacityLimit, Figures};
-use violetgate_scale::page::{with_block, Saved, BEGIN, END};
+use violetgate_scale::page::{with_block, SavedFigures, BEGIN, END};
 use violetgate_scale::slope::{Budget, Slope};
 
 fn slope() -> Slope {
@@ -40,15 +40,17 @@
 | --- | --- |
 | decisions_statement_count | 3 |
 ";
-    assert_eq!(Saved::parse(SAVED).unwrap().render(), wanted);
+    assert_eq!(SavedFigures::parse(SAVED).unwrap().render(), wanted);
 }
 
-/// Every part of a recorded slope has its place in the row, and none is in the second table.
+/// Every figure of a recorded slope is shown in its row, and none is left for the second table.
 #[test]
 fn a_recorded_slope_fills_its_row() {
     let mut figures = Figures::default();
     slope().record(&mut figures);
-    let block = Saved::parse(&figures.line("scale")).unwrap().render();
+    let block = SavedFigures::parse(&figures.line("scale"))
+        .unwrap()
+        .render();
     let row = block
         .lines()
         .find(|line| line.starts_with("| decisions_statement |"))
@@ -68,7 +70,7 @@
 }
 
 #[test]
-fn the_block_alone_is_replaced() {
+fn only_the_block_between_the_marks_is_replaced() {
     let page = format!("# Title\n{BEGIN}\nold\n{END}\nrest\n");
     let wanted = with_block(&page, "new\n").unwrap();
     assert_eq!(wanted, format!("# Title\n{BEGIN}\nnew\n{END}\nrest\n"));
@@ -78,10 +80,10 @@
 }
 
 #[test]
-fn what_is_no_saved_line_is_refused() {
-    assert!(Saved::parse("").is_none());
-    assert!(Saved::parse("scale: a=1 b").is_none());
-    assert!(Saved::parse("scale: a=1\nscale: b=2")
+fn text_without_a_valid_line_of_figures_is_refused() {
+    assert!(SavedFigures::parse("").is_none());
+    assert!(SavedFigures::parse("scale: a=1 b").is_none());
+    assert!(SavedFigures::parse("scale: a=1\nscale: b=2")
         .unwrap()
         .render()
         .contains("| b | 2 |"));
@@ -90,19 +92,19 @@
 #[test]
 fn the_smallest_fraction_of_its_target_comes_first() {
     let mut figures = Figures::default();
-    let role_ends = |name: &str, size, target| CapacityLimit {
+    let limit = |name: &str, size, target| CapacityLimit {
         name: name.to_owned(),
         size,
         size_of: "engines",
         target,
     };
-    figures.add_limit(role_ends("never", None, 10.0));
-    figures.add_limit(role_ends("half", Some(6_000.0), 12_000.0));
-    figures.add_limit(role_ends("hundredth", Some(76.0), 7_600.0));
+    figures.add_limit(limit("never", None, 10.0));
+    figures.add_limit(limit("half", Some(6_000.0), 12_000.0));
+    figures.add_limit(limit("hundredth", Some(76.0), 7_600.0));
     let order: Vec<_> = figures
         .limits()
         .iter()
-        .map(|role_ends| role_ends.name.clone())
+        .map(|limit| limit.name.clone())
         .collect();
     assert_eq!(order, ["hundredth", "half", "never"]);
 }
