--- a/tools/scale/src/fleet_run/api_client.rs
+++ b/tools/scale/src/fleet_run/api_client.rs
@@ -8,7 +8,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Makes one call.
+/// Makes one call on a connection of its own.
 pub(super) fn call(
     api: SocketAddr,
     method: &str,
--- a/tools/scale/src/fleet_run/change_maker.rs
+++ b/tools/scale/src/fleet_run/change_maker.rs
@@ -1,5 +1,5 @@
-//! Makes numbered changes at a steady rate throughout a run, one after another, each until it is
-//! answered as done.
+//! Makes numbered changes at a steady rate throughout a run, one after another. Each change is
+//! repeated until it is answered as done.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,13 +16,13 @@
 use crate::lightweight_gateway::change_sequence::change_transaction;
 use crate::lightweight_gateway::protocol::{now, Command};
 
-/// The pause after a call that was not answered as done.
+/// The pause before a call that was not answered as done is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How often a call is made.
+/// How often a call is made before the change maker gives up.
 const MAX_ATTEMPTS: usize = 500;
-/// Every so many changes an engine is cordoned or uncordoned.
+/// An engine is cordoned or uncordoned at every change whose number is a multiple of this.
 const CORDON_INTERVAL: u64 = 10;
-/// The engine.
+/// The engine that is cordoned and uncordoned.
 const CORDONED_ENGINE: &str = "e-1";
 
 /// Makes changes until it is stopped or dropped.
@@ -39,7 +39,8 @@
 }
 
 impl ChangeMaker {
-    /// Begins to make changes at any of these APIs; lightweight gateways learn of each.
+    /// Starts to make changes at `apis`, tried in turn until one answers. The processes of
+    /// lightweight gateways are told of each answered change through `senders`.
     pub(super) fn start(
         apis: Vec<SocketAddr>,
         per_second: f64,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Makes no more changes; the one under way is made first.
+    /// Stops making changes, after the current one is answered.
     pub(super) fn stop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The changes that were answered so far, in order.
+    /// Returns the changes that were answered so far, in order.
     pub(super) fn changes(&self) -> Vec<Change> {
         lock(&self.changes).clone()
     }
@@ -124,8 +125,9 @@
         self.call_until_done(method, &path, &format!("scale-cordon-{number}"), b"");
     }
 
-    /// Makes a call under one request id until it is answered as done, also while the run ends: a
-    /// change that may have been made has to be known. `None`: it was never answered.
+    /// Repeats a call with the same request id until it is answered as done, even if the change
+    /// maker is being stopped, as every change that may have been made has to be known. Returns
+    /// `None` if the call was never answered as done.
     fn call_until_done(
         &self,
         method: &str,
--- a/tools/scale/src/fleet_run/control_plane.rs
+++ b/tools/scale/src/fleet_run/control_plane.rs
@@ -1,4 +1,5 @@
-//! The control processes: voters, which agree on state, and observers, which serve subscribers.
+//! The control processes: voters, which replicate the state, and observers, which serve it to
+//! subscribers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,25 +17,26 @@
 use super::layout::{Layout, Port};
 use super::plan::Plan;
 
-/// The name of the cluster.
+/// The name of the cluster, which gateways also use as the name of their fleet.
 pub(super) const CLUSTER: &str = "scale";
-/// How long the control processes may take to come up, and how often that is checked.
+/// How long the control processes may take to start, and how often that is checked.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Descriptors that a control process may use for clients and engines.
+/// The limit on descriptors that a control process may use for clients and engines.
 const SOCKET_LIMIT: u64 = 256;
-/// Subscribers that an observer takes: with two observers killed the others hold all of them, each
-/// gateway two.
+/// The maximum number of subscribers of an observer. It is large enough for two of four observers
+/// to serve all gateways, each of which holds two subscriptions.
 const MAX_SUBSCRIBERS: u64 = 8_000;
-/// Members have different seeds, or their elections would begin at the same moments.
+/// An odd multiplier that derives the seeds of members from the run's seed. Members need different
+/// seeds, otherwise their elections would begin at the same moments.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Metrics of messages between members.
+/// Metrics that count messages between members.
 const MESSAGE_METRICS: [&str; 2] = [
     "svc_cluster_messages_sent_total",
     "svc_cluster_messages_received_total",
 ];
 
-/// What the control processes are started with.
+/// The inputs for starting the control processes.
 pub(super) struct ControlSetup<'a> {
     pub plan: &'a Plan,
     pub layout: &'a Layout,
@@ -42,7 +44,7 @@
     pub engines: &'a FakeUpstreams,
 }
 
-/// One control process.
+/// One control process: a member of the cluster, a voter or an observer.
 pub(super) struct ControlProcess {
     pub id: u64,
     pub api: SocketAddr,
@@ -50,7 +52,7 @@
 }
 
 impl ControlProcess {
-    /// Its view of the cluster; null: it does not answer.
+    /// Returns the member's view of the cluster as JSON, or null if it does not answer.
     fn status(&self) -> Value {
         let reply = call(self.api, "GET", "/v1/cluster", None, b"");
         reply.map(|reply| reply.json()).unwrap_or_default()
@@ -74,7 +76,7 @@
 }
 
 impl ControlPlane {
-    /// Starts the voters, then the observers, and waits until all of them route.
+    /// Starts the voters, then the observers, and waits until all members route.
     pub(super) fn start(setup: &ControlSetup<'_>) -> Result<Self, FleetRunError> {
         let plan = setup.plan;
         let mut control = ControlPlane {
@@ -127,7 +129,7 @@
         Ok(())
     }
 
-    /// Has the voters add a member to the cluster, as a learner.
+    /// Adds a member to the cluster as a learner, by a call to any running member's API.
     fn join(&self, layout: &Layout, id: u64) -> Result<(), FleetRunError> {
         let listen = layout.control(id, Port::Members);
         let api = layout.control(id, Port::Api);
@@ -147,7 +149,7 @@
         let is_added = || self.processes.iter().any(add_at);
         wait_until(START_TIMEOUT, CHECK_INTERVAL, is_added)
             .map(drop)
-            .ok_or_else(|| late(format!("member {id} taken into the cluster"), String::new()))
+            .ok_or_else(|| late(format!("adding member {id} to the cluster"), String::new()))
     }
 
     /// Waits until all members route.
@@ -159,16 +161,19 @@
                 let processes = self.processes.iter().map(|control| &control.process);
                 let logs =
                     processes.map(|process| format!("{}: {}\n", process.name, process.log()));
-                late("all control processes route".to_owned(), logs.collect())
+                late(
+                    "routing by all control processes".to_owned(),
+                    logs.collect(),
+                )
             })
     }
 
-    /// Where operators call, at all of them.
+    /// Returns the addresses of the operators' API, of all members.
     pub(super) fn apis(&self) -> Vec<SocketAddr> {
         self.processes.iter().map(|control| control.api).collect()
     }
 
-    /// Where their metrics are read.
+    /// Returns the management addresses of all members, at which metrics are read.
     pub(super) fn managements(&self) -> Vec<SocketAddr> {
         let processes = self.processes.iter();
         processes
@@ -176,19 +181,20 @@
             .collect()
     }
 
-    /// The voter that leads.
+    /// Returns the current leader, as named by the first member that knows one.
     pub(super) fn leader(&mut self) -> Option<&mut ControlProcess> {
         let mut statuses = self.processes.iter().map(ControlProcess::status);
         let leader = statuses.find_map(|status| status.get("leader")?.as_u64())?;
         self.member(leader)
     }
 
-    /// A member by its id.
+    /// Returns the member with this id.
     pub(super) fn member(&mut self, id: u64) -> Option<&mut ControlProcess> {
         self.processes.iter_mut().find(|control| control.id == id)
     }
 
-    /// Messages that voters have sent to members and received from them.
+    /// Returns how many messages voters have sent to members and received from them, or NaN if a
+    /// voter's metrics can't be read.
     pub(super) fn voter_messages(&self) -> f64 {
         let voters = self.processes.iter().take(self.voters);
         let messages = voters.map(|voter| {
@@ -201,7 +207,7 @@
         messages.sum()
     }
 
-    /// Their process ids.
+    /// Returns the process ids of the running control processes.
     pub(super) fn pids(&self) -> ControlPids {
         let pids = |processes: &[ControlProcess]| {
             let processes = processes.iter();
@@ -217,7 +223,7 @@
         }
     }
 
-    /// How often processes ended by themselves.
+    /// Returns how often control processes ended without being killed by the run.
     pub(super) fn crash_count(&self) -> u64 {
         let processes = self.processes.iter();
         processes.map(|control| control.process.crash_count()).sum()
@@ -257,7 +263,8 @@
     )
 }
 
-/// Creates a member's folder; one that joins is no member of the first voters.
+/// Creates a member's folder with `violetgate members init`. `joins` means that the member joins a
+/// running cluster, and is not one of its initial voters.
 fn initialize_member(program: &Path, settings: &Path, joins: bool) -> Result<(), FleetRunError> {
     let mut command = Command::new(program);
     command
--- a/tools/scale/src/fleet_run/error.rs
+++ b/tools/scale/src/fleet_run/error.rs
@@ -1,48 +1,48 @@
-//! Why the fleet run can't go on.
+//! Errors of the fleet run.
 
 use std::path::PathBuf;
 
-/// Why the fleet run can't go on.
+/// The reason that the fleet run ended before it was complete.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetRunError {
-    /// A program that the run starts is not there.
+    /// A program that the run starts does not exist.
     #[error(
         "{path}: no such program: build the workspace first (`cargo build --release --workspace`)"
     )]
     NoProgram {
-        /// Where it was expected.
+        /// The path at which it was expected.
         path: PathBuf,
     },
-    /// The machine does not give what the run needs.
+    /// The operating system refused an operation.
     #[error("{what}: {cause}")]
     Machine {
-        /// What was attempted.
+        /// The operation that was attempted.
         what: &'static str,
-        /// Why it failed.
+        /// The error of the operating system.
         cause: std::io::Error,
     },
-    /// A process ended, or can't start.
+    /// A process ended early, or could not start.
     #[error("process {name} ended: {cause}")]
     Ended {
-        /// Which.
+        /// The name of the process.
         name: String,
-        /// The end of its log.
+        /// The error that it reported, or its exit status.
         cause: String,
     },
-    /// Something did not happen in its time.
+    /// An expected event did not happen in time.
     #[error("{what} did not happen within {seconds} s: {found}")]
     Late {
-        /// What was waited for.
+        /// The event that was waited for.
         what: String,
-        /// For how long.
+        /// How long it was waited for, in seconds.
         seconds: u64,
-        /// What was seen instead.
+        /// The state that was found instead, or logs.
         found: String,
     },
 }
 
 impl FleetRunError {
-    /// Wraps an error of the machine with what was attempted.
+    /// Returns a function that wraps an I/O error with the operation that was attempted.
     pub(super) fn machine(what: &'static str) -> impl Fn(std::io::Error) -> Self {
         move |cause| FleetRunError::Machine { what, cause }
     }
--- a/tools/scale/src/fleet_run/files.rs
+++ b/tools/scale/src/fleet_run/files.rs
@@ -1,4 +1,4 @@
-//! Configuration and settings of gateways, real and lightweight.
+//! The configuration and settings files of real and lightweight gateways.
 
 use std::path::PathBuf;
 
@@ -10,14 +10,14 @@
 use super::plan::Plan;
 use crate::lightweight_gateway::Part;
 
-/// The files that all lightweight gateways are made from.
+/// The files that all lightweight gateways derive their configuration and settings from.
 pub(super) struct LightweightFiles {
     pub config: PathBuf,
     pub settings: PathBuf,
 }
 
 impl LightweightFiles {
-    /// Writes them.
+    /// Writes the files into the run's folder.
     pub(super) fn write(
         plan: &Plan,
         layout: &Layout,
@@ -34,7 +34,8 @@
     }
 }
 
-/// The settings of a real gateway by its index, or (`None`) the template of lightweight ones.
+/// Returns the settings of the real gateway with the index `real`, or the template for lightweight
+/// gateways if it is `None`.
 pub(super) fn gateway_settings(plan: &Plan, layout: &Layout, real: Option<usize>) -> String {
     let fleet_addr = real.map_or(layout.lightweight(0), |index| {
         layout.real(index, Port::Fleet)
--- a/tools/scale/src/fleet_run/fleet_monitor.rs
+++ b/tools/scale/src/fleet_run/fleet_monitor.rs
@@ -1,5 +1,5 @@
-//! The revision in force at all gateways that serve, as the control processes themselves report it
-//! from what their observers sum up. It covers real gateways and lightweight ones alike.
+//! Records the revision in force at all serving gateways, real and lightweight. The control
+//! processes report it in a metric, from the summaries of their observers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,13 +13,13 @@
 use super::propagation::SeenRevision;
 use crate::lightweight_gateway::protocol::now;
 
-/// How often the metric is read, and how long that may take.
+/// How often the metric is read, and how long one read may take.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The metric.
+/// The metric of the revision in force at all serving gateways.
 const IN_FORCE_METRIC: &str = "svc_cluster_in_force";
 
-/// Reads the metric until it is dropped.
+/// Reads the metric in a thread until the monitor is dropped.
 pub(super) struct FleetMonitor {
     revisions: Arc<Mutex<Vec<SeenRevision>>>,
     stop: Arc<AtomicBool>,
@@ -36,7 +36,8 @@
 }
 
 impl FleetMonitor {
-    /// Begins to read the metric at the first of these management addresses that has it.
+    /// Starts to read the metric. Each read uses the first management address that serves the
+    /// metric.
     pub(super) fn start(managements: Vec<SocketAddr>) -> Self {
         let revisions = Arc::new(Mutex::default());
         let stop = Arc::new(AtomicBool::new(false));
@@ -56,13 +57,14 @@
         }
     }
 
-    /// Revisions in force, each with when it was first read.
+    /// Returns the revisions that were in force so far, each with the time at which it was first
+    /// read.
     pub(super) fn revisions(&self) -> Vec<SeenRevision> {
         lock(&self.revisions).clone()
     }
 }
 
-/// Records a revision if it is a later one.
+/// Records a revision with the current time, if it is later than the last one recorded.
 pub(super) fn record(revisions: &mut Vec<SeenRevision>, revision: Revision) {
     let is_later = |last: &SeenRevision| revision > last.revision;
     if revisions.last().is_none_or(is_later) {
--- a/tools/scale/src/fleet_run/layout.rs
+++ b/tools/scale/src/fleet_run/layout.rs
@@ -1,7 +1,7 @@
 //! Addresses and folders of a run.
 //!
-//! Each run has loopback addresses of its own, by its process id, and ports below the ephemeral
-//! ones: nothing that runs beside it can take them.
+//! Each run derives its own loopback addresses from its process id, and uses ports below the
+//! ephemeral ones, so that programs that run at the same time do not take them.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,31 +10,32 @@
 
 use super::error::FleetRunError;
 
-/// The first host of control processes and of real gateways; hosts below are for lightweight ones.
+/// The last byte of the addresses of control processes (10 and up) and of real gateways (100 and
+/// up). Lightweight gateways use a host below both.
 const CONTROL_HOST: u8 = 10;
 const REAL_HOST: u8 = 100;
-/// The host and the first port of the lightweight gateways' membership.
+/// The last byte of the address of lightweight gateways' membership, and its first port.
 const LIGHTWEIGHT_HOST: u8 = 2;
 const LIGHTWEIGHT_PORT: u16 = 10_000;
 
-/// What a process listens for, and the port that it has for it.
+/// The ports that a process listens on, named by who connects to them.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Port {
-    /// Other members of the cluster.
+    /// The port for other members of the cluster.
     Members = 7_001,
-    /// Operators.
+    /// The port of the operators' API.
     Api = 7_002,
-    /// Subscribers to replicated state.
+    /// The port for subscribers to replicated state.
     Subscribers = 7_003,
-    /// PostgreSQL clients.
+    /// The port for PostgreSQL clients.
     Clients = 7_004,
-    /// The management interface.
+    /// The port of the management interface.
     Management = 7_005,
-    /// Other members of the fleet.
+    /// The port for other members of the fleet.
     Fleet = 7_006,
 }
 
-/// Addresses and folders of a run.
+/// The addresses and the folder of a run. Dropping it removes the folder.
 pub(super) struct Layout {
     network: [u8; 2],
     folder: PathBuf,
@@ -47,7 +48,7 @@
 }
 
 impl Layout {
-    /// A layout for this process.
+    /// Creates the layout for this process, and its folder.
     pub(super) fn new() -> Result<Self, FleetRunError> {
         let id = std::process::id();
         let network = [64 + (id >> 8) as u8 % 128, id as u8];
@@ -62,22 +63,22 @@
         SocketAddr::new(IpAddr::V4(Ipv4Addr::new(127, second, third, host)), port)
     }
 
-    /// An address of a control process.
+    /// Returns an address of the control process with this id.
     pub(super) fn control(&self, id: u64, port: Port) -> SocketAddr {
         self.address(CONTROL_HOST.wrapping_add(id as u8), port as u16)
     }
 
-    /// An address of a real gateway.
+    /// Returns an address of the real gateway with this index.
     pub(super) fn real(&self, index: usize, port: Port) -> SocketAddr {
         self.address(REAL_HOST.wrapping_add(index as u8), port as u16)
     }
 
-    /// Where a lightweight gateway listens for other members of the fleet.
+    /// Returns the address at which a lightweight gateway listens for other members of the fleet.
     pub(super) fn lightweight(&self, index: u16) -> SocketAddr {
         self.address(LIGHTWEIGHT_HOST, LIGHTWEIGHT_PORT + index)
     }
 
-    /// A folder in the run's folder, which is created if it does not exist.
+    /// Returns the path of a folder in the run's folder, which is created if it does not exist.
     pub(super) fn folder(&self, name: &str) -> Result<PathBuf, FleetRunError> {
         let folder = self.folder.join(name);
         std::fs::create_dir_all(&folder)
@@ -85,7 +86,7 @@
         Ok(folder)
     }
 
-    /// Writes a file of a process.
+    /// Writes a file of a process, and returns its path.
     pub(super) fn write(
         &self,
         folder: &Path,
@@ -99,10 +100,10 @@
     }
 }
 
-/// A program in the folder of this one.
+/// Returns the path of a program in the folder of the running one.
 pub(super) fn program(name: &str) -> Result<PathBuf, FleetRunError> {
     let path =
-        program_beside(name).map_err(FleetRunError::machine("find this program's folder"))?;
+        program_beside(name).map_err(FleetRunError::machine("locate the running program"))?;
     if path.exists() {
         Ok(path)
     } else {
--- a/tools/scale/src/fleet_run/lightweight_processes.rs
+++ b/tools/scale/src/fleet_run/lightweight_processes.rs
@@ -1,4 +1,5 @@
-//! The processes of lightweight gateways: started, commanded, read from, and ended with the run.
+//! Starts the processes of lightweight gateways, sends them commands, reads their reports, and ends
+//! them with the run.
 
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
@@ -17,11 +18,13 @@
 use crate::lightweight_gateway::protocol::{Command, Report, Totals};
 use crate::lightweight_gateway::Part;
 
-/// How long all processes may take to end by themselves, and how often that is checked.
+/// How long all processes may take to end by themselves before they are killed, and how often that
+/// is checked.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How many gateways run in a process, how many of them have open gates, and since when.
+/// The number of gateways that run in a process and of those whose gates are open, and the time of
+/// the last change of either.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Gates {
     pub at: Micros,
@@ -29,7 +32,7 @@
     pub serving: usize,
 }
 
-/// What a process has reported.
+/// The latest reports of one process.
 #[derive(Default)]
 struct Reported {
     gates: Gates,
@@ -38,17 +41,17 @@
     failure: Option<String>,
 }
 
-/// The inputs of all processes.
+/// The standard inputs of all processes, through which they get commands.
 pub(super) struct CommandSenders(Mutex<Vec<ChildStdin>>);
 
 impl CommandSenders {
-    /// Sends a command to all processes. One that has ended is noticed by
-    /// [`LightweightProcesses::check`].
+    /// Sends a command to all processes. Write errors are ignored, as
+    /// [`LightweightProcesses::check`] finds processes that have ended.
     pub(super) fn send(&self, command: &Command) {
         self.send_each(|_| command.clone());
     }
 
-    /// Sends each process its own command.
+    /// Sends each process a command of its own, which `command` makes from the process's index.
     pub(super) fn send_each(&self, command: impl Fn(usize) -> Command) {
         for (process, input) in lock(&self.0).iter_mut().enumerate() {
             if let Ok(line) = serde_json::to_string(&command(process)) {
@@ -67,7 +70,7 @@
 
 impl Drop for LightweightProcesses {
     fn drop(&mut self) {
-        // The end of its input ends a process.
+        // A process ends when its standard input is closed.
         lock(&self.senders.0).clear();
         let children = &mut self.children;
         wait_until(EXIT_TIMEOUT, EXIT_CHECK_INTERVAL, || {
@@ -82,7 +85,7 @@
 }
 
 impl LightweightProcesses {
-    /// Starts the processes of a plan, without any gateway yet.
+    /// Starts the processes of a plan. They run no gateways until a command starts some.
     pub(super) fn start(plan: &Plan, files: &LightweightFiles) -> Result<Self, FleetRunError> {
         let program = program("hollow-front-ends")?;
         let mut processes = LightweightProcesses {
@@ -110,17 +113,17 @@
         }
     }
 
-    /// Where commands go.
+    /// Returns the senders of commands to all processes.
     pub(super) fn senders(&self) -> &Arc<CommandSenders> {
         &self.senders
     }
 
-    /// Their process ids.
+    /// Returns the ids of all processes.
     pub(super) fn pids(&self) -> Vec<u32> {
         self.children.iter().map(Child::id).collect()
     }
 
-    /// Fails if a process has ended.
+    /// Returns an error if a process has ended or reported a failure.
     pub(super) fn check(&mut self) -> Result<(), FleetRunError> {
         let children = self.children.iter_mut().zip(&self.reported);
         for (process, (child, reported)) in children.enumerate() {
@@ -137,13 +140,13 @@
         Ok(())
     }
 
-    /// The gates of each process.
+    /// Returns the gates of each process.
     pub(super) fn gates(&self) -> Vec<Gates> {
         let reported = self.reported.iter();
         reported.map(|reported| lock(reported).gates).collect()
     }
 
-    /// The gates of all processes together; `at` is when the last of them changed.
+    /// Returns the summed gates of all processes; `at` is the time of the latest change.
     pub(super) fn all_gates(&self) -> Gates {
         let gates = self.gates().into_iter();
         gates.fold(Gates::default(), |sum, gates| Gates {
@@ -153,7 +156,7 @@
         })
     }
 
-    /// The latest totals of all processes together.
+    /// Returns the summed latest totals of all processes.
     pub(super) fn totals(&self) -> Totals {
         let mut sum = Totals::default();
         for reported in &self.reported {
@@ -162,7 +165,7 @@
         sum
     }
 
-    /// The changes in force at each process.
+    /// Returns the changes in force at each process.
     pub(super) fn reached(&self) -> Vec<Reached> {
         let reported = self.reported.iter();
         reported
@@ -218,7 +221,7 @@
             }
             Ok(Report::Totals(totals)) => reported.totals = totals,
             Ok(Report::Failed { cause }) => reported.failure = Some(cause),
-            Err(error) => reported.failure = Some(format!("a report can't be read: {error}")),
+            Err(error) => reported.failure = Some(format!("invalid report: {error}")),
         }
     }
 }
--- a/tools/scale/src/fleet_run/phases.rs
+++ b/tools/scale/src/fleet_run/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a run, in their order, and the figures that each adds.
+//! The phases of a run, in order. Each phase adds its figures.
 
 mod faults;
 mod sequences;
@@ -26,11 +26,12 @@
 /// How long gateways may take until all of them serve, and how often that is checked.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(120);
 const SERVE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Lines of a log that go into an error.
+/// The number of lines of a log that go into an error.
 const LAST_LOG_LINES: usize = 8;
 const BYTES_PER_MB: f64 = 1_048_576.0;
 
-/// A run. Its parts end in the order in which they stand here.
+/// A run. Its parts are dropped in the order of the fields, so the fake engines and the folder
+/// outlive the processes that use them.
 pub(super) struct Run<'a> {
     plan: &'a Plan,
     change_maker: Option<ChangeMaker>,
@@ -40,18 +41,18 @@
     control: ControlPlane,
     _engines: FakeUpstreams,
     _layout: Layout,
-    /// The most resident memory of all processes so far, in bytes.
+    /// The largest total resident memory of all processes so far, in bytes.
     peak_memory: u64,
 }
 
 impl<'a> Run<'a> {
-    /// Starts engines, control processes, real gateways and the processes of lightweight ones,
-    /// which are empty yet.
+    /// Starts the fake engines, the control processes, the real gateways, and the processes of
+    /// lightweight gateways, without any lightweight gateway.
     pub(super) fn start(plan: &'a Plan) -> Result<Self, FleetRunError> {
         let layout = Layout::new()?;
         let serve = program("violetgate")?;
         let engines = FakeUpstreams::start(plan.engines, Profile::default())
-            .map_err(FleetRunError::machine("start stand-in engines"))?;
+            .map_err(FleetRunError::machine("start fake engines"))?;
         let control = ControlPlane::start(&ControlSetup {
             plan,
             layout: &layout,
@@ -75,7 +76,7 @@
         })
     }
 
-    /// Goes through all phases.
+    /// Runs all phases and adds their figures.
     pub(super) fn measure(mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
         let began = Instant::now();
         let apis = self.control.apis();
@@ -92,14 +93,15 @@
         self.measure_steady(first_step_messages, figures)?;
         self.kill_observer(figures)?;
         self.kill_leader(figures)?;
-        self.return_at_once(figures)?;
+        self.restart_gateways_at_once(figures)?;
         self.compare_sequences(figures)?;
         self.add_sizes(figures);
         figures.add_number("scale_run_s", began.elapsed().as_secs_f64());
         Ok(())
     }
 
-    /// Has so many lightweight gateways run, and waits until all of them and the real ones serve.
+    /// Starts lightweight gateways until `gateways` run, and waits until all of them and the real
+    /// ones serve.
     fn grow(&mut self, gateways: usize) -> Result<(), FleetRunError> {
         let plan = self.plan;
         let per_second = (plan.starts_per_second / plan.processes.max(1) as u32).max(1);
@@ -111,7 +113,7 @@
         self.wait_until_serving(gateways)
     }
 
-    /// Waits until so many lightweight gateways and all real ones serve.
+    /// Waits until `gateways` lightweight gateways and all real ones serve.
     fn wait_until_serving(&mut self, gateways: usize) -> Result<(), FleetRunError> {
         let deadline = Instant::now() + SERVE_TIMEOUT;
         loop {
@@ -125,7 +127,7 @@
                 let log = last_lines(&self.real.first_log());
                 return Err(FleetRunError::Late {
                     what: format!(
-                        "{gateways} hollow and {} real front ends serve",
+                        "serving by {gateways} hollow and {} real front ends",
                         self.plan.real
                     ),
                     seconds: SERVE_TIMEOUT.as_secs(),
@@ -139,7 +141,8 @@
         }
     }
 
-    /// Lets a time pass while everything goes on.
+    /// Sleeps while the run goes on, then updates the peak memory and checks that no process of
+    /// lightweight gateways has ended.
     fn wait(&mut self, time: Duration) -> Result<(), FleetRunError> {
         std::thread::sleep(time);
         self.update_peak_memory();
@@ -151,7 +154,7 @@
         self.peak_memory = self.peak_memory.max(memory);
     }
 
-    /// Process ids of the fleet run, this one among them.
+    /// Returns the ids of all processes of the run, including this one.
     fn pids(&self) -> Vec<u32> {
         let control = self.control.pids();
         [
@@ -164,14 +167,14 @@
         .concat()
     }
 
-    /// The changes that were answered so far, in order.
+    /// Returns the changes that were answered so far, in order.
     fn changes(&self) -> Vec<Change> {
         let change_maker = self.change_maker.as_ref();
         change_maker.map(ChangeMaker::changes).unwrap_or_default()
     }
 
-    /// What every process of lightweight gateways has reached, and the fleet as the observers
-    /// sum it up.
+    /// Returns the changes in force at each process of lightweight gateways, and last those in
+    /// force at the whole fleet according to the observers' summaries.
     fn reached(&self) -> Vec<Reached> {
         let fleet = reached_changes(&self.fleet_monitor.revisions(), &self.changes());
         let mut reached = self.lightweight.reached();
@@ -179,7 +182,7 @@
         reached
     }
 
-    /// What every real gateway has reached, read once a second.
+    /// Returns the changes in force at each real gateway, whose metrics are read once a second.
     fn reached_by_real(&self) -> Vec<Reached> {
         let changes = self.changes();
         let observed = self.real.observed();
@@ -203,9 +206,9 @@
         figures.at_most("scale_crashed", self.control.crash_count() as f64, 0.0);
     }
 
-    /// Adds a time, or what depends on time: held to its bound in the long form, and in both to
-    /// having come at all.
-    fn hold_time(&self, name: &str, value: f64, bound: f64, figures: &mut Figures) {
+    /// Adds a figure that is a time or depends on time. Only the long form checks it against its
+    /// bound; NaN, for something that never happened, fails in both forms.
+    fn add_timed(&self, name: &str, value: f64, bound: f64, figures: &mut Figures) {
         let bound = if self.plan.short {
             f64::INFINITY
         } else {
@@ -215,7 +218,7 @@
     }
 }
 
-/// The last lines of a log, without those of the management interface.
+/// Returns the last lines of a log, without those of the management interface.
 fn last_lines(log: &str) -> String {
     let lines: Vec<_> = log
         .lines()
--- a/tools/scale/src/fleet_run/phases/faults.rs
+++ b/tools/scale/src/fleet_run/phases/faults.rs
@@ -1,5 +1,5 @@
-//! Phases with faults: an observer is killed, the leader is killed, and a zone's gateways come back
-//! at once.
+//! Phases with faults: an observer is killed, the leader is killed, and all gateways of a zone
+//! restart at once.
 
 use std::time::{Duration, Instant};
 
@@ -9,24 +9,28 @@
 use crate::fleet_run::propagation::in_force_at;
 use crate::lightweight_gateway::protocol::{now, Command};
 
-/// The longest time from the leader's death until a change made afterwards is in force everywhere.
+/// The maximum time from the leader's death until a change that was due afterwards is in force
+/// everywhere.
 const MAX_LEADER_KILLED_S: f64 = 9.0;
-/// The largest fraction of a killed observer's subscribers that find their gates shut.
+/// The maximum number of gate closures after an observer is killed, as a fraction of its
+/// subscribers.
 const MAX_GATES_SHUT_FRACTION: f64 = 0.01;
-/// The longest time until all gateways of a zone serve again.
+/// The maximum time until all gateways of a zone serve again.
 const MAX_RETURN_S: f64 = 10.0;
-/// How long it is waited for what follows a fault, and how often that is checked.
+/// How long a change may take to be in force everywhere after the leader was killed, and how often
+/// that is checked.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// How long gateways that come back were away.
+/// The time between the end of gateways and their restart.
 const TIME_AWAY: Duration = Duration::from_secs(2);
-/// Processes report that gateways run before they report that gates are open.
+/// The time for the processes to report the gateways that were just started. They report that
+/// gateways run before they report that gates are open.
 const REPORT_WAIT: Duration = Duration::from_millis(100);
-/// Gateways of the zone that the capacity page names.
+/// The number of gateways in a zone that docs/CAPACITY.md gives the restart time for.
 const ZONE_GATEWAYS: usize = 1_520;
 
 impl Run<'_> {
-    /// Kills the observer with the most subscribers: how many of those find their gates shut.
+    /// Kills the observer with the most subscribers, and measures how many gates close.
     pub(super) fn kill_observer(&mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
         let before = self.lightweight.totals();
         let observers = before.gateways_by_observer.iter();
@@ -35,7 +39,9 @@
             return Ok(());
         };
         let Some(member) = self.control.member(*observer) else {
-            figures.add_failure(format!("front ends watch {observer}, which is no member"));
+            figures.add_failure(format!(
+                "front ends watch {observer}, which is not a member"
+            ));
             return Ok(());
         };
         member.process.kill();
@@ -43,7 +49,7 @@
         let shut = self.lightweight.totals().gate_closures - before.gate_closures;
         let fraction = shut as f64 / (*subscribers).max(1) as f64;
         figures.add("scale_observer_killed_subscribers", subscribers);
-        self.hold_time(
+        self.add_timed(
             "scale_observer_killed_gates_shut_share",
             fraction,
             MAX_GATES_SHUT_FRACTION,
@@ -52,11 +58,12 @@
         self.restart(*observer)
     }
 
-    /// Kills the leader: how long until a change that was due afterwards is in force everywhere.
+    /// Kills the leader, and measures the time until a change that was due afterwards is in force
+    /// everywhere.
     pub(super) fn kill_leader(&mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
         let shut_before = self.lightweight.totals().gate_closures;
         let Some(leader) = self.control.leader() else {
-            figures.add_failure("nobody leads");
+            figures.add_failure("the cluster has no leader");
             return Ok(());
         };
         let leader_id = leader.id;
@@ -69,7 +76,7 @@
             recovery_s = self.seconds_to_next_change(killed_at);
         }
         let recovery_s = recovery_s.unwrap_or(f64::NAN);
-        self.hold_time(
+        self.add_timed(
             "scale_leader_killed_s",
             recovery_s,
             MAX_LEADER_KILLED_S,
@@ -81,8 +88,8 @@
         self.restart(leader_id)
     }
 
-    /// The time from a moment until the first change that was due afterwards was in force
-    /// everywhere; `None`: it is not yet.
+    /// Returns the seconds from the time `since` until the first change that was due afterwards was
+    /// in force everywhere, or `None` if it is not in force yet.
     fn seconds_to_next_change(&self, since: u64) -> Option<f64> {
         let changes = self.changes();
         let next = changes.iter().find(|change| change.due >= since)?;
@@ -90,7 +97,7 @@
         Some(in_force.saturating_sub(since) as f64 / 1e6)
     }
 
-    /// Restarts a control process and waits until everything serves again.
+    /// Restarts a control process, and waits until all members route and all gateways serve.
     fn restart(&mut self, id: u64) -> Result<(), FleetRunError> {
         if let Some(member) = self.control.member(id) {
             let started = member.process.start();
@@ -100,9 +107,12 @@
         self.wait_until_serving(self.plan.lightweight)
     }
 
-    /// A zone's gateways end and come back at once: how long until all of them serve on current
-    /// state.
-    pub(super) fn return_at_once(&mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
+    /// Kills the lightweight gateways of a zone, restarts them all at once, and measures the time
+    /// until all gateways serve.
+    pub(super) fn restart_gateways_at_once(
+        &mut self,
+        figures: &mut Figures,
+    ) -> Result<(), FleetRunError> {
         let plan = self.plan;
         self.lightweight
             .senders()
@@ -127,7 +137,7 @@
             "scale_return_s"
         };
         figures.add("scale_returned", plan.returning);
-        self.hold_time(name, return_s, MAX_RETURN_S, figures);
+        self.add_timed(name, return_s, MAX_RETURN_S, figures);
         self.wait(plan.after_fault / 2)
     }
 }
--- a/tools/scale/src/fleet_run/phases/sequences.rs
+++ b/tools/scale/src/fleet_run/phases/sequences.rs
@@ -1,4 +1,5 @@
-//! The end of a run: the changes that each gateway has applied against those that were answered.
+//! The last phase of a run: compares the changes that each gateway has applied with those that were
+//! answered.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +13,12 @@
 /// How long the last change may take to be in force everywhere before sequences are compared.
 const LAST_CHANGE_TIMEOUT: Duration = Duration::from_secs(10);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Totals are reported four times a second.
+/// The time until every process has reported totals again; they are reported four times a second.
 const TOTALS_WAIT: Duration = Duration::from_millis(600);
 
 impl Run<'_> {
-    /// Makes no more changes, and compares what each gateway has applied with what was answered.
+    /// Stops making changes, and compares the changes that each gateway has applied with those that
+    /// were answered.
     pub(super) fn compare_sequences(&mut self, figures: &mut Figures) -> Result<(), FleetRunError> {
         if let Some(change_maker) = &mut self.change_maker {
             change_maker.stop();
@@ -47,15 +49,15 @@
     }
 }
 
-/// How many gateways have applied sequences of a kind.
+/// Returns how many gateways have applied a sequence for which `is_wanted` holds.
 fn count_gateways(totals: &Totals, is_wanted: impl Fn(ChangeSequence) -> bool) -> usize {
     let sequences = totals.sequences.iter();
     let wanted = sequences.filter(|counted: &&SequenceCount| is_wanted(counted.sequence));
     wanted.map(|counted| counted.gateways).sum()
 }
 
-/// Whether a gateway applied exactly the changes that were answered, from its first to its last
-/// one.
+/// Returns whether a gateway has applied exactly the answered changes, from its first to its last
+/// change, with the revisions that were answered.
 fn is_part_of(sequence: ChangeSequence, changes: &[Change]) -> bool {
     let numbers = sequence.first..=sequence.last;
     let mut digest = SequenceDigest::default();
--- a/tools/scale/src/fleet_run/phases/steady.rs
+++ b/tools/scale/src/fleet_run/phases/steady.rs
@@ -1,5 +1,5 @@
-//! Phases without faults: what a change takes, and what the control plane costs a gateway and the
-//! voters.
+//! Phases without faults: measures how long a change takes to be in force, and what the control
+//! plane costs a gateway, a voter and an observer.
 
 use std::time::{Duration, Instant};
 
@@ -12,22 +12,24 @@
 use crate::fleet_run::propagation::{Change, PropagationDelays, Reached};
 use crate::lightweight_gateway::protocol::{now, Totals};
 
-/// The longest time until a change is in force everywhere.
+/// The maximum time until a change is in force everywhere.
 const MAX_IN_FORCE_S: f64 = 10.0;
-/// The most that the control plane may cost a gateway: bytes a second, fraction of a core, memory.
+/// The maximum cost of the control plane for one gateway: bytes per second, fraction of a core, and
+/// memory.
 const MAX_BYTES_PER_S: f64 = 10.0 * 1024.0;
 const MAX_CORE_FRACTION: f64 = 0.011;
 const MAX_MEMORY_MB: f64 = 256.0;
-/// By how much voters' messages may grow from the first step to all gateways.
+/// The maximum ratio of voters' messages per second with all gateways to those with the first step.
 const MAX_MESSAGES_RATIO: f64 = 1.3;
-/// How long the last changes of a phase have to arrive.
+/// How long the last changes of a phase may take to be in force everywhere.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
 const SHORT_ARRIVAL_TIMEOUT: Duration = Duration::from_secs(1);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// What real gateways have reached is read once a second.
+/// The time until the metrics of real gateways, which are read once a second, show the last
+/// changes.
 const REAL_READ_WAIT: Duration = Duration::from_secs(2);
 
-/// What was read at one moment.
+/// The counters of all processes at one time.
 struct Reading {
     at: Instant,
     lightweight: ProcessUsage,
@@ -39,7 +41,7 @@
     voter_messages: f64,
 }
 
-/// Two readings, and how much a gateway or a process costs between them.
+/// Two readings and the time between them.
 struct Interval<'a> {
     before: &'a Reading,
     after: &'a Reading,
@@ -47,13 +49,13 @@
 }
 
 impl Interval<'_> {
-    /// The part of a core that each of some processes or gateways used.
+    /// Returns the mean fraction of a core that each of `count` processes or gateways used.
     fn core_fraction(&self, usage: impl Fn(&Reading) -> ProcessUsage, count: usize) -> f64 {
         let used = usage(self.after).cpu.saturating_sub(usage(self.before).cpu);
         used.as_secs_f64() / self.elapsed.as_secs_f64().max(1e-9) / count.max(1) as f64
     }
 
-    /// The growth of a count of bytes a second, for each of some gateways.
+    /// Returns the mean growth of a byte counter per second, for each of `count` gateways.
     fn bytes_per_second(&self, bytes: impl Fn(&Totals) -> u64, count: usize) -> f64 {
         let grown = bytes(&self.after.totals).saturating_sub(bytes(&self.before.totals));
         grown as f64 / self.elapsed.as_secs_f64() / count.max(1) as f64
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Messages a second of all voters, as the fleet is now.
+    /// Measures the messages per second of all voters at the fleet's current size.
     pub(super) fn voter_messages_per_second(&mut self) -> Result<f64, FleetRunError> {
         let (began, before) = (Instant::now(), self.control.voter_messages());
         self.wait(self.plan.steady / 2)?;
@@ -87,8 +89,8 @@
         Ok(messages / began.elapsed().as_secs_f64())
     }
 
-    /// Measures all gateways at rest but for changes. `first_step_messages`: voters' messages a
-    /// second with fewer gateways.
+    /// Measures the whole fleet while it has no load but changes. `first_step_messages` is the
+    /// number of voters' messages per second at the first step, with fewer gateways.
     pub(super) fn measure_steady(
         &mut self,
         first_step_messages: f64,
@@ -111,7 +113,7 @@
         let ratio = messages / first_step_messages;
         figures.add_number("scale_voter_messages_per_s", messages);
         figures.add_number("scale_voter_messages_first_step_per_s", first_step_messages);
-        self.hold_time(
+        self.add_timed(
             "scale_voter_messages_ratio",
             ratio,
             MAX_MESSAGES_RATIO,
@@ -139,14 +141,14 @@
             PropagationDelays::of(&changes, sources)
         };
         let mut delays = delays_at(self, &self.reached());
-        while delays.never > 0 && began.elapsed() < timeout {
+        while delays.never_in_force > 0 && began.elapsed() < timeout {
             self.wait(CHECK_INTERVAL)?;
             delays = delays_at(self, &self.reached());
         }
         figures.add_number("scale_change_in_force_p50_s", delays.quantile(0.5));
         figures.add_number("scale_change_in_force_max_s", delays.quantile(1.0));
         let in_force_p99 = delays.quantile(0.99);
-        self.hold_time(
+        self.add_timed(
             "scale_change_in_force_p99_s",
             in_force_p99,
             MAX_IN_FORCE_S,
@@ -155,7 +157,7 @@
         let applied = delays_at(self, &self.lightweight.reached());
         figures.add_number("scale_change_applied_p99_s", applied.quantile(0.99));
         let real_p99 = delays_at(self, &self.reached_by_real()).quantile(0.99);
-        self.hold_time(
+        self.add_timed(
             "scale_real_in_force_p99_s",
             real_p99,
             MAX_IN_FORCE_S,
@@ -178,7 +180,7 @@
             figures.add_number(&format!("scale_control_{part}_bytes_per_s"), bytes);
         }
         let core_fraction = interval.core_fraction(|reading| reading.lightweight, gateways);
-        self.hold_time(
+        self.add_timed(
             "scale_control_cpu_share",
             core_fraction,
             MAX_CORE_FRACTION,
@@ -194,7 +196,7 @@
         let bytes = traffic / interval.elapsed.as_secs_f64() / gateways.max(1) as f64;
         figures.at_most("scale_real_bytes_per_s", bytes, MAX_BYTES_PER_S);
         let core_fraction = interval.core_fraction(|reading| reading.real, gateways);
-        self.hold_time(
+        self.add_timed(
             "scale_real_cpu_share",
             core_fraction,
             MAX_CORE_FRACTION,
--- a/tools/scale/src/fleet_run/plan.rs
+++ b/tools/scale/src/fleet_run/plan.rs
@@ -1,52 +1,54 @@
-//! How large a fleet run is, and how long its phases last.
+//! The sizes of a fleet run and the durations of its phases.
 
 use std::time::Duration;
 
 use crate::figures::Options;
 use crate::lightweight_gateway::Part;
 
-/// Sizes and times of a run.
+/// The sizes and durations of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Lightweight gateways.
+    /// The number of lightweight gateways.
     pub lightweight: usize,
-    /// Lightweight gateways in the first step, which voters' messages are compared with.
+    /// The number of lightweight gateways in the first step. Voters' messages with all gateways are
+    /// compared with those of this step.
     pub first_step: usize,
-    /// Processes that lightweight gateways share.
+    /// The number of processes that run the lightweight gateways.
     pub processes: usize,
-    /// Gateways in a process of their own.
+    /// The number of real gateways, each in a process of its own.
     pub real: usize,
-    /// Control processes that vote.
+    /// The number of control processes that vote.
     pub voters: u64,
-    /// Control processes that serve subscribers.
+    /// The number of control processes that serve subscribers.
     pub observers: u64,
-    /// Engines that the event bus lists.
+    /// The number of engines that the event bus lists.
     pub engines: usize,
-    /// Lightweight gateways that end and come back at once.
+    /// The number of lightweight gateways that are killed and restart at once.
     pub returning: usize,
-    /// Changes a second.
+    /// The rate of changes.
     pub changes_per_second: f64,
-    /// How long a fleet that has just started settles: a start is a burst, measured by itself.
+    /// How long the fleet settles after its start, so that the burst of the start does not count as
+    /// steady cost.
     pub settle: Duration,
-    /// How long a phase without faults is measured.
+    /// How long the phase without faults is measured.
     pub steady: Duration,
-    /// How long what follows a fault is observed.
+    /// How long the fleet is observed after a fault.
     pub after_fault: Duration,
-    /// How many lightweight gateways start a second, over all processes.
+    /// The rate at which lightweight gateways start, over all processes.
     pub starts_per_second: u32,
     /// The parts that lightweight gateways run.
     pub parts: Vec<Part>,
     /// The seed of random numbers.
     pub seed: u64,
-    /// Whether figures are held to counts and bytes and not to time.
+    /// Whether only counts and bytes are checked against bounds, and not times.
     pub short: bool,
 }
 
-/// Lightweight gateways of the long form.
+/// The number of lightweight gateways of the long form.
 const LONG_FORM_GATEWAYS: usize = 7_600;
 
 impl Plan {
-    /// The plan of a form.
+    /// Returns the plan that the options select.
     #[must_use]
     pub fn from_options(options: &Options) -> Self {
         if options.short {
@@ -56,7 +58,7 @@
         }
     }
 
-    /// The short form, for CI.
+    /// Returns the plan of the short form, for CI.
     #[must_use]
     pub fn short(seed: u64) -> Self {
         Plan {
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The long form with so many lightweight gateways.
+    /// Returns the plan of the long form with `lightweight` lightweight gateways.
     #[must_use]
     pub fn long(lightweight: usize, seed: u64) -> Self {
         Plan {
@@ -102,13 +104,13 @@
         }
     }
 
-    /// Gateways of all kinds.
+    /// Returns the number of gateways, real and lightweight.
     #[must_use]
     pub fn gateways(&self) -> usize {
         self.lightweight + self.real
     }
 
-    /// How many of `all` lightweight gateways a process has.
+    /// Returns how many of `all` lightweight gateways the process with the index `process` runs.
     #[must_use]
     pub fn share(&self, all: usize, process: usize) -> usize {
         let processes = self.processes.max(1);
--- a/tools/scale/src/fleet_run/propagation.rs
+++ b/tools/scale/src/fleet_run/propagation.rs
@@ -1,42 +1,43 @@
-//! When a change was in force at all live gateways, from what several sources report.
+//! Determines when a change was in force at all live gateways, from the reports of several sources.
 
 use violetgate_replicated_state::{Micros, Revision};
 
 /// A change that was answered as done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Change {
-    /// Its number; changes are numbered from 1 without a gap.
+    /// The number of the change; changes are numbered from 1 without gaps.
     pub number: u64,
-    /// When it was due to be requested.
+    /// The time at which the change was due to be requested.
     pub due: Micros,
-    /// When it was answered.
+    /// The time at which the change was answered.
     pub answered: Micros,
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: Revision,
 }
 
-/// A change from a source's point of view: from when on it and all before it were in force there.
+/// A source's report that a change and all earlier ones are in force there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReachedChange {
     /// The number of the change.
     pub number: u64,
-    /// When.
+    /// The time since which the change is in force.
     pub at: Micros,
 }
 
-/// What one source reported, in order.
+/// The reports of one source, in order of numbers and times.
 pub type Reached = Vec<ReachedChange>;
 
 /// A revision, and when it was first seen in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SeenRevision {
-    /// The revision.
+    /// The revision that was in force.
     pub revision: Revision,
-    /// When.
+    /// The time at which the revision was first seen.
     pub at: Micros,
 }
 
-/// When a change was in force at all sources; `None`: at one of them it never was.
+/// Returns the time from which a change was in force at all sources, or `None` if there is a source
+/// where it never was, or no source.
 #[must_use]
 pub fn in_force_at(sources: &[Reached], number: u64) -> Option<Micros> {
     let in_force_at_source = |reached: &Reached| {
@@ -50,35 +51,35 @@
     latest
 }
 
-/// How long changes took until they were in force everywhere, and how many never were.
+/// The delays until changes were in force everywhere, and the number of changes that never were.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PropagationDelays {
-    /// Each from when the change was due, in order of length.
+    /// The delays from the time at which a change was due, in microseconds, the shortest first.
     pub sorted: Vec<Micros>,
-    /// Changes that were in force nowhere, or not everywhere.
-    pub never: usize,
+    /// The number of changes that were not in force at every source.
+    pub never_in_force: usize,
 }
 
 impl PropagationDelays {
-    /// The delays of some changes.
+    /// Computes the delays of `changes` from the reports of `sources`.
     #[must_use]
     pub fn of<'a>(changes: impl IntoIterator<Item = &'a Change>, sources: &[Reached]) -> Self {
         let mut delays = PropagationDelays::default();
         for change in changes {
             match in_force_at(sources, change.number) {
                 Some(at) => delays.sorted.push(at.saturating_sub(change.due)),
-                None => delays.never += 1,
+                None => delays.never_in_force += 1,
             }
         }
         delays.sorted.sort_unstable();
         delays
     }
 
-    /// A quantile in seconds, by the nearest rank; not a number where there are none, or one was
-    /// never in force.
+    /// Returns a quantile of the delays in seconds, by the nearest rank. Returns NaN if there are
+    /// no delays, or if a change was never in force.
     #[must_use]
     pub fn quantile(&self, quantile: f64) -> f64 {
-        if self.never > 0 {
+        if self.never_in_force > 0 {
             return f64::NAN;
         }
         let rank = (quantile * self.sorted.len() as f64).ceil().max(1.0) as usize;
@@ -87,7 +88,8 @@
     }
 }
 
-/// What a source that reports revisions has reached, as changes; `changes` are in order.
+/// Converts the revisions that a source reported to the changes that they include. `changes` have
+/// to be in order.
 #[must_use]
 pub fn reached_changes(revisions: &[SeenRevision], changes: &[Change]) -> Reached {
     let last_change_in = |revision| {
--- a/tools/scale/src/fleet_run/real_gateways.rs
+++ b/tools/scale/src/fleet_run/real_gateways.rs
@@ -1,5 +1,5 @@
-//! The real gateways: `violetgate serve` in front of fake engines, observed through their own
-//! metrics.
+//! The real gateways: processes of `violetgate serve` in front of fake engines, observed through
+//! their metrics.
 
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -19,12 +19,12 @@
 use super::plan::Plan;
 use super::propagation::SeenRevision;
 
-/// How often a real gateway's metrics are read: they name every member of the fleet, and cost it
-/// CPU time.
+/// How often a real gateway's metrics are read. The metrics name every member of the fleet, so that
+/// reading them more often would add to the gateway's measured CPU time.
 const READ_INTERVAL: Duration = Duration::from_secs(1);
-/// How soon the observing thread notices that the run ends.
+/// How often the observing thread checks whether the run has ended.
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Metrics of bytes that the control plane costs.
+/// Metrics that count the bytes that a gateway's control plane sends and receives.
 const TRAFFIC_METRICS: [&str; 6] = [
     "svc_cluster_sent_bytes_total",
     "svc_cluster_received_bytes_total",
@@ -34,16 +34,16 @@
     "svc_fleet_received_bytes_total",
 ];
 
-/// What a real gateway's metrics have shown.
+/// The state that a real gateway's metrics have shown so far.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ObservedGateway {
-    /// Revisions applied.
+    /// The applied revisions, each with the time at which it was first seen.
     pub revisions: Vec<SeenRevision>,
-    /// Whether its gate is open.
+    /// Whether the gateway's gate was open at the last read.
     is_open: bool,
 }
 
-/// All real gateways.
+/// All real gateways, and the thread that reads their metrics.
 pub(super) struct RealGateways {
     processes: Arc<Mutex<Vec<GatewayProcess>>>,
     observed: Arc<Mutex<Vec<ObservedGateway>>>,
@@ -63,7 +63,7 @@
 }
 
 impl RealGateways {
-    /// Starts them.
+    /// Starts the real gateways of a plan, and the thread that observes them.
     pub(super) fn start(
         plan: &Plan,
         layout: &Layout,
@@ -91,24 +91,24 @@
         })
     }
 
-    /// What was seen of each so far.
+    /// Returns the observed state of each gateway.
     pub(super) fn observed(&self) -> Vec<ObservedGateway> {
         lock(&self.observed).clone()
     }
 
-    /// How many have open gates.
+    /// Returns the number of gateways whose gates are open.
     pub(super) fn serving(&self) -> usize {
         let observed = lock(&self.observed);
         observed.iter().filter(|gateway| gateway.is_open).count()
     }
 
-    /// Their process ids.
+    /// Returns the process ids of the running gateways.
     pub(super) fn pids(&self) -> Vec<u32> {
         let processes = lock(&self.processes);
         processes.iter().filter_map(GatewayProcess::pid).collect()
     }
 
-    /// Bytes of the control plane sent and received so far, over all of them.
+    /// Returns the bytes that the control planes of all gateways have sent and received so far.
     pub(super) fn traffic(&self) -> f64 {
         let processes = lock(&self.processes);
         processes
@@ -117,7 +117,7 @@
             .sum()
     }
 
-    /// How many serve a query.
+    /// Sends a query to each gateway, and returns how many serve it.
     pub(super) fn count_serving_queries(&self) -> usize {
         let processes = lock(&self.processes);
         let serves =
@@ -125,7 +125,7 @@
         processes.iter().enumerate().filter(serves).count()
     }
 
-    /// The log of the first one, for reports of failures.
+    /// Returns the log of the first gateway, for error messages.
     pub(super) fn first_log(&self) -> String {
         let processes = lock(&self.processes);
         processes
@@ -187,7 +187,8 @@
 }
 
 impl ObservedGateway {
-    /// Takes what metrics show. A gateway that does not answer counts as it was last seen.
+    /// Records the state that the metrics show. If the gateway did not answer, its last known state
+    /// is kept.
     fn update(&mut self, metrics: &Metrics) {
         let Some(revision) = metrics.get("svc_cluster_revision") else {
             return;
--- a/tools/scale/src/lightweight_gateway.rs
+++ b/tools/scale/src/lightweight_gateway.rs
@@ -1,8 +1,8 @@
 //! Lightweight gateways ("hollow front ends" on the command line): the control plane of
-//! `violetgate serve` without client and engine connections, a thousand or so in one process.
+//! `violetgate serve` without client and engine connections, about a thousand in one process.
 //!
-//! They run the program's own parts. What is here starts, observes and reports on them, and decides
-//! nothing.
+//! They run the real parts of the gateway. This module only starts them, observes them and reports
+//! on them.
 
 pub mod change_sequence;
 mod error;
--- a/tools/scale/src/lightweight_gateway/gateway.rs
+++ b/tools/scale/src/lightweight_gateway/gateway.rs
@@ -1,4 +1,4 @@
-//! One lightweight gateway: the parts that `serve` puts together, without client and engine
+//! One lightweight gateway: the parts that `violetgate serve` combines, without client and engine
 //! connections.
 
 use std::cell::RefCell;
@@ -21,22 +21,23 @@
 use super::protocol::Traffic;
 use super::{LightweightGatewayError, Part};
 
-/// What all gateways of a process are made from.
+/// The inputs from which all gateways of a process are created.
 pub struct GatewayTemplate {
     /// The platform's configuration, as text.
     pub config: String,
     /// The operators' settings.
     pub settings: Settings,
-    /// The parts that run.
+    /// The parts that each gateway runs.
     pub parts: Vec<Part>,
-    /// The clock of the process.
+    /// The clock that all gateways of the process share.
     pub clock: Clock,
-    /// The seed of random numbers; each gateway adds its number.
+    /// The seed of random numbers; each gateway adds its index.
     pub seed: u64,
 }
 
 impl GatewayTemplate {
-    /// How long state may be routed on after it was confirmed.
+    /// Returns how long a gateway may route on state after the state was confirmed, in
+    /// microseconds.
     #[must_use]
     pub fn drain_limit(&self) -> Micros {
         let cluster = self.settings.cluster.clone().unwrap_or_default();
@@ -47,7 +48,7 @@
         self.parts.contains(&part)
     }
 
-    /// The configuration of one gateway.
+    /// Returns the configuration of one gateway, which has its own name.
     fn config_of(&self, index: usize, name: &str) -> Result<Config, LightweightGatewayError> {
         let overrides = Overrides {
             name: Some(name.to_owned()),
@@ -57,7 +58,7 @@
             .map_err(|cause| LightweightGatewayError::Config { index, cause })
     }
 
-    /// The `cluster` block of one gateway, which subscribes under its own name.
+    /// Returns the `cluster` block of one gateway, which subscribes under its own name.
     fn cluster_settings_of(
         &self,
         name: &str,
@@ -71,7 +72,7 @@
         Ok(cluster)
     }
 
-    /// The `fleet` block of one gateway, which has a name and a port of its own.
+    /// Returns the `fleet` block of one gateway, which has its own name and port.
     fn fleet_settings_of(
         &self,
         index: usize,
@@ -92,7 +93,7 @@
     }
 }
 
-/// The upstream side of a gateway that has no engine connections: nothing is ever sent.
+/// The upstream side of a gateway without engine connections. It sends nothing.
 struct NoEngines;
 
 impl UpstreamEngines for NoEngines {
@@ -113,8 +114,8 @@
     fn update_list(&self, _: ListScope, _: &[ListedEngine]) {}
 }
 
-/// Checks the subscription before every send. It holds no strong reference, so that a gateway that
-/// is dropped ends.
+/// The check before every send that the subscription's gate is open. It holds a weak reference, as
+/// a strong one would keep the subscription alive after its gateway is dropped.
 struct SubscriptionFence(Weak<ClusterSubscriber>);
 
 impl SubscriptionFence {
@@ -130,7 +131,8 @@
     }
 }
 
-/// A gateway that runs. Dropping it closes its sockets without a farewell, as a kill does.
+/// A running gateway. Dropping it closes its sockets without notice to others, as killing a process
+/// does.
 pub struct LightweightGateway {
     driver: Option<Task<()>>,
     subscriber: Option<Rc<ClusterSubscriber>>,
@@ -143,18 +145,20 @@
 
 impl Drop for LightweightGateway {
     fn drop(&mut self) {
-        // No task runs any more before the parts are dropped.
+        // Cancels the task that runs the executor, so that no task runs while the parts are
+        // dropped.
         self.driver.take();
     }
 }
 
 impl LightweightGateway {
-    /// Starts a gateway on an executor of its own, as a process has one, which runs on that of the
-    /// process; `index` is the gateway's number in the fleet run.
+    /// Starts a gateway. It has an executor of its own, as a real gateway does, which runs as one
+    /// task of the process's executor. `index` is the gateway's number in the fleet run.
     ///
     /// # Errors
     ///
-    /// The template can't be used, or a part can't have its address.
+    /// Returns an error if the template is not valid for this gateway, or if a part can't listen on
+    /// its address.
     pub fn start(
         process: &LocalExecutor<'static>,
         template: &GatewayTemplate,
@@ -212,7 +216,7 @@
         })
     }
 
-    /// Bytes sent and received so far.
+    /// Returns the bytes that each part has sent and received so far.
     #[must_use]
     pub fn traffic(&self) -> Traffic {
         let subscriber = self.subscriber.as_ref();
@@ -230,51 +234,51 @@
         }
     }
 
-    /// Whether its gate is open: it may route.
+    /// Returns whether the gateway's gate is open, so that it may route.
     #[must_use]
     pub fn is_open(&self) -> bool {
         let subscriber = self.subscriber.as_ref();
         subscriber.is_none_or(|subscriber| subscriber.is_open())
     }
 
-    /// The revision of the state that it routes on.
+    /// Returns the revision of the state that the gateway routes on.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.sequence_checker.borrow().revision()
     }
 
-    /// The changes that it has applied.
+    /// Returns the changes that the gateway has applied.
     #[must_use]
     pub fn sequence(&self) -> ChangeSequence {
         self.sequence_checker.borrow().sequence()
     }
 
-    /// What went wrong with changes.
+    /// Returns the faults that were found in the applied changes.
     #[must_use]
     pub fn faults(&self) -> SequenceFaults {
         self.sequence_checker.borrow().faults()
     }
 
-    /// The observer that it watches.
+    /// Returns the observer that the gateway watches.
     #[must_use]
     pub fn watched_observer(&self) -> Option<NodeId> {
         self.subscriber.as_ref()?.status().watched
     }
 
-    /// Whether the event bus has sent it anything.
+    /// Returns whether the gateway has received anything from the event bus.
     #[must_use]
     pub fn has_bus_events(&self) -> bool {
         self.discovery.has_received()
     }
 
-    /// How many gateways it takes the fleet to have.
+    /// Returns the fleet size in use at the gateway, or `None` without membership.
     #[must_use]
     pub fn fleet_size(&self) -> Option<u32> {
         self.fleet.as_ref().map(FleetMembership::fleet_size)
     }
 }
 
-/// Starts the subscription to replicated state, if it runs.
+/// Starts the subscription to replicated state, if the template includes it.
 fn subscribe(
     template: &GatewayTemplate,
     executor: &Rc<LocalExecutor<'static>>,
@@ -289,8 +293,8 @@
     Ok(Some(subscriber))
 }
 
-/// Starts the client of the event bus, if it runs; without it the engines of the configuration
-/// stay.
+/// Loads the engines of the configuration, and starts the client of the event bus if the template
+/// includes it.
 fn discover_engines(
     template: &GatewayTemplate,
     executor: &Rc<LocalExecutor<'static>>,
@@ -317,7 +321,7 @@
     discovery
 }
 
-/// Checks what is applied, at once when it is.
+/// Registers the check of changes, which runs whenever the subscription has applied state.
 fn check_applied_changes(
     subscriber: &ClusterSubscriber,
     sequence_checker: &Rc<RefCell<SequenceChecker>>,
--- a/tools/scale/src/lightweight_gateway/part.rs
+++ b/tools/scale/src/lightweight_gateway/part.rs
@@ -2,27 +2,27 @@
 
 use clap::ValueEnum;
 
-/// A part of the control plane.
+/// A part of the control plane that a lightweight gateway runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum Part {
-    /// Agreed state by subscription to observers.
+    /// The subscription to replicated state at observers.
     Subscription,
-    /// The event bus client.
+    /// The client of the event bus.
     Bus,
-    /// Membership of the fleet.
+    /// The membership in the fleet.
     Membership,
-    /// The decision module's view of engines.
+    /// The decision module's view of the engines, and its timers.
     Decisions,
 }
 
 impl Part {
-    /// All parts.
+    /// Returns all parts, in order.
     #[must_use]
     pub fn all() -> Vec<Part> {
         Part::value_variants().to_vec()
     }
 
-    /// Its name on the command line.
+    /// Returns the name of the part on the command line.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
--- a/tools/scale/src/lightweight_gateway/process.rs
+++ b/tools/scale/src/lightweight_gateway/process.rs
@@ -1,4 +1,5 @@
-//! A process of lightweight gateways: starts them, checks each of them now and then, and reports.
+//! A process of lightweight gateways: starts them, checks each of them at a fixed interval, and
+//! reports on them.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,26 +26,27 @@
 const TOTALS_INTERVAL: Micros = 250_000;
 const MICROS_PER_SECOND: Micros = 1_000_000;
 
-/// What a process is given at its start.
+/// The command-line arguments of a process.
 #[derive(Debug, Clone, clap::Parser)]
-#[command(about = "Runs hollow front ends, commanded on standard input until that ends")]
+#[command(about = "Runs hollow front ends by commands on standard input, until it is closed")]
 pub struct Arguments {
-    /// The platform's configuration (JSON), the same for all
+    /// The file with the platform's configuration (JSON), the same for all front ends
     #[arg(long)]
     pub config: PathBuf,
-    /// The operators' settings (HCL); the port of `fleet.listen` is that of front end 0
+    /// The file with the operators' settings (HCL); the port of `fleet.listen` is that of front end
+    /// 0
     #[arg(long)]
     pub settings: PathBuf,
     /// The index of the first front end
     #[arg(long, default_value_t = 0)]
     pub first: usize,
-    /// How many front ends
+    /// The number of front ends
     #[arg(long)]
     pub count: usize,
-    /// Where random numbers begin
+    /// The seed of random numbers
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
-    /// The parts that run
+    /// The parts that each front end runs
     #[arg(
         long,
         value_delimiter = ',',
@@ -53,11 +55,11 @@
     pub parts: Vec<Part>,
 }
 
-/// Runs the gateways until standard input ends.
+/// Runs the gateways until standard input is closed.
 ///
 /// # Errors
 ///
-/// A file can't be used, or a gateway can't start.
+/// Returns an error if a file can't be read or is not valid, or if a gateway can't start.
 pub fn run(arguments: &Arguments) -> Result<(), LightweightGatewayError> {
     let config = read_file(&arguments.config)?;
     let settings = settings::read(Some(&arguments.settings));
@@ -84,7 +86,7 @@
     })
 }
 
-/// Reads commands in a thread of its own; the channel closes where standard input ends.
+/// Reads commands in a thread of its own. The channel is closed when standard input is.
 fn read_commands() -> Receiver<Command> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
@@ -98,11 +100,11 @@
     receiver
 }
 
-/// A gateway's slot in the process: empty while it is ended.
+/// The slot of one gateway in the process. It is empty while the gateway does not run.
 struct Slot {
     index: usize,
     gateway: Option<LightweightGateway>,
-    /// Whether its gate was open when it was last checked.
+    /// Whether the gateway's gate was open at the last check.
     was_open: bool,
 }
 
@@ -114,18 +116,18 @@
     progress: RefCell<Progress>,
 }
 
-/// How many gateways are to run, and how fast they start.
+/// The number of gateways that should run, and the rate at which they start.
 #[derive(Default)]
 struct StartSchedule {
     running: usize,
-    /// `None`: all at once.
+    /// The rate of starts; `None` starts all gateways at once.
     per_second: Option<u32>,
     since: Micros,
     started: u64,
 }
 
 impl StartSchedule {
-    /// How many may start now.
+    /// Returns how many gateways may start now.
     fn due(&self, now: Micros) -> u64 {
         let Some(per_second) = self.per_second else {
             return u64::MAX;
@@ -212,7 +214,7 @@
     }
 
     fn kill(&self, count: usize) {
-        // Those that were to run do not start again by themselves.
+        // Without a schedule, the killed gateways start again only on the next `Start` command.
         *self.starts.borrow_mut() = StartSchedule::default();
         let mut slots = self.slots.borrow_mut();
         let mut progress = self.progress.borrow_mut();
@@ -224,8 +226,9 @@
         }
     }
 
-    /// Checks each gate: whether it is open, on what state, and which changes are in force at all
-    /// gateways that serve.
+    /// Checks whether the gate of each gateway is open, and whether an open one has the required
+    /// state. Reports the gates, the changes in force at all serving gateways, and the totals if
+    /// they are due.
     fn check_gateways(&self) {
         let mut slots = self.slots.borrow_mut();
         let mut progress = self.progress.borrow_mut();
--- a/tools/scale/src/lightweight_gateway/progress.rs
+++ b/tools/scale/src/lightweight_gateway/progress.rs
@@ -1,4 +1,4 @@
-//! What a process of lightweight gateways has observed and reported so far.
+//! The observations and reports of a process of lightweight gateways.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -9,13 +9,14 @@
 use super::gateway::LightweightGateway;
 use super::protocol::{now, Report, Traffic};
 
-/// The most answered changes that are remembered at a time.
+/// The maximum number of answered changes that wait to be required; later ones are ignored.
 const MAX_ANSWERED_CHANGES: usize = 4_096;
 
 /// Writes a report to standard output.
 pub(super) fn write_report(report: &Report) {
     if let Ok(line) = serde_json::to_string(report) {
-        // A run that no longer reads has ended, and so does this process soon.
+        // A write fails only if the run has ended. Then standard input is closed too, which ends
+        // this process.
         let _ = writeln!(std::io::stdout().lock(), "{line}");
     }
 }
@@ -26,31 +27,31 @@
     revision: Revision,
 }
 
-/// How many gateways run, and how many of them have open gates.
+/// The number of gateways that run, and of those whose gates are open.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct GateCounts {
     pub running: usize,
     pub serving: usize,
 }
 
-/// What was observed and reported so far.
+/// The observations of a process, and the last reports that it made.
 #[derive(Default)]
 pub(super) struct Progress {
-    /// Changes answered of late, in order.
+    /// Changes that were answered recently and are not required yet, in order.
     answered: VecDeque<AnsweredChange>,
-    /// The revision that the state behind each open gate has to have.
+    /// The minimum revision of the state of every gateway whose gate is open.
     pub required_revision: Revision,
-    /// How often an open gate was seen shut.
+    /// How often a gate that was open at one check was shut at the next.
     pub gate_closures: u64,
-    /// How often a gate was seen open on older state than required.
+    /// How often a check found a gate open on older state than required.
     pub stale: u64,
-    /// The last change that was reported as in force.
+    /// The number of the last change that was reported as in force.
     reported_change: u64,
     reported_gates: GateCounts,
     totals_reported_at: Micros,
-    /// Bytes of gateways that have ended.
+    /// The bytes sent and received by gateways that have ended.
     pub ended_traffic: Traffic,
-    /// Faults of gateways that have ended.
+    /// The faults of gateways that have ended.
     pub ended_faults: SequenceFaults,
 }
 
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Requires the changes that were answered longer ago than the limit.
+    /// Raises the required revision to that of the changes that were answered more than `limit`
+    /// before `now`.
     pub(super) fn update_required_revision(&mut self, now: Micros, limit: Micros) {
         while let Some(change) = self.answered.front() {
             if change.at + limit >= now {
@@ -73,13 +75,13 @@
         }
     }
 
-    /// Adds what a gateway that ends has counted.
+    /// Adds the counts of a gateway that ends.
     pub(super) fn on_ended(&mut self, gateway: &LightweightGateway) {
         self.ended_traffic.add(gateway.traffic());
         self.ended_faults.add(gateway.faults());
     }
 
-    /// Reports the gates where their number has changed.
+    /// Reports the gates if their counts have changed.
     pub(super) fn report_gates(&mut self, gates: GateCounts) {
         if self.reported_gates != gates {
             self.reported_gates = gates;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Reports the last change in force where it is a later one.
+    /// Reports the last change in force if it is later than the one reported before.
     pub(super) fn report_in_force(&mut self, change: u64, serving: usize) {
         if change > self.reported_change {
             self.reported_change = change;
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Whether totals are due; they count as reported then.
+    /// Returns whether totals are due. If they are, they count as reported.
     pub(super) fn take_totals_due(&mut self, now: Micros, interval: Micros) -> bool {
         let is_due = now >= self.totals_reported_at + interval;
         if is_due {
--- a/tools/scale/src/lightweight_gateway/protocol.rs
+++ b/tools/scale/src/lightweight_gateway/protocol.rs
@@ -1,7 +1,8 @@
-//! What the run sends to a process of lightweight gateways on its standard input, and what that
-//! reports on its standard output: one JSON object a line.
+//! The protocol between a run and a process of lightweight gateways. The run sends commands to the
+//! process's standard input, and the process writes reports to its standard output, one JSON object
+//! per line.
 //!
-//! Times are microseconds since the machine's start, which all processes share.
+//! Times are in microseconds since the machine was booted, a clock that all processes share.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +12,7 @@
 
 use super::change_sequence::{ChangeSequence, SequenceFaults};
 
-/// The time that all processes of the machine share.
+/// Returns the current time, on the boot clock that all processes of the machine share.
 #[must_use]
 pub fn now() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
@@ -24,47 +25,47 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
-    /// A change was answered as done: no gate may be open on a state without it for longer than the
-    /// drain limit.
+    /// A change was answered as done. From the drain limit after the answer on, no gate may be open
+    /// on state without the change.
     Answered {
-        /// The revision that it made.
+        /// The revision that the change made.
         revision: Revision,
-        /// When the answer came.
+        /// The time of the answer.
         at: Micros,
     },
-    /// Some gateways end, as if their processes were killed.
+    /// Ends the first gateways of the process as if their processes were killed.
     Kill {
-        /// How many, the first ones.
+        /// How many gateways end.
         count: usize,
     },
-    /// Some gateways are to run: those that do not, start without any state.
+    /// Starts those of the first gateways that do not run. They start without any state.
     Start {
-        /// How many are to run, the first ones.
+        /// How many gateways run afterwards.
         running: usize,
-        /// How many start each second; `None`: all at once.
+        /// How many gateways start per second; `None` starts them all at once.
         per_second: Option<u32>,
     },
 }
 
-/// Bytes sent and received, by part.
+/// The sum of bytes sent and received, by part.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// Of the subscription to replicated state.
+    /// Bytes of the subscription to replicated state.
     pub subscription: u64,
-    /// Of the event bus.
+    /// Bytes of the event bus client.
     pub bus: u64,
-    /// Of the membership.
+    /// Bytes of the membership.
     pub membership: u64,
 }
 
 impl Traffic {
-    /// Of all parts.
+    /// Returns the bytes of all parts.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.subscription + self.bus + self.membership
     }
 
-    /// Adds those of another.
+    /// Adds the bytes of `other`, part by part.
     pub fn add(&mut self, other: Traffic) {
         self.subscription += other.subscription;
         self.bus += other.bus;
@@ -72,23 +73,23 @@
     }
 }
 
-/// How many gateways have applied the same changes.
+/// The number of gateways that have applied the same changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SequenceCount {
-    /// The changes.
+    /// The changes that the gateways have applied.
     pub sequence: ChangeSequence,
-    /// Gateways.
+    /// The number of these gateways.
     #[serde(rename = "front_ends")]
     pub gateways: usize,
 }
 
-/// The least and the greatest fleet size that a gateway knows; two numbers in JSON.
+/// The range of fleet sizes in use at several gateways; a pair of numbers in JSON.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct FleetSizeRange {
-    /// The least.
+    /// The smallest fleet size.
     pub least: u32,
-    /// The greatest.
+    /// The largest fleet size.
     pub greatest: u32,
 }
 
@@ -111,7 +112,7 @@
 }
 
 impl FleetSizeRange {
-    /// The range of two ranges.
+    /// Returns the smallest range that contains both ranges.
     #[must_use]
     pub fn union(self, other: FleetSizeRange) -> Self {
         FleetSizeRange {
@@ -124,37 +125,37 @@
 /// The state of all gateways of a process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// When.
+    /// The time of the report.
     pub at: Micros,
-    /// Gateways that run.
+    /// The number of gateways that run.
     pub running: usize,
-    /// Those whose gates are open.
+    /// The number of gateways whose gates are open.
     pub serving: usize,
-    /// How often an open gate was seen shut.
+    /// How often a gate that was open at one check was shut at the next.
     #[serde(rename = "gates_shut")]
     pub gate_closures: u64,
-    /// How often a gate was seen open on a state that lacks a change answered longer ago than the
-    /// drain limit.
+    /// How often a check found a gate open on state that lacks a change answered longer ago than
+    /// the drain limit.
     pub stale: u64,
-    /// What went wrong with changes.
+    /// The faults in applied changes, including those of ended gateways.
     pub faults: SequenceFaults,
-    /// Bytes since the start, those of ended gateways among them.
+    /// The bytes since the start, including those of ended gateways.
     pub traffic: Traffic,
-    /// Gateways by the observer that they watch.
+    /// The number of gateways by the observer that they watch.
     #[serde(rename = "watching")]
     pub gateways_by_observer: BTreeMap<NodeId, usize>,
-    /// Changes applied.
+    /// The applied changes, with the number of gateways that have applied them.
     pub sequences: Vec<SequenceCount>,
-    /// The fleet sizes that gateways know.
+    /// The range of the fleet sizes in use at the gateways; `None` without membership.
     #[serde(rename = "shares")]
     pub fleet_sizes: Option<FleetSizeRange>,
-    /// Gateways that have received events from the event bus.
+    /// The number of gateways that have received events from the event bus.
     #[serde(rename = "bus_heard")]
     pub with_bus_events: usize,
 }
 
 impl Totals {
-    /// Adds those of another process. `at` does not change.
+    /// Adds the totals of another process. `at` does not change.
     pub fn add(&mut self, other: Totals) {
         self.running += other.running;
         self.serving += other.serving;
@@ -172,33 +173,33 @@
     }
 }
 
-/// What a process reports.
+/// A report of a process.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
     /// A change is in force at all gateways of this process whose gates are open.
     InForce {
-        /// The number of the change; all before it are in force as well.
+        /// The number of the change; all earlier changes are in force as well.
         change: u64,
-        /// When.
+        /// The time of the check that found the change in force.
         at: Micros,
-        /// Gateways whose gates are open.
+        /// The number of gateways whose gates are open.
         serving: usize,
     },
-    /// Another number of gates is open.
+    /// The number of running gateways or of open gates has changed.
     Gates {
-        /// When.
+        /// The time of the check that found the change.
         at: Micros,
-        /// Gateways that run.
+        /// The number of gateways that run.
         running: usize,
-        /// Those whose gates are open.
+        /// The number of gateways whose gates are open.
         serving: usize,
     },
-    /// The state of all; now and then.
+    /// The state of all gateways of the process, reported at a fixed interval.
     Totals(Totals),
-    /// The process ends for this reason.
+    /// The process failed and ends.
     Failed {
-        /// Why.
+        /// The error message.
         cause: String,
     },
 }
--- a/tools/scale/tests/change_sequence.rs
+++ b/tools/scale/tests/change_sequence.rs
@@ -1,5 +1,5 @@
-//! The check of what one gateway applies, on made-up state: in order, each change once, none
-//! missing.
+//! Tests of the check that a gateway applies all changes in order and once each, on state made up
+//! by the tests.
 #![allow(
     missing_docs,
     clippy::unwrap_used,
@@ -14,7 +14,7 @@
     RETAINED_CHANGES,
 };
 
-/// State as a front end holds it.
+/// The replicated state of one gateway.
 #[derive(Default, Clone)]
 struct State {
     revision: Revision,
@@ -49,7 +49,7 @@
 }
 
 impl State {
-    /// Makes a change as the API call does.
+    /// Applies the transaction of a change, as the API call does.
     fn change(&mut self, number: u64) {
         self.revision += 1;
         for op in change_transaction(number)["then"].as_array().unwrap() {
@@ -77,10 +77,10 @@
     }
 }
 
-/// One by one, several at once and from a snapshot: the same changes, and the same digest from the
-/// same first one.
+/// A gateway that applies each change singly and one that applies several at once record the same
+/// sequence with the same digest.
 #[test]
-fn changes_applied_singly_batched_or_by_snapshot_give_one_sequence() {
+fn changes_applied_singly_or_batched_give_one_sequence() {
     let (mut single, mut batched) = (SequenceChecker::default(), SequenceChecker::default());
     let mut state = State::default();
     for number in 1..=20 {
@@ -101,7 +101,7 @@
     assert_eq!(single.sequence().digest, expected);
 }
 
-/// A gateway that starts late begins with the oldest change that is retained.
+/// A gateway that starts late counts from the oldest change whose key is retained.
 #[test]
 fn a_late_gateway_begins_with_the_oldest_retained_change() {
     let state = State::with_changes(1..=RETAINED_CHANGES + 10);
@@ -114,7 +114,7 @@
     assert_eq!(checker.faults(), faults(0, 0, 0));
 }
 
-/// State without any change, and other entries that change, are no fault.
+/// State without changes is not a fault, and neither is a new revision without a new change.
 #[test]
 fn state_without_changes_is_no_fault() {
     let mut checker = SequenceChecker::default();
@@ -138,7 +138,7 @@
     );
 }
 
-/// A change whose key never comes is missing, each one counted.
+/// Each change whose key is not in the state counts as missing.
 #[test]
 fn each_missing_change_is_counted() {
     let mut checker = SequenceChecker::default();
@@ -153,7 +153,7 @@
     assert_eq!(checker.faults(), faults(2, 0, 0));
 }
 
-/// A change that is applied again under a later revision is duplicated.
+/// A change that is applied again under a later revision counts as duplicated.
 #[test]
 fn a_change_applied_again_counts_as_duplicated() {
     let mut checker = SequenceChecker::default();
@@ -164,7 +164,8 @@
     assert_eq!(checker.faults(), faults(0, 1, 0));
 }
 
-/// State that goes back is out of order, by its revision and by its number.
+/// State with a lower revision or a lower change number than before is out of order. Changes whose
+/// revisions are not in the order of their numbers are too.
 #[test]
 fn state_that_goes_back_is_out_of_order() {
     let mut checker = SequenceChecker::default();
@@ -182,7 +183,7 @@
     assert_eq!(checker.faults(), faults(0, 0, 1));
 }
 
-/// Digests differ where a revision, a number or the order does.
+/// Digests differ if a revision, a number, the order or the length differs.
 #[test]
 fn digests_of_different_sequences_differ() {
     let digest = |changes: &[(u64, u64)]| {
--- a/tools/scale/tests/propagation.rs
+++ b/tools/scale/tests/propagation.rs
@@ -1,11 +1,12 @@
-//! When a change was in force everywhere, from made-up reports.
+//! Tests of propagation delays, with reports made up by the tests.
 #![allow(missing_docs, reason = "a test has no public items")]
 
 use violetgate_scale::fleet_run::propagation::{
     in_force_at, reached_changes, Change, PropagationDelays, Reached, ReachedChange, SeenRevision,
 };
 
-/// What one source reports: numbers of changes, and when they were in force there.
+/// Returns the report of one source from pairs of a change's number and the time at which it was in
+/// force there.
 fn reached<const N: usize>(changes: [(u64, u64); N]) -> Reached {
     let changes = changes.into_iter();
     changes
@@ -22,7 +23,8 @@
     }
 }
 
-/// The last source counts, and a later change stands for those before it.
+/// The latest of all sources counts. A source that reports a change has all earlier changes in
+/// force too.
 #[test]
 fn a_change_is_in_force_when_the_last_source_has_it() {
     let sources = [reached([(1, 100), (3, 300)]), reached([(2, 150), (3, 200)])];
@@ -32,14 +34,14 @@
     assert_eq!(in_force_at(&sources, 4), None);
 }
 
-/// A source that reported nothing has nothing in force; without any source nothing is.
+/// A source without reports has no change in force. Without sources, no change is in force.
 #[test]
 fn nothing_is_in_force_at_a_source_that_reported_nothing() {
     assert_eq!(in_force_at(&[reached([(1, 100)]), reached([])], 1), None);
     assert_eq!(in_force_at(&[], 1), None);
 }
 
-/// Delays count from when a change was due.
+/// Delays are measured from the time at which a change was due, not from when it was answered.
 #[test]
 fn delays_count_from_when_a_change_was_due() {
     let changes = [change(1, 1_000_000, 11), change(2, 2_000_000, 12)];
@@ -49,25 +51,25 @@
     assert_eq!((delays.quantile(0.5), delays.quantile(0.99)), (0.5, 2.0));
 }
 
-/// A change that never was in force, and no change at all, make no quantile: bounds are missed
-/// then.
+/// Quantiles are NaN if a change was never in force, or if there was no change. NaN fails every
+/// bound, so such a run can't pass.
 #[test]
-fn quantiles_are_no_number_if_a_change_was_never_in_force() {
+fn quantiles_are_nan_if_a_change_was_never_in_force() {
     let changes = [change(1, 0, 11), change(2, 0, 12)];
     let delays = PropagationDelays::of(&changes, &[reached([(1, 5)])]);
-    assert_eq!(delays.never, 1);
+    assert_eq!(delays.never_in_force, 1);
     assert!(delays.quantile(0.5).is_nan());
     assert!(PropagationDelays::of(&[], &[reached([(1, 5)])])
         .quantile(0.5)
         .is_nan());
 }
 
-/// The nearest rank, over a hundred delays.
+/// Quantiles of a hundred delays are found by the nearest rank.
 #[test]
 fn quantiles_are_of_the_nearest_rank() {
     let delays = PropagationDelays {
         sorted: (1..=100).map(|n| n * 10_000).collect(),
-        never: 0,
+        never_in_force: 0,
     };
     assert_eq!(
         (
@@ -79,7 +81,8 @@
     );
 }
 
-/// Revisions become the changes that they hold; others in between are none.
+/// A revision counts as the last change that it includes. A revision that includes no further
+/// change is skipped.
 #[test]
 fn revisions_count_as_the_last_change_that_they_hold() {
     let changes = [change(1, 0, 10), change(2, 0, 12), change(3, 0, 15)];
--- a/tools/scale/tests/protocol.rs
+++ b/tools/scale/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The JSON between a run and its processes of lightweight gateways has its old form.
+//! Tests of the JSON messages between a run and its processes of lightweight gateways.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeMap;
@@ -8,7 +8,7 @@
     Command, FleetSizeRange, Report, SequenceCount, Totals, Traffic,
 };
 
-/// A report of totals as the tools have always written it.
+/// A report of totals in the JSON form that must not change.
 const TOTALS: &str = concat!(
     r#"{"totals":{"at":1,"running":2,"serving":3,"gates_shut":4,"stale":5,"#,
     r#""faults":{"lost":6,"doubled":7,"out_of_order":8},"#,
@@ -18,7 +18,7 @@
 );
 
 #[test]
-fn a_report_of_totals_is_written_and_read_in_its_old_form() {
+fn a_report_of_totals_keeps_its_json_form() {
     let sequence = ChangeSequence {
         first: 14,
         last: 15,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn commands_keep_their_form() {
+fn commands_keep_their_json_form() {
     let commands = [
         (
             Command::Answered { revision: 1, at: 2 },
