--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -56,7 +56,7 @@
     Ok(settings)
 }
 
-/// Returns an engine that is past its warm-up.
+/// Returns an engine without a start time, so that it gets no slow start.
 #[must_use]
 pub fn engine(id: EngineId, state: EngineState) -> Engine {
     Engine {
@@ -69,7 +69,7 @@
     }
 }
 
-/// Returns `count` engines that are ready and past their warm-up, with ids from 0.
+/// Returns `count` engines that are ready and get no slow start, with ids from 0.
 #[must_use]
 pub fn engines(count: u32) -> Vec<Engine> {
     (0..count)
