--- a/tools/acceptance/src/cluster.rs
+++ b/tools/acceptance/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of gateway processes on loopback, with a network between them that can be cut.
+//! Runs a cluster of gateway processes on loopback, with a network between them that can be cut.
 
 mod files;
 mod instance;
@@ -16,15 +16,15 @@
 use files::InstanceAddresses;
 pub use instance::{DiskUsage, Instance};
 
-/// How long a new cluster may take until all its instances route, and how often that is checked.
+/// How long a new cluster may take until all its instances route requests.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A cluster of instances. They are killed when it is dropped, and their folders are removed.
+/// A cluster of instances. Dropping it kills their processes and removes their folders.
 pub struct Cluster {
-    /// The instances, in the order of their ids.
+    /// The instances in ascending order of their ids.
     pub instances: Vec<Instance>,
-    /// What lies between them.
+    /// The network between the instances.
     pub network: ClusterNetwork,
     folder: PathBuf,
 }
@@ -37,12 +37,12 @@
 }
 
 impl Cluster {
-    /// Starts `count` instances in front of fake engines and waits until all of them route.
-    /// `cluster_settings` are further lines of their `cluster` blocks.
+    /// Starts `count` instances in front of fake engines and waits until all of them route
+    /// requests. `cluster_settings` holds additional lines of their `cluster` blocks.
     ///
     /// # Errors
     ///
-    /// They can't be started, or do not route within ten seconds.
+    /// An instance can't be started, or not all of them route requests within ten seconds.
     pub fn start(
         program: &Path,
         engines: &FakeUpstreams,
@@ -52,7 +52,7 @@
         let folder = unused_folder();
         let mut addresses = BTreeMap::new();
         for id in 1..=count {
-            addresses.insert(id, InstanceAddresses::choose()?);
+            addresses.insert(id, InstanceAddresses::reserve()?);
         }
         let peers = addresses.iter().map(|(id, at)| (*id, at.peer)).collect();
         let network = ClusterNetwork::new(&peers)?;
@@ -81,7 +81,7 @@
         Err(AcceptanceError::NoLeader { logs })
     }
 
-    /// Waits until all instances route; `false` if they do not within the time.
+    /// Waits until all instances route requests. Returns `false` if they don't within the time.
     #[must_use]
     pub fn wait_until_ready(&self, within: Duration) -> bool {
         let routes = |instance: &Instance| {
@@ -92,7 +92,7 @@
         wait_until(within, READY_CHECK_INTERVAL, all_route).is_some()
     }
 
-    /// The instance that reports itself as the leader and routes, if there is one.
+    /// Returns the instance that reports that it is the leader and routes requests, if any.
     #[must_use]
     pub fn leader(&self) -> Option<&Instance> {
         let leads = |instance: &&Instance| {
@@ -102,7 +102,7 @@
         self.instances.iter().find(leads)
     }
 
-    /// An instance, by any number.
+    /// Returns the instance at index `number` modulo the number of instances.
     ///
     /// # Panics
     ///
--- a/tools/acceptance/src/cluster/files.rs
+++ b/tools/acceptance/src/cluster/files.rs
@@ -1,4 +1,4 @@
-//! Addresses, configuration and settings of an instance.
+//! The addresses, configuration and settings of an instance.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,12 +10,13 @@
 
 use crate::{AcceptanceError, Result};
 
-/// Descriptors that an instance may use.
+/// The `limits.sockets` value of an instance's configuration.
 const SOCKET_LIMIT: u64 = 1024;
-/// Instances have different seeds, or their elections would begin at the same moments.
+/// Combined with the id of an instance to its seed. The seeds have to differ, or the instances
+/// would start their elections at the same time.
 const BASE_SEED: u64 = 0x8c1f_30d2_7a5b_e964;
 
-/// Where an instance listens.
+/// The addresses on which an instance listens.
 pub(super) struct InstanceAddresses {
     /// For other members.
     pub peer: SocketAddr,
@@ -28,8 +29,8 @@
 }
 
 impl InstanceAddresses {
-    /// Reserves addresses for an instance.
-    pub(super) fn choose() -> Result<Self> {
+    /// Reserves unused addresses for an instance.
+    pub(super) fn reserve() -> Result<Self> {
         let [peer, postgres, rest, api] = reserve_tcp_addresses()?;
         Ok(InstanceAddresses {
             peer,
@@ -40,7 +41,7 @@
     }
 }
 
-/// Writes the platform's configuration into an instance's folder, which is created.
+/// Creates an instance's folder and writes the platform's configuration into it.
 pub(super) fn write_config(
     folder: &Path,
     engines: &FakeUpstreams,
@@ -59,7 +60,8 @@
     Ok(())
 }
 
-/// Writes the operators' settings into an instance's folder. `peers`: where it reaches the others.
+/// Writes the operators' settings into an instance's folder. `peers` holds the addresses at which
+/// the instance reaches the other members, by member id.
 pub(super) fn write_settings(
     folder: &Path,
     id: u64,
@@ -85,7 +87,7 @@
     Ok(())
 }
 
-/// Creates the member's folder that the settings name.
+/// Creates the member folder that the settings name, with `violetgate members init`.
 pub(super) fn initialize_member(program: &Path, folder: &Path) -> Result<()> {
     let status = Command::new(program)
         .args(["members", "init", "--settings"])
--- a/tools/acceptance/src/cluster/instance.rs
+++ b/tools/acceptance/src/cluster/instance.rs
@@ -1,4 +1,5 @@
-//! One instance of a cluster: its process, which threads of a test kill and pause, and calls to it.
+//! An instance of a cluster: its process, which the threads of a test kill and pause, and the calls
+//! that clients and operators make to it.
 
 use std::io::Result;
 use std::net::{SocketAddr, TcpStream};
@@ -14,37 +15,37 @@
 
 use super::files::InstanceAddresses;
 
-/// How long a connection to an instance, and a call for its status, may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Bytes that a member holds on disk.
+/// The disk space that a member uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiskUsage {
-    /// Of all its files.
+    /// The size of all files in bytes.
     pub total_bytes: u64,
-    /// Of its snapshots.
+    /// The size of the snapshots in bytes.
     pub snapshot_bytes: u64,
 }
 
-/// One instance.
+/// A gateway process that is a member of a cluster.
 pub struct Instance {
-    /// Its member id.
+    /// The member id of the instance.
     pub id: u64,
-    /// Where PostgreSQL clients connect.
+    /// The address for PostgreSQL clients.
     pub postgres_addr: SocketAddr,
-    /// Where REST clients connect.
+    /// The address for REST clients.
     pub rest_addr: SocketAddr,
-    /// Where operators call.
+    /// The address of the operators' API.
     pub api_addr: SocketAddr,
     member_folder: PathBuf,
     process: Mutex<ServerProcess>,
-    /// Counts the beginnings and ends of disruptions: odd while one lasts.
+    /// Counts the starts and ends of disruptions. It is odd during a disruption.
     disruption_epoch: AtomicU64,
 }
 
 impl Instance {
-    /// Creates an instance that is not started yet; `folder` holds its configuration and settings.
+    /// Creates an instance without starting its process. `folder` holds its configuration and
+    /// settings.
     pub(super) fn new(id: u64, own: &InstanceAddresses, program: &Path, folder: PathBuf) -> Self {
         Instance {
             id,
@@ -57,20 +58,20 @@
         }
     }
 
-    /// Starts its process.
+    /// Starts the process.
     pub(super) fn start(&self) -> Result<()> {
         lock(&self.process).start()
     }
 
-    /// A mark of the disruptions so far. A request during which it changed, or that began at an odd
-    /// one, met a disruption that was made on purpose.
+    /// Returns the number of starts and ends of disruptions so far. A request met an injected
+    /// disruption if the number was odd when the request began or changed during the request.
     #[must_use]
     pub fn disruption_epoch(&self) -> u64 {
         self.disruption_epoch.load(SeqCst)
     }
 
     fn begin_disruption(&self) {
-        // Even epochs become odd; a disruption within another one adds nothing.
+        // An even epoch becomes odd. A disruption that begins during another one changes nothing.
         self.disruption_epoch.fetch_or(1, SeqCst);
     }
 
@@ -79,48 +80,48 @@
         let _ = self.disruption_epoch.fetch_update(SeqCst, SeqCst, next);
     }
 
-    /// Kills it. If it has ended by itself before, that counts as a crash.
+    /// Kills the process. If the process has already ended by itself, that counts as a crash.
     pub fn kill(&self) {
         self.begin_disruption();
         lock(&self.process).kill();
     }
 
-    /// Starts it again, with the files that it had.
+    /// Starts the process again with the files that the previous one left.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// The process can't be started.
     pub fn restart(&self) -> Result<()> {
         self.start()?;
         self.end_disruption();
         Ok(())
     }
 
-    /// Stops its process until [`Instance::resume`].
+    /// Stops the process with SIGSTOP until [`Instance::resume`].
     pub fn pause(&self) {
         self.begin_disruption();
         lock(&self.process).signal(Signal::STOP);
     }
 
-    /// Lets a paused process go on.
+    /// Continues a paused process.
     pub fn resume(&self) {
         lock(&self.process).signal(Signal::CONT);
         self.end_disruption();
     }
 
-    /// How often its process had ended by itself before it was killed.
+    /// Returns how often the process had ended by itself before it was killed.
     #[must_use]
     pub fn crash_count(&self) -> u64 {
         lock(&self.process).crash_count()
     }
 
-    /// Its process id, while it was not killed.
+    /// Returns the process id, or `None` after the process was killed.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         lock(&self.process).pid()
     }
 
-    /// Bytes of its member's folder.
+    /// Returns the disk space that the files of the member folder use.
     #[must_use]
     pub fn disk_usage(&self) -> DiskUsage {
         let files = std::fs::read_dir(&self.member_folder);
@@ -140,7 +141,7 @@
         usage
     }
 
-    /// Its log so far.
+    /// Returns the log that the process has written so far.
     #[must_use]
     pub fn log(&self) -> String {
         lock(&self.process).log()
@@ -150,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// It can't be opened.
+    /// The connection can't be opened.
     pub fn connect_http(&self, timeout: Duration) -> Result<HttpClient> {
         HttpClient::new(connect(self.rest_addr)?, timeout)
     }
@@ -159,16 +160,16 @@
     ///
     /// # Errors
     ///
-    /// It can't be opened.
+    /// The session can't be opened.
     pub fn connect_postgres(&self, timeout: Duration) -> Result<PostgresClient> {
         PostgresClient::new(connect(self.postgres_addr)?, timeout)
     }
 
-    /// Makes one call to its operators' API.
+    /// Makes one call to the operators' API.
     ///
     /// # Errors
     ///
-    /// There is no answer within the time.
+    /// The API does not answer within the timeout.
     pub fn call(
         &self,
         method: &str,
@@ -183,11 +184,11 @@
         http.read()
     }
 
-    /// Its view of the cluster.
+    /// Returns the instance's view of the cluster.
     ///
     /// # Errors
     ///
-    /// It does not answer.
+    /// The instance does not answer within a second.
     pub fn status(&self) -> Result<Value> {
         let reply = self.call("GET", "/v1/cluster", None, b"", STATUS_TIMEOUT)?;
         Ok(reply.json())
--- a/tools/acceptance/src/gateway.rs
+++ b/tools/acceptance/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway in a process of its own, in front of fake engines.
+//! Runs a single gateway as a child process in front of fake engines.
 
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -12,20 +12,20 @@
 
 use crate::{AcceptanceError, Result};
 
-/// How long a client waits for anything.
+/// How long a client waits for each answer.
 const CLIENT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a gateway may take until it listens, and how often that is checked.
+/// How long a gateway may take until it accepts connections.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Descriptors that the gateway may use.
+/// The `limits.sockets` value of the gateway's configuration.
 const SOCKET_LIMIT: u64 = 4096;
 
-/// A running gateway. It is killed when this is dropped, and its folder is removed.
+/// A running gateway process. Dropping it kills the process and removes its folder.
 pub struct Gateway {
     process: ServerProcess,
-    /// Where PostgreSQL clients connect.
+    /// The address for PostgreSQL clients.
     pub postgres_addr: SocketAddr,
-    /// Where REST clients connect.
+    /// The address for REST clients.
     pub rest_addr: SocketAddr,
 }
 
@@ -37,12 +37,12 @@
 }
 
 impl Gateway {
-    /// Starts a gateway in front of fake engines. `rest_settings` are further lines of its `rest`
-    /// block.
+    /// Starts a gateway in front of fake engines and waits until it accepts REST connections.
+    /// `rest_settings` holds additional lines of its `rest` block.
     ///
     /// # Errors
     ///
-    /// It can't be started, or does not listen within ten seconds.
+    /// The process can't be started, or does not accept connections within ten seconds.
     pub fn start(program: &Path, engines: &FakeUpstreams, rest_settings: &str) -> Result<Self> {
         let [postgres_addr, rest_addr] = reserve_tcp_addresses()?;
         let folder = std::env::temp_dir().join(format!("violetgate-prove-{}", std::process::id()));
@@ -61,18 +61,19 @@
         Ok(gateway)
     }
 
-    /// Whether its process runs.
+    /// Returns whether the process runs.
     pub fn is_running(&mut self) -> bool {
         self.process.is_running()
     }
 
-    /// CPU time used so far, by all its threads; zero if it has ended.
+    /// Returns the CPU time that all threads of the process have used so far, or zero if the
+    /// process has ended.
     #[must_use]
     pub fn cpu_time(&self) -> Duration {
         self.usage().cpu
     }
 
-    /// Resident memory in bytes; zero if it has ended.
+    /// Returns the resident memory of the process in bytes, or zero if the process has ended.
     #[must_use]
     pub fn resident_bytes(&self) -> u64 {
         self.usage().resident_bytes
@@ -87,7 +88,7 @@
     ///
     /// # Errors
     ///
-    /// It can't be opened.
+    /// The connection can't be opened.
     pub fn connect_http(&self) -> std::io::Result<HttpClient> {
         HttpClient::new(TcpStream::connect(self.rest_addr)?, CLIENT_TIMEOUT)
     }
@@ -96,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// It can't be opened.
+    /// The session can't be opened.
     pub fn connect_postgres(&self) -> std::io::Result<PostgresClient> {
         PostgresClient::new(TcpStream::connect(self.postgres_addr)?, CLIENT_TIMEOUT)
     }
--- a/tools/acceptance/src/in_process.rs
+++ b/tools/acceptance/src/in_process.rs
@@ -1,5 +1,5 @@
-//! What is measured inside this process: the cost of the staleness check before every send, and the
-//! start of a member with a long log.
+//! Measurements of a cluster member that runs in the process of the test: the cost of the staleness
+//! check before every send, and the time to recover a long log.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -19,15 +19,15 @@
 
 const CLUSTER: &str = "inside";
 const MEMBER: NodeId = 1;
-/// Distinct keys of the state that is recovered.
+/// The number of distinct keys in the recovered state.
 const KEYS: u64 = 100_000;
-/// Entries that are written to the log at a time.
+/// The number of entries in each write to the log.
 const ENTRIES_PER_WRITE: u64 = 1_000;
-/// How often the staleness check is called.
+/// The number of calls of the staleness check.
 const CHECKS: u32 = 2_000_000;
-/// The most that one staleness check may take, in nanoseconds.
+/// The longest mean time of a staleness check, in nanoseconds.
 const MAX_CHECK_NS: f64 = 1_000.0;
-/// The most that recovery may take, in seconds.
+/// The longest time of a recovery, in seconds.
 const MAX_RECOVERY_S: f64 = 2.0;
 
 fn replica_error(error: impl std::fmt::Display) -> AcceptanceError {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The folder of a member, which is removed when this is dropped.
+/// The folder of a member. Dropping it removes the folder.
 struct MemberFolder(PathBuf);
 
 impl Drop for MemberFolder {
@@ -47,7 +47,7 @@
 }
 
 impl MemberFolder {
-    /// Creates the folder of a cluster's only member.
+    /// Creates the folder of the only member of a new cluster.
     fn create(name: &str) -> Result<Self> {
         let process_id = std::process::id();
         let path = std::env::temp_dir().join(format!("violetgate-prove-{name}-{process_id}"));
@@ -61,7 +61,7 @@
         Ok(folder)
     }
 
-    /// Starts the member on an executor.
+    /// Starts the member on `executor`; it takes a snapshot every `snapshot_interval` entries.
     fn start(
         &self,
         executor: &Rc<LocalExecutor<'static>>,
@@ -83,7 +83,7 @@
         ReplicaRuntime::start(executor, &options).map_err(replica_error)
     }
 
-    /// Writes a log of so many entries; returns its bytes.
+    /// Writes a log of `entries` entries and returns its size in bytes.
     fn write_log(&self, entries: u64) -> Result<usize> {
         let directory = FsDirectory::new(&self.0)?;
         let (mut storage, _) =
@@ -134,7 +134,7 @@
     }
 }
 
-/// Measures the staleness check that comes before every send.
+/// Measures the mean time of the staleness check that precedes every send.
 ///
 /// # Errors
 ///
@@ -153,13 +153,13 @@
         .filter(|_| std::hint::black_box(&member).may_route().is_ok())
         .count();
     let check_ns = began.elapsed().as_secs_f64() * 1e9 / f64::from(CHECKS);
-    println!("the gate is asked {CHECKS} times, open {open}: {check_ns:.0} ns each");
+    println!("staleness check: {CHECKS} calls, {open} allowed, {check_ns:.0} ns each");
     verdict.at_most("gate_ns", check_ns, MAX_CHECK_NS);
     Ok(())
 }
 
-/// Measures the start of a member whose log holds so many entries and no snapshot, until all of
-/// them are applied.
+/// Measures the start of a member that has a log of `entries` entries and no snapshot, until all
+/// entries are applied.
 ///
 /// # Errors
 ///
@@ -180,10 +180,11 @@
     let state_bytes = measure_snapshot(&member, entries, verdict);
     let log_to_state = log_bytes as f64 / state_bytes.max(1) as f64;
     let (read_s, applied_s) = (log_read.as_secs_f64(), all_applied.as_secs_f64());
-    // An election comes before a member that is alone knows that its entries are committed.
+    // The time until all entries are applied includes an election: the only member of a cluster has
+    // to win one before it knows that its entries are committed.
     println!(
-        "{entries} entries ({} MiB of log, {log_to_state:.1} times the state of {} MiB): \
-         read after {read_s:.2} s, applied after {applied_s:.2} s",
+        "recovery of {entries} entries: {} MiB of log, {log_to_state:.1} times the state of \
+         {} MiB; read after {read_s:.2} s, applied after {applied_s:.2} s",
         log_bytes >> 20,
         state_bytes >> 20,
     );
@@ -193,13 +194,14 @@
     Ok(())
 }
 
-/// Measures a snapshot, which is made on the thread that serves; returns its bytes.
+/// Measures the creation of a snapshot, which blocks the thread that serves requests. Returns the
+/// snapshot's size in bytes.
 fn measure_snapshot(member: &ReplicaRuntime, entries: u64, verdict: &mut Verdict) -> usize {
     let began = Instant::now();
     let bytes = member.save().len();
     let snapshot_ms = began.elapsed().as_secs_f64() * 1e3;
     println!(
-        "a snapshot of {} keys and their last changes takes {snapshot_ms:.0} ms",
+        "snapshot of {} keys and their recent changes: {snapshot_ms:.0} ms",
         entries.min(KEYS)
     );
     verdict.figure("snapshot_ms", format!("{snapshot_ms:.0}"));
--- a/tools/acceptance/src/lib.rs
+++ b/tools/acceptance/src/lib.rs
@@ -1,6 +1,8 @@
-//! What all acceptance tests share: the gateway under test, its use of the machine, and a load that
-//! does not wait for answers. Each test is a command of its own in `src/bin`, run by
-//! `make prove-NAME`; its last line holds its figures.
+//! Shared parts of the acceptance tests: gateway processes and clusters of them, their CPU time and
+//! memory, and an open-loop load generator.
+//!
+//! Each test is a separate program in `src/bin`, which `make prove-NAME` runs. Its last line of
+//! output holds the figures that it measured.
 
 pub mod cluster;
 mod error;
--- a/tools/acceptance/src/load.rs
+++ b/tools/acceptance/src/load.rs
@@ -1,27 +1,27 @@
-//! A load at a steady rate that does not wait for answers, so that a slow gateway can't slow it
-//! down.
+//! An open-loop load generator: it issues requests at a fixed rate whether or not earlier ones have
+//! been answered, so that a slow gateway does not reduce the load.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
 
-/// Latencies up to a minute are distinguished, with three digits.
+/// The largest latency that the histogram distinguishes: one minute.
 const MAX_LATENCY_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
-/// The time from the call to the first request, in which all clients' threads start.
+/// The delay before the first request is due, so that the threads of all clients have started.
 const LEAD_TIME: Duration = Duration::from_millis(20);
 
-/// What a load measured.
+/// The measurements of one load.
 pub struct LoadResult {
-    /// Latency of served requests in microseconds, each from when its request was due and not from
-    /// when it could be sent.
+    /// The latencies of served requests in microseconds. Each is counted from the time at which the
+    /// request was due, not from the time at which a client could send it.
     pub latency: Histogram<u64>,
-    /// Requests that were served.
+    /// The number of requests that were served.
     pub served: u64,
-    /// Requests that were not.
+    /// The number of requests that were refused, failed or got no answer.
     pub not_served: u64,
-    /// From when the first request was due to the last answer.
+    /// The time from when the first request was due to the last answer.
     pub took: Duration,
 }
 
@@ -35,13 +35,13 @@
         }
     }
 
-    /// Served requests a second.
+    /// Returns the number of served requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
         self.served as f64 / self.took.as_secs_f64()
     }
 
-    /// The quantiles p50, p99 and p99.9, in milliseconds.
+    /// Returns the latency quantiles p50, p99 and p99.9 in milliseconds.
     #[must_use]
     pub fn quantiles_ms(&self) -> [f64; 3] {
         [0.5, 0.99, 0.999].map(|quantile| self.latency.value_at_quantile(quantile) as f64 / 1e3)
@@ -64,16 +64,16 @@
     }
 }
 
-/// A histogram of latencies in microseconds, from 1 us to a minute.
+/// Returns an empty histogram for latencies in microseconds, from 1 us to one minute.
 #[must_use]
 pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
         .unwrap_or_else(|_| unreachable!("the bounds are constants"))
 }
 
-/// Sends `count` requests, one each `gap`, whether answers have come or not, over as many
-/// connections as there are `clients`. Each client gets the number of its request, and returns
-/// whether that was served.
+/// Issues `count` requests, one per `gap`, regardless of earlier answers. Each of the `clients`
+/// runs on its own thread; it is called with the number of a request and returns whether the
+/// request was served. A request waits past its due time only if all clients are busy.
 pub fn open_loop<C: FnMut(u64) -> bool + Send>(
     clients: Vec<C>,
     count: u64,
--- a/tools/acceptance/src/network.rs
+++ b/tools/acceptance/src/network.rs
@@ -1,7 +1,8 @@
-//! The network between the instances of a cluster: a relay for each direction, which can be cut.
+//! The network between the instances of a cluster: a TCP relay for each ordered pair of members,
+//! whose link can be cut.
 //!
-//! Bytes that are sent into a cut link are dropped. A connection that dropped bytes is closed once
-//! the cut is over, as the rest of its stream would make no sense.
+//! Bytes that are sent over a cut link are dropped. A connection that dropped bytes is closed when
+//! the link is up again, because the rest of its stream would be incomplete.
 
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read, Result, Write};
@@ -10,27 +11,27 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How soon a silent connection notices that its link was cut or that the network has ended.
+/// The time within which an idle connection notices that its link was cut or the network dropped.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 const BUFFER_BYTES: usize = 64 * 1024;
 
-/// Whether a link carries bytes.
+/// Whether a link forwards bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkState {
-    /// It carries bytes.
+    /// The link forwards bytes.
     Up,
-    /// Bytes are dropped.
+    /// The link drops bytes.
     Cut,
 }
 
-/// One direction between two members, by their ids.
+/// The direction of a link, as the ids of the two members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Direction {
     from: u64,
     to: u64,
 }
 
-/// The state of a link, in common to its relay and to those who cut it.
+/// The state of a link, shared by its relay and by [`ClusterNetwork`], which cuts it.
 #[derive(Clone)]
 struct LinkControl {
     is_cut: Arc<AtomicBool>,
@@ -52,7 +53,7 @@
     control: LinkControl,
 }
 
-/// The links between all members of a cluster. Its relays end when it is dropped.
+/// The links between all members of a cluster. The relays end when it is dropped.
 pub struct ClusterNetwork {
     links: BTreeMap<Direction, Link>,
     has_ended: Arc<AtomicBool>,
@@ -65,7 +66,7 @@
 }
 
 impl ClusterNetwork {
-    /// Starts the relays between members that listen at these addresses.
+    /// Starts the relays between `members`, which are listen addresses by member id.
     ///
     /// # Errors
     ///
@@ -91,7 +92,7 @@
         Ok(ClusterNetwork { links, has_ended })
     }
 
-    /// Where a member reaches each of the others, by their ids.
+    /// Returns the relay addresses at which `member` reaches each other member, by member id.
     #[must_use]
     pub fn addresses_seen_from(&self, member: u64) -> BTreeMap<u64, SocketAddr> {
         let outgoing = self.links.iter().filter(|(link, _)| link.from == member);
@@ -100,7 +101,7 @@
             .collect()
     }
 
-    /// Sets the state of one direction.
+    /// Sets the state of the link from one member to another. The opposite direction is unchanged.
     pub fn set_link(&self, from: u64, to: u64, state: LinkState) {
         if let Some(link) = self.links.get(&Direction { from, to }) {
             link.control.is_cut.store(state == LinkState::Cut, SeqCst);
@@ -134,19 +135,22 @@
     }
 }
 
-fn relay_connection(near: TcpStream, target: SocketAddr, control: &LinkControl) {
-    // Into a cut a connection may come up, but nothing passes.
-    let far = if control.is_cut() {
+fn relay_connection(inbound: TcpStream, target: SocketAddr, control: &LinkControl) {
+    // Over a cut link, the relay accepts the connection but forwards nothing.
+    let outbound = if control.is_cut() {
         None
     } else {
         TcpStream::connect(target).ok()
     };
-    let Some(far) = far else {
+    let Some(outbound) = outbound else {
         let control = control.clone();
-        std::thread::spawn(move || hold_while_cut(near, &control));
+        std::thread::spawn(move || hold_while_cut(inbound, &control));
         return;
     };
-    for (from, to) in [(near.try_clone(), far.try_clone()), (Ok(far), Ok(near))] {
+    for (from, to) in [
+        (inbound.try_clone(), outbound.try_clone()),
+        (Ok(outbound), Ok(inbound)),
+    ] {
         let (Ok(from), Ok(to)) = (from, to) else {
             continue;
         };
--- a/tools/acceptance/src/slow_start.rs
+++ b/tools/acceptance/src/slow_start.rs
@@ -1,7 +1,8 @@
-//! Many gateways in front of one engine that is warming up, in simulated time: what each decides
-//! alone, summed over all of them.
+//! Simulates many gateways in front of one engine that is warming up, and sums the queries that
+//! they send to it.
 //!
-//! The sum has to stay within the capacity of the engine. Nothing here decides anything itself.
+//! The sum has to stay within the engine's capacity. All decisions come from
+//! [`violetgate_policy::Gateway`], with one independent instance for each gateway.
 
 use violetgate_policy::interface::{
     AttemptEnded, Class, Cost, Engine, EngineId, EngineKind, EngineState, ListScope, LoadReport,
@@ -10,34 +11,36 @@
 use violetgate_policy::{Action, Event, Gateway, Settings};
 
 const SECOND: Micros = 1_000_000;
-/// The span in which an engine that is warming up must not get more than its capacity.
+/// The window, in microseconds, in which an engine that is warming up must not get more queries
+/// than its capacity.
 pub const COLLAPSE_WINDOW: Micros = 2 * SECOND;
-/// An engine that has just started is warm after this.
+/// The time after its start at which an engine has its full capacity.
 const WARM_UP: Micros = 14 * SECOND;
 /// The fraction of its full capacity that an engine has at its start.
 const INITIAL_FRACTION: f64 = 0.3;
-/// A multiple of its capacity at which an engine collapses.
+/// The load, as a multiple of an engine's cores, at which the engine collapses.
 const COLLAPSE_LOAD_MULTIPLE: f64 = 2.0;
-/// The work of a query.
+/// The engine time that a query uses.
 const QUERY_WORK: Micros = 200_000;
-/// How long a query takes at the engine that is warming up.
+/// The duration of a query at the engine that is warming up.
 const QUERY_TIME: Micros = 10_000;
 const QUERY_TIMEOUT: Micros = 10 * SECOND;
 
-/// The engine from which a gateway learns what queries cost, and the one that warms up.
+/// The engine from which a gateway learns the cost of queries.
 const WARM_ENGINE: EngineId = 1;
+/// The engine that warms up.
 const STARTING_ENGINE: EngineId = 0;
-/// The query with which a gateway learns what queries cost.
+/// The query from which a gateway learns the cost of queries.
 const FIRST_QUERY: QueryId = 1_000_000;
 
-/// The steps of a run, which together are eight seconds, and the ids that each step has for its
-/// queries.
+/// The number of steps of a run, which together last eight seconds.
 const STEPS: u64 = 200;
 const STEP: Micros = 40_000;
+/// The distance between the first query ids of two successive steps.
 const IDS_PER_STEP: u64 = 100;
 
-/// The capacity, in queries, of an engine with so many cores in a [`COLLAPSE_WINDOW`] that begins
-/// `age` after its start.
+/// Returns the capacity, in queries, of an engine with `cores` cores in a [`COLLAPSE_WINDOW`] that
+/// begins `age` microseconds after the engine's start.
 #[must_use]
 pub fn capacity_in_window(cores: f64, age: Micros) -> f64 {
     let full = COLLAPSE_LOAD_MULTIPLE * cores * COLLAPSE_WINDOW as f64 / QUERY_WORK as f64;
@@ -118,8 +121,8 @@
     })
 }
 
-/// When queries are sent to an engine that is warming up, by so many gateways that each have one
-/// ready all the time: times after the engine's start in its first eight seconds, in order.
+/// Returns when queries are sent to the engine that is warming up, in ascending microseconds after
+/// its start, over its first eight seconds. Each of the gateways always has a query ready to send.
 #[must_use]
 pub fn send_times(gateways: u32, cores: f64, seed: u64) -> Vec<Micros> {
     let mut sends = Vec::new();
@@ -137,8 +140,8 @@
     sends
 }
 
-/// Lets a gateway learn from one answer of a warm engine what queries cost; then that engine drains
-/// and another one starts.
+/// Lets a gateway learn the cost of queries from one answer of a warm engine. Then that engine
+/// drains and another engine starts.
 fn introduce_engines(gateway: &mut Gateway) {
     let events = [
         engine_list(ListScope::Snapshot, WARM_ENGINE, EngineState::Ready, None),
@@ -155,7 +158,7 @@
     gateway.handle(SECOND, &events, &mut Vec::new());
 }
 
-/// Has a gateway send as many queries as it does at once; how many it sent.
+/// Offers queries to a gateway until it does not send one immediately. Returns how many it sent.
 fn send_all(gateway: &mut Gateway, now: Micros, first_id: QueryId) -> usize {
     let mut sent = 0;
     for id in first_id.. {
@@ -177,8 +180,9 @@
     matches!(action, Action::Send { query, engine: STARTING_ENGINE, .. } if *query == id)
 }
 
-/// The largest fraction, over all windows, of the queries sent in one in the engine's capacity in
-/// it with an allowance for chance: beside N queries, twice the root of N and two more.
+/// Returns the largest ratio, over all windows, of the queries sent in a window to the engine's
+/// capacity in it. The capacity of N queries is raised by `2 * sqrt(N) + 2`, which allows for
+/// random variation of the sum.
 #[must_use]
 pub fn largest_fraction_of_capacity(sends: &[Micros], cores: f64) -> f64 {
     let fraction = |(index, from): (usize, &Micros)| {
--- a/tools/acceptance/src/verdict.rs
+++ b/tools/acceptance/src/verdict.rs
@@ -1,11 +1,11 @@
-//! The figures of an acceptance test, held to their bounds.
+//! The figures of an acceptance test, and the check of each against its bound.
 
 use std::fmt::Display;
 use std::process::ExitCode;
 
 use crate::Result;
 
-/// The figures of a test, and the bounds that they missed.
+/// Collects the figures of a test and reports the bounds that they miss.
 #[derive(Default)]
 pub struct Verdict {
     figures: Vec<String>,
@@ -18,12 +18,12 @@
         self.figures.push(format!("{name}={value}"));
     }
 
-    /// Adds a figure that has to be `most` at most.
+    /// Adds a figure that has to be at most `most`.
     pub fn at_most(&mut self, name: &str, value: f64, most: f64) {
         self.figures.push(format!("{name}={value:.3}"));
         if value.is_nan() || value > most {
             self.missed
-                .push(format!("{name} is {value:.3}, {most} at most"));
+                .push(format!("{name} is {value:.3}, must be at most {most}"));
         }
     }
 
@@ -31,21 +31,22 @@
     pub fn exactly(&mut self, name: &str, value: u64, wanted: u64) {
         self.figures.push(format!("{name}={value}"));
         if value != wanted {
-            self.missed.push(format!("{name} is {value}, not {wanted}"));
+            self.missed
+                .push(format!("{name} is {value}, must be {wanted}"));
         }
     }
 
-    /// Adds a figure that has to be `least` at least.
+    /// Adds a figure that has to be at least `least`.
     pub fn at_least(&mut self, name: &str, value: f64, least: f64) {
         self.figures.push(format!("{name}={value:.3}"));
         if value.is_nan() || value < least {
             self.missed
-                .push(format!("{name} is {value:.3}, {least} at least"));
+                .push(format!("{name} is {value:.3}, must be at least {least}"));
         }
     }
 
-    /// Prints what missed its bound and last the line of all figures; returns whether every bound
-    /// held.
+    /// Prints a line for each missed bound, then the line of all figures. Returns whether every
+    /// bound held.
     #[must_use]
     pub fn print(&self, name: &str) -> bool {
         for missed in &self.missed {
@@ -56,7 +57,8 @@
     }
 }
 
-/// The exit code of a test by whether all bounds held. Prints why a test could not run.
+/// Returns the exit code of a test: success if all bounds held. If the test could not run, prints
+/// the error.
 #[must_use]
 pub fn exit_code(name: &str, passed: Result<bool>) -> ExitCode {
     match passed {
--- a/tools/acceptance/tests/slow_start_sum.rs
+++ b/tools/acceptance/tests/slow_start_sum.rs
@@ -1,13 +1,14 @@
-//! An engine that is warming up collapses under the sum of what all gateways send, so that sum is
-//! held to its capacity, in simulated time.
+//! Checks in simulated time that the queries of all gateways together stay within the capacity of
+//! an engine that is warming up. The engine would collapse above it.
 
 use violetgate_acceptance::slow_start::{
     capacity_in_window, largest_fraction_of_capacity, send_times, COLLAPSE_WINDOW,
 };
 
-/// Two gateways or three hundred, small engines or large: their sum is within the engine's
-/// capacity, with its chance, in every window. All see the engine at the same moment, and if each
-/// drew its first send in that moment, half as much again as intended would come at the start.
+/// For few and many gateways, and for small and large engines, the sum in every window stays within
+/// the engine's capacity plus the allowance for random variation. All gateways see the engine at
+/// the same time. If each drew the time of its first send at that moment, 1.5 times the intended
+/// queries would arrive at the start.
 #[test]
 fn the_sum_over_all_gateways_is_within_the_capacity_of_a_warming_engine() {
     for gateways in [2, 20, 30, 300] {
@@ -24,8 +25,8 @@
     }
 }
 
-/// The ramp is used: what all send in the engine's first seconds is a good part of its
-/// capacity then, so that it relieves the others.
+/// The slow start must not keep queries away: in the engine's first four seconds, all gateways
+/// together send at least 30 % of its capacity in that time, so that it relieves the other engines.
 #[test]
 fn a_warming_engine_serves_while_it_warms_up() {
     for gateways in [2, 20, 30, 300] {
