--- a/tools/acceptance/src/bin/prove-daemon/clients.rs
+++ b/tools/acceptance/src/bin/prove-daemon/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that query over both protocols, retry until their window is over, and check each answer.
+//! Clients that query over both protocols, retry within a time window, and check each answer.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -10,30 +10,32 @@
 
 use crate::scenario::{increment, random_pause, Random, Scenario, STALENESS_LIMIT};
 
-/// A client waits this long for one answer.
+/// How long a client waits for each answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(14);
-/// A request is retried for this long; engines discard duplicates of a key for 12 s.
+/// How long a client retries a request. Engines discard duplicates of a key for 12 s.
 const RETRY_WINDOW: Duration = Duration::from_secs(7);
 
-/// How one attempt ended.
+/// The outcome of one attempt.
 enum AttemptOutcome {
     Served(Vec<[String; 3]>),
-    /// A retry does no harm.
+    /// The connection or the request was refused.
     Refused,
+    /// The request ended with an error other than a refusal.
     Failed,
-    Broken,
+    /// The connection broke, or no answer came in time.
+    Unanswered,
 }
 
-/// What a client requests.
+/// The kind of a client's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Query {
     Lookup,
     Report,
-    /// A load with an idempotency key: its answer may come from the cache of results.
+    /// A load with an idempotency key, so that its answer may come from the cache of results.
     Load,
 }
 
-/// Queries at random instances until the run is over.
+/// Runs one client, which sends queries to random instances until the run is over.
 pub fn run_client(scenario: &Scenario<'_>, client: u64, mut rng: Random) {
     let mut number = 0;
     while !scenario.over.load(SeqCst) {
@@ -49,7 +51,7 @@
     }
 }
 
-/// Makes attempts at one query until it is served or its retry window is over.
+/// Makes attempts at one query until the query is served or its retry window is over.
 fn retry_until_served(
     scenario: &Scenario<'_>,
     client: u64,
@@ -73,11 +75,16 @@
             }
             AttemptOutcome::Refused => increment(&tally.refused),
             AttemptOutcome::Failed => increment(&tally.failed),
-            AttemptOutcome::Broken if instance.disruption_epoch() != epoch || epoch % 2 == 1 => {
-                increment(&tally.excused);
+            AttemptOutcome::Unanswered
+                if instance.disruption_epoch() != epoch || epoch % 2 == 1 =>
+            {
+                increment(&tally.disrupted);
             }
-            AttemptOutcome::Broken => {
-                println!("LOST: {took} ms at instance {}, {query:?}", instance.id);
+            AttemptOutcome::Unanswered => {
+                println!(
+                    "LOST: no answer after {took} ms at instance {}, {query:?}",
+                    instance.id
+                );
                 increment(&tally.unanswered);
             }
         }
@@ -110,8 +117,9 @@
     }
 }
 
-/// Rows have to be complete, in order and of one attempt, and none may come from an engine through
-/// an instance that has been isolated for longer than the limit.
+/// Checks that the rows are complete, in order and from one attempt, and that the instance had not
+/// been isolated for longer than [`STALENESS_LIMIT`] when the request was sent. Loads are exempt
+/// from the second check, as their answers may come from the cache of results.
 fn check_answer(
     scenario: &Scenario<'_>,
     instance: &Instance,
@@ -141,11 +149,11 @@
     hints: &str,
     fields: &str,
 ) -> AttemptOutcome {
-    let rid = scenario.rid.fetch_add(1, SeqCst);
+    let rid = scenario.next_request_id.fetch_add(1, SeqCst);
     let sql = format!(
         "/* method={class},rid={rid:016x},budget=10000,est=1.0,est_mb=1{fields} */ SELECT day FROM sales_17.plan /* {hints} */"
     );
-    // A connection that can't be had is no request.
+    // Without a connection, no request was made.
     let Ok(mut pg) = instance.connect_postgres(ANSWER_TIMEOUT) else {
         return AttemptOutcome::Refused;
     };
@@ -153,7 +161,7 @@
         Ok(Ok(rows)) => AttemptOutcome::Served(rows),
         Ok(Err(code)) if code.starts_with("53") || code == "57P03" => AttemptOutcome::Refused,
         Ok(Err(_)) => AttemptOutcome::Failed,
-        Err(_) => AttemptOutcome::Broken,
+        Err(_) => AttemptOutcome::Unanswered,
     }
 }
 
@@ -178,6 +186,6 @@
         Ok(reply) if reply.status == 200 => AttemptOutcome::Served(reply.rows()),
         Ok(reply) if reply.status == 503 => AttemptOutcome::Refused,
         Ok(_) => AttemptOutcome::Failed,
-        Err(_) => AttemptOutcome::Broken,
+        Err(_) => AttemptOutcome::Unanswered,
     }
 }
--- a/tools/acceptance/src/bin/prove-daemon/cost.rs
+++ b/tools/acceptance/src/bin/prove-daemon/cost.rs
@@ -1,4 +1,5 @@
-//! Latency of commits, time to a new leader, and time to catch up after an absence.
+//! Measures the latency of commits, the failover time, and the time in which a restarted member
+//! catches up.
 
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -13,7 +14,7 @@
 
 use crate::Arguments;
 
-/// How long one change may take.
+/// How long a client waits for the answer to one change.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// How long a restarted member may take to reach the state of the others.
 const CATCH_UP_TIMEOUT: Duration = Duration::from_secs(60);
@@ -27,14 +28,15 @@
     latency.saturating_record(took_us.max(1));
 }
 
-/// Changes that clients made at the leader.
+/// The changes that clients made at the leader.
 struct Puts {
-    /// Microseconds of each.
+    /// The latency of each change in microseconds.
     latency: Histogram<u64>,
     per_second: f64,
 }
 
-/// Has so many clients change state at the leader for a while, each one change after another.
+/// Has `clients` clients change state at the leader for `span`. Each client makes one change at a
+/// time.
 fn put_at_leader(cluster: &Cluster, clients: u64, span: Duration) -> Puts {
     let mut latency = latency_histogram();
     let Some(leader) = cluster.leader() else {
@@ -60,7 +62,7 @@
     }
 }
 
-/// One client's changes until a time, or until one fails: their latency.
+/// Has one client make changes until the deadline or until a change fails. Returns their latencies.
 fn put_until(leader: &Instance, client: u64, deadline: Instant) -> Histogram<u64> {
     let mut latency = latency_histogram();
     let connected = TcpStream::connect(leader.api_addr)
@@ -82,12 +84,12 @@
     latency
 }
 
-/// Commits a second and their latency, by one client and by 48.
+/// Measures the commits per second and their latency with 1 client and with 48 clients.
 pub fn commits(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = FakeUpstreams::start(2, Profile::default())?;
+    let engines = FakeUpstreams::start(2, Profile::default())?;
     let cluster = Cluster::start(
         &arguments.program,
-        &fleet,
+        &engines,
         3,
         "  snapshot_every = 1000000\n",
     )?;
@@ -96,7 +98,10 @@
         let puts = put_at_leader(&cluster, clients, Duration::from_secs(4));
         let [p50, p99] = quantiles_ms(&puts.latency);
         let rate = puts.per_second;
-        println!("{clients:>3} clients change state over HTTP: {rate:>7.0} changes a second, p50 {p50:.2} ms, p99 {p99:.2} ms");
+        println!(
+            "commits over HTTP, {clients:>3} clients: {rate:>7.0} per second, \
+             p50 {p50:.2} ms, p99 {p99:.2} ms"
+        );
         rates.push((rate, p50, p99));
     }
     if let [(one, p50, p99), (many, ..)] = rates.as_slice() {
@@ -110,14 +115,14 @@
     let disk: Vec<_> = disk_usages
         .map(|usage| (usage.total_bytes, usage.snapshot_bytes))
         .collect();
-    println!("bytes on disk, and of them snapshots, by member: {disk:?}");
+    println!("disk usage by member, as (total bytes, snapshot bytes): {disk:?}");
     Ok(())
 }
 
-/// From the leader's death to the first change that the others agree on.
+/// Measures the time from the leader's death to the first change that the other members commit.
 pub fn failover(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = FakeUpstreams::start(2, Profile::default())?;
-    let cluster = Cluster::start(&arguments.program, &fleet, 3, "")?;
+    let engines = FakeUpstreams::start(2, Profile::default())?;
+    let cluster = Cluster::start(&arguments.program, &engines, 3, "")?;
     let mut took = latency_histogram();
     for n in 0..arguments.failovers {
         if !cluster.wait_until_ready(Duration::from_secs(10)) {
@@ -149,7 +154,7 @@
     }
     let [p50, p99] = quantiles_ms(&took);
     println!(
-        "{} leaders killed: the next change is agreed on after p50 {p50:.0} ms, p99 {p99:.0} ms",
+        "failover: {} leaders killed, next commit after p50 {p50:.0} ms, p99 {p99:.0} ms",
         took.len()
     );
     verdict.figure("failover_p50_ms", format!("{p50:.0}"));
@@ -157,30 +162,31 @@
     Ok(())
 }
 
-/// How long one that was away needs until it routes on current state, by the log and by a snapshot.
+/// Measures how long a restarted follower takes until it routes on current state, if it catches up
+/// by the log and if it catches up by a snapshot.
 pub fn catch_up(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     for (how, every) in [("log", 1_000_000), ("snapshot", 2_000)] {
-        let fleet = FakeUpstreams::start(2, Profile::default())?;
+        let engines = FakeUpstreams::start(2, Profile::default())?;
         let cluster = Cluster::start(
             &arguments.program,
-            &fleet,
+            &engines,
             3,
             &format!("  snapshot_every = {every}\n"),
         )?;
         let leader = cluster.leader().map_or(0, |l| l.id);
-        let Some(away) = cluster.instances.iter().find(|i| i.id != leader) else {
+        let Some(follower) = cluster.instances.iter().find(|i| i.id != leader) else {
             continue;
         };
-        away.kill();
+        follower.kill();
         let missed = put_at_leader(&cluster, 48, Duration::from_secs(5));
         let wanted = cluster.leader().map_or(0, |l| {
             l.status()
                 .map_or(0, |s| s["revision"].as_u64().unwrap_or(0))
         });
         let begun = Instant::now();
-        away.restart()?;
+        follower.restart()?;
         let current = |s: &Value| s["routes"] == true && s["revision"].as_u64() >= Some(wanted);
-        while !away.status().is_ok_and(|s| current(&s)) {
+        while !follower.status().is_ok_and(|s| current(&s)) {
             if begun.elapsed() > CATCH_UP_TIMEOUT {
                 return Err(AcceptanceError::NoCatchUp {
                     within: CATCH_UP_TIMEOUT,
@@ -190,7 +196,7 @@
         }
         let ms = begun.elapsed().as_secs_f64() * 1e3;
         println!(
-            "one that missed {} changes routes again {ms:.0} ms after its start, by {how}",
+            "catch-up by {how}: a member that missed {} changes routes {ms:.0} ms after its start",
             missed.latency.len()
         );
         verdict.at_most(&format!("catch_up_by_{how}_ms"), ms, 10_000.0);
--- a/tools/acceptance/src/bin/prove-daemon/faults.rs
+++ b/tools/acceptance/src/bin/prove-daemon/faults.rs
@@ -1,4 +1,4 @@
-//! Fault injection: kills, pauses, network cuts and restarts, one after another.
+//! Injects faults one after another: kills with a restart, pauses and network cuts.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,7 +10,8 @@
 
 use crate::scenario::{random_pause, Random, Scenario};
 
-/// Injects faults, one after another, until the span is over; how often each kind was injected.
+/// Injects faults, one after another, until the run has lasted for `span`. Returns how often each
+/// kind was injected.
 pub fn inject_faults(
     scenario: &Scenario<'_>,
     span: Duration,
@@ -25,7 +26,7 @@
     counts
 }
 
-/// Injects one fault and ends it; its name as the output has it.
+/// Injects one fault and ends it. Returns its name for the output.
 fn inject_one(scenario: &Scenario<'_>, rng: &mut Random) -> &'static str {
     let cluster = scenario.cluster;
     let instance = cluster.pick(rng.next_u64());
@@ -65,7 +66,7 @@
     }
 }
 
-/// Kills an instance and restarts it after a time between `least` and `most` milliseconds.
+/// Kills an instance and restarts it after `least` to `most` milliseconds.
 fn kill(instance: &Instance, least: u64, most: u64, rng: &mut Random) {
     instance.kill();
     std::thread::sleep(random_pause(rng, least, most));
@@ -78,7 +79,7 @@
     instance.resume();
 }
 
-/// Cuts an instance off from all others in both directions.
+/// Cuts the links between an instance and all others in both directions for a while.
 fn isolate(scenario: &Scenario<'_>, instance: &Instance, rng: &mut Random) {
     let network = &scenario.cluster.network;
     network.set_links_of(instance.id, LinkState::Cut);
@@ -88,7 +89,7 @@
     network.set_links_of(instance.id, LinkState::Up);
 }
 
-/// Cuts the link from an instance to the next one, in this direction alone.
+/// Cuts the link from an instance to the next one for a while. The opposite direction stays up.
 fn cut_one_way(scenario: &Scenario<'_>, instance: &Instance, rng: &mut Random) {
     let network = &scenario.cluster.network;
     let to = scenario.cluster.pick(instance.id).id;
--- a/tools/acceptance/src/bin/prove-daemon/main.rs
+++ b/tools/acceptance/src/bin/prove-daemon/main.rs
@@ -1,6 +1,7 @@
-//! `make prove-daemon`: three instances as one cluster before fake engines, killed, stopped, cut
-//! off and restarted at random while clients query over both protocols and operators change state;
-//! then latencies and recovery times.
+//! `make prove-daemon`: tests a cluster of three instances in front of fake engines.
+//!
+//! First it measures latencies and recovery times. Then it kills, pauses, isolates and restarts
+//! instances at random while clients query over both protocols and operators change state.
 
 mod clients;
 mod cost;
@@ -15,25 +16,25 @@
 use clap::Parser;
 use violetgate_acceptance::{exit_code, in_process, Result, Verdict};
 
-/// Proves the replicated daemon.
+/// Tests a replicated cluster of gateways under faults.
 #[derive(Parser)]
 struct Arguments {
-    /// The program under proof
+    /// The gateway program to test
     #[arg(long, default_value = "target/release/violetgate")]
     program: PathBuf,
-    /// Seconds of trouble
+    /// Seconds during which faults are injected
     #[arg(long, default_value_t = 60)]
     seconds: u64,
-    /// For what trouble comes when
+    /// Seed of the faults, the clients and the operators
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Times that the leader is killed for the time to a new one
+    /// How often the leader is killed to measure the failover time
     #[arg(long, default_value_t = 15)]
     failovers: u64,
-    /// Entries of the log that is recovered
+    /// Number of log entries in the recovery measurement
     #[arg(long, default_value_t = 1_000_000)]
     entries: u64,
-    /// Only what must never happen, without figures that depend on the machine
+    /// Check only the safety rules, without the figures that depend on the machine
     #[arg(long)]
     only_rules: bool,
 }
@@ -47,7 +48,7 @@
     if !arguments.only_rules {
         let cores = std::thread::available_parallelism().map_or(0, usize::from);
         println!(
-            "machine: {cores} cores; three instances, the engines and the load share them over loopback"
+            "machine: {cores} cores, shared by three instances, engines and load over loopback"
         );
         cost::commits(arguments, &mut verdict)?;
         cost::failover(arguments, &mut verdict)?;
--- a/tools/acceptance/src/bin/prove-daemon/operators.rs
+++ b/tools/acceptance/src/bin/prove-daemon/operators.rs
@@ -1,5 +1,5 @@
-//! Operators: changes and reads of replicated keys, recorded for the linearizability check, and
-//! cordons.
+//! Operators that change and read replicated keys, which is recorded for the linearizability check,
+//! and that cordon engines.
 
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
@@ -12,7 +12,7 @@
 
 use crate::scenario::{increment, random_pause, Random, Scenario};
 
-/// One call of an operator, as it goes over HTTP and as the history records it.
+/// One call of an operator, as it is sent over HTTP and as the history records it.
 struct OperatorCall {
     method: &'static str,
     path: String,
@@ -21,7 +21,7 @@
 }
 
 impl OperatorCall {
-    /// A write, a compare-and-swap or a read, each as likely.
+    /// Creates a write, a compare-and-swap or a read, with equal probability.
     fn random(name: &str, rng: &mut Random) -> Self {
         let (old, new) = (rng.next_u64() % 5, rng.next_u64() % 5);
         let path = format!("/v1/state?key={name}&within_ms=1500");
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Takes what a reply says of the call. False: its fate is still unknown.
+    /// Records the outcome that a reply reports. Returns `false` if the outcome is still unknown.
     fn complete(&mut self, reply: &Reply) -> bool {
         match (&mut self.kind, reply.status) {
             (OperationKind::Read(seen), 200) => {
@@ -74,14 +74,14 @@
     }
 }
 
-/// Changes and reads keys at any member; each call is sent again under its one id until its fate is
-/// known.
+/// Runs one operator, which changes and reads keys at random members until the run is over. Each
+/// call is repeated under the same request id until its outcome is known.
 pub fn run_operator(scenario: &Scenario<'_>, operator: u64, mut rng: Random) {
     let micros = |at: Instant| u64::try_from((at - scenario.begun).as_micros()).unwrap_or(u64::MAX);
     let mut number = 0;
     while !scenario.over.load(SeqCst) {
         number += 1;
-        // Keys change, so that the history of each is short enough to be checked.
+        // The key changes over time, so that the history of each key is short enough to be checked.
         let key = scenario.begun.elapsed().as_millis() as u64 / 1_200;
         let mut call = OperatorCall::random(&format!("proof/{key}"), &mut rng);
         let began = Instant::now();
@@ -89,10 +89,10 @@
         let ended = send_until_known(scenario, &mut call, &id, began, &mut rng);
         let read = matches!(call.kind, OperationKind::Read(_));
         increment(match ended {
-            Some(_) => &scenario.tally.changes,
-            None => &scenario.tally.unsure,
+            Some(_) => &scenario.tally.answered_calls,
+            None => &scenario.tally.unknown_outcome,
         });
-        // A read that nobody answered says nothing.
+        // A read without an answer does not constrain the history.
         if ended.is_some() || !read {
             let operation = Operation {
                 key,
@@ -106,7 +106,8 @@
     }
 }
 
-/// Sends a call to one member after another for three seconds at most; when its fate became known.
+/// Sends a call to random members, for at most three seconds, until its outcome is known. Returns
+/// when the outcome became known.
 fn send_until_known(
     scenario: &Scenario<'_>,
     call: &mut OperatorCall,
@@ -131,11 +132,12 @@
     None
 }
 
-/// Cordons engines and uncordons them, at any member, and records at the engines from when on
-/// nothing more may come.
+/// Cordons and uncordons engines through random members until the run is over. Tells the fake
+/// engines when each cordon starts and ends, so that they can time the queries that arrive during
+/// it.
 pub fn cordon_engines(scenario: &Scenario<'_>, mut rng: Random) {
-    let ids = scenario.fleet.ids();
-    let agreed = |method: &str, engine: &str, rng: &mut Random| {
+    let ids = scenario.engines.ids();
+    let send_until_accepted = |method: &str, engine: &str, rng: &mut Random| {
         let id = format!("c-{:016x}", rng.next_u64());
         while !scenario.over.load(SeqCst) {
             let instance = scenario.cluster.pick(rng.next_u64());
@@ -152,15 +154,15 @@
         let Some(engine) = ids.get(rng.next_u64() as usize % ids.len().max(1)) else {
             return;
         };
-        if !agreed("PUT", engine, &mut rng) {
+        if !send_until_accepted("PUT", engine, &mut rng) {
             return;
         }
-        scenario.fleet.record_cordon(engine, true);
+        scenario.engines.record_cordon(engine, true);
         increment(&scenario.tally.cordons);
         std::thread::sleep(random_pause(&mut rng, 2_500, 4_000));
-        // From the call on it may be used again.
-        scenario.fleet.record_cordon(engine, false);
-        if !agreed("DELETE", engine, &mut rng) {
+        // Gateways may use the engine again as soon as the call to uncordon it is sent.
+        scenario.engines.record_cordon(engine, false);
+        if !send_until_accepted("DELETE", engine, &mut rng) {
             return;
         }
         std::thread::sleep(random_pause(&mut rng, 50, 300));
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -1,5 +1,5 @@
-//! What must never happen, whatever faults come: missing or mixed answers, duplicated effects,
-//! sends on stale state, histories that are not linearizable.
+//! Checks the rules that hold under any fault: no missing or mixed answers, no duplicated effects,
+//! no sends on stale state, and linearizable histories.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -15,46 +15,48 @@
 use crate::clients::run_client;
 use crate::faults::inject_faults;
 use crate::operators::{cordon_engines, run_operator};
-use crate::scenario::{random, Scenario, Tally, STALENESS_LIMIT};
+use crate::scenario::{seeded_rng, Scenario, Tally, STALENESS_LIMIT};
 use crate::Arguments;
 
-/// Clients at a time.
+/// The number of concurrent clients.
 const CLIENTS: u64 = 8;
-/// Operators at a time.
+/// The number of concurrent operators, without the one that cordons engines.
 const OPERATORS: u64 = 4;
 
 /// The findings of a safety run.
 struct Findings {
     /// How often each kind of fault was injected.
     faults: BTreeMap<&'static str, u64>,
-    /// All instances routed again after the last fault.
-    settled: bool,
-    /// Calls whose history was checked, and keys whose history fits no order.
+    /// Whether all instances routed requests again after the last fault.
+    recovered: bool,
+    /// The number of operators' calls in the checked histories.
     checked_calls: usize,
+    /// The number of keys whose history is not linearizable.
     not_linearizable: u64,
 }
 
-/// Runs clients, operators and faults for the given time, and holds what they saw to the rules.
+/// Runs clients and operators under faults for the given time, and checks the results against the
+/// rules.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = FakeUpstreams::start(4, Profile::default())?;
-    let cluster = Cluster::start(&arguments.program, &fleet, 3, "  snapshot_every = 400\n")?;
+    let engines = FakeUpstreams::start(4, Profile::default())?;
+    let cluster = Cluster::start(&arguments.program, &engines, 3, "  snapshot_every = 400\n")?;
     let scenario = Scenario {
         cluster: &cluster,
-        fleet: &fleet,
+        engines: &engines,
         tally: Tally::default(),
         isolated: Mutex::default(),
         history: Mutex::default(),
         begun: Instant::now(),
         over: AtomicBool::new(false),
-        rid: AtomicU64::new(1),
+        next_request_id: AtomicU64::new(1),
     };
-    let faults = play(&scenario, arguments);
-    let settled = cluster.wait_until_ready(Duration::from_secs(10));
+    let faults = run_threads(&scenario, arguments);
+    let recovered = cluster.wait_until_ready(Duration::from_secs(10));
     let history = lock(&scenario.history);
     let keys = history.iter().map(|call| call.key).max().unwrap_or(0);
     let findings = Findings {
         faults,
-        settled,
+        recovered,
         checked_calls: (0..=keys)
             .map(|key| first_operations_on(&history, key).len())
             .sum(),
@@ -62,28 +64,29 @@
             .filter(|key| !is_linearizable(&first_operations_on(&history, *key)))
             .count() as u64,
     };
-    describe(&scenario.tally, &findings);
-    judge(&scenario, &findings, arguments, verdict);
+    print_summary(&scenario.tally, &findings);
+    add_figures(&scenario, &findings, arguments, verdict);
     let tally = &scenario.tally;
-    if count(&tally.unanswered) + count(&tally.stale) + findings.not_linearizable > 0 || !settled {
+    if count(&tally.unanswered) + count(&tally.stale) + findings.not_linearizable > 0 || !recovered
+    {
         print_logs(&cluster);
     }
     Ok(())
 }
 
-/// Runs all threads until the faults are over; how often each fault was injected.
-fn play(scenario: &Scenario<'_>, arguments: &Arguments) -> BTreeMap<&'static str, u64> {
+/// Runs all threads until the faults are over. Returns how often each kind of fault was injected.
+fn run_threads(scenario: &Scenario<'_>, arguments: &Arguments) -> BTreeMap<&'static str, u64> {
     let seed = arguments.seed;
     std::thread::scope(|scope| {
         for client in 0..CLIENTS {
-            scope.spawn(move || run_client(scenario, client, random(seed, 100 + client)));
+            scope.spawn(move || run_client(scenario, client, seeded_rng(seed, 100 + client)));
         }
         for operator in 0..OPERATORS {
-            scope.spawn(move || run_operator(scenario, operator, random(seed, 200 + operator)));
+            scope.spawn(move || run_operator(scenario, operator, seeded_rng(seed, 200 + operator)));
         }
-        scope.spawn(move || cordon_engines(scenario, random(seed, 300)));
+        scope.spawn(move || cordon_engines(scenario, seeded_rng(seed, 300)));
         let span = Duration::from_secs(arguments.seconds);
-        let faults = inject_faults(scenario, span, random(seed, 400));
+        let faults = inject_faults(scenario, span, seeded_rng(seed, 400));
         scenario.over.store(true, SeqCst);
         faults
     })
@@ -93,36 +96,38 @@
     counter.load(SeqCst)
 }
 
-fn describe(tally: &Tally, findings: &Findings) {
+fn print_summary(tally: &Tally, findings: &Findings) {
     let faults = findings.faults.iter();
     let faults: Vec<_> = faults
         .map(|(what, times)| format!("{what} {times}"))
         .collect();
-    println!("trouble: {}", faults.join(", "));
+    println!("faults: {}", faults.join(", "));
     println!(
-        "clients: {} served, {} refused, {} failed, {} cut off by what was done to their instance, {} given up; \
-         operators: {} changes agreed on, {} of unknown fate, {} engines called out, {} calls checked",
+        "clients: {} served, {} refused, {} failed, {} unanswered during a kill or pause, \
+         {} not served in time; operators: {} calls answered, {} with an unknown outcome, \
+         {} cordons, {} calls checked",
         count(&tally.served),
         count(&tally.refused),
         count(&tally.failed),
-        count(&tally.excused),
+        count(&tally.disrupted),
         count(&tally.unserved),
-        count(&tally.changes),
-        count(&tally.unsure),
+        count(&tally.answered_calls),
+        count(&tally.unknown_outcome),
         count(&tally.cordons),
         findings.checked_calls,
     );
 }
 
-/// Holds the run to the rules. The names of the figures are what the last line has always shown.
-fn judge(
+/// Adds the figures of the run and their bounds. The names of the figures stay unchanged, so that
+/// they can be compared with those of earlier runs.
+fn add_figures(
     scenario: &Scenario<'_>,
     findings: &Findings,
     arguments: &Arguments,
     verdict: &mut Verdict,
 ) {
     let tally = &scenario.tally;
-    let counts = scenario.fleet.counts();
+    let counts = scenario.engines.counts();
     let instances = &scenario.cluster.instances;
     let effects = counts.effects.values().copied().max().unwrap_or(0);
     let crashed: u64 = instances.iter().map(Instance::crash_count).sum();
@@ -140,15 +145,15 @@
     );
     verdict.exactly("not_linearizable", findings.not_linearizable, 0);
     verdict.exactly("crashed", crashed, 0);
-    verdict.exactly("unsettled", u64::from(!findings.settled), 0);
-    // A run in which nothing happens proves nothing.
+    verdict.exactly("unsettled", u64::from(!findings.recovered), 0);
+    // The run is only meaningful if clients and operators made enough calls.
     let happened = count(&tally.served) > 20 * arguments.seconds
-        && count(&tally.changes) > 5 * arguments.seconds
+        && count(&tally.answered_calls) > 5 * arguments.seconds
         && count(&tally.cordons) > 0;
     verdict.exactly("too_little_happened", u64::from(!happened), 0);
 }
 
-/// Prints the last lines that each instance logged about its cluster.
+/// Prints the last 25 log lines of each instance that mention the cluster.
 fn print_logs(cluster: &Cluster) {
     for instance in &cluster.instances {
         let log = instance.log();
--- a/tools/acceptance/src/bin/prove-daemon/scenario.rs
+++ b/tools/acceptance/src/bin/prove-daemon/scenario.rs
@@ -1,5 +1,5 @@
-//! What the threads of a safety run share: the cluster, the engines, counts and the history of
-//! calls.
+//! The state that the threads of a safety run share: the cluster, the engines, the counts and the
+//! history of operators' calls.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::SeqCst};
@@ -12,61 +12,67 @@
 use violetgate_fake_upstreams::FakeUpstreams;
 use violetgate_linearizability::Operation;
 
-/// Longest time for which an instance may send on state that it can't confirm, and in which a
-/// cordon takes effect.
+/// The longest time for which an instance may send queries on state that it can't confirm. A cordon
+/// has to take effect within the same time.
 pub const STALENESS_LIMIT: Duration = Duration::from_secs(2);
 
-/// A random number generator with a stream of its own for each thread.
+/// The random number generator of a thread.
 pub type Random = ChaCha8Rng;
 
-/// The generator of one thread.
-pub fn random(seed: u64, stream: u64) -> Random {
+/// Creates the generator of one thread; each thread uses a different `stream` of the same seed.
+pub fn seeded_rng(seed: u64, stream: u64) -> Random {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
     rng
 }
 
-/// A span from `least` up to `most` milliseconds, evenly distributed.
+/// Returns a uniformly distributed duration from `least` to below `most` milliseconds.
 pub fn random_pause(rng: &mut Random, least: u64, most: u64) -> Duration {
     Duration::from_millis(least + rng.next_u64() % (most - least))
 }
 
-/// Counts over all clients and operators.
+/// Counts events over all clients and operators.
 #[derive(Default)]
 pub struct Tally {
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
-    /// Connections that broke, or answers that never came, at an instance that nothing was done to.
+    /// Attempts without an answer, or with a broken connection, at an instance that was neither
+    /// killed nor paused during the attempt.
     pub unanswered: AtomicU64,
-    /// The same at one that was killed or stopped meanwhile.
-    pub excused: AtomicU64,
-    /// Requests that no instance served in their time.
+    /// Attempts without an answer, or with a broken connection, at an instance that was killed or
+    /// paused during the attempt.
+    pub disrupted: AtomicU64,
+    /// Requests that no instance served within the retry window.
     pub unserved: AtomicU64,
+    /// Answers whose rows are incomplete, out of order or from several attempts.
     pub mixed: AtomicU64,
-    /// Answers from engines to requests that came to an instance that had been cut off for longer
-    /// than the limit.
+    /// Answers from engines to requests that were sent to an instance after it had been isolated
+    /// for longer than [`STALENESS_LIMIT`].
     pub stale: AtomicU64,
-    pub changes: AtomicU64,
-    pub unsure: AtomicU64,
+    /// Operators' calls, reads among them, whose outcome became known.
+    pub answered_calls: AtomicU64,
+    /// Operators' calls, reads among them, whose outcome stayed unknown.
+    pub unknown_outcome: AtomicU64,
     pub cordons: AtomicU64,
+    /// The longest time that a served attempt took, in milliseconds.
     pub slowest: AtomicU64,
 }
 
-/// Adds one to a count.
+/// Adds 1 to a count.
 pub fn increment(count: &AtomicU64) {
     count.fetch_add(1, SeqCst);
 }
 
-/// One safety run.
+/// The shared state of one safety run.
 pub struct Scenario<'a> {
     pub cluster: &'a Cluster,
-    pub fleet: &'a FakeUpstreams,
+    pub engines: &'a FakeUpstreams,
     pub tally: Tally,
-    /// Since when an instance has been cut off from both others, by its id.
+    /// When each instance that is isolated from all others was isolated, by instance id.
     pub isolated: Mutex<BTreeMap<u64, Instant>>,
     pub history: Mutex<Vec<Operation>>,
     pub begun: Instant,
     pub over: AtomicBool,
-    pub rid: AtomicU64,
+    pub next_request_id: AtomicU64,
 }
