--- a/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
@@ -1,4 +1,4 @@
-//! Clients with a session at each gateway, which send one request at a time to one gateway after
+//! Clients that keep a session at each gateway and send one request at a time, to one gateway after
 //! another.
 
 use std::io::ErrorKind;
@@ -15,16 +15,17 @@
 pub const CLASSES: [&str; 3] = ["lookup", "report", "load"];
 pub const TENANTS: [&str; 2] = ["north", "south"];
 
-/// How long a client waits for anything.
+/// How long a client waits for each answer, and how long it tries to send a request.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request that crosses the close of an idle session by less than this is sent again, once.
+/// A request whose session fails within this time is taken to have crossed the gateway's close of
+/// the idle session. The client sends it again, once.
 const CROSSED_CLOSE_WINDOW: Duration = Duration::from_millis(50);
 /// The pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(3);
-/// The pause before the next gateway is tried where one does not accept a connection.
+/// The pause before the next gateway is tried if one does not accept a connection.
 const CONNECT_PAUSE: Duration = Duration::from_millis(2);
 
-/// The text of a query; engines discard duplicates of a `load` by its idempotency key.
+/// Returns the text of a query. Engines discard duplicates of a `load` by its idempotency key.
 pub fn statement(class: &str, tenant: &str, request_id: u64) -> String {
     let key = if class == "load" {
         format!(",token={request_id:032x},obj={:016x}", request_id % 7)
@@ -37,7 +38,7 @@
     )
 }
 
-/// What all clients share.
+/// The state that all clients share.
 pub struct Load {
     pub gateways: Vec<SocketAddr>,
     pub next_number: AtomicU64,
@@ -45,7 +46,7 @@
     pub tally: Mutex<Tally>,
 }
 
-/// One request, by its number over all clients.
+/// One request. Its class and tenant follow from its number, which is unique over all clients.
 struct Request {
     number: u64,
     class: &'static str,
@@ -61,17 +62,17 @@
         }
     }
 
-    /// The id of an attempt: the first one, or the one after a crossed close.
+    /// Returns the id of an attempt: of the first one, or of the one after a crossed close.
     fn id(&self, is_resent: bool) -> u64 {
         ((self.number + 1) << 8) + u64::from(is_resent)
     }
 }
 
-/// How an attempt at a request ended.
+/// The outcome of an attempt at a request.
 enum AttemptOutcome {
     Served,
     Refused,
-    /// The request crossed the close of an idle session.
+    /// The request crossed the gateway's close of the idle session.
     CrossedClose,
     Unanswered,
 }
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Sends one request until it is served or refused; returns whether it was served.
+    /// Sends one request, to the next gateway if one does not accept connections, until the request
+    /// is served, refused or unanswered. Returns whether it was served.
     fn send(&self, sessions: &mut [Option<PostgresClient>], request: &Request) -> bool {
         let mut gateway = request.number as usize % sessions.len();
         let mut is_resent = false;
@@ -103,7 +105,7 @@
                 sessions[gateway] = self.connect(gateway);
             }
             let Some(session) = &mut sessions[gateway] else {
-                // Nothing listens there, or it is just closing: the next one may accept.
+                // The gateway does not listen or is closing. The next one may accept a connection.
                 gateway = (gateway + 1) % self.gateways.len();
                 std::thread::sleep(CONNECT_PAUSE);
                 continue;
@@ -131,7 +133,7 @@
         PostgresClient::new(stream, CLIENT_TIMEOUT).ok()
     }
 
-    /// Sends a request once and counts what can't be seen from whether it was served.
+    /// Sends a request once. Counts foreign rows, crossed closes and missing answers.
     fn attempt(
         &self,
         session: &mut PostgresClient,
--- a/tools/acceptance/src/bin/prove-fleet-rules/disconnects.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect before their queries are read, or while they wait for a further attempt.
+//! Clients that disconnect before their queries are read, or while their queries wait for a retry.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -11,13 +11,15 @@
 
 use crate::clients::{statement, CLIENT_TIMEOUT};
 
-/// Request ids of the clients here, and of requests that show whether a process serves.
+/// The first request id of the clients that disconnect before their queries are read.
 const UNREAD_REQUEST_IDS: u64 = 0xdead_0000_0000;
+/// The first request id of the clients that disconnect while their queries wait for a retry.
 const WAITING_REQUEST_IDS: u64 = 0xbeef_0000_0000;
+/// The ids of requests that show whether a process serves.
 const READY_REQUEST_IDS: [u64; 2] = [0xfeed_0000_0001, 0xfeed_0000_0002];
 
-/// Has clients write queries while a process is stopped, and disconnect before it reads them.
-/// Returns the ids of their requests.
+/// Has clients send queries while a process is stopped, and disconnect before the process reads
+/// them. Returns the ids of their requests.
 pub fn disconnect_unread(process: &GatewayProcess, clients: u64) -> Result<Vec<String>> {
     let mut sessions = Vec::new();
     for _ in 0..clients {
@@ -36,8 +38,8 @@
     Ok(request_ids)
 }
 
-/// Has clients disconnect whose requests wait for a further attempt, as all engines refuse. Returns
-/// how many attempts were made for them once the process has seen that.
+/// Has clients disconnect whose requests wait for a retry because all engines refuse. Returns how
+/// many attempts the gateway made for them after it had abandoned all requests.
 pub fn disconnect_waiting(fleet: &FleetHarness, clients: u64) -> Result<u64> {
     let engines = fleet.engines();
     set_fault_of_all(fleet, Fault::Refuse);
@@ -79,7 +81,7 @@
     }
 }
 
-/// Attempts that engines have counted for these requests.
+/// Returns the number of attempts that the engines have counted for these requests.
 fn attempts(fleet: &FleetHarness, request_ids: &[String]) -> u64 {
     let counts = fleet.engines().counts();
     let attempts = request_ids
@@ -88,7 +90,7 @@
     attempts.copied().map(u64::from).sum()
 }
 
-/// Requests in progress at a process; not a number if it does not answer.
+/// Returns the number of requests in progress at a process, or NaN if it does not answer.
 fn in_progress(process: &GatewayProcess) -> f64 {
     let metrics = process.metrics();
     metrics.get("svc_in_progress").copied().unwrap_or(f64::NAN)
--- a/tools/acceptance/src/bin/prove-fleet-rules/main.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/main.rs
@@ -1,8 +1,8 @@
-//! `make prove-fleet-rules`: the rules that several gateways keep together.
+//! `make prove-fleet-rules`: checks the rules that several gateways keep together.
 //!
-//! Several processes in front of the same engines, through restarts, a silent event bus and clients
-//! that disconnect; and many gateways in simulated time in front of an engine that is warming up.
-//! What each does alone is summed.
+//! It runs several processes in front of the same engines through restarts, a silent event bus and
+//! clients that disconnect. It also simulates many gateways in front of an engine that is warming
+//! up, and sums the queries that they send.
 
 mod clients;
 mod disconnects;
@@ -17,13 +17,13 @@
 
 use crate::processes::Scenario;
 
-/// Holds several front ends to the rules that they keep together.
+/// Checks the rules that several gateways keep together.
 #[derive(Parser)]
 struct Arguments {
-    /// Fewer processes and rounds
+    /// Use fewer processes, restart rounds and simulation seeds
     #[arg(long)]
     short: bool,
-    /// For the order of what is asked
+    /// Seed of the simulations and the relay, and start of the request numbers
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -36,7 +36,7 @@
     let mut verdict = Verdict::default();
     slow_start::check(arguments, &mut verdict);
     let mut scenario = Scenario::start(arguments)?;
-    scenario.play()?;
-    scenario.judge(&mut verdict);
+    scenario.run()?;
+    scenario.add_figures(&mut verdict);
     Ok(verdict.print("fleet-rules"))
 }
--- a/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
@@ -1,5 +1,5 @@
-//! Several processes in front of the same engines under load: restarted one by one, then with a
-//! silent event bus, then with clients that disconnect.
+//! Runs several processes in front of the same engines: under load, first with restarts one by one
+//! and then with a silent event bus, and finally with clients that disconnect.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
 use std::sync::Mutex;
@@ -24,34 +24,35 @@
 const CLIENTS_PER_PROCESS: usize = 4;
 /// How long a process may take to end after SIGTERM.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
-/// How long it is waited for a process to serve.
+/// How long a process may take until it serves a request.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long the load goes on after the event bus has fallen silent.
+/// How long the load continues after the event bus has become silent.
 const SILENT_BUS_SPAN: Duration = Duration::from_secs(4);
-/// Clients that disconnect before their queries are read, and others while theirs wait.
+/// The number of clients that disconnect before their queries are read, and the number of those
+/// that disconnect while their queries wait for a retry.
 const DISCONNECTS: u64 = 20;
-/// The seed of the relay between the processes is that of the run and this.
+/// Added to the seed of the run for the seed of the relay between the processes.
 const RELAY_SEED: u64 = 100;
-/// Request ids with which it is seen whether a process serves.
+/// The first id of the requests that show whether a process serves.
 const READY_REQUEST_IDS: u64 = 0xabcd_0000_0000;
 
-/// Bounds. Sends to a draining engine end two seconds after the bus announced it, with 50 ms of
+/// Sends to a draining engine have to end two seconds after the bus announced the drain; 50 ms are
 /// slack.
 const MAX_SEND_AFTER_DRAIN_MS: f64 = 2_050.0;
 const MIN_CLASS_SERVED_FRACTION: f64 = 0.5;
 const MIN_TENANT_SERVED_FRACTION: f64 = 1.0 / 3.0;
 const MAX_RESTART_S: f64 = 10.0;
 
-/// A run over several processes, and its findings.
+/// A run of several processes, and its findings.
 pub struct Scenario {
     fleet: FleetHarness,
     rounds: usize,
     load: Load,
     /// The longest time from a start to the first served request.
     slowest_restart: Duration,
-    /// What engines had counted when the load ended.
+    /// The counts of the engines at the end of the load.
     counts: Counts,
-    /// Attempts for clients that had disconnected.
+    /// The number of attempts for clients that had disconnected.
     sent_after_disconnect: u64,
 }
 
@@ -84,13 +85,13 @@
         })
     }
 
-    /// Goes through all phases.
-    pub fn play(&mut self) -> Result<()> {
-        self.play_under_load();
+    /// Runs all phases.
+    pub fn run(&mut self) -> Result<()> {
+        self.run_under_load();
         self.counts = self.fleet.engines().counts();
         let tally = lock(&self.load.tally);
         println!(
-            "{} requests, {} crossed a close and were sent again",
+            "{} requests, of which {} crossed the close of a session and were sent again",
             tally.sent(&CLASSES),
             tally.crossed_close
         );
@@ -98,7 +99,7 @@
         self.disconnect_clients()
     }
 
-    fn play_under_load(&mut self) {
+    fn run_under_load(&mut self) {
         let Scenario {
             fleet,
             rounds,
@@ -117,7 +118,7 @@
                     *slowest_restart = (*slowest_restart).max(restart(fleet, round, process));
                 }
             }
-            println!("all watches fall silent, and an engine drains:");
+            println!("the event bus becomes silent, and engine e-1 drains");
             fleet.engines().silence_bus();
             fleet.engines().drain("e-1");
             std::thread::sleep(SILENT_BUS_SPAN);
@@ -127,20 +128,22 @@
     }
 
     fn disconnect_clients(&mut self) -> Result<()> {
-        println!("clients leave before they are read, and while they wait:");
+        println!(
+            "clients disconnect before their queries are read, and during a wait for a retry:"
+        );
         let unread = disconnect_unread(&self.fleet.processes[1], DISCONNECTS)?;
         let _ = wait_until_ready(&self.fleet, 1);
         let counts = self.fleet.engines().counts();
         let was_sent = |id: &&String| counts.by_request.contains_key(*id);
         let unread_sent = unread.iter().filter(was_sent).count() as u64;
         let waiting_sent = disconnect_waiting(&self.fleet, DISCONNECTS)?;
-        println!("  attempts for them: {unread_sent} and {waiting_sent}");
+        println!("  attempts after the disconnect: {unread_sent} and {waiting_sent}");
         self.sent_after_disconnect = unread_sent + waiting_sent;
         Ok(())
     }
 
-    /// Holds the findings to the rules.
-    pub fn judge(&self, verdict: &mut Verdict) {
+    /// Adds the figures of the run and their bounds.
+    pub fn add_figures(&self, verdict: &mut Verdict) {
         let tally = lock(&self.load.tally);
         let effects = self.counts.effects.values();
         let repeated_effects = effects.filter(|count| **count > 1).count() as u64;
@@ -159,8 +162,8 @@
     }
 }
 
-/// Restarts a process; how long it took from its start until it served, or the longest duration if
-/// it did not.
+/// Restarts a process. Returns the time from its start until it served a request, or
+/// [`Duration::MAX`] if it did not serve one in time.
 fn restart(fleet: &mut FleetHarness, round: usize, process: usize) -> Duration {
     fleet.processes[process].signal(Signal::TERM);
     let ended = fleet.processes[process].wait_for_exit(EXIT_TIMEOUT);
@@ -171,13 +174,14 @@
     let _ = fleet.processes[process].start();
     let ready = wait_until_ready(fleet, process).map(|_| began.elapsed());
     println!(
-        "  round {round}, process {process}: ended by itself {ended}, ready after {:?}",
+        "  round {round}, process {process}: ended after SIGTERM {ended}, waited until ready {:?}",
         began.elapsed()
     );
     ready.unwrap_or(Duration::MAX)
 }
 
-/// Waits until a process serves a request; `None` if it does not.
+/// Waits until a process serves a request, and returns how long that took. Returns `None` if it
+/// does not serve one within [`READY_TIMEOUT`].
 fn wait_until_ready(fleet: &FleetHarness, process: usize) -> Option<Duration> {
     let next_id = AtomicU64::new(READY_REQUEST_IDS + ((process as u64) << 16));
     fleet.wait_until(READY_TIMEOUT, |fleet| {
--- a/tools/acceptance/src/bin/prove-fleet-rules/tally.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/tally.rs
@@ -1,8 +1,8 @@
-//! Counts of how requests ended, over all clients.
+//! Counts the outcomes of requests over all clients.
 
 use std::collections::BTreeMap;
 
-/// Requests of one class or tenant.
+/// The requests of one class or tenant.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServedCount {
     pub sent: u64,
@@ -15,28 +15,28 @@
     }
 }
 
-/// How requests ended.
+/// The outcomes of requests.
 #[derive(Debug, Default)]
 pub struct Tally {
-    /// By class and by tenant.
+    /// The requests of each class and of each tenant, by its name.
     by_name: BTreeMap<&'static str, ServedCount>,
-    /// Requests that were accepted, and ended with no answer.
+    /// Requests that were sent on a session and got no answer.
     pub unanswered: u64,
-    /// Requests that crossed the close of an idle session, and were sent again.
+    /// Requests that crossed the close of an idle session and were sent again.
     pub crossed_close: u64,
-    /// Answers that hold another request's rows, or an effect twice.
+    /// Answers that hold rows of another request.
     pub second_answers: u64,
 }
 
 impl Tally {
-    /// Counts a request under its class or its tenant.
+    /// Counts a request under the name of its class or tenant.
     pub fn count(&mut self, name: &'static str, served: bool) {
         let count = self.by_name.entry(name).or_default();
         count.sent += 1;
         count.served += u64::from(served);
     }
 
-    /// The least fraction of served requests over several classes or tenants.
+    /// Returns the smallest fraction of served requests over the named classes or tenants.
     pub fn least_served_fraction(&self, names: &[&'static str]) -> f64 {
         let fraction = |name| {
             let count = self.by_name.get(name).copied();
@@ -45,7 +45,7 @@
         names.iter().map(fraction).fold(1.0, f64::min)
     }
 
-    /// Requests sent under several classes.
+    /// Returns the number of requests sent under the named classes or tenants.
     pub fn sent(&self, names: &[&'static str]) -> u64 {
         let counts = names.iter().filter_map(|name| self.by_name.get(name));
         counts.map(|count| count.sent).sum()
--- a/tools/acceptance/src/bin/prove-run/linkage.rs
+++ b/tools/acceptance/src/bin/prove-run/linkage.rs
@@ -1,4 +1,4 @@
-//! How the program is linked, and which calls it could make.
+//! Checks how the program is linked and which functions it imports.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use object::{Object, ObjectSymbol};
 use violetgate_acceptance::{AcceptanceError, Result, Verdict};
 
-/// Calls that the platform refuses.
+/// Calls that the platform refuses, as names of C library functions.
 const REFUSED_CALLS: [&str; 6] = [
     "splice",
     "sendfile",
@@ -18,7 +18,8 @@
 const REFUSED_PREFIX: &str = "io_uring";
 const C_LIBRARY: &[u8] = b"libc.so.6";
 
-/// Reads the program's file: it has to be linked dynamically and to import no refused call.
+/// Checks in the program's file that it is linked dynamically against the C library and imports no
+/// refused function.
 pub fn check(program: &Path, verdict: &mut Verdict) -> Result<()> {
     let bytes = std::fs::read(program)?;
     let file = object::File::parse(&*bytes).map_err(AcceptanceError::ObjectFile)?;
@@ -35,7 +36,7 @@
         |name: &&&str| REFUSED_CALLS.contains(*name) || name.starts_with(REFUSED_PREFIX);
     let refused: Vec<_> = imports.iter().filter(is_refused).collect();
     println!(
-        "{}: {} imports, refused ones among them: {refused:?}",
+        "{}: {} imported symbols, of which the platform refuses {refused:?}",
         program.display(),
         imports.len()
     );
--- a/tools/acceptance/src/bin/prove-run/main.rs
+++ b/tools/acceptance/src/bin/prove-run/main.rs
@@ -1,8 +1,9 @@
-//! `make prove-run`: what a platform that stands between a gateway and the machine requires of the
-//! program that `deploy/balancer.toml` names, as far as it can be seen from outside.
+//! `make prove-run`: checks from outside that the program that `deploy/balancer.toml` names meets
+//! the requirements of a platform that runs between the gateway and the machine.
 //!
-//! One process by `exec`, linked dynamically against the C library, no child, no io_uring, splice
-//! or sendfile, and no Unix socket that others would have to connect to.
+//! The program has to run as a single process, started by `exec` and without children, and be
+//! linked dynamically against the C library. It must not use io_uring, splice or sendfile, nor open
+//! a Unix socket to which other processes would have to connect.
 
 mod linkage;
 mod running;
@@ -13,19 +14,19 @@
 use clap::Parser;
 use violetgate_acceptance::{exit_code, AcceptanceError, Result, Verdict};
 
-/// Holds the program that is deployed against what a platform asks of it.
+/// Checks that the deployed program meets the platform's requirements.
 #[derive(Parser)]
 struct Arguments {
-    /// The deploy file
+    /// Path of the deploy file
     #[arg(long, default_value = "deploy/balancer.toml")]
     deploy: PathBuf,
 }
 
-/// What the deploy file says about running the program.
+/// How the deploy file runs the program.
 pub struct Deployment {
-    /// The folder that the command is run in.
+    /// The working folder of the command.
     root: PathBuf,
-    /// The shell command.
+    /// The shell command that starts the program.
     command: String,
 }
 
@@ -42,7 +43,8 @@
         })
     }
 
-    /// The program that the command's last part replaces the shell with.
+    /// Returns the program with which the last part of the command replaces the shell, or `None` if
+    /// that part does not begin with `exec`.
     fn executed_program(&self) -> Option<PathBuf> {
         let last = self.command.rsplit(['&', ';']).next()?.trim();
         let program = last.strip_prefix("exec ")?.split_whitespace().next()?;
--- a/tools/acceptance/src/bin/prove-run/running.rs
+++ b/tools/acceptance/src/bin/prove-run/running.rs
@@ -1,4 +1,4 @@
-//! What the process is while it serves, reads its configuration again and is called by operators.
+//! Inspects the running process after it has served queries and reloaded its configuration.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpStream};
@@ -14,14 +14,14 @@
 
 use crate::Deployment;
 
-/// How long the program may take until it is ready, and a client waits for an answer.
+/// How long the program may take until it is ready, and how long a client waits for an answer.
 const TIMEOUT: Duration = Duration::from_secs(20);
 const READY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const QUERIES: u64 = 200;
-/// The query after which the program is signalled to read its configuration again.
+/// The number of the query after which the program gets SIGHUP to reload its configuration.
 const RELOAD_AFTER: u64 = 100;
 
-/// The folder of the program's files, which is removed when this is dropped.
+/// The folder of the program's files. Dropping it removes the folder.
 struct TemporaryFolder(PathBuf);
 
 impl Drop for TemporaryFolder {
@@ -30,7 +30,7 @@
     }
 }
 
-/// Runs the program as the deploy file says, and inspects its process after some queries.
+/// Runs the command of the deploy file, and inspects the process after [`QUERIES`] queries.
 pub fn check(deployment: &Deployment, program: &Path, verdict: &mut Verdict) -> Result<()> {
     let engines = FakeUpstreams::start(2, Profile::default())?;
     let [listen, management] = reserve_tcp_addresses()?;
@@ -54,7 +54,7 @@
         findings.threads, findings.descriptors
     );
     verdict.exactly("served", served, QUERIES);
-    findings.judge(verdict);
+    findings.add_figures(verdict);
     Ok(())
 }
 
@@ -85,7 +85,8 @@
     health().is_ok_and(|reply| reply.status == 200)
 }
 
-/// Sends queries, each over a session of its own, with a reload among them; how many were served.
+/// Sends queries, each over a new session, and triggers a reload between two of them. Returns how
+/// many queries were served.
 fn send_queries(process: &KillOnDrop, listen: SocketAddr) -> Result<u64> {
     let mut served = 0;
     for number in 0..QUERIES {
@@ -101,16 +102,17 @@
     Ok(served)
 }
 
-/// What `/proc` says of the process.
+/// The properties of the process that `/proc` shows.
 struct ProcessFindings {
-    /// Whether it runs the program itself.
+    /// Whether the started process itself runs the program, and not a shell.
     runs_program: bool,
     threads: usize,
     children: usize,
     descriptors: usize,
-    /// Descriptors of io_uring.
+    /// The number of io_uring descriptors.
     io_urings: usize,
-    /// Unix sockets with a name: others may connect to them. Pairs within a process have none.
+    /// The number of Unix sockets with a name, to which other processes can connect. Socket pairs
+    /// within a process have no name.
     named_unix_sockets: usize,
     loads_c_library: bool,
 }
@@ -144,7 +146,7 @@
         })
     }
 
-    fn judge(&self, verdict: &mut Verdict) {
+    fn add_figures(&self, verdict: &mut Verdict) {
         verdict.exactly("one_process", u64::from(self.runs_program), 1);
         verdict.exactly("children", self.children as u64, 0);
         verdict.exactly("rings", self.io_urings as u64, 0);
@@ -154,7 +156,7 @@
     }
 }
 
-/// What each descriptor of a process stands for, as its link under `/proc` says.
+/// Returns the target of each descriptor of a process, from its link under `/proc`.
 fn descriptor_targets(process: &Path) -> Result<Vec<String>> {
     let descriptors = std::fs::read_dir(process.join("fd"))?.flatten();
     let targets = descriptors.filter_map(|descriptor| std::fs::read_link(descriptor.path()).ok());
@@ -163,12 +165,12 @@
         .collect())
 }
 
-/// The descriptor targets of all Unix sockets that have a name.
+/// Returns the descriptor targets of all Unix sockets that have a name.
 fn named_unix_sockets(process: &Path) -> Result<BTreeSet<String>> {
     let table = std::fs::read_to_string(process.join("net/unix"))?;
     let inode = |line: &str| {
         let fields: Vec<_> = line.split_whitespace().collect();
-        // The eighth field is the name, the seventh the inode.
+        // The seventh field is the inode. The eighth is the name; sockets without one lack it.
         fields
             .get(7)
             .and(fields.get(6))
