--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -1,5 +1,5 @@
-//! Both protocols while engines drain, die and are replaced at the same address: no result may be
-//! missing, mixed or run twice.
+//! Tests both protocols while engines are drained, killed and replaced at the same address: no
+//! result may be missing or mixed, and no request may take effect twice.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering::Relaxed};
@@ -12,40 +12,41 @@
 use crate::tally::Tally;
 use crate::{Arguments, CLIENTS, REST_SETTINGS};
 
-/// Rows of a result of five pages.
+/// The number of rows of a result of five pages.
 const PAGED_ROWS: usize = 500;
 
-/// Plays the mix of requests through replaced engines and holds the answers to the rules.
+/// Sends the mix of requests while engines are replaced, and checks the answers against the rules.
 pub fn check(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     let profile = Profile {
         start_slowdown: 2.0,
         warm_up: Duration::from_secs(1),
         ..Profile::default()
     };
-    let fleet = FakeUpstreams::start(5, profile)?;
-    let mut gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let engines = FakeUpstreams::start(5, profile)?;
+    let mut gateway = Gateway::start(&arguments.program, &engines, REST_SETTINGS)?;
     let tally = Tally::default();
     let begun = Instant::now();
-    let deploys = play(&gateway, &fleet, &tally, arguments.requests);
-    let counts = fleet.counts();
-    describe(&tally, &counts, deploys, begun.elapsed());
-    judge(&tally, &counts, verdict, arguments.requests, deploys);
+    let deploys = run_requests(&gateway, &engines, &tally, arguments.requests);
+    let counts = engines.counts();
+    print_summary(&tally, &counts, deploys, begun.elapsed());
+    add_figures(&tally, &counts, verdict, arguments.requests, deploys);
     verdict.exactly("crashed", u64::from(!gateway.is_running()), 0);
     Ok(())
 }
 
-/// All clients and the deployer until all requests are made; how many engines were replaced.
-fn play(gateway: &Gateway, fleet: &FakeUpstreams, tally: &Tally, requests: u64) -> u64 {
+/// Runs all clients, and the thread that replaces engines, until all requests are made. Returns how
+/// many engines were replaced.
+fn run_requests(gateway: &Gateway, engines: &FakeUpstreams, tally: &Tally, requests: u64) -> u64 {
     let (next, over) = (&AtomicU64::new(0), &AtomicBool::new(false));
     std::thread::scope(|scope| {
-        let deployer = scope.spawn(|| replace_engines(fleet, over));
+        let replacer = scope.spawn(|| replace_engines(engines, over));
         let run_client = |client| {
             scope.spawn(move || loop {
                 let number = next.fetch_add(1, Relaxed);
                 if number >= requests {
                     break;
                 }
-                // A connection that can't be opened is a request without an answer.
+                // A request whose connection can't be opened counts as one without an answer.
                 if request(gateway, tally, number, client).is_err() {
                     tally.unanswered.fetch_add(1, Relaxed);
                 }
@@ -54,7 +55,7 @@
         let clients: Vec<_> = (0..CLIENTS as u64).map(run_client).collect();
         clients.into_iter().for_each(|client| drop(client.join()));
         over.store(true, Relaxed);
-        deployer.join().unwrap_or(0)
+        replacer.join().unwrap_or(0)
     })
 }
 
@@ -62,14 +63,14 @@
     counter.load(Relaxed)
 }
 
-fn most(counts: &HashMap<String, u32>) -> u32 {
+fn max_count(counts: &HashMap<String, u32>) -> u32 {
     counts.values().copied().max().unwrap_or(0)
 }
 
-fn describe(tally: &Tally, counts: &Counts, deploys: u64, took: Duration) {
+fn print_summary(tally: &Tally, counts: &Counts, deploys: u64, took: Duration) {
     println!(
-        "through {deploys} engines drained or killed, {:.1} s: {} served, {} refused, {} failed; {} further pages \
-         ({} after their time); {} keys, {} attempts at most for one, {} repeated",
+        "{deploys} engines replaced in {:.1} s: {} served, {} refused, {} failed; {} later pages \
+         ({} expired); {} idempotency keys, at most {} attempts for one, {} with several attempts",
         took.as_secs_f64(),
         count(&tally.served),
         count(&tally.refused),
@@ -77,12 +78,16 @@
         count(&tally.pages),
         count(&tally.expired),
         counts.by_key.len(),
-        most(&counts.by_key),
-        counts.by_key.values().filter(|attempts| **attempts > 1).count(),
+        max_count(&counts.by_key),
+        counts
+            .by_key
+            .values()
+            .filter(|attempts| **attempts > 1)
+            .count(),
     );
 }
 
-fn judge(tally: &Tally, counts: &Counts, verdict: &mut Verdict, requests: u64, deploys: u64) {
+fn add_figures(tally: &Tally, counts: &Counts, verdict: &mut Verdict, requests: u64, deploys: u64) {
     let answered = count(&tally.served) + count(&tally.refused) + count(&tally.failed);
     let served_share = count(&tally.served) as f64 / answered as f64;
     verdict.figure("requests", requests);
@@ -91,9 +96,9 @@
     verdict.exactly("lost", count(&tally.unanswered), 0);
     verdict.exactly("results_mixed_or_cut", count(&tally.mixed), 0);
     verdict.exactly("answers_of_one_unequal", count(&tally.unequal), 0);
-    verdict.exactly("effects_a_key", u64::from(most(&counts.effects)), 1);
-    // Each attempt fetches each of its pages once; a client that fetches a page again costs engines
-    // nothing.
+    verdict.exactly("effects_a_key", u64::from(max_count(&counts.effects)), 1);
+    // Each attempt fetches each of its pages once. If a client fetches a page again, the engines
+    // must not see it.
     let attempts = |request: &str| counts.by_request.get(request).copied().unwrap_or(0);
     let fetched_twice = counts
         .pages
@@ -108,32 +113,33 @@
     );
 }
 
-/// Replaces an engine every so often: drained first, or killed at once, at the same address, under
-/// a new id.
-fn replace_engines(fleet: &FakeUpstreams, over: &AtomicBool) -> u64 {
+/// Replaces engines one after another until the run is over, and returns how many. Every other
+/// engine is drained before it is removed; the rest are killed without a drain. The new engine has
+/// the address of the old one and a new id.
+fn replace_engines(engines: &FakeUpstreams, over: &AtomicBool) -> u64 {
     let mut replaced = 0;
     while !over.load(Relaxed) {
         std::thread::sleep(Duration::from_millis(300));
-        let ids = fleet.ids();
+        let ids = engines.ids();
         let Some(id) = ids.get(replaced as usize * 7 % ids.len().max(1)) else {
             continue;
         };
-        let addr = fleet.addr(id);
+        let addr = engines.addr(id);
         if replaced % 2 == 0 {
-            fleet.drain(id);
+            engines.drain(id);
             std::thread::sleep(Duration::from_millis(250));
-            fleet.remove(id);
+            engines.remove(id);
         } else {
-            fleet.kill(id);
+            engines.kill(id);
             std::thread::sleep(Duration::from_millis(100));
         }
         replaced += 1;
-        let _ = fleet.add(&format!("f-{replaced}"), addr);
+        let _ = engines.add(&format!("f-{replaced}"), addr);
     }
     replaced
 }
 
-/// One request of the mix.
+/// Makes one request of the mix.
 fn request(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
     match number % 4 {
         0 => {
@@ -155,14 +161,14 @@
     }
 }
 
-/// A result of five pages, one of which is fetched twice.
+/// Requests a result of five pages and fetches one of them twice.
 fn paged_result(gateway: &Gateway, tally: &Tally) -> Result<()> {
     let mut http = gateway.connect_http()?;
     http.send_query(&query_body("report", "ms=2 rows=500 width=55"), None)?;
     let Some(first) = tally.count_http(http.read()) else {
         return Ok(());
     };
-    let (mut rows, mut at, mut twice) = (first.rows(), first.next(), true);
+    let (mut rows, mut at, mut fetch_again) = (first.rows(), first.next(), true);
     while let Some(path) = at {
         let page = http.get(&path)?;
         tally.pages.fetch_add(1, Relaxed);
@@ -174,7 +180,7 @@
             tally.mixed.fetch_add(1, Relaxed);
             return Ok(());
         }
-        if std::mem::take(&mut twice) {
+        if std::mem::take(&mut fetch_again) {
             let again = gateway.connect_http()?.get(&path)?;
             tally.count_unequal(again.body != page.body);
         }
@@ -185,12 +191,13 @@
     Ok(())
 }
 
-/// The hints of a load, and the rows of its result.
+/// The hints of a load for the fake engine.
 const LOAD_HINTS: &str = "ms=4 rows=5";
+/// The number of rows of a load's result.
 const LOAD_ROWS: usize = 5;
 
-/// A key that is used again: at once over the other protocol, after its answer, or after its
-/// connection was cut.
+/// Sends two requests with the same idempotency key. The second is sent concurrently over the other
+/// protocol, after the first one's answer, or after the first one's connection was closed.
 fn duplicate_key(gateway: &Gateway, tally: &Tally, number: u64, client: u64) -> Result<()> {
     let (key, order) = (format!("k-{number}"), format!("{client:016x}"));
     let mut body = query_body("load", LOAD_HINTS);
--- a/tools/acceptance/src/bin/prove-rest/memory.rs
+++ b/tools/acceptance/src/bin/prove-rest/memory.rs
@@ -1,4 +1,4 @@
-//! What a cached result costs in memory, against its rows.
+//! Measures the memory of cached results in relation to the bytes of their rows.
 
 use serde_json::Value;
 use violetgate_acceptance::{Gateway, Result, Verdict};
@@ -7,16 +7,17 @@
 use crate::requests::query_body;
 use crate::{Arguments, REST_SETTINGS};
 
-/// Rows of one result, and bytes of a row with the tabs and line ends that engines send.
+/// The number of rows of one result.
 const ROWS: usize = 800;
+/// The bytes of a row, with the tabs and the line end that engines send.
 const ROW_BYTES: usize = 55;
-/// Results that are cached when memory is read.
+/// The number of results that are cached when the memory is measured.
 const RESULTS: usize = 1_000;
 
-/// Holds the growth of the process to 1.2 times the bytes of the rows that it caches.
+/// Checks that the process grows by at most 1.2 times the bytes of the rows that it caches.
 pub fn measure(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = FakeUpstreams::start(4, Profile::default())?;
-    let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let engines = FakeUpstreams::start(4, Profile::default())?;
+    let gateway = Gateway::start(&arguments.program, &engines, REST_SETTINGS)?;
     let mut body = query_body("report", &format!("ms=0 rows={ROWS} width={ROW_BYTES}"));
     let mut http = gateway.connect_http()?;
     let mut get = |body: &Value| http.send_query(body, None).and_then(|()| http.read());
@@ -34,7 +35,7 @@
     let row_bytes = cached * ROWS * ROW_BYTES;
     let grown = gateway.resident_bytes().saturating_sub(memory_before);
     println!(
-        "{cached} results held: {} KiB of rows, the process has grown by {} KiB",
+        "{cached} results cached: {} KiB of rows, the process has grown by {} KiB",
         row_bytes / 1024,
         grown / 1024
     );
--- a/tools/acceptance/src/bin/prove-rest/tally.rs
+++ b/tools/acceptance/src/bin/prove-rest/tally.rs
@@ -1,25 +1,30 @@
-//! Counts of answers over both protocols, and the check that rows are complete.
+//! Counts the answers over both protocols, and checks that rows are complete.
 
 use std::io::Result;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
 use violetgate_fake_upstreams::client::{Reply, Rows};
 
-/// How requests ended, over all clients.
+/// Counts the outcomes of requests and pages over all clients.
 #[derive(Default)]
 pub struct Tally {
     pub served: AtomicU64,
     pub refused: AtomicU64,
     pub failed: AtomicU64,
     pub unanswered: AtomicU64,
+    /// Results whose rows are incomplete, out of order or from several attempts, and results with a
+    /// later page whose status is neither 200 nor 410.
     pub mixed: AtomicU64,
+    /// Pairs of answers to the same request that differ.
     pub unequal: AtomicU64,
+    /// Answers to requests for a later page of a result.
     pub pages: AtomicU64,
+    /// Later pages that were answered with 410 because the result had expired.
     pub expired: AtomicU64,
 }
 
 impl Tally {
-    /// Counts an HTTP answer; its rows, if it was served.
+    /// Counts an HTTP answer. Returns the reply if the request was served.
     pub fn count_http(&self, reply: Result<Reply>) -> Option<Reply> {
         let count = match &reply {
             Ok(reply) if reply.status == 200 => &self.served,
@@ -31,7 +36,7 @@
         reply.ok().filter(|reply| reply.status == 200)
     }
 
-    /// Counts an answer over PostgreSQL; its rows, if it was served.
+    /// Counts a PostgreSQL answer. Returns its rows if the query was served.
     pub fn count_postgres(&self, rows: Result<Rows>) -> Option<Vec<[String; 3]>> {
         let count = match &rows {
             Ok(Ok(_)) => &self.served,
@@ -43,12 +48,13 @@
         rows.ok()?.ok()
     }
 
-    /// Counts two answers to one request that differ.
+    /// Counts a pair of answers to the same request if they differ.
     pub fn count_unequal(&self, differ: bool) {
         self.unequal.fetch_add(u64::from(differ), Relaxed);
     }
 
-    /// Rows have to be all of one attempt, in order, none missing or twice.
+    /// Checks that there are `count` rows, all from one attempt, in order, with none missing or
+    /// repeated.
     pub fn check_rows(&self, rows: &[[String; 3]], count: usize) {
         let first = rows.first();
         let are_complete = rows.len() == count
--- a/tools/acceptance/src/bin/prove-rest/throughput.rs
+++ b/tools/acceptance/src/bin/prove-rest/throughput.rs
@@ -1,5 +1,5 @@
-//! CPU time and latency of both protocols at the same rate: first pages of one-page and of six-page
-//! results, and later pages.
+//! Compares the CPU time and latency of both protocols at the same rate, for results of one page
+//! and of six pages. For REST, first pages and later pages are measured separately.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::requests::{query_body, query_text};
 use crate::{Arguments, CLIENTS, REST_SETTINGS};
 
-/// A load at a steady rate.
+/// The parameters of a load at a steady rate.
 #[derive(Clone, Copy)]
 struct Load {
     requests: u64,
@@ -36,10 +36,10 @@
     class: "report",
     hints: "ms=0 rows=654 width=55",
 };
-/// Six pages are 33 KB: they are requested at a fifth of the rate.
+/// Results of six pages have 33 KB, so they are requested at a fifth of the rate.
 const SIX_PAGES_SLOWDOWN: u32 = 5;
 
-/// CPU time of a request in microseconds.
+/// The CPU time of a request of each kind, in microseconds.
 struct CpuTimes {
     postgres_one_page: f64,
     rest_one_page: f64,
@@ -48,16 +48,17 @@
     rest_later_page: f64,
 }
 
-/// Measures one protocol after the other and holds the ratios of their CPU times to the bounds.
+/// Measures one protocol after the other, and checks the ratios of their CPU times against the
+/// bounds.
 pub fn compare_protocols(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
-    let fleet = FakeUpstreams::start(4, Profile::default())?;
-    let gateway = Gateway::start(&arguments.program, &fleet, REST_SETTINGS)?;
+    let engines = FakeUpstreams::start(4, Profile::default())?;
+    let gateway = Gateway::start(&arguments.program, &engines, REST_SETTINGS)?;
     let load = Load {
         requests: (arguments.rate as f64 * arguments.seconds) as u64,
         gap: Duration::from_secs_f64(1.0 / arguments.rate as f64),
     };
-    // First a shorter load that is not measured: connections to engines, memory, what the decisions
-    // learn.
+    // A shorter load comes first and is not measured. It opens the connections to engines,
+    // allocates memory, and lets the gateway learn the cost of queries.
     let warm_up = Load {
         requests: load.requests / 4,
         ..load
@@ -84,7 +85,8 @@
     Ok(())
 }
 
-/// One round over all kinds of request; `report` gives the CPU time a request of a measurement.
+/// Measures one round over all kinds of requests. `report` takes the name, the result and the CPU
+/// time of a measurement, and returns the CPU time per request.
 fn measure_round(
     gateway: &Gateway,
     load: Load,
@@ -139,7 +141,7 @@
     Ok(run(gateway, clients.into_iter().map(each).collect(), load))
 }
 
-/// First pages over REST; the paths of the second pages are added to `paths`.
+/// Requests first pages over REST, and adds the paths of the second pages to `paths`.
 fn load_rest(
     gateway: &Gateway,
     query: &Query,
@@ -186,7 +188,7 @@
     Ok(run(gateway, clients.into_iter().map(each).collect(), load))
 }
 
-/// Plays a load; what it measured, and the CPU time that the program used.
+/// Runs a load. Returns its measurements and the CPU time that the gateway used.
 fn run<C: FnMut(u64) -> bool + Send>(
     gateway: &Gateway,
     clients: Vec<C>,
@@ -197,7 +199,7 @@
     (result, gateway.cpu_time() - before)
 }
 
-/// Prints one measurement; CPU time a request in microseconds.
+/// Prints one measurement. Returns the CPU time per request in microseconds.
 fn print_row(what: &str, result: &LoadResult, cpu: Duration) -> f64 {
     let [p50, p99, p999] = result.quantiles_ms();
     let each = cpu.as_secs_f64() * 1e6 / result.served.max(1) as f64;
