--- a/fake-upstreams/src/client/http.rs
+++ b/fake-upstreams/src/client/http.rs
@@ -1,4 +1,4 @@
-//! A client of HTTP/1.1.
+//! A blocking HTTP/1.1 client.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Result, Write};
@@ -9,28 +9,29 @@
 
 use super::invalid_data;
 
-/// The status of an interim answer, which has no body.
+/// The status of an interim response, which has no body.
 const CONTINUE: u16 = 100;
 
-/// An HTTP answer.
+/// An HTTP response, read to its end.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// Headers, by name in lower case.
+    /// The values of the headers by their names in lower case.
     pub headers: HashMap<String, String>,
-    /// The body.
+    /// The body; empty for a response to HEAD and for an interim response.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// The body as JSON; null if it is none.
+    /// Parses the body as JSON; returns null if it is not valid JSON.
     #[must_use]
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The last part of the type of a problem (RFC 9457).
+    /// Returns the part after the last colon of a problem's `type` (RFC 9457), or an empty string
+    /// if the body is not a problem.
     #[must_use]
     pub fn problem_type(&self) -> String {
         let json = self.json();
@@ -41,38 +42,38 @@
             .to_owned()
     }
 
-    /// The rows of a page.
+    /// Returns the rows of a result page.
     ///
     /// # Panics
     ///
-    /// If the answer is no page.
+    /// If the response is not a result page.
     #[must_use]
     pub fn rows(&self) -> Vec<[String; 3]> {
         assert_eq!(self.status, 200, "{}", self.body.escape_ascii());
         serde_json::from_value(self.json()["rows"].clone()).expect("rows of three columns")
     }
 
-    /// The path of the next page.
+    /// Returns the path of the next page, or `None` on the last page.
     #[must_use]
     pub fn next(&self) -> Option<String> {
         self.json()["next"].as_str().map(str::to_owned)
     }
 }
 
-/// A connection of an HTTP client.
+/// One connection of an HTTP client.
 pub struct HttpClient {
-    /// The connection.
+    /// The socket, for tests that write raw bytes or set timeouts.
     pub stream: BufReader<TcpStream>,
-    /// Whether the last request was a HEAD, whose answer has no body.
+    /// Whether the last request was a HEAD, whose response has no body.
     last_was_head: bool,
 }
 
 impl HttpClient {
-    /// Uses a connection, with a timeout for each read.
+    /// Creates a client that uses a connection, with a timeout for each read.
     ///
     /// # Errors
     ///
-    /// The connection is broken.
+    /// Fails if the socket options can't be set.
     pub fn new(stream: TcpStream, read_timeout: Duration) -> Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(read_timeout))?;
@@ -86,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// The connection is broken.
+    /// Fails if the connection is broken.
     pub fn send(
         &mut self,
         method: &str,
@@ -107,32 +108,32 @@
             .write_all(&[head.as_bytes(), b"\r\n", body].concat())
     }
 
-    /// Sends a query to the REST interface, with an idempotency key if there is one.
+    /// Sends a query to the REST interface, with an idempotency key if `key` is given.
     ///
     /// # Errors
     ///
-    /// The connection is broken.
+    /// Fails if the connection is broken.
     pub fn send_query(&mut self, query: &Value, key: Option<&str>) -> Result<()> {
         let headers: Vec<_> = key.iter().map(|key| ("idempotency-key", *key)).collect();
         let body = query.to_string();
         self.send("POST", "/v1/queries", &headers, body.as_bytes())
     }
 
-    /// Sends a GET and reads its answer.
+    /// Sends a GET request and reads its response.
     ///
     /// # Errors
     ///
-    /// As for [`HttpClient::read`].
+    /// Fails as [`HttpClient::read`] does.
     pub fn get(&mut self, path: &str) -> Result<Reply> {
         self.send("GET", path, &[], b"")?;
         self.read()
     }
 
-    /// Reads the next answer.
+    /// Reads the next response.
     ///
     /// # Errors
     ///
-    /// The connection is broken, or what was read is no HTTP answer.
+    /// Fails if the connection is broken or the bytes are not an HTTP response.
     pub fn read(&mut self) -> Result<Reply> {
         let status = self.read_status()?;
         let headers = self.read_headers()?;
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Whether the other side has closed the connection without sending anything more.
+    /// Returns whether the server has closed the connection without sending anything more.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.stream.read(&mut [0; 64]), Ok(0) | Err(_))
     }
--- a/fake-upstreams/src/client/mod.rs
+++ b/fake-upstreams/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! Plain clients with one blocking connection each, as far as the clients of a gateway need.
+//! Blocking clients of a gateway, with one connection each. They implement only the parts of HTTP
+//! and the PostgreSQL protocol that the tests use.
 
 mod http;
 mod postgres;
--- a/fake-upstreams/src/client/postgres.rs
+++ b/fake-upstreams/src/client/postgres.rs
@@ -1,4 +1,4 @@
-//! A client of the PostgreSQL protocol, with simple queries.
+//! A client of the PostgreSQL protocol that sends simple queries.
 
 use std::io::{BufReader, Read, Result, Write};
 use std::net::TcpStream;
@@ -8,10 +8,10 @@
 
 /// The startup message: protocol 3.0, user `app`, database `analytics`.
 const STARTUP: &[u8] = b"\0\0\0\x25\0\x03\0\0user\0app\0database\0analytics\0\0";
-/// Bytes of a message's length, which counts itself.
+/// Size of a message's length field, which is included in the length, in bytes.
 const LENGTH_BYTES: u32 = 4;
 
-/// The rows of an answer, or the code of its error (SQLSTATE).
+/// The rows of a response, or the code of its error (SQLSTATE).
 pub type Rows = std::result::Result<Vec<[String; 3]>, String>;
 
 /// A session of a PostgreSQL client.
@@ -21,11 +21,11 @@
 }
 
 impl PostgresClient {
-    /// Begins a session over a connection, with a timeout for each read.
+    /// Starts a session over a connection, with a timeout for each read.
     ///
     /// # Errors
     ///
-    /// The connection is broken, or the session is refused.
+    /// Fails if the connection is broken or the server rejects the session.
     pub fn new(mut stream: TcpStream, read_timeout: Duration) -> Result<Self> {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(read_timeout))?;
@@ -42,9 +42,9 @@
     ///
     /// # Errors
     ///
-    /// The connection is broken.
+    /// Fails if the connection is broken.
     pub fn send(&mut self, sql: &str) -> Result<()> {
-        // The length counts itself and the zero at the end.
+        // The length includes its own field and the terminating zero byte.
         let length = sql.len() as u32 + LENGTH_BYTES + 1;
         let mut bytes = vec![b'Q'];
         bytes.extend_from_slice(&length.to_be_bytes());
@@ -53,17 +53,17 @@
         self.stream.get_mut().write_all(&bytes)
     }
 
-    /// The text of the last error.
+    /// Returns the message of the last error, or an empty string if there was none.
     #[must_use]
     pub fn error_text(&self) -> &str {
         &self.last_error
     }
 
-    /// Reads an answer, up to ReadyForQuery.
+    /// Reads a response up to ReadyForQuery.
     ///
     /// # Errors
     ///
-    /// The connection is broken, or what was read is not of the protocol.
+    /// Fails if the connection is broken or the bytes violate the protocol.
     pub fn read(&mut self) -> Result<Rows> {
         let mut rows = Vec::new();
         let mut error_code = None;
@@ -94,7 +94,7 @@
     }
 }
 
-/// A field of an ErrorResponse, by its letter.
+/// Returns the field of an ErrorResponse that has the given type letter, or an empty string.
 fn error_field(body: &[u8], letter: &[u8]) -> String {
     let mut fields = body.split(|byte| *byte == 0);
     let value = fields.find_map(|field| field.strip_prefix(letter));
--- a/fake-upstreams/src/counts.rs
+++ b/fake-upstreams/src/counts.rs
@@ -1,38 +1,39 @@
-//! What has reached the engines: attempts by request and by key, pages, and attempts at engines
-//! that were draining or cordoned.
+//! Counts of what has reached the engines: attempts by request and by key, pages, and attempts at
+//! engines that were draining or cordoned.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// For how long every engine discards a repeat of an idempotency key.
+/// How long engines discard a repeat of an idempotency key.
 const DEDUP_WINDOW: Duration = Duration::from_secs(12);
 
-/// Counts since the start.
+/// Counts over all engines since the start.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
-    /// Attempts that arrived complete, by request id.
+    /// Attempts that were received in full, by request id.
     pub by_request: HashMap<String, u32>,
-    /// Megabytes that the last attempt of a request was granted; 0 if the engine was to choose.
+    /// Memory granted to the last attempt of each request, in megabytes; 0 if the engine chooses.
     pub reserved: BTreeMap<String, u64>,
-    /// Attempts that arrived complete, by idempotency key.
+    /// Attempts that were received in full, by idempotency key.
     pub by_key: HashMap<String, u32>,
-    /// How often a key took effect: repeats within the window are discarded.
+    /// Number of times each idempotency key took effect. Engines discard repeats that complete
+    /// within the deduplication window.
     pub effects: HashMap<String, u32>,
-    /// Further pages that were requested, by request id and page number.
+    /// Requests for pages after the first, by request id and page number.
     pub pages: HashMap<(String, usize), u32>,
-    /// Attempts by engine.
+    /// Attempts that were received in full, by engine id.
     pub by_engine: BTreeMap<String, u32>,
     /// Attempts that were cancelled.
     pub cancels: u32,
-    /// Attempts that are running.
+    /// Attempts that are running now.
     pub running: u32,
-    /// The most attempts that were running at a time.
+    /// Maximum number of attempts that ran at the same time.
     pub most_running: u32,
-    /// The longest time after the drain of an engine at which it got an attempt.
+    /// Longest time between the drain of an engine and an attempt that it received.
     pub latest_after_drain: Duration,
-    /// The longest time after the cordon of an engine at which it got an attempt.
+    /// Longest time between the cordon of an engine and an attempt that it received while cordoned.
     pub latest_after_cordon: Duration,
-    /// Attempts at engines that were cordoned.
+    /// Attempts that cordoned engines received.
     pub after_cordon: u32,
     cordoned_at: BTreeMap<String, Instant>,
     drained_at: BTreeMap<String, Instant>,
@@ -40,20 +41,21 @@
 }
 
 impl Counts {
-    /// All attempts.
+    /// Returns the number of attempts that all engines received in full.
     #[must_use]
     pub fn attempts(&self) -> u32 {
         self.by_engine.values().sum()
     }
 
-    /// An engine is draining from now on, if it was not before.
+    /// Records that an engine is draining. Only the first call for an engine sets the time.
     pub(crate) fn record_drain(&mut self, engine: &str) {
         self.drained_at
             .entry(engine.to_owned())
             .or_insert_with(Instant::now);
     }
 
-    /// An engine is cordoned from now on, if it was not before; or no longer.
+    /// Records that an engine is cordoned, or no longer cordoned. A repeated cordon keeps the time
+    /// of the first.
     pub(crate) fn record_cordon(&mut self, engine: &str, is_cordoned: bool) {
         if is_cordoned {
             self.cordoned_at
@@ -64,7 +66,7 @@
         }
     }
 
-    /// An attempt has arrived complete.
+    /// Counts an attempt that an engine received in full.
     pub(crate) fn record_attempt(&mut self, engine: &str, request_id: &str, key: Option<&str>) {
         *self.by_request.entry(request_id.to_owned()).or_default() += 1;
         *self.by_engine.entry(engine.to_owned()).or_default() += 1;
@@ -80,18 +82,19 @@
         }
     }
 
-    /// A further page was requested.
+    /// Counts a request for a page after the first.
     pub(crate) fn record_page(&mut self, request_id: &str, page: usize) {
         *self.pages.entry((request_id.to_owned(), page)).or_default() += 1;
     }
 
-    /// An attempt has begun to run.
+    /// Counts an attempt that starts to run.
     pub(crate) fn record_start(&mut self) {
         self.running += 1;
         self.most_running = self.most_running.max(self.running);
     }
 
-    /// An attempt has run to its end: its key takes effect, unless it did within the window.
+    /// Records that an attempt has completed. Its key takes effect, unless an attempt with the same
+    /// key completed within the deduplication window.
     pub(crate) fn record_effect(&mut self, key: Option<&str>) {
         let Some(key) = key else { return };
         let now = Instant::now();
--- a/fake-upstreams/src/engine/command.rs
+++ b/fake-upstreams/src/engine/command.rs
@@ -1,17 +1,18 @@
-//! The commands that an engine reads: a line of words, and after `serve` a statement.
+//! The commands that an engine reads. A command is a line of words; `serve` is followed by a
+//! statement.
 
 use std::io::{Error, ErrorKind, Result};
 
-/// The end of a line and of a statement.
+/// Terminates command lines and statements.
 const LINE_END: &[u8] = b"\r\n";
 
-/// A command.
+/// A parsed command of the line protocol.
 #[derive(Debug)]
 pub(super) enum Command {
     Serve {
         request_id: String,
         key: Option<String>,
-        /// Megabytes that the request is granted; 0 if the engine is to choose.
+        /// Memory granted to the request, in megabytes; 0 if the engine chooses.
         reserved_mb: u64,
         statement: String,
     },
@@ -26,7 +27,7 @@
         request_id: String,
     },
     /// A change of priority, which fake engines ignore.
-    Weigh,
+    SetPriority,
     Health {
         tag: String,
     },
@@ -59,7 +60,7 @@
             ["release", request_id] => Command::Release {
                 request_id: (*request_id).to_owned(),
             },
-            ["weigh", _, _] => Command::Weigh,
+            ["weigh", _, _] => Command::SetPriority,
             ["health", tag] => Command::Health {
                 tag: (*tag).to_owned(),
             },
@@ -68,7 +69,8 @@
     }
 }
 
-/// Takes the next complete command from the input.
+/// Removes the next complete command from the input. Returns `None` if more bytes are needed, and
+/// an error if the bytes violate the protocol.
 pub(super) fn take_command(input: &mut Vec<u8>) -> Result<Option<Command>> {
     let invalid = || Error::from(ErrorKind::InvalidData);
     let Some(newline) = input.iter().position(|byte| *byte == b'\n') else {
--- a/fake-upstreams/src/engine/connection.rs
+++ b/fake-upstreams/src/engine/connection.rs
@@ -1,5 +1,5 @@
-//! One connection to a fake engine: the commands that come over it, the requests that run for it,
-//! and their pages.
+//! One connection to a fake engine: the commands that it receives, the requests that it runs, and
+//! their pages.
 
 use std::collections::HashMap;
 use std::io::Read;
@@ -16,7 +16,7 @@
 use crate::lock;
 use crate::statement_hints::StatementHints;
 
-/// How much is read at a time.
+/// Size of the read buffer.
 const READ_BYTES: usize = 16 * 1024;
 
 pub(super) struct Connection {
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct Requests {
     running: HashMap<String, Task<()>>,
-    /// Pages that may still be read.
+    /// Pages of results that have not been released.
     pages: HashMap<String, Vec<String>>,
 }
 
@@ -49,7 +49,7 @@
     }
 
     pub async fn serve(self) {
-        let _ = self.carry_out_commands().await;
+        let _ = self.execute_commands().await;
         let running: Vec<Task<()>> = {
             let mut requests = lock(&self.requests);
             requests.running.drain().map(|(_, task)| task).collect()
@@ -62,18 +62,18 @@
         reset(&self.stream);
     }
 
-    async fn carry_out_commands(&self) -> std::io::Result<()> {
+    async fn execute_commands(&self) -> std::io::Result<()> {
         let mut input = Vec::new();
         loop {
             while let Some(command) = take_command(&mut input)? {
                 self.engine
-                    .wait_while_faulty(&[Fault::Stall, Fault::Vanish])
+                    .wait_while_faulty(&[Fault::Stall, Fault::Unreachable])
                     .await;
-                if self.carry_out(command).await?.is_break() {
+                if self.execute_command(command).await?.is_break() {
                     return Ok(());
                 }
             }
-            self.engine.wait_while_faulty(&[Fault::Vanish]).await;
+            self.engine.wait_while_faulty(&[Fault::Unreachable]).await;
             let mut chunk = [0u8; READ_BYTES];
             let size = self.stream.read_with(|mut s| s.read(&mut chunk)).await?;
             if size == 0 {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Carries a command out; `Break` ends the connection.
-    async fn carry_out(&self, command: Command) -> std::io::Result<ControlFlow<()>> {
+    /// Executes a command. `Break` closes the connection.
+    async fn execute_command(&self, command: Command) -> std::io::Result<ControlFlow<()>> {
         match command {
             Command::Serve {
                 request_id,
@@ -101,7 +101,7 @@
             Command::Release { request_id } => {
                 lock(&self.requests).pages.remove(&request_id);
             }
-            Command::Weigh => {}
+            Command::SetPriority => {}
             Command::Health { tag } => {
                 write_all(&self.stream, &format!("{tag} yes - 0\r\n\r\n")).await?;
             }
@@ -121,7 +121,7 @@
         }
         if self.engine.is_full() || self.engine.has_fault(Fault::Refuse) {
             write_all(&self.stream, &format!("{request_id} refused - 0\r\n\r\n")).await?;
-        } else if self.engine.has_fault(Fault::Err) {
+        } else if self.engine.has_fault(Fault::Error) {
             write_all(&self.stream, &error_answer(&request_id)).await?;
         } else {
             self.engine.begin_request();
@@ -133,7 +133,8 @@
                 key,
                 hints: StatementHints::parse(&statement),
             };
-            // Locked until the task is in the table, so that it can't end before it is there.
+            // The lock is held until the task is in the table: the task removes itself when it
+            // completes, and must find its entry.
             let mut requests = lock(&self.requests);
             let task = self.executor.spawn(request.execute());
             requests.running.insert(request_id, task);
@@ -152,7 +153,7 @@
             pages.and_then(|pages| pages.get(number).cloned())
         };
         let answer = match page {
-            Some(_) if self.engine.has_fault(Fault::SpoilPages) => {
+            Some(_) if self.engine.has_fault(Fault::CorruptPages) => {
                 format!("{request_id} batch at={number} 9\r\n\u{1}\u{2}x\r\n")
             }
             Some(page) => {
@@ -178,7 +179,7 @@
     format!("{request_id} error - 0\r\n\r\n")
 }
 
-/// A request that runs.
+/// A running request.
 struct Request {
     engine: Arc<Engine>,
     stream: Arc<Async<TcpStream>>,
@@ -190,9 +191,9 @@
 
 impl Request {
     async fn execute(self) {
-        self.work().await;
+        self.simulate_work().await;
         self.engine
-            .wait_while_faulty(&[Fault::Stall, Fault::Vanish])
+            .wait_while_faulty(&[Fault::Stall, Fault::Unreachable])
             .await;
         let own_task = lock(&self.requests).running.remove(&self.id);
         let Some(own_task) = own_task else {
@@ -212,9 +213,10 @@
         let _ = write_all(&self.stream, &answer).await;
     }
 
-    /// Works for as long as the statement says, and reports progress if it asks for that; the first
-    /// report is of a kind that nobody knows, as a later version of the protocol may send.
-    async fn work(&self) {
+    /// Waits for the duration that the statement requests, and reports progress if the statement
+    /// requests it. The first report has an unknown kind, as a later version of the protocol may
+    /// send.
+    async fn simulate_work(&self) {
         let duration = Duration::from_millis(self.hints.work_ms).mul_f64(self.engine.slowdown());
         let interval = Duration::from_millis(self.hints.progress_interval_ms);
         let mut remaining = duration;
@@ -238,15 +240,15 @@
         let _ = write_all(&self.stream, &report).await;
     }
 
-    /// The answer with the first page; further pages stay here until they are released.
+    /// Builds the answer with the first page. Further pages are kept until they are released.
     fn answer(&self) -> String {
-        let pages = self.hints.pages(&self.id, &self.engine.next_mark());
+        let pages = self.hints.pages(&self.id, &self.engine.next_execution_id());
         let page_count = pages.len();
         let first = pages.first().cloned().unwrap_or_default();
         if page_count > 1 {
             lock(&self.requests).pages.insert(self.id.clone(), pages);
         }
-        let cost = if self.hints.hides_cost {
+        let cost = if self.hints.omits_cost {
             String::new()
         } else {
             format!(",spent={},wanted=16", self.hints.work_ms)
--- a/fake-upstreams/src/engine/mod.rs
+++ b/fake-upstreams/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! A fake engine: the line protocol in full, with the faults that engines are known for.
+//! A fake engine that implements the whole line protocol and simulates the faults of real engines.
 
 mod command;
 mod connection;
@@ -16,20 +16,21 @@
 use crate::engine::connection::Connection;
 use crate::lock;
 
-/// How long to wait for an address that a process just killed may still hold.
+/// How long to retry binding an address that a recently killed process may still hold.
 const BIND_TIMEOUT: Duration = Duration::from_secs(2);
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// How often it is checked whether a fault is over.
+/// How often tasks that wait for the end of a fault check it.
 const FAULT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What all engines are like.
+/// Capacity and warm-up behaviour that all engines share.
 #[derive(Debug, Clone, Copy)]
 pub struct Profile {
-    /// Requests that one engine takes at a time; it refuses more.
+    /// Maximum number of concurrent requests of one engine. It refuses further ones.
     pub max_requests: u32,
-    /// By which factor work takes longer just after a start; it falls to 1 within `warm_up`.
+    /// Factor by which requests take longer just after a start. It falls linearly to 1 over
+    /// `warm_up`.
     pub start_slowdown: f64,
-    /// How long an engine takes to warm up.
+    /// Time after a start at which an engine reaches full speed.
     pub warm_up: Duration,
 }
 
@@ -43,41 +44,43 @@
     }
 }
 
-/// A fault of an engine.
+/// A simulated fault of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// None.
+    /// The engine works normally.
     #[default]
     None,
-    /// It reads, and sends nothing until the fault is removed: a process that stands still.
+    /// The engine reads, but executes no command and answers no request until the fault is
+    /// removed, like a process that hangs.
     Stall,
-    /// Its machine has vanished: it neither reads nor sends anything.
-    Vanish,
-    /// It resets the connection once a request has arrived complete, without executing it.
+    /// The engine neither reads nor answers, like a machine that is unreachable.
+    Unreachable,
+    /// The engine resets the connection when it has received a request in full, without executing
+    /// it.
     ResetOnServe,
-    /// It executes a request, and resets the connection instead of answering.
+    /// The engine executes a request and resets the connection instead of answering.
     ResetOnAnswer,
-    /// Its further pages are noise.
-    SpoilPages,
-    /// It answers, and resets the connection when a further page is requested.
+    /// The engine sends invalid bytes for every page after the first.
+    CorruptPages,
+    /// The engine answers requests and resets the connection when a further page is requested.
     ResetOnPage,
-    /// It is full.
+    /// The engine refuses every request, as if it were full.
     Refuse,
-    /// It answers everything with an error, and executes nothing.
-    Err,
+    /// The engine answers every request with an error and executes nothing.
+    Error,
 }
 
 pub(crate) struct Engine {
     pub addr: SocketAddr,
-    /// When it started; `None`: it has long been warm.
+    /// When the engine started; `None` if it is warm from the beginning.
     pub started_at: Option<Instant>,
     id: String,
     profile: Profile,
     fault: Mutex<Fault>,
     counts: Arc<Mutex<Counts>>,
-    /// Requests that it has now.
+    /// Number of requests that are running.
     request_count: AtomicU32,
-    /// How many requests it has executed.
+    /// Number of answers built so far, which numbers the executions.
     executed: AtomicU32,
     streams: Mutex<Vec<Arc<Async<TcpStream>>>>,
     accepting: Mutex<Option<Task<()>>>,
@@ -166,18 +169,18 @@
         lock(&self.counts).running -= 1;
     }
 
-    /// A mark of an execution, different for each.
-    fn next_mark(&self) -> String {
+    /// Returns a new identifier of an execution: the engine's id and a running number.
+    fn next_execution_id(&self) -> String {
         let executed = self.executed.fetch_add(1, Ordering::Relaxed);
         format!("{}/{executed}", self.id)
     }
 
-    /// By which factor work takes longer now.
+    /// Returns the factor by which requests take longer at this time because the engine is cold.
     fn slowdown(&self) -> f64 {
         let warm_up = self.profile.warm_up;
         let age = self.started_at.map_or(warm_up, |at| at.elapsed());
-        let warmth = (age.as_secs_f64() / warm_up.as_secs_f64().max(1e-3)).min(1.0);
-        self.profile.start_slowdown + (1.0 - self.profile.start_slowdown) * warmth
+        let warm_fraction = (age.as_secs_f64() / warm_up.as_secs_f64().max(1e-3)).min(1.0);
+        self.profile.start_slowdown + (1.0 - self.profile.start_slowdown) * warm_fraction
     }
 }
 
@@ -193,9 +196,8 @@
     }
 }
 
-/// Writes an answer. Answers of several tasks don't mix: each is small, and loopback takes it at
-/// once; where it takes only a part, the rest is written before anything else, as all tasks run on
-/// one thread.
+/// Writes an answer. Answers of several tasks don't interleave: loopback takes a small answer in
+/// one write, and all tasks run on one thread, so the rest of a partial write is tried first.
 async fn write_all(stream: &Async<TcpStream>, text: &str) -> std::io::Result<()> {
     let mut bytes = text.as_bytes();
     while !bytes.is_empty() {
--- a/fake-upstreams/src/event_bus.rs
+++ b/fake-upstreams/src/event_bus.rs
@@ -1,4 +1,5 @@
-//! The fake event bus: numbered events of the engine list, and the last number each second.
+//! The fake event bus. It sends the events of the engine list with their offsets, and the last
+//! offset once a second.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,33 +14,35 @@
 
 use crate::lock;
 
-/// How often the last number is sent.
+/// How often the last offset is sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// Connections that the kernel queues until they are accepted: a large fleet may connect at once.
+/// Length of the kernel's accept queue. A large fleet may connect at once.
 const BACKLOG: i32 = 4_096;
-/// The longest first line of a client.
+/// Maximum length of a client's first line.
 const MAX_HELLO_BYTES: usize = 64;
 
-/// What an event says of the engine list.
+/// Whether an event contains the whole engine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListUpdate {
-    /// All engines.
+    /// The event lists all engines.
     Snapshot,
-    /// Those that have changed.
+    /// The event lists only the engines that have changed.
     Patch,
 }
 
 pub(crate) struct EventBus {
     pub addr: SocketAddr,
     state: Mutex<State>,
-    /// Watchers wait for it: thousands of them cost nothing while nothing happens.
+    /// Notifies all connections of a change. Connections don't poll, so that thousands of them cost
+    /// nothing between events.
     changed: Event,
 }
 
 #[derive(Default)]
 struct State {
     events: Vec<Value>,
-    /// How often the connections open at the time were silenced.
+    /// Number of calls to `silence_connections`. A connection is silenced if the number has grown
+    /// since it was accepted.
     silence_count: u64,
     connections: Vec<Arc<Async<TcpStream>>>,
 }
@@ -47,7 +50,7 @@
 impl EventBus {
     pub fn start(executor: &Arc<Executor<'static>>) -> std::io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
-        // Listening once more only makes the kernel's queue longer.
+        // A second call to listen only extends the accept queue.
         rustix::net::listen(listener.get_ref(), BACKLOG)?;
         let bus = Arc::new(EventBus {
             addr: listener.get_ref().local_addr()?,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// All events so far.
+    /// Returns all events published so far.
     pub fn events(&self) -> Vec<Value> {
         lock(&self.state).events.clone()
     }
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Sends nothing more on the connections that are open now, and leaves them open.
+    /// Stops sending on the connections that are open now, and leaves them open.
     pub fn silence_connections(&self) {
         lock(&self.state).silence_count += 1;
         self.changed.notify(usize::MAX);
@@ -144,7 +147,8 @@
     }
 }
 
-/// Reads a client's first line; returns the offset that it names.
+/// Reads a client's first line, `from OFFSET`, and returns the offset. Returns `None` if the
+/// connection ends or the line is malformed.
 async fn read_hello(stream: &Async<TcpStream>) -> std::io::Result<Option<usize>> {
     let mut line = Vec::new();
     let mut byte = [0];
--- a/fake-upstreams/src/fake_upstreams.rs
+++ b/fake-upstreams/src/fake_upstreams.rs
@@ -1,4 +1,4 @@
-//! Several fake engines and the bus that lists them.
+//! A set of fake engines and the event bus that lists them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use crate::event_bus::{EventBus, ListUpdate};
 use crate::lock;
 
-/// How often their thread checks whether the engines have been dropped.
+/// How often the background thread checks whether the last clone has been dropped.
 const END_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long [`FakeUpstreams::wait_for`] waits at most.
+/// Maximum time that [`FakeUpstreams::wait_for`] waits.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 /// How often [`FakeUpstreams::wait_for`] checks its condition.
 const WAIT_CHECK_INTERVAL: Duration = Duration::from_millis(2);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Fake engines and their bus. They end when the last of its clones is dropped.
+/// Fake engines and their event bus. They stop when the last clone is dropped.
 #[derive(Clone)]
 pub struct FakeUpstreams(Arc<Inner>);
 
@@ -50,16 +50,16 @@
     bus: Arc<EventBus>,
     engines: Mutex<BTreeMap<String, Arc<Engine>>>,
     counts: Arc<Mutex<Counts>>,
-    /// Dropped with the last clone, which ends their thread.
+    /// Dropped with the last clone, which stops the background thread.
     _alive: Sender<()>,
 }
 
 impl FakeUpstreams {
-    /// Starts engines `e-1`, `e-2` and so on, warmed up, and a bus that lists them.
+    /// Starts warm engines `e-1`, `e-2` and so on, and an event bus that lists them.
     ///
     /// # Errors
     ///
-    /// No loopback address, or no thread, is available.
+    /// Fails if a loopback address can't be bound or the thread can't be started.
     pub fn start(engine_count: usize, profile: Profile) -> std::io::Result<Self> {
         let executor = Arc::new(Executor::new());
         let (alive, owner_dropped) = channel::<()>();
@@ -84,25 +84,25 @@
         Ok(upstreams)
     }
 
-    /// Where the bus listens.
+    /// Returns the address of the event bus.
     #[must_use]
     pub fn bus(&self) -> SocketAddr {
         self.0.bus.addr
     }
 
-    /// Where an engine listens.
+    /// Returns the address of an engine, or `None` if it was killed or never started.
     #[must_use]
     pub fn addr(&self, id: &str) -> Option<SocketAddr> {
         lock(&self.0.engines).get(id).map(|engine| engine.addr)
     }
 
-    /// The ids of all engines that have not been killed.
+    /// Returns the ids of all engines that have not been killed.
     #[must_use]
     pub fn ids(&self) -> Vec<String> {
         lock(&self.0.engines).keys().cloned().collect()
     }
 
-    /// The configuration of a gateway in front of these engines.
+    /// Returns the configuration of a gateway in front of these engines.
     #[must_use]
     pub fn config(&self, name: &str, listen: &str, settings: &Value) -> Value {
         let events = self.0.bus.events();
@@ -126,69 +126,71 @@
         Ok(())
     }
 
-    /// Starts another engine, which is warming up, and lists it; `addr` may be that of an engine
-    /// that was killed.
+    /// Starts another engine, which is cold, and lists it. `addr` may be the address of a killed
+    /// engine.
     ///
     /// # Errors
     ///
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub fn add(&self, id: &str, addr: Option<SocketAddr>) -> std::io::Result<()> {
         self.start_engine(id, addr, Some(Instant::now()))?;
         self.publish(ListUpdate::Patch, [(id, ListedState::InService)]);
         Ok(())
     }
 
-    /// Lists an engine as draining; what it has it still serves.
+    /// Lists an engine as draining. The engine keeps serving.
     pub fn drain(&self, id: &str) {
         lock(&self.0.counts).record_drain(id);
         self.publish(ListUpdate::Patch, [(id, ListedState::Draining)]);
     }
 
-    /// Records that operators have cordoned an engine, or no longer: attempts that reach a cordoned
-    /// one are counted.
+    /// Records that operators have cordoned or uncordoned an engine. Attempts that reach a cordoned
+    /// engine are counted.
     pub fn record_cordon(&self, id: &str, is_cordoned: bool) {
         lock(&self.0.counts).record_cordon(id, is_cordoned);
     }
 
-    /// Ends an engine's process: its connections are reset, its address refuses, and the bus does
-    /// not say so.
+    /// Stops an engine as if its process had been killed: its connections are reset, and its
+    /// address refuses connections. The event bus does not report it.
     pub fn kill(&self, id: &str) {
         if let Some(engine) = lock(&self.0.engines).remove(id) {
             engine.kill();
         }
     }
 
-    /// Ends an engine's process and lists it as removed.
+    /// Lists an engine as removed and kills it.
     pub fn remove(&self, id: &str) {
         lock(&self.0.counts).record_drain(id);
         self.publish(ListUpdate::Patch, [(id, ListedState::Removed)]);
         self.kill(id);
     }
 
-    /// Sets a fault on an engine; [`Fault::None`] removes it.
+    /// Sets the fault of an engine. [`Fault::None`] clears it.
     pub fn fault(&self, id: &str, fault: Fault) {
         if let Some(engine) = lock(&self.0.engines).get(id) {
             engine.set_fault(fault);
         }
     }
 
-    /// Closes all connections to the bus.
+    /// Closes all connections to the event bus.
     pub fn break_bus(&self) {
         self.0.bus.close_connections();
     }
 
-    /// Sends nothing more on the bus's open connections, which stay open; new ones work as ever.
+    /// Stops sending on the open connections of the event bus and leaves them open. New connections
+    /// work as usual.
     pub fn silence_bus(&self) {
         self.0.bus.silence_connections();
     }
 
-    /// What has reached the engines so far.
+    /// Returns the counts of what has reached the engines so far.
     #[must_use]
     pub fn counts(&self) -> Counts {
         lock(&self.0.counts).clone()
     }
 
-    /// Waits until a condition on the counts holds; `false` if it did not within ten seconds.
+    /// Waits until a condition on the counts holds. Returns `false` if it does not hold within ten
+    /// seconds.
     #[must_use]
     pub fn wait_for(&self, condition: impl Fn(&Counts) -> bool) -> bool {
         let deadline = Instant::now() + WAIT_TIMEOUT;
--- a/fake-upstreams/src/lib.rs
+++ b/fake-upstreams/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fakes of what a gateway talks to, on loopback and in a thread of their own: engines that speak
-//! the line protocol in full, and the event bus that lists them.
+//! Fakes of the systems that a gateway connects to, on loopback and in a thread of their own:
+//! engines that implement the whole line protocol, and the event bus that lists them.
 //!
-//! Engines follow the hints in a statement ([`StatementHints`]) and the faults that a test sets on
-//! them ([`Fault`]), and count what reaches them ([`Counts`]). They know nothing of the gateway.
-//! [`client`] has plain clients for its two interfaces.
+//! Engines follow the hints in a statement ([`StatementHints`]) and the faults that a test sets
+//! ([`Fault`]), and count what reaches them ([`Counts`]). They don't depend on the gateway.
+//! [`client`] has clients for the gateway's PostgreSQL and REST interfaces.
 //!
 //! ```
 //! use violetgate_fake_upstreams::{Fault, FakeUpstreams, Profile};
@@ -32,7 +32,7 @@
 pub use settings::settings;
 pub use statement_hints::{StatementHints, MAX_PAGE_BYTES, MAX_RESULT_BYTES};
 
-/// Locks a mutex that a test thread may have left locked when it failed.
+/// Locks a mutex and ignores poisoning, since a failed test thread may have held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/fake-upstreams/src/settings.rs
+++ b/fake-upstreams/src/settings.rs
@@ -1,9 +1,9 @@
-//! The settings of a gateway in front of fake engines.
+//! Settings for a gateway in front of fake engines.
 
 use serde_json::{json, Value};
 
-/// Settings with the classes `lookup` and `report` (idempotent) and `load` (with idempotency keys,
-/// in order of arrival), and the tenants `north` and `south`.
+/// Returns settings with the classes `lookup` and `report` (idempotent) and `load` (with
+/// idempotency keys, in order of arrival), and the tenants `north` and `south`.
 #[must_use]
 pub fn settings() -> Value {
     json!({
--- a/fake-upstreams/src/statement_hints.rs
+++ b/fake-upstreams/src/statement_hints.rs
@@ -1,36 +1,36 @@
-//! Hints in a statement say what an engine is to do.
+//! Hints in a statement, which tell a fake engine how to execute it.
 //!
 //! | hint | meaning |
 //! | --- | --- |
-//! | `ms=20` | works for 20 ms |
-//! | `rows=300` | answers with 300 rows |
-//! | `width=40` | of about 40 bytes each |
-//! | `fail` | answers with an error |
-//! | `notes=20` | reports its progress each 20 ms |
+//! | `ms=20` | takes 20 ms |
+//! | `rows=300` | returns 300 rows |
+//! | `width=40` | pads rows to about 40 bytes |
+//! | `fail` | fails with an error |
+//! | `notes=20` | reports progress every 20 ms |
 //! | `untold` | does not report its cost |
 //!
-//! A statement without hints works for 2 ms and has 3 rows.
+//! A statement without hints takes 2 ms and returns 3 rows.
 
-/// The longest page, in bytes, by the protocol.
+/// Maximum size of a page in the line protocol, in bytes.
 pub const MAX_PAGE_BYTES: usize = 6_000;
-/// The longest result, in bytes, by the protocol.
+/// Maximum size of a result in the line protocol, in bytes. Rows beyond it are omitted.
 pub const MAX_RESULT_BYTES: usize = 48_000;
 
-/// What a statement asks of an engine.
+/// The hints of one statement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatementHints {
-    /// How long it works on one core, in milliseconds.
+    /// Execution time on a warm engine, in milliseconds.
     pub work_ms: u64,
-    /// Rows of the result.
+    /// Number of rows in the result.
     pub rows: usize,
-    /// Bytes of a row, about.
+    /// Size to which rows are padded, in bytes; 0 for no padding.
     pub row_bytes: usize,
-    /// Whether it fails.
+    /// Whether the statement fails with an error.
     pub fails: bool,
-    /// Time between two reports of progress in milliseconds; 0 for none.
+    /// Time between progress reports, in milliseconds; 0 for no reports.
     pub progress_interval_ms: u64,
-    /// Whether its answer does not report what it cost.
-    pub hides_cost: bool,
+    /// Whether the answer omits the cost.
+    pub omits_cost: bool,
 }
 
 impl Default for StatementHints {
@@ -41,13 +41,13 @@
             row_bytes: 0,
             fails: false,
             progress_interval_ms: 0,
-            hides_cost: false,
+            omits_cost: false,
         }
     }
 }
 
 impl StatementHints {
-    /// Reads the hints of a statement.
+    /// Parses the hints in a statement. Words that are not hints are ignored.
     #[must_use]
     pub fn parse(statement: &str) -> Self {
         let mut hints = StatementHints::default();
@@ -60,21 +60,22 @@
                 ("width", Ok(bytes)) => hints.row_bytes = bytes as usize,
                 ("fail", _) => hints.fails = true,
                 ("notes", Ok(millis)) => hints.progress_interval_ms = millis,
-                ("untold", _) => hints.hides_cost = true,
+                ("untold", _) => hints.omits_cost = true,
                 _ => {}
             }
         }
         hints
     }
 
-    /// The pages of the result. A row has the request's id, the attempt's mark and its number from
-    /// 0, so that rows of two attempts, and rows that are missing or doubled, can be recognized.
+    /// Returns the pages of the result. The columns of a row are the request's id, the execution's
+    /// id and the row's number, which starts at 0, so that a test can detect mixed attempts and
+    /// missing or duplicate rows.
     #[must_use]
-    pub fn pages(&self, request_id: &str, attempt_mark: &str) -> Vec<String> {
+    pub fn pages(&self, request_id: &str, execution_id: &str) -> Vec<String> {
         let mut pages = vec![String::new()];
         let mut result_bytes = 0;
         for number in 0..self.rows {
-            let mut row = format!("{request_id}\t{attempt_mark}\t{number}");
+            let mut row = format!("{request_id}\t{execution_id}\t{number}");
             while row.len() + 1 < self.row_bytes {
                 row.push('.');
             }
--- a/fake-upstreams/src/statement_hints/tests.rs
+++ b/fake-upstreams/src/statement_hints/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Rows are in order and none is doubled, within the protocol's limits.
+/// Pages stay within the protocol's size limit, and every row is on exactly one page, in order.
 #[test]
 fn pages_hold_whole_rows() {
     let hints = StatementHints::parse("SELECT day FROM sales_3.plan /* ms=7 rows=500 width=60 */");
@@ -12,7 +12,7 @@
             row_bytes: 60,
             fails: false,
             progress_interval_ms: 0,
-            hides_cost: false
+            omits_cost: false
         }
     );
     let pages = hints.pages("00000000000000a1", "e-1/1");
--- a/fake-upstreams/tests/protocol.rs
+++ b/fake-upstreams/tests/protocol.rs
@@ -1,5 +1,5 @@
-//! The bytes that engines and the event bus send are exactly what they were when these lines were
-//! recorded: the gateway and the demo are tested against them.
+//! Checks the exact bytes that fake engines and the fake event bus send, since the gateway and the
+//! demo are tested against them.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -9,9 +9,8 @@
 
 use violetgate_fake_upstreams::{FakeUpstreams, Fault, Profile};
 
-/// A profile whose work takes the same time from the start on, since fleets start their engines
-/// warm.
-fn fleet(engines: usize) -> FakeUpstreams {
+/// Starts warm engines, so that statements take the same time from the start.
+fn start_upstreams(engines: usize) -> FakeUpstreams {
     FakeUpstreams::start(engines, Profile::default()).unwrap()
 }
 
@@ -23,14 +22,14 @@
     stream
 }
 
-fn serve(rid: &str, fields: &str, statement: &str) -> String {
+fn serve(request_id: &str, fields: &str, statement: &str) -> String {
     format!(
-        "serve {rid} {fields} {}\r\n{statement}\r\n",
+        "serve {request_id} {fields} {}\r\n{statement}\r\n",
         statement.len()
     )
 }
 
-/// Sends commands and reads as many bytes as are expected in answer.
+/// Sends commands, reads as many bytes as `expected` has, and compares them.
 fn exchange(stream: &mut TcpStream, commands: &str, expected: &str) {
     stream.write_all(commands.as_bytes()).unwrap();
     let mut answer = vec![0; expected.len()];
@@ -40,8 +39,8 @@
 
 #[test]
 fn an_engine_answers_with_rows_and_their_cost() {
-    let fleet = fleet(1);
-    let mut stream = connect(fleet.addr("e-1").unwrap());
+    let upstreams = start_upstreams(1);
+    let mut stream = connect(upstreams.addr("e-1").unwrap());
     exchange(
         &mut stream,
         &serve("00a1", "op=k1,reserve=64", "SELECT 1 /* ms=3 rows=2 */"),
@@ -58,7 +57,7 @@
         "00a3 error - 0\r\n\r\n",
     );
     exchange(&mut stream, "health t7\r\n", "t7 yes - 0\r\n\r\n");
-    let counts = fleet.counts();
+    let counts = upstreams.counts();
     assert_eq!(counts.attempts(), 3);
     assert_eq!(counts.by_key.get("k1"), Some(&1));
     assert_eq!(counts.reserved.get("00a1"), Some(&64));
@@ -66,9 +65,9 @@
 }
 
 #[test]
-fn an_engine_notes_its_progress() {
-    let fleet = fleet(1);
-    let mut stream = connect(fleet.addr("e-1").unwrap());
+fn an_engine_reports_progress() {
+    let upstreams = start_upstreams(1);
+    let mut stream = connect(upstreams.addr("e-1").unwrap());
     exchange(
         &mut stream,
         &serve("00b1", "-", "SELECT 1 /* ms=40 rows=1 notes=10 */"),
@@ -82,8 +81,8 @@
 
 #[test]
 fn further_pages_are_read_and_released() {
-    let fleet = fleet(1);
-    let mut stream = connect(fleet.addr("e-1").unwrap());
+    let upstreams = start_upstreams(1);
+    let mut stream = connect(upstreams.addr("e-1").unwrap());
     let row = |number: usize| format!("{:.<2999}\n", format!("00c1\te-1/0\t{number}"));
     let first = row(0) + &row(1);
     exchange(
@@ -106,22 +105,22 @@
 }
 
 #[test]
-fn an_engine_does_as_its_fault_says() {
-    let fleet = fleet(1);
-    let addr = fleet.addr("e-1").unwrap();
+fn an_engine_simulates_its_fault() {
+    let upstreams = start_upstreams(1);
+    let addr = upstreams.addr("e-1").unwrap();
     let mut stream = connect(addr);
-    fleet.fault("e-1", Fault::Refuse);
+    upstreams.fault("e-1", Fault::Refuse);
     let command = serve("00d1", "-", "SELECT 1");
     exchange(&mut stream, &command, "00d1 refused - 0\r\n\r\n");
-    fleet.fault("e-1", Fault::Err);
+    upstreams.fault("e-1", Fault::Error);
     exchange(&mut stream, &command, "00d1 error - 0\r\n\r\n");
     for fault in [Fault::ResetOnServe, Fault::ResetOnAnswer] {
-        fleet.fault("e-1", fault);
+        upstreams.fault("e-1", fault);
         let mut stream = connect(addr);
         stream.write_all(command.as_bytes()).unwrap();
         assert!(matches!(stream.read(&mut [0; 8]), Ok(0) | Err(_)));
     }
-    fleet.fault("e-1", Fault::None);
+    upstreams.fault("e-1", Fault::None);
     exchange(
         &mut stream,
         &serve("00d2", "-", "SELECT 1 /* rows=9 width=3000 */"),
@@ -129,7 +128,7 @@
     );
     let mut page = vec![0; 6002];
     stream.read_exact(&mut page).unwrap();
-    fleet.fault("e-1", Fault::SpoilPages);
+    upstreams.fault("e-1", Fault::CorruptPages);
     exchange(
         &mut stream,
         "read 00d2 1\r\n",
@@ -138,9 +137,9 @@
 }
 
 #[test]
-fn the_bus_lists_engines_and_its_last_number() {
-    let fleet = fleet(2);
-    let addr = |id: &str| fleet.addr(id).unwrap();
+fn the_bus_sends_engines_and_its_last_offset() {
+    let upstreams = start_upstreams(2);
+    let addr = |id: &str| upstreams.addr(id).unwrap();
     let server = |id: &str, state: &str| {
         format!(
             "{{\"addr\":\"{}\",\"cell\":0,\"id\":\"{id}\",\"kind\":\"k\",\"started_ms\":0,\
@@ -159,13 +158,13 @@
         server("e-1", "in_service"),
         server("e-2", "in_service")
     );
-    let mut stream = connect(fleet.bus());
+    let mut stream = connect(upstreams.bus());
     exchange(&mut stream, "from 0\n", &event(1, true, &both));
-    fleet.drain("e-2");
+    upstreams.drain("e-2");
     let drained = event(2, false, &server("e-2", "terminating"));
     exchange(&mut stream, "", &drained);
-    // The last number comes each second.
+    // The bus sends its last offset once a second.
     exchange(&mut stream, "", "2\n");
-    let mut resumed = connect(fleet.bus());
+    let mut resumed = connect(upstreams.bus());
     exchange(&mut resumed, "from 1\n", &drained);
 }
--- a/gateway/tests/rest/pages.rs
+++ b/gateway/tests/rest/pages.rs
@@ -1,14 +1,14 @@
-//! Results in pages, and what becomes of them.
+//! Results in pages, and how long they can be fetched.
 
 use violetgate_fake_upstreams::Fault;
 
 use crate::support::{wait_until, GatewayProcess};
 use crate::{assert_complete, report, WINDOW};
 
-/// Pages that were promised come whole and the same each time, whatever becomes of the engine that
-/// made them: it drains, it dies, another takes its address. No engine is asked again.
+/// The pages of a result stay complete and unchanged after their engine drains, dies, and another
+/// engine takes its address. Each page is fetched from the engine only once.
 #[test]
-fn pages_stay_the_same_whatever_becomes_of_their_engine() {
+fn pages_outlive_their_engine_unchanged() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
     let first = gateway.post_query(&report(30_000, "rows=600 width=70"), None);
     let addr = gateway.upstreams.addr("e-1");
@@ -43,7 +43,7 @@
         (1, pages - 1)
     );
     assert!(counts.pages.values().all(|n| *n == 1), "{:?}", counts.pages);
-    // What comes next runs at the successor.
+    // Later queries run on the new engine.
     assert_complete(
         &gateway.post_query(&report(30_000, "rows=5"), None).rows(),
         5,
@@ -51,13 +51,13 @@
     assert_eq!(gateway.upstreams.counts().by_engine.get("e-2"), Some(&1));
 }
 
-/// An attempt whose further pages are spoilt or cut off is a failed one: its rows never mix with
-/// the next one's.
+/// An attempt fails if its connection is reset or a further page is corrupt. Its rows never mix
+/// with those of the next attempt.
 #[test]
 fn pages_of_two_attempts_never_mix() {
     for fault in [
         Fault::ResetOnPage,
-        Fault::SpoilPages,
+        Fault::CorruptPages,
         Fault::ResetOnAnswer,
         Fault::ResetOnServe,
     ] {
@@ -78,27 +78,28 @@
     }
 }
 
-/// Never a stale page, and its bytes are freed.
+/// After the budget of its query has ended, a page gets 410, and the memory of the result is freed.
 #[test]
-fn a_page_is_gone_after_its_clients_time() {
+fn a_page_expires_with_the_budget_of_its_query() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
     let first = gateway.post_query(&report(600, "rows=300 width=60"), None);
     let path = first.next().unwrap();
     let mut http = gateway.http();
     let mut last = None;
-    wait_until("the result is gone", || {
+    wait_until("the result has expired", || {
         let page = http.get(&path);
         let body = last.get_or_insert_with(|| page.clone());
         assert!(page.status == 410 || page.body == body.body, "{page:?}");
         page.status == 410
     });
     assert_eq!(http.get(&path).problem_type(), "result-gone");
-    wait_until("its bytes are free", || {
+    wait_until("the memory of the result is freed", || {
         gateway.metric("svc_rest_results_bytes") == 0.0
     });
 }
 
-/// Neither forged tokens nor page numbers that are none or too high.
+/// Forged tokens, and page numbers that are invalid or too high, get 404. The answer to a forged
+/// token does not depend on which byte differs.
 #[test]
 fn an_unknown_token_or_page_number_is_not_found() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
@@ -141,7 +142,8 @@
     }
 }
 
-/// Nor is it one of another process's.
+/// A deleted result gets 410. The token of another process's result gets the same answer as an
+/// unknown token.
 #[test]
 fn a_deleted_result_is_gone() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
@@ -152,8 +154,8 @@
         first.next().unwrap(),
     );
     let unknown = http.get(&format!("/v1/queries/{}/pages/2", "A".repeat(id.len())));
-    let stranger = GatewayProcess::start(1, "", WINDOW);
-    assert_eq!(stranger.http().get(&path).body, unknown.body);
+    let other = GatewayProcess::start(1, "", WINDOW);
+    assert_eq!(other.http().get(&path).body, unknown.body);
     assert_eq!(http.get(&path).status, 200);
     http.send("DELETE", &format!("/v1/queries/{id}"), &[], b"");
     assert_eq!(http.read().status, 204);
