--- a/gateway/tests/cluster/main.rs
+++ b/gateway/tests/cluster/main.rs
@@ -1,5 +1,5 @@
-//! The program as a member of a cluster, on real sockets: what its API takes and tells, what
-//! operators' calls do, and that it neither starts nor sends without its state.
+//! Tests the program as a cluster member on real sockets: its cluster API, operators' calls, and
+//! that it neither starts without its state nor sends queries while it can't confirm that state.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -20,15 +20,15 @@
 use serde_json::Value;
 use support::{reserve_address, GatewayProcess, HttpConnection, Reply};
 
-/// A gateway that is a cluster by itself, and where its API is.
-fn alone() -> (GatewayProcess, String) {
+/// Starts a gateway that is the only member of its cluster. Returns it and the address of its API.
+fn start_single_member() -> (GatewayProcess, String) {
     let (peer, api) = (reserve_address(), reserve_address());
-    let block = |folder: &Path| block(folder, 1, &peer, &api, &[(1, &peer)]);
+    let block = |folder: &Path| cluster_block(folder, 1, &peer, &api, &[(1, &peer)]);
     let gateway = GatewayProcess::start_with_blocks(2, "", 12.0, block);
     (gateway, api.clone())
 }
 
-fn block(folder: &Path, id: u64, peer: &str, api: &str, members: &[(u64, &str)]) -> String {
+fn cluster_block(folder: &Path, id: u64, peer: &str, api: &str, members: &[(u64, &str)]) -> String {
     let members: String = members
         .iter()
         .map(|(id, at)| format!("    \"{id}\" = \"{at}\"\n"))
--- a/gateway/tests/cluster/membership.rs
+++ b/gateway/tests/cluster/membership.rs
@@ -1,13 +1,13 @@
-//! Members that are isolated, and members that begin with a saved state.
+//! Isolated members, and members that start from a saved state.
 
 use serde_json::json;
 
 use crate::support::{reserve_address, run_violetgate, GatewayProcess};
-use crate::{alone, block, Api};
+use crate::{cluster_block, start_single_member, Api};
 
-/// A member whose others are away can't confirm its state: it says that it is not ready and tells
-/// clients at once to go elsewhere, over both protocols; reads are refused, unless an old copy will
-/// do.
+/// A member without a quorum can't confirm its state. It reports that it is not ready, sends
+/// nothing to the engines, and rejects clients at once over both protocols. It rejects reads too,
+/// unless they allow stale data.
 #[test]
 fn an_isolated_member_sends_nothing_and_rejects_reads() {
     let (peer, api) = (reserve_address(), reserve_address());
@@ -20,11 +20,11 @@
     let mut gateway = GatewayProcess::start(1, "", 12.0);
     let settings = gateway.folder.join("violetgate.hcl");
     let text = std::fs::read_to_string(&settings).unwrap()
-        + &block(&gateway.folder, 1, &peer, &api, &members);
+        + &cluster_block(&gateway.folder, 1, &peer, &api, &members);
     std::fs::write(&settings, text).unwrap();
     gateway.child.kill().unwrap();
     gateway.child.wait().unwrap();
-    // Without its folder it does not start.
+    // The member does not start without its folder.
     let (code, output) = gateway.run_until_exit();
     assert!(
         code == Some(1) && output.contains("`violetgate members init` makes one"),
@@ -63,35 +63,42 @@
     assert_eq!(calls.get("/v1/cluster").json()["routes"], false);
 }
 
-/// The command line: a state that is saved begins another cluster, and errors are reported in one
-/// line.
+/// A state that was saved from the command line starts another cluster, and the command line
+/// reports rejected calls and unusable files.
 #[test]
-fn a_saved_state_begins_another_cluster() {
-    let (gateway, at) = alone();
+fn a_saved_state_starts_another_cluster() {
+    let (gateway, api_address) = start_single_member();
     let ctl = |at: &str, args: &[&str]| run_violetgate(&[&["ctl", "--at", at][..], args].concat());
-    assert!(ctl(&at, &["put", "greeting", "hello"]).0);
-    assert!(ctl(&at, &["cordon", "e-2"]).0);
-    assert_eq!(ctl(&at, &["get", "greeting"]), (true, "hello\n".to_owned()));
-    assert!(
-        ctl(&at, &["watch", "greeting", "--after", "0", "--count", "1"])
-            .1
-            .contains("\"value\":\"hello\"")
+    assert!(ctl(&api_address, &["put", "greeting", "hello"]).0);
+    assert!(ctl(&api_address, &["cordon", "e-2"]).0);
+    assert_eq!(
+        ctl(&api_address, &["get", "greeting"]),
+        (true, "hello\n".to_owned())
+    );
+    assert!(ctl(
+        &api_address,
+        &["watch", "greeting", "--after", "0", "--count", "1"]
+    )
+    .1
+    .contains("\"value\":\"hello\""));
+    let (succeeded, output) = ctl(
+        &api_address,
+        &["put", "greeting", "x", "--if-revision", "0"],
     );
-    let (succeeded, output) = ctl(&at, &["put", "greeting", "x", "--if-revision", "0"]);
     assert!(
         !succeeded && output.contains("a condition does not hold"),
         "{output}"
     );
     let file = gateway.folder.join("saved");
     let file = file.to_str().unwrap();
-    assert!(ctl(&at, &["snapshot", "save", file]).0);
-    assert!(ctl(&at, &["members"]).1.contains("leader"));
-    // Another cluster, of one member that begins with that state.
+    assert!(ctl(&api_address, &["snapshot", "save", file]).0);
+    assert!(ctl(&api_address, &["members"]).1.contains("leader"));
+    // Another cluster, whose only member starts from the saved state.
     let (peer, api) = (reserve_address(), reserve_address());
     let other = GatewayProcess::start(2, "", 12.0);
     let settings = other.folder.join("violetgate.hcl");
     let text = std::fs::read_to_string(&settings).unwrap()
-        + &block(&other.folder, 4, &peer, &api, &[(4, &peer)]);
+        + &cluster_block(&other.folder, 4, &peer, &api, &[(4, &peer)]);
     std::fs::write(&settings, text).unwrap();
     let settings = settings.to_str().unwrap();
     let (succeeded, output) = run_violetgate(&[
--- a/gateway/tests/cluster/state.rs
+++ b/gateway/tests/cluster/state.rs
@@ -1,15 +1,15 @@
-//! Entries: reads, changes and conditions.
+//! Entries of the shared state: reads, changes and conditions.
 
 use serde_json::json;
 
-use crate::{alone, keys, Api};
+use crate::{keys, start_single_member, Api};
 
-/// All pages of a listing are of the revision of the first, whatever is written between them; what
-/// is compacted away is reported, to a listing and to a watcher.
+/// All pages of a listing show the revision of the first page, whatever is written in between. A
+/// listing or a watch from a compacted revision gets an error.
 #[test]
 fn all_pages_of_a_listing_are_of_one_revision() {
-    let (_front, at) = alone();
-    let mut api = Api::new(&at);
+    let (_gateway, api_address) = start_single_member();
+    let mut api = Api::new(&api_address);
     for n in 0..5 {
         api.put(&format!("a/{n}"), "old");
     }
@@ -59,7 +59,7 @@
     assert_eq!(keys(&page), [("a/1".to_owned(), "old".to_owned())]);
 }
 
-/// Calls that can't be carried out: method, path, body, and the status and kind of the error.
+/// Calls that are rejected: method, path, body, and the status and problem type of the error.
 const REJECTED_CALLS: [(&str, &str, &str, u16, &str); 13] = [
     ("PUT", "/v1/state?key=cordons/e-1", "x", 403, "reserved"),
     ("PUT", "/v1/state?kee=k", "x", 400, "invalid-request"),
@@ -100,12 +100,12 @@
     ("GET", "/v1/nothing", "", 404, "no-such-call"),
 ];
 
-/// A request id that comes again changes nothing and gets the same answer; conditions hold or
-/// nothing is done.
+/// A repeated request id changes nothing and gets the same answer. A change whose condition fails
+/// has no effect, and a transaction executes exactly one of its two branches.
 #[test]
 fn changes_are_made_once_for_each_request_id_and_under_conditions() {
-    let (_front, at) = alone();
-    let mut api = Api::new(&at);
+    let (_gateway, api_address) = start_single_member();
+    let mut api = Api::new(&api_address);
     let id = [("request-id", "one"), ("operator", "amina")];
     let first = api.call("PUT", "/v1/state?key=k", &id, "1").json();
     api.put("k", "2");
@@ -135,11 +135,12 @@
     assert_eq!(api.get("/v1/state?key=new").json()["value_base64"], "/wA=");
 }
 
-/// Keys with a meaning of their own are among what can't be changed by hand.
+/// Rejected calls get the documented errors. They include writes to reserved keys, invalid
+/// parameters, unknown leases and engines, and impossible membership changes.
 #[test]
 fn calls_that_cannot_be_carried_out_get_their_errors() {
-    let (_front, at) = alone();
-    let mut api = Api::new(&at);
+    let (_gateway, api_address) = start_single_member();
+    let mut api = Api::new(&api_address);
     for (method, path, body, status, kind) in REJECTED_CALLS {
         let reply = api.call(method, path, &[], body);
         assert_eq!(
--- a/gateway/tests/crossings.rs
+++ b/gateway/tests/crossings.rs
@@ -1,6 +1,6 @@
-//! The whole program at the instants that most fail at: descriptors that run out while the bus is
-//! away, and an end with sessions at rest. What one session meets is forced in
-//! `src/postgres/sessions/tests.rs`.
+//! Tests the whole program in two situations that easily go wrong: the file descriptors run out
+//! while the event bus is disconnected, and the process stops with idle sessions.
+//! `src/postgres/tests/` tests such situations for a single session.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -16,16 +16,17 @@
 
 use support::{wait_for_exit, wait_until, GatewayProcess, PostgresSession, Signal};
 
-/// Descriptors that a process holds.
+/// Counts the open file descriptors of the gateway process.
 fn descriptors(gateway: &GatewayProcess) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", gateway.child.id()))
         .unwrap()
         .count()
 }
 
-/// Idle clients want more descriptors than there are, and the bus breaks off meanwhile: the oldest
-/// of them give way, the process stays within its limit, the bus is followed again, and queries are
-/// served.
+/// Idle clients must not use the descriptors that the gateway needs to reconnect to the event bus.
+/// More clients connect than the limit allows, and the bus closes its connections: the gateway
+/// closes the oldest idle sessions, stays within its limit, follows the bus again, and serves
+/// queries.
 #[test]
 fn idle_clients_leave_descriptors_for_the_bus() {
     const LIMIT: usize = 64;
@@ -44,13 +45,13 @@
         idle.push(gateway.pg());
         assert!(
             descriptors(&gateway) <= LIMIT,
-            "{} with {n} clients",
+            "{} descriptors are open with {n} clients",
             descriptors(&gateway)
         );
     }
     gateway.upstreams.break_bus();
     gateway.upstreams.add("e-9", None).unwrap();
-    wait_until("the bus is followed again", || {
+    wait_until("the gateway follows the bus again", || {
         gateway.metric("svc_known_engines") == 3.0
     });
     let mut last = idle.pop().unwrap();
@@ -60,8 +61,7 @@
     assert!(descriptors(&gateway) <= LIMIT);
 }
 
-/// At SIGTERM sessions at rest are each closed, with a reason in the log, before the process ends
-/// by itself.
+/// After SIGTERM the process closes each idle session, logs a reason for each, and exits by itself.
 #[test]
 fn sessions_at_rest_are_closed_before_the_end() {
     let mut gateway = GatewayProcess::start(1, "", 12.0);
@@ -78,7 +78,9 @@
     gateway.signal(Signal::TERM);
     for (_, mut stream) in sessions {
         let mut rest = Vec::new();
-        stream.read_to_end(&mut rest).expect("an end, and no reset");
+        stream
+            .read_to_end(&mut rest)
+            .expect("the session should be closed without a reset");
         assert!(rest.is_empty(), "{}", rest.escape_ascii());
     }
     assert_eq!(wait_for_exit(&mut gateway.child), Some(0));
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -1,6 +1,6 @@
-//! One build before two kinds of deployment that differ in their settings only: one locality,
-//! engines that report what a query cost and nothing meanwhile, a ration of further attempts; and
-//! two localities, grants, notes, engines that report no cost, no ration.
+//! Tests one build in two kinds of deployment that differ only in their settings. The first has one
+//! locality, engines that report a query's cost but no progress, and a retry budget. The second has
+//! two localities, memory grants, engines that report progress but no cost, and no retry budget.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -20,26 +20,27 @@
 use violetgate_fake_upstreams::{settings, FakeUpstreams, Profile};
 use violetgate_test_harness::{read_metrics, server_command};
 
-/// Time between notes of progress that the settings promise, in seconds. An attempt without a note
-/// for 1.7 of these is taken back and sent again.
-const NOTE_PERIOD_S: f64 = 0.25;
-/// Work of a statement. It is longer than 1.7 note periods, so only its notes keep it from being
-/// sent twice, and longer than its estimate, so that without notes it depends on the multiple of
-/// the estimate that an attempt may take.
+/// Time between progress reports that the settings promise, in seconds. An attempt without a report
+/// for 1.7 times as long is withdrawn and sent again.
+const PROGRESS_PERIOD_S: f64 = 0.25;
+/// Execution time of a statement, in milliseconds. It exceeds 1.7 progress periods, so that only
+/// progress reports prevent a second attempt. It also exceeds its estimate, so that without reports
+/// the allowed multiple of the estimate decides.
 const WORK_MS: u64 = 600;
-/// Estimate that clients give of that work.
+/// The clients' estimate of the execution time, in milliseconds.
 const ESTIMATE_MS: u64 = 300;
-/// Time between the notes that an engine sends. Shorter than promised, so that a busy machine
-/// delays none too long.
-const NOTES_MS: u64 = 20;
+/// Time between the progress reports that an engine sends, in milliseconds. It is shorter than
+/// promised, so that reports are not late on a busy machine.
+const PROGRESS_INTERVAL_MS: u64 = 20;
 
-/// One locality, a ration, engines that report cost.
+/// Returns the settings of a deployment with one locality, a retry budget and engines that report
+/// cost.
 fn one_locality() -> Value {
     settings()
 }
 
-/// Two localities, no ration, at most three attempts; grants and notes, engines that report no
-/// cost.
+/// Returns the settings of a deployment with two localities, at most three attempts, no retry
+/// budget, memory grants, and engines that report progress but no cost.
 fn two_localities() -> Value {
     let mut settings = settings();
     settings["balancers"] = 2.into();
@@ -51,12 +52,12 @@
     settings["domain"]["grants"] = true.into();
     settings["domain"]["most-grant"] = 0.5.into();
     settings["domain"]["memory-by-kind-mb"] = json!([32768.0]);
-    settings["domain"]["note-period"] = NOTE_PERIOD_S.into();
+    settings["domain"]["note-period"] = PROGRESS_PERIOD_S.into();
     settings["domain"]["out-of-memory"] = "shrink".into();
     settings["domain"]["tells-cost"] = false.into();
     let rules = settings["rules"].as_object_mut().unwrap();
-    for ration in ["extra-share", "free-resends", "resend-span"] {
-        rules.remove(ration);
+    for budget_key in ["extra-share", "free-resends", "resend-span"] {
+        rules.remove(budget_key);
     }
     rules.insert("drain-grace".to_owned(), 0.5.into());
     rules.insert("fall".to_owned(), 1.0.into());
@@ -99,14 +100,14 @@
             management,
             folder,
         };
-        wait_until("it is healthy", || {
+        wait_until("the gateway is healthy", || {
             let mut http = HttpClient::new(connect(&gateway.management), WAIT).unwrap();
             http.get("/admin/health").is_ok_and(|r| r.status == 200)
         });
         gateway
     }
 
-    /// The rows, or the error's text.
+    /// Runs a query over PostgreSQL. Returns the number of rows or the error's message.
     fn run_query(&self, fields: &str, statement: &str) -> Result<usize, String> {
         let mut pg = PostgresClient::new(connect(&self.listen), WAIT).unwrap();
         pg.send(&format!("/* {fields} */ {statement}")).unwrap();
@@ -117,26 +118,29 @@
     }
 }
 
-/// Both kinds of deployment are served by the same build: plain and keyed queries, and attempts
-/// that engines speak of while they run, in kinds of notes that are known and one that is not. None
-/// is sent twice.
+/// The same build serves both kinds of deployment: queries with and without idempotency keys, and
+/// engines that report progress, including a report of an unknown kind. No query is sent twice.
 #[test]
 fn the_same_build_serves_both_deployments() {
     for (name, settings) in [
-        ("one-room", one_locality()),
-        ("two-rooms", two_localities()),
+        ("one-locality", one_locality()),
+        ("two-localities", two_localities()),
     ] {
         let gateway = GatewayProcess::start(name, &settings);
-        let cost_field = if name == "one-room" { "" } else { "untold" };
-        let notes = format!("notes={NOTES_MS}");
-        let notes_field = if name == "one-room" { "" } else { &notes };
+        let cost_hint = if name == "one-locality" { "" } else { "untold" };
+        let progress = format!("notes={PROGRESS_INTERVAL_MS}");
+        let notes_hint = if name == "one-locality" {
+            ""
+        } else {
+            &progress
+        };
         for n in 0..6u64 {
             let fields = format!(
                 "method=lookup,rid={:016x},budget=9000,est={ESTIMATE_MS},est_mb=100",
                 n + 1
             );
             let statement = format!(
-                "SELECT day FROM sales_3.plan /* ms={WORK_MS} rows=5 {notes_field} {cost_field} */"
+                "SELECT day FROM sales_3.plan /* ms={WORK_MS} rows=5 {notes_hint} {cost_hint} */"
             );
             assert_eq!(gateway.run_query(&fields, &statement), Ok(5), "{name}, {n}");
         }
@@ -146,7 +150,7 @@
         let keyed = gateway.run_query(
             &fields,
             &format!(
-                "INSERT INTO sales_2.plan SELECT 1 /* ms={ESTIMATE_MS} {notes_field} {cost_field} */"
+                "INSERT INTO sales_2.plan SELECT 1 /* ms={ESTIMATE_MS} {notes_hint} {cost_hint} */"
             ),
         );
         assert!(keyed.is_ok(), "{name}: {keyed:?}");
@@ -157,31 +161,35 @@
             counts.by_request,
             counts.cancels
         );
-        // Memory is granted where grants are heeded, and the engine's own choice elsewhere.
+        // The gateway grants memory only if the settings enable grants. Otherwise the engine
+        // chooses.
         let granted = counts.reserved.values().filter(|mb| **mb > 0).count();
         assert_eq!(
             granted > 0,
-            name == "two-rooms",
+            name == "two-localities",
             "{name}: {:?}",
             counts.reserved
         );
     }
 }
 
-/// A client's mark of a repeat is heeded, and what is no mark is an error that names the field, on
-/// both.
+/// Both deployments accept a client's retry mark, and reject an invalid one with an error that
+/// names the field.
 #[test]
 fn an_invalid_retry_mark_is_rejected_with_its_reason() {
-    for (name, settings) in [("mark-one", one_locality()), ("mark-two", two_localities())] {
+    for (name, settings) in [
+        ("retry-mark-one-locality", one_locality()),
+        ("retry-mark-two-localities", two_localities()),
+    ] {
         let gateway = GatewayProcess::start(name, &settings);
-        let ask = |rid: u64, again: &str| {
+        let run = |rid: u64, retry_mark: &str| {
             gateway.run_query(
-                &format!("method=lookup,rid={rid:016x},budget=5000,again={again}"),
+                &format!("method=lookup,rid={rid:016x},budget=5000,again={retry_mark}"),
                 "SELECT 1 FROM sales_3.plan",
             )
         };
-        assert!(ask(1, "1").is_ok());
-        let error = ask(2, "yes").unwrap_err();
+        assert!(run(1, "1").is_ok());
+        let error = run(2, "yes").unwrap_err();
         assert!(
             error.contains("again") && error.contains("is not 1"),
             "{error}"
@@ -189,19 +197,18 @@
     }
 }
 
-/// Nobody there to serve: the refusal says in its text for how long to stay away, within what the
-/// settings allow.
+/// If no engine is listed, the rejection states a retry delay within the limit of the settings.
 #[test]
 fn a_rejection_states_a_bounded_retry_delay() {
     for (name, settings, most) in [
-        ("away-one", one_locality(), 1_000),
-        ("away-two", two_localities(), 500),
+        ("no-engine-one-locality", one_locality(), 1_000),
+        ("no-engine-two-localities", two_localities(), 500),
     ] {
         let gateway = GatewayProcess::start(name, &settings);
         for id in gateway.upstreams.ids() {
             gateway.upstreams.remove(&id);
         }
-        wait_until("nobody is listed", || {
+        wait_until("no engine is listed", || {
             let metrics = read_metrics(gateway.management.parse().unwrap(), WAIT).unwrap();
             metrics.get("svc_known_engines") == Some(&0.0)
         });
--- a/gateway/tests/openapi.rs
+++ b/gateway/tests/openapi.rs
@@ -1,5 +1,5 @@
-//! docs/openapi.yaml against the program: every answer that is listed can be had, none that is had
-//! is not listed, and bodies are as their schemas say.
+//! Compares docs/openapi.yaml with the program: the program can return every documented response
+//! and returns no others, and bodies match their schemas.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -15,25 +15,25 @@
 use serde_json::{json, Value};
 use support::{wait_until, GatewayProcess, Reply};
 
-struct Page {
-    page: Value,
-    /// Answers that were had: path, method, status.
-    had: BTreeSet<(String, String, String)>,
+struct ApiDocument {
+    root: Value,
+    /// Responses that the program has returned: path, method, status.
+    returned: BTreeSet<(String, String, String)>,
 }
 
-impl Page {
-    fn at<'a>(&'a self, mut value: &'a Value) -> &'a Value {
-        while let Some(to) = value["$ref"].as_str() {
+impl ApiDocument {
+    fn resolve<'a>(&'a self, mut value: &'a Value) -> &'a Value {
+        while let Some(reference) = value["$ref"].as_str() {
             value = self
-                .page
-                .pointer(&to[1..])
-                .unwrap_or_else(|| panic!("no {to}"));
+                .root
+                .pointer(&reference[1..])
+                .unwrap_or_else(|| panic!("the reference {reference} points to nothing"));
         }
         value
     }
 
-    fn fits(&self, schema: &Value, value: &Value, place: &str) {
-        let schema = self.at(schema);
+    fn assert_matches_schema(&self, schema: &Value, value: &Value, json_path: &str) {
+        let schema = self.resolve(schema);
         let kinds: Vec<&str> = match &schema["type"] {
             Value::Array(kinds) => kinds.iter().filter_map(Value::as_str).collect(),
             kind => kind.as_str().into_iter().collect(),
@@ -49,44 +49,47 @@
         };
         assert!(
             kinds.contains(&kind) || (kind == "integer" && kinds.contains(&"number")),
-            "{place}: {kind}"
+            "{json_path}: type {kind} is not documented"
         );
         if let Some(known) = schema["enum"].as_array() {
-            assert!(known.contains(value), "{place}: {value} is not listed");
+            assert!(
+                known.contains(value),
+                "{json_path}: {value} is not in the enum"
+            );
         }
         for name in schema["required"].as_array().into_iter().flatten() {
             assert!(
                 value.get(name.as_str().unwrap()).is_some(),
-                "{place}: {name} is missing"
+                "{json_path}: required property {name} is missing"
             );
         }
         for (name, value) in value.as_object().into_iter().flatten() {
             let known = schema["properties"]
                 .get(name)
-                .unwrap_or_else(|| panic!("{place}: {name} is not listed"));
-            self.fits(known, value, &format!("{place}.{name}"));
+                .unwrap_or_else(|| panic!("{json_path}: property {name} is not documented"));
+            self.assert_matches_schema(known, value, &format!("{json_path}.{name}"));
         }
         for value in value.as_array().into_iter().flatten() {
-            self.fits(&schema["items"], value, &format!("{place}[]"));
+            self.assert_matches_schema(&schema["items"], value, &format!("{json_path}[]"));
         }
     }
 
-    /// Holds an answer to what is listed for its path and method.
-    fn check(&mut self, path: &str, method: &str, reply: &Reply) {
+    /// Compares a response with those documented for its path and method, and records it.
+    fn check_response(&mut self, path: &str, method: &str, reply: &Reply) {
         let status = reply.status.to_string();
-        let listed = &self.page["paths"][path][method]["responses"][&status];
+        let documented = &self.root["paths"][path][method]["responses"][&status];
         assert!(
-            !listed.is_null(),
-            "{method} {path}: {status} is not listed: {reply:?}"
+            !documented.is_null(),
+            "{method} {path}: status {status} is not documented: {reply:?}"
         );
-        let listed = self.at(listed);
-        if let Some(content) = listed["content"].as_object() {
+        let documented = self.resolve(documented);
+        if let Some(content) = documented["content"].as_object() {
             let (kind, content) = content.iter().next().unwrap();
             assert_eq!(
                 &reply.headers["content-type"], kind,
                 "{method} {path} {status}"
             );
-            self.fits(
+            self.assert_matches_schema(
                 &content["schema"],
                 &reply.json(),
                 &format!("{method} {path} {status}"),
@@ -99,29 +102,29 @@
                 );
             }
         }
-        self.had
+        self.returned
             .insert((path.to_owned(), method.to_owned(), status));
     }
 
-    /// The answers that the page lists: path, method, status.
-    fn listed(&self) -> BTreeSet<(String, String, String)> {
-        let mut listed = BTreeSet::new();
-        for (path, methods) in self.page["paths"].as_object().unwrap() {
+    /// Returns the documented responses: path, method, status.
+    fn documented(&self) -> BTreeSet<(String, String, String)> {
+        let mut documented = BTreeSet::new();
+        for (path, methods) in self.root["paths"].as_object().unwrap() {
             for (method, operation) in methods.as_object().unwrap() {
                 for status in operation["responses"].as_object().unwrap().keys() {
-                    listed.insert((path.clone(), method.clone(), status.clone()));
+                    documented.insert((path.clone(), method.clone(), status.clone()));
                 }
             }
         }
-        listed
+        documented
     }
 }
 
-const ASK: &str = "/v1/queries";
-const PAGE: &str = "/v1/queries/{id}/pages/{n}";
-const ONE: &str = "/v1/queries/{id}";
-/// Hints that make a result of several pages.
-const WIDE: &str = "rows=600 width=70";
+const QUERIES_PATH: &str = "/v1/queries";
+const PAGE_PATH: &str = "/v1/queries/{id}/pages/{n}";
+const QUERY_PATH: &str = "/v1/queries/{id}";
+/// Statement hints that produce a result of several pages.
+const SEVERAL_PAGES: &str = "rows=600 width=70";
 
 fn query(class: &str, budget_ms: u64, hints: &str) -> Value {
     json!({"class": class, "tenant": "south", "budget_ms": budget_ms, "estimate_ms": 5, "estimate_mb": 2.5,
@@ -129,55 +132,60 @@
 }
 
 #[test]
-fn the_program_serves_what_the_page_lists() {
+fn the_program_returns_exactly_the_documented_responses() {
     let text =
         std::fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../docs/openapi.yaml"))
             .unwrap();
-    let mut page = Page {
-        page: serde_yaml_ng::from_str(&text).unwrap(),
-        had: BTreeSet::new(),
+    let mut document = ApiDocument {
+        root: serde_yaml_ng::from_str(&text).unwrap(),
+        returned: BTreeSet::new(),
     };
     let rest = "  body_timeout = \"100ms\"\n  results_bytes = \"300KiB\"";
     let gateway = GatewayProcess::start(1, rest, 0.05);
-    page.fits(
-        &page.page["components"]["schemas"]["Query"].clone(),
+    document.assert_matches_schema(
+        &document.root["components"]["schemas"]["Query"].clone(),
         &query("load", 5, ""),
         "Query",
     );
-    let first = gateway.post_query(&query("report", 20_000, WIDE), None);
-    page.check(ASK, "post", &first);
-    check_queries(&mut page, &gateway);
-    check_keyed_queries(&mut page, &gateway);
-    check_full_results(&mut page, &gateway);
-    check_pages(&mut page, &gateway, &first);
-    assert_eq!(page.had, page.listed());
+    let first = gateway.post_query(&query("report", 20_000, SEVERAL_PAGES), None);
+    document.check_response(QUERIES_PATH, "post", &first);
+    check_queries(&mut document, &gateway);
+    check_keyed_queries(&mut document, &gateway);
+    check_full_results(&mut document, &gateway);
+    check_pages(&mut document, &gateway, &first);
+    assert_eq!(document.returned, document.documented());
 }
 
-fn check_queries(page: &mut Page, gateway: &GatewayProcess) {
-    page.check(
-        ASK,
+fn check_queries(document: &mut ApiDocument, gateway: &GatewayProcess) {
+    document.check_response(
+        QUERIES_PATH,
         "post",
         &gateway.post_query(&query("lookup", 20_000, ""), None),
     );
-    page.check(ASK, "post", &gateway.post_query(&json!({}), None));
+    document.check_response(QUERIES_PATH, "post", &gateway.post_query(&json!({}), None));
     let mut http = gateway.http();
     http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n{");
-    page.check(ASK, "post", &http.read());
+    document.check_response(QUERIES_PATH, "post", &http.read());
     let mut http = gateway.http();
     http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: 999999\r\n\r\n{");
-    page.check(ASK, "post", &http.read());
+    document.check_response(QUERIES_PATH, "post", &http.read());
     let mut http = gateway.http();
-    http.send("POST", ASK, &[("content-type", "text/plain")], b"{}");
-    page.check(ASK, "post", &http.read());
+    http.send(
+        "POST",
+        QUERIES_PATH,
+        &[("content-type", "text/plain")],
+        b"{}",
+    );
+    document.check_response(QUERIES_PATH, "post", &http.read());
 }
 
-fn check_keyed_queries(page: &mut Page, gateway: &GatewayProcess) {
-    page.check(
-        ASK,
+fn check_keyed_queries(document: &mut ApiDocument, gateway: &GatewayProcess) {
+    document.check_response(
+        QUERIES_PATH,
         "post",
         &gateway.post_query(&query("load", 9_000, ""), Some("k-1")),
     );
-    // One that joins a query that runs, and has less time than that takes.
+    // The second query joins a running query with the same key, and its budget ends first.
     let mut long = gateway.http();
     let slow = |budget| {
         let mut slow = query("load", budget, "ms=700");
@@ -186,65 +194,76 @@
     };
     long.post_query(&slow(9_000), Some("k-4"));
     assert!(gateway.upstreams.wait_for(|c| c.by_key.contains_key("k-4")));
-    page.check(ASK, "post", &gateway.post_query(&slow(150), Some("k-4")));
-    page.check(ASK, "post", &long.read());
-    wait_until("the key is used with another query", || {
-        let one = gateway.post_query(&query("load", 9_000, ""), Some("k-2"));
-        assert_eq!(one.status, 200);
-        let other = gateway.post_query(&query("load", 9_000, "ms=1"), Some("k-2"));
-        page.check(ASK, "post", &other);
-        other.status == 422
-    });
-    // Its outcome is unknown, and the window from its beginning is over before the one from its
-    // end.
-    wait_until("a second one might have its effect twice", || {
-        let failed = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
-        page.check(ASK, "post", &failed);
-        let again = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
-        page.check(ASK, "post", &again);
-        [failed.status, again.status].contains(&409)
-    });
+    document.check_response(
+        QUERIES_PATH,
+        "post",
+        &gateway.post_query(&slow(150), Some("k-4")),
+    );
+    document.check_response(QUERIES_PATH, "post", &long.read());
+    wait_until(
+        "a key that was reused with another query is rejected",
+        || {
+            let one = gateway.post_query(&query("load", 9_000, ""), Some("k-2"));
+            assert_eq!(one.status, 200);
+            let other = gateway.post_query(&query("load", 9_000, "ms=1"), Some("k-2"));
+            document.check_response(QUERIES_PATH, "post", &other);
+            other.status == 422
+        },
+    );
+    // The outcome of the failed query is unknown. When the repeat arrives, the window counted from
+    // the query's start has passed, and the one counted from its end has not: the repeat could take
+    // effect twice.
+    wait_until(
+        "a repeat is rejected because it could take effect twice",
+        || {
+            let failed = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
+            document.check_response(QUERIES_PATH, "post", &failed);
+            let again = gateway.post_query(&query("load", 1_500, "ms=60 fail"), Some("k-3"));
+            document.check_response(QUERIES_PATH, "post", &again);
+            [failed.status, again.status].contains(&409)
+        },
+    );
 }
 
-fn check_full_results(page: &mut Page, gateway: &GatewayProcess) {
-    let full = gateway.post_query(&query("report", 20_000, WIDE), None);
-    page.check(ASK, "post", &full);
+fn check_full_results(document: &mut ApiDocument, gateway: &GatewayProcess) {
+    let full = gateway.post_query(&query("report", 20_000, SEVERAL_PAGES), None);
+    document.check_response(QUERIES_PATH, "post", &full);
     let (mut n, mut last) = (0, full);
     while last.status == 200 && n < 9 {
         (n, last) = (
             n + 1,
-            gateway.post_query(&query("report", 20_000, WIDE), None),
+            gateway.post_query(&query("report", 20_000, SEVERAL_PAGES), None),
         );
-        page.check(ASK, "post", &last);
+        document.check_response(QUERIES_PATH, "post", &last);
     }
     assert_eq!(last.problem_type(), "results-full");
 }
 
-fn check_pages(page: &mut Page, gateway: &GatewayProcess, first: &Reply) {
+fn check_pages(document: &mut ApiDocument, gateway: &GatewayProcess, first: &Reply) {
     let path = first.next().unwrap();
     let id = first.json()["id"].as_str().unwrap().to_owned();
     let mut http = gateway.http();
     let unknown = "/v1/queries/AAAA/pages/2";
     for (method, name) in [("GET", "get"), ("HEAD", "head")] {
-        for at in [path.as_str(), unknown] {
-            http.send(method, at, &[], b"");
+        for target in [path.as_str(), unknown] {
+            http.send(method, target, &[], b"");
             let reply = http.read();
-            page.check(PAGE, name, &reply);
+            document.check_response(PAGE_PATH, name, &reply);
         }
     }
-    for (at, status) in [
+    for (target, status) in [
         (format!("/v1/queries/{id}"), 204),
         (format!("/v1/queries/{id}"), 410),
         ("/v1/queries/A".to_owned(), 404),
     ] {
-        http.send("DELETE", &at, &[], b"");
+        http.send("DELETE", &target, &[], b"");
         let reply = http.read();
         assert_eq!(reply.status, status);
-        page.check(ONE, "delete", &reply);
+        document.check_response(QUERY_PATH, "delete", &reply);
     }
     for (method, name) in [("GET", "get"), ("HEAD", "head")] {
         http.send(method, &path, &[], b"");
         let reply = http.read();
-        page.check(PAGE, name, &reply);
+        document.check_response(PAGE_PATH, name, &reply);
     }
 }
--- a/gateway/tests/play.rs
+++ b/gateway/tests/play.rs
@@ -1,5 +1,5 @@
-//! Plays the exchanges in `exchanges/*.txt` against the program on real sockets and compares all
-//! bytes that it sends with the recorded transcript. `exchanges/README.md` explains the scripts.
+//! Runs the scripts in `exchanges/*.txt` against the program on real sockets and compares all bytes
+//! that it sends with the recorded transcript. `exchanges/README.md` explains the scripts.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -11,7 +11,7 @@
 mod player;
 mod support;
 
-use player::{program, Player};
+use player::{program_command, Player};
 
 #[test]
 fn the_program_answers_as_recorded() {
@@ -34,13 +34,13 @@
     });
 }
 
-/// A configuration that can't be used ends the program with one line that says why.
+/// With an invalid configuration the program exits with one line that states the reason.
 #[test]
 fn a_bad_configuration_ends_the_program_with_one_line() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-config", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("config.json");
-    for (text, says) in [
+    for (text, expected) in [
         ("{", "EOF"),
         ("{\"listen\":\"127.0.0.1:0\"}", "missing field `seed`"),
         (
@@ -59,11 +59,14 @@
         ),
     ] {
         std::fs::write(&path, text).unwrap();
-        let output = program(&path).env_remove("PROXY_LISTEN").output().unwrap();
+        let output = program_command(&path)
+            .env_remove("PROXY_LISTEN")
+            .output()
+            .unwrap();
         let log = String::from_utf8(output.stderr).unwrap();
         assert_eq!(output.status.code(), Some(1), "{text}: {log}");
         assert!(
-            log.lines().count() == 1 && log.contains(says),
+            log.lines().count() == 1 && log.contains(expected),
             "{text}: {log}"
         );
     }
--- a/gateway/tests/player/bytes.rs
+++ b/gateway/tests/player/bytes.rs
@@ -1,6 +1,6 @@
-//! The bytes of scripts and transcripts.
+//! Conversions between the text of scripts and transcripts and the bytes on the wire.
 
-/// Times differ with every run.
+/// Masks the remaining time of a command, which differs from run to run.
 pub fn mask(text: &str) -> String {
     let Some((before, after)) = text.split_once("patience=") else {
         return text.to_owned();
--- a/gateway/tests/player/fake_bus.rs
+++ b/gateway/tests/player/fake_bus.rs
@@ -1,11 +1,11 @@
-//! The event bus that a script plays.
+//! The event bus that a script controls.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{mpsc, Arc, Mutex};
 use std::time::Duration;
 
-/// The event bus: sends its last offset now and then, and what the script says.
+/// An event bus that sends its last offset every 300 ms, and otherwise what the script sends.
 pub struct FakeBus {
     pub stream: Arc<Mutex<Option<TcpStream>>>,
     pub last: Arc<Mutex<u64>>,
@@ -18,7 +18,7 @@
             Arc::new(Mutex::new(None::<TcpStream>)),
             Arc::new(Mutex::new(last)),
         );
-        let (tell, hellos) = mpsc::channel();
+        let (hello_sender, hellos) = mpsc::channel();
         let (s, l) = (Arc::clone(&stream), Arc::clone(&last));
         std::thread::spawn(move || loop {
             let Ok((peer, _)) = listener.accept() else {
@@ -29,7 +29,7 @@
                 .read_line(&mut hello)
                 .unwrap();
             *s.lock().unwrap() = Some(peer);
-            if tell.send(hello).is_err() {
+            if hello_sender.send(hello).is_err() {
                 return;
             }
         });
--- a/gateway/tests/player/mod.rs
+++ b/gateway/tests/player/mod.rs
@@ -1,5 +1,6 @@
-//! Plays a script against the program: the program's processes, its clients, engines and event bus,
-//! and the transcript of all that it sends. `exchanges/README.md` explains the scripts.
+//! Runs a script against the program. The player starts the program's processes, acts as its
+//! clients, engines and event bus, and records all that the program sends.
+//! `exchanges/README.md` explains the scripts.
 
 mod bytes;
 mod fake_bus;
@@ -19,22 +20,22 @@
 
 const SETTINGS: &str = include_str!("../exchanges/settings.json");
 
-/// A script under way.
+/// The state of a running script.
 pub struct Player {
     child: Child,
-    /// The process that `child` was started beside.
+    /// The predecessor of `child` after an upgrade.
     old: Option<Child>,
-    /// Where operators call.
+    /// Management address of the latest process.
     management: String,
     folder: PathBuf,
     config: String,
     listen: String,
     bus: FakeBus,
     listeners: Vec<TcpListener>,
-    /// Connections by the script's names, with the engine that one belongs to.
+    /// Connections by their names in the script; those of engines with the engine's index.
     peers: HashMap<String, (BufReader<TcpStream>, Option<usize>)>,
     pub transcript: String,
-    /// The cancel key of the first session.
+    /// The escaped cancel key of the first session.
     key: String,
 }
 
@@ -48,8 +49,8 @@
     }
 }
 
-/// The program over a configuration file, as the platform starts it.
-pub fn program(config: &Path) -> Command {
+/// Returns the command that starts the program as the platform does.
+pub fn program_command(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_violetgate"));
     command
         .env("PROXY_CONFIG", config)
@@ -58,11 +59,11 @@
     command
 }
 
-/// Starts a process over a folder that holds its configuration, with a management address of its
-/// own.
+/// Starts a process with the configuration in a folder. Returns it and its management address,
+/// which is a new one.
 fn spawn(folder: &Path, listen: &str) -> (Child, String) {
     let management = reserve_address();
-    let child = program(&folder.join("config.json"))
+    let child = program_command(&folder.join("config.json"))
         .env("PROXY_LISTEN", listen)
         .env("PROXY_MANAGEMENT", &management)
         .env("TMPDIR", folder)
@@ -72,7 +73,7 @@
     (child, management)
 }
 
-fn free() -> TcpListener {
+fn bind_loopback() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").unwrap()
 }
 
@@ -83,15 +84,15 @@
 }
 
 impl Player {
-    /// Starts the program before engines that the script plays.
+    /// Starts the program in front of engines that the script controls.
     pub fn start(name: &str, engines: usize) -> Self {
-        let listeners: Vec<_> = (0..engines).map(|_| free()).collect();
+        let listeners: Vec<_> = (0..engines).map(|_| bind_loopback()).collect();
         let servers: Vec<_> = listeners
             .iter()
             .enumerate()
             .map(|(i, l)| server(i, &l.local_addr().unwrap().to_string(), "in_service"))
             .collect();
-        let bus = free();
+        let bus = bind_loopback();
         let listen = reserve_address();
         let config = format!(
             r#"{{"name":"n0","listen":"{listen}","seed":"8c1f30d27a5be964","bus":"{}","unknown":[1],
@@ -122,7 +123,7 @@
         }
     }
 
-    /// One call to the management of the latest process: its status line and its body.
+    /// Calls the management API of the latest process. Returns the status line and the body.
     fn call(&mut self, text: &str) -> (String, String) {
         let (head, body) = text
             .split_once(" {")
@@ -140,24 +141,26 @@
         (head.lines().next().unwrap().to_owned(), body.to_owned())
     }
 
-    /// Waits until the latest process says that it can serve.
+    /// Waits until the latest process reports that it is healthy.
     fn wait_until_healthy(&mut self) {
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT;
         while !self.call("GET /admin/health").0.contains(" 200 ") {
-            assert!(Instant::now() < until, "the process is not healthy");
+            assert!(Instant::now() < deadline, "the process is not healthy");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
     fn process(&mut self, who: &str) -> &mut Child {
         if who == "old" {
-            self.old.as_mut().expect("no upgrade")
+            self.old
+                .as_mut()
+                .expect("`old` should follow an `upgrade` step")
         } else {
             &mut self.child
         }
     }
 
-    fn note(&mut self, who: &str, what: &str) {
+    fn record(&mut self, who: &str, what: &str) {
         writeln!(self.transcript, "{who} {what}").unwrap();
     }
 
@@ -165,11 +168,11 @@
         &mut self
             .peers
             .get_mut(who)
-            .unwrap_or_else(|| panic!("no connection {who}"))
+            .unwrap_or_else(|| panic!("the script has no connection named {who}"))
             .0
     }
 
-    fn add(&mut self, who: &str, stream: TcpStream, engine: Option<usize>) {
+    fn add_connection(&mut self, who: &str, stream: TcpStream, engine: Option<usize>) {
         stream.set_nodelay(true).unwrap();
         stream.set_nonblocking(false).unwrap();
         stream.set_read_timeout(Some(WAIT)).unwrap();
@@ -177,21 +180,21 @@
             .insert(who.to_owned(), (BufReader::new(stream), engine));
     }
 
-    /// Connects a client, once the program listens.
+    /// Connects a client as soon as the program listens.
     fn open(&mut self, who: &str) {
         let stream = connect(&self.listen);
-        self.add(who, stream, None);
+        self.add_connection(who, stream, None);
     }
 
-    /// Takes the next connection that the program opens to any engine.
+    /// Accepts the next connection that the program opens to any engine.
     fn accept(&mut self, who: &str) {
-        let until = Instant::now() + WAIT;
+        let deadline = Instant::now() + WAIT;
         loop {
             for i in 0..self.listeners.len() {
                 self.listeners[i].set_nonblocking(true).unwrap();
                 if let Ok((stream, _)) = self.listeners[i].accept() {
                     let known = self.peers.values().any(|(_, engine)| *engine == Some(i));
-                    self.note(
+                    self.record(
                         who,
                         if known {
                             "accepts at a known engine"
@@ -199,10 +202,13 @@
                             "accepts at a new engine"
                         },
                     );
-                    return self.add(who, stream, Some(i));
+                    return self.add_connection(who, stream, Some(i));
                 }
             }
-            assert!(Instant::now() < until, "no connection for {who}");
+            assert!(
+                Instant::now() < deadline,
+                "the program opened no connection for {who} to accept"
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -211,8 +217,9 @@
         self.peer(who).get_mut().write_all(bytes).unwrap();
     }
 
-    /// Reads one PostgreSQL message of the program; `None` at the end of the connection.
-    fn message(&mut self, who: &str) -> Option<u8> {
+    /// Reads a PostgreSQL message from the program and returns its type, or `None` at the end of
+    /// the connection.
+    fn read_message(&mut self, who: &str) -> Option<u8> {
         let peer = self.peer(who);
         let mut head = [0; 5];
         match peer.read_exact(&mut head) {
@@ -223,7 +230,7 @@
                     ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
                 ) =>
             {
-                self.note(who, "< end");
+                self.record(who, "< end");
                 return None;
             }
             Err(e) => panic!("{who}: {e}"),
@@ -233,15 +240,15 @@
         if head[0] == b'K' && self.key.is_empty() {
             self.key = body.iter().map(|b| format!("\\x{b:02x}")).collect();
         }
-        self.note(
+        self.record(
             who,
             &format!("< {} {}", head[0] as char, body.escape_ascii()),
         );
         Some(head[0])
     }
 
-    /// Reads one command of the program to an engine.
-    fn command(&mut self, who: &str) {
+    /// Reads a command that the program sends to an engine.
+    fn read_command(&mut self, who: &str) {
         let peer = self.peer(who);
         let mut line = Vec::new();
         peer.read_until(b'\n', &mut line).unwrap();
@@ -257,6 +264,6 @@
             peer.read_exact(&mut line[at..]).unwrap();
         }
         let text = mask(&line.escape_ascii().to_string());
-        self.note(who, &format!("< {text}"));
+        self.record(who, &format!("< {text}"));
     }
 }
--- a/gateway/tests/rest/idempotency.rs
+++ b/gateway/tests/rest/idempotency.rs
@@ -3,20 +3,25 @@
 use crate::support::{wait_until, GatewayProcess, HttpConnection, Reply};
 use crate::{assert_complete, load, report, WINDOW};
 
-/// The same keyed query at once, after its answer, and over the other protocol is one query with
-/// one answer; with another body it is none; after the window it runs anew.
+/// Queries with the same idempotency key and body run once and get the same answer, whether they
+/// arrive concurrently, after the answer, or over the other protocol. A reused key with another
+/// body is rejected. After the window the query runs again.
 #[test]
 fn queries_of_one_key_are_one_query_over_both_front_ends() {
     let gateway = GatewayProcess::start(2, "", WINDOW);
-    let ask = load(7, "ms=300");
-    let mut both = [gateway.http(), gateway.http()];
-    both.iter_mut()
-        .for_each(|http| http.post_query(&ask, Some("\"k-1\"")));
-    let answers: Vec<Reply> = both.iter_mut().map(HttpConnection::read).collect();
+    let query = load(7, "ms=300");
+    let mut concurrent = [gateway.http(), gateway.http()];
+    concurrent
+        .iter_mut()
+        .for_each(|http| http.post_query(&query, Some("\"k-1\"")));
+    let answers: Vec<Reply> = concurrent.iter_mut().map(HttpConnection::read).collect();
     assert_complete(&answers[0].rows(), 3);
     assert_eq!(answers[0].body, answers[1].body);
-    assert_eq!(gateway.post_query(&ask, Some("k-1")).body, answers[0].body);
-    let statement = ask["statement"].as_str().unwrap();
+    assert_eq!(
+        gateway.post_query(&query, Some("k-1")).body,
+        answers[0].body
+    );
+    let statement = query["statement"].as_str().unwrap();
     let sql = |rid: u32, token: &str, order: u32, statement: &str| {
         let order = format!("obj={order:016x}");
         format!("/* method=load,rid={rid:016x},budget=15000,token={token},{order} */ {statement}")
@@ -36,55 +41,55 @@
         gateway.pg().query(&sql(2, "k-1", 7, "SELECT 2")),
         Err("22023".to_owned())
     );
-    // And the other way round, while it runs.
+    // A REST query joins one that is running over PostgreSQL.
     let mut pg = gateway.pg();
     pg.send(&sql(3, "k-2", 9, "SELECT 3 /* ms=300 */"));
     assert!(gateway.upstreams.wait_for(|c| c.by_key.contains_key("k-2")));
-    let mut ask = load(9, "");
-    ask["statement"] = "SELECT 3 /* ms=300 */".into();
+    let mut query = load(9, "");
+    query["statement"] = "SELECT 3 /* ms=300 */".into();
     assert_eq!(
-        gateway.post_query(&ask, Some("k-2")).rows(),
+        gateway.post_query(&query, Some("k-2")).rows(),
         pg.read().unwrap()
     );
     let counts = gateway.upstreams.counts();
     assert_eq!((counts.by_key["k-1"], counts.by_key["k-2"]), (1, 1));
 
     let short = GatewayProcess::start(1, "", 0.2);
-    let ask = load(7, "");
-    let first = short.post_query(&ask, Some("k-3"));
+    let query = load(7, "");
+    let first = short.post_query(&query, Some("k-3"));
     wait_until("the window has passed", || {
-        short.post_query(&ask, Some("k-3")).body != first.body
+        short.post_query(&query, Some("k-3")).body != first.body
     });
     assert!(short.upstreams.counts().by_key["k-3"] >= 2);
 }
 
-/// A client that leaves withdraws its query, unless another waits for the same key; a repeat that
-/// comes later runs again, and has its effect once.
+/// A query is cancelled when its client disconnects, unless another client waits for the same key.
+/// A later repeat runs again, and the key takes effect once.
 #[test]
 fn a_client_that_disconnects_withdraws_only_its_own_query() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
-    let ask = load(1, "ms=400");
+    let query = load(1, "ms=400");
     let mut first = gateway.http();
-    first.post_query(&ask, Some("k-1"));
+    first.post_query(&query, Some("k-1"));
     assert!(gateway.upstreams.wait_for(|c| c.running == 1));
     let mut second = gateway.http();
-    second.post_query(&ask, Some("k-1"));
-    wait_until("the second has joined", || {
+    second.post_query(&query, Some("k-1"));
+    wait_until("the second client has joined the query", || {
         gateway.metric("svc_rest_keys_joined_total") == 1.0
     });
     drop(first);
     assert_complete(&second.read().rows(), 3);
     assert_eq!(gateway.upstreams.counts().by_key["k-1"], 1);
 
-    for (ask, key) in [
+    for (query, key) in [
         (load(2, "ms=700"), Some("k-2")),
         (report(9_000, "ms=5000"), None),
     ] {
         let before = gateway.upstreams.counts().cancels;
-        let mut alone = gateway.http();
-        alone.post_query(&ask, key);
+        let mut only_client = gateway.http();
+        only_client.post_query(&query, key);
         assert!(gateway.upstreams.wait_for(|c| c.running == 1));
-        drop(alone);
+        drop(only_client);
         assert!(gateway
             .upstreams
             .wait_for(|c| c.cancels == before + 1 && c.running == 0));
@@ -96,7 +101,7 @@
     assert_eq!(gateway.upstreams.counts().effects["k-2"], 1);
 }
 
-/// Loads of one order key run one at a time, by whichever protocol they come.
+/// Queries with the same ordering key run one at a time, whichever protocol they arrive over.
 #[test]
 fn queries_of_one_ordering_key_run_one_at_a_time_over_both_front_ends() {
     let gateway = GatewayProcess::start(3, "", WINDOW);
@@ -114,7 +119,7 @@
     assert_eq!((counts.attempts(), counts.most_running), (4, 1));
 }
 
-/// A full table turns new keys away with a time, and forgets none that is live.
+/// A full key table rejects new keys with a retry delay, and evicts no live key.
 #[test]
 fn a_full_key_table_rejects_new_keys_and_forgets_none() {
     let gateway = GatewayProcess::start(1, "  idempotency_keys = 1", WINDOW);
--- a/gateway/tests/rest/lifecycle.rs
+++ b/gateway/tests/rest/lifecycle.rs
@@ -1,18 +1,18 @@
-//! Drains, upgrades, reloads and the log.
+//! Drains, upgrades, settings reloads and logging.
 
 use std::io::Read;
 
 use crate::support::{rest_block, wait_for_exit, wait_until, GatewayProcess, Signal};
 use crate::{assert_complete, report, WINDOW};
 
-/// A drained gateway takes no more queries and still serves the pages that it promised; a
-/// connection that may ask for them stays open till the last.
+/// A drained gateway rejects new queries and still serves the pages of earlier results. A
+/// connection stays open until its client has fetched the last page of its results.
 #[test]
-fn a_drained_instance_still_serves_the_pages_that_it_promised() {
+fn a_drained_instance_still_serves_the_pages_of_earlier_results() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
-    let (mut owed, mut idle) = (gateway.http(), gateway.http());
-    owed.post_query(&report(30_000, "rows=300 width=60"), None);
-    let first = owed.read();
+    let (mut paging, mut idle) = (gateway.http(), gateway.http());
+    paging.post_query(&report(30_000, "rows=300 width=60"), None);
+    let first = paging.read();
     assert_complete(
         &{
             idle.post_query(&report(30_000, "rows=2"), None);
@@ -22,10 +22,10 @@
         2,
     );
     assert_eq!(gateway.call("PUT", "/admin/quiesce", "").0, 200);
-    assert!(idle.is_closed(), "an idle connection is sent home");
-    let second = owed.get(&first.next().unwrap());
+    assert!(idle.is_closed(), "the idle connection is still open");
+    let second = paging.get(&first.next().unwrap());
     assert_eq!(second.status, 200);
-    wait_until("queries are turned back", || {
+    wait_until("new queries are rejected", || {
         let reply = gateway.post_query(&report(30_000, "rows=2"), None);
         assert!(
             reply.status == 200 || reply.problem_type() == "draining",
@@ -33,12 +33,12 @@
         );
         reply.status == 503
     });
-    let third = owed.get(&second.next().unwrap());
+    let third = paging.get(&second.next().unwrap());
     assert_eq!(
         (third.status, third.headers["connection"].as_str()),
         (200, "close")
     );
-    assert!(third.next().is_none() && owed.is_closed());
+    assert!(third.next().is_none() && paging.is_closed());
     assert_eq!(gateway.call("PUT", "/admin/resume", "").0, 200);
     assert_eq!(
         gateway.post_query(&report(30_000, "rows=2"), None).status,
@@ -46,43 +46,44 @@
     );
 }
 
-/// At an upgrade, and at a planned stop, a client finishes its pages on the connection that it has;
-/// the process ends by itself after that. The new one doesn't know the token, and says so.
+/// At an upgrade and at a planned stop, a client can fetch its remaining pages on its connection,
+/// and the old process exits by itself after that. The new process doesn't know the result's token
+/// and returns 404.
 #[test]
 fn an_upgrade_lets_clients_fetch_their_pages_on_their_connections() {
     let mut gateway = GatewayProcess::start(1, "", WINDOW);
-    let mut owed = gateway.http();
-    owed.post_query(&report(60_000, "rows=300 width=60"), None);
-    let first = owed.read();
+    let mut paging = gateway.http();
+    paging.post_query(&report(60_000, "rows=300 width=60"), None);
+    let first = paging.read();
     let mut old = gateway.upgrade();
     wait_until("new connections reach the new process", || {
-        // One may still reach the old process, and meet its close.
+        // A connection may still reach the old process, which closes it.
         let reply = std::ops::DerefMut::deref_mut(&mut gateway.http()).get(&first.next().unwrap());
         reply.is_ok_and(|r| r.status == 404)
     });
-    let second = owed.get(&first.next().unwrap());
-    let third = owed.get(&second.next().unwrap());
+    let second = paging.get(&first.next().unwrap());
+    let third = paging.get(&second.next().unwrap());
     assert_eq!((second.status, third.status), (200, 200));
-    assert!(owed.is_closed());
+    assert!(paging.is_closed());
     assert_eq!(wait_for_exit(&mut old), Some(0));
 
-    let mut owed = gateway.http();
-    owed.post_query(&report(60_000, "rows=300 width=60"), None);
-    let first = owed.read();
+    let mut paging = gateway.http();
+    paging.post_query(&report(60_000, "rows=300 width=60"), None);
+    let first = paging.read();
     gateway.signal(Signal::TERM);
-    assert_eq!(owed.get(&first.next().unwrap()).status, 200);
+    assert_eq!(paging.get(&first.next().unwrap()).status, 200);
     assert_eq!(wait_for_exit(&mut gateway.child), Some(0));
 }
 
-/// New limits are taken at SIGHUP; a file that can't be used changes nothing.
+/// SIGHUP applies the limits in the settings file. An invalid file changes nothing.
 #[test]
 fn new_limits_are_applied_at_sighup_unless_the_file_is_invalid() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
     let path = gateway.folder.join("violetgate.hcl");
     let long = || {
-        let mut ask = report(30_000, "rows=2");
-        ask["statement"] = format!("SELECT 1 /* {} */", "x".repeat(2_000)).into();
-        gateway.post_query(&ask, None).status
+        let mut query = report(30_000, "rows=2");
+        query["statement"] = format!("SELECT 1 /* {} */", "x".repeat(2_000)).into();
+        gateway.post_query(&query, None).status
     };
     assert_eq!(long(), 200);
     std::fs::write(&path, rest_block(&gateway.rest, "  max_body = \"1KiB\"")).unwrap();
@@ -102,13 +103,13 @@
     wait_until("the old limit holds again", || long() == 200);
 }
 
-/// A standard error that nobody reads holds up nobody: lines beyond what may wait are dropped, and
-/// the last line says that some were.
+/// A blocked standard error doesn't delay requests: log lines that exceed the queue are dropped,
+/// and a later line reports it.
 #[test]
 fn a_blocked_log_delays_nobody_and_drops_lines() {
     let mut gateway = GatewayProcess::start(1, "", WINDOW);
     gateway.restart_piped();
-    // A pipe takes 64 KiB, and 4,096 lines may wait.
+    // 6,000 lines exceed the capacity of the pipe (64 KiB) and the log queue (4,096 lines).
     for _ in 0..6_000 {
         drop(gateway.http());
     }
--- a/gateway/tests/rest/limits.rs
+++ b/gateway/tests/rest/limits.rs
@@ -1,32 +1,32 @@
-//! Limits, and what lies beyond them.
+//! Limits of the REST interface, and requests that exceed them.
 
 use std::io::Write;
 
 use crate::support::{wait_until, GatewayProcess, HttpConnection, Reply};
 use crate::{report, WINDOW};
 
-/// In a jump of traffic the budget of results is a bound: what does not fit is refused with a time,
-/// what was promised stays, and what is deleted frees its share of the limit.
+/// The byte budget of results holds under a burst of queries: a query whose result may not fit is
+/// rejected with a retry delay, stored results stay, and deleting one frees its share.
 #[test]
 fn a_full_budget_of_results_rejects_and_evicts_nothing() {
     let gateway = GatewayProcess::start(2, "  results_bytes = \"150KiB\"", WINDOW);
-    let ask = report(30_000, "rows=900 width=53");
-    let kept: Vec<Reply> = (0..2).map(|_| gateway.post_query(&ask, None)).collect();
-    // Of those that are kept, one may have been tried twice on a machine that is busy.
+    let query = report(30_000, "rows=900 width=53");
+    let kept: Vec<Reply> = (0..2).map(|_| gateway.post_query(&query, None)).collect();
+    // Counts requests instead of attempts, since a query may be retried on a busy machine.
     let before = gateway.upstreams.counts().by_request.len();
     for _ in 0..5 {
-        let refused = gateway.post_query(&ask, None);
+        let rejected = gateway.post_query(&query, None);
         assert_eq!(
-            (refused.status, refused.problem_type().as_str()),
+            (rejected.status, rejected.problem_type().as_str()),
             (503, "results-full")
         );
-        assert!(refused.headers["retry-after"].parse::<u64>().unwrap() >= 1);
+        assert!(rejected.headers["retry-after"].parse::<u64>().unwrap() >= 1);
     }
     assert_eq!(before, 2);
     assert_eq!(
         gateway.upstreams.counts().by_request.len(),
         before,
-        "what is refused never ran"
+        "a rejected query reached an engine"
     );
     let mut http = gateway.http();
     for first in &kept {
@@ -39,15 +39,16 @@
         b"",
     );
     assert_eq!(http.read().status, 204);
-    assert_eq!(gateway.post_query(&ask, None).status, 200);
+    assert_eq!(gateway.post_query(&query, None).status, 200);
 }
 
-/// What breaks the limits gets its code, and what is slow or silent costs nobody else anything.
+/// A request that exceeds a limit gets the status for it. Slow and silent clients don't affect
+/// others.
 #[test]
-fn requests_beyond_a_limit_get_its_status_and_cost_nobody_else() {
+fn requests_beyond_a_limit_get_its_status_and_do_not_affect_others() {
     let lines = "  head_timeout = \"150ms\"\n  body_timeout = \"150ms\"\n  write_timeout = \"1s\"\n  max_connections = 8";
     let gateway = GatewayProcess::start(1, lines, WINDOW);
-    let ask = report(30_000, "rows=300 width=60").to_string();
+    let query = report(30_000, "rows=300 width=60").to_string();
     let mut half = gateway.http();
     half.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost");
     let reply = half.read();
@@ -65,8 +66,8 @@
     let mut garbage = gateway.http();
     garbage.send_raw(b"\x16\x03\x01\x02\x00\x01\r\n\r\n");
     assert_eq!(garbage.read().status, 400);
-    // 60 MB, announced or in chunks without end: refused by its length, or where it passes the
-    // limit.
+    // A body of 60 MB is rejected by its declared length. An endless chunked body is rejected when
+    // it passes the limit.
     let mut huge = gateway.http();
     huge.send_raw(
         b"POST /v1/queries HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: 60000000\r\n\r\n",
@@ -86,9 +87,9 @@
     }
     let reply = std::ops::DerefMut::deref_mut(&mut endless).read();
     assert!(reply.is_err() || reply.is_ok_and(|r| r.status == 413));
-    // Hundreds that say nothing give way to those that ask.
+    // Hundreds of silent connections don't keep out those that send requests.
     let silent: Vec<HttpConnection> = (0..900).map(|_| gateway.http()).collect();
-    // One that asks for page after page and reads none of them is cut off.
+    // A client that requests page after page without reading the responses is disconnected.
     let first = gateway.post_query(&report(30_000, "rows=900 width=53"), None);
     let mut slow = gateway.http();
     let request =
@@ -98,9 +99,9 @@
         .set_write_timeout(Some(std::time::Duration::from_millis(200)))
         .unwrap();
     let _ = slow.stream.get_mut().write_all(request.as_bytes());
-    wait_until("the slow reader is cut off", || {
+    wait_until("the slow reader is disconnected", || {
         let mut http = gateway.http();
-        http.send("POST", "/v1/queries", &[], ask.as_bytes());
+        http.send("POST", "/v1/queries", &[], query.as_bytes());
         assert_eq!(http.read().status, 200);
         slow.stream.get_mut().write_all(b" ").is_err()
     });
--- a/gateway/tests/rest/main.rs
+++ b/gateway/tests/rest/main.rs
@@ -1,4 +1,4 @@
-//! The REST API on real sockets, before fake engines that count what reaches them.
+//! Tests the REST API on real sockets, in front of fake engines that count what reaches them.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -17,7 +17,8 @@
 
 use serde_json::{json, Value};
 
-/// How long engines discard repeats, in seconds, where a test does not wait for the end of it.
+/// How long engines discard repeats, in seconds, in tests that don't wait for the end of the
+/// window.
 const WINDOW: f64 = 3_600.0;
 
 fn report(budget_ms: u64, hints: &str) -> Value {
@@ -30,14 +31,14 @@
            "estimate_mb": 16, "statement": format!("INSERT INTO sales_2.plan SELECT 1 /* {hints} */")})
 }
 
-/// All rows of a result are those of one attempt, in order, each once.
+/// Checks that a result has all rows of a single attempt, in order and each once.
 fn assert_complete(rows: &[[String; 3]], count: usize) {
     assert_eq!(rows.len(), count);
     for (n, row) in rows.iter().enumerate() {
         assert_eq!(
             (&row[0], &row[1]),
             (&rows[0][0], &rows[0][1]),
-            "rows of two attempts"
+            "the result has rows of two attempts"
         );
         assert_eq!(row[2].trim_end_matches('.'), n.to_string());
     }
--- a/gateway/tests/rest/protocol.rs
+++ b/gateway/tests/rest/protocol.rs
@@ -1,4 +1,4 @@
-//! HTTP as clients speak it, and its errors.
+//! The HTTP features that clients use, and errors of the REST interface.
 
 use std::io::Read;
 
@@ -7,7 +7,7 @@
 use crate::support::{GatewayProcess, Reply};
 use crate::{report, WINDOW};
 
-/// Bodies of queries that can't be used, and what their errors say.
+/// Invalid bodies of queries, each with a text that its error must contain.
 const INVALID_BODIES: [(&str, &str); 12] = [
     ("{", "the body"),
     ("[]", "the body"),
@@ -53,22 +53,22 @@
     ),
 ];
 
-/// Pipelines, chunks, `Expect` and HEAD.
+/// The gateway supports pipelining, chunked bodies, `Expect: 100-continue` and HEAD.
 #[test]
-fn http_is_served_as_clients_speak_it() {
+fn http_features_that_clients_use_are_supported() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
-    let ask = report(30_000, "rows=300 width=60").to_string();
+    let query = report(30_000, "rows=300 width=60").to_string();
     let mut http = gateway.http();
     let post = format!(
-        "POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{ask}",
-        ask.len()
+        "POST /v1/queries HTTP/1.1\r\nhost: a\r\ncontent-length: {}\r\n\r\n{query}",
+        query.len()
     );
     http.send_raw(post.repeat(3).as_bytes());
     let replies: Vec<Reply> = (0..3).map(|_| http.read()).collect();
     assert!(replies
         .iter()
         .all(|r| r.rows().len() == replies[0].rows().len()));
-    let (a, b) = ask.split_at(20);
+    let (a, b) = query.split_at(20);
     http.send_raw(b"POST /v1/queries HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
     http.send_raw(
         format!(
@@ -82,12 +82,12 @@
     http.send_raw(
         format!(
             "POST /v1/queries HTTP/1.1\r\nhost: a\r\nexpect: 100-continue\r\ncontent-length: {}\r\n\r\n",
-            ask.len()
+            query.len()
         )
         .as_bytes(),
     );
     assert_eq!(http.read().status, 100);
-    http.send_raw(ask.as_bytes());
+    http.send_raw(query.as_bytes());
     let first = http.read();
     let page = http.get(&first.next().unwrap());
     http.send("HEAD", &first.next().unwrap(), &[], b"");
@@ -123,7 +123,7 @@
 fn an_invalid_query_gets_an_error_that_names_its_field_and_never_runs() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
     let mut http = gateway.http();
-    for (body, says) in INVALID_BODIES {
+    for (body, expected) in INVALID_BODIES {
         http.send("POST", "/v1/queries", &[], body.as_bytes());
         let reply = http.read();
         assert_eq!(
@@ -132,7 +132,7 @@
             "{body}"
         );
         let detail = reply.json()["detail"].as_str().unwrap().to_owned();
-        assert!(detail.contains(says), "{body}: {detail}");
+        assert!(detail.contains(expected), "{body}: {detail}");
     }
     http.send(
         "POST",
@@ -146,12 +146,12 @@
     assert_eq!(
         gateway.upstreams.counts().attempts(),
         0,
-        "what can't be used never ran"
+        "an invalid query reached an engine"
     );
 }
 
-/// A failure is reported as one; a rejection for lack of the engines' capacity carries the policy's
-/// retry delay.
+/// A failed query gets 502 `failed` or 503 `busy`. A query that every engine refuses gets 503
+/// `busy`. A wrong method over HTTP/1.0 gets 405.
 #[test]
 fn a_failure_and_a_rejection_have_different_statuses() {
     let gateway = GatewayProcess::start(1, "", WINDOW);
--- a/gateway/tests/subscriber.rs
+++ b/gateway/tests/subscriber.rs
@@ -1,5 +1,6 @@
-//! The program as a gateway that subscribes, as real processes: a member, an observer beside it,
-//! and one that is neither. What is agreed on reaches it, and without an observer it sends nothing.
+//! Tests a gateway that subscribes to a cluster, with real processes: a voter, an observer and a
+//! subscriber. Committed changes reach the subscriber, and without an observer it sends nothing to
+//! the engines.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
@@ -18,7 +19,7 @@
     voter: GatewayProcess,
     observer: GatewayProcess,
     api: String,
-    /// Where the observer serves gateways.
+    /// Address at which the observer serves subscribers.
     serves_at: String,
 }
 
@@ -27,12 +28,12 @@
     id: u64,
     own: [&str; 2],
     voter: &str,
-    more: &str,
+    extra_lines: &str,
 ) -> String {
     let [listen, api] = own;
     format!(
         "cluster {{\n  name = \"test\"\n  id = {id}\n  folder = \"{}\"\n  listen = \"{listen}\"\n  api = \"{api}\"\n  \
-         members = {{ \"1\" = \"{voter}\", \"{id}\" = \"{listen}\" }}\n{more}}}\n",
+         members = {{ \"1\" = \"{voter}\", \"{id}\" = \"{listen}\" }}\n{extra_lines}}}\n",
         folder.join("member").display()
     )
 }
@@ -64,15 +65,15 @@
         }
     }
 
-    /// Starts member 2, which learns and serves gateways.
+    /// Starts member 2, which joins as an observer and serves subscribers.
     fn join(voter: &str, api: &str, serves_at: &str) -> GatewayProcess {
         let own = [reserve_address(), reserve_address()];
         let mut gateway = GatewayProcess::start(1, "", 12.0);
         gateway.child.kill().unwrap();
         gateway.child.wait().unwrap();
         let settings = gateway.folder.join("violetgate.hcl");
-        let more = format!("  subscribers_listen = \"{serves_at}\"\n  subscribers = 10\n");
-        let block = member_block(&gateway.folder, 2, [&own[0], &own[1]], voter, &more);
+        let extra_lines = format!("  subscribers_listen = \"{serves_at}\"\n  subscribers = 10\n");
+        let block = member_block(&gateway.folder, 2, [&own[0], &own[1]], voter, &extra_lines);
         std::fs::write(
             &settings,
             std::fs::read_to_string(&settings).unwrap() + &block,
@@ -99,7 +100,7 @@
         call(&self.api, method, path, body)
     }
 
-    /// Makes a change; the revision that it made.
+    /// Commits a change and returns its revision.
     fn change(&self, method: &str, path: &str) -> u64 {
         let reply = self.call(method, path, "");
         assert_eq!(reply.status, 200, "{}", reply.body.escape_ascii());
@@ -129,20 +130,21 @@
     assert_eq!(gateway.post_query(&lookup(), None).status, 200);
     a_cordon_reaches_the_subscriber(&cluster, &gateway);
     the_subscriber_is_drained_by_its_name(&cluster, &gateway);
-    without_an_observer_it_sends_nothing(&mut cluster, &gateway);
-    // It comes back, and so does the gateway, with what was committed meanwhile.
+    the_subscriber_sends_nothing_without_an_observer(&mut cluster, &gateway);
+    // After the observer has restarted, the gateway serves again, with the changes that were
+    // committed in the meantime.
     let revision = cluster.change("DELETE", "/v1/cordons?engine=e-1");
     cluster.observer.restart();
-    wait_until("it is in force", || {
+    wait_until("the change is in force", || {
         cluster.progress()["in_force"].as_u64() >= Some(revision)
     });
     assert_eq!(gateway.post_query(&lookup(), None).status, 200);
 }
 
-/// A cordon by a member's API is in force here, and members know that it is.
+/// A cordon over a member's API takes effect at the subscriber, and members learn that it has.
 fn a_cordon_reaches_the_subscriber(cluster: &Cluster, gateway: &GatewayProcess) {
     let revision = cluster.change("PUT", "/v1/cordons?engine=e-1");
-    wait_until("it is in force", || {
+    wait_until("the cordon is in force", || {
         let progress = cluster.progress();
         progress["in_force"].as_u64() >= Some(revision)
             && progress["serving"] == 1
@@ -158,7 +160,8 @@
     assert_eq!(gateway.metric("svc_cluster_observer"), 2.0);
 }
 
-/// It can't commit anything.
+/// A subscriber rejects operators' changes, since it can't commit them. It is drained by its name
+/// over a member's API.
 fn the_subscriber_is_drained_by_its_name(cluster: &Cluster, gateway: &GatewayProcess) {
     assert_eq!(
         gateway.call("PUT", "/admin/cordon", "{\"host\":\"e-2\"}").0,
@@ -179,20 +182,23 @@
     let (succeeded, output) = ctl(&["progress"]);
     assert!(succeeded && output.contains("\"serving\":1"), "{output}");
     assert!(ctl(&["quiesce", "fe-1"]).0);
-    wait_until("new requests are turned back", || {
+    wait_until("the drained subscriber rejects new requests", || {
         gateway.post_query(&lookup(), None).status == 503
     });
     cluster.change("DELETE", "/v1/drains?front_end=fe-1");
-    wait_until("they are taken again", || {
+    wait_until("the resumed subscriber accepts new requests", || {
         gateway.post_query(&lookup(), None).status == 200
     });
 }
 
-/// Nothing is sent on state that can't be confirmed.
-fn without_an_observer_it_sends_nothing(cluster: &mut Cluster, gateway: &GatewayProcess) {
+/// The subscriber sends nothing to the engines while it can't confirm its state.
+fn the_subscriber_sends_nothing_without_an_observer(
+    cluster: &mut Cluster,
+    gateway: &GatewayProcess,
+) {
     cluster.observer.child.kill().unwrap();
     cluster.observer.child.wait().unwrap();
-    wait_until("it sends nothing", || {
+    wait_until("the subscriber rejects queries", || {
         gateway.post_query(&lookup(), None).status == 503
     });
     assert_eq!(
@@ -204,16 +210,17 @@
     assert_eq!(gateway.post_query(&lookup(), None).status, 503);
     assert_eq!(gateway.metric("svc_cluster_routes"), 0.0);
     assert_eq!(gateway.upstreams.counts().attempts(), attempts);
-    wait_until("members know that it does not serve", || {
+    wait_until("members know that the observer is gone", || {
         cluster.progress()["observers"] == 0
     });
-    wait_until("its log says why", || {
+    wait_until("the subscriber logs the reason", || {
         let log = std::fs::read_to_string(gateway.folder.join("log")).unwrap();
         log.contains("cluster reason=stale fence is shut: age_ms=")
     });
 }
 
-/// A subscriber has no folder to be made, and a wrong key is reported with its line.
+/// A subscriber has no folder to initialize, and a key that only members have is reported with its
+/// line.
 #[test]
 fn a_subscriber_takes_its_own_keys() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-subscriber", std::process::id()));
--- a/gateway/tests/support/mod.rs
+++ b/gateway/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the whole program share: a gateway before fake engines, and plain
-//! clients of it.
+//! Shared by the tests of the whole program: a gateway process in front of fake engines, and
+//! blocking clients for it.
 #![allow(
     dead_code,
     clippy::unwrap_used,
@@ -26,12 +26,12 @@
 /// The program under test.
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_violetgate");
 
-/// Wide enough for the slowest machine; nothing waits this long unless it has failed.
+/// Timeout of all waits. It is long enough for a slow machine, and reached only by a failure.
 pub const WAIT: Duration = Duration::from_secs(60);
-/// How often a condition is checked that is waited for.
+/// How often [`wait_until`] checks its condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(3);
 
-/// Connects as soon as somebody listens.
+/// Connects as soon as the address accepts connections.
 pub fn connect(addr: &str) -> TcpStream {
     let deadline = Instant::now() + WAIT;
     loop {
@@ -43,19 +43,19 @@
     }
 }
 
-/// An address for the program to listen at. Its port lies below those that the machine gives to
-/// connections, since one of them could take it before the program does.
+/// Returns an address for the program to listen at. Its port is below the ephemeral range, since
+/// an outgoing connection could otherwise take it before the program does.
 pub fn reserve_address() -> String {
     reserve_tcp_address().unwrap().to_string()
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds. `what` describes the condition.
 pub fn wait_until(what: &str, condition: impl FnMut() -> bool) {
     let waited = violetgate_test_harness::wait_until(WAIT, CHECK_INTERVAL, condition);
-    assert!(waited.is_some(), "never: {what}");
+    assert!(waited.is_some(), "timed out waiting until {what}");
 }
 
-/// A gateway process before fake engines.
+/// A gateway process in front of fake engines.
 pub struct GatewayProcess {
     pub upstreams: FakeUpstreams,
     pub child: Child,
@@ -74,18 +74,19 @@
 }
 
 impl GatewayProcess {
-    /// Starts one before `engines` engines; `rest` are lines of its `rest` block, `window` is how
-    /// long engines discard a repeat of a `load`.
+    /// Starts a gateway in front of `engines` engines. `rest` contains lines of its `rest` block,
+    /// and `window` is how long engines discard a repeat of a `load`, in seconds.
     pub fn start(engines: usize, rest: &str, window: f64) -> Self {
         Self::start_with_blocks(engines, rest, window, |_| String::new())
     }
 
-    /// The same with further blocks, for which a member's folder is made if one of them names it.
+    /// Starts a gateway with further blocks in its settings file. If they name a member's folder,
+    /// the folder is initialized.
     pub fn start_with_blocks(
         engines: usize,
         rest: &str,
         window: f64,
-        more: impl Fn(&Path) -> String,
+        extra_blocks: impl Fn(&Path) -> String,
     ) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let (listen, rest_address) = (reserve_address(), reserve_address());
@@ -101,13 +102,13 @@
         settings["classes"][2]["window"] = window.into();
         let config = upstreams.config("n0", &listen, &settings);
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-        let more = more(&folder);
+        let extra_blocks = extra_blocks(&folder);
         std::fs::write(
             folder.join("violetgate.hcl"),
-            rest_block(&rest_address, rest) + &more,
+            rest_block(&rest_address, rest) + &extra_blocks,
         )
         .unwrap();
-        if more.contains("folder = ") {
+        if extra_blocks.contains("folder = ") {
             let (succeeded, output) = run_violetgate(&[
                 "members",
                 "init",
@@ -140,8 +141,8 @@
             .unwrap()
     }
 
-    /// Starts the process anew, with a log that goes to a pipe; the pipe's end stays unread until
-    /// somebody does.
+    /// Kills the process and starts it again with its log in a pipe, which the caller may read or
+    /// leave unread.
     pub fn restart_piped(&mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -149,8 +150,8 @@
         self.wait_until_healthy();
     }
 
-    /// Starts the process anew, which need not become ready. Its log follows that of the first
-    /// start.
+    /// Starts the process again without waiting until it is healthy. Its log is appended to that of
+    /// the previous process.
     pub fn restart(&mut self) {
         let log = self.folder.join("log");
         let log = std::fs::OpenOptions::new().append(true).open(log).unwrap();
@@ -158,30 +159,31 @@
         connect(&self.rest);
     }
 
-    /// Starts a process that is to end by itself: its exit code and its log.
+    /// Starts a process that should exit by itself. Returns its exit code and its log.
     pub fn run_until_exit(&mut self) -> (Option<i32>, String) {
         let child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::piped());
         let out = child.wait_with_output().unwrap();
         (out.status.code(), String::from_utf8(out.stderr).unwrap())
     }
 
-    /// Waits until the process is ready and listens for REST.
+    /// Waits until the process is healthy and its REST interface listens.
     pub fn wait_until_healthy(&self) {
-        // A process that has ended resets what waits to be accepted: its log says why.
+        // A process that has exited resets connections that wait to be accepted. Its log states why
+        // it exited.
         let health =
             || client::HttpClient::new(connect(&self.management), WAIT)?.get("/admin/health");
         let fail_with_log = |e| {
             let log = std::fs::read_to_string(self.folder.join("log")).unwrap_or_default();
-            panic!("{e}; its log: {log}")
+            panic!("the health check failed: {e}; log of the gateway: {log}")
         };
-        wait_until("healthy", || {
+        wait_until("the gateway is healthy", || {
             health().unwrap_or_else(fail_with_log).status == 200
         });
         connect(&self.rest);
     }
 
-    /// A second process beside this one; the first, which is returned, has got SIGTERM once the
-    /// second is ready.
+    /// Starts a second process beside the first, and sends SIGTERM to the first when the second is
+    /// healthy. Returns the first.
     pub fn upgrade(&mut self) -> Child {
         self.management = reserve_address();
         let child = Self::spawn(&self.folder, &self.listen, &self.management, Stdio::null());
@@ -195,7 +197,7 @@
         send_signal(self.child.id(), signal).unwrap();
     }
 
-    /// One management call.
+    /// Calls the management API. Returns the status and the body.
     pub fn call(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let mut http = HttpConnection::open(&self.management);
         http.send(method, path, &[], body.as_bytes());
@@ -203,11 +205,11 @@
         (reply.status, String::from_utf8(reply.body).unwrap())
     }
 
-    /// The value of one of the gateway's metrics, by its full name.
+    /// Returns the value of the gateway's metric with the given full name.
     pub fn metric(&self, name: &str) -> f64 {
         let text = self.call("GET", "/admin/stats", "").1;
         let value = parse_metrics(&text).get(name).copied();
-        value.unwrap_or_else(|| panic!("no metric {name}"))
+        value.unwrap_or_else(|| panic!("the gateway has no metric {name}"))
     }
 
     pub fn http(&self) -> HttpConnection {
@@ -218,7 +220,7 @@
         PostgresSession::open(&self.listen)
     }
 
-    /// One query over REST on a connection of its own.
+    /// Runs a query over REST on a new connection.
     pub fn post_query(&self, query: &Value, key: Option<&str>) -> Reply {
         let mut http = self.http();
         http.post_query(query, key);
@@ -226,7 +228,7 @@
     }
 }
 
-/// Runs the program to its end: whether it went well, and what it wrote.
+/// Runs the program until it exits. Returns whether it succeeded and all that it wrote.
 pub fn run_violetgate(args: &[&str]) -> (bool, String) {
     let out = Command::new(PROGRAM).args(args).output().unwrap();
     let text = [out.stdout, out.stderr].concat();
@@ -237,10 +239,10 @@
     format!("rest {{\n  listen = \"{rest}\"\n{lines}\n}}\n")
 }
 
-/// The exit code of a process that ends by itself.
+/// Waits until a process exits by itself and returns its exit code.
 pub fn wait_for_exit(child: &mut Child) -> Option<i32> {
     let mut code = None;
-    wait_until("the process ends", || {
+    wait_until("the process exits", || {
         code = child.try_wait().unwrap();
         code.is_some()
     });
@@ -306,7 +308,7 @@
         self.0.send(sql).unwrap();
     }
 
-    /// Rows, or the code of the error.
+    /// Reads a response: its rows, or the code of its error.
     pub fn read(&mut self) -> Result<Vec<[String; 3]>, String> {
         self.0.read().unwrap()
     }
--- a/gateway/tests/surface/answers.rs
+++ b/gateway/tests/surface/answers.rs
@@ -1,4 +1,5 @@
-//! Answers over REST, management and the cluster API with the keys of their bodies, and metrics.
+//! Snapshots of the responses of the REST interface, management and the cluster API with the keys
+//! of their bodies, and of the metrics.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,7 +9,7 @@
 
 use crate::support::{reserve_address, wait_until, GatewayProcess, HttpConnection, Reply};
 
-/// Metrics with their values, and the labels that hold addresses, masked.
+/// Masks the values of metrics and the labels that contain addresses.
 fn mask_metrics(text: &str) -> String {
     let mut masked = String::new();
     for line in text.lines() {
@@ -28,7 +29,8 @@
     masked
 }
 
-/// The keys and kinds of values of a JSON document.
+/// Replaces the strings and numbers in a JSON document by their types. An array keeps only its
+/// first element.
 fn shape(value: &Value) -> Value {
     match value {
         Value::Null | Value::Bool(_) => value.clone(),
@@ -39,8 +41,8 @@
     }
 }
 
-/// A reply with its status, the names of its headers, and the shape of its body; errors with their
-/// texts.
+/// Appends a reply to a snapshot: its status, the names of its headers, and the shape of its body.
+/// The body of a problem is written in full.
 fn show_reply(all: &mut String, call: &str, reply: &Reply) {
     let headers: BTreeMap<_, _> = reply.headers.iter().collect();
     let names: Vec<_> = headers.keys().map(|name| name.as_str()).collect();
@@ -136,7 +138,7 @@
     )
 }
 
-/// Shows the form of what is stored as JSON under a key of the shared state.
+/// Appends the shape of the JSON value under a key of the shared state to a snapshot.
 fn show_stored_record(all: &mut String, api: &str, key: &str) {
     let entry = HttpConnection::open(api)
         .get(&format!("/v1/state?key={key}"))
@@ -189,11 +191,11 @@
         show_call(&mut all, &api, method, path, body);
     }
     show_stored_record(&mut all, &api, "members/1");
-    wait_until("the engine list is kept", || {
+    wait_until("the engine list is in the shared state", || {
         HttpConnection::open(&api).get("/v1/state?key=list").status == 200
     });
     show_stored_record(&mut all, &api, "engines/e-1");
-    wait_until("the fleet is seen", || {
+    wait_until("the gateway knows the size of the fleet", || {
         gateway.metric("svc_fleet_share") >= 1.0
     });
     writeln!(
@@ -227,14 +229,14 @@
 
 #[test]
 fn subscriber_metrics_stay() {
-    let nobody = reserve_address();
+    let unused_address = reserve_address();
     let mut gateway = GatewayProcess::start(1, "", 12.0);
     gateway.child.kill().unwrap();
     gateway.child.wait().unwrap();
     let settings = gateway.folder.join("violetgate.hcl");
     let block = format!(
         "cluster {{\n  role = \"subscriber\"\n  name = \"test\"\n  front_end = \"fe-1\"\n  \
-         observers = {{ \"2\" = \"{nobody}\" }}\n}}\n"
+         observers = {{ \"2\" = \"{unused_address}\" }}\n}}\n"
     );
     let text = std::fs::read_to_string(&settings).unwrap() + &block;
     std::fs::write(&settings, text).unwrap();
--- a/gateway/tests/surface/command_line.rs
+++ b/gateway/tests/surface/command_line.rs
@@ -1,11 +1,13 @@
-//! Help texts, settings, versions, and errors before the program serves, with their exit codes.
+//! Snapshots of the help texts, the settings reference, and errors before the program serves with
+//! their exit codes.
 
 use std::fmt::Write as _;
 use std::process::{Command, Stdio};
 
 use crate::support::run_violetgate;
 
-/// Runs the program in an environment of its own: its exit code and all that it wrote.
+/// Runs the program with only the given environment variables. Returns its exit code and all that
+/// it wrote.
 fn run(args: &[&str], environment: &[(&str, &str)]) -> (Option<i32>, String) {
     let out = Command::new(env!("CARGO_BIN_EXE_violetgate"))
         .args(args)
@@ -19,7 +21,7 @@
     (out.status.code(), String::from_utf8(text).unwrap())
 }
 
-/// The names of the subcommands that a help text lists.
+/// Returns the names of the subcommands that a help text lists.
 fn subcommands(help: &str) -> Vec<String> {
     let listed = help
         .lines()
@@ -58,7 +60,8 @@
     insta::assert_snapshot!("settings_reference", run(&["reference"], &[]).1);
 }
 
-/// Every way in which the program ends before it serves, with its exit code and what it says.
+/// Invalid settings, configurations and command lines end the program before it serves. The
+/// snapshot has the exit code and the output of each.
 #[test]
 fn errors_before_serving_stay() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-surface", std::process::id()));
@@ -122,7 +125,7 @@
     insta::assert_snapshot!("errors_before_serving", all);
 }
 
-/// The program's own texts name what is at fault, whatever else is in them.
+/// `--version` prints the name of the program first.
 #[test]
 fn version_names_the_program() {
     let (succeeded, text) = run_violetgate(&["--version"]);
--- a/gateway/tests/surface/main.rs
+++ b/gateway/tests/surface/main.rs
@@ -1,8 +1,8 @@
-//! What operators and clients see, as snapshots: help texts, settings, metrics, paths with the keys
-//! of their answers, and exit codes; and the small files that the processes of one instance share
-//! in `$TMPDIR`.
+//! Snapshots of what operators and clients see: help texts, settings, metrics, paths with the keys
+//! of their responses, and exit codes. Also checks the small files that the processes of one
+//! gateway share in `$TMPDIR`.
 //!
-//! Values that differ from run to run are masked. A refactoring leaves every snapshot as it is.
+//! Values that differ from run to run are masked. A refactoring must not change a snapshot.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/gateway/tests/surface/shared_files.rs
+++ b/gateway/tests/surface/shared_files.rs
@@ -1,10 +1,12 @@
-//! The small files that the processes of one gateway share in `$TMPDIR`.
+//! Checks the small files that the processes of one gateway share in `$TMPDIR`. Processes of
+//! different versions must agree on them.
 
 use rustix::fs::FlockOperation;
 
 use crate::support::{wait_until, GatewayProcess};
 
-/// The file of cordons is read at the start and written byte for byte as before.
+/// The file of cordons is read at the start, and its format matches the recorded file byte for
+/// byte.
 #[test]
 fn cordon_file_is_read_and_written_as_before() {
     let fixture = include_bytes!("../fixtures/cordons.json");
@@ -47,8 +49,8 @@
     assert_eq!(names, shared);
 }
 
-/// The mark of a running process is an empty file with a shared lock: one that another process
-/// holds is noticed, and its end as well.
+/// The mark of a running process is an empty file with a shared lock. The gateway notices when
+/// another process takes and releases such a lock.
 #[test]
 fn mark_of_a_running_process_is_understood_as_before() {
     let gateway = GatewayProcess::start(1, "", 12.0);
@@ -67,12 +69,12 @@
         .unwrap();
     rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockShared).unwrap();
     let exclusive = rustix::fs::fcntl_lock(&mark, FlockOperation::NonBlockingLockExclusive);
-    assert!(exclusive.is_err(), "the program holds no lock");
-    wait_until("the other process is noticed", || {
+    assert!(exclusive.is_err(), "the gateway holds no lock on its mark");
+    wait_until("the gateway notices the other process", || {
         log().contains("violetgate is joined by another process: at most ")
     });
     drop(mark);
-    wait_until("its end is noticed", || {
+    wait_until("the gateway notices the end of the other process", || {
         log().contains("violetgate is alone: at most ")
     });
 }
--- a/gateway/tests/wire_words.rs
+++ b/gateway/tests/wire_words.rs
@@ -1,11 +1,11 @@
-//! The protocols' own words stand in the codecs alone: the rest of the program uses the field's
-//! terms.
+//! Checks that words which only the wire protocols use occur in the codecs and nowhere else. The
+//! rest of the program uses standard terms for them.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::path::{Path, PathBuf};
 
 /// Words of the query fields, the engines' line protocol, the event bus and the platform's settings
-/// that the code has another term for.
+/// for which the code has another term.
 const WIRE_WORDS: [&str; 24] = [
     "sort",
     "patience",
@@ -33,8 +33,8 @@
     "in_service",
 ];
 
-/// The codecs: the one place for the words of their protocol. The demo prints a client's query, to
-/// be tried.
+/// Files that may use the words: the codecs, and the demo's greeting, which prints an example
+/// query.
 const CODECS: [&str; 6] = [
     "gateway/src/demo/welcome.rs",
     "gateway/src/upstream/codec.rs",
@@ -55,7 +55,7 @@
     }
 }
 
-/// The contents of the string literals of a source file; comments are left out.
+/// Returns the contents of the string literals in a source file. Literals in comments are skipped.
 fn string_literals(source: &str) -> Vec<String> {
     let mut literals = Vec::new();
     for line in source.lines() {
@@ -77,7 +77,7 @@
                 (None, _) => {}
             }
         }
-        // A literal that goes on in the next line ends here as far as this test looks.
+        // A literal that continues on the next line is cut at the end of this line.
         literals.extend(literal);
     }
     literals
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn wire_words_stand_in_codecs_alone() {
+fn wire_words_occur_only_in_codecs() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut files = Vec::new();
     sources(&root.join("gateway/src"), &mut files);
     sources(&root.join("policy/src"), &mut files);
-    assert!(files.len() > 100, "the sources are where this test looks");
-    let mut strays = Vec::new();
+    assert!(files.len() > 100, "too few source files were found");
+    let mut misplaced_words = Vec::new();
     for file in files {
         let name = file.strip_prefix(&root).unwrap().to_string_lossy();
         let is_test = name.contains("/tests/") || name.ends_with("tests.rs");
@@ -102,14 +102,15 @@
             continue;
         }
         for literal in string_literals(&std::fs::read_to_string(&file).unwrap()) {
-            let stray = words(&literal).find(|word| WIRE_WORDS.contains(word));
-            strays.extend(stray.map(|word| format!("{name}: `{word}` in {literal:?}")));
+            let misplaced = words(&literal).find(|word| WIRE_WORDS.contains(word));
+            misplaced_words
+                .extend(misplaced.map(|word| format!("{name}: `{word}` in {literal:?}")));
         }
     }
     assert!(
-        strays.is_empty(),
-        "outside of codecs:\n{}",
-        strays.join("\n")
+        misplaced_words.is_empty(),
+        "wire words outside the codecs:\n{}",
+        misplaced_words.join("\n")
     );
 }
 
