--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -5,7 +5,7 @@
 
 use thiserror::Error;
 use violetgate_membership::MembershipConfig;
-use violetgate_simulator::load::{play, Case, Load};
+use violetgate_simulator::load::{simulate, Case, Load};
 
 use crate::figures::{Figures, Options};
 
@@ -49,7 +49,7 @@
     let longest = options.select(LONGEST_SHORT, LONGEST);
     for size in sizes {
         for case in cases {
-            let load = play(*case, size, &config, options.seed, longest);
+            let load = simulate(*case, size, &config, options.seed, longest);
             report(*case, size, &load, options, figures);
         }
     }
--- a/tools/simulator/src/bin/measure-membership.rs
+++ b/tools/simulator/src/bin/measure-membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use violetgate_membership::MembershipConfig;
-use violetgate_simulator::load::{play, Case};
+use violetgate_simulator::load::{simulate, Case};
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().collect();
@@ -21,7 +21,7 @@
     };
     let config = MembershipConfig::default();
     let at_most = Duration::from_secs(number(4).unwrap_or(600));
-    let load = play(
+    let load = simulate(
         case,
         count as usize,
         &config,
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -103,7 +103,7 @@
 
 /// Simulates a case with so many members; it ends early once it has taken longer than `time_limit`.
 #[must_use]
-pub fn play(
+pub fn simulate(
     case: Case,
     member_count: usize,
     config: &MembershipConfig,
@@ -114,16 +114,16 @@
     let mut run = Run::new(case, member_count, config, seed, started + time_limit);
     match case {
         Case::Rest => run.run_until(run.now() + 20 * SECOND),
-        Case::Change => play_death_and_return(&mut run),
-        Case::Fifth => play_deaths_of_a_fifth(&mut run),
-        Case::Halves => play_split(&mut run),
-        Case::Rollout => play_rollout(&mut run),
+        Case::Change => simulate_death_and_return(&mut run),
+        Case::Fifth => simulate_deaths_of_a_fifth(&mut run),
+        Case::Halves => simulate_split(&mut run),
+        Case::Rollout => simulate_rollout(&mut run),
         Case::Start => run.measure_settling_then_quiet(120 * SECOND),
     }
     run.into_load(started, memory)
 }
 
-fn play_death_and_return(run: &mut Run) {
+fn simulate_death_and_return(run: &mut Run) {
     let member = run.member_count / 2;
     run.world.kill(member);
     run.measure_settling(50 * SECOND);
@@ -131,7 +131,7 @@
     run.measure_settling(50 * SECOND);
 }
 
-fn play_deaths_of_a_fifth(run: &mut Run) {
+fn simulate_deaths_of_a_fifth(run: &mut Run) {
     let dying: Vec<usize> = (0..run.member_count).filter(|i| i % 5 == 4).collect();
     for member in &dying {
         run.world.kill(*member);
@@ -143,7 +143,7 @@
     run.measure_settling_then_quiet(60 * SECOND);
 }
 
-fn play_split(run: &mut Run) {
+fn simulate_split(run: &mut Run) {
     let all = 0..run.member_count;
     let (low, high): (Vec<usize>, Vec<usize>) = all.partition(|i| *i < run.member_count / 2);
     let heals_at = run.now() + 180 * SECOND;
@@ -156,7 +156,7 @@
     run.measure_settling_then_quiet(60 * SECOND);
 }
 
-fn play_rollout(run: &mut Run) {
+fn simulate_rollout(run: &mut Run) {
     let steps = 60 * SECOND / RESTART_INTERVAL_US;
     let mut restarts: Vec<MemberEvent> = Vec::new();
     for step in 0..steps {
--- a/tools/simulator/tests/load.rs
+++ b/tools/simulator/tests/load.rs
@@ -3,17 +3,17 @@
 use std::time::Duration;
 
 use violetgate_membership::MembershipConfig;
-use violetgate_simulator::load::{play, Case, Load};
+use violetgate_simulator::load::{simulate, Case, Load};
 
-fn play_small_fleet(case: Case) -> Load {
+fn simulate_small_fleet(case: Case) -> Load {
     let time_limit = Duration::from_secs(600);
-    play(case, 24, &MembershipConfig::default(), 7, time_limit)
+    simulate(case, 24, &MembershipConfig::default(), 7, time_limit)
 }
 
 #[test]
 fn same_seed_gives_the_same_counts() {
-    let first = play_small_fleet(Case::Start);
-    let again = play_small_fleet(Case::Start);
+    let first = simulate_small_fleet(Case::Start);
+    let again = simulate_small_fleet(Case::Start);
     let counts = |load: &Load| {
         (
             load.bytes_per_s,
@@ -30,19 +30,19 @@
 /// A fleet at rest sends little, and no member that runs is declared dead unless a cut hides it.
 #[test]
 fn each_case_ends_with_right_views() {
-    let rest = play_small_fleet(Case::Rest);
+    let rest = simulate_small_fleet(Case::Rest);
     assert!(
         rest.bytes_per_s < 1_000.0 && rest.peak_bytes_per_s >= rest.bytes_per_s,
         "{rest:?}"
     );
     for case in [Case::Change, Case::Fifth, Case::Rollout] {
-        let load = play_small_fleet(case);
+        let load = simulate_small_fleet(case);
         assert!(
             load.known_s.is_some() && load.false_declarations == 0,
             "{case:?}: {load:?}"
         );
     }
-    let halves = play_small_fleet(Case::Halves);
+    let halves = simulate_small_fleet(Case::Halves);
     assert!(
         halves.known_s.is_some() && halves.false_declarations > 0,
         "{halves:?}"
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -16,7 +16,7 @@
     Action, FleetSize, FleetSizeConfig, Identity, LinkState, MemberState, MemberUpdate, Membership,
     MembershipConfig, Message, MessageBody,
 };
-use violetgate_simulator::load::{play, Case};
+use violetgate_simulator::load::{simulate, Case};
 use violetgate_simulator::{Cut, FaultPlan, MemberEvent, Pause, World, SECOND};
 
 use crate::driver::{Death, Fleet, Fnv, Lcg, Scenario};
@@ -216,7 +216,7 @@
     let mut hash = Fnv::new();
     for case in Case::ALL {
         let limit = std::time::Duration::from_secs(600);
-        let load = play(case, 30, &MembershipConfig::default(), 3, limit);
+        let load = simulate(case, 30, &MembershipConfig::default(), 3, limit);
         hash.text(case.name());
         for rate in [
             load.bytes_per_s,
