--- a/tools/fleet-harness/src/bin/prove-fleet/main.rs
+++ b/tools/fleet-harness/src/bin/prove-fleet/main.rs
@@ -1,5 +1,5 @@
-//! Real gateway processes as one fleet, through deaths, pauses, losses and cuts: `prove-fleet
-//! [--short] [--seed N]`.
+//! Runs a fleet of real gateway processes through kills, pauses, packet loss and cut links, and
+//! checks the membership's bounds: `prove-fleet [--short] [--seed N]`.
 
 mod scenarios;
 mod verdict;
@@ -11,7 +11,8 @@
 use crate::scenarios::Run;
 use crate::verdict::Verdict;
 
-/// Shorter than the defaults, so that the fleet size follows a death within a scenario.
+/// Fleet settings with shorter times than the defaults, so that the fleet size follows a death
+/// within a scenario.
 const FLEET_SETTINGS: &str = "settle = \"8s\"\nstep = \"500ms\"";
 
 fn prove(is_short: bool, seed: u64) -> std::io::Result<Verdict> {
@@ -26,7 +27,7 @@
     };
     println!("{count} processes, seed {seed}");
     run.start();
-    run.rough_network_and_pauses();
+    run.lossy_network_and_pauses();
     run.cut_link();
     run.death_and_restart();
     run.restart()?;
--- a/tools/fleet-harness/src/bin/prove-fleet/scenarios.rs
+++ b/tools/fleet-harness/src/bin/prove-fleet/scenarios.rs
@@ -1,5 +1,5 @@
-//! What the fleet goes through, one scenario after the other, each from and to a fleet in which all
-//! are alive.
+//! The scenarios, which run one after the other. Each starts with all members alive; by the time
+//! the next one starts, all have to be alive again.
 
 use std::time::Duration;
 
@@ -10,9 +10,9 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 const HALF_SECOND: Duration = Duration::from_millis(500);
-/// What a process logs when it declares another dead.
+/// Part of the log line that a process writes when it declares another member dead.
 const DEATH_LOG: &str = " is dead";
-/// What a process logs when its link to another is cut.
+/// Part of the log line that a process writes when its link to another member is cut.
 const CUT_LINK_LOG: &str = " is cut, others";
 const CUT: LinkFaults = LinkFaults {
     is_cut: true,
@@ -21,20 +21,20 @@
     max_delay: Duration::ZERO,
 };
 
-/// The fleet under test and what was measured.
+/// The fleet under test and the figures measured so far.
 pub struct Run {
     pub fleet: FleetHarness,
     pub verdict: Verdict,
     pub is_short: bool,
     pub seed: u64,
-    /// How many processes there are.
+    /// The number of gateway processes.
     pub count: usize,
 }
 
 fn all_alive(fleet: &FleetHarness) -> bool {
-    let everyone: Vec<usize> = (0..fleet.processes.len()).collect();
-    let mut members = everyone.iter();
-    members.all(|member| fleet.all_observe(&everyone, *member, ObservedState::Alive))
+    let all_members: Vec<usize> = (0..fleet.processes.len()).collect();
+    let mut members = all_members.iter();
+    members.all(|member| fleet.all_observe(&all_members, *member, ObservedState::Alive))
 }
 
 fn declared_deaths(fleet: &FleetHarness) -> usize {
@@ -43,7 +43,7 @@
 }
 
 impl Run {
-    /// All processes but one.
+    /// The indexes of all processes but one.
     fn all_but(&self, excluded: usize) -> Vec<usize> {
         (0..self.count).filter(|i| *i != excluded).collect()
     }
@@ -61,8 +61,8 @@
         self.verdict.check_count("share_off", wrong, 0);
     }
 
-    pub fn rough_network_and_pauses(&mut self) {
-        println!("stops of 2 s, and 20% loss, 50 ms of delay and some doubled:");
+    pub fn lossy_network_and_pauses(&mut self) {
+        println!("pauses of 2 s, with 20% loss, up to 50 ms of delay and 5% duplicates:");
         self.fleet.relay.set_all(LinkFaults {
             loss: 0.2,
             duplication: 0.05,
@@ -83,7 +83,7 @@
     }
 
     pub fn cut_link(&mut self) {
-        println!("a link cut between two that the others reach:");
+        println!("one link cut between two members that the others still reach:");
         self.fleet.relay.set(0, 1, CUT);
         self.fleet.relay.set(1, 0, CUT);
         let reports = |fleet: &FleetHarness| -> usize {
@@ -94,8 +94,8 @@
         let took = self
             .fleet
             .wait_until(8 * SECOND, |fleet| reports(fleet) > before);
-        // Only members that observe each other can report it: of four all do, of six these two may
-        // not.
+        // Only members that observe each other can report a cut link. In a fleet of four all do; in
+        // a fleet of six these two may not.
         if self.is_short || took.is_some() {
             self.verdict.check_time("cut_told", took, 6 * SECOND);
         }
@@ -106,7 +106,7 @@
     }
 
     pub fn death_and_restart(&mut self) {
-        println!("a process killed:");
+        println!("one process killed:");
         let full_size = self.count as u32;
         let killed = self.count - 1;
         let others = self.all_but(killed);
@@ -129,7 +129,7 @@
         self.verdict.check_time("share_grown", took, 12 * SECOND);
     }
 
-    /// Restarts the process that was killed.
+    /// Restarts the process that [`Run::death_and_restart`] killed.
     pub fn restart(&mut self) -> std::io::Result<()> {
         let full_size = Some(self.count as u32);
         self.fleet.processes[self.count - 1].start()?;
@@ -142,14 +142,14 @@
     }
 
     pub fn member_that_receives_nothing(&mut self) {
-        println!("one that hears nothing:");
+        println!("one member that receives nothing:");
         let deaths_before = declared_deaths(&self.fleet);
         for from in 1..self.count {
             self.fleet.relay.set(from, 0, CUT);
         }
         let others = self.all_but(0);
-        // Its observers, two at least, suspect it; those that still receive its messages report a
-        // cut link instead: it runs, and may be sending to engines.
+        // At least two observers suspect the member. Those that still receive its messages report a
+        // cut link instead, since it runs and may be sending requests to engines.
         let is_noticed = |fleet: &FleetHarness| {
             let notices = |i: &&usize| {
                 let process = &fleet.processes[**i];
@@ -162,13 +162,13 @@
         let took = self.fleet.wait_until(12 * SECOND, is_noticed);
         self.verdict.check_time("deaf_known", took, 8 * SECOND);
         std::thread::sleep(if self.is_short { 3 } else { 15 } * SECOND);
-        let is_forgotten = !is_noticed(&self.fleet);
+        let is_no_longer_noticed = !is_noticed(&self.fleet);
         self.verdict
-            .check_count("deaf_forgotten", usize::from(is_forgotten), 0);
+            .check_count("deaf_forgotten", usize::from(is_no_longer_noticed), 0);
         let deaths = declared_deaths(&self.fleet) - deaths_before;
         let deaths_each = deaths.div_ceil(self.count - 1);
         self.verdict.check_count("deaths_told_each", deaths_each, 1);
-        // One is that of the process that was killed.
+        // The earlier death of the killed process accounts for one of these lines.
         let own_deaths = self.fleet.processes[0].count_log_lines(DEATH_LOG);
         self.verdict
             .check_count("deaths_told_by_deaf", own_deaths.saturating_sub(1), 0);
@@ -177,7 +177,7 @@
     }
 
     pub fn long_pause(&mut self) {
-        println!("one that stands still for 9 s:");
+        println!("one process paused for 9 s:");
         let deaths_before = self.fleet.processes[1].count_log_lines(DEATH_LOG);
         self.fleet.processes[1].signal(Signal::STOP);
         std::thread::sleep(9 * SECOND);
@@ -192,7 +192,7 @@
     }
 
     pub fn graceful_shutdown(&mut self) -> std::io::Result<()> {
-        println!("one that is told to end:");
+        println!("one process shut down with SIGTERM:");
         self.fleet.processes[2].signal(Signal::TERM);
         let has_ended = self.fleet.processes[2].wait_for_exit(8 * SECOND);
         self.verdict
@@ -209,8 +209,8 @@
 
     pub fn end(&mut self) {
         let processes = &self.fleet.processes;
-        let numbered = processes.iter().zip(1..);
-        let unserved = numbered.filter(|(p, request_id)| !p.serves_request(*request_id));
+        let with_request_ids = processes.iter().zip(1..);
+        let unserved = with_request_ids.filter(|(p, request_id)| !p.serves_request(*request_id));
         let unserved = unserved.count();
         self.verdict.check_count("unserved_at_the_end", unserved, 0);
         let crashes: u64 = processes.iter().map(|p| p.crash_count()).sum();
--- a/tools/fleet-harness/src/harness.rs
+++ b/tools/fleet-harness/src/harness.rs
@@ -1,4 +1,4 @@
-//! The fleet: its processes, the engines behind them and the relay between them.
+//! Starts a fleet: its gateway processes, the engines behind them and the relay between them.
 
 use std::io::{Error, Result};
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use crate::process::{GatewayProcess, ObservedState};
 use crate::relay::Relay;
 
-/// How many engines serve the fleet.
+/// The number of engines that serve the fleet.
 const ENGINE_COUNT: usize = 3;
-/// How many members are named as seeds.
+/// The number of members that each process is configured with as seeds.
 const SEED_COUNT: usize = 3;
-/// How often a condition is checked that is waited for.
+/// The interval at which [`FleetHarness::wait_until`] checks its condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A fleet of gateway processes.
+/// A fleet of gateway processes. Dropping it kills them and removes their folders.
 pub struct FleetHarness {
-    /// The processes.
+    /// The gateway processes, by member number.
     pub processes: Vec<GatewayProcess>,
-    /// What lies between them.
+    /// The relay that carries the fleet's datagrams between the processes.
     pub relay: Relay,
     engines: FakeUpstreams,
     folder: PathBuf,
@@ -40,12 +40,13 @@
 }
 
 impl FleetHarness {
-    /// Starts `count` processes of a program; `fleet_settings` are further lines of their `fleet`
-    /// blocks.
+    /// Starts `count` gateway processes of a program. `fleet_settings` are added as lines to the
+    /// `fleet` block of their settings.
     ///
     /// # Errors
     ///
-    /// An engine, the relay or a process can't be started, or a file can't be written.
+    /// Returns an error if an engine, the relay or a process can't be started, or a file can't be
+    /// written.
     pub fn start(program: &Path, count: usize, seed: u64, fleet_settings: &str) -> Result<Self> {
         let engines = FakeUpstreams::start(ENGINE_COUNT, Profile::default())?;
         let process_id = std::process::id();
@@ -87,7 +88,7 @@
         let relay_addrs = &self.relay.addrs;
         let relay_addr = relay_addrs
             .get(number)
-            .ok_or_else(|| Error::other("no relay"))?;
+            .ok_or_else(|| Error::other("the member has no relay"))?;
         let seeds: Vec<String> = relay_addrs
             .iter()
             .take(SEED_COUNT)
@@ -104,14 +105,14 @@
         ))
     }
 
-    /// The engines.
+    /// The fake engines that serve the fleet's requests.
     #[must_use]
     pub fn engines(&self) -> &FakeUpstreams {
         &self.engines
     }
 
-    /// Waits until a condition holds; returns how long that took, or `None` if it did not hold
-    /// within the time.
+    /// Waits until a condition holds. Returns how long that took, or `None` if the condition did
+    /// not hold within the time.
     pub fn wait_until(
         &self,
         within: Duration,
@@ -120,7 +121,8 @@
         wait_until(within, CHECK_INTERVAL, || condition(self))
     }
 
-    /// Whether each of some processes, but the subject itself, observes a state of the subject.
+    /// Whether all `observers` see the subject in the given state. The subject itself is skipped if
+    /// it is among them.
     #[must_use]
     pub fn all_observe(&self, observers: &[usize], subject: usize, state: ObservedState) -> bool {
         let name = member_name(subject);
--- a/tools/fleet-harness/src/lib.rs
+++ b/tools/fleet-harness/src/lib.rs
@@ -1,7 +1,7 @@
-//! A fleet of real gateway processes on loopback: fake engines behind them, a relay between them
-//! that injects faults, and means to stop, kill and restart them.
+//! Runs a fleet of real gateway processes on loopback, with fake engines behind them and a relay
+//! between them that injects faults. Processes can be paused, killed and restarted.
 //!
-//! What the harness knows of a process it reads from that process's own metrics and log.
+//! The harness reads the state of a process from that process's own metrics and log.
 //!
 //! ```no_run
 //! use std::path::Path;
--- a/tools/fleet-harness/src/relay.rs
+++ b/tools/fleet-harness/src/relay.rs
@@ -1,6 +1,6 @@
-//! What lies between the members: a datagram relay in front of each, which knows by its source who
-//! sent a datagram, and loses, delays, duplicates or cuts by ordered pair. It never reads what it
-//! relays.
+//! A datagram relay in front of each member that injects faults. It identifies the sender by the
+//! datagram's source address, and drops, delays or duplicates datagrams by sender and receiver. It
+//! never reads the contents.
 
 use std::collections::BTreeMap;
 use std::io::Result;
@@ -12,25 +12,25 @@
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How often delayed datagrams are checked, and whether the relay has ended.
+/// The interval at which a relay sends due datagrams and checks whether it has to end.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// More than any datagram of the fleet.
+/// The size of the receive buffer, larger than any datagram of the fleet.
 const BUFFER_BYTES: usize = 16 << 10;
 
 /// The faults of one direction of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Whether nothing passes.
+    /// Whether all datagrams are dropped.
     pub is_cut: bool,
     /// The fraction of datagrams that are dropped, from 0 to 1.
     pub loss: f64,
     /// The fraction of datagrams that arrive twice, from 0 to 1.
     pub duplication: f64,
-    /// By how much a datagram is delayed at most.
+    /// The maximum delay of a datagram; each is delayed by a random part of it.
     pub max_delay: Duration,
 }
 
-/// One direction of a link, by the members' numbers.
+/// One direction of a link, identified by the members' numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Direction {
     from: usize,
@@ -39,11 +39,11 @@
 
 type Links = Arc<Mutex<BTreeMap<Direction, LinkFaults>>>;
 
-/// The relays in front of all members.
+/// The relays in front of all members. Their threads end after this is dropped.
 pub struct Relay {
     links: Links,
     has_ended: Arc<AtomicBool>,
-    /// Where each member is reached by the others.
+    /// The relay address of each member, at which the other members reach it.
     pub addrs: Vec<SocketAddr>,
 }
 
@@ -54,12 +54,12 @@
 }
 
 impl Relay {
-    /// Starts relays in front of members that listen at these addresses. The seed makes the random
-    /// choices.
+    /// Starts a relay in front of each member; the members listen at `member_addrs`. All random
+    /// choices are derived from the seed.
     ///
     /// # Errors
     ///
-    /// A socket can't be bound.
+    /// Returns an error if a socket can't be bound.
     pub fn new(member_addrs: &[SocketAddr], seed: u64) -> Result<Self> {
         let links = Links::default();
         let has_ended = Arc::new(AtomicBool::new(false));
@@ -93,7 +93,7 @@
         links.insert(Direction { from, to }, faults);
     }
 
-    /// Sets the faults of all links.
+    /// Sets the faults of all links, in both directions.
     pub fn set_all(&self, faults: LinkFaults) {
         for from in 0..self.addrs.len() {
             for to in 0..self.addrs.len() {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Draws what happens to a datagram.
+    /// Drops a received datagram, or schedules one or two copies of it, by the link's faults.
     fn accept(&mut self, bytes: &[u8], from: SocketAddr) {
         let faults = self.faults_from(from);
         if faults.is_cut || self.random_fraction() < faults.loss {
--- a/tools/linearizability/src/lib.rs
+++ b/tools/linearizability/src/lib.rs
@@ -1,4 +1,5 @@
-//! A linearizability checker for histories of operations on single keys, after Wing and Gong.
+//! Checks histories of operations on single keys for linearizability, by the algorithm of Wing and
+//! Gong.
 //!
 //! A history is linearizable if some total order of its operations explains every answer, where
 //! each operation takes effect at one moment between its start and its end. The search is
@@ -23,42 +24,43 @@
 #[cfg(test)]
 mod tests;
 
-/// The most operations of one history.
+/// The maximum number of operations in one history, one for each bit of the search's state.
 pub const MAX_OPERATIONS: usize = 128;
 
-/// What a client does to a key, which holds a number or nothing.
+/// An operation on a key, which holds a number or nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OperationKind {
     /// Sets the key.
     Write(u64),
     /// Sets the key if it holds the expected value.
     CompareAndSwap {
-        /// The value that the key has to hold.
+        /// The value that the key has to hold before the swap.
         expected: u64,
-        /// The value that it holds afterwards.
+        /// The value that the key holds after the swap.
         new: u64,
-        /// Whether it was set; `None` if that is not known.
+        /// Whether the key was set; `None` if the answer is unknown.
         swapped: Option<bool>,
     },
-    /// Reads the key; the value that was seen.
+    /// Reads the key and returns the value, or `None` if it holds nothing.
     Read(Option<u64>),
 }
 
 /// One operation of a client, with the time span in which it took effect.
 #[derive(Debug, Clone)]
 pub struct Operation {
-    /// The key.
+    /// The key that was read or written.
     pub key: u64,
-    /// What was done.
+    /// The kind of the operation, with its arguments and answer.
     pub kind: OperationKind,
-    /// When the client began, in microseconds.
+    /// The time at which the client sent the operation, in microseconds.
     pub started_at: u64,
-    /// When the client got its answer, in microseconds. `None`: the outcome is not known, and the
-    /// operation may take effect at any time after its start, or never.
+    /// The time at which the client got the answer, in microseconds. `None` if the outcome is
+    /// unknown: the operation may take effect at any time after its start, or never.
     pub finished_at: Option<u64>,
 }
 
-/// The first [`MAX_OPERATIONS`] operations on a key, by the time at which they started.
+/// Returns the first [`MAX_OPERATIONS`] operations on a key, sorted by the time at which they
+/// started.
 #[must_use]
 pub fn first_operations_on(history: &[Operation], key: u64) -> Vec<Operation> {
     let mut operations: Vec<_> = history
@@ -75,13 +77,13 @@
 ///
 /// # Panics
 ///
-/// There are more than [`MAX_OPERATIONS`].
+/// Panics if there are more than [`MAX_OPERATIONS`] operations.
 #[must_use]
 pub fn is_linearizable(operations: &[Operation]) -> bool {
     let count = operations.len();
     assert!(
         count <= MAX_OPERATIONS,
-        "{count} operations, {MAX_OPERATIONS} at most"
+        "the history has {count} operations, the maximum is {MAX_OPERATIONS}"
     );
     Search {
         operations,
@@ -90,8 +92,8 @@
     .can_finish(State::default())
 }
 
-/// Where the search stands: the operations that have taken effect, one bit each, and the value
-/// after them.
+/// A state of the search: the operations that have taken effect, as a bit set, and the value of the
+/// key after them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 struct State {
     done: u128,
@@ -104,7 +106,7 @@
 }
 
 impl Search<'_> {
-    /// Whether the remaining operations can follow in some order.
+    /// Whether some order of the remaining operations explains their answers.
     fn can_finish(&mut self, state: State) -> bool {
         let operations = self.operations;
         let remaining: Vec<_> = operations
@@ -118,7 +120,7 @@
         if !self.visited.insert(state) {
             return false;
         }
-        // The next operation can't have started after another remaining one had finished.
+        // The next operation can't have started after another remaining operation had finished.
         let earliest_end = remaining.iter().filter_map(|(_, o)| o.finished_at).min();
         remaining
             .into_iter()
@@ -131,8 +133,8 @@
     }
 }
 
-/// What the key holds after an operation; `None` if the operation can't have been answered so at
-/// this value.
+/// Returns the value of the key after an operation. Returns `None` if the operation's answer is
+/// impossible for the value that the key held before it.
 fn value_after(kind: OperationKind, value: Option<u64>) -> Option<Option<u64>> {
     match kind {
         OperationKind::Write(new) => Some(Some(new)),
--- a/tools/linearizability/src/tests.rs
+++ b/tools/linearizability/src/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_old_value_after_a_new_one_is_not_linearizable() {
+fn stale_read_is_not_linearizable() {
     let stale = [
         operation(OperationKind::Write(1), 0, 1),
         operation(OperationKind::Write(2), 2, 3),
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn two_swaps_of_one_value_are_not_linearizable() {
+fn two_successful_swaps_of_one_value_are_not_linearizable() {
     let both = [
         operation(swap(1, 2), 2, 9),
         operation(swap(1, 3), 2, 9),
--- a/tools/test-harness/src/addresses.rs
+++ b/tools/test-harness/src/addresses.rs
@@ -1,4 +1,4 @@
-//! Loopback addresses that nothing listens on.
+//! Reserves loopback addresses that nothing listens on.
 
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result};
@@ -12,10 +12,10 @@
 
 use crate::lock;
 
-/// Ports below those that the machine gives to connections.
+/// The start of the reserved range, which lies below the machine's ephemeral ports.
 const FIRST_RESERVED_PORT: u32 = 12_000;
 const RESERVED_PORTS: u32 = 20_000;
-/// By how far the first ports of two processes with successive ids lie apart.
+/// The distance between the first ports that two processes with successive ids try.
 const PORTS_PER_PROCESS: u32 = 97;
 /// The state of a listening socket in `/proc/net/tcp`.
 const LISTEN_STATE: &str = "0A";
@@ -26,14 +26,14 @@
     Udp,
 }
 
-/// Returns a TCP address whose port lies below those that the machine gives to connections, since
-/// one of them could take it before the program listens. No address is returned twice, also not to
-/// another process that reserves addresses while this one runs.
+/// Returns a TCP address on loopback whose port lies below the machine's ephemeral ports: an
+/// outgoing connection could take an ephemeral port before the program listens. No address is
+/// returned twice, not even to another process that reserves addresses while this one runs.
 ///
 /// # Errors
 ///
-/// Every port of the range is in use, the files that mark reserved ports can't be made, or the
-/// kernel's lists of sockets below `/proc/net` can't be read.
+/// Returns an error if every port of the range is in use, the lock files of the ports can't be
+/// created, or the kernel's lists of sockets below `/proc/net` can't be read.
 pub fn reserve_tcp_address() -> Result<SocketAddr> {
     reserve_address(Protocol::Tcp)
 }
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// As [`reserve_tcp_address`].
+/// Fails for the same reasons as [`reserve_tcp_address`].
 pub fn reserve_tcp_addresses<const N: usize>() -> Result<[SocketAddr; N]> {
     let mut addresses = [SocketAddr::from(([127, 0, 0, 1], 0)); N];
     for address in &mut addresses {
@@ -56,7 +56,7 @@
 ///
 /// # Errors
 ///
-/// As [`reserve_tcp_address`].
+/// Fails for the same reasons as [`reserve_tcp_address`].
 pub fn reserve_udp_addresses(count: usize) -> Result<Vec<SocketAddr>> {
     (0..count).map(|_| reserve_address(Protocol::Udp)).collect()
 }
@@ -72,12 +72,12 @@
             return Ok(SocketAddr::from(([127, 0, 0, 1], port)));
         }
     }
-    Err(Error::new(ErrorKind::AddrInUse, "no reserved port is free"))
+    Err(Error::new(ErrorKind::AddrInUse, "no port is free"))
 }
 
-/// Whether a TCP socket listens or a UDP socket is bound at a port, at any address. No socket is
-/// bound to find out: a child process that another thread starts at that moment would inherit it
-/// and hold the port until it executes its program.
+/// Whether a TCP socket listens or a UDP socket is bound at a port, at any address. It does not
+/// bind a socket to find out: a child process that another thread starts at that moment would
+/// inherit the socket and hold the port until it executes its program.
 fn is_port_in_use(protocol: Protocol, port: u16) -> Result<bool> {
     let lists = match protocol {
         Protocol::Tcp => ["tcp", "tcp6"],
@@ -100,8 +100,8 @@
     Ok(false)
 }
 
-/// Whether a line of the kernel's list of sockets is of a TCP socket that listens or a UDP socket
-/// that is bound at the port.
+/// Whether a line of the kernel's list of sockets describes a listening TCP socket or a bound UDP
+/// socket at the port.
 fn holds_port(socket: &str, protocol: Protocol, port: u16) -> bool {
     let mut fields = socket.split_whitespace().skip(1);
     let local_port = fields
@@ -112,8 +112,8 @@
     local_port == Some(port) && (protocol == Protocol::Udp || state == Some(LISTEN_STATE))
 }
 
-/// Claims a port for this process until it ends, by a lock on a file that is never removed. False:
-/// another process has claimed it.
+/// Claims a port for this process until it ends, with a lock on a file that is never removed.
+/// Returns `false` if the port is already claimed.
 fn claim_port(port: u16) -> Result<bool> {
     static CLAIMS: Mutex<Vec<File>> = Mutex::new(Vec::new());
     let folder = std::env::temp_dir().join("violetgate-test-ports");
--- a/tools/test-harness/src/lib.rs
+++ b/tools/test-harness/src/lib.rs
@@ -1,7 +1,8 @@
-//! What the gateway's own tests, acceptance tests, scale tests and the fleet harness share about
-//! gateway processes: their start and end, free addresses, waiting, metrics, and their use of the machine.
+//! Helpers that run gateway processes, shared by the gateway's tests, the acceptance tests, the
+//! scale tests and the fleet harness: start and stop, free addresses, waiting, metrics and resource
+//! usage.
 //!
-//! Everything here sees a process from outside. It needs Linux with `/proc` mounted.
+//! The helpers observe a process from outside. They need Linux with `/proc` mounted.
 
 mod addresses;
 mod metrics;
@@ -21,7 +22,7 @@
 pub use usage::ProcessUsage;
 pub use wait::wait_until;
 
-/// Locks a mutex, also one that a thread held when it failed.
+/// Locks a mutex, even if it is poisoned because a thread panicked while it held the lock.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/tools/test-harness/src/process.rs
+++ b/tools/test-harness/src/process.rs
@@ -1,4 +1,4 @@
-//! A server process that runs the gateway, with a folder of its own.
+//! Starts, signals and kills processes; each gateway process has a folder of its own.
 
 use std::fs::File;
 use std::io::{Error, ErrorKind, Result};
@@ -10,17 +10,17 @@
 
 use crate::wait_until;
 
-/// The operators' settings in a process's folder.
+/// The name of the operators' settings file in a process's folder.
 pub const SETTINGS_FILE: &str = "violetgate.hcl";
-/// The platform's configuration in a process's folder.
+/// The name of the platform's configuration file in a process's folder.
 const CONFIG_FILE: &str = "config.json";
-/// The log in a process's folder.
+/// The name of the log file in a process's folder.
 const LOG_FILE: &str = "log";
-/// How often it is checked whether a process has ended.
+/// The interval at which [`ServerProcess::wait_for_exit`] checks whether a process has exited.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The command that runs a gateway with the files in its folder: `config.json` and, if it has
-/// settings, `violetgate.hcl`. Temporary files go to the folder as well.
+/// Returns the command that runs a gateway with the files in its folder: `config.json` and, if it
+/// exists, `violetgate.hcl`. The gateway writes its temporary files to the folder as well.
 #[must_use]
 pub fn server_command(program: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
@@ -39,49 +39,49 @@
 ///
 /// # Errors
 ///
-/// There is no such process.
+/// Returns an error if the process does not exist or may not be signalled.
 pub fn send_signal(pid: u32, signal: Signal) -> Result<()> {
     let pid = i32::try_from(pid).ok().and_then(Pid::from_raw);
     let pid = pid.ok_or_else(|| Error::new(ErrorKind::NotFound, "no such process"))?;
     Ok(kill_process(pid, signal)?)
 }
 
-/// Where a process's log goes.
+/// The destination of a process's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogTarget {
-    /// To a file in its folder, which all its lives share.
+    /// A file in the process's folder, to which each start of the process appends.
     File,
-    /// Nowhere.
+    /// The log is thrown away.
     Discard,
 }
 
-/// A process that is killed when its owner is dropped.
+/// A child process that is killed when this value is dropped.
 #[derive(Debug)]
 pub struct KillOnDrop(Child);
 
 impl KillOnDrop {
-    /// Takes charge of a process.
+    /// Takes ownership of a child process.
     #[must_use]
     pub fn new(child: Child) -> Self {
         KillOnDrop(child)
     }
 
-    /// The process id.
+    /// The id of the process.
     #[must_use]
     pub fn pid(&self) -> u32 {
         self.0.id()
     }
 
-    /// Whether it still runs.
+    /// Whether the process still runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.0.try_wait(), Ok(None))
     }
 
-    /// Sends a signal to it.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// There is no such process any more.
+    /// Returns an error if the process no longer exists.
     pub fn signal(&self, signal: Signal) -> Result<()> {
         send_signal(self.pid(), signal)
     }
@@ -94,8 +94,8 @@
     }
 }
 
-/// A gateway that can be started, killed and started again in the same folder. It is killed when it
-/// is dropped; its folder is not removed.
+/// A gateway process that can be started, killed and restarted in the same folder. Dropping this
+/// value kills the process; its folder is not removed.
 #[derive(Debug)]
 pub struct ServerProcess {
     program: PathBuf,
@@ -106,8 +106,8 @@
 }
 
 impl ServerProcess {
-    /// Creates a process that is not started yet. Its folder holds `config.json` and, if the
-    /// process has settings, `violetgate.hcl`.
+    /// Creates a process that is not started yet. Its folder has to hold `config.json`, and may
+    /// hold settings in `violetgate.hcl`.
     #[must_use]
     pub fn new(program: &Path, folder: PathBuf, log_target: LogTarget) -> Self {
         ServerProcess {
@@ -119,11 +119,11 @@
         }
     }
 
-    /// Starts it, or starts it again.
+    /// Starts the process, or restarts it after it was killed or has exited.
     ///
     /// # Errors
     ///
-    /// Its log can't be opened, or the program can't be started.
+    /// Returns an error if its log can't be opened or the program can't be started.
     pub fn start(&mut self) -> Result<()> {
         let child = server_command(&self.program, &self.folder)
             .stderr(self.open_log()?)
@@ -141,21 +141,21 @@
         Ok(options.open(self.folder.join(LOG_FILE))?.into())
     }
 
-    /// Kills it. If it has ended by itself before, that counts as a crash.
+    /// Kills the process. If it had already exited by itself, this counts as a crash.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             self.crash_count += u64::from(!child.is_running());
         }
     }
 
-    /// Sends a signal to it, if it runs.
+    /// Sends a signal to the process, if it runs.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = &self.child {
             let _ = child.signal(signal);
         }
     }
 
-    /// Waits until it has ended by itself; `false` if it has not within the time.
+    /// Waits until the process exits by itself; returns `false` if it did not within the time.
     pub fn wait_for_exit(&mut self, within: Duration) -> bool {
         let exited = wait_until(within, EXIT_CHECK_INTERVAL, || !self.is_running());
         if exited.is_some() {
@@ -164,41 +164,42 @@
         exited.is_some()
     }
 
-    /// Whether it runs.
+    /// Whether the process runs.
     pub fn is_running(&mut self) -> bool {
         self.child.as_mut().is_some_and(KillOnDrop::is_running)
     }
 
-    /// Its process id, if it was started and not killed since.
+    /// The process id; `None` if the process is not started, or was killed or waited for.
     #[must_use]
     pub fn pid(&self) -> Option<u32> {
         self.child.as_ref().map(KillOnDrop::pid)
     }
 
-    /// How often it had ended by itself before it was killed.
+    /// The number of crashes: how often [`ServerProcess::kill`] found that the process had exited.
     #[must_use]
     pub fn crash_count(&self) -> u64 {
         self.crash_count
     }
 
-    /// Its folder.
+    /// The folder with the process's configuration, log and temporary files.
     #[must_use]
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// Its log so far; empty if it is discarded.
+    /// The contents of its log; empty if the log is discarded or can't be read.
     #[must_use]
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join(LOG_FILE)).unwrap_or_default()
     }
 }
 
-/// The path of a program in the folder of the running one, whether it exists or not.
+/// Returns the path of a program in the folder of the running program. It does not check that the
+/// program exists.
 ///
 /// # Errors
 ///
-/// The path of the running program is unknown.
+/// Returns an error if the path of the running program is unknown.
 pub fn program_beside(name: &str) -> Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name(name))
 }
--- a/tools/test-harness/src/usage.rs
+++ b/tools/test-harness/src/usage.rs
@@ -1,21 +1,21 @@
-//! What a process uses of the machine, as `/proc` has it.
+//! Reads the resource usage of a process from `/proc`.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// What a process uses.
+/// The resource usage of one process, or the sum of several.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProcessUsage {
-    /// CPU time of all its threads since its start.
+    /// CPU time of all threads that run now, each since its start.
     pub cpu: Duration,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
-    /// Open file descriptors.
+    /// The number of open file descriptors.
     pub descriptors: usize,
 }
 
 impl ProcessUsage {
-    /// Reads what a process uses, by its id; `None` if it has ended or `/proc` can't be read.
+    /// Reads the usage of a process by its id; `None` if it has exited or `/proc` can't be read.
     #[must_use]
     pub fn read(pid: u32) -> Option<Self> {
         let folder = PathBuf::from(format!("/proc/{pid}"));
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Adds what several processes use; those that have ended count as nothing.
+    /// Adds the usage of several processes; those that have exited count as zero.
     #[must_use]
     pub fn sum(pids: impl IntoIterator<Item = u32>) -> Self {
         let usages = pids.into_iter().filter_map(ProcessUsage::read);
--- a/tools/test-harness/src/wait.rs
+++ b/tools/test-harness/src/wait.rs
@@ -1,9 +1,9 @@
-//! Waiting for a condition.
+//! Waits for a condition by polling it.
 
 use std::time::{Duration, Instant};
 
-/// Checks a condition every `interval` until it holds; returns how long that took, or `None` if it
-/// did not hold within the time.
+/// Checks a condition every `interval` until it holds. Returns how long that took, or `None` if the
+/// condition did not hold within the time.
 pub fn wait_until(
     within: Duration,
     interval: Duration,
--- a/tools/test-harness/tests/harness.rs
+++ b/tools/test-harness/tests/harness.rs
@@ -1,4 +1,4 @@
-//! The harness against processes and sockets of this machine.
+//! Tests the harness with real processes and sockets.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use std::collections::BTreeSet;
@@ -24,7 +24,7 @@
     assert_eq!(tcp.iter().collect::<BTreeSet<_>>().len(), 20);
     let udp = reserve_udp_addresses(20).unwrap();
     assert_eq!(udp.iter().collect::<BTreeSet<_>>().len(), 20);
-    // All are bound at the same time.
+    // All addresses are bound at the same time.
     let _listeners = tcp.map(|address| TcpListener::bind(address).unwrap());
     let _sockets: Vec<_> = udp.iter().map(|at| UdpSocket::bind(at).unwrap()).collect();
     let all: BTreeSet<SocketAddr> = tcp.into_iter().chain(udp).collect();
@@ -45,8 +45,8 @@
     assert_eq!(addresses.len(), 20);
 }
 
-/// The sockets are bound at 127.0.0.2, so that they can't take an address that another process has
-/// reserved at 127.0.0.1 and does not listen at yet.
+/// The test binds its sockets at 127.0.0.2, so that they can't take an address that another process
+/// has reserved at 127.0.0.1 but does not listen at yet.
 #[test]
 fn ports_in_use_are_not_reserved() {
     let next = reserve_tcp_address().unwrap().port() + 1;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_process_that_ends_by_itself_counts_as_a_crash_when_it_is_killed() {
+fn process_that_exits_by_itself_is_counted_as_a_crash_on_kill() {
     let folder = temporary_folder("crash");
     let mut process = ServerProcess::new(Path::new("true"), folder.clone(), LogTarget::File);
     process.start().unwrap();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn an_awaited_exit_is_no_crash() {
+fn expected_exit_is_not_counted_as_a_crash() {
     let folder = temporary_folder("exit");
     let mut process = ServerProcess::new(Path::new("true"), folder.clone(), LogTarget::Discard);
     process.start().unwrap();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_process_runs_until_its_owner_is_dropped() {
+fn process_is_killed_when_its_owner_is_dropped() {
     let child = Command::new("sleep").arg("60").spawn().unwrap();
     let mut process = KillOnDrop::new(child);
     assert!(process.is_running());
