--- a/tools/simulator/src/agreement.rs
+++ b/tools/simulator/src/agreement.rs
@@ -1,4 +1,4 @@
-//! What the views of a world say, compared with each other and with what is true.
+//! Compares the members' views of a simulated fleet with each other and with the true states.
 
 use violetgate_membership::{Member, MemberState, Membership, Micros};
 
@@ -6,7 +6,8 @@
 use crate::World;
 
 impl World {
-    /// Whether all running members have the same view, and each sees the others that run as alive.
+    /// Whether all running members have the same view, and each sees all other running members as
+    /// alive.
     #[must_use]
     pub fn agrees(&self) -> bool {
         let running: Vec<usize> = self.running_members().collect();
@@ -16,21 +17,21 @@
                 .all(|member| self.sees_all_running(*member, running.len()))
     }
 
-    /// Whether all running members have the same view, in which the running ones are alive and the
-    /// others departed.
+    /// Whether all running members have the same view, in which the running members are alive and
+    /// all others are dead or have left.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         let Some(first) = self.running_members().next() else {
             return self.has_equal_digests();
         };
-        let is_right = |member: &Member| {
+        let is_correct = |member: &Member| {
             matches!(member.state, MemberState::Dead | MemberState::Left)
                 || self.is_running(member_number(&member.name))
         };
-        // Views with equal digests are equal, so that one of them stands for all.
+        // Views with equal digests are equal, so checking one of them is enough.
         self.has_equal_digests()
             && self.sees_all_running(first, self.running_members().count())
-            && self.view(first).all(|member| is_right(&member))
+            && self.view(first).all(|member| is_correct(&member))
     }
 
     fn running_members(&self) -> impl Iterator<Item = usize> + '_ {
@@ -63,7 +64,7 @@
         others + 1 == running_count
     }
 
-    /// How many recorded declarations of death were of members that had not died by the fault plan.
+    /// Counts the recorded declarations of death whose subject had not died by the fault plan.
     #[must_use]
     pub fn false_deaths(&self) -> usize {
         self.view_changes
@@ -73,8 +74,8 @@
             .count()
     }
 
-    /// How long after a death, in microseconds, the last running member declared it; `None` if one
-    /// has not yet.
+    /// The time in microseconds from a death until the last running member declared it; `None` if a
+    /// running member has not declared it yet.
     #[must_use]
     pub fn time_until_all_know(&self, subject: usize, died_at: Micros) -> Option<Micros> {
         let others = self.running_members().filter(|member| *member != subject);
--- a/tools/simulator/src/bin/measure-membership.rs
+++ b/tools/simulator/src/bin/measure-membership.rs
@@ -1,5 +1,6 @@
-//! What membership costs by size, one case in a process: `measure-membership CASE SIZE [SEED
-//! [AT_MOST_SECONDS]]`.
+//! Measures the cost of membership in one case at one fleet size: `measure-membership CASE SIZE
+//! [SEED [TIME_LIMIT_S]]`. A process measures one case only, so that its memory figure is
+//! that of the case.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -15,7 +16,7 @@
         .find(|case| args.get(1).is_some_and(|name| name == case.name()));
     let (Some(case), Some(count)) = (case, number(2)) else {
         eprintln!(
-            "usage: measure-membership rest|change|fifth|halves|rollout|start SIZE [SEED [AT_MOST_SECONDS]]"
+            "usage: measure-membership rest|change|fifth|halves|rollout|start SIZE [SEED [TIME_LIMIT_S]]"
         );
         return ExitCode::FAILURE;
     };
--- a/tools/simulator/src/bin/prove-membership/main.rs
+++ b/tools/simulator/src/bin/prove-membership/main.rs
@@ -1,5 +1,5 @@
-//! Checks the membership's figures in a simulated fleet: `prove-membership [--seeds N] [--short]
-//! [--full]`.
+//! Measures the membership protocol in simulated fleets and checks the figures against their
+//! bounds: `prove-membership [--seeds N] [--short] [--full]`.
 
 mod scenarios;
 
@@ -10,20 +10,22 @@
 
 use crate::scenarios::{CutLinkOutcome, OneSidedLink};
 
-/// How long after a death the last member may know of it, in 99 of 100 cases.
+/// The bound of the 99th percentile of the time from a death until all members know of it.
 const MAX_DEATH_P99_US: Micros = 5 * SECOND;
-/// How long after the healing of a split all views have to agree.
+/// The maximum time from the healing of a split until all views agree.
 const MAX_HEALING_US: Micros = 10 * SECOND;
-/// Bytes a second that a member of a large quiet fleet may send, ...
+/// The bound of the bytes a second that a member of a large quiet fleet sends.
 const MAX_QUIET_BYTES_PER_S: f64 = 2_000.0;
-/// ... and by which factor it may exceed a member of a small one.
+/// The bound of the ratio between the bytes that a member sends in a large quiet fleet and in a
+/// small one.
 const MAX_QUIET_GROWTH: f64 = 1.3;
-/// How often a view may change in a minute for a one-sided cut.
+/// The maximum number of changes of a member in one view in a minute, if the member's links are cut
+/// in one direction.
 const MAX_FLAPS_PER_MINUTE: usize = 2;
-/// The size of the small quiet fleet.
+/// The number of members of the small quiet fleet.
 const SMALL_FLEET: usize = 50;
 
-/// The options of the command line.
+/// The command-line options.
 struct Options {
     is_short: bool,
     is_full: bool,
@@ -44,7 +46,7 @@
         }
     }
 
-    /// One number for the short form, another for the usual one.
+    /// Returns `short` if `--short` is given, `usual` otherwise.
     fn pick<T>(&self, short: T, usual: T) -> T {
         if self.is_short {
             short
@@ -54,13 +56,14 @@
     }
 }
 
-/// Prints each figure with what it was measured in; returns them.
+/// Measures the figures. Each method runs the scenarios of one figure, prints it with the fleet's
+/// size and returns it.
 struct Report<'a>(&'a Options);
 
 impl Report<'_> {
     fn false_deaths(&self) -> usize {
         let seeds = self.0.seeds;
-        // The larger a fleet, the fewer seeds: each size then takes about as long.
+        // Larger fleets run with fewer seeds, so that each size takes about the same time.
         let sizes = [
             (5, seeds),
             (50, (seeds / 10).max(1)),
@@ -69,7 +72,7 @@
         let mut total = 0;
         for (size, seeds) in sizes {
             let has_false_death =
-                |seed: &u64| scenarios::has_false_death_in_rough_network(size, *seed, 40 * SECOND);
+                |seed: &u64| scenarios::has_false_death_in_lossy_network(size, *seed, 40 * SECOND);
             let failed = (0..seeds).filter(has_false_death).count();
             println!(
                 "pauses, 30% loss, 200 ms jitter: {size} members, {seeds} seeds, {failed} with a false death"
@@ -91,7 +94,7 @@
             undetected: all.len() - times.len(),
         };
         println!(
-            "death to the last that knows: {} deaths at {size}, median {} us, p99 {} us, {} unknown",
+            "detection by all: {} deaths at {size}, median {} us, p99 {} us, {} undetected",
             times.len(),
             quantile(&times, 0.5).unwrap_or(0),
             detection.p99,
@@ -129,14 +132,14 @@
         max_flaps
     }
 
-    /// The longest healing; `None` if a fleet did not heal.
+    /// The longest time until a healed fleet agreed; `None` if a fleet did not agree.
     fn healing_time(&self) -> Option<Micros> {
         let size = self.0.pick(20, 100);
         let times: Option<Vec<Micros>> = (0..self.0.pick(2, 6))
             .map(|seed| scenarios::healing_time(size, seed))
             .collect();
         let slowest = times.and_then(|times| times.into_iter().max());
-        println!("halves, healed: one view after {slowest:?} us at the latest");
+        println!("split into halves: all views agree at most {slowest:?} us after the healing");
         slowest
     }
 
@@ -147,7 +150,7 @@
         let deaths = outcomes.iter().map(|outcome| outcome.deaths).sum();
         let reported = outcomes.iter().filter(|outcome| outcome.is_reported);
         println!(
-            "one link cut among 5: {deaths} deaths told, {} of {} told of the cut",
+            "one link cut among 5 members: {deaths} deaths declared, cut reported in {} of {} runs",
             reported.count(),
             outcomes.len()
         );
@@ -160,7 +163,7 @@
     undetected: usize,
 }
 
-/// Bytes a second and member.
+/// The bytes that a member sends in a second, in the small and in the large fleet.
 struct QuietTraffic {
     small: f64,
     large: f64,
@@ -188,7 +191,7 @@
         traffic.large,
         healing_time.map_or(-1, |time| (time / 1000) as i64),
     );
-    let is_good = false_deaths == 0
+    let is_within_bounds = false_deaths == 0
         && detection.undetected == 0
         && detection.p99 < MAX_DEATH_P99_US
         && traffic.large < MAX_QUIET_GROWTH * traffic.small
@@ -196,7 +199,7 @@
         && max_flaps <= MAX_FLAPS_PER_MINUTE
         && healing_time.is_some_and(|time| time <= MAX_HEALING_US)
         && link_deaths == 0;
-    if is_good {
+    if is_within_bounds {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/tools/simulator/src/bin/prove-membership/scenarios.rs
+++ b/tools/simulator/src/bin/prove-membership/scenarios.rs
@@ -1,4 +1,4 @@
-//! The scenarios, each in a simulated fleet, and what is measured in them.
+//! The scenarios. Each runs in a simulated fleet of its own and returns a measured figure.
 
 use std::ops::ControlFlow;
 
@@ -7,9 +7,9 @@
 use violetgate_membership::{LinkState, MemberState, MembershipConfig, Micros};
 use violetgate_simulator::{Cut, FaultPlan, MemberEvent, Pause, World, SECOND};
 
-/// Delay of a network without faults beyond 1 ms, at most.
+/// The maximum delay in a network without faults beyond the minimum latency of 1 ms.
 const JITTER_US: Micros = 2_000;
-/// An end of cuts that no run comes to.
+/// The end of a cut that lasts for the whole run: no run takes that long.
 const NEVER: Micros = 1_000 * SECOND;
 
 fn faultless() -> FaultPlan {
@@ -23,9 +23,9 @@
     World::new(member_count, seed, &MembershipConfig::default(), faults)
 }
 
-/// Pauses of 0.5 and 2 s of up to a third at a time, 30% loss, 200 ms jitter: whether a running
-/// member was declared dead.
-pub fn has_false_death_in_rough_network(member_count: usize, seed: u64, until: Micros) -> bool {
+/// Whether a running member was declared dead in a network with 30% loss and 200 ms jitter, while
+/// about a third of the members pause for 0.5 or 2 s in each round.
+pub fn has_false_death_in_lossy_network(member_count: usize, seed: u64, until: Micros) -> bool {
     let faults = FaultPlan {
         loss: 0.3,
         jitter: SECOND / 5,
@@ -74,8 +74,8 @@
     pauses
 }
 
-/// Deaths in a faultless network: how long after each the last of the others knew, `None` if one
-/// did not.
+/// For each death in a faultless network, the time until all other members knew of it. It is `None`
+/// if a member did not learn of it.
 pub fn death_detection_times(
     member_count: usize,
     seed: u64,
@@ -103,10 +103,10 @@
         .collect()
 }
 
-/// Bytes a second that a member sends in a quiet fleet, the mean over all.
+/// The bytes that a member sends in a second in a quiet fleet, the mean over all members.
 pub fn quiet_bytes_per_s(member_count: usize, seed: u64) -> f64 {
     let mut world = new_world(member_count, seed, faultless());
-    // All members start at once; it is quiet once all views are equal.
+    // All members start at once; the fleet is quiet once all views are equal.
     let quiet_from = (1..20)
         .map(|step| step * 10 * SECOND)
         .find(|at| world.run(*at).is_ok() && world.agrees());
@@ -125,8 +125,8 @@
     ReceivesOnly,
 }
 
-/// A member whose links work in one direction only: the most changes of it in one view and one
-/// minute.
+/// The maximum number of changes in one minute that one view records of a member whose links work
+/// in one direction only.
 pub fn max_flaps_of_one_sided_member(member_count: usize, seed: u64, link: OneSidedLink) -> usize {
     let others: Vec<usize> = (1..member_count).collect();
     let (from, to) = match link {
@@ -153,14 +153,15 @@
             .filter(|change| minute.contains(&change.at))
             .count()
     };
-    // The first minute has the one change that is right; in the second the view has to stay.
+    // In the first minute one change of a view is correct; in the second the view has to be stable.
     (1..member_count)
         .flat_map(|observer| [20, 80].map(|from_s| changes_in_minute(observer, from_s * SECOND)))
         .max()
         .unwrap_or(0)
 }
 
-/// A split into halves: how long after its healing all views agreed.
+/// The time from the healing of a split into halves until all views agreed; `None` if they did not
+/// agree within 30 s.
 pub fn healing_time(member_count: usize, seed: u64) -> Option<Micros> {
     let low: Vec<usize> = (0..member_count / 2).collect();
     let high: Vec<usize> = (member_count / 2..member_count).collect();
@@ -179,15 +180,15 @@
         })
 }
 
-/// What a cut link between two members leads to.
+/// The outcome of a cut link between two members.
 pub struct CutLinkOutcome {
-    /// Declarations of death.
+    /// The number of declarations of death, all of them false.
     pub deaths: usize,
-    /// Whether one of the two reported the cut.
+    /// Whether a member at one end of the link reported the cut.
     pub is_reported: bool,
 }
 
-/// Cuts the link between two members that all others reach.
+/// Cuts the link between two members in both directions; all other members reach both.
 pub fn cut_one_link(member_count: usize, seed: u64) -> CutLinkOutcome {
     let (first, second) = linked_pair(member_count, seed as usize);
     let faults = FaultPlan {
@@ -209,7 +210,8 @@
     }
 }
 
-/// A pair of members that differs by seed: whether two observe each other follows from their names.
+/// Returns a pair of members that varies by seed, since whether two members observe each other
+/// depends on their names.
 fn linked_pair(member_count: usize, seed: usize) -> (usize, usize) {
     let first = seed % member_count;
     let second = (seed / member_count + 1 + seed) % member_count;
--- a/tools/simulator/src/event_queue.rs
+++ b/tools/simulator/src/event_queue.rs
@@ -1,4 +1,5 @@
-//! Events in the order of their times, and of equal times in the order in which they were added.
+//! A queue that returns events by time; events at the same time are returned in the order in which
+//! they were added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -33,7 +34,7 @@
     }
 }
 
-/// The events to come.
+/// The pending events of a simulation.
 #[derive(Debug, Clone)]
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
@@ -50,7 +51,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Adds an event at a simulated time.
     pub fn push(&mut self, at: Micros, event: E) {
         self.heap.push(Entry {
             at,
@@ -60,7 +61,7 @@
         self.next_number += 1;
     }
 
-    /// Removes the next event if it comes at `until` at the latest.
+    /// Removes and returns the next event if its time is not after `until`.
     pub fn pop_until(&mut self, until: Micros) -> Option<(Micros, E)> {
         if self.heap.peek().is_none_or(|entry| entry.at > until) {
             return None;
@@ -68,7 +69,8 @@
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 
-    /// Moves the events after one time to another, in the order in which they were added.
+    /// Moves all events that are later than `after` to the time `to`. They then occur in the order
+    /// in which they were added.
     pub fn reschedule_after(&mut self, after: Micros, to: Micros) {
         let mut entries = std::mem::take(&mut self.heap).into_vec();
         for entry in entries.iter_mut().filter(|entry| entry.at > after) {
--- a/tools/simulator/src/faults.rs
+++ b/tools/simulator/src/faults.rs
@@ -1,60 +1,60 @@
-//! What goes wrong in a run, with an index by member: a large fleet consults it for each message
-//! and each tick.
+//! The faults of a run, and an index of them by member, since the simulator looks them up for each
+//! message and each tick.
 
 use violetgate_membership::Micros;
 
-/// In a span of time all messages from some members to some others are lost.
+/// A cut of links in one direction: all messages from the senders to the receivers are lost.
 #[derive(Debug, Clone)]
 pub struct Cut {
-    /// The senders.
+    /// The numbers of the sending members.
     pub from: Vec<usize>,
-    /// The receivers.
+    /// The numbers of the receiving members.
     pub to: Vec<usize>,
-    /// When it begins, in microseconds.
+    /// The start of the cut, in microseconds of simulated time.
     pub begin: Micros,
-    /// When it ends.
+    /// The end of the cut, exclusive, in microseconds of simulated time.
     pub end: Micros,
 }
 
-/// A process stands still for a span of time; what it is sent meanwhile arrives when it goes on.
+/// A pause of a process; messages that arrive during the pause are delivered when it resumes.
 #[derive(Debug, Clone, Copy)]
 pub struct Pause {
-    /// The member.
+    /// The number of the member whose process pauses.
     pub member: usize,
-    /// When it begins, in microseconds.
+    /// The start of the pause, in microseconds of simulated time.
     pub begin: Micros,
-    /// When it ends.
+    /// The end of the pause, exclusive, in microseconds of simulated time.
     pub end: Micros,
 }
 
-/// Something happens to a member.
+/// An event that happens to a member at a time, such as its death.
 #[derive(Debug, Clone, Copy)]
 pub struct MemberEvent {
-    /// The member.
+    /// The number of the member.
     pub member: usize,
-    /// When, in microseconds.
+    /// The time of the event, in microseconds of simulated time.
     pub at: Micros,
 }
 
-/// What goes wrong in a run.
+/// The faults of a run.
 #[derive(Debug, Clone, Default)]
 pub struct FaultPlan {
     /// The fraction of messages that are lost, from 0 to 1.
     pub loss: f64,
-    /// Messages take 1 ms and up to this much longer, in microseconds.
+    /// The maximum random delay of a message beyond the minimum latency of 1 ms, in microseconds.
     pub jitter: Micros,
-    /// Processes that stand still.
+    /// The pauses of processes.
     pub pauses: Vec<Pause>,
-    /// Links that are cut.
+    /// The cuts of links.
     pub cuts: Vec<Cut>,
-    /// Processes that die without a message.
+    /// Deaths of processes, which send no last message.
     pub deaths: Vec<MemberEvent>,
-    /// Processes that leave the fleet and end.
+    /// Departures of processes, which announce that they leave and then end.
     pub leaves: Vec<MemberEvent>,
 }
 
 impl Cut {
-    /// Cuts the links between two groups in both directions.
+    /// Returns the two cuts that separate two groups of members in both directions.
     #[must_use]
     pub fn both_ways(first: &[usize], second: &[usize], begin: Micros, end: Micros) -> Vec<Cut> {
         let one_way = |from: &[usize], to: &[usize]| Cut {
@@ -67,7 +67,7 @@
     }
 }
 
-/// A cut with a flag for each member.
+/// A cut with one flag per member for senders and receivers.
 #[derive(Debug, Clone)]
 struct CutIndex {
     from: Vec<bool>,
@@ -76,7 +76,7 @@
     end: Micros,
 }
 
-/// A fault plan, by member.
+/// A fault plan, indexed by member number.
 #[derive(Debug, Clone)]
 pub(crate) struct FaultIndex {
     plan: FaultPlan,
@@ -87,12 +87,12 @@
 }
 
 impl FaultIndex {
-    /// Indexes a plan for so many members.
+    /// Indexes a plan for a fleet of `member_count` members.
     pub fn new(plan: FaultPlan, member_count: usize) -> Self {
         let mut pauses = vec![Vec::new(); member_count];
         for pause in &plan.pauses {
-            if let Some(of_member) = pauses.get_mut(pause.member) {
-                of_member.push(*pause);
+            if let Some(member_pauses) = pauses.get_mut(pause.member) {
+                member_pauses.push(*pause);
             }
         }
         let cuts = plan.cuts.iter().map(|cut| CutIndex {
@@ -110,29 +110,29 @@
         }
     }
 
-    /// The plan itself.
+    /// The plan from which this index was built.
     pub fn plan(&self) -> &FaultPlan {
         &self.plan
     }
 
-    /// Whether a member has died by then.
+    /// Whether a member has died at or before `now`.
     pub fn has_died(&self, member: usize, now: Micros) -> bool {
         has_happened(&self.deaths, member, now)
     }
 
-    /// Whether a member has left by then.
+    /// Whether a member has left at or before `now`.
     pub fn has_left(&self, member: usize, now: Micros) -> bool {
         has_happened(&self.leaves, member, now)
     }
 
-    /// When a member that stands still goes on.
+    /// The end of a member's current pause; `None` if the member is not paused.
     pub fn paused_until(&self, member: usize, now: Micros) -> Option<Micros> {
         let pauses = self.pauses.get(member).into_iter().flatten();
         let current = pauses.filter(|pause| (pause.begin..pause.end).contains(&now));
         current.map(|pause| pause.end).max()
     }
 
-    /// Whether nothing passes from one member to another.
+    /// Whether messages from one member to another are lost because of a cut.
     pub fn is_cut(&self, from: usize, to: usize, now: Micros) -> bool {
         let is_among = |flags: &[bool], member: usize| flags.get(member).copied().unwrap_or(false);
         self.cuts.iter().any(|cut| {
@@ -158,7 +158,7 @@
     flags
 }
 
-/// The first of each member's events.
+/// Returns the time of each member's earliest event.
 fn first_events(events: &[MemberEvent], member_count: usize) -> Vec<Option<Micros>> {
     let mut times: Vec<Option<Micros>> = vec![None; member_count];
     for event in events {
--- a/tools/simulator/src/lib.rs
+++ b/tools/simulator/src/lib.rs
@@ -1,9 +1,9 @@
-//! A simulated fleet: real members ([`violetgate_membership`]) in a simulated network and time,
-//! from a seed.
+//! Simulates a fleet: members run the real [`violetgate_membership`] code, while the network and
+//! the clock are simulated and deterministic for a seed.
 //!
 //! The network loses and delays messages; processes pause, die, leave and restart; links are cut
-//! one way or both. The simulator records what each view reports and knows what is true. It never
-//! decides anything for a member.
+//! in one or both directions. The simulator records the changes in each member's view, and knows
+//! which members really run. It makes no decisions for a member.
 //!
 //! ```
 //! use violetgate_membership::MembershipConfig;
@@ -35,5 +35,5 @@
 
 use violetgate_membership::Micros;
 
-/// A second, in microseconds.
+/// One second of simulated time, in microseconds.
 pub const SECOND: Micros = 1_000_000;
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -1,5 +1,5 @@
-//! What a fleet costs in a few situations, by size: bytes, messages, processor time, memory, and
-//! how long it takes until all views are right again. The members are the real core; only the
+//! Measures the cost of a fleet in typical situations: bytes, messages, CPU time, memory, and the
+//! time until all views are correct again. The members run the real membership code; only the
 //! network and the clock are simulated.
 
 use std::ops::ControlFlow;
@@ -9,42 +9,44 @@
 
 use crate::{Cut, FaultPlan, MemberEvent, Traffic, World, SECOND};
 
-/// How often the views are checked.
+/// The interval of simulated time at which the views are checked.
 const CHECK_INTERVAL_US: Micros = SECOND / 4;
-/// Time between two restarts of a rollout: 100 a minute.
+/// The time between two restarts of a rollout, which makes 100 restarts a minute.
 const RESTART_INTERVAL_US: Micros = 600_000;
-/// How long a process takes to restart.
+/// The time that a process takes to restart.
 const RESTART_DURATION_US: Micros = 2 * SECOND;
-/// Delay of the network beyond 1 ms, at most.
+/// The maximum delay of the network beyond the minimum latency of 1 ms.
 const JITTER_US: Micros = 2_000;
-/// How long a case goes on once all views are right: gossip goes on for that long.
+/// The time for which a case continues after all views are correct, since members still gossip the
+/// last changes during that time.
 const QUIET_TIME_US: Micros = 15 * SECOND;
-/// Quiet time before each case: the first ticks and comparisons are no part of it.
+/// The time that runs before the measurement begins, so that it does not include the first ticks
+/// and view comparisons.
 const SETTLE_TIME_US: Micros = 10 * SECOND;
-/// After how many events the time limit is checked.
+/// The number of events between two checks of the time limit.
 const EVENTS_PER_TIME_CHECK: u64 = 1_024;
-/// The incarnation of the first processes; that of a restarted one is larger by the simulated time.
+/// The incarnation of the first processes. A restarted process has this plus the simulated time.
 const FIRST_INCARNATION: u64 = 1_000;
 
-/// A situation of a fleet.
+/// A situation in which the cost of a fleet is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Case {
-    /// Nothing happens.
+    /// No member fails, joins or leaves.
     Rest,
-    /// One change each 50 s: a death, and its return.
+    /// One change every 50 s: a member dies, then restarts.
     Change,
-    /// A fifth of all die at once, and come back once that is known.
+    /// A fifth of the members die at once, and restart after all views show it, or after 60 s.
     Fifth,
-    /// Two halves are cut from each other for three minutes.
+    /// The fleet is split into two halves for three minutes.
     Halves,
-    /// 100 restarts a minute.
+    /// Members restart one after the other, 100 a minute.
     Rollout,
-    /// All start at once and know only the seeds.
+    /// All members start at once and know only the seeds.
     Start,
 }
 
 impl Case {
-    /// All cases.
+    /// All cases, in the order in which they are measured.
     pub const ALL: [Case; 6] = [
         Case::Rest,
         Case::Change,
@@ -54,7 +56,7 @@
         Case::Start,
     ];
 
-    /// Its name in figures.
+    /// The name of the case on the command line and in figures.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -68,40 +70,41 @@
     }
 }
 
-/// What a case cost. Rates are per member and second of simulated time.
+/// The measured cost of a case. Rates are per member and second of simulated time.
 #[derive(Debug, Clone, Default)]
 pub struct Load {
-    /// Bytes sent, the mean over all members and the whole case.
+    /// Mean rate of bytes sent, over all members and the whole case.
     pub bytes_per_s: f64,
-    /// Bytes sent by the member that sent most.
+    /// Mean rate of bytes sent by the member that sent most.
     pub busiest_bytes_per_s: f64,
-    /// Bytes sent in the second in which all together sent most.
+    /// Bytes sent per member in the second in which the fleet as a whole sent most.
     pub peak_bytes_per_s: f64,
-    /// The most bytes that one member sent in one second.
+    /// Maximum number of bytes that one member sent in one second.
     pub burst_bytes: u64,
-    /// Messages sent.
+    /// Mean rate of messages sent.
     pub messages_per_s: f64,
-    /// Processor time of the members' own code, microseconds.
+    /// CPU time of the membership code, in microseconds.
     pub cpu_us_per_s: f64,
-    /// How many seconds after the (last) change all views were right; `None` if they were not
-    /// within the case.
+    /// Seconds from a change until all views were correct, the longest if the case has several
+    /// changes. `None` if the views were not correct in time, or if the case has no change.
     pub known_s: Option<f64>,
-    /// The same by change, where a case has more than one.
+    /// Seconds until all views were correct, for each change of the case.
     pub known_each_s: Vec<Option<f64>>,
-    /// How often a view declared a member dead that ran; those across a cut are among them.
+    /// Number of times that a view declared a running member dead, including across a cut.
     pub false_declarations: u64,
-    /// Growth of this process's resident memory by member: meaningful where a process plays one
-    /// case.
+    /// Growth of this process's resident memory per member, in bytes. It is only meaningful if the
+    /// process simulates a single case.
     pub memory_bytes: u64,
-    /// Simulated seconds.
+    /// Length of the case in simulated seconds.
     pub simulated_s: f64,
-    /// Seconds it took to play.
+    /// Real seconds that the simulation took.
     pub played_s: f64,
-    /// It took longer than allowed and was not played to its end; rates are of what was played.
+    /// Whether the simulation stopped before the end of the case because of the time limit. The
+    /// rates then cover the part that was simulated.
     pub cut_short: bool,
 }
 
-/// Simulates a case with so many members; it ends early once it has taken longer than `time_limit`.
+/// Simulates a case with `member_count` members. It ends early after `time_limit` of real time.
 #[must_use]
 pub fn simulate(
     case: Case,
@@ -172,22 +175,22 @@
     run.measure_settling_then_quiet(60 * SECOND);
 }
 
-/// A case that is being simulated: the fleet and what it has sent.
+/// A case that is being simulated, with its measurements so far.
 struct Run {
     world: World,
     member_count: usize,
     config: MembershipConfig,
     began_at: Micros,
-    /// What each member had sent when the current second began.
+    /// The traffic that each member had sent before the current second.
     traffic_before: Vec<Traffic>,
     second_ends_at: Micros,
-    /// The most bytes that all members together have sent in a second.
+    /// Maximum number of bytes that all members together have sent in a second.
     max_fleet_bytes: u64,
-    /// The most bytes that one member has sent in a second.
+    /// Maximum number of bytes that one member has sent in a second.
     max_member_bytes: u64,
     time_limit: Instant,
     is_over_limit: bool,
-    /// For each change, after how many seconds all views were right.
+    /// For each change, the seconds until all views were correct.
     settled_after_s: Vec<Option<f64>>,
 }
 
@@ -234,7 +237,7 @@
         self.world.now()
     }
 
-    /// Runs until a simulated time, or until the time limit.
+    /// Runs until a simulated time, or until the limit of real time.
     fn run_until(&mut self, until: Micros) {
         while self.now() < until && !self.is_over_limit {
             let next_check = self.now() + CHECK_INTERVAL_US;
@@ -267,12 +270,12 @@
         self.second_ends_at += SECOND;
     }
 
-    /// Runs for a span, and records when in it all views were right.
+    /// Runs for a span and records how long it took until all views were correct.
     fn measure_settling(&mut self, span: Micros) {
         self.run_and_check(span, span);
     }
 
-    /// The same, but ends some quiet time after all views were right.
+    /// Like [`Run::measure_settling`], but ends [`QUIET_TIME_US`] after all views were correct.
     fn measure_settling_then_quiet(&mut self, span: Micros) {
         self.run_and_check(span, QUIET_TIME_US);
     }
@@ -332,7 +335,7 @@
     }
 }
 
-/// Resident memory of this process in bytes; 0 where the system does not say.
+/// Resident memory of this process in bytes; 0 if `/proc` does not report it.
 fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/tools/simulator/src/records.rs
+++ b/tools/simulator/src/records.rs
@@ -1,38 +1,38 @@
-//! What a world records.
+//! The records that a simulated fleet keeps: changes of views and links, and traffic.
 
 use violetgate_membership::{LinkState, MemberState, Micros};
 
-/// The view of a member has changed.
+/// A change of one member's state in the view of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewChange {
-    /// When, in microseconds.
+    /// The time of the change, in microseconds of simulated time.
     pub at: Micros,
-    /// The member whose view it is.
+    /// The number of the member whose view changed.
     pub observer: usize,
-    /// The member that is viewed.
+    /// The number of the member whose state changed in that view.
     pub subject: usize,
-    /// Its new state.
+    /// The new state of the subject.
     pub state: MemberState,
 }
 
-/// A member has reported a change of its link to another.
+/// A change of a member's link to another, reported by that member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LinkChange {
-    /// When, in microseconds.
+    /// The time of the report, in microseconds of simulated time.
     pub at: Micros,
-    /// The member that reports it.
+    /// The number of the member that reports the change.
     pub observer: usize,
-    /// The member at the other end.
+    /// The number of the member at the other end of the link.
     pub subject: usize,
-    /// The link's new state.
+    /// The new state of the link.
     pub link: LinkState,
 }
 
-/// What a member has sent.
+/// The traffic that a member has sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Traffic {
-    /// Bytes, headers included.
+    /// The number of bytes sent, including the IP and UDP headers.
     pub bytes: u64,
-    /// Messages.
+    /// The number of messages sent, including lost ones.
     pub messages: u64,
 }
--- a/tools/simulator/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -1,4 +1,5 @@
-//! The simulated world: the members, what is in flight between them, and what is recorded.
+//! The simulated fleet: its members, the messages in flight between them, and the recorded changes
+//! and traffic.
 
 use std::net::SocketAddr;
 use std::ops::ControlFlow;
@@ -18,15 +19,15 @@
 use crate::records::{LinkChange, Traffic, ViewChange};
 use crate::SECOND;
 
-/// Time between two ticks of a member.
+/// The time between two ticks of a member.
 const TICK_INTERVAL_US: Micros = 50_000;
-/// How long a message takes at least.
+/// The minimum delay of a message.
 const MIN_LATENCY_US: Micros = 1_000;
-/// Bytes of a datagram's headers.
+/// The size of a datagram's IPv4 and UDP headers.
 const HEADER_BYTES: u64 = 28;
-/// How many members are known to a new one as seeds.
+/// The number of members that a new member knows as seeds.
 const SEED_COUNT: usize = 3;
-/// When the processes of a new world started, in Unix microseconds.
+/// The incarnation of the processes of a new world: their start time in Unix microseconds.
 const FIRST_INCARNATION: u64 = 1_000;
 
 #[derive(Debug, Clone)]
@@ -44,15 +45,15 @@
     }
 }
 
-/// Whether a member has handled an event.
+/// Whether a member handled an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Handling {
     Handled,
-    /// Its process does not run, or stands still.
+    /// The member did not handle the event because its process does not run or is paused.
     Skipped,
 }
 
-/// A simulated fleet.
+/// A simulated fleet. Members are identified by their numbers, from 0.
 #[derive(Debug, Clone)]
 pub struct World {
     faults: FaultIndex,
@@ -61,21 +62,21 @@
     queue: EventQueue<Event>,
     rng: ChaCha8Rng,
     now: Micros,
-    /// All changes of views, while `records_changes` holds.
+    /// All changes of views that happened while `records_changes` was set.
     pub view_changes: Vec<ViewChange>,
-    /// All changes of links, while `records_changes` holds.
+    /// All changes of links that happened while `records_changes` was set.
     pub link_changes: Vec<LinkChange>,
-    /// Whether changes are recorded; a large fleet has too many.
+    /// Whether changes of views and links are recorded. A large fleet has too many of them.
     pub records_changes: bool,
-    /// How often a view declared a member dead that ran.
+    /// The number of times that a view declared a running member dead.
     pub false_declarations: u64,
-    /// Processor time spent in the members' own code.
+    /// The CPU time spent in the membership code of all members.
     pub core_time: Duration,
-    /// How many events were handled or skipped.
+    /// The number of events that were handled or skipped.
     pub event_count: u64,
-    /// What each member has sent since `measured_from`.
+    /// The traffic that each member has sent since `measured_from`.
     pub traffic: Vec<Traffic>,
-    /// Since when traffic counts, in microseconds.
+    /// The simulated time from which traffic is counted, in microseconds.
     pub measured_from: Micros,
 }
 
@@ -92,7 +93,7 @@
 }
 
 impl World {
-    /// Creates a fleet whose members start at once and know the first three as seeds.
+    /// Creates a fleet whose members all start at time 0 and know the first three members as seeds.
     #[must_use]
     pub fn new(
         member_count: usize,
@@ -129,7 +130,7 @@
         world
     }
 
-    /// Creates a fleet whose members know each other already, as one that has long been up.
+    /// Creates a fleet whose members already know each other, as in a fleet that has run for long.
     #[must_use]
     pub fn settled_fleet(
         member_count: usize,
@@ -150,29 +151,29 @@
         world
     }
 
-    /// The time, in microseconds since the start.
+    /// The simulated time, in microseconds since the start.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// The members.
+    /// The membership state of each member, by number.
     pub(crate) fn members(&self) -> &[Membership] {
         &self.members
     }
 
-    /// Whether a member has died by the fault plan.
+    /// Whether a member has died at or before a time, by the fault plan.
     pub(crate) fn has_died(&self, member: usize, at: Micros) -> bool {
         self.faults.has_died(member, at)
     }
 
-    /// A member's view of the others.
+    /// The other members as one member sees them.
     pub fn view(&self, member: usize) -> impl Iterator<Item = Member> + '_ {
         let member = self.members.get(member);
         member.into_iter().flat_map(Membership::members)
     }
 
-    /// How many members may be serving, in the view of one.
+    /// The number of members that may be serving requests, in the view of one member.
     #[must_use]
     pub fn serving_count(&self, member: usize) -> u32 {
         let member = self.members.get(member);
@@ -185,22 +186,22 @@
         self.running.get(member).copied().unwrap_or(false)
     }
 
-    /// Runs until a time.
+    /// Runs until a simulated time.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] if a member rejects a message.
+    /// Returns [`InvalidMessage`] if a member rejects a message.
     pub fn run(&mut self, until: Micros) -> Result<(), InvalidMessage> {
         let never_stop = |_: &World| ControlFlow::<()>::Continue(());
         self.run_while(until, never_stop).map(|_| ())
     }
 
-    /// Runs until a time, or until `check` breaks. It is called after each event that a member has
-    /// handled.
+    /// Runs until a simulated time, or until `check` returns `Break`. `check` is called after each
+    /// event that a member has handled.
     ///
     /// # Errors
     ///
-    /// [`InvalidMessage`] if a member rejects a message.
+    /// Returns [`InvalidMessage`] if a member rejects a message.
     pub fn run_while<B>(
         &mut self,
         until: Micros,
@@ -317,7 +318,7 @@
         }
     }
 
-    /// Whether a member runs in the incarnation that an observer knows.
+    /// Whether a member runs, in the same incarnation that an observer knows of it.
     fn runs_as_known(&self, observer: usize, subject: usize) -> bool {
         let observer = self.members.get(observer);
         let known = observer.and_then(|member| member.incarnation_of(&member_name(subject)));
@@ -328,18 +329,19 @@
         self.is_running(subject) && known == true_incarnation
     }
 
-    /// From now on these faults happen, in place of those before.
+    /// Replaces the fault plan from now on.
     pub fn set_faults(&mut self, faults: FaultPlan) {
         self.faults = FaultIndex::new(faults, self.members.len());
     }
 
-    /// Resumes the processes that stand still for long: what waits for them comes at once.
+    /// Resumes the processes whose pause lasts for more than ten seconds from now: moves all events
+    /// that are more than ten seconds away to the present.
     pub fn resume_paused(&mut self) {
         self.queue
             .reschedule_after(self.now + 10 * SECOND, self.now + 1);
     }
 
-    /// A member's process restarts now, as a new incarnation that knows only the seeds.
+    /// Restarts a member's process now, as a new incarnation that knows only the seeds.
     pub fn restart(&mut self, number: usize, config: &MembershipConfig, incarnation: u64) {
         let restarted = Membership::new(
             config.clone(),
@@ -358,14 +360,14 @@
         }
     }
 
-    /// A member's process ends now, without a message.
+    /// Ends a member's process now, without sending a message.
     pub fn kill(&mut self, member: usize) {
         if let Some(is_running) = self.running.get_mut(member) {
             *is_running = false;
         }
     }
 
-    /// A member leaves the fleet, and its process ends, now.
+    /// Makes a member leave the fleet now, and ends its process.
     pub fn leave(&mut self, number: usize) {
         let mut actions = Vec::new();
         let Some(member) = self.members.get_mut(number) else {
@@ -376,7 +378,7 @@
         self.carry_out_all(number, actions);
     }
 
-    /// A message reaches a member now, whoever sent it.
+    /// Delivers a message to a member at the current time, past the simulated network's faults.
     pub fn inject(&mut self, to: usize, message: Message) {
         let message = Box::new(message);
         self.queue.push(self.now, Event::Deliver { to, message });
--- a/tools/simulator/tests/anti_entropy.rs
+++ b/tools/simulator/tests/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Anti-entropy in a fleet: many members that join at once, under loss too, and the form of its
-//! messages.
+//! Tests anti-entropy in a simulated fleet: many members that join at once, with and without
+//! message loss, and the compatibility of its messages with older builds.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -10,17 +10,19 @@
 };
 use violetgate_simulator::{FaultPlan, Traffic, World, SECOND};
 
-/// When the joining members restart.
+/// The time at which the joining members restart.
 const JOIN_AT: Micros = 5 * SECOND;
 
+/// The measured outcome of a join.
 struct Join {
-    /// After how many microseconds all views were right.
+    /// The time from the join until all views were correct, in microseconds.
     settled_after: Micros,
-    /// The most bytes that one member sent.
+    /// The maximum number of bytes that one member sent.
     max_bytes: u64,
 }
 
-/// Some members restart at once and know only the seeds; others are up already.
+/// Restarts `joining` members at once, which then know only the seeds; `existing` members are up
+/// already.
 fn join_at_once(existing: usize, joining: usize, loss: f64, seed: u64) -> Join {
     let config = MembershipConfig::default();
     let faults = FaultPlan {
@@ -46,7 +48,8 @@
     }
 }
 
-/// None of the members that they ask is flooded.
+/// Anti-entropy has to stay within its budget, so that the members that the joining ones ask are
+/// not overloaded.
 #[test]
 fn join_of_300_at_once_settles_within_the_budget() {
     let join = join_at_once(50, 300, 0.0, 1);
@@ -71,7 +74,7 @@
     );
 }
 
-/// The messages of builds before bucket sums, as they were.
+/// The message bodies of builds from before bucket sums, as those builds decode them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum OlderBody {
     Ping(u64),
@@ -136,7 +139,8 @@
     }
 }
 
-/// They must not take them for something else. Each fits in one packet.
+/// An older build must not decode an unknown message as a different one. Each message also has to
+/// fit in one packet.
 #[test]
 fn older_builds_reject_the_messages_that_they_do_not_know() {
     let sums = BucketSums {
--- a/tools/simulator/tests/fleet.rs
+++ b/tools/simulator/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What the views of a fleet owe to what is true, from fixed seeds in simulated time.
+//! Tests that the members' views follow the true states, in simulated fleets with fixed seeds.
 
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
@@ -19,7 +19,7 @@
     new_world(member_count, seed, faults)
 }
 
-/// How often a member was declared dead by views for which `by` holds.
+/// Counts the declarations of death whose observer satisfies `by` and whose subject satisfies `of`.
 fn declarations(world: &World, by: impl Fn(usize) -> bool, of: impl Fn(usize) -> bool) -> usize {
     world
         .view_changes
@@ -71,7 +71,8 @@
     );
 }
 
-/// A third pauses for two seconds, amid loss and jitter; those that resume accuse nobody either.
+/// A third of the members pause for two seconds in a network with loss and jitter. No member may
+/// declare another dead; this includes the members that resume.
 #[test]
 fn short_pauses_lead_to_no_deaths() {
     for seed in 0..20 {
@@ -95,8 +96,8 @@
     }
 }
 
-/// A process that pauses for longer than anyone waits is declared dead, learns of it when it
-/// resumes, and comes back; it has declared nobody dead meanwhile.
+/// A process that pauses for longer than the failure timeout is declared dead. When it resumes, it
+/// learns of this and rejoins, and it must not declare any other member dead.
 #[test]
 fn member_comes_back_after_a_long_pause() {
     let pauses = vec![Pause {
@@ -112,12 +113,12 @@
     world.run(29 * SECOND).unwrap();
     assert!(declarations(&world, |_| true, |subject| subject == 2) > 0);
     world.run(34 * SECOND).unwrap();
-    assert!(world.agrees(), "all alive again");
+    assert!(world.agrees(), "not all members are alive again");
     assert_eq!(declarations(&world, |observer| observer == 2, |_| true), 0);
 }
 
-/// Cut off from all, a member suspects them, declares nobody dead, and goes on reckoning with all
-/// of them.
+/// A member that is cut off from all others suspects them, but declares none dead and still counts
+/// all of them as serving.
 #[test]
 fn isolated_member_declares_nobody_dead() {
     let others: Vec<usize> = (1..9).collect();
@@ -126,13 +127,17 @@
     world.run(39 * SECOND).unwrap();
     assert_eq!(declarations(&world, |observer| observer == 0, |_| true), 0);
     assert_eq!(world.serving_count(0), 9);
-    assert_eq!(world.serving_count(5), 8, "the others have noticed");
+    assert_eq!(
+        world.serving_count(5),
+        8,
+        "the others have not declared it dead"
+    );
     world.run(46 * SECOND).unwrap();
     assert!(world.agrees());
 }
 
-/// A link is cut between two members that all others reach: neither dies, and one of them reports
-/// the cut.
+/// If the link between two members is cut and all others still reach both, neither is declared dead
+/// and one of the two reports the cut.
 #[test]
 fn cut_link_is_reported_and_no_death() {
     for (first, second) in [(0, 1), (1, 2), (2, 4), (3, 4)] {
@@ -147,12 +152,12 @@
         assert!(is_reported, "{first} {second}");
         world.run(70 * SECOND).unwrap();
         let has_no_cut = |observer| world.view(observer).all(|m| m.link_cut_since.is_none());
-        assert!((0..5).all(has_no_cut), "it is restored");
+        assert!((0..5).all(has_no_cut), "a link is still reported as cut");
     }
 }
 
-/// A member that sends and receives nothing is declared dead once, and stays so until it receives
-/// again.
+/// A member that receives nothing, but can send, is declared dead once and stays dead until it
+/// receives messages again.
 #[test]
 fn member_that_receives_nothing_does_not_flap() {
     let cut = Cut {
@@ -172,13 +177,14 @@
     };
     assert!(
         (1..10).all(|observer| changes_by(observer) <= 2),
-        "suspected, then dead"
+        "a view had more changes than suspected, then dead"
     );
     world.run(105 * SECOND).unwrap();
     assert!(world.agrees());
 }
 
-/// Two halves that have declared each other dead.
+/// The members of two halves that have declared each other dead have to agree within 10 s after the
+/// split heals.
 #[test]
 fn halves_agree_soon_after_a_split_heals() {
     let (low, high): (Vec<usize>, Vec<usize>) = ((0..10).collect(), (10..20).collect());
@@ -189,7 +195,10 @@
         .view(0)
         .filter(|member| member.state == MemberState::Dead && member_number(&member.name) >= 10)
         .count();
-    assert!(dead >= 5, "{dead} of ten declared dead across the split");
+    assert!(
+        dead >= 5,
+        "only {dead} of ten declared dead across the split"
+    );
     world.run(70 * SECOND).unwrap();
     assert!(world.agrees());
 }
--- a/tools/simulator/tests/load.rs
+++ b/tools/simulator/tests/load.rs
@@ -1,4 +1,5 @@
-//! What cases cost is counted, the same each time, and says when all views are right.
+//! Tests that the measured load of a case is deterministic, and that each case ends with correct
+//! views.
 
 use std::time::Duration;
 
@@ -27,9 +28,9 @@
     assert!(first.known_s.is_some_and(|known| known < 10.0), "{first:?}");
 }
 
-/// A fleet at rest sends little, and no member that runs is declared dead unless a cut hides it.
+/// A fleet at rest sends little, and a running member is declared dead only if a cut separates it.
 #[test]
-fn each_case_ends_with_right_views() {
+fn each_case_ends_with_correct_views() {
     let rest = simulate_small_fleet(Case::Rest);
     assert!(
         rest.bytes_per_s < 1_000.0 && rest.peak_bytes_per_s >= rest.bytes_per_s,
--- a/tools/simulator/tests/model/main.rs
+++ b/tools/simulator/tests/model/main.rs
@@ -1,6 +1,7 @@
-//! Three members in every order of one-sided cuts and one pause, checked with stateright: whoever
-//! is reached both ways again is alive to all, and none is declared dead for a cut link or for
-//! another's pause. With the feature `mutants`, builds that decide wrongly are caught.
+//! Checks three members with stateright in every order of one-sided cuts and one pause. A member
+//! that is reachable in both directions again has to be alive in all views, and no member may be
+//! declared dead because of a cut link or another member's pause. With the feature `mutants`, the
+//! model also has to reject builds with deliberate faults.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 #[cfg(feature = "mutants")]
@@ -15,15 +16,15 @@
 
 use crate::run::{Fault, Run, MAX_STEPS, START_TIME};
 
-/// How many links are cut in a run, at most.
+/// The maximum number of links that are cut in a run.
 const MAX_CUTS: usize = 3;
 const LINKS: [(usize, usize); 6] = [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
 
 const NO_DEATH_FOR_BRIDGED_CUTS: &str =
     "no death without a pause or a member cut off one way from both others";
-const NO_SUSPICION_FOR_ONE_LINK: &str = "no suspicion for one link";
-const PAUSED_DECLARES_NOBODY_DEAD: &str = "one that was paused declares nobody dead";
-const ALL_ALIVE_AT_THE_END: &str = "all are alive again once all is well";
+const NO_SUSPICION_FOR_ONE_LINK: &str = "no suspicion if only one link is cut";
+const PAUSED_DECLARES_NOBODY_DEAD: &str = "a paused member declares no other member dead";
+const ALL_ALIVE_AT_THE_END: &str = "all members are alive again after all faults have ended";
 
 struct ThreeMembers(MembershipConfig);
 
@@ -48,8 +49,8 @@
                 let mut cuts = faults.cuts.iter();
                 cuts.any(|cut| cut.from == [from] && cut.to == [to])
             };
-            let whole = LINKS.into_iter().filter(|link| !is_cut(*link));
-            actions.extend(whole.map(|(from, to)| Fault::Cut { from, to }));
+            let uncut = LINKS.into_iter().filter(|link| !is_cut(*link));
+            actions.extend(uncut.map(|(from, to)| Fault::Cut { from, to }));
         }
         if run.paused_member().is_none() {
             actions.extend((0..3).map(|member| Fault::Pause { member }));
@@ -66,7 +67,9 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::<Self>::always(NO_DEATH_FOR_BRIDGED_CUTS, |_, run| {
-                run.paused_member().is_some() || is_one_cut_off(run) || run.deaths().count() == 0
+                run.paused_member().is_some()
+                    || is_member_cut_off_one_way(run)
+                    || run.deaths().count() == 0
             }),
             Property::<Self>::always(NO_SUSPICION_FOR_ONE_LINK, |_, run| {
                 let pairs: BTreeSet<(usize, usize)> = run
@@ -93,8 +96,8 @@
     }
 }
 
-/// Whether a member was cut off one way from both others.
-fn is_one_cut_off(run: &Run) -> bool {
+/// Whether a member was cut off from both others in the same direction.
+fn is_member_cut_off_one_way(run: &Run) -> bool {
     (0..3).any(|member| {
         run.cut_links().filter(|(from, _)| *from == member).count() == 2
             || run.cut_links().filter(|(_, to)| *to == member).count() == 2
--- a/tools/simulator/tests/model/mutants.rs
+++ b/tools/simulator/tests/model/mutants.rs
@@ -1,4 +1,5 @@
-//! Builds that decide wrongly are caught, and the right one is not.
+//! Tests that mutants, which are builds with a deliberate fault, fail the checks that the regular
+//! build passes.
 
 use violetgate_membership::{
     Member, MemberState, MemberUpdate, MembershipConfig, Message, MessageBody, Mutant,
@@ -14,7 +15,7 @@
     }
 }
 
-/// How often the first member declared another dead.
+/// Counts the declarations of death by the first member.
 fn deaths_declared_by_first(world: &World) -> usize {
     let changes = world.view_changes.iter();
     changes
@@ -23,7 +24,7 @@
 }
 
 #[test]
-fn model_catches_wrong_builds() {
+fn model_catches_mutants() {
     for (wrong, property) in [
         (Mutant::TreatsCutLinkAsFailure, NO_SUSPICION_FOR_ONE_LINK),
         (Mutant::NeverRefutes, ALL_ALIVE_AT_THE_END),
@@ -33,8 +34,9 @@
     }
 }
 
-/// A member pauses while it suspects another, which refutes meanwhile. If it trusts itself when it
-/// resumes, it declares that one dead before it reads anything.
+/// A member pauses while it suspects another, which refutes the suspicion during the pause. A
+/// mutant that trusts its own view when it resumes declares the suspect dead before it reads the
+/// messages that have arrived.
 #[test]
 fn member_that_trusts_itself_after_a_pause_is_caught() {
     let deaths = |config: &MembershipConfig, suspect: usize| {
@@ -72,7 +74,7 @@
     assert!(all_deaths(&mutant(Mutant::TrustsItselfAfterPause)) > 0);
 }
 
-/// A member that is cut off from all declares them dead, if its word alone is enough.
+/// A mutant that needs no confirmation by others declares all members dead when it is cut off.
 #[test]
 fn member_that_declares_deaths_alone_is_caught() {
     let deaths = |config: &MembershipConfig| {
@@ -89,8 +91,8 @@
     assert!(deaths(&mutant(Mutant::ConfirmsFailureAlone)) > 0);
 }
 
-/// Whether an update that arrives late brings a dead member back. It says that the member is alive,
-/// with no refutations, in the given incarnation.
+/// Whether an outdated update revives a dead member. The update says that the member is alive in
+/// the given incarnation, with no refutations.
 fn revives_dead_member(config: &MembershipConfig, incarnation: u64) -> bool {
     let mut world = World::new(5, 6, config, FaultPlan::default());
     world.run(5 * SECOND).unwrap();
@@ -128,9 +130,9 @@
 }
 
 #[test]
-fn builds_that_accept_outdated_updates_are_caught() {
-    let right = MembershipConfig::default();
-    assert!(!revives_dead_member(&right, 1_000) && !revives_dead_member(&right, 500));
+fn mutants_that_accept_outdated_updates_are_caught() {
+    let regular = MembershipConfig::default();
+    assert!(!revives_dead_member(&regular, 1_000) && !revives_dead_member(&regular, 500));
     let ignores_refutations = mutant(Mutant::IgnoresRefutationCount);
     assert!(revives_dead_member(&ignores_refutations, 1_000));
     let ignores_incarnation = mutant(Mutant::IgnoresIncarnation);
--- a/tools/simulator/tests/model/run.rs
+++ b/tools/simulator/tests/model/run.rs
@@ -1,29 +1,30 @@
-//! A run of the model: a world and the faults that it went through.
+//! A state of the model: a simulated fleet and the faults that were injected into it.
 
 use std::hash::{Hash, Hasher};
 
 use violetgate_membership::{MemberState, Micros};
 use violetgate_simulator::{Cut, FaultPlan, Pause, ViewChange, World, SECOND};
 
-/// How many faults a run has; each lasts for [`STEP_TIME`] at least.
+/// The number of faults in a run. The run goes on for [`STEP_TIME`] after each of them.
 pub const MAX_STEPS: usize = 4;
 const STEP_TIME: Micros = 2 * SECOND;
-/// In which the members find each other.
+/// The time before the first fault, in which the members find each other.
 pub const START_TIME: Micros = 3 * SECOND;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
-    /// Nothing new.
+    /// No new fault in this step.
     None,
-    /// From now on nothing passes from one member to another.
+    /// All messages from one member to another are lost from now on.
     Cut { from: usize, to: usize },
-    /// A process stands still.
+    /// A member's process pauses.
     Pause { member: usize },
-    /// All links work and all processes run again.
+    /// All cuts and pauses end.
     Heal,
 }
 
-/// A world after some faults. Two that went through the same are equal.
+/// A simulated fleet after a sequence of faults. Two runs with the same sequence are equal, since
+/// the simulation is deterministic.
 #[derive(Debug, Clone)]
 pub struct Run {
     pub world: World,
@@ -56,7 +57,7 @@
         START_TIME + self.past.len() as u64 * STEP_TIME
     }
 
-    /// The faults that hold now: those since the last healing.
+    /// The faults that are active now: those since the last [`Fault::Heal`].
     pub fn faults(&self) -> FaultPlan {
         let mut faults = FaultPlan::default();
         let last_heal = self.past.iter().rposition(|fault| *fault == Fault::Heal);
@@ -81,7 +82,7 @@
         faults
     }
 
-    /// The run after one more fault.
+    /// Returns the run after one more fault.
     pub fn after(&self, fault: Fault) -> Run {
         let mut next = self.clone();
         next.past.push(fault);
@@ -94,7 +95,7 @@
         next
     }
 
-    /// All links that were ever cut, by sender and receiver.
+    /// All links that were ever cut, as pairs of sender and receiver.
     pub fn cut_links(&self) -> impl Iterator<Item = (usize, usize)> + '_ {
         self.past.iter().filter_map(|fault| match fault {
             Fault::Cut { from, to } => Some((*from, *to)),
@@ -102,7 +103,7 @@
         })
     }
 
-    /// The member that was paused.
+    /// The member that was paused at any time in the run, if any.
     pub fn paused_member(&self) -> Option<usize> {
         self.past.iter().find_map(|fault| match fault {
             Fault::Pause { member } => Some(*member),
@@ -110,7 +111,7 @@
         })
     }
 
-    /// All declarations of death.
+    /// All declarations of death in the run.
     pub fn deaths(&self) -> impl Iterator<Item = &ViewChange> {
         let changes = self.world.view_changes.iter();
         changes.filter(|change| change.state == MemberState::Dead)
--- a/tools/simulator/tests/trace_digest/driver.rs
+++ b/tools/simulator/tests/trace_digest/driver.rs
@@ -1,5 +1,5 @@
-//! Drives members of a small fleet by their interface alone, and writes all that they send and
-//! report into a hash.
+//! Drives the members of a small fleet through their public interface, and writes everything that
+//! they send and report into a hash.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,10 +10,10 @@
 };
 use violetgate_simulator::{Cut, MemberEvent, Pause, SECOND};
 
-/// Time between two ticks of a member.
+/// The time between two ticks of a member, in microseconds.
 const TICK_INTERVAL: Micros = 50_000;
 
-/// FNV-1a over everything that is written to it.
+/// A 64-bit FNV-1a hash of everything that is written to it.
 pub struct Fnv(pub u64);
 
 impl Fnv {
@@ -37,7 +37,7 @@
     }
 }
 
-/// A linear congruential generator.
+/// A linear congruential random number generator.
 pub struct Lcg(pub u64);
 
 impl Lcg {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A process dies without a message, and may be started again.
+/// The death of a process, which sends no last message and may be restarted later.
 #[derive(Clone, Copy)]
 pub struct Death {
     pub member: usize,
@@ -58,7 +58,7 @@
     pub restart_at: Option<Micros>,
 }
 
-/// What a fleet goes through.
+/// The size, seed and faults of a fleet. Times are in microseconds of simulated time.
 #[derive(Default)]
 pub struct Scenario {
     pub members: usize,
@@ -69,16 +69,16 @@
     pub cuts: Vec<Cut>,
     pub deaths: Vec<Death>,
     pub leaves: Vec<MemberEvent>,
-    /// The most members that are known, where it is not the usual number.
+    /// The maximum number of members in a member's table; `None` for the default.
     pub capacity: Option<usize>,
-    /// One message in so many is replaced by an older one that went to the same member.
+    /// One message in this many, on average, is replaced by an older one to the same member.
     pub stale_one_in: Option<u64>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Tick,
-    /// The index of a message.
+    /// Delivers the message at this index of [`Fleet::messages`].
     Deliver {
         message: usize,
     },
@@ -86,7 +86,7 @@
     Leave,
 }
 
-/// An event of a member; events come in the order of their times, then in that of their numbers.
+/// An event of a member. Events are ordered by time, then by number.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct QueuedEvent {
     at: Micros,
@@ -95,12 +95,12 @@
     event: Event,
 }
 
-/// The members of a scenario and the messages between them.
+/// The members of a scenario, the messages between them and the hash of their trace.
 pub struct Fleet {
     scenario: Scenario,
     members: Vec<Option<Membership>>,
     messages: Vec<Message>,
-    /// The last message to each member that may still be delivered in place of a later one.
+    /// For each member, the message that may be delivered again in place of a later one.
     last_to: Vec<Option<Message>>,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     last_number: u64,
@@ -165,7 +165,7 @@
         }));
     }
 
-    /// Runs the scenario to its end; returns the digest.
+    /// Runs the scenario to its end and returns the digest.
     pub fn digest(mut self) -> u64 {
         let end = self.scenario.seconds * SECOND;
         while let Some(Reverse(next)) = self.queue.pop() {
@@ -196,9 +196,9 @@
             }
             return;
         }
-        let is_now =
+        let is_current =
             |pause: &&Pause| pause.member == number && (pause.begin..pause.end).contains(&now);
-        let pause = self.scenario.pauses.iter().find(is_now);
+        let pause = self.scenario.pauses.iter().find(is_current);
         if let Some(resumes_at) = pause.map(|pause| pause.end) {
             self.enqueue(resumes_at, number, event);
             return;
@@ -207,7 +207,7 @@
             self.members[number] = Some(new_member(&self.scenario, number, now));
             return;
         }
-        for action in self.hand_over(now, number, event) {
+        for action in self.dispatch(now, number, event) {
             self.carry_out(now, number, action);
         }
         let is_last_tick_of_second = now / SECOND != (now + TICK_INTERVAL) / SECOND;
@@ -216,8 +216,8 @@
         }
     }
 
-    /// Gives an event to its member; returns what the member wants done.
-    fn hand_over(&mut self, now: Micros, number: usize, event: Event) -> Vec<Action> {
+    /// Passes an event to its member and returns the actions that the member requests.
+    fn dispatch(&mut self, now: Micros, number: usize, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         let Some(member) = self.members[number].as_mut() else {
             return actions;
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -1,6 +1,6 @@
-//! The membership core sends and reports exactly what it did when these digests were taken: all
-//! actions of fleets in fixed scenarios, in order, as bytes that the test itself writes, in one
-//! FNV-1a hash for each scenario.
+//! Tests that the membership core sends and reports exactly the same as when these digests were
+//! recorded. For each scenario, the test encodes all actions of a fleet in order and compares one
+//! FNV-1a hash of them.
 
 #![allow(
     clippy::unwrap_used,
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_start_with_deaths_and_restarts_sends_what_it_did() {
+fn trace_with_deaths_and_restarts_is_unchanged() {
     for (seed, expected) in [(1, 0x13a5_af74_9369_9964), (2, 0xc9bc_e7c9_b714_b19a)] {
         let scenario = Scenario {
             members: 30,
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn loss_pauses_and_late_messages_send_what_they_did() {
+fn trace_with_loss_pauses_and_stale_messages_is_unchanged() {
     for (seed, expected) in [(3, 0x4783_28a5_56ae_ecdd), (4, 0x0c00_da22_e5cc_021b)] {
         let scenario = Scenario {
             members: 24,
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn cuts_and_their_healing_send_what_they_did() {
+fn trace_with_cuts_that_heal_is_unchanged() {
     for (seed, expected) in [(5, 0x5b26_0a35_0e3a_63f1), (6, 0x8031_9ba8_c1b7_1ce0)] {
         let scenario = Scenario {
             members: 40,
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_large_fleet_that_starts_at_once_sends_what_it_did() {
+fn trace_of_a_large_fleet_that_starts_at_once_is_unchanged() {
     let scenario = Scenario {
         members: 150,
         seconds: 15,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_full_table_sends_what_it_did() {
+fn trace_with_a_full_member_table_is_unchanged() {
     let scenario = Scenario {
         members: 20,
         seconds: 40,
@@ -146,9 +146,9 @@
     check("full", scenario, 0x12e7_11dc_fb1d_ef7b);
 }
 
-/// The dead are forgotten after ten minutes.
+/// Members forget a dead member after ten minutes, so this scenario runs for longer than that.
 #[test]
-fn the_forgotten_send_what_they_did() {
+fn trace_with_forgotten_members_is_unchanged() {
     let scenario = Scenario {
         members: 6,
         seconds: 700,
@@ -160,9 +160,9 @@
     check("forgotten", scenario, 0xd23d_cfbc_0500_7e8c);
 }
 
-/// The simulator itself: what it records and counts in a world with all kinds of faults.
+/// Covers the simulator itself: its records and counters in a world with all kinds of faults.
 #[test]
-fn the_simulated_world_records_what_it_did() {
+fn records_of_the_simulated_world_are_unchanged() {
     for (seed, expected) in [(11, 0x32e8_c7e6_dd0c_973f), (12, 0xcbc5_83bb_750d_0328)] {
         let faults = FaultPlan {
             loss: 0.05,
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn the_cases_cost_what_they_did() {
+fn load_of_all_cases_is_unchanged() {
     let mut hash = Fnv::new();
     for case in Case::ALL {
         let limit = std::time::Duration::from_secs(600);
@@ -238,22 +238,22 @@
     assert_eq!(hash.0, 0x0b71_bb3b_fa30_4134, "{:#018x}", hash.0);
 }
 
-/// The count of gateways that decisions reckon with, over drawn views.
+/// Covers the fleet size that the decisions divide by, for random counts of members in the view.
 #[test]
-fn the_fleet_size_follows_the_view_as_it_did() {
+fn fleet_size_over_random_views_is_unchanged() {
     let mut hash = Fnv::new();
-    let mut draw = Lcg(77);
+    let mut rng = Lcg(77);
     for _ in 0..200 {
         let config = FleetSizeConfig {
-            configured_size: draw.below(12) as u32,
-            settle_time: draw.below(20) * SECOND,
-            step_interval: draw.below(4) * SECOND,
+            configured_size: rng.below(12) as u32,
+            settle_time: rng.below(20) * SECOND,
+            step_interval: rng.below(4) * SECOND,
         };
-        let mut now = draw.below(100 * SECOND);
+        let mut now = rng.below(100 * SECOND);
         let mut size = FleetSize::new(config, now);
         for _ in 0..300 {
-            now += draw.below(3 * SECOND);
-            let changed = size.observe(draw.below(15) as u32, now);
+            now += rng.below(3 * SECOND);
+            let changed = size.observe(rng.below(15) as u32, now);
             hash.number(u64::from(changed));
             hash.number(u64::from(size.size()));
         }
@@ -261,9 +261,9 @@
     assert_eq!(hash.0, 0x707b_3178_e38f_e4ca, "{:#018x}", hash.0);
 }
 
-/// Another process of the same name: of two lives the newer one stays.
+/// Covers another process with the same member name: the one with the newer incarnation stays.
 #[test]
-fn the_older_process_of_a_name_stops_as_it_did() {
+fn trace_of_two_processes_of_one_name_is_unchanged() {
     let addr = |port| std::net::SocketAddr::from(([10, 2, 0, 1], port));
     let update = |name: &str, incarnation, refutations, state| MemberUpdate {
         name: name.into(),
