--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -5,7 +5,7 @@
 
 use thiserror::Error;
 use violetgate_membership::MembershipConfig;
-use violetgate_simulator::load::{play, Case, Load};
+use violetgate_simulator::load::{simulate, Case, Load};
 
 use crate::figures::{Figures, Options};
 
@@ -50,7 +50,7 @@
     let time_limit = options.select(SHORT_TIME_LIMIT, TIME_LIMIT);
     for size in sizes {
         for case in cases {
-            let load = play(*case, size, &config, options.seed, time_limit);
+            let load = simulate(*case, size, &config, options.seed, time_limit);
             add_figures(*case, size, &load, options, figures);
         }
     }
