--- a/policy/src/admission.rs
+++ b/policy/src/admission.rs
@@ -2,8 +2,8 @@
 //!
 //! - Decides: this module makes the [`AdmissionDecision`].
 //! - Inputs: it uses the predicted wait (queued work divided by the rate at which engines work for
-//!   this gateway) and the threshold (the longest wait after which the query can still be in time).
-//!   Both are in seconds.
+//!   this gateway) and the threshold (the longest wait after which the query can still be answered
+//!   by a limit between its objective and its deadline). Both are in seconds.
 //! - Rule: a query that fits on an engine is sent. Otherwise it is queued with a probability
 //!   that falls from 1 to 0 as the predicted wait passes the threshold (a logistic function,
 //!   after M. Mazzucco, "Virtual queues from scratch, Part 4").
@@ -19,12 +19,14 @@
 
 /// The scale of the logistic function, as a fraction of the threshold.
 const SLOPE_FRACTION: f64 = 0.1;
-/// The minimum threshold, as a fraction of the deadline, or of the objective if answers come late.
+/// The longest wait for a limit is at least this fraction of the limit, however long the expected
+/// run is. The limits are the deadline and the objective, and the threshold lies between the
+/// longest waits for both.
 const MIN_THRESHOLD_FRACTION: f64 = 0.5;
 /// The minimum threshold, in seconds. The admission probability divides by the threshold.
 const MIN_THRESHOLD_S: f64 = 1e-3;
 /// The time for which all queries of a class share a random draw, as a fraction of the threshold.
-/// A client that retries at once gets the same answer.
+/// A client that retries at once gets no new draw.
 const SHARED_DRAW_FRACTION: f64 = 0.1;
 
 /// The decision about a query that arrives.
@@ -157,8 +159,8 @@
     }
 
     /// Predicts how long a new query would wait, in seconds: the queued work divided by the rate at
-    /// which engines work for this gateway. Engines that are backing off take no queries, so they
-    /// do not count.
+    /// which engines work for this gateway. Nothing is sent to engines in backoff, so they do not
+    /// count.
     pub(crate) fn predicted_wait(&self) -> f64 {
         let threads = self.overall.open_thread_capacity.max(1.0);
         self.queries.queued_work() / (threads * self.overall_speed())
--- a/policy/src/attempt/completion.rs
+++ b/policy/src/attempt/completion.rs
@@ -11,7 +11,7 @@
 use crate::Gateway;
 
 /// The fraction of this gateway's fair share below which an engine counts as lightly used. On such
-/// an engine the run time of a query equals its work.
+/// an engine the thread-seconds of a query are taken as its work.
 const LIGHT_USE_FRACTION: f64 = 0.4;
 /// The minimum thread-seconds of an answer. The speed is computed by a division by this time.
 const MIN_THREAD_SECONDS: f64 = 1e-4;
@@ -24,8 +24,8 @@
     thread_seconds: f64,
     /// The measured work or, if there is none, the expected work, in seconds on one thread.
     work: f64,
-    /// The work that the engine reported, or the run time on a lightly used engine, in seconds on
-    /// one thread.
+    /// The work that the engine reported, or the thread-seconds on a lightly used engine, in
+    /// seconds on one thread.
     measured_work: Option<f64>,
     estimated_work: Option<Micros>,
     memory: MemorySample,
--- a/policy/src/attempt/ending.rs
+++ b/policy/src/attempt/ending.rs
@@ -13,7 +13,7 @@
 
 /// An attempt that has ended and was removed from its query.
 #[derive(Debug)]
-struct TakenAttempt {
+struct RemovedAttempt {
     attempt: Attempt,
     /// The engine that answered an earlier attempt of the query with an error, if any.
     earlier_error: Option<EngineId>,
@@ -22,19 +22,19 @@
 impl Gateway {
     /// Handles the end of an attempt.
     pub(crate) fn on_attempt_ended(&mut self, ended: &AttemptEnded, actions: &mut Vec<Action>) {
-        let Some(taken) = self.take_attempt(ended) else {
+        let Some(removed) = self.take_attempt(ended) else {
             return;
         };
-        self.release_capacity(ended.query, &taken.attempt, ended.outcome);
+        self.release_capacity(ended.query, &removed.attempt, ended.outcome);
         self.hold_key_after(ended.query, ended.outcome);
-        self.record_outcome(ended, &taken);
-        let failed_twice = ended.outcome == Outcome::Error && taken.earlier_error.is_some();
+        self.record_outcome(ended, &removed);
+        let failed_twice = ended.outcome == Outcome::Error && removed.earlier_error.is_some();
         self.retry_or_answer(ended.query, failed_twice, actions);
     }
 
     /// Removes the attempt from its query. Returns `None` if the event is about another attempt
     /// than the one that is out.
-    fn take_attempt(&mut self, ended: &AttemptEnded) -> Option<TakenAttempt> {
+    fn take_attempt(&mut self, ended: &AttemptEnded) -> Option<RemovedAttempt> {
         let query = self.queries.get_mut(ended.query)?;
         if ended.attempt + 1 != query.attempts {
             return None;
@@ -47,7 +47,7 @@
         if ended.outcome == Outcome::Error {
             query.error_engine = Some(attempt.engine);
         }
-        Some(TakenAttempt {
+        Some(RemovedAttempt {
             attempt,
             earlier_error,
         })
@@ -73,19 +73,19 @@
 
     /// Updates the health, the backoff and the statistics of engines from the outcome of an
     /// attempt.
-    fn record_outcome(&mut self, ended: &AttemptEnded, taken: &TakenAttempt) {
-        let engine = taken.attempt.engine;
+    fn record_outcome(&mut self, ended: &AttemptEnded, removed: &RemovedAttempt) {
+        let engine = removed.attempt.engine;
         if let Some(reason) = self.failure_reason(ended.query, engine, ended.outcome) {
             self.record_failure(engine, reason);
         }
         match ended.outcome {
             Outcome::Completed => {
                 // The query is valid, so an engine that answered it with an error is at fault.
-                let other = taken.earlier_error.filter(|other| *other != engine);
+                let other = removed.earlier_error.filter(|other| *other != engine);
                 if let Some(other) = other {
                     self.record_failure(other, FailureReason::Error);
                 }
-                self.record_completion(ended, &taken.attempt);
+                self.record_completion(ended, &removed.attempt);
             }
             Outcome::Overloaded => {
                 let until = self.now + self.control_periods(OVERLOAD_BACKOFF_PERIODS);
--- a/policy/src/attempt/progress.rs
+++ b/policy/src/attempt/progress.rs
@@ -79,8 +79,8 @@
         };
         match progress {
             Progress::Spilling(_) if needs_larger_grant => self.reroute(id, actions),
-            // A queued attempt has done no work yet, so a reroute loses none. The last attempt is
-            // reserved for failures.
+            // A queued attempt has done no work yet, so a reroute loses none. It must leave a
+            // further attempt for a later failure.
             Progress::WaitingForMemory if self.has_spare_attempt(query) => {
                 self.reroute(id, actions);
             }
@@ -127,7 +127,7 @@
     }
 
     /// Records a report in its engine. If queries wait for memory there, the memory quota is cut
-    /// and the engine backs off.
+    /// and nothing is sent to the engine for a time.
     fn record_progress_of_engine(&mut self, engine: EngineId, progress: Progress) {
         let backoff_until = self.now + self.control_periods(MEMORY_BACKOFF_PERIODS);
         let Some(engine) = self.engines.get_mut(&engine) else {
@@ -159,8 +159,9 @@
 
     fn progress_decision(&self, query: &Query, run: &RunEstimate) -> ProgressDecision {
         let ends_at = self.now + micros(run.remaining);
-        // If the run takes longer than expected, assume the work that it would do at the overall
-        // speed. More work extends the objective.
+        // If the run takes longer than expected, the query may have more work than expected. Assume
+        // the work that is done in the total run time at the overall speed. More work extends the
+        // objective.
         let work = query
             .work
             .max(self.overall_speed() * run.total * query.threads);
@@ -179,7 +180,7 @@
     }
 
     /// Schedules the next check, for silence. An attempt that is queued at its engine sends no
-    /// further reports, so it is also checked when its query can no longer be in time.
+    /// further reports, so it is also checked at the time of [`Self::give_up_at`].
     fn schedule_check_after_progress(&mut self, id: QueryId) {
         let Some(query) = self.queries.get(id) else {
             return;
--- a/policy/src/attempt/silence.rs
+++ b/policy/src/attempt/silence.rs
@@ -15,13 +15,15 @@
 use crate::units::{micros, seconds};
 use crate::Gateway;
 
-/// The time without a report after which an attempt is silent, in control periods. It applies if
-/// engines report progress.
+/// The time without a report after which an attempt counts as silent, in control periods. It
+/// applies if engines report progress.
 const SILENT_PERIODS: f64 = 1.7;
-/// The minimum time after which an attempt is silent, in usual runs. It applies if engines report
-/// no progress. Then an attempt is silent once a new attempt could only just meet the objective.
+/// The minimum time after which an attempt counts as silent, as a multiple of the usual run time.
+/// It applies if engines report no progress. Between the minimum and the maximum, an attempt counts
+/// as silent once a new attempt would be expected to end at the objective.
 const MIN_SILENT_RUNS: f64 = 3.0;
-/// The maximum time after which an attempt is silent, in usual runs, without progress reports.
+/// The maximum time after which an attempt counts as silent, as a multiple of the usual run time.
+/// It applies if engines report no progress.
 const MAX_SILENT_RUNS: f64 = 6.0;
 
 /// The state of an attempt at a check.
@@ -61,7 +63,7 @@
         let last_active_at = attempt.sent_at.max(attempt.last_progress_at);
         let limit = self.silence_limit(query, last_active_at);
         let is_silent = self.now >= last_active_at + limit;
-        let counted_from = if is_silent { self.now } else { last_active_at };
+        let silence_starts_at = if is_silent { self.now } else { last_active_at };
         Some(CheckedAttempt {
             engine: attempt.engine,
             class: query.class,
@@ -71,7 +73,7 @@
             is_queued_at_engine: attempt.is_queued_at_engine,
             cancelled: attempt.cancelled,
             is_unachievable: self.objective_is_unachievable(query),
-            next_check_at: counted_from + limit,
+            next_check_at: silence_starts_at + limit,
         })
     }
 
@@ -117,8 +119,9 @@
     }
 
     /// Returns how long an attempt may be silent, counted from `since`. Without progress reports
-    /// the limit is the time at which a new attempt could only just meet the objective. It is kept
-    /// between a minimum and a maximum number of usual runs, since estimates vary.
+    /// the limit is the time that is left until a new attempt would be expected to end at the
+    /// objective. It is kept between a minimum and a maximum multiple of the usual run time, since
+    /// estimates vary.
     pub(super) fn silence_limit(&self, query: &Query, since: Micros) -> Micros {
         if self.settings.progress_period.is_some() {
             return self.control_periods(SILENT_PERIODS);
@@ -151,7 +154,7 @@
             && has_time
             && self.is_safe_to_duplicate(query)
             && !query.is_streaming
-            && self.repetition_limit(query).is_none()
+            && self.reason_not_to_repeat(query).is_none()
             && self.retry_budget_allows()
     }
 }
--- a/policy/src/bin/violetgate-simhost.rs
+++ b/policy/src/bin/violetgate-simhost.rs
@@ -26,7 +26,7 @@
         error: WireError,
     },
     /// A reply could not be written to standard output.
-    #[error("{0}")]
+    #[error("cannot write a reply to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
--- a/policy/src/capacity.rs
+++ b/policy/src/capacity.rs
@@ -3,6 +3,8 @@
 //! - Decides: this module decides that a query fits, or returns [`NoCapacity`].
 //! - Inputs: it uses the engine's health and backoff, the threads and memory that this gateway uses
 //!   there with their limits, and the bulk loads that run there.
+//! - Rule: an ejected engine gets one trial at a time. A trial is a query that shows whether the
+//!   engine works again.
 //! - Reason: an engine that gets more than it can run at once makes all its queries late. The
 //!   gateway queues queries instead, and sends each one when an engine can run it.
 
@@ -21,8 +23,9 @@
     /// The engine is ejected for the query's class, and no trial is due or the query does not suit
     /// one.
     EjectedForClass,
-    /// The engine recently reported that it is full, or that queries wait there for memory.
-    BackingOff,
+    /// This gateway sends the engine nothing for a time, since the engine recently reported that it
+    /// is full, or that queries wait there for memory.
+    InBackoff,
     /// The query would exceed this gateway's thread limit at the engine.
     ThreadLimit,
     /// The query would exceed this gateway's quota of the engine's memory.
@@ -34,7 +37,7 @@
 
 impl Gateway {
     /// Checks whether an engine has capacity for a query. An engine without any query of this
-    /// gateway always has capacity, unless it is ejected or backing off.
+    /// gateway always has capacity, unless it is ejected or in backoff.
     pub(crate) fn check_capacity(
         &self,
         query: &Query,
@@ -52,7 +55,7 @@
             return Err(NoCapacity::EjectedForClass);
         }
         if engine.backoff_until > self.now {
-            return Err(NoCapacity::BackingOff);
+            return Err(NoCapacity::InBackoff);
         }
         if engine.running.is_empty() {
             return Ok(());
@@ -94,8 +97,9 @@
     }
 
     /// Returns whether a query would exceed the thread limit of an engine. One query of each class
-    /// always fits: a single query with many threads may exceed the limit, and would keep out
-    /// short queries of other classes. A slow engine, with a limit of 0, gets one query in all.
+    /// always fits. Otherwise a single query with many threads, which may exceed the limit alone,
+    /// would keep out short queries of other classes while it runs. A slow engine, with a limit of
+    /// 0, gets one query in all.
     fn thread_limit_blocks(&self, query: &Query, engine: &EngineRecord) -> bool {
         let limit = self.thread_limit(engine);
         let threads = self.competing_threads(query, &engine.threads) + query.threads;
--- a/policy/src/concurrency_limit.rs
+++ b/policy/src/concurrency_limit.rs
@@ -20,9 +20,9 @@
 
 /// The threads per core that the fair shares of all gateways at an engine add up to.
 const THREADS_PER_CORE: f64 = 2.0;
-/// The speed above which a limit grows, as a fraction of the unloaded speed.
+/// The speed above which a limit grows. The speed of an unloaded engine is 1.
 const NEAR_UNLOADED_SPEED: f64 = 0.7;
-/// The speed below which a limit shrinks, as a fraction of the unloaded speed.
+/// The speed below which a limit shrinks. The speed of an unloaded engine is 1.
 pub(crate) const FAR_BELOW_UNLOADED_SPEED: f64 = 0.45;
 /// The utilisation above which an engine counts as busy.
 const BUSY_UTILISATION: f64 = 0.8;
@@ -53,7 +53,9 @@
     speed: f64,
     /// The speed above which the limit grows.
     growth_speed: f64,
-    /// Whether the load reports allow growth by answers.
+    /// Whether answers may make the limit grow. The limit of one engine may not grow if engines
+    /// report their utilisation, and the limit of all engines may not if they report that they are
+    /// busy.
     may_grow: bool,
     /// Whether the limit is in use.
     is_in_use: bool,
@@ -98,8 +100,8 @@
         self.fair_share_of(cores) < 1.0
     }
 
-    /// Returns the number of threads that this gateway may use at an engine now. With 0, a slow
-    /// engine gets one query at a time, which also shows when it recovers.
+    /// Returns the number of threads that this gateway may use at an engine now. The limit of a
+    /// slow engine is 0. It then gets one query at a time, which also shows when it recovers.
     pub(crate) fn thread_limit(&self, engine: &EngineRecord) -> f64 {
         if engine.speed < SLOW_ENGINE_FRACTION * self.overall_speed() {
             return 0.0;
@@ -109,15 +111,16 @@
         } else {
             1.0
         };
-        // While an engine warms up its threads are slow, but it sustains more of them than the
-        // fraction of its capacity suggests. The square root accounts for that.
+        // While an engine warms up its threads are slow, but it sustains more threads than its warm
+        // fraction suggests. The square root of the fraction, which is larger, accounts for that.
         engine.thread_limit * growth * self.warm_fraction(engine).sqrt()
     }
 
     /// Returns whether one more query is within the sum of the limits of all engines. One query
     /// always fits on an idle engine, but with many gateways that alone would allow many times the
     /// load that engines sustain. One query of each class is always allowed, unless engines report
-    /// that they are busy and this gateway has overdrawn its capacity.
+    /// that they are busy and this gateway has recently used more thread-seconds than its capacity
+    /// (a negative capacity credit).
     pub(crate) fn engines_have_capacity(&self, query: &Query) -> bool {
         let threads = self.competing_threads(query, &self.queries.threads_out) + query.threads;
         let has_spare = self.overall.utilisation.mean < BUSY_UTILISATION;
@@ -217,8 +220,9 @@
     }
 
     /// Changes the growth of the limits of all engines after an answer. The speed of all engines
-    /// counts, since this gateway uses each engine too rarely. It is the mean logarithm if engines
-    /// report costs. Otherwise it is a mean over more answers, since estimates vary.
+    /// counts, since this gateway uses each engine too rarely. If the engine reported the cost, that
+    /// speed is the moving geometric mean of answers. Otherwise it is a mean over more answers,
+    /// since estimates vary.
     fn adjust_overall_limit(&mut self, sample: &LimitSample) {
         let overall = &mut self.overall;
         let growth = 1.0 + overall.limit_growth;
@@ -231,7 +235,7 @@
         } else {
             self.overall_speed()
         };
-        let utilisation = self.overall.utilisation.known();
+        let utilisation = self.overall.utilisation.mean_if_any();
         let signals = AnswerSignals {
             speed,
             growth_speed: if self.settings.reports_utilisation {
--- a/policy/src/deadline.rs
+++ b/policy/src/deadline.rs
@@ -5,8 +5,8 @@
 //! - Inputs: it uses the deadline and objective of the query's class, the client's timeout, the
 //!   expected run time and, for deduplicated queries, the time at which engines forget the first
 //!   attempt. Times are in microseconds.
-//! - Reason: a query that cannot be in time only delays queries that can, and the retries of its
-//!   client prolong an overload.
+//! - Reason: a query that cannot meet its limit only delays queries that can meet theirs, and the
+//!   retries of its client prolong an overload.
 
 use crate::interface::{Idempotency, Micros, NewQuery, QueryId};
 use crate::state::Query;
@@ -15,7 +15,8 @@
 
 /// The fraction of their weight below which late answers count as useless.
 const LOW_LATE_WEIGHT_FRACTION: f64 = 0.5;
-/// The fraction of late answers at which a class counts as late.
+/// The fraction of late answers above which many answers of a class count as late. As the fraction
+/// rises to this value, the limit for admission moves from the deadline to the objective.
 pub(crate) const HIGH_LATE_FRACTION: f64 = 0.1;
 /// The expected run of a queued query counts as no more than the client's timeout divided by this
 /// number. So no estimate, however long, causes a query to be given up before half of that
@@ -23,13 +24,14 @@
 const MAX_QUEUED_RUN_DIVISOR: u64 = 2;
 
 impl Gateway {
-    /// Returns how long ago the client first sent a request. For a client's retry this is derived
-    /// from its timeout, which is shorter than that of first requests. A request that is not marked
-    /// as a retry counts as a first request.
+    /// Returns how long ago the client first sent a request. A request that is not marked as a
+    /// retry is a first request, with the age 0. A client's retry has a shorter timeout than first
+    /// requests, and its age is the deadline of the class minus that timeout. The age is 0 if the
+    /// timeout plus the answer grace is not shorter than the longest timeout of first requests.
     pub(crate) fn age_of_request(&mut self, class: usize, request: &NewQuery) -> Micros {
         let deadline = self.settings.classes[class].deadline.unwrap_or(0);
         let grace = self.settings.answer_grace.unwrap_or(0);
-        let longest = &mut self.class_stats[class].longest_first_request;
+        let longest = &mut self.class_stats[class].longest_first_timeout;
         if !request.is_client_retry {
             *longest = (*longest).max(request.client_timeout);
             return 0;
@@ -75,9 +77,9 @@
             && self.now + micros(self.expected_run(query)) >= self.objective_at(query)
     }
 
-    /// Returns the time from which a queued query can no longer be in time. The limit is the
-    /// objective if late answers are useless. Otherwise it is the deadline or the time at which
-    /// engines forget the first attempt, whichever comes first.
+    /// Returns the time from which a queued query is given up. If late answers are useless, a run
+    /// from that time on would miss the objective. Otherwise it would miss the deadline, or engines
+    /// have forgotten the first attempt, whichever comes first.
     pub(crate) fn give_up_at(&self, query: &Query) -> Micros {
         let run = micros(self.expected_run(query));
         if self.is_useless_when_late(query) {
@@ -97,7 +99,7 @@
     }
 
     /// Sets the time of a query's next check. It is no later than the deadline, so that the query
-    /// is always answered in time. While an attempt is out the check may be up to
+    /// is always answered by then. While an attempt is out the check may be up to
     /// [`Self::time_out_slack`] later, since the attempt's time-out arrives at the deadline.
     pub(crate) fn schedule_check(&mut self, id: QueryId, at: Micros) {
         let Some(query) = self.queries.get(id) else {
--- a/policy/src/eligibility.rs
+++ b/policy/src/eligibility.rs
@@ -22,7 +22,7 @@
     /// The engine is not listed as ready, or is cordoned.
     EngineNotInUse,
     /// The class may not run in the engine's zone or on its kind.
-    OutsideBounds,
+    ClassNotAllowed,
     /// The query has had its maximum number of attempts, or it may have run and must not run twice.
     NotRepeatable,
     /// The query may have run, and the engine does not discard a duplicate of it now.
@@ -55,10 +55,10 @@
         if !engine.in_use() {
             return Err(SendDenied::EngineNotInUse);
         }
-        if !self.is_within_bounds(query, &engine.listed) {
-            return Err(SendDenied::OutsideBounds);
+        if !self.class_is_allowed(query, &engine.listed) {
+            return Err(SendDenied::ClassNotAllowed);
         }
-        if self.repetition_limit(query).is_some() {
+        if self.reason_not_to_repeat(query).is_some() {
             return Err(SendDenied::NotRepeatable);
         }
         if !self.discards_duplicates_of(query, &engine.listed) {
@@ -76,8 +76,8 @@
         Ok(())
     }
 
-    /// Returns whether a query's class may run in an engine's zone and on its kind.
-    fn is_within_bounds(&self, query: &Query, engine: &Engine) -> bool {
+    /// Returns whether a query's class may run in the zone and on the kind of an engine.
+    fn class_is_allowed(&self, query: &Query, engine: &Engine) -> bool {
         let class = self.class_of(query);
         let allows = |allowed: &Option<Vec<u32>>, number: u32| {
             allowed
--- a/policy/src/engine_list.rs
+++ b/policy/src/engine_list.rs
@@ -21,8 +21,8 @@
         engines: &[Engine],
         actions: &mut Vec<Action>,
     ) {
-        let is_doubtful = matches!(scope, ListScope::StaleSnapshot | ListScope::WatchFailed);
-        if self.settings.list_needs_subscription && is_doubtful {
+        let may_be_outdated = matches!(scope, ListScope::StaleSnapshot | ListScope::WatchFailed);
+        if self.settings.list_needs_subscription && may_be_outdated {
             actions.push(Action::SubscribeEngineList);
         }
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
--- a/policy/src/engine_totals.rs
+++ b/policy/src/engine_totals.rs
@@ -15,8 +15,9 @@
 
 /// The age at which totals over many engines are computed again, in microseconds.
 const MAX_TOTALS_AGE_US: Micros = 100_000;
-/// The maximum debt of capacity, as a multiple of the maximum credit. The maximum credit is the
-/// thread-seconds that the engines sustain during the shortest objective.
+/// The maximum debt, that is how far the capacity credit may fall below 0, as a multiple of the
+/// maximum credit. The maximum credit is the thread-seconds that the engines sustain during the
+/// shortest objective.
 const MAX_DEBT_OBJECTIVES: f64 = 12.0;
 
 impl Gateway {
@@ -60,7 +61,7 @@
     }
 
     /// Adds the thread-seconds that were unused since the last update, or subtracts the
-    /// thread-seconds that were overdrawn.
+    /// thread-seconds that were used beyond the capacity.
     fn update_capacity_credit(&mut self) {
         let elapsed = seconds(self.now - self.overall.capacity_credit_at);
         let capacity = self.overall.thread_capacity;
--- a/policy/src/estimators.rs
+++ b/policy/src/estimators.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the mean, or `None` before the first sample.
-    pub fn known(&self) -> Option<f64> {
+    pub fn mean_if_any(&self) -> Option<f64> {
         (self.samples > 0.0).then_some(self.mean)
     }
 }
--- a/policy/src/final_answer.rs
+++ b/policy/src/final_answer.rs
@@ -46,8 +46,8 @@
         self.remove_if_done(id);
     }
 
-    /// Gives up a query that was admitted and can no longer be in time. It counts as a late answer
-    /// in the statistics of its class.
+    /// Gives up a query that was admitted, because its objective is unachievable or the time of
+    /// [`Self::give_up_at`] has come. It counts as a late answer in the statistics of its class.
     pub(crate) fn give_up(&mut self, id: QueryId, actions: &mut Vec<Action>) {
         let Some(query) = self.queries.get(id) else {
             return;
@@ -90,7 +90,7 @@
     }
 
     /// Returns how long the client should wait before a retry: the predicted wait, but at least an
-    /// expected run, since full engines free no threads sooner.
+    /// expected run, since full engines are assumed to free no threads sooner.
     fn retry_after(&self, query: &Query) -> Micros {
         let wait = self.predicted_wait().max(self.expected_run(query));
         micros(wait).min(self.settings.max_retry_after.unwrap_or(0))
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -77,9 +77,9 @@
         /// The load report that came with the answer.
         load: LoadReport,
     },
-    /// The number of gateways that share the engines changed. Each gateway computes its quota from
-    /// the number that it received last. The sender must ensure that the quotas of all gateways
-    /// never add up to more than the total.
+    /// The number of gateways that share the engines changed. Each gateway computes its share of
+    /// the engines' threads and memory from the number that it received last. The embedding must
+    /// ensure that the shares of all gateways never add up to more than the engines have.
     FleetSize {
         /// The number of gateways, this one included. 0 counts as 1.
         gateways: u32,
--- a/policy/src/interface/settings.rs
+++ b/policy/src/interface/settings.rs
@@ -34,7 +34,7 @@
     /// The time within which an answer earns the full priority weight. `objective_stretch`
     /// extends it.
     pub latency_objective: Option<Micros>,
-    /// The multiple of the query's work divided by its threads that is added to the objective.
+    /// The objective is extended by this number times the query's work divided by its threads.
     pub objective_stretch: Option<f64>,
     /// The priority weight of one query, relative to those of other classes.
     pub priority_weight: Option<f64>,
--- a/policy/src/memory_grant.rs
+++ b/policy/src/memory_grant.rs
@@ -15,7 +15,9 @@
 use crate::state::{EngineRecord, Query};
 use crate::Gateway;
 
-/// The margin of a grant over the expected need, in deviations of the need.
+/// The margin of a grant over the expected need, in deviations: standard deviations of the
+/// logarithm of the need if an estimate came with the query, and otherwise mean absolute deviations
+/// of the need.
 const GRANT_DEVIATIONS: f64 = 1.3;
 /// The grant as a multiple of the estimate, before any need or spill was reported.
 const INITIAL_GRANT_MULTIPLE: f64 = 1.25;
@@ -27,7 +29,8 @@
 /// needs. It rises by this times `1 - TARGET_SPILL_FRACTION` at a spill, and falls by this times
 /// `TARGET_SPILL_FRACTION` at an answer without one. Both balance at the target fraction.
 const GRANT_LOG_STEP: f64 = 0.3;
-/// The missing fraction of its need above which an attempt is restarted with a larger grant.
+/// An attempt is restarted with a larger grant if it lacks more than this fraction of the memory
+/// that it needs.
 const MUCH_MISSING_FRACTION: f64 = 0.2;
 /// The maximum amount of missing memory that a report counts as, in megabytes.
 const MAX_MISSING_MB: f64 = 1e9;
@@ -51,7 +54,7 @@
     pub(crate) fn expected_grant(&self, class: usize, request: &NewQuery) -> f64 {
         let stats = &self.class_stats[class];
         let Some(estimate) = request.estimated_memory_mb else {
-            return stats.memory_mb.known().map_or(0.0, |mean| {
+            return stats.memory_mb.mean_if_any().map_or(0.0, |mean| {
                 mean + GRANT_DEVIATIONS * stats.memory_mb.deviation
             });
         };
@@ -110,8 +113,9 @@
     }
 }
 
-/// Cuts this gateway's quota of an engine where queries wait for memory, even if other gateways
-/// granted too much. The quota is cut at most once until the engine's backoff ends.
+/// Cuts this gateway's quota of an engine where queries wait for memory. Does so even if other
+/// gateways granted too much, since no gateway sees what the others grant. The quota is cut at most
+/// once until the engine's backoff ends.
 pub(crate) fn cut_memory_quota(engine: &mut EngineRecord, now: Micros, gateways: f64) {
     if engine.backoff_until <= now {
         let min_quota = QUOTA_CUT / gateways;
--- a/policy/src/outlier_detection.rs
+++ b/policy/src/outlier_detection.rs
@@ -4,9 +4,10 @@
 //!   class), whether the engine is ejected, and the time until its next trial.
 //! - Inputs: it uses the outcomes of attempts, failed health checks, attempts that are silent for
 //!   too long, and the retry budget, since each failed trial costs a retry.
-//! - Rule: an engine is ejected if its moving failure rate is above a threshold. A success in a
-//!   trial lowers the rate. If over half of the engines are ejected, the failures have a common
-//!   cause, and ejection is ignored.
+//! - Rule: an engine is ejected if its moving failure rate is above a threshold. A trial is one
+//!   query that is sent to an ejected engine to see whether it works again, and its success lowers
+//!   the rate. If over half of the engines are ejected, the failures have a common cause, and
+//!   ejection is ignored.
 //! - Reason: an engine that fails fast seems free and would attract all queries.
 
 use crate::concurrency_limit::FAR_BELOW_UNLOADED_SPEED;
@@ -26,7 +27,7 @@
 /// The failure rate above which an engine is ejected.
 const EJECTION_RATE: f64 = 0.4;
 /// The failure rate below which the ejection of an engine ends.
-const TRUST_RATE: f64 = 0.12;
+const EJECTION_END_RATE: f64 = 0.12;
 /// The fraction of silent attempts of a class at which a silent attempt says little about its
 /// engine.
 const USUAL_SILENT_FRACTION: f64 = 0.1;
@@ -36,8 +37,8 @@
 const MAX_EJECTION_DOUBLINGS: u32 = 1;
 /// The fraction of the retry budget that trials of ejected engines may use.
 const TRIAL_BUDGET_FRACTION: f64 = 0.25;
-/// A class avoids the engines that are ejected for it only if at least one healthy engine in this
-/// many serves the class.
+/// A class avoids the engines that are ejected for it only if at least the fraction
+/// `1 / MIN_SERVING_DIVISOR` of the healthy engines serves the class.
 const MIN_SERVING_DIVISOR: usize = 3;
 
 /// Why a failure counts against an engine. Silent attempts also count; their weight is computed in
@@ -80,8 +81,9 @@
                 let engine = self.engines.get(&engine);
                 let was_on_trial = engine.is_some_and(|engine| engine.health.ejected);
                 let query = self.queries.get(query);
-                let no_other = query.is_some_and(|query| !self.is_safe_to_duplicate(query));
-                (was_on_trial || no_other).then_some(FailureReason::Error)
+                let may_not_run_again =
+                    query.is_some_and(|query| !self.is_safe_to_duplicate(query));
+                (was_on_trial || may_not_run_again).then_some(FailureReason::Error)
             }
             Outcome::ConnectionRefused => Some(FailureReason::ConnectionRefused),
             Outcome::ConnectionLost => Some(FailureReason::ConnectionLost),
@@ -209,7 +211,7 @@
     fn record_success(&mut self) {
         let weight = 1 + i32::from(self.ejected);
         self.failure_rate *= (1.0 - FAILURE_WEIGHT).powi(weight);
-        if self.failure_rate < TRUST_RATE {
+        if self.failure_rate < EJECTION_END_RATE {
             self.ejected = false;
             self.failed_trials = 0;
         }
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -7,8 +7,9 @@
 //!   gateway's seed.
 //! - Rule: if engines are few, or this gateway's share of any kind is at least a thread, each query
 //!   scans all engines. Otherwise it samples: first from this gateway's subset, which has as many
-//!   engines as its rate of queries needs, then from larger and larger sets until an engine is
-//!   idle. If no sampled engine fits, all engines are searched, but not for every query.
+//!   engines as its rate of queries needs, then from larger and larger sets until the best engine
+//!   of a sample has enough free threads. If no sampled engine fits, all engines are searched, but
+//!   not for every query.
 //! - Reason: a scan of thousands of engines for each query would take too long. An engine that a
 //!   gateway uses often has a warm connection and up-to-date statistics. Sampling alone rarely
 //!   finds an engine if few engines fit, hence the search.
@@ -30,7 +31,7 @@
 const SEARCH_INTERVAL_US: Micros = 10_000;
 /// The minimum number of engines in the subset of a gateway.
 const MIN_SUBSET_SIZE: f64 = 10.0;
-/// The rate of queries for which a gateway's subset has one engine, in queries per second.
+/// The rate of queries for each engine in a gateway's subset, in queries per second.
 const QUERIES_PER_S_PER_SUBSET_ENGINE: f64 = 8.0;
 /// The window in which arrivals are counted if there is no retry budget with a window, in seconds.
 const DEFAULT_RATE_WINDOW_S: f64 = 1.0;
@@ -48,10 +49,10 @@
     /// Whether the engine was uncordoned and has not answered since, and the query suits a first
     /// trial. Without this field the engine would rank last while it warms up, since it has the
     /// fewest free threads.
-    wants_first_trial: bool,
-    /// The free threads of this gateway's fair share. The growth of a limit counts for whether a
-    /// query fits, but not here: otherwise the first engine whose limit grows would attract all
-    /// queries of all gateways.
+    suits_first_trial: bool,
+    /// The free threads of this gateway's fair share; a share of less than a thread counts as 0.
+    /// The growth of a limit counts for whether a query fits, but not here: otherwise the first
+    /// engine whose limit grows would attract all queries of all gateways.
     free_threads: f64,
     /// Whether the engine is in this gateway's zone.
     is_in_own_zone: bool,
@@ -68,7 +69,7 @@
 impl PlacementScore {
     const WORST: PlacementScore = PlacementScore {
         is_another_engine: false,
-        wants_first_trial: false,
+        suits_first_trial: false,
         free_threads: f64::NEG_INFINITY,
         is_in_own_zone: false,
         is_in_subset: false,
@@ -80,8 +81,9 @@
 /// The engines that one is chosen from.
 #[derive(Debug)]
 enum Candidates {
-    /// All engines are candidates. About the first `MIN_SUBSET_SIZE` of the `own_zone_engines`
-    /// available engines in this gateway's zone, in its own order, are its subset.
+    /// All engines are candidates. A hash of the engine and this gateway's seed decides whether the
+    /// engine is in the subset, so that about `MIN_SUBSET_SIZE` of the `own_zone_engines` available
+    /// engines in this gateway's zone are.
     All { own_zone_engines: f64 },
     /// A sample of engines. All of them count as part of the subset.
     Sample(Vec<EngineId>),
@@ -91,8 +93,8 @@
 }
 
 impl Candidates {
-    /// Returns the number of engines that the subset is the first part of. With 0 all engines are
-    /// in the subset, and with the maximum none is.
+    /// Returns the number of engines that the subset is taken from. The larger the number, the
+    /// fewer of the candidates are in the subset: with 0 all are, and with `f64::MAX` none is.
     fn subset_population(&self) -> f64 {
         match self {
             Candidates::All { own_zone_engines } => *own_zone_engines,
@@ -139,7 +141,7 @@
         };
         Placement {
             engine: self.engines.get(index).copied(),
-            is_idle: self.score.is_another_engine && self.score.free_threads >= 0.0,
+            ends_sampling: self.score.is_another_engine && self.score.free_threads >= 0.0,
         }
     }
 }
@@ -153,8 +155,9 @@
 #[derive(Debug, Clone, Copy)]
 struct Placement {
     engine: Option<EngineId>,
-    /// Whether the engine has free threads, and the latest attempt of the query did not end there.
-    is_idle: bool,
+    /// Whether no better engine has to be looked for in further samples: `free_threads` is at least
+    /// 0, and the latest attempt of the query did not end at this engine.
+    ends_sampling: bool,
 }
 
 impl Gateway {
@@ -184,7 +187,8 @@
     }
 
     /// Samples from larger and larger sets of engines, first in this gateway's zone and then
-    /// everywhere, until an engine is idle. If none is idle, returns the latest engine that fits.
+    /// everywhere, until the best engine of a sample ends the sampling. If none does, returns the
+    /// latest engine that fits.
     fn choose_from_samples(&mut self, id: QueryId) -> Option<EngineId> {
         let subset = self.subset_size();
         let mut best_fit = None;
@@ -195,7 +199,7 @@
                     .sampler
                     .sample(region, prefix_len, SAMPLE_SIZE, &mut self.rng);
                 let best = self.best_of(id, &Candidates::Sample(sample));
-                if best.is_idle {
+                if best.ends_sampling {
                     return best.engine;
                 }
                 best_fit = best.engine.or(best_fit);
@@ -285,7 +289,7 @@
         };
         PlacementScore {
             is_another_engine: query.last_engine != Some(engine.listed.id),
-            wants_first_trial: self.wants_first_trial(query, engine),
+            suits_first_trial: self.suits_first_trial(query, engine),
             free_threads: own_threads - self.competing_threads(query, &engine.threads),
             is_in_own_zone: self.is_in_own_zone(engine),
             is_in_subset,
@@ -296,7 +300,7 @@
 
     /// Returns whether a query suits the first trial of an engine after it was uncordoned. The
     /// trial is one short query that may safely run twice.
-    fn wants_first_trial(&self, query: &Query, engine: &EngineRecord) -> bool {
+    fn suits_first_trial(&self, query: &Query, engine: &EngineRecord) -> bool {
         let is_short = query.work <= self.overall.work.mean;
         engine.awaits_first_answer
             && engine.running.is_empty()
--- a/policy/src/priority.rs
+++ b/policy/src/priority.rs
@@ -4,8 +4,8 @@
 //!   threads a query competes with.
 //! - Inputs: it uses the priority weight of the class, the expected work in seconds on one thread,
 //!   and the means of both over all queries.
-//! - Reason: if not all queries can be in time, queries that earn the most weight for their work
-//!   come first. If engines do not apply priorities, all queries have the same one.
+//! - Reason: if not all queries can meet their objectives, queries that earn the most weight for
+//!   their work come first. If engines do not apply priorities, all queries have the same one.
 
 use crate::state::{Query, ThreadsByPriority};
 use crate::Gateway;
--- a/policy/src/queueing.rs
+++ b/policy/src/queueing.rs
@@ -16,8 +16,8 @@
 use crate::Gateway;
 
 impl Gateway {
-    /// Queues a query, and schedules a check at the time from which, by present estimates, it can
-    /// no longer be in time.
+    /// Queues a query, and schedules a check at the time from which, by present estimates, it is
+    /// given up.
     pub(crate) fn enqueue(&mut self, id: QueryId) {
         self.queries.count_as_queued(id);
         self.enter_queue_in_order(id);
--- a/policy/src/retry.rs
+++ b/policy/src/retry.rs
@@ -59,7 +59,7 @@
         if failed_twice {
             return RetryDecision::Stop(StopReason::FailedTwice);
         }
-        if let Some(reason) = self.repetition_limit(query) {
+        if let Some(reason) = self.reason_not_to_repeat(query) {
             return RetryDecision::Stop(reason);
         }
         if self.objective_is_unachievable(query) {
@@ -70,7 +70,7 @@
 
     /// Returns the reason why a query may have no further attempt at any engine, or `None` if it
     /// may have one.
-    pub(crate) fn repetition_limit(&self, query: &Query) -> Option<StopReason> {
+    pub(crate) fn reason_not_to_repeat(&self, query: &Query) -> Option<StopReason> {
         let max_attempts = self.settings.max_attempts.unwrap_or(u32::MAX).max(1);
         let at_most_once = self.class_of(query).idempotency == Idempotency::AtMostOnce;
         if query.attempts >= max_attempts {
--- a/policy/src/slow_start.rs
+++ b/policy/src/slow_start.rs
@@ -22,9 +22,9 @@
 const SAFETY_FRACTION: f64 = 0.5;
 /// The margin between the mean load from all gateways and what an engine sustains, in deviations.
 const SAFETY_DEVIATIONS: f64 = 4.0;
-/// The factor on a gateway's first draw for an engine, which makes sends rarer before the gateway's
-/// first window begins. All gateways learn of an engine at the same time, and these sends add to
-/// the sends of the windows.
+/// The factor on the first value that a gateway draws for an engine, which makes sends rarer. The
+/// value holds for a random part of a window, before the gateway's first full window. All gateways
+/// learn of an engine at the same time, and the sends in this part add to the sends of the windows.
 const FIRST_DRAW_FACTOR: f64 = 4.0;
 
 impl Gateway {
@@ -65,13 +65,14 @@
             .map(|send| send.work)
             .sum();
         let stats = self.stats_of(query);
-        let work = stats.work.known().unwrap_or(0.0).max(query.work);
+        let work = stats.work.mean_if_any().unwrap_or(0.0).max(query.work);
         let max_work = multiple * engine.cores * warm_fraction * seconds(window);
         if sent + work <= SAFETY_FRACTION * max_work / self.gateways {
             return true;
         }
-        // If engines report costs, the expected work is accurate enough without a further margin.
-        let margin = if stats.work_ratio.known().is_some() {
+        // If measured work of the class was compared with estimates, the expected work is accurate
+        // enough without a further margin.
+        let margin = if stats.work_ratio.mean_if_any().is_some() {
             1.0
         } else {
             SAFETY_FRACTION
@@ -81,8 +82,9 @@
         sent <= 0.0 && draw.until > self.now && draw.value < margin * mean / (self.gateways * work)
     }
 
-    /// Draws a new value for each engine whose window has ended. The first window of each gateway
-    /// ends at a random time, so that the windows of all gateways are spread evenly.
+    /// Draws a new value for each engine whose value has expired. The first value holds for a
+    /// random part of a window, so that the windows of all gateways are spread evenly. Each later
+    /// value holds for a full window.
     pub(crate) fn renew_slow_start_draws(&mut self) {
         let window = self.settings.collapse_window.unwrap_or(0).max(1);
         let engines = self.engines.values_mut();
--- a/policy/src/speed.rs
+++ b/policy/src/speed.rs
@@ -16,9 +16,10 @@
 /// The amount of work that the moving overall speed covers, as a number of queries of mean work of
 /// each class.
 const SPEED_MEMORY_QUERIES: f64 = 40.0;
-/// The fraction of that amount which is assumed to have been done at speed 1.
+/// The fraction of the amount of work in `SPEED_MEMORY_QUERIES` that is assumed to have been done
+/// at speed 1, in addition to the work of answers.
 const PRIOR_FRACTION: f64 = 0.1;
-/// The maximum fraction of that amount which one answer replaces.
+/// The maximum fraction of the recorded work that one answer replaces.
 const MAX_ANSWER_FRACTION: f64 = 0.5;
 /// The minimum of the overall speed.
 const MIN_OVERALL_SPEED: f64 = 0.02;
@@ -50,10 +51,10 @@
         let stats = &self.class_stats[class_index];
         let objective = class.latency_objective.or(class.deadline);
         let unknown = UNKNOWN_WORK_FRACTION * seconds(objective.unwrap_or(request.client_timeout));
-        let mean = stats.work.known().unwrap_or(unknown);
+        let mean = stats.work.mean_if_any().unwrap_or(unknown);
         let estimate = request.estimated_work.filter(|work| *work > 0);
         let work = estimate.map_or(mean, |estimate| {
-            seconds(estimate) * stats.work_ratio.known().unwrap_or(1.0)
+            seconds(estimate) * stats.work_ratio.mean_if_any().unwrap_or(1.0)
         });
         work.max(MIN_WORK_S)
     }
@@ -61,7 +62,7 @@
     /// Returns the speed of all engines together: the moving ratio of the work done to the
     /// thread-seconds that it took.
     pub(crate) fn overall_speed(&self) -> f64 {
-        let prior = self.work_of_each_class().max(1e-3) * SPEED_MEMORY_QUERIES * PRIOR_FRACTION;
+        let prior = self.sum_of_mean_work().max(1e-3) * SPEED_MEMORY_QUERIES * PRIOR_FRACTION;
         ((self.overall.work_done + prior) / (self.overall.thread_seconds + prior))
             .clamp(MIN_OVERALL_SPEED, MAX_OVERALL_SPEED)
     }
@@ -74,14 +75,14 @@
     /// Returns the usual run time of a query in seconds, at the overall speed. It is the run time
     /// of the expected work or of the mean work of the class, whichever is more.
     pub(crate) fn usual_run(&self, query: &Query) -> f64 {
-        let class_work = self.stats_of(query).work.known().unwrap_or(0.0);
+        let class_work = self.stats_of(query).work.mean_if_any().unwrap_or(0.0);
         class_work.max(query.work) / (query.threads * self.overall_speed())
     }
 
     /// Updates the overall speed from an answer.
     pub(crate) fn record_overall_speed(&mut self, work: f64, thread_seconds: f64) {
-        let memory = SPEED_MEMORY_QUERIES * self.work_of_each_class();
-        let retained = 1.0 - (work / memory.max(1e-3)).min(MAX_ANSWER_FRACTION);
+        let covered_work = SPEED_MEMORY_QUERIES * self.sum_of_mean_work();
+        let retained = 1.0 - (work / covered_work.max(1e-3)).min(MAX_ANSWER_FRACTION);
         self.overall.work_done = self.overall.work_done * retained + work;
         self.overall.thread_seconds = self.overall.thread_seconds * retained + thread_seconds;
     }
@@ -111,11 +112,11 @@
     }
 
     /// Returns the sum of the mean work of all classes, in seconds on one thread.
-    fn work_of_each_class(&self) -> f64 {
+    fn sum_of_mean_work(&self) -> f64 {
         let means = self
             .class_stats
             .iter()
-            .filter_map(|stats| stats.work.known());
+            .filter_map(|stats| stats.work.mean_if_any());
         means.sum()
     }
 }
--- a/policy/src/state/class_stats.rs
+++ b/policy/src/state/class_stats.rs
@@ -22,7 +22,7 @@
     /// The moving fraction of attempts that were silent for too long.
     pub silent_fraction: f64,
     /// The longest client timeout of any request that was not marked as a retry.
-    pub longest_first_request: Micros,
+    pub longest_first_timeout: Micros,
     /// The random number from 0 to 1 that all admissions of the class share.
     pub admission_draw: f64,
     /// The time from which the next admission draws a new number.
--- a/policy/src/state/engine_record.rs
+++ b/policy/src/state/engine_record.rs
@@ -133,7 +133,8 @@
         self.listed.state == EngineState::Ready && !self.cordoned
     }
 
-    /// Returns the time at which the engine's process started, if known.
+    /// Returns the time from which the engine warms up: the listed start of its process or, if
+    /// later, the time at which it was uncordoned. Returns `None` if there is neither.
     pub fn started(&self) -> Option<Micros> {
         self.listed.started.max(self.uncordoned_at)
     }
--- a/policy/src/state/engine_sampler/tests.rs
+++ b/policy/src/state/engine_sampler/tests.rs
@@ -80,7 +80,10 @@
     let first = &places(&sampler, Region::Everywhere)[..10];
     for id in first {
         let times = drawn.iter().filter(|drawn| *drawn == id).count();
-        assert!((800..1_200).contains(&times), "{times} of 10,000");
+        assert!(
+            (800..1_200).contains(&times),
+            "engine {id} was drawn {times} times of 10,000"
+        );
     }
     assert!(drawn.len() == 10_000 && drawn.iter().all(|id| first.contains(id)));
 }
--- a/policy/src/state/retry_history.rs
+++ b/policy/src/state/retry_history.rs
@@ -39,7 +39,8 @@
         (self.arrivals.len() - self.arrivals.partition_point(|at| *at <= time)) as f64
     }
 
-    /// Returns the number of retries that were sent at a time or later.
+    /// Returns the number of retries that were sent at a time or later. Unlike an arrival, a retry
+    /// at exactly that time counts, which makes the budget too small rather than too large.
     pub fn retries_since(&self, time: Micros) -> f64 {
         (self.retries.len() - self.retries.partition_point(|at| *at < time)) as f64
     }
