--- a/policy/tests/admission.rs
+++ b/policy/tests/admission.rs
@@ -39,11 +39,11 @@
     // The threshold is the deadline of 10 s minus the run of 1 s. A wait of 9 s takes 18 queued
     // queries. The probability of rejection rises gradually around it, hence the range.
     let (first, retry_after) = rejections[0];
-    assert!((12..=32).contains(&first), "first refused: {first}");
-    let held = (first - 3) as f64;
+    assert!((12..=32).contains(&first), "first rejected: {first}");
+    let queued = (first - 3) as f64;
     assert!(
-        (retry_after as f64 / 1e6 - held / 2.0).abs() < 0.6,
-        "retry after {retry_after} with {held} held"
+        (retry_after as f64 / 1e6 - queued / 2.0).abs() < 0.6,
+        "retry after {retry_after} with {queued} queued"
     );
     assert!(rejections.len() >= 25);
 }
@@ -96,7 +96,7 @@
     let (all, left) = (admitted(0), admitted(3));
     assert!(
         left * 3 < all * 2,
-        "admitted {all} with all, {left} with half of them"
+        "admitted {all} with all engines, {left} while half of them drain"
     );
 }
 
@@ -133,9 +133,12 @@
     let (all, left) = (admitted(0, 0), admitted(4, 0));
     assert!(
         left * 3 < all * 2,
-        "admitted {all} with all, {left} with four in lines"
+        "admitted {all} with all engines, {left} while four of them back off"
+    );
+    assert!(
+        admitted(4, 1_300 * MS) * 3 > all * 2,
+        "the engines should be used again"
     );
-    assert!(admitted(4, 1_300 * MS) * 3 > all * 2, "the lines are over");
 }
 
 /// An answer that the gateway handles late, after a stall, is not late if it arrived in time.
@@ -166,7 +169,7 @@
     let (came_in_time, came_late) = (admitted(500 * MS), admitted(3 * S));
     assert!(
         came_in_time > 2 * came_late,
-        "admitted {came_in_time}, {came_late} where the engine was late"
+        "admitted {came_in_time}, {came_late} if the engine was late"
     );
 }
 
@@ -194,6 +197,6 @@
         });
     assert!(
         after >= Some(400 * MS),
-        "one is held, which is soon worked off, but a run takes longer: {after:?}"
+        "retry-after should be about a run, although the one queued query waits less: {after:?}"
     );
 }
--- a/policy/tests/any_events.rs
+++ b/policy/tests/any_events.rs
@@ -26,7 +26,7 @@
         ..short_objective.clone()
     };
     let deduplicated = Class {
-        dedup_window: Some(WINDOW),
+        dedup_window: Some(DEDUP_WINDOW),
         ..with_idempotency(Idempotency::Deduplicated)
     };
     let mut config = settings(
@@ -131,11 +131,18 @@
     }
 
     fn end(&mut self, id: QueryId, outcome: Outcome) -> Result<(), String> {
-        let record = self.checker.queries.get_mut(&id).ok_or("unknown")?;
-        let engine = record.in_flight.take().ok_or("nothing out")?;
+        let record = self
+            .checker
+            .queries
+            .get_mut(&id)
+            .ok_or("the query is unknown")?;
+        let engine = record
+            .in_flight
+            .take()
+            .ok_or("the query has no attempt in flight")?;
         let ran = !matches!(outcome, Outcome::Overloaded | Outcome::ConnectionRefused);
         record.may_have_run |= ran;
-        record.first_risky_send = record.first_risky_send.or(ran.then_some(record.sent_at));
+        record.first_run_sent_at = record.first_run_sent_at.or(ran.then_some(record.sent_at));
         if outcome == Outcome::Completed && record.final_answers == 0 {
             record.final_answers = 1;
         }
@@ -159,8 +166,9 @@
         })
     }
 
-    /// Changes the state of an engine and sends it as a patch, as a snapshot like that after a gap,
-    /// or as a stale snapshot like that of a copy saved before a restart.
+    /// Changes the state of an engine and sends it in a patch, a snapshot or a stale snapshot. A
+    /// gateway gets a snapshot, for example, after it missed patches. It gets a stale snapshot if
+    /// the list comes from a copy that was saved before a restart.
     fn change_list(&mut self, selector: u64) -> Result<(), String> {
         let id = (selector % 4) as EngineId;
         if selector % 8 < 4 {
@@ -198,8 +206,8 @@
 /// Runs steps of (kind, selector, milliseconds since the previous step).
 fn play(steps: &[(u8, u64, u64)]) -> Result<(), String> {
     let mut checked = CheckedGateway::new();
-    let settle = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
-    for (number, &(kind, selector, wait)) in (0..).zip(steps.iter().chain(settle)) {
+    let final_steps = std::iter::repeat_n(&(9u8, 0u64, 100u64), 150);
+    for (number, &(kind, selector, wait)) in (0..).zip(steps.iter().chain(final_steps)) {
         checked.wait(wait)?;
         checked.run_step(Step {
             number,
@@ -254,7 +262,7 @@
 fn fails(mut checker: Checker, now: Micros, actions: &[Action]) -> String {
     checker
         .check_actions(now, actions)
-        .expect_err("a broken rule")
+        .expect_err("the checker should find a broken rule")
 }
 
 #[test]
@@ -273,11 +281,11 @@
     );
     assert_eq!(
         fails(checker_with_one_query(1), 0, &[send(0), REJECT]),
-        "refused what may have run"
+        "rejected a query that may have run"
     );
     assert!(
         checker_with_one_query(0).check_all_answered(2 * S).is_err(),
-        "lost"
+        "an unanswered query should be found"
     );
 }
 
@@ -285,26 +293,38 @@
 fn each_check_of_sends_can_fail() {
     assert_eq!(
         fails(checker_with_one_query(0), 0, &[send(0), send(2)]),
-        "two attempts out"
+        "two attempts in flight"
     );
     assert_eq!(
         fails(checker_with_one_query(2), 0, &[send(0)]),
         "sent outside its zone"
     );
     let mut checker = checker_with_one_query(3);
-    checker.queries.get_mut(&1).expect("there").first_risky_send = Some(0);
+    checker
+        .queries
+        .get_mut(&1)
+        .expect("the checker should know query 1")
+        .first_run_sent_at = Some(0);
     assert_eq!(
-        fails(checker, WINDOW, &[send(0)]),
-        "keyed and sent after its window"
+        fails(checker, DEDUP_WINDOW, &[send(0)]),
+        "sent after its deduplication window"
     );
     let mut checker = checker_with_one_query(0);
     checker.not_ready.insert(0);
     assert_eq!(fails(checker, 0, &[send(0)]), "sent to a draining engine");
     let mut checker = checker_with_one_query(1);
-    checker.queries.get_mut(&1).expect("there").may_have_run = true;
+    checker
+        .queries
+        .get_mut(&1)
+        .expect("the checker should know query 1")
+        .may_have_run = true;
     assert_eq!(fails(checker, 0, &[send(0)]), "at_most_once may run twice");
     let mut checker = checker_with_one_query(0);
-    checker.queries.get_mut(&1).expect("there").sends = 1;
+    checker
+        .queries
+        .get_mut(&1)
+        .expect("the checker should know query 1")
+        .sends = 1;
     checker.retries = vec![0, 0];
-    assert_eq!(fails(checker, 0, &[send(0)]), "over the budget");
+    assert_eq!(fails(checker, 0, &[send(0)]), "over the retry budget");
 }
--- a/policy/tests/capacity.rs
+++ b/policy/tests/capacity.rs
@@ -8,7 +8,7 @@
 /// A gateway with one engine and three classes: 0 is for bulk loads, 1 waits for bulk loads, 2 does
 /// neither.
 fn gateway() -> TestGateway {
-    let load = Class {
+    let bulk_load = Class {
         is_bulk_load: true,
         ..class(10 * S)
     };
@@ -16,7 +16,7 @@
         waits_for_bulk_loads: true,
         ..class(10 * S)
     };
-    let classes = vec![load, reader, class(10 * S)];
+    let classes = vec![bulk_load, reader, class(10 * S)];
     TestGateway::new(settings(classes, 8.0), vec![engine(0)])
 }
 
--- a/policy/tests/common/mod.rs
+++ b/policy/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Test support: a gateway with a manual clock, builders of events, and queries on actions.
+//! Test support: a gateway with a manual clock, builders of events, and functions that search
+//! actions.
 #![allow(
     dead_code,
     reason = "each test file that shares this module uses a part of it"
@@ -120,13 +121,13 @@
         outcome: Outcome,
         elapsed: Micros,
     ) -> Vec<Action> {
-        let settled = outcome == Outcome::Completed;
+        let is_answered = outcome == Outcome::Completed;
         let end = AttemptEnded {
             query,
             attempt,
             engine,
             outcome,
-            query_answered: settled,
+            query_answered: is_answered,
             elapsed,
             cost: None,
             load: Default::default(),
--- a/policy/tests/concurrency_limit.rs
+++ b/policy/tests/concurrency_limit.rs
@@ -51,7 +51,9 @@
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (first, target) = in_flight.pop_front().expect("one is always out");
+            let (first, target) = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
             let freed = gateway.end_attempt_after(first, 0, target, Outcome::Completed, elapsed);
             in_flight.extend(freed.iter().filter_map(|a| match a {
                 Action::Send { query, engine, .. } => Some((*query, *engine)),
@@ -63,7 +65,7 @@
     let grown = keep_full(&mut gateway, S, 200);
     assert!(grown > 10, "grown to {grown}");
     let shrunk = keep_full(&mut gateway, 5 * S, 2_000);
-    assert!(shrunk <= grown / 2, "back from {grown} to {shrunk}");
+    assert!(shrunk <= grown / 2, "shrunk from {grown} to {shrunk}");
 }
 
 /// NaN cannot arrive over the wire, but a caller of the library can pass it.
@@ -80,7 +82,9 @@
         } else {
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 10 * MS;
-            let first = in_flight.pop_front().expect("one is always out");
+            let first = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
             if id < 10 {
                 gateway.report_progress(first, 0, Progress::FractionDone(f64::NAN));
             }
@@ -89,18 +93,18 @@
     }
     assert!(
         in_flight.len() > 6,
-        "four threads at the base, {} held there",
+        "the fair share is four threads, {} attempts are in flight",
         in_flight.len()
     );
 }
 
 #[test]
-fn one_query_of_each_class_fits_beside_a_wide_one() {
-    let wide = Class {
+fn one_query_of_each_class_fits_beside_one_of_many_threads() {
+    let four_threads = Class {
         threads: Some(4.0),
         ..class(10 * S)
     };
-    let mut config = settings(vec![class(10 * S), wide], 8.0);
+    let mut config = settings(vec![class(10 * S), four_threads], 8.0);
     config.gateways = Some(11);
     let mut gateway = TestGateway::new(config, vec![engine(0)]);
     assert!(sent_to(
@@ -113,11 +117,11 @@
     .is_some());
     assert!(
         sent_to(&gateway.arrive(query(2, 100 * MS)), 2).is_some(),
-        "one query of each class fits"
+        "one query of each class should be sent"
     );
     assert!(
         sent_to(&gateway.arrive(query(3, 100 * MS)), 3).is_none(),
-        "the bound is full"
+        "the thread limit is reached"
     );
     assert!(sent_to(
         &gateway.arrive(NewQuery {
@@ -157,7 +161,9 @@
                 in_flight.push_back(id);
             }
             gateway.now += S;
-            let first = in_flight.pop_front().expect("one is always out");
+            let first = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
             gateway.end_attempt_after(first, 0, 0, Outcome::Completed, S);
             for id in in_flight.clone() {
                 gateway.report_progress(id, 0, Progress::FractionDone(0.9));
@@ -172,6 +178,6 @@
     );
     assert!(
         in_time > late,
-        "held there: {in_time} when in time, {late} when late"
+        "attempts in flight: {in_time} if answers are in time, {late} if they are late"
     );
 }
--- a/policy/tests/cordon.rs
+++ b/policy/tests/cordon.rs
@@ -56,8 +56,8 @@
     assert_eq!(sent_to(&gateway.arrive(query(20, 100 * MS)), 20), Some(0));
 }
 
-/// Guards against trials of an ejected engine, including those with a queued query, that ignore
-/// its cordon.
+/// Guards against a trial of an engine that is both ejected and cordoned. The query is queued
+/// after its first attempt, and must not be sent as a trial.
 #[test]
 fn no_trial_goes_to_a_cordoned_engine() {
     let mut gateway = TestGateway::new(settings(vec![class(10 * S)], 8.0), vec![engine(0)]);
@@ -67,16 +67,16 @@
     assert_eq!(
         counts(&gateway),
         (1, 1),
-        "called out and ejected counts once"
+        "an engine that is cordoned and ejected should be counted once"
     );
     for step in 1..40 {
         assert!(sent_to(&gateway.advance_to(S + step * 200 * MS), 1).is_none());
     }
 }
 
-/// This holds even if the list reports no new start time and the last health check failed. The
-/// next query goes to the engine, although others have more free threads. After its first answer it
-/// is chosen like any other engine.
+/// An uncordoned engine warms up and is tried at once, even if the list reports no new start time
+/// and the last health check failed. The next query goes to the engine, although others have more
+/// free threads. After its first answer it is chosen like any other engine.
 #[test]
 fn an_uncordoned_engine_warms_up_and_is_tried_at_once() {
     let mut config = settings(vec![class(10 * S)], 8.0);
@@ -98,13 +98,13 @@
     assert_ne!(
         sent_to(&gateway.arrive(query(3, 100 * MS)), 3),
         Some(0),
-        "one at a time until it has answered"
+        "the engine gets one query at a time until it has answered"
     );
     gateway.end_attempt(2, 0, 0, Outcome::Completed);
     assert_ne!(
         sent_to(&gateway.arrive(query(4, 100 * MS)), 4),
         Some(0),
-        "it is the least free"
+        "the engine that warms up has the fewest free threads"
     );
     // With all other engines cordoned, the warming engine gets no more than its share per window.
     (1..=2).for_each(|target| set_cordon(&mut gateway, target, true));
--- a/policy/tests/deadline.rs
+++ b/policy/tests/deadline.rs
@@ -18,13 +18,13 @@
 }
 
 fn deduplicated() -> Settings {
-    let load = Class {
+    let deduplicated_class = Class {
         idempotency: Idempotency::Deduplicated,
         dedup_group: DedupGroup::All,
         dedup_window: Some(15 * S),
         ..class(25 * S)
     };
-    settings(vec![load], 8.0)
+    settings(vec![deduplicated_class], 8.0)
 }
 
 #[test]
@@ -33,8 +33,10 @@
     for id in 1..=2 {
         gateway.arrive(query(id, 9 * S));
     }
-    // Query 3 is queued. Its expected run would have it given up early, but becomes shorter before
-    // that time. It must be answered by its deadline nevertheless.
+    // Query 3 is queued and must be answered by its deadline, also if its expected run becomes
+    // shorter before it is given up. A queued query is given up before its deadline by its expected
+    // run or by half its client timeout, whichever is shorter. Here half the timeout is shorter.
+    // No attempt ends, so the expected run stays 4 s and does not shrink in this test.
     gateway.arrive(NewQuery {
         client_timeout: 2 * S + 3 * MS,
         ..query(3, 4 * S)
@@ -52,7 +54,7 @@
             answered.get_or_insert(gateway.now);
         }
     }
-    assert!(answered.expect("answered") <= S + 2 * S + 3 * MS);
+    assert!(answered.expect("query 3 should be answered") <= S + 2 * S + 3 * MS);
 }
 
 /// The objective counts from the client's first request. Once there is a free thread for every
@@ -73,15 +75,15 @@
     assert_eq!(out, [1, 2]);
     assert!(
         is_rejected(&gateway.arrive(client_retry(10, 7 * S)), 10),
-        "its aim passed a second ago"
+        "its objective passed a second ago"
     );
     assert!(
         !is_rejected(&gateway.arrive(client_retry(11, 9 * S)), 11),
-        "it has a second left"
+        "its objective is a second away"
     );
     assert!(
         !is_rejected(&gateway.arrive(query(12, 100 * MS)), 12),
-        "a first try has all its time"
+        "the objective of a query that is no client retry starts now"
     );
     // Once no query waits and threads are free, a late retry is served at once.
     gateway.handle(Event::ClientDisconnected { query: 3 });
@@ -108,21 +110,21 @@
         let actions = gateway.report_progress(1, 0, Progress::FractionDone(fraction));
         assert!(
             is_cancelled(&actions, 1) || !is_rejected(&actions, 1),
-            "what is answered is withdrawn"
+            "the attempt of a rejected query should be cancelled"
         );
         is_rejected(&actions, 1)
     };
     assert!(
         given_up_after_half_its_objective(true, 0.1),
-        "ten seconds in all, the aim is two: the room is wanted"
+        "the run would take 10 s, the objective is 2 s, and other queries are queued"
     );
     assert!(
         !given_up_after_half_its_objective(true, 0.6),
-        "it will be in time"
+        "the answer will be in time"
     );
     assert!(
         !given_up_after_half_its_objective(false, 0.1),
-        "nobody else wants the room"
+        "no other query is queued"
     );
 }
 
@@ -143,8 +145,14 @@
         }
         at < 4 * S
     };
-    assert!(given_up_at_objective(true), "others want its room");
-    assert!(!given_up_at_objective(false), "alone it may wait");
+    assert!(
+        given_up_at_objective(true),
+        "other queries are queued, so the query should be given up"
+    );
+    assert!(
+        !given_up_at_objective(false),
+        "no other query is queued, so the query may wait"
+    );
 }
 
 /// After the window no engine would discard a duplicate, and the query may have run, so it cannot
@@ -159,7 +167,7 @@
         }),
         1,
     )
-    .expect("there is room");
+    .expect("query was not sent");
     gateway.patch_list(Engine {
         state: EngineState::Draining,
         ..engine(0)
@@ -174,11 +182,11 @@
     );
     let answered = (2..260)
         .find(|step| is_rejected(&gateway.advance_to(S + step * 100 * MS), 1))
-        .expect("answered")
+        .expect("the query should be answered")
         * 100
         * MS;
     assert!(
         (14 * S..=15_200 * MS).contains(&answered),
-        "answered after {answered}"
+        "the query was answered after {answered} us"
     );
 }
--- a/policy/tests/ejection_by_many_gateways.rs
+++ b/policy/tests/ejection_by_many_gateways.rs
@@ -144,12 +144,13 @@
     let totals = simulate(16, &four_engines_fail);
     let failing = |e| e < FAILING_ENGINES;
     let later = totals.count(5..12, failing, false);
-    // 251 errors before the change that this test came with, 106 after it. Each gateway sends about
-    // one trial to these engines in the 7 s.
+    // There are 106 errors, since each gateway sends about one trial to these engines in the 7 s.
+    // There were 251 before gateways with a small share of an engine ejected it at their first own
+    // error and rationed its trials.
     assert!(later <= 3 * GATEWAYS / 2, "{later} errors in 7 s");
     assert!(
         totals.rejected * 1000 <= totals.arrived,
-        "{} of {} refused",
+        "{} of {} queries were rejected",
         totals.rejected,
         totals.arrived
     );
@@ -160,5 +161,8 @@
     let totals = simulate(40, &four_engines_fail);
     let usual = totals.count(0..2, |e| e < FAILING_ENGINES, true);
     let after = totals.count(36..38, |e| e < FAILING_ENGINES, true);
-    assert!(2 * after >= usual, "{after} of {usual} in 2 s, 24 s after");
+    assert!(
+        2 * after >= usual,
+        "{after} completed in 2 s, 24 s after the fault ended; {usual} in 2 s before it began"
+    );
 }
--- a/policy/tests/fleet_size.rs
+++ b/policy/tests/fleet_size.rs
@@ -28,13 +28,13 @@
     let share = count_sent(&mut gateway, 1);
     assert_eq!(
         share, 8,
-        "2 engines of 8 cores, 2 threads a core, a quarter of them"
+        "a quarter of 2 engines with 8 cores each and 2 threads for each core"
     );
     gateway.handle(Event::FleetSize { gateways: 2 });
     assert_eq!(
         count_sent(&mut gateway, 1_000),
         7,
-        "twice as much, less the one that waits already"
+        "the share is now 16 threads: 8 queries were sent, 1 was queued, so 7 more are sent"
     );
     gateway.handle(Event::FleetSize { gateways: 8 });
     gateway.handle(Event::ClientDisconnected { query: 1 });
@@ -44,7 +44,7 @@
     assert_eq!(
         count_sent(&mut fresh, 1),
         32,
-        "none at all counts as this one alone"
+        "a fleet of 0 gateways counts as 1"
     );
 }
 
@@ -91,18 +91,22 @@
                     gateway.end_attempt_after(*id, 0, 0, Outcome::Completed, 300 * MS);
                 }
             }
-            let span: u64 = sends
+            let work: u64 = sends
                 .iter()
                 .filter(|(at, _)| at + S > now)
                 .map(|(_, w)| w)
                 .sum();
             let age = (step * 10) as f64 / 15_000.0;
-            let bears = 2.5 * 8.0 * (0.3 + 0.7 * age) * S as f64;
+            let max_work = 2.5 * 8.0 * (0.3 + 0.7 * age) * S as f64;
             assert!(
-                (span as f64) <= bears,
-                "{first}, {second}: {span} of {bears} at step {step}"
+                (work as f64) <= max_work,
+                "{first}, then {second} gateways: {work} us of work, at most {max_work}, at step {step}"
             );
         }
-        assert!(sends.len() > 10, "it gets something: {}", sends.len());
+        assert!(
+            sends.len() > 10,
+            "the engine got only {} queries",
+            sends.len()
+        );
     }
 }
--- a/policy/tests/hard_rules.rs
+++ b/policy/tests/hard_rules.rs
@@ -57,7 +57,7 @@
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1)],
     );
-    let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+    let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("query was not sent");
     let actions = gateway.handle(Event::ClientDisconnected { query: 1 });
     assert!(is_cancelled(&actions, 1) && !is_rejected(&actions, 1) && !is_failed(&actions, 1));
     assert_eq!(
@@ -82,7 +82,7 @@
             settings(vec![with_idempotency(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("query was not sent");
         let again = sent_to(&gateway.end_attempt(1, 0, target, outcome), 1);
         assert_eq!(again, Some(1 - target), "{outcome:?}");
     }
@@ -91,7 +91,7 @@
             settings(vec![with_idempotency(Idempotency::AtMostOnce)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        let target = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("query was not sent");
         let actions = gateway.end_attempt(1, 0, target, outcome);
         assert_eq!(sent_to(&actions, 1), None, "{outcome:?}");
         assert!(
@@ -126,7 +126,7 @@
         );
         assert!(
             !is_rejected(&actions, 1),
-            "a refusal would promise that a retry is harmless"
+            "a rejection would promise that a retry is harmless"
         );
     }
 }
@@ -160,7 +160,7 @@
     assert_eq!(
         sent_to(&gateway.arrive(query(9, 100 * MS)), 9),
         Some(0),
-        "it came back, the other vanished"
+        "engine 0 is ready again and engine 1 is removed"
     );
 }
 
@@ -193,7 +193,7 @@
     assert_eq!(
         sent_to(&gateway.arrive(query(200, 2 * S)), 200),
         Some(0),
-        "warm again"
+        "the engine has warmed up"
     );
 }
 
@@ -212,15 +212,17 @@
         ordering_key: Some(key),
         ..query(id, 100 * MS)
     };
-    let target = sent_to(&gateway.arrive(with_key(1, 5)), 1).expect("first in turn");
+    let target = sent_to(&gateway.arrive(with_key(1, 5)), 1)
+        .expect("the first query of the key should be sent at once");
     assert_eq!(sent_to(&gateway.arrive(with_key(2, 5)), 2), None);
     assert!(
         sent_to(&gateway.arrive(with_key(3, 6)), 3).is_some(),
         "another key is free"
     );
     assert!(sent_to(&gateway.end_attempt(1, 0, target, Outcome::Completed), 2).is_some());
-    // The second query of the key is cancelled after its client disconnects. The key is held
-    // before the third one is sent.
+    // Query 2 is cancelled after its client disconnects, so its key is held for 2 s. Query 4 has
+    // the same key and is sent after that. The end of query 2 is reported for both engines, since
+    // the test does not know its engine; the gateway ignores the second report.
     gateway.arrive(with_key(4, 5));
     gateway.now += S;
     gateway.handle(Event::ClientDisconnected { query: 2 });
@@ -277,7 +279,8 @@
     let mut gateway = TestGateway::new(config, (0..40).map(engine).collect());
     let mut targets = Vec::new();
     for id in 1..=10 {
-        targets.push(sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"));
+        targets
+            .push(sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("query was not sent"));
     }
     let mut retries = 0;
     for (i, target) in targets.iter().enumerate() {
@@ -287,5 +290,5 @@
             .filter(|a| matches!(a, Action::Send { .. }))
             .count();
     }
-    assert_eq!(retries, 2, "one free and a tenth of ten");
+    assert_eq!(retries, 2, "1 retry plus a tenth of 10 arrivals");
 }
--- a/policy/tests/home_engines.rs
+++ b/policy/tests/home_engines.rs
@@ -1,6 +1,6 @@
-//! Tests of home engines. A gateway whose share of each engine is small sends to a few of them, so
-//! that it reuses its connections and has enough statistics on each. All gateways together spread
-//! evenly.
+//! Tests of the subset of engines that a gateway sends to if its share of each engine is small.
+//! With few engines it reuses its connections and has enough statistics on each. The subsets of
+//! all gateways together spread evenly.
 
 mod common;
 
@@ -47,14 +47,14 @@
         let used: BTreeSet<_> = targets.iter().collect();
         assert!(
             targets.len() == 150 && (3..=20).contains(&used.len()),
-            "seed {seed}: {} engines",
+            "seed {seed}: {} engines were used",
             used.len()
         );
     }
 }
 
 #[test]
-fn the_homes_of_all_gateways_spread_evenly() {
+fn the_subsets_of_all_gateways_spread_evenly() {
     let mut load: BTreeMap<EngineId, u32> = (0..ENGINES).map(|target| (target, 0)).collect();
     for gateway in 0..u64::from(GATEWAYS) {
         let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), gateway * 7919 + 3);
@@ -72,21 +72,21 @@
 }
 
 #[test]
-fn other_engines_serve_while_homes_are_busy_or_gone() {
+fn other_engines_serve_while_the_subset_is_busy_or_gone() {
     let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), 11);
-    let homes: BTreeSet<_> = send_sequentially(&mut gateway, 1, 150)
+    let subset: BTreeSet<_> = send_sequentially(&mut gateway, 1, 150)
         .into_iter()
         .collect();
-    // All homes are removed at once. The next queries go to other engines.
-    for target in &homes {
+    // All engines of the subset are removed at once. The next queries go to other engines.
+    for target in &subset {
         gateway.patch_list(Engine {
             state: EngineState::Removed,
             ..engine(*target)
         });
     }
     let after = send_sequentially(&mut gateway, 1_000, 60);
-    assert!(after.len() == 60 && after.iter().all(|target| !homes.contains(target)));
-    // More concurrent queries than the gateway has homes.
+    assert!(after.len() == 60 && after.iter().all(|target| !subset.contains(target)));
+    // Send more concurrent queries than the subset has engines.
     let mut gateway = TestGateway::seeded(
         Settings {
             gateways: Some(20),
@@ -101,14 +101,14 @@
     let used: BTreeSet<_> = out.iter().collect();
     assert!(
         out.len() >= 30 && used.len() >= 30,
-        "{} sent to {} engines",
+        "{} queries were sent to {} engines",
         out.len(),
         used.len()
     );
 }
 
 #[test]
-fn engines_that_come_and_go_move_few_homes() {
+fn engines_that_come_and_go_change_little_of_a_subset() {
     let mut gateway = TestGateway::seeded(fleet_settings(), all_engines(), 5);
     let before: BTreeSet<_> = send_sequentially(&mut gateway, 1, 150)
         .into_iter()
@@ -120,7 +120,7 @@
     let stayed = before.intersection(&after).count();
     assert!(
         stayed + 2 >= before.len().min(after.len()),
-        "{stayed} of {} stayed",
+        "{stayed} of {} engines are still in the subset",
         before.len()
     );
 }
--- a/policy/tests/load_reports.rs
+++ b/policy/tests/load_reports.rs
@@ -11,19 +11,19 @@
 /// Returns the mean number of threads that one gateway of many uses over 60 s. Queries of four
 /// threads are always queued and each takes 2 s. `busy` is the disk utilisation in load reports.
 fn mean_threads(busy: f64) -> f64 {
-    let wide = Class {
+    let four_threads = Class {
         threads: Some(4.0),
         ..class(10 * S)
     };
     let mut config = Settings {
         gateways: Some(160),
         reports_utilisation: true,
-        ..settings(vec![wide], 8.0)
+        ..settings(vec![four_threads], 8.0)
     };
     config.progress_period = None;
     let mut gateway = TestGateway::new(config, (0..20).map(engine).collect());
     let mut in_flight = VecDeque::new();
-    let (mut id, mut held) = (0, 0.0);
+    let (mut id, mut mean_threads_in_use) = (0, 0.0);
     for step in 0..600 {
         gateway.now = S + step * 100 * MS;
         id += 1;
@@ -32,7 +32,9 @@
             .front()
             .is_some_and(|(_, _, at)| gateway.now >= at + 2 * S)
         {
-            let (query, engine, _) = in_flight.pop_front().expect("one is out");
+            let (query, engine, _) = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
             let mut more = Vec::new();
             let end = AttemptEnded {
                 query,
@@ -60,9 +62,9 @@
             Action::Send { query, engine, .. } => Some((*query, *engine, gateway.now)),
             _ => None,
         }));
-        held += 4.0 * in_flight.len() as f64 / 600.0;
+        mean_threads_in_use += 4.0 * in_flight.len() as f64 / 600.0;
     }
-    held
+    mean_threads_in_use
 }
 
 /// One query of each class may be sent even if it exceeds the gateway's share. Guards against doing
@@ -70,12 +72,12 @@
 #[test]
 fn threads_stay_within_the_fair_share_on_average_while_disks_are_busy() {
     // 2 x 8 cores x 20 engines / 160 gateways: this gateway's fair share is two threads.
-    let (jammed, idle) = (mean_threads(0.95), mean_threads(0.3));
+    let (while_busy, idle) = (mean_threads(0.95), mean_threads(0.3));
     assert!(
-        (0.5..=2.6).contains(&jammed),
-        "{jammed} threads while disks are busy"
+        (0.5..=2.6).contains(&while_busy),
+        "{while_busy} threads while disks are busy"
     );
-    assert!(idle > 3.5, "{idle} threads while they are idle");
+    assert!(idle > 3.5, "{idle} threads while disks are idle");
 }
 
 /// Guards against a report with a counter in place of a fraction, NaN or a negative number that
@@ -110,19 +112,25 @@
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = in_flight.pop_front().expect("one is out");
+            let (query, engine) = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
             gateway.end_attempt_after(query, 0, engine, Outcome::Completed, S);
         }
         in_flight.len()
     };
     for first in [1e12, f64::NAN, -1.0] {
-        assert!(grown(first) > 8, "{} after {first}", grown(first));
+        assert!(
+            grown(first) > 8,
+            "{} in flight after a first report of {first}",
+            grown(first)
+        );
     }
 }
 
 #[test]
 fn the_limit_of_a_busy_gateway_grows_while_reports_say_idle() {
-    let held = |busy: f64| {
+    let in_flight_with = |busy: f64| {
         let mut config = Settings {
             gateways: Some(160),
             reports_utilisation: true,
@@ -141,8 +149,10 @@
             }
             gateway.handle(Event::ClientDisconnected { query: id });
             gateway.now += 50 * MS;
-            let (query, engine) = in_flight.pop_front().expect("one is out");
-            // Spilling slows the query to 0.6 of its unloaded speed.
+            let (query, engine) = in_flight
+                .pop_front()
+                .expect("at least one attempt should be in flight");
+            // Each query takes 1.65 s for 1 s of work, as if it spilled: 0.6 of its unloaded speed.
             let end = AttemptEnded {
                 query,
                 attempt: 0,
@@ -163,9 +173,9 @@
         }
         in_flight.len()
     };
-    let (idle, busy) = (held(0.3), held(0.9));
+    let (idle, busy) = (in_flight_with(0.3), in_flight_with(0.9));
     assert!(
         idle > 8 && busy <= 2,
-        "{idle} out while reports say idle, {busy} while they say busy"
+        "{idle} in flight while reports say idle, {busy} while they say busy"
     );
 }
--- a/policy/tests/many_engines.rs
+++ b/policy/tests/many_engines.rs
@@ -72,13 +72,13 @@
     let used: BTreeSet<_> = targets.iter().collect();
     assert!(
         targets.len() == 300 && used.len() <= 30,
-        "{} engines met in {} queries",
+        "{} engines were used for {} queries",
         used.len(),
         targets.len()
     );
     assert!(
         targets.iter().all(|target| target % ZONES == 3),
-        "all in its own zone"
+        "all queries should go to engines in its own zone"
     );
 }
 
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn usable_engines_are_found_among_hundreds_of_cordoned_ones() {
+fn the_only_usable_engine_is_found_among_thousands_of_cordoned_ones() {
     let mut gateway = gateway_with_all_engines(vec![class(10 * S)], 4);
     let is_usable = |target: &EngineId| *target == 1_234;
     for target in (0..ENGINES).filter(|target| !is_usable(target)) {
@@ -127,7 +127,7 @@
     let targets = send_sequentially(&mut gateway, 1, 20, 100 * MS, |id| query(id, 10 * MS));
     assert!(
         targets.len() == 20 && targets.iter().all(is_usable),
-        "{} of 20 sent",
+        "{} of 20 queries were sent",
         targets.len()
     );
 }
@@ -145,12 +145,12 @@
     });
     assert!(
         targets.len() == 50 && targets.iter().all(|target| target % ZONES == 7),
-        "{} of 50 sent",
+        "{} of 50 queries were sent",
         targets.len()
     );
 }
 
-/// Sends queries from each gateway to its homes among 1,200 engines. Returns the connections as
+/// Sends queries from each gateway to its subset of 1,200 engines. Returns the connections as
 /// pairs of gateway and engine, and the maximum and the mean number of queries to an engine.
 fn measure_spread(gateways: impl Iterator<Item = u64>) -> (BTreeSet<(u64, EngineId)>, f64, f64) {
     let mut load: BTreeMap<EngineId, u32> = (0..1_200).map(|target| (target, 0)).collect();
@@ -170,7 +170,7 @@
         };
         let mut gateway =
             TestGateway::seeded(config, (0..1_200).map(engine).collect(), number * 7919 + 3);
-        // The first 500 queries let the number of homes grow to what the rate needs.
+        // The first 500 queries let the subset grow to the size that the rate needs.
         send_sequentially(&mut gateway, 1, 500, MS / 2, |id| query(id, MS));
         for target in send_sequentially(&mut gateway, 2_000, 500, MS / 2, |id| query(id, MS)) {
             *load.entry(target).or_default() += 1;
@@ -188,7 +188,7 @@
 /// The ratio of gateways to engines is that of a fleet of ten times the size. When a tenth of the
 /// gateways is replaced, only their connections move.
 #[test]
-fn homes_spread_evenly_over_many_engines() {
+fn subsets_spread_evenly_over_many_engines() {
     let (before, most, mean) = measure_spread(0..760);
     assert!(
         most < 1.5 * mean,
@@ -202,7 +202,7 @@
     let kept = before.intersection(&after).count() as f64;
     assert!(
         kept >= 0.85 * before.len() as f64,
-        "{kept} of {} connections stay",
+        "{kept} of {} connections were kept",
         before.len()
     );
 }
--- a/policy/tests/memory_grant.rs
+++ b/policy/tests/memory_grant.rs
@@ -59,7 +59,7 @@
         request(&mut gateway, id, if id % 2 == 0 { 30.0 } else { 300.0 });
     }
     for (id, estimate) in [(301, 30.0), (302, 300.0)] {
-        let granted = request(&mut gateway, id, estimate).expect("a grant");
+        let granted = request(&mut gateway, id, estimate).expect("the query should get a grant");
         assert!(
             (90.0..130.0).contains(&granted),
             "granted {granted} on an estimate of {estimate}"
@@ -76,8 +76,8 @@
             ..query(id, 50 * MS)
         });
         let (granted, target) = (
-            grant(&actions, id).expect("a grant"),
-            sent_to(&actions, id).expect("room"),
+            grant(&actions, id).expect("the query should get a grant"),
+            sent_to(&actions, id).expect("query was not sent"),
         );
         let moves = granted < need
             && is_cancelled(
@@ -91,19 +91,26 @@
     };
     let (first, again) = request(&mut gateway, 1, 250.0);
     assert_eq!(first, 125.0);
-    assert_eq!(again, Some(250.0), "sent again with what it lacked");
+    assert_eq!(
+        again,
+        Some(250.0),
+        "sent again with the memory that it needs"
+    );
     for id in 2..30 {
         request(&mut gateway, id, 250.0);
     }
     let (later, _) = request(&mut gateway, 30, 250.0);
-    assert!(later > 200.0, "still granted {later}");
+    assert!(
+        later > 200.0,
+        "the grant is only {later} MB after 29 queries that need 250 MB"
+    );
     // Grants shrink again while queries complete without spilling.
     for id in 100..200 {
         let actions = gateway.arrive(NewQuery {
             estimated_memory_mb: Some(100.0),
             ..query(id, 50 * MS)
         });
-        let target = sent_to(&actions, id).expect("room");
+        let target = sent_to(&actions, id).expect("query was not sent");
         gateway.end_attempt_after(id, 0, target, Outcome::Completed, 50 * MS);
     }
     assert!(request(&mut gateway, 300, 50.0).0 < 125.0);
--- a/policy/tests/missing_settings.rs
+++ b/policy/tests/missing_settings.rs
@@ -23,12 +23,12 @@
     type Omission = fn(&mut Settings);
     let omissions: [(&str, Omission); 8] = [
         ("gateways", |config| config.gateways = None),
-        ("notes", |config| config.progress_period = None),
+        ("progress period", |config| config.progress_period = None),
         ("cancel", |config| config.can_cancel = false),
         ("retry-after", |config| config.max_retry_after = None),
         ("attempts", |config| config.max_attempts = None),
         ("cores", |config| config.engine_kinds.clear()),
-        ("aim and deadline", |config| {
+        ("objective and deadline", |config| {
             (
                 config.classes[0].latency_objective,
                 config.classes[0].deadline,
@@ -36,7 +36,7 @@
         }),
         ("classes", |config| config.classes.clear()),
     ];
-    for (lack, omit) in omissions {
+    for (setting, omit) in omissions {
         for estimates in [true, false] {
             let mut config = settings(vec![zero_late_weight()], 1.0);
             omit(&mut config);
@@ -53,7 +53,11 @@
                 .filter_map(|(id, a)| Some((*id, sent_to(a, *id)?)))
                 .collect();
             let mut ended = first.iter().filter(|(id, a)| is_rejected(a, *id)).count();
-            assert!(out.len() >= 2, "without {lack}: {} sent", out.len());
+            assert!(
+                out.len() >= 2,
+                "without {setting}: {} queries were sent",
+                out.len()
+            );
             // One attempt completes every 50 ms. Queued queries take the free threads or are given
             // up in time.
             for _ in 0..400 {
@@ -68,10 +72,10 @@
                     ended += usize::from(is_rejected(&actions, id));
                 });
             }
-            assert_eq!(ended, 40, "without {lack}, estimates: {estimates}");
+            assert_eq!(ended, 40, "without {setting}, estimates: {estimates}");
             assert!(
                 sent_to(&gateway.arrive(request(100)), 100).is_some(),
-                "without {lack} room does not come back"
+                "without {setting}, a query is not sent after all others ended"
             );
         }
     }
--- a/policy/tests/outlier_detection.rs
+++ b/policy/tests/outlier_detection.rs
@@ -11,7 +11,7 @@
 /// A deployment without progress reports. Its only class is for queries of 2 s of work on two
 /// threads, with a latency objective of 1.5 s plus 2.5 times the run.
 fn without_progress_reports() -> Settings {
-    let report = Class {
+    let two_thread_class = Class {
         latency_objective: Some(1_500 * MS),
         objective_stretch: Some(2.5),
         threads: Some(2.0),
@@ -20,37 +20,37 @@
     };
     Settings {
         progress_period: None,
-        ..settings(vec![report], 8.0)
+        ..settings(vec![two_thread_class], 8.0)
     }
 }
 
-fn report(id: u64) -> NewQuery {
+fn two_thread_query(id: u64) -> NewQuery {
     NewQuery {
         client_timeout: 25 * S,
         ..query(id, 2 * S)
     }
 }
 
-/// Engines report only once that a query waits for memory. Guards against ejecting the engine
-/// because it sends no progress afterwards.
+/// An engine sends a single report when a query waits for memory, and no progress while it waits.
+/// Guards against ejecting the engine because it sends no progress afterwards.
 #[test]
 fn silence_of_a_query_that_waits_for_memory_ejects_no_engine() {
     let mut config = settings(vec![class(10 * S)], 8.0);
     config.max_attempts = Some(1);
     let mut gateway = TestGateway::new(config, (0..4).map(engine).collect());
-    let waiting_engine = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    let waiting_engine = sent_to(&gateway.arrive(query(1, S)), 1).expect("query was not sent");
     gateway.report_progress(1, 0, Progress::WaitingForMemory);
     for step in 1..=30 {
         let actions = gateway.advance_to(S + step * 100 * MS);
         assert!(
             !is_cancelled(&actions, 1),
-            "its only attempt still stands in line"
+            "the attempt is queued at the engine and should not be cancelled"
         );
     }
     let used = (2..20).filter_map(|id| sent_to(&gateway.arrive(query(id, 10 * MS)), id));
     assert!(
         used.filter(|target| *target == waiting_engine).count() > 1,
-        "the line is over and the engine still trusted"
+        "the engine should not be ejected"
     );
 }
 
@@ -64,8 +64,8 @@
             (0..6).map(engine).collect(),
         );
         for id in 1..=30 {
-            let target =
-                sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("somebody serves");
+            let target = sent_to(&gateway.arrive(query(id, 100 * MS)), id)
+                .expect("an engine should serve the query");
             gateway.now += 10 * MS;
             let outcome = if target < failing_engines {
                 Outcome::ConnectionLost
@@ -80,11 +80,11 @@
     };
     assert!(
         !engines_used_with(1).contains(&0),
-        "a single bad engine rests"
+        "a single failing engine should stay ejected"
     );
     assert!(
         engines_used_with(5).len() >= 4,
-        "with most of them bad the cause is shared"
+        "ejection should be ignored if most engines fail"
     );
 }
 
@@ -95,14 +95,14 @@
         vec![engine(0), engine(1), engine(2)],
     );
     for id in 1..=30 {
-        let first = sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room");
+        let first = sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("query was not sent");
         let second = sent_to(&gateway.end_attempt(id, 0, first, Outcome::Error), id)
-            .expect("it may be the engine");
+            .expect("the query should be retried on another engine");
         assert!(first != second);
         let actions = gateway.end_attempt(id, 1, second, Outcome::Error);
         assert!(
             is_rejected(&actions, id) && sent_to(&actions, id).is_none(),
-            "it is the query"
+            "the query should be rejected after its second error"
         );
         gateway.now += 10 * MS;
     }
@@ -118,22 +118,25 @@
         settings(vec![class(10 * S)], 8.0),
         vec![engine(0), engine(1), engine(2)],
     );
-    let mut erred = 0;
+    let mut errors = 0;
     for id in 1..=60 {
         let Some(first) = sent_to(&gateway.arrive(query(id, 100 * MS)), id) else {
             continue;
         };
         gateway.now += 10 * MS;
         if first == 0 {
-            erred += 1;
+            errors += 1;
             let second = sent_to(&gateway.end_attempt(id, 0, first, Outcome::Error), id)
-                .expect("goes elsewhere");
+                .expect("the query should be retried on another engine");
             gateway.end_attempt(id, 1, second, Outcome::Completed);
         } else {
             gateway.end_attempt(id, 0, first, Outcome::Completed);
         }
     }
-    assert!((2..=8).contains(&erred), "it erred {erred} times");
+    assert!(
+        (2..=8).contains(&errors),
+        "engine 0 answered {errors} queries with an error"
+    );
 }
 
 /// Guards against ejecting an engine for all classes when it loses the queries of one of them.
@@ -149,7 +152,7 @@
             class: class_index,
             ..query(id, 100 * MS)
         });
-        let engine = sent_to(&actions, id).expect("there is room");
+        let engine = sent_to(&actions, id).expect("query was not sent");
         gateway.now += 50 * MS;
         if class_index == 0 && engine < 2 {
             lost += 1;
@@ -164,7 +167,7 @@
                     }),
                     other,
                 );
-                (other, at.expect("there is room"))
+                (other, at.expect("query was not sent"))
             };
             let out: Vec<_> = others.map(request).collect();
             assert!(out.iter().any(|(_, at)| *at == engine));
@@ -176,21 +179,29 @@
             let next = sent_to(&gateway.end_attempt(id, 0, engine, Outcome::Cancelled), id);
             assert!(
                 is_cancelled(&actions, id) && next.is_some_and(|target| target != engine),
-                "it moves on"
+                "the query should be sent to another engine"
             );
             gateway.handle(Event::ClientDisconnected { query: id });
-            gateway.end_attempt(id, 1, next.expect("it was sent"), Outcome::Cancelled);
+            gateway.end_attempt(
+                id,
+                1,
+                next.expect("the query should be sent again"),
+                Outcome::Cancelled,
+            );
         } else {
             others += u32::from(class_index == 1 && engine < 2);
             gateway.end_attempt(id, 0, engine, Outcome::Completed);
         }
     }
-    assert!(lost < 25, "{lost} were lost");
-    assert!(others > 25, "only {others} of the other class went there");
+    assert!(lost < 25, "{lost} queries of class 0 were lost");
+    assert!(
+        others > 25,
+        "only {others} queries of class 1 were sent to engines 0 and 1"
+    );
 }
 
-/// A lost connection alone does not show that an engine is gone: it would then also refuse the
-/// next connection.
+/// One lost connection does not show that an engine is down. An engine that is down also refuses
+/// the next connection.
 #[test]
 fn one_lost_connection_ejects_no_engine() {
     let sent_to_first = |outcome| {
@@ -198,7 +209,7 @@
             settings(vec![class(10 * S)], 8.0),
             vec![engine(0), engine(1)],
         );
-        let first = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("there is room");
+        let first = sent_to(&gateway.arrive(query(1, 100 * MS)), 1).expect("query was not sent");
         gateway.end_attempt(1, 0, first, outcome);
         (2..=9)
             .filter_map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id))
@@ -210,7 +221,8 @@
 }
 
 /// A fault may end at any time, and the engine's capacity is unused until the next trial. Guards
-/// against intervals that grow without limit.
+/// against intervals that grow without limit. The interval doubles once, from one control period
+/// of 1 s to two. The check allows 3 s.
 #[test]
 fn an_ejected_engine_is_tried_at_least_every_two_periods() {
     let mut gateway = TestGateway::new(
@@ -253,7 +265,7 @@
     let mut id = 0;
     let mut request = |gateway: &mut TestGateway, answered: bool| {
         id += 1;
-        let target = sent_to(&gateway.arrive(report(id)), id)?;
+        let target = sent_to(&gateway.arrive(two_thread_query(id)), id)?;
         let step = if answered { S } else { 8 * S };
         gateway.advance_to(gateway.now + step);
         let outcome = if answered {
@@ -271,11 +283,12 @@
     }
     let mut sends = [0; 8];
     for id in 1_000..1_030 {
-        sends[sent_to(&gateway.arrive(report(id)), id).expect("there is room") as usize] += 1;
+        sends[sent_to(&gateway.arrive(two_thread_query(id)), id).expect("query was not sent")
+            as usize] += 1;
     }
-    let trusted = sends.iter().filter(|n| **n > 1).count();
+    let in_use = sends.iter().filter(|n| **n > 1).count();
     assert!(
-        trusted >= 7,
-        "more than a trial at only {trusted} of 8: {sends:?}"
+        in_use >= 7,
+        "only {in_use} of 8 engines got more than one query: {sends:?}"
     );
 }
--- a/policy/tests/placement.rs
+++ b/policy/tests/placement.rs
@@ -20,7 +20,7 @@
         vec![engine(0), engine(1), engine(2)],
     );
     let mut at: Vec<_> = (1..=3)
-        .map(|id| sent_to(&gateway.arrive(query(id, S)), id).expect("there is room"))
+        .map(|id| sent_to(&gateway.arrive(query(id, S)), id).expect("query was not sent"))
         .collect();
     at.sort_unstable();
     assert_eq!(at, [0, 1, 2]);
@@ -50,7 +50,7 @@
         assert!(sent_to(&gateway.arrive(long(100)), 100).is_some());
         assert!(
             sent_to(&gateway.arrive(long(101)), 101).is_none(),
-            "the engine is full for its like"
+            "the engine should have no free threads for another long query"
         );
         assert!(sent_to(&gateway.arrive(query(102, 100 * MS)), 102).is_some());
         sent_to(&gateway.arrive(query(103, 100 * MS)), 103).is_none()
@@ -66,14 +66,15 @@
         fleet_settings(200, vec![class(10 * S)]),
         (0..10).map(engine).collect(),
     );
-    let slow = sent_to(&gateway.arrive(query(1, S)), 1).expect("there is room");
+    let slow = sent_to(&gateway.arrive(query(1, S)), 1).expect("query was not sent");
     gateway.now += S;
     gateway.report_progress(1, 0, Progress::FractionDone(0.2));
     gateway.handle(Event::ClientDisconnected { query: 1 });
     gateway.end_attempt(1, 0, slow, Outcome::Cancelled);
     let sends_to_slow_engine = |gateway: &mut TestGateway, ids: std::ops::Range<u64>| {
         ids.filter(|id| {
-            let target = sent_to(&gateway.arrive(query(*id, 10 * MS)), *id).expect("there is room");
+            let target =
+                sent_to(&gateway.arrive(query(*id, 10 * MS)), *id).expect("query was not sent");
             gateway.now += 10 * MS;
             gateway.end_attempt_after(*id, 0, target, Outcome::Completed, 10 * MS);
             target == slow
@@ -84,7 +85,7 @@
     gateway.now += 10 * S;
     assert!(
         sends_to_slow_engine(&mut gateway, 102..202) > 0,
-        "what was seen has faded"
+        "the headroom that was observed should no longer count"
     );
 }
 
@@ -114,7 +115,10 @@
             .collect::<Vec<_>>()
     };
     (0..30).for_each(|_| drop(serve(&mut gateway, 16)));
-    assert!(serve(&mut gateway, 30).len() > 10, "its bound has widened");
+    assert!(
+        serve(&mut gateway, 30).len() > 10,
+        "the thread limit should have grown"
+    );
     (1..4).for_each(|target| drop(gateway.patch_list(engine(target))));
     let places = serve(&mut gateway, 16);
     assert!(
@@ -145,7 +149,8 @@
             .collect(),
     );
     let small = (1..=600).filter(|id| {
-        let target = sent_to(&gateway.arrive(query(*id, 50 * MS)), *id).expect("there is room");
+        let target =
+            sent_to(&gateway.arrive(query(*id, 50 * MS)), *id).expect("query was not sent");
         gateway.now += 50 * MS;
         gateway.end_attempt_after(*id, 0, target, Outcome::Completed, 50 * MS);
         target % 2 == 0
@@ -153,6 +158,6 @@
     let small = small.count();
     assert!(
         (120..=280).contains(&small),
-        "a third of the cores got {small} of 600"
+        "engines with a third of the cores got {small} of 600 queries"
     );
 }
--- a/policy/tests/queueing.rs
+++ b/policy/tests/queueing.rs
@@ -37,17 +37,20 @@
     assert_eq!(
         sends(&gateway.end_attempt(1, 0, 0, Outcome::Completed)),
         [3, 4],
-        "the older first, whatever its class"
+        "the older query should be sent first, whatever its class"
     );
 }
 
 #[test]
 fn a_head_that_does_not_fit_lets_another_class_pass() {
-    let wide = Class {
+    let two_threads = Class {
         threads: Some(2.0),
         ..class(10 * S)
     };
-    let mut gateway = TestGateway::new(settings(vec![wide, class(10 * S)], 1.0), vec![engine(0)]);
+    let mut gateway = TestGateway::new(
+        settings(vec![two_threads, class(10 * S)], 1.0),
+        vec![engine(0)],
+    );
     gateway.arrive(query(1, S));
     assert_eq!(
         sent_to(
@@ -68,13 +71,16 @@
         class: 1,
         ..query(5, S)
     });
-    // One query of two threads still runs, so one thread is free. The older queued query needs two
-    // threads; the younger one needs one and passes.
+    // Query 1 still uses both threads. Query 3 is sent nevertheless, since no other query of its
+    // class runs. Query 4 needs two threads and does not fit. Query 3 does not pass it, since query
+    // 3 is older.
     let actions = gateway.end_attempt(2, 0, 0, Outcome::Completed);
     assert_eq!(
         (sent_to(&actions, 3), sent_to(&actions, 4)),
         (Some(0), None)
     );
+    // Query 3 still uses one thread. Query 4 needs two and is sent, since no other query of its
+    // class runs. Query 5 is not sent.
     let actions = gateway.end_attempt(1, 0, 0, Outcome::Completed);
     assert_eq!(
         (sent_to(&actions, 4), sent_to(&actions, 5)),
@@ -95,11 +101,11 @@
     let mut config = settings(vec![ordered], 8.0);
     config.key_release_delay = Some(300 * MS);
     let mut gateway = TestGateway::new(config, vec![engine(0), engine(1)]);
-    let load = |id| NewQuery {
+    let with_key = |id| NewQuery {
         ordering_key: Some(5),
         ..query(id, 500 * MS)
     };
-    let at = sent_to(&gateway.arrive(load(1)), 1).expect("sent at once");
+    let at = sent_to(&gateway.arrive(with_key(1)), 1).expect("query was not sent");
     assert!(is_cancelled(
         &gateway.handle(Event::ClientDisconnected { query: 1 }),
         1
@@ -116,15 +122,15 @@
     }));
     gateway.now += 100 * MS;
     assert!(
-        sent_to(&gateway.arrive(load(2)), 2).is_none(),
-        "the key rests"
+        sent_to(&gateway.arrive(with_key(2)), 2).is_none(),
+        "the key is held"
     );
     assert!(
         sent_to(&gateway.advance_to(S + 299 * MS), 2).is_none(),
-        "and still does"
+        "the key is still held"
     );
     assert!(
         sent_to(&gateway.advance_to(S + 300 * MS), 2).is_some(),
-        "its rest is over"
+        "the hold has ended"
     );
 }
--- a/policy/tests/retry_budget.rs
+++ b/policy/tests/retry_budget.rs
@@ -22,12 +22,12 @@
     assert_eq!(
         sent_to(&gateway.end_attempt(1, 0, 0, Outcome::NeverSent), 1),
         Some(0),
-        "the budget allows one"
+        "the budget should allow one retry"
     );
     assert_eq!(
         sent_to(&gateway.end_attempt(1, 1, 0, Outcome::NeverSent), 1),
         None,
-        "and no second one"
+        "the budget should allow no second retry"
     );
     gateway
 }
@@ -43,7 +43,7 @@
         assert_eq!(
             sent_to(&arrive_short_query(&mut gateway, id), id),
             Some(0),
-            "query {id}: the engine is free"
+            "query {id}: the engine has a free thread"
         );
     }
     // Both threads are in use. The next two queries wait, and each is sent when one before it
@@ -100,6 +100,7 @@
     }
 }
 
+/// In the closed loop each completed query is followed by a new one.
 #[test]
 fn a_closed_loop_goes_on_while_some_of_its_queries_wait_for_budget() {
     let mut config = settings(vec![class(10 * S)], 8.0);
@@ -125,6 +126,6 @@
     }
     assert_eq!(
         answered, 1000,
-        "the loop stands still though the engines are free"
+        "no attempt is in flight although the engines are free"
     );
 }
--- a/policy/tests/robustness.rs
+++ b/policy/tests/robustness.rs
@@ -28,7 +28,11 @@
         out
     };
     assert_eq!(play(1), play(1));
-    assert_ne!(play(1), play(2), "ties and coins come from the seed");
+    assert_ne!(
+        play(1),
+        play(2),
+        "another seed should give other random choices"
+    );
 }
 
 #[test]
@@ -47,7 +51,7 @@
     let actions = gateway.arrive(odd);
     assert!(
         is_rejected(&actions, 1),
-        "its time is already over: {actions:?}"
+        "the query has no time left: {actions:?}"
     );
     gateway.end_attempt(77, 3, 9, Outcome::Completed);
     gateway.report_progress(77, 0, Progress::FractionDone(f64::NAN));
@@ -63,9 +67,9 @@
     ));
 }
 
-/// After a stall the gateway gets the events of several seconds in one batch. It rejects queries
-/// that have no time left in that batch and sends the others. The engines answered in time, so
-/// none is ejected.
+/// After a stall the gateway gets the events of several seconds in one batch. In that batch it
+/// rejects the queries that have no time left and sends the others. The engines answered in time,
+/// so none is ejected.
 #[test]
 fn a_batch_after_a_stall_is_answered_at_once_and_blames_no_engine() {
     let mut gateway = TestGateway::new(
@@ -73,7 +77,7 @@
         vec![engine(0), engine(1)],
     );
     let targets: Vec<_> = (1..=4)
-        .map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("there is room"))
+        .map(|id| sent_to(&gateway.arrive(query(id, 100 * MS)), id).expect("query was not sent"))
         .collect();
     gateway.now += 5 * S;
     let mut events: Vec<_> = (10..30)
@@ -103,5 +107,5 @@
         assert_eq!(sent_to(&actions, id).is_some(), id % 2 == 1, "query {id}");
     }
     let engines: BTreeSet<_> = (10..30).filter_map(|id| sent_to(&actions, id)).collect();
-    assert_eq!(engines.len(), 2, "both engines still serve");
+    assert_eq!(engines.len(), 2, "both engines should still be used");
 }
--- a/policy/tests/rule_checker/mod.rs
+++ b/policy/tests/rule_checker/mod.rs
@@ -10,9 +10,10 @@
 
 /// The window of the retry budget.
 pub const BUDGET_WINDOW: Micros = 5 * S;
+/// How long after its deadline a query may be answered.
 pub const GRACE: Micros = 20 * MS;
-/// The deduplication window.
-pub const WINDOW: Micros = 3 * S;
+/// The time after its first send within which a deduplicated query may be sent again.
+pub const DEDUP_WINDOW: Micros = 3 * S;
 
 #[derive(Default)]
 pub struct QueryRecord {
@@ -23,7 +24,7 @@
     pub may_have_run: bool,
     pub sent_at: Micros,
     /// The send time of the first attempt that may have run.
-    pub first_risky_send: Option<Micros>,
+    pub first_run_sent_at: Option<Micros>,
     pub final_answers: u32,
 }
 
@@ -47,7 +48,7 @@
                         .get_mut(&query)
                         .ok_or("sent an unknown query")?;
                     ensure(record.final_answers == 0, "sent after the final answer")?;
-                    ensure(record.in_flight.is_none(), "two attempts out")?;
+                    ensure(record.in_flight.is_none(), "two attempts in flight")?;
                     ensure(
                         record.class != 1 || !record.may_have_run,
                         "at_most_once may run twice",
@@ -60,10 +61,12 @@
                         !self.not_ready.contains(&engine),
                         "sent to a draining engine",
                     )?;
-                    let in_window = record.first_risky_send.is_none_or(|at| now < at + WINDOW);
+                    let in_window = record
+                        .first_run_sent_at
+                        .is_none_or(|at| now < at + DEDUP_WINDOW);
                     ensure(
                         record.class != 3 || in_window,
-                        "keyed and sent after its window",
+                        "sent after its deduplication window",
                     )?;
                     record.in_flight = Some(engine);
                     record.sent_at = now;
@@ -73,7 +76,7 @@
                         let recent = |t: &&Micros| **t + BUDGET_WINDOW > now;
                         let arrived = self.arrivals.iter().filter(recent).count() as f64;
                         let retries = self.retries.iter().filter(recent).count() as f64;
-                        ensure(retries <= 2.0 + 0.2 * arrived, "over the budget")?;
+                        ensure(retries <= 2.0 + 0.2 * arrived, "over the retry budget")?;
                     }
                 }
                 Action::Reject { query, .. } | Action::Fail { query } => {
@@ -89,7 +92,7 @@
                         record.class == 1 && (record.may_have_run || record.in_flight.is_some());
                     ensure(
                         !(is_rejection && may_have_effect),
-                        "refused what may have run",
+                        "rejected a query that may have run",
                     )?;
                 }
                 _ => {}
--- a/policy/tests/slow_start.rs
+++ b/policy/tests/slow_start.rs
@@ -22,7 +22,8 @@
 struct SentToWarming {
     /// Number of queries in the first two collapse windows.
     early: usize,
-    /// The largest ratio, over all windows, of the queries sent to the engine's limit at the time.
+    /// For each collapse window that starts at a send, the number of queries sent in the window
+    /// divided by the engine's limit at its start. This is the largest of these ratios.
     largest_ratio: f64,
 }
 
@@ -121,10 +122,13 @@
     let (early, early_reported) = (unknown.early, reported.early);
     assert!(
         early >= 5 && early_reported >= 45,
-        "sent early: {early}, {early_reported} where costs are reported"
+        "sent early: {early}, {early_reported} if costs are reported"
     );
     let largest = unknown.largest_ratio.max(reported.largest_ratio);
-    assert!(largest <= 1.0, "largest part in a window: {largest}");
+    assert!(
+        largest <= 1.0,
+        "the largest ratio of queries to the limit in any window is {largest}"
+    );
 }
 
 /// A warming engine has as many threads as a warm one, but they are slower. Its thread limit
@@ -143,5 +147,8 @@
     let out = (1..30)
         .filter(|id| sent_to(&gateway.arrive(query(*id, 100 * MS)), *id).is_some())
         .count();
-    assert_eq!(out, 8, "half of 16 threads at a quarter of the warmth");
+    assert_eq!(
+        out, 8,
+        "at a quarter of its capacity the engine gets half of its 16 threads, the square root"
+    );
 }
--- a/policy/tests/trace/load.rs
+++ b/policy/tests/trace/load.rs
@@ -6,7 +6,7 @@
 };
 use violetgate_policy::Event;
 
-use super::{Due, Fault, KnownQuery, Simulation, MS, S};
+use super::{Due, Fault, SimulatedQuery, Simulation, MS, S};
 
 /// A simulated engine: its entry in the list, its fault and the number of its running attempts.
 pub struct SimulatedEngine {
@@ -78,7 +78,7 @@
             let wait = self.draw(2 * S);
             self.schedule(wait, Due::ClientDisconnects(id));
         }
-        let known = KnownQuery {
+        let state = SimulatedQuery {
             class,
             deadline: self.now + client_timeout,
             work,
@@ -88,27 +88,27 @@
             granted_mb: 0.0,
             finished: false,
         };
-        self.known.insert(id, known);
+        self.queries.insert(id, state);
         Event::QueryArrived(request)
     }
 
     pub(super) fn send(&mut self, query: QueryId, engine: EngineId) {
         self.seen.sends += 1;
-        let Some(known) = self.known.get_mut(&query) else {
+        let Some(state) = self.queries.get_mut(&query) else {
             return;
         };
-        self.seen.further_sends += u32::from(known.attempts > 0);
-        let attempt = known.attempts;
-        known.attempts += 1;
-        known.in_flight = Some((engine, self.now));
-        let (class, work, deadline) = (known.class, known.work, known.deadline);
-        let missing_mb = known.memory_mb - known.granted_mb;
+        self.seen.further_sends += u32::from(state.attempts > 0);
+        let attempt = state.attempts;
+        state.attempts += 1;
+        state.in_flight = Some((engine, self.now));
+        let (class, work, deadline) = (state.class, state.work, state.deadline);
+        let missing_mb = state.memory_mb - state.granted_mb;
         let simulated = &mut self.engines[engine as usize];
         simulated.in_flight += 1;
         let fault = simulated.fault;
         let load_percent = 100 + 12 * u64::from(simulated.in_flight);
-        let slow = if fault == Fault::Slow { 8 } else { 1 };
-        let run = (work * load_percent / 100 * slow * (80 + self.draw(60)) / 100).max(1);
+        let slowdown = if fault == Fault::Slow { 8 } else { 1 };
+        let run = (work * load_percent / 100 * slowdown * (80 + self.draw(60)) / 100).max(1);
         let time_out = deadline.saturating_sub(self.now).max(1);
         let silent = fault == Fault::Silent || fault == Fault::DropsClass(class);
         let chance = self.draw(100);
@@ -129,13 +129,14 @@
         };
         self.schedule(wait, end);
         if !silent {
-            self.progress(query, attempt, run.min(time_out), missing_mb);
+            self.schedule_progress(query, attempt, run.min(time_out), missing_mb);
         }
     }
 
-    /// Schedules progress reports, waits for memory and bulk loads, spills, and the start of a
-    /// streamed response.
-    fn progress(&mut self, query: QueryId, attempt: u32, run: Micros, missing_mb: f64) {
+    /// Schedules the progress reports of an attempt, if there are any, and in one case of twelve
+    /// the start of a streamed response. Some reports say that the query waits for memory or for a
+    /// bulk load, or that it spills.
+    fn schedule_progress(&mut self, query: QueryId, attempt: u32, run: Micros, missing_mb: f64) {
         if self.scenario.settings.progress_period.is_some() {
             for part in 1..4 {
                 let progress = match self.draw(24) {
@@ -145,12 +146,12 @@
                     3 if missing_mb > 0.0 => Progress::Spilling(missing_mb),
                     _ => Progress::FractionDone(part as f64 / 4.0),
                 };
-                let note = Due::Progress {
+                let report = Due::Progress {
                     query,
                     attempt,
                     progress,
                 };
-                self.schedule(run * part / 4, note);
+                self.schedule(run * part / 4, report);
             }
         }
         if self.one_in(12) {
@@ -163,16 +164,16 @@
             return None;
         }
         let completed = outcome == Outcome::Completed;
-        let known = self.known.get_mut(&query)?;
-        let (engine, sent) = known.in_flight.take()?;
-        let (work, memory_mb) = (known.work, known.memory_mb);
-        if known.finished || completed {
-            self.known.remove(&query);
+        let state = self.queries.get_mut(&query)?;
+        let (engine, sent) = state.in_flight.take()?;
+        let (work, memory_mb) = (state.work, state.memory_mb);
+        if state.finished || completed {
+            self.queries.remove(&query);
         }
         self.engines[engine as usize].in_flight -= 1;
         let elapsed = self.now - sent;
         let cost = (completed && self.scenario.reports_cost).then_some(Cost { work, memory_mb });
-        let load = self.load(engine);
+        let load = self.load_report(engine);
         Some(Event::AttemptEnded(AttemptEnded {
             query,
             attempt,
@@ -185,7 +186,7 @@
         }))
     }
 
-    fn load(&mut self, engine: EngineId) -> LoadReport {
+    fn load_report(&mut self, engine: EngineId) -> LoadReport {
         if !self.scenario.reports || self.one_in(4) {
             return LoadReport::default();
         }
@@ -202,7 +203,7 @@
     /// Generates an event of an engine, a cordon, the engine list or the number of gateways.
     pub(super) fn engine_event(&mut self) -> Event {
         let wait = 1 + self.draw(120 * MS);
-        self.schedule(wait, Due::EngineFault);
+        self.schedule(wait, Due::EngineEvent);
         let engine = self.draw(u64::from(self.scenario.engines)) as EngineId;
         match self.draw(14) {
             0..=3 => self.change_fault(engine),
@@ -222,7 +223,7 @@
             8 => self.list(ListScope::WatchFailed),
             9 => self.list(ListScope::Snapshot),
             10 => {
-                let load = self.load(engine);
+                let load = self.load_report(engine);
                 let answered = self.engines[engine as usize].fault != Fault::Silent;
                 Event::HealthChecked {
                     engine,
@@ -234,7 +235,8 @@
         }
     }
 
-    /// Sets or clears the fault of one engine in forty, or at times of every second one.
+    /// Sets the same fault, or none, on every fortieth engine, or in one case of twelve on every
+    /// second engine.
     fn change_fault(&mut self, engine: EngineId) -> Event {
         let fault = match self.draw(16) {
             0 => Fault::Slow,
--- a/policy/tests/trace/mod.rs
+++ b/policy/tests/trace/mod.rs
@@ -1,6 +1,6 @@
 //! Simulation of a gateway's clients and engines: it generates events from a fixed seed and hashes
-//! every action that the gateway returns. The hash is computed from numbers that `digest` assigns,
-//! so it does not depend on any name in the decision module.
+//! every action that the gateway returns. `digest` writes each kind of action as a fixed number, so
+//! a rename in the decision module does not change the hash.
 
 mod digest;
 mod load;
@@ -36,14 +36,21 @@
 #[derive(Debug, Default)]
 pub struct Seen {
     pub events: u32,
+    /// Number of [`Action::SetResources`].
     pub terms: u32,
     pub sends: u32,
+    /// Number of sends that were not the first attempt of their query.
     pub further_sends: u32,
     pub cancels: u32,
+    /// Number of [`Action::Reject`].
     pub refusals: u32,
+    /// Number of [`Action::Fail`].
     pub failures: u32,
+    /// Number of [`Action::SetTimer`].
     pub wakes: u32,
+    /// Number of [`Action::SubscribeEngineList`].
     pub follows: u32,
+    /// The largest number of avoided engines at a time.
     pub most_avoided: usize,
 }
 
@@ -65,13 +72,15 @@
     },
     ResponseStarts(QueryId),
     ClientDisconnects(QueryId),
-    EngineFault,
+    /// An engine fails, recovers or is checked, or the engine list, a cordon or the number of
+    /// gateways changes.
+    EngineEvent,
     List(ListScope),
     Timer,
 }
 
 /// The state of a query in the simulation.
-struct KnownQuery {
+struct SimulatedQuery {
     class: u32,
     deadline: Micros,
     work: Micros,
@@ -105,7 +114,7 @@
     due: BTreeMap<(Micros, u64), Due>,
     sequence: u64,
     next_query: QueryId,
-    known: BTreeMap<QueryId, KnownQuery>,
+    queries: BTreeMap<QueryId, SimulatedQuery>,
     engines: Vec<load::SimulatedEngine>,
     digest: Digest,
     seen: Seen,
@@ -129,7 +138,7 @@
             due: BTreeMap::new(),
             sequence: 0,
             next_query: 0,
-            known: BTreeMap::new(),
+            queries: BTreeMap::new(),
             engines: load::simulated_engines(scenario.engines),
             digest: Digest::default(),
             seen: Seen::default(),
@@ -137,7 +146,7 @@
         };
         simulation.schedule(0, Due::List(ListScope::Snapshot));
         simulation.schedule(1, Due::Arrive);
-        simulation.schedule(50 * MS, Due::EngineFault);
+        simulation.schedule(50 * MS, Due::EngineEvent);
         simulation
     }
 
@@ -155,8 +164,8 @@
         self.draw(times) == 0
     }
 
-    /// Lets the gateway handle the next due step, at times in a batch with up to two more that are
-    /// due within a millisecond.
+    /// Lets the gateway handle the next due step. In some batches up to two more steps that are due
+    /// within a millisecond follow it.
     fn step(&mut self) {
         let mut events = Vec::new();
         let batch = 1 + self.draw(3);
@@ -189,8 +198,8 @@
                 query, memory_mb, ..
             } => {
                 self.seen.terms += 1;
-                if let Some(known) = self.known.get_mut(&query) {
-                    known.granted_mb = memory_mb;
+                if let Some(state) = self.queries.get_mut(&query) {
+                    state.granted_mb = memory_mb;
                 }
             }
             Action::Send { query, engine, .. } => self.send(query, engine),
@@ -231,12 +240,12 @@
     }
 
     fn finish_query(&mut self, query: QueryId) {
-        let is_done = self.known.get_mut(&query).is_some_and(|known| {
-            known.finished = true;
-            known.in_flight.is_none()
+        let is_done = self.queries.get_mut(&query).is_some_and(|state| {
+            state.finished = true;
+            state.in_flight.is_none()
         });
         if is_done {
-            self.known.remove(&query);
+            self.queries.remove(&query);
         }
     }
 
@@ -262,26 +271,26 @@
                 progress,
             }),
             Due::ResponseStarts(query) => {
-                let known = self.known.get(&query)?;
-                (!known.finished && known.in_flight.is_some())
+                let state = self.queries.get(&query)?;
+                (!state.finished && state.in_flight.is_some())
                     .then_some(Event::ResponseStarted { query })
             }
             Due::ClientDisconnects(query) => {
-                if self.known.get(&query)?.finished {
+                if self.queries.get(&query)?.finished {
                     return None;
                 }
                 self.finish_query(query);
                 Some(Event::ClientDisconnected { query })
             }
-            Due::EngineFault => Some(self.engine_event()),
+            Due::EngineEvent => Some(self.engine_event()),
             Due::List(scope) => Some(self.list(scope)),
             Due::Timer => Some(Event::TimerFired),
         }
     }
 
     fn is_out(&self, query: QueryId, attempt: u32) -> bool {
-        self.known
+        self.queries
             .get(&query)
-            .is_some_and(|known| known.in_flight.is_some() && known.attempts == attempt + 1)
+            .is_some_and(|state| state.in_flight.is_some() && state.attempts == attempt + 1)
     }
 }
--- a/policy/tests/trace/scenarios.rs
+++ b/policy/tests/trace/scenarios.rs
@@ -1,4 +1,17 @@
 //! The scenarios: full and minimal settings, with few and with many engines.
+//!
+//! The names of the scenarios stay, since the digests are stored under them. They mean:
+//!
+//! - all told: full settings, load reports and costs;
+//! - untold: no load reports and no costs;
+//! - bare: minimal settings, no load reports and no costs;
+//! - nothing known: classes without settings, no other settings, no load reports and no costs;
+//! - no notes: no progress reports;
+//! - thin parts: the gateway's fair share of each engine is less than a thread;
+//! - sampled: placement samples engines;
+//! - all looked at: placement scans all engines.
+//!
+//! The scenario with "3 gateways" starts with two gateways in its settings.
 
 use violetgate_policy::interface::{Class, DedupGroup, EngineKind, Idempotency, RetryBudget};
 use violetgate_policy::Settings;
@@ -40,7 +53,7 @@
         ordered_by_key: true,
         ..deduplicated(DedupGroup::Zone, 3 * S)
     };
-    let load = Class {
+    let bulk_load = Class {
         is_bulk_load: true,
         threads: Some(2.0),
         ..class(Idempotency::Idempotent)
@@ -56,7 +69,7 @@
         class(Idempotency::AtMostOnce),
         deduplicated(DedupGroup::All, 4 * S),
         by_key,
-        load,
+        bulk_load,
         bound,
         deduplicated(DedupGroup::Cell, 3 * S),
     ]
@@ -119,7 +132,7 @@
     }
 }
 
-/// A scenario with load reports and costs. `gap` is in milliseconds.
+/// Returns a scenario with load reports and costs. `gap` is in milliseconds.
 fn scenario(seed: u64, engines: u32, gap: u64, settings: Settings) -> Scenario {
     Scenario {
         seed,
@@ -169,7 +182,7 @@
         zone: None,
         ..full_settings(2)
     };
-    let nothing_known = Settings {
+    let without_settings = Settings {
         classes: vec![Class::default(); 3],
         ..Settings::default()
     };
@@ -186,7 +199,7 @@
         ),
         (
             "8 engines, nothing known",
-            without_feedback(scenario(4, 8, 20, nothing_known)),
+            without_feedback(scenario(4, 8, 20, without_settings)),
         ),
         (
             "8 engines, no notes, no costs",
--- a/policy/tests/trace_digest.rs
+++ b/policy/tests/trace_digest.rs
@@ -1,11 +1,12 @@
 //! Digests of the decisions on generated streams of events. They cover all actions in order, with
-//! their times. A digest changes only if a decision changes.
+//! their times, and samples of the engine counts. As long as the simulation and the scenarios stay
+//! the same, a digest changes only if an action, its time or an engine count changes.
 
 mod trace;
 
 use std::sync::OnceLock;
 
-/// The digest of each scenario of `trace::scenarios`.
+/// The digest of each scenario of `trace::scenarios`, which also explains the names.
 const DIGESTS: [(&str, u64); 12] = [
     ("8 engines, all told", 0x9877_9986_2ee7_4b22),
     ("8 engines, 3 gateways, overload", 0x64ce_1aff_3301_6a80),
--- a/policy/tests/wire.rs
+++ b/policy/tests/wire.rs
@@ -10,8 +10,8 @@
 #[test]
 fn a_query_is_sent_under_its_own_id() {
     let mut a = Adapter::new();
-    a.line(BOOT).expect("legal");
-    let reply = a.line(ASK).expect("legal");
+    a.line(BOOT).expect("the line should be accepted");
+    let reply = a.line(ASK).expect("the line should be accepted");
     assert!(
         reply.contains(
             r#""cmd":"hand-off","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9""#
@@ -48,7 +48,7 @@
         ),
     ] {
         let mut a = Adapter::new();
-        a.line(BOOT).expect("legal");
+        a.line(BOOT).expect("the line should be accepted");
         let error = a.line(line).expect_err(line).to_string();
         assert!(error.contains(field), "{line}: {error}");
     }
@@ -57,41 +57,49 @@
 #[test]
 fn a_restart_within_a_batch_forgets_everything() {
     let mut a = Adapter::new();
-    a.line(BOOT).expect("legal");
-    a.line(ASK).expect("legal");
+    a.line(BOOT).expect("the line should be accepted");
+    a.line(ASK).expect("the line should be accepted");
     let again = BOOT.replacen(
         r#""events":["#,
         r#""events":[{"cmd":"shutdown","gateway":3},"#,
         1,
     );
-    a.line(&again).expect("legal");
+    a.line(&again).expect("the line should be accepted");
     let late = r#"{"clock":3,"events":[{"cmd":"completed","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9","round-no":0,"status":"errored"}]}"#;
-    assert_eq!(a.line(late).expect("legal").matches("rid").count(), 0);
+    assert_eq!(
+        a.line(late)
+            .expect("the line should be accepted")
+            .matches("rid")
+            .count(),
+        0
+    );
     assert!(a
         .line(r#"{"clock":3,"events":[]}"#)
-        .expect("legal")
+        .expect("the line should be accepted")
         .contains("[]"));
 }
 
-/// Rows of a load report may be short or missing, or hold values that are not fractions. The
-/// settings may name unknown fields.
+/// The list of values in a load report may be short or missing, or hold values that are not
+/// fractions. The settings may name unknown fields.
 #[test]
-fn odd_report_rows_are_ignored() {
+fn odd_load_reports_are_accepted() {
     let boot = BOOT.replacen(
         r#""kinds":["k"]"#,
         r#""kinds":["k"],"feedback":{"via":"answers","fields":["backlog","utilization","x1","novel"]}"#,
         1,
     );
-    for row in ["[]", "[3]", "[0,-1,7]", "[0,0.5,1e300,2,9]", "null"] {
+    for values in ["[]", "[3]", "[0,-1,7]", "[0,0.5,1e300,2,9]", "null"] {
         let mut a = Adapter::new();
-        a.line(&boot).expect("legal");
-        a.line(ASK).expect("legal");
+        a.line(&boot).expect("the line should be accepted");
+        a.line(ASK).expect("the line should be accepted");
         let end = r#"{"clock":3,"events":[{"cmd":"completed","gateway":3,"rid":"00000000000000ab","node":"10.0.0.1:9","round-no":0,"status":"completed","settled":true,"metrics":ROW}]}"#;
-        a.line(&end.replace("ROW", row)).expect(row);
+        a.line(&end.replace("ROW", values)).expect(values);
         let again = ASK.replace("ab\"", "ac\"");
         assert!(
-            a.line(&again).expect("legal").contains("hand-off"),
-            "after {row}"
+            a.line(&again)
+                .expect("the line should be accepted")
+                .contains("hand-off"),
+            "after {values}"
         );
     }
 }
