--- a/gateway/src/connection_limit.rs
+++ b/gateway/src/connection_limit.rs
@@ -9,14 +9,16 @@
 
 use violetgate_policy::interface::Micros;
 
-/// Time after which a connection without a complete message counts as unresponsive. A connection
-/// that was just accepted is about to send and must not be evicted for the next one.
+/// How long a connection may take to send a complete message after it was accepted, or after a
+/// message began. After that time it is unresponsive and evicted first. Before, it is evicted last,
+/// because its client is about to send and it must not be evicted for the next new connection.
 const FIRST_MESSAGE_GRACE_US: Micros = 250_000;
-/// Time for which a connection that has become idle is left open when idle connections are closed.
-/// The first request of a new connection may still be in transit.
+/// When idle connections are closed, a connection that has been idle for a shorter time than this
+/// stays open. The first request of a new connection may still be in transit.
 pub const RECENTLY_IDLE_US: Micros = 50_000;
 /// The number of connections that may linger in their close, in addition to the limit, is the limit
-/// divided by this value, plus one.
+/// divided by this value, plus one. On a lingering connection, the process only reads and discards
+/// input for a short time before it closes the socket, so that the close does not become a reset.
 const LINGERING_DIVISOR: usize = 8;
 
 /// The activity of a connection, which decides whether it may be evicted.
@@ -46,7 +48,8 @@
     state: Cell<ConnectionState>,
     /// When the connection entered its current state.
     since: Cell<Micros>,
-    /// Until when the client may need this process and no other instance.
+    /// Until when the client may need this process and no other instance, for example to fetch the
+    /// remaining pages of a result that only this process stores.
     sticky_until: Cell<Micros>,
     close_reason: Cell<Option<&'static str>>,
     waker: RefCell<Option<Waker>>,
@@ -157,7 +160,7 @@
     ///
     /// Eviction protects against clients that connect and send nothing, or send one request and
     /// stay connected. If new connections were left in the kernel's accept queue instead, their
-    /// requests would count as accepted and never be read.
+    /// clients would take their requests for accepted, although nothing would read them.
     pub fn acquire(&self, now: Micros) -> Option<Rc<ConnectionSlot>> {
         if self.len() >= self.limit.get() && !self.evict_one(now) {
             return None;
--- a/gateway/src/dispatch/attempts.rs
+++ b/gateway/src/dispatch/attempts.rs
@@ -77,7 +77,8 @@
     }
 
     /// Cancels an attempt if it is in flight. The cancellation goes to the engine before the
-    /// attempt's end goes to the decisions. `outcome` is reported unless nothing was written.
+    /// attempt's end goes to the decisions. Reports `outcome`, or [`Outcome::NeverSent`] if nothing
+    /// of the attempt was written.
     fn abort_attempt(&self, query: QueryId, attempt: u32, outcome: Outcome) {
         if self.number_in_flight(query) != Some(attempt) {
             return;
@@ -117,7 +118,7 @@
     }
 }
 
-/// Returns the end of an attempt of which nothing left this process.
+/// Returns the end of an attempt of which nothing was written.
 fn never_sent(query: QueryId, attempt: u32, engine: EngineId) -> AttemptEnded {
     AttemptEnded {
         query,
--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -31,7 +31,8 @@
     decisions: RefCell<Gateway>,
     classes: Vec<ClassProperties>,
     engines: Rc<dyn UpstreamEngines>,
-    /// Checked before anything is sent upstream. `None`: sending is always allowed.
+    /// The fence, which is checked before anything is sent upstream. `None`: sending is always
+    /// allowed.
     fence: Option<Rc<dyn Fence>>,
     /// The number of requests and attempts that the fence has stopped.
     fenced_count: Cell<u64>,
@@ -86,7 +87,8 @@
         self.process_events();
     }
 
-    /// Returns the number of listed engines, and how many of them the decisions avoid.
+    /// Returns the number of listed engines, and how many of them are cordoned or ejected as
+    /// outliers.
     #[must_use]
     pub fn engine_counts(&self) -> EngineCounts {
         self.decisions.borrow().engine_counts()
@@ -106,15 +108,16 @@
     }
 
     /// Answers every open request because the process is ending: with a rejection if a retry does
-    /// no harm, else with a failure. Requests submitted later are rejected at once, because the end
-    /// of the process would interrupt them.
+    /// no harm, else with a failure (see [`rejection_or_failure`]). Requests submitted later are
+    /// rejected at once, because the end of the process would interrupt them.
     pub fn shut_down(&self) {
         self.is_shut_down.set(true);
         self.reject_open(&Answer::ShuttingDown, |_| true);
     }
 
-    /// Answers every request that has no attempt in flight, because the fence has closed. Attempts
-    /// in flight may still complete.
+    /// Answers every request that has no attempt in flight, because the fence has closed: with a
+    /// rejection if a retry does no harm, else with a failure (see [`rejection_or_failure`]).
+    /// Attempts in flight may still complete.
     pub fn reject_queued(&self) {
         self.reject_open(&Answer::StateUnconfirmed, |request| {
             request.in_flight.is_none()
--- a/gateway/src/dispatch/open_request.rs
+++ b/gateway/src/dispatch/open_request.rs
@@ -11,7 +11,7 @@
 pub(super) struct ClassProperties {
     /// Whether requests of the class may be repeated, and whether engines discard repeats.
     pub idempotency: Idempotency,
-    /// How long engines discard a repeated request, in microseconds.
+    /// For how long after the first attempt engines discard repeats of a request, in microseconds.
     pub dedup_window: Option<Micros>,
 }
 
@@ -37,7 +37,8 @@
 pub(super) struct OpenRequest {
     pub exchange: Rc<Exchange>,
     pub idempotency: Idempotency,
-    /// How long engines discard a repeat of this request, in microseconds. `None`: they don't.
+    /// For how long after `dedup_window_start` engines discard repeats of this request, in
+    /// microseconds. `None`: they don't.
     pub dedup_window: Option<Micros>,
     /// When the first attempt that may have run was sent, in microseconds since the Unix epoch.
     /// The deduplication window begins at this time.
@@ -74,8 +75,8 @@
     }
 
     /// Returns the time by which an attempt with this deadline has to begin, in microseconds since
-    /// the Unix epoch. An attempt may wait for a connection, and an engine would run a retry that
-    /// reaches it after the deduplication window a second time.
+    /// the Unix epoch. An attempt may wait for a connection. It must not begin after the
+    /// deduplication window, because the engine would then run the request a second time.
     pub(super) fn begin_by(&self, deadline: Micros) -> Micros {
         let dedup_window = self.dedup_window_start.zip(self.dedup_window);
         dedup_window.map_or(deadline, |(start, length)| deadline.min(start + length))
--- a/gateway/src/dispatch/tests/attempts.rs
+++ b/gateway/src/dispatch/tests/attempts.rs
@@ -49,7 +49,7 @@
 /// When the client's time is over, the attempt is first cancelled at its engine, then the client
 /// gets its one answer. A late result is ignored, and the attempt's timer is removed.
 #[test]
-fn a_silent_attempt_is_cancelled_before_its_client_is_answered() {
+fn an_attempt_without_a_result_is_cancelled_before_its_client_is_answered() {
     let (dispatch, upstream) = dispatch(1);
     let exchange = submit(&dispatch, 1, 20_000);
     async_io::block_on(async {
@@ -73,7 +73,7 @@
 }
 
 /// An attempt that ended only at the end of the client's timeout would be answered too late: the
-/// client's own cancel request could arrive first, and the request would be lost.
+/// client's own cancel request could arrive first, and the answer would be lost.
 #[test]
 fn an_attempt_ends_early_enough_for_the_answer_to_arrive() {
     let (dispatch, _) = dispatch(1);
@@ -187,8 +187,9 @@
     );
 }
 
-/// A retry that began after the deduplication window would run a second time, because engines no
-/// longer know the first attempt. The window counts from the first attempt that may have run.
+/// If a retry began after the deduplication window, the query would run a second time, because
+/// engines no longer know the first attempt. The window counts from the first attempt that may have
+/// run.
 #[test]
 fn a_retry_begins_within_the_deduplication_window() {
     let window = Some(2_000_000);
--- a/gateway/src/dispatch/tests/clients.rs
+++ b/gateway/src/dispatch/tests/clients.rs
@@ -5,7 +5,7 @@
 
 /// Ids that were never removed would use more memory with every request.
 #[test]
-fn recent_ids_are_forgotten_in_their_time() {
+fn recent_ids_are_removed_after_their_lifetime() {
     let mut recent = RecentIds::default();
     (0..1_000).for_each(|id| recent.add(id, id * RECENT_ID_LIFETIME_US / 10));
     let (ids, by_age) = recent.sizes();
@@ -23,8 +23,8 @@
 }
 
 /// If the client disconnects while an attempt of any class waits for its connection, the attempt is
-/// recalled; else it would run for no one once it is connected. An attempt that has begun is left
-/// to the decisions, which cancel it if its class is idempotent.
+/// recalled; else it would run although nobody awaits its answer. Whether an attempt that has begun
+/// is cancelled is up to the decisions: they cancel it if its class is idempotent.
 #[test]
 fn an_attempt_without_a_connection_ends_with_its_client() {
     for idempotency in [
--- a/gateway/src/dispatch/timers.rs
+++ b/gateway/src/dispatch/timers.rs
@@ -59,7 +59,8 @@
         Some(event)
     }
 
-    /// Calls `fire_due` whenever a timer may be due. Never returns.
+    /// Calls `fire_due` when the earliest timer is due. Also calls it when none is due, for example
+    /// when an earlier timer is scheduled or after the earliest one was cancelled. Never returns.
     pub(super) async fn run(&self, clock: Clock, fire_due: impl Fn()) {
         let mut timer = Timer::never();
         poll_fn(|context| loop {
--- a/gateway/src/drain.rs
+++ b/gateway/src/drain.rs
@@ -12,10 +12,10 @@
 /// which arrive in that time find an open connection.
 const CLOSE_CONNECTIONS_AFTER_US: Micros = 300_000;
 
-/// Whether this process is draining, has handed over to another process, or is fenced.
+/// Whether this process is draining, is handing over to another process, or is fenced.
 ///
-/// No connection is closed for any of these reasons while a request on it has been read, or partly
-/// read, and not answered.
+/// Neither a drain nor a handover closes a connection while a request on it has been read, or
+/// partly read, and is not answered yet. The fence closes no connections.
 #[derive(Default)]
 pub struct DrainState {
     /// When the drain began, in microseconds since the Unix epoch.
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -22,16 +22,16 @@
 const TRANSIT_US: Micros = 25_000;
 
 /// How long, in microseconds, a client may have waited before it wrote a request with an ordering
-/// key; its stated timeout includes this wait. Clients write requests with the same key 250 ms
-/// apart if the earlier one used a new connection.
+/// key. If its earlier request with the same key used a new connection, a client waits 250 ms
+/// before it writes the next one, and the timeout that it states includes this wait.
 const ORDERED_CLIENT_DELAY_US: Micros = 250_000;
 
-/// The two allowances above together take at most a client's timeout divided by this number, as
-/// they would otherwise use up a short timeout.
-const MAX_ALLOWANCE_DIVISOR: Micros = 4;
+/// `TRANSIT_US` and `ORDERED_CLIENT_DELAY_US` together are limited to the client's timeout divided
+/// by this number, so that they don't use up a short timeout.
+const ALLOWANCE_DIVISOR: Micros = 4;
 
-/// The maximum size of a result in bytes. The upstream side rejects larger results. Engines may
-/// send up to 48,000 bytes.
+/// The maximum size of a result in bytes. Engines send at most 48,000 bytes; the upstream side
+/// rejects a result that is larger than this limit.
 pub const MAX_RESULT_BYTES: usize = 64 * 1024;
 
 /// A client's request: the query as the decisions see it, and the parts that are forwarded to the
@@ -63,7 +63,7 @@
         } else {
             0
         };
-        let allowance = (TRANSIT_US + client_delay).min(client_timeout / MAX_ALLOWANCE_DIVISOR);
+        let allowance = (TRANSIT_US + client_delay).min(client_timeout / ALLOWANCE_DIVISOR);
         self.received.saturating_add(client_timeout - allowance)
     }
 }
@@ -259,7 +259,7 @@
 
 /// Receives the upstream side's reports on attempts.
 pub trait AttemptEvents {
-    /// Reports that an attempt ended without having been cancelled.
+    /// Reports the end of an attempt that the dispatcher has not cancelled.
     fn attempt_ended(&self, end: AttemptEnd);
 
     /// Reports the progress of a running attempt.
--- a/gateway/src/fence.rs
+++ b/gateway/src/fence.rs
@@ -1,6 +1,6 @@
-//! The fence, which decides whether anything may be sent upstream, and the answer to requests that
-//! may not be sent. An open fence allows every send, and a closed fence none. The log calls a
-//! closed fence "shut".
+//! Decides whether anything may be sent upstream, and how requests that may not be sent are
+//! answered. An open fence allows every send, and a closed fence none. The log calls a closed fence
+//! "shut".
 //!
 //! Instances that share state may route only on a confirmed copy of it. A fenced instance rejects
 //! requests at once instead of queuing them, because another instance may serve them.
@@ -20,8 +20,9 @@
 /// the process is ending, after `attempts` attempts: `rejection` if a retry does no harm, else
 /// [`Answer::Failed`].
 ///
-/// A retry of a deduplicated request may have to go to the engine that got the first attempt, so
-/// the client must not be told to send it to another instance.
+/// A retry does no harm if the class is idempotent or no attempt was made yet. A retry of a
+/// deduplicated request may have to go to the engine that got the first attempt, so after an
+/// attempt its client must not be told to send it to another instance.
 #[must_use]
 pub fn rejection_or_failure(idempotency: Idempotency, attempts: u32, rejection: Answer) -> Answer {
     if idempotency == Idempotency::Idempotent || attempts == 0 {
--- a/gateway/src/fence/tests.rs
+++ b/gateway/src/fence/tests.rs
@@ -1,4 +1,5 @@
-//! Tests which requests are rejected, so that clients may retry them at another instance.
+//! Tests which requests are rejected. A rejection tells the client that it may retry the request at
+//! another instance.
 
 use super::*;
 
--- a/gateway/src/idempotency.rs
+++ b/gateway/src/idempotency.rs
@@ -1,10 +1,10 @@
-//! Applies idempotency keys before requests reach the decisions: of all queries with the same key,
-//! from any client protocol, one runs.
+//! Applies idempotency keys before requests reach the decisions. Of all queries with the same key,
+//! from any client protocol, only one runs, and all get its answer.
 //!
 //! [`IdempotencyLayer`] is a [`RequestSink`] in front of another sink, and carries out what
 //! [`IdempotencyKeys`] decides. The query that runs is submitted with an exchange of its own, so
 //! that it continues as long as at least one query waits for it. Queries without a key pass
-//! through. This layer never sends a query again.
+//! through. This layer never retries a query.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -26,13 +26,15 @@
 
 /// Maximum number of queries that wait for one key: a client's query and its early retries.
 const MAX_WAITERS_PER_KEY: usize = 32;
-/// How long engines discard a repeat if the settings of the class give no deduplication window.
+/// For how long after the first attempt engines discard repeats, in microseconds, if the settings
+/// of the class give no deduplication window.
 const DEFAULT_DEDUP_WINDOW_US: Micros = 12_000_000;
 /// The retry-after of a rejection for lack of capacity, if the time until capacity is free is
 /// unknown.
 const CAPACITY_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// A result that is replayed to retries, with its reservation of the byte budget.
+/// A result that is replayed to retries, with its reservation in the byte budget that recorded and
+/// stored results share.
 #[derive(Clone)]
 struct RecordedResult {
     result: Rc<QueryResult>,
@@ -70,7 +72,8 @@
     this: Weak<IdempotencyLayer>,
     inner: Rc<dyn RequestSink>,
     executor: Rc<LocalExecutor<'static>>,
-    /// How long engines discard a repeat, by class. `None` if queries of the class take no keys.
+    /// For how long after the first attempt engines discard repeats, in microseconds, by class.
+    /// `None` if queries of the class take no keys.
     dedup_windows: Vec<Option<Micros>>,
     budget: ByteBudget,
     keys: RefCell<IdempotencyKeys<QueryId, RecordedResult>>,
@@ -166,8 +169,8 @@
         Ok(())
     }
 
-    /// Completes the query of a key that was never submitted. No other query has joined it, as this
-    /// happens in the same call as its lookup.
+    /// Completes the query of a key that was never submitted. No other query can have joined it,
+    /// because the key was looked up in the same call.
     fn finish_unsent(&self, key: &str, exchange: &Exchange, answer: Answer) {
         let outcome = ExecutionOutcome::NoEffect;
         let waiters = self.keys.borrow_mut().finish(self.now(), key, outcome);
@@ -192,7 +195,7 @@
                     _reservation: Rc::new(reservation),
                 })
             }
-            // A query that was never sent on an engine connection has not run.
+            // If no engine connection was used, no engine has run the query.
             Answer::Rejected { .. } | Answer::ShuttingDown | Answer::StateUnconfirmed
                 if running.used_connections.borrow().is_empty() =>
             {
@@ -207,8 +210,8 @@
                 waiter.exchange.complete(answer.clone());
             }
         }
-        // The execution's task runs this function. Dropping the task would cancel it, so it is
-        // detached.
+        // This function runs in the execution's task. Dropping the handle would cancel that task,
+        // so the handle is detached.
         if let Some(execution) = execution {
             execution.task.detach();
         }
@@ -246,7 +249,8 @@
     }
 }
 
-/// Returns how long engines discard a repeat of a query of this class, or `None` if they never do.
+/// Returns for how long after the first attempt engines discard repeats of a query of this class,
+/// in microseconds, or `None` if they never do.
 fn dedup_window(class: &Class) -> Option<Micros> {
     let window = class.dedup_window.unwrap_or(DEFAULT_DEDUP_WINDOW_US);
     (class.idempotency == Idempotency::Deduplicated).then_some(window)
--- a/gateway/src/net.rs
+++ b/gateway/src/net.rs
@@ -10,9 +10,10 @@
 use rustix::event::{PollFd, PollFlags, Timespec};
 use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
 
-/// The number of connections that the kernel may queue until they are accepted. One burst of silent
-/// clients fills the standard library's 128. The kernel then drops further connections, and regular
-/// clients among them retry only after one, three and seven seconds.
+/// The number of connections that the kernel may queue until they are accepted. A burst of clients
+/// that connect and send nothing fills a queue of 128 connections, the standard library's size. The
+/// kernel then drops further connections, and regular clients among them retry only after one,
+/// three and seven seconds.
 const BACKLOG: i32 = 4096;
 /// How long, and up to how many bytes (`LINGER_BYTES`), input is still read before a connection is
 /// closed because of what the peer sent. Closing with unread input would reset the connection, and
@@ -57,7 +58,7 @@
 }
 
 /// Shuts down the sending side, then reads and discards what the peer still sends, within
-/// `LINGER_TIME` and `LINGER_BYTES`.
+/// `LINGER_TIME` and `LINGER_BYTES`. The socket option `SO_LINGER` is not used.
 pub async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let drain = async {
--- a/gateway/src/postgres/cancellation.rs
+++ b/gateway/src/postgres/cancellation.rs
@@ -25,7 +25,8 @@
 /// The part of a session that a CancelRequest acts on.
 pub(super) struct CancelTarget {
     key: CancelKey,
-    /// Whether the open query, or the one that has arrived and is not yet read, is cancelled.
+    /// Whether the open query, or the one that has arrived and is not yet read, is cancelled. Reset
+    /// when the session reads the value, at the latest at the end of the query.
     is_cancelled: Cell<bool>,
     waker: RefCell<Option<Waker>>,
     slot: Rc<ConnectionSlot>,
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Returns whether the query was cancelled, and clears the mark.
+    /// Returns whether the query was cancelled, and resets `is_cancelled`.
     pub(super) fn take_cancelled(&self) -> bool {
         self.is_cancelled.replace(false)
     }
 
-    /// Waits until the query is cancelled, and clears the mark.
+    /// Waits until the query is cancelled, and resets `is_cancelled`.
     pub(super) async fn cancelled(&self) {
         poll_fn(|context| {
             if self.take_cancelled() {
--- a/gateway/src/postgres/query_fields.rs
+++ b/gateway/src/postgres/query_fields.rs
@@ -32,7 +32,7 @@
     /// A field is missing, or its value is invalid.
     #[error("field `{}` {}", field_name(.0.field), .0.error)]
     Invalid(InvalidField),
-    /// A request with the same id is open, or was open recently.
+    /// A request with the same id is open, or was closed less than 10 s ago.
     #[error(
         "field `{}` names a request that is, or was just now, open",
         field_name(RequestField::Id)
@@ -59,8 +59,8 @@
 }
 
 /// Whether a query is empty: it consists only of white space, comments and semicolons, and does not
-/// begin with a `/*` comment. Such a comment begins the fields of a request, so that a query
-/// without a statement after it is answered with an error.
+/// begin with a `/*` comment. Such a comment contains the fields of a request; if no statement
+/// follows it, the query is an error and not empty.
 #[must_use]
 pub fn is_empty(sql: &[u8]) -> bool {
     !sql.trim_ascii_start().starts_with(b"/*") && is_blank_statement(sql)
--- a/gateway/src/postgres/session/mod.rs
+++ b/gateway/src/postgres/session/mod.rs
@@ -48,7 +48,8 @@
     slot: &'a Rc<ConnectionSlot>,
     stream: Rc<Async<TcpStream>>,
     input: Vec<u8>,
-    /// When input was last read.
+    /// When input was last read, in microseconds since the Unix epoch. This is the time at which
+    /// the current query counts as received.
     read_at: Micros,
     output: Vec<u8>,
     /// The part of the session that a CancelRequest acts on; `None` until the session has started.
@@ -67,7 +68,7 @@
     }
 }
 
-/// Waits for `duration`, and then fails with `end`.
+/// Waits for `duration`, and then returns `end` as an error, which ends the session.
 async fn end_after<T>(duration: Duration, end: SessionEnd) -> Result<T, SessionEnd> {
     Timer::after(duration).await;
     Err(end)
@@ -78,7 +79,8 @@
     Err(end)
 }
 
-/// Waits until a close of the connection is requested, and then fails with the reason.
+/// Waits until a close of the connection is requested, and then returns the reason as an error,
+/// which ends the session.
 async fn end_on_request<T>(slot: &ConnectionSlot) -> Result<T, SessionEnd> {
     Err(SessionEnd::Requested(slot.close_requested().await))
 }
@@ -176,7 +178,8 @@
         self.query(sql).await?;
         let now = self.sessions.sink.now();
         if let Some(reason) = self.sessions.drain.close_reason(now) {
-            // Queries that have already arrived are served before the connection is closed.
+            // The connection is closed only if no further input has arrived. Otherwise the queries
+            // in the input are served first.
             self.read_ahead()?;
             if self.input.is_empty() {
                 return Err(SessionEnd::Requested(reason));
@@ -232,7 +235,7 @@
         }
     }
 
-    /// Returns whether the current query was cancelled, and clears the mark.
+    /// Returns whether the current query was cancelled, and resets that state.
     fn take_cancelled(&self) -> bool {
         let target = self.cancel_target.as_ref();
         target.is_some_and(|target| target.take_cancelled())
--- a/gateway/src/postgres/session/query.rs
+++ b/gateway/src/postgres/session/query.rs
@@ -18,7 +18,8 @@
 use crate::net;
 use crate::stats::RequestEnding;
 
-/// Interval of the checks for a disconnect of a client that sent more than is read ahead.
+/// The time between checks whether a client has disconnected whose buffered input has reached the
+/// read-ahead limit.
 const HANG_UP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// An event that interrupts or ends the wait for an answer.
@@ -71,8 +72,8 @@
         if let Some((in_progress, ending)) = counted {
             in_progress.finish(ending);
         }
-        // A cancel request that has arrived by now was meant for this query. A later one may be
-        // meant for the next query.
+        // A cancel request that has arrived by now was meant for this query, so it is dropped. A
+        // later one may be meant for the next query.
         self.take_cancelled();
         if self.input.is_empty() {
             let now = self.sessions.sink.now();
@@ -151,8 +152,9 @@
         WaitEvent::Cancelled
     }
 
-    /// Reads from the client, since a disconnect is only noticed by reading up to it. If the
-    /// read-ahead limit is reached, waits until the kernel reports that the client has closed.
+    /// Reads from the client, because the end of the stream is noticed only after everything before
+    /// it is read. If the read-ahead limit is reached, waits until the kernel reports that the
+    /// client has closed the connection.
     async fn wait_for_input(&self, chunk: &mut [u8]) -> WaitEvent {
         if self.may_read_ahead() {
             let read = self.stream.read_with(|mut socket| socket.read(chunk));
--- a/gateway/src/postgres/session/socket.rs
+++ b/gateway/src/postgres/session/socket.rs
@@ -10,9 +10,9 @@
 use super::Session;
 use crate::net;
 
-/// Maximum time for which a client accepts no byte of an answer.
+/// How long a client may accept no byte of an answer before the session ends.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Size of the buffered input from which nothing more is read ahead while a request is open.
+/// While a request is open, nothing more is read once this much input is buffered.
 pub(in crate::postgres) const READ_AHEAD_BYTES: usize = 16 * 1024;
 pub(super) const READ_CHUNK_BYTES: usize = 4096;
 /// Capacity to which the output buffer is reduced after a write.
@@ -44,8 +44,8 @@
 
     /// Reads the input that has already arrived, up to the read-ahead limit, without waiting.
     ///
-    /// Fails if the client has disconnected. If more input than the limit precedes the disconnect,
-    /// the kernel's report of it is checked instead.
+    /// Fails if the client has disconnected. If the limit is reached before the end of the stream,
+    /// asks the kernel whether the client has disconnected.
     pub(super) fn read_ahead(&mut self) -> Result<(), SessionEnd> {
         let mut chunk = [0u8; READ_CHUNK_BYTES];
         while self.may_read_ahead() {
--- a/gateway/src/postgres/session_end.rs
+++ b/gateway/src/postgres/session_end.rs
@@ -34,8 +34,10 @@
 }
 
 impl SessionEnd {
-    /// Whether the client ended or abandoned the connection. Such a client reads nothing more, so
-    /// the connection can be closed without lingering.
+    /// Whether the client ended or abandoned the connection, or did not complete its start-up. Such
+    /// a client is not expected to read anything more, so the connection is closed without
+    /// lingering. After [`SessionEnd::Idle`] or [`SessionEnd::MessageTimeout`] the client may still
+    /// send, and may read an answer that a reset would destroy.
     pub(super) fn is_by_client(self) -> bool {
         matches!(
             self,
--- a/gateway/src/postgres/sessions.rs
+++ b/gateway/src/postgres/sessions.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Returns the number of connections that linger in their close.
+    /// Returns the number of connections that linger: only unread input is still read and discarded
+    /// before they are closed.
     #[must_use]
     pub fn lingering(&self) -> usize {
         self.limiter.lingering()
@@ -118,12 +119,13 @@
                     self.accept(stream, peer);
                 }
                 Err(error) => {
-                    // Only the first of several equal failures is logged. The usual cause is a lack
-                    // of file descriptors, so a connection is evicted to free one, even if another
-                    // part of the process holds most of them.
+                    // Only the first of several equal failures is logged.
                     if last_failure.replace(error.kind()) != Some(error.kind()) {
                         log::write_line(format_args!("client accept failed: {error}"));
                     }
+                    // The usual cause is a lack of file descriptors, so a connection is evicted to
+                    // free one. This is done even if another part of the process holds most of
+                    // them.
                     self.limiter.evict_one(self.sink.now());
                     Timer::after(ACCEPT_PAUSE).await;
                 }
@@ -161,7 +163,8 @@
     /// Rejects a connection because every other one up to the limit has an open request.
     ///
     /// The error is sent after the start-up packet is read, since closing a socket with unread
-    /// input may destroy the error. A CancelRequest is still carried out, as it frees a slot.
+    /// input may destroy the error. A CancelRequest is still carried out, because the connection of
+    /// the cancelled query can then be evicted.
     async fn reject(self: Rc<Self>, stream: Async<TcpStream>, peer: SocketAddr) {
         let linger = self.limiter.permit_linger();
         // If too many connections linger, only input that has already arrived is read.
@@ -186,7 +189,7 @@
                 hint: None,
             },
         );
-        // An empty socket buffer holds the whole error, so one write is enough.
+        // The socket's send buffer is empty and larger than the error, so one write is enough.
         let _ = stream.get_ref().write(&output);
         if linger.is_some() {
             net::linger(&stream).await;
@@ -207,7 +210,8 @@
         drop(session);
         self.limiter.release(&slot);
         // Input that arrives during the close would turn it into a reset, which may destroy the
-        // last answer. So the input is read and discarded, and the client retries elsewhere.
+        // last answer. So the input is read and discarded. A client that has sent a query in the
+        // meantime sees the end of the stream and retries it on another connection.
         let linger = self.limiter.permit_linger();
         let linger = linger.filter(|_| !end.is_by_client());
         if linger.is_some() {
--- a/gateway/src/postgres/tests/closes.rs
+++ b/gateway/src/postgres/tests/closes.rs
@@ -4,7 +4,7 @@
 
 /// If every connection up to the limit has an open request, a new one gets an error and is closed
 /// without a reset, although it has sent its start-up packet. A cancel request is still carried
-/// out, as it frees a slot.
+/// out, because the connection of the cancelled query can then be evicted.
 #[test]
 fn at_the_limit_a_connection_gets_its_error_and_a_cancel_request_is_carried_out() {
     let server = TestServer::new(1);
@@ -58,8 +58,8 @@
     assert!(client.received_code("53000"));
 }
 
-/// A query that is still unread when a session that has to close writes its last answer is served
-/// too. If it were left in the socket, the close would become a reset.
+/// If a session has to close, and a further query has arrived when it writes its answer, that query
+/// is served too. If the query were left in the socket, the close would become a reset.
 #[test]
 fn a_query_that_arrives_with_the_last_answer_is_served() {
     let server = TestServer::new(8);
@@ -100,7 +100,7 @@
     assert!(client.reached_end(), "the connection ends without a reset");
 }
 
-/// The number of connections that linger in their close is limited, and beyond the limit a
+/// The number of connections that linger before their close is limited, and beyond the limit a
 /// connection is closed at once. Otherwise many clients together could use up the file descriptors.
 #[test]
 fn few_connections_linger_in_their_close_at_a_time() {
--- a/gateway/src/postgres/tests/disconnects.rs
+++ b/gateway/src/postgres/tests/disconnects.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 /// A cancel request that is read before its query, which is already in the socket, cancels the
-/// query. Guards against forgetting the cancel request when the query is read, so that the query is
-/// sent after its client cancelled it.
+/// query. The cancel request must not be forgotten when the query is read; otherwise the query
+/// would be sent although its client has cancelled it.
 #[test]
 fn a_cancel_request_read_before_its_query_cancels_it() {
     let server = TestServer::new(8);
@@ -77,8 +77,8 @@
     server.run_until("answered", || client.received_code("53000"));
 }
 
-/// If a client disconnects before its queries are read, none of them is submitted. Guards against
-/// noticing the disconnect only after the first query is sent.
+/// If a client disconnects before its queries are read, none of them is submitted. The disconnect
+/// must be noticed before the first query is sent.
 #[test]
 fn queries_of_a_client_that_disconnected_before_they_were_read_do_not_begin() {
     for queries in [1, 3] {
@@ -95,9 +95,9 @@
     }
 }
 
-/// If a client sends more than is read ahead and then disconnects, its open query is withdrawn.
-/// Guards against noticing the disconnect only at the query's deadline, as the end of the stream
-/// follows input that is not read.
+/// If a client sends more than the read-ahead limit and then disconnects, its open query is
+/// withdrawn. The end of the stream follows input that is not read, but the disconnect must be
+/// noticed before the query's deadline.
 #[test]
 fn a_disconnect_behind_more_than_is_read_ahead_is_noticed() {
     let server = TestServer::new(8);
--- a/gateway/src/request_validation.rs
+++ b/gateway/src/request_validation.rs
@@ -12,9 +12,9 @@
 use crate::hex;
 use crate::table_group;
 
-/// The largest plausible value of a budget or an estimate: one day in milliseconds, and as many
-/// megabytes. Larger values are rejected, as an estimate of that size would outweigh all other
-/// queries together.
+/// The largest accepted value of a timeout or an estimate, in milliseconds (one day) or megabytes.
+/// Larger values are rejected, because such an estimate would be greater than the estimates of all
+/// other queries together.
 const MAX_PLAUSIBLE_VALUE: f64 = 86_400_000.0;
 /// Maximum length of an idempotency key.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 64;
@@ -29,7 +29,7 @@
     Class,
     /// The request id, 16 hexadecimal digits; required.
     Id,
-    /// How long the client waits for the answer; required.
+    /// The client's timeout: how long it waits for the answer; required.
     Budget,
     /// The name of the tenant.
     Tenant,
@@ -124,14 +124,14 @@
     /// Returns the first field that is missing or invalid.
     pub fn validate(self, names: &NameTable, received: Micros) -> Result<Request, InvalidField> {
         let class_name = self.class.ok_or(missing(RequestField::Class))?;
-        let class = class_number(class_name, names)?;
+        let class = class_index(class_name, names)?;
         let id_text = self.id.ok_or(missing(RequestField::Id))?;
         let id = hex_number(id_text, RequestField::Id)?;
         let budget_ms = self.budget_ms.ok_or(missing(RequestField::Budget))?;
         let budget_ms = plausible(budget_ms)
             .filter(|ms| *ms > 0.0)
             .ok_or(invalid(RequestField::Budget, FieldError::NotADuration))?;
-        let tenant = tenant_number(self.tenant, names)?;
+        let tenant = tenant_index(self.tenant, names)?;
         let idempotency_key = self.checked_idempotency_key(class, names)?;
         let ordering_key = self
             .ordering_key
@@ -204,7 +204,7 @@
     invalid(field, FieldError::Missing)
 }
 
-fn class_number(name: &str, names: &NameTable) -> Result<usize, InvalidField> {
+fn class_index(name: &str, names: &NameTable) -> Result<usize, InvalidField> {
     let position = names.classes.iter().position(|class| class.name == name);
     position.ok_or_else(|| {
         let error = FieldError::UnknownClass(name.to_owned());
@@ -213,7 +213,7 @@
 }
 
 /// Returns the index of a tenant. A request without a tenant counts as the first tenant's.
-fn tenant_number(name: Option<&str>, names: &NameTable) -> Result<usize, InvalidField> {
+fn tenant_index(name: Option<&str>, names: &NameTable) -> Result<usize, InvalidField> {
     let Some(name) = name else {
         return Ok(0);
     };
--- a/gateway/src/table_group.rs
+++ b/gateway/src/table_group.rs
@@ -1,5 +1,6 @@
 //! Finds the table group of a statement: the number after the last underscore in the name of the
-//! schema that it reads or writes.
+//! schema that it reads or writes. A bulk load locks its table group, so the decisions keep bulk
+//! loads and the queries that would wait for them on different engines if they have the same group.
 //!
 //! This is not a SQL parser. It only skips strings and comments, and recognises the keywords after
 //! which a statement names tables.
@@ -104,7 +105,7 @@
 }
 
 /// Returns the size of the rest of a quoted text, including its closing quote. A doubled quote does
-/// not close it, and a text that is not closed extends to the end.
+/// not close the text. A text that is not closed extends to the end of the statement.
 fn quoted_size(bytes: &[u8], quote: u8, escapes: Escapes) -> usize {
     let mut at = 0;
     while let Some(&byte) = bytes.get(at) {
@@ -119,7 +120,7 @@
 }
 
 /// Returns the size of the dollar-quoted string at the start of `bytes`, or `None` if there is no
-/// such string. A string that is not closed extends to the end.
+/// such string. A string that is not closed extends to the end of the statement.
 fn dollar_quoted_size(bytes: &[u8]) -> Option<usize> {
     let tag_end = 1 + run_length(bytes.get(1..)?, |b| starts_name(b) || b.is_ascii_digit());
     let opening = bytes
@@ -130,8 +131,9 @@
     Some(closing.map_or(bytes.len(), |at| 2 * opening.len() + at))
 }
 
-/// Returns the number of the table group that a statement's schemas name. A schema in a list of
-/// tables takes precedence over a qualified name elsewhere, which may be an alias and its column.
+/// Returns the table group of a statement. A schema in a list of tables, which follows a keyword
+/// such as FROM, takes precedence over a qualified name elsewhere: that name may be a column with
+/// its table's alias.
 #[must_use]
 pub fn table_group(statement: &[u8]) -> Option<u64> {
     let tokens: Vec<Token<'_>> = tokens(statement).collect();
--- a/gateway/src/upstream/close_reason.rs
+++ b/gateway/src/upstream/close_reason.rs
@@ -10,7 +10,7 @@
     /// The connection was no longer to be used, for example because its engine was removed or has
     /// restarted, and no attempt was open on it.
     Retired,
-    /// The connection was idle, and was closed to keep within the limit on connections.
+    /// The connection was idle, and was closed because of the limit on connections.
     Evicted,
     /// The last open attempt was cancelled, and the connection can't be reused.
     Cancelled,
@@ -29,7 +29,7 @@
     ConnectTimeout,
     /// The engine violated the protocol.
     ProtocolError,
-    /// The engine no longer reads its commands.
+    /// Too many commands are queued, because the engine does not read them.
     Stalled,
 }
 
--- a/gateway/src/upstream/codec.rs
+++ b/gateway/src/upstream/codec.rs
@@ -135,7 +135,7 @@
     Overloaded,
     /// The attempt failed, and may have run.
     Error,
-    /// The attempt was already over when the engine got to it, and did not run.
+    /// The attempt was over before the engine could start it, and did not run.
     NeverRan,
     /// The attempt is still running.
     Progress,
@@ -184,7 +184,7 @@
     /// An answer, and the number of bytes that it takes up.
     Complete(Reply<'a>, usize),
     /// The bytes violate the protocol.
-    Garbage,
+    Malformed,
 }
 
 /// Parses the answer at the start of `bytes`.
@@ -192,13 +192,13 @@
 pub fn parse(bytes: &[u8]) -> Parsed<'_> {
     let Some(line_end) = memchr::memchr(b'\n', bytes) else {
         return if bytes.len() > MAX_LINE_BYTES {
-            Parsed::Garbage
+            Parsed::Malformed
         } else {
             Parsed::Incomplete
         };
     };
     let Some(head) = bytes.get(..line_end).and_then(Head::parse) else {
-        return Parsed::Garbage;
+        return Parsed::Malformed;
     };
     let (body_start, body_end) = (line_end + 1, line_end + 1 + head.body_length);
     let Some(body) = bytes.get(body_start..body_end) else {
@@ -206,16 +206,16 @@
     };
     match bytes.get(body_end..body_end + 2) {
         Some(b"\r\n") => {}
-        Some(_) => return Parsed::Garbage,
+        Some(_) => return Parsed::Malformed,
         None => return Parsed::Incomplete,
     }
     match head.reply(body) {
         Some(reply) => Parsed::Complete(reply, body_end + 2),
-        None => Parsed::Garbage,
+        None => Parsed::Malformed,
     }
 }
 
-/// The first line of an answer, split into its words.
+/// The line of an answer, split into its words.
 struct Head<'a> {
     query: QueryId,
     request_id: &'a str,
--- a/gateway/src/upstream/connection/command_queue.rs
+++ b/gateway/src/upstream/connection/command_queue.rs
@@ -10,7 +10,8 @@
 use super::ActiveAttempt;
 use crate::exchange::Attempt;
 
-/// If more commands than this are waiting, the engine counts as having stopped reading.
+/// If more commands than this are waiting, the engine is considered stalled, and the connection is
+/// closed.
 const MAX_QUEUED_COMMANDS: usize = 2_000;
 const MICROS_PER_MS: Micros = 1_000;
 
@@ -45,6 +46,7 @@
     /// command has been written.
     starts: Option<QueryId>,
     /// Whether the command starts an attempt, which is counted once it is written completely.
+    /// Unlike `starts`, this stays set while the command is being written.
     is_attempt: bool,
 }
 
@@ -81,7 +83,7 @@
     /// Handles a reply that belongs to no open attempt: a late reply to an attempt that has ended,
     /// a duplicate, or a reply with an unknown id. The reply is skipped, and if it is the first of
     /// several pages, the engine is told that it may discard the others.
-    pub(super) fn release_unknown(&mut self, reply: &Reply<'_>) {
+    pub(super) fn handle_unknown_reply(&mut self, reply: &Reply<'_>) {
         let has_more = reply.page_count.is_some_and(|pages| pages > 1);
         if reply.kind == ReplyKind::FirstPage && has_more {
             let line = codec::release_line(reply.request_id);
--- a/gateway/src/upstream/connection/mod.rs
+++ b/gateway/src/upstream/connection/mod.rs
@@ -82,13 +82,13 @@
     pub id: u64,
     pub engine: EngineId,
     pub addr: SocketAddr,
-    /// Whether the connection accepts no further attempts.
+    /// Whether no further attempt may be queued on the connection.
     pub is_retired: Cell<bool>,
     /// When the connection was opened or an attempt on it last ended, in microseconds since the
     /// Unix epoch. Meaningful only while no attempt is open.
     pub idle_since: Cell<Micros>,
     /// The number of attempts queued on the connection so far.
-    pub requests: Cell<u64>,
+    pub attempts: Cell<u64>,
     pub has_ended: Cell<bool>,
     /// Whether the socket accepts no more data at the moment.
     pub is_blocked: Cell<bool>,
@@ -110,7 +110,7 @@
             addr,
             is_retired: Cell::new(false),
             idle_since: Cell::new(now),
-            requests: Cell::new(0),
+            attempts: Cell::new(0),
             has_ended: Cell::new(false),
             is_blocked: Cell::new(false),
             stats,
@@ -124,7 +124,7 @@
     }
 
     /// Returns whether the engine has closed the connection, or data from it waits to be read.
-    /// On an idle connection, such data was not requested.
+    /// An idle connection for which either is true can't be used any more.
     pub(super) fn has_unread_input(&self) -> bool {
         let state = self.state.borrow();
         let peeked = state
@@ -165,7 +165,7 @@
             result: PartialResult::default(),
         };
         state.open.insert(query, active);
-        self.requests.set(self.requests.get() + 1);
+        self.attempts.set(self.attempts.get() + 1);
     }
 
     /// Cancels the attempt of a query. If it has begun, the connection is retired.
@@ -179,10 +179,10 @@
             state.commands.discard_unwritten(query);
             return CancelOutcome::NeverSent;
         }
-        // The engine or this connection may have stopped responding. If an answer stopped part-way,
-        // the bytes after it would be read as its rest. A late answer must also not be taken for
-        // the answer to a later attempt of the same query. So no further attempt is sent on this
-        // connection, while other open attempts still get their answers.
+        // No further attempt is sent on this connection, for three reasons: The engine or the
+        // connection may have stopped responding. If an answer is incomplete, the next answer would
+        // be read as the rest of it. A late answer could be taken for the answer to a later attempt
+        // of the same query. Other open attempts still get their answers.
         self.is_retired.set(true);
         let line = if active.result.has_begun() {
             codec::release_line(active.request_id())
@@ -222,8 +222,8 @@
         self.cancel_unwritten(|_| true)
     }
 
-    /// Cancels every attempt of which nothing was written before its `begin_by`, and returns their
-    /// ends.
+    /// Cancels every attempt of which nothing is written although its `begin_by` has passed, and
+    /// returns their ends.
     pub(super) fn take_late(&self, now: Micros) -> Vec<AttemptEnd> {
         self.cancel_unwritten(|attempt| now >= attempt.begin_by)
     }
@@ -281,7 +281,7 @@
         loop {
             match codec::parse(buffer.get(*used..).unwrap_or_default()) {
                 Parsed::Incomplete => return Ok(None),
-                Parsed::Garbage => return Err(CloseReason::ProtocolError),
+                Parsed::Malformed => return Err(CloseReason::ProtocolError),
                 Parsed::Complete(reply, size) => {
                     *used += size;
                     if let Some(event) = self.take_reply(&reply, now)? {
@@ -301,7 +301,7 @@
         let state = &mut *guard;
         let active = state.open.get_mut(&reply.query);
         let Some(active) = active.filter(|active| active.has_begun) else {
-            state.commands.release_unknown(reply);
+            state.commands.handle_unknown_reply(reply);
             return Ok(None);
         };
         let outcome = match reply.kind {
--- a/gateway/src/upstream/connection/partial_result.rs
+++ b/gateway/src/upstream/connection/partial_result.rs
@@ -17,7 +17,8 @@
 /// The state of a result after a page was added.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum PageOutcome {
-    /// The page had arrived before. The first copy is kept, and later answers remain valid.
+    /// The page had arrived before. The first copy is kept. This is not a protocol error, so the
+    /// connection stays open.
     Duplicate,
     /// Some pages are still missing.
     Incomplete {
--- a/gateway/src/upstream/connection/tests.rs
+++ b/gateway/src/upstream/connection/tests.rs
@@ -50,7 +50,7 @@
 }
 
 /// An attempt that waits for its connection has certainly not run. Once it is cancelled, it must
-/// not be sent: a late send to a draining engine would violate the drain.
+/// not be sent, because an engine that drains must get no further attempts.
 #[test]
 fn attempts_of_which_nothing_was_written_never_ran() {
     let connection = connection();
@@ -196,7 +196,7 @@
         &[b'x'; 2000],
     ] {
         assert!(
-            matches!(codec::parse(bytes), Parsed::Garbage),
+            matches!(codec::parse(bytes), Parsed::Malformed),
             "{}",
             bytes.escape_ascii()
         );
--- a/gateway/src/upstream/pool/driver.rs
+++ b/gateway/src/upstream/pool/driver.rs
@@ -14,15 +14,16 @@
 use super::super::connection::{Connection, UpstreamEvent};
 use super::Pool;
 
-/// The maximum time from the first part of an answer to its end. Engines write an answer in one go
-/// and may pause for half a second. An answer that takes longer counts as stopped part-way, and the
-/// answers after it can't be read.
+/// The maximum time from the first part of an answer to its end. Engines write an answer without
+/// waiting for anything, but may be paused for half a second. If an answer takes longer, the
+/// connection is closed, because no later answer can be read from it.
 const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(600);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 impl Pool {
-    /// Writes as much as the socket accepts. Once connected, it first cancels attempts that waited
-    /// past their `begin_by`, or, if the fence is closed, all attempts not yet begun.
+    /// Writes as much as the socket accepts. Before that, if the connection is established, cancels
+    /// the attempts that have not begun: all of them if the fence is closed, else those whose
+    /// `begin_by` has passed.
     fn write(&self, connection: &Connection) -> Result<(), CloseReason> {
         let now = self.now();
         if connection.is_connected() {
@@ -43,15 +44,16 @@
         if let Err(reason) = self.write(connection) {
             self.close(connection, reason);
         } else if connection.is_blocked.get() && !was_blocked {
-            // A separate task waits for the socket, so that other engines don't have to wait.
+            // A separate task waits until the socket is writable, so that the caller can go on to
+            // other engines.
             if let Some(pool) = self.this.upgrade() {
-                let writer = pool.write_when_possible(Rc::clone(connection));
+                let writer = pool.write_when_writable(Rc::clone(connection));
                 self.executor.spawn(writer).detach();
             }
         }
     }
 
-    async fn write_when_possible(self: Rc<Self>, connection: Rc<Connection>) {
+    async fn write_when_writable(self: Rc<Self>, connection: Rc<Connection>) {
         let Some(stream) = connection.stream() else {
             return;
         };
--- a/gateway/src/upstream/pool/mod.rs
+++ b/gateway/src/upstream/pool/mod.rs
@@ -1,7 +1,7 @@
 //! The pool of connections to engines.
 //!
-//! Connections belong to an engine id, not to an address. An engine's address may pass to its
-//! successor, and a connection to the old engine is never used for the new one.
+//! Connections belong to an engine id, not to an address. Another engine may later get the address
+//! of a removed one, and a connection to the old engine is never used for the new one.
 
 mod driver;
 mod placement;
@@ -27,8 +27,8 @@
 
 /// The time between checks for idle connections to close.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// If this many connections break before any of an attempt is written, its engine counts as
-/// unreachable.
+/// If this many connections break before any of an attempt is written, the attempt ends as
+/// [`Outcome::ConnectionRefused`].
 const MAX_BROKEN_CONNECTIONS: u32 = 3;
 
 /// The connections to all engines, and the list of engines that they may be opened to.
@@ -38,7 +38,7 @@
     clock: Clock,
     limits: UpstreamLimits,
     stats: Rc<Stats>,
-    /// Checked before anything is sent. `None`: sending is always allowed.
+    /// The fence, which is checked before anything is sent. `None`: sending is always allowed.
     fence: Option<Rc<dyn Fence>>,
     max_connections: Cell<usize>,
     events: RefCell<Option<Weak<dyn AttemptEvents>>>,
@@ -98,10 +98,12 @@
         }
     }
 
-    /// Periodically closes idle connections that are retired, or that their engine would soon
-    /// close, so that no request is sent while the engine closes its connection. Never returns.
+    /// Periodically closes idle connections that are retired or that their engine would soon close.
+    /// Otherwise an attempt could be sent on a connection that the engine is closing. Never
+    /// returns.
     pub async fn sweep(&self) {
-        // The remaining quarter of the engine's idle timeout is a margin for requests in transit.
+        // A connection is closed after three quarters of the engine's idle timeout. The rest is a
+        // margin for requests in transit.
         let max_idle = micros(self.limits.idle_close) / 4 * 3;
         loop {
             Timer::after(SWEEP_INTERVAL).await;
@@ -147,9 +149,10 @@
         }
     }
 
-    /// Closes a connection. Attempts on it that have begun end as interrupted. The others are
-    /// placed on another connection; they end as refused if the engine can't be reached or
-    /// [`MAX_BROKEN_CONNECTIONS`] have broken before they were written.
+    /// Closes a connection. Attempts on it that have begun end as [`Outcome::ConnectionLost`]. The
+    /// others are placed on another connection. If the engine can't be reached, or
+    /// [`MAX_BROKEN_CONNECTIONS`] connections have broken before any of an attempt was written, the
+    /// attempt ends as [`Outcome::ConnectionRefused`].
     fn close(&self, connection: &Connection, reason: CloseReason) {
         // If the engine refused the connection or did not respond, another connection would not
         // help.
@@ -161,7 +164,7 @@
             .remove(&connection.id)
             .is_some()
         {
-            log::connection_ended("engine", connection.addr, reason, connection.requests.get());
+            log::connection_ended("engine", connection.addr, reason, connection.attempts.get());
         }
         let mut ends = end.interrupted;
         for unsent in end.unsent {
--- a/gateway/src/upstream/pool/placement.rs
+++ b/gateway/src/upstream/pool/placement.rs
@@ -56,8 +56,8 @@
                 && !used.contains(&connection.id)
         });
         candidates.sort_by_key(|connection| Reverse(connection.idle_since.get()));
-        // An attempt written to a connection that the engine has just closed would be lost, and
-        // would count as one that may have run.
+        // Idle connections with unread input are left out: the engine may have just closed them,
+        // and an attempt written to them would be lost and count as one that may have run.
         let idle = candidates
             .iter()
             .find(|connection| connection.load() == 0 && !connection.has_unread_input());
--- a/gateway/src/upstream/pool/tests.rs
+++ b/gateway/src/upstream/pool/tests.rs
@@ -218,7 +218,8 @@
     assert_eq!(engine.ends.0.take(), [(1, Outcome::Overloaded)]);
 }
 
-/// The next attempt reuses an idle connection that the engine has not closed, however old it is.
+/// The next attempt reuses an idle connection that the engine has not closed, regardless of its
+/// age. The sweep, which closes connections that were idle for long, does not run in this test.
 #[test]
 fn an_idle_connection_is_used_again() {
     let engine = FakeEngine::new(3);
