--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -1,5 +1,5 @@
-//! The cordon file: the names of the engines that operators have cordoned, in a small file that the
-//! processes of one gateway share and that outlasts them.
+//! The cordon file: stores the names of the engines that operators have cordoned. The processes of
+//! one gateway share the file, and it survives a restart.
 
 use std::collections::BTreeSet;
 use std::fs::{File, OpenOptions};
@@ -11,38 +11,39 @@
 
 use crate::log;
 
-/// A longer file is no list of engines.
+/// The most bytes that are read from the file. A longer file is corrupt.
 const MAX_FILE_BYTES: u64 = 256 * 1024;
-/// How often, and how many times, a lock that the other process holds is tried. It holds it for one
-/// write; one that was stopped in the middle must not block this one too.
+/// The pause before the lock is tried again, and the number of retries. A process holds the lock
+/// for one write. The retries are limited so that a process that is stopped during its write
+/// doesn't block the other one.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
 const LOCK_RETRIES: u32 = 50;
 
-/// Names of engines.
+/// Names of engines as the event bus lists them.
 pub type EngineNames = BTreeSet<String>;
 
-/// A change of the file.
+/// A change of the cordon of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cordon {
-    /// An engine is cordoned.
+    /// Cordons the engine.
     Add,
-    /// It no longer is.
+    /// Lifts the cordon.
     Remove,
 }
 
-/// The file, with a lock file beside it.
+/// The cordon file, with a lock file beside it.
 pub struct CordonFile {
     path: Option<PathBuf>,
 }
 
 impl CordonFile {
-    /// The file at a path; without one, nothing is stored.
+    /// Creates a handle for the file at `path`. Without a path, nothing is stored.
     #[must_use]
     pub fn new(path: Option<PathBuf>) -> Self {
         CordonFile { path }
     }
 
-    /// The names in the file; `None`: there is no file.
+    /// Reads the names from the file. Returns `None` if there is no file.
     ///
     /// # Errors
     ///
@@ -60,11 +61,12 @@
         Ok(Some(serde_json::from_str(&text)?))
     }
 
-    /// Adds a name or removes it, whatever the other process has changed meanwhile; the names in
-    /// force then.
+    /// Adds or removes a name, preserves what the other process has changed meanwhile, and returns
+    /// the names that are now cordoned.
     ///
-    /// A file that can't be read counts as `known`, which is what this process knows. One that
-    /// can't be written is logged: the change is in force here all the same.
+    /// If the file can't be read, the change is applied to `known`, the names that this process
+    /// knows. If the file can't be written, that is logged, and the change takes effect in this
+    /// process only.
     pub fn update(&self, known: &EngineNames, name: &str, change: Cordon) -> EngineNames {
         let _lock = self.path.as_deref().and_then(|path| {
             lock_file(path)
@@ -97,7 +99,7 @@
     PathBuf::from(name)
 }
 
-/// Prevents the other process from changing the file until the lock is dropped.
+/// Locks the file, so that the other process can't change it until the lock is dropped.
 fn lock_file(path: &Path) -> std::io::Result<File> {
     let file = OpenOptions::new()
         .write(true)
@@ -117,8 +119,8 @@
     }
 }
 
-/// Writes to a file of its own and renames it, so that a reader sees all of it or what was there
-/// before.
+/// Writes the names to a new file and renames it over the old one, so that a reader sees either
+/// the complete new content or the old one.
 fn write(path: &Path, names: &EngineNames) -> std::io::Result<()> {
     let new = with_suffix(path, ".new");
     std::fs::write(&new, serde_json::to_vec(names)?)?;
--- a/gateway/src/cordon_file/tests.rs
+++ b/gateway/src/cordon_file/tests.rs
@@ -1,4 +1,4 @@
-//! The cordon file under two processes, and without a folder.
+//! Tests of the cordon file: two processes that share it, and a folder that is missing.
 #![allow(clippy::unwrap_used, reason = "a failed step fails the test")]
 
 use super::*;
@@ -7,8 +7,8 @@
     names.iter().map(|n| (*n).to_owned()).collect()
 }
 
-/// Two processes that change the file each preserve what the other has changed; a corrupt file is
-/// an error, and is replaced at the next change by what the process holds.
+/// Two processes that change the file preserve each other's changes. Reading a corrupt file is an
+/// error, and the next change replaces the file by the names that the process knows.
 #[test]
 fn changes_of_two_processes_add_up_and_a_corrupt_file_is_replaced() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
@@ -39,7 +39,7 @@
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Without a folder that can be written to, a change holds in this process.
+/// If there is no path, or its folder doesn't exist, a change still takes effect in this process.
 #[test]
 fn without_a_writable_folder_a_change_still_holds_here() {
     for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
@@ -50,7 +50,8 @@
         );
     }
 }
-/// Another version of the program reads and writes this file during an upgrade: its form stays.
+/// During an upgrade, another version of the program reads and writes this file, so its format must
+/// not change.
 #[test]
 fn file_has_the_form_that_other_versions_read() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-cordons", std::process::id()));
--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -1,5 +1,5 @@
-//! A client of members' APIs: it tries one member after the other, and retries an unanswered call
-//! under its one request id.
+//! A client of the members' APIs. It tries the members in turn, and repeats an unanswered call
+//! under the same request id.
 
 use std::io::Write;
 use std::net::SocketAddr;
@@ -13,16 +13,18 @@
 use super::error::CtlError;
 use crate::replication::{new_request_id, MembershipStep};
 
-/// The pause before the members are tried again.
+/// The pause after all members were tried, before they are tried again.
 pub(super) const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// The longest answer: a saved state.
+/// The maximum length of an answer. The longest answer is a saved state.
 const MAX_ANSWER_BYTES: u64 = 1 << 30;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A member gets at least this long for a call, and its answer this long more.
+/// The minimum time that a member is given for a call, even if the deadline is closer.
 const MIN_CALL_MS: u128 = 100;
+/// How much longer than the call's timeout the client waits for the answer.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
-/// Which cluster, and how patiently.
+/// Options that every call to the cluster has: the members' addresses, the timeout, the request id
+/// and the operator.
 #[derive(Debug, Clone, clap::Args)]
 pub struct ClientOptions {
     /// Where members' APIs are; each is asked in turn until one answers
@@ -45,19 +47,19 @@
     operator: String,
 }
 
-/// An answer of a member.
+/// The answer of a member to a call: its HTTP status and body.
 pub(super) struct ApiReply {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
 impl ApiReply {
-    /// Its body; null if that is no JSON.
+    /// Parses the body. Returns null if it isn't JSON.
     pub(super) fn body_json(&self) -> Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// What an error says.
+    /// The error's `detail` field, or the whole body if there is no such field.
     fn detail(&self) -> String {
         let json = self.body_json();
         field(&json, "detail").as_str().map_or_else(
@@ -67,12 +69,12 @@
     }
 }
 
-/// A field of an answer; null if there is none.
+/// The field `name` of a JSON value, or null if there is none.
 pub(super) fn field<'a>(value: &'a Value, name: &str) -> &'a Value {
     value.get(name).unwrap_or(&Value::Null)
 }
 
-/// The value of an entry as it is printed.
+/// The value of an entry in the form that is printed: text, or base64 if it isn't UTF-8.
 pub(super) fn shown_value(entry: &Value) -> String {
     let text = field(entry, "value").as_str().map(str::to_owned);
     text.unwrap_or_else(|| {
@@ -81,7 +83,7 @@
     })
 }
 
-/// A path with its query; parameters without a value are left out.
+/// Appends the query parameters to a path. Parameters without a value are left out.
 pub(super) fn path_with_query(path: &str, parameters: &[(&str, Option<String>)]) -> String {
     let given: Vec<_> = parameters
         .iter()
@@ -93,13 +95,14 @@
     }
 }
 
-/// Writes to standard output. False: nobody reads it any more, which is no failure.
+/// Writes to standard output. Returns false if the reader has closed it; that isn't an error of
+/// the command.
 pub(super) fn print(bytes: &[u8]) -> bool {
     let mut out = std::io::stdout().lock();
     out.write_all(bytes).and_then(|()| out.flush()).is_ok()
 }
 
-/// Why one member gave no answer.
+/// Why a call to one member failed without an answer.
 #[derive(Debug, Error)]
 enum TransportError {
     #[error("{0}")]
@@ -108,7 +111,7 @@
     Connection(#[from] ureq::Error),
 }
 
-/// A client of members' APIs.
+/// A client of the members' APIs. All its calls use one request id.
 pub(super) struct ApiClient {
     options: ClientOptions,
     agent: Agent,
@@ -130,7 +133,7 @@
         Ok(client)
     }
 
-    /// Sets how long calls may take from now on.
+    /// Sets the deadline of the calls that follow to `timeout` from now.
     pub(super) fn set_timeout(&mut self, timeout: Duration) {
         self.deadline = Instant::now() + timeout;
         let config = Agent::config_builder()
@@ -141,7 +144,7 @@
         self.agent = config.new_agent();
     }
 
-    /// Calls one member, once.
+    /// Calls one member once, without a retry.
     fn call_member(
         &self,
         member: SocketAddr,
@@ -172,34 +175,37 @@
         })
     }
 
-    /// Calls one member after the other until one has an answer: each under the same request id, so that
-    /// nothing is done twice.
+    /// Calls the members in turn until one answers. All calls have the same request id, so that a
+    /// change is made only once.
     pub(super) fn call(
         &self,
         method: &Method,
         path: &str,
         body: &[u8],
     ) -> Result<ApiReply, CtlError> {
-        let mut last = "no address".to_owned();
+        let mut last_failure = "no address".to_owned();
         loop {
             for member in &self.options.at {
                 match self.call_member(*member, method, path, body) {
-                    // The outcome is unknown there, or it is isolated: another one may answer.
+                    // The member is isolated, or doesn't know the outcome. Another may answer.
                     Ok(reply) if matches!(reply.status, 503 | 504) => {
-                        last = format!("{member}: {}", reply.detail());
+                        last_failure = format!("{member}: {}", reply.detail());
                     }
                     Ok(reply) if reply.status < 300 => return Ok(reply),
                     Ok(reply) => {
                         let (detail, status) = (reply.detail(), reply.status);
                         return Err(CtlError::Rejected { detail, status });
                     }
-                    Err(error) => last = format!("{member}: {error}"),
+                    Err(error) => last_failure = format!("{member}: {error}"),
                 }
             }
             if Instant::now() >= self.deadline {
                 let changes = *method != Method::GET;
                 let retry_id = changes.then(|| self.request_id.clone());
-                return Err(CtlError::Unanswered { last, retry_id });
+                return Err(CtlError::Unanswered {
+                    last_failure,
+                    retry_id,
+                });
             }
             std::thread::sleep(RETRY_PAUSE);
         }
@@ -209,7 +215,7 @@
         self.call(&Method::GET, path, &[])
     }
 
-    /// Takes a step of the membership.
+    /// Requests one change of the cluster's membership.
     pub(super) fn change_membership(&self, step: &MembershipStep) -> Result<ApiReply, CtlError> {
         let body = serde_json::to_vec(step)?;
         self.call(&Method::POST, "/v1/cluster/members", &body)
--- a/gateway/src/ctl/error.rs
+++ b/gateway/src/ctl/error.rs
@@ -8,42 +8,42 @@
 use super::saved_state::SavedStateError;
 use crate::settings::SettingsFileError;
 
-/// Why a command failed; one line for the operator.
+/// Why a command failed. Its text is one line for the operator.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// The time that a call may take is no time.
+    /// The value of `--within` is not a valid duration.
     #[error("--within: {0}")]
     Timeout(#[from] std::time::TryFromFloatSecsError),
     /// A member rejected the call.
     #[error("{detail} ({status})")]
     Rejected {
-        /// Why.
+        /// The reason that the member gave.
         detail: String,
-        /// The status of its answer.
+        /// The HTTP status of the answer.
         status: u16,
     },
-    /// No member answered in time. A change may have been committed all the same.
-    #[error("nobody had an answer: {last}{}", retry_hint(.retry_id.as_deref()))]
+    /// No member answered in time. A change may have been committed nevertheless.
+    #[error("no member answered: {last_failure}{}", retry_hint(.retry_id.as_deref()))]
     Unanswered {
-        /// The last failure.
-        last: String,
-        /// For a change, the request id under which it can be sent again.
+        /// The last member that was tried, and why it gave no answer.
+        last_failure: String,
+        /// For a change, the request id under which it can safely be sent again.
         retry_id: Option<String>,
     },
     /// A file can't be read or written.
     #[error("{}: {error}", .path.display())]
     File {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// A file holds no saved state.
+    /// A file doesn't contain a valid saved state.
     #[error("{}: {error}", .path.display())]
     SavedState {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// What is wrong with its content.
         error: SavedStateError,
     },
     /// Standard input can't be read.
@@ -52,28 +52,28 @@
     /// The settings file can't be used.
     #[error("{0}")]
     Settings(#[from] SettingsFileError),
-    /// The settings name no cluster.
+    /// The settings have no `cluster` block.
     #[error("{}: there is no `cluster` block", .0.display())]
     NoCluster(PathBuf),
-    /// The settings are those of a subscriber.
+    /// The settings are those of a subscriber, which has no member's folder.
     #[error("{}: `cluster.role`: a subscriber has no folder", .0.display())]
     Subscriber(PathBuf),
-    /// There are no random numbers for the id of the disk.
-    #[error("no random numbers: {0}")]
+    /// The operating system gave no random numbers for the id of the disk.
+    #[error("can't get random numbers: {0}")]
     Random(getrandom::Error),
-    /// The member's folder can't be made.
+    /// The member's folder can't be created.
     #[error("{0}")]
     Initialize(#[from] InitializeError),
     /// The cluster has no such member.
     #[error("member {0} does not belong to the cluster")]
     UnknownMember(u64),
-    /// The call can't be written as JSON.
+    /// The body of the call can't be encoded as JSON.
     #[error("{0}")]
     Body(#[from] serde_json::Error),
 }
 
 fn retry_hint(retry_id: Option<&str>) -> String {
     retry_id.map_or_else(String::new, |id| {
-        format!("; it may still come to be: --request-id {id} asks for the same again")
+        format!("; the change may still take effect: repeat it with --request-id {id}")
     })
 }
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -1,4 +1,4 @@
-//! `violetgate members`: makes members' folders, and changes who belongs to a cluster.
+//! `violetgate members`: creates members' folders, and changes the membership of a cluster.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -21,12 +21,13 @@
     call: MembersCall,
 }
 
-/// How long a new member may take to catch up and vote.
+/// The maximum time until a new member has caught up and votes.
 const PROMOTION_TIMEOUT: Duration = Duration::from_secs(600);
-/// How long one call may take while a member is replaced, and its last one.
+/// The timeout of each call while `members replace` waits for the new member to vote.
 const REPLACE_CALL_TIMEOUT: Duration = Duration::from_secs(5);
+/// The timeout of the last call of `members replace`, which removes the old member.
 const REMOVE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The pause between attempts to promote, in retry pauses.
+/// The pause between attempts to promote a member, as a multiple of [`RETRY_PAUSE`].
 const PROMOTION_PAUSES: u32 = 5;
 
 #[derive(Debug, clap::Subcommand)]
@@ -79,19 +80,19 @@
     },
 }
 
-/// Whether a member begins a new cluster or joins one that runs.
+/// Whether a member is one of the first of a new cluster or joins a running one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     NewCluster,
     RunningCluster,
 }
 
-/// Makes a member's folder for a new cluster that begins with a saved state.
+/// Creates a member's folder for a new cluster that starts from a saved state.
 pub(super) fn restore_member(settings: &Path, state: Vec<u8>) -> Result<(), CtlError> {
     initialize_member(settings, Origin::NewCluster, state)
 }
 
-/// Makes a member's folder.
+/// Creates a member's folder.
 fn initialize_member(file: &Path, origin: Origin, state: Vec<u8>) -> Result<(), CtlError> {
     let cluster = settings::read(Some(file))?.cluster;
     let cluster = cluster.ok_or_else(|| CtlError::NoCluster(file.to_owned()))?;
@@ -174,7 +175,7 @@
     *field(member, "voter") == json!(true)
 }
 
-/// Adds the replacement of a member, unless an earlier run has added it.
+/// Adds the member `id` as the replacement of `old`, unless an earlier run has already added it.
 fn add_replacement(
     client: &ApiClient,
     old: u64,
@@ -192,7 +193,8 @@
     Ok(())
 }
 
-/// Promotes a learner, and waits until it votes.
+/// Promotes a learner to a voter, and waits until it votes. A promotion is rejected until the
+/// learner has caught up, so it is repeated.
 fn promote(client: &mut ApiClient, id: u64) -> Result<(), CtlError> {
     let deadline = Instant::now() + PROMOTION_TIMEOUT;
     loop {
@@ -209,7 +211,7 @@
     }
 }
 
-/// Prints the members.
+/// Prints a table of the members.
 pub(super) fn list_members(client: &ApiClient) -> Result<(), CtlError> {
     let reply = client.get("/v1/cluster")?;
     let status = reply.body_json();
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -1,8 +1,8 @@
-//! `violetgate ctl` and `violetgate members`: operators' calls to a cluster's API, and the making
+//! `violetgate ctl` and `violetgate members`: operators' calls to a cluster's API, and the creation
 //! of members' folders.
 //!
-//! It has no state: what a call does is the cluster's. It never guesses at the outcome of a change:
-//! one that got no answer is sent again under its one request id.
+//! The commands keep no state of their own. They never guess the outcome of a change: if a change
+//! got no answer, it is sent again under the same request id.
 
 mod client;
 mod error;
@@ -159,9 +159,9 @@
     },
 }
 
-/// How long a member may wait for a change before it answers that there is none.
+/// How long a member waits for a change before it answers that there is none.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How long a call that waits may take beyond that.
+/// How much longer than [`WATCH_WAIT`] a call of `watch` may take.
 const WATCH_MARGIN: Duration = Duration::from_secs(10);
 
 /// Runs `violetgate ctl`.
@@ -240,7 +240,8 @@
     path_with_query("/v1/cordons", &[("engine", Some(engine.to_owned()))])
 }
 
-/// The path by which an instance is drained: numbers are members' ids.
+/// The path with the query that drains an instance. An instance that consists of digits is the id
+/// of a member, any other the name of a subscriber.
 fn drain_path(instance: &str) -> String {
     let is_member = instance.bytes().all(|byte| byte.is_ascii_digit());
     let parameter = if is_member { "member" } else { "front_end" };
@@ -254,7 +255,7 @@
     Ok(())
 }
 
-/// Prints all pages of a listing, up to where nobody reads it any more.
+/// Prints all pages of a listing. Stops early if the reader has closed standard output.
 fn list(client: &ApiClient, prefix: &str, stale: bool) -> Result<(), CtlError> {
     let parameters = [
         ("prefix", Some(prefix.to_owned())),
@@ -277,7 +278,7 @@
     }
 }
 
-/// A value of the command line, or all of standard input.
+/// The value from the command line, or all of standard input if none was given.
 fn value_or_input(value: Option<&str>) -> Result<Vec<u8>, CtlError> {
     if let Some(value) = value {
         return Ok(value.as_bytes().to_vec());
@@ -319,7 +320,8 @@
     CtlError::File { path, error }
 }
 
-/// Saves the state to a file, which is replaced once the new one is written.
+/// Saves the state to a file. An existing file is replaced only after the new one is written
+/// completely.
 fn save_snapshot(client: &ApiClient, file: &Path) -> Result<(), CtlError> {
     let state = client.get("/v1/snapshot")?.body;
     let new = file.with_extension("new");
@@ -339,7 +341,8 @@
     restore_member(settings, state)
 }
 
-/// Prints changes for ever, from wherever a member has them.
+/// Prints changes until `count` of them are printed, a call fails or the reader has closed standard
+/// output. Each call may be answered by another member.
 fn watch(
     mut client: ApiClient,
     prefix: &str,
--- a/gateway/src/ctl/saved_state.rs
+++ b/gateway/src/ctl/saved_state.rs
@@ -1,31 +1,31 @@
-//! Files that hold a saved state: a magic number, a checksum, and the state.
+//! The format of files that contain a saved state: a magic number, a checksum, and the state.
 
 use thiserror::Error;
 
-/// What a file with a saved state begins with; then come a CRC-32 of the state, little-endian, and the state.
+/// The first bytes of a file. A little-endian CRC-32 of the state and the state itself follow.
 const MAGIC: &[u8; 8] = b"VGSTATE1";
 
-/// Why a file holds no saved state.
+/// Why a file doesn't contain a valid saved state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SavedStateError {
-    /// It begins otherwise.
-    #[error("this is no saved state")]
+    /// The file doesn't begin with the magic number.
+    #[error("the file is not a saved state")]
     NotASavedState,
-    /// It ends before the state.
-    #[error("this saved state is cut short")]
+    /// The file ends within the checksum.
+    #[error("the saved state is truncated")]
     Truncated,
-    /// Its checksum is not that of the state.
-    #[error("this saved state is spoilt: its checksum is another one")]
+    /// The checksum doesn't match the state.
+    #[error("the saved state is corrupt: its checksum doesn't match")]
     Corrupt,
 }
 
-/// The content of a file that saves a state.
+/// Encodes a state as the content of a file.
 pub(super) fn encode(state: &[u8]) -> Vec<u8> {
     let checksum = crc32fast::hash(state).to_le_bytes();
     [MAGIC, checksum.as_slice(), state].concat()
 }
 
-/// The state that a file saves.
+/// Decodes the content of a file, and returns the state.
 pub(super) fn decode(bytes: &[u8]) -> Result<Vec<u8>, SavedStateError> {
     let rest = bytes.strip_prefix(MAGIC);
     let rest = rest.ok_or(SavedStateError::NotASavedState)?;
