--- a/gateway/src/demo/instance.rs
+++ b/gateway/src/demo/instance.rs
@@ -1,4 +1,4 @@
-//! One gateway of the demo: its addresses and its files.
+//! One gateway of the demo: its addresses, its files and its process.
 
 use std::net::{TcpListener, UdpSocket};
 use std::path::{Path, PathBuf};
@@ -8,28 +8,28 @@
 
 use super::{create_folder, Demo, DemoError};
 
-/// The API of a member is so many ports above its address for other members.
+/// The offset from a member's port for other members to the port of its API.
 const API_PORT_OFFSET: u16 = 10;
 
-/// One gateway of the demo.
+/// One gateway of the demo. All its addresses are on loopback.
 pub(super) struct Instance {
-    /// Its number, from 1; also its id as a member.
+    /// The instance's number, from 1. It is also its id as a member of the cluster.
     pub number: u16,
-    /// Whether there are others, with which it forms a cluster and a fleet.
+    /// Whether the demo has several instances, which form a cluster and a fleet.
     is_one_of_several: bool,
     folder: PathBuf,
     pub listen: String,
     pub rest: String,
     pub management: String,
-    /// Its address for other members.
+    /// The address for other members of the cluster.
     peer: String,
     pub api: String,
-    /// Its address for datagrams of the fleet.
+    /// The address for datagrams of the fleet.
     fleet: String,
 }
 
 impl Instance {
-    /// The instance of a number, from 1; its folder is one within `folder`.
+    /// Creates instance `number`, counted from 1. Its own folder is a subfolder of `folder`.
     pub(super) fn new(demo: &Demo, number: u16, folder: &Path) -> Self {
         let at = |first_port: u16| format!("127.0.0.1:{}", first_port.saturating_add(number - 1));
         Instance {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Checks that nobody uses its addresses: gateways share their ports with their successors, and
-    /// would silently with another demo.
+    /// Checks that the instance's addresses are unused. Gateways share their ports with the process
+    /// that replaces them in an upgrade, so two demos would share theirs without an error.
     pub(super) fn check_addresses(&self) -> Result<(), DemoError> {
         let unavailable = |address: &String| {
             let address = address.clone();
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Writes its configuration and its settings.
+    /// Writes the configuration and the settings of the instance to its folder.
     pub(super) fn write_files(
         &self,
         engines: &FakeUpstreams,
@@ -123,7 +123,7 @@
         )
     }
 
-    /// Makes its folder as a member, if it is one.
+    /// Creates the member's folder, if the instance is a member of a cluster.
     pub(super) fn initialize_member(&self, program: &Path) -> Result<(), DemoError> {
         if !self.is_one_of_several {
             return Ok(());
--- a/gateway/src/demo/mod.rs
+++ b/gateway/src/demo/mod.rs
@@ -1,6 +1,6 @@
-//! `violetgate demo`: a gateway before fake engines on loopback, in one command, to be tried with
-//! `psql` and `curl`. The engines and their bus run here, the gateway in a process of its own, as
-//! in service.
+//! `violetgate demo`: starts a gateway in front of fake engines on loopback, to be tried with `psql`
+//! and `curl`. The engines and their event bus run in this process. Each gateway runs in a process
+//! of its own, as in production.
 
 mod error;
 mod instance;
@@ -44,7 +44,7 @@
     fleet_port: u16,
 }
 
-/// A folder that is removed with the demo.
+/// The folder of the demo's files, which is removed when this value is dropped.
 struct DemoFolder(PathBuf);
 
 impl DemoFolder {
@@ -73,7 +73,7 @@
 ///
 /// # Errors
 ///
-/// Something can't be started, or a gateway failed.
+/// An address, a file or a process can't be used, or a gateway failed.
 pub fn run(demo: &Demo) -> Result<(), DemoError> {
     let engines = FakeUpstreams::start(usize::from(demo.engines), Profile::default())
         .map_err(|error| DemoError::Engines(error.to_string()))?;
--- a/gateway/src/demo/processes.rs
+++ b/gateway/src/demo/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the demo, and the commands typed to it.
+//! The gateways' processes, and the commands that the user types while the demo runs.
 
 use std::path::PathBuf;
 use std::process::{Child, ExitStatus};
@@ -11,23 +11,23 @@
 use super::instance::Instance;
 use super::DemoError;
 
-/// How often the end of a process, and a typed command, are looked for.
+/// The interval at which ended processes and typed commands are looked for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One gateway, and its process while it runs.
+/// One gateway of the demo; `child` is its process while it runs.
 struct Process<'a> {
     instance: &'a Instance,
     child: Option<Child>,
 }
 
-/// The processes of the demo.
+/// The processes of all gateways of the demo.
 pub(super) struct Processes<'a> {
     program: PathBuf,
     all: Vec<Process<'a>>,
 }
 
 impl<'a> Processes<'a> {
-    /// No processes yet, of a program.
+    /// Creates an empty set of processes, which will run `program`.
     pub(super) fn new(program: PathBuf) -> Self {
         Processes {
             program,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Starts a gateway whose files are written.
+    /// Starts a gateway. Its files must have been written before.
     pub(super) fn start(&mut self, instance: &'a Instance) -> Result<(), DemoError> {
         instance.initialize_member(&self.program)?;
         let child = Some(instance.serve(&self.program)?);
@@ -43,8 +43,9 @@
         Ok(())
     }
 
-    /// Watches the processes until the last has ended. One of several that ends is reported and can
-    /// be started again; the error with which the last one ends is the demo's.
+    /// Watches the processes until the last has ended, and carries out typed commands meanwhile. If
+    /// there are several, each end is reported, and the instance can be started again. An error
+    /// status of the last process to end is the result.
     pub(super) async fn watch(&mut self) -> Result<(), DemoError> {
         let commands = typed_lines();
         loop {
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Reports the processes that have ended; the status of the last of them.
+    /// Reports the processes that have ended since the last call, and returns the exit status of the
+    /// last one in the list.
     fn take_ended(&mut self) -> Result<Option<ExitStatus>, DemoError> {
         let is_one_of_several = self.all.len() > 1;
         let mut last_ended = None;
@@ -77,34 +79,34 @@
             last_ended = Some(status);
             if is_one_of_several {
                 let id = process.instance.number;
-                println!("instance {id} has ended ({status}); `start {id}` here brings it back");
+                println!("instance {id} has ended ({status}); type `start {id}` to restart it");
             }
         }
         Ok(last_ended)
     }
 
-    /// Carries out `start N`.
+    /// Carries out a typed command. The only one is `start N`.
     fn carry_out(&mut self, command: &str) -> Result<(), DemoError> {
         let number = command.trim().strip_prefix("start");
         let number = number.and_then(|number| number.trim().parse::<usize>().ok());
         let count = self.all.len();
         let process = number.and_then(|number| self.all.get_mut(number.checked_sub(1)?));
         match process {
-            Some(process) if process.child.is_some() => println!("it runs"),
+            Some(process) if process.child.is_some() => println!("the instance already runs"),
             Some(process) => process.child = Some(process.instance.serve(&self.program)?),
             None if command.trim().is_empty() => {}
-            None => println!("`start N`, N from 1 to {count}, brings an instance back"),
+            None => println!("`start N`, N from 1 to {count}, restarts an instance"),
         }
         Ok(())
     }
 
-    /// Ends all processes. The error is that of the first one that failed.
+    /// Terminates all processes and waits for them. Returns the error of the first that failed.
     pub(super) fn stop(self) -> Result<(), DemoError> {
         let children = self.all.into_iter().filter_map(|process| process.child);
         let mut children: Vec<_> = children.collect();
         children.iter().for_each(terminate);
-        let ends: Vec<_> = children.iter_mut().map(wait_for_success).collect();
-        ends.into_iter().collect()
+        let results: Vec<_> = children.iter_mut().map(wait_for_success).collect();
+        results.into_iter().collect()
     }
 }
 
@@ -122,7 +124,8 @@
     }
 }
 
-/// The lines typed to the demo. A thread of its own waits for them; it ends with the program.
+/// Receives the lines that the user types. A separate thread reads standard input, because that
+/// blocks; it ends with the program at the latest.
 fn typed_lines() -> Receiver<String> {
     let (sender, lines) = channel();
     std::thread::spawn(move || {
--- a/gateway/src/demo/welcome.rs
+++ b/gateway/src/demo/welcome.rs
@@ -1,9 +1,9 @@
-//! What the demo prints at its start: commands to try.
+//! The text that the demo prints at its start: its addresses, and commands to try.
 
 use super::instance::Instance;
 use super::Demo;
 
-/// The text.
+/// Returns the text for a demo with these instances.
 pub(super) fn text(demo: &Demo, instances: &[Instance]) -> String {
     let Some(first) = instances.first() else {
         return String::new();
@@ -16,7 +16,7 @@
     cluster + &commands_text(demo, first)
 }
 
-/// Commands for several instances.
+/// The commands for a demo of several instances, by way of the cluster and the fleet.
 fn cluster_text(instances: &[Instance], first: &Instance) -> String {
     let apis: Vec<_> = instances
         .iter()
@@ -24,7 +24,7 @@
         .collect();
     let (count, apis, management) = (instances.len(), apis.join(","), &first.management);
     format!(
-        r#"{count} instances on ports that follow each other agree on cordons, drains and settings, and know who is alive:
+        r#"{count} instances on consecutive ports agree on cordons, drains and settings, and know which of them are alive:
 
   export VIOLETGATE_AT={apis}
   violetgate members list
@@ -37,7 +37,7 @@
     )
 }
 
-/// Commands for the first instance.
+/// The commands that every demo has. They use the addresses of the first instance.
 fn commands_text(demo: &Demo, first: &Instance) -> String {
     let (engines, port) = (demo.engines, demo.port);
     let Instance {
@@ -49,7 +49,7 @@
     format!(
         r#"violetgate demo: {engines} stand-in engines, PostgreSQL at {listen}, REST at {rest}. Ctrl-C ends it.
 
-Over PostgreSQL (an id has to be new each time):
+Over PostgreSQL (each request needs a new id, `rid`):
 
   psql "host=127.0.0.1 port={port} user=app dbname=analytics sslmode=disable" -c \
     "/* method=lookup,rid=$(od -An -N8 -tx8 /dev/urandom | tr -d ' '),budget=5000 */ SELECT day FROM sales_17.plan"
@@ -61,7 +61,7 @@
   curl -i http://{rest}/v1/queries/ID/pages/2        # ID from the first answer
   curl -i -X DELETE http://{rest}/v1/queries/ID
 
-A keyed class; the same again gets the same answer and runs nothing:
+With an idempotency key; the same command again gets the same answer and runs nothing:
 
   curl -i http://{rest}/v1/queries -H 'Idempotency-Key: ward-7' -d '{{"class":"load","budget_ms":10000,
     "order_key":"7f3a9c21e0b4d655","statement":"INSERT INTO sales_2.plan SELECT 1"}}'
