--- a/gateway/src/cordon_file/tests.rs
+++ b/gateway/src/cordon_file/tests.rs
@@ -14,28 +14,31 @@
     let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("cordons");
-    let (one, two) = (
+    let (first, second) = (
         CordonFile::new(Some(path.clone())),
         CordonFile::new(Some(path.clone())),
     );
-    assert_eq!(one.load().unwrap(), None);
-    assert_eq!(one.update(&names(&[]), "s-1", Cordon::Add), names(&["s-1"]));
+    assert_eq!(first.load().unwrap(), None);
     assert_eq!(
-        two.update(&names(&[]), "s-2", Cordon::Add),
+        first.update(&names(&[]), "s-1", Cordon::Add),
+        names(&["s-1"])
+    );
+    assert_eq!(
+        second.update(&names(&[]), "s-2", Cordon::Add),
         names(&["s-1", "s-2"])
     );
     assert_eq!(
-        one.update(&names(&["s-1"]), "s-1", Cordon::Remove),
+        first.update(&names(&["s-1"]), "s-1", Cordon::Remove),
         names(&["s-2"])
     );
-    assert_eq!(two.load().unwrap(), Some(names(&["s-2"])));
+    assert_eq!(second.load().unwrap(), Some(names(&["s-2"])));
     std::fs::write(&path, "[\"s-2\"").unwrap();
-    assert!(one.load().is_err());
+    assert!(first.load().is_err());
     assert_eq!(
-        one.update(&names(&["s-2"]), "s-3", Cordon::Add),
+        first.update(&names(&["s-2"]), "s-3", Cordon::Add),
         names(&["s-2", "s-3"])
     );
-    assert_eq!(two.load().unwrap(), Some(names(&["s-2", "s-3"])));
+    assert_eq!(second.load().unwrap(), Some(names(&["s-2", "s-3"])));
     std::fs::remove_dir_all(&folder).unwrap();
 }
 
@@ -43,9 +46,9 @@
 #[test]
 fn without_a_writable_folder_a_change_still_holds_here() {
     for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
-        let store = CordonFile::new(path);
+        let file = CordonFile::new(path);
         assert_eq!(
-            store.update(&names(&["s-1"]), "s-2", Cordon::Add),
+            file.update(&names(&["s-1"]), "s-2", Cordon::Add),
             names(&["s-1", "s-2"])
         );
     }
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Members {
     #[command(flatten)]
-    at: ClientOptions,
+    options: ClientOptions,
     #[command(subcommand)]
     call: MembersCall,
 }
@@ -126,7 +126,7 @@
 ///
 /// The call failed.
 pub fn members(members: &Members) -> Result<(), CtlError> {
-    let mut client = ApiClient::new(&members.at)?;
+    let mut client = ApiClient::new(&members.options)?;
     let step = match &members.call {
         MembersCall::Init { settings, join } => {
             let origin = if *join {
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, clap::Args)]
 pub struct Ctl {
     #[command(flatten)]
-    at: ClientOptions,
+    options: ClientOptions,
     #[command(subcommand)]
     call: CtlCall,
 }
@@ -170,7 +170,7 @@
 ///
 /// The call failed.
 pub fn run(ctl: &Ctl) -> Result<(), CtlError> {
-    let client = ApiClient::new(&ctl.at)?;
+    let client = ApiClient::new(&ctl.options)?;
     match &ctl.call {
         CtlCall::Get { key, stale } => get(&client, key, *stale),
         CtlCall::List { prefix, stale } => list(&client, prefix, *stale),
--- a/gateway/src/ctl/saved_state.rs
+++ b/gateway/src/ctl/saved_state.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SavedStateError {
     /// The file doesn't begin with the magic number.
-    #[error("the file is not a saved state")]
+    #[error("this is no saved state")]
     NotASavedState,
     /// The file ends within the checksum.
     #[error("the saved state is truncated")]
