--- a/gateway/src/metrics/catalog/cluster.rs
+++ b/gateway/src/metrics/catalog/cluster.rs
@@ -1,8 +1,8 @@
-//! This gateway in a cluster, as a member or as a subscriber.
+//! Metrics of a gateway that takes part in a cluster, as a member or as a subscriber.
 
 use super::super::{Metric, MetricKind, Unit};
 
-/// The revision of the shared state here. Members and subscribers.
+/// The revision of the shared state on this gateway. Members and subscribers write it.
 pub const REVISION: Metric = Metric {
     name: "svc_cluster_revision",
     kind: MetricKind::Gauge,
@@ -10,7 +10,7 @@
     help: "The state's revision.",
 };
 
-/// Whether the fence is open. Members and subscribers.
+/// Whether the fence is open, so that requests may be sent. Members and subscribers write it.
 pub const MAY_ROUTE: Metric = Metric {
     name: "svc_cluster_routes",
     kind: MetricKind::Gauge,
@@ -18,7 +18,7 @@
     help: "The state is confirmed: requests may be sent.",
 };
 
-/// Requests and attempts that the fence has stopped. Members and subscribers.
+/// Requests and attempts that the closed fence has stopped. Members and subscribers write it.
 pub const FENCED: Metric = Metric {
     name: "svc_cluster_turned_away_total",
     kind: MetricKind::Counter,
@@ -34,7 +34,7 @@
     help: "This member leads.",
 };
 
-/// The current term.
+/// The Raft term that this member is in.
 pub const TERM: Metric = Metric {
     name: "svc_cluster_term",
     kind: MetricKind::Gauge,
@@ -58,7 +58,7 @@
     help: "The last entry that is applied here.",
 };
 
-/// Voting members.
+/// The number of members that vote.
 pub const VOTERS: Metric = Metric {
     name: "svc_cluster_voters",
     kind: MetricKind::Gauge,
@@ -66,7 +66,7 @@
     help: "Members that vote.",
 };
 
-/// Messages to other members that were dropped as their queue was full.
+/// Messages to other members that were dropped because their queue was full.
 pub const MESSAGES_DROPPED: Metric = Metric {
     name: "svc_cluster_dropped_total",
     kind: MetricKind::Counter,
@@ -98,7 +98,7 @@
     help: "Front ends connected to this observer.",
 };
 
-/// Observers that reported recently on their subscribers.
+/// Observers that have reported on their subscribers recently.
 pub const OBSERVERS: Metric = Metric {
     name: "svc_cluster_observers",
     kind: MetricKind::Gauge,
@@ -106,7 +106,7 @@
     help: "Observers that reported of late.",
 };
 
-/// Observers that did not report recently.
+/// Observers that have not reported recently.
 pub const OBSERVERS_SILENT: Metric = Metric {
     name: "svc_cluster_silent_observers",
     kind: MetricKind::Gauge,
@@ -114,7 +114,7 @@
     help: "Observers that did not.",
 };
 
-/// Subscribers that serve.
+/// Subscribers whose fence is open.
 pub const GATEWAYS_SERVING: Metric = Metric {
     name: "svc_cluster_serving",
     kind: MetricKind::Gauge,
@@ -130,7 +130,7 @@
     help: "Front ends whose gates are shut.",
 };
 
-/// The latest revision that is in force at all subscribers that serve.
+/// The latest revision that is in force on all serving subscribers.
 pub const REVISION_IN_FORCE: Metric = Metric {
     name: "svc_cluster_in_force",
     kind: MetricKind::Gauge,
@@ -138,7 +138,8 @@
     help: "The revision in force at all front ends that serve.",
 };
 
-/// The time from when an observer knew the last such revision until it was in force.
+/// The time between the moment an observer knew the revision of [`REVISION_IN_FORCE`] and the
+/// moment it was in force on all serving subscribers.
 pub const PROPAGATION_TIME: Metric = Metric {
     name: "svc_cluster_in_force_after_ms",
     kind: MetricKind::Gauge,
@@ -146,7 +147,7 @@
     help: "The time until the last one was in force.",
 };
 
-/// Serving subscribers that lack a revision, by an upper bound of the time.
+/// Serving subscribers that lack a revision, by an upper bound of how long they have lacked it.
 pub const GATEWAYS_BEHIND: Metric = Metric {
     name: "svc_cluster_behind",
     kind: MetricKind::Gauge,
@@ -186,7 +187,7 @@
     help: "The observer held in reserve; 0: none.",
 };
 
-/// An observer rejected this subscriber, by the code of the reason.
+/// Whether an observer has rejected this subscriber, by the code of the reason.
 pub const SUBSCRIPTION_REJECTED: Metric = Metric {
     name: "svc_cluster_refused",
     kind: MetricKind::Gauge,
--- a/gateway/src/metrics/catalog/event_bus.rs
+++ b/gateway/src/metrics/catalog/event_bus.rs
@@ -1,4 +1,4 @@
-//! The event bus, shown where this gateway takes part in a cluster or a fleet.
+//! Metrics of the event bus, written if this gateway takes part in a cluster or a fleet.
 
 use super::super::{Metric, MetricKind, Unit};
 
--- a/gateway/src/metrics/catalog/fleet.rs
+++ b/gateway/src/metrics/catalog/fleet.rs
@@ -1,9 +1,9 @@
-//! This gateway in a fleet. These metrics are written as samples alone: their HELP lines are not
-//! on the page.
+//! Metrics of a gateway that takes part in a fleet. They are written as samples alone, without HELP
+//! and TYPE lines.
 
 use super::super::{Metric, MetricKind, Unit};
 
-/// The number of gateways that the decisions reckon with.
+/// The fleet size that the fair shares are calculated from, this gateway included.
 pub const SIZE: Metric = Metric {
     name: "svc_fleet_share",
     kind: MetricKind::Gauge,
@@ -11,7 +11,7 @@
     help: "The fleet size in use, this gateway included.",
 };
 
-/// Whether this process was paused and has not yet had messages of enough others.
+/// Whether this process was paused and has not yet received messages from enough other members.
 pub const IS_RECOVERING_FROM_PAUSE: Metric = Metric {
     name: "svc_fleet_doubts_itself",
     kind: MetricKind::Gauge,
@@ -19,7 +19,7 @@
     help: "This process was paused, and suspects nobody for now.",
 };
 
-/// Datagrams of unknown senders, other fleets or other versions.
+/// Received datagrams of unknown senders, other fleets or other protocol versions.
 pub const DATAGRAMS_REJECTED: Metric = Metric {
     name: "svc_fleet_turned_away_total",
     kind: MetricKind::Counter,
@@ -51,7 +51,7 @@
     help: "Bytes of datagrams received.",
 };
 
-/// The time since this gateway sees a member in its state, by member, address and state.
+/// How long this gateway has seen a member in its current state, by member, address and state.
 pub const MEMBER_STATE_AGE: Metric = Metric {
     name: "svc_fleet_member_seconds",
     kind: MetricKind::Gauge,
@@ -59,7 +59,7 @@
     help: "The time since a member is seen in its state.",
 };
 
-/// The time since a member answers others and not this gateway, by member and address.
+/// How long a member has answered other members but not this gateway, by member and address.
 pub const LINK_CUT_AGE: Metric = Metric {
     name: "svc_fleet_link_cut_seconds",
     kind: MetricKind::Gauge,
--- a/gateway/src/metrics/catalog/mod.rs
+++ b/gateway/src/metrics/catalog/mod.rs
@@ -1,4 +1,4 @@
-//! Every metric, declared once: a file a group, by what the metrics are about.
+//! Declares every metric once, with a file for each subject.
 
 pub mod cluster;
 pub mod event_bus;
--- a/gateway/src/metrics/catalog/requests.rs
+++ b/gateway/src/metrics/catalog/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of all protocols, and the engines that they go to.
+//! Metrics of the requests of all protocols, and of the engines that they are sent to.
 
 use super::super::{Metric, MetricKind, Unit};
 
@@ -10,7 +10,7 @@
     help: "Requests served.",
 };
 
-/// Requests rejected so that a retry does no harm, by class.
+/// Requests rejected with an error after which the client can safely retry, by class.
 pub const REQUESTS_REJECTED: Metric = Metric {
     name: "svc_dropped_total",
     kind: MetricKind::Counter,
@@ -34,7 +34,7 @@
     help: "Attempts written whole to engines.",
 };
 
-/// Requests read completely whose answer is not yet written.
+/// Requests that have been read completely and whose answer is not yet written.
 pub const REQUESTS_IN_PROGRESS: Metric = Metric {
     name: "svc_in_progress",
     kind: MetricKind::Gauge,
@@ -50,7 +50,7 @@
     help: "Engines in the list.",
 };
 
-/// Listed engines that get no requests now: cordoned or ejected.
+/// Listed engines that get no requests now because they are cordoned or ejected.
 pub const ENGINES_AVOIDED: Metric = Metric {
     name: "svc_skipped_engines",
     kind: MetricKind::Gauge,
--- a/gateway/src/metrics/catalog/rest.rs
+++ b/gateway/src/metrics/catalog/rest.rs
@@ -1,8 +1,8 @@
-//! The REST front end: results cached for their pages, and idempotency keys.
+//! Metrics of the REST front end: results that are cached for their pages, and idempotency keys.
 
 use super::super::{Metric, MetricKind, Unit};
 
-/// Results that are cached.
+/// The number of cached results.
 pub const RESULTS: Metric = Metric {
     name: "svc_rest_results",
     kind: MetricKind::Gauge,
@@ -10,7 +10,7 @@
     help: "Results whose pages may be fetched.",
 };
 
-/// Bytes that results hold or have reserved, for pages and retries.
+/// Bytes that results occupy or have reserved, for pages and retries.
 pub const RESULTS_BYTES: Metric = Metric {
     name: "svc_rest_results_bytes",
     kind: MetricKind::Gauge,
@@ -18,7 +18,7 @@
     help: "Bytes held or reserved.",
 };
 
-/// Queries rejected as the results of others took all capacity.
+/// Queries rejected because other results took all capacity.
 pub const RESULTS_FULL: Metric = Metric {
     name: "svc_rest_results_full_total",
     kind: MetricKind::Counter,
@@ -42,7 +42,7 @@
     help: "Pages asked for after their time.",
 };
 
-/// Page tokens that this process did not make.
+/// Requests with a page token that this process did not issue.
 pub const TOKENS_UNKNOWN: Metric = Metric {
     name: "svc_rest_tokens_unknown_total",
     kind: MetricKind::Counter,
@@ -58,7 +58,7 @@
     help: "Idempotency keys taken.",
 };
 
-/// Queries that got the answer of another one that was running with their key.
+/// Queries that got the answer of a running query with the same key.
 pub const KEYS_JOINED: Metric = Metric {
     name: "svc_rest_keys_joined_total",
     kind: MetricKind::Counter,
--- a/gateway/src/metrics/mod.rs
+++ b/gateway/src/metrics/mod.rs
@@ -1,7 +1,8 @@
-//! The metrics: what they are, and how they are written.
+//! The declarations of the metrics, and the format in which they are written.
 //!
 //! [`catalog`] declares each metric once, and [`text`] writes it in the text format of Prometheus.
-//! The values are counted where they arise; who renders them names the declaration.
+//! The modules that the metrics are about count the values, and pass them to [`text`] together
+//! with the declaration.
 
 pub mod catalog;
 pub mod text;
@@ -9,13 +10,13 @@
 /// The declaration of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Metric {
-    /// Its full name, as scraped.
+    /// The full name, as it is scraped.
     pub name: &'static str,
-    /// Whether it may fall.
+    /// The type, which says whether the value may fall.
     pub kind: MetricKind,
-    /// What a value of 1 stands for. Not written out.
+    /// What the value counts or measures. It is not written out.
     pub unit: Unit,
-    /// The text of its HELP line.
+    /// The text of the HELP line.
     pub help: &'static str,
 }
 
@@ -28,7 +29,7 @@
     Gauge,
 }
 
-/// What a metric's value is a number of.
+/// What a metric's value counts or measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unit {
     /// Requests of clients.
--- a/gateway/src/metrics/tests.rs
+++ b/gateway/src/metrics/tests.rs
@@ -1,4 +1,4 @@
-//! The catalog's rules for names, and the text format byte by byte.
+//! Tests of the catalog's rules for names, and of the exact bytes of the text format.
 
 use std::collections::HashSet;
 
@@ -60,7 +60,7 @@
     fleet::LINK_CUT_AGE,
 ];
 
-/// The catalog's files, to find a declaration that the list above lacks.
+/// The source of the catalog's files, to detect a declaration that [`CATALOG`] lacks.
 const CATALOG_SOURCES: &[&str] = &[
     include_str!("catalog/requests.rs"),
     include_str!("catalog/rest.rs"),
@@ -85,7 +85,11 @@
 fn names_are_unique() {
     let mut names = HashSet::new();
     for metric in CATALOG {
-        assert!(names.insert(metric.name), "{} twice", metric.name);
+        assert!(
+            names.insert(metric.name),
+            "{} is declared twice",
+            metric.name
+        );
     }
 }
 
--- a/gateway/src/metrics/text.rs
+++ b/gateway/src/metrics/text.rs
@@ -5,8 +5,8 @@
 
 use super::{Metric, MetricKind};
 
-/// A label of a sample. Its value is written as it is: it must contain no quote, backslash or line
-/// feed.
+/// A label of a sample. The value is written without escapes, so it must not contain a quote, a
+/// backslash or a line feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Label<'a> {
     /// The label's name.
@@ -15,14 +15,14 @@
     pub value: &'a str,
 }
 
-/// Metrics as they are written.
+/// Builds the text of a metrics page.
 #[derive(Debug, Default)]
 pub struct MetricsText {
     text: String,
 }
 
 impl MetricsText {
-    /// An empty text.
+    /// Creates an empty text.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -34,7 +34,7 @@
         self.write_sample(metric, &[], value);
     }
 
-    /// Writes a metric that has any number of samples, told apart by the value of one label.
+    /// Writes a metric that has any number of samples, which differ in the value of one label.
     pub fn write_by_label<'a>(
         &mut self,
         metric: &Metric,
@@ -58,7 +58,7 @@
         let _ = writeln!(self.text, " {value}");
     }
 
-    /// The text that has been written.
+    /// Returns the text that has been written.
     #[must_use]
     pub fn into_string(self) -> String {
         self.text
--- a/gateway/src/sibling_process.rs
+++ b/gateway/src/sibling_process.rs
@@ -1,7 +1,7 @@
-//! Whether another process of the same gateway runs beside this one, as it does during an upgrade.
+//! Detects whether another process of the same gateway is running, as during an upgrade.
 //!
-//! Each process holds a shared lock on one file for as long as it lives. The kernel releases it
-//! with the process, however that ends, so a file that remains means nothing.
+//! Each process holds a shared lock on one file for as long as it lives. The kernel releases the
+//! lock when the process ends, even after a crash, so a file that is left behind has no meaning.
 
 use std::fs::{File, OpenOptions};
 use std::path::Path;
@@ -9,11 +9,11 @@
 use rustix::fs::FlockOperation;
 use rustix::process::{Flock, FlockType};
 
-/// This process's mark: its shared lock on the file, if it could be taken.
+/// Marks this process as running: holds its shared lock on the file, if there is such a file.
 pub struct ProcessMark(Option<File>);
 
 impl ProcessMark {
-    /// Takes the shared lock on a file, which is created if need be.
+    /// Opens or creates the file, and takes the shared lock on it.
     ///
     /// # Errors
     ///
@@ -29,7 +29,7 @@
         Ok(ProcessMark(Some(file)))
     }
 
-    /// The mark of a process without such a file, which takes itself to be alone.
+    /// Creates the mark of a process that has no such file. It never detects a sibling.
     #[must_use]
     pub fn without_file() -> Self {
         ProcessMark(None)
@@ -38,7 +38,7 @@
     /// Whether another process holds the lock.
     #[must_use]
     pub fn has_sibling(&self) -> bool {
-        // What would prevent this process from taking the lock exclusively is another's shared one.
+        // Only another process's shared lock would keep this one from locking the file exclusively.
         let exclusive = Flock::from(FlockType::WriteLock);
         self.0.as_ref().is_some_and(|file| {
             matches!(rustix::process::fcntl_getlk(file, &exclusive), Ok(Some(_)))
--- a/gateway/src/stats.rs
+++ b/gateway/src/stats.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and attempts, and how the metrics show them.
+//! Counts requests and attempts, and writes the counts as metrics.
 
 use std::cell::Cell;
 
@@ -8,17 +8,17 @@
 use crate::metrics::text::MetricsText;
 use crate::metrics::Metric;
 
-/// The label that says a request's class.
+/// The name of the label whose value is a request's class.
 const CLASS_LABEL: &str = "category";
 
-/// How a request ended, for its client.
+/// How a request ended from its client's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnding {
     /// All rows were written.
     Served,
-    /// Rejected; a retry does no harm.
+    /// The request was rejected with an error after which the client can safely retry.
     Rejected,
-    /// Any other error, also the one that answers a client's own cancel.
+    /// Any other error, including the answer to a request that its client has cancelled.
     Failed,
 }
 
@@ -26,15 +26,15 @@
 struct ClassCounters {
     name: String,
     served: Cell<u64>,
-    refused: Cell<u64>,
+    rejected: Cell<u64>,
     failed: Cell<u64>,
 }
 
-/// Counters since the start of this process.
+/// Counters of requests and attempts since the start of this process.
 pub struct Stats {
     classes: Vec<ClassCounters>,
     attempts: Cell<u64>,
-    open: Cell<u64>,
+    in_progress: Cell<u64>,
 }
 
 /// Adds one to a counter.
@@ -43,7 +43,8 @@
 }
 
 impl Stats {
-    /// Counters for classes of these names, all at 0.
+    /// Creates counters for classes with these names, all at 0. The position of a name is the
+    /// class's number.
     #[must_use]
     pub fn new<'a>(classes: impl Iterator<Item = &'a str>) -> Self {
         let classes = classes
@@ -55,14 +56,14 @@
         Stats {
             classes,
             attempts: Cell::new(0),
-            open: Cell::new(0),
+            in_progress: Cell::new(0),
         }
     }
 
-    /// Counts a request of a class that has been read. It is in progress until what is returned is
+    /// Counts a request that has been read. The request is in progress until the returned value is
     /// dropped.
     pub fn start_request(&self, class: u32) -> RequestInProgress<'_> {
-        increment(&self.open);
+        increment(&self.in_progress);
         RequestInProgress {
             stats: self,
             class: class as usize,
@@ -74,17 +75,17 @@
         increment(&self.attempts);
     }
 
-    /// All metrics.
+    /// Writes all counters and the given numbers of engines as metrics.
     #[must_use]
     pub fn render(&self, engines: EngineCounts) -> String {
         let mut out = MetricsText::new();
         self.write_by_class(&mut out, &requests::REQUESTS_SERVED, |class| &class.served);
         self.write_by_class(&mut out, &requests::REQUESTS_REJECTED, |class| {
-            &class.refused
+            &class.rejected
         });
         self.write_by_class(&mut out, &requests::REQUESTS_FAILED, |class| &class.failed);
         out.write_value(&requests::ATTEMPTS, self.attempts.get());
-        out.write_value(&requests::REQUESTS_IN_PROGRESS, self.open.get());
+        out.write_value(&requests::REQUESTS_IN_PROGRESS, self.in_progress.get());
         out.write_value(&requests::ENGINES_LISTED, engines.listed as u64);
         out.write_value(&requests::ENGINES_AVOIDED, engines.avoided as u64);
         out.into_string()
@@ -102,20 +103,20 @@
     }
 }
 
-/// A request in progress. Dropped without an ending, as when its client has disconnected, it stands
-/// under no counter.
+/// A request in progress. If it is dropped without [`RequestInProgress::finish`], for example
+/// because its client has disconnected, its ending isn't counted.
 pub struct RequestInProgress<'a> {
     stats: &'a Stats,
     class: usize,
 }
 
 impl RequestInProgress<'_> {
-    /// Its answer has been written.
+    /// Counts the ending of the request, whose answer has been written.
     pub fn finish(self, ending: RequestEnding) {
         if let Some(class) = self.stats.classes.get(self.class) {
             increment(match ending {
                 RequestEnding::Served => &class.served,
-                RequestEnding::Rejected => &class.refused,
+                RequestEnding::Rejected => &class.rejected,
                 RequestEnding::Failed => &class.failed,
             });
         }
@@ -124,7 +125,7 @@
 
 impl Drop for RequestInProgress<'_> {
     fn drop(&mut self) {
-        self.stats.open.set(self.stats.open.get() - 1);
+        self.stats.in_progress.set(self.stats.in_progress.get() - 1);
     }
 }
 
--- a/gateway/src/stats/tests.rs
+++ b/gateway/src/stats/tests.rs
@@ -1,4 +1,4 @@
-//! What the counters show.
+//! Tests of the counters in the metrics text.
 
 use super::*;
 
