--- a/gateway/src/demo/instance.rs
+++ b/gateway/src/demo/instance.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Starts its process.
+    /// Starts the gateway's process.
     pub(super) fn serve(&self, program: &Path) -> Result<Child, DemoError> {
         Command::new(program)
             .arg("serve")
--- a/gateway/src/demo/mod.rs
+++ b/gateway/src/demo/mod.rs
@@ -18,7 +18,7 @@
 
 pub use error::DemoError;
 
-/// What the demo is like.
+/// The options of `violetgate demo`.
 #[derive(Debug, clap::Args)]
 pub struct Demo {
     /// Engines to start
--- a/gateway/src/demo/processes.rs
+++ b/gateway/src/demo/processes.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reports the processes that have ended since the last call, and returns the exit status of the
+    /// Reports the processes that have ended since the last call. Returns the exit status of the
     /// last one in the list.
     fn take_ended(&mut self) -> Result<Option<ExitStatus>, DemoError> {
         let is_one_of_several = self.all.len() > 1;
