--- a/gateway/src/demo/mod.rs
+++ b/gateway/src/demo/mod.rs
@@ -1,6 +1,6 @@
-//! `violetgate demo`: starts a gateway in front of fake engines on loopback, to be tried with `psql`
-//! and `curl`. The engines and their event bus run in this process. Each gateway runs in a process
-//! of its own, as in production.
+//! `violetgate demo`: starts a gateway in front of fake engines on loopback, to be tried with
+//! `psql` and `curl`. The engines and their event bus run in this process. Each gateway runs in a
+//! process of its own, as in production.
 
 mod error;
 mod instance;
