--- a/gateway/src/admin/http.rs
+++ b/gateway/src/admin/http.rs
@@ -20,7 +20,8 @@
     MethodNotAllowed = 405,
     /// The call did not arrive completely in time.
     RequestTimeout = 408,
-    /// The call has a body of unstated length.
+    /// The call has a `Transfer-Encoding` header, so the length of its body is not known in
+    /// advance.
     LengthRequired = 411,
     /// The call has to go to another instance.
     Conflict = 409,
--- a/gateway/src/admin/http/tests.rs
+++ b/gateway/src/admin/http/tests.rs
@@ -21,8 +21,8 @@
     );
 }
 
-/// Guards against waiting for more bytes of a call that is invalid or too long: the parser must
-/// tell it from an incomplete one.
+/// Guards against waiting for more bytes of a call that is invalid or too long: the parser must not
+/// take such a call for an incomplete one.
 #[test]
 fn invalid_and_too_long_calls_get_their_status() {
     let long = format!("GET /{} HTTP/1.1\r\n", "a".repeat(MAX_HEAD_BYTES));
--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -1,4 +1,5 @@
-//! The management API: a second address for operators' calls over HTTP/1.1, one per connection.
+//! The management API, which serves operators' HTTP/1.1 calls on an address of its own. Each
+//! connection carries one call.
 //!
 //! This module has no access to clients, engines or the decisions: [`Operations`] carries out the
 //! calls.
@@ -25,8 +26,9 @@
 use crate::net;
 use http::{Call, Status};
 
-/// The maximum number of open connections. Their file descriptors come from the reserve that
-/// neither clients nor engines use, so that idle callers can't exhaust the descriptors.
+/// The maximum number of open connections, so that idle callers can't exhaust the file descriptors.
+/// The connections use descriptors that the connection budget gives neither to clients nor to
+/// engines.
 const MAX_CONNECTIONS: usize = 12;
 /// The time within which a call has to arrive completely.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -23,8 +23,8 @@
 use crate::rest::RestFrontend;
 use crate::stats::Stats;
 
-/// How long readiness waits for the first message of the event bus. The engines of the
-/// configuration are known without it.
+/// The gateway reports itself as healthy after the first message of the event bus, or after this
+/// time without one: the engines of the configuration are known even then.
 const BUS_WAIT: Duration = Duration::from_secs(1);
 /// How often the cordon file is read. The processes of one gateway share it, so that a call to one
 /// of them takes effect in all.
@@ -92,7 +92,8 @@
         loop {
             Timer::after(CORDON_FILE_INTERVAL).await;
             let was_corrupt = std::mem::replace(&mut is_corrupt, !self.load_cordons());
-            // Logged only once, because a file that remains corrupt would fill the log.
+            // Logged only when the failure begins, because a file that remains unreadable would
+            // fill the log.
             if is_corrupt && !was_corrupt {
                 log::write_line("cordons can't be read; those in force here stay");
             }
--- a/gateway/src/clock.rs
+++ b/gateway/src/clock.rs
@@ -5,8 +5,8 @@
 
 use violetgate_policy::interface::Micros;
 
-/// A clock that never goes backwards and counts from the Unix epoch, as the times in the engine
-/// list do.
+/// A clock that never goes backwards. It counts from the Unix epoch, so its times can be compared
+/// with those in the engine list.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     unix_at_start: Micros,
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -15,7 +15,7 @@
 const DEFAULT_CONNECT_TIMEOUT_S: f64 = 0.25;
 const DEFAULT_IDLE_CLOSE_S: f64 = 30.0;
 const DEFAULT_STREAMS_PER_CONNECTION: usize = 100;
-/// Replaces a number of seconds that a [`Duration`] can't hold.
+/// The time used instead of a configured number of seconds that is too large for a [`Duration`].
 const FALLBACK_SPAN: Duration = Duration::from_secs(1);
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -88,17 +88,17 @@
     pub max_sockets: usize,
     /// The address of the event bus.
     pub bus: SocketAddr,
-    /// Events from which the engine list is built before the event bus is followed.
+    /// The events that build the initial engine list. The event bus is followed from the last one.
     pub initial_events: InitialEvents,
     /// The settings of the decisions.
     pub settings: Settings,
-    /// The names of classes, tenants, zones and engine kinds, which the decisions know by number.
+    /// The names of classes, tenants, zones and engine kinds. The decision module uses numbers.
     pub names: NameTable,
     /// Limits of engine connections.
     pub upstream: UpstreamLimits,
 }
 
-/// Events from which the engine list is built before the event bus is followed.
+/// The events that build the initial engine list. The event bus is followed from the last one.
 #[derive(Debug, Deserialize)]
 pub struct InitialEvents {
     /// The offset of the last event on the bus; the bus is followed from there.
@@ -118,7 +118,8 @@
     pub takes_idempotency_key: bool,
 }
 
-/// The names of what the decisions know by number; the index in each list is the number.
+/// The names of classes, tenants, zones and engine kinds. The decision module uses their indexes in
+/// these lists instead.
 #[derive(Debug, Clone, Default)]
 pub struct NameTable {
     /// The classes of requests.
@@ -163,15 +164,16 @@
     sockets: Option<usize>,
 }
 
-/// The part of the `settings` field that the gateway itself needs beside the decisions.
+/// The fields of `settings` that the gateway uses itself. The decision module reads the `settings`
+/// field separately.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct SocketSettings {
+struct GatewayFields {
     classes: Vec<NamedClass>,
     realms: Vec<NamedClass>,
     localities: Vec<String>,
     kinds: Vec<String>,
-    limits: SocketLimits,
+    limits: GatewayLimits,
     domain: DomainSettings,
 }
 
@@ -184,7 +186,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-struct SocketLimits {
+struct GatewayLimits {
     #[serde(rename = "connect-timeout")]
     connect_timeout_s: Option<f64>,
     #[serde(rename = "idle-close")]
@@ -261,7 +263,7 @@
         }
         let settings = violetgate_policy::wire::settings_from_json(&file.settings)
             .map_err(|error| ConfigTextError::Settings(error.to_string()))?;
-        let own = SocketSettings::deserialize(&file.settings)
+        let own = GatewayFields::deserialize(&file.settings)
             .map_err(|error| ConfigTextError::Settings(error.to_string()))?;
         Ok(Config {
             name: overrides.name.unwrap_or(file.name),
@@ -278,9 +280,10 @@
     }
 }
 
-/// Restores the maximum retry-after that the settings of the decisions leave out for clients of the
-/// simulator that can't receive one. Real clients always can: error messages have a field for it.
-fn with_max_retry_after(mut settings: Settings, limits: &SocketLimits) -> Settings {
+/// Sets the maximum retry-after to the configured value if the decision module's settings have
+/// none. They have none if the configuration says that clients can't receive a retry-after, as some
+/// clients of the simulator can't. Real clients always can: error messages have a field for it.
+fn with_max_retry_after(mut settings: Settings, limits: &GatewayLimits) -> Settings {
     let own = limits.max_retry_after_s.filter(|seconds| *seconds > 0.0);
     let own = own.map(|seconds| (seconds * MICROS_PER_SECOND) as u64);
     settings.max_retry_after = settings.max_retry_after.or(own);
@@ -301,7 +304,7 @@
     Duration::try_from_secs_f64(seconds).unwrap_or(FALLBACK_SPAN)
 }
 
-impl SocketSettings {
+impl GatewayFields {
     fn upstream_limits(&self) -> UpstreamLimits {
         let limits = &self.limits;
         UpstreamLimits {
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -190,16 +190,16 @@
             "fleet: datagrams of {from} are rejected: {reason}"
         )),
         MembershipEvent::AddressInUse(address) => log::write_line(format_args!(
-            "fleet: another process holds {address}; this one takes part once that has ended"
+            "fleet: another process holds {address}; this one joins after the other has ended"
         )),
         MembershipEvent::TableFull { rejected } => log::write_line(format_args!(
-            "fleet: no room for {rejected}, too many are known"
+            "fleet: no room for {rejected}, the list of members is full"
         )),
     }
 }
 
-/// Writes for how many seconds a member has been in its state and, if its link is cut, for how many
-/// seconds it has been cut.
+/// Writes for how many seconds a member has been in its state. If its link is cut, which means that
+/// only this gateway can't reach it, also writes for how many seconds.
 fn write_member(out: &mut MetricsText, member: &Member, now: Micros) {
     let seconds_since = |since| now.saturating_sub(since) / MICROS_PER_SECOND;
     let address = member.addr.to_string();
--- a/gateway/src/log.rs
+++ b/gateway/src/log.rs
@@ -2,8 +2,8 @@
 //! `docs/on-call.md` explains every line.
 //!
 //! Lines go through `tracing` into a queue of bounded length, which a separate thread writes. If
-//! standard error blocks and the queue is full, further lines are dropped and counted, so that the
-//! thread that serves is never blocked.
+//! standard error blocks and the queue is full, further lines are dropped and counted, so that
+//! logging never blocks the thread that serves requests.
 
 use std::fmt::{self, Display};
 use std::sync::OnceLock;
--- a/gateway/src/replication/api/cluster.rs
+++ b/gateway/src/replication/api/cluster.rs
@@ -168,8 +168,8 @@
         commit_reply(self.commit(call, transaction).await?)
     }
 
-    /// Drains or resumes an instance: a member, given by its id, or a subscriber, given by its
-    /// name. Without either, the call concerns this member.
+    /// Begins or ends the drain of an instance: a member, given by its id, or a subscriber, given
+    /// by its name. Without either, the call concerns this member.
     pub(super) async fn set_drain(&self, call: &ApiCall, drained: bool) -> ReplyResult {
         call.query.allow_only(&["member", "front_end"])?;
         let member = call.query.number("member")?;
--- a/gateway/src/replication/api/errors.rs
+++ b/gateway/src/replication/api/errors.rs
@@ -24,7 +24,7 @@
                 "this front end subscribes: have it agreed on at a member's API",
             ),
             CommitError::ProposalRejected(error) => {
-                HttpError::new(StatusCode::CONFLICT, "rejected", proposal_detail(&error))
+                HttpError::new(StatusCode::CONFLICT, "rejected", proposal_error_text(&error))
             }
         }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-fn proposal_detail(error: &ProposalError) -> &'static str {
+fn proposal_error_text(error: &ProposalError) -> &'static str {
     match error {
         ProposalError::IdAlreadyUsed => "this id was given before; ids are never used twice",
         ProposalError::UnknownMember => "there is no such member, or it is not of that kind",
--- a/gateway/src/replication/api/mod.rs
+++ b/gateway/src/replication/api/mod.rs
@@ -1,9 +1,9 @@
 //! The cluster API, through which operators read and change the shared state over HTTP/1.1.
 //! docs/daemon-operations.md lists the calls.
 //!
-//! Every member accepts every call. A change is answered after it is committed, or with the error
-//! that its outcome is unknown. A read is answered from a current copy of the state, unless the
-//! call allows a stale one.
+//! Every member accepts every call. A change is answered after it is committed, or with an error if
+//! it was rejected or its outcome is unknown. A read is answered from a current copy of the state,
+//! unless the call allows a stale one.
 
 mod bodies;
 mod cluster;
@@ -56,7 +56,7 @@
     /// [`MAX_CONNECTIONS`] other connections were open.
     ConnectionLimit,
     /// The connection reached [`MAX_CONNECTION_AGE`].
-    TooLong,
+    MaxAge,
 }
 
 impl fmt::Display for ConnectionEnd {
@@ -67,7 +67,7 @@
             ConnectionEnd::HeadTimeout => "head_timeout",
             ConnectionEnd::ProtocolViolation => "protocol_violation",
             ConnectionEnd::ConnectionLimit => "connection_limit",
-            ConnectionEnd::TooLong => "too_long",
+            ConnectionEnd::MaxAge => "too_long",
         })
     }
 }
@@ -133,7 +133,7 @@
     };
     let too_old = async {
         Timer::after(MAX_CONNECTION_AGE).await;
-        ConnectionEnd::TooLong
+        ConnectionEnd::MaxAge
     };
     served.or(too_old).await
 }
--- a/gateway/src/replication/api/query.rs
+++ b/gateway/src/replication/api/query.rs
@@ -31,8 +31,8 @@
         Ok(Query(pairs.into_iter().collect()))
     }
 
-    /// Checks that the call has only parameters with these names, and the timeout. Otherwise, a
-    /// misspelt parameter would be ignored silently.
+    /// Checks that the call has only parameters with these names, and the timeout. Without this
+    /// check, a misspelt parameter would be ignored silently.
     pub(super) fn allow_only(&self, names: &[&str]) -> Result<(), HttpError> {
         let is_known = |name: &str| names.contains(&name) || name == TIMEOUT_PARAMETER;
         let unknown = self.0.keys().find(|name| !is_known(name));
--- a/gateway/src/replication/api/router.rs
+++ b/gateway/src/replication/api/router.rs
@@ -145,7 +145,8 @@
     }
 }
 
-/// Returns the reply to a committed transaction, or an error if its conditions did not hold.
+/// Returns the reply to a committed transaction, or an error if its conditions did not hold when it
+/// was applied. A transaction is committed before its conditions are checked.
 pub(super) fn commit_reply(commit: Commit) -> ReplyResult {
     if commit.conditions_held {
         return Ok(revision_reply(commit.revision));
--- a/gateway/src/replication/api/settings.rs
+++ b/gateway/src/replication/api/settings.rs
@@ -64,8 +64,8 @@
     ) -> ReplyResult {
         self.wait_until_current(call).await?;
         let runtime = &self.member.runtime;
-        // A change that was applied by an earlier call with the same request id is not proposed
-        // again.
+        // If an earlier call with the same request id has an outcome, that outcome is used and
+        // nothing is proposed.
         let commit = match self.earlier_outcome(call) {
             Some(Outcome::Applied {
                 revision,
@@ -83,13 +83,13 @@
             }
         };
         if !commit.conditions_held {
-            let current = runtime.store(settings_versions::current);
+            let current = runtime.store(settings_versions::current_number);
             return Err(SettingsRejection::VersionConflict { current }.into());
         }
         // If this member only forwarded the change to the leader, its copy may be behind.
         self.wait_until_current(call).await?;
         let revision = commit.revision;
-        let version = runtime.store(|store| settings_versions::made_by(store, revision));
+        let version = runtime.store(|store| settings_versions::version_created_by(store, revision));
         Ok(json_reply(
             &json!({"revision": revision, "version": version}),
         ))
@@ -106,7 +106,7 @@
         call.query.allow_only(&["stale"])?;
         self.wait_until_current(call).await?;
         let runtime = &self.member.runtime;
-        let current = runtime.store(settings_versions::current);
+        let current = runtime.store(settings_versions::current_number);
         let retained = runtime.store(settings_versions::retained);
         let versions: Vec<_> = retained
             .iter()
--- a/gateway/src/replication/error.rs
+++ b/gateway/src/replication/error.rs
@@ -31,7 +31,8 @@
     /// The service for subscribers can't be started.
     #[error("`cluster.subscribers_listen`: {0}")]
     ObserverService(#[from] ServiceError),
-    /// The settings of a subscriber can't guarantee that its state stays fresh.
+    /// The subscriber's intervals and limits are invalid. For example, with too long a poll
+    /// interval its state would become stale between two polls.
     #[error("`cluster`: {0}")]
     Subscriber(#[from] InvalidSubscriberConfig),
 }
--- a/gateway/src/replication/member.rs
+++ b/gateway/src/replication/member.rs
@@ -14,7 +14,7 @@
 use violetgate_replicated_state::{Operation, Outcome, Revision, Store, Txn};
 
 use super::error::{ClusterStartError, CommitError};
-use super::member_upkeep::{keep_records, watch_fence};
+use super::member_upkeep::{update_records, watch_fence};
 use super::metrics::MemberMetrics;
 use super::reconcile::{ControlTargets, MembersChange, Reconciler};
 use super::shared_config::{self, SharedConfig};
@@ -136,14 +136,15 @@
         self.reconciler.attach(targets);
         let member = Rc::downgrade(self);
         // The configuration takes effect in the same step in which the replica applies an entry,
-        // because the staleness guard treats the entry as in force from then on.
+        // because the check for stale state, which controls the fence, treats the entry as in force
+        // from then on.
         self.runtime.on_applied(Rc::new(move |store| {
             if let Some(member) = member.upgrade() {
                 member.reconcile(store);
             }
         }));
         executor.spawn(watch_fence(Rc::downgrade(self))).detach();
-        executor.spawn(keep_records(Rc::downgrade(self))).detach();
+        executor.spawn(update_records(Rc::downgrade(self))).detach();
     }
 
     fn reconcile(&self, store: &Store) {
@@ -181,8 +182,8 @@
         self.runtime.fleet_progress()
     }
 
-    /// Returns the latest revision that was in force at all serving gateways, and the time at which
-    /// it was.
+    /// Returns the latest revision that was found in force at all serving gateways, and the time at
+    /// which this was first found.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
         self.runtime.last_in_force()
@@ -263,7 +264,7 @@
         commit.await.map(|_| ())
     }
 
-    /// Drains or resumes this instance.
+    /// Drains this instance, or ends its drain.
     ///
     /// # Errors
     ///
--- a/gateway/src/replication/member_upkeep.rs
+++ b/gateway/src/replication/member_upkeep.rs
@@ -18,9 +18,9 @@
 const RECORD_INTERVAL: Duration = Duration::from_millis(200);
 /// The time within which the commit of one record has to complete.
 const RECORD_TIMEOUT: Duration = Duration::from_secs(5);
-/// The operator name in the change log for updates of a member's address record.
+/// The name in the change log's operator field for updates of a member's address record.
 const MEMBER_OPERATOR: &str = "member";
-/// The operator name in the change log for updates of the stored engine list.
+/// The name in the change log's operator field for updates of the stored engine list.
 const ENGINE_LIST_OPERATOR: &str = "bus";
 
 /// Checks the fence periodically, and logs a change of leader and a stop of the replica. Ends when
@@ -47,7 +47,7 @@
 
 /// Periodically updates the member's address record and, on the leader, the stored engine list.
 /// Ends when the member is dropped.
-pub(super) async fn keep_records(member: Weak<ClusterMember>) {
+pub(super) async fn update_records(member: Weak<ClusterMember>) {
     let mut conflict_is_logged = false;
     while let Some(member) = member.upgrade() {
         if member.is_open() {
@@ -68,7 +68,7 @@
 /// The result of recording a member's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AddressRecord {
-    /// The address is recorded, or will be when a commit succeeds.
+    /// The address is recorded, or the next round tries again to record it.
     NoConflict,
     /// Another disk is recorded under this member's id.
     OtherDisk,
--- a/gateway/src/replication/metrics.rs
+++ b/gateway/src/replication/metrics.rs
@@ -9,8 +9,9 @@
 use crate::metrics::catalog::cluster;
 use crate::metrics::text::MetricsText;
 
-/// The label values of [`cluster::GATEWAYS_BEHIND`]: upper bounds, in seconds, of the time by which
-/// serving gateways are behind.
+/// The label values of [`cluster::GATEWAYS_BEHIND`]: the upper bounds, in seconds, of how long a
+/// serving gateway has lacked its observer's revision. It is counted only under the smallest bound
+/// that is above this time.
 pub(super) const BEHIND_UNDER_S: [&str; 4] = ["0.1", "1", "10", "inf"];
 
 /// The label of [`cluster::GATEWAYS_BEHIND`] that contains the upper bound.
@@ -34,8 +35,8 @@
     pub last_in_force: Option<RevisionInForce>,
 }
 
-/// Returns the milliseconds from the time at which an observer knew a revision until the revision
-/// was in force at all serving gateways.
+/// Returns the milliseconds from an observer's first report of a revision until the revision was
+/// found in force at all serving gateways.
 pub(super) fn propagation_ms(record: &RevisionInForce) -> u64 {
     record.in_force_at.saturating_sub(record.known_at) / MICROS_PER_MS
 }
--- a/gateway/src/replication/mod.rs
+++ b/gateway/src/replication/mod.rs
@@ -3,8 +3,8 @@
 //! A [`ClusterMember`](member::ClusterMember) replicates the shared state with the other members; a
 //! [`ClusterSubscriber`] follows it through observers. Both apply the committed configuration
 //! through a [`reconcile::Reconciler`], in the same step in which they apply the state. Both
-//! implement [`crate::fence::Fence`]: the gateway sends nothing based on state that can't be
-//! confirmed. [`shared_config`] defines the meaning of the shared state and does no I/O.
+//! implement [`crate::fence::Fence`]: the gateway sends nothing to engines while its state is not
+//! confirmed as current. [`shared_config`] defines the meaning of the shared state and does no I/O.
 
 mod api;
 mod error;
--- a/gateway/src/replication/participant.rs
+++ b/gateway/src/replication/participant.rs
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Returns whether this instance retains the engine list, so that it can be stored for other
-    /// instances.
+    /// Returns whether this instance keeps a copy of the engine list. Members do, because the
+    /// leader stores the list for other instances.
     #[must_use]
     pub fn list_retention(&self) -> ListRetention {
         match self {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Drains or resumes this instance. A member commits the change; a subscriber applies it
-    /// locally.
+    /// Begins or ends the drain of this instance. A member commits the change; a subscriber applies
+    /// it locally.
     ///
     /// # Errors
     ///
--- a/gateway/src/replication/reconcile.rs
+++ b/gateway/src/replication/reconcile.rs
@@ -158,7 +158,8 @@
         match SharedSettings::parse(&text) {
             Ok(shared) => shared.applied_over(&own),
             Err(errors) => {
-                // A member that runs another version of the program has accepted these settings.
+                // A member checked these settings before they were committed, so it runs another
+                // version of the program. This instance uses only its own settings.
                 let first = errors.first().map(ToString::to_string).unwrap_or_default();
                 log::write_line(format_args!(
                     "cluster settings version={number} can't be used here: {first}"
--- a/gateway/src/replication/shared_config/encoding.rs
+++ b/gateway/src/replication/shared_config/encoding.rs
@@ -34,7 +34,8 @@
     pub listen: SocketAddr,
     /// The address of its cluster API.
     pub api: SocketAddr,
-    /// The id of the member's disk; `None` until the member has started.
+    /// The id of the member's disk; `None` until the member has started. Stored as `born`, because
+    /// existing stores have this name.
     #[serde(rename = "born")]
     pub disk_id: Option<u64>,
 }
--- a/gateway/src/replication/shared_config/engine_list.rs
+++ b/gateway/src/replication/shared_config/engine_list.rs
@@ -29,10 +29,11 @@
     number_at(state, ENGINE_LIST_OFFSET)
 }
 
-/// Returns the next transaction towards storing `list`, or `None` if the stored list is as recent.
+/// Returns the next transaction towards storing `list`, or `None` if the stored list is not older.
 ///
 /// A transaction has at most [`MAX_TXN_LENGTH`] mutations, so a long list takes several. The last
-/// one writes the offset; until then, the stored list keeps its earlier offset.
+/// one writes the offset. Until then, the stored list keeps its earlier offset, so that later calls
+/// continue with the rest.
 #[must_use]
 pub fn next_update(state: &impl Entries, list: &EngineListSnapshot) -> Option<Txn> {
     if stored_offset(state).is_some_and(|offset| offset >= list.last_offset) {
--- a/gateway/src/replication/shared_config/operator_requests.rs
+++ b/gateway/src/replication/shared_config/operator_requests.rs
@@ -12,8 +12,8 @@
     set_flag(format!("{CORDON_PREFIX}{engine}"), cordoned, operator)
 }
 
-/// Returns the transaction that drains or resumes an instance. `instance` is a member's id or a
-/// subscriber's name.
+/// Returns the transaction that begins or ends the drain of an instance. `instance` is a member's
+/// id or a subscriber's name.
 #[must_use]
 pub fn set_drain(instance: &str, drained: bool, operator: &str) -> Txn {
     set_flag(format!("{DRAIN_PREFIX}{instance}"), drained, operator)
@@ -34,7 +34,8 @@
 /// Returns the transaction that records a member's addresses, or `None` if they are recorded
 /// already.
 ///
-/// The condition of the transaction does not hold if another disk is recorded under the same id.
+/// If another disk is recorded under the same id, the transaction has a condition that never holds,
+/// so that it changes nothing.
 #[must_use]
 pub fn record_member(state: &impl Entries, id: u64, address: &MemberAddress) -> Option<Txn> {
     let key = format!("{MEMBER_PREFIX}{id}");
--- a/gateway/src/replication/shared_config/settings_versions.rs
+++ b/gateway/src/replication/shared_config/settings_versions.rs
@@ -60,13 +60,13 @@
 
 /// Returns the number of the version in force; 0 if there is none.
 #[must_use]
-pub fn current(state: &impl Entries) -> u64 {
+pub fn current_number(state: &impl Entries) -> u64 {
     number_at(state, CURRENT_SETTINGS).unwrap_or(0)
 }
 
 /// Returns the version in force with its text, if there is one.
 #[must_use]
-pub fn in_force(state: &impl Entries) -> Option<SettingsVersion> {
+pub fn current_version(state: &impl Entries) -> Option<SettingsVersion> {
     let number = number_at(state, CURRENT_SETTINGS)?;
     let text = text(state, number)?;
     Some(SettingsVersion { number, text })
@@ -91,7 +91,7 @@
 
 /// Returns the number of the version that a revision of the store created, if it is retained.
 #[must_use]
-pub fn made_by(state: &impl Entries, revision: Revision) -> Option<u64> {
+pub fn version_created_by(state: &impl Entries, revision: Revision) -> Option<u64> {
     let versions = retained(state);
     let made = versions.iter().find(|v| v.revision == revision);
     made.map(|version| version.number)
@@ -114,7 +114,7 @@
     if text.len() > MAX_VALUE_BYTES {
         return Err(SettingsRejection::TooLong);
     }
-    let current = current(state);
+    let current = current_number(state);
     if expected.is_some_and(|version| version != current) {
         return Err(SettingsRejection::VersionConflict { current });
     }
--- a/gateway/src/replication/shared_config/view.rs
+++ b/gateway/src/replication/shared_config/view.rs
@@ -31,7 +31,7 @@
         /// Whether the engine is cordoned now.
         cordoned: bool,
     },
-    /// This instance was drained (`true`) or resumed (`false`).
+    /// The drain of this instance began (`true`) or ended (`false`).
     Drain(bool),
     /// Other settings are in force; `None` if there are no shared settings any more.
     Settings(Option<SettingsVersion>),
@@ -51,7 +51,7 @@
         SharedConfig {
             cordons: cordons.map(|(engine, _)| engine).collect(),
             drained: state.entry(&format!("{DRAIN_PREFIX}{instance}")).is_some(),
-            settings: settings_versions::in_force(state),
+            settings: settings_versions::current_version(state),
             members: entries_under(state, MEMBER_PREFIX)
                 .filter_map(member)
                 .collect(),
@@ -60,8 +60,8 @@
 
     /// Returns the changes that lead from this configuration to `next`.
     ///
-    /// Cordons come before uncordons, so that while the changes are applied, no query is sent to an
-    /// engine that is about to be cordoned.
+    /// Cordons come before uncordons: queries may be sent when an engine is uncordoned, and none of
+    /// them may go to an engine that `next` cordons.
     #[must_use]
     pub fn changes_to(&self, next: &SharedConfig) -> Vec<ConfigChange> {
         let added = next.cordons.difference(&self.cordons);
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -19,7 +19,8 @@
 use crate::log;
 use crate::settings::{self, Settings};
 
-/// The poll timeout is the drain limit divided by this value, but at most the default timeout.
+/// The poll timeout is the drain limit divided by this value, but at most the default timeout. The
+/// drain limit is the age at which state that was not confirmed again closes the fence.
 const POLL_TIMEOUTS_IN_DRAIN_LIMIT: u32 = 5;
 /// The maximum pause between checks of an open fence. A change of observer is logged within this
 /// time.
@@ -81,7 +82,8 @@
         self.reconciler.attach(targets);
         let subscriber = Rc::downgrade(self);
         // The configuration takes effect in the same step in which the subscription applies a
-        // change, because the staleness guard treats the change as in force from then on.
+        // change, because the check for stale state, which controls the fence, treats the change as
+        // in force from then on.
         self.subscription.on_applied(Rc::new(move |replica| {
             if let Some(subscriber) = subscriber.upgrade() {
                 // Only members use the addresses of members.
@@ -173,7 +175,7 @@
 }
 
 /// Checks the fence periodically, and logs a change of observer. Ends when the subscriber is
-/// dropped.
+/// dropped. In log lines, `reserve` is the standby observer.
 async fn watch_fence(subscriber: Weak<ClusterSubscriber>) {
     let mut known_observer = None;
     while let Some(subscriber) = subscriber.upgrade() {
@@ -189,7 +191,8 @@
             ));
         }
         // An open fence can't close before its state becomes stale, so no check is needed until
-        // then. Fifty checks a second would be most of the CPU cost of the control plane.
+        // then. A check at every `FENCE_CHECK_INTERVAL`, fifty times a second, would be most of the
+        // CPU cost of the control plane.
         let time_left = subscriber.subscription.time_until_stale();
         drop(subscriber);
         let pause = time_left.clamp(FENCE_CHECK_INTERVAL, MAX_FENCE_CHECK_INTERVAL);
--- a/gateway/src/rest/connection.rs
+++ b/gateway/src/rest/connection.rs
@@ -100,7 +100,7 @@
                 end
             }
             (Ok(_), Some(reason)) => ConnectionEnd::Requested(reason),
-            (Ok(result), None) => end_of_server(result, watch),
+            (Ok(result), None) => end_from_result(result, watch),
         }
     }
 }
@@ -113,8 +113,9 @@
     )
 }
 
-/// Returns why the connection ended after the HTTP server stopped without a request to close.
-fn end_of_server(result: hyper::Result<()>, watch: &ConnectionWatch) -> ConnectionEnd {
+/// Returns why a connection ended, if this process did not ask the connection's HTTP server to
+/// close it.
+fn end_from_result(result: hyper::Result<()>, watch: &ConnectionWatch) -> ConnectionEnd {
     if watch.phase() == Phase::Request {
         return ConnectionEnd::ClosedDuringRequest;
     }
@@ -132,8 +133,8 @@
 
 /// The timer for the timeouts of a connection's phases.
 ///
-/// It is set again only for an earlier deadline, because most deadlines are replaced before they
-/// pass. When it fires too early, the current deadline is checked and the timer set to it.
+/// Most deadlines are replaced before they pass, so the timer is not moved to a later deadline. If
+/// it fires before the current deadline, it is set to that one.
 struct DeadlineTimer {
     clock: Clock,
     timer: Timer,
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -4,7 +4,8 @@
 //! It submits queries to a [`RequestSink`], as the PostgreSQL front end does, and depends neither
 //! on that front end nor on the engines. It makes no decisions about queries: the decision module
 //! rejects queries to shed load, and the result store rejects them if it has no capacity for their
-//! results or because of their idempotency key.
+//! results, if their idempotency key was used with another query, or if the outcome of an earlier
+//! query with the same key is unknown.
 
 mod connection;
 mod connection_end;
@@ -126,7 +127,7 @@
     /// Returns the number of open requests plus the number of connections whose clients may still
     /// fetch further pages of a result.
     #[must_use]
-    pub fn busy_or_sticky(&self) -> usize {
+    pub fn requests_and_sticky_connections(&self) -> usize {
         self.busy.get() + self.limiter.sticky_count(self.parts.clock.now())
     }
 
--- a/gateway/src/rest/queries.rs
+++ b/gateway/src/rest/queries.rs
@@ -17,7 +17,7 @@
 /// replaced by another one.
 const MAX_ID_DRAWS: u32 = 4;
 
-/// The status of a rejected query. The client may safely retry it.
+/// The status for a query that was rejected before it ran. The client may safely retry the query.
 const REJECTED: StatusCode = StatusCode::SERVICE_UNAVAILABLE;
 
 impl RestFrontend {
--- a/gateway/src/rest/watch.rs
+++ b/gateway/src/rest/watch.rs
@@ -1,6 +1,6 @@
 //! Tracks the phase of a REST connection, the start time of the phase, and whether writes are
-//! blocked. Timeouts are based on these. The HTTP server reads and writes through a
-//! [`WatchedStream`], which updates them.
+//! blocked. The connection's timeouts are computed from this state. The HTTP server reads and
+//! writes through a [`WatchedStream`], which updates it.
 
 use std::cell::Cell;
 use std::io::{self, Read};
@@ -143,9 +143,9 @@
     stream: Rc<Async<TcpStream>>,
     watch: Rc<ConnectionWatch>,
     /// Whether the last read emptied the socket's receive buffer. The next read then waits until
-    /// the kernel reports more data: the server reads several times per request, and each such
-    /// read would be a system call that returns nothing.
-    is_drained: bool,
+    /// the kernel reports more data. This saves system calls that return nothing, because the
+    /// server reads several times per request.
+    is_emptied: bool,
 }
 
 impl WatchedStream {
@@ -154,7 +154,7 @@
         WatchedStream {
             stream,
             watch,
-            is_drained: false,
+            is_emptied: false,
         }
     }
 }
@@ -166,16 +166,16 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         loop {
-            if self.is_drained {
+            if self.is_emptied {
                 ready!(self.stream.poll_readable(context))?;
-                self.is_drained = false;
+                self.is_emptied = false;
             }
             match self.stream.get_ref().read(buffer) {
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_drained = true,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => self.is_emptied = true,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 read => {
                     let size = *read.as_ref().unwrap_or(&0);
-                    self.is_drained = size > 0 && size < buffer.len();
+                    self.is_emptied = size > 0 && size < buffer.len();
                     if size > 0 && matches!(self.watch.phase(), Phase::Idle | Phase::Answer) {
                         self.watch.set_phase(Phase::Head);
                     }
--- a/gateway/src/rest/wire.rs
+++ b/gateway/src/rest/wire.rs
@@ -141,7 +141,7 @@
         .map_err(|error| invalid_request(format!("the body: {error}")))?;
     let idempotency_key = idempotency_key(headers)?;
     let class = body.class.as_deref();
-    if idempotency_key.is_some() && takes_no_key(class, names) {
+    if idempotency_key.is_some() && rejects_key(class, names) {
         return Err(invalid_request(
             "`Idempotency-Key` is given, but this class heeds none",
         ));
@@ -184,8 +184,8 @@
     ))
 }
 
-/// Returns the idempotency key: a structured field (a string in quotes), or the unquoted value that
-/// most clients send.
+/// Returns the idempotency key. Most clients send it without quotes. It may also be a string in
+/// quotes, as structured fields of HTTP (RFC 8941) are written.
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<&str>, HttpError> {
     let mut values = headers.get_all("idempotency-key").iter();
     let Some(value) = values.next() else {
@@ -203,8 +203,8 @@
     Ok(Some(quoted.unwrap_or(value)))
 }
 
-/// Returns whether a class is known and its requests take no idempotency key.
-fn takes_no_key(class: Option<&str>, names: &NameTable) -> bool {
+/// Returns whether the class is known and its requests must not have an idempotency key.
+fn rejects_key(class: Option<&str>, names: &NameTable) -> bool {
     let known = |name| names.classes.iter().filter(move |class| class.name == name);
     class.is_some_and(|name| {
         known(name).next().is_some() && !known(name).any(|class| class.takes_idempotency_key)
--- a/gateway/src/rest/wire/tests.rs
+++ b/gateway/src/rest/wire/tests.rs
@@ -27,8 +27,8 @@
     "order_key":"7f3a9c21e0b4d655","statement":"SELECT '\u00fc' FROM sales_17.plan"}"#;
 
 proptest! {
-    /// Guards against panics on input from clients: any body, header or path gives a request, a
-    /// route or an error.
+    /// Guards against panics on input from clients: any body and header give a request or an error,
+    /// and any path gives a route.
     #[test]
     fn nothing_that_a_client_sends_panics(
         body in proptest::collection::vec(any::<u8>(), 0..200),
--- a/gateway/src/serve/assembly.rs
+++ b/gateway/src/serve/assembly.rs
@@ -65,13 +65,13 @@
         budget: ConnectionBudget,
     ) -> Result<Self, StartError> {
         let executor = Rc::new(LocalExecutor::new());
-        let Core {
+        let DispatchParts {
             stats,
             participant,
             pool,
             dispatch,
             fleet,
-        } = Core::start(&executor, clock, &config, settings, budget)?;
+        } = DispatchParts::start(&executor, clock, &config, settings, budget)?;
         let engine_ids = Rc::new(EngineIds::default());
         let retention = participant.as_ref().map(Participant::list_retention);
         let retention = retention.unwrap_or(ListRetention::Discard);
@@ -126,7 +126,7 @@
 }
 
 /// The dispatcher, the connection pool, and this instance's participation in a cluster and a fleet.
-struct Core {
+struct DispatchParts {
     stats: Rc<Stats>,
     participant: Option<Participant>,
     pool: Rc<Pool>,
@@ -134,7 +134,7 @@
     fleet: Option<Rc<FleetMembership>>,
 }
 
-impl Core {
+impl DispatchParts {
     fn start(
         executor: &Rc<LocalExecutor<'static>>,
         clock: Clock,
@@ -159,7 +159,7 @@
         let fleet = settings.fleet.as_ref().map(|fleet| {
             FleetMembership::start(executor, fleet, clock, config.seed, fleet_size, &dispatch)
         });
-        Ok(Core {
+        Ok(DispatchParts {
             fleet: fleet.transpose()?.map(Rc::new),
             stats,
             participant,
@@ -203,8 +203,9 @@
     dispatch
 }
 
-/// Loads the initial engine list, and starts the task that follows the event bus. It is the first
-/// task, so that events of the bus are handled before requests that are read in the same step.
+/// Loads the initial engine list, and starts the task that follows the event bus. It is started
+/// before the tasks that serve clients, so that events of the bus are handled before requests that
+/// arrive at the same time.
 fn follow_engine_list(
     executor: &LocalExecutor<'static>,
     mut client: DiscoveryClient,
--- a/gateway/src/serve/connection_budget.rs
+++ b/gateway/src/serve/connection_budget.rs
@@ -1,5 +1,5 @@
-//! Limits the connections of clients and engines, so that this process stays within its file
-//! descriptors, and within its part of them while another process of this gateway runs.
+//! Limits the connections of clients and engines, so that this process does not exceed its limit on
+//! file descriptors, or its share of that limit while another process of this gateway runs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::sibling_process::ProcessMark;
 use crate::upstream::pool::Pool;
 
-/// The interval between checks for another process.
+/// The interval between checks for a sibling, which is another process of this gateway.
 const SIBLING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Whether this process runs alone, or takes part in an upgrade, during which two processes of one
@@ -24,7 +24,7 @@
     Alone,
     /// This process was started while another one ran, and the other one still runs.
     Successor,
-    /// Another process was started while this one ran.
+    /// Another process was started while this one ran, and the other one still runs.
     Predecessor,
 }
 
@@ -64,10 +64,10 @@
     /// A process that runs alone gives a quarter to engines and a half to clients. The rest is for
     /// the program itself, for management and for connections that linger while they close.
     ///
-    /// Two processes stay within `max_sockets` together: clients get 9/16 of it and engines 4/15.
-    /// The successor gets the larger part, because clients usually hold at most a third of
-    /// `max_sockets` and soon all of them are connected to the successor. A lower limit would make
-    /// it reject or evict clients that have just connected.
+    /// Two processes stay within `max_sockets` together: clients get 3/8 + 3/16 = 9/16 of it, and
+    /// engines 1/6 + 1/10 = 4/15. The successor gets the larger part, because clients usually hold
+    /// at most a third of `max_sockets` and soon all of them are connected to the successor. A
+    /// lower limit would make it reject or evict clients that have just connected.
     pub(super) fn for_role(
         max_sockets: usize,
         role: ProcessRole,
--- a/gateway/src/serve/mod.rs
+++ b/gateway/src/serve/mod.rs
@@ -90,11 +90,13 @@
         }
     };
     let rest = gateway.rest.as_ref();
-    let open = gateway.sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
+    let open = gateway.sessions.busy_count()
+        + rest.map_or(0, |rest| rest.requests_and_sticky_connections());
     log::write_line(format_args!(
         "violetgate ends after {signal}: {open} requests open"
     ));
-    // The gateway goes on serving for a while, so a reload can still change the bus's address.
+    // The gateway still serves during the shutdown, so SIGHUP has to work until the end, for
+    // example to change the bus's address.
     gateway
         .executor
         .spawn(reload_on_hangup(signals, reloader))
--- a/gateway/src/serve/reload.rs
+++ b/gateway/src/serve/reload.rs
@@ -12,7 +12,8 @@
 use crate::settings::{self, Settings};
 
 /// The parts that a reload changes. A running program applies a new address of the event bus, and
-/// the settings whose reference says `SIGHUP`; everything else takes effect at the next start.
+/// the settings that docs/configuration.md marks with `SIGHUP`. Everything else takes effect at the
+/// next start.
 #[derive(Clone)]
 pub(super) struct Reloader {
     pub discovery: Rc<DiscoverySource>,
--- a/gateway/src/serve/shutdown.rs
+++ b/gateway/src/serve/shutdown.rs
@@ -16,11 +16,14 @@
 /// How long new clients are still accepted after SIGTERM or SIGINT at a planned restart, because
 /// new requests still arrive for this long.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(700);
-/// The platform sends SIGKILL when the longest deadline and this time have passed since SIGTERM.
+/// How long after the longest request deadline the platform sends SIGKILL. The deadline is counted
+/// from SIGTERM.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// The platform counts a deadline as at most this at a planned restart.
+/// The longest request deadline for which the platform waits at a planned restart. A longer one
+/// counts as this.
 const MAX_DEADLINE_AT_RESTART: Duration = Duration::from_secs(3);
-/// The platform counts a deadline as at most this when another process takes over.
+/// The longest request deadline for which the platform waits when another process takes over. A
+/// longer one counts as this.
 const MAX_DEADLINE_AT_UPGRADE: Duration = Duration::from_secs(5);
 /// Requests that are still open this long before SIGKILL are answered, so that the process ends by
 /// itself.
@@ -97,8 +100,8 @@
     started_at: Instant,
     /// Whether the requests that were still open at the time limit have been answered.
     has_answered_open: bool,
-    /// When the shutdown began to close idle connections, as all requests were answered. `None` if
-    /// it has not begun, or if another request has arrived since.
+    /// When the shutdown began to close idle connections, after all requests were answered. `None`
+    /// if it has not begun, or if another request has arrived since.
     answered_since: Option<Instant>,
 }
 
@@ -143,11 +146,12 @@
     }
 
     /// Takes the next step of the shutdown. Returns whether it is complete: no request, PostgreSQL
-    /// connection or sticky REST connection is left, or the time for them is over.
+    /// connection or sticky REST connection is left, or their time limit has passed.
     fn advance(&mut self) -> bool {
         let sessions = &self.gateway.sessions;
         let rest = self.gateway.rest.as_ref();
-        let busy = sessions.busy_count() + rest.map_or(0, |rest| rest.busy_or_sticky());
+        let busy =
+            sessions.busy_count() + rest.map_or(0, |rest| rest.requests_and_sticky_connections());
         let open = busy + sessions.len() + sessions.lingering();
         let overdue = self.started_at.elapsed().saturating_sub(self.time_limit());
         if open == 0 || overdue > MAX_CLOSE_TIME {
@@ -160,8 +164,8 @@
         if busy > 0 {
             self.answered_since = None;
         } else if self.reason == ShutdownReason::Restart || self.has_answered_open {
-            // All requests are answered. Each idle connection is closed by itself, because a reset
-            // at the end of the process could destroy the last answer, or a request that is just
+            // All requests are answered. Idle connections are closed before the process ends,
+            // because a reset at its end could destroy the last answer, or a request that is just
             // arriving. A connection with an incomplete message is reset when `MAX_CLOSE_TIME` is
             // over.
             let since = *self.answered_since.get_or_insert_with(Instant::now);
--- a/gateway/src/settings/check.rs
+++ b/gateway/src/settings/check.rs
@@ -24,7 +24,7 @@
     /// The key is given as a block.
     #[error("is a key, not a block")]
     Block,
-    /// The value is of another kind than this one, or out of its bounds.
+    /// The value is not of the given kind, or is outside the bounds of that kind.
     #[error("has to be {}", .0.about())]
     Value(ValueKind),
 }
@@ -39,11 +39,11 @@
 }
 
 /// The line numbers, from 1, of a text's blocks (as `block`) and keys (as `block.key`).
-pub(super) type Lines = BTreeMap<String, usize>;
+pub(super) type LineNumbers = BTreeMap<String, usize>;
 
 /// Checks a text against the tables. Returns its line numbers, or all errors in the order of their
 /// lines.
-pub(super) fn check(text: &str, kind: TextKind) -> Result<Lines, Vec<SettingsError>> {
+pub(super) fn check(text: &str, kind: TextKind) -> Result<LineNumbers, Vec<SettingsError>> {
     let body = hcl_edit::parser::parse_body(text).map_err(|error| {
         vec![SettingsError {
             line: error.location().line(),
@@ -55,7 +55,7 @@
         text,
         kind,
         errors: Vec::new(),
-        lines: Lines::new(),
+        lines: LineNumbers::new(),
     };
     checker.check_file(&body);
     if checker.errors.is_empty() {
@@ -69,7 +69,7 @@
     text: &'a str,
     kind: TextKind,
     errors: Vec<SettingsError>,
-    lines: Lines,
+    lines: LineNumbers,
 }
 
 impl Checker<'_> {
@@ -151,7 +151,7 @@
         role: Option<&Role>,
         structure: &Structure,
     ) -> Result<(), KeyError> {
-        if let Some(role) = role.filter(|role| !role.takes(key.name)) {
+        if let Some(role) = role.filter(|role| !role.allows_key(key.name)) {
             return Err(KeyError::OtherRole(role.name));
         }
         // Members' addresses belong to each instance, although a reload applies them.
@@ -174,7 +174,7 @@
         block_line: usize,
     ) {
         for key in table.keys {
-            let is_taken = role.is_none_or(|role| role.takes(key.name));
+            let is_taken = role.is_none_or(|role| role.allows_key(key.name));
             if key.default.is_none() && is_taken && !seen.contains(&key.name) {
                 let path = format!("{}.{}", table.name, key.name);
                 self.report(block_line, path, "is missing in this block");
--- a/gateway/src/settings/error.rs
+++ b/gateway/src/settings/error.rs
@@ -67,7 +67,7 @@
 /// A conflict between a key and other keys of its block, each of which is valid by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct KeyConflict {
-    /// The name of the key to which the error is attributed.
+    /// The name of the key that the error message names.
     pub key: &'static str,
     /// The description of the error.
     pub text: &'static str,
--- a/gateway/src/settings/mod.rs
+++ b/gateway/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' settings: one HCL file. A key is optional if the tables in [`schema`] give it a
-//! default.
+//! The operators' settings, which are read from one HCL file. A key is optional if the tables in
+//! [`schema`] give it a default.
 //!
 //! A file is checked completely before any of it is applied: all errors are reported at once, each
 //! with its line and key. The platform's configuration is in `config.rs`.
@@ -53,7 +53,8 @@
             .map_err(|error| vec![SettingsError::of_text(error)])
     }
 
-    /// Returns an instance's own settings with the shared ones applied over them.
+    /// Returns an instance's own settings, in which the values of the shared keys are replaced by
+    /// the shared values.
     #[must_use]
     pub fn applied_over(&self, own: &Settings) -> Settings {
         let Ok(mut all) = serde_json::to_value(own) else {
@@ -100,7 +101,7 @@
 /// only if there are no other errors, and only the first one is returned.
 pub fn parse(text: &str) -> Result<Settings, Vec<SettingsError>> {
     let lines = check(text, TextKind::OwnFile)?;
-    // The tables and the types agree (tested in `tests.rs`), so a text that has passed the tables
+    // The tables and the types agree (tested in `tests.rs`), so a text that is valid by the tables
     // can be deserialized.
     let settings: Settings =
         hcl::from_str(text).map_err(|error| vec![SettingsError::of_text(error)])?;
--- a/gateway/src/settings/reference.rs
+++ b/gateway/src/settings/reference.rs
@@ -37,7 +37,7 @@
 fn required_by(block: &Block, key: &Key) -> String {
     let roles = block.roles.iter();
     let roles: Vec<_> = roles
-        .filter(|role| role.takes(key.name))
+        .filter(|role| role.allows_key(key.name))
         .map(|role| role.name)
         .collect();
     if roles.len() == block.roles.len() {
--- a/gateway/src/settings/schema.rs
+++ b/gateway/src/settings/schema.rs
@@ -67,12 +67,12 @@
     pub roles: &'static [Role],
 }
 
-/// A role that an instance may have, which decides the keys that its block takes.
+/// A role that an instance may have, which decides the keys that are allowed in its block.
 #[derive(Debug)]
 pub struct Role {
     /// The name of the role, which is the value of the key `role`.
     pub name: &'static str,
-    /// The keys that an instance of this role does not take.
+    /// The keys that are not allowed for an instance of this role.
     pub without: &'static [&'static str],
 }
 
@@ -87,9 +87,9 @@
 }
 
 impl Role {
-    /// Returns whether an instance of this role takes a key.
+    /// Returns whether a key is allowed for an instance of this role.
     #[must_use]
-    pub fn takes(&self, key: &str) -> bool {
+    pub fn allows_key(&self, key: &str) -> bool {
         !self.without.contains(&key)
     }
 }
--- a/gateway/src/settings/tests.rs
+++ b/gateway/src/settings/tests.rs
@@ -26,10 +26,10 @@
     assert_eq!(parse("log {").unwrap_err().len(), 1);
 }
 
-/// Conflicts between valid keys are reported with a line and key, too. Shared settings are applied
-/// over an instance's own, and keys that can't be shared are errors.
+/// Conflicts between valid keys are reported with a line and key. Shared settings replace an
+/// instance's own, and keys that can't be shared are errors.
 #[test]
-fn a_cluster_is_checked_as_a_whole() {
+fn conflicting_keys_and_shared_settings_are_checked() {
     let file = |extra: &str| {
         format!(
             "cluster {{\n name = \"w\"\n id = 2\n folder = \"f\"\n listen = \"127.0.0.1:1\"\n \
@@ -94,7 +94,7 @@
         for key in block
             .keys
             .iter()
-            .filter(|key| role.is_none_or(|role| role.takes(key.name)))
+            .filter(|key| role.is_none_or(|role| role.allows_key(key.name)))
         {
             let default = key.default.unwrap_or(match key.kind {
                 ValueKind::Address => "\"127.0.0.1:1\"",
--- a/gateway/src/settings/types.rs
+++ b/gateway/src/settings/types.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Span(pub Duration);
 
-/// A number of bytes, written with its unit, such as `"64KiB"`.
+/// A size in bytes, written with its unit, such as `"64KiB"`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Size(pub u64);
 
