--- a/cluster/raft-storage/src/identity.rs
+++ b/cluster/raft-storage/src/identity.rs
@@ -16,6 +16,6 @@
     /// The id of the replica in its cluster.
     pub replica_id: u64,
     /// A random number chosen when the folder was created. It tells apart two disks with the same
-    /// replica id. The replica runtime calls it the disk id.
+    /// replica id, so the replica runtime calls it the disk id.
     pub incarnation: u64,
 }
--- a/cluster/raft-storage/src/lib.rs
+++ b/cluster/raft-storage/src/lib.rs
@@ -4,7 +4,7 @@
 //! | file | content |
 //! | --- | --- |
 //! | `member` | one record with the [`Identity`]; a folder without it belongs to no replica |
-//! | `log-N` | segment N of the log, from 1; repeats the hard state, so older ones are removable |
+//! | `log-N` | segment N of the log, from 1; begins with the hard state, so older segments can go |
 //! | `snapshot-I` | one record with the snapshot up to entry I |
 //! | `*.new` | an incomplete file whose writing was interrupted; it is ignored |
 //!
--- a/cluster/raft-storage/src/segment.rs
+++ b/cluster/raft-storage/src/segment.rs
@@ -76,8 +76,9 @@
     fn append_to_segment(&mut self, segment: Segment, bytes: &[u8]) -> Result<(), StorageError> {
         let file = segment_file(segment.number);
         if let Err(error) = self.directory.append(&file, bytes) {
-            // A part of the bytes may be in the file, and later records after it would make it look
-            // like damage. If it can't be removed, no more writes are accepted.
+            // A part of the bytes may be in the file. If further records followed, the next
+            // recovery would report the part as damage. If the part can't be removed, no more
+            // writes are accepted.
             let undo_result = self.directory.truncate(&file, segment.bytes as u64);
             return Err(self.append_failed(&file, error, undo_result));
         }
--- a/cluster/raft-storage/tests/memory/mod.rs
+++ b/cluster/raft-storage/tests/memory/mod.rs
@@ -17,7 +17,7 @@
 }
 
 impl Memory {
-    fn operate(&mut self) -> Result<()> {
+    fn count_operation(&mut self) -> Result<()> {
         match &mut self.operations_until_crash {
             Some(0) => Err(Error::other("crashed")),
             Some(n) => {
@@ -41,7 +41,7 @@
     }
     fn append(&mut self, name: &str, bytes: &[u8]) -> Result<()> {
         // A crash during an append writes the first half of the bytes.
-        let result = self.operate();
+        let result = self.count_operation();
         let fits = self
             .free_bytes
             .unwrap_or(usize::MAX)
@@ -68,12 +68,12 @@
         }
     }
     fn truncate(&mut self, name: &str, length: u64) -> Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         self.files.get_mut(name).unwrap().truncate(length as usize);
         Ok(())
     }
     fn sync(&mut self, _: &str) -> Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         if self.syncs_fail {
             Err(Error::other("sync"))
         } else {
@@ -81,16 +81,16 @@
         }
     }
     fn sync_dir(&mut self) -> Result<()> {
-        self.operate()
+        self.count_operation()
     }
     fn rename(&mut self, from: &str, to: &str) -> Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let bytes = self.files.remove(from).ok_or(ErrorKind::NotFound)?;
         self.files.insert(to.to_owned(), bytes);
         Ok(())
     }
     fn remove(&mut self, name: &str) -> Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         self.files
             .remove(name)
             .map(drop)
--- a/cluster/raft/src/append_entries.rs
+++ b/cluster/raft/src/append_entries.rs
@@ -73,8 +73,9 @@
         self.persist_entries(truncate_from, new_entries);
     }
 
-    /// Returns the index that the leader should probe next. It is at most the last index of this
-    /// log, and skips all entries of a conflicting term that is newer than `previous.term`.
+    /// Returns an earlier index at which the logs may match. The leader probes with the entry after
+    /// it. The index is at most the last index of this log, and skips all entries of a conflicting
+    /// term that is newer than `previous.term`.
     fn conflict_hint(&self, previous: LogPosition) -> Index {
         let mut hint = self.log.last_index().min(previous.index.saturating_sub(1));
         let conflicting = self.log.term(hint);
--- a/cluster/raft/src/commit.rs
+++ b/cluster/raft/src/commit.rs
@@ -25,12 +25,13 @@
         if let RoleState::Leader(leader) = &mut self.role {
             leader.uncommitted_bytes = leader.uncommitted_bytes.saturating_sub(committed_bytes);
         }
-        // The next message with entries or the next heartbeat tells the followers.
+        // The followers learn the new commit index from the next message with entries or the next
+        // heartbeat.
         self.commit = index;
         self.confirm_reads();
         if !self.is_voter() && self.membership.index <= self.commit {
-            // This leader's own removal is committed: a last round tells the followers, then the
-            // leader steps down.
+            // This leader's own removal is committed. A last heartbeat round passes the commit
+            // index on to the followers, then the leader steps down.
             self.begin_heartbeat_round();
             self.become_follower(self.hard_state.term, None);
         }
--- a/cluster/raft/src/config.rs
+++ b/cluster/raft/src/config.rs
@@ -21,7 +21,7 @@
     /// The limit on proposed but uncommitted entries, in bytes. Proposals are rejected while it is
     /// exceeded.
     pub max_uncommitted_bytes: usize,
-    /// The maximum number of entries that a learner may be missing when it is promoted.
+    /// The maximum number of entries that a learner may lack to be promoted.
     pub promotion_threshold: u64,
     /// The maximum number of entries in one [`Action::Apply`](crate::Action::Apply).
     pub max_apply_batch: usize,
--- a/cluster/raft/src/heartbeat.rs
+++ b/cluster/raft/src/heartbeat.rs
@@ -18,8 +18,8 @@
             return;
         };
         // A leader without answers from a majority for an election timeout was partitioned or
-        // suspended, and another node may lead by now. This is checked before anything else
-        // happens at the new time.
+        // suspended, and another node may lead by now. This is checked before the leader sends
+        // anything in this tick.
         let oldest = now.saturating_sub(self.config.election_timeout);
         let (id, progress) = (self.id, &leader.progress);
         let is_alive = |peer: NodeId| {
--- a/cluster/raft/src/progress.rs
+++ b/cluster/raft/src/progress.rs
@@ -10,7 +10,8 @@
     /// The leader doesn't know where the logs match, and sends one message with entries at a time.
     #[default]
     Probe,
-    /// The leader knows where the logs match, and pipelines entries.
+    /// The leader knows where the logs match, and sends further messages with entries before
+    /// earlier ones are answered.
     Replicate,
 }
 
@@ -93,10 +94,9 @@
         self.next_index = self.next_index.max(match_index + 1);
     }
 
-    /// Handles a response that the peer's log doesn't match before `next_index`: probing continues
-    /// at `hint + 1`, but after the last match and at most one past the end of the leader's log.
-    /// Returns whether probing moved back or began, which it doesn't on a stale or duplicated
-    /// response.
+    /// Handles a conflict response. Probing continues at `hint + 1`, limited to the range from the
+    /// entry after the last match to the index after the leader's last entry. Returns whether
+    /// probing began or moved back. A stale or duplicated response does neither.
     pub(crate) fn on_conflict(&mut self, hint: Index, last_index: Index) -> bool {
         let next_index = (hint + 1).max(self.match_index + 1).min(last_index + 1);
         let changes = self.mode == ReplicationMode::Replicate || next_index < self.next_index;
--- a/cluster/raft/src/replication.rs
+++ b/cluster/raft/src/replication.rs
@@ -60,7 +60,7 @@
             return;
         };
         // In replicate mode a heartbeat refers to the last entry that the peer is known to have. In
-        // probe mode it probes, as a message with entries does.
+        // probe mode it refers to the entry before `next_index`, as a message with entries does.
         let is_heartbeat = entries.is_empty() && progress.mode == ReplicationMode::Replicate;
         let previous_index = if is_heartbeat {
             progress.match_index
--- a/cluster/raft/src/role.rs
+++ b/cluster/raft/src/role.rs
@@ -55,6 +55,7 @@
     pub(crate) pending_reads: Vec<PendingRead>,
     pub(crate) transfer: Option<Transfer>,
     pub(crate) uncommitted_bytes: usize,
-    /// Whether entries were appended or reads begun that the peers have not been sent yet.
+    /// Whether appended entries have not been sent yet, or a new read needs a heartbeat round that
+    /// has not begun.
     pub(crate) has_unsent: bool,
 }
--- a/cluster/raft/tests/encoding.rs
+++ b/cluster/raft/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! Messages, entries and stored values are encoded as in commit 5065b36, because replicas of both
-//! versions work together during an upgrade and each version reads disks that the other wrote.
+//! Messages, entries and stored values are encoded as in commit 5065b36. Replicas of that version
+//! and of this one work together during an upgrade, and each reads disks that the other wrote.
 #![allow(clippy::unwrap_used, reason = "a test fails by panicking")]
 
 use std::fmt::Debug;
--- a/cluster/raft/tests/simulation/checks.rs
+++ b/cluster/raft/tests/simulation/checks.rs
@@ -7,9 +7,9 @@
 
 use crate::cluster::{SimulatedCluster, SECOND};
 
-/// The time in microseconds within which all members of a cluster without further faults must
-/// have committed the same entries.
-const CONVERGENCE: Micros = 8 * SECOND;
+/// The time in microseconds after the last fault within which all members must have committed the
+/// same entries.
+const CONVERGENCE_TIMEOUT: Micros = 8 * SECOND;
 
 #[derive(Default)]
 pub struct Observed {
@@ -94,11 +94,11 @@
 
     /// Ends all faults, and checks that every member then commits the same entries.
     pub fn converge(&mut self) {
-        self.heal();
+        self.end_faults();
         for replica in self.replicas.values_mut() {
             replica.paused_until = 0;
         }
-        let end = self.now + CONVERGENCE;
+        let end = self.now + CONVERGENCE_TIMEOUT;
         while self.now < end {
             self.step_undisturbed();
         }
--- a/cluster/raft/tests/simulation/cluster.rs
+++ b/cluster/raft/tests/simulation/cluster.rs
@@ -46,7 +46,7 @@
     events: BTreeMap<u64, Event>,
     pub replicas: BTreeMap<NodeId, SimulatedReplica>,
     /// The links, as (sender, receiver), on which all messages are dropped.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     /// The share of messages that are lost, in percent.
     pub loss_percent: u64,
     pub bug: InjectedBug,
@@ -74,7 +74,7 @@
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
             replicas: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss_percent: 0,
             bug,
             observed: Observed::default(),
@@ -196,7 +196,7 @@
 
     fn on_deliver(&mut self, from: NodeId, to: NodeId, message: Message) {
         let now = self.now;
-        let is_cut = self.cut.contains(&(from, to));
+        let is_cut = self.cut_links.contains(&(from, to));
         let Some(replica) = self.replicas.get_mut(&to) else {
             return;
         };
--- a/cluster/raft/tests/simulation/faults.rs
+++ b/cluster/raft/tests/simulation/faults.rs
@@ -19,7 +19,7 @@
 }
 
 impl SimulatedCluster {
-    /// Causes a random fault, starts a crashed replica, or heals the cluster.
+    /// Causes a random fault, starts a crashed replica, or ends the current faults.
     pub fn fault(&mut self) {
         let id = self.draw_replica();
         match self.draw(9) {
@@ -37,16 +37,16 @@
             3 | 4 => self.cut_link(id),
             5 => self.partition(),
             6 => self.loss_percent = self.draw(30),
-            _ => self.heal(),
+            _ => self.end_faults(),
         }
     }
 
     /// Cuts the link between a replica and a random one, in one or both directions.
     fn cut_link(&mut self, id: NodeId) {
         let other = self.draw_replica();
-        self.cut.insert((id, other));
+        self.cut_links.insert((id, other));
         if self.draw(2) == 0 {
-            self.cut.insert((other, id));
+            self.cut_links.insert((other, id));
         }
     }
 
@@ -62,15 +62,15 @@
         for from in &ids {
             for to in &ids {
                 if side.contains(from) != side.contains(to) {
-                    self.cut.insert((*from, *to));
+                    self.cut_links.insert((*from, *to));
                 }
             }
         }
     }
 
     /// Ends all network faults, and starts the replicas that are down.
-    pub fn heal(&mut self) {
-        self.cut.clear();
+    pub fn end_faults(&mut self) {
+        self.cut_links.clear();
         self.loss_percent = 0;
         for id in self.ids() {
             if self.replicas[&id].node.is_none() {
--- a/cluster/raft/tests/simulation/main.rs
+++ b/cluster/raft/tests/simulation/main.rs
@@ -26,21 +26,21 @@
 
 /// The simulated time in microseconds at which client requests and faults end. The simulation
 /// starts at one second.
-const DURATION: u64 = 11 * SECOND;
+const FAULTS_END: u64 = 11 * SECOND;
 
 /// Simulates a cluster of 3 or 5 replicas with one seed, including its convergence after the
 /// faults.
 fn run(seed: u64, bug: InjectedBug) -> SimulatedCluster {
     let replicas = 3 + seed % 2 * 2;
     let mut cluster = SimulatedCluster::new(seed, replicas, bug);
-    while cluster.now < DURATION {
+    while cluster.now < FAULTS_END {
         cluster.step();
     }
     cluster.converge();
     cluster
 }
 
-/// Returns the counts of a run that are summed over all seeds.
+/// Returns the event counts of one run. The caller adds them up over all seeds.
 fn totals(observed: &Observed) -> [u64; 5] {
     let committed = observed.commands.values().flatten().count() as u64;
     [
--- a/cluster/raft/tests/simulation/replica.rs
+++ b/cluster/raft/tests/simulation/replica.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// Completes all writes in progress, then replaces the log by another replica's snapshot, in
-    /// the order of a real disk.
+    /// Completes all writes in progress, then replaces the log by another replica's snapshot. A
+    /// real disk also completes earlier writes first.
     pub fn install(&mut self, metadata: SnapshotMetadata, state: AppliedCommands) {
         for write in std::mem::take(&mut self.unwritten) {
             self.write(write);
--- a/cluster/replica-runtime/src/clock.rs
+++ b/cluster/replica-runtime/src/clock.rs
@@ -1,5 +1,6 @@
-//! Reads the system clocks, and holds the timer that calls a core's tick. The cores read no clock
-//! themselves: the time is passed to them.
+//! Reads the system clocks, and holds the timer that calls a core's tick. The cores are the parts
+//! without I/O (`Replica`, `Observer` and `Subscriber`). They read no clock themselves: the time is
+//! passed to them.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
--- a/cluster/replica-runtime/src/framing.rs
+++ b/cluster/replica-runtime/src/framing.rs
@@ -13,15 +13,17 @@
 use crate::close_reason::CloseReason;
 use crate::wire::{self, Decoded};
 
-/// How long an attempt to connect may take.
+/// The maximum duration of an attempt to connect.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a hello, or the answer to one, may take.
+/// The maximum duration of a hello, and of the answer to it.
 pub(crate) const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the other side may read nothing. Observers allow their subscribers a longer time.
+/// The time without progress in writing after which a connection is closed. Observers allow their
+/// subscribers a longer time.
 pub(crate) const STALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a closed connection waits for the other side to read the last message and close too.
+/// The maximum time that a closed connection waits for the other side to read the last message and
+/// close too.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The maximum number of bytes from the other side that are discarded during that time.
+/// The maximum number of bytes from the other side that are discarded within [`LINGER_TIMEOUT`].
 const MAX_SKIPPED_BYTES: usize = 1 << 20;
 /// The maximum number of bytes per read.
 const READ_BYTES: usize = 16 << 10;
@@ -34,7 +36,8 @@
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BYTES]);
 }
 
-/// Fails with `reason` after `limit`. Racing it against an operation limits the operation's time.
+/// Fails with `reason` after `limit`. Combined with an operation by `or`, it limits the operation's
+/// time.
 pub(crate) async fn fail_after<T>(limit: Duration, reason: CloseReason) -> Result<T, CloseReason> {
     Timer::after(limit).await;
     Err(reason)
@@ -54,8 +57,8 @@
     Ok(stream)
 }
 
-/// Disables Nagle's algorithm, so that small frames are sent at once. An error is ignored, as it
-/// only makes them slower.
+/// Disables Nagle's algorithm, so that small frames are sent at once. An error is ignored, because
+/// it only delays small frames.
 pub(crate) fn disable_nagle(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().set_nodelay(true);
 }
--- a/cluster/replica-runtime/src/observer_service.rs
+++ b/cluster/replica-runtime/src/observer_service.rs
@@ -27,9 +27,9 @@
 use crate::traffic_stats::{TrafficCounter, TrafficStats};
 use crate::wire;
 
-/// How often this observer sends its subscribers' progress to all replicas.
+/// The interval at which this observer sends its subscribers' progress to all replicas.
 const PROGRESS_INTERVAL_US: Micros = 250_000;
-/// How long one linearizable read may take. The core abandons a read after the same time
+/// The maximum duration of one linearizable read. The core abandons a read after the same time
 /// (`READ_TIMEOUT_US` in its `observer/polls.rs`), so a longer timeout would have no effect.
 const READ_TIMEOUT: Duration = Duration::from_millis(400);
 
@@ -42,7 +42,7 @@
          choose an address of this machine that is free"
     )]
     Listen {
-        /// The address where subscribers were to connect.
+        /// The address for subscribers.
         address: SocketAddr,
         /// The error of the operating system.
         source: std::io::Error,
@@ -153,8 +153,8 @@
         self.counter.stats()
     }
 
-    /// Tells the core that more is applied to the store. The replica's store is borrowed during
-    /// this call, so it is passed in and not read through the replica.
+    /// Tells the core that further entries were applied to the store. The replica's store is
+    /// borrowed during this call, so it is passed in and not read through the replica.
     fn store_applied(&self, store: &Store) {
         let now = boot_time();
         self.core.borrow_mut().store_applied(now, store);
--- a/cluster/replica-runtime/src/observer_service/listener.rs
+++ b/cluster/replica-runtime/src/observer_service/listener.rs
@@ -14,9 +14,10 @@
 /// The maximum number of connections whose hello was not accepted yet. If there are more, the
 /// oldest one is closed.
 const MAX_UNACCEPTED: usize = 512;
-/// How long a subscriber may read nothing before its connection is closed without a reason. This is
-/// longer than the 10 s after which the core rejects it (`observer/housekeeping.rs` in
-/// `violetgate-state-distribution`), so that the subscriber can receive that rejection.
+/// The time for which a subscriber may read nothing before its connection is closed without a
+/// reason. This is longer than the 10 s after which the core rejects it
+/// (`observer/housekeeping.rs` in `violetgate-state-distribution`), so that the subscriber can
+/// receive that rejection.
 const SUBSCRIBER_STALL_TIMEOUT: Duration = Duration::from_secs(15);
 /// The maximum number of connections that the kernel queues until they are accepted. The standard
 /// library's 128 are too few when thousands of gateways reconnect at once, and the kernel retries a
@@ -50,7 +51,7 @@
             Ok((stream, peer)) => service.accept(stream, peer),
             Err(error) => {
                 drop(service);
-                tracing::info!("subscriber accept failed: {error}");
+                tracing::info!("can't accept a subscriber's connection: {error}");
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/cluster/replica-runtime/src/runtime.rs
+++ b/cluster/replica-runtime/src/runtime.rs
@@ -44,7 +44,7 @@
 pub use startup::{ReplicaOptions, StartError};
 pub use status::{MatchedIndex, ReplicaStatus};
 
-/// A callback that receives the store whenever more is applied to it.
+/// A callback that receives the store whenever further entries were applied to it.
 pub type AppliedCallback = Rc<dyn Fn(&Store)>;
 
 /// The reason why a replica has stopped. It takes no part in the cluster until it is started again.
@@ -78,7 +78,7 @@
     last_call: Cell<CallId>,
     storage_jobs: mpsc::Sender<StorageJob>,
     tick_timer: Rc<TickTimer>,
-    /// Tasks to wake when more is applied or the replica stops.
+    /// Tasks to wake when further entries were applied or the replica stops.
     apply_wakers: RefCell<Vec<Waker>>,
     stop_reason: RefCell<Option<StopReason>>,
     tasks: RefCell<Vec<Task<()>>>,
@@ -108,8 +108,8 @@
         self.disk_id
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before any
-    /// decision is made on the new state.
+    /// Adds a callback. It is called at once, and then whenever further entries were applied,
+    /// before another task can use the new state.
     pub fn on_applied(&self, callback: AppliedCallback) {
         callback(self.replica.borrow().store());
         self.callbacks.borrow_mut().push(callback);
--- a/cluster/replica-runtime/src/runtime/bootstrap.rs
+++ b/cluster/replica-runtime/src/runtime/bootstrap.rs
@@ -29,7 +29,7 @@
         source: std::io::Error,
     },
     /// The initial state can't be decoded as a store.
-    #[error("this is no saved state: {0}")]
+    #[error("the initial state can't be decoded: {0}")]
     InitialState(#[from] DecodeError),
     /// The folder already belongs to a replica, or can't be written.
     #[error("{}: {source}", folder.display())]
--- a/cluster/replica-runtime/src/runtime/calls.rs
+++ b/cluster/replica-runtime/src/runtime/calls.rs
@@ -10,7 +10,7 @@
 use super::pending_answer::PendingEntry;
 use super::ReplicaRuntime;
 
-/// How long one linearizable read may take before it is started again.
+/// The maximum duration of one linearizable read. After it, the read is started again.
 const READ_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(150);
 /// The delay between two attempts of a linearizable read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(10);
--- a/cluster/replica-runtime/src/runtime/effects.rs
+++ b/cluster/replica-runtime/src/runtime/effects.rs
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Calls the callbacks if more was applied since their last call.
+    /// Calls the callbacks if further entries were applied since their last call.
     fn notify_applied(&self) {
         let replica = self.replica.borrow();
         let applied = replica.applied();
@@ -93,7 +93,7 @@
     }
 
     fn stop(&self, reason: StopReason) {
-        tracing::info!("cluster member stops: {reason}");
+        tracing::info!("this replica has stopped: {reason}");
         *self.stop_reason.borrow_mut() = Some(reason);
         self.wake_waiting();
     }
--- a/cluster/replica-runtime/src/runtime/fleet_reports.rs
+++ b/cluster/replica-runtime/src/runtime/fleet_reports.rs
@@ -12,7 +12,7 @@
 use crate::clock::boot_time;
 use crate::wire::PeerMessage;
 
-/// How long an observer's last report is used. An observer with an older one counts as silent.
+/// The age up to which an observer's last report is used, in microseconds.
 const REPORT_FRESH_FOR_US: Micros = 1_000_000;
 
 /// The reports received, and the ids of the observers that sent them.
@@ -58,8 +58,8 @@
         reports.progress.totals(boot_time(), REPORT_FRESH_FOR_US)
     }
 
-    /// Returns the latest revision that came into force at all serving gateways, and the time at
-    /// which it did.
+    /// Returns the record of the latest revision that came into force: when it was known, and when
+    /// all gateways that serve requests were first found to have applied it.
     #[must_use]
     pub fn last_in_force(&self) -> Option<RevisionInForce> {
         let reports = self.fleet_reports.borrow();
--- a/cluster/replica-runtime/src/runtime/forwarding.rs
+++ b/cluster/replica-runtime/src/runtime/forwarding.rs
@@ -14,12 +14,12 @@
 use super::ReplicaRuntime;
 use crate::wire::{Call, PeerMessage};
 
-/// How long one attempt may take before the call is made again.
+/// The maximum duration of one attempt. After it, the call is made again.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
-/// How often a forwarded call checks whether the replica that carries it out is still the leader,
-/// as far as this replica knows.
+/// The interval at which a forwarded call checks whether the replica that carries it out is still
+/// the leader, as far as this replica knows.
 const LEADER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// The maximum number of calls that are carried out for other replicas at a time. Further calls are
 /// rejected, and their callers retry them.
@@ -49,9 +49,9 @@
                 CallOutcome::TimedOut | CallOutcome::Completed(Response::OutcomeUnknown) => {
                     earlier = EarlierAttempts::MayHaveTakenEffect;
                 }
-                CallOutcome::Completed(response) if is_retried(&response) => {}
+                CallOutcome::Completed(response) if may_be_retried(&response) => {}
                 // A membership change that an earlier attempt has made is rejected if it is
-                // proposed again.
+                // proposed again, so a rejection counts as success if the change is in effect.
                 CallOutcome::Completed(Response::Rejected(_))
                     if earlier == EarlierAttempts::MayHaveTakenEffect
                         && self.has_taken_effect(&call) =>
@@ -108,13 +108,13 @@
             .send(leader, &PeerMessage::ForwardCall { id, call });
         entry
             .wait(timeout)
-            .or(self.wait_until_deposed(leader))
+            .or(self.wait_until_not_leader(leader))
             .await
     }
 
-    /// Waits until this replica no longer takes `leader` for the leader. The call then ends early,
-    /// as the former leader won't answer or a new one can answer sooner.
-    async fn wait_until_deposed(&self, leader: NodeId) -> CallOutcome {
+    /// Waits until `leader` is no longer the leader, as far as this replica knows. The call then
+    /// ends early, because the former leader won't answer or a new one can answer sooner.
+    async fn wait_until_not_leader(&self, leader: NodeId) -> CallOutcome {
         while self.replica.borrow().raft().leader() == Some(leader) {
             Timer::after(LEADER_CHECK_INTERVAL).await;
         }
@@ -170,7 +170,7 @@
 }
 
 /// Whether this response means that the call had no effect and may succeed later.
-fn is_retried(response: &Response) -> bool {
+fn may_be_retried(response: &Response) -> bool {
     matches!(
         response,
         Response::NotLeader(_)
--- a/cluster/replica-runtime/src/runtime/startup.rs
+++ b/cluster/replica-runtime/src/runtime/startup.rs
@@ -62,7 +62,7 @@
     /// The replica can't listen at its address.
     #[error("{address}: {source}")]
     Listen {
-        /// The address where other replicas were to connect.
+        /// The address for other replicas.
         address: SocketAddr,
         /// The error of the operating system.
         source: std::io::Error,
--- a/cluster/replica-runtime/src/send_queue.rs
+++ b/cluster/replica-runtime/src/send_queue.rs
@@ -22,7 +22,7 @@
 /// Replicas use another queue between them, `PeerQueue`, which outlives its connections.
 pub(crate) struct SendQueue {
     max_bytes: usize,
-    /// How long the other side may read nothing before the connection is closed.
+    /// The time for which the other side may read nothing before the connection is closed.
     stall_timeout: Duration,
     frames: RefCell<VecDeque<SharedFrame>>,
     bytes: Cell<usize>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Writes queued frames until the queue ends or the connection fails, and returns the reason.
+    /// Writes queued frames until the connection ends or fails, and returns the reason.
     /// `on_written` is called after each write with the number of bytes that are still queued.
     pub(crate) async fn write_to(
         &self,
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -28,7 +28,7 @@
 /// The maximum number of bytes queued for one observer. Polls and requests are short and few.
 const MAX_QUEUED_BYTES: usize = 64 << 10;
 
-/// A callback that receives the replica whenever more is applied to it.
+/// A callback that receives the replica whenever further changes were applied to it.
 pub type ReplicaCallback = Rc<dyn Fn(&SubscriberReplica)>;
 
 /// The state of a subscription at one moment, for operators.
@@ -38,7 +38,7 @@
     pub revision: Revision,
     /// The observer that sends changes to this gateway.
     pub watched: Option<NodeId>,
-    /// The observer that takes over when the watched one fails.
+    /// The observer from which changes are requested if the one in `watched` fails.
     pub standby: Option<NodeId>,
     /// Whether requests may be routed on the replica. The error holds the replica's age.
     pub freshness: Result<(), Stale>,
@@ -109,8 +109,8 @@
         Ok(subscription)
     }
 
-    /// Adds a callback. It is called at once, and then whenever more is applied, before any
-    /// decision is made on the new state.
+    /// Adds a callback. It is called at once, and then whenever further changes were applied,
+    /// before another task can use the new state.
     pub fn on_applied(&self, callback: ReplicaCallback) {
         callback(self.core.borrow().replica());
         self.callbacks.borrow_mut().push(callback);
@@ -180,7 +180,7 @@
         self.tick_timer.set(self.core.borrow().next_tick());
     }
 
-    /// Calls the callbacks if more was applied since their last call.
+    /// Calls the callbacks if further changes were applied since their last call.
     fn notify_applied(&self) {
         let core = self.core.borrow();
         let replica = core.replica();
--- a/cluster/replica-runtime/src/traffic_stats.rs
+++ b/cluster/replica-runtime/src/traffic_stats.rs
@@ -15,7 +15,7 @@
     pub bytes_received: u64,
 }
 
-/// Counters behind [`TrafficStats`].
+/// The counters from which a [`TrafficStats`] is read.
 #[derive(Debug, Default)]
 pub(crate) struct TrafficCounter(Cell<TrafficStats>);
 
--- a/cluster/replica-runtime/src/transport.rs
+++ b/cluster/replica-runtime/src/transport.rs
@@ -2,8 +2,8 @@
 //!
 //! Each replica makes one connection to each other replica and only sends messages on it
 //! (`outgoing`). It receives messages on the connections that the others make to it (`incoming`). A
-//! connection that fails is made again after a backoff. A message for a full queue is dropped, as
-//! Raft retries every message that matters.
+//! connection that fails is made again after a backoff. A message for a full queue is dropped,
+//! because Raft sends every required message again.
 
 mod incoming;
 mod outgoing;
@@ -177,7 +177,7 @@
             match listener.accept().await {
                 Ok((stream, peer)) => self.accept(stream, peer),
                 Err(error) => {
-                    tracing::info!("member accept failed: {error}");
+                    tracing::info!("can't accept a replica's connection: {error}");
                     Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/cluster/replica-runtime/src/transport/outgoing.rs
+++ b/cluster/replica-runtime/src/transport/outgoing.rs
@@ -147,7 +147,7 @@
 }
 
 /// Waits until the other replica closes the connection. It sends nothing after its answer to the
-/// hello, so the first read that completes is taken for the end of the connection.
+/// hello, so any completed read counts as the end of the connection.
 async fn closed_by_peer(stream: &Async<TcpStream>) -> Result<Vec<u8>, CloseReason> {
     let mut byte = [0];
     let _ = stream.read_with(|mut stream| stream.read(&mut byte)).await;
--- a/cluster/replica-runtime/src/wire/hello.rs
+++ b/cluster/replica-runtime/src/wire/hello.rs
@@ -5,7 +5,7 @@
 
 use super::PROTOCOL_VERSION;
 
-/// The first bytes of a hello, by which it differs from the messages of other protocols.
+/// The first bytes of a hello, which identify the protocol.
 const MAGIC: [u8; 4] = *b"VGCL";
 
 /// The first message on a connection, sent by the replica that connects.
--- a/cluster/replica-runtime/src/wire/tests.rs
+++ b/cluster/replica-runtime/src/wire/tests.rs
@@ -7,8 +7,8 @@
 use violetgate_replica::Response;
 use violetgate_state_distribution::ProgressSummary;
 
-/// An incomplete frame must not be taken for a malformed one, wherever the stream is cut. Corrupted
-/// bytes must not cause a panic.
+/// An incomplete frame must not be taken for a malformed one, at whichever byte the input ends.
+/// Corrupted bytes must not cause a panic.
 #[test]
 fn frames_are_decoded_however_they_are_cut() {
     let entries = vec![Entry {
--- a/cluster/replica-runtime/tests/commits.rs
+++ b/cluster/replica-runtime/tests/commits.rs
@@ -1,5 +1,5 @@
 //! Tests commits by three replicas on loopback with real files, all on one thread, while one of
-//! them stops and returns, and calls made at any replica.
+//! them stops and returns. Also tests calls that are made at any replica.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/cluster/replica-runtime/tests/fleet/mod.rs
+++ b/cluster/replica-runtime/tests/fleet/mod.rs
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Has a command applied once, and returns the revision after it.
+    /// Submits an operation so that it is applied once, and returns the revision after it.
     pub async fn propose(&mut self, command: Operation) -> Revision {
         let call = Call::Propose {
             request_id: format!("r-{}", self.requests),
--- a/cluster/replica-runtime/tests/observers.rs
+++ b/cluster/replica-runtime/tests/observers.rs
@@ -111,7 +111,7 @@
         let revision = fleet.members[&1].status().revision;
         fleet.propose(Operation::Compact(revision)).await;
         let last = fleet.put("key/last", b"2").await;
-        // The new gateways have no state. The others have a revision that is compacted away.
+        // The new gateways have no state. The others have a revision that compaction has discarded.
         fleet.subscribe(5);
         fleet
             .serve_at(2, |config| config.chunk_bytes = 8 << 10)
--- a/cluster/replica-runtime/tests/partition.rs
+++ b/cluster/replica-runtime/tests/partition.rs
@@ -63,7 +63,7 @@
         group.put("a", "3").await;
         leader.transport().block_peers(&[]);
         group.assert_all_hold("a", "3").await;
-        // The old leader confirms its state by itself, every 250 ms.
+        // The old leader's replica confirms its state every 250 ms without a call.
         while leader.may_route().is_err() {
             assert!(
                 Instant::now() < deadline,
--- a/cluster/replica-runtime/tests/rejections.rs
+++ b/cluster/replica-runtime/tests/rejections.rs
@@ -116,7 +116,7 @@
     check_silent_connections(at).await;
     drop((sixth, seventh));
     let service = &fleet.services[&OBSERVER];
-    until("the sixth one is gone", || service.subscribers() == 5).await;
+    until("the sixth is disconnected", || service.subscribers() == 5).await;
 }
 
 /// A connection without a hello must be closed, and 600 connections that are opened and dropped
--- a/cluster/replica/src/proposals.rs
+++ b/cluster/replica/src/proposals.rs
@@ -8,7 +8,7 @@
 use crate::config::MAX_WAITING_CALLS;
 use crate::{CallId, Replica, Response};
 
-/// The actor in the change log for keys that are deleted because their lease expired.
+/// The originator that the change log names for keys that are deleted because their lease expired.
 const LEASE_EXPIRY_ACTOR: &str = "leases";
 
 /// A call that waits until its proposed entry is applied.
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Proposes to end the leases that have expired. If a proposal is dropped, a later tick repeats
-    /// it. A duplicate has no effect.
+    /// Proposes to end the leases that have expired. If a proposal isn't committed, a later tick
+    /// repeats it. A duplicate has no effect.
     pub(crate) fn propose_lease_expiries(&mut self) {
         for operation in self.store.expired_leases(self.wall_clock) {
             let command = Command {
--- a/cluster/replica/src/reads.rs
+++ b/cluster/replica/src/reads.rs
@@ -25,14 +25,14 @@
 pub(crate) struct PendingReads {
     last_id: u64,
     /// Reads that wait for a read index, by the read ids that were passed to Raft.
-    unanswered: BTreeMap<u64, PendingRead>,
+    awaiting_index: BTreeMap<u64, PendingRead>,
     /// Reads that wait for their read index to be applied.
-    unapplied: Vec<(Index, PendingRead)>,
+    awaiting_apply: Vec<(Index, PendingRead)>,
 }
 
 impl PendingReads {
     fn is_full(&self) -> bool {
-        self.unanswered.len() + self.unapplied.len() >= MAX_WAITING_CALLS
+        self.awaiting_index.len() + self.awaiting_apply.len() >= MAX_WAITING_CALLS
     }
 
     /// Adds a read and returns its id.
@@ -41,36 +41,36 @@
         if matches!(read, PendingRead::Confirmation(_)) {
             self.bound_confirmations();
         }
-        self.unanswered.insert(self.last_id, read);
+        self.awaiting_index.insert(self.last_id, read);
         self.last_id
     }
 
     fn bound_confirmations(&mut self) {
-        let reads = self.unanswered.iter();
+        let reads = self.awaiting_index.iter();
         let confirmations: Vec<u64> = reads
             .filter(|(_, read)| matches!(read, PendingRead::Confirmation(_)))
             .map(|(id, _)| *id)
             .collect();
         if let [oldest, ..] = confirmations.as_slice() {
             if confirmations.len() >= MAX_CONFIRMATIONS {
-                self.unanswered.remove(oldest);
+                self.awaiting_index.remove(oldest);
             }
         }
     }
 
     /// Removes and returns the reads whose read index is at most `applied`.
     fn take_applied(&mut self, applied: Index) -> Vec<(Index, PendingRead)> {
-        let (ready, rest) = std::mem::take(&mut self.unapplied)
+        let (ready, rest) = std::mem::take(&mut self.awaiting_apply)
             .into_iter()
             .partition(|(index, _)| *index <= applied);
-        self.unapplied = rest;
+        self.awaiting_apply = rest;
         ready
     }
 
     pub(crate) fn cancel(&mut self, call: CallId) {
         let cancelled = PendingRead::Client(call);
-        self.unanswered.retain(|_, read| *read != cancelled);
-        self.unapplied.retain(|(_, read)| *read != cancelled);
+        self.awaiting_index.retain(|_, read| *read != cancelled);
+        self.awaiting_apply.retain(|(_, read)| *read != cancelled);
     }
 }
 
@@ -85,7 +85,8 @@
         self.request_read_index(PendingRead::Client(call));
     }
 
-    /// Begins a confirmation that the local state is recent.
+    /// Begins a linearizable read that confirms for the staleness guard how recent the local state
+    /// is.
     pub(crate) fn begin_confirmation(&mut self, now: Micros) {
         let id = self.guard.begin_confirmation(now);
         self.request_read_index(PendingRead::Confirmation(id));
@@ -97,14 +98,14 @@
     }
 
     pub(crate) fn on_read_ready(&mut self, read_id: u64, index: Index) {
-        if let Some(read) = self.reads.unanswered.remove(&read_id) {
-            self.reads.unapplied.push((index, read));
+        if let Some(read) = self.reads.awaiting_index.remove(&read_id) {
+            self.reads.awaiting_apply.push((index, read));
             self.complete_reads();
         }
     }
 
     pub(crate) fn on_read_failed(&mut self, read_id: u64) {
-        match self.reads.unanswered.remove(&read_id) {
+        match self.reads.awaiting_index.remove(&read_id) {
             Some(PendingRead::Client(call)) => {
                 self.respond(call, Response::NotLeader(self.raft.leader()));
             }
--- a/cluster/replica/src/replica.rs
+++ b/cluster/replica/src/replica.rs
@@ -148,7 +148,7 @@
         self.raft.step(from, message);
     }
 
-    /// Records that all writes up to this sequence number are durable.
+    /// Reports that all writes up to this sequence number are durable.
     pub fn persisted(&mut self, sequence: u64) {
         self.raft.persisted(sequence);
     }
--- a/cluster/replica/src/snapshots.rs
+++ b/cluster/replica/src/snapshots.rs
@@ -10,7 +10,7 @@
 
 /// Maximum number of snapshot bytes in one message.
 const MAX_CHUNK_BYTES: usize = 256 << 10;
-/// Maximum number of bytes received of a snapshot before its last chunk.
+/// The maximum total size of a received snapshot without its last chunk, in bytes.
 const MAX_SNAPSHOT_BYTES: usize = 1 << 30;
 
 /// A snapshot of the store.
--- a/cluster/replica/tests/linearizable/clients.rs
+++ b/cluster/replica/tests/linearizable/clients.rs
@@ -10,8 +10,8 @@
 
 pub const CLIENTS: usize = 4;
 pub const KEYS: u64 = 3;
-/// Clients write and expect numbers below this limit.
-const VALUES: u64 = 4;
+/// The values that clients write, and those that a compare-and-swap expects, are below this number.
+const VALUE_COUNT: u64 = 4;
 const OPERATION_TIMEOUT: Micros = 3 * SECOND;
 
 #[derive(Default)]
@@ -91,7 +91,7 @@
 
     fn begin_operation(&mut self, client: usize) {
         let key = self.draw(KEYS);
-        let (expected, new) = (self.draw(VALUES), self.draw(VALUES));
+        let (expected, new) = (self.draw(VALUE_COUNT), self.draw(VALUE_COUNT));
         let kind = match self.draw(3) {
             0 => OperationKind::Write(new),
             1 => OperationKind::CompareAndSwap {
@@ -140,7 +140,8 @@
                 operation.kind = kind;
                 operation.finished_at = Some(self.now);
             }
-            // A read without an answer has no effect and no result to check.
+            // A read without an answer has no effect and no result to check, so it is left out of
+            // the history.
             None if matches!(operation.kind, OperationKind::Read(_)) => return,
             None => {}
         }
--- a/cluster/replica/tests/linearizable/cluster.rs
+++ b/cluster/replica/tests/linearizable/cluster.rs
@@ -30,7 +30,7 @@
 pub enum Event {
     Tick {
         id: NodeId,
-        starts: u64,
+        process: u64,
     },
     Deliver {
         from: NodeId,
@@ -39,7 +39,7 @@
     },
     Flush {
         id: NodeId,
-        starts: u64,
+        process: u64,
     },
     ClientCall(usize),
     /// A client gives up its operation.
@@ -51,7 +51,7 @@
 }
 
 /// The reason why a server does not run.
-pub enum Unavailable {
+pub enum NotRunning {
     Down,
     /// The process stays suspended for this many microseconds.
     Paused(Micros),
@@ -147,7 +147,7 @@
         let server = self.server(id);
         let initial = server.reopen_storage(id);
         server.replica = Some(Replica::new(id, config(), seed, initial, now).unwrap());
-        server.starts += 1;
+        server.process += 1;
         server.next_tick = Micros::MAX;
         self.schedule_tick(id);
     }
@@ -162,19 +162,19 @@
         let at = requested.max(now + MS);
         if at < server.next_tick {
             server.next_tick = at;
-            let starts = server.starts;
-            self.schedule(at - now, Event::Tick { id, starts });
+            let process = server.process;
+            self.schedule(at - now, Event::Tick { id, process });
         }
     }
 
     /// Returns a server's replica after advancing its time, or the reason why it does not run.
-    pub fn running(&mut self, id: NodeId) -> Result<&mut Replica, Unavailable> {
+    pub fn running(&mut self, id: NodeId) -> Result<&mut Replica, NotRunning> {
         let now = self.now;
         let server = self.server(id);
         if server.paused_until > now {
-            return Err(Unavailable::Paused(server.paused_until - now));
+            return Err(NotRunning::Paused(server.paused_until - now));
         }
-        let replica = server.replica.as_mut().ok_or(Unavailable::Down)?;
+        let replica = server.replica.as_mut().ok_or(NotRunning::Down)?;
         replica.tick(now, now);
         Ok(replica)
     }
@@ -184,11 +184,11 @@
         let Reverse((at, number)) = self.queue.pop().unwrap();
         self.now = at;
         let event = self.events.remove(&number).unwrap();
-        if self.is_obsolete(&event) {
+        if self.must_drop(&event) {
             return;
         }
         match event {
-            Event::Tick { id, starts } => self.on_tick(id, starts),
+            Event::Tick { id, process } => self.on_tick(id, process),
             Event::Deliver { from, to, message } => self.on_deliver(from, to, message),
             Event::Flush { id, .. } => self.on_flush(id),
             Event::ClientCall(client) => self.client_call(client),
@@ -206,24 +206,24 @@
         self.check_guard();
     }
 
-    /// Whether to drop an event: it is for an earlier process of the server, or a message on a cut
-    /// link.
-    fn is_obsolete(&self, event: &Event) -> bool {
+    /// Returns whether an event must be dropped, because it is for an earlier process of the server
+    /// or is a message on a cut link.
+    fn must_drop(&self, event: &Event) -> bool {
         match event {
-            Event::Tick { id, starts } | Event::Flush { id, starts } => {
-                self.servers[id].starts != *starts
+            Event::Tick { id, process } | Event::Flush { id, process } => {
+                self.servers[id].process != *process
             }
             Event::Deliver { from, to, .. } => self.cut_links.contains(&(*from, *to)),
             _ => false,
         }
     }
 
-    fn on_tick(&mut self, id: NodeId, starts: u64) {
+    fn on_tick(&mut self, id: NodeId, process: u64) {
         self.server(id).next_tick = Micros::MAX;
         match self.running(id) {
             Ok(_) => self.run_effects(id),
-            Err(Unavailable::Down) => {}
-            Err(Unavailable::Paused(delay)) => self.schedule(delay, Event::Tick { id, starts }),
+            Err(NotRunning::Down) => {}
+            Err(NotRunning::Paused(delay)) => self.schedule(delay, Event::Tick { id, process }),
         }
     }
 
@@ -233,8 +233,8 @@
                 replica.step(from, message);
                 self.run_effects(to);
             }
-            Err(Unavailable::Down) => {}
-            Err(Unavailable::Paused(delay)) => {
+            Err(NotRunning::Down) => {}
+            Err(NotRunning::Paused(delay)) => {
                 self.schedule(delay, Event::Deliver { from, to, message });
             }
         }
@@ -271,7 +271,8 @@
                 let applied = replica.store().revision();
                 assert!(
                     applied >= required,
-                    "a server routes by revision {applied}, but {required} is older than the limit"
+                    "a server routes by revision {applied}, although revision {required} was \
+                     acknowledged longer ago than the limit"
                 );
             } else {
                 self.stale_checks += 1;
--- a/cluster/replica/tests/linearizable/effects.rs
+++ b/cluster/replica/tests/linearizable/effects.rs
@@ -37,10 +37,10 @@
         match effect {
             Effect::Persist(write) => {
                 let server = self.server(id);
-                let starts = server.starts;
+                let process = server.process;
                 server.pending_writes.push(write);
                 if server.pending_writes.len() == 1 {
-                    self.schedule(delay, Event::Flush { id, starts });
+                    self.schedule(delay, Event::Flush { id, process });
                 }
             }
             Effect::Send { to, message } => {
@@ -72,8 +72,8 @@
     ) {
         let server = self.server(id);
         let following = server.replica().entries_after(&metadata);
-        // Pending writes have to be flushed first: they precede the installation, which replaces
-        // the log that they append to.
+        // Pending writes come before the installation, which replaces the log, so they are flushed
+        // first.
         let sequence = server.flush();
         server
             .storage()
--- a/cluster/replica/tests/linearizable/faults.rs
+++ b/cluster/replica/tests/linearizable/faults.rs
@@ -18,7 +18,7 @@
                 self.cut_links.insert((id, other));
             }
             4 => self.isolate(id),
-            _ => self.heal(),
+            _ => self.end_faults(),
         }
     }
 
@@ -26,7 +26,7 @@
         let server = self.server(id);
         if server.replica.take().is_some() {
             server.pending_writes.clear();
-            server.starts += 1;
+            server.process += 1;
         } else {
             self.start(id);
         }
@@ -39,7 +39,7 @@
         }
     }
 
-    fn heal(&mut self) {
+    fn end_faults(&mut self) {
         self.cut_links.clear();
         for id in 1..=SERVERS {
             if self.servers[&id].replica.is_none() {
--- a/cluster/replica/tests/linearizable/main.rs
+++ b/cluster/replica/tests/linearizable/main.rs
@@ -24,12 +24,12 @@
 use violetgate_linearizability::{first_operations_on, is_linearizable};
 
 /// The simulated time at which a run ends, in microseconds. The clock starts at one second.
-const DURATION: u64 = 16 * SECOND;
+const END: u64 = 16 * SECOND;
 
-/// Runs the simulation with one seed until [`DURATION`].
+/// Runs the simulation with one seed until [`END`].
 fn run(seed: u64, guard: Guard) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(seed, guard);
-    while cluster.now < DURATION {
+    while cluster.now < END {
         cluster.step();
     }
     cluster
@@ -81,7 +81,7 @@
     let fails = |seed| std::panic::catch_unwind(|| check(seed, Guard::Ignored)).is_err();
     assert!(
         (0..60).any(fails),
-        "no seed detects that the guard is ignored"
+        "the checks don't detect with any seed that the guard is ignored"
     );
 }
 
--- a/cluster/replica/tests/linearizable/server.rs
+++ b/cluster/replica/tests/linearizable/server.rs
@@ -56,9 +56,9 @@
     pub pending_writes: Vec<StorageWrite>,
     /// The time until which the process is suspended.
     pub paused_until: Micros,
-    /// Number of starts and kills of the process. Events with a lower number are for an earlier
-    /// process and are ignored.
-    pub starts: u64,
+    /// The number of the process, incremented by each start and each kill. Events with a lower
+    /// number are for an earlier process and are ignored.
+    pub process: u64,
     /// The time of the scheduled tick, or `Micros::MAX` if none is scheduled.
     pub next_tick: Micros,
 }
@@ -82,7 +82,7 @@
             storage: Some(storage),
             pending_writes: vec![],
             paused_until: 0,
-            starts: 0,
+            process: 0,
             next_tick: 0,
         }
     }
--- a/cluster/replicated-state/src/staleness_guard.rs
+++ b/cluster/replicated-state/src/staleness_guard.rs
@@ -6,8 +6,8 @@
 //! as recent as the beginning of the confirmation, measured on the local clock; clocks of different
 //! machines are never compared. The clock has to count the time during which the process or the
 //! machine is suspended (`CLOCK_BOOTTIME`), so that a copy is stale after a long suspension. A
-//! replica that is partitioned, that restarted with an old disk, or whose leader was deposed
-//! without knowing it gets no answer to its confirmations, and its copy becomes stale.
+//! replica that is partitioned, that restarted with an old disk, or whose leader doesn't know yet
+//! that it was deposed gets no answer to its confirmations, and its copy becomes stale.
 
 use std::collections::BTreeMap;
 
--- a/cluster/replicated-state/src/staleness_guard/tests.rs
+++ b/cluster/replicated-state/src/staleness_guard/tests.rs
@@ -3,8 +3,8 @@
 const LIMIT: Micros = 2_000_000;
 
 /// The age of the copy counts from the beginning of a confirmation. An answer confirms nothing
-/// until its read index is applied, and a late answer to an older confirmation does not make the
-/// copy younger. If the clock goes back, the age is unknown.
+/// until its read index is applied, and a late answer to an older confirmation does not reduce the
+/// age. If the clock goes back, the age is unknown.
 #[test]
 fn the_age_counts_from_the_beginning_of_the_confirmation() {
     let mut guard = StalenessGuard::new(LIMIT);
@@ -31,7 +31,7 @@
     assert_eq!(
         guard.check(200 + LIMIT),
         Err(Stale { age: Some(LIMIT) }),
-        "a late answer to an older confirmation must not make the copy younger"
+        "a late answer to an older confirmation must not reduce the age"
     );
     assert_eq!(
         guard.check(150),
--- a/cluster/replicated-state/src/store.rs
+++ b/cluster/replicated-state/src/store.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Store {
     revision: Revision,
-    /// The earliest revision that can be read. Earlier revisions were compacted away.
+    /// The earliest revision that can be read. Earlier revisions were discarded by compaction.
     first_revision: Revision,
-    /// The latest time of all applied commands, in microseconds.
+    /// The latest time in any applied command, in microseconds.
     time: Micros,
     /// The versions of each key that can still be read, oldest first.
     keys: BTreeMap<String, Vec<Version>>,
@@ -79,7 +79,7 @@
             },
             Err(error) => Outcome::Rejected(error),
         };
-        self.bound_history();
+        self.limit_history();
         if let Some(id) = request_id {
             self.requests.remember(id, &outcome);
         }
@@ -90,7 +90,7 @@
     fn execute(&mut self, command: &Command) -> Result<bool, CommandError> {
         let actor = &command.actor;
         match &command.operation {
-            Operation::Txn(txn) => self.transact(txn, actor),
+            Operation::Txn(txn) => self.execute_transaction(txn, actor),
             Operation::GrantLease { id, ttl } => {
                 self.grant_lease(*id, *ttl);
                 Ok(true)
--- a/cluster/replicated-state/src/store/revisions.rs
+++ b/cluster/replicated-state/src/store/revisions.rs
@@ -7,7 +7,7 @@
 use super::Store;
 use crate::{CurrentValue, KeyValue, Revision};
 
-/// Maximum number of changes in the history. If there are more, the oldest are compacted away.
+/// Maximum number of changes in the history. If there are more, compaction discards the oldest.
 const MAX_CHANGES: usize = 100_000;
 
 /// The value of a key from one revision until the key's next version.
@@ -25,7 +25,7 @@
     pub(super) lease: Option<u64>,
 }
 
-/// The error for a revision that was compacted away.
+/// The error for a revision that was discarded by compaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("compacted away: the earliest revision is {first_revision}")]
 pub struct Compacted {
@@ -53,8 +53,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Compacted`] if the revision was compacted away. The listing has to start again
-    /// from the first page.
+    /// Returns [`Compacted`] if the revision was discarded by compaction. The listing has to start
+    /// again from the first page.
     pub fn list(
         &self,
         prefix: &str,
@@ -100,7 +100,7 @@
     }
 
     /// Compacts the history until it has at most [`MAX_CHANGES`] changes.
-    pub(super) fn bound_history(&mut self) {
+    pub(super) fn limit_history(&mut self) {
         while self.changes.len() > MAX_CHANGES {
             let Some(oldest) = self.changes.front().map(|change| change.revision) else {
                 break;
@@ -115,8 +115,8 @@
             return;
         }
         self.first_revision = revision;
-        // A version that can be discarded was replaced by a change up to `revision`, or is itself
-        // a deletion up to `revision`. So only the keys of these changes have to be compacted.
+        // Only keys that changed at or before `revision` can have versions to discard: a version
+        // that a later one replaced, or a deletion.
         while self
             .changes
             .front()
--- a/cluster/replicated-state/src/store/transactions.rs
+++ b/cluster/replicated-state/src/store/transactions.rs
@@ -42,7 +42,11 @@
 
 impl Store {
     /// Executes a transaction. Returns whether its conditions held.
-    pub(super) fn transact(&mut self, txn: &Txn, actor: &str) -> Result<bool, CommandError> {
+    pub(super) fn execute_transaction(
+        &mut self,
+        txn: &Txn,
+        actor: &str,
+    ) -> Result<bool, CommandError> {
         let conditions_held = txn.conditions.iter().all(|condition| self.holds(condition));
         let mutations = if conditions_held {
             &txn.then
--- a/cluster/replicated-state/src/store/watches.rs
+++ b/cluster/replicated-state/src/store/watches.rs
@@ -1,4 +1,5 @@
-//! The change log, from which watchers read the changes since a revision.
+//! The change log, from which a watcher (a caller that follows the store) reads the changes after a
+//! revision.
 
 use serde::{Deserialize, Serialize};
 
@@ -27,8 +28,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Compacted`] if some of the changes may have been compacted away. The watcher has
-    /// to list the keys again, or it would miss changes.
+    /// Returns [`Compacted`] if some of the changes may have been discarded by compaction. The
+    /// watcher has to list the keys again, or it would miss changes.
     pub fn changes(
         &self,
         after: Revision,
--- a/cluster/replicated-state/tests/staleness_guard_model.rs
+++ b/cluster/replicated-state/tests/staleness_guard_model.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Variant {
     /// The guard is used correctly.
-    Real,
+    Correct,
     /// Requests are routed regardless of the guard.
     NoGuard,
     /// The age counts from the arrival of the answer instead of the beginning of the confirmation.
@@ -29,7 +29,7 @@
     /// An answer confirms the copy before its read index is applied.
     Unapplied,
     /// The replica's clock stops during a suspension.
-    ClockStopsInSleep,
+    ClockStopsDuringSuspension,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -57,13 +57,13 @@
 enum Event {
     Tick,
     /// The replica is suspended for longer than the limit, then resumes.
-    Sleep,
+    Suspend,
     /// The cluster commits the drain of the engine.
     Drain,
     /// The replica is partitioned from the cluster.
     Partition,
     /// The partition ends.
-    Heal,
+    EndPartition,
     /// The replica begins a confirmation.
     BeginConfirmation,
     /// The cluster answers the confirmation at this position in `State::unanswered`.
@@ -95,9 +95,9 @@
     fn actions(&self, state: &State, out: &mut Vec<Event>) {
         out.extend([
             Event::Tick,
-            Event::Sleep,
+            Event::Suspend,
             Event::Partition,
-            Event::Heal,
+            Event::EndPartition,
             Event::BeginConfirmation,
             Event::Drain,
             Event::Apply,
@@ -110,15 +110,15 @@
         let mut state = last.clone();
         match event {
             Event::Tick => (state.now, state.clock) = (state.now + 1, state.clock + 1),
-            Event::Sleep => {
+            Event::Suspend => {
                 state.now += LIMIT + 1;
-                if *self != Variant::ClockStopsInSleep {
+                if *self != Variant::ClockStopsDuringSuspension {
                     state.clock += LIMIT + 1;
                 }
             }
             Event::Drain => state.drained = Some(state.drained.xor(Some(state.now))?),
             Event::Partition => state.partitioned = true,
-            Event::Heal => state.partitioned = false,
+            Event::EndPartition => state.partitioned = false,
             Event::BeginConfirmation if state.confirmations < MAX_CONFIRMATIONS => {
                 state.confirmations += 1;
                 let id = state.guard.begin_confirmation(state.clock);
@@ -179,7 +179,7 @@
 
 #[test]
 fn no_request_is_routed_by_stale_state_in_any_order_of_events() {
-    let checker = Variant::Real.checker().spawn_bfs().join();
+    let checker = Variant::Correct.checker().spawn_bfs().join();
     println!(
         "{} states, {} of them unique",
         checker.state_count(),
@@ -195,7 +195,7 @@
         Variant::NoGuard,
         Variant::AgeFromAnswer,
         Variant::Unapplied,
-        Variant::ClockStopsInSleep,
+        Variant::ClockStopsDuringSuspension,
     ] {
         let checker = variant.checker().spawn_bfs().join();
         let found = checker.discovery("no request goes to a drained engine after the limit");
--- a/cluster/replicated-state/tests/store_model.rs
+++ b/cluster/replicated-state/tests/store_model.rs
@@ -17,7 +17,7 @@
 /// The prefix of the keys that are listed page by page.
 const LISTED_PREFIX: &str = "a";
 
-/// The steps of one round of the test.
+/// One round of the test: a transaction with these mutations, then the steps that are enabled.
 #[derive(Debug, Clone)]
 struct Round {
     mutations: Vec<Mutation>,
@@ -171,8 +171,8 @@
         self.store.apply(&command(compact));
     }
 
-    /// Reads the next changes for the watcher. If changes that it has not read were compacted away,
-    /// it lists all keys instead.
+    /// Reads the next changes for the watcher. If changes that it has not read were discarded by
+    /// compaction, it lists all keys instead.
     fn watch(&mut self, limit: usize) -> TestCaseResult {
         match self.store.changes(self.watched, "", limit) {
             Ok(changes) => {
@@ -211,9 +211,9 @@
 }
 
 proptest! {
-    /// Every revision that was not compacted away reads as it was, also page by page with changes
-    /// between the pages. A watcher misses no change, and gets an error if a change was compacted
-    /// away. A decoded snapshot is equal to the store.
+    /// Every revision that compaction did not discard reads as it was, also page by page with
+    /// changes between the pages. A watcher misses no change, and gets an error if compaction
+    /// discarded a change. A decoded snapshot is equal to the store.
     #[test]
     fn every_readable_revision_stays_unchanged(rounds in vec(round(), 1..60)) {
         let mut model = Model::new();
