--- a/cluster/state-distribution/src/fleet_progress.rs
+++ b/cluster/state-distribution/src/fleet_progress.rs
@@ -42,10 +42,10 @@
 const MAX_OBSERVERS: usize = 256;
 /// The maximum length of each record queue: revisions not in force yet, and revisions in force.
 const MAX_RECORDS: usize = 4_096;
-/// How long an observer's last report limits the revision in force. An observer that can't reach
-/// the cluster confirms no polls, so after this time its gateways have stopped serving (2 s) or
-/// have reported to another observer.
-const SILENT_OBSERVER_LIMITS_US: Micros = 5_000_000;
+/// The time for which the last report of a silent observer still counts in the revision in force.
+/// An observer that can't reach the cluster confirms no polls, so after this time its gateways have
+/// stopped serving (2 s) or have reported to another observer.
+const SILENT_REPORT_LIFETIME_US: Micros = 5_000_000;
 
 /// When a revision came into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
@@ -58,7 +58,7 @@
     pub in_force_at: Micros,
 }
 
-/// The last report of an observer.
+/// The last report of an observer, with its time of arrival.
 #[derive(Debug, Clone)]
 struct ObserverReport {
     received_at: Micros,
@@ -154,7 +154,7 @@
         } in self.reports.values()
         {
             let age = now.saturating_sub(*received_at);
-            if age <= fresh_for.max(SILENT_OBSERVER_LIMITS_US) {
+            if age <= fresh_for.max(SILENT_REPORT_LIFETIME_US) {
                 in_force = in_force.into_iter().chain(summary.least_applied).min();
             }
             totals.revision = totals.revision.max(summary.revision);
--- a/cluster/state-distribution/src/message.rs
+++ b/cluster/state-distribution/src/message.rs
@@ -135,8 +135,8 @@
         /// Where to resume; `None` begins a snapshot of the observer's current revision.
         from: Option<SnapshotCursor>,
     },
-    /// Asks the observer to confirm that its state is current. The subscriber counts a confirmation
-    /// from the moment at which it sent the poll.
+    /// Asks the observer to confirm that its state is current. The age of the subscriber's replica
+    /// is measured from the moment at which it sent the poll.
     Poll {
         /// The subscriber's id of this poll.
         poll: PollId,
@@ -168,13 +168,14 @@
     /// Confirms a poll: the observer's state at `revision` includes everything that was agreed on
     /// up to some moment after the poll arrived there.
     PollConfirmed {
-        /// The subscriber's id of the poll; earlier polls are confirmed with it.
+        /// The subscriber's id of the poll; all polls that the subscriber sent before it are
+        /// confirmed too.
         poll: PollId,
         /// The revision that the subscriber has to apply for the confirmation to count.
         revision: Revision,
     },
-    /// The number of subscribers that this observer serves, so that subscribers can spread
-    /// themselves over the observers. Sent periodically.
+    /// The number of subscribers that this observer serves, so that subscribers can choose
+    /// observers with less load. Sent periodically.
     LoadReport {
         /// The number of subscribers connected now.
         subscribers: u32,
--- a/cluster/state-distribution/src/mutant.rs
+++ b/cluster/state-distribution/src/mutant.rs
@@ -9,9 +9,10 @@
     ConfirmsByEarlierRead,
     /// An observer confirms polls from its own copy, without a linearizable read.
     ConfirmsFromOwnCopy,
-    /// The age of a replica counts from the confirmation, not from the poll.
+    /// The age of a replica is measured from the confirmation, not from the poll.
     AgeFromConfirmation,
-    /// A batch that is held back from a slow subscriber is never sent to it.
+    /// Changes that were not sent at once, because the subscriber's send queue was full, are never
+    /// sent.
     SkipsHeldBack,
     /// A subscriber applies changes that leave a gap.
     AppliesGaps,
--- a/cluster/state-distribution/src/observer/batch.rs
+++ b/cluster/state-distribution/src/observer/batch.rs
@@ -26,8 +26,8 @@
 }
 
 /// Returns the next batch of changes after a revision, or `None` if there are no changes. A batch
-/// ends at the latest with the revision at which it reaches `max_bytes`, and holds at least one
-/// revision.
+/// holds at least one revision and ends with the revision at which it reaches `max_bytes`. It ends
+/// earlier if the read from the store, which [`READ_LIMIT`] limits, returns fewer changes.
 pub(super) fn changes_after(
     store: &Store,
     after: Revision,
--- a/cluster/state-distribution/src/observer/housekeeping.rs
+++ b/cluster/state-distribution/src/observer/housekeeping.rs
@@ -13,8 +13,8 @@
 /// A subscriber whose send queue is over its bound and that has read nothing for this time is
 /// disconnected.
 const STALL_TIMEOUT_US: Micros = 10_000_000;
-/// A subscriber that has sent no message for this time is considered dead, even if its connection
-/// has not ended.
+/// A subscriber that has sent no message for this time is considered dead and is disconnected, even
+/// if its connection has not ended.
 const SILENCE_TIMEOUT_US: Micros = 30_000_000;
 const SECOND_US: Micros = 1_000_000;
 
--- a/cluster/state-distribution/src/observer/mod.rs
+++ b/cluster/state-distribution/src/observer/mod.rs
@@ -54,8 +54,8 @@
         /// The message to send.
         message: ObserverMessage,
     },
-    /// Close a connection after all earlier messages and an [`ObserverMessage::Rejected`] are
-    /// written to it.
+    /// Send the rejection to the subscriber as the last message, in an
+    /// [`ObserverMessage::Rejected`], then close the connection.
     Close {
         /// The connection to close.
         connection: ConnectionId,
@@ -97,8 +97,8 @@
     pub departed: usize,
 }
 
-/// The observer's side of its subscriptions. The caller delivers messages and read results, and
-/// performs the actions that [`Observer::take_actions`] returns.
+/// The observer's side of the subscriptions of all its subscribers. The caller delivers messages
+/// and read results, and performs the actions that [`Observer::take_actions`] returns.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Observer {
     config: ObserverConfig,
@@ -279,7 +279,8 @@
         }
     }
 
-    /// Removes all state of a connection. If its subscriber served, it still counts as departed.
+    /// Removes all state of a connection. If the subscriber served, it counts as departed for a
+    /// while (see `progress_table`).
     fn forget(&mut self, id: ConnectionId) {
         self.stop_watching(id);
         self.connections.remove(&id);
--- a/cluster/state-distribution/src/observer/polls.rs
+++ b/cluster/state-distribution/src/observer/polls.rs
@@ -28,7 +28,8 @@
     received_at: Micros,
 }
 
-/// The polls and the claimed revision of one connection that wait for a read.
+/// The polls of one connection that wait for a read, and the revision that its subscriber claims to
+/// hold and this observer has not applied.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct PendingPolls {
     /// Oldest first.
--- a/cluster/state-distribution/src/observer/progress_table.rs
+++ b/cluster/state-distribution/src/observer/progress_table.rs
@@ -14,7 +14,7 @@
 /// last: its state is stale.
 const REPORT_LIFETIME_US: Micros = 3_000_000;
 /// How long a gateway that served and no longer watches this observer still counts in the lowest
-/// applied revision. This is the drain limit: after it the gateway has reported to another
+/// applied revision. This is the drain limit: after this time the gateway has reported to another
 /// observer, or its state is stale.
 const DEPARTED_LIFETIME_US: Micros = 2_000_000;
 /// The bounds of the age buckets in [`ProgressSummary::behind`].
--- a/cluster/state-distribution/src/observer/snapshot_slots.rs
+++ b/cluster/state-distribution/src/observer/snapshot_slots.rs
@@ -109,8 +109,8 @@
             .retain(|_, requested_at| now.saturating_sub(*requested_at) < IDLE_TIMEOUT_US);
     }
 
-    /// Returns the positions to send. A position is sent again only when it is at most half of the
-    /// position sent before, which limits the number of messages.
+    /// Returns the positions to send. To limit the number of messages, a position is sent again
+    /// only when it is at most half of the position sent before.
     pub fn position_updates(&mut self) -> Vec<PositionUpdate> {
         let mut updates = Vec::new();
         for (position, request) in (0_u32..).zip(self.queue.values_mut()) {
--- a/cluster/state-distribution/src/observer/snapshot_transfer.rs
+++ b/cluster/state-distribution/src/observer/snapshot_transfer.rs
@@ -65,8 +65,8 @@
     fn send_chunk(&mut self, id: ConnectionId, from: Option<&SnapshotCursor>, store: &Store) {
         match snapshot_chunk(store, from, self.config.chunk_bytes) {
             // The last chunk does not free the slot. The subscriber's next message does, because it
-            // shows that the chunk has arrived. This bounds the bytes queued for all subscribers
-            // together.
+            // shows that the chunk has arrived. Only subscribers with a slot have chunks queued, so
+            // the number of slots bounds the bytes queued for all subscribers together.
             Ok(SizedChunk { chunk, bytes }) => {
                 self.send(id, ObserverMessage::SnapshotChunk(chunk), bytes);
             }
--- a/cluster/state-distribution/src/observer/watch.rs
+++ b/cluster/state-distribution/src/observer/watch.rs
@@ -122,8 +122,8 @@
         }
     }
 
-    /// Returns the number of queued bytes from which a subscriber that is behind is sent no more
-    /// changes. It is at most the size of a chunk.
+    /// Returns the number of queued bytes at which the observer stops sending changes to a
+    /// subscriber that is behind. It is at most the size of a chunk.
     fn max_catch_up_bytes(&self) -> usize {
         let ObserverConfig {
             chunk_bytes,
--- a/cluster/state-distribution/src/subscriber/connections.rs
+++ b/cluster/state-distribution/src/subscriber/connections.rs
@@ -1,10 +1,10 @@
 //! A subscriber's connections to observers: one is watched, one is the standby, and sometimes a
-//! third is under trial.
+//! third is connected on trial, to compare its load with that of the standby.
 //!
-//! The standby takes over at once when the watched observer's connection ends. Two rare random
-//! events balance the load when the watched observer reports its load. Either the subscriber moves
-//! to its standby if the standby has far less load, or it tries another observer, which replaces
-//! the standby if it has far less load.
+//! The standby takes over at once when the watched observer's connection ends. To balance the load,
+//! the subscriber rarely and at random takes one of two steps when the watched observer reports its
+//! load: it moves to its standby if the standby has far less load, or it tries another observer,
+//! which replaces the standby if it has far less load than the standby.
 
 use violetgate_raft::NodeId;
 use violetgate_replicated_state::{Entries, Micros};
@@ -24,7 +24,7 @@
 const REPORTS_PER_MOVE: u64 = 16;
 /// The average number of load reports per trial of an observer that is not connected.
 const REPORTS_PER_TRIAL: u64 = 32;
-/// A load is far more than another if it exceeds 1.5 times the other by this margin.
+/// One load is far more than another if it exceeds 1.5 times the other plus this margin.
 const LOAD_MARGIN: u64 = FULL_LOAD / 20;
 
 impl Subscriber {
--- a/cluster/state-distribution/src/subscriber/mod.rs
+++ b/cluster/state-distribution/src/subscriber/mod.rs
@@ -93,8 +93,8 @@
     next_attempt_at: Micros,
     /// The bound of the delay before the next attempt to connect to any observer, in microseconds.
     attempt_backoff: Micros,
-    /// The number of connections closed because polls were not answered, since the last answer.
-    unanswered_closes: u32,
+    /// The number of connections closed since the last answer because polls were not answered.
+    closes_since_answer: u32,
     actions: Vec<SubscriberAction>,
     #[cfg(feature = "mutants")]
     mutant: Option<Mutant>,
@@ -124,7 +124,7 @@
             next_standby_poll_at: now,
             next_attempt_at,
             attempt_backoff,
-            unanswered_closes: 0,
+            closes_since_answer: 0,
             actions: Vec::new(),
             #[cfg(feature = "mutants")]
             mutant: None,
@@ -149,8 +149,8 @@
             ObserverMessage::SnapshotChunk(chunk) if is_watched => {
                 self.receive_chunk(observer, chunk);
             }
-            // Changes and chunks of another observer were under way when the watched observer took
-            // over. Queue positions need no action.
+            // Changes and chunks of another observer were sent before the subscriber began to watch
+            // the present one, and are ignored. Queue positions need no action.
             ObserverMessage::Changes(_)
             | ObserverMessage::Compacted { .. }
             | ObserverMessage::SnapshotChunk(_)
--- a/cluster/state-distribution/src/subscriber/observer_connection.rs
+++ b/cluster/state-distribution/src/subscriber/observer_connection.rs
@@ -13,8 +13,8 @@
 #[derive(Debug, Clone, Copy)]
 struct SentPoll {
     id: PollId,
-    /// The staleness guard's id of the confirmation that the answer completes; `None` if the guard
-    /// was replaced since.
+    /// The staleness guard's id of the confirmation that the answer completes; `None` if an
+    /// installed snapshot has replaced the guard since then.
     confirmation: Option<u64>,
     sent_at: Micros,
 }
--- a/cluster/state-distribution/src/subscriber/polling.rs
+++ b/cluster/state-distribution/src/subscriber/polling.rs
@@ -16,13 +16,14 @@
 
 /// The number of poll intervals between two polls of the standby.
 const POLL_INTERVALS_PER_STANDBY_POLL: u64 = 8;
-/// The limit up to which the answer timeout grows with each connection closed for unanswered polls.
+/// The maximum of the answer timeout, which doubles with each connection closed for unanswered
+/// polls.
 const MAX_ANSWER_TIMEOUT_US: Micros = 30_000_000;
 /// The maximum number of times that the answer timeout doubles, so that the shift can't overflow.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 16;
 
 impl Subscriber {
-    /// Polls an observer. Its confirmation counts from the present moment.
+    /// Polls an observer. If it confirms the poll, the age of the replica is measured from now.
     pub(super) fn poll(&mut self, observer: NodeId) {
         let serving = self.may_route(self.now).is_ok();
         let Some(connection) = self.connections.get_mut(&observer) else {
@@ -86,7 +87,7 @@
             }
         }
         self.directory.record_answer(observer);
-        self.unanswered_closes = 0;
+        self.closes_since_answer = 0;
         if self.standby == Some(observer) && self.is_watched_overdue() {
             self.watch(observer);
         }
@@ -109,7 +110,7 @@
     }
 
     fn close_unanswered(&mut self, observer: NodeId) {
-        self.unanswered_closes = self.unanswered_closes.saturating_add(1);
+        self.closes_since_answer = self.closes_since_answer.saturating_add(1);
         self.close_connection(observer, None);
     }
 
@@ -137,7 +138,7 @@
     /// Doubles a timeout for each connection that was closed for unanswered polls, up to a limit.
     /// If no observer can answer, changing the observer does not help.
     fn answer_timeout(&self, initial: Micros) -> Micros {
-        let doublings = self.unanswered_closes.min(MAX_TIMEOUT_DOUBLINGS);
+        let doublings = self.closes_since_answer.min(MAX_TIMEOUT_DOUBLINGS);
         let factor = 1_u64.checked_shl(doublings).unwrap_or(1);
         initial
             .saturating_mul(factor)
--- a/cluster/state-distribution/src/subscriber/replication.rs
+++ b/cluster/state-distribution/src/subscriber/replication.rs
@@ -11,7 +11,7 @@
 use crate::rejection::Rejection;
 
 /// How long after a request to an observer the answers to earlier requests may still arrive.
-const STALE_MESSAGE_WINDOW_US: Micros = 1_000_000;
+const LATE_ANSWER_WINDOW_US: Micros = 1_000_000;
 
 impl Subscriber {
     /// Watches an observer from now on. The observer watched before becomes the standby if its
@@ -34,8 +34,8 @@
         self.note_request(observer);
         let download = self.download.as_ref();
         let cursor = download.and_then(|download| download.cursor().cloned());
-        // If no chunk was received yet, this observer may have the changes that the previous
-        // observer had compacted away.
+        // If no chunk was received yet, changes are requested first: this observer may have those
+        // that the previous observer had compacted away.
         if cursor.is_none() && self.has_replica {
             self.download = None;
             let after = self.replica.revision();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Replaces the replica with a complete snapshot. The staleness guard starts over, because an
+    /// Replaces the replica with a complete snapshot. The staleness guard is replaced, because an
     /// answer to an earlier poll does not confirm these entries.
     fn install_snapshot(
         &mut self,
@@ -134,7 +134,7 @@
         let Some(connection) = self.connections.get(&observer) else {
             return false;
         };
-        self.now.saturating_sub(connection.requested_at) < STALE_MESSAGE_WINDOW_US
+        self.now.saturating_sub(connection.requested_at) < LATE_ANSWER_WINDOW_US
     }
 
     /// Closes the connection to an observer that broke the protocol.
--- a/cluster/state-distribution/tests/hard_cases.rs
+++ b/cluster/state-distribution/tests/hard_cases.rs
@@ -80,7 +80,7 @@
     run_with_changes(&mut world, 10);
     assert_eq!(
         world.seen.gates_shut, refused,
-        "checks that refused routing"
+        "checks in which a gateway was not allowed to route"
     );
     assert_eq!(
         world.seen.snapshots, snapshots,
@@ -100,7 +100,7 @@
     run_with_changes(&mut world, 10);
     assert_eq!(
         world.seen.gates_shut, refused,
-        "checks that refused routing"
+        "checks in which a gateway was not allowed to route"
     );
     let watches_silent = |n: &usize| world.subscribers[*n].core.held_observers().watched == Some(1);
     assert_eq!(
@@ -119,7 +119,7 @@
     run_with_changes(&mut world, 10);
     assert_eq!(
         world.seen.gates_shut, refused,
-        "checks that refused routing"
+        "checks in which a gateway was not allowed to route"
     );
     assert!(max_load_percent(&world) <= 130);
     world.run_for(SECOND);
@@ -131,7 +131,8 @@
     let mut world = fleet(4, 4, 950);
     world.cut_upstream.extend(1..=4);
     let connections = world.seen.connections;
-    // A read that was confirmed before the cut may still complete.
+    // A read that was confirmed before the observers were cut off from the voters may still
+    // complete.
     world.run_for(2 * SECOND + 100 * MS);
     let routing = world
         .subscribers
@@ -197,7 +198,7 @@
     );
     assert_eq!(
         world.seen.gates_shut, refused,
-        "checks that refused routing"
+        "checks in which a gateway was not allowed to route"
     );
 }
 
--- a/cluster/state-distribution/tests/model.rs
+++ b/cluster/state-distribution/tests/model.rs
@@ -1,7 +1,7 @@
 //! Checks the staleness guard of a gateway behind an observer in every order of events, with
-//! stateright: a drain is agreed on, the observer applies it late, reads upstream are slow or fail,
-//! polls and answers are late, and the gateway is suspended. The model runs the production code of
-//! [`Observer`] and [`StalenessGuard`]. The model has to detect mutants of that code.
+//! stateright: a drain is agreed on, the observer applies it late, linearizable reads are slow or
+//! fail, polls and answers are late, and the gateway is suspended. The model runs the production
+//! code of [`Observer`] and [`StalenessGuard`]. The model has to detect mutants of that code.
 #![allow(
     clippy::unwrap_used,
     clippy::indexing_slicing,
@@ -20,7 +20,7 @@
 /// The last step of time that the model explores.
 const END: u64 = 5;
 /// The maximum number of polls that the gateway sends.
-const POLLS: u64 = 2;
+const MAX_POLLS: u64 = 2;
 const CONNECTION: ConnectionId = 1;
 
 /// Returns the store with or without the drain.
@@ -226,7 +226,7 @@
                 next.observer_has_drain = true;
                 next.observer.store_applied(next.now, store(true));
             }
-            Event::SendPoll if next.polls < POLLS => {
+            Event::SendPoll if next.polls < MAX_POLLS => {
                 next.polls += 1;
                 let poll = next.guard.begin_confirmation(next.now);
                 next.to_observer.push_back(poll);
--- a/cluster/state-distribution/tests/simulation.rs
+++ b/cluster/state-distribution/tests/simulation.rs
@@ -1,7 +1,7 @@
-//! Simulates whole fleets on injected time: a few observers apply one history at different times,
-//! and gateways subscribe to them, while connections break, links are cut, processes stop, die and
-//! restart, and the history is compacted. A failure prints its seed; `SEED=n` runs that seed alone,
-//! `SEEDS=n` runs the first `n` seeds.
+//! Simulates whole fleets on a simulated clock: a few observers apply one history at different
+//! times, and gateways subscribe to them, while connections break, links are cut, processes stop,
+//! die and restart, and the history is compacted. A failure prints its seed; `SEED=n` runs that
+//! seed alone, `SEEDS=n` runs the first `n` seeds.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/cluster/state-distribution/tests/world/check.rs
+++ b/cluster/state-distribution/tests/world/check.rs
@@ -23,7 +23,7 @@
     pub rejections: BTreeMap<&'static str, u64>,
     /// The number of checks at which a gateway was allowed to route.
     pub gates_open: u64,
-    /// The number of checks at which a gateway was refused routing.
+    /// The number of checks at which a gateway was not allowed to route.
     pub gates_shut: u64,
     /// The maximum number of bytes queued for one subscriber.
     pub most_waiting: usize,
@@ -140,7 +140,8 @@
             self.seen.most_snapshots_queued =
                 self.seen.most_snapshots_queued.max(sizes.snapshots_queued);
         }
-        // A batch of changes or a chunk may exceed the bound, and short messages come on top.
+        // A batch of changes or a chunk may exceed the bound, and some short messages are queued
+        // too.
         let bound = config.send_queue_bytes + 2 * config.chunk_bytes + (16 << 10);
         assert!(
             self.seen.most_waiting <= bound,
--- a/cluster/state-distribution/tests/world/mod.rs
+++ b/cluster/state-distribution/tests/world/mod.rs
@@ -96,7 +96,7 @@
     pub apply_delay: u64,
     /// The maximum delay of a read.
     pub read_delay: u64,
-    /// The bytes under way to a subscriber at which its observer stops sending.
+    /// The number of bytes on the network to one subscriber at which its observer stops sending.
     pub window: usize,
     /// The number of reads that fail out of a thousand.
     pub failed_reads_per_thousand: u64,
--- a/cluster/state-distribution/tests/world/scenario.rs
+++ b/cluster/state-distribution/tests/world/scenario.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Agrees on a random command: a compaction, a deletion, or a change of some keys.
+/// Adds a random command to the agreed history: a compaction, a deletion, or a change of some keys.
 fn change(world: &mut World) {
     match world.random(20) {
         0 => {
--- a/fleet/membership-udp/src/counters.rs
+++ b/fleet/membership-udp/src/counters.rs
@@ -16,7 +16,7 @@
     pub unsent: u64,
 }
 
-/// Interior-mutable counters of a running node.
+/// The counters of a running node, which its tasks update through a shared reference.
 #[derive(Debug, Default)]
 pub(crate) struct Counters(Cell<DatagramCounters>);
 
--- a/fleet/membership-udp/src/node.rs
+++ b/fleet/membership-udp/src/node.rs
@@ -37,7 +37,7 @@
         /// New state of the member.
         state: MemberState,
     },
-    /// The link to another member was cut or restored.
+    /// The answers of another member that is alive no longer arrive here, or arrive again.
     LinkChanged {
         /// Name of the member.
         member: MemberName,
@@ -164,7 +164,8 @@
         self.membership.borrow().members().collect()
     }
 
-    /// Returns the number of gateways by which capacity is divided, including this one.
+    /// Returns the number of gateways by which the capacity of each engine is divided, including
+    /// this one.
     #[must_use]
     pub fn fleet_size(&self) -> u32 {
         self.fleet_size.borrow().size()
@@ -230,7 +231,8 @@
         let mut count = 0;
         loop {
             let Ok((size, from)) = socket.recv_from(&mut buffer).await else {
-                // On loopback, an earlier datagram to a port without a socket causes an error here.
+                // On loopback, an earlier datagram to a port without a socket causes an error here,
+                // which is ignored.
                 futures_lite::future::yield_now().await;
                 continue;
             };
--- a/fleet/membership/src/anti_entropy.rs
+++ b/fleet/membership/src/anti_entropy.rs
@@ -8,9 +8,9 @@
 //!    ([`MessageBody::BucketRequest`]).
 //! 4. Both send the requested updates in several messages ([`MessageBody::BucketTransfer`]).
 //!
-//! The steps of one exchange share no state: the next comparison repairs the loss of a message, and
-//! a late transfer is merged like any other update. A budget in bytes per second limits what a
-//! member sends in steps 2 and 4.
+//! The steps of one exchange share no state: the next comparison makes up for a lost message, and a
+//! late transfer is merged like any other update. A budget in bytes per second limits what a member
+//! sends in steps 2 and 4.
 
 use std::net::SocketAddr;
 
@@ -23,7 +23,8 @@
 use crate::transfers::{Transfer, REQUEST_INTERVAL_US};
 use crate::view_digest::{bucket_of, BucketSet, BUCKET_COUNT};
 
-/// Maximum number of updates that are sent for one request. A request covers about as many.
+/// Maximum number of updates that are sent for one request. A request asks for buckets with about
+/// this many updates.
 const MAX_REQUESTED_UPDATES: usize = 256;
 /// Minimum number of differing buckets that makes this member compare views more often.
 const MIN_BUCKETS_FOR_EAGER_COMPARISONS: usize = 16;
@@ -55,7 +56,7 @@
     }
 
     /// Builds a [`MessageBody::ViewDigest`] that repeats this member's own update, which tells the
-    /// receiver that this build reads [`MessageBody::BucketSums`].
+    /// receiver that this build can decode [`MessageBody::BucketSums`].
     pub(crate) fn view_digest_message(&mut self, update: Option<MemberUpdate>) -> Message {
         let digest = self.digest();
         let reads_bucket_sums = Some(self.own.clone());
@@ -64,7 +65,7 @@
     }
 
     /// Handles the digest of another member's view. If it differs, answers with bucket sums, or
-    /// with updates if the sender doesn't read bucket sums.
+    /// with updates if the sender can't decode bucket sums.
     pub(crate) fn on_view_digest(
         &mut self,
         message: &Message,
@@ -96,7 +97,7 @@
         actions.push(Action::Send { to, message });
     }
 
-    /// Sends up to [`MAX_REQUESTED_UPDATES`] updates as gossip, for builds that don't read bucket
+    /// Sends up to [`MAX_REQUESTED_UPDATES`] updates as gossip, for builds that can't decode bucket
     /// sums. The first member is random, so that repeated comparisons cover the whole view.
     fn send_updates_to_older_build(&mut self, to: SocketAddr, actions: &mut Vec<Action>) {
         let mut names = self.peer_names(|_| true, usize::MAX);
--- a/fleet/membership/src/config.rs
+++ b/fleet/membership/src/config.rs
@@ -1,5 +1,5 @@
-//! Settings of a member. All members of a fleet need the same settings; otherwise the slowest
-//! member determines how soon a death is detected.
+//! Settings of a member. All members of a fleet need the same settings; otherwise the member with
+//! the longest timeouts determines how soon a death is detected.
 
 use thiserror::Error;
 
@@ -118,7 +118,8 @@
 #[doc(hidden)]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// After a pause of its own process, a member suspects others without waiting for messages.
+    /// After a pause of its own process, a member suspects others without waiting for messages of
+    /// other members.
     TrustsItselfAfterPause,
     /// An update with the state `Alive` is accepted even if its number of refutations is outdated.
     IgnoresRefutationCount,
--- a/fleet/membership/src/dissemination.rs
+++ b/fleet/membership/src/dissemination.rs
@@ -1,13 +1,15 @@
-//! Dissemination of updates: piggybacked on every message, in rounds of gossip, and at once when
-//! this member leaves.
+//! Dissemination of updates: added to every message, in rounds of gossip, and at once when this
+//! member leaves.
 
 use crate::member_update::{MemberName, MemberState, MemberUpdate};
 use crate::membership::{Action, Membership};
 use crate::message::{Message, MessageBody, MAX_UPDATES_PER_MESSAGE};
 
-/// An update is sent this factor times the binary logarithm of the number of members.
+/// The number of times that an update is sent, as a multiple of the binary logarithm of the number
+/// of members.
 const TRANSMIT_FACTOR: f64 = 3.0;
-/// When this member leaves, it notifies this factor times the gossip fanout of other members.
+/// The number of other members that this member notifies when it leaves, as a multiple of the
+/// gossip fanout.
 const LEAVE_FANOUT_FACTOR: usize = 3;
 
 impl Membership {
--- a/fleet/membership/src/failure_detector.rs
+++ b/fleet/membership/src/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detection: direct probes, indirect probes through other members, suspicion, and death.
 //!
-//! As in Lifeguard, a member doesn't accuse others if missing answers may be its own fault. After a
-//! pause of its process it suspects nobody until it receives messages of others again, and the
+//! As in Lifeguard, a member doesn't suspect others if missing answers may be its own fault. After
+//! a pause of its process it suspects nobody until it receives messages of others again, and the
 //! worse its local health, the longer its timeouts.
 
 use std::collections::BTreeSet;
@@ -21,7 +21,8 @@
 /// Number of observers that must accuse a member before it is declared dead. If the member has
 /// fewer observers, all of them must.
 const ACCUSERS_FOR_DEATH: usize = 2;
-/// Maximum number of times that revivals double the suspicion timeout.
+/// Maximum number of times that revivals, which are returns of a member that was declared dead,
+/// double the suspicion timeout.
 const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
 /// Probe intervals are randomly shortened by up to the interval divided by this number, so that the
 /// probes of several observers don't synchronize.
@@ -41,16 +42,16 @@
         }
     }
 
-    fn subjects(&mut self) -> BTreeSet<MemberName> {
+    fn observed_members(&mut self) -> BTreeSet<MemberName> {
         let (rings, own_name) = (&self.rings, &self.own.name);
-        self.subjects
+        self.observed_members
             .get_or_insert_with(|| rings.subjects_of(own_name))
             .clone()
     }
 
     /// Sends the probes that are due to the members that this one observes.
     pub(crate) fn send_probes(&mut self, actions: &mut Vec<Action>) {
-        for target in self.subjects() {
+        for target in self.observed_members() {
             let jitter = self.rng.next_u64();
             let Some(peer) = self.peers.get_mut(&target) else {
                 continue;
@@ -119,9 +120,9 @@
         self.send_ping(&target, addr, sequence, actions);
     }
 
-    /// Handles a probe without a direct answer: marks the link as cut if the member has shown
-    /// another sign of life, and otherwise suspects it unless this process is recovering from a
-    /// pause.
+    /// Handles a probe without a direct answer: marks the link as cut if the member has answered an
+    /// indirect probe or has sent a message since the probe, and otherwise suspects it unless this
+    /// process is recovering from a pause.
     fn on_probe_timeout(&mut self, probe: &Probe, actions: &mut Vec<Action>) {
         if probe.indirect_acked && !self.has_mutant(Mutant::TreatsCutLinkAsFailure) {
             return self.set_link(&probe.target, LinkState::Cut, actions);
@@ -240,9 +241,9 @@
     /// Returns whether this member is to declare a suspect dead.
     ///
     /// Two observers must have accused the suspect, or one if it has only one observer, and this
-    /// member must be among them. The accusers themselves may be cut off, so the suspicion lasts
-    /// longer for each observer that has not accused the suspect. A suspect that still sends
-    /// messages is not declared dead.
+    /// member must be among them. If an observer has not accused the suspect, the accusers may be
+    /// the ones that are cut off, so the suspicion lasts longer for each such observer. A suspect
+    /// that still sends messages is not declared dead.
     fn is_confirmed_dead(&self, peer: &Peer) -> bool {
         let own_name = &self.own.name;
         let timeout = self.health.extend(self.config.suspicion_timeout);
@@ -270,7 +271,8 @@
 
 /// Returns how long a suspicion lasts before the member is declared dead: the timeout plus half of
 /// it for each observer that has not accused the member. Each revival doubles the result, because
-/// the view would never settle if a flapping member kept being declared dead.
+/// otherwise a member that repeatedly fails and returns would be declared dead again and again, and
+/// the view would keep changing.
 fn suspicion_span(peer: &Peer, timeout: Micros, not_accusing: usize) -> Micros {
     let span = timeout + timeout * not_accusing as u64 / 2;
     span << peer.revivals.min(MAX_TIMEOUT_DOUBLINGS)
--- a/fleet/membership/src/gossip_queue.rs
+++ b/fleet/membership/src/gossip_queue.rs
@@ -11,7 +11,8 @@
 /// Maximum number of queued updates.
 const MAX_QUEUED: usize = 4_096;
 
-/// Number of transmissions that the receipt of a queued update from another member counts as.
+/// When another member sends an update that is queued here, the update counts as sent this many
+/// more times.
 const RECEIPT_WEIGHT: u32 = 3;
 
 /// Sort key of the queue: the least often sent updates first, then updates about members that are
--- a/fleet/membership/src/local_health.rs
+++ b/fleet/membership/src/local_health.rs
@@ -8,8 +8,8 @@
 
 /// A longer time than this between two ticks means that the process was paused.
 const PAUSE_THRESHOLD_US: Micros = 200_000;
-/// Number of other members whose messages end the recovery from a pause. In a smaller fleet, all
-/// other members suffice.
+/// Number of other members whose messages end the recovery from a pause. If fewer other members may
+/// be serving, messages of all of them end it.
 const SENDERS_TO_END_RECOVERY: usize = 3;
 /// Highest score, for the worst health.
 const MAX_SCORE: u32 = 8;
--- a/fleet/membership/src/membership.rs
+++ b/fleet/membership/src/membership.rs
@@ -107,7 +107,7 @@
     pub(crate) peers: PeerTable,
     pub(crate) rings: ObserverRings,
     /// Cache of the members that this one observes. `None` if the rings have changed since.
-    pub(crate) subjects: Option<BTreeSet<MemberName>>,
+    pub(crate) observed_members: Option<BTreeSet<MemberName>>,
     pub(crate) probes: ProbeTable,
     pub(crate) gossip: GossipQueue,
     pub(crate) anti_entropy: AntiEntropyState,
@@ -147,7 +147,7 @@
             health: LocalHealth::default(),
             peers: PeerTable::default(),
             rings,
-            subjects: None,
+            observed_members: None,
             probes: ProbeTable::new(rng_seed & 0xffff_ffff),
             gossip: GossipQueue::default(),
             anti_entropy: AntiEntropyState::new(config.anti_entropy_bytes_per_s),
@@ -183,7 +183,7 @@
         self.peers = peers;
         self.rings = other.rings.clone();
         self.rings.add(&self.own.name);
-        self.subjects = None;
+        self.observed_members = None;
     }
 
     /// Adds updates to the view without gossiping or reporting them, and frees unused memory.
@@ -200,7 +200,7 @@
         }
         self.peers.shrink_to_fit();
         self.rings.shrink_to_fit();
-        self.subjects = None;
+        self.observed_members = None;
     }
 
     /// Returns the newest known incarnation of another member, or `None` if it is unknown.
--- a/fleet/membership/src/merging.rs
+++ b/fleet/membership/src/merging.rs
@@ -62,15 +62,17 @@
         let mut peer = Peer::new(update.clone(), self.now);
         peer.next_probe_at = self.now + first_probe_delay;
         self.advance_probe_of_suspect(&mut peer);
-        // A transferred update isn't passed on: its sender and other members already know it.
+        // A transferred update about a member that was unknown here isn't passed on: its sender and
+        // other members already know it.
         if source == UpdateSource::Gossip {
             self.gossip.push(update);
         }
         self.store(peer, actions);
     }
 
-    /// Merges an update of equal precedence. If the member is alive, counts the update as a receipt
-    /// of queued gossip. If the member is suspected, adds the update's accuser.
+    /// Merges an update of equal precedence. If the member is alive, records that another member
+    /// has sent the update (see `record_receipt`). If the member is suspected, adds the update's
+    /// accuser.
     fn merge_equal(&mut self, update: MemberUpdate) {
         if update.state == MemberState::Alive {
             let transmit_limit = self.transmit_limit();
@@ -140,7 +142,7 @@
             } else {
                 self.rings.remove(&member);
             }
-            self.subjects = None;
+            self.observed_members = None;
         }
         if has_changed {
             actions.push(Action::StateChanged { member, state });
--- a/fleet/membership/src/message.rs
+++ b/fleet/membership/src/message.rs
@@ -47,8 +47,8 @@
     /// The digest of the sender's view. A receiver whose view differs answers with
     /// [`MessageBody::BucketSums`].
     ///
-    /// A sender that reads bucket sums repeats its own update as the second one. Builds that don't
-    /// read bucket sums ignore the repetition.
+    /// A sender that can decode bucket sums repeats its own update as the second one. Builds that
+    /// can't decode bucket sums ignore the repetition.
     ViewDigest {
         /// Wrapping sum of the digests of all buckets.
         digest: u64,
@@ -146,7 +146,7 @@
         Ok(sender)
     }
 
-    /// Returns whether the sender of a [`MessageBody::ViewDigest`] reads
+    /// Returns whether the sender of a [`MessageBody::ViewDigest`] can decode
     /// [`MessageBody::BucketSums`], which it indicates by repeating its own update.
     #[must_use]
     pub fn sender_reads_bucket_sums(&self) -> bool {
--- a/fleet/membership/src/peer_table.rs
+++ b/fleet/membership/src/peer_table.rs
@@ -107,8 +107,8 @@
         self.peers.remove(name);
     }
 
-    /// Removes a peer from the suspects, the departed members and the digests. Returns its serving
-    /// index, which is still valid.
+    /// Removes a peer from the suspects, the departed members and the digests. Leaves it among the
+    /// serving members and returns its index there, if it has one.
     fn remove_from_indexes(&mut self, name: &MemberName) -> Option<u32> {
         let old = self.peers.get(name)?;
         self.digests.remove(&old.update);
--- a/fleet/membership/src/probe_table.rs
+++ b/fleet/membership/src/probe_table.rs
@@ -6,7 +6,8 @@
 use crate::member_update::MemberName;
 use crate::Micros;
 
-/// Maximum number of probes in flight for other observers.
+/// Maximum number of probes in flight that this member sends because another observer asked for
+/// them.
 const MAX_RELAYED: usize = 1_024;
 
 /// A probe that this member has sent as an observer.
--- a/fleet/membership/src/reconnect.rs
+++ b/fleet/membership/src/reconnect.rs
@@ -11,7 +11,7 @@
 
 /// Approximate limit on how often all members together contact one dead member or seed, per probe
 /// interval (1 s by default).
-const CONTACTS_PER_S: usize = 8;
+const CONTACTS_PER_PROBE_INTERVAL: usize = 8;
 /// Maximum number of addresses that one member contacts in a round.
 const MAX_CONTACTS: usize = 2;
 
@@ -42,10 +42,11 @@
     }
 
     /// Returns how many of `addr_count` addresses to contact in this round. In a large fleet most
-    /// members randomly skip a round, so that a member that is back is not flooded.
+    /// members randomly skip a round, so that a member that is back does not receive messages of
+    /// all members at once.
     fn contact_count(&mut self, addr_count: usize) -> usize {
         let count = addr_count.min(MAX_CONTACTS);
-        let contact_limit = CONTACTS_PER_S * addr_count;
+        let contact_limit = CONTACTS_PER_PROBE_INTERVAL * addr_count;
         let by_all_members = count * self.peers.serving_count();
         if contact_limit < by_all_members
             && self.rng.next_u64() % by_all_members as u64 >= contact_limit as u64
--- a/fleet/membership/src/transfers.rs
+++ b/fleet/membership/src/transfers.rs
@@ -14,8 +14,9 @@
 const MAX_TRANSFERS: usize = 4;
 /// Minimum time between two requests for the same bucket, to any member.
 pub(crate) const REQUEST_INTERVAL_US: Micros = 1_000_000;
-/// Number of comparisons that follow each other within [`REQUEST_INTERVAL_US`] after the start and
-/// after a large difference. They end early if a comparison finds a small difference.
+/// Number of comparisons after the start, and after one with a large difference, that are made at
+/// intervals of at most [`REQUEST_INTERVAL_US`]. They end early if a comparison finds a small
+/// difference.
 const EAGER_COMPARISONS: u32 = 8;
 
 /// Capacity of the budget, in seconds of its rate. This much may be sent at once after idle time.
@@ -23,7 +24,7 @@
 /// Minimum capacity of the budget. Any single message fits.
 const MIN_BURST_BYTES: u64 = 4_096;
 
-/// A token bucket of bytes.
+/// A budget of bytes that is refilled at a constant rate.
 #[derive(Debug, Clone)]
 struct ByteBudget {
     bytes_per_s: u64,
--- a/fleet/membership/src/view_digest.rs
+++ b/fleet/membership/src/view_digest.rs
@@ -19,8 +19,8 @@
     (stable_hash(name, BUCKET_SALT) % BUCKET_COUNT as u64) as usize
 }
 
-/// Returns the summand of an update in the digest of its bucket. It must not depend on the accuser,
-/// which differs between views.
+/// Returns the number that an update adds to the digest of its bucket. It must not depend on the
+/// accuser, which differs between views.
 fn digest_of(update: &MemberUpdate) -> u64 {
     let precedence = update.precedence();
     let salt = precedence.incarnation
--- a/hot-restart/src/connection.rs
+++ b/hot-restart/src/connection.rs
@@ -95,8 +95,8 @@
         Err(_) => {}
     }
     let listener = UnixListener::bind(path)?;
-    // A process of another user that connects before this call is rejected by its user ID in
-    // `HandoverConnection::new`.
+    // If a process of another user connects before this call, `HandoverConnection::new` rejects it
+    // because of its user ID.
     std::fs::set_permissions(path, std::fs::Permissions::from_mode(SOCKET_MODE))?;
     Async::new(listener)
 }
--- a/hot-restart/src/message.rs
+++ b/hot-restart/src/message.rs
@@ -77,8 +77,9 @@
     },
     /// Sent by the successor: it has the sockets and all parts and can serve clients.
     Ready,
-    /// Sent by the predecessor: the successor owns clients and keys from now on. Contains the
-    /// encoded changes to the state since the parts were created.
+    /// Sent by the predecessor: from now on the successor owns clients and keys, that is, it
+    /// accepts clients and requests with idempotency keys. Contains the encoded changes to the
+    /// state since the parts were created.
     TransferOwnership(Vec<u8>),
     /// Sent by the predecessor: a request that was in flight at the transfer of ownership has
     /// completed. Contains the encoded change to the state.
--- a/hot-restart/tests/connection.rs
+++ b/hot-restart/tests/connection.rs
@@ -1,5 +1,5 @@
 //! Tests of the connection over real Unix sockets. Listeners are passed with their accept queues,
-//! frames arrive whole or not at all, and a socket file left by a dead process is replaced.
+//! incomplete frames are not delivered, and a socket file left by a dead process is replaced.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/hot-restart/tests/model/main.rs
+++ b/hot-restart/tests/model/main.rs
@@ -45,8 +45,8 @@
         let predecessor = state.predecessor.as_ref();
         let successor = state.successor.as_ref();
         let has_timeout = predecessor.is_some_and(|p| p.next_timeout().is_some());
-        // A successor that waits for the transfer of ownership changes its state only at its first
-        // timeout, which extends the deadline, so the model leaves out the later ones.
+        // The first timeout of a successor that waits for the transfer of ownership extends its
+        // deadline. Later ones change nothing else, so the model leaves them out.
         let has_first_timeout =
             successor.is_some_and(|s| s.next_timeout() == Some(STEP_TIMEOUT_US));
         let can_learn_of_exit = predecessor.is_none() && successor.is_some() && !state.knows_exit;
@@ -132,7 +132,7 @@
     checked.assert_properties();
     assert!(
         checked.unique_state_count() > 500,
-        "the model has only {} states",
+        "the model reached only {} states, fewer than expected",
         checked.unique_state_count()
     );
 }
--- a/result-store/src/idempotency.rs
+++ b/result-store/src/idempotency.rs
@@ -215,8 +215,8 @@
         let count_before = self.entries.len();
         let entries = &mut self.entries;
         self.expiries.advance(now, |(key, generation)| {
-            // A newer entry with the same key, or a second execution, has its own expiry in the
-            // wheel.
+            // This expiry may belong to an earlier entry with the same key, or to an earlier
+            // execution, and is then ignored.
             let is_due = |e: &KeyEntry<W, A>| e.generation == generation && e.has_expired(now);
             if entries.get(&key).is_some_and(is_due) {
                 entries.remove(&key);
--- a/result-store/src/result_cache.rs
+++ b/result-store/src/result_cache.rs
@@ -34,7 +34,7 @@
     Gone,
 }
 
-/// The error for a reservation that the cache rejects because it is full.
+/// The error of [`ResultCache::reserve`] when the cache is full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheFull {
     /// Time in microseconds until the next cached result may expire, or 0 if none is cached.
@@ -196,8 +196,8 @@
     /// [`LookupError::Gone`] if its result is not cached any more.
     pub fn get(&self, now: Micros, token_text: &str) -> Result<CachedResult<P>, LookupError> {
         let token = self.sealer.open(token_text);
-        // The lookup takes place for invalid tokens too, so that a forged token takes as long as a
-        // valid one.
+        // The lookup takes place for invalid tokens too, so that rejecting a forged token takes as
+        // long as looking up a valid one.
         let entry = self.entries.get(&token.map_or(0, |token| token.result_id));
         let token = token.ok_or(LookupError::UnknownToken)?;
         // The timer wheel may hand out an expiry up to a tick late, so the exact time is checked
--- a/result-store/src/timer_wheel.rs
+++ b/result-store/src/timer_wheel.rs
@@ -2,9 +2,9 @@
 //! of entries.
 //!
 //! Each level has 64 slots, and one slot spans all slots of the level below. An entry lies in the
-//! lowest level that distinguishes its tick from the current one. It moves to lower levels as its
-//! tick comes nearer, at most five times. Each level has a bitmap of its occupied slots, so
-//! advancing over empty slots costs nothing.
+//! highest level at which the slot of its tick differs from the slot of the current tick. It moves
+//! to lower levels as its tick comes nearer, at most five times. Each level has a bitmap of its
+//! occupied slots, so advancing over empty slots costs nothing.
 //!
 //! Entries can't be removed. The owner of the wheel must ignore expiries that no longer apply.
 
@@ -16,11 +16,11 @@
 const SLOT_BITS: u32 = 6;
 const SLOTS: usize = 1 << SLOT_BITS;
 /// Six levels of 64 slots span 2^36 ticks, about two years. An entry that expires later goes into
-/// the last slot and is placed again when that slot comes up.
+/// the last slot and is placed again when the wheel reaches that slot.
 const LEVELS: usize = 6;
 const SPAN_TICKS: u64 = 1 << (SLOT_BITS * LEVELS as u32);
 
-/// A timing wheel that hands out keys of type `K` when they expire.
+/// A timing wheel that passes keys of type `K` to its caller when they expire (hands them out).
 #[derive(Debug)]
 pub struct TimerWheel<K> {
     /// The tick to which the wheel has advanced. Between calls of [`TimerWheel::advance`], all
@@ -46,8 +46,8 @@
     slots: Vec<Vec<Entry<K>>>,
 }
 
-/// The next occupied slot of a level. If two slots come up at the same tick, the one of the lower
-/// level is processed first, as the order of the fields determines.
+/// The next occupied slot of a level. If the wheel reaches two slots at the same tick, the one of
+/// the lower level is processed first: the derived order compares `tick` first, then `level`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct UpcomingSlot {
     tick: u64,
--- a/result-store/tests/model/idempotency.rs
+++ b/result-store/tests/model/idempotency.rs
@@ -54,7 +54,7 @@
     }
 
     /// Returns the number of expired keys, except `key`, that the table may still count.
-    fn lingering_besides(&self, key: usize) -> usize {
+    fn expired_but_counted_except(&self, key: usize) -> usize {
         let lingers = |(index, expired_at): &(usize, &u64)| {
             *index != key && **expired_at + WHEEL_DELAY_US > self.now
         };
@@ -65,7 +65,7 @@
         self.last_waiter += 1;
         let (now, waiter) = (self.now, self.last_waiter);
         let in_use = self.entries.iter().flatten().count();
-        let lingering = self.lingering_besides(key);
+        let lingering = self.expired_but_counted_except(key);
         let found = self
             .keys
             .begin(now, KEY_NAMES[key], [fingerprint; 16], WINDOW_US, waiter);
