--- a/cluster/state-distribution/src/lib.rs
+++ b/cluster/state-distribution/src/lib.rs
@@ -5,8 +5,8 @@
 //! of the store and serve it to subscribers. Each gateway subscribes to observers and holds a
 //! [`SubscriberReplica`]: the current entries, without history.
 //!
-//! - [`Observer`] is the serving side: it serves watches and snapshot transfers in chunks, confirms
-//!   freshness polls, and tracks the progress of its subscribers.
+//! - [`Observer`] is the observer's side: it serves watches and snapshot transfers in chunks,
+//!   confirms freshness polls, and tracks the progress of its subscribers.
 //! - [`Subscriber`] is the gateway's side: its connections to observers, its replica, and the
 //!   staleness check before routing.
 //! - [`FleetProgress`] sums the progress that all observers report.
--- a/hot-restart/src/lib.rs
+++ b/hot-restart/src/lib.rs
@@ -8,8 +8,9 @@
 //!
 //! Two invariants hold even if messages are lost, late or refused. The two processes never accept
 //! idempotency keys at the same time, and at least one process always accepts connections on the
-//! clients' port. The predecessor serves as before until it has transferred ownership. If the
-//! handover fails, the successor serves beside the predecessor, on a listening socket of its own.
+//! clients' port. The predecessor serves as before until it has transferred ownership of clients
+//! and keys. If the handover fails, the successor serves beside the predecessor, on a listening
+//! socket of its own.
 //!
 //! ```
 //! use violetgate_hot_restart::{Action, Message, Predecessor, Successor};
--- a/hot-restart/src/successor.rs
+++ b/hot-restart/src/successor.rs
@@ -15,8 +15,9 @@
     },
     /// All parts have arrived, and the successor waits for the transfer of ownership.
     Ready { deadline: Micros },
-    /// The successor owns clients and keys. The predecessor may still report the completion of
-    /// requests that were in flight at the transfer.
+    /// The successor owns clients and keys: it accepts clients and requests with idempotency keys.
+    /// The predecessor may still report the completion of requests that were in flight at the
+    /// transfer.
     Owner,
     /// The successor serves clients on its own socket. The predecessor owns the keys until its
     /// process exits.
