--- a/gateway/src/admin/operations.rs
+++ b/gateway/src/admin/operations.rs
@@ -11,7 +11,7 @@
 
 use super::{OperationOutcome, Operations, PendingOperation};
 use crate::clock::{micros, Clock};
-use crate::cordon_file::{Cordon, CordonFile, EngineNames};
+use crate::cordon_file::{CordonChange, CordonFile, EngineNames};
 use crate::discovery::{DiscoverySource, EngineIds};
 use crate::dispatch::Dispatch;
 use crate::drain::DrainState;
@@ -123,9 +123,9 @@
             return OperationOutcome::UnknownEngine;
         }
         let change = if cordoned {
-            Cordon::Add
+            CordonChange::Add
         } else {
-            Cordon::Remove
+            CordonChange::Remove
         };
         let known = self.cordons.borrow().clone();
         let names = self.targets.cordon_file.update(&known, engine, change);
--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -24,7 +24,7 @@
 
 /// A change of the cordon of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cordon {
+pub enum CordonChange {
     /// Cordons the engine.
     Add,
     /// Lifts the cordon.
@@ -67,7 +67,7 @@
     /// If the file can't be read, the change is applied to `known`, the names that this process
     /// knows. If the file can't be written, that is logged, and the change takes effect in this
     /// process only.
-    pub fn update(&self, known: &EngineNames, name: &str, change: Cordon) -> EngineNames {
+    pub fn update(&self, known: &EngineNames, name: &str, change: CordonChange) -> EngineNames {
         let _lock = self.path.as_deref().and_then(|path| {
             lock_file(path)
                 .inspect_err(|error| log_failure(path, error))
@@ -76,8 +76,8 @@
         let stored = self.load().ok().flatten();
         let mut names = stored.unwrap_or_else(|| known.clone());
         match change {
-            Cordon::Add => names.insert(name.to_owned()),
-            Cordon::Remove => names.remove(name),
+            CordonChange::Add => names.insert(name.to_owned()),
+            CordonChange::Remove => names.remove(name),
         };
         if let Some(path) = &self.path {
             let _ = write(path, &names).inspect_err(|error| log_failure(path, error));
--- a/gateway/src/cordon_file/tests.rs
+++ b/gateway/src/cordon_file/tests.rs
@@ -20,22 +20,22 @@
     );
     assert_eq!(first.load().unwrap(), None);
     assert_eq!(
-        first.update(&names(&[]), "s-1", Cordon::Add),
+        first.update(&names(&[]), "s-1", CordonChange::Add),
         names(&["s-1"])
     );
     assert_eq!(
-        second.update(&names(&[]), "s-2", Cordon::Add),
+        second.update(&names(&[]), "s-2", CordonChange::Add),
         names(&["s-1", "s-2"])
     );
     assert_eq!(
-        first.update(&names(&["s-1"]), "s-1", Cordon::Remove),
+        first.update(&names(&["s-1"]), "s-1", CordonChange::Remove),
         names(&["s-2"])
     );
     assert_eq!(second.load().unwrap(), Some(names(&["s-2"])));
     std::fs::write(&path, "[\"s-2\"").unwrap();
     assert!(first.load().is_err());
     assert_eq!(
-        first.update(&names(&["s-2"]), "s-3", Cordon::Add),
+        first.update(&names(&["s-2"]), "s-3", CordonChange::Add),
         names(&["s-2", "s-3"])
     );
     assert_eq!(second.load().unwrap(), Some(names(&["s-2", "s-3"])));
@@ -48,7 +48,7 @@
     for path in [None, Some(PathBuf::from("/proc/none/cordons"))] {
         let file = CordonFile::new(path);
         assert_eq!(
-            file.update(&names(&["s-1"]), "s-2", Cordon::Add),
+            file.update(&names(&["s-1"]), "s-2", CordonChange::Add),
             names(&["s-1", "s-2"])
         );
     }
@@ -64,8 +64,8 @@
     std::fs::write(&path, fixture).unwrap();
     let file = CordonFile::new(Some(path.clone()));
     assert_eq!(file.load().unwrap(), Some(names(&["s-1", "s-2"])));
-    file.update(&names(&[]), "s-3", Cordon::Add);
-    file.update(&names(&[]), "s-3", Cordon::Remove);
+    file.update(&names(&[]), "s-3", CordonChange::Add);
+    file.update(&names(&[]), "s-3", CordonChange::Remove);
     assert_eq!(std::fs::read(&path).unwrap(), fixture);
     std::fs::remove_dir_all(&folder).unwrap();
 }
