--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -11,12 +11,14 @@
 
 use crate::log;
 
-/// The most bytes that are read from the file. A longer file is corrupt.
+/// The maximum number of bytes that are read from the file. A longer file is cut off, and so it
+/// counts as corrupt.
 const MAX_FILE_BYTES: u64 = 256 * 1024;
-/// The pause before the lock is tried again, and the number of retries. A process holds the lock
-/// for one write. The retries are limited so that a process that is stopped during its write
-/// doesn't block the other one.
+/// The pause before the lock is tried again.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// The maximum number of retries; after them, the change is made without the lock. A process holds
+/// the lock for one update. The limit prevents that a process that is stopped during its update
+/// blocks the other process.
 const LOCK_RETRIES: u32 = 50;
 
 /// Names of engines as the event bus lists them.
@@ -64,9 +66,10 @@
     /// Adds or removes a name, preserves what the other process has changed meanwhile, and returns
     /// the names that are now cordoned.
     ///
-    /// If the file can't be read, the change is applied to `known`, the names that this process
-    /// knows. If the file can't be written, that is logged, and the change takes effect in this
-    /// process only.
+    /// If the file is missing, corrupt or can't be read, the change is applied to `known`, the
+    /// names that this process knows. If the file can't be locked, that is logged, and the change
+    /// is made without the lock. If the file can't be written, that is logged, and the change takes
+    /// effect in this process only.
     pub fn update(&self, known: &EngineNames, name: &str, change: CordonChange) -> EngineNames {
         let _lock = self.path.as_deref().and_then(|path| {
             lock_file(path)
--- a/gateway/src/cordon_file/tests.rs
+++ b/gateway/src/cordon_file/tests.rs
@@ -8,7 +8,7 @@
 }
 
 /// Two processes that change the file preserve each other's changes. Reading a corrupt file is an
-/// error, and the next change replaces the file by the names that the process knows.
+/// error, and the next change replaces its content with the names that the process knows.
 #[test]
 fn changes_of_two_processes_add_up_and_a_corrupt_file_is_replaced() {
     let folder = std::env::temp_dir().join(format!("violetgate-{}-store", std::process::id()));
--- a/gateway/src/ctl/client.rs
+++ b/gateway/src/ctl/client.rs
@@ -18,9 +18,10 @@
 /// The maximum length of an answer. The longest answer is a saved state.
 const MAX_ANSWER_BYTES: u64 = 1 << 30;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The minimum time that a member is given for a call, even if the deadline is closer.
+/// The minimum time that a member is given for a call, even if less is left until the deadline.
 const MIN_CALL_MS: u128 = 100;
-/// How much longer than the call's timeout the client waits for the answer.
+/// How much longer than the call's timeout, which the member knows too, the client waits for the
+/// answer. A member that gives up at the timeout can still say so.
 const ANSWER_MARGIN: Duration = Duration::from_secs(1);
 
 /// Options that every call to the cluster has: the members' addresses, the timeout, the request id
@@ -175,8 +176,8 @@
         })
     }
 
-    /// Calls the members in turn until one answers. All calls have the same request id, so that a
-    /// change is made only once.
+    /// Calls the members in turn until one answers. All calls have the same request id, so that the
+    /// cluster makes a change only once.
     pub(super) fn call(
         &self,
         method: &Method,
@@ -187,7 +188,7 @@
         loop {
             for member in &self.options.at {
                 match self.call_member(*member, method, path, body) {
-                    // The member is isolated, or doesn't know the outcome. Another may answer.
+                    // The member is isolated, or doesn't know the outcome. Another may know it.
                     Ok(reply) if matches!(reply.status, 503 | 504) => {
                         last_failure = format!("{member}: {}", reply.detail());
                     }
--- a/gateway/src/ctl/error.rs
+++ b/gateway/src/ctl/error.rs
@@ -58,7 +58,7 @@
     /// The settings are those of a subscriber, which has no member's folder.
     #[error("{}: `cluster.role`: a subscriber has no folder", .0.display())]
     Subscriber(PathBuf),
-    /// The operating system gave no random numbers for the id of the disk.
+    /// The operating system gave no random numbers for the id of the member's disk.
     #[error("can't get random numbers: {0}")]
     Random(getrandom::Error),
     /// The member's folder can't be created.
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -21,7 +21,7 @@
     call: MembersCall,
 }
 
-/// The maximum time until a new member has caught up and votes.
+/// The maximum time until a new member has caught up with the leader and votes.
 const PROMOTION_TIMEOUT: Duration = Duration::from_secs(600);
 /// The timeout of each call while `members replace` waits for the new member to vote.
 const REPLACE_CALL_TIMEOUT: Duration = Duration::from_secs(5);
@@ -80,7 +80,7 @@
     },
 }
 
-/// Whether a member is one of the first of a new cluster or joins a running one.
+/// Which cluster a member's folder is for: a new one, or a running one that the member joins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     NewCluster,
@@ -193,8 +193,8 @@
     Ok(())
 }
 
-/// Promotes a learner to a voter, and waits until it votes. A promotion is rejected until the
-/// learner has caught up, so it is repeated.
+/// Promotes a learner, a member that doesn't vote yet, and waits until it votes. A promotion is
+/// rejected until the learner has caught up, so it is repeated.
 fn promote(client: &mut ApiClient, id: u64) -> Result<(), CtlError> {
     let deadline = Instant::now() + PROMOTION_TIMEOUT;
     loop {
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -1,8 +1,8 @@
 //! `violetgate ctl` and `violetgate members`: operators' calls to a cluster's API, and the creation
 //! of members' folders.
 //!
-//! The commands keep no state of their own. They never guess the outcome of a change: if a change
-//! got no answer, it is sent again under the same request id.
+//! The commands keep no state of their own. They never assume the outcome of a change: if a request
+//! for a change gets no answer, it is sent again under the same request id.
 
 mod client;
 mod error;
@@ -161,7 +161,7 @@
 
 /// How long a member waits for a change before it answers that there is none.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// How much longer than [`WATCH_WAIT`] a call of `watch` may take.
+/// The timeout of each call that `watch` makes to a member is [`WATCH_WAIT`] plus this margin.
 const WATCH_MARGIN: Duration = Duration::from_secs(10);
 
 /// Runs `violetgate ctl`.
@@ -240,8 +240,8 @@
     path_with_query("/v1/cordons", &[("engine", Some(engine.to_owned()))])
 }
 
-/// The path with the query that drains an instance. An instance that consists of digits is the id
-/// of a member, any other the name of a subscriber.
+/// The path with the query that drains an instance. If `instance` has only digits, it is the id of
+/// a member, otherwise the name of a subscriber.
 fn drain_path(instance: &str) -> String {
     let is_member = instance.bytes().all(|byte| byte.is_ascii_digit());
     let parameter = if is_member { "member" } else { "front_end" };
--- a/gateway/src/ctl/saved_state.rs
+++ b/gateway/src/ctl/saved_state.rs
@@ -11,7 +11,7 @@
     /// The file doesn't begin with the magic number.
     #[error("this is no saved state")]
     NotASavedState,
-    /// The file ends within the checksum.
+    /// The file ends before the end of the checksum.
     #[error("the saved state is truncated")]
     Truncated,
     /// The checksum doesn't match the state.
--- a/gateway/src/demo/instance.rs
+++ b/gateway/src/demo/instance.rs
@@ -8,7 +8,7 @@
 
 use super::{create_folder, Demo, DemoError};
 
-/// The offset from a member's port for other members to the port of its API.
+/// The port of a member's API is this much higher than its port for other members.
 const API_PORT_OFFSET: u16 = 10;
 
 /// One gateway of the demo. All its addresses are on loopback.
@@ -46,7 +46,8 @@
     }
 
     /// Checks that the instance's addresses are unused. Gateways share their ports with the process
-    /// that replaces them in an upgrade, so two demos would share theirs without an error.
+    /// that replaces them in an upgrade, so without this check, two demos would use the same ports
+    /// without an error.
     pub(super) fn check_addresses(&self) -> Result<(), DemoError> {
         let unavailable = |address: &String| {
             let address = address.clone();
--- a/gateway/src/demo/processes.rs
+++ b/gateway/src/demo/processes.rs
@@ -14,7 +14,7 @@
 /// The interval at which ended processes and typed commands are looked for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One gateway of the demo; `child` is its process while it runs.
+/// One gateway of the demo, and its process if it is running.
 struct Process<'a> {
     instance: &'a Instance,
     child: Option<Child>,
@@ -44,8 +44,8 @@
     }
 
     /// Watches the processes until the last has ended, and carries out typed commands meanwhile. If
-    /// there are several, each end is reported, and the instance can be started again. An error
-    /// status of the last process to end is the result.
+    /// the demo has several gateways, the end of each process is reported, and its instance can be
+    /// started again. Fails if the last process to end exits with a failure.
     pub(super) async fn watch(&mut self) -> Result<(), DemoError> {
         let commands = typed_lines();
         loop {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Reports the processes that have ended since the last call. Returns the exit status of the
-    /// last one in the list.
+    /// Collects the processes that have ended since the last call, and reports them if the demo has
+    /// several gateways. Returns the exit status of the one with the highest instance number.
     fn take_ended(&mut self) -> Result<Option<ExitStatus>, DemoError> {
         let is_one_of_several = self.all.len() > 1;
         let mut last_ended = None;
@@ -92,7 +92,7 @@
         let count = self.all.len();
         let process = number.and_then(|number| self.all.get_mut(number.checked_sub(1)?));
         match process {
-            Some(process) if process.child.is_some() => println!("the instance already runs"),
+            Some(process) if process.child.is_some() => println!("the instance is already running"),
             Some(process) => process.child = Some(process.instance.serve(&self.program)?),
             None if command.trim().is_empty() => {}
             None => println!("`start N`, N from 1 to {count}, restarts an instance"),
@@ -100,7 +100,8 @@
         Ok(())
     }
 
-    /// Terminates all processes and waits for them. Returns the error of the first that failed.
+    /// Terminates all processes and waits for them. Returns the first error in the order of the
+    /// instances.
     pub(super) fn stop(self) -> Result<(), DemoError> {
         let children = self.all.into_iter().filter_map(|process| process.child);
         let mut children: Vec<_> = children.collect();
@@ -125,7 +126,7 @@
 }
 
 /// Receives the lines that the user types. A separate thread reads standard input, because that
-/// blocks; it ends with the program at the latest.
+/// blocks. The thread ends with the program at the latest.
 fn typed_lines() -> Receiver<String> {
     let (sender, lines) = channel();
     std::thread::spawn(move || {
--- a/gateway/src/demo/welcome.rs
+++ b/gateway/src/demo/welcome.rs
@@ -16,7 +16,7 @@
     cluster + &commands_text(demo, first)
 }
 
-/// The commands for a demo of several instances, by way of the cluster and the fleet.
+/// The commands for a demo of several instances, which use the cluster and the fleet.
 fn cluster_text(instances: &[Instance], first: &Instance) -> String {
     let apis: Vec<_> = instances
         .iter()
--- a/gateway/src/discovery/client.rs
+++ b/gateway/src/discovery/client.rs
@@ -20,15 +20,15 @@
 use crate::exchange::ListedEngine;
 use crate::log;
 
-/// The session ends if no complete line shows for this long that the list is current, even if other
-/// bytes arrive. The bus sends its last offset every second. An engine's drain counts as announced
-/// as soon as the bus has the event, received here or not, and the gateway must stop sending to
-/// that engine within 2 s: this timeout and a new connection together must take less than that.
+/// The session ends if, during this time, no complete line has shown that the list is current, even
+/// if other bytes arrive. The bus sends its last offset every second. The gateway must stop sending
+/// to a draining engine within 2 s after the bus has the event, even if the gateway hasn't received
+/// the event. So this timeout plus the time to connect again must be less than 2 s.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_400);
-/// The maximum time to connect, and again to send the request.
+/// The maximum time to connect, and also the maximum time to send the request afterwards.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// The limits of the pause before a reconnect. The pause doubles after each session that received
-/// no line, and returns to the minimum after one that did.
+/// The minimum of the pause before a reconnect; [`MAX_BACKOFF`] is the maximum. The pause doubles
+/// after each session that received no line, and returns to the minimum after one that did.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_BACKOFF: Duration = Duration::from_millis(320);
 /// The maximum length of a line, which is one event. The complete engine list of a large fleet fits
@@ -63,13 +63,14 @@
     ShortWrite,
     #[error("closed")]
     Closed,
-    /// No line has shown for [`SILENCE_TIMEOUT`] that the list is current.
+    /// For [`SILENCE_TIMEOUT`], no line has shown that the list is current.
     #[error("silent")]
     Silent,
     /// A new configuration names another address.
     #[error("address_changed")]
     AddressChanged,
-    /// The bus's last offset, which is given, is past the last event received.
+    /// The bus's last offset, which the variant contains, is higher than that of the last event
+    /// received here.
     #[error("gap: bus is at {0}")]
     MissingEvents(u64),
     /// The event with this offset arrived, but not the one before it.
@@ -93,12 +94,14 @@
     }
 }
 
-/// The bus's position relative to this client, as one line shows it.
+/// What a line from the bus shows about the bus's last offset, relative to the last event known
+/// here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum BusPosition {
-    /// This client has all events up to this line.
+    /// With this line, this client has every event that the bus had when it sent the line.
     Current,
-    /// The bus is behind the last event known here, so new events may not be arriving.
+    /// The line has a lower offset than the last event known here, or repeats a known event. The
+    /// bus may be behind, so new events may not be arriving.
     Behind,
 }
 
@@ -140,8 +143,8 @@
         self.source.record_event(last_offset, None);
     }
 
-    /// Applies a stored list that was offered, if it is newer than the known one and nothing has
-    /// been received from the bus yet.
+    /// Applies the list that was passed to [`DiscoverySource::offer_fallback`], if it is newer than
+    /// the known one and nothing has been received from the bus yet.
     fn take_fallback(&mut self, on_update: OnUpdate<'_>) {
         let Some(list) = self.source.take_fallback() else {
             return;
@@ -190,7 +193,8 @@
                 SessionEnd::AddressChanged
             };
             // The session is polled first, so that what can be read is applied before a change of
-            // address ends it. The next session requests the event of an incomplete line again.
+            // address ends it. If it ends within a line, the next session requests that event
+            // again.
             let session = self.session(addr, on_update, &mut received);
             let end = session.or(moved).await;
             // A repeated failure is logged once, so that an unreachable bus doesn't fill the log.
--- a/gateway/src/discovery/engine_ids.rs
+++ b/gateway/src/discovery/engine_ids.rs
@@ -1,4 +1,4 @@
-//! Assigns the numeric ids that the program uses for engines to the engines' names.
+//! Assigns a numeric id to each engine name.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
--- a/gateway/src/discovery/events.rs
+++ b/gateway/src/discovery/events.rs
@@ -70,7 +70,7 @@
     Terminated,
 }
 
-/// The state of a removed engine in the bus's JSON format.
+/// The `state` of an engine that was removed, in the bus's JSON format.
 pub(super) const TERMINATED: &str = "terminated";
 
 impl From<ServerState> for EngineState {
@@ -124,7 +124,7 @@
     Ok(ListedEngine { engine, addr })
 }
 
-/// The position of a name in a table. A name that is not in the table gets the first position.
+/// The index of a zone or an engine kind in its table. A name that is not in the table gets 0.
 fn position(names: &[String], name: &str) -> u32 {
     names.iter().position(|n| n == name).unwrap_or(0) as u32
 }
--- a/gateway/src/discovery/source.rs
+++ b/gateway/src/discovery/source.rs
@@ -51,7 +51,7 @@
 pub enum ListRetention {
     /// The list is retained, so that this member can store it in the cluster for others.
     Retain,
-    /// Each event is applied and not retained.
+    /// No copy of the list is retained.
     Discard,
 }
 
@@ -100,8 +100,8 @@
         self.retained.as_ref().map(|list| list.borrow().last_offset)
     }
 
-    /// Offers a stored list. The client applies it if it is newer than the known one and nothing
-    /// has been received from the bus yet.
+    /// Passes an engine list that is stored in the cluster to the client. The client applies it if
+    /// it is newer than the known one and nothing has been received from the bus yet.
     pub fn offer_fallback(&self, list: EngineListSnapshot) {
         if !self.has_received.get() {
             *self.fallback.borrow_mut() = Some(list);
--- a/gateway/src/discovery/tests.rs
+++ b/gateway/src/discovery/tests.rs
@@ -96,8 +96,8 @@
     fn send_until_reconnect(&self, stream: &mut TcpStream, bytes: &[u8]) -> TcpStream {
         let mut sent_at = Instant::now();
         self.wait_until("the client reconnects", || {
-            // The pause keeps the bytes from adding up to a line that is too long, which would also
-            // end the session.
+            // Sent only every 50 ms, so that the bytes don't add up to a line that is too long,
+            // which would also end the session.
             if sent_at.elapsed() > Duration::from_millis(50) {
                 let _ = stream.write(bytes);
                 sent_at = Instant::now();
--- a/gateway/src/metrics/catalog/cluster.rs
+++ b/gateway/src/metrics/catalog/cluster.rs
@@ -10,7 +10,8 @@
     help: "The state's revision.",
 };
 
-/// Whether the fence is open, so that requests may be sent. Members and subscribers write it.
+/// Whether the fence is open: the state is confirmed, so requests may be sent. Members and
+/// subscribers write it.
 pub const MAY_ROUTE: Metric = Metric {
     name: "svc_cluster_routes",
     kind: MetricKind::Gauge,
@@ -138,8 +139,8 @@
     help: "The revision in force at all front ends that serve.",
 };
 
-/// The time between the moment an observer knew the revision of [`REVISION_IN_FORCE`] and the
-/// moment it was in force on all serving subscribers.
+/// How long it took from when an observer knew the revision that [`REVISION_IN_FORCE`] shows until
+/// that revision was in force on all serving subscribers.
 pub const PROPAGATION_TIME: Metric = Metric {
     name: "svc_cluster_in_force_after_ms",
     kind: MetricKind::Gauge,
@@ -147,7 +148,8 @@
     help: "The time until the last one was in force.",
 };
 
-/// Serving subscribers that lack a revision, by an upper bound of how long they have lacked it.
+/// Serving subscribers that lack a revision, by how long they have lacked it. The label is the
+/// upper bound in seconds; a subscriber counts only under the lowest bound that applies.
 pub const GATEWAYS_BEHIND: Metric = Metric {
     name: "svc_cluster_behind",
     kind: MetricKind::Gauge,
@@ -179,7 +181,7 @@
     help: "The observer that is watched; 0: none.",
 };
 
-/// The observer that takes over when the watched one fails.
+/// The observer that takes over when the one of [`WATCHED_OBSERVER`] fails.
 pub const STANDBY_OBSERVER: Metric = Metric {
     name: "svc_cluster_reserve_observer",
     kind: MetricKind::Gauge,
--- a/gateway/src/metrics/catalog/rest.rs
+++ b/gateway/src/metrics/catalog/rest.rs
@@ -10,7 +10,7 @@
     help: "Results whose pages may be fetched.",
 };
 
-/// Bytes that results occupy or have reserved, for pages and retries.
+/// Bytes that results occupy or have reserved. Results are kept for later pages and for retries.
 pub const RESULTS_BYTES: Metric = Metric {
     name: "svc_rest_results_bytes",
     kind: MetricKind::Gauge,
--- a/gateway/src/metrics/mod.rs
+++ b/gateway/src/metrics/mod.rs
@@ -12,7 +12,7 @@
 pub struct Metric {
     /// The full name, as it is scraped.
     pub name: &'static str,
-    /// The type, which says whether the value may fall.
+    /// The type, which says whether the value may decrease.
     pub kind: MetricKind,
     /// What the value counts or measures. It is not written out.
     pub unit: Unit,
--- a/gateway/src/metrics/tests.rs
+++ b/gateway/src/metrics/tests.rs
@@ -60,7 +60,7 @@
     fleet::LINK_CUT_AGE,
 ];
 
-/// The source of the catalog's files, to detect a declaration that [`CATALOG`] lacks.
+/// The source texts of the catalog's files, to detect a declaration that [`CATALOG`] lacks.
 const CATALOG_SOURCES: &[&str] = &[
     include_str!("catalog/requests.rs"),
     include_str!("catalog/rest.rs"),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn help_texts_are_one_sentence_line() {
+fn each_help_text_is_one_sentence_on_one_line() {
     for Metric { name, help, .. } in CATALOG {
         assert!(help.ends_with('.') && !help.contains('\n'), "{name}");
     }
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn samples_by_one_label_stand_under_one_help_and_type() {
+fn samples_by_one_label_follow_one_help_and_type() {
     let mut text = MetricsText::new();
     let samples = [("a", 1), ("b", 2)].into_iter();
     text.write_by_label(&EXAMPLE_COUNTER, "category", samples);
--- a/gateway/src/sibling_process.rs
+++ b/gateway/src/sibling_process.rs
@@ -1,7 +1,8 @@
 //! Detects whether another process of the same gateway is running, as during an upgrade.
 //!
 //! Each process holds a shared lock on one file for as long as it lives. The kernel releases the
-//! lock when the process ends, even after a crash, so a file that is left behind has no meaning.
+//! lock when the process ends, even after a crash, so a file without a lock doesn't mean that a
+//! process is running.
 
 use std::fs::{File, OpenOptions};
 use std::path::Path;
@@ -9,7 +10,7 @@
 use rustix::fs::FlockOperation;
 use rustix::process::{Flock, FlockType};
 
-/// Marks this process as running: holds its shared lock on the file, if there is such a file.
+/// Marks this process as running: holds its shared lock on the file. `None` if no file is used.
 pub struct ProcessMark(Option<File>);
 
 impl ProcessMark {
@@ -38,7 +39,8 @@
     /// Whether another process holds the lock.
     #[must_use]
     pub fn has_sibling(&self) -> bool {
-        // Only another process's shared lock would keep this one from locking the file exclusively.
+        // Asks whether an exclusive lock, which isn't taken, would conflict with another process's
+        // shared lock. This process's own lock doesn't conflict.
         let exclusive = Flock::from(FlockType::WriteLock);
         self.0.as_ref().is_some_and(|file| {
             matches!(rustix::process::fcntl_getlk(file, &exclusive), Ok(Some(_)))
