--- a/gateway/src/cordon_file.rs
+++ b/gateway/src/cordon_file.rs
@@ -11,12 +11,14 @@
 
 use crate::log;
 
-/// The most bytes that are read from the file. A longer file is corrupt.
+/// The maximum number of bytes that are read from the file. A longer file is cut off, and so it
+/// counts as corrupt.
 const MAX_FILE_BYTES: u64 = 256 * 1024;
-/// The pause before the lock is tried again, and the number of retries. A process holds the lock
-/// for one write. The retries are limited so that a process that is stopped during its write
-/// doesn't block the other one.
+/// The pause before the lock is tried again.
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(1);
+/// The maximum number of retries; after them, the change is made without the lock. A process holds
+/// the lock for one update. The limit prevents that a process that is stopped during its update
+/// blocks the other process.
 const LOCK_RETRIES: u32 = 50;
 
 /// Names of engines as the event bus lists them.
@@ -24,7 +26,7 @@
 
 /// A change of the cordon of one engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Cordon {
+pub enum CordonChange {
     /// Cordons the engine.
     Add,
     /// Lifts the cordon.
@@ -64,10 +66,11 @@
     /// Adds or removes a name, preserves what the other process has changed meanwhile, and returns
     /// the names that are now cordoned.
     ///
-    /// If the file can't be read, the change is applied to `known`, the names that this process
-    /// knows. If the file can't be written, that is logged, and the change takes effect in this
-    /// process only.
-    pub fn update(&self, known: &EngineNames, name: &str, change: Cordon) -> EngineNames {
+    /// If the file is missing, corrupt or can't be read, the change is applied to `known`, the
+    /// names that this process knows. If the file can't be locked, that is logged, and the change
+    /// is made without the lock. If the file can't be written, that is logged, and the change takes
+    /// effect in this process only.
+    pub fn update(&self, known: &EngineNames, name: &str, change: CordonChange) -> EngineNames {
         let _lock = self.path.as_deref().and_then(|path| {
             lock_file(path)
                 .inspect_err(|error| log_failure(path, error))
@@ -76,8 +79,8 @@
         let stored = self.load().ok().flatten();
         let mut names = stored.unwrap_or_else(|| known.clone());
         match change {
-            Cordon::Add => names.insert(name.to_owned()),
-            Cordon::Remove => names.remove(name),
+            CordonChange::Add => names.insert(name.to_owned()),
+            CordonChange::Remove => names.remove(name),
         };
         if let Some(path) = &self.path {
             let _ = write(path, &names).inspect_err(|error| log_failure(path, error));
