--- a/fake-upstreams/src/counts.rs
+++ b/fake-upstreams/src/counts.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-/// How long engines discard a repeat of an idempotency key.
+/// How long after an attempt with an idempotency key completed another attempt with that key has no
+/// effect.
 const DEDUP_WINDOW: Duration = Duration::from_secs(12);
 
 /// Counts over all engines since the start.
@@ -12,7 +13,8 @@
 pub struct Counts {
     /// Attempts that were received in full, by request id.
     pub by_request: HashMap<String, u32>,
-    /// Memory granted to the last attempt of each request, in megabytes; 0 if the engine chooses.
+    /// Memory that the gateway reserved for the last attempt of each request, in megabytes; 0 if
+    /// the engine chooses.
     pub reserved: BTreeMap<String, u64>,
     /// Attempts that were received in full, by idempotency key.
     pub by_key: HashMap<String, u32>,
@@ -30,9 +32,9 @@
     /// Maximum number of attempts that ran at the same time.
     pub most_running: u32,
     /// Longest time between the drain of an engine and an attempt that it received.
-    pub latest_after_drain: Duration,
+    pub longest_after_drain: Duration,
     /// Longest time between the cordon of an engine and an attempt that it received while cordoned.
-    pub latest_after_cordon: Duration,
+    pub longest_after_cordon: Duration,
     /// Attempts that cordoned engines received.
     pub after_cordon: u32,
     cordoned_at: BTreeMap<String, Instant>,
@@ -71,10 +73,10 @@
         *self.by_request.entry(request_id.to_owned()).or_default() += 1;
         *self.by_engine.entry(engine.to_owned()).or_default() += 1;
         if let Some(drained_at) = self.drained_at.get(engine) {
-            self.latest_after_drain = self.latest_after_drain.max(drained_at.elapsed());
+            self.longest_after_drain = self.longest_after_drain.max(drained_at.elapsed());
         }
         if let Some(cordoned_at) = self.cordoned_at.get(engine) {
-            self.latest_after_cordon = self.latest_after_cordon.max(cordoned_at.elapsed());
+            self.longest_after_cordon = self.longest_after_cordon.max(cordoned_at.elapsed());
             self.after_cordon += 1;
         }
         if let Some(key) = key {
--- a/fake-upstreams/src/engine/connection.rs
+++ b/fake-upstreams/src/engine/connection.rs
@@ -214,8 +214,8 @@
     }
 
     /// Waits for the duration that the statement requests, and reports progress if the statement
-    /// requests it. The first report has an unknown kind, as a later version of the protocol may
-    /// send.
+    /// requests it. The first report has a kind that the gateway does not know, as a later version
+    /// of the protocol may add one.
     async fn simulate_work(&self) {
         let duration = Duration::from_millis(self.hints.work_ms).mul_f64(self.engine.slowdown());
         let interval = Duration::from_millis(self.hints.progress_interval_ms);
--- a/fake-upstreams/src/engine/mod.rs
+++ b/fake-upstreams/src/engine/mod.rs
@@ -72,7 +72,7 @@
 
 pub(crate) struct Engine {
     pub addr: SocketAddr,
-    /// When the engine started; `None` if it is warm from the beginning.
+    /// When the engine started; `None` if it runs at full speed from the beginning.
     pub started_at: Option<Instant>,
     id: String,
     profile: Profile,
@@ -197,7 +197,8 @@
 }
 
 /// Writes an answer. Answers of several tasks don't interleave: loopback takes a small answer in
-/// one write, and all tasks run on one thread, so the rest of a partial write is tried first.
+/// one write. All tasks run on one thread, so the rest of a partially written answer is tried
+/// before another task writes.
 async fn write_all(stream: &Async<TcpStream>, text: &str) -> std::io::Result<()> {
     let mut bytes = text.as_bytes();
     while !bytes.is_empty() {
--- a/fake-upstreams/src/event_bus.rs
+++ b/fake-upstreams/src/event_bus.rs
@@ -19,7 +19,7 @@
 /// Length of the kernel's accept queue. A large fleet may connect at once.
 const BACKLOG: i32 = 4_096;
 /// Maximum length of a client's first line.
-const MAX_HELLO_BYTES: usize = 64;
+const MAX_FIRST_LINE_BYTES: usize = 64;
 
 /// Whether an event contains the whole engine list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 impl EventBus {
     pub fn start(executor: &Arc<Executor<'static>>) -> std::io::Result<Arc<Self>> {
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
-        // A second call to listen only extends the accept queue.
+        // `bind` has already called `listen`. The second call only extends the accept queue.
         rustix::net::listen(listener.get_ref(), BACKLOG)?;
         let bus = Arc::new(EventBus {
             addr: listener.get_ref().local_addr()?,
@@ -112,7 +112,7 @@
 
     async fn serve(&self, stream: &Async<TcpStream>) -> std::io::Result<()> {
         let silence_count = lock(&self.state).silence_count;
-        let Some(mut next) = read_hello(stream).await? else {
+        let Some(mut next) = read_first_line(stream).await? else {
             return Ok(());
         };
         let mut heartbeat = Timer::after(HEARTBEAT_INTERVAL);
@@ -149,10 +149,10 @@
 
 /// Reads a client's first line, `from OFFSET`, and returns the offset. Returns `None` if the
 /// connection ends or the line is malformed.
-async fn read_hello(stream: &Async<TcpStream>) -> std::io::Result<Option<usize>> {
+async fn read_first_line(stream: &Async<TcpStream>) -> std::io::Result<Option<usize>> {
     let mut line = Vec::new();
     let mut byte = [0];
-    while !line.ends_with(b"\n") && line.len() < MAX_HELLO_BYTES {
+    while !line.ends_with(b"\n") && line.len() < MAX_FIRST_LINE_BYTES {
         if stream.read_with(|mut s| s.read(&mut byte)).await? == 0 {
             return Ok(None);
         }
--- a/tools/acceptance/src/bin/prove-daemon/clients.rs
+++ b/tools/acceptance/src/bin/prove-daemon/clients.rs
@@ -31,7 +31,8 @@
 enum Query {
     Lookup,
     Report,
-    /// A load with an idempotency key, so that its answer may come from the cache of results.
+    /// A query of class `load` with an idempotency key, so that its answer may come from the cache
+    /// of results.
     Load,
 }
 
--- a/tools/acceptance/src/bin/prove-daemon/cost.rs
+++ b/tools/acceptance/src/bin/prove-daemon/cost.rs
@@ -29,7 +29,7 @@
 }
 
 /// The changes that clients made at the leader.
-struct Puts {
+struct ChangeMeasurements {
     /// The latency of each change in microseconds.
     latency: Histogram<u64>,
     per_second: f64,
@@ -37,10 +37,10 @@
 
 /// Has `clients` clients change state at the leader for `span`. Each client makes one change at a
 /// time.
-fn put_at_leader(cluster: &Cluster, clients: u64, span: Duration) -> Puts {
+fn put_at_leader(cluster: &Cluster, clients: u64, span: Duration) -> ChangeMeasurements {
     let mut latency = latency_histogram();
     let Some(leader) = cluster.leader() else {
-        return Puts {
+        return ChangeMeasurements {
             latency,
             per_second: 0.0,
         };
@@ -56,7 +56,7 @@
         }
     });
     let per_second = latency.len() as f64 / begun.elapsed().as_secs_f64();
-    Puts {
+    ChangeMeasurements {
         latency,
         per_second,
     }
@@ -162,8 +162,8 @@
     Ok(())
 }
 
-/// Measures how long a restarted follower takes until it routes on current state, if it catches up
-/// by the log and if it catches up by a snapshot.
+/// Measures how long a restarted follower takes until it routes on current state: once with a
+/// catch-up from the log, and once with one from a snapshot.
 pub fn catch_up(arguments: &Arguments, verdict: &mut Verdict) -> Result<()> {
     for (how, every) in [("log", 1_000_000), ("snapshot", 2_000)] {
         let engines = FakeUpstreams::start(2, Profile::default())?;
--- a/tools/acceptance/src/bin/prove-daemon/main.rs
+++ b/tools/acceptance/src/bin/prove-daemon/main.rs
@@ -53,7 +53,7 @@
         cost::commits(arguments, &mut verdict)?;
         cost::failover(arguments, &mut verdict)?;
         cost::catch_up(arguments, &mut verdict)?;
-        in_process::measure_staleness_guard(&mut verdict)?;
+        in_process::measure_staleness_check(&mut verdict)?;
         in_process::measure_recovery(arguments.entries, &mut verdict)?;
     }
     safety::check(arguments, &mut verdict)?;
--- a/tools/acceptance/src/bin/prove-daemon/safety.rs
+++ b/tools/acceptance/src/bin/prove-daemon/safety.rs
@@ -140,7 +140,7 @@
     verdict.exactly("sent_on_stale_state", count(&tally.stale), 0);
     verdict.at_most(
         "send_after_call_out_s",
-        counts.latest_after_cordon.as_secs_f64(),
+        counts.longest_after_cordon.as_secs_f64(),
         STALENESS_LIMIT.as_secs_f64(),
     );
     verdict.exactly("not_linearizable", findings.not_linearizable, 0);
--- a/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
@@ -17,9 +17,9 @@
 
 /// How long a client waits for each answer, and how long it tries to send a request.
 pub const CLIENT_TIMEOUT: Duration = Duration::from_secs(5);
-/// A request whose session fails within this time is taken to have crossed the gateway's close of
-/// the idle session. The client sends it again, once.
-const CROSSED_CLOSE_WINDOW: Duration = Duration::from_millis(50);
+/// A request whose session fails within this time was probably sent while the gateway closed the
+/// idle session. The client sends it again, once.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 /// The pause of a client between two requests.
 const PAUSE: Duration = Duration::from_millis(3);
 /// The pause before the next gateway is tried if one does not accept a connection.
@@ -72,8 +72,8 @@
 enum AttemptOutcome {
     Served,
     Refused,
-    /// The request crossed the gateway's close of the idle session.
-    CrossedClose,
+    /// The request was probably sent while the gateway closed the idle session.
+    RacedClose,
     Unanswered,
 }
 
@@ -114,7 +114,7 @@
             match self.attempt(session, request, is_resent, may_resend) {
                 AttemptOutcome::Served => return true,
                 AttemptOutcome::Refused => return false,
-                AttemptOutcome::CrossedClose => {
+                AttemptOutcome::RacedClose => {
                     sessions[gateway] = None;
                     is_resent = true;
                     gateway = (gateway + 1) % self.gateways.len();
@@ -156,11 +156,11 @@
             Ok(Err(_)) => AttemptOutcome::Refused,
             Err(error)
                 if may_resend
-                    && sent_at.elapsed() < CROSSED_CLOSE_WINDOW
+                    && sent_at.elapsed() < CLOSE_RACE_WINDOW
                     && error.kind() != ErrorKind::WouldBlock =>
             {
-                tally.crossed_close += 1;
-                AttemptOutcome::CrossedClose
+                tally.raced_close += 1;
+                AttemptOutcome::RacedClose
             }
             Err(_) => {
                 tally.unanswered += 1;
--- a/tools/acceptance/src/bin/prove-fleet-rules/main.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/main.rs
@@ -23,7 +23,7 @@
     /// Use fewer processes, restart rounds and simulation seeds
     #[arg(long)]
     short: bool,
-    /// Seed of the simulations and the relay, and start of the request numbers
+    /// Seed of the simulations and of the relay; request numbers also start at it
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
--- a/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
@@ -91,9 +91,9 @@
         self.counts = self.fleet.engines().counts();
         let tally = lock(&self.load.tally);
         println!(
-            "{} requests, of which {} crossed the close of a session and were sent again",
+            "{} requests, of which {} met the close of an idle session and were sent again",
             tally.sent(&CLASSES),
-            tally.crossed_close
+            tally.raced_close
         );
         drop(tally);
         self.disconnect_clients()
@@ -137,7 +137,10 @@
         let was_sent = |id: &&String| counts.by_request.contains_key(*id);
         let unread_sent = unread.iter().filter(was_sent).count() as u64;
         let waiting_sent = disconnect_waiting(&self.fleet, DISCONNECTS)?;
-        println!("  attempts after the disconnect: {unread_sent} and {waiting_sent}");
+        println!(
+            "  attempts after the disconnect: {unread_sent} for unread queries, {waiting_sent} for \
+             queries that waited for a retry"
+        );
         self.sent_after_disconnect = unread_sent + waiting_sent;
         Ok(())
     }
@@ -148,7 +151,7 @@
         let effects = self.counts.effects.values();
         let repeated_effects = effects.filter(|count| **count > 1).count() as u64;
         let second_answers = tally.second_answers + repeated_effects;
-        let silent_watch_ms = self.counts.latest_after_drain.as_secs_f64() * 1e3;
+        let silent_watch_ms = self.counts.longest_after_drain.as_secs_f64() * 1e3;
         let class_least = tally.least_served_fraction(&CLASSES);
         let tenant_least = tally.least_served_fraction(&TENANTS);
         let restart_s = self.slowest_restart.as_secs_f64();
@@ -174,7 +177,7 @@
     let _ = fleet.processes[process].start();
     let ready = wait_until_ready(fleet, process).map(|_| began.elapsed());
     println!(
-        "  round {round}, process {process}: ended after SIGTERM {ended}, waited until ready {:?}",
+        "  round {round}, process {process}: ended after SIGTERM: {ended}, waited for ready: {:?}",
         began.elapsed()
     );
     ready.unwrap_or(Duration::MAX)
--- a/tools/acceptance/src/bin/prove-fleet-rules/tally.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/tally.rs
@@ -22,8 +22,9 @@
     by_name: BTreeMap<&'static str, ServedCount>,
     /// Requests that were sent on a session and got no answer.
     pub unanswered: u64,
-    /// Requests that crossed the close of an idle session and were sent again.
-    pub crossed_close: u64,
+    /// Requests that were probably sent while the gateway closed the idle session, and were sent
+    /// again.
+    pub raced_close: u64,
     /// Answers that hold rows of another request.
     pub second_answers: u64,
 }
--- a/tools/acceptance/src/bin/prove-rest/churn.rs
+++ b/tools/acceptance/src/bin/prove-rest/churn.rs
@@ -108,7 +108,7 @@
     verdict.exactly("pages_doubled", fetched_twice as u64, 0);
     verdict.at_most(
         "send_after_drain_s",
-        counts.latest_after_drain.as_secs_f64(),
+        counts.longest_after_drain.as_secs_f64(),
         2.0,
     );
 }
--- a/tools/acceptance/src/bin/prove-run/main.rs
+++ b/tools/acceptance/src/bin/prove-run/main.rs
@@ -1,5 +1,5 @@
 //! `make prove-run`: checks from outside that the program that `deploy/balancer.toml` names meets
-//! the requirements of a platform that runs between the gateway and the machine.
+//! the requirements of a platform on which the gateway runs, and which refuses some system calls.
 //!
 //! The program has to run as a single process, started by `exec` and without children, and be
 //! linked dynamically against the C library. It must not use io_uring, splice or sendfile, nor open
--- a/tools/acceptance/src/error.rs
+++ b/tools/acceptance/src/error.rs
@@ -11,7 +11,7 @@
 /// [`Verdict`](crate::Verdict) reports the miss.
 #[derive(Debug, thiserror::Error)]
 pub enum AcceptanceError {
-    /// The machine or a connection failed.
+    /// An operation of the operating system or a connection failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The gateway did not accept connections within ten seconds.
--- a/tools/acceptance/src/in_process.rs
+++ b/tools/acceptance/src/in_process.rs
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// A member can't be started.
-pub fn measure_staleness_guard(verdict: &mut Verdict) -> Result<()> {
+pub fn measure_staleness_check(verdict: &mut Verdict) -> Result<()> {
     let folder = MemberFolder::create("gate")?;
     let executor = Rc::new(LocalExecutor::new());
     let member = folder.start(&executor, 10_000)?;
--- a/tools/acceptance/src/slow_start.rs
+++ b/tools/acceptance/src/slow_start.rs
@@ -18,7 +18,8 @@
 const WARM_UP: Micros = 14 * SECOND;
 /// The fraction of its full capacity that an engine has at its start.
 const INITIAL_FRACTION: f64 = 0.3;
-/// The load, as a multiple of an engine's cores, at which the engine collapses.
+/// The load, as a multiple of an engine's cores, above which the engine fails if the load lasts for
+/// a whole [`COLLAPSE_WINDOW`].
 const COLLAPSE_LOAD_MULTIPLE: f64 = 2.0;
 /// The engine time that a query uses.
 const QUERY_WORK: Micros = 200_000;
--- a/tools/acceptance/tests/slow_start_sum.rs
+++ b/tools/acceptance/tests/slow_start_sum.rs
@@ -7,8 +7,8 @@
 
 /// For few and many gateways, and for small and large engines, the sum in every window stays within
 /// the engine's capacity plus the allowance for random variation. All gateways see the engine at
-/// the same time. If each drew the time of its first send at that moment, 1.5 times the intended
-/// queries would arrive at the start.
+/// the same time. If each gateway drew the random time of its first send when it sees the engine,
+/// 1.5 times the intended queries would arrive at the start.
 #[test]
 fn the_sum_over_all_gateways_is_within_the_capacity_of_a_warming_engine() {
     for gateways in [2, 20, 30, 300] {
--- a/tools/fleet-harness/src/harness.rs
+++ b/tools/fleet-harness/src/harness.rs
@@ -13,7 +13,7 @@
 
 /// The number of engines that serve the fleet.
 const ENGINE_COUNT: usize = 3;
-/// The number of members that each process is configured with as seeds.
+/// The number of members that each process knows at its start, its seeds.
 const SEED_COUNT: usize = 3;
 /// The interval at which [`FleetHarness::wait_until`] checks its condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/tools/fleet-harness/src/relay.rs
+++ b/tools/fleet-harness/src/relay.rs
@@ -126,14 +126,14 @@
         let mut buffer = [0; BUFFER_BYTES];
         while !self.has_ended.load(Ordering::SeqCst) {
             if let Ok((size, from)) = self.socket.recv_from(&mut buffer) {
-                self.accept(buffer.get(..size).unwrap_or_default(), from);
+                self.schedule_or_drop(buffer.get(..size).unwrap_or_default(), from);
             }
             self.send_due();
         }
     }
 
     /// Drops a received datagram, or schedules one or two copies of it, by the link's faults.
-    fn accept(&mut self, bytes: &[u8], from: SocketAddr) {
+    fn schedule_or_drop(&mut self, bytes: &[u8], from: SocketAddr) {
         let faults = self.faults_from(from);
         if faults.is_cut || self.random_fraction() < faults.loss {
             return;
--- a/tools/linearizability/src/lib.rs
+++ b/tools/linearizability/src/lib.rs
@@ -45,7 +45,7 @@
     Read(Option<u64>),
 }
 
-/// One operation of a client, with the time span in which it took effect.
+/// One operation of a client, with the time span in which it can have taken effect.
 #[derive(Debug, Clone)]
 pub struct Operation {
     /// The key that was read or written.
--- a/tools/scale/src/bin/hollow-front-ends.rs
+++ b/tools/scale/src/bin/hollow-front-ends.rs
@@ -1,4 +1,5 @@
-//! `hollow-front-ends`: runs many lightweight gateways in one process, for `prove-scale`.
+//! `hollow-front-ends`: runs many lightweight gateways in one process, for `prove-scale`. `--help`
+//! and error texts call a lightweight gateway a hollow front end.
 
 use std::process::ExitCode;
 
--- a/tools/scale/src/bin/whole-run.rs
+++ b/tools/scale/src/bin/whole-run.rs
@@ -1,5 +1,5 @@
 //! `whole-run`: runs only the fleet run, with a chosen size and chosen parts. `prove-scale` runs it
-//! as one of its roles.
+//! as one of its roles. The help texts call a lightweight gateway a hollow front end.
 
 use std::process::ExitCode;
 
--- a/tools/scale/src/client_side.rs
+++ b/tools/scale/src/client_side.rs
@@ -28,7 +28,8 @@
 const SOCKET_LIMIT: u32 = 4_608;
 /// The memory that a gateway's configuration grants it, in bytes.
 const MEMORY_BUDGET_BYTES: f64 = 192.0 * 1024.0 * 1024.0;
-/// The maximum CPU time of a statement: the time between two statements at 1,842 a second.
+/// The maximum CPU time of a statement: the time between two statements of one gateway at 1,842 a
+/// second.
 const STATEMENT_BUDGET_US: f64 = 543.0;
 /// Connections that send statements in one measurement.
 const ACTIVE: usize = 8;
@@ -66,8 +67,8 @@
     let mut slopes = Slopes::default();
     let mut unserved = 0;
     let mut idle = Vec::new();
-    // The first statements open the connections to engines, which idle clients must not be charged
-    // for.
+    // The first statements open the connections to engines. Their cost must not count as a cost of
+    // idle clients.
     load.run(&gateway)?;
     for &size in options.select(&SHORT_SIZES[..], &SIZES[..]) {
         while idle.len() < size {
--- a/tools/scale/src/decisions.rs
+++ b/tools/scale/src/decisions.rs
@@ -24,7 +24,8 @@
 /// Batches of statements that are timed. The shortest time is used, as other processes can only
 /// lengthen a measurement.
 const BATCHES: usize = 5;
-/// The number of engines that all statements of a batch consider together; it sets the batch size.
+/// The number of engines that the statements of a batch consider, summed over the statements; it
+/// sets the batch size.
 const VISITS_PER_BATCH: u32 = 400_000;
 /// The same for the short form, which checks only counts.
 const SHORT_VISITS_PER_BATCH: u32 = 40_000;
--- a/tools/scale/src/engine_list.rs
+++ b/tools/scale/src/engine_list.rs
@@ -14,7 +14,7 @@
 use crate::gateway_process::{reserve_address, ScaleGateway};
 use crate::slope::{MeasuredRole, Slope};
 use crate::usage::{least, median};
-use scripted_bus::{event, full_list, server, ScriptedBus};
+use scripted_bus::{engine, event, full_list, ScriptedBus};
 
 const ROLE: MeasuredRole = MeasuredRole {
     name: "engine_list",
@@ -169,7 +169,7 @@
         } else {
             "in_service"
         };
-        let line = event(bus.next_offset(), false, &[server(engines / 2, state)]);
+        let line = event(bus.next_offset(), false, &[engine(engines / 2, state)]);
         patch_us.push(apply_timed(bus, gateway, &line)?.cpu_us);
     }
     let memory = gateway.usage()?.resident_bytes as f64;
--- a/tools/scale/src/engine_list/scripted_bus.rs
+++ b/tools/scale/src/engine_list/scripted_bus.rs
@@ -1,8 +1,8 @@
 //! An event bus with one follower, which sends the events that the test gives it.
 //!
-//! After each event the bus sends a bare offset beyond that event. The gateway answers it with a
-//! new connection, whose greeting names the last event that the gateway has applied. So the bus
-//! learns from the gateway itself when an event is applied.
+//! After each event the bus sends a bare offset beyond that event. The gateway concludes that it
+//! missed events and opens a new connection, whose greeting names the last event that the gateway
+//! has applied. So the bus learns from the gateway itself when an event is applied.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 
 /// Returns one engine in the JSON form of the bus. Its address is on loopback, and the tests never
 /// send anything to it.
-pub(super) fn server(number: u32, state: &str) -> Value {
+pub(super) fn engine(number: u32, state: &str) -> Value {
     let [_, high, middle, low] = number.to_be_bytes();
     json!({
         "id": format!("engine-{number:05}"), "addr": format!("127.{high}.{middle}.{low}:5432"), "zone": "z",
@@ -37,7 +37,7 @@
 /// Returns the line of an event that lists all engines, numbered from 1 to `engines`.
 pub(super) fn full_list(offset: u64, engines: u32) -> String {
     let servers: Vec<_> = (1..=engines)
-        .map(|number| server(number, "in_service"))
+        .map(|number| engine(number, "in_service"))
         .collect();
     event(offset, true, &servers)
 }
--- a/tools/scale/src/engine_side.rs
+++ b/tools/scale/src/engine_side.rs
@@ -28,8 +28,8 @@
 /// The maximum number of connections to engines that a gateway opens: a quarter of its descriptors.
 /// Half of the descriptors are for its 2,240 clients.
 const MAX_ENGINE_CONNECTIONS: f64 = 1_120.0;
-/// An engine counts as preferred if it got more than this many times the mean number of statements
-/// of its zone.
+/// An engine counts as preferred if it received more than this many times as many statements as the
+/// mean engine of its zone.
 const PREFERRED_FACTOR: f64 = 10.0;
 /// How long an idle connection to an engine stays open, in seconds, in the settings of the fake
 /// engines.
@@ -65,7 +65,7 @@
         let distinct: BTreeSet<_> = sent.iter().collect();
         slope.push(f64::from(engines), distinct.len() as f64);
         if options.short {
-            // The gateway has enough capacity in its own zone, and sends to no other zone.
+            // The gateway's own zone has enough capacity, so the gateway sends to no other zone.
             let connections = distinct.len() as f64;
             let zone_engines = f64::from(engines / ZONES);
             figures.at_most(
--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -42,7 +42,7 @@
     },
     /// An expected event did not happen in time.
     #[error(
-        "{what} did not happen within {seconds} s; the machine may be too busy, run it again alone"
+        "{what} did not happen within {seconds} s; the machine may be too busy: repeat the test alone"
     )]
     Late {
         /// The event that was waited for.
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -72,7 +72,7 @@
         self.add(name, format!("{value:.decimals$}"));
     }
 
-    /// Adds a figure, and a failure if it exceeds its bound or is NaN.
+    /// Adds a figure that must be at most `bound`, and a failure if it exceeds the bound or is NaN.
     pub fn at_most(&mut self, name: &str, value: f64, bound: f64) {
         self.add_number(name, value);
         if value.is_nan() || value > bound {
--- a/tools/scale/src/fit.rs
+++ b/tools/scale/src/fit.rs
@@ -284,7 +284,7 @@
         if under_root < 0.0 {
             return None;
         }
-        // The larger of the two forms avoids the cancellation in -b + sqrt(b^2 - 4ac).
+        // Giving the square root the sign of b avoids the cancellation in -b + sqrt(b^2 - 4ac).
         let half = -0.5 * (linear + under_root.sqrt().copysign(linear));
         let roots = [half / square, below / half];
         roots
--- a/tools/scale/src/fleet_run/control_plane.rs
+++ b/tools/scale/src/fleet_run/control_plane.rs
@@ -19,10 +19,12 @@
 
 /// The name of the cluster, which gateways also use as the name of their fleet.
 pub(super) const CLUSTER: &str = "scale";
-/// How long the control processes may take to start, and how often that is checked.
+/// How long the control processes may take to start.
 const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// The interval at which a condition that is waited for is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The limit on descriptors that a control process may use for clients and engines.
+/// The value of `limits.sockets` in a control process's configuration: the maximum number of
+/// descriptors for clients and engines.
 const SOCKET_LIMIT: u64 = 256;
 /// The maximum number of subscribers of an observer. It is large enough for two of four observers
 /// to serve all gateways, each of which holds two subscriptions.
@@ -76,7 +78,8 @@
 }
 
 impl ControlPlane {
-    /// Starts the voters, then the observers, and waits until all members route.
+    /// Starts the voters, then the observers, and waits until all members report that they may
+    /// route requests.
     pub(super) fn start(setup: &ControlSetup<'_>) -> Result<Self, FleetRunError> {
         let plan = setup.plan;
         let mut control = ControlPlane {
@@ -123,7 +126,7 @@
         let mut process = GatewayProcess::new(&name, listen, management, folder, program);
         process
             .start()
-            .map_err(FleetRunError::machine("start a control process"))?;
+            .map_err(FleetRunError::io("start a control process"))?;
         let api = layout.control(id, Port::Api);
         self.processes.push(ControlProcess { id, api, process });
         Ok(())
@@ -152,7 +155,7 @@
             .ok_or_else(|| late(format!("adding member {id} to the cluster"), String::new()))
     }
 
-    /// Waits until all members route.
+    /// Waits until all members report that they may route requests.
     pub(super) fn wait_until_ready(&self) -> Result<(), FleetRunError> {
         let all_route = || self.processes.iter().all(ControlProcess::routes);
         wait_until(START_TIMEOUT, CHECK_INTERVAL, all_route)
@@ -276,7 +279,7 @@
     }
     let output = command
         .output()
-        .map_err(FleetRunError::machine("run violetgate members init"))?;
+        .map_err(FleetRunError::io("run violetgate members init"))?;
     if output.status.success() {
         return Ok(());
     }
--- a/tools/scale/src/fleet_run/error.rs
+++ b/tools/scale/src/fleet_run/error.rs
@@ -43,7 +43,7 @@
 
 impl FleetRunError {
     /// Returns a function that wraps an I/O error with the operation that was attempted.
-    pub(super) fn machine(what: &'static str) -> impl Fn(std::io::Error) -> Self {
+    pub(super) fn io(what: &'static str) -> impl Fn(std::io::Error) -> Self {
         move |cause| FleetRunError::Machine { what, cause }
     }
 }
--- a/tools/scale/src/fleet_run/fleet_monitor.rs
+++ b/tools/scale/src/fleet_run/fleet_monitor.rs
@@ -1,5 +1,6 @@
 //! Records the revision in force at all serving gateways, real and lightweight. The control
-//! processes report it in a metric, from the summaries of their observers.
+//! processes report it in a metric. They know it from the summaries that each observer makes of its
+//! subscribers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,8 +14,9 @@
 use super::propagation::SeenRevision;
 use crate::lightweight_gateway::protocol::now;
 
-/// How often the metric is read, and how long one read may take.
+/// The interval at which the metric is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// How long one read may take.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The metric of the revision in force at all serving gateways.
 const IN_FORCE_METRIC: &str = "svc_cluster_in_force";
--- a/tools/scale/src/fleet_run/layout.rs
+++ b/tools/scale/src/fleet_run/layout.rs
@@ -54,7 +54,7 @@
         let network = [64 + (id >> 8) as u8 % 128, id as u8];
         let folder = std::env::temp_dir().join(format!("violetgate-scale-{id}"));
         std::fs::create_dir_all(&folder)
-            .map_err(FleetRunError::machine("create a folder for the run"))?;
+            .map_err(FleetRunError::io("create a folder for the run"))?;
         Ok(Layout { network, folder })
     }
 
@@ -81,8 +81,7 @@
     /// Returns the path of a folder in the run's folder, which is created if it does not exist.
     pub(super) fn folder(&self, name: &str) -> Result<PathBuf, FleetRunError> {
         let folder = self.folder.join(name);
-        std::fs::create_dir_all(&folder)
-            .map_err(FleetRunError::machine("create a process's folder"))?;
+        std::fs::create_dir_all(&folder).map_err(FleetRunError::io("create a process's folder"))?;
         Ok(folder)
     }
 
@@ -95,15 +94,14 @@
     ) -> Result<PathBuf, FleetRunError> {
         let file = folder.join(name);
         std::fs::write(&file, text)
-            .map_err(FleetRunError::machine("write a process's configuration"))?;
+            .map_err(FleetRunError::io("write a process's configuration"))?;
         Ok(file)
     }
 }
 
 /// Returns the path of a program in the folder of the running one.
 pub(super) fn program(name: &str) -> Result<PathBuf, FleetRunError> {
-    let path =
-        program_beside(name).map_err(FleetRunError::machine("locate the running program"))?;
+    let path = program_beside(name).map_err(FleetRunError::io("locate the running program"))?;
     if path.exists() {
         Ok(path)
     } else {
--- a/tools/scale/src/fleet_run/lightweight_processes.rs
+++ b/tools/scale/src/fleet_run/lightweight_processes.rs
@@ -14,19 +14,19 @@
 use super::files::LightweightFiles;
 use super::layout::program;
 use super::plan::Plan;
-use super::propagation::{Reached, ReachedChange};
+use super::propagation::{InForceReport, InForceReports};
 use crate::lightweight_gateway::protocol::{Command, Report, Totals};
 use crate::lightweight_gateway::Part;
 
-/// How long all processes may take to end by themselves before they are killed, and how often that
-/// is checked.
+/// How long all processes may take to end by themselves before they are killed.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
+/// The interval at which the end of the processes is checked.
 const EXIT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// The number of gateways that run in a process and of those whose gates are open, and the time of
-/// the last change of either.
+/// the last change of either. A gateway whose gate is open may send requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Gates {
+pub(super) struct GateCounts {
     pub at: Micros,
     pub running: usize,
     pub serving: usize,
@@ -35,8 +35,8 @@
 /// The latest reports of one process.
 #[derive(Default)]
 struct Reported {
-    gates: Gates,
-    in_force: Reached,
+    gates: GateCounts,
+    in_force: InForceReports,
     totals: Totals,
     failure: Option<String>,
 }
@@ -141,15 +141,15 @@
     }
 
     /// Returns the gates of each process.
-    pub(super) fn gates(&self) -> Vec<Gates> {
+    pub(super) fn gates(&self) -> Vec<GateCounts> {
         let reported = self.reported.iter();
         reported.map(|reported| lock(reported).gates).collect()
     }
 
     /// Returns the summed gates of all processes; `at` is the time of the latest change.
-    pub(super) fn all_gates(&self) -> Gates {
+    pub(super) fn all_gates(&self) -> GateCounts {
         let gates = self.gates().into_iter();
-        gates.fold(Gates::default(), |sum, gates| Gates {
+        gates.fold(GateCounts::default(), |sum, gates| GateCounts {
             at: sum.at.max(gates.at),
             running: sum.running + gates.running,
             serving: sum.serving + gates.serving,
@@ -165,8 +165,8 @@
         sum
     }
 
-    /// Returns the changes in force at each process.
-    pub(super) fn reached(&self) -> Vec<Reached> {
+    /// Returns each process's reports of changes in force.
+    pub(super) fn in_force_reports(&self) -> Vec<InForceReports> {
         let reported = self.reported.iter();
         reported
             .map(|reported| lock(reported).in_force.clone())
@@ -195,7 +195,7 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::null())
         .spawn()
-        .map_err(FleetRunError::machine("start hollow-front-ends"))
+        .map_err(FleetRunError::io("start hollow-front-ends"))
 }
 
 fn read_reports(output: ChildStdout, reported: &Mutex<Reported>) {
@@ -206,14 +206,14 @@
         match report {
             Ok(Report::InForce { change, at, .. }) => {
                 let number = change;
-                reported.in_force.push(ReachedChange { number, at });
+                reported.in_force.push(InForceReport { number, at });
             }
             Ok(Report::Gates {
                 at,
                 running,
                 serving,
             }) => {
-                reported.gates = Gates {
+                reported.gates = GateCounts {
                     at,
                     running,
                     serving,
--- a/tools/scale/src/fleet_run/phases.rs
+++ b/tools/scale/src/fleet_run/phases.rs
@@ -17,14 +17,15 @@
 use super::layout::{program, Layout};
 use super::lightweight_processes::LightweightProcesses;
 use super::plan::Plan;
-use super::propagation::{reached_changes, Change, Reached};
+use super::propagation::{in_force_reports, Change, InForceReports};
 use super::real_gateways::RealGateways;
 use crate::figures::Figures;
 use crate::lightweight_gateway::protocol::Command;
 use crate::lightweight_gateway::Part;
 
-/// How long gateways may take until all of them serve, and how often that is checked.
+/// How long gateways may take until all of them serve.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(120);
+/// The interval at which the number of serving gateways is checked.
 const SERVE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The number of lines of a log that go into an error.
 const LAST_LOG_LINES: usize = 8;
@@ -52,7 +53,7 @@
         let layout = Layout::new()?;
         let serve = program("violetgate")?;
         let engines = FakeUpstreams::start(plan.engines, Profile::default())
-            .map_err(FleetRunError::machine("start fake engines"))?;
+            .map_err(FleetRunError::io("start fake engines"))?;
         let control = ControlPlane::start(&ControlSetup {
             plan,
             layout: &layout,
@@ -127,12 +128,12 @@
                 let log = last_lines(&self.real.first_log());
                 return Err(FleetRunError::Late {
                     what: format!(
-                        "serving by {gateways} hollow and {} real front ends",
+                        "the start of service by {gateways} hollow and {} real front ends",
                         self.plan.real
                     ),
                     seconds: SERVE_TIMEOUT.as_secs(),
                     found: format!(
-                        "{} run, {} and {real} serve; {log}",
+                        "{} hollow front ends run, {} of them and {real} real ones serve; {log}",
                         lightweight.running, lightweight.serving
                     ),
                 });
@@ -175,20 +176,20 @@
 
     /// Returns the changes in force at each process of lightweight gateways, and last those in
     /// force at the whole fleet according to the observers' summaries.
-    fn reached(&self) -> Vec<Reached> {
-        let fleet = reached_changes(&self.fleet_monitor.revisions(), &self.changes());
-        let mut reached = self.lightweight.reached();
-        reached.push(fleet);
-        reached
+    fn in_force_reports(&self) -> Vec<InForceReports> {
+        let fleet = in_force_reports(&self.fleet_monitor.revisions(), &self.changes());
+        let mut reports = self.lightweight.in_force_reports();
+        reports.push(fleet);
+        reports
     }
 
     /// Returns the changes in force at each real gateway, whose metrics are read once a second.
-    fn reached_by_real(&self) -> Vec<Reached> {
+    fn real_in_force_reports(&self) -> Vec<InForceReports> {
         let changes = self.changes();
         let observed = self.real.observed();
         let observed = observed.iter();
         observed
-            .map(|gateway| reached_changes(&gateway.revisions, &changes))
+            .map(|gateway| in_force_reports(&gateway.revisions, &changes))
             .collect()
     }
 
--- a/tools/scale/src/fleet_run/phases/faults.rs
+++ b/tools/scale/src/fleet_run/phases/faults.rs
@@ -21,8 +21,8 @@
 /// that is checked.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(60);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The time between the end of gateways and their restart.
-const TIME_AWAY: Duration = Duration::from_secs(2);
+/// The time between the kill of gateways and their restart.
+const RESTART_DELAY: Duration = Duration::from_secs(2);
 /// The time for the processes to report the gateways that were just started. They report that
 /// gateways run before they report that gates are open.
 const REPORT_WAIT: Duration = Duration::from_millis(100);
@@ -35,12 +35,12 @@
         let before = self.lightweight.totals();
         let observers = before.gateways_by_observer.iter();
         let Some((observer, subscribers)) = observers.max_by_key(|(_, gateways)| **gateways) else {
-            figures.add_failure("no front end watches an observer");
+            figures.add_failure("no front end is subscribed to an observer");
             return Ok(());
         };
         let Some(member) = self.control.member(*observer) else {
             figures.add_failure(format!(
-                "front ends watch {observer}, which is not a member"
+                "front ends are subscribed to {observer}, which is not a member"
             ));
             return Ok(());
         };
@@ -93,7 +93,7 @@
     fn seconds_to_next_change(&self, since: u64) -> Option<f64> {
         let changes = self.changes();
         let next = changes.iter().find(|change| change.due >= since)?;
-        let in_force = in_force_at(&self.reached(), next.number)?;
+        let in_force = in_force_at(&self.in_force_reports(), next.number)?;
         Some(in_force.saturating_sub(since) as f64 / 1e6)
     }
 
@@ -101,7 +101,7 @@
     fn restart(&mut self, id: u64) -> Result<(), FleetRunError> {
         if let Some(member) = self.control.member(id) {
             let started = member.process.start();
-            started.map_err(FleetRunError::machine("restart a control process"))?;
+            started.map_err(FleetRunError::io("restart a control process"))?;
         }
         self.control.wait_until_ready()?;
         self.wait_until_serving(self.plan.lightweight)
@@ -117,9 +117,9 @@
         self.lightweight
             .senders()
             .send_each(|process| Command::Kill {
-                count: plan.share(plan.returning, process),
+                count: plan.share(plan.restarted, process),
             });
-        self.wait(TIME_AWAY)?;
+        self.wait(RESTART_DELAY)?;
         let began = now();
         self.lightweight
             .senders()
@@ -131,12 +131,12 @@
         self.wait_until_serving(plan.lightweight)?;
         let all_serve = self.lightweight.all_gates().at;
         let return_s = all_serve.saturating_sub(began) as f64 / 1e6;
-        let name = if plan.returning == ZONE_GATEWAYS {
+        let name = if plan.restarted == ZONE_GATEWAYS {
             "scale_return_1520_s"
         } else {
             "scale_return_s"
         };
-        figures.add("scale_returned", plan.returning);
+        figures.add("scale_returned", plan.restarted);
         self.add_timed(name, return_s, MAX_RETURN_S, figures);
         self.wait(plan.after_fault / 2)
     }
--- a/tools/scale/src/fleet_run/phases/sequences.rs
+++ b/tools/scale/src/fleet_run/phases/sequences.rs
@@ -26,7 +26,7 @@
         let changes = self.changes();
         let last = changes.last().map_or(0, |change| change.number);
         let deadline = Instant::now() + LAST_CHANGE_TIMEOUT;
-        while in_force_at(&self.reached(), last).is_none() && Instant::now() < deadline {
+        while in_force_at(&self.in_force_reports(), last).is_none() && Instant::now() < deadline {
             self.wait(CHECK_INTERVAL)?;
         }
         self.wait(TOTALS_WAIT)?;
--- a/tools/scale/src/fleet_run/phases/steady.rs
+++ b/tools/scale/src/fleet_run/phases/steady.rs
@@ -9,7 +9,7 @@
 use super::{Run, BYTES_PER_MB};
 use crate::figures::Figures;
 use crate::fleet_run::error::FleetRunError;
-use crate::fleet_run::propagation::{Change, PropagationDelays, Reached};
+use crate::fleet_run::propagation::{Change, InForceReports, PropagationDelays};
 use crate::lightweight_gateway::protocol::{now, Totals};
 
 /// The maximum time until a change is in force everywhere.
@@ -19,7 +19,8 @@
 const MAX_BYTES_PER_S: f64 = 10.0 * 1024.0;
 const MAX_CORE_FRACTION: f64 = 0.011;
 const MAX_MEMORY_MB: f64 = 256.0;
-/// The maximum ratio of voters' messages per second with all gateways to those with the first step.
+/// The maximum ratio of voters' messages per second with all gateways to those with only the
+/// gateways of the first step ([`Plan::first_step`](super::super::plan::Plan::first_step)).
 const MAX_MESSAGES_RATIO: f64 = 1.3;
 /// How long the last changes of a phase may take to be in force everywhere.
 const ARRIVAL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -135,15 +136,15 @@
         };
         self.wait(REAL_READ_WAIT)?;
         let began = Instant::now();
-        let delays_at = |run: &Self, sources: &[Reached]| {
+        let delays_at = |run: &Self, sources: &[InForceReports]| {
             let mut changes = run.changes();
             changes.retain(|change: &Change| (from..until).contains(&change.due));
             PropagationDelays::of(&changes, sources)
         };
-        let mut delays = delays_at(self, &self.reached());
+        let mut delays = delays_at(self, &self.in_force_reports());
         while delays.never_in_force > 0 && began.elapsed() < timeout {
             self.wait(CHECK_INTERVAL)?;
-            delays = delays_at(self, &self.reached());
+            delays = delays_at(self, &self.in_force_reports());
         }
         figures.add_number("scale_change_in_force_p50_s", delays.quantile(0.5));
         figures.add_number("scale_change_in_force_max_s", delays.quantile(1.0));
@@ -154,9 +155,9 @@
             MAX_IN_FORCE_S,
             figures,
         );
-        let applied = delays_at(self, &self.lightweight.reached());
+        let applied = delays_at(self, &self.lightweight.in_force_reports());
         figures.add_number("scale_change_applied_p99_s", applied.quantile(0.99));
-        let real_p99 = delays_at(self, &self.reached_by_real()).quantile(0.99);
+        let real_p99 = delays_at(self, &self.real_in_force_reports()).quantile(0.99);
         self.add_timed(
             "scale_real_in_force_p99_s",
             real_p99,
--- a/tools/scale/src/fleet_run/plan.rs
+++ b/tools/scale/src/fleet_run/plan.rs
@@ -23,8 +23,8 @@
     pub observers: u64,
     /// The number of engines that the event bus lists.
     pub engines: usize,
-    /// The number of lightweight gateways that are killed and restart at once.
-    pub returning: usize,
+    /// The number of lightweight gateways that are killed and later restart at the same time.
+    pub restarted: usize,
     /// The rate of changes.
     pub changes_per_second: f64,
     /// How long the fleet settles after its start, so that the burst of the start does not count as
@@ -69,7 +69,7 @@
             voters: 3,
             observers: 2,
             engines: 3,
-            returning: 8,
+            restarted: 8,
             changes_per_second: 3.0,
             settle: Duration::from_secs(6),
             steady: Duration::from_secs(3),
@@ -92,7 +92,7 @@
             voters: 5,
             observers: 4,
             engines: 80,
-            returning: lightweight / 5,
+            restarted: lightweight / 5,
             changes_per_second: 3.0,
             settle: Duration::from_secs(30),
             steady: Duration::from_secs(30),
--- a/tools/scale/src/fleet_run/propagation.rs
+++ b/tools/scale/src/fleet_run/propagation.rs
@@ -17,7 +17,7 @@
 
 /// A source's report that a change and all earlier ones are in force there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReachedChange {
+pub struct InForceReport {
     /// The number of the change.
     pub number: u64,
     /// The time since which the change is in force.
@@ -25,7 +25,7 @@
 }
 
 /// The reports of one source, in order of numbers and times.
-pub type Reached = Vec<ReachedChange>;
+pub type InForceReports = Vec<InForceReport>;
 
 /// A revision, and when it was first seen in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,10 +39,10 @@
 /// Returns the time from which a change was in force at all sources, or `None` if there is a source
 /// where it never was, or no source.
 #[must_use]
-pub fn in_force_at(sources: &[Reached], number: u64) -> Option<Micros> {
-    let in_force_at_source = |reached: &Reached| {
-        let first = reached.partition_point(|change| change.number < number);
-        reached.get(first).map(|change| change.at)
+pub fn in_force_at(sources: &[InForceReports], number: u64) -> Option<Micros> {
+    let in_force_at_source = |reports: &InForceReports| {
+        let first = reports.partition_point(|change| change.number < number);
+        reports.get(first).map(|change| change.at)
     };
     let mut latest = None;
     for source in sources {
@@ -63,7 +63,10 @@
 impl PropagationDelays {
     /// Computes the delays of `changes` from the reports of `sources`.
     #[must_use]
-    pub fn of<'a>(changes: impl IntoIterator<Item = &'a Change>, sources: &[Reached]) -> Self {
+    pub fn of<'a>(
+        changes: impl IntoIterator<Item = &'a Change>,
+        sources: &[InForceReports],
+    ) -> Self {
         let mut delays = PropagationDelays::default();
         for change in changes {
             match in_force_at(sources, change.number) {
@@ -91,23 +94,23 @@
 /// Converts the revisions that a source reported to the changes that they include. `changes` have
 /// to be in order.
 #[must_use]
-pub fn reached_changes(revisions: &[SeenRevision], changes: &[Change]) -> Reached {
+pub fn in_force_reports(revisions: &[SeenRevision], changes: &[Change]) -> InForceReports {
     let last_change_in = |revision| {
         let count = changes.partition_point(|change| change.revision <= revision);
         changes.get(count.checked_sub(1)?)
     };
-    let mut reached: Reached = Vec::new();
+    let mut reports: InForceReports = Vec::new();
     for seen in revisions {
         let Some(change) = last_change_in(seen.revision) else {
             continue;
         };
-        let is_later = |last: &ReachedChange| change.number > last.number;
-        if reached.last().is_none_or(is_later) {
-            reached.push(ReachedChange {
+        let is_later = |last: &InForceReport| change.number > last.number;
+        if reports.last().is_none_or(is_later) {
+            reports.push(InForceReport {
                 number: change.number,
                 at: seen.at,
             });
         }
     }
-    reached
+    reports
 }
--- a/tools/scale/src/fleet_run/real_gateways.rs
+++ b/tools/scale/src/fleet_run/real_gateways.rs
@@ -158,7 +158,7 @@
     let mut process = GatewayProcess::new(&name, listen, management, folder, program);
     process
         .start()
-        .map_err(FleetRunError::machine("start a real front end"))?;
+        .map_err(FleetRunError::io("start a real front end"))?;
     Ok(process)
 }
 
--- a/tools/scale/src/gateway_driver.rs
+++ b/tools/scale/src/gateway_driver.rs
@@ -1,6 +1,6 @@
 //! Drives the real decision module of one gateway with statements at a fixed rate in simulated
-//! time. The oldest statement is answered when a fixed number of them is in flight. All decisions
-//! are the module's.
+//! time. The oldest statement is answered when a fixed number of statements is in flight. The
+//! module makes all decisions.
 
 use std::collections::VecDeque;
 
--- a/tools/scale/src/gateway_process.rs
+++ b/tools/scale/src/gateway_process.rs
@@ -14,8 +14,9 @@
 use crate::error::ScaleError;
 use crate::usage::usage_of;
 
-/// How long the gateway may take until it listens, and how often that is checked.
+/// How long the gateway may take until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// The interval at which the start is checked.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running gateway. Dropping it kills the process and removes its folder.
--- a/tools/scale/src/lightweight_gateway/gateway.rs
+++ b/tools/scale/src/lightweight_gateway/gateway.rs
@@ -114,8 +114,10 @@
     fn update_list(&self, _: ListScope, _: &[ListedEngine]) {}
 }
 
-/// The check before every send that the subscription's gate is open. It holds a weak reference, as
-/// a strong one would keep the subscription alive after its gateway is dropped.
+/// The fence of a gateway, which decides whether anything may be sent to engines. It checks before
+/// every send that the subscription's gate is open, which means that the subscription allows
+/// sending. It holds a weak reference, as a strong one would keep the subscription alive after its
+/// gateway is dropped.
 struct SubscriptionFence(Weak<ClusterSubscriber>);
 
 impl SubscriptionFence {
@@ -259,7 +261,7 @@
         self.sequence_checker.borrow().faults()
     }
 
-    /// Returns the observer that the gateway watches.
+    /// Returns the observer whose state the gateway follows.
     #[must_use]
     pub fn watched_observer(&self) -> Option<NodeId> {
         self.subscriber.as_ref()?.status().watched
--- a/tools/scale/src/lightweight_gateway/process.rs
+++ b/tools/scale/src/lightweight_gateway/process.rs
@@ -214,7 +214,8 @@
     }
 
     fn kill(&self, count: usize) {
-        // Without a schedule, the killed gateways start again only on the next `Start` command.
+        // The schedule is cleared, so that the killed gateways don't start again before the next
+        // `Start` command.
         *self.starts.borrow_mut() = StartSchedule::default();
         let mut slots = self.slots.borrow_mut();
         let mut progress = self.progress.borrow_mut();
--- a/tools/scale/src/lightweight_gateway/progress.rs
+++ b/tools/scale/src/lightweight_gateway/progress.rs
@@ -9,7 +9,8 @@
 use super::gateway::LightweightGateway;
 use super::protocol::{now, Report, Traffic};
 
-/// The maximum number of answered changes that wait to be required; later ones are ignored.
+/// The maximum number of answered changes that gateways with open gates may still lack; later
+/// changes are ignored.
 const MAX_ANSWERED_CHANGES: usize = 4_096;
 
 /// Writes a report to standard output.
@@ -37,7 +38,8 @@
 /// The observations of a process, and the last reports that it made.
 #[derive(Default)]
 pub(super) struct Progress {
-    /// Changes that were answered recently and are not required yet, in order.
+    /// Changes that were answered recently and that gateways with open gates may still lack, in
+    /// order.
     answered: VecDeque<AnsweredChange>,
     /// The minimum revision of the state of every gateway whose gate is open.
     pub required_revision: Revision,
--- a/tools/scale/src/lightweight_gateway/protocol.rs
+++ b/tools/scale/src/lightweight_gateway/protocol.rs
@@ -25,8 +25,8 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum Command {
-    /// A change was answered as done. From the drain limit after the answer on, no gate may be open
-    /// on state without the change.
+    /// A change was answered as done. Once the drain limit has passed since the answer, every
+    /// gateway whose gate is open must have the change.
     Answered {
         /// The revision that the change made.
         revision: Revision,
--- a/tools/scale/src/membership.rs
+++ b/tools/scale/src/membership.rs
@@ -19,8 +19,8 @@
 /// How long a case of the long form may run, in real time. A case that takes longer is ended and
 /// reported as cut short.
 const TIME_LIMIT: Duration = Duration::from_secs(60);
-/// How long a case of the short form may run, in real time. It is enough for any machine, so that
-/// no case is cut short and its counts do not vary.
+/// How long a case of the short form may run, in real time. It is far more than a case needs, so
+/// that no case is cut short and its counts do not vary.
 const SHORT_TIME_LIMIT: Duration = Duration::from_secs(120);
 /// The maximum rate at which a member may send in a quiet fleet of any size.
 const MAX_REST_BYTES_PER_S: f64 = 1_000.0;
--- a/tools/scale/src/page.rs
+++ b/tools/scale/src/page.rs
@@ -84,7 +84,7 @@
                 .iter()
                 .filter_map(|name| Some((*name, suffix(key, name)?)));
             let found = found.max_by_key(|(name, _)| name.len());
-            let taken = found.and_then(|(name, part)| rows.get_mut(name)?.take(part, value));
+            let taken = found.and_then(|(name, part)| rows.get_mut(name)?.store(part, value));
             if taken.is_none() {
                 others.push((key, value));
             }
@@ -110,7 +110,7 @@
 
 impl<'a> Row<'a> {
     /// Stores one figure of the cost. Returns `None` if it is not a figure of a fit.
-    fn take(&mut self, part: &'a str, value: &'a str) -> Option<()> {
+    fn store(&mut self, part: &'a str, value: &'a str) -> Option<()> {
         if let Some(size_of) = part.strip_prefix("breaks_at_") {
             self.limit = Some(Limit {
                 size: value,
--- a/tools/simulator/src/bin/prove-membership/main.rs
+++ b/tools/simulator/src/bin/prove-membership/main.rs
@@ -21,7 +21,7 @@
 const MAX_QUIET_GROWTH: f64 = 1.3;
 /// The maximum number of changes of a member in one view in a minute, if the member's links are cut
 /// in one direction.
-const MAX_FLAPS_PER_MINUTE: usize = 2;
+const MAX_CHANGES_PER_MINUTE: usize = 2;
 /// The number of members of the small quiet fleet.
 const SMALL_FLEET: usize = 50;
 
@@ -128,7 +128,7 @@
             })
             .max()
             .unwrap_or(0);
-        println!("one-sided cut of one member: at most {max_flaps} changes of a view in a minute");
+        println!("cut of one member in one direction: at most {max_flaps} changes a minute");
         max_flaps
     }
 
@@ -196,7 +196,7 @@
         && detection.p99 < MAX_DEATH_P99_US
         && traffic.large < MAX_QUIET_GROWTH * traffic.small
         && traffic.large < MAX_QUIET_BYTES_PER_S
-        && max_flaps <= MAX_FLAPS_PER_MINUTE
+        && max_flaps <= MAX_CHANGES_PER_MINUTE
         && healing_time.is_some_and(|time| time <= MAX_HEALING_US)
         && link_deaths == 0;
     if is_within_bounds {
--- a/tools/simulator/src/load.rs
+++ b/tools/simulator/src/load.rs
@@ -20,8 +20,8 @@
 /// The time for which a case continues after all views are correct, since members still gossip the
 /// last changes during that time.
 const QUIET_TIME_US: Micros = 15 * SECOND;
-/// The time that runs before the measurement begins, so that it does not include the first ticks
-/// and view comparisons.
+/// The time that runs before the measurement begins, so that the measurement does not include the
+/// first ticks and view comparisons.
 const SETTLE_TIME_US: Micros = 10 * SECOND;
 /// The number of events between two checks of the time limit.
 const EVENTS_PER_TIME_CHECK: u64 = 1_024;
@@ -214,7 +214,7 @@
         if case != Case::Start {
             let _ = world.run(SETTLE_TIME_US);
         }
-        world.core_time = Duration::ZERO;
+        world.membership_cpu_time = Duration::ZERO;
         world.false_declarations = 0;
         world.traffic.fill(Traffic::default());
         let began_at = world.now();
@@ -323,7 +323,7 @@
             peak_bytes_per_s: self.max_fleet_bytes as f64 / self.member_count as f64,
             burst_bytes: self.max_member_bytes,
             messages_per_s: messages as f64 / member_seconds,
-            cpu_us_per_s: self.world.core_time.as_micros() as f64 / member_seconds,
+            cpu_us_per_s: self.world.membership_cpu_time.as_micros() as f64 / member_seconds,
             known_s: settled_after_s.and_then(|times| times.into_iter().reduce(f64::max)),
             known_each_s: self.settled_after_s,
             false_declarations: self.world.false_declarations,
--- a/tools/simulator/src/world.rs
+++ b/tools/simulator/src/world.rs
@@ -27,7 +27,8 @@
 const HEADER_BYTES: u64 = 28;
 /// The number of members that a new member knows as seeds.
 const SEED_COUNT: usize = 3;
-/// The incarnation of the processes of a new world: their start time in Unix microseconds.
+/// The incarnation of the processes of a new world. The value is arbitrary; a real process uses its
+/// start time in Unix microseconds.
 const FIRST_INCARNATION: u64 = 1_000;
 
 #[derive(Debug, Clone)]
@@ -71,7 +72,7 @@
     /// The number of times that a view declared a running member dead.
     pub false_declarations: u64,
     /// The CPU time spent in the membership code of all members.
-    pub core_time: Duration,
+    pub membership_cpu_time: Duration,
     /// The number of events that were handled or skipped.
     pub event_count: u64,
     /// The traffic that each member has sent since `measured_from`.
@@ -118,7 +119,7 @@
             link_changes: Vec::new(),
             records_changes: true,
             false_declarations: 0,
-            core_time: Duration::ZERO,
+            membership_cpu_time: Duration::ZERO,
             event_count: 0,
             traffic: vec![Traffic::default(); member_count],
             measured_from: 0,
@@ -245,7 +246,7 @@
             }
             Event::Deliver { message, .. } => member.handle_message(now, message, &mut actions),
         };
-        self.core_time += thread_cpu_time().saturating_sub(began);
+        self.membership_cpu_time += thread_cpu_time().saturating_sub(began);
         handled?;
         if matches!(event, Event::Tick { .. }) {
             if self.faults.has_left(number, now) {
--- a/tools/simulator/tests/anti_entropy.rs
+++ b/tools/simulator/tests/anti_entropy.rs
@@ -74,7 +74,8 @@
     );
 }
 
-/// The message bodies of builds from before bucket sums, as those builds decode them.
+/// The message bodies of builds that don't yet send checksums per bucket of members, as those
+/// builds decode them.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 enum OlderBody {
     Ping(u64),
--- a/tools/simulator/tests/fleet.rs
+++ b/tools/simulator/tests/fleet.rs
@@ -177,7 +177,7 @@
     };
     assert!(
         (1..10).all(|observer| changes_by(observer) <= 2),
-        "a view had more changes than suspected, then dead"
+        "a view had more than two changes, `suspected` and then `dead`"
     );
     world.run(105 * SECOND).unwrap();
     assert!(world.agrees());
--- a/tools/simulator/tests/trace_digest/driver.rs
+++ b/tools/simulator/tests/trace_digest/driver.rs
@@ -101,7 +101,7 @@
     members: Vec<Option<Membership>>,
     messages: Vec<Message>,
     /// For each member, the message that may be delivered again in place of a later one.
-    last_to: Vec<Option<Message>>,
+    replayable_messages: Vec<Option<Message>>,
     queue: BinaryHeap<Reverse<QueuedEvent>>,
     last_number: u64,
     random: Lcg,
@@ -133,7 +133,7 @@
         let mut fleet = Fleet {
             members: (0..count).map(member).collect(),
             messages: Vec::new(),
-            last_to: vec![None; count],
+            replayable_messages: vec![None; count],
             queue: BinaryHeap::new(),
             last_number: 0,
             random: Lcg(scenario.seed),
@@ -289,10 +289,10 @@
         if is_lost || is_cut {
             return;
         }
-        let message = match self.last_to[to].take().filter(|_| is_stale) {
+        let message = match self.replayable_messages[to].take().filter(|_| is_stale) {
             Some(stale) => stale,
             None => {
-                self.last_to[to] = Some(message.clone());
+                self.replayable_messages[to] = Some(message.clone());
                 message
             }
         };
--- a/tools/simulator/tests/trace_digest/main.rs
+++ b/tools/simulator/tests/trace_digest/main.rs
@@ -238,7 +238,8 @@
     assert_eq!(hash.0, 0x0b71_bb3b_fa30_4134, "{:#018x}", hash.0);
 }
 
-/// Covers the fleet size that the decisions divide by, for random counts of members in the view.
+/// Covers the fleet size by which the decision module divides the fair shares, for random counts of
+/// members in the view.
 #[test]
 fn fleet_size_over_random_views_is_unchanged() {
     let mut hash = Fnv::new();
@@ -261,7 +262,8 @@
     assert_eq!(hash.0, 0x707b_3178_e38f_e4ca, "{:#018x}", hash.0);
 }
 
-/// Covers another process with the same member name: the one with the newer incarnation stays.
+/// Covers two processes with the same member name: the view keeps the one with the newer
+/// incarnation.
 #[test]
 fn trace_of_two_processes_of_one_name_is_unchanged() {
     let addr = |port| std::net::SocketAddr::from(([10, 2, 0, 1], port));
--- a/tools/test-harness/src/usage.rs
+++ b/tools/test-harness/src/usage.rs
@@ -6,7 +6,7 @@
 /// The resource usage of one process, or the sum of several.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProcessUsage {
-    /// CPU time of all threads that run now, each since its start.
+    /// Sum of the CPU times of the current threads, without threads that have ended.
     pub cpu: Duration,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
