--- a/gateway/tests/cluster/main.rs
+++ b/gateway/tests/cluster/main.rs
@@ -1,5 +1,6 @@
-//! Tests the program as a cluster member on real sockets: its cluster API, operators' calls, and
-//! that it neither starts without its state nor sends queries while it can't confirm that state.
+//! Tests the program as a cluster member on real sockets: its cluster API and operators' calls. A
+//! member must not start without its state, and must not send queries while it can't confirm that
+//! its state is current.
 #![allow(
     clippy::unwrap_used,
     clippy::panic,
--- a/gateway/tests/deployments.rs
+++ b/gateway/tests/deployments.rs
@@ -20,17 +20,17 @@
 use violetgate_fake_upstreams::{settings, FakeUpstreams, Profile};
 use violetgate_test_harness::{read_metrics, server_command};
 
-/// Time between progress reports that the settings promise, in seconds. An attempt without a report
-/// for 1.7 times as long is withdrawn and sent again.
+/// Maximum time between progress reports according to the settings, in seconds. An attempt without
+/// a report for 1.7 times as long is cancelled and sent again.
 const PROGRESS_PERIOD_S: f64 = 0.25;
 /// Execution time of a statement, in milliseconds. It exceeds 1.7 progress periods, so that only
 /// progress reports prevent a second attempt. It also exceeds its estimate, so that without reports
-/// the allowed multiple of the estimate decides.
+/// the gateway sends a second attempt after the allowed multiple of the estimate.
 const WORK_MS: u64 = 600;
 /// The clients' estimate of the execution time, in milliseconds.
 const ESTIMATE_MS: u64 = 300;
 /// Time between the progress reports that an engine sends, in milliseconds. It is shorter than
-/// promised, so that reports are not late on a busy machine.
+/// `PROGRESS_PERIOD_S`, so that reports are not late on a busy machine.
 const PROGRESS_INTERVAL_MS: u64 = 20;
 
 /// Returns the settings of a deployment with one locality, a retry budget and engines that report
@@ -173,8 +173,8 @@
     }
 }
 
-/// Both deployments accept a client's retry mark, and reject an invalid one with an error that
-/// names the field.
+/// Both deployments accept the field with which a client marks a query as a retry, and reject an
+/// invalid value with an error that names the field.
 #[test]
 fn an_invalid_retry_mark_is_rejected_with_its_reason() {
     for (name, settings) in [
--- a/gateway/tests/openapi.rs
+++ b/gateway/tests/openapi.rs
@@ -210,9 +210,9 @@
             other.status == 422
         },
     );
-    // The outcome of the failed query is unknown. When the repeat arrives, the window counted from
-    // the query's start has passed, and the one counted from its end has not: the repeat could take
-    // effect twice.
+    // The outcome of the failed query is unknown. The repeat arrives when the deduplication window
+    // has passed since the query's start but not since its end, so the query could take effect
+    // twice.
     wait_until(
         "a repeat is rejected because it could take effect twice",
         || {
--- a/gateway/tests/player/steps.rs
+++ b/gateway/tests/player/steps.rs
@@ -103,7 +103,7 @@
             .unwrap();
         drop(stream);
         // The offset is updated after the event is sent. Otherwise the offset alone could be sent
-        // first and look like a gap.
+        // first, and the gateway would conclude that it missed events.
         *self.bus.last.lock().unwrap() = offset;
     }
 
--- a/gateway/tests/rest/main.rs
+++ b/gateway/tests/rest/main.rs
@@ -17,8 +17,8 @@
 
 use serde_json::{json, Value};
 
-/// How long engines discard repeats, in seconds, in tests that don't wait for the end of the
-/// window.
+/// The deduplication window, in which engines discard repeats, in seconds, in tests that don't wait
+/// for its end.
 const WINDOW: f64 = 3_600.0;
 
 fn report(budget_ms: u64, hints: &str) -> Value {
--- a/gateway/tests/surface/main.rs
+++ b/gateway/tests/surface/main.rs
@@ -1,6 +1,6 @@
 //! Snapshots of what operators and clients see: help texts, settings, metrics, paths with the keys
-//! of their responses, and exit codes. Also checks the small files that the processes of one
-//! gateway share in `$TMPDIR`.
+//! of their responses, and exit codes. The tests also check the small files that the processes of
+//! one gateway share in `$TMPDIR`.
 //!
 //! Values that differ from run to run are masked. A refactoring must not change a snapshot.
 #![allow(
--- a/gateway/tests/surface/shared_files.rs
+++ b/gateway/tests/surface/shared_files.rs
@@ -49,8 +49,8 @@
     assert_eq!(names, shared);
 }
 
-/// The mark of a running process is an empty file with a shared lock. The gateway notices when
-/// another process takes and releases such a lock.
+/// A running process holds a shared lock on an empty file. The gateway notices when another process
+/// takes and releases such a lock.
 #[test]
 fn mark_of_a_running_process_is_understood_as_before() {
     let gateway = GatewayProcess::start(1, "", 12.0);
--- a/gateway/tests/wire_words.rs
+++ b/gateway/tests/wire_words.rs
@@ -4,8 +4,8 @@
 
 use std::path::{Path, PathBuf};
 
-/// Words of the query fields, the engines' line protocol, the event bus and the platform's settings
-/// for which the code has another term.
+/// Words of the query fields, the engines' line protocol, the event bus and the platform's
+/// settings. The code uses other terms for them.
 const WIRE_WORDS: [&str; 24] = [
     "sort",
     "patience",
