--- a/cluster/raft/src/action.rs
+++ b/cluster/raft/src/action.rs
@@ -22,7 +22,7 @@
     ReadReady {
         /// The id that was given to [`RaftNode::read_index`](crate::RaftNode::read_index).
         read_id: u64,
-        /// The read index.
+        /// The index of the last entry that must be applied before the read.
         index: Index,
     },
     /// Fail a read: no leader is known, or the leader has stepped down.
--- a/cluster/raft/src/entry.rs
+++ b/cluster/raft/src/entry.rs
@@ -57,9 +57,9 @@
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
 pub struct LogPosition {
-    /// The entry's term.
+    /// The term in which a leader created the entry.
     pub term: Term,
-    /// The entry's index.
+    /// The place of the entry in the log.
     pub index: Index,
 }
 
--- a/cluster/raft/src/role.rs
+++ b/cluster/raft/src/role.rs
@@ -14,7 +14,7 @@
     Follower,
     /// The node requests votes or pre-votes.
     Candidate,
-    /// The node is the leader of its term.
+    /// The node has won the election of its term and replicates its log to the others.
     Leader,
 }
 
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -42,7 +42,8 @@
     pub standby: Option<NodeId>,
     /// Whether requests may be routed on the replica. The error holds the replica's age.
     pub freshness: Result<(), Stale>,
-    /// The last rejection by an observer that has not accepted this gateway since then.
+    /// The latest rejection. An observer's rejection is dropped when that observer accepts this
+    /// gateway.
     pub rejection: Option<Rejection>,
 }
 
--- a/fleet/membership/src/view_digest.rs
+++ b/fleet/membership/src/view_digest.rs
@@ -9,8 +9,8 @@
 /// Number of buckets that a view is divided into.
 pub const BUCKET_COUNT: usize = 256;
 
-/// Salt for hashing names to buckets. Observer rings use their small numbers as salts, so their
-/// hashes are independent of the buckets.
+/// Salt for hashing names to buckets. The rings that assign observers to members use the ring
+/// numbers, which are small, as salts. So the buckets are independent of the rings.
 const BUCKET_SALT: u64 = 0xb0c4_e75e_ed00_0001;
 
 /// Returns the bucket of a name, below [`BUCKET_COUNT`].
--- a/gateway/src/cli.rs
+++ b/gateway/src/cli.rs
@@ -47,7 +47,7 @@
     ///
     /// Every error is told at once, a line each, as FILE:LINE: KEY: TEXT. Exit code 0: it can be used; 1: it can't.
     Check {
-        /// The file
+        /// The file to validate
         file: PathBuf,
     },
     /// Read and change what a cluster of instances has agreed on
--- a/gateway/src/config.rs
+++ b/gateway/src/config.rs
@@ -73,7 +73,7 @@
     Settings(String),
 }
 
-/// The platform's configuration.
+/// The configuration that the platform gives to a gateway.
 #[derive(Debug)]
 pub struct Config {
     /// This gateway's name.
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -37,7 +37,7 @@
         /// The member's settings
         #[arg(long, env = "VIOLETGATE_SETTINGS")]
         settings: PathBuf,
-        /// It joins a cluster that runs, and was added there
+        /// Join a running cluster, to which this member has been added
         #[arg(long)]
         join: bool,
     },
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -81,12 +81,12 @@
     },
     /// Call an engine out everywhere: nothing more is sent to it
     Cordon {
-        /// The engine
+        /// The engine's name
         engine: String,
     },
     /// Call an engine back
     Uncordon {
-        /// The engine
+        /// The engine's name
         engine: String,
     },
     /// Drain an instance: its clients are sent elsewhere
@@ -106,7 +106,7 @@
     },
     /// What a member is at
     Status,
-    /// How far all front ends that subscribe are, as observers reported it
+    /// Which revision the front ends that subscribe have applied, as observers reported it
     Progress,
     /// List the members
     Members,
@@ -127,7 +127,7 @@
     },
     /// Make a file the settings that hold, once all of it has been checked
     Apply {
-        /// The file
+        /// The settings file
         file: PathBuf,
         /// Only if this version holds now; 0: none does
         #[arg(long)]
@@ -146,12 +146,12 @@
 enum SnapshotCall {
     /// Write the state to a file
     Save {
-        /// The file
+        /// The file to write
         file: PathBuf,
     },
     /// Make this member's folder from a file: every first member of the new cluster from the same one
     Restore {
-        /// The file
+        /// A file that `snapshot save` wrote
         file: PathBuf,
         /// The member's settings
         #[arg(long, env = "VIOLETGATE_SETTINGS")]
--- a/gateway/src/discovery/source.rs
+++ b/gateway/src/discovery/source.rs
@@ -40,9 +40,9 @@
 /// Counts the bytes exchanged with the bus since the start of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DiscoveryTraffic {
-    /// Bytes sent.
+    /// Bytes sent to the bus.
     pub sent_bytes: u64,
-    /// Bytes received.
+    /// Bytes received from the bus.
     pub received_bytes: u64,
 }
 
--- a/gateway/src/fleet.rs
+++ b/gateway/src/fleet.rs
@@ -198,8 +198,8 @@
     }
 }
 
-/// Writes for how many seconds a member has been in its state. If its link is cut, which means that
-/// only this gateway can't reach it, also writes for how many seconds.
+/// Writes the age of a member's state in seconds. If the member's link is cut, which means that
+/// only this gateway can't reach the member, the age of the cut in seconds is written too.
 fn write_member(out: &mut MetricsText, member: &Member, now: Micros) {
     let seconds_since = |since| now.saturating_sub(since) / MICROS_PER_SECOND;
     let address = member.addr.to_string();
--- a/gateway/src/serve/error.rs
+++ b/gateway/src/serve/error.rs
@@ -24,7 +24,7 @@
     Bind {
         /// The field or key that holds the address.
         purpose: &'static str,
-        /// The address.
+        /// The address that could not be bound.
         address: SocketAddr,
         /// The error of the bind.
         error: std::io::Error,
--- a/gateway/src/upstream/pool/requests.rs
+++ b/gateway/src/upstream/pool/requests.rs
@@ -82,7 +82,7 @@
 
 impl Pool {
     /// Updates the list, and returns the engines that have a new process or a new address. Open
-    /// connections do not lead to those.
+    /// connections to such an engine still lead to its old process or address.
     fn update_listed(&self, scope: ListScope, engines: &[ListedEngine]) -> Vec<EngineId> {
         let mut listed = self.listed.borrow_mut();
         if matches!(scope, ListScope::Snapshot | ListScope::StaleSnapshot) {
--- a/policy/src/interface/event.rs
+++ b/policy/src/interface/event.rs
@@ -60,7 +60,7 @@
         /// The query whose response streams.
         query: QueryId,
     },
-    /// An attempt ended.
+    /// An attempt ended, with or without a result.
     AttemptEnded(AttemptEnded),
     /// The client disconnected.
     ClientDisconnected {
--- a/policy/src/placement.rs
+++ b/policy/src/placement.rs
@@ -5,11 +5,11 @@
 //!   ([`capacity`](crate::capacity)).
 //! - Inputs: it uses the free threads of each engine, its zone, warm-up and recent load, and this
 //!   gateway's seed.
-//! - Rule: if engines are few, or this gateway's share of any kind is at least a thread, each query
-//!   scans all engines. Otherwise it samples: first from this gateway's subset, which has as many
-//!   engines as its rate of queries needs, then from larger and larger sets until the best engine
-//!   of a sample has enough free threads. If no sampled engine fits, all engines are searched, but
-//!   not for every query.
+//! - Rule: if engines are few, or this gateway's share of any engine kind is at least one thread,
+//!   each query scans all engines. Otherwise it samples: first from this gateway's subset, which
+//!   has as many engines as its rate of queries needs, then from larger and larger sets until the
+//!   best engine of a sample has enough free threads. If no sampled engine fits, all engines are
+//!   searched, but not for every query.
 //! - Reason: a scan of thousands of engines for each query would take too long. An engine that a
 //!   gateway uses often has a warm connection and up-to-date statistics. Sampling alone rarely
 //!   finds an engine if few engines fit, hence the search.
--- a/result-store/src/result_cache.rs
+++ b/result-store/src/result_cache.rs
@@ -68,7 +68,7 @@
 /// A complete result for [`ResultCache::insert`].
 #[derive(Debug)]
 pub struct NewResult<P> {
-    /// The pages of the result.
+    /// The pages of the result, which the cache shares with its readers.
     pub pages: Rc<P>,
     /// Size of the pages in bytes.
     pub bytes: usize,
--- a/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/clients.rs
@@ -93,8 +93,9 @@
         }
     }
 
-    /// Sends one request, to the next gateway if one does not accept connections, until the request
-    /// is served, refused or unanswered. Returns whether it was served.
+    /// Sends a request and returns whether it was served. If a gateway does not accept connections,
+    /// or closes the session as the request is sent, the next gateway is tried, until
+    /// [`CLIENT_TIMEOUT`] has passed.
     fn send(&self, sessions: &mut [Option<PostgresClient>], request: &Request) -> bool {
         let mut gateway = request.number as usize % sessions.len();
         let mut is_resent = false;
--- a/tools/acceptance/src/cluster/files.rs
+++ b/tools/acceptance/src/cluster/files.rs
@@ -18,13 +18,13 @@
 
 /// The addresses on which an instance listens.
 pub(super) struct InstanceAddresses {
-    /// For other members.
+    /// The address for other members.
     pub peer: SocketAddr,
-    /// For PostgreSQL clients.
+    /// The address for PostgreSQL clients.
     pub postgres: SocketAddr,
-    /// For REST clients.
+    /// The address for REST clients.
     pub rest: SocketAddr,
-    /// For operators.
+    /// The address of the API for operators.
     pub api: SocketAddr,
 }
 
--- a/tools/acceptance/src/load.rs
+++ b/tools/acceptance/src/load.rs
@@ -12,7 +12,7 @@
 /// The delay before the first request is due, so that the threads of all clients have started.
 const LEAD_TIME: Duration = Duration::from_millis(20);
 
-/// The measurements of one load.
+/// The latencies and outcomes of all requests of one load, and the time that it took.
 pub struct LoadResult {
     /// The latencies of served requests in microseconds. Each is counted from the time at which the
     /// request was due, not from the time at which a client could send it.
--- a/tools/scale/src/error.rs
+++ b/tools/scale/src/error.rs
@@ -35,7 +35,7 @@
     /// A cluster member could not be started.
     #[error("cluster member {id}: {reason}; check free ports and space for temporary files")]
     Member {
-        /// The id of the member.
+        /// The node id that the test gave to the member.
         id: u64,
         /// Why it could not be started or added.
         reason: String,
--- a/tools/scale/src/figures.rs
+++ b/tools/scale/src/figures.rs
@@ -9,7 +9,7 @@
     /// Selects the short form, for CI: small sizes and fixed seeds, with bounds on counts and bytes
     /// but not on times.
     pub short: bool,
-    /// The seed of random numbers.
+    /// The seed from which the test derives its random numbers.
     pub seed: u64,
 }
 
--- a/tools/scale/src/fleet_run/plan.rs
+++ b/tools/scale/src/fleet_run/plan.rs
@@ -38,7 +38,7 @@
     pub starts_per_second: u32,
     /// The parts that lightweight gateways run.
     pub parts: Vec<Part>,
-    /// The seed of random numbers.
+    /// The seed from which the test derives its random numbers.
     pub seed: u64,
     /// Whether only counts and bytes are checked against bounds, and not times.
     pub short: bool,
--- a/tools/scale/src/fleet_run/real_gateways.rs
+++ b/tools/scale/src/fleet_run/real_gateways.rs
@@ -96,7 +96,7 @@
         lock(&self.observed).clone()
     }
 
-    /// Returns the number of gateways whose gates are open.
+    /// Returns the number of gateways that may route requests, as their metrics last showed.
     pub(super) fn serving(&self) -> usize {
         let observed = lock(&self.observed);
         observed.iter().filter(|gateway| gateway.is_open).count()
--- a/tools/scale/src/lightweight_gateway/protocol.rs
+++ b/tools/scale/src/lightweight_gateway/protocol.rs
@@ -192,7 +192,7 @@
         at: Micros,
         /// The number of gateways that run.
         running: usize,
-        /// The number of gateways whose gates are open.
+        /// The number of gateways whose gates are open, so that they may route requests.
         serving: usize,
     },
     /// The state of all gateways of the process, reported at a fixed interval.
--- a/tools/scale/src/replicated_state/members.rs
+++ b/tools/scale/src/replicated_state/members.rs
@@ -143,7 +143,7 @@
     }
 }
 
-/// A request to the thread of the other members to start more members.
+/// Asks the thread of [`OtherMembers`] to start more members.
 pub struct Growth {
     /// The address at which each new member listens.
     pub new: BTreeMap<NodeId, SocketAddr>,
--- a/tools/scale/src/slope.rs
+++ b/tools/scale/src/slope.rs
@@ -60,7 +60,7 @@
 }
 
 impl Slope {
-    /// Adds a measurement.
+    /// Adds the cost that was measured at a size.
     pub fn push(&mut self, size: f64, cost: f64) {
         self.points.push(Point { size, cost });
     }
