--- a/cluster/replica-runtime/src/runtime/status.rs
+++ b/cluster/replica-runtime/src/runtime/status.rs
@@ -18,7 +18,7 @@
 /// The state of a replica at one moment, as that replica knows it.
 #[derive(Debug, Clone)]
 pub struct ReplicaStatus {
-    /// The replica's id.
+    /// The id of the node that holds the replica.
     pub id: NodeId,
     /// The replica's role in Raft.
     pub role: Role,
--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -133,7 +133,7 @@
         Duration::from_micros(self.core.borrow().time_until_stale(boot_time()))
     }
 
-    /// Reads the replica.
+    /// Calls `read` with the replica and returns its result.
     pub fn replica<T>(&self, read: impl FnOnce(&SubscriberReplica) -> T) -> T {
         read(self.core.borrow().replica())
     }
--- a/cluster/replica-runtime/src/wire/peer_message.rs
+++ b/cluster/replica-runtime/src/wire/peer_message.rs
@@ -9,7 +9,7 @@
 /// A call that may be made at any replica and is carried out by the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Call {
-    /// Proposes a command.
+    /// Proposes a command that changes the store.
     Propose {
         /// The id that makes the command idempotent: it is applied once however often it is
         /// proposed.
--- a/cluster/state-distribution/src/observer/polls.rs
+++ b/cluster/state-distribution/src/observer/polls.rs
@@ -32,7 +32,7 @@
 /// hold and this observer has not applied.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct PendingPolls {
-    /// Oldest first.
+    /// The polls, oldest first.
     polls: VecDeque<Poll>,
     /// A revision that the subscriber claims to hold, to be compared with the revision that the
     /// read confirms.
--- a/fake-upstreams/src/client/http.rs
+++ b/fake-upstreams/src/client/http.rs
@@ -15,7 +15,7 @@
 /// An HTTP response, read to its end.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The values of the headers by their names in lower case.
     pub headers: HashMap<String, String>,
--- a/fake-upstreams/src/engine/connection.rs
+++ b/fake-upstreams/src/engine/connection.rs
@@ -179,7 +179,7 @@
     format!("{request_id} error - 0\r\n\r\n")
 }
 
-/// A running request.
+/// A request that the engine executes.
 struct Request {
     engine: Arc<Engine>,
     stream: Arc<Async<TcpStream>>,
--- a/gateway/src/admin/mod.rs
+++ b/gateway/src/admin/mod.rs
@@ -155,7 +155,7 @@
         })
     }
 
-    /// Accepts connections forever.
+    /// Accepts connections forever. After a failed accept it pauses before the next one.
     pub async fn listen(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -54,12 +54,12 @@
     },
     /// Let a member that has caught up vote
     Promote {
-        /// Its id
+        /// The member's id
         id: u64,
     },
     /// Take a member out, for good
     Remove {
-        /// Its id
+        /// The member's id
         id: u64,
     },
     /// Add a member, wait until it votes, and take another one out
@@ -75,7 +75,7 @@
     },
     /// Hand leadership over
     Transfer {
-        /// To this voter
+        /// The id of the voter that becomes the leader
         id: u64,
     },
 }
--- a/gateway/src/ctl/mod.rs
+++ b/gateway/src/ctl/mod.rs
@@ -121,7 +121,7 @@
 enum SettingsCall {
     /// Print the settings that hold, or an earlier version
     Show {
-        /// The version
+        /// The version to print; without it, the settings that hold
         #[arg(long)]
         version: Option<u64>,
     },
@@ -137,7 +137,7 @@
     Versions,
     /// Make an earlier version hold again, as a new one
     Rollback {
-        /// The version
+        /// The version to restore
         version: u64,
     },
 }
--- a/gateway/src/exchange.rs
+++ b/gateway/src/exchange.rs
@@ -124,7 +124,7 @@
 /// A request together with its pending answer.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The client's request.
+    /// The request, as the front end received it from the client.
     pub request: Request,
     /// The ids of the engine connections that the request's attempts used. Later attempts avoid
     /// these connections, because all attempts have the same request id: a late or duplicated
--- a/gateway/src/replication/api/state.rs
+++ b/gateway/src/replication/api/state.rs
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Sets a key.
+    /// Sets a key to the body of the call.
     pub(super) async fn put_key(&self, call: &ApiCall) -> ReplyResult {
         self.change_key(call, |key, lease| Mutation::Put {
             key,
@@ -42,7 +42,7 @@
         .await
     }
 
-    /// Deletes a key.
+    /// Deletes the key that the call names.
     pub(super) async fn delete_key(&self, call: &ApiCall) -> ReplyResult {
         self.change_key(call, |key, _| Mutation::Delete(key)).await
     }
@@ -66,7 +66,7 @@
         commit_reply(self.commit(call, transaction).await?)
     }
 
-    /// Commits a transaction.
+    /// Commits the transaction in the body of the call, in JSON.
     pub(super) async fn transact(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&[])?;
         let body: TransactionBody = read_json(&call.body)?;
@@ -120,7 +120,7 @@
         self.propose(call, Operation::GrantLease { id, ttl }).await
     }
 
-    /// Releases a lease.
+    /// Revokes the lease whose id the call states.
     pub(super) async fn release_lease(&self, call: &ApiCall) -> ReplyResult {
         call.query.allow_only(&["id"])?;
         let id = call.query.required_number("id")?;
--- a/gateway/src/replication/subscriber.rs
+++ b/gateway/src/replication/subscriber.rs
@@ -116,7 +116,7 @@
         self.subscription.status()
     }
 
-    /// Returns the subscription.
+    /// Returns the subscription through which this gateway receives the replicated state.
     #[must_use]
     pub fn subscription(&self) -> &Subscription {
         &self.subscription
--- a/gateway/src/rest/mod.rs
+++ b/gateway/src/rest/mod.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Accepts connections forever.
+    /// Accepts connections forever. After a failed accept it pauses before the next one.
     pub async fn listen(self: Rc<Self>, listener: Rc<Async<TcpListener>>) {
         loop {
             match listener.accept().await {
--- a/gateway/src/rest/routes.rs
+++ b/gateway/src/rest/routes.rs
@@ -33,7 +33,7 @@
 }
 
 impl RestFrontend {
-    /// Answers one request.
+    /// Answers a request. An error becomes a reply, so that every request gets an answer.
     pub(super) async fn answer(
         self: Rc<Self>,
         request: Request<Incoming>,
--- a/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
+++ b/tools/acceptance/src/bin/prove-fleet-rules/processes.rs
@@ -85,7 +85,7 @@
         })
     }
 
-    /// Runs all phases.
+    /// Runs the phase under load, then the phase in which clients disconnect.
     pub fn run(&mut self) -> Result<()> {
         self.run_under_load();
         self.counts = self.fleet.engines().counts();
--- a/tools/acceptance/src/cluster/instance.rs
+++ b/tools/acceptance/src/cluster/instance.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Starts the process.
+    /// Starts the process of the instance.
     pub(super) fn start(&self) -> Result<()> {
         lock(&self.process).start()
     }
--- a/tools/linearizability/src/lib.rs
+++ b/tools/linearizability/src/lib.rs
@@ -30,7 +30,7 @@
 /// An operation on a key, which holds a number or nothing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OperationKind {
-    /// Sets the key.
+    /// Sets the key to this number, whatever it holds.
     Write(u64),
     /// Sets the key if it holds the expected value.
     CompareAndSwap {
