--- a/cluster/replica-runtime/src/subscription.rs
+++ b/cluster/replica-runtime/src/subscription.rs
@@ -42,7 +42,8 @@
     pub standby: Option<NodeId>,
     /// Whether requests may be routed on the replica. The error holds the replica's age.
     pub freshness: Result<(), Stale>,
-    /// The last rejection by an observer that has not accepted this gateway since then.
+    /// The latest rejection. An observer's rejection is dropped when that observer accepts this
+    /// gateway.
     pub rejection: Option<Rejection>,
 }
 
@@ -132,7 +133,7 @@
         Duration::from_micros(self.core.borrow().time_until_stale(boot_time()))
     }
 
-    /// Reads the replica.
+    /// Calls `read` with the replica and returns its result.
     pub fn replica<T>(&self, read: impl FnOnce(&SubscriberReplica) -> T) -> T {
         read(self.core.borrow().replica())
     }
--- a/gateway/src/ctl/members.rs
+++ b/gateway/src/ctl/members.rs
@@ -37,7 +37,7 @@
         /// The member's settings
         #[arg(long, env = "VIOLETGATE_SETTINGS")]
         settings: PathBuf,
-        /// It joins a cluster that runs, and was added there
+        /// Join a running cluster, to which this member has been added
         #[arg(long)]
         join: bool,
     },
@@ -54,12 +54,12 @@
     },
     /// Let a member that has caught up vote
     Promote {
-        /// Its id
+        /// The member's id
         id: u64,
     },
     /// Take a member out, for good
     Remove {
-        /// Its id
+        /// The member's id
         id: u64,
     },
     /// Add a member, wait until it votes, and take another one out
@@ -75,7 +75,7 @@
     },
     /// Hand leadership over
     Transfer {
-        /// To this voter
+        /// The id of the voter that becomes the leader
         id: u64,
     },
 }
