--- a/gateway/src/dispatch/mod.rs
+++ b/gateway/src/dispatch/mod.rs
@@ -108,7 +108,7 @@
     }
 
     /// Answers every open request because the process is ending: with a rejection if a retry does
-    /// no harm, else with a failure (see [`rejection_or_failure`]). Requests submitted later are
+    /// no harm, else with a failure (see `rejection_or_failure`). Requests submitted later are
     /// rejected at once, because the end of the process would interrupt them.
     pub fn shut_down(&self) {
         self.is_shut_down.set(true);
@@ -116,7 +116,7 @@
     }
 
     /// Answers every request that has no attempt in flight, because the fence has closed: with a
-    /// rejection if a retry does no harm, else with a failure (see [`rejection_or_failure`]).
+    /// rejection if a retry does no harm, else with a failure (see `rejection_or_failure`).
     /// Attempts in flight may still complete.
     pub fn reject_queued(&self) {
         self.reject_open(&Answer::StateUnconfirmed, |request| {
